--- a/internal/api/workers.go
+++ b/internal/api/workers.go
@@ -51,7 +51,7 @@
 
 // report checks a report; "" or what is wrong with it.
 func (j *reportJSON) report() (core.Report, string) {
-	r := core.Report{Host: j.Host, Address: j.Address, Flavor: j.Flavor, Zone: j.Hall, Reclaimable: j.Reclaimable, Epoch: j.Epoch}
+	r := core.Report{Host: j.Host, Address: j.Address, InstanceType: j.Flavor, Zone: j.Hall, Spot: j.Reclaimable, Epoch: j.Epoch}
 	switch {
 	case j.Host == "" || len(j.Host) > 128:
 		return r, "host"
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -87,7 +87,7 @@
 		method, path = http.MethodGet, "/catalog"
 	case core.CloudRent:
 		method, path = http.MethodPost, "/machines"
-		v = rentJSON{call.Rental, call.Flavor, call.Zone, call.Reclaimable, call.Count}
+		v = rentJSON{call.Rental, call.InstanceType, call.Zone, call.Spot, call.Count}
 	case core.CloudRelease:
 		method, path, v = http.MethodPost, "/machines/release", hostsJSON{call.Hosts}
 	case core.CloudList:
@@ -135,9 +135,9 @@
 			if !f.sound() {
 				return unknown
 			}
-			r.Flavors = append(r.Flavors, core.Flavor{Name: f.Name, Capacity: timeline.Capacity(f.VCPUs, f.GPUs, f.MemGB),
-				CPUs: f.VCPUs, LocalGB: f.LocalGB, FetchGBps: f.FetchGBps, Rate: f.Rate, LowRate: f.LowPrice,
-				Ready: timeline.Seconds(f.ReadyS), Zones: f.Halls})
+			r.InstanceTypes = append(r.InstanceTypes, core.InstanceType{Name: f.Name, Capacity: timeline.Capacity(f.VCPUs, f.GPUs, f.MemGB),
+				CPUs: f.VCPUs, LocalGB: f.LocalGB, ImageGBps: f.FetchGBps, OnDemandRate: f.Rate, SpotRate: f.LowPrice,
+				BootTime: timeline.Seconds(f.ReadyS), Zones: f.Halls})
 		}
 	case core.CloudRent:
 		var a hostsJSON
@@ -161,8 +161,8 @@
 				return unknown
 			}
 			after = h.ID
-			r.Listed = append(r.Listed, core.Listed{Host: h.ID, Flavor: h.Flavor, Zone: h.Hall, Status: h.Status,
-				Reclaimable: h.Reclaimable, Age: timeline.Seconds(h.AgeS)})
+			r.Instances = append(r.Instances, core.Instance{Host: h.ID, InstanceType: h.Flavor, Zone: h.Hall, Status: h.Status,
+				Spot: h.Reclaimable, Age: timeline.Seconds(h.AgeS)})
 		}
 	}
 	return r
--- a/internal/cloud/fuzz_test.go
+++ b/internal/cloud/fuzz_test.go
@@ -24,13 +24,13 @@
 		if r.Outcome == core.OK && status != 200 || len(r.Hosts) > 2 {
 			t.Fatalf("%+v", r)
 		}
-		for _, x := range r.Flavors {
-			if x.Name == "" || x.Capacity.CPU <= 0 || x.Capacity.GPU < 0 || x.Capacity.Mem < 0 || x.Ready < 0 || x.Ready > timeline.Forever || !(x.Rate >= 0) || !(x.FetchGBps >= 0) {
+		for _, x := range r.InstanceTypes {
+			if x.Name == "" || x.Capacity.CPU <= 0 || x.Capacity.GPU < 0 || x.Capacity.Mem < 0 || x.BootTime < 0 || x.BootTime > timeline.Forever || !(x.OnDemandRate >= 0) || !(x.ImageGBps >= 0) {
 				t.Fatalf("%+v", x)
 			}
 		}
 		last := "h1"
-		for _, x := range r.Listed {
+		for _, x := range r.Instances {
 			if x.Host <= last || x.Age > timeline.Forever || x.Age < -timeline.Forever {
 				t.Fatalf("%+v after %s", x, last)
 			}
--- a/internal/core/alone.go
+++ b/internal/core/alone.go
@@ -28,29 +28,29 @@
 	aloneBurst = 0.5 // of one second's changes: all nodes together stay below what the service takes at once
 	// submitWait is how long the leader is left to answer a submission that was passed on.
 	submitWait = 700 * time.Millisecond
-	// flavorsEvery is how often a node that does not lead reads the machine types.
-	flavorsEvery = time.Minute
-	flavorsFirst = 400 * time.Millisecond // and first so long after it has begun
+	// instanceTypesInterval is how often a node that does not lead reads the machine types.
+	instanceTypesInterval  = time.Minute
+	instanceTypesFirstRead = 400 * time.Millisecond // and first so long after it has begun
 )
 
 func newAloneLimit(writes float64, nodes int) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(writes*alonePart/float64(nodes)), max(1, int(writes*aloneBurst/float64(nodes))))
 }
 
-// learnFlavors reads the machine types now and then: what can never run is refused, and
+// refreshInstanceTypes reads the machine types now and then: what can never run is refused, and
 // who knows no types can neither refuse nor accept.
-func (c *Core) learnFlavors() {
+func (c *Core) refreshInstanceTypes() {
 	if c.lead != nil { // which has its own
-		c.after(c.jitter(flavorsEvery), c.learnFlavors)
+		c.after(c.jitter(instanceTypesInterval), c.refreshInstanceTypes)
 		return
 	}
 	c.cloud(CloudCall{Op: CloudCatalog}, func(r CloudReply) {
-		if r.Outcome != OK || len(r.Flavors) == 0 {
-			c.after(c.jitter(4*time.Second), c.learnFlavors)
+		if r.Outcome != OK || len(r.InstanceTypes) == 0 {
+			c.after(c.jitter(4*time.Second), c.refreshInstanceTypes)
 			return
 		}
-		c.flavors = r.Flavors
-		c.after(c.jitter(flavorsEvery), c.learnFlavors)
+		c.instanceTypes = r.InstanceTypes
+		c.after(c.jitter(instanceTypesInterval), c.refreshInstanceTypes)
 	})
 }
 
@@ -59,7 +59,7 @@
 	s := call.Spec
 	no := unavailable("no leader at present")
 	switch {
-	case c.lead != nil || call.From != "" || len(c.cfg.Seeds) == 0 || len(c.flavors) == 0 || !c.pol.NeverRefuses():
+	case c.lead != nil || call.From != "" || len(c.cfg.Seeds) == 0 || len(c.instanceTypes) == 0 || !c.pol.NeverRefuses():
 		c.answer(call, no)
 		return
 	case !c.fits(recordSize(s)):
@@ -77,7 +77,7 @@
 		c.answer(call, no)
 		return
 	}
-	if field, reason := neverRunsOn(s, c.teamAlone(k, s.Owner), c.flavors); reason != "" {
+	if field, reason := neverRunsOn(s, c.teamAlone(k, s.Owner), c.instanceTypes); reason != "" {
 		c.refuseAlone(call, k, neverRun(field, reason))
 		return
 	}
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -105,7 +105,7 @@
 func (d *desk) report(host string, counter uint64, tasks ...TaskReport) []Order {
 	d.ref++
 	ref := d.ref
-	d.in(ReportIn{Ref: ref, Report: Report{Host: host, Address: host, Flavor: "f2", Zone: "a", Reclaimable: true, Tenure: 1, Counter: counter, Epoch: 1, Tasks: tasks}})
+	d.in(ReportIn{Ref: ref, Report: Report{Host: host, Address: host, InstanceType: "f2", Zone: "a", Spot: true, Tenure: 1, Counter: counter, Epoch: 1, Tasks: tasks}})
 	d.pass(5 * time.Second)
 	for _, o := range d.said {
 		if a, ok := o.(AnswerReport); ok && a.Ref == ref {
@@ -120,7 +120,7 @@
 }
 
 func plainJob(id string, tasks int) *JobSpec {
-	return &JobSpec{ID: id, Class: "c", Owner: "t", Urgency: Standard, Tasks: tasks, CPUs: 1, MemGB: 1, Image: "i", Reclaimable: true, Runtime: time.Minute}
+	return &JobSpec{ID: id, Class: "c", Owner: "t", Urgency: Standard, Tasks: tasks, CPUs: 1, MemGB: 1, Image: "i", AllowSpot: true, Runtime: time.Minute}
 }
 
 // running has a job accepted and its tasks started on the machine.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -56,38 +56,38 @@
 	wander time.Duration
 	began  time.Time // the first input
 
-	life         uint64 // of this process: tells it from one of the same name that ended before
-	ref          uint64
-	stores       map[uint64]func(StoreReply)
-	clouds       map[uint64]func(CloudReply)
-	probes       map[uint64]func(ProbeReply)
-	calls        map[uint64]*forwarded // users' requests at the leader's
-	wake         byTime[func()]        // alarms: a large fleet has one for nearly every machine
-	lead         *leadership
-	hint         string        // who leads, as far as we know
-	leaderSpeaks uint64        // the version that it talks in
-	configHeard  time.Time     // when the leader last told us that our configuration is the newest
-	termMax      uint64        // the highest term heard of
-	claimRef     uint64        // calls numbered up to this one were made before it was heard of
-	keyRev       uint64        // of the leader's key when it was last read
-	firstRev     uint64        // of the state service when it first answered this process
-	known        rebuild.Known // what we have seen of the state service
-	lostWhy      string        // why it must have lost data, until somebody leads who knows
-	led          uint64        // the last term that we led
-	copies       copies
-	confirmed    uint64 // the newest that the state service has told us of
-	confirmedRev uint64 // at which it is on record
-	links        map[string]bool
-	apart        time.Time                       // since when we have no link to the leader that we know
-	final        *lru.Cache[string, FinalRecord] // how recent jobs ended
-	relay        relaying
-	passed       time.Time // when we last handed over
-	flavors      []Flavor  // as read while not leading
-	alone        *rate.Limiter
-	reads        *rate.Limiter
-	stateUp      bool
-	served       time.Time // when the state service last served us
-	late         int64     // reports that were older than what was known
+	life          uint64 // of this process: tells it from one of the same name that ended before
+	ref           uint64
+	stores        map[uint64]func(StoreReply)
+	clouds        map[uint64]func(CloudReply)
+	probes        map[uint64]func(ProbeReply)
+	calls         map[uint64]*forwarded // users' requests at the leader's
+	wake          byTime[func()]        // alarms: a large fleet has one for nearly every machine
+	lead          *leadership
+	hint          string        // who leads, as far as we know
+	leaderSpeaks  uint64        // the version that it talks in
+	configHeard   time.Time     // when the leader last told us that our configuration is the newest
+	termMax       uint64        // the highest term heard of
+	claimRef      uint64        // calls numbered up to this one were made before it was heard of
+	keyRev        uint64        // of the leader's key when it was last read
+	firstRev      uint64        // of the state service when it first answered this process
+	known         rebuild.Known // what we have seen of the state service
+	lostWhy       string        // why it must have lost data, until somebody leads who knows
+	led           uint64        // the last term that we led
+	copies        copies
+	confirmed     uint64 // the newest that the state service has told us of
+	confirmedRev  uint64 // at which it is on record
+	links         map[string]bool
+	apart         time.Time                       // since when we have no link to the leader that we know
+	final         *lru.Cache[string, FinalRecord] // how recent jobs ended
+	relay         relaying
+	passed        time.Time      // when we last handed over
+	instanceTypes []InstanceType // as read while not leading
+	alone         *rate.Limiter
+	reads         *rate.Limiter
+	stateUp       bool
+	served        time.Time // when the state service last served us
+	late          int64     // reports that were older than what was known
 
 	report, lease time.Duration
 	times         lapse.Times
@@ -134,7 +134,7 @@
 			c.relayTick()
 			// Not at once: a process that ends again and again would use up what calls
 			// the cloud allows to all of them.
-			c.after(c.jitter(flavorsFirst), c.learnFlavors)
+			c.after(c.jitter(instanceTypesFirstRead), c.refreshInstanceTypes)
 		}
 	}
 	c.alarms()
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -173,7 +173,7 @@
 				if o.Op == CloudRent {
 					r.Outcome = Refused
 				} else if o.Op == CloudCatalog {
-					r.Flavors = l.rent.flavors
+					r.InstanceTypes = l.rent.instanceTypes
 				}
 				done(r)
 			case AnswerReport:
@@ -202,8 +202,8 @@
 	var early, ran int
 	for i := range day * days {
 		host := fmt.Sprintf("host-1%07d", i)
-		r := Report{Host: host, Address: host + ":9000", Flavor: "f2", Zone: "a", Reclaimable: true, Tenure: 1, Epoch: l.term}
-		j := &JobSpec{ID: fmt.Sprintf("wk-%07d", i), Class: fmt.Sprint("class ", i), Owner: "t", Tasks: 2, CPUs: 1, MemGB: 1, Image: fmt.Sprint("img", i), Reclaimable: true, Runtime: time.Minute}
+		r := Report{Host: host, Address: host + ":9000", InstanceType: "f2", Zone: "a", Spot: true, Tenure: 1, Epoch: l.term}
+		j := &JobSpec{ID: fmt.Sprintf("wk-%07d", i), Class: fmt.Sprint("class ", i), Owner: "t", Tasks: 2, CPUs: 1, MemGB: 1, Image: fmt.Sprint("img", i), AllowSpot: true, Runtime: time.Minute}
 		r.Counter++
 		say(r) // has it recorded
 		done(UserCall{Ref: uint64(i) + 5e6, Op: OpSubmit, ID: j.ID, Spec: j})
@@ -275,7 +275,7 @@
 		t.Fatal("does not lead")
 	}
 	c.SetWander(time.Hour)
-	for _, o := range c.Step(t0.Add(time.Millisecond), ReportIn{Ref: 5, Report: Report{Host: l.fleet[0].host, Flavor: "f0", Zone: "a", Tenure: 1, Counter: 2, Epoch: 1}}) {
+	for _, o := range c.Step(t0.Add(time.Millisecond), ReportIn{Ref: 5, Report: Report{Host: l.fleet[0].host, InstanceType: "f0", Zone: "a", Tenure: 1, Counter: 2, Epoch: 1}}) {
 		if a, ok := o.(AnswerReport); ok && len(a.Orders) > 0 {
 			t.Errorf("starts after an hour's sleep: %+v", a)
 		}
@@ -348,7 +348,7 @@
 	c := leaderOf(t, 1)
 	m := c.lead.fleet[0]
 	status := func(counter uint64) int {
-		for _, o := range c.Step(c.now.Add(time.Second), ReportIn{Ref: counter, Report: Report{Host: m.host, Flavor: "f0", Zone: "a", Tenure: 1, Counter: counter, Epoch: 1}}) {
+		for _, o := range c.Step(c.now.Add(time.Second), ReportIn{Ref: counter, Report: Report{Host: m.host, InstanceType: "f0", Zone: "a", Tenure: 1, Counter: counter, Epoch: 1}}) {
 			if a, ok := o.(AnswerReport); ok && a.Ref == counter {
 				return a.Status
 			}
--- a/internal/core/estimate.go
+++ b/internal/core/estimate.go
@@ -73,9 +73,9 @@
 }
 
 // fetch returns how long the machine needs to fetch the image.
-func fetch(s *JobSpec, f *Flavor) time.Duration {
-	if f == nil || f.FetchGBps <= 0 {
+func fetch(s *JobSpec, f *InstanceType) time.Duration {
+	if f == nil || f.ImageGBps <= 0 {
 		return 0
 	}
-	return timeline.Seconds(s.ImageGB / f.FetchGBps)
+	return timeline.Seconds(s.ImageGB / f.ImageGBps)
 }
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -46,7 +46,7 @@
 			Endpoint string `toml:"endpoint"`
 		}{HostName: "n1"})
 		c.lead.sched.loaded = true
-		flavors := c.lead.rent.flavors
+		flavors := c.lead.rent.instanceTypes
 		c.tickLead()
 		counter := uint64(10)
 		hosts := []string{"host-000000", "host-000001", "host-000002", "host-x", "a"}
@@ -57,7 +57,7 @@
 			return d - span()
 		}
 		report := func() Report {
-			r := Report{Host: pick(hosts...), Address: "x", Flavor: pick("f0", "f2", "none"), Zone: "a", Reclaimable: next()%2 == 0,
+			r := Report{Host: pick(hosts...), Address: "x", InstanceType: pick("f0", "f2", "none"), Zone: "a", Spot: next()%2 == 0,
 				Tenure: 1, Epoch: 1, HasNotice: next()%9 == 0, Notice: difference()}
 			counter++
 			r.Counter = counter
@@ -116,7 +116,7 @@
 				step(ReportIn{Ref: ref, Report: report()})
 			case 3:
 				s := &JobSpec{ID: pick(jobs...), Class: "c", Owner: pick("t", "nobody"), Service: next()%4 == 0, Urgency: Urgency(next() % 4), Tasks: []int{1, 2, 300, MaxTasks}[next()%4],
-					CPUs: amount(1e6), GPUs: amount(1e6), MemGB: amount(1e7), Image: "i", ImageGB: amount(1e6), Reclaimable: next()%2 == 0, SamePlace: next()%4 == 0, Apart: next()%4 == 0,
+					CPUs: amount(1e6), GPUs: amount(1e6), MemGB: amount(1e7), Image: "i", ImageGB: amount(1e6), AllowSpot: next()%2 == 0, SamePlace: next()%4 == 0, Apart: next()%4 == 0,
 					Runtime: span(), SnapshotEvery: span(), Snapshot: span(), Due: span(), Dated: next()%2 == 0}
 				call := UserCall{Ref: ref, Op: OpSubmit, ID: s.ID, Spec: s, From: pick("", "n1")}
 				if next()%3 == 0 {
@@ -183,9 +183,9 @@
 				case CloudCall:
 					r := CloudReply{Ref: call.Ref, Outcome: outcome, More: next()%4 == 0}
 					r.Hosts = hosts[:min(call.Count, next()%3)]
-					r.Listed = []Listed{{Host: pick(hosts...), Flavor: pick("f0", "none"), Zone: "a", Status: pick("running", "failed", "?"), Age: span()}}
+					r.Instances = []Instance{{Host: pick(hosts...), InstanceType: pick("f0", "none"), Zone: "a", Status: pick("running", "failed", "?"), Age: span()}}
 					if call.Op == CloudCatalog {
-						r.Flavors = slices.Clone(flavors)
+						r.InstanceTypes = slices.Clone(flavors)
 					}
 					step(r)
 				case ProbeCall:
--- a/internal/core/groups.go
+++ b/internal/core/groups.go
@@ -28,12 +28,12 @@
 // size bounds the bytes of a machine in a record: what a worker says of
 // itself may be anything, and one bad name must not spoil the record of many.
 func (m *RecordedMachine) size() int {
-	return 90 + len(m.Host) + 6*(len(m.Address)+len(m.Flavor)+len(m.Zone))
+	return 90 + len(m.Host) + 6*(len(m.Address)+len(m.InstanceType)+len(m.Zone))
 }
 
 // recorded is how a record names the machine.
 func (m *machine) recorded() RecordedMachine {
-	return RecordedMachine{m.host, m.address, m.flavorName, m.zone, m.reclaimable}
+	return RecordedMachine{m.host, m.address, m.typeName, m.zone, m.spot}
 }
 
 func recordedSize(m *machine) int {
@@ -137,7 +137,7 @@
 	l := c.lead
 	g := &group{key: key, rev: rev}
 	for _, r := range rec.Machines {
-		m := c.machine(r.Host, r.Flavor, r.Zone, r.Reclaimable)
+		m := c.machine(r.Host, r.InstanceType, r.Zone, r.Spot)
 		if m.group != nil {
 			continue
 		}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -391,7 +391,7 @@
 // recordSize estimates the bytes of a job's record, with room to spare.
 func recordSize(s *JobSpec) int {
 	n := 700 + 6*(len(s.Class)+len(s.Owner)+len(s.Image)+len(s.Zone))
-	for _, f := range s.Flavors {
+	for _, f := range s.InstanceTypes {
 		n += 6*len(f) + 4
 	}
 	return n
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -26,7 +26,7 @@
 	// What this node has read of the catalog lately serves until it can be read anew. Without,
 	// a leader that begins while the cloud is out would start nothing and accept nothing, with
 	// machines at hand.
-	c.lead.rent.flavors = slices.Clone(c.flavors)
+	c.lead.rent.instanceTypes = slices.Clone(c.instanceTypes)
 	c.lead.zones = zones.New(c.zoneSettings())
 	c.lead.regions = zones.NewRegionWatch(c.reg)
 	c.lead.places, _ = topology.New(topology.Definition{}) // zones alone: cannot fail
@@ -138,8 +138,8 @@
 	c.note(slog.LevelWarn, "leadership lost", "term", l.term, "reason", why)
 	c.lead = nil
 	c.reads = newReadLimit(c.cfg.Settings.State.RPS, 1+len(c.cfg.Seeds))
-	if len(l.rent.flavors) > 0 {
-		c.flavors = l.rent.flavors
+	if len(l.rent.instanceTypes) > 0 {
+		c.instanceTypes = l.rent.instanceTypes
 	}
 	// Workers that wait here need not look for the next leader: we pass on what they
 	// have said. Other relays do the same with theirs.
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -32,14 +32,14 @@
 
 // machine is a rented machine.
 type machine struct {
-	host, flavorName, zone string
-	address                string
-	leaf                   *topology.Place // where it stands
-	in                     *zones.Zone     // and how that zone is
-	flavor                 *Flavor         // nil while the catalog is unknown
-	reclaimable            bool
-	record                 recordState // a successor must know of it before it may hold tasks
-	group                  *group      // the record that names it
+	host, typeName, zone string
+	address              string
+	leaf                 *topology.Place // where it stands
+	in                   *zones.Zone     // and how that zone is
+	instanceType         *InstanceType   // nil while the catalog is unknown
+	spot                 bool
+	record               recordState // a successor must know of it before it may hold tasks
+	group                *group      // the record that names it
 
 	reported        bool // in this term
 	probed          bool // and that only in answer to a probe
@@ -83,13 +83,13 @@
 	l := c.lead
 	m := l.machines[host]
 	if m == nil {
-		m = &machine{host: host, flavorName: flavor, zone: zone, reclaimable: reclaimable,
+		m = &machine{host: host, typeName: flavor, zone: zone, spot: reclaimable,
 			since: c.now, rentedAt: c.now, idle: c.now, images: newImages(), tl: timeline.New(timeline.Resources{})}
 		m.leaf, _ = l.places.Machine(host, "", zone)
 		m.in = l.zones.Zone(zone)
 		l.machines[host] = m
 		l.fleet = slices.Insert(l.fleet, l.place(host), m)
-		c.setFlavor(m)
+		c.setInstanceType(m)
 	}
 	return m
 }
@@ -99,9 +99,9 @@
 	return sort.Search(len(l.fleet), func(i int) bool { return l.fleet[i].host >= host })
 }
 
-func (c *Core) setFlavor(m *machine) {
-	if f := c.lead.rent.flavor(m.flavorName); f != nil && m.flavor == nil {
-		m.flavor = f
+func (c *Core) setInstanceType(m *machine) {
+	if f := c.lead.rent.instanceType(m.typeName); f != nil && m.instanceType == nil {
+		m.instanceType = f
 		tl := timeline.New(f.Capacity)
 		for _, r := range m.runs {
 			if r.slot != nil {
@@ -114,7 +114,7 @@
 
 // usable reports whether new tasks may be booked on the machine.
 func (m *machine) usable() bool {
-	return m.flavor != nil && !m.releasing && !m.draining && !m.condemned && !m.lost && !m.away && m.leaving.IsZero()
+	return m.instanceType != nil && !m.releasing && !m.draining && !m.condemned && !m.lost && !m.away && m.leaving.IsZero()
 }
 
 func (m *machine) room() timeline.Resources {
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -32,7 +32,7 @@
 		l.ahead = d.c.ahead(d.c.now)
 		d.c.SetWander(ahead)
 		d.ref++
-		d.in(ReportIn{Ref: d.ref, Report: Report{Host: "host-000000", Flavor: "f2", Zone: "a", Tenure: 1, Counter: 20, Epoch: 1, Tasks: ts}})
+		d.in(ReportIn{Ref: d.ref, Report: Report{Host: "host-000000", InstanceType: "f2", Zone: "a", Tenure: 1, Counter: 20, Epoch: 1, Tasks: ts}})
 		if a := d.replied(d.ref); (a.Status == 200) != (ahead == 0) {
 			t.Errorf("with the time of day %v ahead the answer is %d", ahead, a.Status)
 		}
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -66,16 +66,16 @@
 // an array of 100,000 tasks costs no more than a large one.
 const window = 256
 
-func flavorAllowed(s *JobSpec, name string) bool {
-	return len(s.Flavors) == 0 || slices.Contains(s.Flavors, name)
+func allowsInstanceType(s *JobSpec, name string) bool {
+	return len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, name)
 }
 
-func hasZone(f *Flavor, zone string) bool { return slices.Contains(f.Zones, zone) }
+func hasZone(f *InstanceType, zone string) bool { return slices.Contains(f.Zones, zone) }
 
 // eligible reports whether the job's tasks may run on the machine at all.
 func (m *machine) eligible(j *job) bool {
 	s := &j.spec
-	return m.usable() && (!m.reclaimable || s.Reclaimable) && flavorAllowed(s, m.flavorName) &&
+	return m.usable() && (!m.spot || s.AllowSpot) && allowsInstanceType(s, m.typeName) &&
 		(s.Zone == "" || s.Zone == m.zone) && j.need.Fits(m.tl.Capacity()) &&
 		(len(j.errHosts) == 0 || !j.errHosts[m.host] || len(j.errHosts) > errHostsMost)
 }
@@ -93,7 +93,7 @@
 		return timeline.Forever
 	}
 	if !m.images.Contains(j.spec.Image) {
-		base += fetch(&j.spec, m.flavor)
+		base += fetch(&j.spec, m.instanceType)
 	}
 	return base
 }
@@ -786,10 +786,10 @@
 			}
 		}
 	}
-	for i := range l.rent.flavors {
-		f := &l.rent.flavors[i]
-		if flavorAllowed(s, f.Name) && j.need.Fits(f.Capacity) && (s.Zone == "" || hasZone(f, s.Zone)) && l.rent.mayOffer(f, s.Reclaimable, c.now) {
-			best = min(best, f.Ready+fetch(s, f)+run)
+	for i := range l.rent.instanceTypes {
+		f := &l.rent.instanceTypes[i]
+		if allowsInstanceType(s, f.Name) && j.need.Fits(f.Capacity) && (s.Zone == "" || hasZone(f, s.Zone)) && l.rent.mayOffer(f, s.AllowSpot, c.now) {
+			best = min(best, f.BootTime+fetch(s, f)+run)
 		}
 	}
 	return best - s.Due
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -17,28 +17,28 @@
 
 // offer is a kind of machine that can be rented.
 type offer struct {
-	flavor      string
-	zone        string
-	reclaimable bool
+	instanceType string
+	zone         string
+	spot         bool
 }
 
 // renting is what the leader knows of the cloud.
 type renting struct {
-	flavors  []Flavor
-	limit    *rate.Limiter
-	refused  map[offer]time.Time // no capacity until then
-	wanted   map[string]*rental  // requests whose outcome is not known
-	count    uint64              // names never repeat: term and this
-	backlog  time.Duration
-	cpus     float64 // at hand or on their way
-	burst    float64 // CPUs that a job takes which must start at once
-	burstAt  time.Time
-	patience map[string]float64 // by type, how much longer than usual boots take at present
-	releases []string
-	freeing  bool
-	full     bool // the controllers cannot serve more machines
-	blind    bool // the cloud's catalog could not be read last time
-	read     bool // it has been read in this term: only then is a type that it lacks none
+	instanceTypes []InstanceType
+	limit         *rate.Limiter
+	refused       map[offer]time.Time // no capacity until then
+	wanted        map[string]*rental  // requests whose outcome is not known
+	count         uint64              // names never repeat: term and this
+	backlog       time.Duration
+	cpus          float64 // at hand or on their way
+	burst         float64 // CPUs that a job takes which must start at once
+	burstAt       time.Time
+	patience      map[string]float64 // by type, how much longer than usual boots take at present
+	releases      []string
+	freeing       bool
+	full          bool // the controllers cannot serve more machines
+	blind         bool // the cloud's catalog could not be read last time
+	read          bool // it has been read in this term: only then is a type that it lacks none
 }
 
 type rental struct {
@@ -56,10 +56,10 @@
 	}
 }
 
-func (r *renting) flavor(name string) *Flavor {
-	for i := range r.flavors {
-		if r.flavors[i].Name == name {
-			return &r.flavors[i]
+func (r *renting) instanceType(name string) *InstanceType {
+	for i := range r.instanceTypes {
+		if r.instanceTypes[i].Name == name {
+			return &r.instanceTypes[i]
 		}
 	}
 	return nil
@@ -74,7 +74,7 @@
 }
 
 // mayOffer reports whether some zone may have capacity for the type.
-func (r *renting) mayOffer(f *Flavor, reclaimable bool, now time.Time) bool {
+func (r *renting) mayOffer(f *InstanceType, reclaimable bool, now time.Time) bool {
 	for _, z := range f.Zones {
 		if now.After(r.refused[offer{f.Name, z, false}]) || reclaimable && now.After(r.refused[offer{f.Name, z, true}]) {
 			return true
@@ -90,30 +90,30 @@
 		if c.lead != l {
 			return
 		}
-		if r.Outcome != OK || len(r.Flavors) == 0 {
+		if r.Outcome != OK || len(r.InstanceTypes) == 0 {
 			if !l.rent.blind {
 				l.rent.blind = true
-				c.note(slog.LevelWarn, "machine types cannot be read", "known", len(l.rent.flavors))
+				c.note(slog.LevelWarn, "machine types cannot be read", "known", len(l.rent.instanceTypes))
 			}
 			c.whenLeading(c.jitter(time.Second), c.fetchCatalog)
 			return
 		}
 		l.rent.blind = false
-		c.takeCatalog(r.Flavors)
+		c.takeCatalog(r.InstanceTypes)
 		c.whenLeading(30*time.Second, c.fetchCatalog)
 	})
 }
 
 // takeCatalog takes the machine types as the catalog has them now: prices move, and types come.
-func (c *Core) takeCatalog(flavors []Flavor) {
+func (c *Core) takeCatalog(flavors []InstanceType) {
 	l := c.lead
-	l.rent.flavors, l.rent.read = flavors, true
+	l.rent.instanceTypes, l.rent.read = flavors, true
 	for _, m := range l.fleet {
-		if f := l.rent.flavor(m.flavorName); m.flavor == nil {
-			c.setFlavor(m)
+		if f := l.rent.instanceType(m.typeName); m.instanceType == nil {
+			c.setInstanceType(m)
 			l.dirty = true
 		} else if f != nil {
-			m.flavor = f
+			m.instanceType = f
 		}
 	}
 }
@@ -124,7 +124,7 @@
 
 // listMachines reads the cloud's list, to find machines that an earlier leader
 // or a late request rented, and those that have failed.
-func (c *Core) listMachines(after string, got []Listed) {
+func (c *Core) listMachines(after string, got []Instance) {
 	l := c.lead
 	again := 6 * time.Second
 	c.cloud(CloudCall{Op: CloudList, After: after}, func(r CloudReply) {
@@ -135,9 +135,9 @@
 			c.whenLeading(c.jitter(again), func() { c.listMachines("", nil) })
 			return
 		}
-		got = append(got, r.Listed...)
+		got = append(got, r.Instances...)
 		if r.More && len(got) < listMost {
-			c.listMachines(r.Listed[len(r.Listed)-1].Host, got)
+			c.listMachines(r.Instances[len(r.Instances)-1].Host, got)
 			return
 		}
 		for _, h := range got {
@@ -147,17 +147,17 @@
 	})
 }
 
-func (c *Core) listed(h Listed) {
+func (c *Core) listed(h Instance) {
 	l := c.lead
 	if l.gone.has(h.Host) {
 		return // the list lags
 	}
 	m := l.machines[h.Host]
 	if m == nil {
-		m = c.machine(h.Host, h.Flavor, h.Zone, h.Reclaimable)
+		m = c.machine(h.Host, h.InstanceType, h.Zone, h.Spot)
 		m.rentedAt = c.now.Add(-h.Age)
-		if m.flavor != nil {
-			m.readyAt = m.rentedAt.Add(m.flavor.Ready)
+		if m.instanceType != nil {
+			m.readyAt = m.rentedAt.Add(m.instanceType.BootTime)
 		}
 		l.dirty = true
 	}
@@ -321,11 +321,11 @@
 	if booting {
 		// Some machines take several times as long, a few never come up.
 		ready := 30 * time.Second
-		if m.flavor != nil {
-			ready = m.flavor.Ready
+		if m.instanceType != nil {
+			ready = m.instanceType.BootTime
 		}
 		last, wait = m.rentedAt, max(3*ready, ready+30*time.Second)
-		if p := l.rent.patience[m.flavorName]; p > 0 {
+		if p := l.rent.patience[m.typeName]; p > 0 {
 			wait = timeline.Seconds(wait.Seconds() * p)
 		}
 		if m.since.Add(3 * silent).After(last.Add(wait)) {
@@ -336,15 +336,15 @@
 	case m.away && !l.owed[m.host] && (!booting || c.now.Sub(last) <= 2*wait):
 		// Its zone is cut off: see giveBackZones.
 	case c.now.Sub(last) > wait && (!cutOff || booting):
-		c.note(slog.LevelWarn, "machine silent, releasing it", "machine", m.host, "type", m.flavorName, "silent", c.now.Sub(last), "tasks", len(m.runs), "booted", !booting)
+		c.note(slog.LevelWarn, "machine silent, releasing it", "machine", m.host, "type", m.typeName, "silent", c.now.Sub(last), "tasks", len(m.runs), "booted", !booting)
 		if booting && !m.away {
 			// When boots take longer than that for a while, giving up each time
 			// would never get a machine.
-			l.rent.patience[m.flavorName] = min(max(l.rent.patience[m.flavorName], 1)*1.25, 6)
+			l.rent.patience[m.typeName] = min(max(l.rent.patience[m.typeName], 1)*1.25, 6)
 		}
 		c.release(m)
 		return
-	case m.flavor == nil && l.rent.read:
+	case m.instanceType == nil && l.rent.read:
 		c.release(m) // of a type that the catalog does not have
 		return
 	}
@@ -360,7 +360,7 @@
 	case m.condemned, m.draining, !m.leaving.IsZero():
 		c.release(m)
 	case c.now.Sub(m.idle) > idle && age > 50*time.Second && !c.wanted(m):
-		c.note(slog.LevelInfo, "machine idle, returning it", "machine", m.host, "type", m.flavorName)
+		c.note(slog.LevelInfo, "machine idle, returning it", "machine", m.host, "type", m.typeName)
 		c.release(m)
 	}
 }
@@ -467,10 +467,10 @@
 
 // perCPU is what a CPU of the machine costs.
 func (m *machine) perCPU() float64 {
-	if m.reclaimable {
-		return m.flavor.LowRate / m.flavor.CPUs
+	if m.spot {
+		return m.instanceType.SpotRate / m.instanceType.CPUs
 	}
-	return m.flavor.Rate / m.flavor.CPUs
+	return m.instanceType.OnDemandRate / m.instanceType.CPUs
 }
 
 // consolidate empties the machines that are the dearest to keep when what runs
@@ -520,13 +520,13 @@
 		if draining >= most || draining > len(l.fleet)/3 {
 			break
 		}
-		if free-m.flavor.CPUs < reserve {
+		if free-m.instanceType.CPUs < reserve {
 			continue // what the others have, less what would move to them
 		}
-		free -= m.flavor.CPUs
+		free -= m.instanceType.CPUs
 		draining++
 		m.draining = true
-		c.note(slog.LevelInfo, "machine drained", "machine", m.host, "type", m.flavorName, "cheap", m.reclaimable, "tasks", len(m.runs))
+		c.note(slog.LevelInfo, "machine drained", "machine", m.host, "type", m.typeName, "cheap", m.spot, "tasks", len(m.runs))
 		c.unbookMachine(m)
 	}
 }
@@ -538,17 +538,17 @@
 // supply is how many CPUs are at hand or on their way.
 func (c *Core) supply(ordinaryOnly bool) (total, free float64) {
 	for _, m := range c.lead.fleet {
-		if !m.usable() || ordinaryOnly && m.reclaimable {
+		if !m.usable() || ordinaryOnly && m.spot {
 			continue
 		}
-		if !m.reported && c.now.Sub(m.rentedAt) > 2*m.flavor.Ready+10*time.Second {
+		if !m.reported && c.now.Sub(m.rentedAt) > 2*m.instanceType.BootTime+10*time.Second {
 			continue // not to be counted on
 		}
-		total += m.flavor.CPUs
+		total += m.instanceType.CPUs
 		free += float64(m.room().CPU) / 1000
 	}
 	for _, r := range c.lead.rent.wanted {
-		if !ordinaryOnly || !r.reclaimable {
+		if !ordinaryOnly || !r.spot {
 			total += r.cpus
 			free += r.cpus
 		}
@@ -579,7 +579,7 @@
 		}
 		cpus += n
 		work += n * secs
-		if !j.spec.Reclaimable {
+		if !j.spec.AllowSpot {
 			ordinaryCPUs += n
 			ordinaryWork += n * secs
 		}
@@ -593,7 +593,7 @@
 // at hand.
 func (c *Core) rentMore(bar, ordinaryBar time.Duration) {
 	l := c.lead
-	if len(l.rent.flavors) == 0 || !c.acts() {
+	if len(l.rent.instanceTypes) == 0 || !c.acts() {
 		return
 	}
 	// A job that no machine at hand can take needs one of its own.
@@ -623,7 +623,7 @@
 		return
 	}
 	for short > 0.5 {
-		any := &JobSpec{Reclaimable: !ordinary}
+		any := &JobSpec{AllowSpot: !ordinary}
 		got := c.rentFor(any, short, work/max(total, 1) > ordinaryBar.Seconds(), false)
 		if !got {
 			return
@@ -656,7 +656,7 @@
 	}
 	type choice struct {
 		offer
-		f    *Flavor
+		f    *InstanceType
 		cost float64
 	}
 	// Tasks that take no CPU need a machine all the same.
@@ -664,11 +664,11 @@
 	var cs []choice
 	have := map[offer]int{}
 	for _, m := range l.fleet {
-		have[offer{m.flavorName, m.zone, m.reclaimable}]++
+		have[offer{m.typeName, m.zone, m.spot}]++
 	}
-	for i := range l.rent.flavors {
-		f := &l.rent.flavors[i]
-		if !flavorAllowed(s, f.Name) || !(s.Need() == timeline.Resources{} || s.Need().Fits(f.Capacity)) || f.CPUs <= 0 {
+	for i := range l.rent.instanceTypes {
+		f := &l.rent.instanceTypes[i]
+		if !allowsInstanceType(s, f.Name) || !(s.Need() == timeline.Resources{} || s.Need().Fits(f.Capacity)) || f.CPUs <= 0 {
 			continue
 		}
 		for _, z := range f.Zones {
@@ -677,17 +677,17 @@
 			}
 			for _, low := range []bool{true, false} {
 				o := offer{f.Name, z, low}
-				if low && !s.Reclaimable || !low && s.Reclaimable && !pressing || c.now.Before(l.rent.refused[o]) {
+				if low && !s.AllowSpot || !low && s.AllowSpot && !pressing || c.now.Before(l.rent.refused[o]) {
 					continue
 				}
-				price := f.Rate
+				price := f.OnDemandRate
 				if low {
-					price = f.LowRate
+					price = f.SpotRate
 				}
 				// What the shortage would cost on this type, its boot included.
 				n := math.Ceil(cpus / f.CPUs)
 				used := min(cpus, n*f.CPUs)
-				cost := price * n / used * (1 + f.Ready.Seconds()/120)
+				cost := price * n / used * (1 + f.BootTime.Seconds()/120)
 				cs = append(cs, choice{o, f, cost + 1e-9*float64(have[o])})
 			}
 		}
@@ -696,8 +696,8 @@
 		return false
 	}
 	slices.SortStableFunc(cs, func(a, b choice) int {
-		if a.reclaimable != b.reclaimable { // cheap ones first, ordinary ones when those are out
-			if a.reclaimable {
+		if a.spot != b.spot { // cheap ones first, ordinary ones when those are out
+			if a.spot {
 				return -1
 			}
 			return 1
@@ -721,7 +721,7 @@
 func (c *Core) request(name string) {
 	l := c.lead
 	w := l.rent.wanted[name]
-	c.cloud(CloudCall{Op: CloudRent, Rental: name, Flavor: w.flavor, Zone: w.zone, Reclaimable: w.reclaimable, Count: w.n}, func(r CloudReply) {
+	c.cloud(CloudCall{Op: CloudRent, Rental: name, InstanceType: w.instanceType, Zone: w.zone, Spot: w.spot, Count: w.n}, func(r CloudReply) {
 		if c.lead != l {
 			return
 		}
@@ -732,13 +732,13 @@
 				if l.gone.has(h) {
 					continue
 				}
-				m := c.machine(h, w.flavor, w.zone, w.reclaimable)
+				m := c.machine(h, w.instanceType, w.zone, w.spot)
 				m.rentedAt = w.at
-				if m.flavor != nil {
-					m.readyAt = w.at.Add(m.flavor.Ready)
+				if m.instanceType != nil {
+					m.readyAt = w.at.Add(m.instanceType.BootTime)
 				}
 			}
-			c.note(slog.LevelInfo, "machines rented", "rental", name, "type", w.flavor, "zone", w.zone, "cheap", w.reclaimable, "wanted", w.n, "got", len(r.Hosts))
+			c.note(slog.LevelInfo, "machines rented", "rental", name, "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.n, "got", len(r.Hosts))
 			if len(r.Hosts) < w.n {
 				l.rent.refused[w.offer] = c.now.Add(c.jitter(10 * time.Second))
 			}
@@ -747,11 +747,11 @@
 			delete(l.rent.wanted, name)
 			l.zones.Zone(w.zone).Refused(c.now)
 			l.rent.refused[w.offer] = c.now.Add(c.jitter(10 * time.Second))
-			c.note(slog.LevelInfo, "rental refused", "type", w.flavor, "zone", w.zone, "cheap", w.reclaimable, "wanted", w.n)
+			c.note(slog.LevelInfo, "rental refused", "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.n)
 		case Invalid:
 			delete(l.rent.wanted, name)
 			l.rent.refused[w.offer] = c.now.Add(time.Minute)
-			c.note(slog.LevelError, "rental rejected as malformed", "type", w.flavor, "zone", w.zone)
+			c.note(slog.LevelError, "rental rejected as malformed", "type", w.instanceType, "zone", w.zone)
 		default:
 			c.whenLeading(c.jitter(2*time.Second), func() {
 				if l.rent.wanted[name] != nil {
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -24,7 +24,7 @@
 	case rep.Epoch > l.term:
 		refuse()
 		c.strayEpoch(rep.Host, rep.Epoch, func() {
-			c.release(c.machine(rep.Host, rep.Flavor, rep.Zone, rep.Reclaimable))
+			c.release(c.machine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot))
 		})
 		return
 	case !c.leads() && (c.times.Over(c.now.Sub(l.until), c.ahead(c.now)-l.ahead) || c.now.Before(l.until)):
@@ -41,7 +41,7 @@
 		l.waiting = append(l.waiting, in)
 		return
 	}
-	m := c.machine(rep.Host, rep.Flavor, rep.Zone, rep.Reclaimable)
+	m := c.machine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
 	if m.record == unrecorded {
 		m.address = rep.Address // a machine keeps it
 	}
@@ -128,9 +128,9 @@
 func (c *Core) learn(m *machine, rep *Report) {
 	l := c.lead
 	if !m.reported {
-		c.note(slog.LevelDebug, "machine reports", "machine", m.host, "type", rep.Flavor, "zone", rep.Zone, "tasks", len(rep.Tasks))
+		c.note(slog.LevelDebug, "machine reports", "machine", m.host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
 		m.idle = c.now
-		delete(l.rent.patience, m.flavorName)
+		delete(l.rent.patience, m.typeName)
 	}
 	if m.reported && rep.Tenure > m.tenure {
 		// Its lease ran out: the worker has killed all that it had.
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -189,7 +189,7 @@
 		t.Fatalf("%d runs", len(m.runs))
 	}
 	for _, late := range []Report{{Tenure: 1, Counter: 88}, {Tenure: 3, Counter: 1}} {
-		late.Host, late.Flavor, late.Zone, late.Epoch = m.host, m.flavorName, m.zone, 5
+		late.Host, late.InstanceType, late.Zone, late.Epoch = m.host, m.typeName, m.zone, 5
 		c.Step(c.now.Add(time.Second), ReportIn{Ref: 2, Report: late})
 		if len(m.runs) != 1 || j.waiting != 0 {
 			t.Fatalf("tenure %d, counter %d, epoch 5: %d runs, %d wait", late.Tenure, late.Counter, len(m.runs), j.waiting)
@@ -199,7 +199,7 @@
 	c.now = c.now.Add(withDrift(c.lease) + 2*time.Second)
 	l.until = c.now.Add(time.Hour)
 	c.review(m, time.Hour, time.Hour, time.Hour, false)
-	if c.Step(c.now, ReportIn{Ref: 3, Report: Report{Host: m.host, Flavor: m.flavorName, Zone: m.zone, Tenure: 2, Counter: 9}}); !m.reported || m.epoch != 0 {
+	if c.Step(c.now, ReportIn{Ref: 3, Report: Report{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Tenure: 2, Counter: 9}}); !m.reported || m.epoch != 0 {
 		t.Error("the machine never counts again")
 	}
 }
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -271,7 +271,7 @@
 	}
 	if m.strikes >= 4 && !m.condemned {
 		m.condemned = true
-		c.note(slog.LevelWarn, "machine condemned", "machine", m.host, "type", m.flavorName, "reason", "tasks fail on it that run elsewhere")
+		c.note(slog.LevelWarn, "machine condemned", "machine", m.host, "type", m.typeName, "reason", "tasks fail on it that run elsewhere")
 		c.unbookMachine(m)
 	}
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -38,7 +38,7 @@
 	l := c.lead
 	l.loaded, l.margin, l.until = true, 0.15, t0.Add(1000*time.Hour)
 	for i, cpus := range []float64{4, 8, 32} {
-		l.rent.flavors = append(l.rent.flavors, Flavor{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, FetchGBps: 0.4, Rate: cpus, LowRate: cpus / 3, Ready: 20 * time.Second, Zones: []string{"a"}})
+		l.rent.instanceTypes = append(l.rent.instanceTypes, InstanceType{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, ImageGBps: 0.4, OnDemandRate: cpus, SpotRate: cpus / 3, BootTime: 20 * time.Second, Zones: []string{"a"}})
 	}
 	l.rent.read = true
 	for i := range n {
@@ -51,7 +51,7 @@
 // newJob takes on a job without booking it.
 func newJob(c *Core, id int, tasks int, rng *rand.Rand) *job {
 	spec := JobSpec{ID: fmt.Sprintf("wk-%06d", id), Class: "c", Owner: "t", Urgency: Standard, Tasks: tasks, CPUs: float64(1 + rng.IntN(4)), MemGB: 1,
-		Image: fmt.Sprint("img", rng.IntN(6)), ImageGB: 1, Reclaimable: true, Runtime: time.Duration(10+rng.IntN(60)) * time.Second}
+		Image: fmt.Sprint("img", rng.IntN(6)), ImageGB: 1, AllowSpot: true, Runtime: time.Duration(10+rng.IntN(60)) * time.Second}
 	if rng.IntN(2) == 0 {
 		spec.Class, spec.Dated, spec.Due = "u", true, time.Duration(5+rng.IntN(200))*time.Second
 	}
@@ -172,7 +172,7 @@
 func (c *Core) fill(m *machine) {
 	j := c.lead.jobs["wk-1"]
 	if j == nil {
-		j = c.addJob(&JobRecord{Spec: JobSpec{ID: "wk-1", Class: "r", Owner: "t", Tasks: MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", Reclaimable: true, Runtime: time.Minute}, Submitted: t0}, false)
+		j = c.addJob(&JobRecord{Spec: JobSpec{ID: "wk-1", Class: "r", Owner: "t", Tasks: MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute}, Submitted: t0}, false)
 		j.any = true
 	}
 	for range m.room().CPU / 1000 {
@@ -183,7 +183,7 @@
 }
 
 func reportOf(m *machine) Report {
-	r := Report{Host: m.host, Address: m.address, Flavor: m.flavorName, Zone: m.zone, Reclaimable: true, Tenure: m.tenure, Counter: m.counter + 1, Epoch: 1}
+	r := Report{Host: m.host, Address: m.address, InstanceType: m.typeName, Zone: m.zone, Spot: true, Tenure: m.tenure, Counter: m.counter + 1, Epoch: 1}
 	for _, x := range m.runs {
 		r.Tasks = append(r.Tasks, TaskReport{Task: x.id, Try: x.try, Phase: x.phase})
 	}
@@ -241,7 +241,7 @@
 			rec := &MachineRecord{}
 			for _, m := range old.lead.fleet {
 				old.fill(m)
-				rec.Machines = append(rec.Machines, RecordedMachine{Host: m.host, Flavor: m.flavorName, Zone: m.zone, Reclaimable: true})
+				rec.Machines = append(rec.Machines, RecordedMachine{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Spot: true})
 			}
 			entries = append(entries, Entry{Key: machineKeys + "1-1", Value: rec, Rev: 1})
 			b.ReportAllocs()
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -104,24 +104,24 @@
 // ParseTaskID reads a task's name.
 func ParseTaskID(s string) (TaskID, bool) { return report.ParseTaskID(s) }
 
-// Flavor is a machine type of the catalog.
-type Flavor struct {
-	Name      string
-	Capacity  timeline.Resources
-	CPUs      float64
-	LocalGB   float64
-	FetchGBps float64
-	Rate      float64 // per hour
-	LowRate   float64 // per hour, reclaimable
-	Ready     time.Duration
-	Zones     []string
-}
-
-// Listed is a machine in the cloud's list.
-type Listed struct {
-	Host, Flavor, Zone, Status string
-	Reclaimable                bool
-	Age                        time.Duration
+// InstanceType is a machine type of the catalog.
+type InstanceType struct {
+	Name         string
+	Capacity     timeline.Resources
+	CPUs         float64
+	LocalGB      float64
+	ImageGBps    float64
+	OnDemandRate float64 // per hour
+	SpotRate     float64 // per hour, reclaimable
+	BootTime     time.Duration
+	Zones        []string
+}
+
+// Instance is a machine in the cloud's list.
+type Instance struct {
+	Host, InstanceType, Zone, Status string
+	Spot                             bool
+	Age                              time.Duration
 }
 
 // ---- inputs
@@ -226,12 +226,12 @@
 
 // CloudReply answers a CloudCall.
 type CloudReply struct {
-	Ref     uint64
-	Outcome Outcome
-	Hosts   []string
-	Flavors []Flavor
-	Listed  []Listed
-	More    bool
+	Ref           uint64
+	Outcome       Outcome
+	Hosts         []string
+	InstanceTypes []InstanceType
+	Instances     []Instance
+	More          bool
 }
 
 // PeerIn is a message from another controller.
@@ -438,16 +438,16 @@
 
 // CloudCall asks the cloud for something.
 type CloudCall struct {
-	Ref         uint64
-	Op          CloudOp
-	Rental      string
-	Flavor      string
-	Zone        string
-	Reclaimable bool
-	Count       int
-	Hosts       []string
-	After       string
-	Within      time.Duration
+	Ref          uint64
+	Op           CloudOp
+	Rental       string
+	InstanceType string
+	Zone         string
+	Spot         bool
+	Count        int
+	Hosts        []string
+	After        string
+	Within       time.Duration
 }
 
 // ProbeCall shows a worker our epoch, with no orders, and asks for its report.
@@ -507,8 +507,8 @@
 
 // RecordedMachine is a machine that may hold tasks.
 type RecordedMachine struct {
-	Host, Address, Flavor, Zone string
-	Reclaimable                 bool
+	Host, Address, InstanceType, Zone string
+	Spot                              bool
 }
 
 // LeaderRecord names the leader, under its grant.
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -383,7 +383,7 @@
 // submit decides on a new job and answers once its record is committed.
 func (c *Core) submit(call UserCall) {
 	l := c.lead
-	if len(l.rent.flavors) == 0 {
+	if len(l.rent.instanceTypes) == 0 {
 		c.answer(call, unavailable("the machine types are not known yet"))
 		return
 	}
@@ -479,11 +479,11 @@
 
 // neverRuns says why a job can never run, and by which of its fields, or "".
 func (c *Core) neverRuns(s *JobSpec) (field, reason string) {
-	return neverRunsOn(s, c.lead.teams[s.Owner], c.lead.rent.flavors)
+	return neverRunsOn(s, c.lead.teams[s.Owner], c.lead.rent.instanceTypes)
 }
 
 // neverRunsOn is neverRuns for its team, nil if there is none of that name, and types.
-func neverRunsOn(s *JobSpec, t *team, flavors []Flavor) (field, reason string) {
+func neverRunsOn(s *JobSpec, t *team, flavors []InstanceType) (field, reason string) {
 	if t == nil || !t.configured {
 		return "owner", "unknown team " + s.Owner
 	}
@@ -506,7 +506,7 @@
 	for i := range flavors {
 		f := &flavors[i]
 		switch {
-		case !flavorAllowed(s, f.Name):
+		case !allowsInstanceType(s, f.Name):
 		case s.Zone != "" && !hasZone(f, s.Zone):
 			if field == "flavors" {
 				field = "hall"
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -100,7 +100,7 @@
 	for _, z := range l.zones.All() {
 		if z.Probe(c.now) {
 			c.note(slog.LevelInfo, "a machine is rented to see whether the zone is back", "zone", z.Name)
-			c.rentFor(&JobSpec{Zone: z.Name, Reclaimable: true}, 0, true, true)
+			c.rentFor(&JobSpec{Zone: z.Name, AllowSpot: true}, 0, true, true)
 		}
 		n := z.Sight.Silent - z.Kept(c.now)
 		if !z.Away() || n <= 0 {
@@ -108,7 +108,7 @@
 		}
 		var silent []*machine
 		for _, m := range l.fleet {
-			if m.in == z && m.away && !m.releasing && !m.seen.IsZero() && m.flavor != nil {
+			if m.in == z && m.away && !m.releasing && !m.seen.IsZero() && m.instanceType != nil {
 				silent = append(silent, m)
 			}
 		}
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -13,7 +13,7 @@
 // twoZones returns a leader with n machines in each of zones a and b.
 func twoZones(t *testing.T, n int) *Core {
 	c := leaderOf(t, n)
-	c.lead.rent.flavors[0].Zones = []string{"a", "b"}
+	c.lead.rent.instanceTypes[0].Zones = []string{"a", "b"}
 	for i := range n {
 		m := c.machine(fmt.Sprintf("host-1%05d", i), "f0", "b", true)
 		m.reported, m.record, m.tenure, m.epoch, m.seen = true, recorded, 1, 1, t0
--- a/internal/relay/fold.go
+++ b/internal/relay/fold.go
@@ -49,7 +49,7 @@
 	}
 	it.Handle = m.handle
 	before := m.tasks
-	if who := (Who{r.Host, r.Address, r.Flavor, r.Zone, r.Reclaimable}); who != m.who {
+	if who := (Who{r.Host, r.Address, r.InstanceType, r.Zone, r.Spot}); who != m.who {
 		m.who, before = who, nil
 		it.Machine = &Who{}
 		*it.Machine = who // which stays off the heap in the many reports that change nothing
@@ -157,7 +157,7 @@
 			last = &report.Report{}
 			u.machines[it.Handle] = last
 		}
-		*last = report.Report{Host: w.Host, Address: w.Address, Flavor: w.Flavor, Zone: w.Zone, Reclaimable: w.Reclaimable}
+		*last = report.Report{Host: w.Host, Address: w.Address, InstanceType: w.InstanceType, Zone: w.Zone, Spot: w.Spot}
 	}
 	if last == nil {
 		return report.Report{}, fmt.Errorf("machine %d is not known", it.Handle)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -56,11 +56,11 @@
 
 // Who is what a machine is.
 type Who struct {
-	Host        string `json:"host"`
-	Address     string `json:"address,omitempty"`
-	Flavor      string `json:"flavor,omitempty"`
-	Zone        string `json:"zone,omitempty"`
-	Reclaimable bool   `json:"low,omitempty"`
+	Host         string `json:"host"`
+	Address      string `json:"address,omitempty"`
+	InstanceType string `json:"flavor,omitempty"`
+	Zone         string `json:"zone,omitempty"`
+	Spot         bool   `json:"low,omitempty"`
 }
 
 // Change is a task whose state has changed.
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -49,12 +49,12 @@
 
 // Report is a worker's report.
 type Report struct {
-	Host, Address, Flavor, Zone string
-	Reclaimable                 bool
-	Tenure, Counter, Epoch      uint64
-	Notice                      time.Duration // until the cloud takes the machine away
-	HasNotice                   bool
-	Tasks                       []Task
+	Host, Address, InstanceType, Zone string
+	Spot                              bool
+	Tenure, Counter, Epoch            uint64
+	Notice                            time.Duration // until the cloud takes the machine away
+	HasNotice                         bool
+	Tasks                             []Task
 }
 
 // Newer reports whether r was made after the report of the same machine with the
--- a/internal/scenario/looks.go
+++ b/internal/scenario/looks.go
@@ -177,7 +177,7 @@
 // unfit submits a job that can never run.
 func (w *world) unfit() {
 	w.oddID++
-	s := core.JobSpec{ID: fmt.Sprintf("wk-8%07d", w.oddID), Class: "c", Owner: w.cfg.Settings.Teams[0].Name, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", Reclaimable: true}
+	s := core.JobSpec{ID: fmt.Sprintf("wk-8%07d", w.oddID), Class: "c", Owner: w.cfg.Settings.Teams[0].Name, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", AllowSpot: true}
 	switch w.rng.IntN(4) {
 	case 0:
 		s.CPUs = 1e5
@@ -186,7 +186,7 @@
 	case 2:
 		s.Zone = "elsewhere"
 	default:
-		s.Flavors = []string{"none"}
+		s.InstanceTypes = []string{"none"}
 	}
 	w.call(core.UserCall{Op: core.OpSubmit, ID: s.ID, Spec: &s}, 5*time.Second, func(status int, a core.AnswerUser) {
 		switch status {
@@ -286,7 +286,7 @@
 	}
 	fits := func(m *worker) bool {
 		if !m.gone.IsZero() || m.up.IsZero() || !m.served || m.sick || !m.leaves.IsZero() || w.now.Before(m.hung) || w.now.Before(m.deaf) || w.now.Before(m.mute) ||
-			len(s.Flavors) > 0 && !slices.Contains(s.Flavors, m.flavor.name) || s.Zone != "" && s.Zone != m.zone || m.reclaimable && !s.Reclaimable {
+			len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.flavor.name) || s.Zone != "" && s.Zone != m.zone || m.reclaimable && !s.AllowSpot {
 			return false
 		}
 		if s.SamePlace && len(zones) > 0 && zones[m.zone] == 0 || s.Apart && zones[m.zone] >= (s.Tasks+1)/2 {
--- a/internal/scenario/loopback.go
+++ b/internal/scenario/loopback.go
@@ -193,7 +193,7 @@
 	for _, t := range r.Tasks {
 		tasks = append(tasks, object{"shard": t.Task.String(), "try": t.Try, "status": t.Phase, "cause": t.Cause})
 	}
-	o := object{"host": r.Host, "address": r.Address, "flavor": r.Flavor, "hall": r.Zone, "reclaimable": r.Reclaimable,
+	o := object{"host": r.Host, "address": r.Address, "flavor": r.InstanceType, "hall": r.Zone, "reclaimable": r.Spot,
 		"tenure": r.Tenure, "counter": r.Counter, "epoch": r.Epoch, "shards": tasks}
 	if r.HasNotice {
 		o["warningS"] = r.Notice.Seconds()
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -361,8 +361,8 @@
 // submission is a job as its user writes it.
 func submission(s *core.JobSpec) []byte {
 	o := object{"id": s.ID, "jobclass": s.Class, "owner": s.Owner, "shape": "array", "urgency": s.Urgency.String(), "shards": s.Tasks,
-		"vcpus": s.CPUs, "gpus": s.GPUs, "memGb": s.MemGB, "bundle": s.Image, "sizeGb": s.ImageGB, "flavors": s.Flavors,
-		"samePlace": s.SamePlace, "apart": s.Apart, "reclaimable": s.Reclaimable, "runtimeS": s.Runtime.Seconds(),
+		"vcpus": s.CPUs, "gpus": s.GPUs, "memGb": s.MemGB, "bundle": s.Image, "sizeGb": s.ImageGB, "flavors": s.InstanceTypes,
+		"samePlace": s.SamePlace, "apart": s.Apart, "reclaimable": s.AllowSpot, "runtimeS": s.Runtime.Seconds(),
 		"snapshotEveryS": s.SnapshotEvery.Seconds(), "snapshotS": s.Snapshot.Seconds()}
 	if s.Service {
 		o["shape"] = "service"
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -471,7 +471,7 @@
 	j := &userJob{runs: run, faulty: a["faulty"] != "", done: map[int]bool{}, progress: map[int]time.Duration{}}
 	sp := &j.spec
 	*sp = core.JobSpec{ID: id, Class: a["class"], Owner: "t", Service: a["service"] != "", Urgency: core.Standard, Tasks: int(num(a, "tasks", 1)),
-		CPUs: num(a, "cpus", 1), GPUs: num(a, "gpus", 0), MemGB: num(a, "mem", 1), Image: "img", ImageGB: num(a, "gb", 1), Reclaimable: a["ordinary"] == "",
+		CPUs: num(a, "cpus", 1), GPUs: num(a, "gpus", 0), MemGB: num(a, "mem", 1), Image: "img", ImageGB: num(a, "gb", 1), AllowSpot: a["ordinary"] == "",
 		SamePlace: a["samePlace"] != "", Apart: a["apart"] != "", Zone: a["zone"], Runtime: dur(a, "est", run),
 		SnapshotEvery: dur(a, "every", 0), Snapshot: dur(a, "save", 0)}
 	if sp.Class == "" {
@@ -484,7 +484,7 @@
 		sp.Image = v
 	}
 	if v := a["types"]; v != "" {
-		sp.Flavors = strings.Split(v, ",")
+		sp.InstanceTypes = strings.Split(v, ",")
 	}
 	if v := a["urgency"]; v != "" {
 		sp.Urgency = core.Urgency(slices.Index(spec.UrgencyNames[:], v))
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -270,7 +270,7 @@
 
 // describe is what the worker says of itself.
 func (m *worker) describe() core.Report {
-	rep := core.Report{Host: m.host, Address: m.address(m.host), Flavor: m.flavor.name, Zone: m.zone, Reclaimable: m.reclaimable,
+	rep := core.Report{Host: m.host, Address: m.address(m.host), InstanceType: m.flavor.name, Zone: m.zone, Spot: m.reclaimable,
 		Tenure: m.tenure, Counter: m.counter, Epoch: m.epoch}
 	if !m.leaves.IsZero() {
 		rep.HasNotice, rep.Notice = true, m.leaves.Sub(m.now)
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -79,7 +79,7 @@
 		return
 	}
 	s := &t.job.spec
-	if len(s.Flavors) > 0 && !slices.Contains(s.Flavors, m.flavor.name) || s.Zone != "" && s.Zone != m.zone || m.reclaimable && !s.Reclaimable {
+	if len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.flavor.name) || s.Zone != "" && s.Zone != m.zone || m.reclaimable && !s.AllowSpot {
 		w.fail("wrong_place", "%s starts on %s (%s in %s)", t.id, m.host, m.flavor.name, m.zone)
 	}
 	here, elsewhere := 1, 0
--- a/internal/spec/spec.go
+++ b/internal/spec/spec.go
@@ -39,11 +39,11 @@
 	MemGB         float64
 	Image         string
 	ImageGB       float64
-	Flavors       []string // nil: any
+	InstanceTypes []string // nil: any
 	Zone          string   // empty: any
 	SamePlace     bool
 	Apart         bool
-	Reclaimable   bool
+	AllowSpot     bool
 	Runtime       time.Duration
 	SnapshotEvery time.Duration
 	Snapshot      time.Duration
@@ -189,12 +189,12 @@
 		for i := range *j.Flavors {
 			text("flavors", &(*j.Flavors)[i])
 		}
-		out.Flavors = *j.Flavors
+		out.InstanceTypes = *j.Flavors
 	}
 	if j.Hall != nil {
 		out.Zone = text("hall", j.Hall)
 	}
-	out.SamePlace, out.Apart, out.Reclaimable = flag("samePlace", j.SamePlace), flag("apart", j.Apart), flag("reclaimable", j.Reclaimable)
+	out.SamePlace, out.Apart, out.AllowSpot = flag("samePlace", j.SamePlace), flag("apart", j.Apart), flag("reclaimable", j.Reclaimable)
 	out.Runtime = span("runtimeS", j.RuntimeS)
 	out.SnapshotEvery, out.Snapshot = span("snapshotEveryS", j.SnapshotEveryS), span("snapshotS", j.SnapshotS)
 	if j.DueS != nil {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -243,19 +243,19 @@
 // machineJSON names machines: one by its key ("machine", as the first version
 // wrote it), or many ("machines").
 type machineJSON struct {
-	Type        string     `json:"type"`
-	Machines    []hostJSON `json:"machines,omitempty"`
-	Flavor      string     `json:"flavor,omitempty"`
-	Zone        string     `json:"zone,omitempty"`
-	Reclaimable bool       `json:"reclaimable,omitempty"`
+	Type         string     `json:"type"`
+	Machines     []hostJSON `json:"machines,omitempty"`
+	InstanceType string     `json:"flavor,omitempty"`
+	Zone         string     `json:"zone,omitempty"`
+	Spot         bool       `json:"reclaimable,omitempty"`
 }
 
 type hostJSON struct {
-	Host        string `json:"host"`
-	Address     string `json:"address,omitempty"`
-	Flavor      string `json:"flavor"`
-	Zone        string `json:"zone"`
-	Reclaimable bool   `json:"reclaimable,omitempty"`
+	Host         string `json:"host"`
+	Address      string `json:"address,omitempty"`
+	InstanceType string `json:"flavor"`
+	Zone         string `json:"zone"`
+	Spot         bool   `json:"reclaimable,omitempty"`
 }
 
 type leaderJSON struct {
@@ -364,11 +364,11 @@
 	MemGB           float64      `json:"memGb,omitempty"`
 	Image           string       `json:"image,omitempty"`
 	ImageGB         float64      `json:"imageGb,omitempty"`
-	Flavors         []string     `json:"flavors,omitempty"`
+	InstanceTypes   []string     `json:"flavors,omitempty"`
 	Zone            string       `json:"zone,omitempty"`
 	SamePlace       bool         `json:"samePlace,omitempty"`
 	Apart           bool         `json:"apart,omitempty"`
-	Reclaimable     bool         `json:"reclaimable,omitempty"`
+	AllowSpot       bool         `json:"reclaimable,omitempty"`
 	RuntimeMS       int64        `json:"runtimeMs,omitempty"`
 	SnapshotEveryMS int64        `json:"snapshotEveryMs,omitempty"`
 	SnapshotMS      int64        `json:"snapshotMs,omitempty"`
@@ -379,7 +379,7 @@
 // EncodeSpec turns a description into its record.
 func EncodeSpec(s *core.JobSpec) SpecRecord {
 	return SpecRecord{s.ID, s.Class, s.Owner, s.Service, s.Urgency, s.Tasks, s.CPUs, s.GPUs, s.MemGB, s.Image, s.ImageGB,
-		s.Flavors, s.Zone, s.SamePlace, s.Apart, s.Reclaimable, s.Runtime.Milliseconds(), s.SnapshotEvery.Milliseconds(),
+		s.InstanceTypes, s.Zone, s.SamePlace, s.Apart, s.AllowSpot, s.Runtime.Milliseconds(), s.SnapshotEvery.Milliseconds(),
 		s.Snapshot.Milliseconds(), s.Due.Milliseconds(), s.Dated}
 }
 
@@ -393,8 +393,8 @@
 		return time.Duration(n) * time.Millisecond
 	}
 	s := core.JobSpec{ID: r.ID, Class: r.Class, Owner: r.Owner, Service: r.Service, Urgency: r.Urgency, Tasks: r.Tasks,
-		CPUs: r.CPUs, GPUs: r.GPUs, MemGB: r.MemGB, Image: r.Image, ImageGB: r.ImageGB, Flavors: r.Flavors, Zone: r.Zone,
-		SamePlace: r.SamePlace, Apart: r.Apart, Reclaimable: r.Reclaimable, Runtime: ms(r.RuntimeMS),
+		CPUs: r.CPUs, GPUs: r.GPUs, MemGB: r.MemGB, Image: r.Image, ImageGB: r.ImageGB, InstanceTypes: r.InstanceTypes, Zone: r.Zone,
+		SamePlace: r.SamePlace, Apart: r.Apart, AllowSpot: r.AllowSpot, Runtime: ms(r.RuntimeMS),
 		SnapshotEvery: ms(r.SnapshotEveryMS), Snapshot: ms(r.SnapshotMS), Due: ms(r.DueMS), Dated: r.Dated}
 	return s, s.Sound()
 }
@@ -480,7 +480,7 @@
 				rec.Machines = append(rec.Machines, core.RecordedMachine(h))
 			}
 			if tag.Type == "machine" {
-				rec.Machines = []core.RecordedMachine{{Host: e.K[strings.LastIndexByte(e.K, '/')+1:], Flavor: m.Flavor, Zone: m.Zone, Reclaimable: m.Reclaimable}}
+				rec.Machines = []core.RecordedMachine{{Host: e.K[strings.LastIndexByte(e.K, '/')+1:], InstanceType: m.InstanceType, Zone: m.Zone, Spot: m.Spot}}
 			}
 			out.Value = rec
 		}
