--- a/internal/core/giveback.go
+++ b/internal/core/giveback.go
@@ -68,8 +68,8 @@
 			}
 			// What cannot save loses all: it is stopped only when it has hardly
 			// begun and would keep the room for long.
-			loss := r.job.spec.Snapshot
-			if r.job.spec.SnapshotEvery <= 0 {
+			loss := r.job.spec.CheckpointTime
+			if r.job.spec.CheckpointInterval <= 0 {
 				if r.midway {
 					continue // it may have run for long: to a new leader all look begun just now
 				}
@@ -103,8 +103,8 @@
 		short -= b.r.need.CPU
 		b.r.stop = true
 		c.poke(b.r.m)
-		if b.r.job.spec.SnapshotEvery > 0 {
-			b.r.drain = b.r.job.spec.Snapshot + time.Second
+		if b.r.job.spec.CheckpointInterval > 0 {
+			b.r.drain = b.r.job.spec.CheckpointTime + time.Second
 		}
 		stopped++
 	}
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -395,7 +395,7 @@
 		case m.leaving.IsZero():
 			// Only what saves is moved, and only when it has long to go.
 			s := &r.job.spec
-			if r.phase != TaskRuns || s.SnapshotEvery <= 0 || c.left(r) < 2*s.Snapshot+10*time.Second {
+			if r.phase != TaskRuns || s.CheckpointInterval <= 0 || c.left(r) < 2*s.CheckpointTime+10*time.Second {
 				continue
 			}
 		case r.phase == TaskRuns && !r.job.spec.Service:
@@ -403,12 +403,12 @@
 			if end.Before(m.leaving) {
 				continue
 			}
-			if s := r.job.spec.Snapshot; r.job.spec.SnapshotEvery > 0 && left > s+3*time.Second+c.report {
+			if s := r.job.spec.CheckpointTime; r.job.spec.CheckpointInterval > 0 && left > s+3*time.Second+c.report {
 				continue // saves a little later, as late as is safe
 			}
 		}
 		r.stop, r.drain = true, 0
-		if s := r.job.spec.Snapshot; r.job.spec.SnapshotEvery > 0 && (m.leaving.IsZero() || left > s) {
+		if s := r.job.spec.CheckpointTime; r.job.spec.CheckpointInterval > 0 && (m.leaving.IsZero() || left > s) {
 			r.drain = s + time.Second
 		}
 		c.poke(m)
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -187,7 +187,7 @@
 		}
 		r.phase = t.Phase
 		if r.holds {
-			c.count(r, t.Phase == TaskRuns || t.Phase == Saving)
+			c.count(r, t.Phase == TaskRuns || t.Phase == Checkpointing)
 		}
 		return
 	}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -77,11 +77,11 @@
 
 // The phases that workers report.
 const (
-	Pulling    = report.Pulling
-	TaskRuns   = report.TaskRuns
-	Saving     = report.Saving
-	Exited     = report.Exited
-	orderedFor = Phase("ordered") // a start is in a reply that is not yet answered for
+	Pulling       = report.Pulling
+	TaskRuns      = report.TaskRuns
+	Checkpointing = report.Checkpointing
+	Exited        = report.Exited
+	orderedFor    = Phase("ordered") // a start is in a reply that is not yet answered for
 )
 
 // Causes of an exit.
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -30,14 +30,16 @@
 
 // The phases that workers report.
 const (
-	Pulling  Phase = "pulling"
-	TaskRuns Phase = "running"
-	Saving   Phase = "saving"
-	Exited   Phase = "exited"
+	Pulling       Phase = "pulling"
+	TaskRuns      Phase = "running"
+	Checkpointing Phase = "saving"
+	Exited        Phase = "exited"
 )
 
 // Known reports whether p is a phase of the protocol.
-func (p Phase) Known() bool { return p == Pulling || p == TaskRuns || p == Saving || p == Exited }
+func (p Phase) Known() bool {
+	return p == Pulling || p == TaskRuns || p == Checkpointing || p == Exited
+}
 
 // Task is one task in a report.
 type Task struct {
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -363,7 +363,7 @@
 	o := object{"id": s.ID, "jobclass": s.Class, "owner": s.Owner, "shape": "array", "urgency": s.Urgency.String(), "shards": s.Tasks,
 		"vcpus": s.CPUs, "gpus": s.GPUs, "memGb": s.MemGB, "bundle": s.Image, "sizeGb": s.ImageGB, "flavors": s.InstanceTypes,
 		"samePlace": s.SamePlace, "apart": s.Apart, "reclaimable": s.AllowSpot, "runtimeS": s.Runtime.Seconds(),
-		"snapshotEveryS": s.SnapshotEvery.Seconds(), "snapshotS": s.Snapshot.Seconds()}
+		"snapshotEveryS": s.CheckpointInterval.Seconds(), "snapshotS": s.CheckpointTime.Seconds()}
 	if s.Service {
 		o["shape"] = "service"
 	}
--- a/internal/scenario/schedules.go
+++ b/internal/scenario/schedules.go
@@ -67,7 +67,7 @@
 		DueAt: a["by"], Overlap: a["overlap"], CatchUp: a["catch"], CatchUpWithinS: ptr(dur(a, "within", 24*time.Hour).Seconds()),
 		Job: spec.Submission{JobClass: &sp.Class, Owner: &sp.Owner, Shape: &shape, Urgency: ptr(sp.Urgency.String()), Shards: &sp.Tasks, VCPUs: &sp.CPUs,
 			GPUs: &sp.GPUs, MemGB: &sp.MemGB, Bundle: &sp.Image, SizeGB: &sp.ImageGB, SamePlace: &sp.SamePlace, Apart: &sp.Apart, Reclaimable: &sp.AllowSpot,
-			RuntimeS: ptr(sp.Runtime.Seconds()), SnapshotEveryS: ptr(sp.SnapshotEvery.Seconds()), SnapshotS: ptr(sp.Snapshot.Seconds())}}
+			RuntimeS: ptr(sp.Runtime.Seconds()), SnapshotEveryS: ptr(sp.CheckpointInterval.Seconds()), SnapshotS: ptr(sp.CheckpointTime.Seconds())}}
 	c.ask(core.OpSchedulePut, nil)
 }
 
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -473,7 +473,7 @@
 	*sp = core.JobSpec{ID: id, Class: a["class"], Owner: "t", Service: a["service"] != "", Urgency: core.Standard, Tasks: int(num(a, "tasks", 1)),
 		CPUs: num(a, "cpus", 1), GPUs: num(a, "gpus", 0), MemGB: num(a, "mem", 1), Image: "img", ImageGB: num(a, "gb", 1), AllowSpot: a["ordinary"] == "",
 		SamePlace: a["samePlace"] != "", Apart: a["apart"] != "", Zone: a["zone"], Runtime: dur(a, "est", run),
-		SnapshotEvery: dur(a, "every", 0), Snapshot: dur(a, "save", 0)}
+		CheckpointInterval: dur(a, "every", 0), CheckpointTime: dur(a, "save", 0)}
 	if sp.Class == "" {
 		sp.Class = "c"
 	}
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -52,7 +52,7 @@
 
 // on reports whether the task is on the machine in the sense of the rules: it
 // has its image and has not exited.
-func (t *task) on() bool { return t.phase == core.TaskRuns || t.phase == core.Saving }
+func (t *task) on() bool { return t.phase == core.TaskRuns || t.phase == core.Checkpointing }
 
 // do runs f when the machine executes: not before a hang is over, never once it
 // is gone, and after the lease has been looked at.
@@ -412,12 +412,12 @@
 			return
 		}
 		s := &t.job.spec
-		if t.phase == core.Saving && o.Drain > 0 {
+		if t.phase == core.Checkpointing && o.Drain > 0 {
 			return
 		}
-		if t.phase == core.TaskRuns && s.SnapshotEvery > 0 && o.Drain >= s.Snapshot {
-			t.phase = core.Saving
-			m.later(t, s.Snapshot, func() {
+		if t.phase == core.TaskRuns && s.CheckpointInterval > 0 && o.Drain >= s.CheckpointTime {
+			t.phase = core.Checkpointing
+			m.later(t, s.CheckpointTime, func() {
 				t.job.progress[t.id.Index] += m.now.Sub(t.began)
 				m.exit(t, core.CauseStopped)
 			})
--- a/internal/spec/spec.go
+++ b/internal/spec/spec.go
@@ -29,26 +29,26 @@
 
 // Job is a job as its user submitted it.
 type Job struct {
-	ID            string
-	Class, Owner  string
-	Service       bool
-	Urgency       Urgency
-	Tasks         int
-	CPUs          float64
-	GPUs          float64
-	MemGB         float64
-	Image         string
-	ImageGB       float64
-	InstanceTypes []string // nil: any
-	Zone          string   // empty: any
-	SamePlace     bool
-	Apart         bool
-	AllowSpot     bool
-	Runtime       time.Duration
-	SnapshotEvery time.Duration
-	Snapshot      time.Duration
-	Due           time.Duration // from the submission
-	Dated         bool
+	ID                 string
+	Class, Owner       string
+	Service            bool
+	Urgency            Urgency
+	Tasks              int
+	CPUs               float64
+	GPUs               float64
+	MemGB              float64
+	Image              string
+	ImageGB            float64
+	InstanceTypes      []string // nil: any
+	Zone               string   // empty: any
+	SamePlace          bool
+	Apart              bool
+	AllowSpot          bool
+	Runtime            time.Duration
+	CheckpointInterval time.Duration
+	CheckpointTime     time.Duration
+	Due                time.Duration // from the submission
+	Dated              bool
 }
 
 // Need is what a task of the job takes.
@@ -105,7 +105,7 @@
 	span := func(d time.Duration) bool { return d >= 0 && d <= maxSpan }
 	return ValidID(s.ID) && s.Tasks > 0 && s.Tasks <= MaxTasks && s.Urgency >= Idle && s.Urgency <= Production &&
 		within(s.CPUs, maxCPUs) && within(s.GPUs, maxCPUs) && within(s.MemGB, maxGB) && within(s.ImageGB, maxCPUs) &&
-		span(s.Runtime) && span(s.SnapshotEvery) && span(s.Snapshot) && span(s.Due)
+		span(s.Runtime) && span(s.CheckpointInterval) && span(s.CheckpointTime) && span(s.Due)
 }
 
 // ValidID reports whether id has the form of a job id: the prefix and 1 to 32
@@ -196,7 +196,7 @@
 	}
 	out.SamePlace, out.Apart, out.AllowSpot = flag("samePlace", j.SamePlace), flag("apart", j.Apart), flag("reclaimable", j.Reclaimable)
 	out.Runtime = span("runtimeS", j.RuntimeS)
-	out.SnapshotEvery, out.Snapshot = span("snapshotEveryS", j.SnapshotEveryS), span("snapshotS", j.SnapshotS)
+	out.CheckpointInterval, out.CheckpointTime = span("snapshotEveryS", j.SnapshotEveryS), span("snapshotS", j.SnapshotS)
 	if j.DueS != nil {
 		out.Due, out.Dated = span("dueS", j.DueS), true
 	}
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -353,34 +353,34 @@
 
 // SpecRecord is a job's description as records and peers carry it.
 type SpecRecord struct {
-	ID              string       `json:"id"`
-	Class           string       `json:"class"`
-	Owner           string       `json:"owner"`
-	Service         bool         `json:"service,omitempty"`
-	Urgency         core.Urgency `json:"urgency"`
-	Tasks           int          `json:"tasks"`
-	CPUs            float64      `json:"cpus,omitempty"`
-	GPUs            float64      `json:"gpus,omitempty"`
-	MemGB           float64      `json:"memGb,omitempty"`
-	Image           string       `json:"image,omitempty"`
-	ImageGB         float64      `json:"imageGb,omitempty"`
-	InstanceTypes   []string     `json:"flavors,omitempty"`
-	Zone            string       `json:"zone,omitempty"`
-	SamePlace       bool         `json:"samePlace,omitempty"`
-	Apart           bool         `json:"apart,omitempty"`
-	AllowSpot       bool         `json:"reclaimable,omitempty"`
-	RuntimeMS       int64        `json:"runtimeMs,omitempty"`
-	SnapshotEveryMS int64        `json:"snapshotEveryMs,omitempty"`
-	SnapshotMS      int64        `json:"snapshotMs,omitempty"`
-	DueMS           int64        `json:"dueMs,omitempty"`
-	Dated           bool         `json:"dated,omitempty"`
+	ID                   string       `json:"id"`
+	Class                string       `json:"class"`
+	Owner                string       `json:"owner"`
+	Service              bool         `json:"service,omitempty"`
+	Urgency              core.Urgency `json:"urgency"`
+	Tasks                int          `json:"tasks"`
+	CPUs                 float64      `json:"cpus,omitempty"`
+	GPUs                 float64      `json:"gpus,omitempty"`
+	MemGB                float64      `json:"memGb,omitempty"`
+	Image                string       `json:"image,omitempty"`
+	ImageGB              float64      `json:"imageGb,omitempty"`
+	InstanceTypes        []string     `json:"flavors,omitempty"`
+	Zone                 string       `json:"zone,omitempty"`
+	SamePlace            bool         `json:"samePlace,omitempty"`
+	Apart                bool         `json:"apart,omitempty"`
+	AllowSpot            bool         `json:"reclaimable,omitempty"`
+	RuntimeMS            int64        `json:"runtimeMs,omitempty"`
+	CheckpointIntervalMS int64        `json:"snapshotEveryMs,omitempty"`
+	CheckpointTimeMS     int64        `json:"snapshotMs,omitempty"`
+	DueMS                int64        `json:"dueMs,omitempty"`
+	Dated                bool         `json:"dated,omitempty"`
 }
 
 // EncodeSpec turns a description into its record.
 func EncodeSpec(s *core.JobSpec) SpecRecord {
 	return SpecRecord{s.ID, s.Class, s.Owner, s.Service, s.Urgency, s.Tasks, s.CPUs, s.GPUs, s.MemGB, s.Image, s.ImageGB,
-		s.InstanceTypes, s.Zone, s.SamePlace, s.Apart, s.AllowSpot, s.Runtime.Milliseconds(), s.SnapshotEvery.Milliseconds(),
-		s.Snapshot.Milliseconds(), s.Due.Milliseconds(), s.Dated}
+		s.InstanceTypes, s.Zone, s.SamePlace, s.Apart, s.AllowSpot, s.Runtime.Milliseconds(), s.CheckpointInterval.Milliseconds(),
+		s.CheckpointTime.Milliseconds(), s.Due.Milliseconds(), s.Dated}
 }
 
 // Decode turns a record into the description; false if it cannot be one.
@@ -395,7 +395,7 @@
 	s := core.JobSpec{ID: r.ID, Class: r.Class, Owner: r.Owner, Service: r.Service, Urgency: r.Urgency, Tasks: r.Tasks,
 		CPUs: r.CPUs, GPUs: r.GPUs, MemGB: r.MemGB, Image: r.Image, ImageGB: r.ImageGB, InstanceTypes: r.InstanceTypes, Zone: r.Zone,
 		SamePlace: r.SamePlace, Apart: r.Apart, AllowSpot: r.AllowSpot, Runtime: ms(r.RuntimeMS),
-		SnapshotEvery: ms(r.SnapshotEveryMS), Snapshot: ms(r.SnapshotMS), Due: ms(r.DueMS), Dated: r.Dated}
+		CheckpointInterval: ms(r.CheckpointIntervalMS), CheckpointTime: ms(r.CheckpointTimeMS), Due: ms(r.DueMS), Dated: r.Dated}
 	return s, s.Sound()
 }
 
