--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -64,7 +64,7 @@
 	if status != 201 || v["id"] != "wk-000412" || v["status"] != "queued" {
 		t.Fatal(status, v)
 	}
-	if got.Tasks != 16 || got.Urgency != core.Urgent || got.Due != 900*time.Second || !got.Dated || got.Zone != "" || got.Runtime != 240*time.Second {
+	if got.Tasks != 16 || got.Urgency != core.Urgent || got.Deadline != 900*time.Second || !got.HasDeadline || got.Zone != "" || got.Runtime != 240*time.Second {
 		t.Errorf("%+v", got)
 	}
 	edit := func(from, to string) string {
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -117,7 +117,7 @@
 			case 3:
 				s := &JobSpec{ID: pick(jobs...), Class: "c", Owner: pick("t", "nobody"), Service: next()%4 == 0, Urgency: Urgency(next() % 4), Tasks: []int{1, 2, 300, MaxTasks}[next()%4],
 					CPUs: amount(1e6), GPUs: amount(1e6), MemGB: amount(1e7), Image: "i", ImageGB: amount(1e6), AllowSpot: next()%2 == 0, SamePlace: next()%4 == 0, Apart: next()%4 == 0,
-					Runtime: span(), CheckpointInterval: span(), CheckpointTime: span(), Due: span(), Dated: next()%2 == 0}
+					Runtime: span(), CheckpointInterval: span(), CheckpointTime: span(), Deadline: span(), HasDeadline: next()%2 == 0}
 				call := UserCall{Ref: ref, Op: OpSubmit, ID: s.ID, Spec: s, From: pick("", "n1")}
 				if next()%3 == 0 {
 					call.Op, call.Spec = []UserOp{OpGet, OpCancel}[next()%2], nil
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -134,8 +134,8 @@
 	if j.spec.Service {
 		return
 	}
-	if j.spec.Dated {
-		f(aim{j.submitted.Add(j.spec.Due), true})
+	if j.spec.HasDeadline {
+		f(aim{j.submitted.Add(j.spec.Deadline), true})
 	}
 	for _, o := range c.cfg.Settings.Objectives {
 		if o.Class != "" && o.Class != j.spec.Class {
@@ -144,8 +144,8 @@
 		within := o.Within.Duration()
 		switch o.Kind {
 		case "deadline":
-			if j.spec.Dated && o.Times > 1 {
-				f(aim{j.submitted.Add(timeline.Seconds(j.spec.Due.Seconds() * o.Times)), true})
+			if j.spec.HasDeadline && o.Times > 1 {
+				f(aim{j.submitted.Add(timeline.Seconds(j.spec.Deadline.Seconds() * o.Times)), true})
 			}
 		case "wait":
 			f(aim{j.submitted.Add(within + length), false})
@@ -792,5 +792,5 @@
 			best = min(best, f.BootTime+fetch(s, f)+run)
 		}
 	}
-	return best - s.Due
+	return best - s.Deadline
 }
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -15,7 +15,7 @@
 	c := leaderOf(t, 1)
 	c.cfg.Settings.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1.5}, {Kind: "finished", Class: "c", Within: 200}}
 	j := newJob(c, 1, 1, rand.New(rand.NewPCG(1, 1)))
-	j.spec.Class, j.spec.Dated, j.spec.Due = "c", true, 100*time.Second
+	j.spec.Class, j.spec.HasDeadline, j.spec.Deadline = "c", true, 100*time.Second
 	for _, x := range []struct {
 		urgency Urgency
 		want    []float64
@@ -91,7 +91,7 @@
 		}
 		add := func(i int, cpus float64, submitted time.Duration) {
 			j := newJob(c, i, 1, rng)
-			j.spec.CPUs, j.spec.Dated, j.spec.Class, j.spec.Image, j.spec.Runtime = cpus, false, "x", "img0", time.Hour
+			j.spec.CPUs, j.spec.HasDeadline, j.spec.Class, j.spec.Image, j.spec.Runtime = cpus, false, "x", "img0", time.Hour
 			j.need, j.submitted, j.any = j.spec.Need(), t0.Add(submitted), true
 			c.book(j)
 		}
@@ -159,7 +159,7 @@
 	c.fill(c.lead.fleet[0])
 	add := func(id int, class string, urgency Urgency) *job {
 		j := newJob(c, id, 1, rng)
-		j.spec.Class, j.spec.Dated, j.spec.Urgency = class, false, urgency
+		j.spec.Class, j.spec.HasDeadline, j.spec.Urgency = class, false, urgency
 		c.book(j)
 		return j
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -53,7 +53,7 @@
 	spec := JobSpec{ID: fmt.Sprintf("wk-%06d", id), Class: "c", Owner: "t", Urgency: Standard, Tasks: tasks, CPUs: float64(1 + rng.IntN(4)), MemGB: 1,
 		Image: fmt.Sprint("img", rng.IntN(6)), ImageGB: 1, AllowSpot: true, Runtime: time.Duration(10+rng.IntN(60)) * time.Second}
 	if rng.IntN(2) == 0 {
-		spec.Class, spec.Dated, spec.Due = "u", true, time.Duration(5+rng.IntN(200))*time.Second
+		spec.Class, spec.HasDeadline, spec.Deadline = "u", true, time.Duration(5+rng.IntN(200))*time.Second
 	}
 	j := c.addJob(&JobRecord{Spec: spec, Submitted: c.now.Round(0)}, false)
 	for i := range tasks {
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -115,7 +115,7 @@
 		job := s.def.Template()
 		job.ID = schedule.RequestID(s.rec.Number, q.Request)
 		if by := s.def.Timing.DueAfter(c.wall()); !by.IsZero() {
-			job.Due, job.Dated = by.Sub(c.wall()), true
+			job.Deadline, job.HasDeadline = by.Sub(c.wall()), true
 		}
 		if len(c.lead.sched.runs) >= runsMost { // refused ones, of which nobody has asked again
 			clear(c.lead.sched.runs)
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -373,8 +373,8 @@
 		return
 	}
 	e := schedule.Entry{Job: j.spec.ID, Planned: c.wall(), Made: c.wall(), State: schedule.StateMade}
-	if j.spec.Dated {
-		e.Due = e.Made.Add(j.spec.Due)
+	if j.spec.HasDeadline {
+		e.Due = e.Made.Add(j.spec.Deadline)
 	}
 	j.sched = s
 	s.notes = append(s.notes, e)
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -529,7 +529,7 @@
 // refuses judges a dated job against the timelines of the machines at hand and
 // of the types that can be rented, and asks the policy.
 func (c *Core) refuses(s *JobSpec) (time.Duration, bool) {
-	if !s.Dated || c.pol.NeverRefuses() {
+	if !s.HasDeadline || c.pol.NeverRefuses() {
 		return 0, false // what the timelines say is a search over the whole fleet
 	}
 	late := c.lateness(s)
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -65,7 +65,7 @@
 	}
 	c.out = nil
 	other := newJob(c, 2, 20000, rng)
-	other.spec.Runtime, other.spec.Dated = time.Hour, false
+	other.spec.Runtime, other.spec.HasDeadline = time.Hour, false
 	c.book(other)
 	silence(c, 30*time.Second)
 	if zs := rentals(c); len(zs) == 0 {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -69,8 +69,8 @@
 		conn.Close()
 	}
 	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerCall, Ref: 7, Op: core.OpSubmit, ID: "wk-1",
-		Spec: &core.JobSpec{ID: "wk-1", Tasks: 3, CPUs: 1.5, Due: time.Minute, Dated: true}}})
-	if p := next(t, ib); p.From != "a" || p.Msg.Ref != 7 || p.Msg.Spec.Tasks != 3 || p.Msg.Spec.Due != time.Minute {
+		Spec: &core.JobSpec{ID: "wk-1", Tasks: 3, CPUs: 1.5, Deadline: time.Minute, HasDeadline: true}}})
+	if p := next(t, ib); p.From != "a" || p.Msg.Ref != 7 || p.Msg.Spec.Tasks != 3 || p.Msg.Spec.Deadline != time.Minute {
 		t.Errorf("%+v", p)
 	}
 	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerAnswer, Ref: 8, Answer: &core.AnswerUser{Status: 503, RetryAfter: time.Second, Reason: "x"}}})
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -370,8 +370,8 @@
 	if s.Zone != "" {
 		o["hall"] = s.Zone
 	}
-	if s.Dated {
-		o["dueS"] = s.Due.Seconds()
+	if s.HasDeadline {
+		o["dueS"] = s.Deadline.Seconds()
 	}
 	return encode(o)
 }
--- a/internal/scenario/scale_plan.go
+++ b/internal/scenario/scale_plan.go
@@ -285,7 +285,7 @@
 	j.spec = core.JobSpec{ID: fmt.Sprintf("wk-%07d", g.made), Class: class.name, Owner: p.teamName(g.rng.IntN(p.Teams)), Urgency: class.urgency,
 		Tasks: tasks, CPUs: class.cpus, MemGB: class.memory, Image: "image-" + class.name, ImageGB: imageGB, Runtime: runs.Round(time.Second)}
 	if class.due > 0 {
-		j.spec.Due, j.spec.Dated = class.due+runs, true
+		j.spec.Deadline, j.spec.HasDeadline = class.due+runs, true
 	}
 	return j, time.Duration(g.rng.ExpFloat64() / p.Jobs * float64(time.Second))
 }
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -490,7 +490,7 @@
 		sp.Urgency = core.Urgency(slices.Index(spec.UrgencyNames[:], v))
 	}
 	if _, ok := a["due"]; ok {
-		sp.Due, sp.Dated = dur(a, "due", 0), true
+		sp.Deadline, sp.HasDeadline = dur(a, "due", 0), true
 	}
 	if sp.Service {
 		sp.Runtime = 0
--- a/internal/schedule/file.go
+++ b/internal/schedule/file.go
@@ -184,7 +184,7 @@
 	s := d.job
 	s.ID = JobID(number, o.Nominal)
 	if !o.Due.IsZero() {
-		s.Due, s.Dated = o.Due.Sub(o.Start), true
+		s.Deadline, s.HasDeadline = o.Due.Sub(o.Start), true
 	}
 	return s
 }
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -116,7 +116,7 @@
 	}
 	o, _ := d.Timing.Next(at("2027-03-28T03:00:00Z"))
 	job := d.Job(42, o)
-	if job.ID != "wk-00000042202703280330" || !spec.ValidID(job.ID) || !job.Dated || job.Due != 2*time.Hour {
+	if job.ID != "wk-00000042202703280330" || !spec.ValidID(job.ID) || !job.HasDeadline || job.Deadline != 2*time.Hour {
 		t.Errorf("%+v", job) // 04:00 to 06:00: the clocks skip an hour
 	}
 	a, b := RequestID(42, "x"), RequestID(42, "y")
--- a/internal/spec/spec.go
+++ b/internal/spec/spec.go
@@ -47,8 +47,8 @@
 	Runtime            time.Duration
 	CheckpointInterval time.Duration
 	CheckpointTime     time.Duration
-	Due                time.Duration // from the submission
-	Dated              bool
+	Deadline           time.Duration // from the submission
+	HasDeadline        bool
 }
 
 // Need is what a task of the job takes.
@@ -105,7 +105,7 @@
 	span := func(d time.Duration) bool { return d >= 0 && d <= maxSpan }
 	return ValidID(s.ID) && s.Tasks > 0 && s.Tasks <= MaxTasks && s.Urgency >= Idle && s.Urgency <= Production &&
 		within(s.CPUs, maxCPUs) && within(s.GPUs, maxCPUs) && within(s.MemGB, maxGB) && within(s.ImageGB, maxCPUs) &&
-		span(s.Runtime) && span(s.CheckpointInterval) && span(s.CheckpointTime) && span(s.Due)
+		span(s.Runtime) && span(s.CheckpointInterval) && span(s.CheckpointTime) && span(s.Deadline)
 }
 
 // ValidID reports whether id has the form of a job id: the prefix and 1 to 32
@@ -198,7 +198,7 @@
 	out.Runtime = span("runtimeS", j.RuntimeS)
 	out.CheckpointInterval, out.CheckpointTime = span("snapshotEveryS", j.SnapshotEveryS), span("snapshotS", j.SnapshotS)
 	if j.DueS != nil {
-		out.Due, out.Dated = span("dueS", j.DueS), true
+		out.Deadline, out.HasDeadline = span("dueS", j.DueS), true
 	}
 	if field != "" {
 		return nil, field, reason
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -372,15 +372,15 @@
 	RuntimeMS            int64        `json:"runtimeMs,omitempty"`
 	CheckpointIntervalMS int64        `json:"snapshotEveryMs,omitempty"`
 	CheckpointTimeMS     int64        `json:"snapshotMs,omitempty"`
-	DueMS                int64        `json:"dueMs,omitempty"`
-	Dated                bool         `json:"dated,omitempty"`
+	DeadlineMS           int64        `json:"dueMs,omitempty"`
+	HasDeadline          bool         `json:"dated,omitempty"`
 }
 
 // EncodeSpec turns a description into its record.
 func EncodeSpec(s *core.JobSpec) SpecRecord {
 	return SpecRecord{s.ID, s.Class, s.Owner, s.Service, s.Urgency, s.Tasks, s.CPUs, s.GPUs, s.MemGB, s.Image, s.ImageGB,
 		s.InstanceTypes, s.Zone, s.SamePlace, s.Apart, s.AllowSpot, s.Runtime.Milliseconds(), s.CheckpointInterval.Milliseconds(),
-		s.CheckpointTime.Milliseconds(), s.Due.Milliseconds(), s.Dated}
+		s.CheckpointTime.Milliseconds(), s.Deadline.Milliseconds(), s.HasDeadline}
 }
 
 // Decode turns a record into the description; false if it cannot be one.
@@ -395,7 +395,7 @@
 	s := core.JobSpec{ID: r.ID, Class: r.Class, Owner: r.Owner, Service: r.Service, Urgency: r.Urgency, Tasks: r.Tasks,
 		CPUs: r.CPUs, GPUs: r.GPUs, MemGB: r.MemGB, Image: r.Image, ImageGB: r.ImageGB, InstanceTypes: r.InstanceTypes, Zone: r.Zone,
 		SamePlace: r.SamePlace, Apart: r.Apart, AllowSpot: r.AllowSpot, Runtime: ms(r.RuntimeMS),
-		CheckpointInterval: ms(r.CheckpointIntervalMS), CheckpointTime: ms(r.CheckpointTimeMS), Due: ms(r.DueMS), Dated: r.Dated}
+		CheckpointInterval: ms(r.CheckpointIntervalMS), CheckpointTime: ms(r.CheckpointTimeMS), Deadline: ms(r.DeadlineMS), HasDeadline: r.HasDeadline}
 	return s, s.Sound()
 }
 
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -61,13 +61,13 @@
 // TestRecords: what is written is read back; what is not a record is none.
 func TestRecords(t *testing.T) {
 	in := &core.JobRecord{Spec: core.JobSpec{ID: "wk-1", Class: "c", Owner: "o", Tasks: 5, CPUs: 1.5, Urgency: core.Urgent, Image: "i",
-		InstanceTypes: []string{"f"}, Runtime: 90 * time.Second, Due: time.Minute, Dated: true}, Submitted: time.UnixMilli(1234567), Cancelled: true}
+		InstanceTypes: []string{"f"}, Runtime: 90 * time.Second, Deadline: time.Minute, HasDeadline: true}, Submitted: time.UnixMilli(1234567), Cancelled: true}
 	data, err := json.Marshal(encodeValue(in))
 	if err != nil {
 		t.Fatal(err)
 	}
 	out, ok := decodeEntry(entryJSON{K: "live/job/wk-1", V: data, KeyRev: 3}).Value.(*core.JobRecord)
-	if !ok || out.Spec.Runtime != in.Spec.Runtime || out.Spec.InstanceTypes[0] != "f" || !out.Cancelled || !out.Submitted.Equal(in.Submitted) || !out.Spec.Dated {
+	if !ok || out.Spec.Runtime != in.Spec.Runtime || out.Spec.InstanceTypes[0] != "f" || !out.Cancelled || !out.Submitted.Equal(in.Submitted) || !out.Spec.HasDeadline {
 		t.Errorf("%+v", out)
 	}
 	rec := &schedule.Record{Number: 7, Seq: 3, Edition: 2, File: json.RawMessage(`{"name":"n"}`), Paused: true, Cursor: schedule.Cursor{Nominal: time.UnixMilli(60000).UTC(), Rule: time.UnixMilli(90000).UTC()}, LastJob: "wk-2"}
