--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -146,7 +146,7 @@
 		if got.Host == "elsewhere" {
 			return core.AnswerReport{Status: 421, Upstream: "n2"}
 		}
-		return core.AnswerReport{Status: 200, Epoch: 41, Orders: []core.Order{
+		return core.AnswerReport{Status: 200, FencingToken: 41, Orders: []core.Order{
 			{Verb: core.Start, Task: core.TaskID{Job: "wk-1", Index: 4}, Try: 2},
 			{Verb: core.Stop, Task: core.TaskID{Job: "wk-2", Index: 1}, Try: 1, Drain: 10 * time.Second}}}
 	})
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -27,7 +27,7 @@
 		var r reportJSON
 		if json.Unmarshal(data, &r) == nil {
 			if rep, bad := r.report(); bad == "" {
-				if rep.Host == "" || rep.InstanceType == "" || rep.Tenure == 0 || rep.Notice > 200*365*24*time.Hour || rep.Notice < -200*365*24*time.Hour {
+				if rep.Host == "" || rep.InstanceType == "" || rep.Incarnation == 0 || rep.Notice > 200*365*24*time.Hour || rep.Notice < -200*365*24*time.Hour {
 					t.Fatalf("%+v", rep)
 				}
 				for _, x := range rep.Tasks {
--- a/internal/api/workers.go
+++ b/internal/api/workers.go
@@ -51,7 +51,7 @@
 
 // report checks a report; "" or what is wrong with it.
 func (j *reportJSON) report() (core.Report, string) {
-	r := core.Report{Host: j.Host, Address: j.Address, InstanceType: j.Flavor, Zone: j.Hall, Spot: j.Reclaimable, Epoch: j.Epoch}
+	r := core.Report{Host: j.Host, Address: j.Address, InstanceType: j.Flavor, Zone: j.Hall, Spot: j.Reclaimable, FencingToken: j.Epoch}
 	switch {
 	case j.Host == "" || len(j.Host) > 128:
 		return r, "host"
@@ -71,7 +71,7 @@
 			return r, "host"
 		}
 	}
-	r.Tenure, r.Counter = *j.Tenure, *j.Counter
+	r.Incarnation, r.Counter = *j.Tenure, *j.Counter
 	if j.WarningS != nil {
 		if !(*j.WarningS >= -maxNotice && *j.WarningS <= maxNotice) {
 			return r, "warningS"
@@ -115,7 +115,7 @@
 		a := v.(core.AnswerReport)
 		switch a.Status {
 		case http.StatusOK:
-			out := replyJSON{a.Epoch, make([]orderJSON, 0, len(a.Orders))}
+			out := replyJSON{a.FencingToken, make([]orderJSON, 0, len(a.Orders))}
 			for _, o := range a.Orders {
 				oj := orderJSON{Verb: o.Verb, Shard: o.Task.String(), Try: o.Try}
 				if o.Verb == core.Stop {
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -105,7 +105,7 @@
 func (d *desk) report(host string, counter uint64, tasks ...TaskReport) []Order {
 	d.ref++
 	ref := d.ref
-	d.in(ReportIn{Ref: ref, Report: Report{Host: host, Address: host, InstanceType: "f2", Zone: "a", Spot: true, Tenure: 1, Counter: counter, Epoch: 1, Tasks: tasks}})
+	d.in(ReportIn{Ref: ref, Report: Report{Host: host, Address: host, InstanceType: "f2", Zone: "a", Spot: true, Incarnation: 1, Counter: counter, FencingToken: 1, Tasks: tasks}})
 	d.pass(5 * time.Second)
 	for _, o := range d.said {
 		if a, ok := o.(AnswerReport); ok && a.Ref == ref {
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -25,7 +25,7 @@
 	c := leaderOf(t, 1)
 	l := c.lead
 	m := l.fleet[0]
-	m.held, m.epoch = &heldReport{holdKey: holdKey{ref: 9}}, l.term
+	m.held, m.fencingToken = &heldReport{holdKey: holdKey{ref: 9}}, l.term
 	j := newJob(c, 1, 3, testRand())
 	c.book(j)
 	l.tries = maxTries
@@ -202,7 +202,7 @@
 	var early, ran int
 	for i := range day * days {
 		host := fmt.Sprintf("host-1%07d", i)
-		r := Report{Host: host, Address: host + ":9000", InstanceType: "f2", Zone: "a", Spot: true, Tenure: 1, Epoch: l.term}
+		r := Report{Host: host, Address: host + ":9000", InstanceType: "f2", Zone: "a", Spot: true, Incarnation: 1, FencingToken: l.term}
 		j := &JobSpec{ID: fmt.Sprintf("wk-%07d", i), Class: fmt.Sprint("class ", i), Owner: "t", Tasks: 2, CPUs: 1, MemGB: 1, Image: fmt.Sprint("img", i), AllowSpot: true, Runtime: time.Minute}
 		r.Counter++
 		say(r) // has it recorded
@@ -275,7 +275,7 @@
 		t.Fatal("does not lead")
 	}
 	c.SetWander(time.Hour)
-	for _, o := range c.Step(t0.Add(time.Millisecond), ReportIn{Ref: 5, Report: Report{Host: l.fleet[0].host, InstanceType: "f0", Zone: "a", Tenure: 1, Counter: 2, Epoch: 1}}) {
+	for _, o := range c.Step(t0.Add(time.Millisecond), ReportIn{Ref: 5, Report: Report{Host: l.fleet[0].host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: 2, FencingToken: 1}}) {
 		if a, ok := o.(AnswerReport); ok && len(a.Orders) > 0 {
 			t.Errorf("starts after an hour's sleep: %+v", a)
 		}
@@ -348,7 +348,7 @@
 	c := leaderOf(t, 1)
 	m := c.lead.fleet[0]
 	status := func(counter uint64) int {
-		for _, o := range c.Step(c.now.Add(time.Second), ReportIn{Ref: counter, Report: Report{Host: m.host, InstanceType: "f0", Zone: "a", Tenure: 1, Counter: counter, Epoch: 1}}) {
+		for _, o := range c.Step(c.now.Add(time.Second), ReportIn{Ref: counter, Report: Report{Host: m.host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 1}}) {
 			if a, ok := o.(AnswerReport); ok && a.Ref == counter {
 				return a.Status
 			}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -58,19 +58,19 @@
 		}
 		report := func() Report {
 			r := Report{Host: pick(hosts...), Address: "x", InstanceType: pick("f0", "f2", "none"), Zone: "a", Spot: next()%2 == 0,
-				Tenure: 1, Epoch: 1, HasNotice: next()%9 == 0, Notice: difference()}
+				Incarnation: 1, FencingToken: 1, HasNotice: next()%9 == 0, Notice: difference()}
 			counter++
 			r.Counter = counter
 			if c.lead != nil {
-				r.Epoch = c.lead.term
+				r.FencingToken = c.lead.term
 			}
 			switch next() % 12 { // now and then it says what no worker should
 			case 0:
-				r.Tenure = max(1, num())
+				r.Incarnation = max(1, num())
 			case 1:
 				r.Counter = num()
 			case 2:
-				r.Epoch = num()
+				r.FencingToken = num()
 			}
 			for range next() % 4 {
 				r.Tasks = append(r.Tasks, TaskReport{Task: task(), Try: num(), Phase: []Phase{Pulling, TaskRuns, Checkpointing, Exited}[next()%4], Cause: pick(CauseDone, CauseError, CauseNoRoom, CauseStopped, "?", "")})
@@ -144,7 +144,7 @@
 					}
 				case 1: // one that is not
 					step(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: max(1, c.termMax), Reports: &relay.Batch{Session: num(), Number: num(), Left: []uint64{num()},
-						Reports: []relay.Item{{Ref: num(), Handle: num(), Tenure: num(), Counter: num(), Epoch: num(), Dropped: []int{next() - 9}}}}}})
+						Reports: []relay.Item{{Ref: num(), Handle: num(), Incarnation: num(), Counter: num(), FencingToken: num(), Dropped: []int{next() - 9}}}}}})
 				case 2: // a leader's replies
 					rs := &relay.Replies{Session: num(), Again: next()%4 == 0, List: []relay.Reply{{Ref: ref - uint64(next()%9)}, {Ref: ref, Status: 421, Upstream: "n2"}}}
 					if c.relay.fold != nil && next()%2 == 0 {
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -59,22 +59,22 @@
 // takeover is what is left of earlier terms: records to be read, written back or missing, and
 // machines that are not accounted for.
 type takeover struct {
-	loaded     bool              // the records have been read
-	gather     *gathering        // while the records are looked for
-	rebuild    *rebuilding       // after a loss
-	restore    []snapshot.Record // still to be written back
-	scheduling int               // of them, those that schedules are read from
-	waiting    []ReportIn        // reports that came while loading
-	taking     bool              // there are more of them than go in one step
-	owed       map[string]bool   // recorded machines that may hold an earlier term's tasks
-	unread     map[string]bool   // jobs whose records cannot be read
-	strays     int               // tasks of theirs on machines, which may count for any team
-	lost       map[string]uint64 // records of machines that cannot be read, by key; owed as well
-	fresh      bool              // no term was on record before ours
-	beyond     map[string]uint64 // epochs above our term that workers have seen, by machine
-	lag        time.Duration     // for so long into our term an earlier leader may have led
-	toProbe    []*machine        // see probeAll
-	probing    int               // probes on their way
+	loaded      bool              // the records have been read
+	gather      *gathering        // while the records are looked for
+	rebuild     *rebuilding       // after a loss
+	restore     []snapshot.Record // still to be written back
+	scheduling  int               // of them, those that schedules are read from
+	waiting     []ReportIn        // reports that came while loading
+	taking      bool              // there are more of them than go in one step
+	owed        map[string]bool   // recorded machines that may hold an earlier term's tasks
+	unread      map[string]bool   // jobs whose records cannot be read
+	strays      int               // tasks of theirs on machines, which may count for any team
+	lost        map[string]uint64 // records of machines that cannot be read, by key; owed as well
+	fresh       bool              // no term was on record before ours
+	newerTokens map[string]uint64 // epochs above our term that workers have seen, by machine
+	lag         time.Duration     // for so long into our term an earlier leader may have led
+	toProbe     []*machine        // see probeAll
+	probing     int               // probes on their way
 }
 
 // workload is the jobs, their teams and their places in the queue.
@@ -135,7 +135,7 @@
 func newLeadership(cfg *config.Config, now time.Time) *leadership {
 	return &leadership{
 		authority:   authority{acked: map[string]bool{}},
-		takeover:    takeover{owed: map[string]bool{}, unread: map[string]bool{}, lost: map[string]uint64{}, beyond: map[string]uint64{}},
+		takeover:    takeover{owed: map[string]bool{}, unread: map[string]bool{}, lost: map[string]uint64{}, newerTokens: map[string]uint64{}},
 		workload:    workload{jobs: map[string]*job{}, accept: map[string]*accepting{}, teams: map[string]*team{}, est: newEstimates()},
 		membership:  membership{gone: newForgetful(now), machines: map[string]*machine{}, relays: map[string]*relayPeer{}},
 		dispatching: dispatching{holding: map[holdKey]*machine{}},
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -41,23 +41,23 @@
 	record               recordState // a successor must know of it before it may hold tasks
 	group                *group      // the record that names it
 
-	reported        bool // in this term
-	probed          bool // and that only in answer to a probe
-	unreached       int  // probes in vain
-	tenure, counter uint64
-	epoch           uint64
-	dead            uint64    // its lease under tenures up to this one is surely over
-	seen            time.Time // last report
-	answered        time.Time // last answered report
-	since           time.Time // known to us
-	rentedAt        time.Time
-	readyAt         time.Time // expected, while it boots
-	held            *heldReport
-	deafSince       time.Time  // first answered in this term, and has not shown that it heard
-	lostStarts      int        // in a row: starts that its next report did not list
-	home            *relayPeer // by which it reports, among whose workers it counts
-	moved           time.Time  // when it was last led to another node
-	poked           bool       // has orders that need not wait for its next report
+	reported             bool // in this term
+	probed               bool // and that only in answer to a probe
+	unreached            int  // probes in vain
+	incarnation, counter uint64
+	fencingToken         uint64
+	expiredIncarnation   uint64    // its lease under tenures up to this one is surely over
+	seen                 time.Time // last report
+	answered             time.Time // last answered report
+	since                time.Time // known to us
+	rentedAt             time.Time
+	readyAt              time.Time // expected, while it boots
+	held                 *heldReport
+	deafSince            time.Time  // first answered in this term, and has not shown that it heard
+	lostStarts           int        // in a row: starts that its next report did not list
+	home                 *relayPeer // by which it reports, among whose workers it counts
+	moved                time.Time  // when it was last led to another node
+	poked                bool       // has orders that need not wait for its next report
 
 	tl     *timeline.Timeline
 	runs   []*run
@@ -187,7 +187,7 @@
 		c.dropRun(r)
 	}
 	if m.reported {
-		m.dead = m.tenure
+		m.expiredIncarnation = m.incarnation
 	}
 	m.reported, m.lost = false, true
 	c.lead.leaves(m)
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -32,7 +32,7 @@
 		l.ahead = d.c.ahead(d.c.now)
 		d.c.SetWander(ahead)
 		d.ref++
-		d.in(ReportIn{Ref: d.ref, Report: Report{Host: "host-000000", InstanceType: "f2", Zone: "a", Tenure: 1, Counter: 20, Epoch: 1, Tasks: ts}})
+		d.in(ReportIn{Ref: d.ref, Report: Report{Host: "host-000000", InstanceType: "f2", Zone: "a", Incarnation: 1, Counter: 20, FencingToken: 1, Tasks: ts}})
 		if a := d.replied(d.ref); (a.Status == 200) != (ahead == 0) {
 			t.Errorf("with the time of day %v ahead the answer is %d", ahead, a.Status)
 		}
@@ -144,7 +144,7 @@
 	d.c.jobLoaded(j)
 	at := func(host string, try uint64) *run {
 		m := d.c.machine(host, "f2", "a", true)
-		d.c.learn(m, &Report{Host: host, Tenure: 1, Counter: 5, Tasks: []TaskReport{{Task: TaskID{Job: "wk-1"}, Try: try, Phase: TaskRuns}}})
+		d.c.learn(m, &Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []TaskReport{{Task: TaskID{Job: "wk-1"}, Try: try, Phase: TaskRuns}}})
 		return m.runs[0]
 	}
 	old := at("host-x", 3)
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -78,14 +78,14 @@
 		rep := &r.Report
 		switch {
 		case !l.probeCounts(m):
-		case r.Outcome != Unknown && rep.Epoch > l.term:
-			c.strayEpoch(m.host, rep.Epoch, func() { c.release(m) })
+		case r.Outcome != Unknown && rep.FencingToken > l.term:
+			c.handleNewerToken(m.host, rep.FencingToken, func() { c.release(m) })
 		case r.Outcome != Unknown && rep.Host != m.host:
 			// Another machine has the address now.
-		case r.Outcome == OK && rep.Epoch == l.term:
+		case r.Outcome == OK && rep.FencingToken == l.term:
 			c.learnProbed(m, rep)
-		case r.Outcome == Conflict && rep.Tenure != tenure:
-			c.probe(m, rep.Tenure)
+		case r.Outcome == Conflict && rep.Incarnation != tenure:
+			c.probe(m, rep.Incarnation)
 		default:
 			if m.unreached++; m.unreached < probeTries {
 				l.toProbe = append(l.toProbe, m)
@@ -99,5 +99,5 @@
 func (c *Core) probeCall(address string, epoch, tenure uint64, f func(ProbeReply)) {
 	ref := c.nextRef()
 	c.probes[ref] = f
-	c.emit(ProbeCall{Ref: ref, Address: address, Epoch: epoch, Tenure: tenure, Within: probeWithin})
+	c.emit(ProbeCall{Ref: ref, Address: address, FencingToken: epoch, Incarnation: tenure, Within: probeWithin})
 }
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -65,9 +65,9 @@
 
 // reporter is a worker that reports to us.
 type reporter struct {
-	address       string
-	tenure, epoch uint64
-	seen          time.Time
+	address                   string
+	incarnation, fencingToken uint64
+	seen                      time.Time
 }
 
 func newRelaying() relaying {
@@ -81,7 +81,7 @@
 		return // meant for a leader: its relay will hear who that is
 	}
 	if p := r.byHost[rep.Host]; p != nil {
-		if !rep.Newer(p.report.Tenure, p.report.Counter) {
+		if !rep.Newer(p.report.Incarnation, p.report.Counter) {
 			c.late++
 			c.emit(AnswerReport{Ref: in.Ref, Status: 503}) // delayed on the way
 			return
@@ -98,7 +98,7 @@
 		k = &reporter{}
 		r.known[rep.Host] = k
 	}
-	*k = reporter{rep.Address, rep.Tenure, rep.Epoch, c.now}
+	*k = reporter{rep.Address, rep.Incarnation, rep.FencingToken, c.now}
 	p := &passed{in.Ref, *rep, c.now}
 	r.waiting[p.ref], r.byHost[rep.Host] = p, p
 	if r.fold != nil {
@@ -261,7 +261,7 @@
 			continue
 		}
 		r.remove(p)
-		a := AnswerReport{Ref: x.Ref, Status: 200, Epoch: m.Term, Orders: x.Orders, Upstream: x.Upstream}
+		a := AnswerReport{Ref: x.Ref, Status: 200, FencingToken: m.Term, Orders: x.Orders, Upstream: x.Upstream}
 		if x.Status != 0 {
 			a.Status = x.Status
 		}
@@ -280,7 +280,7 @@
 	r := &c.relay
 	r.probed, r.toProbe, r.probing = r.term, nil, 0
 	for _, host := range slices.Sorted(maps.Keys(r.known)) {
-		if k := r.known[host]; k.epoch < r.term && k.address != "" && c.now.Sub(k.seen) < 2*c.report {
+		if k := r.known[host]; k.fencingToken < r.term && k.address != "" && c.now.Sub(k.seen) < 2*c.report {
 			r.toProbe = append(r.toProbe, host)
 		}
 	}
@@ -295,8 +295,8 @@
 	for r.probing < probeWidth && len(r.toProbe) > 0 && c.lead == nil {
 		host := r.toProbe[0]
 		r.toProbe = r.toProbe[1:]
-		if k := r.known[host]; k != nil && k.epoch < r.probed && r.byHost[host] == nil {
-			c.relayProbe(host, k, k.tenure)
+		if k := r.known[host]; k != nil && k.fencingToken < r.probed && r.byHost[host] == nil {
+			c.relayProbe(host, k, k.incarnation)
 		}
 	}
 }
@@ -313,11 +313,11 @@
 		rep := &p.Report
 		switch {
 		case c.lead != nil || p.Outcome == Unknown || rep.Host != host:
-		case p.Outcome == Conflict && rep.Tenure != tenure && rep.Tenure != k.tenure:
-			k.tenure = rep.Tenure
-			c.relayProbe(host, k, rep.Tenure)
-		case p.Outcome == OK && rep.Epoch == term && r.fold != nil && r.term == term:
-			k.epoch = term
+		case p.Outcome == Conflict && rep.Incarnation != tenure && rep.Incarnation != k.incarnation:
+			k.incarnation = rep.Incarnation
+			c.relayProbe(host, k, rep.Incarnation)
+		case p.Outcome == OK && rep.FencingToken == term && r.fold != nil && r.term == term:
+			k.fencingToken = term
 			r.add(0, rep)
 		}
 		c.relayProbeMore()
@@ -382,7 +382,7 @@
 	for i := range reps {
 		if ref := m.Reports.Reports[i].Ref; ref != 0 {
 			c.reportIn(ReportIn{Ref: ref, Relay: by, Report: reps[i]})
-		} else if x := l.machines[reps[i].Host]; x != nil && l.loaded && l.probeCounts(x) && reps[i].Epoch == l.term {
+		} else if x := l.machines[reps[i].Host]; x != nil && l.loaded && l.probeCounts(x) && reps[i].FencingToken == l.term {
 			c.learnProbed(x, &reps[i])
 		}
 		if c.lead != l {
@@ -549,7 +549,7 @@
 		return ""
 	}
 	first = first && by == ""
-	if !first && (c.now.Before(l.moveAt) || m.epoch != l.term) {
+	if !first && (c.now.Before(l.moveAt) || m.fencingToken != l.term) {
 		return ""
 	}
 	nodes := c.nodes()
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -68,7 +68,7 @@
 }
 
 func (n *relayNode) worker(ref, counter uint64) {
-	n.in(ReportIn{Ref: ref, Report: Report{Host: "host-1", Address: "a:1", InstanceType: "f", Zone: "a", Tenure: 1, Counter: counter, Epoch: 5}})
+	n.in(ReportIn{Ref: ref, Report: Report{Host: "host-1", Address: "a:1", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 5}})
 	n.pass(50 * time.Millisecond)
 }
 
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -87,10 +87,10 @@
 		})
 		return
 	}
-	if m.epoch == l.term {
+	if m.fencingToken == l.term {
 		os = append(os, c.startOn(m)...)
 	}
-	if len(os) > 0 || due || m.epoch != l.term || m.releasing {
+	if len(os) > 0 || due || m.fencingToken != l.term || m.releasing {
 		c.sendReply(m, os)
 		return
 	}
@@ -114,10 +114,10 @@
 
 func (c *Core) sendReply(m *machine, os []Order) {
 	key := c.unhold(m)
-	if m.epoch != c.lead.term && m.deafSince.IsZero() {
+	if m.fencingToken != c.lead.term && m.deafSince.IsZero() {
 		m.deafSince = c.now
 	}
-	c.answerReport(key.by, AnswerReport{Ref: key.ref, Status: 200, Epoch: c.lead.term, Orders: os})
+	c.answerReport(key.by, AnswerReport{Ref: key.ref, Status: 200, FencingToken: c.lead.term, Orders: os})
 	m.answered = c.now
 }
 
@@ -156,7 +156,7 @@
 
 // replyIfAny answers a held report if there are orders for the machine.
 func (c *Core) replyIfAny(m *machine) {
-	if m.held == nil || m.epoch != c.lead.term {
+	if m.held == nil || m.fencingToken != c.lead.term {
 		return
 	}
 	os := c.orders(m)
@@ -182,7 +182,7 @@
 // the earliest, and one with many tasks has news all the time. Stops are never held back.
 func (c *Core) paceLeft(m *machine, os []Order) time.Duration {
 	budget := c.lead.reportBudget
-	if budget <= 0 || m.epoch != c.lead.term || m.releasing || slices.ContainsFunc(os, func(o Order) bool { return o.Verb == Stop }) {
+	if budget <= 0 || m.fencingToken != c.lead.term || m.releasing || slices.ContainsFunc(os, func(o Order) bool { return o.Verb == Stop }) {
 		return 0
 	}
 	size := float64(reportBytes + reportTaskBytes*len(m.runs))
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -13,7 +13,7 @@
 	l := c.lead
 	rep := &in.Report
 	refuse := func() { c.answerReport(in.Relay, AnswerReport{Ref: in.Ref, Status: 503}) }
-	if l != nil && rep.Epoch > l.term && !c.leads() {
+	if l != nil && rep.FencingToken > l.term && !c.leads() {
 		c.stepDown("a worker has seen a newer epoch")
 		l = nil
 	}
@@ -21,9 +21,9 @@
 	case l == nil:
 		c.passOn(in)
 		return
-	case rep.Epoch > l.term:
+	case rep.FencingToken > l.term:
 		refuse()
-		c.strayEpoch(rep.Host, rep.Epoch, func() {
+		c.handleNewerToken(rep.Host, rep.FencingToken, func() {
 			c.release(c.machine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot))
 		})
 		return
@@ -45,22 +45,22 @@
 	if m.record == unrecorded {
 		m.address = rep.Address // a machine keeps it
 	}
-	if m.probed && rep.Tenure == m.tenure && rep.Counter <= m.counter && c.leads() {
+	if m.probed && rep.Incarnation == m.incarnation && rep.Counter <= m.counter && c.leads() {
 		// Overtaken by its own answer to our probe: nothing new, but a worker
 		// that waits for its reply.
-		c.answerReport(in.Relay, AnswerReport{Ref: in.Ref, Status: 200, Epoch: l.term})
+		c.answerReport(in.Relay, AnswerReport{Ref: in.Ref, Status: 200, FencingToken: l.term})
 		m.answered = c.now
 		return
 	}
 	// A relay that has begun a new session tells again what waits there. What was
 	// answered in the session before has not reached the worker, and will not.
-	again := in.Relay.From != "" && m.reported && rep.Tenure == m.tenure && rep.Counter == m.counter
+	again := in.Relay.From != "" && m.reported && rep.Incarnation == m.incarnation && rep.Counter == m.counter
 	// A worker never forgets an epoch it has seen, unless it has begun anew: then its
 	// counters may begin anew too, and what is newer by them may have been sent before it
 	// ended. Nothing of either is believed until the lease of what we know is over, which a
 	// machine that is not answered does not outlast.
-	forgets := m.reported && rep.Epoch < m.epoch
-	if !again && m.reported && !rep.Newer(m.tenure, m.counter) || rep.Tenure <= m.dead || forgets {
+	forgets := m.reported && rep.FencingToken < m.fencingToken
+	if !again && m.reported && !rep.Newer(m.incarnation, m.counter) || rep.Incarnation <= m.expiredIncarnation || forgets {
 		// Delayed on the way: its task list is older than what we know.
 		c.late++
 		refuse()
@@ -91,12 +91,12 @@
 	c.reply(m, false)
 }
 
-// strayEpoch: a worker says that it has seen a newer epoch than ours. If there was
+// handleNewerToken: a worker says that it has seen a newer epoch than ours. If there was
 // none, it drops all that we say to it, for ever: it is of no use, and its word must
 // not end the term for all the others.
-func (c *Core) strayEpoch(host string, epoch uint64, useless func()) {
+func (c *Core) handleNewerToken(host string, epoch uint64, useless func()) {
 	c.doubt("a worker has seen a newer epoch", func() {
-		if c.beganAgain(host, epoch) {
+		if c.termsBeganAgain(host, epoch) {
 			return
 		}
 		c.note(slog.LevelWarn, "worker has seen an epoch that never was", "machine", host, "claimed", epoch, "term", c.lead.term)
@@ -106,18 +106,18 @@
 	})
 }
 
-// beganAgain reports whether a worker's newer epoch may show that terms have begun again. When
+// termsBeganAgain reports whether a worker's newer epoch may show that terms have begun again. When
 // the state service and every controller's memory are lost together, nobody else is left to
 // tell: the workers would drop all that we say, and the whole fleet be returned for it. As
 // soon as several say so, the terms go on above theirs.
-func (c *Core) beganAgain(host string, epoch uint64) bool {
+func (c *Core) termsBeganAgain(host string, epoch uint64) bool {
 	l := c.lead
-	if !l.fresh || epoch > epochMost || c.now.Sub(l.since) > 2*c.lease {
+	if !l.fresh || epoch > maxFencingToken || c.now.Sub(l.since) > 2*c.lease {
 		return false
 	}
-	l.beyond[host] = epoch
-	if len(l.beyond) >= beganAgainFrom {
-		c.known.Term = slices.Max(slices.Collect(maps.Values(l.beyond))) + termsUnseen
+	l.newerTokens[host] = epoch
+	if len(l.newerTokens) >= minNewerTokenWitnesses {
+		c.known.Term = slices.Max(slices.Collect(maps.Values(l.newerTokens))) + termGapAfterTotalLoss
 		// Who knows of it stands at once: the others would go by what is on record.
 		c.suspectThen("workers have seen newer terms than were on record", func() { c.stand(0) })
 	}
@@ -132,13 +132,13 @@
 		m.idle = c.now
 		delete(l.rent.patience, m.typeName)
 	}
-	if m.reported && rep.Tenure > m.tenure {
+	if m.reported && rep.Incarnation > m.incarnation {
 		// Its lease ran out: the worker has killed all that it had.
 		for _, r := range slices.Clone(m.runs) {
 			c.dropRun(r)
 		}
 	}
-	m.reported, m.tenure, m.counter, m.epoch = true, rep.Tenure, rep.Counter, rep.Epoch
+	m.reported, m.incarnation, m.counter, m.fencingToken = true, rep.Incarnation, rep.Counter, rep.FencingToken
 	m.seen, m.lost, m.away = c.now, false, false
 	if rep.HasNotice {
 		if m.leaving.IsZero() {
@@ -146,7 +146,7 @@
 		}
 		m.leaving = c.now.Add(rep.Notice)
 	}
-	if rep.Epoch == l.term {
+	if rep.FencingToken == l.term {
 		m.deafSince = time.Time{}
 	}
 	l.learned++
@@ -178,7 +178,7 @@
 			m.retryAt = c.now.Add(min(time.Second<<min(m.lostStarts-1, 10), c.lease))
 		}
 	}
-	if rep.Epoch == l.term && l.owed[m.host] {
+	if rep.FencingToken == l.term && l.owed[m.host] {
 		c.accounted(m.host)
 	}
 	c.stretch(m)
@@ -221,13 +221,13 @@
 }
 
 const (
-	// beganAgainFrom is how many workers must have seen an epoch above ours for it to be our
+	// minNewerTokenWitnesses is how many workers must have seen an epoch above ours for it to be our
 	// terms that have begun again: one alone is rather faulty itself.
-	beganAgainFrom = 2
-	// epochMost is the largest epoch that is believed. Terms are counted one by one, and far
+	minNewerTokenWitnesses = 2
+	// maxFencingToken is the largest epoch that is believed. Terms are counted one by one, and far
 	// above this there would soon be none left.
-	epochMost = 1 << 32
-	// termsUnseen is how far above the newest epoch that was heard of the terms go on: those who
+	maxFencingToken = 1 << 32
+	// termGapAfterTotalLoss is how far above the newest epoch that was heard of the terms go on: those who
 	// say so first need not have seen the last ones, and others may.
-	termsUnseen = 1 << 10
+	termGapAfterTotalLoss = 1 << 10
 )
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -177,29 +177,29 @@
 	c := leaderOf(t, 1)
 	l := c.lead
 	m := l.fleet[0]
-	l.term, m.epoch = 6, 6 // known in this term by the counters it has now
-	m.tenure, m.counter = 1, 2
+	l.term, m.fencingToken = 6, 6 // known in this term by the counters it has now
+	m.incarnation, m.counter = 1, 2
 	j := newJob(c, 1, 1, testRand())
 	j.spec.Class, j.any = "c", true
 	c.book(j)
 	now := reportOf(m)
-	now.Epoch = 6
+	now.FencingToken = 6
 	c.Step(c.now, ReportIn{Ref: 1, Report: now})
 	if len(m.runs) != 1 {
 		t.Fatalf("%d runs", len(m.runs))
 	}
-	for _, late := range []Report{{Tenure: 1, Counter: 88}, {Tenure: 3, Counter: 1}} {
-		late.Host, late.InstanceType, late.Zone, late.Epoch = m.host, m.typeName, m.zone, 5
+	for _, late := range []Report{{Incarnation: 1, Counter: 88}, {Incarnation: 3, Counter: 1}} {
+		late.Host, late.InstanceType, late.Zone, late.FencingToken = m.host, m.typeName, m.zone, 5
 		c.Step(c.now.Add(time.Second), ReportIn{Ref: 2, Report: late})
 		if len(m.runs) != 1 || j.waiting != 0 {
-			t.Fatalf("tenure %d, counter %d, epoch 5: %d runs, %d wait", late.Tenure, late.Counter, len(m.runs), j.waiting)
+			t.Fatalf("tenure %d, counter %d, epoch 5: %d runs, %d wait", late.Incarnation, late.Counter, len(m.runs), j.waiting)
 		}
 	}
 	// Not for ever: once the lease is over by our clock it is a machine like any other.
 	c.now = c.now.Add(withDrift(c.lease) + 2*time.Second)
 	l.until = c.now.Add(time.Hour)
 	c.review(m, time.Hour, time.Hour, time.Hour, false)
-	if c.Step(c.now, ReportIn{Ref: 3, Report: Report{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Tenure: 2, Counter: 9}}); !m.reported || m.epoch != 0 {
+	if c.Step(c.now, ReportIn{Ref: 3, Report: Report{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Incarnation: 2, Counter: 9}}); !m.reported || m.fencingToken != 0 {
 		t.Error("the machine never counts again")
 	}
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -43,7 +43,7 @@
 	l.rent.read = true
 	for i := range n {
 		m := c.machine(fmt.Sprintf("host-%06d", i), fmt.Sprint("f", i%3), "a", true)
-		m.reported, m.record, m.tenure, m.epoch, m.seen = true, recorded, 1, 1, t0
+		m.reported, m.record, m.incarnation, m.fencingToken, m.seen = true, recorded, 1, 1, t0
 	}
 	return c
 }
@@ -183,7 +183,7 @@
 }
 
 func reportOf(m *machine) Report {
-	r := Report{Host: m.host, Address: m.address, InstanceType: m.typeName, Zone: m.zone, Spot: true, Tenure: m.tenure, Counter: m.counter + 1, Epoch: 1}
+	r := Report{Host: m.host, Address: m.address, InstanceType: m.typeName, Zone: m.zone, Spot: true, Incarnation: m.incarnation, Counter: m.counter + 1, FencingToken: 1}
 	for _, x := range m.runs {
 		r.Tasks = append(r.Tasks, TaskReport{Task: x.id, Try: x.try, Phase: x.phase})
 	}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -375,11 +375,11 @@
 
 // AnswerReport answers a ReportIn.
 type AnswerReport struct {
-	Ref      uint64
-	Status   int
-	Epoch    uint64
-	Orders   []Order
-	Upstream string
+	Ref          uint64
+	Status       int
+	FencingToken uint64
+	Orders       []Order
+	Upstream     string
 }
 
 // StoreOp is a kind of call to the state service.
@@ -452,10 +452,10 @@
 
 // ProbeCall shows a worker our epoch, with no orders, and asks for its report.
 type ProbeCall struct {
-	Ref           uint64
-	Address       string
-	Epoch, Tenure uint64
-	Within        time.Duration
+	Ref                       uint64
+	Address                   string
+	FencingToken, Incarnation uint64
+	Within                    time.Duration
 }
 
 // ProbeReply answers a ProbeCall: OK when the worker has taken note of the
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -16,7 +16,7 @@
 	c.lead.rent.instanceTypes[0].Zones = []string{"a", "b"}
 	for i := range n {
 		m := c.machine(fmt.Sprintf("host-1%05d", i), "f0", "b", true)
-		m.reported, m.record, m.tenure, m.epoch, m.seen = true, recorded, 1, 1, t0
+		m.reported, m.record, m.incarnation, m.fencingToken, m.seen = true, recorded, 1, 1, t0
 	}
 	return c
 }
--- a/internal/relay/fold.go
+++ b/internal/relay/fold.go
@@ -36,7 +36,7 @@
 // Item folds a report. It must go out with the next Batch, after those folded before.
 // The report's tasks must not be changed afterwards.
 func (f *Fold) Item(ref uint64, r *report.Report) Item {
-	it := Item{Ref: ref, Tenure: r.Tenure, Counter: r.Counter, Epoch: r.Epoch}
+	it := Item{Ref: ref, Incarnation: r.Incarnation, Counter: r.Counter, FencingToken: r.FencingToken}
 	if r.HasNotice {
 		ms := r.Notice.Milliseconds()
 		it.Notice = &ms
@@ -163,7 +163,7 @@
 		return report.Report{}, fmt.Errorf("machine %d is not known", it.Handle)
 	}
 	r := *last
-	r.Tenure, r.Counter, r.Epoch = it.Tenure, it.Counter, it.Epoch
+	r.Incarnation, r.Counter, r.FencingToken = it.Incarnation, it.Counter, it.FencingToken
 	r.HasNotice, r.Notice = it.Notice != nil, 0
 	if it.Notice != nil {
 		r.Notice = time.Duration(*it.Notice) * time.Millisecond
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -32,13 +32,13 @@
 // Item is a worker's report, told by what has changed since the one before it on the
 // same link.
 type Item struct {
-	Ref     uint64 `json:"i,omitempty"` // the relay's number of the report; 0: nobody waits for a reply
-	Handle  uint64 `json:"h"`           // stands for the machine
-	Machine *Who   `json:"w,omitempty"` // with its first report, and when it changes; then all tasks are listed
-	Tenure  uint64 `json:"t"`
-	Counter uint64 `json:"c"`
-	Epoch   uint64 `json:"e,omitempty"`
-	Notice  *int64 `json:"v,omitempty"` // milliseconds until the cloud takes the machine away
+	Ref          uint64 `json:"i,omitempty"` // the relay's number of the report; 0: nobody waits for a reply
+	Handle       uint64 `json:"h"`           // stands for the machine
+	Machine      *Who   `json:"w,omitempty"` // with its first report, and when it changes; then all tasks are listed
+	Incarnation  uint64 `json:"t"`
+	Counter      uint64 `json:"c"`
+	FencingToken uint64 `json:"e,omitempty"`
+	Notice       *int64 `json:"v,omitempty"` // milliseconds until the cloud takes the machine away
 
 	Dropped []int    `json:"d,omitempty"` // places in the list of the report before, rising
 	Changed []Change `json:"p,omitempty"` // by place in what is left of it
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -52,7 +52,7 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		var ws []*worker
 		for i := range 1 + rng.IntN(5) {
-			ws = append(ws, &worker{report.Report{Host: fmt.Sprint("host-", i), Address: "10.0.0.1:9000", InstanceType: "f", Zone: "a", Tenure: 1}})
+			ws = append(ws, &worker{report.Report{Host: fmt.Sprint("host-", i), Address: "10.0.0.1:9000", InstanceType: "f", Zone: "a", Incarnation: 1}})
 		}
 		var u Unfold
 		session := uint64(1)
@@ -223,7 +223,7 @@
 func benchmarkReports(n int) []report.Report {
 	rs := make([]report.Report, n)
 	for i := range rs {
-		rs[i] = report.Report{Host: fmt.Sprintf("host-%06d", i), Address: "10.1.0.1:9000", InstanceType: "f", Zone: "a", Tenure: 1, Counter: 1, Epoch: 41}
+		rs[i] = report.Report{Host: fmt.Sprintf("host-%06d", i), Address: "10.1.0.1:9000", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: 1, FencingToken: 41}
 		for k := range 16 {
 			rs[i].Tasks = append(rs[i].Tasks, report.Task{Task: report.TaskID{Job: "wk-000412", Index: k}, Try: 41<<28 + uint64(k), Phase: report.TaskRuns})
 		}
@@ -283,7 +283,7 @@
 
 // TestFormerSession: what was held on the way since a session that is over ends none.
 func TestFormerSession(t *testing.T) {
-	r := report.Report{Host: "host-1", InstanceType: "f", Zone: "a", Tenure: 1, Counter: 1}
+	r := report.Report{Host: "host-1", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: 1}
 	first, next := NewFold(1), NewFold(2)
 	held := first.Batch([]Item{first.Item(1, &r)}, nil)
 	var u Unfold
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -51,18 +51,18 @@
 
 // Report is a worker's report.
 type Report struct {
-	Host, Address, InstanceType, Zone string
-	Spot                              bool
-	Tenure, Counter, Epoch            uint64
-	Notice                            time.Duration // until the cloud takes the machine away
-	HasNotice                         bool
-	Tasks                             []Task
+	Host, Address, InstanceType, Zone  string
+	Spot                               bool
+	Incarnation, Counter, FencingToken uint64
+	Notice                             time.Duration // until the cloud takes the machine away
+	HasNotice                          bool
+	Tasks                              []Task
 }
 
 // Newer reports whether r was made after the report of the same machine with the
 // given tenure and counter.
 func (r *Report) Newer(tenure, counter uint64) bool {
-	return r.Tenure > tenure || r.Tenure == tenure && r.Counter > counter
+	return r.Incarnation > tenure || r.Incarnation == tenure && r.Counter > counter
 }
 
 // Verb is what an order asks of a worker.
--- a/internal/scenario/loopback.go
+++ b/internal/scenario/loopback.go
@@ -194,7 +194,7 @@
 		tasks = append(tasks, object{"shard": t.Task.String(), "try": t.Try, "status": t.Phase, "cause": t.Cause})
 	}
 	o := object{"host": r.Host, "address": r.Address, "flavor": r.InstanceType, "hall": r.Zone, "reclaimable": r.Spot,
-		"tenure": r.Tenure, "counter": r.Counter, "epoch": r.Epoch, "shards": tasks}
+		"tenure": r.Incarnation, "counter": r.Counter, "epoch": r.FencingToken, "shards": tasks}
 	if r.HasNotice {
 		o["warningS"] = r.Notice.Seconds()
 	}
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -201,7 +201,7 @@
 run 250s`, "ran_twice", func(s *script) {
 			s.hears = func(n *node, in any) any { // every report counts as one of the term at hand
 				if r, ok := in.(core.ReportIn); ok && n.core.Leads(n.local()) {
-					r.Report.Epoch = n.core.Stats().Term
+					r.Report.FencingToken = n.core.Stats().Term
 					return r
 				}
 				return in
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -470,7 +470,7 @@
 			if a, ok := out.(core.AnswerReport); ok {
 				a.Orders = slices.Clone(a.Orders)
 				for i := range a.Orders {
-					a.Orders[i].Try = a.Orders[i].Try&0xffff + 100/a.Epoch
+					a.Orders[i].Try = a.Orders[i].Try&0xffff + 100/a.FencingToken
 				}
 				return a
 			}
@@ -508,7 +508,7 @@
 		{"an old report at the start of a term", "ran_twice", honest, func() func(n *node, in any) any {
 			return func(n *node, in any) any { // every report counts as one of the term at hand
 				if r, ok := in.(core.ReportIn); ok && n.core.Leads(n.local()) {
-					r.Report.Epoch = n.core.Stats().Term
+					r.Report.FencingToken = n.core.Stats().Term
 					return r
 				}
 				return in
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -305,7 +305,7 @@
 	if json.Unmarshal(data, &r) != nil {
 		status = 0
 	}
-	a := core.AnswerReport{Status: status, Epoch: r.Epoch, Upstream: r.Upstream}
+	a := core.AnswerReport{Status: status, FencingToken: r.Epoch, Upstream: r.Upstream}
 	for _, o := range r.Orders {
 		id, ok := core.ParseTaskID(o.Shard)
 		if !ok {
--- a/internal/scenario/report_cost.go
+++ b/internal/scenario/report_cost.go
@@ -60,7 +60,7 @@
 // this process has taken for each.
 func MakeReports(addr string) (cost ReportCost, err error) {
 	link := newWorkerLink()
-	rep := core.Report{Host: "host-000231", Address: "10.1.0.232:9000", InstanceType: "node", Zone: "r1-z1", Tenure: 1, Epoch: 7}
+	rep := core.Report{Host: "host-000231", Address: "10.1.0.232:9000", InstanceType: "node", Zone: "r1-z1", Incarnation: 1, FencingToken: 7}
 	for i := range costTasks {
 		rep.Tasks = append(rep.Tasks, core.TaskReport{Task: core.TaskID{Job: "wk-0000412", Index: 100 + i}, Try: 7<<28 + uint64(i), Phase: core.TaskRuns})
 	}
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -271,7 +271,7 @@
 // describe is what the worker says of itself.
 func (m *worker) describe() core.Report {
 	rep := core.Report{Host: m.host, Address: m.address(m.host), InstanceType: m.flavor.name, Zone: m.zone, Spot: m.reclaimable,
-		Tenure: m.tenure, Counter: m.counter, Epoch: m.epoch}
+		Incarnation: m.tenure, Counter: m.counter, FencingToken: m.epoch}
 	if !m.leaves.IsZero() {
 		rep.HasNotice, rep.Notice = true, m.leaves.Sub(m.now)
 	}
@@ -351,17 +351,17 @@
 	case a.Status == 200:
 	}
 	m.flight = 0
-	if a.Epoch < m.epoch || tenure != m.tenure {
+	if a.FencingToken < m.epoch || tenure != m.tenure {
 		m.planReport(m.spread(m.reportEvery, 0.25))
 		return
 	}
 	m.served = true
-	m.outrun(a.Epoch)
+	m.outrun(a.FencingToken)
 	if sent.After(m.answered) {
 		m.answered = sent
 		m.watchLease()
 	}
-	m.sees(a.Epoch)
+	m.sees(a.FencingToken)
 	for _, o := range a.Orders {
 		m.execute(o, sent)
 	}
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -454,7 +454,7 @@
 		n.roundTrip("probe", host, o.Within, func(answer func(any)) {
 			if m := n.workers[host]; m != nil && !n.now.Before(m.deaf) {
 				m.do(func() {
-					outcome, rep := m.command(o.Epoch, o.Tenure)
+					outcome, rep := m.command(o.FencingToken, o.Incarnation)
 					answer(core.ProbeReply{Ref: o.Ref, Outcome: outcome, Report: rep})
 				})
 			}
