--- a/internal/api/probe.go
+++ b/internal/api/probe.go
@@ -33,7 +33,7 @@
 	go func() {
 		r := core.ProbeReply{Outcome: core.Unknown}
 		body, _ := json.Marshal(commandJSON{call.FencingToken, call.Incarnation, []orderJSON{}}) // plain struct: cannot fail
-		status, data, ok := p.caller.Call(http.MethodPost, call.Address+"/do", body, call.Within)
+		status, data, ok := p.caller.Call(http.MethodPost, call.Address+"/do", body, call.Timeout)
 		var j reportJSON
 		if ok && (status == http.StatusOK || status == http.StatusConflict) && json.Unmarshal(data, &j) == nil {
 			if rep, bad := j.report(); bad == "" {
--- a/internal/api/probe_test.go
+++ b/internal/api/probe_test.go
@@ -34,7 +34,7 @@
 			io.WriteString(w, c.body)
 		}))
 		inbox := make(chan any, 1)
-		NewProber(inbox).Do(core.ProbeCall{Ref: 5, Address: srv.Listener.Addr().String(), FencingToken: 7, Incarnation: 2, Within: time.Second})
+		NewProber(inbox).Do(core.ProbeCall{Ref: 5, Address: srv.Listener.Addr().String(), FencingToken: 7, Incarnation: 2, Timeout: time.Second})
 		got := (<-inbox).(core.ProbeReply)
 		srv.Close()
 		if got.Ref != 5 || got.Outcome != c.outcome || got.Outcome != core.Unknown && (got.Report.Host != "host-1" || len(got.Report.Tasks) != 1) {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -72,7 +72,7 @@
 
 func (c *Client) call(call core.CloudCall) core.CloudReply {
 	method, path, body := Request(call)
-	status, data, ok := c.caller.Call(method, path, body, call.Within)
+	status, data, ok := c.caller.Call(method, path, body, call.Timeout)
 	if !ok {
 		return core.CloudReply{Outcome: core.Unknown}
 	}
--- a/internal/core/alone.go
+++ b/internal/core/alone.go
@@ -89,8 +89,8 @@
 	c.store(StoreCall{Op: StoreTxn,
 		// The term that we know must be on record: a service that has lost its data knows of
 		// no job, not even of those that are over. Nor must the configuration have changed.
-		When: append(unheardOf(s.ID), Cond{termKey, c.confirmedRev}, configHeadCond(k)),
-		Then: []Write{{Key: jobKeys + s.ID, Value: rec}, {Key: aloneKeys + s.ID, Value: &LeaderRecord{Node: c.cfg.HostName, Term: max(1, c.termMax)}}},
+		Conditions: append(unheardOf(s.ID), Condition{termKey, c.confirmedRev}, configHeadCond(k)),
+		Writes:     []Write{{Key: jobKeys + s.ID, Value: rec}, {Key: aloneKeys + s.ID, Value: &LeaderRecord{Node: c.cfg.HostName, Term: max(1, c.termMax)}}},
 	}, func(r StoreReply) {
 		switch r.Outcome {
 		case OK:
@@ -120,7 +120,7 @@
 		c.answer(call, no)
 		return
 	}
-	c.store(StoreCall{Op: StoreTxn, When: append(unheardOf(id), Cond{termKey, c.confirmedRev}, configHeadCond(k))}, func(r StoreReply) {
+	c.store(StoreCall{Op: StoreTxn, Conditions: append(unheardOf(id), Condition{termKey, c.confirmedRev}, configHeadCond(k))}, func(r StoreReply) {
 		if r.Outcome == OK {
 			c.answer(call, refusal)
 		} else {
@@ -141,7 +141,7 @@
 			}
 			c.whenLeading(c.jitter(time.Second), c.followAlone)
 		default:
-			c.leaderStore(follow(aloneKeys, r.Rev), func(f StoreReply) {
+			c.leaderStore(watchCall(aloneKeys, r.Rev), func(f StoreReply) {
 				if f.Outcome == OK {
 					c.followAlone()
 				} else {
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -61,7 +61,7 @@
 				writes++
 				r.Outcome = o
 			} else if x.Op == StoreGet {
-				r.Outcome = Missing
+				r.Outcome = NotFound
 			}
 			d.in(r)
 		case CloudCall:
@@ -280,10 +280,10 @@
 	ref := d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
 	for _, x := range d.calls {
 		if call, ok := x.(StoreCall); ok && call.Op == StoreTxn {
-			if !slices.Contains(call.When, Cond{termKey, 1}) {
-				t.Errorf("a write without the condition of the term: %+v", call.When)
+			if !slices.Contains(call.Conditions, Condition{termKey, 1}) {
+				t.Errorf("a write without the condition of the term: %+v", call.Conditions)
 			}
-			d.in(StoreReply{Ref: call.Ref, Outcome: Conflict, Failed: []string{termKey}})
+			d.in(StoreReply{Ref: call.Ref, Outcome: Conflict, FailedKeys: []string{termKey}})
 		}
 	}
 	if a := d.answer(ref); a.Status != 503 {
@@ -316,12 +316,12 @@
 // TestNothingFound: 404 takes two answers of the state service that say so, and one that
 // its data is what this leader's term is on record with.
 func TestNothingFound(t *testing.T) {
-	for _, o := range []Outcome{Missing, Unknown, Refused, Invalid} {
+	for _, o := range []Outcome{NotFound, Unknown, Refused, Invalid} {
 		d := newDesk(t)
 		ref := d.user(OpGet, "wk-1", nil, nil)
 		for i := range 2 {
 			call := d.calls[len(d.calls)-1].(StoreCall)
-			r := StoreReply{Ref: call.Ref, Outcome: Missing}
+			r := StoreReply{Ref: call.Ref, Outcome: NotFound}
 			if i == 1 {
 				r.Outcome = o
 			}
@@ -330,7 +330,7 @@
 			}
 			d.in(r)
 		}
-		if o != Missing {
+		if o != NotFound {
 			if a := d.answer(ref); a.Status != 503 {
 				t.Errorf("outcome %v: %+v", o, a)
 			}
@@ -338,12 +338,12 @@
 		}
 		for _, sure := range []bool{true, false} {
 			call := d.calls[len(d.calls)-1].(StoreCall)
-			if call.Op != StoreTxn || len(call.Then) > 0 || d.answer(ref).Status != 0 {
+			if call.Op != StoreTxn || len(call.Writes) > 0 || d.answer(ref).Status != 0 {
 				t.Fatalf("an answer before it is sure: %+v", call)
 			}
 			want, r := 404, StoreReply{Ref: call.Ref, Outcome: OK}
 			if !sure {
-				want, r = 503, StoreReply{Ref: call.Ref, Outcome: Conflict, Failed: []string{termKey}}
+				want, r = 503, StoreReply{Ref: call.Ref, Outcome: Conflict, FailedKeys: []string{termKey}}
 			}
 			d.in(r)
 			if a := d.answer(ref); a.Status != want {
@@ -352,7 +352,7 @@
 			if sure { // and once more
 				ref = d.user(OpGet, "wk-2", nil, nil)
 				for range 2 {
-					d.in(StoreReply{Ref: d.calls[len(d.calls)-1].(StoreCall).Ref, Outcome: Missing})
+					d.in(StoreReply{Ref: d.calls[len(d.calls)-1].(StoreCall).Ref, Outcome: NotFound})
 				}
 			}
 		}
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -175,20 +175,20 @@
 }
 
 // configHeadCond is the condition that the configuration is as a copy has it.
-func configHeadCond(k *snapshot.Copy) Cond {
+func configHeadCond(k *snapshot.Copy) Condition {
 	r, _ := k.Get(configHeadKey)
-	return Cond{configHeadKey, r.Rev}
+	return Condition{configHeadKey, r.Rev}
 }
 
 // ---- the renewal
 
 // configConds are the conditions on which a renewal shows that the leader's configuration
 // is the newest.
-func (l *leadership) configConds() []Cond {
+func (l *leadership) configConds() []Condition {
 	if !l.loaded {
 		return nil
 	}
-	return []Cond{{configHeadKey, l.conf.headRev}}
+	return []Condition{{configHeadKey, l.conf.headRev}}
 }
 
 // configMoved: a renewal that went out with a revision of the head has found another. If it
@@ -216,7 +216,7 @@
 	conf.rereading = true
 	c.leaderStore(StoreCall{Op: StoreGet, Key: configHeadKey}, func(r StoreReply) {
 		conf.rereading = false
-		if r.Outcome != OK && r.Outcome != Missing {
+		if r.Outcome != OK && r.Outcome != NotFound {
 			return // the next renewal finds the same
 		}
 		var found liveconfig.HeadRecord
@@ -415,7 +415,7 @@
 		ch.size += 200 + 2*len(r.Team.Name)
 	}
 	ch.writes = append(ch.writes, Write{Key: configHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}})
-	ch.when = []Cond{{configHeadKey, conf.headRev}}
+	ch.conditions = []Condition{{configHeadKey, conf.headRev}}
 	ch.size += 200
 }
 
@@ -485,7 +485,7 @@
 			c.batchMade(b, e.Rev)
 		case conf.state.Revision:
 			conf.headRev = e.Rev
-			ch.when[0].Rev = e.Rev
+			ch.conditions[0].Rev = e.Rev
 			c.lead.pipe.add(ch)
 		default:
 			c.batchFails(b, unavailable("the configuration on record is being read"))
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -28,7 +28,7 @@
 		case AnswerUser:
 			answer = &o
 		case StoreCall:
-			if o.Op == StoreTxn && len(o.Then) > 0 {
+			if o.Op == StoreTxn && len(o.Writes) > 0 {
 				txn = &o
 			}
 		}
@@ -116,7 +116,7 @@
 	for range 300 {
 		c.now = c.now.Add(10 * time.Millisecond)
 		for _, o := range c.Step(c.now, Tick{}) {
-			if call, ok := o.(StoreCall); ok && call.Op == StoreTxn && len(call.Then) > 0 && call.Then[0].Key == configTeamKeys+"t" {
+			if call, ok := o.(StoreCall); ok && call.Op == StoreTxn && len(call.Writes) > 0 && call.Writes[0].Key == configTeamKeys+"t" {
 				t.Fatal("the change is made again")
 			}
 		}
@@ -247,11 +247,11 @@
 	for c.now.Sub(began) < 5*time.Second {
 		for _, o := range outs {
 			call, ok := o.(StoreCall)
-			if !ok || call.Op != StoreTxn || len(call.Then) == 0 {
+			if !ok || call.Op != StoreTxn || len(call.Writes) == 0 {
 				continue
 			}
-			if len(call.Then) != len(wide)+1 {
-				t.Errorf("%d changes in the transaction", len(call.Then))
+			if len(call.Writes) != len(wide)+1 {
+				t.Errorf("%d changes in the transaction", len(call.Writes))
 			}
 			if after := c.now.Sub(began); after < time.Second || after > 1500*time.Millisecond {
 				t.Errorf("it goes after %s, ten changes come back in 1.1 s", after)
@@ -301,7 +301,7 @@
 			case AnswerUser:
 				made++
 			case StoreCall:
-				if o.Op == StoreTxn && len(o.Then) > 0 {
+				if o.Op == StoreTxn && len(o.Writes) > 0 {
 					rev++
 					outs = append(outs, c.Step(c.now, StoreReply{Ref: o.Ref, Outcome: OK, Rev: rev})...)
 				}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -36,9 +36,9 @@
 
 // Times of the leader's grant.
 const (
-	grantTTL    = 2 * time.Second
-	renewEvery  = 400 * time.Millisecond
-	storeWithin = 1500 * time.Millisecond
+	grantTTL     = 2 * time.Second
+	renewEvery   = 400 * time.Millisecond
+	storeTimeout = 1500 * time.Millisecond
 )
 
 func withDrift(d time.Duration) time.Duration { return lapse.WithDrift(d) }
@@ -224,12 +224,12 @@
 
 func (c *Core) store(call StoreCall, f func(StoreReply)) {
 	call.Ref = c.nextRef()
-	if call.Within == 0 {
-		call.Within = storeWithin
+	if call.Timeout == 0 {
+		call.Timeout = storeTimeout
 	}
 	seen, era := c.known.Rev, c.known.Era
 	c.stores[call.Ref] = func(r StoreReply) {
-		c.sawRev(r.Rev, seen, era)
+		c.observeRevision(r.Rev, seen, era)
 		f(r)
 	}
 	c.emit(call)
@@ -237,7 +237,7 @@
 
 func (c *Core) cloud(call CloudCall, f func(CloudReply)) {
 	call.Ref = c.nextRef()
-	call.Within = 4 * time.Second
+	call.Timeout = 4 * time.Second
 	c.clouds[call.Ref] = f
 	c.emit(call)
 }
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -42,7 +42,7 @@
 		t.Fatal("the term goes on")
 	}
 	for _, o := range c.out {
-		if s, ok := o.(StoreCall); ok && s.Op == StoreDropGrant && s.Grant == l.grant {
+		if s, ok := o.(StoreCall); ok && s.Op == StoreRevokeLease && s.LeaseID == l.grant {
 			return
 		}
 	}
@@ -55,7 +55,7 @@
 	c := leaderOf(t, 0)
 	p := &c.lead.pipe
 	ch := &change{writes: []Write{{Key: "a", Value: &TermRecord{Term: 1}}}}
-	c.batchDone([]*change{ch}, StoreReply{Outcome: Conflict, Failed: []string{"something else"}})
+	c.batchDone([]*change{ch}, StoreReply{Outcome: Conflict, FailedKeys: []string{"something else"}})
 	if !p.pause.After(c.now) || len(p.waits[urgent]) != 1 {
 		t.Errorf("pause until %v, %d wait", p.pause, len(p.waits[urgent]))
 	}
@@ -160,11 +160,11 @@
 			case StoreCall:
 				r := StoreReply{Ref: o.Ref, Rev: rev}
 				if o.Op == StoreGet {
-					r.Outcome = Missing
+					r.Outcome = NotFound
 				} else if o.Op == StoreTxn {
 					rev++
 					r.Rev = rev
-				} else if o.Op == StoreFollow {
+				} else if o.Op == StoreWatch {
 					continue
 				}
 				done(r)
@@ -286,7 +286,7 @@
 	c.renew()
 	var refs []uint64 // of the grant, and of the term's record
 	for _, o := range c.out {
-		if s, ok := o.(StoreCall); ok && (s.Op == StoreExtend || s.Op == StoreTxn && len(s.Then) == 0) {
+		if s, ok := o.(StoreCall); ok && (s.Op == StoreKeepAlive || s.Op == StoreTxn && len(s.Writes) == 0) {
 			refs = append(refs, s.Ref)
 		}
 	}
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -54,7 +54,7 @@
 	}
 	own := rec != nil && rec.Node == c.cfg.HostName
 	if rec != nil && !own && !known {
-		c.followLeader(from)
+		c.watchLeaderKey(from)
 		return
 	}
 	// A leader's key is under its grant. One that stands without, because it was damaged
@@ -64,7 +64,7 @@
 		still := r.Outcome == OK && r.Entries[0].Rev == e.Rev
 		switch {
 		case c.lead != nil:
-		case still && r.Entries[0].Grant == 0:
+		case still && r.Entries[0].LeaseID == 0:
 			c.note(slog.LevelError, "leader's key has no grant, it is taken over", "key", e.Key)
 			c.after(c.jitter(40*time.Millisecond), func() { c.stand(e.Rev) })
 		case own && still:
@@ -74,7 +74,7 @@
 		case rec == nil:
 			c.after(c.jitter(time.Second), c.watch)
 		default:
-			c.followLeader(from)
+			c.watchLeaderKey(from)
 		}
 	})
 }
@@ -89,31 +89,31 @@
 func (c *Core) endFormer(e Entry, rec *LeaderRecord, from uint64) {
 	if rec.Life != c.life && e.Rev > c.firstRev {
 		c.note(slog.LevelError, "another process leads under this node's name, or a late transaction says so", "key", e.Key, "term", rec.Term)
-		c.followLeader(from)
+		c.watchLeaderKey(from)
 		return
 	}
 	c.note(slog.LevelInfo, "the grant of a former process is given back", "term", rec.Term)
-	c.store(StoreCall{Op: StoreDropGrant, Grant: e.Grant}, func(d StoreReply) {
-		if d.Outcome == OK || d.Outcome == Missing {
+	c.store(StoreCall{Op: StoreRevokeLease, LeaseID: e.LeaseID}, func(d StoreReply) {
+		if d.Outcome == OK || d.Outcome == NotFound {
 			c.watch()
 		} else {
-			c.followLeader(from)
+			c.watchLeaderKey(from)
 		}
 	})
 }
 
-// follow waits until a key below the prefix has changed after a revision, or for long.
-func follow(prefix string, from uint64) StoreCall {
-	return StoreCall{Op: StoreFollow, Key: prefix, FromRev: from, Wait: 20 * time.Second, Within: 25 * time.Second}
+// watchCall waits until a key below the prefix has changed after a revision, or for long.
+func watchCall(prefix string, from uint64) StoreCall {
+	return StoreCall{Op: StoreWatch, Key: prefix, FromRev: from, Block: 20 * time.Second, Timeout: 25 * time.Second}
 }
 
-// followLeaderFor is for how long the leader's key is followed before it is read anew: what
+// leaderWatchTimeout is for how long the leader's key is followed before it is read anew: what
 // is lost from record is gone without a word.
-const followLeaderFor = 4 * time.Second
+const leaderWatchTimeout = 4 * time.Second
 
-func (c *Core) followLeader(from uint64) {
-	call := follow(leaderKey, from)
-	call.Wait = followLeaderFor
+func (c *Core) watchLeaderKey(from uint64) {
+	call := watchCall(leaderKey, from)
+	call.Block = leaderWatchTimeout
 	c.store(call, func(r StoreReply) {
 		if r.Outcome == OK {
 			c.watch()
@@ -176,7 +176,7 @@
 	}
 	retry := func() { c.after(c.jitter(200*time.Millisecond), c.watch) }
 	sent, ahead := c.now, c.ahead(c.now) // authority counts from before the grant was asked for
-	c.store(StoreCall{Op: StoreGrant, TTL: grantTTL}, func(g StoreReply) {
+	c.store(StoreCall{Op: StoreGrantLease, TTL: grantTTL}, func(g StoreReply) {
 		if g.Outcome != OK {
 			retry()
 			return
@@ -184,16 +184,16 @@
 		drop := func() {
 			// Ends the grant at once: should the transaction have been applied
 			// all the same, its key goes with it.
-			c.store(StoreCall{Op: StoreDropGrant, Grant: g.Grant}, func(StoreReply) {})
+			c.store(StoreCall{Op: StoreRevokeLease, LeaseID: g.LeaseID}, func(StoreReply) {})
 			retry()
 		}
 		c.store(StoreCall{Op: StoreGet, Key: termKey}, func(t StoreReply) {
-			if t.Outcome != OK && t.Outcome != Missing {
+			if t.Outcome != OK && t.Outcome != NotFound {
 				drop()
 				return
 			}
 			before := c.known
-			found := rebuild.Found{Missing: t.Outcome == Missing, Rev: t.Rev}
+			found := rebuild.Found{Missing: t.Outcome == NotFound, Rev: t.Rev}
 			if t.Outcome == OK {
 				if rec, _ := t.Entries[0].Value.(*TermRecord); rec != nil {
 					found.Term, found.Era = rec.Term, rec.Era
@@ -213,8 +213,8 @@
 				return
 			}
 			c.store(StoreCall{Op: StoreTxn,
-				When: []Cond{{leaderKey, keyRev}, {termKey, rev}},
-				Then: []Write{{leaderKey, &LeaderRecord{c.cfg.HostName, term, c.life, era}, g.Grant}, {termKey, &TermRecord{term, era}, 0}},
+				Conditions: []Condition{{leaderKey, keyRev}, {termKey, rev}},
+				Writes:     []Write{{leaderKey, &LeaderRecord{c.cfg.HostName, term, c.life, era}, g.LeaseID}, {termKey, &TermRecord{term, era}, 0}},
 			}, func(r StoreReply) {
 				// What was heard of terms does not count here, only the record: a
 				// peer may say anything. An answer that comes this late finds the
@@ -224,7 +224,7 @@
 					return
 				}
 				ours := c.led != 0 && c.led == before.Term
-				c.begin(term, r.Rev, g.Grant, sent, ahead)
+				c.begin(term, r.Rev, g.LeaseID, sent, ahead)
 				c.lead.gather = &gathering{ours: ours, before: before, found: found, lost: c.lostWhy, told: map[string]*Knowledge{}, tried: map[string]bool{}}
 				c.known = c.known.Next(era, term, c.life)
 				c.known.Rev = max(c.known.Rev, r.Rev)
@@ -242,7 +242,7 @@
 // transaction that began it, because each begins with a change of its own; so one
 // above the revision at hand is above them all.
 func (c *Core) nextTerm(t StoreReply) (term, rev uint64) {
-	if t.Outcome == Missing {
+	if t.Outcome == NotFound {
 		if term = max(t.Rev, c.confirmed, c.known.Term) + 1; t.Rev > 0 {
 			c.note(slog.LevelWarn, "no term is on record, going on above the state service's revision", "key", termKey, "term", term)
 		}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -159,17 +159,17 @@
 				i := next() % len(calls)
 				call := calls[i]
 				calls = slices.Delete(calls, i, i+1)
-				outcome := []Outcome{OK, OK, OK, OK, OK, OK, OK, OK, OK, Conflict, Missing, Refused, Invalid, Unknown}[next()%14]
+				outcome := []Outcome{OK, OK, OK, OK, OK, OK, OK, OK, OK, Conflict, NotFound, Refused, Invalid, Unknown}[next()%14]
 				switch call := call.(type) {
 				case StoreCall:
-					if call.Op == StoreExtend && next()%40 > 0 {
+					if call.Op == StoreKeepAlive && next()%40 > 0 {
 						outcome = OK
 					}
 					if l := c.lead; l != nil && call.Key == termKey && next()%4 > 0 {
 						step(StoreReply{Ref: call.Ref, Entries: []Entry{{Key: termKey, Value: &TermRecord{Term: l.term}, Rev: l.termRev}}})
 						continue
 					}
-					r := StoreReply{Ref: call.Ref, Outcome: outcome, Rev: num(), Grant: 1, Failed: []string{pick("x", jobKeys+"wk-1", finalKeys+"wk-2", "y", termKey)}, More: next()%4 == 0}
+					r := StoreReply{Ref: call.Ref, Outcome: outcome, Rev: num(), LeaseID: 1, FailedKeys: []string{pick("x", jobKeys+"wk-1", finalKeys+"wk-2", "y", termKey)}, More: next()%4 == 0}
 					if call.Op == StoreGet || call.Op == StoreList {
 						values := []any{nil, &JobRecord{Spec: *plainJob("wk-1", 3)}, &FinalRecord{State: Done, Done: 3}, &MachineRecord{Machines: []RecordedMachine{{Host: "host-x"}}},
 							&ProgressRecord{Ranges: "0-1"}, &LeaderRecord{Node: "n1", Term: 5}, &TermRecord{Term: 5}}
--- a/internal/core/gather.go
+++ b/internal/core/gather.go
@@ -270,7 +270,7 @@
 			switch r.Outcome {
 			case OK:
 				g.copy.Put(key, r.Entries[0].Value, r.Entries[0].Rev)
-			case Missing:
+			case NotFound:
 			default:
 				c.whenLeading(c.jitter(200*time.Millisecond), func() { read(key) })
 				return
--- a/internal/core/groups.go
+++ b/internal/core/groups.go
@@ -91,7 +91,7 @@
 			}
 			// What has been sent may not have been executed: it goes again.
 			g.queued, g.flushed, sent = false, c.now, true
-			ch.when = []Cond{{g.key, g.rev}}
+			ch.conditions = []Condition{{g.key, g.rev}}
 			news = nil
 			ch.size = g.size
 			rec := &MachineRecord{}
@@ -167,7 +167,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(l.lost)) {
 		c.note(slog.LevelWarn, "unreadable record of machines is accounted for, dropping it", "key", key)
-		l.pipe.add(&change{lane: bulk, when: []Cond{{key, l.lost[key]}}, writes: []Write{{Key: key}}})
+		l.pipe.add(&change{lane: bulk, conditions: []Condition{{key, l.lost[key]}}, writes: []Write{{Key: key}}})
 		c.accounted(key)
 	}
 	clear(l.lost)
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -207,7 +207,7 @@
 		}
 		delete(j.dirty, chunk)
 		had = j.done.clone(chunk)
-		ch.when = []Cond{{key, j.chunkRev[chunk]}}
+		ch.conditions = []Condition{{key, j.chunkRev[chunk]}}
 		ch.writes[0].Value = &ProgressRecord{j.done.encodeChunk(chunk * chunkTasks)}
 		return true
 	}
@@ -340,8 +340,8 @@
 	ch := &change{
 		size: recordSize(&rec.Spec),
 		// A try that is applied late must not bring back a job that is over.
-		when:   []Cond{{finalKeys + j.spec.ID, 0}},
-		writes: []Write{{Key: jobKeys + j.spec.ID, Value: &rec}},
+		conditions: []Condition{{finalKeys + j.spec.ID, 0}},
+		writes:     []Write{{Key: jobKeys + j.spec.ID, Value: &rec}},
 		failed: func() {
 			j.answerCancels(c, unavailable("the job has just ended, try again"))
 			c.readBackKey(finalKeys+j.spec.ID, func(e Entry, _ bool) {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -109,19 +109,19 @@
 		c.stands(l.configConds(), func(r StoreReply) {
 			standing = r.Outcome == OK
 			both()
-			if r.Outcome == Conflict && c.lead == l && slices.Contains(r.Failed, configHeadKey) {
+			if r.Outcome == Conflict && c.lead == l && slices.Contains(r.FailedKeys, configHeadKey) {
 				c.configMoved(head, confirm)
 			}
 		})
 	}
 	confirm()
-	c.leaderStore(StoreCall{Op: StoreExtend, Grant: l.grant, TTL: grantTTL, Within: grantTTL / 2}, func(r StoreReply) {
+	c.leaderStore(StoreCall{Op: StoreKeepAlive, LeaseID: l.grant, TTL: grantTTL, Timeout: grantTTL / 2}, func(r StoreReply) {
 		switch r.Outcome {
 		case OK:
 			extended = true
 			both()
 			c.whenLeading(max(0, renewEvery-c.now.Sub(sent)), c.renew)
-		case Missing, Invalid:
+		case NotFound, Invalid:
 			c.stepDown("the grant has ended")
 		default:
 			c.whenLeading(c.jitter(renewEvery/3), c.renew)
@@ -191,7 +191,7 @@
 func (c *Core) retireThen(why string, then func()) {
 	grant := c.lead.grant
 	c.stepDown(why)
-	c.store(StoreCall{Op: StoreDropGrant, Grant: grant}, func(StoreReply) { then() })
+	c.store(StoreCall{Op: StoreRevokeLease, LeaseID: grant}, func(StoreReply) { then() })
 }
 
 // leadPump runs after each input while we lead.
--- a/internal/core/loss.go
+++ b/internal/core/loss.go
@@ -14,9 +14,9 @@
 // unknownFor is how long after a loss a job that nobody knows is not called unknown.
 const unknownFor = 30 * time.Second
 
-// sawRev takes note of the state service's revision. seen and era are of when the call was
+// observeRevision takes note of the state service's revision. seen and era are of when the call was
 // sent: a revision below what had been seen by then is one that has fallen.
-func (c *Core) sawRev(rev, seen, era uint64) {
+func (c *Core) observeRevision(rev, seen, era uint64) {
 	if rev == 0 || era != c.known.Era {
 		return
 	}
@@ -91,11 +91,11 @@
 
 // stands asks the state service whether our term is on record with its leader, as whatever
 // a leader says rests on it, and whether more holds at the same time.
-func (c *Core) stands(more []Cond, f func(r StoreReply)) {
+func (c *Core) stands(more []Condition, f func(r StoreReply)) {
 	l := c.lead
-	when := append([]Cond{{termKey, l.termRev}, {leaderKey, l.termRev}}, more...)
-	c.leaderStore(StoreCall{Op: StoreTxn, When: when, Within: grantTTL / 2}, func(r StoreReply) {
-		if r.Outcome == Conflict && (slices.Contains(r.Failed, termKey) || slices.Contains(r.Failed, leaderKey)) {
+	when := append([]Condition{{termKey, l.termRev}, {leaderKey, l.termRev}}, more...)
+	c.leaderStore(StoreCall{Op: StoreTxn, Conditions: when, Timeout: grantTTL / 2}, func(r StoreReply) {
+		if r.Outcome == Conflict && (slices.Contains(r.FailedKeys, termKey) || slices.Contains(r.FailedKeys, leaderKey)) {
 			c.retire("the term is not on record any more")
 		}
 		f(r)
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -124,11 +124,11 @@
 	d.pass(time.Second)
 	for _, x := range d.calls {
 		call, ok := x.(StoreCall)
-		if !ok || !slices.ContainsFunc(call.Then, func(w Write) bool { return w.Key == key }) {
+		if !ok || !slices.ContainsFunc(call.Writes, func(w Write) bool { return w.Key == key }) {
 			continue
 		}
-		if !slices.Contains(call.When, Cond{finalKeys + "wk-1", 0}) {
-			t.Errorf("written back on %+v", call.When)
+		if !slices.Contains(call.Conditions, Condition{finalKeys + "wk-1", 0}) {
+			t.Errorf("written back on %+v", call.Conditions)
 		}
 		return
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -130,7 +130,7 @@
 		switch {
 		case r.Outcome == OK && r.Entries[0].Rev == l.termRev:
 			unfounded()
-		case r.Outcome == OK || r.Outcome == Missing:
+		case r.Outcome == OK || r.Outcome == NotFound:
 			c.stepDown(because)
 		}
 	})
@@ -157,7 +157,7 @@
 		switch {
 		case rec != nil:
 			c.recordedLeader(rec, r.Entries[0].Rev, asked)
-		case r.Outcome == OK || r.Outcome == Missing:
+		case r.Outcome == OK || r.Outcome == NotFound:
 			c.confirmOver(term, again)
 		default:
 			c.after(c.jitter(500*time.Millisecond), again)
@@ -181,7 +181,7 @@
 			if c.confirmed < term {
 				c.confirmed, c.confirmedRev = term, r.Entries[0].Rev
 			}
-		case r.Outcome == OK || r.Outcome == Missing:
+		case r.Outcome == OK || r.Outcome == NotFound:
 			c.termMax, c.hint = c.confirmed, ""
 		default:
 			c.after(c.jitter(500*time.Millisecond), again)
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -99,5 +99,5 @@
 func (c *Core) probeCall(address string, epoch, tenure uint64, f func(ProbeReply)) {
 	ref := c.nextRef()
 	c.probes[ref] = f
-	c.emit(ProbeCall{Ref: ref, Address: address, FencingToken: epoch, Incarnation: tenure, Within: probeWithin})
+	c.emit(ProbeCall{Ref: ref, Address: address, FencingToken: epoch, Incarnation: tenure, Timeout: probeWithin})
 }
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -32,7 +32,7 @@
 		n.in(PeerLink{Name: p, Up: true})
 	}
 	n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerLeader, Term: 5}})
-	n.reads(leaderKey, StoreReply{Outcome: OK, Entries: []Entry{{Key: leaderKey, Value: &LeaderRecord{Node: "n1", Term: 5}, Rev: 9, Grant: 3}}})
+	n.reads(leaderKey, StoreReply{Outcome: OK, Entries: []Entry{{Key: leaderKey, Value: &LeaderRecord{Node: "n1", Term: 5}, Rev: 9, LeaseID: 3}}})
 	return n
 }
 
@@ -229,7 +229,7 @@
 			case AnswerUser:
 				a = o
 			case StoreCall:
-				dropped = dropped || o.Op == StoreDropGrant
+				dropped = dropped || o.Op == StoreRevokeLease
 			}
 		}
 		return a, dropped
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -99,11 +99,11 @@
 // known, or nothing has to be written any more.
 func (c *Core) writeBack(r snapshot.Record, over func(on Entry)) {
 	l := c.lead
-	ch := &change{lane: bulk, when: []Cond{{r.Key, r.Rev}}, writes: []Write{{Key: r.Key}}, size: 400}
+	ch := &change{lane: bulk, conditions: []Condition{{r.Key, r.Rev}}, writes: []Write{{Key: r.Key}}, size: 400}
 	if rec, ok := r.Value.(*JobRecord); ok {
 		// Applied late, once the job is over and its record gone again, it would bring the
 		// job back to the next leader.
-		ch.when = append(ch.when, Cond{finalKeys + rec.Spec.ID, 0})
+		ch.conditions = append(ch.conditions, Condition{finalKeys + rec.Spec.ID, 0})
 		ch.size = recordSize(&rec.Spec)
 	} else if rec, ok := r.Value.(*schedule.Record); ok {
 		ch.size, ch.lane = rec.Size(), urgent
@@ -124,7 +124,7 @@
 		}
 		ch.writes[0].Value = now.Value
 		if strings.HasPrefix(r.Key, scheduleKeys) {
-			ch.when = []Cond{{r.Key, r.Rev}, {numberKey, l.sched.numberRev}} // see newSchedule
+			ch.conditions = []Condition{{r.Key, r.Rev}, {numberKey, l.sched.numberRev}} // see newSchedule
 		}
 		return true
 	}
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -14,7 +14,7 @@
 // something that then cannot be told from the former one's by these.
 
 func leaderKeyOf(node string, term, rev, life uint64) Entry {
-	return Entry{Key: leaderKey, Value: &LeaderRecord{Node: node, Term: term, Life: life}, Rev: rev, Grant: 3}
+	return Entry{Key: leaderKey, Value: &LeaderRecord{Node: node, Term: term, Life: life}, Rev: rev, LeaseID: 3}
 }
 
 // TestAnswerOfFormerProcess: what a leader answers to a call of the process before this
@@ -111,7 +111,7 @@
 	stillSix("after an answer that was long on its way")
 	// The new leader has ended already, with its grant.
 	n.in(PeerLink{Name: "n2"})
-	n.in(StoreReply{Ref: confirming.Ref, Outcome: Missing, Rev: 30})
+	n.in(StoreReply{Ref: confirming.Ref, Outcome: NotFound, Rev: 30})
 	n.reads(termKey, StoreReply{Outcome: OK, Entries: []Entry{{Key: termKey, Value: &TermRecord{Term: 6}, Rev: 25}}})
 	stillSix("after its leader has ended")
 }
@@ -145,7 +145,7 @@
 			drops := false
 			for _, o := range n.outs {
 				s, ok := o.(StoreCall)
-				drops = drops || ok && s.Op == StoreDropGrant && s.Grant == x.entry.Grant
+				drops = drops || ok && s.Op == StoreRevokeLease && s.LeaseID == x.entry.LeaseID
 			}
 			if drops != x.drops {
 				t.Errorf("grant given back: %v", drops)
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -250,7 +250,7 @@
 		c.addSchedule(s)
 		c.written(s, func() { s.reply(c, c.viewOf(s, 201)) })
 	}
-	ch := &change{size: rec.Size(), when: c.newSchedule(key), writes: []Write{{Key: key, Value: rec}}}
+	ch := &change{size: rec.Size(), conditions: c.newSchedule(key), writes: []Write{{Key: key, Value: rec}}}
 	ch.done = func(rev uint64) {
 		c.note(slog.LevelInfo, "schedule created", "schedule", s.name, "number", rec.Number)
 		made(rec, rev)
@@ -260,7 +260,7 @@
 			if found == nil { // another schedule was removed meanwhile
 				c.readBackKey(numberKey, func(e Entry, _ bool) {
 					c.lead.sched.numberRev = e.Rev
-					ch.when = c.newSchedule(key)
+					ch.conditions = c.newSchedule(key)
 					c.lead.pipe.add(ch)
 				})
 				return
@@ -279,8 +279,8 @@
 // that got no answer may be carried out late, after the schedule was removed again: with
 // every removal the numbers' record is written as well, so that such a try finds another
 // revision of it.
-func (c *Core) newSchedule(key string) []Cond {
-	return []Cond{{key, 0}, {numberKey, c.lead.sched.numberRev}}
+func (c *Core) newSchedule(key string) []Condition {
+	return []Condition{{key, 0}, {numberKey, c.lead.sched.numberRev}}
 }
 
 // number has f called with a number that no schedule ever had. Numbers are taken
@@ -322,12 +322,12 @@
 				return
 			}
 			from, rev = rec.Number, r.Entries[0].Rev
-		} else if r.Outcome != Missing {
+		} else if r.Outcome != NotFound {
 			fail()
 			return
 		}
 		c.lead.pipe.add(&change{
-			when: []Cond{{numberKey, rev}}, writes: []Write{{Key: numberKey, Value: &NumberRecord{from + numberBlock}}},
+			conditions: []Condition{{numberKey, rev}}, writes: []Write{{Key: numberKey, Value: &NumberRecord{from + numberBlock}}},
 			done: func(rev uint64) {
 				sch.numberRev = rev
 				sch.next, sch.last, sch.numbering = from, from+numberBlock, false
@@ -355,7 +355,7 @@
 	}
 	remove := func(rev uint64) {
 		c.readBackKey(numberKey, func(e Entry, found bool) {
-			ch.when = []Cond{{key, rev}, {numberKey, e.Rev}}
+			ch.conditions = []Condition{{key, rev}, {numberKey, e.Rev}}
 			ch.writes = []Write{{Key: key}}
 			if found && e.Value != nil { // see newSchedule
 				ch.writes = append(ch.writes, Write{Key: numberKey, Value: e.Value})
--- a/internal/core/schedule_write.go
+++ b/internal/core/schedule_write.go
@@ -27,12 +27,12 @@
 	apply(rec)
 	rec.Seq++
 	ch.size = rec.Size()
-	ch.when = []Cond{{key, s.rev}}
+	ch.conditions = []Condition{{key, s.rev}}
 	ch.writes = []Write{{Key: key, Value: rec}}
 	if job != nil {
 		id := job.Spec.ID
 		ch.size += recordSize(&job.Spec)
-		ch.when = append(ch.when, unheardOf(id)...)
+		ch.conditions = append(ch.conditions, unheardOf(id)...)
 		ch.writes = append(ch.writes, Write{Key: jobKeys + id, Value: job})
 	}
 	ch.done = func(rev uint64) {
@@ -55,7 +55,7 @@
 				ch.done(rev)
 			case rev != s.rev:
 				s.rev = rev
-				ch.when[0].Rev = rev
+				ch.conditions[0].Rev = rev
 				c.lead.pipe.add(ch)
 			case taken != nil:
 				c.written(s, taken)
--- a/internal/core/search.go
+++ b/internal/core/search.go
@@ -88,7 +88,7 @@
 	}
 	c.leaderStore(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
 		now, still := own.Get(key)
-		gone := r.Outcome == Missing || r.Outcome == OK && r.Entries[0].Rev < was.Rev
+		gone := r.Outcome == NotFound || r.Outcome == OK && r.Entries[0].Rev < was.Rev
 		if gone && still && now.Rev == was.Rev && c.ownCopy() == own && !c.unsettledKey(key) {
 			c.suspect("a record is missing or old that a copy has: " + strings.TrimPrefix(key, rootKey))
 		}
--- a/internal/core/store.go
+++ b/internal/core/store.go
@@ -21,13 +21,13 @@
 
 // change is a set of writes that go together, with the conditions of its own.
 type change struct {
-	when   []Cond
-	writes []Write
-	size   int // estimated bytes
-	lane   lane
-	fill   func() bool // called when it is about to go, to set what it writes; false: nothing any more
-	done   func(rev uint64)
-	failed func() // a condition of its own did not hold
+	conditions []Condition
+	writes     []Write
+	size       int // estimated bytes
+	lane       lane
+	fill       func() bool // called when it is about to go, to set what it writes; false: nothing any more
+	done       func(rev uint64)
+	failed     func() // a condition of its own did not hold
 
 	rejected func() // malformed in the state service's eyes, on its own
 
@@ -53,7 +53,7 @@
 
 func (p *pipeline) add(ch *change) {
 	if ch.size == 0 {
-		ch.size = 120 * (len(ch.writes) + len(ch.when))
+		ch.size = 120 * (len(ch.writes) + len(ch.conditions))
 	}
 	p.waits[ch.lane] = append(p.waits[ch.lane], ch)
 }
@@ -69,7 +69,7 @@
 	rest := (*list)[:0:0]
 	for i, ch := range *list {
 		clash := slices.ContainsFunc(ch.writes, func(w Write) bool { return p.busy[w.Key] || keys[w.Key] })
-		full := p.single > 0 || n+len(ch.writes) > ops || conds+len(ch.when) > 4*ops || size+ch.size > txnBytes
+		full := p.single > 0 || n+len(ch.writes) > ops || conds+len(ch.conditions) > 4*ops || size+ch.size > txnBytes
 		if full && len(batch) > 0 {
 			rest = append(rest, (*list)[i:]...)
 			break
@@ -85,7 +85,7 @@
 			continue
 		}
 		batch = append(batch, ch)
-		n, conds, size = n+len(ch.writes), conds+len(ch.when), size+ch.size
+		n, conds, size = n+len(ch.writes), conds+len(ch.conditions), size+ch.size
 	}
 	*list = rest
 	p.single = max(0, p.single-len(batch))
@@ -140,7 +140,7 @@
 		case OK:
 			c.keep(r.Entries[0])
 			f(r.Entries[0], true)
-		case Missing:
+		case NotFound:
 			f(Entry{}, false)
 		default:
 			c.whenLeading(c.jitter(500*time.Millisecond), func() { c.readBackKey(key, f) })
@@ -196,20 +196,20 @@
 	if len(batch) == 0 {
 		return false
 	}
-	call := StoreCall{Op: StoreTxn, When: []Cond{{termKey, c.lead.termRev}}}
+	call := StoreCall{Op: StoreTxn, Conditions: []Condition{{termKey, c.lead.termRev}}}
 	for _, ch := range batch {
 		ch.sent = true
-		call.When = append(call.When, ch.when...)
-		call.Then = append(call.Then, ch.writes...)
+		call.Conditions = append(call.Conditions, ch.conditions...)
+		call.Writes = append(call.Writes, ch.writes...)
 	}
-	p.spend(ln, c.now, len(call.Then))
-	for _, w := range call.Then {
+	p.spend(ln, c.now, len(call.Writes))
+	for _, w := range call.Writes {
 		p.busy[w.Key] = true
 	}
 	p.flying[ln]++
 	c.leaderStore(call, func(r StoreReply) {
 		p.flying[ln]--
-		for _, w := range call.Then {
+		for _, w := range call.Writes {
 			delete(p.busy, w.Key)
 		}
 		c.batchDone(batch, r)
@@ -234,13 +234,13 @@
 			}
 		}
 	case Conflict:
-		if slices.Contains(r.Failed, termKey) {
+		if slices.Contains(r.FailedKeys, termKey) {
 			c.stepDown("a newer term has been written")
 			return
 		}
 		var rest []*change
 		for _, ch := range batch {
-			own := slices.ContainsFunc(ch.when, func(w Cond) bool { return slices.Contains(r.Failed, w.Key) })
+			own := slices.ContainsFunc(ch.conditions, func(w Condition) bool { return slices.Contains(r.FailedKeys, w.Key) })
 			switch {
 			case own && ch.failed != nil:
 				ch.failed()
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -199,7 +199,7 @@
 const (
 	OK       Outcome = iota
 	Conflict         // a transaction's condition failed
-	Missing          // 404
+	NotFound         // 404
 	Refused          // known not to have been executed: 429, 503
 	Invalid          // 400
 	Unknown          // may have been executed, or may be later
@@ -207,21 +207,21 @@
 
 // Entry is one key of the state service.
 type Entry struct {
-	Key   string
-	Value any // *JobRecord, *FinalRecord, *MachineRecord, *ProgressRecord, *LeaderRecord, *TermRecord, *NumberRecord, *schedule.Record, *liveconfig.HeadRecord, *liveconfig.TeamRecord, or nil when unreadable
-	Rev   uint64
-	Grant uint64 // that the key is attached to; known from StoreGet alone
+	Key     string
+	Value   any // *JobRecord, *FinalRecord, *MachineRecord, *ProgressRecord, *LeaderRecord, *TermRecord, *NumberRecord, *schedule.Record, *liveconfig.HeadRecord, *liveconfig.TeamRecord, or nil when unreadable
+	Rev     uint64
+	LeaseID uint64 // that the key is attached to; known from StoreGet alone
 }
 
 // StoreReply answers a StoreCall.
 type StoreReply struct {
-	Ref     uint64
-	Outcome Outcome
-	Rev     uint64
-	Grant   uint64
-	Failed  []string
-	Entries []Entry
-	More    bool
+	Ref        uint64
+	Outcome    Outcome
+	Rev        uint64
+	LeaseID    uint64
+	FailedKeys []string
+	Entries    []Entry
+	More       bool
 }
 
 // CloudReply answers a CloudCall.
@@ -390,39 +390,39 @@
 	StoreGet StoreOp = iota
 	StoreList
 	StoreTxn
-	StoreGrant
-	StoreExtend
-	StoreDropGrant
-	StoreFollow
+	StoreGrantLease
+	StoreKeepAlive
+	StoreRevokeLease
+	StoreWatch
 )
 
-// Cond is a condition of a transaction: the revision a key must have.
-type Cond struct {
+// Condition is a condition of a transaction: the revision a key must have.
+type Condition struct {
 	Key string
 	Rev uint64
 }
 
 // Write is one change of a transaction; a nil value drops the key.
 type Write struct {
-	Key   string
-	Value any
-	Grant uint64
+	Key     string
+	Value   any
+	LeaseID uint64
 }
 
 // StoreCall asks the state service for something.
 type StoreCall struct {
-	Ref     uint64
-	Op      StoreOp
-	Key     string // or prefix
-	From    string
-	FromRev uint64
-	Limit   int
-	Wait    time.Duration // of StoreFollow
-	TTL     time.Duration
-	Grant   uint64
-	When    []Cond
-	Then    []Write
-	Within  time.Duration // give up after this
+	Ref        uint64
+	Op         StoreOp
+	Key        string // or prefix
+	From       string
+	FromRev    uint64
+	Limit      int
+	Block      time.Duration // of StoreWatch
+	TTL        time.Duration
+	LeaseID    uint64
+	Conditions []Condition
+	Writes     []Write
+	Timeout    time.Duration // give up after this
 }
 
 // CloudOp is a kind of call to the cloud.
@@ -447,7 +447,7 @@
 	Count        int
 	Hosts        []string
 	After        string
-	Within       time.Duration
+	Timeout      time.Duration
 }
 
 // ProbeCall shows a worker our epoch, with no orders, and asks for its report.
@@ -455,7 +455,7 @@
 	Ref                       uint64
 	Address                   string
 	FencingToken, Incarnation uint64
-	Within                    time.Duration
+	Timeout                   time.Duration
 }
 
 // ProbeReply answers a ProbeCall: OK when the worker has taken note of the
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -177,7 +177,7 @@
 				v.State = Cancelled
 			}
 			f(&v, true)
-		case Missing:
+		case NotFound:
 			c.store(StoreCall{Op: StoreGet, Key: finalKeys + id}, func(r StoreReply) {
 				switch r.Outcome {
 				case OK:
@@ -189,7 +189,7 @@
 					c.final.Add(id, *rec)
 					v := rec.view(id)
 					f(&v, true)
-				case Missing:
+				case NotFound:
 					f(nil, true)
 				default:
 					f(nil, false)
@@ -266,7 +266,7 @@
 		switch {
 		case !l.unread[id]: // somebody else's question has seen to it
 			c.serve(call)
-		case r.Outcome == Missing:
+		case r.Outcome == NotFound:
 			delete(l.unread, id)
 			c.serve(call)
 		case rec == nil || rec.Spec.ID != id:
@@ -378,7 +378,7 @@
 var tooLong = AnswerUser{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
 
 // unheardOf is the condition that a job has neither a live nor a final record.
-func unheardOf(id string) []Cond { return []Cond{{jobKeys + id, 0}, {finalKeys + id, 0}} }
+func unheardOf(id string) []Condition { return []Condition{{jobKeys + id, 0}, {finalKeys + id, 0}} }
 
 // submit decides on a new job and answers once its record is committed.
 func (c *Core) submit(call UserCall) {
@@ -415,9 +415,9 @@
 	l.accept[s.ID] = a
 	rec := &JobRecord{Spec: *s, Submitted: c.now.Round(0)}
 	l.pipe.add(&change{
-		size:   recordSize(s),
-		when:   unheardOf(s.ID),
-		writes: []Write{{Key: jobKeys + s.ID, Value: rec}},
+		size:       recordSize(s),
+		conditions: unheardOf(s.ID),
+		writes:     []Write{{Key: jobKeys + s.ID, Value: rec}},
 		done: func(uint64) {
 			delete(l.accept, s.ID)
 			j := c.newJob(rec)
--- a/internal/scenario/configure_test.go
+++ b/internal/scenario/configure_test.go
@@ -87,7 +87,7 @@
 		"told before it is on record": {strings.Replace(lowered, "at 10s config", "at 9900ms deny leader 12s\nat 10s config", 1), func(s *script) {
 			changes := map[uint64]bool{}
 			s.lie = func(_ *node, out any) any {
-				if call, ok := out.(core.StoreCall); ok && slices.ContainsFunc(call.Then, func(w core.Write) bool { return strings.HasSuffix(w.Key, "config/head") }) {
+				if call, ok := out.(core.StoreCall); ok && slices.ContainsFunc(call.Writes, func(w core.Write) bool { return strings.HasSuffix(w.Key, "config/head") }) {
 					changes[call.Ref] = true
 				}
 				return withoutTeams(out)
@@ -112,10 +112,10 @@
 run 120s`, func(s *script) {
 			s.lie = func(_ *node, out any) any {
 				call, ok := out.(core.StoreCall)
-				if !ok || !slices.ContainsFunc(call.Then, func(w core.Write) bool { return strings.HasPrefix(w.Key, "yewpass/alone/") }) {
+				if !ok || !slices.ContainsFunc(call.Writes, func(w core.Write) bool { return strings.HasPrefix(w.Key, "yewpass/alone/") }) {
 					return out
 				}
-				call.When = slices.DeleteFunc(slices.Clone(call.When), func(c core.Cond) bool { return strings.HasSuffix(c.Key, "config/head") })
+				call.Conditions = slices.DeleteFunc(slices.Clone(call.Conditions), func(c core.Condition) bool { return strings.HasSuffix(c.Key, "config/head") })
 				return call
 			}
 		}},
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -125,8 +125,8 @@
 expect started =1
 run 120s`, "started =1", func(s *script) {
 			s.lie = func(n *node, out any) any { // changes without conditions but the term
-				if call, ok := out.(core.StoreCall); ok && call.Op == core.StoreTxn && len(call.Then) > 0 {
-					call.When = slices.DeleteFunc(slices.Clone(call.When), func(w core.Cond) bool { return strings.Contains(w.Key, "wk-") })
+				if call, ok := out.(core.StoreCall); ok && call.Op == core.StoreTxn && len(call.Writes) > 0 {
+					call.Conditions = slices.DeleteFunc(slices.Clone(call.Conditions), func(w core.Condition) bool { return strings.Contains(w.Key, "wk-") })
 					return call
 				}
 				return out
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -449,7 +449,7 @@
 	if !ok || call.Op != core.StoreTxn {
 		return out
 	}
-	call.Then = slices.DeleteFunc(slices.Clone(call.Then), func(w core.Write) bool { return gone(w.Value) })
+	call.Writes = slices.DeleteFunc(slices.Clone(call.Writes), func(w core.Write) bool { return gone(w.Value) })
 	return call
 }
 
@@ -527,7 +527,7 @@
 		{"accept and retry", "forgotten", func() func(n *node, out any) any {
 			return func(n *node, out any) any { // an answer before its write
 				if call, ok := out.(core.StoreCall); ok && call.Op == core.StoreTxn {
-					for _, w := range call.Then {
+					for _, w := range call.Writes {
 						if rec, ok := w.Value.(*core.JobRecord); ok && !rec.Cancelled {
 							for _, x := range n.nodes { // whichever the user has asked
 								x.answer(x.submission, core.AnswerUser{Ref: x.submission, Status: 201, View: core.JobView{ID: rec.Spec.ID, State: core.Queued}})
--- a/internal/scenario/schedule_scale_test.go
+++ b/internal/scenario/schedule_scale_test.go
@@ -42,7 +42,7 @@
 		for d := range schedule.HistoryLength {
 			rec.Add(schedule.Entry{Job: schedule.JobID(c.number, begin.AddDate(0, 0, d-30)), Planned: begin, Due: begin, Made: begin, Started: begin, Ended: begin, State: schedule.StateDone})
 		}
-		_, _, body := state.Request(core.StoreCall{Op: core.StoreTxn, Then: []core.Write{{Key: "yewpass/schedule/" + name, Value: rec}}})
+		_, _, body := state.Request(core.StoreCall{Op: core.StoreTxn, Writes: []core.Write{{Key: "yewpass/schedule/" + name, Value: rec}}})
 		var t txn
 		if err := json.Unmarshal(body, &t); err != nil {
 			tb.Fatal(err)
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -420,10 +420,10 @@
 	case core.StoreCall:
 		method, path, body := state.Request(o)
 		kind := "state"
-		if o.Op == core.StoreTxn && len(o.Then) > 0 {
+		if o.Op == core.StoreTxn && len(o.Writes) > 0 {
 			kind = "txn"
 		}
-		n.exchange(kind, "state", o.Within, func(answer func(int, []byte)) {
+		n.exchange(kind, "state", o.Timeout, func(answer func(int, []byte)) {
 			n.store.serve(n.name, method, path, body, answer)
 		}, func(status int, data []byte) any {
 			r := core.StoreReply{Outcome: core.Unknown}
@@ -439,7 +439,7 @@
 		if o.Op == core.CloudRelease {
 			kind = "release"
 		}
-		n.exchange(kind, "cloud", o.Within, func(answer func(int, []byte)) {
+		n.exchange(kind, "cloud", o.Timeout, func(answer func(int, []byte)) {
 			n.cloud.serve(method, path, body, answer)
 		}, func(status int, data []byte) any {
 			r := core.CloudReply{Outcome: core.Unknown}
@@ -451,7 +451,7 @@
 		})
 	case core.ProbeCall:
 		host := strings.TrimSuffix(o.Address, workerPort)
-		n.roundTrip("probe", host, o.Within, func(answer func(any)) {
+		n.roundTrip("probe", host, o.Timeout, func(answer func(any)) {
 			if m := n.workers[host]; m != nil && !n.now.Before(m.deaf) {
 				m.do(func() {
 					outcome, rep := m.command(o.FencingToken, o.Incarnation)
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -84,7 +84,7 @@
 
 func (c *Client) call(call core.StoreCall) core.StoreReply {
 	method, path, body := Request(call)
-	status, data, ok := c.caller.Call(method, path, body, call.Within)
+	status, data, ok := c.caller.Call(method, path, body, call.Timeout)
 	if !ok {
 		return core.StoreReply{Outcome: core.Unknown}
 	}
@@ -103,18 +103,18 @@
 			q.Set("from", call.From)
 		}
 		method, path = http.MethodGet, "/store?"+q.Encode()
-	case core.StoreFollow:
+	case core.StoreWatch:
 		q := url.Values{"under": {call.Key}, "from": {strconv.FormatUint(call.FromRev, 10)},
-			"blockMs": {strconv.FormatInt(call.Wait.Milliseconds(), 10)}}
+			"blockMs": {strconv.FormatInt(call.Block.Milliseconds(), 10)}}
 		method, path = http.MethodGet, "/follow?"+q.Encode()
 	case core.StoreTxn:
 		method, path, v = http.MethodPost, "/multi", encodeTxn(call)
-	case core.StoreGrant:
+	case core.StoreGrantLease:
 		method, path, v = http.MethodPost, "/grants", ttlJSON{call.TTL.Milliseconds()}
-	case core.StoreExtend:
-		method, path, v = http.MethodPost, fmt.Sprintf("/grants/%d/extend", call.Grant), ttlJSON{call.TTL.Milliseconds()}
-	case core.StoreDropGrant:
-		method, path = http.MethodDelete, fmt.Sprintf("/grants/%d", call.Grant)
+	case core.StoreKeepAlive:
+		method, path, v = http.MethodPost, fmt.Sprintf("/grants/%d/extend", call.LeaseID), ttlJSON{call.TTL.Milliseconds()}
+	case core.StoreRevokeLease:
+		method, path = http.MethodDelete, fmt.Sprintf("/grants/%d", call.LeaseID)
 	}
 	if v != nil {
 		body, _ = json.Marshal(v) // plain structs of ours: cannot fail
@@ -133,11 +133,11 @@
 	case http.StatusOK:
 	case http.StatusConflict:
 		if call.Op == core.StoreTxn && parsed && len(a.Failed) > 0 {
-			return core.StoreReply{Outcome: core.Conflict, Failed: a.Failed}
+			return core.StoreReply{Outcome: core.Conflict, FailedKeys: a.Failed}
 		}
 		return unknown
 	case http.StatusNotFound:
-		r := core.StoreReply{Outcome: core.Missing}
+		r := core.StoreReply{Outcome: core.NotFound}
 		if call.Op == core.StoreGet {
 			// That a record does not exist is believed from the service alone.
 			if !parsed || a.StoreRev == nil {
@@ -147,7 +147,7 @@
 		}
 		return r
 	case http.StatusGone:
-		return core.StoreReply{Outcome: core.Missing}
+		return core.StoreReply{Outcome: core.NotFound}
 	case http.StatusBadRequest:
 		return core.StoreReply{Outcome: core.Invalid}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -155,7 +155,7 @@
 	default:
 		return unknown
 	}
-	if call.Op == core.StoreDropGrant {
+	if call.Op == core.StoreRevokeLease {
 		return core.StoreReply{Outcome: core.OK}
 	}
 	if !parsed {
@@ -172,7 +172,7 @@
 		}
 		e := decodeEntry(a.entryJSON)
 		if a.Grant != nil {
-			e.Grant = *a.Grant
+			e.LeaseID = *a.Grant
 		}
 		r.Entries = []core.Entry{e}
 	case core.StoreList:
@@ -192,12 +192,12 @@
 		if r.More && len(r.Entries) == 0 {
 			return unknown
 		}
-	case core.StoreGrant, core.StoreExtend:
-		if a.Grant == nil || call.Op == core.StoreExtend && *a.Grant != call.Grant {
+	case core.StoreGrantLease, core.StoreKeepAlive:
+		if a.Grant == nil || call.Op == core.StoreKeepAlive && *a.Grant != call.LeaseID {
 			return unknown
 		}
-		r.Grant = *a.Grant
-	case core.StoreTxn, core.StoreFollow:
+		r.LeaseID = *a.Grant
+	case core.StoreTxn, core.StoreWatch:
 		if a.StoreRev == nil {
 			return unknown
 		}
@@ -206,15 +206,15 @@
 }
 
 func encodeTxn(call core.StoreCall) txnJSON {
-	t := txnJSON{When: make([]condJSON, 0, len(call.When)), Then: make([]writeJSON, 0, len(call.Then))}
-	for _, w := range call.When {
+	t := txnJSON{When: make([]condJSON, 0, len(call.Conditions)), Then: make([]writeJSON, 0, len(call.Writes))}
+	for _, w := range call.Conditions {
 		t.When = append(t.When, condJSON{w.Key, w.Rev})
 	}
-	for _, w := range call.Then {
+	for _, w := range call.Writes {
 		if w.Value == nil {
 			t.Then = append(t.Then, writeJSON{Drop: w.Key})
 		} else {
-			t.Then = append(t.Then, writeJSON{Write: w.Key, V: encodeValue(w.Value), Grant: w.Grant})
+			t.Then = append(t.Then, writeJSON{Write: w.Key, V: encodeValue(w.Value), Grant: w.LeaseID})
 		}
 	}
 	return t
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -30,18 +30,18 @@
 		{core.StoreTxn, 503, ``, core.Refused},
 		{core.StoreTxn, 500, ``, core.Unknown},
 		{core.StoreTxn, 204, ``, core.Unknown},
-		{core.StoreGet, 404, `{"storeRev":1}`, core.Missing},
+		{core.StoreGet, 404, `{"storeRev":1}`, core.NotFound},
 		{core.StoreGet, 200, `{"k":"a","v":{},"keyRev":4}`, core.OK},
 		{core.StoreGet, 200, `{"storeRev":4}`, core.Unknown},
 		{core.StoreList, 200, `{"entries":[],"truncated":false,"storeRev":1}`, core.OK},
 		{core.StoreList, 200, `{}`, core.Unknown},
-		{core.StoreGrant, 200, `{"grant":7}`, core.OK},
-		{core.StoreGrant, 200, `{"grant":"7"}`, core.Unknown},
-		{core.StoreExtend, 404, ``, core.Missing},
-		{core.StoreExtend, 200, `{"grant":7}`, core.OK},
-		{core.StoreExtend, 200, `{"grant":8}`, core.Unknown},
-		{core.StoreExtend, 200, ``, core.Unknown},
-		{core.StoreDropGrant, 200, ``, core.OK},
+		{core.StoreGrantLease, 200, `{"grant":7}`, core.OK},
+		{core.StoreGrantLease, 200, `{"grant":"7"}`, core.Unknown},
+		{core.StoreKeepAlive, 404, ``, core.NotFound},
+		{core.StoreKeepAlive, 200, `{"grant":7}`, core.OK},
+		{core.StoreKeepAlive, 200, `{"grant":8}`, core.Unknown},
+		{core.StoreKeepAlive, 200, ``, core.Unknown},
+		{core.StoreRevokeLease, 200, ``, core.OK},
 		{core.StoreGet, 404, `<html>`, core.Unknown},
 		{core.StoreGet, 404, `{}`, core.Unknown},
 		{core.StoreGet, 200, `{"k":"b","v":{},"keyRev":4}`, core.Unknown},
@@ -50,9 +50,9 @@
 		{core.StoreList, 200, `{"entries":[{"k":"a/7","keyRev":1},{"k":"a/6","keyRev":1}],"storeRev":1}`, core.Unknown},
 		{core.StoreList, 200, `{"entries":[{"k":"b/6","keyRev":1}],"storeRev":1}`, core.Unknown},
 		{core.StoreList, 200, `{"entries":[],"truncated":true,"storeRev":1}`, core.Unknown},
-		{core.StoreFollow, 410, ``, core.Missing},
+		{core.StoreWatch, 410, ``, core.NotFound},
 	} {
-		if got := Decode(core.StoreCall{Op: c.op, Key: "a", From: "a/5", Grant: 7}, c.status, []byte(c.body)); got.Outcome != c.want {
+		if got := Decode(core.StoreCall{Op: c.op, Key: "a", From: "a/5", LeaseID: 7}, c.status, []byte(c.body)); got.Outcome != c.want {
 			t.Errorf("%v %d %s: %v, want %v", c.op, c.status, c.body, got.Outcome, c.want)
 		}
 	}
--- a/internal/state/fuzz_test.go
+++ b/internal/state/fuzz_test.go
@@ -19,19 +19,19 @@
 		`{"k":"a/wk-1","v":{"type":"schedule","number":1,"file":{},"cursorMs":-9223372036854775808,"past":"x"},"keyRev":4}`,
 		`{"failed":["a"]}`, `{"storeRev":3}`, `{"grant":7}`, `<html>`, ``, "\xff", `null`, strings.Repeat("[", 20000),
 	} {
-		for op := core.StoreGet; op <= core.StoreFollow; op++ {
+		for op := core.StoreGet; op <= core.StoreWatch; op++ {
 			f.Add(int(op), 200, []byte(s))
 		}
 		f.Add(int(core.StoreGet), 404, []byte(s))
 		f.Add(int(core.StoreTxn), 409, []byte(s))
 	}
 	f.Fuzz(func(t *testing.T, op, status int, data []byte) {
-		call := core.StoreCall{Op: core.StoreOp(op), Key: "a/", Grant: 7}
+		call := core.StoreCall{Op: core.StoreOp(op), Key: "a/", LeaseID: 7}
 		if call.Op == core.StoreGet {
 			call.Key = "a/wk-1"
 		}
 		r := Decode(call, status, data)
-		if r.Outcome == core.OK && status != 200 || r.Outcome == core.Missing && status != 404 && status != 410 {
+		if r.Outcome == core.OK && status != 200 || r.Outcome == core.NotFound && status != 404 && status != 410 {
 			t.Fatalf("%v for %d", r.Outcome, status)
 		}
 		last := ""
