--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -22,7 +22,7 @@
 	d := &desk{T: t, c: leaderOf(t, 1), ref: 1e6}
 	d.c.lead.sched.loaded = true
 	d.c.began = t0
-	d.c.lead.held = false
+	d.c.lead.suspended = false
 	return d
 }
 
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -78,7 +78,7 @@
 	own := ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: "relay", Link: true, Workers: len(c.relay.known)}
 	l := c.lead
 	if l != nil {
-		v.Leader, v.Term, v.LeadsS, v.Authority = c.cfg.HostName, l.term, c.now.Sub(l.since).Seconds(), c.leads()
+		v.Leader, v.Term, v.LeadsS, v.Authority = c.cfg.HostName, l.term, c.now.Sub(l.electedAt).Seconds(), c.hasAuthority()
 		v.TookOver, v.Machines, v.Unaccounted, v.MachineMost = l.loaded && l.settled(), len(l.fleet), len(l.owed), c.fleetMost()
 		own.Role, own.Workers = "leader", l.relay("").workers
 		v.Regions = c.clusterRegions()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -36,9 +36,9 @@
 
 // Times of the leader's grant.
 const (
-	grantTTL     = 2 * time.Second
-	renewEvery   = 400 * time.Millisecond
-	storeTimeout = 1500 * time.Millisecond
+	leaseTTL           = 2 * time.Second
+	leaseRenewInterval = 400 * time.Millisecond
+	storeTimeout       = 1500 * time.Millisecond
 )
 
 func withDrift(d time.Duration) time.Duration { return lapse.WithDrift(d) }
@@ -111,7 +111,7 @@
 	lives := rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03))
 	c.life = lives.Uint64()>>11 | 1 // what JSON readers of any kind take whole
 	c.ref = lives.Uint64N(1 << 48)
-	c.times = lapse.Times{Grant: grantTTL, Lease: c.lease, Cancel: cfg.Settings.Workers.Cancel.Duration()}
+	c.times = lapse.Times{Grant: leaseTTL, Lease: c.lease, Cancel: cfg.Settings.Workers.Cancel.Duration()}
 	return c
 }
 
@@ -285,7 +285,7 @@
 	if l := c.lead; l != nil {
 		// Out of authority, and no peer in reach that would know of another leader:
 		// users are served better anywhere else.
-		alone := len(c.cfg.Seeds) > 0 && l.held && c.now.Sub(l.until) > apartFor && !c.anyLink()
+		alone := len(c.cfg.Seeds) > 0 && l.suspended && c.now.Sub(l.expiresAt) > apartFor && !c.anyLink()
 		return l.loaded && !alone
 	}
 	return c.hint != "" && (c.links[c.hint] || c.stateUp && c.now.Sub(c.apart) < apartFor)
@@ -309,15 +309,15 @@
 // only send submissions away; those who ask should be led to other nodes.
 const apartFor = 4 * time.Second
 
-// Leads reports whether the node leads and has authority at the given time.
-func (c *Core) Leads(now time.Time) bool {
-	return c.lead != nil && now.Before(c.lead.until) && c.ahead(now)-c.lead.ahead < lapse.Jump
+// HasAuthority reports whether the node leads and has authority at the given time.
+func (c *Core) HasAuthority(now time.Time) bool {
+	return c.lead != nil && now.Before(c.lead.expiresAt) && c.clockSkew(now)-c.lead.clockSkew < lapse.Jump
 }
 
-// ahead is how far the time of day has run ahead of the steady clock so far. A machine that
+// clockSkew is how far the time of day has run ahead of the steady clock so far. A machine that
 // was put to sleep wakes with a steady clock that has stood still: by that it would still
 // lead, long after its grant. A time of day that is set costs no more than the time to the
 // next renewal.
-func (c *Core) ahead(now time.Time) time.Duration {
+func (c *Core) clockSkew(now time.Time) time.Duration {
 	return now.Round(0).Add(c.wander).Sub(c.began.Round(0)) - now.Sub(c.began)
 }
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -16,10 +16,10 @@
 // ends before it has none left.
 func TestAttemptsOfATerm(t *testing.T) {
 	const term = 7
-	if last, next := uint64(term)<<tryBits+maxTries, uint64(term+1)<<tryBits+1; last >= next {
+	if last, next := uint64(term)<<attemptBits+maxAttempts, uint64(term+1)<<attemptBits+1; last >= next {
 		t.Errorf("the last attempt of a term is %d, the first of the next %d", last, next)
 	}
-	if first := uint64(MaxTerm)<<tryBits + 1; first>>tryBits != MaxTerm {
+	if first := uint64(MaxTerm)<<attemptBits + 1; first>>attemptBits != MaxTerm {
 		t.Error("the last term's attempts turn round")
 	}
 	c := leaderOf(t, 1)
@@ -28,11 +28,11 @@
 	m.held, m.fencingToken = &heldReport{holdKey: holdKey{ref: 9}}, l.term
 	j := newJob(c, 1, 3, testRand())
 	c.book(j)
-	l.tries = maxTries
+	l.attempts = maxAttempts
 	if os := c.startOn(m); len(os) > 0 {
 		t.Errorf("%d starts beyond the last attempt", len(os))
 	}
-	l.tries = maxTries - triesSpare - 1
+	l.attempts = maxAttempts - spareAttempts - 1
 	if os := c.startOn(m); len(os) == 0 {
 		t.Error("no start, and there are attempts left")
 	}
@@ -42,7 +42,7 @@
 		t.Fatal("the term goes on")
 	}
 	for _, o := range c.out {
-		if s, ok := o.(StoreCall); ok && s.Op == StoreRevokeLease && s.LeaseID == l.grant {
+		if s, ok := o.(StoreCall); ok && s.Op == StoreRevokeLease && s.LeaseID == l.leaseID {
 			return
 		}
 	}
@@ -148,7 +148,7 @@
 func TestMonths(t *testing.T) {
 	c := leaderOf(t, 2)
 	l := c.lead
-	l.until = t0.Add(1e6 * time.Hour)
+	l.expiresAt = t0.Add(1e6 * time.Hour)
 	c.times.Cancel = 0 // no hold
 	now, rev := t0, uint64(10)
 	var done func(in any)
@@ -271,7 +271,7 @@
 	l := c.lead
 	j := newJob(c, 1, 1, testRand())
 	c.book(j)
-	if !c.Leads(t0) {
+	if !c.HasAuthority(t0) {
 		t.Fatal("does not lead")
 	}
 	c.SetWander(time.Hour)
@@ -280,28 +280,28 @@
 			t.Errorf("starts after an hour's sleep: %+v", a)
 		}
 	}
-	if c.Leads(c.now) || !l.held {
+	if c.HasAuthority(c.now) || !l.suspended {
 		t.Error("leads on after an hour's sleep")
 	}
-	c.renew()
+	c.renewLease()
 	var refs []uint64 // of the grant, and of the term's record
 	for _, o := range c.out {
 		if s, ok := o.(StoreCall); ok && (s.Op == StoreKeepAlive || s.Op == StoreTxn && len(s.Writes) == 0) {
 			refs = append(refs, s.Ref)
 		}
 	}
-	l.until = time.Time{}
+	l.expiresAt = time.Time{}
 	for i, ref := range refs {
-		if i == 1 && c.Leads(c.now) {
+		if i == 1 && c.HasAuthority(c.now) {
 			t.Error("one answer of two is enough")
 		}
 		c.Step(c.now.Add(time.Millisecond), StoreReply{Ref: ref})
 	}
-	if !c.Leads(c.now) || l.held {
+	if !c.HasAuthority(c.now) || l.suspended {
 		t.Error("a renewal that is answered does not count")
 	}
 	c.SetWander(-time.Hour)
-	if !c.Leads(c.now) {
+	if !c.HasAuthority(c.now) {
 		t.Error("a time of day that is set back ends the authority")
 	}
 }
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -68,7 +68,7 @@
 			c.note(slog.LevelError, "leader's key has no grant, it is taken over", "key", e.Key)
 			c.after(c.jitter(40*time.Millisecond), func() { c.stand(e.Rev) })
 		case own && still:
-			c.endFormer(r.Entries[0], rec, from)
+			c.revokeFormerLease(r.Entries[0], rec, from)
 		case own:
 			c.after(c.jitter(40*time.Millisecond), c.watch)
 		case rec == nil:
@@ -79,14 +79,14 @@
 	})
 }
 
-// endFormer ends a leadership of our own name that nobody can be exercising: this
+// revokeFormerLease ends a leadership of our own name that nobody can be exercising: this
 // process's own, which it has given up, or that of the process before it. Its grant would
 // keep the nodes from a leader until it runs out, and a process is back long before.
 //
 // Nothing of it is taken on: whoever leads next has a term and a grant of its own. What
 // was written under our name after this process had begun to read is neither, but a
 // transaction that came late, or a second process of this name; it runs out by itself.
-func (c *Core) endFormer(e Entry, rec *LeaderRecord, from uint64) {
+func (c *Core) revokeFormerLease(e Entry, rec *LeaderRecord, from uint64) {
 	if rec.Life != c.life && e.Rev > c.firstRev {
 		c.note(slog.LevelError, "another process leads under this node's name, or a late transaction says so", "key", e.Key, "term", rec.Term)
 		c.watchLeaderKey(from)
@@ -175,8 +175,8 @@
 		return
 	}
 	retry := func() { c.after(c.jitter(200*time.Millisecond), c.watch) }
-	sent, ahead := c.now, c.ahead(c.now) // authority counts from before the grant was asked for
-	c.store(StoreCall{Op: StoreGrantLease, TTL: grantTTL}, func(g StoreReply) {
+	sent, ahead := c.now, c.clockSkew(c.now) // authority counts from before the grant was asked for
+	c.store(StoreCall{Op: StoreGrantLease, TTL: leaseTTL}, func(g StoreReply) {
 		if g.Outcome != OK {
 			retry()
 			return
@@ -219,7 +219,7 @@
 				// What was heard of terms does not count here, only the record: a
 				// peer may say anything. An answer that comes this late finds the
 				// grant over.
-				if r.Outcome != OK || !c.now.Before(c.authorityFrom(sent)) {
+				if r.Outcome != OK || !c.now.Before(c.authorityUntil(sent)) {
 					drop()
 					return
 				}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -96,7 +96,7 @@
 				})
 			}
 			if l := c.lead; l != nil && next()%20 > 0 {
-				l.until = c.now.Add(time.Minute)
+				l.expiresAt = c.now.Add(time.Minute)
 			}
 			for _, o := range slices.Clone(c.Step(c.now, in)) {
 				switch o.(type) {
--- a/internal/core/gather.go
+++ b/internal/core/gather.go
@@ -55,7 +55,7 @@
 	c.askMore()
 	c.whenLeading(askWithin, c.rebuilt)
 	c.whenLeading(askFirst, c.rebuilt)
-	c.whenLeading(withDrift(grantTTL)+time.Millisecond, c.rebuilt)
+	c.whenLeading(withDrift(leaseTTL)+time.Millisecond, c.rebuilt)
 }
 
 // askMore asks those again who have not told: their link to a process that has just begun
@@ -84,7 +84,7 @@
 		c.rebuilt()
 	} else if l.fresh && k.Era == c.known.Era && k.Term > l.term && k.Old < l.term {
 		// Of the same data: somebody leads after us, and we were cut off meanwhile.
-		if c.leads() {
+		if c.hasAuthority() {
 			c.doubt("a newer term is known", func() {})
 		} else {
 			c.stepDown("a newer term is known")
@@ -103,7 +103,7 @@
 
 // waits reports whether somebody may still tell what is not known here.
 func (g *gathering) waits(c *Core) bool {
-	waited := c.now.Sub(c.lead.since)
+	waited := c.now.Sub(c.lead.electedAt)
 	within, all := askWithin, false
 	best := c.bestCopy()
 	switch {
@@ -217,9 +217,9 @@
 		// missed yet, for as long as one lasts; unless it was this very process.
 		ours := g.ours && last == g.before.Term && len(g.told) == len(c.cfg.Seeds)
 		if !ours {
-			l.lag = withDrift(grantTTL)
+			l.lag = withDrift(leaseTTL)
 		}
-		if c.now.Sub(l.since) < l.lag {
+		if c.now.Sub(l.electedAt) < l.lag {
 			return
 		}
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -10,19 +10,19 @@
 	"yewpass/internal/zones"
 )
 
-func (c *Core) leads() bool { return c.Leads(c.now) }
+func (c *Core) hasAuthority() bool { return c.HasAuthority(c.now) }
 
-// acts reports whether we lead, in authority, and know the records.
-func (c *Core) acts() bool { return c.leads() && c.lead.loaded }
+// canAct reports whether we lead, in authority, and know the records.
+func (c *Core) canAct() bool { return c.hasAuthority() && c.lead.loaded }
 
-func (c *Core) authorityFrom(sent time.Time) time.Time { return sent.Add(c.times.Authority()) }
+func (c *Core) authorityUntil(sent time.Time) time.Time { return sent.Add(c.times.Authority()) }
 
 // begin begins a term.
 func (c *Core) begin(term, rev, grant uint64, sent time.Time, ahead time.Duration) {
 	c.termMax, c.confirmed, c.hint, c.led = term, term, "", term
 	c.reads = newReadLimit(c.cfg.Settings.State.RPS, 1)
 	c.lead = newLeadership(c.cfg, c.now)
-	c.lead.authority.start(term, rev, grant, c.authorityFrom(sent), c.now, ahead)
+	c.lead.authority.start(term, rev, grant, c.authorityUntil(sent), c.now, ahead)
 	// What this node has read of the catalog lately serves until it can be read anew. Without,
 	// a leader that begins while the cloud is out would start nothing and accept nothing, with
 	// machines at hand.
@@ -37,7 +37,7 @@
 	c.note(slog.LevelInfo, "leadership won", "term", term)
 	c.announce()
 	if len(c.cfg.Seeds) == 0 {
-		c.lead.ackedAt = c.now
+		c.lead.allAcknowledgedAt = c.now
 	}
 	// What waited here for a leader waits for us now.
 	for _, ref := range c.relay.refs() {
@@ -45,7 +45,7 @@
 	}
 	c.lead.own = c.relay.known
 	c.relay = newRelaying()
-	c.renew()
+	c.renewLease()
 	c.fetchCatalog()
 }
 
@@ -73,7 +73,7 @@
 func (c *Core) leaderStoreElse(call StoreCall, otherwise func(), f func(StoreReply)) {
 	l := c.lead
 	c.store(call, func(r StoreReply) {
-		if c.lead == l && c.acts() {
+		if c.lead == l && c.canAct() {
 			f(r)
 		} else {
 			otherwise()
@@ -81,12 +81,12 @@
 	})
 }
 
-// renew keeps the grant. Authority counts from when the request was sent. While
+// renewLease keeps the grant. Authority counts from when the request was sent. While
 // the state service is away the leader keeps trying: its grant has its full
 // time again after an outage, and the same term then goes on.
-func (c *Core) renew() {
+func (c *Core) renewLease() {
 	l := c.lead
-	sent, ahead := c.now, c.ahead(c.now)
+	sent, ahead := c.now, c.clockSkew(c.now)
 	// The grant alone does not show that the term is on record: a service that has lost
 	// data may know the one and not the other, and whoever looks finds nobody leading.
 	extended, standing := false, false
@@ -94,11 +94,11 @@
 		if !extended || !standing {
 			return
 		}
-		if u := c.authorityFrom(sent); u.After(l.until) {
-			l.until, l.ahead = u, ahead
+		if u := c.authorityUntil(sent); u.After(l.expiresAt) {
+			l.expiresAt, l.clockSkew = u, ahead
 		}
-		if l.held && c.leads() {
-			l.held, l.regained = false, c.now
+		if l.suspended && c.hasAuthority() {
+			l.suspended, l.resumedAt = false, c.now
 			l.dirty = true
 			c.note(slog.LevelInfo, "authority regained", "term", l.term)
 		}
@@ -115,16 +115,16 @@
 		})
 	}
 	confirm()
-	c.leaderStore(StoreCall{Op: StoreKeepAlive, LeaseID: l.grant, TTL: grantTTL, Timeout: grantTTL / 2}, func(r StoreReply) {
+	c.leaderStore(StoreCall{Op: StoreKeepAlive, LeaseID: l.leaseID, TTL: leaseTTL, Timeout: leaseTTL / 2}, func(r StoreReply) {
 		switch r.Outcome {
 		case OK:
 			extended = true
 			both()
-			c.whenLeading(max(0, renewEvery-c.now.Sub(sent)), c.renew)
+			c.whenLeading(max(0, leaseRenewInterval-c.now.Sub(sent)), c.renewLease)
 		case NotFound, Invalid:
 			c.stepDown("the grant has ended")
 		default:
-			c.whenLeading(c.jitter(renewEvery/3), c.renew)
+			c.whenLeading(c.jitter(leaseRenewInterval/3), c.renewLease)
 		}
 	})
 }
@@ -172,7 +172,7 @@
 
 // tickLead does the leader's regular work.
 func (c *Core) tickLead() {
-	if c.lead.tries > maxTries-triesSpare {
+	if c.lead.attempts > maxAttempts-spareAttempts {
 		// Beyond that an attempt would look like one of the next term's.
 		c.retire("the attempts of the term are used up")
 		return
@@ -189,7 +189,7 @@
 
 // retireThen is retire, with what this node does once the grant has been given back.
 func (c *Core) retireThen(why string, then func()) {
-	grant := c.lead.grant
+	grant := c.lead.leaseID
 	c.stepDown(why)
 	c.store(StoreCall{Op: StoreRevokeLease, LeaseID: grant}, func(StoreReply) { then() })
 }
@@ -197,9 +197,9 @@
 // leadPump runs after each input while we lead.
 func (c *Core) leadPump() {
 	l := c.lead
-	if !c.leads() {
-		if !l.held {
-			l.held = true
+	if !c.hasAuthority() {
+		if !l.suspended {
+			l.suspended = true
 			c.note(slog.LevelWarn, "authority lapsed, holding the workers", "term", l.term, "hold", c.times.Hold())
 			// Whoever waits for a write hears at once that it is not known.
 			c.answerWaiting(l, unavailable("the state service does not answer"))
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -37,23 +37,23 @@
 
 // authority is the term, its grant, and for how long the leader may act by it.
 type authority struct {
-	term       uint64
-	termRev    uint64 // every write is conditional on it: a late one fails under a successor
-	grant      uint64
-	until      time.Time     // authority ends here unless a renewal succeeds
-	since      time.Time     // elected
-	ahead      time.Duration // of the time of day, when the last good renewal was sent
-	acked      map[string]bool
-	ackedAt    time.Time // when the last peer had taken note of our term
-	held       bool      // out of authority, answering reports only
-	quietSince time.Time // before this, most machines were heard
-	regained   time.Time // when authority last came back
-	doubting   bool      // whether the term is still ours is being looked into
-	tries      uint64    // attempts of the term that have been given
+	term              uint64
+	termRev           uint64 // every write is conditional on it: a late one fails under a successor
+	leaseID           uint64
+	expiresAt         time.Time     // authority ends here unless a renewal succeeds
+	electedAt         time.Time     // elected
+	clockSkew         time.Duration // of the time of day, when the last good renewal was sent
+	acknowledged      map[string]bool
+	allAcknowledgedAt time.Time // when the last peer had taken note of our term
+	suspended         bool      // out of authority, answering reports only
+	lastMostlyHeardAt time.Time // before this, most machines were heard
+	resumedAt         time.Time // when authority last came back
+	verifying         bool      // whether the term is still ours is being looked into
+	attempts          uint64    // attempts of the term that have been given
 }
 
 func (a *authority) start(term, rev, grant uint64, until, now time.Time, ahead time.Duration) {
-	a.term, a.termRev, a.grant, a.until, a.since, a.ahead = term, rev, grant, until, now, ahead
+	a.term, a.termRev, a.leaseID, a.expiresAt, a.electedAt, a.clockSkew = term, rev, grant, until, now, ahead
 }
 
 // takeover is what is left of earlier terms: records to be read, written back or missing, and
@@ -134,7 +134,7 @@
 
 func newLeadership(cfg *config.Config, now time.Time) *leadership {
 	return &leadership{
-		authority:   authority{acked: map[string]bool{}},
+		authority:   authority{acknowledged: map[string]bool{}},
 		takeover:    takeover{owed: map[string]bool{}, unread: map[string]bool{}, lost: map[string]uint64{}, newerTokens: map[string]uint64{}},
 		workload:    workload{jobs: map[string]*job{}, accept: map[string]*accepting{}, teams: map[string]*team{}, est: newEstimates()},
 		membership:  membership{gone: newForgetful(now), machines: map[string]*machine{}, relays: map[string]*relayPeer{}},
--- a/internal/core/loss.go
+++ b/internal/core/loss.go
@@ -62,7 +62,7 @@
 
 // unsure reports whether a job that nobody knows may be one that was lost.
 func (l *leadership) unsure(now time.Time) bool {
-	return l.rebuild != nil && now.Sub(l.rebuild.since) < unknownFor || l.fresh && now.Sub(l.since) < 5*askFirst
+	return l.rebuild != nil && now.Sub(l.rebuild.since) < unknownFor || l.fresh && now.Sub(l.electedAt) < 5*askFirst
 }
 
 // fromCopy corrects what was read of a job without a leader by the copy of the last one:
@@ -94,7 +94,7 @@
 func (c *Core) stands(more []Condition, f func(r StoreReply)) {
 	l := c.lead
 	when := append([]Condition{{termKey, l.termRev}, {leaderKey, l.termRev}}, more...)
-	c.leaderStore(StoreCall{Op: StoreTxn, Conditions: when, Timeout: grantTTL / 2}, func(r StoreReply) {
+	c.leaderStore(StoreCall{Op: StoreTxn, Conditions: when, Timeout: leaseTTL / 2}, func(r StoreReply) {
 		if r.Outcome == Conflict && (slices.Contains(r.FailedKeys, termKey) || slices.Contains(r.FailedKeys, leaderKey)) {
 			c.retire("the term is not on record any more")
 		}
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -28,8 +28,8 @@
 		d.c.times.Cancel = 60 * time.Second // holds for half a minute
 		ts := d.running("wk-1", 1)
 		l := d.c.lead
-		d.c.now = later(d.c.now, l.until).Add(2 * time.Second)
-		l.ahead = d.c.ahead(d.c.now)
+		d.c.now = later(d.c.now, l.expiresAt).Add(2 * time.Second)
+		l.clockSkew = d.c.clockSkew(d.c.now)
 		d.c.SetWander(ahead)
 		d.ref++
 		d.in(ReportIn{Ref: d.ref, Report: Report{Host: "host-000000", InstanceType: "f2", Zone: "a", Incarnation: 1, Counter: 20, FencingToken: 1, Tasks: ts}})
@@ -56,8 +56,8 @@
 		ts := d.running("wk-1", 1)
 		cancel := d.user(OpCancel, "wk-1", nil, nil)
 		if lapsed {
-			d.c.now = later(d.c.now, d.c.lead.until).Add(2 * time.Second)
-			d.c.lead.ahead = d.c.ahead(d.c.now)
+			d.c.now = later(d.c.now, d.c.lead.expiresAt).Add(2 * time.Second)
+			d.c.lead.clockSkew = d.c.clockSkew(d.c.now)
 			d.in(Tick{})
 		}
 		if os := d.report("host-000000", 20, ts...); len(verbs(os, Stop)) != 1 || len(os) != 1 || os[0].Drain != 0 {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -9,7 +9,7 @@
 
 func (c *Core) announce() {
 	for _, p := range c.cfg.Seeds {
-		if !c.lead.acked[p.HostName] {
+		if !c.lead.acknowledged[p.HostName] {
 			c.emit(PeerSend{p.HostName, PeerMsg{Kind: PeerLeader, Term: c.lead.term, Speaks: peerVersion}})
 		}
 	}
@@ -50,12 +50,12 @@
 		if p.Msg.Ref == tellVersion {
 			c.emit(PeerSend{p.From, PeerMsg{Kind: PeerLeader, Term: l.term, Speaks: peerVersion}})
 		}
-		if l.acked[p.From] {
+		if l.acknowledged[p.From] {
 			return
 		}
-		l.acked[p.From] = true
-		if len(l.acked) == len(c.cfg.Seeds) {
-			l.ackedAt = c.now
+		l.acknowledged[p.From] = true
+		if len(l.acknowledged) == len(c.cfg.Seeds) {
+			l.allAcknowledgedAt = c.now
 		}
 	case PeerCall:
 		c.userCall(UserCall{Ref: p.Msg.Ref, From: p.From, Op: p.Msg.Op, ID: p.Msg.ID, Spec: p.Msg.Spec, Schedule: p.Msg.Schedule, Config: p.Msg.Config})
@@ -99,7 +99,7 @@
 	case term < c.termMax:
 	case l != nil && term == l.term:
 		c.note(slog.LevelError, "a peer claims the term that this node leads", "peer", from, "term", term)
-	case l != nil && c.leads():
+	case l != nil && c.hasAuthority():
 		// In authority our grant lives, and nobody else can have begun a term, as
 		// far as our clock goes; the state service knows.
 		c.doubt("a newer term is known", func() {
@@ -121,12 +121,12 @@
 // something says that it is not. If it is, unfounded is called.
 func (c *Core) doubt(because string, unfounded func()) {
 	l := c.lead
-	if l.doubting || !c.reads.AllowN(c.now, 1) {
+	if l.verifying || !c.reads.AllowN(c.now, 1) {
 		return // whoever insists will say so again
 	}
-	l.doubting = true
+	l.verifying = true
 	c.leaderStore(StoreCall{Op: StoreGet, Key: termKey}, func(r StoreReply) {
-		l.doubting = false
+		l.verifying = false
 		switch {
 		case r.Outcome == OK && r.Entries[0].Rev == l.termRev:
 			unfounded()
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -410,7 +410,7 @@
 	l := c.lead
 	// Most tasks of earlier jobs run somewhere, and their machines are about to say so:
 	// booked before that, they would be booked for nothing.
-	early := !l.settled() && 10*len(l.owed) > len(l.fleet) && c.now.Sub(l.since) < c.report
+	early := !l.settled() && 10*len(l.owed) > len(l.fleet) && c.now.Sub(l.electedAt) < c.report
 	visits, booked, left := 0, 0, l.unplaced[:0]
 	for _, j := range l.unplaced {
 		if early && j.earlier || visits >= visitsMost {
@@ -607,7 +607,7 @@
 func (c *Core) startOn(m *machine) []Order {
 	l := c.lead
 	room := m.room()
-	if room.CPU <= 0 || len(l.queue) == 0 || !c.acts() || !m.reported || m.record != recorded || !m.usable() || !m.in.Takes() || c.now.Before(m.retryAt) || l.owed[m.host] || l.tries > maxTries-startsMost {
+	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.in.Takes() || c.now.Before(m.retryAt) || l.owed[m.host] || l.attempts > maxAttempts-startsMost {
 		return nil
 	}
 	os, blocked := c.startOverdue(m)
@@ -765,8 +765,8 @@
 	j.pending.clear(i)
 	j.waiting--
 	// Attempts rise across terms as well: the term comes first.
-	l.tries++
-	r := &run{id: TaskID{Job: j.spec.ID, Index: i}, try: l.term<<tryBits + l.tries, m: m, phase: orderedFor, order: m.counter, ordered: c.now}
+	l.attempts++
+	r := &run{id: TaskID{Job: j.spec.ID, Index: i}, try: l.term<<attemptBits + l.attempts, m: m, phase: orderedFor, order: m.counter, ordered: c.now}
 	m.runs = append(m.runs, r)
 	c.occupy(r, j)
 	return Order{Verb: Start, Task: r.id, Try: r.try}
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -43,7 +43,7 @@
 
 func (c *Core) probeMore() {
 	l := c.lead
-	for l.probing < probeWidth && len(l.toProbe) > 0 && c.acts() {
+	for l.probing < probeWidth && len(l.toProbe) > 0 && c.canAct() {
 		m := l.toProbe[0]
 		l.toProbe = l.toProbe[1:]
 		c.probe(m, 1) // most machines are in their first session
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -545,7 +545,7 @@
 // lose. A machine that comes back had a reason: the other node is out of its reach.
 func (c *Core) leadTo(m *machine, by string, first bool) string {
 	l := c.lead
-	if len(c.cfg.Seeds) == 0 || !c.leads() || !l.settled() || m.releasing || c.now.Sub(m.moved) < 3*c.lease {
+	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.settled() || m.releasing || c.now.Sub(m.moved) < 3*c.lease {
 		return ""
 	}
 	first = first && by == ""
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -181,7 +181,7 @@
 func (c *Core) pumpReleases() {
 	l := c.lead
 	rent := &l.rent
-	if rent.freeing || len(rent.releases) == 0 || !c.acts() || !rent.limit.AllowN(c.now, 1) {
+	if rent.freeing || len(rent.releases) == 0 || !c.canAct() || !rent.limit.AllowN(c.now, 1) {
 		return
 	}
 	rent.freeing = true
@@ -240,7 +240,7 @@
 	l.margin, l.reportBudget = c.pol.Margin(e), c.pol.ReportBytes(e)
 	c.lookForOverdue(secs(c.pol.BeginWithin(e)))
 	silent, idle := secs(c.pol.SilentRelease(e)), secs(c.pol.IdleReturn(e))
-	if !c.acts() {
+	if !c.canAct() {
 		return
 	}
 	c.hearRelays()
@@ -266,8 +266,8 @@
 	}
 	cutOff := quiet > 2 && 2*quiet > reporting
 	if !cutOff {
-		l.quietSince = c.now
-	} else if c.now.Sub(l.quietSince) > cutOffMost*c.lease {
+		l.lastMostlyHeardAt = c.now
+	} else if c.now.Sub(l.lastMostlyHeardAt) > cutOffMost*c.lease {
 		// Machines that are no more, of which a late report has told, must not stand in
 		// the way of all others for ever: they count as room, and nothing is rented.
 		cutOff = false
@@ -312,9 +312,9 @@
 	}
 	// A zone that returns does so over a report interval, and so do those who have tried
 	// in vain while we had no authority.
-	last := maxTime(seen, maxTime(m.in.Since, l.regained))
+	last := maxTime(seen, maxTime(m.in.Since, l.resumedAt))
 	if !m.reported {
-		last = maxTime(last, maxTime(m.since, l.since))
+		last = maxTime(last, maxTime(m.since, l.electedAt))
 	}
 	wait := c.patience(m, silent)
 	booting := m.seen.IsZero() && !l.owed[m.host]
@@ -593,7 +593,7 @@
 // at hand.
 func (c *Core) rentMore(bar, ordinaryBar time.Duration) {
 	l := c.lead
-	if len(l.rent.instanceTypes) == 0 || !c.acts() {
+	if len(l.rent.instanceTypes) == 0 || !c.canAct() {
 		return
 	}
 	// A job that no machine at hand can take needs one of its own.
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -71,7 +71,7 @@
 		return
 	}
 	os := c.orders(m)
-	if !c.leads() {
+	if !c.hasAuthority() {
 		// Out of authority: no starts, no acknowledgements; but what has been
 		// cancelled is stopped, or has been begun to be, since that was decided while we
 		// had it.
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -13,7 +13,7 @@
 	l := c.lead
 	rep := &in.Report
 	refuse := func() { c.answerReport(in.Relay, AnswerReport{Ref: in.Ref, Status: 503}) }
-	if l != nil && rep.FencingToken > l.term && !c.leads() {
+	if l != nil && rep.FencingToken > l.term && !c.hasAuthority() {
 		c.stepDown("a worker has seen a newer epoch")
 		l = nil
 	}
@@ -27,7 +27,7 @@
 			c.release(c.machine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot))
 		})
 		return
-	case !c.leads() && (c.times.Over(c.now.Sub(l.until), c.ahead(c.now)-l.ahead) || c.now.Before(l.until)):
+	case !c.hasAuthority() && (c.times.Over(c.now.Sub(l.expiresAt), c.clockSkew(c.now)-l.clockSkew) || c.now.Before(l.expiresAt)):
 		// The hold is over by one of our clocks, or the steady one has stood still and
 		// cannot say.
 		refuse()
@@ -45,7 +45,7 @@
 	if m.record == unrecorded {
 		m.address = rep.Address // a machine keeps it
 	}
-	if m.probed && rep.Incarnation == m.incarnation && rep.Counter <= m.counter && c.leads() {
+	if m.probed && rep.Incarnation == m.incarnation && rep.Counter <= m.counter && c.hasAuthority() {
 		// Overtaken by its own answer to our probe: nothing new, but a worker
 		// that waits for its reply.
 		c.answerReport(in.Relay, AnswerReport{Ref: in.Ref, Status: 200, FencingToken: l.term})
@@ -76,7 +76,7 @@
 		c.learn(m, rep)
 	}
 	l.reportsTo(m, in.Relay.From)
-	if m.record == unrecorded && c.leads() && m.usable() {
+	if m.record == unrecorded && c.hasAuthority() && m.usable() {
 		c.recordMachine(m)
 	}
 	if to := c.leadTo(m, in.Relay.From, first); to != "" {
@@ -112,7 +112,7 @@
 // soon as several say so, the terms go on above theirs.
 func (c *Core) termsBeganAgain(host string, epoch uint64) bool {
 	l := c.lead
-	if !l.fresh || epoch > maxFencingToken || c.now.Sub(l.since) > 2*c.lease {
+	if !l.fresh || epoch > maxFencingToken || c.now.Sub(l.electedAt) > 2*c.lease {
 		return false
 	}
 	l.newerTokens[host] = epoch
@@ -192,7 +192,7 @@
 	}
 	delete(l.owed, host)
 	if l.settled() {
-		c.note(slog.LevelInfo, "take-over complete", "term", l.term, "after", c.now.Sub(l.since))
+		c.note(slog.LevelInfo, "take-over complete", "term", l.term, "after", c.now.Sub(l.electedAt))
 		for _, j := range l.sortedJobs() {
 			if j.cancelled {
 				c.closeIfOver(j)
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -36,7 +36,7 @@
 	c.begin(1, 1, 1, t0, 0)
 	c.out = nil
 	l := c.lead
-	l.loaded, l.margin, l.until = true, 0.15, t0.Add(1000*time.Hour)
+	l.loaded, l.margin, l.expiresAt = true, 0.15, t0.Add(1000*time.Hour)
 	for i, cpus := range []float64{4, 8, 32} {
 		l.rent.instanceTypes = append(l.rent.instanceTypes, InstanceType{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, ImageGBps: 0.4, OnDemandRate: cpus, SpotRate: cpus / 3, BootTime: 20 * time.Second, Zones: []string{"a"}})
 	}
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -243,7 +243,7 @@
 // what is known when it goes.
 func (c *Core) makeOccurrences() {
 	sch := &c.lead.sched
-	if sch.ready.len() == 0 || !c.lead.rent.read || !c.acts() {
+	if sch.ready.len() == 0 || !c.lead.rent.read || !c.canAct() {
 		return
 	}
 	room := c.cfg.Settings.State.TxnOps
--- a/internal/core/search.go
+++ b/internal/core/search.go
@@ -33,7 +33,7 @@
 	l := c.lead
 	c.whenLeading(searchEvery, c.searchRecords)
 	own := c.ownCopy()
-	if own == nil || !c.acts() || len(l.restore) > 0 || l.rebuild != nil && l.rebuild.left > 0 || !c.reads.AllowN(c.now, 2) {
+	if own == nil || !c.canAct() || len(l.restore) > 0 || l.rebuild != nil && l.rebuild.left > 0 || !c.reads.AllowN(c.now, 2) {
 		return
 	}
 	s := &l.search
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -37,7 +37,7 @@
 		return s
 	}
 	s.ConfigSpread, s.ConfigChanges, s.ConfigDamaged = l.conf.spread.Seconds(), l.conf.changes, len(l.conf.damaged)
-	s.Leads, s.Authority = true, c.leads()
+	s.Leads, s.Authority = true, c.hasAuthority()
 	s.Jobs, s.Machines, s.Unaccounted, s.BacklogSeconds = len(l.jobs), len(l.fleet), len(l.owed), l.rent.backlog.Seconds()
 	s.Direct, s.Relays, s.Full = l.relay("").workers, len(c.nodes()), l.rent.full
 	s.Schedules = len(l.sched.names)
--- a/internal/core/store.go
+++ b/internal/core/store.go
@@ -95,7 +95,7 @@
 // pumpStore sends what may be sent.
 func (c *Core) pumpStore() {
 	p := &c.lead.pipe
-	if !c.acts() || c.now.Before(p.pause) {
+	if !c.canAct() || c.now.Before(p.pause) {
 		return
 	}
 	if len(p.waits[configuration]) > 0 && p.flying[configuration] == 0 {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -53,16 +53,16 @@
 
 // MaxTerm bounds the terms, and with them the workers' epochs: an attempt carries
 // its term in its upper bits. A number above it was never a term.
-const MaxTerm = 1<<(64-tryBits) - 1
+const MaxTerm = 1<<(64-attemptBits) - 1
 
-// tryBits is how much of an attempt counts the starts of a term.
-const tryBits = 28
+// attemptBits is how much of an attempt counts the starts of a term.
+const attemptBits = 28
 
 // A term has so many attempts, and ends while there are some left: more than can go
 // out between two ticks.
 const (
-	maxTries   = 1<<tryBits - 1
-	triesSpare = 1 << 20
+	maxAttempts   = 1<<attemptBits - 1
+	spareAttempts = 1 << 20
 )
 
 // What workers say and are told has a package of its own: relays speak of it too.
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -51,7 +51,7 @@
 		c.answer(call, AnswerUser{Status: 200, Doc: c.ConfigHere()})
 		return
 	}
-	if c.acts() {
+	if c.canAct() {
 		c.serve(call)
 		return
 	}
@@ -325,7 +325,7 @@
 	l := c.lead
 	c.readJob(call.ID, func(v *JobView, known bool) {
 		switch {
-		case c.lead != l || !c.acts() || !known:
+		case c.lead != l || !c.canAct() || !known:
 			c.answer(call, unavailable("the state service does not answer"))
 		case l.jobs[call.ID] != nil || l.accept[call.ID] != nil:
 			c.serve(call) // accepted since the read began, which saw nothing of it
@@ -333,7 +333,7 @@
 			c.answer(call, unavailable("data was lost, and what there is is being looked for"))
 		case v == nil:
 			c.stands(unheardOf(call.ID), func(r StoreReply) {
-				if r.Outcome == OK && c.acts() {
+				if r.Outcome == OK && c.canAct() {
 					missing()
 				} else {
 					c.answer(call, unavailable("the state service does not answer"))
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -37,7 +37,7 @@
 	l := c.lead
 	quiet := c.quietAfter()
 	heard := func(m *machine) bool {
-		return m.reported && c.now.Sub(maxTime(m.seen, l.regained)) <= quiet
+		return m.reported && c.now.Sub(maxTime(m.seen, l.resumedAt)) <= quiet
 	}
 	sights := map[string]zones.Sight{}
 	for _, m := range l.fleet {
@@ -45,7 +45,7 @@
 			continue // on its way out, or not up yet
 		}
 		s := sights[m.zone]
-		if heard(m) || !m.reported && !m.lost && c.now.Sub(l.since) <= min(quiet, zoneUnheard) {
+		if heard(m) || !m.reported && !m.lost && c.now.Sub(l.electedAt) <= min(quiet, zoneUnheard) {
 			s.Heard++
 		} else {
 			s.Silent++
--- a/internal/scenario/configure.go
+++ b/internal/scenario/configure.go
@@ -205,7 +205,7 @@
 // checkLeads holds that whoever leads in authority decides by a revision, or a newer one.
 func (w *world) checkLeads(revision uint64) {
 	for _, n := range w.nodes {
-		if n.core == nil || !n.alive || w.now.Before(n.asleep) || !n.core.Leads(n.local()) {
+		if n.core == nil || !n.alive || w.now.Before(n.asleep) || !n.core.HasAuthority(n.local()) {
 			continue
 		}
 		if here := n.core.ConfigHere(); n.core.Ready() && here.Revision < revision {
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -200,7 +200,7 @@
 expect done all
 run 250s`, "ran_twice", func(s *script) {
 			s.hears = func(n *node, in any) any { // every report counts as one of the term at hand
-				if r, ok := in.(core.ReportIn); ok && n.core.Leads(n.local()) {
+				if r, ok := in.(core.ReportIn); ok && n.core.HasAuthority(n.local()) {
 					r.Report.FencingToken = n.core.Stats().Term
 					return r
 				}
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -507,7 +507,7 @@
 		}, honest},
 		{"an old report at the start of a term", "ran_twice", honest, func() func(n *node, in any) any {
 			return func(n *node, in any) any { // every report counts as one of the term at hand
-				if r, ok := in.(core.ReportIn); ok && n.core.Leads(n.local()) {
+				if r, ok := in.(core.ReportIn); ok && n.core.HasAuthority(n.local()) {
 					r.Report.FencingToken = n.core.Stats().Term
 					return r
 				}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -362,7 +362,7 @@
 	case "leaders":
 		n := 0
 		for _, x := range s.nodes {
-			if x.alive && x.core.Leads(x.local()) {
+			if x.alive && x.core.HasAuthority(x.local()) {
 				n++
 			}
 		}
@@ -501,7 +501,7 @@
 // node returns the node that a word names, or nil.
 func (s *script) node(word string) *node {
 	for _, n := range s.nodes {
-		leads := n.alive && n.core.Leads(n.local())
+		leads := n.alive && n.core.HasAuthority(n.local())
 		if n.name == word || word == "leader" && leads || word == "follower" && n.alive && !leads {
 			return n
 		}
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -182,7 +182,7 @@
 			back(func() { m.failed(id) })
 			return
 		}
-		if m.now.Sub(sent) > 4*time.Second && n.process == nil && n.core.Leads(n.local()) {
+		if m.now.Sub(sent) > 4*time.Second && n.process == nil && n.core.HasAuthority(n.local()) {
 			m.met["held-report"]++
 		}
 		n.ask(func(ref uint64) any { return core.ReportIn{Ref: ref, Report: rep} }, func(a any) {
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -360,7 +360,7 @@
 	for _, o := range outs {
 		n.do(o)
 	}
-	if leads := n.core.Leads(n.local()); leads != n.leading {
+	if leads := n.core.HasAuthority(n.local()); leads != n.leading {
 		if n.leading = leads; leads {
 			n.tellKept()
 			n.countUnrecorded()
