--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -111,7 +111,7 @@
 // confirmedAgo is how long ago the state service last confirmed what this leader goes by:
 // its authority counts from then.
 func (c *Core) confirmedAgo() time.Duration {
-	return max(0, c.times.Authority()-c.lead.expiresAt.Sub(c.now))
+	return max(0, c.leaseTiming.Authority()-c.lead.expiresAt.Sub(c.now))
 }
 
 // ConfigHere is the configuration that this node has, whoever leads.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -90,7 +90,7 @@
 	late          int64     // reports that were older than what was known
 
 	report, lease time.Duration
-	times         lapse.Times
+	leaseTiming   lapse.Timing
 }
 
 // New returns a controller that has not begun; give it a Tick to begin.
@@ -111,7 +111,7 @@
 	lives := rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03))
 	c.life = lives.Uint64()>>11 | 1 // what JSON readers of any kind take whole
 	c.ref = lives.Uint64N(1 << 48)
-	c.times = lapse.Times{Grant: leaseTTL, Lease: c.lease, Cancel: cfg.Settings.Workers.Cancel.Duration()}
+	c.leaseTiming = lapse.Timing{LeaderLease: leaseTTL, WorkerLease: c.lease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
 	return c
 }
 
@@ -126,8 +126,8 @@
 	c.out = c.out[:0]
 	if first {
 		c.began = now
-		if short := c.times.Short(); short != "" {
-			c.note(slog.LevelWarn, "settings leave little room", "field", "workers.cancel_s", "lease", c.lease, "cancel", c.times.Cancel, "effect", short)
+		if short := c.leaseTiming.Shortfall(); short != "" {
+			c.note(slog.LevelWarn, "settings leave little room", "field", "workers.cancel_s", "lease", c.lease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
 		}
 		c.watch()
 		if len(c.cfg.Seeds) > 0 {
@@ -311,7 +311,7 @@
 
 // HasAuthority reports whether the node leads and has authority at the given time.
 func (c *Core) HasAuthority(now time.Time) bool {
-	return c.lead != nil && now.Before(c.lead.expiresAt) && c.clockSkew(now)-c.lead.clockSkew < lapse.Jump
+	return c.lead != nil && now.Before(c.lead.expiresAt) && c.clockSkew(now)-c.lead.clockSkew < lapse.MaxHiddenPause
 }
 
 // clockSkew is how far the time of day has run ahead of the steady clock so far. A machine that
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -149,7 +149,7 @@
 	c := leaderOf(t, 2)
 	l := c.lead
 	l.expiresAt = t0.Add(1e6 * time.Hour)
-	c.times.Cancel = 0 // no hold
+	c.leaseTiming.CancelTimeout = 0 // no hold
 	now, rev := t0, uint64(10)
 	var done func(in any)
 	orders := map[uint64][]Order{}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -318,7 +318,7 @@
 	for _, r := range j.runs {
 		c.poke(r.m)
 	}
-	c.recordCancelled(j, c.times.Confirm(c.now, c.lead.electedAt.Add(c.lead.lag)))
+	c.recordCancelled(j, c.leaseTiming.CancelSafeAfter(c.now, c.lead.electedAt.Add(c.lead.lag)))
 }
 
 // recordCancelled writes a cancellation, not before a time unless nothing of the job can be
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -15,7 +15,7 @@
 // canAct reports whether we lead, in authority, and know the records.
 func (c *Core) canAct() bool { return c.hasAuthority() && c.lead.loaded }
 
-func (c *Core) authorityUntil(sent time.Time) time.Time { return sent.Add(c.times.Authority()) }
+func (c *Core) authorityUntil(sent time.Time) time.Time { return sent.Add(c.leaseTiming.Authority()) }
 
 // begin begins a term.
 func (c *Core) begin(term, rev, grant uint64, sent time.Time, ahead time.Duration) {
@@ -200,7 +200,7 @@
 	if !c.hasAuthority() {
 		if !l.suspended {
 			l.suspended = true
-			c.note(slog.LevelWarn, "authority lapsed, holding the workers", "term", l.term, "hold", c.times.Hold())
+			c.note(slog.LevelWarn, "authority lapsed, holding the workers", "term", l.term, "hold", c.leaseTiming.GracePeriod())
 			// Whoever waits for a write hears at once that it is not known.
 			c.answerWaiting(l, unavailable("the state service does not answer"))
 			c.releaseHeld()
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -171,7 +171,7 @@
 // may have gone on answering until its peers told it of our term or its hold ran out.
 func (c *Core) earlierLease() time.Time {
 	l := c.lead
-	over := c.times.Gone(l.electedAt.Add(l.lag))
+	over := c.leaseTiming.TasksGoneAfter(l.electedAt.Add(l.lag))
 	if !l.allAcknowledgedAt.IsZero() {
 		if told := l.allAcknowledgedAt.Add(withDrift(c.lease)); told.Before(over) {
 			return told
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -25,7 +25,7 @@
 func TestHoldByBothClocks(t *testing.T) {
 	for _, ahead := range []time.Duration{0, 30 * time.Second} {
 		d := newDesk(t)
-		d.c.times.Cancel = 60 * time.Second // holds for half a minute
+		d.c.leaseTiming.CancelTimeout = 60 * time.Second // holds for half a minute
 		ts := d.running("wk-1", 1)
 		l := d.c.lead
 		d.c.now = later(d.c.now, l.expiresAt).Add(2 * time.Second)
@@ -52,7 +52,7 @@
 func TestBegunCancellation(t *testing.T) {
 	for _, lapsed := range []bool{false, true} {
 		d := newDesk(t)
-		d.c.times.Cancel = 60 * time.Second
+		d.c.leaseTiming.CancelTimeout = 60 * time.Second
 		ts := d.running("wk-1", 1)
 		cancel := d.user(OpCancel, "wk-1", nil, nil)
 		if lapsed {
@@ -90,7 +90,7 @@
 // written once the tasks are gone in time, and the user told at once to come back.
 func TestCancelShorterThanLease(t *testing.T) {
 	d := newDesk(t)
-	d.c.times.Cancel = d.c.lease - 5*time.Second
+	d.c.leaseTiming.CancelTimeout = d.c.lease - 5*time.Second
 	ts := d.running("wk-1", 1)
 	d.finish()
 	first := d.user(OpCancel, "wk-1", nil, nil)
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -27,7 +27,7 @@
 			c.release(c.machine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot))
 		})
 		return
-	case !c.hasAuthority() && (c.times.Over(c.now.Sub(l.expiresAt), c.clockSkew(c.now)-l.clockSkew) || c.now.Before(l.expiresAt)):
+	case !c.hasAuthority() && (c.leaseTiming.GraceOver(c.now.Sub(l.expiresAt), c.clockSkew(c.now)-l.clockSkew) || c.now.Before(l.expiresAt)):
 		// The hold is over by one of our clocks, or the steady one has stood still and
 		// cannot say.
 		refuse()
