--- a/internal/core/alone.go
+++ b/internal/core/alone.go
@@ -40,7 +40,7 @@
 // refreshInstanceTypes reads the machine types now and then: what can never run is refused, and
 // who knows no types can neither refuse nor accept.
 func (c *Core) refreshInstanceTypes() {
-	if c.lead != nil { // which has its own
+	if c.leadership != nil { // which has its own
 		c.after(c.jitter(instanceTypesInterval), c.refreshInstanceTypes)
 		return
 	}
@@ -59,7 +59,7 @@
 	s := call.Spec
 	no := unavailable("no leader at present")
 	switch {
-	case c.lead != nil || call.From != "" || len(c.cfg.Seeds) == 0 || len(c.instanceTypes) == 0 || !c.pol.NeverRefuses():
+	case c.leadership != nil || call.From != "" || len(c.cfg.Seeds) == 0 || len(c.instanceTypes) == 0 || !c.pol.NeverRefuses():
 		c.answer(call, no)
 		return
 	case !c.fits(recordSize(s)):
@@ -89,8 +89,8 @@
 	c.store(StoreCall{Op: StoreTxn,
 		// The term that we know must be on record: a service that has lost its data knows of
 		// no job, not even of those that are over. Nor must the configuration have changed.
-		Conditions: append(unheardOf(s.ID), Condition{termKey, c.confirmedRev}, configHeadCond(k)),
-		Writes:     []Write{{Key: jobKeys + s.ID, Value: rec}, {Key: aloneKeys + s.ID, Value: &LeaderRecord{Node: c.cfg.HostName, Term: max(1, c.termMax)}}},
+		Conditions: append(unheardOf(s.ID), Condition{termKey, c.confirmedTermRevision}, configHeadCond(k)),
+		Writes:     []Write{{Key: jobKeys + s.ID, Value: rec}, {Key: aloneKeys + s.ID, Value: &LeaderRecord{Node: c.cfg.HostName, Term: max(1, c.highestTerm)}}},
 	}, func(r StoreReply) {
 		switch r.Outcome {
 		case OK:
@@ -120,7 +120,7 @@
 		c.answer(call, no)
 		return
 	}
-	c.store(StoreCall{Op: StoreTxn, Conditions: append(unheardOf(id), Condition{termKey, c.confirmedRev}, configHeadCond(k))}, func(r StoreReply) {
+	c.store(StoreCall{Op: StoreTxn, Conditions: append(unheardOf(id), Condition{termKey, c.confirmedTermRevision}, configHeadCond(k))}, func(r StoreReply) {
 		if r.Outcome == OK {
 			c.answer(call, refusal)
 		} else {
@@ -131,21 +131,21 @@
 
 // followAlone takes on what nodes have accepted without a leader.
 func (c *Core) followAlone() {
-	c.leaderStore(StoreCall{Op: StoreList, Key: aloneKeys, Limit: 200}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreList, Key: aloneKeys, Limit: 200}, func(r StoreReply) {
 		switch {
 		case r.Outcome != OK:
-			c.whenLeading(c.jitter(time.Second), c.followAlone)
+			c.afterWhileLeading(c.jitter(time.Second), c.followAlone)
 		case len(r.Entries) > 0:
 			for _, e := range r.Entries {
 				c.learnAlone(e.Key)
 			}
-			c.whenLeading(c.jitter(time.Second), c.followAlone)
+			c.afterWhileLeading(c.jitter(time.Second), c.followAlone)
 		default:
-			c.leaderStore(watchCall(aloneKeys, r.Rev), func(f StoreReply) {
+			c.storeWhileLeading(watchCall(aloneKeys, r.Rev), func(f StoreReply) {
 				if f.Outcome == OK {
 					c.followAlone()
 				} else {
-					c.whenLeading(c.jitter(time.Second), c.followAlone)
+					c.afterWhileLeading(c.jitter(time.Second), c.followAlone)
 				}
 			})
 		}
@@ -154,7 +154,7 @@
 
 // learnAlone takes on the job that a note names, and drops the note.
 func (c *Core) learnAlone(key string) {
-	l := c.lead
+	l := c.leadership
 	id := strings.TrimPrefix(key, aloneKeys)
 	drop := func() { l.pipe.add(&change{lane: bulk, writes: []Write{{Key: key}}}) }
 	if l.jobs[id] != nil || l.unread[id] {
@@ -163,7 +163,7 @@
 	}
 	c.adopt(id, drop, func() {
 		c.readJob(id, func(v *JobView, known bool) {
-			if c.lead == l && known && (v == nil || v.State == Done || v.State == Cancelled) {
+			if c.leadership == l && known && (v == nil || v.State == Done || v.State == Cancelled) {
 				drop() // it is over already
 			}
 		})
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -20,9 +20,9 @@
 
 func newDesk(t *testing.T) *desk {
 	d := &desk{T: t, c: leaderOf(t, 1), ref: 1e6}
-	d.c.lead.sched.loaded = true
+	d.c.leadership.sched.loaded = true
 	d.c.began = t0
-	d.c.lead.suspended = false
+	d.c.leadership.suspended = false
 	return d
 }
 
@@ -217,7 +217,7 @@
 			return func() bool { n++; return len(verbs(d.report("host-000000", n, ts...), Reap)) > 0 }
 		},
 		"a start on a new machine": func(d *desk) func() bool {
-			m := d.c.lead.fleet[0]
+			m := d.c.leadership.fleet[0]
 			m.condemned = true
 			d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
 			d.finish()
@@ -226,8 +226,8 @@
 		},
 		"a release": func(d *desk) func() bool {
 			d.running("wk-1", 1)
-			d.c.release(d.c.lead.fleet[0])
-			j := d.c.lead.jobs["wk-1"]
+			d.c.release(d.c.leadership.fleet[0])
+			j := d.c.leadership.jobs["wk-1"]
 			return func() bool {
 				d.c.after(0, d.c.pumpReleases)
 				d.in(Tick{})
@@ -289,7 +289,7 @@
 	if a := d.answer(ref); a.Status != 503 {
 		t.Errorf("%+v", a)
 	}
-	if d.c.lead != nil {
+	if d.c.leadership != nil {
 		t.Error("leads on")
 	}
 }
@@ -300,7 +300,7 @@
 	d := newDesk(t)
 	ref := d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
 	d.calls = nil // its write is on its way
-	d.c.whenLeading(0, func() { d.c.learnAlone(aloneKeys + "wk-1") })
+	d.c.afterWhileLeading(0, func() { d.c.learnAlone(aloneKeys + "wk-1") })
 	d.in(Tick{})
 	for _, x := range d.calls {
 		if call, ok := x.(StoreCall); ok && call.Op == StoreGet && call.Key == jobKeys+"wk-1" {
@@ -356,7 +356,7 @@
 				}
 			}
 		}
-		if d.c.lead != nil {
+		if d.c.leadership != nil {
 			t.Error("leads on without a term on record")
 		}
 	}
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -41,7 +41,7 @@
 
 // records tells how whole the records are, as the leader knows.
 func (c *Core) records() *Records {
-	l := c.lead
+	l := c.leadership
 	r := &Records{Era: c.known.Era}
 	if b := l.rebuild; b != nil {
 		r.Lost, r.From, r.SinceS, r.Restored, r.Left = b.why, b.from, c.now.Sub(b.since).Seconds(), b.restored, b.left
@@ -74,22 +74,22 @@
 
 // cluster returns what is known here.
 func (c *Core) cluster() *Cluster {
-	v := &Cluster{Node: c.cfg.HostName, Leader: c.hint, Term: c.termMax}
+	v := &Cluster{Node: c.cfg.HostName, Leader: c.knownLeader, Term: c.highestTerm}
 	own := ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: "relay", Link: true, Workers: len(c.relay.known)}
-	l := c.lead
+	l := c.leadership
 	if l != nil {
 		v.Leader, v.Term, v.LeadsS, v.Authority = c.cfg.HostName, l.term, c.now.Sub(l.electedAt).Seconds(), c.hasAuthority()
 		v.TookOver, v.Machines, v.Unaccounted, v.MachineMost = l.loaded && l.settled(), len(l.fleet), len(l.owed), c.fleetMost()
 		own.Role, own.Workers = "leader", l.relay("").workers
 		v.Regions = c.clusterRegions()
 		v.Zones, v.Records = c.clusterZones(), c.records()
-	} else if !c.linked() {
+	} else if !c.hasLeaderLink() {
 		own.Role = "away"
 	}
 	v.Nodes = append(v.Nodes, own)
 	for _, s := range c.cfg.Seeds {
 		n := ClusterNode{Name: s.HostName, Zone: s.Site, Link: c.links[s.HostName]}
-		if s.HostName == c.hint {
+		if s.HostName == c.knownLeader {
 			n.Role = "leader"
 		}
 		if l != nil {
@@ -121,14 +121,14 @@
 }
 
 func (c *Core) clusterRegions() (rs []ClusterRegion) {
-	for _, r := range c.lead.regions.All() {
+	for _, r := range c.leadership.regions.All() {
 		rs = append(rs, ClusterRegion{Name: r.Name, State: r.State.String(), SinceS: c.now.Sub(r.Since).Seconds(), Zones: r.Zones, Away: r.Away, Heard: r.Sight.Heard, Silent: r.Sight.Silent})
 	}
 	return rs
 }
 
 func (c *Core) clusterZones() []ClusterZone {
-	l := c.lead
+	l := c.leadership
 	waiting := map[*zones.Zone]int{}
 	for _, m := range l.fleet {
 		if m.away {
@@ -163,7 +163,7 @@
 
 // cannotHandOver says what stands against giving the leadership away, or "".
 func (c *Core) cannotHandOver() string {
-	switch l := c.lead; {
+	switch l := c.leadership; {
 	case l == nil || !l.loaded:
 		return "this node does not lead"
 	case !l.settled():
@@ -176,13 +176,13 @@
 
 // handOver gives the leadership to whoever of the others takes it first.
 func (c *Core) handOver(why string) {
-	c.passed = c.now
-	c.retire(why)
+	c.handedOverAt = c.now
+	c.resign(why)
 }
 
-// passedFor is for how long a node that has handed over does not stand again: the
+// handOverCooldown is for how long a node that has handed over does not stand again: the
 // others have long begun by then, unless none of them is able to.
-const passedFor = 3 * time.Second
+const handOverCooldown = 3 * time.Second
 
 // Leave has a leader hand over before its process ends on purpose.
 type Leave struct{}
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -105,7 +105,7 @@
 // loadConfig takes in a record of the configuration. One that cannot be read leaves what is
 // known of its object as it is: what a copy has, or else the settings.
 func (c *Core) loadConfig(e Entry) {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	if e.Key == configHeadKey {
 		conf.headRev = e.Rev
 	}
@@ -130,13 +130,13 @@
 
 // configLoaded puts what was read into force.
 func (c *Core) configLoaded() {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	for _, r := range conf.state.Changed() {
 		c.enforceTeam(r.Team)
 	}
 	conf.since = c.now
 	if conf.state.Revision > 0 {
-		c.note(slog.LevelInfo, "configuration read", "term", c.lead.term, "revision", conf.state.Revision)
+		c.note(slog.LevelInfo, "configuration read", "term", c.leadership.term, "revision", conf.state.Revision)
 	}
 	c.tellConfig()
 }
@@ -144,7 +144,7 @@
 // enforceTeam has the leader decide by a team's configuration from now on. Tasks that run
 // go on, and count; nothing more starts until there is room under a lower limit.
 func (c *Core) enforceTeam(t liveconfig.Team) {
-	l := c.lead
+	l := c.leadership
 	now := teamOf(t)
 	if was := l.teams[t.Name]; was != nil {
 		was.configured, was.retired, was.guarantee, was.limit = true, now.retired, now.guarantee, now.limit
@@ -195,9 +195,9 @@
 // is not our own change that has come through meanwhile, the records have the last word;
 // until they have been read our authority is not renewed. Then it is confirmed again.
 func (c *Core) configMoved(asked uint64, confirm func()) {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	if conf.headRev != asked {
-		c.whenLeading(renewSoon, confirm)
+		c.afterWhileLeading(renewSoon, confirm)
 		return
 	}
 	c.rereadConfig(confirm)
@@ -209,12 +209,12 @@
 // rereadConfig reads the head back, to learn what became of a batch, or all if the head is
 // not one that we know.
 func (c *Core) rereadConfig(then func()) {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	if conf.rereading {
 		return
 	}
 	conf.rereading = true
-	c.leaderStore(StoreCall{Op: StoreGet, Key: configHeadKey}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: configHeadKey}, func(r StoreReply) {
 		conf.rereading = false
 		if r.Outcome != OK && r.Outcome != NotFound {
 			return // the next renewal finds the same
@@ -234,7 +234,7 @@
 
 // headFound goes by the head that is on record.
 func (c *Core) headFound(revision, rev uint64) {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	b := conf.batch
 	switch {
 	case rev == conf.headRev:
@@ -250,13 +250,13 @@
 
 // reloadConfig reads all records of the configuration again.
 func (c *Core) reloadConfig(revision, rev uint64) {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	state := liveconfig.New(baseTeams(c.cfg))
 	var page func(from string)
 	page = func(from string) {
-		c.leaderStore(StoreCall{Op: StoreList, Key: configKeys, From: from, Limit: 400}, func(r StoreReply) {
+		c.storeWhileLeading(StoreCall{Op: StoreList, Key: configKeys, From: from, Limit: 400}, func(r StoreReply) {
 			if r.Outcome != OK {
-				c.whenLeading(c.jitter(200*time.Millisecond), func() { page(from) })
+				c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { page(from) })
 				return
 			}
 			for _, e := range r.Entries {
@@ -284,7 +284,7 @@
 
 // serveConfig answers as the leader.
 func (c *Core) serveConfig(call UserCall) {
-	conf, q := &c.lead.conf, call.Config
+	conf, q := &c.leadership.conf, call.Config
 	switch call.Op {
 	case OpConfigStatus:
 		c.askVersions()
@@ -329,7 +329,7 @@
 
 // cannotConfigure says why no change can be taken at present, or "".
 func (c *Core) cannotConfigure() string {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	switch {
 	case conf.restoring > 0:
 		return "the configuration is being written back after a loss of data"
@@ -351,7 +351,7 @@
 
 // offerBatch has the changes that wait written, with as many others as come until then.
 func (c *Core) offerBatch() {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	if conf.batch != nil || len(conf.waiting) == 0 {
 		return
 	}
@@ -367,20 +367,20 @@
 	ch.done = func(rev uint64) { c.batchMade(b, rev) }
 	ch.failed = func() { c.batchConflict(b, ch) }
 	ch.rejected = func() { c.batchRejected(b) }
-	c.lead.pipe.add(ch)
+	c.leadership.pipe.add(ch)
 }
 
 // batchDue reports whether the batch that waits may go: with what waits for it now, or
 // with as much as the allowance had room for after a while. Small batches would spend
 // it on the head.
 func (c *Core) batchDue() bool {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	b := conf.batch
 	if b == nil || b.Batch != nil || len(conf.waiting) == 0 {
 		return true
 	}
 	ops := c.cfg.Settings.State.TxnOps
-	room := c.lead.pipe.roomFor(configuration, c.now, ops)
+	room := c.leadership.pipe.roomFor(configuration, c.now, ops)
 	least := len(conf.waiting[0].change.Teams) + 1 // with the head; it goes whole
 	if room < least {
 		return false
@@ -395,13 +395,13 @@
 
 // fillBatch decides what goes, now that something can.
 func (c *Core) fillBatch(b *configBatch, ch *change) {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	conf.filled = c.now
 	changes := make([]*liveconfig.Change, len(conf.waiting))
 	for i, w := range conf.waiting {
 		changes[i] = &w.change
 	}
-	b.Batch = liveconfig.NewBatch(conf.state, changes, c.lead.pipe.roomFor(configuration, c.now, c.cfg.Settings.State.TxnOps))
+	b.Batch = liveconfig.NewBatch(conf.state, changes, c.leadership.pipe.roomFor(configuration, c.now, c.cfg.Settings.State.TxnOps))
 	b.changes = slices.Clone(conf.waiting[:b.Taken])
 	conf.waiting = slices.Delete(conf.waiting, 0, b.Taken)
 	records := b.Records()
@@ -421,7 +421,7 @@
 
 // batchMade: the changes are on record. They are in force before anybody hears of it.
 func (c *Core) batchMade(b *configBatch, rev uint64) {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	if b.over {
 		return
 	}
@@ -451,7 +451,7 @@
 
 // batchOver answers everybody whose change is decided.
 func (c *Core) batchOver(b *configBatch) {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	b.over = true
 	if conf.batch == b {
 		conf.batch = nil
@@ -465,7 +465,7 @@
 	}
 	b.changes = nil
 	// Not at once: the pipeline is looking at its lists.
-	c.whenLeading(0, c.offerBatch)
+	c.afterWhileLeading(0, c.offerBatch)
 }
 
 // batchConflict: the head is not what it was. Either an earlier try of this very batch has
@@ -479,14 +479,14 @@
 		if rec, _ := e.Value.(*liveconfig.HeadRecord); rec != nil {
 			found = rec.Revision
 		}
-		conf := &c.lead.conf
+		conf := &c.leadership.conf
 		switch found {
 		case b.After.Revision:
 			c.batchMade(b, e.Rev)
 		case conf.state.Revision:
 			conf.headRev = e.Rev
 			ch.conditions[0].Rev = e.Rev
-			c.lead.pipe.add(ch)
+			c.leadership.pipe.add(ch)
 		default:
 			c.batchFails(b, unavailable("the configuration on record is being read"))
 			c.headFound(found, e.Rev)
@@ -499,7 +499,7 @@
 }
 
 func (c *Core) batchFails(b *configBatch, a AnswerUser) {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	b.over = true
 	if conf.batch == b {
 		conf.batch = nil
@@ -508,7 +508,7 @@
 		c.answer(w.call, a)
 	}
 	b.changes = nil
-	c.whenLeading(0, c.offerBatch)
+	c.afterWhileLeading(0, c.offerBatch)
 }
 
 // answerConfig answers everybody who waits for a change. A batch that is on its way is
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -58,11 +58,11 @@
 	if a != nil || txn == nil {
 		t.Fatalf("all know of it: %+v", a)
 	}
-	if got := c.lead.teams["t"].limit.CPU; got != 0 {
+	if got := c.leadership.teams["t"].limit.CPU; got != 0 {
 		t.Errorf("in force before it is on record: %d", got)
 	}
 	outs := c.Step(c.now, StoreReply{Ref: txn.Ref, Outcome: OK, Rev: 40})
-	if got := c.lead.teams["t"].limit.CPU; got != 7000 {
+	if got := c.leadership.teams["t"].limit.CPU; got != 7000 {
 		t.Errorf("not in force once it is on record: %d", got)
 	}
 	answered := false
@@ -71,8 +71,8 @@
 			answered = a.Status == 200 && a.Doc == ConfigMade{1}
 		}
 	}
-	if !answered || c.lead.conf.headRev != 40 {
-		t.Errorf("%v, head at %d", outs, c.lead.conf.headRev)
+	if !answered || c.leadership.conf.headRev != 40 {
+		t.Errorf("%v, head at %d", outs, c.leadership.conf.headRev)
 	}
 	c.Step(c.now, PeerLink{Name: "n2"})
 	if a, txn := setTeam(c, 4, liveconfig.Team{Name: "t", CPUsMax: 9}); a != nil || txn == nil {
@@ -109,8 +109,8 @@
 		}
 	}
 	count(c.Step(c.now, StoreReply{Ref: read.Ref, Outcome: OK, Entries: []Entry{{Key: configHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
-	if !confirmed || c.lead.conf.state.Revision != 1 || c.lead.conf.headRev != 40 || c.lead.teams["t"].limit.CPU != 7000 {
-		t.Errorf("confirmed %v, revision %d, head %d", confirmed, c.lead.conf.state.Revision, c.lead.conf.headRev)
+	if !confirmed || c.leadership.conf.state.Revision != 1 || c.leadership.conf.headRev != 40 || c.leadership.teams["t"].limit.CPU != 7000 {
+		t.Errorf("confirmed %v, revision %d, head %d", confirmed, c.leadership.conf.state.Revision, c.leadership.conf.headRev)
 	}
 	count(c.Step(c.now, StoreReply{Ref: txn.Ref, Outcome: Unknown}))
 	for range 300 {
@@ -190,9 +190,9 @@
 // nobody answers an answer.
 func TestLeaderVersionAskedFor(t *testing.T) {
 	leader, other := configLeader(t), configLeader(t)
-	other.lead, other.cfg.HostName = nil, "n1"
+	other.leadership, other.cfg.HostName = nil, "n1"
 	other.links["n0"] = true
-	other.heard("n0", 1)
+	other.noteLeader("n0", 1)
 	var ask *PeerMsg
 	for _, o := range other.Step(other.now, UserCall{Ref: 1, Op: OpConfigStatus, Config: &ConfigCall{}}) {
 		switch o := o.(type) {
@@ -220,8 +220,8 @@
 			}
 		}
 	}
-	if told != 1 || other.leaderSpeaks != peerVersion {
-		t.Errorf("told %d times, the leader speaks %d", told, other.leaderSpeaks)
+	if told != 1 || other.leaderVersion != peerVersion {
+		t.Errorf("told %d times, the leader speaks %d", told, other.leaderVersion)
 	}
 	forwarded := false
 	for _, o := range other.Step(other.now, UserCall{Ref: 2, Op: OpConfigStatus, Config: &ConfigCall{}}) {
@@ -237,7 +237,7 @@
 // allowance that configuration has holds all of it.
 func TestWideChangeWaitsForItsRoom(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.lead.pipe.spend(configuration, c.now, 10) // two of twelve are left
+	c.leadership.pipe.spend(configuration, c.now, 10) // two of twelve are left
 	var wide []liveconfig.TeamChange
 	for i := range c.cfg.Settings.State.TxnOps - 1 {
 		wide = append(wide, liveconfig.TeamChange{Team: liveconfig.Team{Name: fmt.Sprint("w", i)}})
@@ -256,7 +256,7 @@
 			if after := c.now.Sub(began); after < time.Second || after > 1500*time.Millisecond {
 				t.Errorf("it goes after %s, ten changes come back in 1.1 s", after)
 			}
-			if room := c.lead.pipe.roomFor(configuration, c.now, 12); room > 0 {
+			if room := c.leadership.pipe.roomFor(configuration, c.now, 12); room > 0 {
 				t.Errorf("room for %d more", room)
 			}
 			return
@@ -273,7 +273,7 @@
 	c := leaderOf(t, 1)
 	st := c.cfg.Settings.State
 	rate := st.WriteRPS * configPart
-	c.lead.pipe.spend(configuration, c.now, st.TxnOps)
+	c.leadership.pipe.spend(configuration, c.now, st.TxnOps)
 	const piled = 40
 	asked, made := 0, 0
 	ask := func() []any {
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -56,20 +56,20 @@
 }
 
 func (c *Core) viewTeam(name string) (v TeamView, ok bool) {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	if v.Team, v.Revision, ok = conf.state.Team(name); !ok {
 		return v, false
 	}
 	v.Damaged = conf.damaged["team/"+name]
-	if t := c.lead.teams[name]; t != nil {
+	if t := c.leadership.teams[name]; t != nil {
 		v.InUse.CPUs, v.InUse.GPUs = float64(t.used.CPU)/1000, float64(t.used.GPU)/1000
 	}
 	return v, true
 }
 
 func (c *Core) listTeams(q *ConfigCall) TeamPage {
-	page := TeamPage{Revision: c.lead.conf.state.Revision, Teams: []TeamView{}}
-	names := c.lead.conf.state.Names()
+	page := TeamPage{Revision: c.leadership.conf.state.Revision, Teams: []TeamView{}}
+	names := c.leadership.conf.state.Names()
 	i, found := slices.BinarySearch(names, q.After)
 	if found {
 		i++
@@ -87,7 +87,7 @@
 
 // configStatus tells which revision is in force where, as the leader knows.
 func (c *Core) configStatus() ConfigStatus {
-	l := c.lead
+	l := c.leadership
 	conf := &l.conf
 	v := ConfigStatus{Revision: conf.state.Revision, Changes: conf.changes, Waiting: len(conf.waiting), SpreadS: conf.spread.Seconds(),
 		Damaged: slices.Sorted(maps.Keys(conf.damaged)), Refuses: c.cannotConfigure()}
@@ -111,7 +111,7 @@
 // confirmedAgo is how long ago the state service last confirmed what this leader goes by:
 // its authority counts from then.
 func (c *Core) confirmedAgo() time.Duration {
-	return max(0, c.leaseTiming.Authority()-c.lead.expiresAt.Sub(c.now))
+	return max(0, c.leaseTiming.Authority()-c.leadership.expiresAt.Sub(c.now))
 }
 
 // ConfigHere is the configuration that this node has, whoever leads.
@@ -122,7 +122,7 @@
 
 // ConfigHere returns what this node has.
 func (c *Core) ConfigHere() ConfigHere {
-	if l := c.lead; l != nil && l.loaded {
+	if l := c.leadership; l != nil && l.loaded {
 		return ConfigHere{l.conf.state.Revision, c.confirmedAgo().Seconds()}
 	}
 	since := c.configHeard
@@ -152,18 +152,18 @@
 // Where nothing was ever changed there is nothing to tell.
 func (c *Core) tellConfig() {
 	c.tellConfigOnce()
-	c.whenLeading(configTell, c.tellConfig)
+	c.afterWhileLeading(configTell, c.tellConfig)
 }
 
 func (c *Core) tellConfigOnce() {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	if conf.state.Revision == 0 {
 		return
 	}
 	c.askVersions()
 	for _, s := range c.cfg.Seeds {
 		if n := conf.nodes[s.HostName]; n != nil && n.speaks >= peerVersion && c.links[s.HostName] {
-			c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerConfig, Term: c.lead.term, Ref: conf.state.Revision}})
+			c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerConfig, Term: c.leadership.term, Ref: conf.state.Revision}})
 		}
 	}
 }
@@ -172,8 +172,8 @@
 // term has not come: their link to us comes up after ours to them.
 func (c *Core) askVersions() {
 	for _, s := range c.cfg.Seeds {
-		if c.lead.conf.nodes[s.HostName] == nil && c.links[s.HostName] {
-			c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerLeader, Term: c.lead.term, Speaks: peerVersion}})
+		if c.leadership.conf.nodes[s.HostName] == nil && c.links[s.HostName] {
+			c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerLeader, Term: c.leadership.term, Speaks: peerVersion}})
 		}
 	}
 }
@@ -185,12 +185,12 @@
 // askLeaderVersion asks the leader that we know for the version that it talks in: we may have
 // learned of it from the record, or its word went to the process before this one.
 func (c *Core) askLeaderVersion() {
-	c.emit(PeerSend{c.hint, PeerMsg{Kind: PeerAck, Term: max(1, c.termMax), Ref: tellVersion, Speaks: peerVersion}})
+	c.emit(PeerSend{c.knownLeader, PeerMsg{Kind: PeerAck, Term: max(1, c.highestTerm), Ref: tellVersion, Speaks: peerVersion}})
 }
 
 // peerSpeaks takes note of the version that another controller talks in.
 func (c *Core) peerSpeaks(from string, version uint64) {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	if conf.nodes[from] == nil {
 		conf.nodes[from] = &configNode{}
 	}
@@ -199,7 +199,7 @@
 
 // peerConfig: the leader tells which revision is in force, or another node which one it has.
 func (c *Core) peerConfig(from string, m PeerMsg) {
-	if l := c.lead; l != nil {
+	if l := c.leadership; l != nil {
 		if n := l.conf.nodes[from]; n != nil && m.Term == l.term {
 			n.revision = m.Ref
 			if n.revision >= l.conf.state.Revision {
@@ -209,7 +209,7 @@
 		}
 		return
 	}
-	if from != c.hint || m.Term != c.termMax {
+	if from != c.knownLeader || m.Term != c.highestTerm {
 		return
 	}
 	have := c.copiedRevision()
@@ -221,7 +221,7 @@
 
 // configSpread measures how long a revision takes to be known to all that are in reach.
 func (c *Core) configSpread() {
-	conf := &c.lead.conf
+	conf := &c.leadership.conf
 	if !conf.spreading {
 		return
 	}
--- a/internal/core/copies.go
+++ b/internal/core/copies.go
@@ -69,7 +69,7 @@
 // lastCopy returns the copy of the last leader that we know of, or nil without one, and
 // when the service is known to have lost data since.
 func (c *Core) lastCopy() *snapshot.Copy {
-	if k := c.bestCopy(); k != nil && k.Term == c.confirmed && c.lostWhy == "" {
+	if k := c.bestCopy(); k != nil && k.Term == c.confirmedTerm && c.lostWhy == "" {
 		return k
 	}
 	return nil
@@ -77,7 +77,7 @@
 
 // ownCopy returns the copy of the term that we lead, or nil.
 func (c *Core) ownCopy() *snapshot.Copy {
-	if own := c.copies.own; own != nil && c.lead != nil && own.Term == c.lead.term {
+	if own := c.copies.own; own != nil && c.leadership != nil && own.Term == c.leadership.term {
 		return own
 	}
 	return nil
@@ -113,14 +113,14 @@
 		k.Put(r.Key, r.Value, r.Rev)
 	}
 	for _, s := range c.cfg.Seeds {
-		c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerAlone, Term: c.confirmed, Copy: &snapshot.Line{Term: c.confirmed, Session: 1, Puts: []snapshot.Record{r}}}})
+		c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerAlone, Term: c.confirmedTerm, Copy: &snapshot.Line{Term: c.confirmedTerm, Session: 1, Puts: []snapshot.Record{r}}}})
 	}
 }
 
 // peerAlone takes in a job that another node has accepted without a leader.
 func (c *Core) peerAlone(line *snapshot.Line) {
 	k := c.bestCopy()
-	if c.lead != nil || k == nil || k.Term != line.Term {
+	if c.leadership != nil || k == nil || k.Term != line.Term {
 		return // a leader takes it on by its note
 	}
 	for _, r := range line.Puts {
@@ -141,7 +141,7 @@
 	}
 	own.Seq++
 	for _, s := range c.cfg.Seeds {
-		if h := c.lead.holders[s.HostName]; h != nil {
+		if h := c.leadership.holders[s.HostName]; h != nil {
 			c.sendCopy(s.HostName, h.Change(own, puts, drops))
 		}
 	}
@@ -172,13 +172,13 @@
 }
 
 func (c *Core) sendCopy(to string, line snapshot.Line) {
-	c.emit(PeerSend{to, PeerMsg{Kind: PeerCopy, Term: max(1, c.termMax), Copy: &line}})
+	c.emit(PeerSend{to, PeerMsg{Kind: PeerCopy, Term: max(1, c.highestTerm), Copy: &line}})
 }
 
 // supplyCopies has every controller in reach supplied with a copy: any of them may have
 // to go on by it, and none accepts a job without a leader that lacks one.
 func (c *Core) supplyCopies() {
-	l := c.lead
+	l := c.leadership
 	if c.ownCopy() == nil {
 		return
 	}
@@ -189,7 +189,7 @@
 		l.holders[s.HostName] = snapshot.NewSender(c.rng.Uint64()|1, c.copies.own)
 		if !l.copying {
 			l.copying = true
-			c.whenLeading(0, c.copyMore)
+			c.afterWhileLeading(0, c.copyMore)
 		}
 	}
 }
@@ -197,7 +197,7 @@
 // wholeCopies names the controllers that have a whole copy of the records, this one aside.
 func (c *Core) wholeCopies() (names []string) {
 	for _, s := range c.cfg.Seeds {
-		if h := c.lead.holders[s.HostName]; h != nil && h.Whole() {
+		if h := c.leadership.holders[s.HostName]; h != nil && h.Whole() {
 			names = append(names, s.HostName)
 		}
 	}
@@ -206,7 +206,7 @@
 
 // copyMore sends a part of the base to those that have not got all of it, some to each.
 func (c *Core) copyMore() {
-	l := c.lead
+	l := c.leadership
 	l.copying = false
 	lacking := 0
 	for _, h := range l.holders {
@@ -223,14 +223,14 @@
 		}
 	}
 	if l.copying {
-		c.whenLeading(copyEvery, c.copyMore)
+		c.afterWhileLeading(copyEvery, c.copyMore)
 	}
 }
 
 // peerCopy takes in a line of a copy: of the leader's, or of one that we have asked for.
 func (c *Core) peerCopy(from string, line *snapshot.Line) {
 	h := &c.copies.held
-	if l := c.lead; l != nil {
+	if l := c.leadership; l != nil {
 		if l.gather == nil && l.endsFrom == from && from != "" {
 			c.learnEnds(line)
 			return
@@ -240,7 +240,7 @@
 		}
 		h = &l.gather.coming
 		l.gather.until = c.now.Add(wantWithin)
-	} else if from != c.hint || line.Term > c.termMax {
+	} else if from != c.knownLeader || line.Term > c.highestTerm {
 		return // of nobody who leads
 	}
 	if err := h.Take(line, finalKeys, finalsMost(c.cfg)); err != nil {
@@ -252,7 +252,7 @@
 	for i := range line.Puts {
 		c.known.Rev = max(c.known.Rev, line.Puts[i].Rev)
 	}
-	if c.lead != nil && h.Copy() != nil {
+	if c.leadership != nil && h.Copy() != nil {
 		c.rebuilt()
 	}
 }
@@ -261,7 +261,7 @@
 // Not sooner, however far the terms have gone on: after a loss they go on far above the last
 // one, and what we have is then the newest that there is.
 func (c *Core) dropOwnCopy() {
-	if own, held := c.copies.own, c.copies.held.Copy(); c.lead == nil && own != nil && held != nil && held.Term > own.Term {
+	if own, held := c.copies.own, c.copies.held.Copy(); c.leadership == nil && own != nil && held != nil && held.Term > own.Term {
 		c.copies.own = nil
 	}
 }
@@ -269,7 +269,7 @@
 // learnEnds takes in how jobs have ended, from the copy of another: what the service has of
 // them it may have lost without a word, and a process that has just begun remembers none.
 func (c *Core) learnEnds(line *snapshot.Line) {
-	l := c.lead
+	l := c.leadership
 	own := c.ownCopy()
 	if own == nil || line.Term >= l.term || l.ends.Take(line, finalKeys, finalsMost(c.cfg)) != nil {
 		return // it can do without
@@ -303,7 +303,7 @@
 
 // copyAgain begins a stream anew whose lines did not all arrive.
 func (c *Core) copyAgain(from string, session uint64) {
-	if l := c.lead; l != nil {
+	if l := c.leadership; l != nil {
 		if h := l.holders[from]; h != nil && h.Session() == session {
 			delete(l.holders, from)
 		}
@@ -331,7 +331,7 @@
 		return
 	}
 	line, more := x.sender.Base(x.copy, copyPart, copyBytes, copySize)
-	if !more || c.lead != nil && c.lead.gather == nil {
+	if !more || c.leadership != nil && c.leadership.gather == nil {
 		delete(c.copies.lends, name)
 		return
 	}
--- a/internal/core/copies_test.go
+++ b/internal/core/copies_test.go
@@ -11,13 +11,13 @@
 // later term has come. (It was dropped by the distance of the terms, and an older one lent.)
 func TestOwnCopyOutlivesAJumpOfTerms(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.lead, c.cfg.HostName = nil, "n1"
+	c.leadership, c.cfg.HostName = nil, "n1"
 	c.copies.own = snapshot.New(5, 2, finalKeys, 10)
 	c.knowEra(9, 188, 1)
 	if k := c.bestCopy(); k == nil || k.Term != 2 {
 		t.Fatal("the copy is gone")
 	}
-	c.hint, c.termMax = "n0", 188
+	c.knownLeader, c.highestTerm = "n0", 188
 	c.peerCopy("n0", &snapshot.Line{Era: 9, Term: 188, Session: 1, Number: 1})
 	if k := c.bestCopy(); k.Term != 2 {
 		t.Fatal("the copy is gone before the next one is whole")
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -56,38 +56,38 @@
 	wander time.Duration
 	began  time.Time // the first input
 
-	life          uint64 // of this process: tells it from one of the same name that ended before
-	ref           uint64
-	stores        map[uint64]func(StoreReply)
-	clouds        map[uint64]func(CloudReply)
-	probes        map[uint64]func(ProbeReply)
-	calls         map[uint64]*forwarded // users' requests at the leader's
-	wake          byTime[func()]        // alarms: a large fleet has one for nearly every machine
-	lead          *leadership
-	hint          string        // who leads, as far as we know
-	leaderSpeaks  uint64        // the version that it talks in
-	configHeard   time.Time     // when the leader last told us that our configuration is the newest
-	termMax       uint64        // the highest term heard of
-	claimRef      uint64        // calls numbered up to this one were made before it was heard of
-	keyRev        uint64        // of the leader's key when it was last read
-	firstRev      uint64        // of the state service when it first answered this process
-	known         rebuild.Known // what we have seen of the state service
-	lostWhy       string        // why it must have lost data, until somebody leads who knows
-	led           uint64        // the last term that we led
-	copies        copies
-	confirmed     uint64 // the newest that the state service has told us of
-	confirmedRev  uint64 // at which it is on record
-	links         map[string]bool
-	apart         time.Time                       // since when we have no link to the leader that we know
-	final         *lru.Cache[string, FinalRecord] // how recent jobs ended
-	relay         relaying
-	passed        time.Time      // when we last handed over
-	instanceTypes []InstanceType // as read while not leading
-	alone         *rate.Limiter
-	reads         *rate.Limiter
-	stateUp       bool
-	served        time.Time // when the state service last served us
-	late          int64     // reports that were older than what was known
+	processID             uint64 // of this process: tells it from one of the same name that ended before
+	ref                   uint64
+	stores                map[uint64]func(StoreReply)
+	clouds                map[uint64]func(CloudReply)
+	probes                map[uint64]func(ProbeReply)
+	calls                 map[uint64]*forwarded // users' requests at the leader's
+	wake                  byTime[func()]        // alarms: a large fleet has one for nearly every machine
+	leadership            *leadership
+	knownLeader           string        // who leads, as far as we know
+	leaderVersion         uint64        // the version that it talks in
+	configHeard           time.Time     // when the leader last told us that our configuration is the newest
+	highestTerm           uint64        // the highest term heard of
+	lastClaimRef          uint64        // calls numbered up to this one were made before it was heard of
+	leaderKeyRevision     uint64        // of the leader's key when it was last read
+	firstStoreRevision    uint64        // of the state service when it first answered this process
+	known                 rebuild.Known // what we have seen of the state service
+	lostWhy               string        // why it must have lost data, until somebody leads who knows
+	lastLedTerm           uint64        // the last term that we led
+	copies                copies
+	confirmedTerm         uint64 // the newest that the state service has told us of
+	confirmedTermRevision uint64 // at which it is on record
+	links                 map[string]bool
+	leaderLinkLostAt      time.Time                       // since when we have no link to the leader that we know
+	final                 *lru.Cache[string, FinalRecord] // how recent jobs ended
+	relay                 relaying
+	handedOverAt          time.Time      // when we last handed over
+	instanceTypes         []InstanceType // as read while not leading
+	alone                 *rate.Limiter
+	reads                 *rate.Limiter
+	stateUp               bool
+	served                time.Time // when the state service last served us
+	late                  int64     // reports that were older than what was known
 
 	report, lease time.Duration
 	leaseTiming   lapse.Timing
@@ -109,7 +109,7 @@
 	// the leader answers to a call of the former one reaches the new one's link. Were both
 	// to count from 1, a user would be told about somebody else's job.
 	lives := rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03))
-	c.life = lives.Uint64()>>11 | 1 // what JSON readers of any kind take whole
+	c.processID = lives.Uint64()>>11 | 1 // what JSON readers of any kind take whole
 	c.ref = lives.Uint64N(1 << 48)
 	c.leaseTiming = lapse.Timing{LeaderLease: leaseTTL, WorkerLease: c.lease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
 	return c
@@ -129,7 +129,7 @@
 		if short := c.leaseTiming.Shortfall(); short != "" {
 			c.note(slog.LevelWarn, "settings leave little room", "field", "workers.cancel_s", "lease", c.lease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
 		}
-		c.watch()
+		c.watchLeader()
 		if len(c.cfg.Seeds) > 0 {
 			c.relayTick()
 			// Not at once: a process that ends again and again would use up what calls
@@ -160,11 +160,11 @@
 	case Leave:
 		c.leave()
 	}
-	if c.lead != nil {
-		c.leadPump()
+	if c.leadership != nil {
+		c.runLeader()
 		c.repliesOut()
 	}
-	if c.lead == nil {
+	if c.leadership == nil {
 		c.relayPump()
 	}
 	return c.out
@@ -282,20 +282,20 @@
 // Ready reports whether the node can take requests: it leads, or knows who
 // does, or can at least read the state service for its users.
 func (c *Core) Ready() bool {
-	if l := c.lead; l != nil {
+	if l := c.leadership; l != nil {
 		// Out of authority, and no peer in reach that would know of another leader:
 		// users are served better anywhere else.
-		alone := len(c.cfg.Seeds) > 0 && l.suspended && c.now.Sub(l.expiresAt) > apartFor && !c.anyLink()
+		alone := len(c.cfg.Seeds) > 0 && l.suspended && c.now.Sub(l.expiresAt) > readyWithoutLink && !c.hasAnyLink()
 		return l.loaded && !alone
 	}
-	return c.hint != "" && (c.links[c.hint] || c.stateUp && c.now.Sub(c.apart) < apartFor)
+	return c.knownLeader != "" && (c.links[c.knownLeader] || c.stateUp && c.now.Sub(c.leaderLinkLostAt) < readyWithoutLink)
 }
 
-// linked reports whether we know who leads and have a link to it.
-func (c *Core) linked() bool { return c.hint != "" && c.links[c.hint] }
+// hasLeaderLink reports whether we know who leads and have a link to it.
+func (c *Core) hasLeaderLink() bool { return c.knownLeader != "" && c.links[c.knownLeader] }
 
-// anyLink reports whether we have a link to any other controller.
-func (c *Core) anyLink() bool {
+// hasAnyLink reports whether we have a link to any other controller.
+func (c *Core) hasAnyLink() bool {
 	for _, up := range c.links {
 		if up {
 			return true
@@ -304,14 +304,14 @@
 	return false
 }
 
-// apartFor is how long a node that has lost its link to the leader counts as
+// readyWithoutLink is how long a node that has lost its link to the leader counts as
 // ready all the same: a change of leader is over sooner. Without the link it can
 // only send submissions away; those who ask should be led to other nodes.
-const apartFor = 4 * time.Second
+const readyWithoutLink = 4 * time.Second
 
 // HasAuthority reports whether the node leads and has authority at the given time.
 func (c *Core) HasAuthority(now time.Time) bool {
-	return c.lead != nil && now.Before(c.lead.expiresAt) && c.clockSkew(now)-c.lead.clockSkew < lapse.MaxHiddenPause
+	return c.leadership != nil && now.Before(c.leadership.expiresAt) && c.clockSkew(now)-c.leadership.clockSkew < lapse.MaxHiddenPause
 }
 
 // clockSkew is how far the time of day has run ahead of the steady clock so far. A machine that
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -23,7 +23,7 @@
 		t.Error("the last term's attempts turn round")
 	}
 	c := leaderOf(t, 1)
-	l := c.lead
+	l := c.leadership
 	m := l.fleet[0]
 	m.held, m.fencingToken = &heldReport{holdKey: holdKey{ref: 9}}, l.term
 	j := newJob(c, 1, 3, testRand())
@@ -37,8 +37,8 @@
 		t.Error("no start, and there are attempts left")
 	}
 	c.out = c.out[:0]
-	c.tickLead()
-	if c.lead != nil {
+	c.tickLeader()
+	if c.leadership != nil {
 		t.Fatal("the term goes on")
 	}
 	for _, o := range c.out {
@@ -53,7 +53,7 @@
 // at once, for ever.
 func TestStrangeConflict(t *testing.T) {
 	c := leaderOf(t, 0)
-	p := &c.lead.pipe
+	p := &c.leadership.pipe
 	ch := &change{writes: []Write{{Key: "a", Value: &TermRecord{Term: 1}}}}
 	c.batchDone([]*change{ch}, StoreReply{Outcome: Conflict, FailedKeys: []string{"something else"}})
 	if !p.pause.After(c.now) || len(p.waits[urgent]) != 1 {
@@ -65,7 +65,7 @@
 // behind the others.
 func TestMalformedChange(t *testing.T) {
 	c := leaderOf(t, 0)
-	p := &c.lead.pipe
+	p := &c.leadership.pipe
 	bad, good := &change{writes: []Write{{Key: "a"}}}, &change{writes: []Write{{Key: "b"}}}
 	c.batchDone([]*change{bad, good}, StoreReply{Outcome: Invalid})
 	p.take(&p.waits[urgent], 9)
@@ -147,7 +147,7 @@
 // in the end than early on. What it forgets comes back by no late report.
 func TestMonths(t *testing.T) {
 	c := leaderOf(t, 2)
-	l := c.lead
+	l := c.leadership
 	l.expiresAt = t0.Add(1e6 * time.Hour)
 	c.leaseTiming.CancelTimeout = 0 // no hold
 	now, rev := t0, uint64(10)
@@ -196,7 +196,7 @@
 		return statuses[ref]
 	}
 	stay := slices.Clone(l.fleet)
-	c.tickLead()
+	c.tickLeader()
 	c.out = nil
 	const day, days = 720, 60
 	var early, ran int
@@ -239,7 +239,7 @@
 			now = now.Add(500 * time.Millisecond)
 			done(Tick{})
 		}
-		if c.lead != l {
+		if c.leadership != l {
 			t.Fatal("leadership lost")
 		}
 		r.Counter++
@@ -268,7 +268,7 @@
 func TestClockStopped(t *testing.T) {
 	c := leaderOf(t, 1)
 	c.began = t0
-	l := c.lead
+	l := c.leadership
 	j := newJob(c, 1, 1, testRand())
 	c.book(j)
 	if !c.HasAuthority(t0) {
@@ -310,7 +310,7 @@
 // its job is answered 503; the others are served.
 func TestPoisonedRecord(t *testing.T) {
 	c := leaderOf(t, 1)
-	l := c.lead
+	l := c.leadership
 	bad := &JobRecord{Spec: JobSpec{ID: "wk-1", Owner: "t", Tasks: -1000}} // no bitset has so few members
 	good := &JobRecord{Spec: JobSpec{ID: "wk-2", Owner: "t", Tasks: 2}}
 	c.loadEntry(Entry{Key: jobKeys + "wk-1", Value: bad, Rev: 3})
@@ -346,7 +346,7 @@
 // asserts that this is so; should reports carry a proof one day it turns red.
 func TestReportsCarryNoProof(t *testing.T) {
 	c := leaderOf(t, 1)
-	m := c.lead.fleet[0]
+	m := c.leadership.fleet[0]
 	status := func(counter uint64) int {
 		for _, o := range c.Step(c.now.Add(time.Second), ReportIn{Ref: counter, Report: Report{Host: m.host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 1}}) {
 			if a, ok := o.(AnswerReport); ok && a.Ref == counter {
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -9,10 +9,10 @@
 
 // How a controller learns who leads, and stands for election when nobody does.
 
-// watch reads who leads, follows the key, and stands for election when nobody
+// watchLeader reads who leads, follows the key, and stands for election when nobody
 // does.
-func (c *Core) watch() {
-	if c.lead != nil {
+func (c *Core) watchLeader() {
+	if c.leadership != nil {
 		return
 	}
 	// A list tells the revision of the whole store, from which the key is then
@@ -21,34 +21,34 @@
 	// again and again, by every node, until the service serves nobody else.
 	asked := c.ref
 	c.store(StoreCall{Op: StoreList, Key: leaderKey, Limit: 1}, func(r StoreReply) {
-		if r.Outcome == OK && c.firstRev == 0 {
-			c.firstRev = max(1, r.Rev)
+		if r.Outcome == OK && c.firstStoreRevision == 0 {
+			c.firstStoreRevision = max(1, r.Rev)
 		}
 		switch {
-		case c.lead != nil:
+		case c.leadership != nil:
 		case r.Outcome != OK:
-			c.after(c.jitter(400*time.Millisecond), c.watch)
+			c.after(c.jitter(400*time.Millisecond), c.watchLeader)
 		case len(r.Entries) == 0 || r.Entries[0].Key != leaderKey:
 			// A small random delay keeps the nodes from all standing at once. One without
 			// a copy of the records leaves it to others first.
 			wait := c.jitter(40 * time.Millisecond)
 			if c.bestCopy() == nil && len(c.cfg.Seeds) > 0 {
-				wait += emptyLater
+				wait += noReplicaDelay
 			}
-			c.after(wait, func() { c.stand(0) })
+			c.after(wait, func() { c.campaign(0) })
 		default:
-			c.watchRecord(r.Entries[0], r.Rev, asked)
+			c.followLeaderRecord(r.Entries[0], r.Rev, asked)
 		}
 	})
 }
 
-// watchRecord follows the leader's key, which is there.
-func (c *Core) watchRecord(e Entry, from, asked uint64) {
+// followLeaderRecord follows the leader's key, which is there.
+func (c *Core) followLeaderRecord(e Entry, from, asked uint64) {
 	rec, _ := e.Value.(*LeaderRecord)
-	known := e.Rev == c.keyRev
-	c.keyRev = e.Rev
+	known := e.Rev == c.leaderKeyRevision
+	c.leaderKeyRevision = e.Rev
 	if rec != nil {
-		c.recordedLeader(rec, e.Rev, asked)
+		c.adoptRecordedLeader(rec, e.Rev, asked)
 	} else if !known {
 		c.note(slog.LevelError, "record is unreadable", "key", e.Key, "effect", "if its grant lives its leader goes on, unknown to us")
 	}
@@ -63,16 +63,16 @@
 	c.store(StoreCall{Op: StoreGet, Key: leaderKey}, func(r StoreReply) {
 		still := r.Outcome == OK && r.Entries[0].Rev == e.Rev
 		switch {
-		case c.lead != nil:
+		case c.leadership != nil:
 		case still && r.Entries[0].LeaseID == 0:
 			c.note(slog.LevelError, "leader's key has no grant, it is taken over", "key", e.Key)
-			c.after(c.jitter(40*time.Millisecond), func() { c.stand(e.Rev) })
+			c.after(c.jitter(40*time.Millisecond), func() { c.campaign(e.Rev) })
 		case own && still:
 			c.revokeFormerLease(r.Entries[0], rec, from)
 		case own:
-			c.after(c.jitter(40*time.Millisecond), c.watch)
+			c.after(c.jitter(40*time.Millisecond), c.watchLeader)
 		case rec == nil:
-			c.after(c.jitter(time.Second), c.watch)
+			c.after(c.jitter(time.Second), c.watchLeader)
 		default:
 			c.watchLeaderKey(from)
 		}
@@ -87,7 +87,7 @@
 // was written under our name after this process had begun to read is neither, but a
 // transaction that came late, or a second process of this name; it runs out by itself.
 func (c *Core) revokeFormerLease(e Entry, rec *LeaderRecord, from uint64) {
-	if rec.Life != c.life && e.Rev > c.firstRev {
+	if rec.Life != c.processID && e.Rev > c.firstStoreRevision {
 		c.note(slog.LevelError, "another process leads under this node's name, or a late transaction says so", "key", e.Key, "term", rec.Term)
 		c.watchLeaderKey(from)
 		return
@@ -95,7 +95,7 @@
 	c.note(slog.LevelInfo, "the grant of a former process is given back", "term", rec.Term)
 	c.store(StoreCall{Op: StoreRevokeLease, LeaseID: e.LeaseID}, func(d StoreReply) {
 		if d.Outcome == OK || d.Outcome == NotFound {
-			c.watch()
+			c.watchLeader()
 		} else {
 			c.watchLeaderKey(from)
 		}
@@ -116,65 +116,65 @@
 	call.Block = leaderWatchTimeout
 	c.store(call, func(r StoreReply) {
 		if r.Outcome == OK {
-			c.watch()
+			c.watchLeader()
 		} else {
-			c.after(c.jitter(400*time.Millisecond), c.watch)
+			c.after(c.jitter(400*time.Millisecond), c.watchLeader)
 		}
 	})
 }
 
-// recordedLeader takes note of the leader that the state service names. That goes
+// adoptRecordedLeader takes note of the leader that the state service names. That goes
 // above everything that peers have said, unless it was read before they said it: an answer
 // that has been on its way for long must not have a term forgotten that we have taken note
 // of. Its leader counts on our not passing on an older one's replies any more.
-func (c *Core) recordedLeader(rec *LeaderRecord, rev, asked uint64) {
-	if rec.Term < c.termMax {
-		if asked < c.claimRef {
+func (c *Core) adoptRecordedLeader(rec *LeaderRecord, rev, asked uint64) {
+	if rec.Term < c.highestTerm {
+		if asked < c.lastClaimRef {
 			return
 		}
 		if rec.Term < c.known.Term && rec.Era == c.known.Era {
 			c.suspect("the term on record is older than one that was")
 		}
-		c.note(slog.LevelWarn, "a term that was claimed never was", "claimed", c.termMax, "term", rec.Term)
-		c.termMax = rec.Term
+		c.note(slog.LevelWarn, "a term that was claimed never was", "claimed", c.highestTerm, "term", rec.Term)
+		c.highestTerm = rec.Term
 	}
-	c.heard(rec.Node, rec.Term)
-	c.confirmed, c.confirmedRev = rec.Term, rev
+	c.noteLeader(rec.Node, rec.Term)
+	c.confirmedTerm, c.confirmedTermRevision = rec.Term, rev
 	c.knowEra(rec.Era, rec.Term, rec.Life)
 }
 
-// heard takes note of a leader.
-func (c *Core) heard(node string, term uint64) {
-	if term < c.termMax {
+// noteLeader takes note of a leader.
+func (c *Core) noteLeader(node string, term uint64) {
+	if term < c.highestTerm {
 		return
 	}
-	if term > c.termMax || c.hint != node {
+	if term > c.highestTerm || c.knownLeader != node {
 		c.note(slog.LevelInfo, "leader known", "leader", node, "term", term)
 	}
-	if c.hint != node {
-		c.apart, c.leaderSpeaks = c.now, 0
+	if c.knownLeader != node {
+		c.leaderLinkLostAt, c.leaderVersion = c.now, 0
 	}
-	if term > c.termMax {
-		c.claimRef = c.ref
+	if term > c.highestTerm {
+		c.lastClaimRef = c.ref
 	}
-	c.termMax = term
+	c.highestTerm = term
 	if node == c.cfg.HostName {
 		node = "" // our own earlier life: its key lasts until its grant ends
 	}
-	c.hint = node
+	c.knownLeader = node
 }
 
-// stand stands for election: one transaction takes the leader's key, which must be
+// campaign stands for election: one transaction takes the leader's key, which must be
 // at a revision (0: not there), under a short grant and raises the term.
-func (c *Core) stand(keyRev uint64) {
-	if c.lead != nil {
+func (c *Core) campaign(keyRev uint64) {
+	if c.leadership != nil {
 		return
 	}
-	if wait := c.passed.Add(passedFor).Sub(c.now); wait > 0 {
-		c.after(wait, c.watch)
+	if wait := c.handedOverAt.Add(handOverCooldown).Sub(c.now); wait > 0 {
+		c.after(wait, c.watchLeader)
 		return
 	}
-	retry := func() { c.after(c.jitter(200*time.Millisecond), c.watch) }
+	retry := func() { c.after(c.jitter(200*time.Millisecond), c.watchLeader) }
 	sent, ahead := c.now, c.clockSkew(c.now) // authority counts from before the grant was asked for
 	c.store(StoreCall{Op: StoreGrantLease, TTL: leaseTTL}, func(g StoreReply) {
 		if g.Outcome != OK {
@@ -214,7 +214,7 @@
 			}
 			c.store(StoreCall{Op: StoreTxn,
 				Conditions: []Condition{{leaderKey, keyRev}, {termKey, rev}},
-				Writes:     []Write{{leaderKey, &LeaderRecord{c.cfg.HostName, term, c.life, era}, g.LeaseID}, {termKey, &TermRecord{term, era}, 0}},
+				Writes:     []Write{{leaderKey, &LeaderRecord{c.cfg.HostName, term, c.processID, era}, g.LeaseID}, {termKey, &TermRecord{term, era}, 0}},
 			}, func(r StoreReply) {
 				// What was heard of terms does not count here, only the record: a
 				// peer may say anything. An answer that comes this late finds the
@@ -223,10 +223,10 @@
 					drop()
 					return
 				}
-				ours := c.led != 0 && c.led == before.Term
-				c.begin(term, r.Rev, g.LeaseID, sent, ahead)
-				c.lead.gather = &gathering{ours: ours, before: before, found: found, lost: c.lostWhy, told: map[string]*Knowledge{}, tried: map[string]bool{}}
-				c.known = c.known.Next(era, term, c.life)
+				ours := c.lastLedTerm != 0 && c.lastLedTerm == before.Term
+				c.becomeLeader(term, r.Rev, g.LeaseID, sent, ahead)
+				c.leadership.gather = &gathering{ours: ours, before: before, found: found, lost: c.lostWhy, told: map[string]*Knowledge{}, tried: map[string]bool{}}
+				c.known = c.known.Next(era, term, c.processID)
 				c.known.Rev = max(c.known.Rev, r.Rev)
 				c.ask()
 				c.load("")
@@ -243,16 +243,16 @@
 // above the revision at hand is above them all.
 func (c *Core) nextTerm(t StoreReply) (term, rev uint64) {
 	if t.Outcome == NotFound {
-		if term = max(t.Rev, c.confirmed, c.known.Term) + 1; t.Rev > 0 {
+		if term = max(t.Rev, c.confirmedTerm, c.known.Term) + 1; t.Rev > 0 {
 			c.note(slog.LevelWarn, "no term is on record, going on above the state service's revision", "key", termKey, "term", term)
 		}
 		return term, 0
 	}
 	e := t.Entries[0]
 	if rec, _ := e.Value.(*TermRecord); rec != nil {
-		return max(rec.Term, c.confirmed, c.known.Term) + 1, e.Rev // the record may be of an old copy
+		return max(rec.Term, c.confirmedTerm, c.known.Term) + 1, e.Rev // the record may be of an old copy
 	}
-	term = max(e.Rev, c.confirmed, c.known.Term) + 1
+	term = max(e.Rev, c.confirmedTerm, c.known.Term) + 1
 	c.note(slog.LevelError, "record is unreadable", "key", termKey, "effect", "terms go on above its revision", "term", term)
 	return term, e.Rev
 }
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -45,9 +45,9 @@
 			Site     string `toml:"site"`
 			Endpoint string `toml:"endpoint"`
 		}{HostName: "n1"})
-		c.lead.sched.loaded = true
-		flavors := c.lead.rent.instanceTypes
-		c.tickLead()
+		c.leadership.sched.loaded = true
+		flavors := c.leadership.rent.instanceTypes
+		c.tickLeader()
 		counter := uint64(10)
 		hosts := []string{"host-000000", "host-000001", "host-000002", "host-x", "a"}
 		jobs := []string{"wk-1", "wk-2", "wk-3", "wk-99"}
@@ -61,8 +61,8 @@
 				Incarnation: 1, FencingToken: 1, HasNotice: next()%9 == 0, Notice: difference()}
 			counter++
 			r.Counter = counter
-			if c.lead != nil {
-				r.FencingToken = c.lead.term
+			if c.leadership != nil {
+				r.FencingToken = c.leadership.term
 			}
 			switch next() % 12 { // now and then it says what no worker should
 			case 0:
@@ -76,7 +76,7 @@
 				r.Tasks = append(r.Tasks, TaskReport{Task: task(), Try: num(), Phase: []Phase{Pulling, TaskRuns, Checkpointing, Exited}[next()%4], Cause: pick(CauseDone, CauseError, CauseNoRoom, CauseStopped, "?", "")})
 			}
 			for range next() % 3 { // what it was told to start
-				if m := c.lead; m != nil && len(m.fleet) > 0 {
+				if m := c.leadership; m != nil && len(m.fleet) > 0 {
 					for _, x := range m.fleet[next()%len(m.fleet)].runs {
 						r.Tasks = append(r.Tasks, TaskReport{Task: x.id, Try: x.try, Phase: []Phase{TaskRuns, Exited}[next()%2], Cause: CauseDone})
 					}
@@ -87,15 +87,15 @@
 		var calls []any
 		step := func(in any) {
 			c.now = c.now.Add([]time.Duration{time.Millisecond, 50 * time.Millisecond, time.Second, time.Minute}[next()%4])
-			if c.lead == nil && next()%3 == 0 {
+			if c.leadership == nil && next()%3 == 0 {
 				rev := num()
 				c.after(0, func() { // in the step, so that what it asks for is asked
-					if c.lead == nil {
-						c.begin(min(c.confirmed+1, 1<<20), rev, 1, c.now, 0)
+					if c.leadership == nil {
+						c.becomeLeader(min(c.confirmedTerm+1, 1<<20), rev, 1, c.now, 0)
 					}
 				})
 			}
-			if l := c.lead; l != nil && next()%20 > 0 {
+			if l := c.leadership; l != nil && next()%20 > 0 {
 				l.expiresAt = c.now.Add(time.Minute)
 			}
 			for _, o := range slices.Clone(c.Step(c.now, in)) {
@@ -139,18 +139,18 @@
 				case 0: // a relay that is in order
 					fold := relay.NewFold(uint64(next()) + 1)
 					for range 1 + next()%3 {
-						step(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: max(1, c.termMax), Reports: fold.Batch([]relay.Item{fold.Item(uint64(next()%3), &rep)}, []uint64{uint64(next() % 3)})}})
+						step(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: max(1, c.highestTerm), Reports: fold.Batch([]relay.Item{fold.Item(uint64(next()%3), &rep)}, []uint64{uint64(next() % 3)})}})
 						rep.Counter++
 					}
 				case 1: // one that is not
-					step(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: max(1, c.termMax), Reports: &relay.Batch{Session: num(), Number: num(), Left: []uint64{num()},
+					step(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: max(1, c.highestTerm), Reports: &relay.Batch{Session: num(), Number: num(), Left: []uint64{num()},
 						Reports: []relay.Item{{Ref: num(), Handle: num(), Incarnation: num(), Counter: num(), FencingToken: num(), Dropped: []int{next() - 9}}}}}})
 				case 2: // a leader's replies
 					rs := &relay.Replies{Session: num(), Again: next()%4 == 0, List: []relay.Reply{{Ref: ref - uint64(next()%9)}, {Ref: ref, Status: 421, Upstream: "n2"}}}
 					if c.relay.fold != nil && next()%2 == 0 {
 						rs.Session = c.relay.fold.Session()
 					}
-					step(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReplies, Term: max(1, c.termMax), Replies: rs}})
+					step(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReplies, Term: max(1, c.highestTerm), Replies: rs}})
 				}
 			default:
 				if len(calls) == 0 {
@@ -165,8 +165,8 @@
 					if call.Op == StoreKeepAlive && next()%40 > 0 {
 						outcome = OK
 					}
-					if l := c.lead; l != nil && call.Key == termKey && next()%4 > 0 {
-						step(StoreReply{Ref: call.Ref, Entries: []Entry{{Key: termKey, Value: &TermRecord{Term: l.term}, Rev: l.termRev}}})
+					if l := c.leadership; l != nil && call.Key == termKey && next()%4 > 0 {
+						step(StoreReply{Ref: call.Ref, Entries: []Entry{{Key: termKey, Value: &TermRecord{Term: l.term}, Rev: l.termRevision}}})
 						continue
 					}
 					r := StoreReply{Ref: call.Ref, Outcome: outcome, Rev: num(), LeaseID: 1, FailedKeys: []string{pick("x", jobKeys+"wk-1", finalKeys+"wk-2", "y", termKey)}, More: next()%4 == 0}
--- a/internal/core/gather.go
+++ b/internal/core/gather.go
@@ -13,11 +13,11 @@
 
 // How long a new leader waits for what the others know.
 const (
-	askEvery   = 100 * time.Millisecond
-	emptyLater = 150 * time.Millisecond
-	askWithin  = 300 * time.Millisecond // peers are left to answer a new leader
-	askFirst   = time.Second            // the same where nothing is known and nothing on record
-	wantWithin = 5 * time.Second        // a peer is left to send its copy
+	askEvery       = 100 * time.Millisecond
+	noReplicaDelay = 150 * time.Millisecond
+	askWithin      = 300 * time.Millisecond // peers are left to answer a new leader
+	askFirst       = time.Second            // the same where nothing is known and nothing on record
+	wantWithin     = 5 * time.Second        // a peer is left to send its copy
 	// earlierRead is how many jobs that a copy has and the service has not are asked after
 	// at a take-over, one read each; for more all that have ended are listed.
 	earlierRead = 50
@@ -53,29 +53,29 @@
 // ask begins to gather.
 func (c *Core) ask() {
 	c.askMore()
-	c.whenLeading(askWithin, c.rebuilt)
-	c.whenLeading(askFirst, c.rebuilt)
-	c.whenLeading(withDrift(leaseTTL)+time.Millisecond, c.rebuilt)
+	c.afterWhileLeading(askWithin, c.rebuilt)
+	c.afterWhileLeading(askFirst, c.rebuilt)
+	c.afterWhileLeading(withDrift(leaseTTL)+time.Millisecond, c.rebuilt)
 }
 
 // askMore asks those again who have not told: their link to a process that has just begun
 // comes up later than its own to them.
 func (c *Core) askMore() {
-	g := c.lead.gather
+	g := c.leadership.gather
 	if g == nil || g.merged {
 		return
 	}
 	for _, p := range c.cfg.Seeds {
 		if g.told[p.HostName] == nil {
-			c.emit(PeerSend{p.HostName, PeerMsg{Kind: PeerAsk, Term: c.lead.term}})
+			c.emit(PeerSend{p.HostName, PeerMsg{Kind: PeerAsk, Term: c.leadership.term}})
 		}
 	}
-	c.whenLeading(askEvery, c.askMore)
+	c.afterWhileLeading(askEvery, c.askMore)
 }
 
 // tells takes in what a peer knows.
 func (c *Core) tells(from string, k *Knowledge) {
-	l := c.lead
+	l := c.leadership
 	if g := l.gather; g != nil {
 		if g.told[from] == nil && k.CopyTerm == 0 {
 			c.lend(from)
@@ -85,11 +85,11 @@
 	} else if l.fresh && k.Era == c.known.Era && k.Term > l.term && k.Old < l.term {
 		// Of the same data: somebody leads after us, and we were cut off meanwhile.
 		if c.hasAuthority() {
-			c.doubt("a newer term is known", func() {})
+			c.verifyTerm("a newer term is known", func() {})
 		} else {
 			c.stepDown("a newer term is known")
 		}
-	} else if l.fresh && k.Below(c.known.Era, l.term, c.life) {
+	} else if l.fresh && k.Below(c.known.Era, l.term, c.processID) {
 		// Nothing was on record and nobody in reach when we began; now somebody is.
 		c.begunBelow(max(k.Old, k.Term))
 	}
@@ -103,7 +103,7 @@
 
 // waits reports whether somebody may still tell what is not known here.
 func (g *gathering) waits(c *Core) bool {
-	waited := c.now.Sub(c.lead.electedAt)
+	waited := c.now.Sub(c.leadership.electedAt)
 	within, all := askWithin, false
 	best := c.bestCopy()
 	switch {
@@ -137,7 +137,7 @@
 // rebuilt goes on with a take-over as far as what has been gathered allows: to the records
 // that there are, from the service and, where it has lost some, from the newest copy.
 func (c *Core) rebuilt() {
-	l := c.lead
+	l := c.leadership
 	g := l.gather
 	if g == nil || !g.read || g.asked || g.merged || g.waits(c) {
 		return
@@ -159,7 +159,7 @@
 	}
 	for _, s := range c.cfg.Seeds {
 		if k := g.told[s.HostName]; k != nil {
-			if k.Below(c.known.Era, l.term, c.life) {
+			if k.Below(c.known.Era, l.term, c.processID) {
 				floor = max(floor, k.Old, k.Term)
 			}
 			if k.Era != c.known.Era { // else it has read of our term already
@@ -199,7 +199,7 @@
 		case g.wanted != name:
 			g.wanted, g.until, g.coming = name, c.now.Add(wantWithin), snapshot.Holder{}
 			c.emit(PeerSend{name, PeerMsg{Kind: PeerWant, Term: l.term}})
-			c.whenLeading(wantWithin+time.Millisecond, c.rebuilt)
+			c.afterWhileLeading(wantWithin+time.Millisecond, c.rebuilt)
 			return
 		case c.now.Before(g.until):
 			return
@@ -241,7 +241,7 @@
 // askEnded asks the service about jobs that a copy has and it has not: they have ended
 // after the copy's last line, or are lost. What it says is taken into the copy.
 func (c *Core) askEnded() {
-	l := c.lead
+	l := c.leadership
 	g := l.gather
 	g.asked = true
 	have := map[string]bool{}
@@ -266,13 +266,13 @@
 	left := len(missing)
 	var read func(key string)
 	read = func(key string) {
-		c.leaderStore(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
+		c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
 			switch r.Outcome {
 			case OK:
 				g.copy.Put(key, r.Entries[0].Value, r.Entries[0].Rev)
 			case NotFound:
 			default:
-				c.whenLeading(c.jitter(200*time.Millisecond), func() { read(key) })
+				c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { read(key) })
 				return
 			}
 			if left--; left == 0 {
@@ -287,10 +287,10 @@
 
 // listEnded is askEnded for many: all final records from one key to another.
 func (c *Core) listEnded(from, to string) {
-	g := c.lead.gather
-	c.leaderStore(StoreCall{Op: StoreList, Key: finalKeys, From: from[:len(from)-1], Limit: 1000}, func(r StoreReply) {
+	g := c.leadership.gather
+	c.storeWhileLeading(StoreCall{Op: StoreList, Key: finalKeys, From: from[:len(from)-1], Limit: 1000}, func(r StoreReply) {
 		if r.Outcome != OK {
-			c.whenLeading(c.jitter(200*time.Millisecond), func() { c.listEnded(from, to) })
+			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.listEnded(from, to) })
 			return
 		}
 		for _, e := range r.Entries {
--- a/internal/core/giveback.go
+++ b/internal/core/giveback.go
@@ -15,7 +15,7 @@
 // team waits for its own. Those go first that lose the least; tasks that save
 // are let save.
 func (c *Core) giveBack() {
-	l := c.lead
+	l := c.leadership
 	if !l.settled() {
 		return
 	}
--- a/internal/core/groups.go
+++ b/internal/core/groups.go
@@ -43,7 +43,7 @@
 
 // recordMachine has it written that the machine may hold tasks.
 func (c *Core) recordMachine(m *machine) {
-	l := c.lead
+	l := c.leadership
 	limit := int(c.cfg.Settings.State.ValueKB * 1024 * 3 / 4)
 	i := slices.IndexFunc(l.groups, func(g *group) bool { return g.size+recordedSize(m) <= limit })
 	if i < 0 {
@@ -81,7 +81,7 @@
 		return
 	}
 	g.queued, g.lane = true, ln
-	c.whenLeading(max(0, g.flushed.Add(groupEvery).Sub(c.now)), func() {
+	c.afterWhileLeading(max(0, g.flushed.Add(groupEvery).Sub(c.now)), func() {
 		var news []*machine
 		sent := false
 		ch := &change{lane: ln, writes: []Write{{Key: g.key}}, size: int(c.cfg.Settings.State.ValueKB * 1024)}
@@ -128,13 +128,13 @@
 				}
 			}
 		}
-		c.lead.pipe.add(ch)
+		c.leadership.pipe.add(ch)
 	})
 }
 
 // loadGroup takes in a record of an earlier term.
 func (c *Core) loadGroup(key string, rec *MachineRecord, rev uint64) {
-	l := c.lead
+	l := c.leadership
 	g := &group{key: key, rev: rev}
 	for _, r := range rec.Machines {
 		m := c.machine(r.Host, r.InstanceType, r.Zone, r.Spot)
@@ -153,15 +153,15 @@
 // not known, so nothing shows that one of them is accounted for, but time: what
 // reports to us is known by that, and what does not has lost its lease by then.
 func (c *Core) loadUnknown(key string, rev uint64) {
-	c.lead.owed[key] = true
-	c.lead.lost[key] = rev
+	c.leadership.owed[key] = true
+	c.leadership.lost[key] = rev
 }
 
 // reviewUnknown gives up on the machines of unreadable records once every lease
 // that an earlier leader can have renewed is over. Such a record then says nothing
 // more, and would hold up the next take-over as well.
 func (c *Core) reviewUnknown() {
-	l := c.lead
+	l := c.leadership
 	if len(l.lost) == 0 || !c.now.After(c.earlierLease()) {
 		return
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -66,7 +66,7 @@
 		submitted: c.now.Add(rec.Submitted.Sub(c.now.Round(0))),
 		done:      newBitset(s.Tasks), pending: newBitset(s.Tasks), left: s.Tasks,
 		runs: map[int]*run{}, chunkRev: map[int]uint64{}, dirty: map[int]bool{}, errHosts: map[string]bool{},
-		team: c.lead.teams[s.Owner], prompt: c.promptly(s.Class),
+		team: c.leadership.teams[s.Owner], prompt: c.promptly(s.Class),
 	}
 	j.places = topology.Job{Key: s.ID, Tasks: s.Tasks}
 	if s.SamePlace {
@@ -77,9 +77,9 @@
 	}
 	if j.team == nil { // the team has left the settings: its jobs still run
 		j.team = &team{}
-		c.lead.teams[s.Owner] = j.team
+		c.leadership.teams[s.Owner] = j.team
 	}
-	c.lead.jobs[s.ID] = j
+	c.leadership.jobs[s.ID] = j
 	j.team.jobs++
 	return j
 }
@@ -156,7 +156,7 @@
 		return
 	}
 	j.dirty[chunk] = true
-	c.whenLeading(time.Second, func() { c.flushChunk(j, chunk) })
+	c.afterWhileLeading(time.Second, func() { c.flushChunk(j, chunk) })
 }
 
 // requeue makes a task wait again.
@@ -195,7 +195,7 @@
 			// A write of ours whose outcome was not known has been applied.
 			c.readBackKey(key, func(e Entry, _ bool) {
 				j.chunkRev[chunk] = e.Rev // 0 if there is none
-				if c.lead.jobs[j.spec.ID] == j && !j.halted() {
+				if c.leadership.jobs[j.spec.ID] == j && !j.halted() {
 					c.flushChunk(j, chunk)
 				}
 			})
@@ -211,7 +211,7 @@
 		ch.writes[0].Value = &ProgressRecord{j.done.encodeChunk(chunk * chunkTasks)}
 		return true
 	}
-	c.lead.pipe.add(ch)
+	c.leadership.pipe.add(ch)
 }
 
 // clone copies one chunk's members.
@@ -235,7 +235,7 @@
 // stays on record until none of its tasks can be on any machine, because its
 // tasks still count for its team.
 func (c *Core) closeIfOver(j *job) {
-	l := c.lead
+	l := c.leadership
 	if j.closing || j.cancelling {
 		return
 	}
@@ -275,7 +275,7 @@
 
 // closed follows the commit of a final record.
 func (c *Core) closed(j *job, f FinalRecord) {
-	l := c.lead
+	l := c.leadership
 	c.final.Add(j.spec.ID, f)
 	c.unkeep(jobKeys + j.spec.ID) // however we have learned that it is over
 	delete(l.jobs, j.spec.ID)
@@ -318,21 +318,21 @@
 	for _, r := range j.runs {
 		c.poke(r.m)
 	}
-	c.recordCancelled(j, c.leaseTiming.CancelSafeAfter(c.now, c.lead.electedAt.Add(c.lead.lag)))
+	c.recordCancelled(j, c.leaseTiming.CancelSafeAfter(c.now, c.leadership.electedAt.Add(c.leadership.lag)))
 }
 
 // recordCancelled writes a cancellation, not before a time unless nothing of the job can be
 // on any machine: where the settings leave no room a lease may last longer than tasks of a
 // cancelled job may.
 func (c *Core) recordCancelled(j *job, from time.Time) {
-	if from.After(c.now) && (len(j.runs) > 0 || j.earlier && !c.lead.settled()) {
+	if from.After(c.now) && (len(j.runs) > 0 || j.earlier && !c.leadership.settled()) {
 		for _, call := range j.cancels { // once for each: who asks again is told again
 			no := unavailable("the tasks are being stopped")
 			no.RetryAfter = from.Sub(c.now)
 			c.answer(call, no)
 		}
 		j.cancels = nil
-		c.whenLeading(min(from.Sub(c.now), tickEvery), func() { c.recordCancelled(j, from) })
+		c.afterWhileLeading(min(from.Sub(c.now), tickEvery), func() { c.recordCancelled(j, from) })
 		return
 	}
 	rec := *j.rec
@@ -345,7 +345,7 @@
 		failed: func() {
 			j.answerCancels(c, unavailable("the job has just ended, try again"))
 			c.readBackKey(finalKeys+j.spec.ID, func(e Entry, _ bool) {
-				if f, _ := e.Value.(*FinalRecord); f != nil && c.lead.jobs[j.spec.ID] == j {
+				if f, _ := e.Value.(*FinalRecord); f != nil && c.leadership.jobs[j.spec.ID] == j {
 					c.closed(j, *f)
 				}
 			})
@@ -359,7 +359,7 @@
 		},
 	}
 	j.ending = ch
-	c.lead.pipe.add(ch)
+	c.leadership.pipe.add(ch)
 }
 
 // endingWait is how long a question about a job waits for the record of its end: shorter
@@ -373,7 +373,7 @@
 		return false
 	}
 	j.cancels = append(j.cancels, call)
-	c.whenLeading(endingWait, func() {
+	c.afterWhileLeading(endingWait, func() {
 		if i := slices.IndexFunc(j.cancels, func(x UserCall) bool { return x.From == call.From && x.Ref == call.Ref }); i >= 0 {
 			j.cancels = slices.Delete(j.cancels, i, i+1)
 			c.answer(call, unavailable("its end is being recorded"))
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -13,67 +13,67 @@
 func (c *Core) hasAuthority() bool { return c.HasAuthority(c.now) }
 
 // canAct reports whether we lead, in authority, and know the records.
-func (c *Core) canAct() bool { return c.hasAuthority() && c.lead.loaded }
+func (c *Core) canAct() bool { return c.hasAuthority() && c.leadership.loaded }
 
 func (c *Core) authorityUntil(sent time.Time) time.Time { return sent.Add(c.leaseTiming.Authority()) }
 
-// begin begins a term.
-func (c *Core) begin(term, rev, grant uint64, sent time.Time, ahead time.Duration) {
-	c.termMax, c.confirmed, c.hint, c.led = term, term, "", term
+// becomeLeader begins a term.
+func (c *Core) becomeLeader(term, rev, grant uint64, sent time.Time, ahead time.Duration) {
+	c.highestTerm, c.confirmedTerm, c.knownLeader, c.lastLedTerm = term, term, "", term
 	c.reads = newReadLimit(c.cfg.Settings.State.RPS, 1)
-	c.lead = newLeadership(c.cfg, c.now)
-	c.lead.authority.start(term, rev, grant, c.authorityUntil(sent), c.now, ahead)
+	c.leadership = newLeadership(c.cfg, c.now)
+	c.leadership.authority.start(term, rev, grant, c.authorityUntil(sent), c.now, ahead)
 	// What this node has read of the catalog lately serves until it can be read anew. Without,
 	// a leader that begins while the cloud is out would start nothing and accept nothing, with
 	// machines at hand.
-	c.lead.rent.instanceTypes = slices.Clone(c.instanceTypes)
-	c.lead.zones = zones.New(c.zoneSettings())
-	c.lead.regions = zones.NewRegionWatch(c.reg)
-	c.lead.places, _ = topology.New(topology.Definition{}) // zones alone: cannot fail
+	c.leadership.rent.instanceTypes = slices.Clone(c.instanceTypes)
+	c.leadership.zones = zones.New(c.zoneSettings())
+	c.leadership.regions = zones.NewRegionWatch(c.reg)
+	c.leadership.places, _ = topology.New(topology.Definition{}) // zones alone: cannot fail
 	for _, t := range c.cfg.Settings.Teams {
-		c.lead.teams[t.Name] = newTeam(t)
-		c.lead.guarantees = c.lead.guarantees || t.CPUs > 0 || t.GPUs > 0
+		c.leadership.teams[t.Name] = newTeam(t)
+		c.leadership.guarantees = c.leadership.guarantees || t.CPUs > 0 || t.GPUs > 0
 	}
 	c.note(slog.LevelInfo, "leadership won", "term", term)
-	c.announce()
+	c.announceTerm()
 	if len(c.cfg.Seeds) == 0 {
-		c.lead.allAcknowledgedAt = c.now
+		c.leadership.allAcknowledgedAt = c.now
 	}
 	// What waited here for a leader waits for us now.
 	for _, ref := range c.relay.refs() {
-		c.lead.waiting = append(c.lead.waiting, ReportIn{Ref: ref, Report: c.relay.waiting[ref].report})
+		c.leadership.waiting = append(c.leadership.waiting, ReportIn{Ref: ref, Report: c.relay.waiting[ref].report})
 	}
-	c.lead.own = c.relay.known
+	c.leadership.own = c.relay.known
 	c.relay = newRelaying()
 	c.renewLease()
 	c.fetchCatalog()
 }
 
-// whenLeading runs f after d if this very leadership still holds.
-func (c *Core) whenLeading(d time.Duration, f func()) {
-	l := c.lead
+// afterWhileLeading runs f after d if this very leadership still holds.
+func (c *Core) afterWhileLeading(d time.Duration, f func()) {
+	l := c.leadership
 	c.after(d, func() {
-		if c.lead == l {
+		if c.leadership == l {
 			f()
 		}
 	})
 }
 
-// leaderStore makes a call whose answer only this leadership wants.
-func (c *Core) leaderStore(call StoreCall, f func(StoreReply)) {
-	l := c.lead
+// storeWhileLeading makes a call whose answer only this leadership wants.
+func (c *Core) storeWhileLeading(call StoreCall, f func(StoreReply)) {
+	l := c.leadership
 	c.store(call, func(r StoreReply) {
-		if c.lead == l {
+		if c.leadership == l {
 			f(r)
 		}
 	})
 }
 
-// leaderStoreElse is leaderStore where somebody must hear if this leadership ends meanwhile.
-func (c *Core) leaderStoreElse(call StoreCall, otherwise func(), f func(StoreReply)) {
-	l := c.lead
+// storeWhileLeadingOr is storeWhileLeading where somebody must hear if this leadership ends meanwhile.
+func (c *Core) storeWhileLeadingOr(call StoreCall, otherwise func(), f func(StoreReply)) {
+	l := c.leadership
 	c.store(call, func(r StoreReply) {
-		if c.lead == l && c.canAct() {
+		if c.leadership == l && c.canAct() {
 			f(r)
 		} else {
 			otherwise()
@@ -85,7 +85,7 @@
 // the state service is away the leader keeps trying: its grant has its full
 // time again after an outage, and the same term then goes on.
 func (c *Core) renewLease() {
-	l := c.lead
+	l := c.leadership
 	sent, ahead := c.now, c.clockSkew(c.now)
 	// The grant alone does not show that the term is on record: a service that has lost
 	// data may know the one and not the other, and whoever looks finds nobody leading.
@@ -106,37 +106,37 @@
 	var confirm func()
 	confirm = func() {
 		head := l.conf.headRev
-		c.stands(l.configConds(), func(r StoreReply) {
+		c.confirmTerm(l.configConds(), func(r StoreReply) {
 			standing = r.Outcome == OK
 			both()
-			if r.Outcome == Conflict && c.lead == l && slices.Contains(r.FailedKeys, configHeadKey) {
+			if r.Outcome == Conflict && c.leadership == l && slices.Contains(r.FailedKeys, configHeadKey) {
 				c.configMoved(head, confirm)
 			}
 		})
 	}
 	confirm()
-	c.leaderStore(StoreCall{Op: StoreKeepAlive, LeaseID: l.leaseID, TTL: leaseTTL, Timeout: leaseTTL / 2}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreKeepAlive, LeaseID: l.leaseID, TTL: leaseTTL, Timeout: leaseTTL / 2}, func(r StoreReply) {
 		switch r.Outcome {
 		case OK:
 			extended = true
 			both()
-			c.whenLeading(max(0, leaseRenewInterval-c.now.Sub(sent)), c.renewLease)
+			c.afterWhileLeading(max(0, leaseRenewInterval-c.now.Sub(sent)), c.renewLease)
 		case NotFound, Invalid:
 			c.stepDown("the grant has ended")
 		default:
-			c.whenLeading(c.jitter(leaseRenewInterval/3), c.renewLease)
+			c.afterWhileLeading(c.jitter(leaseRenewInterval/3), c.renewLease)
 		}
 	})
 }
 
 // stepDown ends the leadership: nothing of it is used again.
 func (c *Core) stepDown(why string) {
-	l := c.lead
+	l := c.leadership
 	if l == nil {
 		return
 	}
 	c.note(slog.LevelWarn, "leadership lost", "term", l.term, "reason", why)
-	c.lead = nil
+	c.leadership = nil
 	c.reads = newReadLimit(c.cfg.Settings.State.RPS, 1+len(c.cfg.Seeds))
 	if len(l.rent.instanceTypes) > 0 {
 		c.instanceTypes = l.rent.instanceTypes
@@ -152,7 +152,7 @@
 		c.passOn(r)
 	}
 	c.answerWaiting(l, unavailable("leadership was lost, try again"))
-	c.after(c.jitter(100*time.Millisecond), c.watch)
+	c.after(c.jitter(100*time.Millisecond), c.watchLeader)
 }
 
 // answerWaiting answers everybody who waits for a write.
@@ -170,33 +170,33 @@
 // tickEvery is how often the leader does its regular work.
 const tickEvery = 500 * time.Millisecond
 
-// tickLead does the leader's regular work.
-func (c *Core) tickLead() {
-	if c.lead.attempts > maxAttempts-spareAttempts {
+// tickLeader does the leader's regular work.
+func (c *Core) tickLeader() {
+	if c.leadership.attempts > maxAttempts-spareAttempts {
 		// Beyond that an attempt would look like one of the next term's.
-		c.retire("the attempts of the term are used up")
+		c.resign("the attempts of the term are used up")
 		return
 	}
 	c.housekeep()
 	c.supplyCopies()
 	c.dueSchedules()
-	c.whenLeading(tickEvery, c.tickLead)
+	c.afterWhileLeading(tickEvery, c.tickLeader)
 }
 
-// retire ends a term that is in order: the grant goes back, so that the next begins
+// resign ends a term that is in order: the grant goes back, so that the next begins
 // at once.
-func (c *Core) retire(why string) { c.retireThen(why, func() {}) }
+func (c *Core) resign(why string) { c.resignThen(why, func() {}) }
 
-// retireThen is retire, with what this node does once the grant has been given back.
-func (c *Core) retireThen(why string, then func()) {
-	grant := c.lead.leaseID
+// resignThen is retire, with what this node does once the grant has been given back.
+func (c *Core) resignThen(why string, then func()) {
+	grant := c.leadership.leaseID
 	c.stepDown(why)
 	c.store(StoreCall{Op: StoreRevokeLease, LeaseID: grant}, func(StoreReply) { then() })
 }
 
-// leadPump runs after each input while we lead.
-func (c *Core) leadPump() {
-	l := c.lead
+// runLeader runs after each input while we lead.
+func (c *Core) runLeader() {
+	l := c.leadership
 	if !c.hasAuthority() {
 		if !l.suspended {
 			l.suspended = true
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -38,7 +38,7 @@
 // authority is the term, its grant, and for how long the leader may act by it.
 type authority struct {
 	term              uint64
-	termRev           uint64 // every write is conditional on it: a late one fails under a successor
+	termRevision      uint64 // every write is conditional on it: a late one fails under a successor
 	leaseID           uint64
 	expiresAt         time.Time     // authority ends here unless a renewal succeeds
 	electedAt         time.Time     // elected
@@ -53,7 +53,7 @@
 }
 
 func (a *authority) start(term, rev, grant uint64, until, now time.Time, ahead time.Duration) {
-	a.term, a.termRev, a.leaseID, a.expiresAt, a.electedAt, a.clockSkew = term, rev, grant, until, now, ahead
+	a.term, a.termRevision, a.leaseID, a.expiresAt, a.electedAt, a.clockSkew = term, rev, grant, until, now, ahead
 }
 
 // takeover is what is left of earlier terms: records to be read, written back or missing, and
--- a/internal/core/loss.go
+++ b/internal/core/loss.go
@@ -38,8 +38,8 @@
 	}
 	c.lostWhy = why
 	c.note(slog.LevelError, "the state service has lost data", "reason", why, "era", c.known.Era, "term", c.known.Term, "revision", c.known.Rev)
-	if l := c.lead; l != nil {
-		c.retireThen(why, then)
+	if l := c.leadership; l != nil {
+		c.resignThen(why, then)
 	}
 }
 
@@ -89,14 +89,14 @@
 	return v, true
 }
 
-// stands asks the state service whether our term is on record with its leader, as whatever
+// confirmTerm asks the state service whether our term is on record with its leader, as whatever
 // a leader says rests on it, and whether more holds at the same time.
-func (c *Core) stands(more []Condition, f func(r StoreReply)) {
-	l := c.lead
-	when := append([]Condition{{termKey, l.termRev}, {leaderKey, l.termRev}}, more...)
-	c.leaderStore(StoreCall{Op: StoreTxn, Conditions: when, Timeout: leaseTTL / 2}, func(r StoreReply) {
+func (c *Core) confirmTerm(more []Condition, f func(r StoreReply)) {
+	l := c.leadership
+	when := append([]Condition{{termKey, l.termRevision}, {leaderKey, l.termRevision}}, more...)
+	c.storeWhileLeading(StoreCall{Op: StoreTxn, Conditions: when, Timeout: leaseTTL / 2}, func(r StoreReply) {
 		if r.Outcome == Conflict && (slices.Contains(r.FailedKeys, termKey) || slices.Contains(r.FailedKeys, leaderKey)) {
-			c.retire("the term is not on record any more")
+			c.resign("the term is not on record any more")
 		}
 		f(r)
 	})
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -80,7 +80,7 @@
 
 // machine returns the machine named host, made known if need be.
 func (c *Core) machine(host, flavor, zone string, reclaimable bool) *machine {
-	l := c.lead
+	l := c.leadership
 	m := l.machines[host]
 	if m == nil {
 		m = &machine{host: host, typeName: flavor, zone: zone, spot: reclaimable,
@@ -100,7 +100,7 @@
 }
 
 func (c *Core) setInstanceType(m *machine) {
-	if f := c.lead.rent.instanceType(m.typeName); f != nil && m.instanceType == nil {
+	if f := c.leadership.rent.instanceType(m.typeName); f != nil && m.instanceType == nil {
 		m.instanceType = f
 		tl := timeline.New(f.Capacity)
 		for _, r := range m.runs {
@@ -153,7 +153,7 @@
 // leaseOver returns when the machine's lease has surely ended if it is not
 // answered any more, and false while that cannot be told.
 func (c *Core) leaseOver(m *machine) (time.Time, bool) {
-	l := c.lead
+	l := c.leadership
 	if !l.owed[m.host] && !m.probed {
 		if m.answered.IsZero() {
 			return time.Time{}, false
@@ -170,7 +170,7 @@
 // earlierLease is when a lease is surely over that only earlier leaders renewed: one
 // may have gone on answering until its peers told it of our term or its hold ran out.
 func (c *Core) earlierLease() time.Time {
-	l := c.lead
+	l := c.leadership
 	over := c.leaseTiming.TasksGoneAfter(l.electedAt.Add(l.lag))
 	if !l.allAcknowledgedAt.IsZero() {
 		if told := l.allAcknowledgedAt.Add(withDrift(c.lease)); told.Before(over) {
@@ -190,7 +190,7 @@
 		m.expiredIncarnation = m.incarnation
 	}
 	m.reported, m.lost = false, true
-	c.lead.leaves(m)
+	c.leadership.leaves(m)
 	m.answered = time.Time{}
 	c.accounted(m.host)
 	c.unbookMachine(m)
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -27,7 +27,7 @@
 		d := newDesk(t)
 		d.c.leaseTiming.CancelTimeout = 60 * time.Second // holds for half a minute
 		ts := d.running("wk-1", 1)
-		l := d.c.lead
+		l := d.c.leadership
 		d.c.now = later(d.c.now, l.expiresAt).Add(2 * time.Second)
 		l.clockSkew = d.c.clockSkew(d.c.now)
 		d.c.SetWander(ahead)
@@ -56,8 +56,8 @@
 		ts := d.running("wk-1", 1)
 		cancel := d.user(OpCancel, "wk-1", nil, nil)
 		if lapsed {
-			d.c.now = later(d.c.now, d.c.lead.expiresAt).Add(2 * time.Second)
-			d.c.lead.clockSkew = d.c.clockSkew(d.c.now)
+			d.c.now = later(d.c.now, d.c.leadership.expiresAt).Add(2 * time.Second)
+			d.c.leadership.clockSkew = d.c.clockSkew(d.c.now)
 			d.in(Tick{})
 		}
 		if os := d.report("host-000000", 20, ts...); len(verbs(os, Stop)) != 1 || len(os) != 1 || os[0].Drain != 0 {
@@ -114,7 +114,7 @@
 func TestRestoredLate(t *testing.T) {
 	d := newDesk(t)
 	d.running("wk-1", 1)
-	l := d.c.lead
+	l := d.c.leadership
 	key := jobKeys + "wk-1"
 	d.c.copies.own = snapshot.New(1, l.term, finalKeys, 100)
 	d.c.copies.own.Put(key, l.jobs["wk-1"].rec, 0)
@@ -139,7 +139,7 @@
 // ago; the one that runs is not stopped for it.
 func TestLaterAttemptStays(t *testing.T) {
 	d := newDesk(t)
-	l := d.c.lead
+	l := d.c.leadership
 	j := d.c.addJob(&JobRecord{Spec: *plainJob("wk-1", 1), Submitted: t0}, true)
 	d.c.jobLoaded(j)
 	at := func(host string, try uint64) *run {
--- a/internal/core/merge.go
+++ b/internal/core/merge.go
@@ -72,7 +72,7 @@
 
 // merge makes the records to go by and loads them.
 func (c *Core) merge() {
-	l := c.lead
+	l := c.leadership
 	g := l.gather
 	g.merged = true
 	records := g.stored
@@ -144,10 +144,10 @@
 		c.keep(e)
 	}
 	if n < len(records) {
-		c.whenLeading(0, func() { c.loadSome(records[n:]) })
+		c.afterWhileLeading(0, func() { c.loadSome(records[n:]) })
 		return
 	}
-	l := c.lead
+	l := c.leadership
 	l.gather = nil
 	c.restoreFirst()
 	if l.endsFrom != "" {
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -82,7 +82,7 @@
 
 // stretched is how long a task of the job is booked for, without its image.
 func (c *Core) stretched(j *job) time.Duration {
-	return timeline.Seconds(c.estimate(j).Seconds() * (1 + c.lead.margin))
+	return timeline.Seconds(c.estimate(j).Seconds() * (1 + c.leadership.margin))
 }
 
 // length is how long a booking of a task on the machine lasts.
@@ -174,7 +174,7 @@
 // once: as much as such a job usually takes, on the machines with the most CPUs,
 // where one report serves many tasks.
 func (c *Core) keepWarm(part float64) {
-	l := c.lead
+	l := c.leadership
 	left := int64(l.rent.burst * part * 1000)
 	if c.now.Sub(l.rent.burstAt) > loadMemory {
 		left = 0
@@ -256,7 +256,7 @@
 // offers asks every machine once. Booking a task changes the offer of its own
 // machine only, so the rest of an array costs no further search.
 func (c *Core) offers(j *job, base time.Duration, by time.Time, dated bool) (s *slotOffers, anyMachine bool) {
-	l := c.lead
+	l := c.leadership
 	s = &slotOffers{list: l.offers[:0], dated: dated}
 	for i, m := range l.fleet {
 		if !m.eligible(j) {
@@ -279,7 +279,7 @@
 // others give their slots back and the next aim is tried; a job with none left
 // takes the earliest fit.
 func (c *Core) book(j *job) {
-	l := c.lead
+	l := c.leadership
 	n := min(j.waiting, window) - j.booked
 	if j.halted() || n <= 0 {
 		return
@@ -348,7 +348,7 @@
 // is. Each going on a little, hardly any would end. Whatever has an aim to meet goes
 // before them all, and a job's turn comes nearer as it waits, so that none starves.
 func (c *Core) standsBack(j *job, start time.Time) (back, each time.Duration) {
-	rent := &c.lead.rent
+	rent := &c.leadership.rent
 	if rent.backlog < scarceBacklog || rent.cpus <= 0 {
 		return lateYield, 0
 	}
@@ -366,7 +366,7 @@
 		}
 	}
 	if moved {
-		c.lead.queue.place(j)
+		c.leadership.queue.place(j)
 	}
 }
 
@@ -401,13 +401,13 @@
 func (c *Core) bookSoon(j *job) {
 	if !j.unplaced {
 		j.unplaced = true
-		c.lead.unplaced = append(c.lead.unplaced, j)
+		c.leadership.unplaced = append(c.leadership.unplaced, j)
 	}
 }
 
 // bookUnplaced books what bookSoon was called for.
 func (c *Core) bookUnplaced() {
-	l := c.lead
+	l := c.leadership
 	// Most tasks of earlier jobs run somewhere, and their machines are about to say so:
 	// booked before that, they would be booked for nothing.
 	early := !l.settled() && 10*len(l.owed) > len(l.fleet) && c.now.Sub(l.electedAt) < c.report
@@ -428,7 +428,7 @@
 	}
 	if len(left) > 0 && visits >= visitsMost && !l.placing {
 		l.placing = true
-		c.whenLeading(0, func() { l.placing = false }) // and on in the step after it
+		c.afterWhileLeading(0, func() { l.placing = false }) // and on in the step after it
 	}
 }
 
@@ -452,7 +452,7 @@
 		}
 	}
 	b.Count = 0
-	c.lead.queue.place(j)
+	c.leadership.queue.place(j)
 }
 
 // use takes one task off a booking.
@@ -510,14 +510,14 @@
 		share = 1 // no limit
 	}
 	visits := share * rebookVisits * tickEvery.Seconds()
-	return min(rebookMost, max(2, int(visits)/max(1, len(c.lead.fleet))))
+	return min(rebookMost, max(2, int(visits)/max(1, len(c.leadership.fleet))))
 }
 
 // rebook finds new slots for jobs that have bookings whose time has come without
 // room, or none on a machine. A few at a time: it is the costliest thing we do.
 func (c *Core) rebook(limit int) {
 	var due []*job
-	for _, j := range c.lead.queue {
+	for _, j := range c.leadership.queue {
 		if len(due) >= limit {
 			break
 		}
@@ -541,12 +541,12 @@
 	if len(j.places.Rules) == 0 {
 		return n
 	}
-	return c.lead.tally.Room(&j.places, m.leaf, n)
+	return c.leadership.tally.Room(&j.places, m.leaf, n)
 }
 
 // mayStart reports whether tasks of the job may start at all now.
 func (c *Core) mayStart(j *job) bool {
-	l := c.lead
+	l := c.leadership
 	return !j.halted() && !c.now.Before(j.retryAt) && (l.settled() || !j.earlier && !j.team.limited()) && (l.strays == 0 || !j.team.limited())
 }
 
@@ -559,7 +559,7 @@
 // lookForOverdue finds the jobs of which nothing has run for long after they were submitted.
 // By their turn they might not begin for as long as smaller and more pressing ones come.
 func (c *Core) lookForOverdue(within time.Duration) {
-	l := c.lead
+	l := c.leadership
 	l.overdue = l.overdue[:0]
 	for _, j := range l.queue {
 		if !j.ran && len(j.runs) == 0 && c.now.Sub(j.submitted) > within {
@@ -573,7 +573,7 @@
 // startOverdue starts a first task of jobs that have waited for long, one each, as far as
 // guarantees and limits let it; blocked reports whether one waits here for more room.
 func (c *Core) startOverdue(m *machine) (os []Order, blocked bool) {
-	l := c.lead
+	l := c.leadership
 	for _, j := range l.overdue {
 		if len(j.books) == 0 || len(j.runs) > 0 || !m.eligible(j) || !c.mayStart(j) || j.team.room(j.need, 1) == 0 || c.placeRoom(j, m, 1) == 0 ||
 			l.guarantees && j.team.guaranteed(j.need, 1) == 0 || m.suspect && len(m.runs) > 0 {
@@ -605,7 +605,7 @@
 // ahead of their time if need be, wherever they were booked: a machine with
 // free room takes what waits for a busy one.
 func (c *Core) startOn(m *machine) []Order {
-	l := c.lead
+	l := c.leadership
 	room := m.room()
 	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.in.Takes() || c.now.Before(m.retryAt) || l.owed[m.host] || l.attempts > maxAttempts-startsMost {
 		return nil
@@ -731,7 +731,7 @@
 	if !j.prompt {
 		return
 	}
-	l := c.lead
+	l := c.leadership
 	have := int64(0)
 	for _, m := range l.fleet {
 		if m.images.Contains(j.spec.Image) {
@@ -742,7 +742,7 @@
 		return
 	}
 	j.localTill = c.now.Add(localWait)
-	c.whenLeading(localWait, func() { l.dirty = true })
+	c.afterWhileLeading(localWait, func() { l.dirty = true })
 }
 
 // bookedFor reports whether tasks of the job are booked on the machine.
@@ -758,7 +758,7 @@
 // start orders one task of a booking to start on a machine. The order goes out
 // with the reply to the machine's last report.
 func (c *Core) start(b *booking, m *machine) Order {
-	l := c.lead
+	l := c.leadership
 	j := b.job
 	i := j.pending.first()
 	c.use(b)
@@ -775,7 +775,7 @@
 // lateness is by how much the best timeline, of a machine at hand or of a type
 // that can be rented, would miss a dated job's deadline.
 func (c *Core) lateness(s *JobSpec) time.Duration {
-	l := c.lead
+	l := c.leadership
 	j := &job{spec: *s, need: s.Need()}
 	run := timeline.Seconds(c.estimateSpec(s).Seconds() * (1 + l.margin))
 	best := time.Duration(1<<63 - 1)
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -47,7 +47,7 @@
 // its image while others have it, but not for ever, and not when few have it.
 func TestLocalFirst(t *testing.T) {
 	c := leaderOf(t, 12)
-	m := c.lead.fleet[0]
+	m := c.leadership.fleet[0]
 	submit := func(id int) *job {
 		j := newJob(c, id, 2, rand.New(rand.NewPCG(1, 1)))
 		j.prompt = true
@@ -59,7 +59,7 @@
 	if len(c.startOn(m)) == 0 {
 		t.Error("no machine has the image: it must be fetched somewhere")
 	}
-	for _, o := range c.lead.fleet[1:] {
+	for _, o := range c.leadership.fleet[1:] {
 		for _, image := range []string{"img0", "img1", "img2", "img3", "img4", "img5"} {
 			o.images.Add(image, struct{}{})
 		}
@@ -81,12 +81,12 @@
 	cost := func(small int) time.Duration {
 		rng := rand.New(rand.NewPCG(1, 2))
 		c := leaderOf(t, 3)
-		m := c.lead.fleet[2]
+		m := c.leadership.fleet[2]
 		c.fill(m)
 		for _, r := range m.runs[:4] {
 			c.vacate(r) // four CPUs are free, and the large job takes all
 		}
-		for _, x := range c.lead.fleet[:2] {
+		for _, x := range c.leadership.fleet[:2] {
 			x.condemned = true
 		}
 		add := func(i int, cpus float64, submitted time.Duration) {
@@ -122,9 +122,9 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, phase := range []Phase{Pulling, TaskRuns} {
 		c := leaderOf(t, 1)
-		c.lead.teams["u"] = &team{guarantee: timeline.Capacity(100, 0, 0)}
-		c.lead.teams["t"].guarantee = timeline.Resources{}
-		m := c.lead.fleet[0]
+		c.leadership.teams["u"] = &team{guarantee: timeline.Capacity(100, 0, 0)}
+		c.leadership.teams["t"].guarantee = timeline.Resources{}
+		m := c.leadership.fleet[0]
 		long := newJob(c, 1, 1, rng)
 		long.spec.CPUs, long.spec.Runtime = 4, 10*time.Minute
 		long.need = long.spec.Need()
@@ -135,7 +135,7 @@
 		rep.Tasks = []TaskReport{{Task: TaskID{Job: long.spec.ID}, Try: 1, Phase: TaskRuns}}
 		c.learn(m, &rep)
 		waits := newJob(c, 2, 1, rng)
-		waits.spec.Owner, waits.team = "u", c.lead.teams["u"]
+		waits.spec.Owner, waits.team = "u", c.leadership.teams["u"]
 		waits.submitted = t0.Add(-time.Minute)
 		c.book(waits)
 		c.giveBack()
@@ -146,7 +146,7 @@
 		rep.Counter++
 		rep.Tasks[0] = TaskReport{Task: TaskID{Job: long.spec.ID}, Try: 1, Phase: Exited, Cause: CauseDone}
 		c.learn(m, &rep)
-		if seen := c.lead.est.of(&long.spec) != nil; seen != (phase == Pulling) {
+		if seen := c.leadership.est.of(&long.spec) != nil; seen != (phase == Pulling) {
 			t.Errorf("found %s: counts for estimates %v", phase, seen)
 		}
 	}
@@ -156,7 +156,7 @@
 func TestAimless(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	c := leaderOf(t, 1)
-	c.fill(c.lead.fleet[0])
+	c.fill(c.leadership.fleet[0])
 	add := func(id int, class string, urgency Urgency) *job {
 		j := newJob(c, id, 1, rng)
 		j.spec.Class, j.spec.HasDeadline, j.spec.Urgency = class, false, urgency
@@ -179,7 +179,7 @@
 	for machines, want := range map[int]int{100: rebookMost, 700: 14, 1300: 7, 2600: 3, 20000: 2} {
 		c := leaderOf(t, 1)
 		c.cfg.Settings.Limits.CPUShare = 0.168
-		c.lead.fleet = make([]*machine, machines)
+		c.leadership.fleet = make([]*machine, machines)
 		if n := c.rebookLimit(); n != want {
 			t.Errorf("%d machines: %d jobs at a time, not %d", machines, n, want)
 		}
@@ -192,7 +192,7 @@
 	}
 	c.now = c.now.Add(time.Hour) // all is due
 	looked := func() (n int) {
-		for _, j := range c.lead.jobs {
+		for _, j := range c.leadership.jobs {
 			if j.rebooked.Equal(c.now) {
 				n++
 			}
@@ -204,7 +204,7 @@
 		t.Fatalf("%d jobs are looked at", n)
 	}
 	first := map[*job]bool{}
-	for _, j := range c.lead.jobs {
+	for _, j := range c.leadership.jobs {
 		first[j] = j.rebooked.Equal(c.now)
 	}
 	c.now = c.now.Add(tickEvery)
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -20,19 +20,19 @@
 // probeAll begins to probe the machines that are owed: at once those that reported to
 // this node before it led.
 func (c *Core) probeAll() {
-	own := c.lead.own
-	if !c.anyLink() {
+	own := c.leadership.own
+	if !c.hasAnyLink() {
 		c.probeThose(func(*machine) bool { return true })
 		return
 	}
 	c.probeThose(func(m *machine) bool { return own[m.host] != nil })
-	c.whenLeading(probeLater, func() {
+	c.afterWhileLeading(probeLater, func() {
 		c.probeThose(func(m *machine) bool { return own[m.host] == nil })
 	})
 }
 
 func (c *Core) probeThose(which func(*machine) bool) {
-	l := c.lead
+	l := c.leadership
 	for _, m := range l.fleet {
 		if l.owed[m.host] && m.address != "" && which(m) {
 			l.toProbe = append(l.toProbe, m)
@@ -42,7 +42,7 @@
 }
 
 func (c *Core) probeMore() {
-	l := c.lead
+	l := c.leadership
 	for l.probing < probeWidth && len(l.toProbe) > 0 && c.canAct() {
 		m := l.toProbe[0]
 		l.toProbe = l.toProbe[1:]
@@ -65,13 +65,13 @@
 
 // probe probes a machine whose answer would count.
 func (c *Core) probe(m *machine, tenure uint64) {
-	l := c.lead
+	l := c.leadership
 	if !l.probeCounts(m) {
 		return
 	}
 	l.probing++
 	c.probeCall(m.address, l.term, tenure, func(r ProbeReply) {
-		if c.lead != l {
+		if c.leadership != l {
 			return
 		}
 		l.probing--
--- a/internal/core/regions_test.go
+++ b/internal/core/regions_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.lead.regions = zones.NewRegionWatch(set)
+	c.leadership.regions = zones.NewRegionWatch(set)
 	for zone := range 4 {
 		for i := range 3 {
 			m := c.machine(fmt.Sprintf("host-1%d%d", zone, i), "f0", fmt.Sprintf("r1-%d", zone), false)
@@ -26,7 +26,7 @@
 		}
 	}
 	c.now = t0.Add(20 * time.Second)
-	for _, m := range c.lead.fleet[:12] {
+	for _, m := range c.leadership.fleet[:12] {
 		m.seen = c.now
 	}
 	c.out = nil
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -90,7 +90,7 @@
 		c.emit(AnswerReport{Ref: p.ref, Status: 503})
 	}
 	if len(c.cfg.Seeds) == 0 || c.outOfReach() {
-		c.emit(AnswerReport{Ref: in.Ref, Status: 421, Upstream: c.hint})
+		c.emit(AnswerReport{Ref: in.Ref, Status: 421, Upstream: c.knownLeader})
 		return
 	}
 	k := r.known[rep.Host]
@@ -112,13 +112,13 @@
 // before it may have taken note of a newer one than that of the leader it hears, and a
 // successor counts on that: it takes the leases to be over that the older leader could have
 // renewed by us.
-func (c *Core) follows() bool { return c.linked() && c.confirmed != 0 }
+func (c *Core) follows() bool { return c.hasLeaderLink() && c.confirmedTerm != 0 }
 
 // outOfReach reports whether the leader has been known and without a link to us, or not
 // known for sure, for longer than a change of leader takes. Its workers are then better
 // off with it.
 func (c *Core) outOfReach() bool {
-	return c.hint != "" && !c.follows() && c.now.Sub(c.apart) > relayApart
+	return c.knownLeader != "" && !c.follows() && c.now.Sub(c.leaderLinkLostAt) > relayApart
 }
 
 func (r *relaying) add(ref uint64, rep *Report) {
@@ -150,7 +150,7 @@
 // relayTick looks after what waits here, now and every while.
 func (c *Core) relayTick() {
 	c.after(relayBeat, c.relayTick)
-	if c.lead != nil {
+	if c.leadership != nil {
 		return
 	}
 	r := &c.relay
@@ -161,8 +161,8 @@
 			continue
 		}
 		a := AnswerReport{Ref: ref, Status: 421}
-		if c.hint != "" && !c.follows() {
-			a.Upstream = c.hint
+		if c.knownLeader != "" && !c.follows() {
+			a.Upstream = c.knownLeader
 		}
 		c.dropPassed(p)
 		c.emit(a)
@@ -190,10 +190,10 @@
 		r.fold, r.items, r.gone, r.weight = nil, nil, nil, 0
 		return
 	}
-	if r.fold == nil || r.to != c.hint || r.term != c.termMax {
+	if r.fold == nil || r.to != c.knownLeader || r.term != c.highestTerm {
 		c.relayOpen()
 	}
-	if c.confirmed == r.term && r.probed != r.term {
+	if c.confirmedTerm == r.term && r.probed != r.term {
 		c.relayProbes()
 	}
 	if len(r.items) == 0 && len(r.gone) == 0 {
@@ -214,7 +214,7 @@
 // waits here.
 func (c *Core) relayOpen() {
 	r := &c.relay
-	r.to, r.term = c.hint, c.termMax
+	r.to, r.term = c.knownLeader, c.highestTerm
 	r.fold = relay.NewFold(c.rng.Uint64() | 1) // never 0
 	r.items, r.gone, r.weight = nil, nil, 0
 	for _, ref := range r.refs() {
@@ -247,7 +247,7 @@
 // it, whose numbers stood for other reports.
 func (c *Core) relayReplies(from string, m PeerMsg) {
 	r := &c.relay
-	if c.lead != nil || r.fold == nil || from != r.to || from != c.hint || m.Term != r.term || m.Term != c.termMax || m.Replies.Session != r.fold.Session() {
+	if c.leadership != nil || r.fold == nil || from != r.to || from != c.knownLeader || m.Term != r.term || m.Term != c.highestTerm || m.Replies.Session != r.fold.Session() {
 		return
 	}
 	if m.Replies.Again {
@@ -292,7 +292,7 @@
 
 func (c *Core) relayProbeMore() {
 	r := &c.relay
-	for r.probing < probeWidth && len(r.toProbe) > 0 && c.lead == nil {
+	for r.probing < probeWidth && len(r.toProbe) > 0 && c.leadership == nil {
 		host := r.toProbe[0]
 		r.toProbe = r.toProbe[1:]
 		if k := r.known[host]; k != nil && k.fencingToken < r.probed && r.byHost[host] == nil {
@@ -312,7 +312,7 @@
 		r.probing--
 		rep := &p.Report
 		switch {
-		case c.lead != nil || p.Outcome == Unknown || rep.Host != host:
+		case c.leadership != nil || p.Outcome == Unknown || rep.Host != host:
 		case p.Outcome == Conflict && rep.Incarnation != tenure && rep.Incarnation != k.incarnation:
 			k.incarnation = rep.Incarnation
 			c.relayProbe(host, k, rep.Incarnation)
@@ -344,7 +344,7 @@
 
 // relayReports takes in what a relay passes on.
 func (c *Core) relayReports(from string, m PeerMsg) {
-	l := c.lead
+	l := c.leadership
 	if l == nil || m.Term != l.term {
 		return // it will hear of the newest term, and tell its leader again
 	}
@@ -385,7 +385,7 @@
 		} else if x := l.machines[reps[i].Host]; x != nil && l.loaded && l.probeCounts(x) && reps[i].FencingToken == l.term {
 			c.learnProbed(x, &reps[i])
 		}
-		if c.lead != l {
+		if c.leadership != l {
 			return
 		}
 	}
@@ -409,10 +409,10 @@
 		c.emit(a)
 		return
 	}
-	if c.lead == nil {
+	if c.leadership == nil {
 		return
 	}
-	p := c.lead.relay(by.From)
+	p := c.leadership.relay(by.From)
 	if by.Session != p.unfold.Session() {
 		return // nobody waits for it there
 	}
@@ -431,13 +431,13 @@
 	if len(p.replies) == 0 {
 		return
 	}
-	c.emit(PeerSend{name, PeerMsg{Kind: PeerReplies, Term: c.lead.term, Replies: &relay.Replies{Session: p.unfold.Session(), List: p.replies}}})
+	c.emit(PeerSend{name, PeerMsg{Kind: PeerReplies, Term: c.leadership.term, Replies: &relay.Replies{Session: p.unfold.Session(), List: p.replies}}})
 	p.replies, p.weight = nil, 0
 }
 
 // repliesOut sends what was answered in this step to the relays.
 func (c *Core) repliesOut() {
-	if l := c.lead; l != nil && len(l.relays) > 0 {
+	if l := c.leadership; l != nil && len(l.relays) > 0 {
 		for _, s := range c.cfg.Seeds {
 			if p := l.relays[s.HostName]; p != nil {
 				c.sendReplies(s.HostName, p)
@@ -465,7 +465,7 @@
 
 // nodes returns the controllers that can take workers for us now.
 func (c *Core) nodes() []relay.Node {
-	l := c.lead
+	l := c.leadership
 	l.nodes = l.nodes[:0]
 	for _, s := range c.cfg.Seeds {
 		p := l.relays[s.HostName]
@@ -489,7 +489,7 @@
 // Returned before that it would have lost its tasks for nothing.
 func (c *Core) hearRelays() {
 	for _, s := range c.cfg.Seeds {
-		if p := c.lead.relays[s.HostName]; p != nil && c.now.Sub(p.heard) > 3*relayBeat {
+		if p := c.leadership.relays[s.HostName]; p != nil && c.now.Sub(p.heard) > 3*relayBeat {
 			p.quiet = c.now
 		}
 	}
@@ -544,7 +544,7 @@
 // it; only one that nobody has heard of before goes at once, for it has nothing to
 // lose. A machine that comes back had a reason: the other node is out of its reach.
 func (c *Core) leadTo(m *machine, by string, first bool) string {
-	l := c.lead
+	l := c.leadership
 	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.settled() || m.releasing || c.now.Sub(m.moved) < 3*c.lease {
 		return ""
 	}
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -182,7 +182,7 @@
 func TestRelayToldAgain(t *testing.T) {
 	c := leaderOf(t, 1)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
-	m := c.lead.fleet[0]
+	m := c.leadership.fleet[0]
 	j := newJob(c, 1, 1, testRand())
 	j.spec.Class, j.any = "c", true
 	c.book(j)
@@ -247,12 +247,12 @@
 	if v, _ := a.Doc.(*Cluster); v == nil || v.Leader != "n0" || !v.Authority || v.Machines != 2 || len(v.Nodes) != 2 || v.Nodes[1].Role != "away" {
 		t.Errorf("%+v", a.Doc)
 	}
-	if a, dropped := ask(c, OpHandOver); a.Status != 409 || dropped || c.lead == nil {
+	if a, dropped := ask(c, OpHandOver); a.Status != 409 || dropped || c.leadership == nil {
 		t.Errorf("handed over to nobody: %d %s", a.Status, a.Reason)
 	}
 	c.Step(c.now, PeerLink{Name: "n1", Up: true})
 	c.Step(c.now, PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: 1, Reports: relay.NewFold(3).Batch(nil, nil)}})
-	if a, dropped := ask(c, OpHandOver); a.Status != 200 || !dropped || c.lead != nil {
+	if a, dropped := ask(c, OpHandOver); a.Status != 200 || !dropped || c.leadership != nil {
 		t.Errorf("not handed over: %d %s", a.Status, a.Reason)
 	}
 }
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -85,9 +85,9 @@
 
 // fetchCatalog reads the machine types and prices.
 func (c *Core) fetchCatalog() {
-	l := c.lead
+	l := c.leadership
 	c.cloud(CloudCall{Op: CloudCatalog}, func(r CloudReply) {
-		if c.lead != l {
+		if c.leadership != l {
 			return
 		}
 		if r.Outcome != OK || len(r.InstanceTypes) == 0 {
@@ -95,18 +95,18 @@
 				l.rent.blind = true
 				c.note(slog.LevelWarn, "machine types cannot be read", "known", len(l.rent.instanceTypes))
 			}
-			c.whenLeading(c.jitter(time.Second), c.fetchCatalog)
+			c.afterWhileLeading(c.jitter(time.Second), c.fetchCatalog)
 			return
 		}
 		l.rent.blind = false
 		c.takeCatalog(r.InstanceTypes)
-		c.whenLeading(30*time.Second, c.fetchCatalog)
+		c.afterWhileLeading(30*time.Second, c.fetchCatalog)
 	})
 }
 
 // takeCatalog takes the machine types as the catalog has them now: prices move, and types come.
 func (c *Core) takeCatalog(flavors []InstanceType) {
-	l := c.lead
+	l := c.leadership
 	l.rent.instanceTypes, l.rent.read = flavors, true
 	for _, m := range l.fleet {
 		if f := l.rent.instanceType(m.typeName); m.instanceType == nil {
@@ -125,14 +125,14 @@
 // listMachines reads the cloud's list, to find machines that an earlier leader
 // or a late request rented, and those that have failed.
 func (c *Core) listMachines(after string, got []Instance) {
-	l := c.lead
+	l := c.leadership
 	again := 6 * time.Second
 	c.cloud(CloudCall{Op: CloudList, After: after}, func(r CloudReply) {
-		if c.lead != l {
+		if c.leadership != l {
 			return
 		}
 		if r.Outcome != OK {
-			c.whenLeading(c.jitter(again), func() { c.listMachines("", nil) })
+			c.afterWhileLeading(c.jitter(again), func() { c.listMachines("", nil) })
 			return
 		}
 		got = append(got, r.Instances...)
@@ -143,12 +143,12 @@
 		for _, h := range got {
 			c.listed(h)
 		}
-		c.whenLeading(again, func() { c.listMachines("", nil) })
+		c.afterWhileLeading(again, func() { c.listMachines("", nil) })
 	})
 }
 
 func (c *Core) listed(h Instance) {
-	l := c.lead
+	l := c.leadership
 	if l.gone.has(h.Host) {
 		return // the list lags
 	}
@@ -174,12 +174,12 @@
 		return
 	}
 	m.releasing = true
-	c.lead.rent.releases = append(c.lead.rent.releases, m.host)
+	c.leadership.rent.releases = append(c.leadership.rent.releases, m.host)
 	c.unbookMachine(m)
 }
 
 func (c *Core) pumpReleases() {
-	l := c.lead
+	l := c.leadership
 	rent := &l.rent
 	if rent.freeing || len(rent.releases) == 0 || !c.canAct() || !rent.limit.AllowN(c.now, 1) {
 		return
@@ -187,7 +187,7 @@
 	rent.freeing = true
 	hosts := slices.Clone(rent.releases[:min(len(rent.releases), 100)])
 	c.cloud(CloudCall{Op: CloudRelease, Hosts: hosts}, func(r CloudReply) {
-		if c.lead != l {
+		if c.leadership != l {
 			return
 		}
 		rent.freeing = false
@@ -204,7 +204,7 @@
 
 // removed: the machine is proven gone.
 func (c *Core) removed(host string) {
-	l := c.lead
+	l := c.leadership
 	m := l.machines[host]
 	l.gone.add(host, c.now)
 	if m == nil {
@@ -232,7 +232,7 @@
 
 // housekeep does what the passing of time asks for.
 func (c *Core) housekeep() {
-	l := c.lead
+	l := c.leadership
 	c.demand()
 	e := c.policyEnv()
 	secs := timeline.Seconds
@@ -288,7 +288,7 @@
 
 // review looks after one machine.
 func (c *Core) review(m *machine, silent, takeover, idle time.Duration, cutOff bool) {
-	l := c.lead
+	l := c.leadership
 	if (len(m.runs) > 0 || l.owed[m.host]) && (m.reported || l.owed[m.host]) {
 		if at, ok := c.leaseOver(m); ok && c.now.After(at) {
 			c.expire(m)
@@ -374,7 +374,7 @@
 
 // wanted reports whether waiting tasks could use the machine.
 func (c *Core) wanted(m *machine) bool {
-	return slices.ContainsFunc(c.lead.queue, func(j *job) bool {
+	return slices.ContainsFunc(c.leadership.queue, func(j *job) bool {
 		return m.eligible(j) && c.couldStart(j)
 	})
 }
@@ -428,7 +428,7 @@
 
 // arrived takes note of a new job's work.
 func (c *Core) arrived(j *job) {
-	rent := &c.lead.rent
+	rent := &c.leadership.rent
 	secs := loadMemory.Seconds()
 	if !j.spec.Service {
 		secs = c.estimate(j).Seconds()
@@ -450,8 +450,8 @@
 // teams' limits let it.
 func (c *Core) expected() float64 {
 	sum := 0.0
-	for _, name := range slices.Sorted(maps.Keys(c.lead.teams)) {
-		t := c.lead.teams[name]
+	for _, name := range slices.Sorted(maps.Keys(c.leadership.teams)) {
+		t := c.leadership.teams[name]
 		x := t.expected(c.now)
 		if t.limit.CPU > 0 {
 			x = min(x, float64(t.limit.CPU)/1000)
@@ -476,7 +476,7 @@
 // consolidate empties the machines that are the dearest to keep when what runs
 // on them fits on the others, with some room for what is to be expected.
 func (c *Core) consolidate() {
-	l := c.lead
+	l := c.leadership
 	used, free, draining := 0.0, 0.0, 0
 	var spare []*machine
 	for _, m := range l.fleet {
@@ -537,7 +537,7 @@
 
 // supply is how many CPUs are at hand or on their way.
 func (c *Core) supply(ordinaryOnly bool) (total, free float64) {
-	for _, m := range c.lead.fleet {
+	for _, m := range c.leadership.fleet {
 		if !m.usable() || ordinaryOnly && m.spot {
 			continue
 		}
@@ -547,7 +547,7 @@
 		total += m.instanceType.CPUs
 		free += float64(m.room().CPU) / 1000
 	}
-	for _, r := range c.lead.rent.wanted {
+	for _, r := range c.leadership.rent.wanted {
 		if !ordinaryOnly || !r.spot {
 			total += r.cpus
 			free += r.cpus
@@ -558,7 +558,7 @@
 
 // demand sums up what waits: CPUs and CPU seconds.
 func (c *Core) demand() (cpus, work, ordinaryCPUs, ordinaryWork float64) {
-	l := c.lead
+	l := c.leadership
 	room := map[*team]float64{}
 	for _, j := range l.queue {
 		if j.halted() || c.now.Before(j.retryAt) || j.spec.Zone != "" && !l.zones.Zone(j.spec.Zone).Rents() {
@@ -592,7 +592,7 @@
 // rentMore rents machines while the waiting work would take too long on those
 // at hand.
 func (c *Core) rentMore(bar, ordinaryBar time.Duration) {
-	l := c.lead
+	l := c.leadership
 	if len(l.rent.instanceTypes) == 0 || !c.canAct() {
 		return
 	}
@@ -640,7 +640,7 @@
 // rentFor sends one request for machines that suit the job; false if none could
 // be sent. Nothing is rented in a zone that is cut off, but as a probe.
 func (c *Core) rentFor(s *JobSpec, cpus float64, pressing, probe bool) bool {
-	l := c.lead
+	l := c.leadership
 	room := c.fleetMost() - len(l.fleet) - l.rent.asked()
 	if l.rent.full != (room <= 0) {
 		// More machines than the controllers have connections for would serve nobody:
@@ -719,10 +719,10 @@
 // request sends a rental, and again under the same name while its outcome is
 // not known.
 func (c *Core) request(name string) {
-	l := c.lead
+	l := c.leadership
 	w := l.rent.wanted[name]
 	c.cloud(CloudCall{Op: CloudRent, Rental: name, InstanceType: w.instanceType, Zone: w.zone, Spot: w.spot, Count: w.n}, func(r CloudReply) {
-		if c.lead != l {
+		if c.leadership != l {
 			return
 		}
 		switch r.Outcome {
@@ -753,7 +753,7 @@
 			l.rent.refused[w.offer] = c.now.Add(time.Minute)
 			c.note(slog.LevelError, "rental rejected as malformed", "type", w.instanceType, "zone", w.zone)
 		default:
-			c.whenLeading(c.jitter(2*time.Second), func() {
+			c.afterWhileLeading(c.jitter(2*time.Second), func() {
 				if l.rent.wanted[name] != nil {
 					c.request(name)
 				}
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -18,7 +18,7 @@
 // unhold takes away the report that a machine waits on and returns what names it.
 func (c *Core) unhold(m *machine) holdKey {
 	key := m.held.holdKey
-	delete(c.lead.holding, key)
+	delete(c.leadership.holding, key)
 	m.held = nil
 	return key
 }
@@ -33,7 +33,7 @@
 func (c *Core) poke(m *machine) {
 	if !m.poked {
 		m.poked = true
-		c.lead.poked = append(c.lead.poked, m)
+		c.leadership.poked = append(c.leadership.poked, m)
 	}
 }
 
@@ -42,7 +42,7 @@
 	var os []Order
 	for _, r := range m.runs {
 		if r.phase == Exited {
-			if r.saved || r.job == nil && !c.lead.unread[r.id.Job] || r.job != nil && r.job.cancelled {
+			if r.saved || r.job == nil && !c.leadership.unread[r.id.Job] || r.job != nil && r.job.cancelled {
 				os = append(os, Order{Verb: Reap, Task: r.id, Try: r.try})
 			}
 			continue
@@ -65,7 +65,7 @@
 // reply answers a machine's report, or keeps it waiting a little while there is
 // nothing to say and something may come.
 func (c *Core) reply(m *machine, due bool) {
-	l := c.lead
+	l := c.leadership
 	h := m.held
 	if h == nil {
 		return
@@ -80,7 +80,7 @@
 		return
 	}
 	if wait := c.paceLeft(m, os); wait > 0 {
-		c.whenLeading(wait, func() {
+		c.afterWhileLeading(wait, func() {
 			if m.held == h {
 				c.reply(m, due)
 			}
@@ -94,9 +94,9 @@
 		c.sendReply(m, os)
 		return
 	}
-	hold := c.lead.holdIdle
+	hold := c.leadership.holdIdle
 	if len(m.runs) > 0 && (m.warm == 0 || m.room().CPU < m.warm/2) {
-		hold = c.lead.holdBusy
+		hold = c.leadership.holdBusy
 		if !m.usable() || m.room().CPU <= 0 {
 			hold = 0
 		}
@@ -105,7 +105,7 @@
 		c.sendReply(m, nil)
 		return
 	}
-	c.whenLeading(hold, func() {
+	c.afterWhileLeading(hold, func() {
 		if m.held == h {
 			c.reply(m, true)
 		}
@@ -114,17 +114,17 @@
 
 func (c *Core) sendReply(m *machine, os []Order) {
 	key := c.unhold(m)
-	if m.fencingToken != c.lead.term && m.deafSince.IsZero() {
+	if m.fencingToken != c.leadership.term && m.deafSince.IsZero() {
 		m.deafSince = c.now
 	}
-	c.answerReport(key.by, AnswerReport{Ref: key.ref, Status: 200, FencingToken: c.lead.term, Orders: os})
+	c.answerReport(key.by, AnswerReport{Ref: key.ref, Status: 200, FencingToken: c.leadership.term, Orders: os})
 	m.answered = c.now
 }
 
 // dispatch looks again at machines whose replies are held: at those that have
 // got orders, and at all when there is work that any of them may take.
 func (c *Core) dispatch() {
-	l := c.lead
+	l := c.leadership
 	for i := 0; i < len(l.poked); i++ {
 		m := l.poked[i]
 		m.poked = false
@@ -137,7 +137,7 @@
 	if c.now.Before(l.dispatchAt) {
 		if !l.dispatchLater {
 			l.dispatchLater = true
-			c.whenLeading(l.dispatchAt.Sub(c.now), func() { l.dispatchLater = false })
+			c.afterWhileLeading(l.dispatchAt.Sub(c.now), func() { l.dispatchLater = false })
 		}
 		return
 	}
@@ -156,7 +156,7 @@
 
 // replyIfAny answers a held report if there are orders for the machine.
 func (c *Core) replyIfAny(m *machine) {
-	if m.held == nil || m.fencingToken != c.lead.term {
+	if m.held == nil || m.fencingToken != c.leadership.term {
 		return
 	}
 	os := c.orders(m)
@@ -181,8 +181,8 @@
 // the bytes a second that operators allow: a worker sends its next report after the reply at
 // the earliest, and one with many tasks has news all the time. Stops are never held back.
 func (c *Core) paceLeft(m *machine, os []Order) time.Duration {
-	budget := c.lead.reportBudget
-	if budget <= 0 || m.fencingToken != c.lead.term || m.releasing || slices.ContainsFunc(os, func(o Order) bool { return o.Verb == Stop }) {
+	budget := c.leadership.reportBudget
+	if budget <= 0 || m.fencingToken != c.leadership.term || m.releasing || slices.ContainsFunc(os, func(o Order) bool { return o.Verb == Stop }) {
 		return 0
 	}
 	size := float64(reportBytes + reportTaskBytes*len(m.runs))
@@ -192,7 +192,7 @@
 
 // releaseHeld answers all held reports.
 func (c *Core) releaseHeld() {
-	for _, m := range c.lead.fleet {
+	for _, m := range c.leadership.fleet {
 		if m.held != nil {
 			c.reply(m, true)
 		}
@@ -201,7 +201,7 @@
 
 // holdOver: nobody waits for the reply to a report any more.
 func (c *Core) holdOver(key holdKey) {
-	l := c.lead
+	l := c.leadership
 	if m := l.holding[key]; m != nil {
 		c.unhold(m)
 	}
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -23,7 +23,7 @@
 	} {
 		t.Run(fmt.Sprint(x), func(t *testing.T) {
 			c := leaderOf(t, 3) // the third machine has 32 CPUs
-			m := c.lead.fleet[2]
+			m := c.leadership.fleet[2]
 			j := newJob(c, 1, x.tasks, testRand())
 			j.spec.CPUs, j.spec.Class, j.any = 1, "c", true
 			j.need = j.spec.Need()
@@ -31,7 +31,7 @@
 			for i := range x.tasks {
 				rep.Tasks = append(rep.Tasks, TaskReport{Task: TaskID{Job: j.spec.ID, Index: i}, Try: uint64(i) + 1, Phase: TaskRuns})
 			}
-			c.lead.reportBudget = x.budget
+			c.leadership.reportBudget = x.budget
 			answeredAfter := func(rep Report) time.Duration {
 				rep.Counter = m.counter + 1
 				at := c.now
@@ -43,7 +43,7 @@
 						}
 					}
 					outs = c.Step(at.Add(d), Tick{})
-					c.lead.reportBudget = x.budget // housekeeping reads it from the policy
+					c.leadership.reportBudget = x.budget // housekeeping reads it from the policy
 				}
 				return -1
 			}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -10,7 +10,7 @@
 // Reports of workers: which are believed, and what is learned from them.
 
 func (c *Core) reportIn(in ReportIn) {
-	l := c.lead
+	l := c.leadership
 	rep := &in.Report
 	refuse := func() { c.answerReport(in.Relay, AnswerReport{Ref: in.Ref, Status: 503}) }
 	if l != nil && rep.FencingToken > l.term && !c.hasAuthority() {
@@ -95,12 +95,12 @@
 // none, it drops all that we say to it, for ever: it is of no use, and its word must
 // not end the term for all the others.
 func (c *Core) handleNewerToken(host string, epoch uint64, useless func()) {
-	c.doubt("a worker has seen a newer epoch", func() {
+	c.verifyTerm("a worker has seen a newer epoch", func() {
 		if c.termsBeganAgain(host, epoch) {
 			return
 		}
-		c.note(slog.LevelWarn, "worker has seen an epoch that never was", "machine", host, "claimed", epoch, "term", c.lead.term)
-		if c.lead.loaded && !c.lead.gone.has(host) {
+		c.note(slog.LevelWarn, "worker has seen an epoch that never was", "machine", host, "claimed", epoch, "term", c.leadership.term)
+		if c.leadership.loaded && !c.leadership.gone.has(host) {
 			useless()
 		}
 	})
@@ -111,7 +111,7 @@
 // tell: the workers would drop all that we say, and the whole fleet be returned for it. As
 // soon as several say so, the terms go on above theirs.
 func (c *Core) termsBeganAgain(host string, epoch uint64) bool {
-	l := c.lead
+	l := c.leadership
 	if !l.fresh || epoch > maxFencingToken || c.now.Sub(l.electedAt) > 2*c.lease {
 		return false
 	}
@@ -119,14 +119,14 @@
 	if len(l.newerTokens) >= minNewerTokenWitnesses {
 		c.known.Term = slices.Max(slices.Collect(maps.Values(l.newerTokens))) + termGapAfterTotalLoss
 		// Who knows of it stands at once: the others would go by what is on record.
-		c.suspectThen("workers have seen newer terms than were on record", func() { c.stand(0) })
+		c.suspectThen("workers have seen newer terms than were on record", func() { c.campaign(0) })
 	}
 	return true
 }
 
 // learn takes in what a report says.
 func (c *Core) learn(m *machine, rep *Report) {
-	l := c.lead
+	l := c.leadership
 	if !m.reported {
 		c.note(slog.LevelDebug, "machine reports", "machine", m.host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
 		m.idle = c.now
@@ -186,7 +186,7 @@
 
 // accounted: nothing of an earlier term can be on the machine unknown to us.
 func (c *Core) accounted(host string) {
-	l := c.lead
+	l := c.leadership
 	if !l.owed[host] {
 		return
 	}
@@ -213,7 +213,7 @@
 }
 
 func (c *Core) reportGone(ref uint64) {
-	if c.lead != nil {
+	if c.leadership != nil {
 		c.holdOver(holdKey{ref: ref})
 	} else if p := c.relay.waiting[ref]; p != nil {
 		c.dropPassed(p)
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -16,7 +16,7 @@
 // restoreFirst has the machines written back at once that were lost from record. Until
 // they are, nothing starts on them.
 func (c *Core) restoreFirst() {
-	l := c.lead
+	l := c.leadership
 	lost := map[string]bool{}
 	l.restore = slices.DeleteFunc(l.restore, func(r snapshot.Record) bool {
 		if strings.HasPrefix(r.Key, machineKeys) {
@@ -60,7 +60,7 @@
 // restoreMore has lost records written back, some at a time: what users wait for goes
 // first, and so does the news of the day.
 func (c *Core) restoreMore() {
-	l := c.lead
+	l := c.leadership
 	p := &l.pipe
 	for len(l.restore) > 0 && len(p.waits[bulk]) < c.cfg.Settings.State.TxnOps {
 		r := l.restore[0]
@@ -71,7 +71,7 @@
 
 // restoreOne writes a record back as it now is, if it still is, and counts it.
 func (c *Core) restoreOne(r snapshot.Record) {
-	l := c.lead
+	l := c.leadership
 	over := func(Entry) {
 		if ofSchedules(r.Key) {
 			l.scheduling--
@@ -98,7 +98,7 @@
 // says it has. Then over is called with what is on record by then: no value if that is not
 // known, or nothing has to be written any more.
 func (c *Core) writeBack(r snapshot.Record, over func(on Entry)) {
-	l := c.lead
+	l := c.leadership
 	ch := &change{lane: bulk, conditions: []Condition{{r.Key, r.Rev}}, writes: []Write{{Key: r.Key}}, size: 400}
 	if rec, ok := r.Value.(*JobRecord); ok {
 		// Applied late, once the job is over and its record gone again, it would bring the
@@ -169,11 +169,11 @@
 
 // loadSchedulesSoon reads the schedules once they are on record.
 func (c *Core) loadSchedulesSoon() {
-	if c.lead.scheduling == 0 {
+	if c.leadership.scheduling == 0 {
 		c.loadSchedules("")
 		return
 	}
-	c.whenLeading(copyEvery, c.loadSchedulesSoon)
+	c.afterWhileLeading(copyEvery, c.loadSchedulesSoon)
 }
 
 // missingSchedules has schedules written back that the copy we have gone by has, and the
@@ -186,7 +186,7 @@
 	var keys []string
 	for _, key := range own.Keys(scheduleKeys) {
 		r, _ := own.Get(key)
-		if rec, _ := r.Value.(*schedule.Record); r.Rev == 0 && rec != nil && c.lead.sched.byName[strings.TrimPrefix(key, scheduleKeys)] == nil {
+		if rec, _ := r.Value.(*schedule.Record); r.Rev == 0 && rec != nil && c.leadership.sched.byName[strings.TrimPrefix(key, scheduleKeys)] == nil {
 			keys = append(keys, key)
 		}
 	}
@@ -196,15 +196,15 @@
 	c.readBackKey(numberKey, func(e Entry, found bool) {
 		if n, ok := own.Get(numberKey); ok && !found {
 			n.Rev = 0
-			c.writeBack(n, func(Entry) { c.whenLeading(copyEvery, c.missingSchedules) })
+			c.writeBack(n, func(Entry) { c.afterWhileLeading(copyEvery, c.missingSchedules) })
 			return
 		}
-		c.lead.sched.numberRev = e.Rev
+		c.leadership.sched.numberRev = e.Rev
 		for _, key := range keys {
 			r, _ := own.Get(key)
 			c.note(slog.LevelError, "a schedule is missing that a copy has, it is written back", "key", key)
 			c.writeBack(r, func(on Entry) {
-				if on.Value != nil && c.lead.sched.byName[strings.TrimPrefix(key, scheduleKeys)] == nil {
+				if on.Value != nil && c.leadership.sched.byName[strings.TrimPrefix(key, scheduleKeys)] == nil {
 					c.loadSchedule(on)
 				}
 			})
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -96,8 +96,8 @@
 	n.in(StoreReply{Ref: listing.Ref, Outcome: OK, Rev: 10, Entries: []Entry{leaderKeyOf("n1", 5, 9, 4)}})
 	stillSix := func(when string) {
 		t.Helper()
-		if n.termMax != 6 {
-			t.Fatalf("%s: the newest term is %d", when, n.termMax)
+		if n.highestTerm != 6 {
+			t.Fatalf("%s: the newest term is %d", when, n.highestTerm)
 		}
 		n.outs = nil
 		n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerLeader, Term: 5}})
@@ -134,7 +134,7 @@
 			first := n.calls(leaderKey)
 			if x.entry.Rev > 20 { // nobody leads at first
 				n.in(StoreReply{Ref: first.Ref, Outcome: Refused})
-				n.firstRev = 20
+				n.firstStoreRevision = 20
 				n.pass(time.Second)
 				first = n.calls(leaderKey)
 			}
@@ -175,7 +175,7 @@
 // and comes late is newer by its counters; it says nothing about what was started since.
 func TestWorkerAnew(t *testing.T) {
 	c := leaderOf(t, 1)
-	l := c.lead
+	l := c.leadership
 	m := l.fleet[0]
 	l.term, m.fencingToken = 6, 6 // known in this term by the counters it has now
 	m.incarnation, m.counter = 1, 2
@@ -209,7 +209,7 @@
 func TestRelayBackUnnoticed(t *testing.T) {
 	c := leaderOf(t, 1)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
-	m := c.lead.fleet[0]
+	m := c.leadership.fleet[0]
 	rep := reportOf(m)
 	send := func(f *relay.Fold, items ...relay.Item) {
 		c.Step(c.now.Add(time.Second), PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: 1, Reports: f.Batch(items, nil)}})
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -39,7 +39,7 @@
 func (c *Core) foundRun(m *machine, t *TaskReport) *run {
 	r := &run{id: t.Task, try: t.Try, m: m, phase: orderedFor, ordered: c.now, order: 0}
 	m.runs = append(m.runs, r)
-	j := c.lead.jobs[t.Task.Job]
+	j := c.leadership.jobs[t.Task.Job]
 	if j != nil && t.Task.Index >= j.spec.Tasks {
 		j = nil
 	}
@@ -59,9 +59,9 @@
 	if j == nil || j.done.has(t.Task.Index) || j.runs[t.Task.Index] != nil {
 		// Nobody waits for it: stop it.
 		r.stop = true
-		if c.lead.unread[t.Task.Job] {
+		if c.leadership.unread[t.Task.Job] {
 			r.stray = true
-			c.lead.strays++
+			c.leadership.strays++
 		}
 		if j != nil {
 			c.note(slog.LevelWarn, "task is listed twice or done, stopping it", "task", t.Task, "machine", m.host)
@@ -83,7 +83,7 @@
 		c.unbookOne(j)
 	}
 	if len(j.places.Rules) > 0 {
-		c.lead.tally.Add(j.spec.ID, r.m.leaf, 1)
+		c.leadership.tally.Add(j.spec.ID, r.m.leaf, 1)
 	}
 	r.m.used = r.m.used.Add(j.need, 1)
 	j.team.used = j.team.used.Add(j.need, 1)
@@ -99,8 +99,8 @@
 	}
 	if r.stray {
 		r.stray = false
-		c.lead.strays--
-		c.lead.dirty = true
+		c.leadership.strays--
+		c.leadership.dirty = true
 	}
 	if !r.holds {
 		return
@@ -109,7 +109,7 @@
 	j := r.job
 	c.count(r, false)
 	if len(j.places.Rules) > 0 {
-		c.lead.tally.Add(j.spec.ID, r.m.leaf, -1)
+		c.leadership.tally.Add(j.spec.ID, r.m.leaf, -1)
 	}
 	r.m.used = r.m.used.Add(r.need, -1)
 	j.team.used = j.team.used.Add(r.need, -1)
@@ -123,7 +123,7 @@
 	// of what the team or the job has got back.
 	if j.team.short || j.spec.SamePlace || j.spec.Apart || j.failures > 0 {
 		j.team.short = false
-		c.lead.dirty = true
+		c.leadership.dirty = true
 	}
 }
 
@@ -198,7 +198,7 @@
 	i := r.id.Index
 	if t.Cause == CauseDone {
 		m.strikes, m.suspect = 0, false
-		r.saved = j == nil && !c.lead.unread[r.id.Job] || j != nil && c.lead.jobs[r.id.Job] != j
+		r.saved = j == nil && !c.leadership.unread[r.id.Job] || j != nil && c.leadership.jobs[r.id.Job] != j
 		if j != nil && !r.saved && j.closing && !j.cancelled {
 			// Its final record is on its way: until that is known this exit may be
 			// all that tells a successor that the task is done.
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -33,9 +33,9 @@
 	}
 	c := New(cfg, pol, calendar.NewSet(nil), 7)
 	c.now = t0
-	c.begin(1, 1, 1, t0, 0)
+	c.becomeLeader(1, 1, 1, t0, 0)
 	c.out = nil
-	l := c.lead
+	l := c.leadership
 	l.loaded, l.margin, l.expiresAt = true, 0.15, t0.Add(1000*time.Hour)
 	for i, cpus := range []float64{4, 8, 32} {
 		l.rent.instanceTypes = append(l.rent.instanceTypes, InstanceType{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, ImageGBps: 0.4, OnDemandRate: cpus, SpotRate: cpus / 3, BootTime: 20 * time.Second, Zones: []string{"a"}})
@@ -73,7 +73,7 @@
 		var best *machine
 		var start time.Time
 		var length time.Duration
-		for _, m := range c.lead.fleet {
+		for _, m := range c.leadership.fleet {
 			if !m.eligible(j) {
 				continue
 			}
@@ -99,7 +99,7 @@
 			back, each = c.standsBack(j, start)
 		}
 		c.addBooking(&booking{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.need, Count: k}, job: j, m: best, back: back, each: each})
-		c.lead.queue.place(j)
+		c.leadership.queue.place(j)
 	}
 }
 
@@ -115,7 +115,7 @@
 			c *Core
 			r *rand.Rand
 		}{{fast, rng}, {plain, twin}} {
-			for _, m := range x.c.lead.fleet {
+			for _, m := range x.c.leadership.fleet {
 				if x.r.IntN(2) == 0 {
 					m.images.Add(fmt.Sprint("img", x.r.IntN(6)), struct{}{})
 				}
@@ -154,7 +154,7 @@
 			b.Run(fmt.Sprintf("machines=%d/jobs=%d", machines, jobs), func(b *testing.B) {
 				rng := rand.New(rand.NewPCG(1, 2))
 				c := leaderOf(b, machines)
-				for _, m := range c.lead.fleet { // all busy
+				for _, m := range c.leadership.fleet { // all busy
 					c.fill(m)
 				}
 				for i := range jobs {
@@ -170,7 +170,7 @@
 
 // fill has tasks run on all of a machine.
 func (c *Core) fill(m *machine) {
-	j := c.lead.jobs["wk-1"]
+	j := c.leadership.jobs["wk-1"]
 	if j == nil {
 		j = c.addJob(&JobRecord{Spec: JobSpec{ID: "wk-1", Class: "r", Owner: "t", Tasks: MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute}, Submitted: t0}, false)
 		j.any = true
@@ -193,7 +193,7 @@
 func BenchmarkReport(b *testing.B) {
 	sizes(b, func(b *testing.B, c *Core, _ *rand.Rand) {
 		for i := range b.N {
-			m := c.lead.fleet[i%len(c.lead.fleet)]
+			m := c.leadership.fleet[i%len(c.leadership.fleet)]
 			c.Step(t0.Add(time.Duration(i)*time.Microsecond), ReportIn{Ref: uint64(i), Report: reportOf(m)})
 		}
 	})
@@ -239,7 +239,7 @@
 				entries = append(entries, Entry{Key: jobKeys + j.spec.ID, Value: j.rec, Rev: 1})
 			}
 			rec := &MachineRecord{}
-			for _, m := range old.lead.fleet {
+			for _, m := range old.leadership.fleet {
 				old.fill(m)
 				rec.Machines = append(rec.Machines, RecordedMachine{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Spot: true})
 			}
@@ -252,7 +252,7 @@
 					c.loadEntry(e)
 				}
 				c.loadedAll()
-				for i, m := range old.lead.fleet {
+				for i, m := range old.leadership.fleet {
 					c.Step(t0, ReportIn{Ref: uint64(i), Report: reportOf(m)})
 				}
 			}
@@ -272,7 +272,7 @@
 		rec.Add(schedule.Entry{Job: schedule.JobID(rec.Number, t0), Planned: t0, Due: t0, Made: t0, Started: t0, Ended: t0, State: schedule.StateDone})
 	}
 	c.loadSchedule(Entry{Key: scheduleKeys + fmt.Sprintf("s%05d", i), Value: rec, Rev: 1})
-	if s := c.lead.sched.byName[fmt.Sprintf("s%05d", i)]; s.def == nil {
+	if s := c.leadership.sched.byName[fmt.Sprintf("s%05d", i)]; s.def == nil {
 		tb.Fatal(s.problem)
 	}
 }
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -37,7 +37,7 @@
 
 // serveSchedule answers as the leader.
 func (c *Core) serveSchedule(call UserCall) {
-	sch, q := &c.lead.sched, call.Schedule
+	sch, q := &c.leadership.sched, call.Schedule
 	if !sch.loaded {
 		c.answer(call, unavailable("the schedules are being read"))
 		return
@@ -117,10 +117,10 @@
 		if by := s.def.Timing.DueAfter(c.wall()); !by.IsZero() {
 			job.Deadline, job.HasDeadline = by.Sub(c.wall()), true
 		}
-		if len(c.lead.sched.runs) >= runsMost { // refused ones, of which nobody has asked again
-			clear(c.lead.sched.runs)
+		if len(c.leadership.sched.runs) >= runsMost { // refused ones, of which nobody has asked again
+			clear(c.leadership.sched.runs)
 		}
-		c.lead.sched.runs[job.ID] = s
+		c.leadership.sched.runs[job.ID] = s
 		c.serve(UserCall{Ref: call.Ref, From: call.From, Op: OpSubmit, ID: job.ID, Spec: &job})
 	}
 }
@@ -153,7 +153,7 @@
 }
 
 func (c *Core) listSchedules(q *ScheduleCall) schedule.Page {
-	sch := &c.lead.sched
+	sch := &c.leadership.sched
 	page := schedule.Page{Schedules: []schedule.Brief{}}
 	i, found := slices.BinarySearch(sch.names, q.After)
 	if found {
@@ -178,7 +178,7 @@
 
 // putSchedule creates a schedule or replaces the definition of one.
 func (c *Core) putSchedule(s *scheduled, call UserCall) {
-	l, q := c.lead, call.Schedule
+	l, q := c.leadership, call.Schedule
 	if q.File == nil { // from a peer of another version
 		c.answer(call, AnswerUser{Status: 400, Field: "name", Reason: "no schedule in the request"})
 		return
@@ -259,9 +259,9 @@
 		c.readSchedule(s, func(found *schedule.Record, rev uint64) {
 			if found == nil { // another schedule was removed meanwhile
 				c.readBackKey(numberKey, func(e Entry, _ bool) {
-					c.lead.sched.numberRev = e.Rev
+					c.leadership.sched.numberRev = e.Rev
 					ch.conditions = c.newSchedule(key)
-					c.lead.pipe.add(ch)
+					c.leadership.pipe.add(ch)
 				})
 				return
 			}
@@ -269,10 +269,10 @@
 		})
 	}
 	ch.rejected = func() {
-		delete(c.lead.sched.byName, s.name)
+		delete(c.leadership.sched.byName, s.name)
 		s.reply(c, AnswerUser{Status: 400, Field: "name", Reason: "the state service rejects the record"})
 	}
-	c.lead.pipe.add(ch)
+	c.leadership.pipe.add(ch)
 }
 
 // newSchedule is the condition on which the first record of a schedule is written. A try
@@ -280,20 +280,20 @@
 // every removal the numbers' record is written as well, so that such a try finds another
 // revision of it.
 func (c *Core) newSchedule(key string) []Condition {
-	return []Condition{{key, 0}, {numberKey, c.lead.sched.numberRev}}
+	return []Condition{{key, 0}, {numberKey, c.leadership.sched.numberRev}}
 }
 
 // number has f called with a number that no schedule ever had. Numbers are taken
 // from the state service in blocks; what is left of a block when a leader ends
 // is not used.
 func (c *Core) number(f func(n uint64, ok bool)) {
-	sch := &c.lead.sched
+	sch := &c.leadership.sched
 	sch.numbers = append(sch.numbers, f)
 	c.handOutNumbers()
 }
 
 func (c *Core) handOutNumbers() {
-	sch := &c.lead.sched
+	sch := &c.leadership.sched
 	for len(sch.numbers) > 0 && sch.next < sch.last {
 		f := sch.numbers[0]
 		sch.numbers = slices.Delete(sch.numbers, 0, 1)
@@ -312,7 +312,7 @@
 			f(0, false)
 		}
 	}
-	c.leaderStore(StoreCall{Op: StoreGet, Key: numberKey}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: numberKey}, func(r StoreReply) {
 		var from, rev uint64
 		if r.Outcome == OK {
 			rec, _ := r.Entries[0].Value.(*NumberRecord)
@@ -326,7 +326,7 @@
 			fail()
 			return
 		}
-		c.lead.pipe.add(&change{
+		c.leadership.pipe.add(&change{
 			conditions: []Condition{{numberKey, rev}}, writes: []Write{{Key: numberKey, Value: &NumberRecord{from + numberBlock}}},
 			done: func(rev uint64) {
 				sch.numberRev = rev
@@ -360,7 +360,7 @@
 			if found && e.Value != nil { // see newSchedule
 				ch.writes = append(ch.writes, Write{Key: numberKey, Value: e.Value})
 			}
-			c.lead.pipe.add(ch)
+			c.leadership.pipe.add(ch)
 		})
 	}
 	ch.done = func(uint64) { done() }
--- a/internal/core/schedule_write.go
+++ b/internal/core/schedule_write.go
@@ -16,7 +16,7 @@
 	s.gen++
 	ch := &change{lane: ln}
 	c.compose(s, ch, apply, job, done, taken)
-	c.lead.pipe.add(ch)
+	c.leadership.pipe.add(ch)
 }
 
 // compose fills in a change of a schedule's record.
@@ -56,11 +56,11 @@
 			case rev != s.rev:
 				s.rev = rev
 				ch.conditions[0].Rev = rev
-				c.lead.pipe.add(ch)
+				c.leadership.pipe.add(ch)
 			case taken != nil:
 				c.written(s, taken)
 			default:
-				c.lead.pipe.add(ch)
+				c.leadership.pipe.add(ch)
 			}
 		})
 	}
@@ -77,7 +77,7 @@
 		rec, _ := e.Value.(*schedule.Record)
 		if found && rec == nil {
 			c.note(slog.LevelError, "record is unreadable", "key", e.Key)
-			c.whenLeading(c.jitter(time.Second), func() { c.readSchedule(s, f) })
+			c.afterWhileLeading(c.jitter(time.Second), func() { c.readSchedule(s, f) })
 			return
 		}
 		f(rec, e.Rev)
@@ -104,7 +104,7 @@
 }
 
 func (c *Core) forgetSchedule(s *scheduled) {
-	sch := &c.lead.sched
+	sch := &c.leadership.sched
 	s.gone = true
 	s.gen++
 	if sch.byName[s.name] == s {
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -89,22 +89,22 @@
 
 // loadSchedules reads the schedules, page by page, while the leader works.
 func (c *Core) loadSchedules(from string) {
-	c.leaderStore(StoreCall{Op: StoreList, Key: scheduleKeys, From: from, Limit: schedulePage}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreList, Key: scheduleKeys, From: from, Limit: schedulePage}, func(r StoreReply) {
 		if r.Outcome != OK {
-			c.whenLeading(c.jitter(200*time.Millisecond), func() { c.loadSchedules(from) })
+			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.loadSchedules(from) })
 			return
 		}
 		for _, e := range r.Entries {
 			c.loadSchedule(e)
 		}
 		if r.More && len(r.Entries) > 0 {
-			c.whenLeading(scheduleGap, func() { c.loadSchedules(r.Entries[len(r.Entries)-1].Key) })
+			c.afterWhileLeading(scheduleGap, func() { c.loadSchedules(r.Entries[len(r.Entries)-1].Key) })
 			return
 		}
-		c.lead.sched.loaded = true
+		c.leadership.sched.loaded = true
 		c.missingSchedules()
-		if n := len(c.lead.sched.names); n > 0 {
-			c.note(slog.LevelInfo, "schedules read", "term", c.lead.term, "schedules", n)
+		if n := len(c.leadership.sched.names); n > 0 {
+			c.note(slog.LevelInfo, "schedules read", "term", c.leadership.term, "schedules", n)
 			c.resolveNext()
 		}
 	})
@@ -114,7 +114,7 @@
 	rec, _ := e.Value.(*schedule.Record)
 	if rec == nil {
 		c.note(slog.LevelError, "record is unreadable", "key", e.Key, "effect", "the schedule makes no jobs and is not served")
-		c.lead.sched.unread[strings.TrimPrefix(e.Key, scheduleKeys)] = true
+		c.leadership.sched.unread[strings.TrimPrefix(e.Key, scheduleKeys)] = true
 		return
 	}
 	c.keep(e)
@@ -125,14 +125,14 @@
 		if x.State != schedule.StateMade {
 			continue
 		}
-		if j := c.lead.jobs[x.Job]; j != nil {
+		if j := c.leadership.jobs[x.Job]; j != nil {
 			j.sched = s
 			c.watchDeadline(s, j, x.Due)
 		} else {
-			c.lead.sched.unresolved = append(c.lead.sched.unresolved, occurrenceOf{s, x.Job})
+			c.leadership.sched.unresolved = append(c.leadership.sched.unresolved, occurrenceOf{s, x.Job})
 		}
 	}
-	if j := c.lead.jobs[rec.LastJob]; j != nil {
+	if j := c.leadership.jobs[rec.LastJob]; j != nil {
 		j.sched = s
 	}
 	c.plan(s)
@@ -140,7 +140,7 @@
 
 // addSchedule takes a schedule whose record is known into memory.
 func (c *Core) addSchedule(s *scheduled) {
-	sch := &c.lead.sched
+	sch := &c.leadership.sched
 	sch.byName[s.name] = s
 	if i, found := slices.BinarySearch(sch.names, s.name); !found {
 		sch.names = slices.Insert(sch.names, i, s.name)
@@ -185,21 +185,21 @@
 	if s.notBefore.After(at) {
 		at = s.notBefore
 	}
-	sch := &c.lead.sched
+	sch := &c.leadership.sched
 	if !at.After(c.wall()) {
 		c.isReady(s, o)
 		return
 	}
 	sch.later.push(at, place{s, s.gen})
 	if d := at.Sub(c.wall()); d < tickEvery {
-		c.whenLeading(d, c.dueSchedules)
+		c.afterWhileLeading(d, c.dueSchedules)
 	}
 }
 
 // isReady puts a schedule among those that are due: by deadline, then those whose
 // deadline has passed or that have none.
 func (c *Core) isReady(s *scheduled, o calendar.Occurrence) {
-	sch := &c.lead.sched
+	sch := &c.leadership.sched
 	at := o.Due
 	if !at.After(c.wall()) {
 		at = o.Start.Add(undatedBehind)
@@ -213,7 +213,7 @@
 // dueSchedules moves what has become due. It goes by the time of day each time
 // anew, so a clock that is set back or forward only changes when.
 func (c *Core) dueSchedules() {
-	sch := &c.lead.sched
+	sch := &c.leadership.sched
 	now := c.wall()
 	for n := 0; sch.later.len() > 0; {
 		at, top := sch.later.first()
@@ -223,12 +223,12 @@
 		}
 		if d := at.Sub(now); d > 0 {
 			if d < tickEvery {
-				c.whenLeading(d, c.dueSchedules)
+				c.afterWhileLeading(d, c.dueSchedules)
 			}
 			return
 		}
 		if n++; n > dueAtOnce {
-			c.whenLeading(10*time.Millisecond, c.dueSchedules)
+			c.afterWhileLeading(10*time.Millisecond, c.dueSchedules)
 			return
 		}
 		sch.later.pop()
@@ -242,12 +242,12 @@
 // The state service's allowance paces it, and what is decided is decided with
 // what is known when it goes.
 func (c *Core) makeOccurrences() {
-	sch := &c.lead.sched
-	if sch.ready.len() == 0 || !c.lead.rent.read || !c.canAct() {
+	sch := &c.leadership.sched
+	if sch.ready.len() == 0 || !c.leadership.rent.read || !c.canAct() {
 		return
 	}
 	room := c.cfg.Settings.State.TxnOps
-	for _, ch := range c.lead.pipe.waits[due] {
+	for _, ch := range c.leadership.pipe.waits[due] {
 		room -= len(ch.writes)
 	}
 	for room >= 2 && sch.ready.len() > 0 {
@@ -261,14 +261,14 @@
 
 // occurrencesWait reports whether some could be made if the allowance let them.
 func (c *Core) occurrencesWait() bool {
-	l := c.lead
+	l := c.leadership
 	return len(l.pipe.waits[due]) > 0 || l.sched.ready.len() > 0 && l.rent.read
 }
 
 // decide decides on the next occurrences of a schedule, up to one that becomes a
 // job, and has the outcome written.
 func (c *Core) decide(s *scheduled) {
-	l, now := c.lead, c.wall()
+	l, now := c.leadership, c.wall()
 	s.gen++
 	if s.busy {
 		return // planned again when the write is over
@@ -312,7 +312,7 @@
 
 // told logs and counts occurrences that do not run.
 func (c *Core) told(s *scheduled, gone []schedule.Passed) {
-	c.lead.sched.missed += int64(len(gone))
+	c.leadership.sched.missed += int64(len(gone))
 	for _, p := range gone {
 		c.note(slog.LevelWarn, "occurrence missed", "schedule", s.name, "planned", p.Start, "job", schedule.JobID(s.rec.Number, p.Nominal), "reason", p.Reason)
 	}
@@ -333,14 +333,14 @@
 		r.Add(schedule.Entry{Job: id, Planned: o.Start, Due: o.Due, Made: c.wall(), State: schedule.StateMade})
 	}, job, func() {
 		c.told(s, gone)
-		c.lead.sched.made++
+		c.leadership.sched.made++
 		if late := c.wall().Sub(o.Start); late > schedule.OnTime {
 			c.note(slog.LevelWarn, "occurrence made late", "schedule", s.name, "planned", o.Start, "job", id, "late", late)
 		}
-		if c.lead.jobs[id] == nil { // else its id was submitted at the same time, and taken on
+		if c.leadership.jobs[id] == nil { // else its id was submitted at the same time, and taken on
 			c.newJob(job)
 		}
-		j := c.lead.jobs[id]
+		j := c.leadership.jobs[id]
 		j.sched = s
 		c.watchDeadline(s, j, o.Due)
 	}, func() {
@@ -356,8 +356,8 @@
 		return
 	}
 	id := j.spec.ID
-	c.whenLeading(max(0, due.Sub(c.wall())), func() {
-		if c.lead.jobs[id] != j || j.cancelled || s.gone {
+	c.afterWhileLeading(max(0, due.Sub(c.wall())), func() {
+		if c.leadership.jobs[id] != j || j.cancelled || s.gone {
 			return
 		}
 		if e, ok := s.rec.Entry(id); ok && !e.Late {
@@ -368,7 +368,7 @@
 
 // ranNow puts a job that was asked for into its schedule's history.
 func (c *Core) ranNow(s *scheduled, j *job) {
-	delete(c.lead.sched.runs, j.spec.ID)
+	delete(c.leadership.sched.runs, j.spec.ID)
 	if s.gone {
 		return
 	}
@@ -388,7 +388,7 @@
 func (c *Core) takeNotes(s *scheduled) {
 	for _, e := range s.notes {
 		s.rec.Note(e)
-		if j := c.lead.jobs[e.Job]; j != nil {
+		if j := c.leadership.jobs[e.Job]; j != nil {
 			c.watchDeadline(s, j, e.Due)
 		} else if f, ok := c.final.Get(e.Job); ok { // over already
 			c.occurrenceOver(s, e.Job, f.State, c.wall())
@@ -403,7 +403,7 @@
 	s.rec.Update(e.Job, func(e *schedule.Entry) { e.Late = true })
 	s.rec.Late++
 	c.flushSchedule(s)
-	c.lead.sched.late++
+	c.leadership.sched.late++
 	c.note(slog.LevelWarn, "occurrence late", "schedule", s.name, "planned", e.Planned, "due", e.Due, "job", e.Job)
 }
 
@@ -451,7 +451,7 @@
 		return
 	}
 	s.flushing = true
-	c.whenLeading(historyAfter, func() {
+	c.afterWhileLeading(historyAfter, func() {
 		ch := &change{lane: bulk, writes: []Write{{Key: scheduleKeys + s.name}}, size: s.rec.Size()}
 		sent := false
 		ch.fill = func() bool {
@@ -467,21 +467,21 @@
 			c.compose(s, ch, func(*schedule.Record) {}, nil, func() {}, nil)
 			return true
 		}
-		c.lead.pipe.add(ch)
+		c.leadership.pipe.add(ch)
 	})
 }
 
 // resolveNext looks up how an occurrence ended whose job was over when this
 // leader began. When is not known: the time is that of the finding.
 func (c *Core) resolveNext() {
-	sch := &c.lead.sched
+	sch := &c.leadership.sched
 	if len(sch.unresolved) == 0 {
 		return
 	}
 	x := sch.unresolved[0]
-	l := c.lead
+	l := c.leadership
 	c.readJob(x.job, func(v *JobView, ok bool) {
-		if c.lead != l {
+		if c.leadership != l {
 			return
 		}
 		if ok {
@@ -494,6 +494,6 @@
 				c.occurrenceOver(x.s, x.job, v.State, at)
 			}
 		}
-		c.whenLeading(resolveEvery, c.resolveNext)
+		c.afterWhileLeading(resolveEvery, c.resolveNext)
 	})
 }
--- a/internal/core/search.go
+++ b/internal/core/search.go
@@ -30,15 +30,15 @@
 
 // searchRecords reads on, now and every while.
 func (c *Core) searchRecords() {
-	l := c.lead
-	c.whenLeading(searchEvery, c.searchRecords)
+	l := c.leadership
+	c.afterWhileLeading(searchEvery, c.searchRecords)
 	own := c.ownCopy()
 	if own == nil || !c.canAct() || len(l.restore) > 0 || l.rebuild != nil && l.rebuild.left > 0 || !c.reads.AllowN(c.now, 2) {
 		return
 	}
 	s := &l.search
 	prefix, asked := searched[s.place], c.known.Rev
-	c.leaderStore(StoreCall{Op: StoreList, Key: prefix, From: s.from, Limit: searchPart}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreList, Key: prefix, From: s.from, Limit: searchPart}, func(r StoreReply) {
 		if r.Outcome != OK || c.ownCopy() != own {
 			return
 		}
@@ -65,7 +65,7 @@
 // unsettledKey reports whether a change of the key is on its way, or has been sent without
 // our knowing what became of it.
 func (c *Core) unsettledKey(key string) bool {
-	p := &c.lead.pipe
+	p := &c.leadership.pipe
 	if p.busy[key] {
 		return true
 	}
@@ -86,7 +86,7 @@
 	if !ok || was.Rev == 0 || c.unsettledKey(key) {
 		return
 	}
-	c.leaderStore(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
 		now, still := own.Get(key)
 		gone := r.Outcome == NotFound || r.Outcome == OK && r.Entries[0].Rev < was.Rev
 		if gone && still && now.Rev == was.Rev && c.ownCopy() == own && !c.unsettledKey(key) {
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -29,10 +29,10 @@
 
 // Stats returns the figures of now.
 func (c *Core) Stats() Stats {
-	s := Stats{Term: c.termMax, Passed: len(c.relay.known), Late: c.late}
+	s := Stats{Term: c.highestTerm, Passed: len(c.relay.known), Late: c.late}
 	here := c.ConfigHere()
 	s.ConfigRevision, s.ConfigAge = here.Revision, here.AgeS
-	l := c.lead
+	l := c.leadership
 	if l == nil {
 		return s
 	}
--- a/internal/core/store.go
+++ b/internal/core/store.go
@@ -94,7 +94,7 @@
 
 // pumpStore sends what may be sent.
 func (c *Core) pumpStore() {
-	p := &c.lead.pipe
+	p := &c.leadership.pipe
 	if !c.canAct() || c.now.Before(p.pause) {
 		return
 	}
@@ -135,7 +135,7 @@
 // readBackKey reads a record whose write met a condition that does not hold, until
 // the state service answers; found is false if there is none.
 func (c *Core) readBackKey(key string, f func(e Entry, found bool)) {
-	c.leaderStore(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
 		switch r.Outcome {
 		case OK:
 			c.keep(r.Entries[0])
@@ -143,17 +143,17 @@
 		case NotFound:
 			f(Entry{}, false)
 		default:
-			c.whenLeading(c.jitter(500*time.Millisecond), func() { c.readBackKey(key, f) })
+			c.afterWhileLeading(c.jitter(500*time.Millisecond), func() { c.readBackKey(key, f) })
 		}
 	})
 }
 
 // nudge has the pump run again soon.
 func (c *Core) nudge() {
-	p := &c.lead.pipe
+	p := &c.leadership.pipe
 	if !p.nudged {
 		p.nudged = true
-		c.whenLeading(20*time.Millisecond, func() { p.nudged = false })
+		c.afterWhileLeading(20*time.Millisecond, func() { p.nudged = false })
 	}
 }
 
@@ -186,7 +186,7 @@
 }
 
 func (c *Core) sendBatch(ln lane) bool {
-	p := &c.lead.pipe
+	p := &c.leadership.pipe
 	ops := p.roomFor(ln, c.now, c.cfg.Settings.State.TxnOps)
 	if p.reqs.TokensAt(c.now) < 1 || ops < leastRoom(ln) {
 		c.nudge()
@@ -196,7 +196,7 @@
 	if len(batch) == 0 {
 		return false
 	}
-	call := StoreCall{Op: StoreTxn, Conditions: []Condition{{termKey, c.lead.termRev}}}
+	call := StoreCall{Op: StoreTxn, Conditions: []Condition{{termKey, c.leadership.termRevision}}}
 	for _, ch := range batch {
 		ch.sent = true
 		call.Conditions = append(call.Conditions, ch.conditions...)
@@ -207,7 +207,7 @@
 		p.busy[w.Key] = true
 	}
 	p.flying[ln]++
-	c.leaderStore(call, func(r StoreReply) {
+	c.storeWhileLeading(call, func(r StoreReply) {
 		p.flying[ln]--
 		for _, w := range call.Writes {
 			delete(p.busy, w.Key)
@@ -218,7 +218,7 @@
 }
 
 func (c *Core) batchDone(batch []*change, r StoreReply) {
-	p := &c.lead.pipe
+	p := &c.leadership.pipe
 	again := func(chs []*change) {
 		for _, ch := range slices.Backward(chs) {
 			p.waits[ch.lane] = slices.Insert(p.waits[ch.lane], 0, ch)
@@ -267,7 +267,7 @@
 		if len(batch) == 1 {
 			// The bad one, or one of them: behind all others, and later.
 			ch := batch[0]
-			c.whenLeading(c.jitter(time.Second), func() { p.add(ch) })
+			c.afterWhileLeading(c.jitter(time.Second), func() { p.add(ch) })
 			return
 		}
 		p.single = max(p.single, len(batch))
@@ -283,9 +283,9 @@
 
 // standBack has the pipeline wait a little, longer each time in a row.
 func (c *Core) standBack() {
-	p := &c.lead.pipe
+	p := &c.leadership.pipe
 	p.backoff = min(max(2*p.backoff, 100*time.Millisecond), 2*time.Second)
 	d := c.jitter(p.backoff)
 	p.pause = c.now.Add(d)
-	c.whenLeading(d, func() {})
+	c.afterWhileLeading(d, func() {})
 }
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -14,12 +14,12 @@
 
 // load reads the records of the earlier terms, page by page.
 func (c *Core) load(from string) {
-	c.leaderStore(StoreCall{Op: StoreList, Key: liveKeys, From: from, Limit: 400}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreList, Key: liveKeys, From: from, Limit: 400}, func(r StoreReply) {
 		if r.Outcome != OK {
-			c.whenLeading(c.jitter(200*time.Millisecond), func() { c.load(from) })
+			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.load(from) })
 			return
 		}
-		g := c.lead.gather
+		g := c.leadership.gather
 		for _, e := range r.Entries {
 			g.stored = append(g.stored, snapshot.Record{Key: e.Key, Value: e.Value, Rev: e.Rev})
 		}
@@ -38,7 +38,7 @@
 // Should a fault of ours make one of them end the process, every controller would come
 // to the same end at each start, and no job would be served for the sake of one.
 func (c *Core) loadEntry(e Entry) {
-	l := c.lead
+	l := c.leadership
 	unreadable := func(effect string) {
 		c.note(slog.LevelError, "record is unreadable", "key", e.Key, "effect", effect)
 	}
@@ -94,14 +94,14 @@
 
 // loadedAll begins the work of the term.
 func (c *Core) loadedAll() {
-	l := c.lead
+	l := c.leadership
 	l.loaded = true
 	c.configLoaded()
 	for _, j := range l.sortedJobs() {
 		c.jobLoaded(j)
 	}
 	c.note(slog.LevelInfo, "records read", "term", l.term, "jobs", len(l.jobs), "machines", len(l.owed))
-	if c.takeWaiting(); c.lead != l {
+	if c.takeWaiting(); c.leadership != l {
 		return // one of them has seen a newer epoch, and we were out of authority
 	}
 	c.listMachines("", nil)
@@ -110,8 +110,8 @@
 		c.followAlone()
 	}
 	c.loadSchedulesSoon()
-	c.whenLeading(c.jitter(searchEvery), c.searchRecords)
-	c.tickLead()
+	c.afterWhileLeading(c.jitter(searchEvery), c.searchRecords)
+	c.tickLeader()
 }
 
 // takenMost is how many reports are taken in a row that have waited for the records.
@@ -119,16 +119,16 @@
 
 // takeWaiting takes in reports that have waited for the records, or the first of them.
 func (c *Core) takeWaiting() {
-	l := c.lead
+	l := c.leadership
 	n := min(len(l.waiting), takenMost)
 	some := slices.Clone(l.waiting[:n])
 	l.waiting = slices.Delete(l.waiting, 0, n)
 	for _, r := range some {
 		c.reportIn(r) // which passes it on should we lead no more
 	}
-	if c.lead == l && len(l.waiting) > 0 && !l.taking {
+	if c.leadership == l && len(l.waiting) > 0 && !l.taking {
 		l.taking = true
-		c.whenLeading(0, func() {
+		c.afterWhileLeading(0, func() {
 			l.taking = false
 			c.takeWaiting()
 		})
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -63,8 +63,8 @@
 		c.answer(call, AnswerUser{Status: 200, View: f.view(call.ID)}) // final states never change
 		return
 	}
-	if c.lead == nil && c.linked() {
-		if call.Config != nil && c.leaderSpeaks < peerVersion {
+	if c.leadership == nil && c.hasLeaderLink() {
+		if call.Config != nil && c.leaderVersion < peerVersion {
 			c.askLeaderVersion()
 			c.answer(call, unavailable("the leader has not said that it knows live configuration"))
 			return
@@ -78,8 +78,8 @@
 // forward passes a request on to the leader.
 func (c *Core) forward(call UserCall) {
 	ref := c.nextRef()
-	c.calls[ref] = &forwarded{call, c.hint}
-	c.emit(PeerSend{c.hint, PeerMsg{Kind: PeerCall, Ref: ref, Op: call.Op, ID: call.ID, Spec: call.Spec, Schedule: call.Schedule, Config: call.Config}})
+	c.calls[ref] = &forwarded{call, c.knownLeader}
+	c.emit(PeerSend{c.knownLeader, PeerMsg{Kind: PeerCall, Ref: ref, Op: call.Op, ID: call.ID, Spec: call.Spec, Schedule: call.Schedule, Config: call.Config}})
 	wait := 2500 * time.Millisecond
 	switch call.Op {
 	case OpGet:
@@ -203,7 +203,7 @@
 
 // serve answers as the leader.
 func (c *Core) serve(call UserCall) {
-	l := c.lead
+	l := c.leadership
 	if call.Schedule != nil {
 		c.serveSchedule(call)
 		return
@@ -252,13 +252,13 @@
 // reread looks again at the record of a job that could not be read: it may have been put
 // right, or dropped.
 func (c *Core) reread(call UserCall) {
-	l, id := c.lead, call.ID
+	l, id := c.leadership, call.ID
 	no := func() { c.answer(call, unavailable("the job's record cannot be read")) }
 	if !c.reads.AllowN(c.now, 2) {
 		no()
 		return
 	}
-	c.leaderStoreElse(StoreCall{Op: StoreGet, Key: jobKeys + id}, no, func(r StoreReply) {
+	c.storeWhileLeadingOr(StoreCall{Op: StoreGet, Key: jobKeys + id}, no, func(r StoreReply) {
 		var rec *JobRecord
 		if r.Outcome == OK {
 			rec, _ = r.Entries[0].Value.(*JobRecord)
@@ -272,7 +272,7 @@
 		case rec == nil || rec.Spec.ID != id:
 			no()
 		default:
-			c.leaderStoreElse(StoreCall{Op: StoreList, Key: doneKeys + id + "/", Limit: 400}, no, func(p StoreReply) {
+			c.storeWhileLeadingOr(StoreCall{Op: StoreList, Key: doneKeys + id + "/", Limit: 400}, no, func(p StoreReply) {
 				if p.Outcome != OK || p.More {
 					no()
 					return
@@ -291,7 +291,7 @@
 // that may still be on machines are its own again until they are gone. A record that a fault
 // of ours cannot take in stays set aside, as at a take-over.
 func (c *Core) takeUp(rec Entry, progress []Entry) bool {
-	l, id := c.lead, strings.TrimPrefix(rec.Key, jobKeys)
+	l, id := c.leadership, strings.TrimPrefix(rec.Key, jobKeys)
 	delete(l.unread, id)
 	c.loadEntry(rec)
 	j := l.jobs[id]
@@ -322,17 +322,17 @@
 // A record that memory does not have is an acceptance whose write came through
 // after it had been given up: the job is taken on.
 func (c *Core) readBack(call UserCall, missing func()) {
-	l := c.lead
+	l := c.leadership
 	c.readJob(call.ID, func(v *JobView, known bool) {
 		switch {
-		case c.lead != l || !c.canAct() || !known:
+		case c.leadership != l || !c.canAct() || !known:
 			c.answer(call, unavailable("the state service does not answer"))
 		case l.jobs[call.ID] != nil || l.accept[call.ID] != nil:
 			c.serve(call) // accepted since the read began, which saw nothing of it
 		case v == nil && l.unsure(c.now):
 			c.answer(call, unavailable("data was lost, and what there is is being looked for"))
 		case v == nil:
-			c.stands(unheardOf(call.ID), func(r StoreReply) {
+			c.confirmTerm(unheardOf(call.ID), func(r StoreReply) {
 				if r.Outcome == OK && c.canAct() {
 					missing()
 				} else {
@@ -351,22 +351,22 @@
 
 // adopt takes on a job whose record exists but which memory lacks.
 func (c *Core) adopt(id string, then, otherwise func()) {
-	c.leaderStore(StoreCall{Op: StoreGet, Key: jobKeys + id}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: jobKeys + id}, func(r StoreReply) {
 		if r.Outcome != OK {
 			otherwise()
 			return
 		}
 		c.keep(r.Entries[0])
-		if rec, _ := r.Entries[0].Value.(*JobRecord); rec != nil && c.lead.jobs[id] == nil {
-			a := c.lead.accept[id]
-			delete(c.lead.accept, id)
+		if rec, _ := r.Entries[0].Value.(*JobRecord); rec != nil && c.leadership.jobs[id] == nil {
+			a := c.leadership.accept[id]
+			delete(c.leadership.accept, id)
 			j := c.addJob(rec, false)
 			c.jobLoaded(j)
 			if a != nil { // what another node has accepted meanwhile: nobody else tells them
 				a.answerAll(c, AnswerUser{Status: 200, View: j.view()})
 			}
 		}
-		if c.lead.jobs[id] == nil {
+		if c.leadership.jobs[id] == nil {
 			otherwise()
 			return
 		}
@@ -382,7 +382,7 @@
 
 // submit decides on a new job and answers once its record is committed.
 func (c *Core) submit(call UserCall) {
-	l := c.lead
+	l := c.leadership
 	if len(l.rent.instanceTypes) == 0 {
 		c.answer(call, unavailable("the machine types are not known yet"))
 		return
@@ -434,7 +434,7 @@
 // newJob takes on a job whose record has just been committed.
 func (c *Core) newJob(rec *JobRecord) *job {
 	j := c.addJob(rec, false)
-	if s := c.lead.sched.runs[rec.Spec.ID]; s != nil {
+	if s := c.leadership.sched.runs[rec.Spec.ID]; s != nil {
 		c.ranNow(s, j)
 	}
 	c.arrived(j)
@@ -448,25 +448,25 @@
 func (c *Core) acceptConflict(a *accepting) {
 	id := a.spec.ID
 	c.readJob(id, func(v *JobView, known bool) {
-		if c.lead == nil || c.lead.accept[id] != a {
+		if c.leadership == nil || c.leadership.accept[id] != a {
 			return
 		}
 		switch {
 		case !known || v == nil:
 			a.answerAll(c, unavailable("the state service does not answer"))
-			c.whenLeading(time.Second, func() { c.acceptConflict(a) })
+			c.afterWhileLeading(time.Second, func() { c.acceptConflict(a) })
 		case v.State == Done || v.State == Cancelled:
-			delete(c.lead.accept, id)
+			delete(c.leadership.accept, id)
 			a.answerAll(c, AnswerUser{Status: 200, View: *v})
 		default:
 			c.adopt(id, func() {
-				delete(c.lead.accept, id)
-				if j := c.lead.jobs[id]; j != nil {
+				delete(c.leadership.accept, id)
+				if j := c.leadership.jobs[id]; j != nil {
 					a.answerAll(c, AnswerUser{Status: 200, View: j.view()})
 				}
 			}, func() {
 				a.answerAll(c, unavailable("the state service does not answer"))
-				c.whenLeading(time.Second, func() { c.acceptConflict(a) })
+				c.afterWhileLeading(time.Second, func() { c.acceptConflict(a) })
 			})
 		}
 	})
@@ -479,7 +479,7 @@
 
 // neverRuns says why a job can never run, and by which of its fields, or "".
 func (c *Core) neverRuns(s *JobSpec) (field, reason string) {
-	return neverRunsOn(s, c.lead.teams[s.Owner], c.lead.rent.instanceTypes)
+	return neverRunsOn(s, c.leadership.teams[s.Owner], c.leadership.rent.instanceTypes)
 }
 
 // neverRunsOn is neverRuns for its team, nil if there is none of that name, and types.
@@ -540,8 +540,8 @@
 
 func (c *Core) policyEnv() policy.Env {
 	e := policy.Env{ReportS: c.report.Seconds(), LeaseS: c.lease.Seconds()}
-	if c.lead != nil {
-		e.BacklogS = c.lead.rent.backlog.Seconds()
+	if c.leadership != nil {
+		e.BacklogS = c.leadership.rent.backlog.Seconds()
 	}
 	return e
 }
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -34,7 +34,7 @@
 // machines of such a zone alone: nothing is booked on them or counted on, and they are
 // not returned for being silent.
 func (c *Core) lookAtZones() {
-	l := c.lead
+	l := c.leadership
 	quiet := c.quietAfter()
 	heard := func(m *machine) bool {
 		return m.reported && c.now.Sub(maxTime(m.seen, l.resumedAt)) <= quiet
@@ -86,7 +86,7 @@
 
 // lookAtRegions tells of regions that are cut off as a whole, once.
 func (c *Core) lookAtRegions() {
-	l := c.lead
+	l := c.leadership
 	for _, x := range l.regions.Look(c.now, l.zones.All()) {
 		r := x.Region
 		c.note(eventLevel(x.To), "region "+x.To.String(), "region", r.Name, "before", x.From.String(), "after", x.After, "zones", r.Zones, "away", r.Away, "heard", r.Sight.Heard, "silent", r.Sight.Silent)
@@ -96,7 +96,7 @@
 // giveBackZones returns machines of lost zones, the dearest first, as far as they are not
 // to be kept any longer.
 func (c *Core) giveBackZones() {
-	l := c.lead
+	l := c.leadership
 	for _, z := range l.zones.All() {
 		if z.Probe(c.now) {
 			c.note(slog.LevelInfo, "a machine is rented to see whether the zone is back", "zone", z.Name)
@@ -125,7 +125,7 @@
 	if j.spec.Zone == "" || j.waiting == 0 {
 		return ""
 	}
-	if z := c.lead.zones.Zone(j.spec.Zone); z.Away() {
+	if z := c.leadership.zones.Zone(j.spec.Zone); z.Away() {
 		return "zone " + z.Name + " is " + z.State.String() + ", tasks wait for it"
 	}
 	return ""
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -13,7 +13,7 @@
 // twoZones returns a leader with n machines in each of zones a and b.
 func twoZones(t *testing.T, n int) *Core {
 	c := leaderOf(t, n)
-	c.lead.rent.instanceTypes[0].Zones = []string{"a", "b"}
+	c.leadership.rent.instanceTypes[0].Zones = []string{"a", "b"}
 	for i := range n {
 		m := c.machine(fmt.Sprintf("host-1%05d", i), "f0", "b", true)
 		m.reported, m.record, m.incarnation, m.fencingToken, m.seen = true, recorded, 1, 1, t0
@@ -25,7 +25,7 @@
 func silence(c *Core, d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); {
 		c.now = c.now.Add(500 * time.Millisecond)
-		for _, m := range c.lead.fleet {
+		for _, m := range c.leadership.fleet {
 			if m.zone == "b" {
 				m.seen = c.now
 			}
@@ -52,10 +52,10 @@
 	pinned.spec.Zone = "a"
 	c.book(pinned)
 	silence(c, 15*time.Second)
-	if z := c.lead.zones.Zone("a"); z.State != zones.Doubtful {
+	if z := c.leadership.zones.Zone("a"); z.State != zones.Doubtful {
 		t.Fatal("the zone is", z.State)
 	}
-	for _, m := range c.lead.fleet {
+	for _, m := range c.leadership.fleet {
 		if m.zone == "a" && (m.releasing || m.usable() || len(m.books) > 0) {
 			t.Fatalf("%s: released %v, usable %v, %d bookings", m.host, m.releasing, m.usable(), len(m.books))
 		}
@@ -84,8 +84,8 @@
 // without an answer, before it can be heard by another.
 func TestQuietRelay(t *testing.T) {
 	c := twoZones(t, 12)
-	p := c.lead.relay("n1")
-	m := c.lead.fleet[0]
+	p := c.leadership.relay("n1")
+	m := c.leadership.fleet[0]
 	m.home, p.heard = p, t0
 	silent := 10 * time.Second
 	if d := c.patience(m, silent); d != silent {
