--- a/internal/core/alone.go
+++ b/internal/core/alone.go
@@ -157,7 +157,7 @@
 	l := c.leadership
 	id := strings.TrimPrefix(key, aloneKeys)
 	drop := func() { l.pipe.add(&change{lane: bulk, writes: []Write{{Key: key}}}) }
-	if l.jobs[id] != nil || l.unread[id] {
+	if l.jobs[id] != nil || l.unreadableJobs[id] {
 		drop()
 		return
 	}
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -42,11 +42,11 @@
 // records tells how whole the records are, as the leader knows.
 func (c *Core) records() *Records {
 	l := c.leadership
-	r := &Records{Era: c.known.Era}
-	if b := l.rebuild; b != nil {
-		r.Lost, r.From, r.SinceS, r.Restored, r.Left = b.why, b.from, c.now.Sub(b.since).Seconds(), b.restored, b.left
+	r := &Records{Era: c.observed.Era}
+	if b := l.loss; b != nil {
+		r.Lost, r.From, r.SinceS, r.Restored, r.Left = b.reason, b.source, c.now.Sub(b.since).Seconds(), b.restored, b.pending
 	}
-	r.Unread = slices.Sorted(maps.Keys(l.unread))
+	r.Unread = slices.Sorted(maps.Keys(l.unreadableJobs))
 	r.Unread = r.Unread[:min(len(r.Unread), 10)]
 	r.Copies = c.wholeCopies()
 	return r
@@ -79,7 +79,7 @@
 	l := c.leadership
 	if l != nil {
 		v.Leader, v.Term, v.LeadsS, v.Authority = c.cfg.HostName, l.term, c.now.Sub(l.electedAt).Seconds(), c.hasAuthority()
-		v.TookOver, v.Machines, v.Unaccounted, v.MachineMost = l.loaded && l.settled(), len(l.fleet), len(l.owed), c.fleetMost()
+		v.TookOver, v.Machines, v.Unaccounted, v.MachineMost = l.loaded && l.allAccounted(), len(l.fleet), len(l.unaccounted), c.fleetMost()
 		own.Role, own.Workers = "leader", l.relay("").workers
 		v.Regions = c.clusterRegions()
 		v.Zones, v.Records = c.clusterZones(), c.records()
@@ -166,7 +166,7 @@
 	switch l := c.leadership; {
 	case l == nil || !l.loaded:
 		return "this node does not lead"
-	case !l.settled():
+	case !l.allAccounted():
 		return "the take-over is not complete"
 	case len(c.nodes()) == 0:
 		return "no other controller is in reach"
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -34,8 +34,8 @@
 	configTell = time.Second
 )
 
-// ofConfiguration reports whether a key is of the configuration.
-func ofConfiguration(key string) bool { return strings.HasPrefix(key, configKeys) }
+// isConfigKey reports whether a key is of the configuration.
+func isConfigKey(key string) bool { return strings.HasPrefix(key, configKeys) }
 
 // ConfigCall is what a user asks of the configuration, next to the operation.
 type ConfigCall struct {
--- a/internal/core/copies.go
+++ b/internal/core/copies.go
@@ -69,7 +69,7 @@
 // lastCopy returns the copy of the last leader that we know of, or nil without one, and
 // when the service is known to have lost data since.
 func (c *Core) lastCopy() *snapshot.Copy {
-	if k := c.bestCopy(); k != nil && k.Term == c.confirmedTerm && c.lostWhy == "" {
+	if k := c.bestCopy(); k != nil && k.Term == c.confirmedTerm && c.dataLossReason == "" {
 		return k
 	}
 	return nil
@@ -231,15 +231,15 @@
 func (c *Core) peerCopy(from string, line *snapshot.Line) {
 	h := &c.copies.held
 	if l := c.leadership; l != nil {
-		if l.gather == nil && l.endsFrom == from && from != "" {
+		if l.recovery == nil && l.endsFrom == from && from != "" {
 			c.learnEnds(line)
 			return
 		}
-		if l.gather == nil || l.gather.wanted != from || line.Term >= l.term {
+		if l.recovery == nil || l.recovery.replicaSource != from || line.Term >= l.term {
 			return
 		}
-		h = &l.gather.coming
-		l.gather.until = c.now.Add(wantWithin)
+		h = &l.recovery.receiver
+		l.recovery.replicaDeadline = c.now.Add(replicaTimeout)
 	} else if from != c.knownLeader || line.Term > c.highestTerm {
 		return // of nobody who leads
 	}
@@ -250,10 +250,10 @@
 	}
 	c.dropOwnCopy()
 	for i := range line.Puts {
-		c.known.Rev = max(c.known.Rev, line.Puts[i].Rev)
+		c.observed.Rev = max(c.observed.Rev, line.Puts[i].Rev)
 	}
 	if c.leadership != nil && h.Copy() != nil {
-		c.rebuilt()
+		c.advanceRecovery()
 	}
 }
 
@@ -286,7 +286,7 @@
 			}
 		}
 		if l.sched.loaded {
-			c.missingSchedules()
+			c.restoreMissingSchedules()
 		}
 	}
 }
@@ -331,7 +331,7 @@
 		return
 	}
 	line, more := x.sender.Base(x.copy, copyPart, copyBytes, copySize)
-	if !more || c.leadership != nil && c.leadership.gather == nil {
+	if !more || c.leadership != nil && c.leadership.recovery == nil {
 		delete(c.copies.lends, name)
 		return
 	}
--- a/internal/core/copies_test.go
+++ b/internal/core/copies_test.go
@@ -13,7 +13,7 @@
 	c := leaderOf(t, 1)
 	c.leadership, c.cfg.HostName = nil, "n1"
 	c.copies.own = snapshot.New(5, 2, finalKeys, 10)
-	c.knowEra(9, 188, 1)
+	c.observeTerm(9, 188, 1)
 	if k := c.bestCopy(); k == nil || k.Term != 2 {
 		t.Fatal("the copy is gone")
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -71,8 +71,8 @@
 	lastClaimRef          uint64        // calls numbered up to this one were made before it was heard of
 	leaderKeyRevision     uint64        // of the leader's key when it was last read
 	firstStoreRevision    uint64        // of the state service when it first answered this process
-	known                 rebuild.Known // what we have seen of the state service
-	lostWhy               string        // why it must have lost data, until somebody leads who knows
+	observed              rebuild.Known // what we have seen of the state service
+	dataLossReason        string        // why it must have lost data, until somebody leads who knows
 	lastLedTerm           uint64        // the last term that we led
 	copies                copies
 	confirmedTerm         uint64 // the newest that the state service has told us of
@@ -227,7 +227,7 @@
 	if call.Timeout == 0 {
 		call.Timeout = storeTimeout
 	}
-	seen, era := c.known.Rev, c.known.Era
+	seen, era := c.observed.Rev, c.observed.Era
 	c.stores[call.Ref] = func(r StoreReply) {
 		c.observeRevision(r.Rev, seen, era)
 		f(r)
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -313,10 +313,10 @@
 	l := c.leadership
 	bad := &JobRecord{Spec: JobSpec{ID: "wk-1", Owner: "t", Tasks: -1000}} // no bitset has so few members
 	good := &JobRecord{Spec: JobSpec{ID: "wk-2", Owner: "t", Tasks: 2}}
-	c.loadEntry(Entry{Key: jobKeys + "wk-1", Value: bad, Rev: 3})
-	c.loadEntry(Entry{Key: jobKeys + "wk-2", Value: good, Rev: 4})
-	if l.jobs["wk-1"] != nil || !l.unread["wk-1"] || l.jobs["wk-2"] == nil {
-		t.Errorf("%v %v", l.jobs, l.unread)
+	c.loadRecord(Entry{Key: jobKeys + "wk-1", Value: bad, Rev: 3})
+	c.loadRecord(Entry{Key: jobKeys + "wk-2", Value: good, Rev: 4})
+	if l.jobs["wk-1"] != nil || !l.unreadableJobs["wk-1"] || l.jobs["wk-2"] == nil {
+		t.Errorf("%v %v", l.jobs, l.unreadableJobs)
 	}
 	// Whoever asks has it looked at again, and it is as it was.
 	outs := slices.Clone(c.Step(c.now.Add(time.Second), UserCall{Ref: 5, Op: OpGet, ID: "wk-1"}))
@@ -331,7 +331,7 @@
 				outs = append(outs, slices.Clone(c.Step(c.now, r))...)
 			}
 		case AnswerUser:
-			if o.Status != 503 || !l.unread["wk-1"] || l.jobs["wk-1"] != nil {
+			if o.Status != 503 || !l.unreadableJobs["wk-1"] || l.jobs["wk-1"] != nil {
 				t.Errorf("%+v", o)
 			}
 			return
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -132,15 +132,15 @@
 		if asked < c.lastClaimRef {
 			return
 		}
-		if rec.Term < c.known.Term && rec.Era == c.known.Era {
-			c.suspect("the term on record is older than one that was")
+		if rec.Term < c.observed.Term && rec.Era == c.observed.Era {
+			c.reportDataLoss("the term on record is older than one that was")
 		}
 		c.note(slog.LevelWarn, "a term that was claimed never was", "claimed", c.highestTerm, "term", rec.Term)
 		c.highestTerm = rec.Term
 	}
 	c.noteLeader(rec.Node, rec.Term)
 	c.confirmedTerm, c.confirmedTermRevision = rec.Term, rev
-	c.knowEra(rec.Era, rec.Term, rec.Life)
+	c.observeTerm(rec.Era, rec.Term, rec.Life)
 }
 
 // noteLeader takes note of a leader.
@@ -192,18 +192,18 @@
 				drop()
 				return
 			}
-			before := c.known
+			before := c.observed
 			found := rebuild.Found{Missing: t.Outcome == NotFound, Rev: t.Rev}
 			if t.Outcome == OK {
 				if rec, _ := t.Entries[0].Value.(*TermRecord); rec != nil {
 					found.Term, found.Era = rec.Term, rec.Era
 				}
 			}
-			if c.lostWhy == "" {
-				c.lostWhy = before.Lost(found)
+			if c.dataLossReason == "" {
+				c.dataLossReason = before.Lost(found)
 			}
 			era := found.Era
-			if c.lostWhy != "" || era == 0 {
+			if c.dataLossReason != "" || era == 0 {
 				era = c.rng.Uint64()>>11 | 1
 			}
 			term, rev := c.nextTerm(t)
@@ -225,11 +225,11 @@
 				}
 				ours := c.lastLedTerm != 0 && c.lastLedTerm == before.Term
 				c.becomeLeader(term, r.Rev, g.LeaseID, sent, ahead)
-				c.leadership.gather = &gathering{ours: ours, before: before, found: found, lost: c.lostWhy, told: map[string]*Knowledge{}, tried: map[string]bool{}}
-				c.known = c.known.Next(era, term, c.processID)
-				c.known.Rev = max(c.known.Rev, r.Rev)
-				c.ask()
-				c.load("")
+				c.leadership.recovery = &recovery{ledLastTerm: ours, observed: before, termRead: found, lossReason: c.dataLossReason, peerKnowledge: map[string]*Knowledge{}, failedSources: map[string]bool{}}
+				c.observed = c.observed.Next(era, term, c.processID)
+				c.observed.Rev = max(c.observed.Rev, r.Rev)
+				c.startRecovery()
+				c.readRecords("")
 			})
 		})
 	})
@@ -243,16 +243,16 @@
 // above the revision at hand is above them all.
 func (c *Core) nextTerm(t StoreReply) (term, rev uint64) {
 	if t.Outcome == NotFound {
-		if term = max(t.Rev, c.confirmedTerm, c.known.Term) + 1; t.Rev > 0 {
+		if term = max(t.Rev, c.confirmedTerm, c.observed.Term) + 1; t.Rev > 0 {
 			c.note(slog.LevelWarn, "no term is on record, going on above the state service's revision", "key", termKey, "term", term)
 		}
 		return term, 0
 	}
 	e := t.Entries[0]
 	if rec, _ := e.Value.(*TermRecord); rec != nil {
-		return max(rec.Term, c.confirmedTerm, c.known.Term) + 1, e.Rev // the record may be of an old copy
+		return max(rec.Term, c.confirmedTerm, c.observed.Term) + 1, e.Rev // the record may be of an old copy
 	}
-	term = max(e.Rev, c.confirmedTerm, c.known.Term) + 1
+	term = max(e.Rev, c.confirmedTerm, c.observed.Term) + 1
 	c.note(slog.LevelError, "record is unreadable", "key", termKey, "effect", "terms go on above its revision", "term", term)
 	return term, e.Rev
 }
--- a/internal/core/giveback.go
+++ b/internal/core/giveback.go
@@ -16,7 +16,7 @@
 // are let save.
 func (c *Core) giveBack() {
 	l := c.leadership
-	if !l.settled() {
+	if !l.allAccounted() {
 		return
 	}
 	short := int64(0)
--- a/internal/core/groups.go
+++ b/internal/core/groups.go
@@ -141,7 +141,7 @@
 		if m.group != nil {
 			continue
 		}
-		l.owed[r.Host] = true
+		l.unaccounted[r.Host] = true
 		m.record, m.group, m.address = recorded, g, r.Address
 		g.machines = append(g.machines, m)
 		g.size += recordedSize(m)
@@ -149,26 +149,26 @@
 	l.groups = append(l.groups, g)
 }
 
-// loadUnknown takes in a record of machines that cannot be read. Which they are is
+// loadUnreadableMachines takes in a record of machines that cannot be read. Which they are is
 // not known, so nothing shows that one of them is accounted for, but time: what
 // reports to us is known by that, and what does not has lost its lease by then.
-func (c *Core) loadUnknown(key string, rev uint64) {
-	c.leadership.owed[key] = true
-	c.leadership.lost[key] = rev
+func (c *Core) loadUnreadableMachines(key string, rev uint64) {
+	c.leadership.unaccounted[key] = true
+	c.leadership.unreadableMachineRecords[key] = rev
 }
 
-// reviewUnknown gives up on the machines of unreadable records once every lease
+// dropExpiredMachineRecords gives up on the machines of unreadable records once every lease
 // that an earlier leader can have renewed is over. Such a record then says nothing
 // more, and would hold up the next take-over as well.
-func (c *Core) reviewUnknown() {
+func (c *Core) dropExpiredMachineRecords() {
 	l := c.leadership
-	if len(l.lost) == 0 || !c.now.After(c.earlierLease()) {
+	if len(l.unreadableMachineRecords) == 0 || !c.now.After(c.earlierLease()) {
 		return
 	}
-	for _, key := range slices.Sorted(maps.Keys(l.lost)) {
+	for _, key := range slices.Sorted(maps.Keys(l.unreadableMachineRecords)) {
 		c.note(slog.LevelWarn, "unreadable record of machines is accounted for, dropping it", "key", key)
-		l.pipe.add(&change{lane: bulk, conditions: []Condition{{key, l.lost[key]}}, writes: []Write{{Key: key}}})
-		c.accounted(key)
+		l.pipe.add(&change{lane: bulk, conditions: []Condition{{key, l.unreadableMachineRecords[key]}}, writes: []Write{{Key: key}}})
+		c.markAccounted(key)
 	}
-	clear(l.lost)
+	clear(l.unreadableMachineRecords)
 }
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -242,7 +242,7 @@
 	final := FinalRecord{Done, j.spec.Tasks}
 	switch {
 	case j.cancelled:
-		if len(j.runs) > 0 || (j.earlier && !l.settled()) {
+		if len(j.runs) > 0 || (j.earlier && !l.allAccounted()) {
 			return
 		}
 		final = FinalRecord{Cancelled, j.spec.Tasks - j.left}
@@ -318,14 +318,14 @@
 	for _, r := range j.runs {
 		c.poke(r.m)
 	}
-	c.recordCancelled(j, c.leaseTiming.CancelSafeAfter(c.now, c.leadership.electedAt.Add(c.leadership.lag)))
+	c.recordCancelled(j, c.leaseTiming.CancelSafeAfter(c.now, c.leadership.electedAt.Add(c.leadership.earlierLeaderLag)))
 }
 
 // recordCancelled writes a cancellation, not before a time unless nothing of the job can be
 // on any machine: where the settings leave no room a lease may last longer than tasks of a
 // cancelled job may.
 func (c *Core) recordCancelled(j *job, from time.Time) {
-	if from.After(c.now) && (len(j.runs) > 0 || j.earlier && !c.leadership.settled()) {
+	if from.After(c.now) && (len(j.runs) > 0 || j.earlier && !c.leadership.allAccounted()) {
 		for _, call := range j.cancels { // once for each: who asks again is told again
 			no := unavailable("the tasks are being stopped")
 			no.RetryAfter = from.Sub(c.now)
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -41,7 +41,7 @@
 	}
 	// What waited here for a leader waits for us now.
 	for _, ref := range c.relay.refs() {
-		c.leadership.waiting = append(c.leadership.waiting, ReportIn{Ref: ref, Report: c.relay.waiting[ref].report})
+		c.leadership.pendingHeartbeats = append(c.leadership.pendingHeartbeats, ReportIn{Ref: ref, Report: c.relay.waiting[ref].report})
 	}
 	c.leadership.own = c.relay.known
 	c.relay = newRelaying()
@@ -148,7 +148,7 @@
 			c.passOn(ReportIn{Ref: m.held.ref, Report: m.held.report})
 		}
 	}
-	for _, r := range l.waiting {
+	for _, r := range l.pendingHeartbeats {
 		c.passOn(r)
 	}
 	c.answerWaiting(l, unavailable("leadership was lost, try again"))
@@ -219,6 +219,6 @@
 	}
 }
 
-// settled reports whether every machine that may hold a task of an earlier term
+// allAccounted reports whether every machine that may hold a task of an earlier term
 // is accounted for.
-func (l *leadership) settled() bool { return len(l.owed) == 0 }
+func (l *leadership) allAccounted() bool { return len(l.unaccounted) == 0 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -15,7 +15,7 @@
 // leadership is everything that only a leader has, in parts. Stepping down drops it whole.
 type leadership struct {
 	authority
-	takeover
+	failover
 	workload
 	membership
 	dispatching
@@ -56,25 +56,25 @@
 	a.term, a.termRevision, a.leaseID, a.expiresAt, a.electedAt, a.clockSkew = term, rev, grant, until, now, ahead
 }
 
-// takeover is what is left of earlier terms: records to be read, written back or missing, and
+// failover is what is left of earlier terms: records to be read, written back or missing, and
 // machines that are not accounted for.
-type takeover struct {
-	loaded      bool              // the records have been read
-	gather      *gathering        // while the records are looked for
-	rebuild     *rebuilding       // after a loss
-	restore     []snapshot.Record // still to be written back
-	scheduling  int               // of them, those that schedules are read from
-	waiting     []ReportIn        // reports that came while loading
-	taking      bool              // there are more of them than go in one step
-	owed        map[string]bool   // recorded machines that may hold an earlier term's tasks
-	unread      map[string]bool   // jobs whose records cannot be read
-	strays      int               // tasks of theirs on machines, which may count for any team
-	lost        map[string]uint64 // records of machines that cannot be read, by key; owed as well
-	fresh       bool              // no term was on record before ours
-	newerTokens map[string]uint64 // epochs above our term that workers have seen, by machine
-	lag         time.Duration     // for so long into our term an earlier leader may have led
-	toProbe     []*machine        // see probeAll
-	probing     int               // probes on their way
+type failover struct {
+	loaded                   bool              // the records have been read
+	recovery                 *recovery         // while the records are looked for
+	loss                     *dataLoss         // after a loss
+	restoring                []snapshot.Record // still to be written back
+	schedulesRestoring       int               // of them, those that schedules are read from
+	pendingHeartbeats        []ReportIn        // reports that came while loading
+	takingPending            bool              // there are more of them than go in one step
+	unaccounted              map[string]bool   // recorded machines that may hold an earlier term's tasks
+	unreadableJobs           map[string]bool   // jobs whose records cannot be read
+	orphanedTasks            int               // tasks of theirs on machines, which may count for any team
+	unreadableMachineRecords map[string]uint64 // records of machines that cannot be read, by key; owed as well
+	noEarlierTerm            bool              // no term was on record before ours
+	newerTokens              map[string]uint64 // epochs above our term that workers have seen, by machine
+	earlierLeaderLag         time.Duration     // for so long into our term an earlier leader may have led
+	probeQueue               []*machine        // see probeUnaccounted
+	probesInFlight           int               // probes on their way
 }
 
 // workload is the jobs, their teams and their places in the queue.
@@ -121,7 +121,7 @@
 	copying  bool
 	endsFrom string // who tells us how jobs have ended
 	ends     snapshot.Holder
-	search   searching
+	scrub    scrubber
 }
 
 // Parts of the state service's allowance that the leader's pipeline takes.
@@ -135,7 +135,7 @@
 func newLeadership(cfg *config.Config, now time.Time) *leadership {
 	return &leadership{
 		authority:   authority{acknowledged: map[string]bool{}},
-		takeover:    takeover{owed: map[string]bool{}, unread: map[string]bool{}, lost: map[string]uint64{}, newerTokens: map[string]uint64{}},
+		failover:    failover{unaccounted: map[string]bool{}, unreadableJobs: map[string]bool{}, unreadableMachineRecords: map[string]uint64{}, newerTokens: map[string]uint64{}},
 		workload:    workload{jobs: map[string]*job{}, accept: map[string]*accepting{}, teams: map[string]*team{}, est: newEstimates()},
 		membership:  membership{gone: newForgetful(now), machines: map[string]*machine{}, relays: map[string]*relayPeer{}},
 		dispatching: dispatching{holding: map[holdKey]*machine{}},
--- a/internal/core/loss.go
+++ b/internal/core/loss.go
@@ -11,63 +11,63 @@
 // merge.go and restore.go are what the controllers do about it. docs/design/rebuild.md has the
 // argument.
 
-// unknownFor is how long after a loss a job that nobody knows is not called unknown.
-const unknownFor = 30 * time.Second
+// unknownJobGrace is how long after a loss a job that nobody knows is not called unknown.
+const unknownJobGrace = 30 * time.Second
 
 // observeRevision takes note of the state service's revision. seen and era are of when the call was
 // sent: a revision below what had been seen by then is one that has fallen.
 func (c *Core) observeRevision(rev, seen, era uint64) {
-	if rev == 0 || era != c.known.Era {
+	if rev == 0 || era != c.observed.Era {
 		return
 	}
 	if rev < seen {
-		c.suspect("the state service's revision has fallen")
+		c.reportDataLoss("the state service's revision has fallen")
 		return
 	}
-	c.known.Rev = max(c.known.Rev, rev)
+	c.observed.Rev = max(c.observed.Rev, rev)
 }
 
-// suspect: what we have seen shows that data was lost. A leader's word rests on records
+// reportDataLoss: what we have seen shows that data was lost. A leader's word rests on records
 // that may be gone, so it leads no more until it is known what there is.
-func (c *Core) suspect(why string) { c.suspectThen(why, func() {}) }
+func (c *Core) reportDataLoss(why string) { c.reportDataLossThen(why, func() {}) }
 
-// suspectThen is suspect, with what a leader does once its grant has been given back.
-func (c *Core) suspectThen(why string, then func()) {
-	if c.lostWhy != "" {
+// reportDataLossThen is suspect, with what a leader does once its grant has been given back.
+func (c *Core) reportDataLossThen(why string, then func()) {
+	if c.dataLossReason != "" {
 		return
 	}
-	c.lostWhy = why
-	c.note(slog.LevelError, "the state service has lost data", "reason", why, "era", c.known.Era, "term", c.known.Term, "revision", c.known.Rev)
+	c.dataLossReason = why
+	c.note(slog.LevelError, "the state service has lost data", "reason", why, "era", c.observed.Era, "term", c.observed.Term, "revision", c.observed.Rev)
 	if l := c.leadership; l != nil {
 		c.resignThen(why, then)
 	}
 }
 
-// knowEra takes note of the era and the term that are on record.
-func (c *Core) knowEra(era, term, life uint64) {
-	was := c.known.Era
-	if c.known = c.known.Next(era, term, life); c.known.Era != was {
-		c.lostWhy = "" // somebody leads who knows
+// observeTerm takes note of the era and the term that are on record.
+func (c *Core) observeTerm(era, term, life uint64) {
+	was := c.observed.Era
+	if c.observed = c.observed.Next(era, term, life); c.observed.Era != was {
+		c.dataLossReason = "" // somebody leads who knows
 	}
 }
 
 // knowledge is what we tell a new leader.
 func (c *Core) knowledge() *Knowledge {
-	k := &Knowledge{Known: c.known}
+	k := &Knowledge{Known: c.observed}
 	if best := c.bestCopy(); best != nil {
 		k.CopyEra, k.CopyTerm, k.CopySeq, k.Live = best.Era, best.Term, best.Seq, best.Digest(liveKeys)
 	}
 	return k
 }
 
-// unsure reports whether a job that nobody knows may be one that was lost.
-func (l *leadership) unsure(now time.Time) bool {
-	return l.rebuild != nil && now.Sub(l.rebuild.since) < unknownFor || l.fresh && now.Sub(l.electedAt) < 5*askFirst
+// mayHaveLostJobs reports whether a job that nobody knows may be one that was lost.
+func (l *leadership) mayHaveLostJobs(now time.Time) bool {
+	return l.loss != nil && now.Sub(l.loss.since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*peerAnswerTimeoutUnknown
 }
 
-// fromCopy corrects what was read of a job without a leader by the copy of the last one:
+// correctByReplica corrects what was read of a job without a leader by the copy of the last one:
 // the service may have lost data since, or gone back. known is false without such a copy.
-func (c *Core) fromCopy(id string, v *JobView) (_ *JobView, known bool) {
+func (c *Core) correctByReplica(id string, v *JobView) (_ *JobView, known bool) {
 	k := c.lastCopy()
 	if k == nil {
 		return nil, false
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -154,7 +154,7 @@
 // answered any more, and false while that cannot be told.
 func (c *Core) leaseOver(m *machine) (time.Time, bool) {
 	l := c.leadership
-	if !l.owed[m.host] && !m.probed {
+	if !l.unaccounted[m.host] && !m.probed {
 		if m.answered.IsZero() {
 			return time.Time{}, false
 		}
@@ -171,7 +171,7 @@
 // may have gone on answering until its peers told it of our term or its hold ran out.
 func (c *Core) earlierLease() time.Time {
 	l := c.leadership
-	over := c.leaseTiming.TasksGoneAfter(l.electedAt.Add(l.lag))
+	over := c.leaseTiming.TasksGoneAfter(l.electedAt.Add(l.earlierLeaderLag))
 	if !l.allAcknowledgedAt.IsZero() {
 		if told := l.allAcknowledgedAt.Add(withDrift(c.lease)); told.Before(over) {
 			return told
@@ -192,6 +192,6 @@
 	m.reported, m.lost = false, true
 	c.leadership.leaves(m)
 	m.answered = time.Time{}
-	c.accounted(m.host)
+	c.markAccounted(m.host)
 	c.unbookMachine(m)
 }
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -118,9 +118,9 @@
 	key := jobKeys + "wk-1"
 	d.c.copies.own = snapshot.New(1, l.term, finalKeys, 100)
 	d.c.copies.own.Put(key, l.jobs["wk-1"].rec, 0)
-	l.rebuild = &rebuilding{left: 1}
+	l.loss = &dataLoss{pending: 1}
 	d.calls = nil
-	d.c.restoreOne(snapshot.Record{Key: key, Value: l.jobs["wk-1"].rec})
+	d.c.restoreRecord(snapshot.Record{Key: key, Value: l.jobs["wk-1"].rec})
 	d.pass(time.Second)
 	for _, x := range d.calls {
 		call, ok := x.(StoreCall)
--- a/internal/core/merge.go
+++ b/internal/core/merge.go
@@ -13,8 +13,8 @@
 
 // How a new leader makes one set of records of what the state service and a copy have.
 
-// kinds tells package rebuild what our keys are of.
-var kinds = rebuild.Kinds{
+// recordKinds tells package rebuild what our keys are of.
+var recordKinds = rebuild.Kinds{
 	Job:      func(key string) (string, bool) { return strings.CutPrefix(key, jobKeys) },
 	Final:    func(key string) (string, bool) { return strings.CutPrefix(key, finalKeys) },
 	Machines: func(key string) bool { return strings.HasPrefix(key, machineKeys) },
@@ -23,12 +23,12 @@
 		id, _ := splitChunkKey(name)
 		return id, ok
 	},
-	Join: join,
+	Join: joinRecords,
 }
 
-// join makes one record of two: progress counts by whichever it is known, and so does a
+// joinRecords makes one record of two: progress counts by whichever it is known, and so does a
 // cancellation.
-func join(stored, copied any, older bool) (any, bool) {
+func joinRecords(stored, copied any, older bool) (any, bool) {
 	switch y := copied.(type) {
 	case *ProgressRecord:
 		x, _ := stored.(*ProgressRecord)
@@ -70,91 +70,91 @@
 	return copied, older
 }
 
-// merge makes the records to go by and loads them.
-func (c *Core) merge() {
+// mergeRecords makes the records to go by and loads them.
+func (c *Core) mergeRecords() {
 	l := c.leadership
-	g := l.gather
+	g := l.recovery
 	g.merged = true
 	records := g.stored
-	own := snapshot.New(c.known.Era, l.term, finalKeys, finalsMost(c.cfg))
+	own := snapshot.New(c.observed.Era, l.term, finalKeys, finalsMost(c.cfg))
 	best := c.bestCopy()
-	if g.copy != nil {
-		g.copy.Inherit(best)
-		res := rebuild.Merge(g.stored, g.copy, g.lost != "", kinds)
+	if g.replica != nil {
+		g.replica.Inherit(best)
+		res := rebuild.Merge(g.stored, g.replica, g.lossReason != "", recordKinds)
 		other := func(r snapshot.Record) bool { return !strings.HasPrefix(r.Key, liveKeys) }
 		records = slices.DeleteFunc(res.Records, other)
-		c.rememberEnds(g.copy)
-		for _, key := range g.copy.Keys(finalKeys) {
-			r, _ := g.copy.Get(key)
-			if g.lost != "" {
+		c.rememberEnds(g.replica)
+		for _, key := range g.replica.Keys(finalKeys) {
+			r, _ := g.replica.Get(key)
+			if g.lossReason != "" {
 				r.Rev = 0 // revisions have begun again
 			}
 			own.Put(key, r.Value, r.Rev)
 		}
-		for _, key := range g.copy.Keys(rootKey + "schedule") {
+		for _, key := range g.replica.Keys(rootKey + "schedule") {
 			// Until they have been read: a copy that is passed on without them would be
 			// newer than one that has them.
-			r, _ := g.copy.Get(key)
+			r, _ := g.replica.Get(key)
 			own.Put(key, r.Value, 0)
 		}
 		for _, key := range res.Drops {
 			l.pipe.add(&change{lane: bulk, writes: []Write{{Key: key}}})
 		}
-		if g.lost == "" {
+		if g.lossReason == "" {
 			// Ended jobs and schedules of a copy are older news than the service's.
 			res.Writes = slices.DeleteFunc(res.Writes, other)
 			if len(res.Writes) > 0 {
-				g.lost = "records are missing that a copy has"
+				g.lossReason = "records are missing that a copy has"
 			}
 		}
-		l.restore = res.Writes
-		for _, r := range l.restore {
-			if ofSchedules(r.Key) {
-				l.scheduling++
+		l.restoring = res.Writes
+		for _, r := range l.restoring {
+			if isScheduleKey(r.Key) {
+				l.schedulesRestoring++
 			}
-			if ofConfiguration(r.Key) {
+			if isConfigKey(r.Key) {
 				l.conf.restoring++
 			}
 		}
 	}
-	if g.lost != "" {
-		from := g.wanted
-		if from == "" && g.copy != nil {
+	if g.lossReason != "" {
+		from := g.replicaSource
+		if from == "" && g.replica != nil {
 			from = c.cfg.HostName
 		}
-		l.rebuild = &rebuilding{restored: len(l.restore), left: len(l.restore), since: c.now, why: g.lost, from: from}
-		c.note(slog.LevelError, "rebuilding after a loss of data", "term", l.term, "era", c.known.Era, "reason", g.lost, "copy of", from, "records", len(records), "restored", len(l.restore))
-		if g.copy == nil {
+		l.loss = &dataLoss{restored: len(l.restoring), pending: len(l.restoring), since: c.now, reason: g.lossReason, source: from}
+		c.note(slog.LevelError, "rebuilding after a loss of data", "term", l.term, "era", c.observed.Era, "reason", g.lossReason, "copy of", from, "records", len(records), "restored", len(l.restoring))
+		if g.replica == nil {
 			c.note(slog.LevelError, "no copy of the records is left: what the state service has lost is lost", "term", l.term)
 		}
 	}
-	c.lostWhy = ""
+	c.dataLossReason = ""
 	own.Inherit(best)
 	c.copies.own = own
-	l.fresh = g.found.Missing
-	c.loadSome(records)
+	l.noEarlierTerm = g.termRead.Missing
+	c.loadRecords(records)
 }
 
-// loadSome takes in records, a part in each step.
-func (c *Core) loadSome(records []snapshot.Record) {
-	n := min(len(records), loadPart)
+// loadRecords takes in records, a part in each step.
+func (c *Core) loadRecords(records []snapshot.Record) {
+	n := min(len(records), recordsPerLoadStep)
 	for _, r := range records[:n] {
 		e := Entry{Key: r.Key, Value: r.Value, Rev: r.Rev}
-		c.loadEntry(e)
+		c.loadRecord(e)
 		c.keep(e)
 	}
 	if n < len(records) {
-		c.afterWhileLeading(0, func() { c.loadSome(records[n:]) })
+		c.afterWhileLeading(0, func() { c.loadRecords(records[n:]) })
 		return
 	}
 	l := c.leadership
-	l.gather = nil
-	c.restoreFirst()
+	l.recovery = nil
+	c.prepareRestore()
 	if l.endsFrom != "" {
 		c.emit(PeerSend{l.endsFrom, PeerMsg{Kind: PeerWant, Term: l.term}})
 	}
-	c.loadedAll()
+	c.startWork()
 }
 
-// loadPart is how many records are taken in in one step of a take-over.
-const loadPart = 400
+// recordsPerLoadStep is how many records are taken in in one step of a take-over.
+const recordsPerLoadStep = 400
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -23,7 +23,7 @@
 	if c.leadership != nil && p.Up {
 		// Also to one that has taken note of the term: it may be a new process.
 		c.emit(PeerSend{p.Name, PeerMsg{Kind: PeerLeader, Term: c.leadership.term, Speaks: peerVersion}})
-		if c.leadership.fresh {
+		if c.leadership.noEarlierTerm {
 			c.emit(PeerSend{p.Name, PeerMsg{Kind: PeerAsk, Term: c.leadership.term}})
 		}
 	}
@@ -73,7 +73,7 @@
 		}
 	case PeerTell:
 		if l := c.leadership; l != nil && p.Msg.Term == l.term {
-			c.tells(p.From, p.Msg.Know)
+			c.handleKnowledge(p.From, p.Msg.Know)
 		}
 	case PeerWant:
 		if c.leadership == nil {
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -410,7 +410,7 @@
 	l := c.leadership
 	// Most tasks of earlier jobs run somewhere, and their machines are about to say so:
 	// booked before that, they would be booked for nothing.
-	early := !l.settled() && 10*len(l.owed) > len(l.fleet) && c.now.Sub(l.electedAt) < c.report
+	early := !l.allAccounted() && 10*len(l.unaccounted) > len(l.fleet) && c.now.Sub(l.electedAt) < c.report
 	visits, booked, left := 0, 0, l.unplaced[:0]
 	for _, j := range l.unplaced {
 		if early && j.earlier || visits >= visitsMost {
@@ -547,7 +547,7 @@
 // mayStart reports whether tasks of the job may start at all now.
 func (c *Core) mayStart(j *job) bool {
 	l := c.leadership
-	return !j.halted() && !c.now.Before(j.retryAt) && (l.settled() || !j.earlier && !j.team.limited()) && (l.strays == 0 || !j.team.limited())
+	return !j.halted() && !c.now.Before(j.retryAt) && (l.allAccounted() || !j.earlier && !j.team.limited()) && (l.orphanedTasks == 0 || !j.team.limited())
 }
 
 // couldStart reports whether a task of the job may start now wherever it fits.
@@ -607,7 +607,7 @@
 func (c *Core) startOn(m *machine) []Order {
 	l := c.leadership
 	room := m.room()
-	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.in.Takes() || c.now.Before(m.retryAt) || l.owed[m.host] || l.attempts > maxAttempts-startsMost {
+	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.in.Takes() || c.now.Before(m.retryAt) || l.unaccounted[m.host] || l.attempts > maxAttempts-startsMost {
 		return nil
 	}
 	os, blocked := c.startOverdue(m)
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -8,44 +8,44 @@
 // a command without orders: its answer is a report by a worker that has seen our
 // epoch and so drops whatever an earlier leader still sends.
 const (
-	probeWidth  = 24 // at a time: each takes a socket
-	probeWithin = 1200 * time.Millisecond
-	probeTries  = 2 // in vain, and the machine counts as out of reach
+	maxProbesInFlight = 24 // at a time: each takes a socket
+	probeTimeout      = 1200 * time.Millisecond
+	maxProbeAttempts  = 2 // in vain, and the machine counts as out of reach
 )
 
-// probeLater is how long the relays are left to tell of their workers, and to probe
+// leaderProbeDelay is how long the relays are left to tell of their workers, and to probe
 // those that have nothing to tell, before the leader probes the rest.
-const probeLater = 700 * time.Millisecond
+const leaderProbeDelay = 700 * time.Millisecond
 
-// probeAll begins to probe the machines that are owed: at once those that reported to
+// probeUnaccounted begins to probe the machines that are owed: at once those that reported to
 // this node before it led.
-func (c *Core) probeAll() {
+func (c *Core) probeUnaccounted() {
 	own := c.leadership.own
 	if !c.hasAnyLink() {
-		c.probeThose(func(*machine) bool { return true })
+		c.probeMatching(func(*machine) bool { return true })
 		return
 	}
-	c.probeThose(func(m *machine) bool { return own[m.host] != nil })
-	c.afterWhileLeading(probeLater, func() {
-		c.probeThose(func(m *machine) bool { return own[m.host] == nil })
+	c.probeMatching(func(m *machine) bool { return own[m.host] != nil })
+	c.afterWhileLeading(leaderProbeDelay, func() {
+		c.probeMatching(func(m *machine) bool { return own[m.host] == nil })
 	})
 }
 
-func (c *Core) probeThose(which func(*machine) bool) {
+func (c *Core) probeMatching(which func(*machine) bool) {
 	l := c.leadership
 	for _, m := range l.fleet {
-		if l.owed[m.host] && m.address != "" && which(m) {
-			l.toProbe = append(l.toProbe, m)
+		if l.unaccounted[m.host] && m.address != "" && which(m) {
+			l.probeQueue = append(l.probeQueue, m)
 		}
 	}
-	c.probeMore()
+	c.probeNext()
 }
 
-func (c *Core) probeMore() {
+func (c *Core) probeNext() {
 	l := c.leadership
-	for l.probing < probeWidth && len(l.toProbe) > 0 && c.canAct() {
-		m := l.toProbe[0]
-		l.toProbe = l.toProbe[1:]
+	for l.probesInFlight < maxProbesInFlight && len(l.probeQueue) > 0 && c.canAct() {
+		m := l.probeQueue[0]
+		l.probeQueue = l.probeQueue[1:]
 		c.probe(m, 1) // most machines are in their first session
 	}
 }
@@ -54,11 +54,11 @@
 // reported by itself. Then starts may be on their way to it, of which the answer need
 // not know.
 func (l *leadership) probeCounts(m *machine) bool {
-	return l.owed[m.host] && !m.reported && !m.releasing
+	return l.unaccounted[m.host] && !m.reported && !m.releasing
 }
 
-// learnProbed takes in an answer that counts, of a worker that has seen our term.
-func (c *Core) learnProbed(m *machine, rep *Report) {
+// reconcileProbe takes in an answer that counts, of a worker that has seen our term.
+func (c *Core) reconcileProbe(m *machine, rep *Report) {
 	m.probed = true
 	c.learn(m, rep)
 }
@@ -69,12 +69,12 @@
 	if !l.probeCounts(m) {
 		return
 	}
-	l.probing++
+	l.probesInFlight++
 	c.probeCall(m.address, l.term, tenure, func(r ProbeReply) {
 		if c.leadership != l {
 			return
 		}
-		l.probing--
+		l.probesInFlight--
 		rep := &r.Report
 		switch {
 		case !l.probeCounts(m):
@@ -83,15 +83,15 @@
 		case r.Outcome != Unknown && rep.Host != m.host:
 			// Another machine has the address now.
 		case r.Outcome == OK && rep.FencingToken == l.term:
-			c.learnProbed(m, rep)
+			c.reconcileProbe(m, rep)
 		case r.Outcome == Conflict && rep.Incarnation != tenure:
 			c.probe(m, rep.Incarnation)
 		default:
-			if m.unreached++; m.unreached < probeTries {
-				l.toProbe = append(l.toProbe, m)
+			if m.unreached++; m.unreached < maxProbeAttempts {
+				l.probeQueue = append(l.probeQueue, m)
 			}
 		}
-		c.probeMore()
+		c.probeNext()
 	})
 }
 
@@ -99,5 +99,5 @@
 func (c *Core) probeCall(address string, epoch, tenure uint64, f func(ProbeReply)) {
 	ref := c.nextRef()
 	c.probes[ref] = f
-	c.emit(ProbeCall{Ref: ref, Address: address, FencingToken: epoch, Incarnation: tenure, Timeout: probeWithin})
+	c.emit(ProbeCall{Ref: ref, Address: address, FencingToken: epoch, Incarnation: tenure, Timeout: probeTimeout})
 }
--- a/internal/core/rebuild_test.go
+++ b/internal/core/rebuild_test.go
@@ -14,20 +14,20 @@
 	if a.Ranges == b.Ranges {
 		t.Fatal("both are written the same way")
 	}
-	if _, differ := join(a, b, true); differ {
+	if _, differ := joinRecords(a, b, true); differ {
 		t.Error("the same progress counts as lost")
 	}
-	if v, differ := join(&ProgressRecord{"0-3"}, &ProgressRecord{"2-9"}, false); !differ || v.(*ProgressRecord).Ranges != "0-9" {
+	if v, differ := joinRecords(&ProgressRecord{"0-3"}, &ProgressRecord{"2-9"}, false); !differ || v.(*ProgressRecord).Ranges != "0-9" {
 		t.Errorf("%+v, %v", v, differ)
 	}
-	if v, differ := join(&ProgressRecord{"0-9"}, &ProgressRecord{"2-3"}, true); differ || v.(*ProgressRecord).Ranges != "0-9" {
+	if v, differ := joinRecords(&ProgressRecord{"0-9"}, &ProgressRecord{"2-3"}, true); differ || v.(*ProgressRecord).Ranges != "0-9" {
 		t.Errorf("%+v, %v", v, differ)
 	}
 	live, over := &JobRecord{}, &JobRecord{Cancelled: true}
-	if v, differ := join(live, over, false); !differ || !v.(*JobRecord).Cancelled {
+	if v, differ := joinRecords(live, over, false); !differ || !v.(*JobRecord).Cancelled {
 		t.Error("a cancellation is taken back")
 	}
-	if _, differ := join(over, live, true); differ {
+	if _, differ := joinRecords(over, live, true); differ {
 		t.Error("a cancellation on record is taken back")
 	}
 }
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -274,7 +274,7 @@
 }
 
 // relayProbes shows the new leader's epoch to our workers, as the leader itself would
-// (see probeAll), for it has many times as many. Only once the state service has
+// (see probeUnaccounted), for it has many times as many. Only once the state service has
 // named it: a worker that has seen an epoch that never was is of no use any more.
 func (c *Core) relayProbes() {
 	r := &c.relay
@@ -292,7 +292,7 @@
 
 func (c *Core) relayProbeMore() {
 	r := &c.relay
-	for r.probing < probeWidth && len(r.toProbe) > 0 && c.leadership == nil {
+	for r.probing < maxProbesInFlight && len(r.toProbe) > 0 && c.leadership == nil {
 		host := r.toProbe[0]
 		r.toProbe = r.toProbe[1:]
 		if k := r.known[host]; k != nil && k.fencingToken < r.probed && r.byHost[host] == nil {
@@ -364,7 +364,7 @@
 				c.unhold(x)
 			}
 		}
-		l.waiting = slices.DeleteFunc(l.waiting, func(r ReportIn) bool { return r.Relay.From == from })
+		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r ReportIn) bool { return r.Relay.From == from })
 		p.replies, p.weight = nil, 0
 	}
 	if err == relay.ErrOver {
@@ -383,7 +383,7 @@
 		if ref := m.Reports.Reports[i].Ref; ref != 0 {
 			c.reportIn(ReportIn{Ref: ref, Relay: by, Report: reps[i]})
 		} else if x := l.machines[reps[i].Host]; x != nil && l.loaded && l.probeCounts(x) && reps[i].FencingToken == l.term {
-			c.learnProbed(x, &reps[i])
+			c.reconcileProbe(x, &reps[i])
 		}
 		if c.leadership != l {
 			return
@@ -545,7 +545,7 @@
 // lose. A machine that comes back had a reason: the other node is out of its reach.
 func (c *Core) leadTo(m *machine, by string, first bool) string {
 	l := c.leadership
-	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.settled() || m.releasing || c.now.Sub(m.moved) < 3*c.lease {
+	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.allAccounted() || m.releasing || c.now.Sub(m.moved) < 3*c.lease {
 		return ""
 	}
 	first = first && by == ""
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -222,7 +222,7 @@
 	if i := l.place(host); i < len(l.fleet) && l.fleet[i] == m {
 		l.fleet = slices.Delete(l.fleet, i, i+1)
 	}
-	c.accounted(host)
+	c.markAccounted(host)
 	c.unrecord(m)
 }
 
@@ -261,7 +261,7 @@
 	}
 	c.hearCutOff(overdue)
 	takeover := silent
-	if 2*len(l.owed) < reporting {
+	if 2*len(l.unaccounted) < reporting {
 		takeover = secs(c.pol.TakeoverRelease(e))
 	}
 	cutOff := quiet > 2 && 2*quiet > reporting
@@ -275,7 +275,7 @@
 	for _, m := range slices.Clone(l.fleet) {
 		c.review(m, silent, takeover, idle, cutOff)
 	}
-	c.reviewUnknown()
+	c.dropExpiredMachineRecords()
 	c.keepWarm(c.pol.Warm(e))
 	c.giveBack()
 	c.consolidate()
@@ -289,7 +289,7 @@
 // review looks after one machine.
 func (c *Core) review(m *machine, silent, takeover, idle time.Duration, cutOff bool) {
 	l := c.leadership
-	if (len(m.runs) > 0 || l.owed[m.host]) && (m.reported || l.owed[m.host]) {
+	if (len(m.runs) > 0 || l.unaccounted[m.host]) && (m.reported || l.unaccounted[m.host]) {
 		if at, ok := c.leaseOver(m); ok && c.now.After(at) {
 			c.expire(m)
 		}
@@ -298,11 +298,11 @@
 		return
 	}
 	seen := c.heardLast(m)
-	if l.owed[m.host] && (!m.reported || seen != m.seen) && takeover < silent {
+	if l.unaccounted[m.host] && (!m.reported || seen != m.seen) && takeover < silent {
 		// Everything waits for it. When most others have found us, it is gone
 		// or cut off.
 		silent = takeover
-		if m.unreached >= probeTries {
+		if m.unreached >= maxProbeAttempts {
 			silent /= 2 // it does not answer us either
 		}
 	}
@@ -317,7 +317,7 @@
 		last = maxTime(last, maxTime(m.since, l.electedAt))
 	}
 	wait := c.patience(m, silent)
-	booting := m.seen.IsZero() && !l.owed[m.host]
+	booting := m.seen.IsZero() && !l.unaccounted[m.host]
 	if booting {
 		// Some machines take several times as long, a few never come up.
 		ready := 30 * time.Second
@@ -333,7 +333,7 @@
 		}
 	}
 	switch {
-	case m.away && !l.owed[m.host] && (!booting || c.now.Sub(last) <= 2*wait):
+	case m.away && !l.unaccounted[m.host] && (!booting || c.now.Sub(last) <= 2*wait):
 		// Its zone is cut off: see giveBackZones.
 	case c.now.Sub(last) > wait && (!cutOff || booting):
 		c.note(slog.LevelWarn, "machine silent, releasing it", "machine", m.host, "type", m.typeName, "silent", c.now.Sub(last), "tasks", len(m.runs), "booted", !booting)
@@ -503,7 +503,7 @@
 		}
 		return
 	}
-	if !l.settled() {
+	if !l.allAccounted() {
 		return
 	}
 	// The dearest first, among those of about the same price the emptiest.
@@ -710,7 +710,7 @@
 	// Terms rise for as long as they are on record; where all of it is lost they may begin
 	// again, and only the era is another then. The cloud would answer a name that it knows
 	// with machines that are long gone.
-	name := fmt.Sprintf("t%d-%d-%x", l.term, l.rent.count, c.known.Era)
+	name := fmt.Sprintf("t%d-%d-%x", l.term, l.rent.count, c.observed.Era)
 	l.rent.wanted[name] = &rental{offer: ch.offer, n: n, cpus: float64(n) * ch.f.CPUs, at: c.now}
 	c.request(name)
 	return true
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -42,7 +42,7 @@
 	var os []Order
 	for _, r := range m.runs {
 		if r.phase == Exited {
-			if r.saved || r.job == nil && !c.leadership.unread[r.id.Job] || r.job != nil && r.job.cancelled {
+			if r.saved || r.job == nil && !c.leadership.unreadableJobs[r.id.Job] || r.job != nil && r.job.cancelled {
 				os = append(os, Order{Verb: Reap, Task: r.id, Try: r.try})
 			}
 			continue
@@ -206,8 +206,8 @@
 		c.unhold(m)
 	}
 	// Reports that wait for the records to be read would pile up while that fails.
-	if len(l.waiting) > 0 {
-		l.waiting = slices.DeleteFunc(l.waiting, func(r ReportIn) bool { return r.Ref == key.ref && r.Relay == key.by })
+	if len(l.pendingHeartbeats) > 0 {
+		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r ReportIn) bool { return r.Ref == key.ref && r.Relay == key.by })
 	}
 }
 
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -38,7 +38,7 @@
 		refuse()
 		return
 	case !l.loaded:
-		l.waiting = append(l.waiting, in)
+		l.pendingHeartbeats = append(l.pendingHeartbeats, in)
 		return
 	}
 	m := c.machine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
@@ -70,7 +70,7 @@
 		// The worker has given up on it; this is its next report.
 		c.refuseHeld(m)
 	}
-	first := !m.reported && !l.owed[m.host]
+	first := !m.reported && !l.unaccounted[m.host]
 	if !again {
 		m.probed = false
 		c.learn(m, rep)
@@ -112,14 +112,14 @@
 // soon as several say so, the terms go on above theirs.
 func (c *Core) termsBeganAgain(host string, epoch uint64) bool {
 	l := c.leadership
-	if !l.fresh || epoch > maxFencingToken || c.now.Sub(l.electedAt) > 2*c.lease {
+	if !l.noEarlierTerm || epoch > maxFencingToken || c.now.Sub(l.electedAt) > 2*c.lease {
 		return false
 	}
 	l.newerTokens[host] = epoch
 	if len(l.newerTokens) >= minNewerTokenWitnesses {
-		c.known.Term = slices.Max(slices.Collect(maps.Values(l.newerTokens))) + termGapAfterTotalLoss
+		c.observed.Term = slices.Max(slices.Collect(maps.Values(l.newerTokens))) + termGapAfterTotalLoss
 		// Who knows of it stands at once: the others would go by what is on record.
-		c.suspectThen("workers have seen newer terms than were on record", func() { c.campaign(0) })
+		c.reportDataLossThen("workers have seen newer terms than were on record", func() { c.campaign(0) })
 	}
 	return true
 }
@@ -178,20 +178,20 @@
 			m.retryAt = c.now.Add(min(time.Second<<min(m.lostStarts-1, 10), c.lease))
 		}
 	}
-	if rep.FencingToken == l.term && l.owed[m.host] {
-		c.accounted(m.host)
+	if rep.FencingToken == l.term && l.unaccounted[m.host] {
+		c.markAccounted(m.host)
 	}
 	c.stretch(m)
 }
 
-// accounted: nothing of an earlier term can be on the machine unknown to us.
-func (c *Core) accounted(host string) {
+// markAccounted: nothing of an earlier term can be on the machine unknown to us.
+func (c *Core) markAccounted(host string) {
 	l := c.leadership
-	if !l.owed[host] {
+	if !l.unaccounted[host] {
 		return
 	}
-	delete(l.owed, host)
-	if l.settled() {
+	delete(l.unaccounted, host)
+	if l.allAccounted() {
 		c.note(slog.LevelInfo, "take-over complete", "term", l.term, "after", c.now.Sub(l.electedAt))
 		for _, j := range l.sortedJobs() {
 			if j.cancelled {
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -13,15 +13,15 @@
 
 // How records that were lost are written back.
 
-// restoreFirst has the machines written back at once that were lost from record. Until
+// prepareRestore has the machines written back at once that were lost from record. Until
 // they are, nothing starts on them.
-func (c *Core) restoreFirst() {
+func (c *Core) prepareRestore() {
 	l := c.leadership
 	lost := map[string]bool{}
-	l.restore = slices.DeleteFunc(l.restore, func(r snapshot.Record) bool {
+	l.restoring = slices.DeleteFunc(l.restoring, func(r snapshot.Record) bool {
 		if strings.HasPrefix(r.Key, machineKeys) {
 			lost[r.Key] = true
-			l.rebuild.left--
+			l.loss.pending--
 			return true
 		}
 		return false
@@ -47,7 +47,7 @@
 		}
 		return 101, time.Time{}
 	}
-	slices.SortStableFunc(l.restore, func(a, b snapshot.Record) int {
+	slices.SortStableFunc(l.restoring, func(a, b snapshot.Record) int {
 		x, s := rank(&a)
 		y, t := rank(&b)
 		if x != y {
@@ -57,30 +57,30 @@
 	})
 }
 
-// restoreMore has lost records written back, some at a time: what users wait for goes
+// restoreNext has lost records written back, some at a time: what users wait for goes
 // first, and so does the news of the day.
-func (c *Core) restoreMore() {
+func (c *Core) restoreNext() {
 	l := c.leadership
 	p := &l.pipe
-	for len(l.restore) > 0 && len(p.waits[bulk]) < c.cfg.Settings.State.TxnOps {
-		r := l.restore[0]
-		l.restore = l.restore[1:]
-		c.restoreOne(r)
+	for len(l.restoring) > 0 && len(p.waits[bulk]) < c.cfg.Settings.State.TxnOps {
+		r := l.restoring[0]
+		l.restoring = l.restoring[1:]
+		c.restoreRecord(r)
 	}
 }
 
-// restoreOne writes a record back as it now is, if it still is, and counts it.
-func (c *Core) restoreOne(r snapshot.Record) {
+// restoreRecord writes a record back as it now is, if it still is, and counts it.
+func (c *Core) restoreRecord(r snapshot.Record) {
 	l := c.leadership
 	over := func(Entry) {
-		if ofSchedules(r.Key) {
-			l.scheduling--
+		if isScheduleKey(r.Key) {
+			l.schedulesRestoring--
 		}
-		if ofConfiguration(r.Key) {
+		if isConfigKey(r.Key) {
 			l.conf.restoring--
 		}
-		if l.rebuild.left--; l.rebuild.left == 0 {
-			c.note(slog.LevelInfo, "the records are whole again", "term", l.term, "restored", l.rebuild.restored, "after", c.now.Sub(l.rebuild.since))
+		if l.loss.pending--; l.loss.pending == 0 {
+			c.note(slog.LevelInfo, "the records are whole again", "term", l.term, "restored", l.loss.restored, "after", c.now.Sub(l.loss.since))
 		}
 	}
 	if part, ok := strings.CutPrefix(r.Key, doneKeys); ok {
@@ -107,7 +107,7 @@
 		ch.size = recordSize(&rec.Spec)
 	} else if rec, ok := r.Value.(*schedule.Record); ok {
 		ch.size, ch.lane = rec.Size(), urgent
-	} else if ofConfiguration(r.Key) || r.Key == numberKey {
+	} else if isConfigKey(r.Key) || r.Key == numberKey {
 		ch.lane = urgent
 	}
 	ch.fill = func() bool {
@@ -115,7 +115,7 @@
 		if id, live := strings.CutPrefix(r.Key, jobKeys); live {
 			j := l.jobs[id]
 			ok = ok && j != nil && !j.closing
-		} else if ofSchedules(r.Key) {
+		} else if isScheduleKey(r.Key) {
 			now, ok = r, true // they are read from record later
 		}
 		if !ok {
@@ -138,12 +138,12 @@
 		over(Entry{Key: r.Key, Value: ch.writes[0].Value, Rev: rev})
 	}
 	ch.failed = func() { // there is one by now, written after the loss or late, or older
-		if !ofSchedules(r.Key) {
+		if !isScheduleKey(r.Key) {
 			over(Entry{})
 			return
 		}
 		c.readBackKey(r.Key, func(e Entry, found bool) {
-			if _, differ := join(e.Value, r.Value, true); found && !differ {
+			if _, differ := joinRecords(e.Value, r.Value, true); found && !differ {
 				over(e)
 				return
 			}
@@ -162,23 +162,23 @@
 	l.pipe.add(ch)
 }
 
-// ofSchedules reports whether a record is one of those that schedules are read from.
-func ofSchedules(key string) bool {
+// isScheduleKey reports whether a record is one of those that schedules are read from.
+func isScheduleKey(key string) bool {
 	return strings.HasPrefix(key, scheduleKeys) || key == numberKey
 }
 
-// loadSchedulesSoon reads the schedules once they are on record.
-func (c *Core) loadSchedulesSoon() {
-	if c.leadership.scheduling == 0 {
+// loadSchedulesWhenRestored reads the schedules once they are on record.
+func (c *Core) loadSchedulesWhenRestored() {
+	if c.leadership.schedulesRestoring == 0 {
 		c.loadSchedules("")
 		return
 	}
-	c.afterWhileLeading(copyEvery, c.loadSchedulesSoon)
+	c.afterWhileLeading(copyEvery, c.loadSchedulesWhenRestored)
 }
 
-// missingSchedules has schedules written back that the copy we have gone by has, and the
+// restoreMissingSchedules has schedules written back that the copy we have gone by has, and the
 // service has not; first the numbers' record, if that is lost as well.
-func (c *Core) missingSchedules() {
+func (c *Core) restoreMissingSchedules() {
 	own := c.ownCopy()
 	if own == nil {
 		return
@@ -196,7 +196,7 @@
 	c.readBackKey(numberKey, func(e Entry, found bool) {
 		if n, ok := own.Get(numberKey); ok && !found {
 			n.Rev = 0
-			c.writeBack(n, func(Entry) { c.afterWhileLeading(copyEvery, c.missingSchedules) })
+			c.writeBack(n, func(Entry) { c.afterWhileLeading(copyEvery, c.restoreMissingSchedules) })
 			return
 		}
 		c.leadership.sched.numberRev = e.Rev
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -59,9 +59,9 @@
 	if j == nil || j.done.has(t.Task.Index) || j.runs[t.Task.Index] != nil {
 		// Nobody waits for it: stop it.
 		r.stop = true
-		if c.leadership.unread[t.Task.Job] {
+		if c.leadership.unreadableJobs[t.Task.Job] {
 			r.stray = true
-			c.leadership.strays++
+			c.leadership.orphanedTasks++
 		}
 		if j != nil {
 			c.note(slog.LevelWarn, "task is listed twice or done, stopping it", "task", t.Task, "machine", m.host)
@@ -99,7 +99,7 @@
 	}
 	if r.stray {
 		r.stray = false
-		c.leadership.strays--
+		c.leadership.orphanedTasks--
 		c.leadership.dirty = true
 	}
 	if !r.holds {
@@ -198,7 +198,7 @@
 	i := r.id.Index
 	if t.Cause == CauseDone {
 		m.strikes, m.suspect = 0, false
-		r.saved = j == nil && !c.leadership.unread[r.id.Job] || j != nil && c.leadership.jobs[r.id.Job] != j
+		r.saved = j == nil && !c.leadership.unreadableJobs[r.id.Job] || j != nil && c.leadership.jobs[r.id.Job] != j
 		if j != nil && !r.saved && j.closing && !j.cancelled {
 			// Its final record is on its way: until that is known this exit may be
 			// all that tells a successor that the task is done.
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -249,9 +249,9 @@
 			for range b.N {
 				c := leaderOf(b, 0)
 				for _, e := range entries {
-					c.loadEntry(e)
+					c.loadRecord(e)
 				}
-				c.loadedAll()
+				c.startWork()
 				for i, m := range old.leadership.fleet {
 					c.Step(t0, ReportIn{Ref: uint64(i), Report: reportOf(m)})
 				}
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -102,7 +102,7 @@
 			return
 		}
 		c.leadership.sched.loaded = true
-		c.missingSchedules()
+		c.restoreMissingSchedules()
 		if n := len(c.leadership.sched.names); n > 0 {
 			c.note(slog.LevelInfo, "schedules read", "term", c.leadership.term, "schedules", n)
 			c.resolveNext()
--- a/internal/core/search.go
+++ b/internal/core/search.go
@@ -15,30 +15,30 @@
 // next leader mends by the copies. Of the records of jobs that have ended, of which there
 // may be any number, one that the copy has is asked for each time.
 const (
-	searchEvery = 2 * time.Second
-	searchPart  = 100 // records
+	scrubInterval = 2 * time.Second
+	scrubPageSize = 100 // records
 )
 
-// searching is how far the leader has come.
-type searching struct {
+// scrubber is how far the leader has come.
+type scrubber struct {
 	place int    // of the prefix
 	from  string // the key before
 	final int    // of those that have ended
 }
 
-var searched = []string{liveKeys, scheduleKeys}
+var scrubbedPrefixes = []string{liveKeys, scheduleKeys}
 
-// searchRecords reads on, now and every while.
-func (c *Core) searchRecords() {
+// scrubRecords reads on, now and every while.
+func (c *Core) scrubRecords() {
 	l := c.leadership
-	c.afterWhileLeading(searchEvery, c.searchRecords)
+	c.afterWhileLeading(scrubInterval, c.scrubRecords)
 	own := c.ownCopy()
-	if own == nil || !c.canAct() || len(l.restore) > 0 || l.rebuild != nil && l.rebuild.left > 0 || !c.reads.AllowN(c.now, 2) {
+	if own == nil || !c.canAct() || len(l.restoring) > 0 || l.loss != nil && l.loss.pending > 0 || !c.reads.AllowN(c.now, 2) {
 		return
 	}
-	s := &l.search
-	prefix, asked := searched[s.place], c.known.Rev
-	c.storeWhileLeading(StoreCall{Op: StoreList, Key: prefix, From: s.from, Limit: searchPart}, func(r StoreReply) {
+	s := &l.scrub
+	prefix, asked := scrubbedPrefixes[s.place], c.observed.Rev
+	c.storeWhileLeading(StoreCall{Op: StoreList, Key: prefix, From: s.from, Limit: scrubPageSize}, func(r StoreReply) {
 		if r.Outcome != OK || c.ownCopy() != own {
 			return
 		}
@@ -49,22 +49,22 @@
 		if n := len(r.Entries); r.More && n > 0 {
 			p.To = r.Entries[n-1].Key
 		} else {
-			s.place = (s.place + 1) % len(searched)
+			s.place = (s.place + 1) % len(scrubbedPrefixes)
 		}
 		s.from = p.To
-		if keys := rebuild.Missing(own, p, c.unsettledKey); len(keys) > 0 {
-			c.missed(own, keys[0])
+		if keys := rebuild.Missing(own, p, c.hasUncommittedChange); len(keys) > 0 {
+			c.verifyMissing(own, keys[0])
 		}
 	})
 	if keys := own.Latest(); len(keys) > 0 {
 		s.final = (s.final + 1) % len(keys)
-		c.missed(own, keys[s.final])
+		c.verifyMissing(own, keys[s.final])
 	}
 }
 
-// unsettledKey reports whether a change of the key is on its way, or has been sent without
+// hasUncommittedChange reports whether a change of the key is on its way, or has been sent without
 // our knowing what became of it.
-func (c *Core) unsettledKey(key string) bool {
+func (c *Core) hasUncommittedChange(key string) bool {
 	p := &c.leadership.pipe
 	if p.busy[key] {
 		return true
@@ -79,18 +79,18 @@
 	return false
 }
 
-// missed asks for a record that seems to be missing or old. That it is shows that data was
+// verifyMissing asks for a record that seems to be missing or old. That it is shows that data was
 // lost, if nothing of ours has changed it since.
-func (c *Core) missed(own *snapshot.Copy, key string) {
+func (c *Core) verifyMissing(own *snapshot.Copy, key string) {
 	was, ok := own.Get(key)
-	if !ok || was.Rev == 0 || c.unsettledKey(key) {
+	if !ok || was.Rev == 0 || c.hasUncommittedChange(key) {
 		return
 	}
 	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
 		now, still := own.Get(key)
 		gone := r.Outcome == NotFound || r.Outcome == OK && r.Entries[0].Rev < was.Rev
-		if gone && still && now.Rev == was.Rev && c.ownCopy() == own && !c.unsettledKey(key) {
-			c.suspect("a record is missing or old that a copy has: " + strings.TrimPrefix(key, rootKey))
+		if gone && still && now.Rev == was.Rev && c.ownCopy() == own && !c.hasUncommittedChange(key) {
+			c.reportDataLoss("a record is missing or old that a copy has: " + strings.TrimPrefix(key, rootKey))
 		}
 	})
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -38,12 +38,12 @@
 	}
 	s.ConfigSpread, s.ConfigChanges, s.ConfigDamaged = l.conf.spread.Seconds(), l.conf.changes, len(l.conf.damaged)
 	s.Leads, s.Authority = true, c.hasAuthority()
-	s.Jobs, s.Machines, s.Unaccounted, s.BacklogSeconds = len(l.jobs), len(l.fleet), len(l.owed), l.rent.backlog.Seconds()
+	s.Jobs, s.Machines, s.Unaccounted, s.BacklogSeconds = len(l.jobs), len(l.fleet), len(l.unaccounted), l.rent.backlog.Seconds()
 	s.Direct, s.Relays, s.Full = l.relay("").workers, len(c.nodes()), l.rent.full
 	s.Schedules = len(l.sched.names)
-	s.Unreadable = len(l.unread)
-	if l.rebuild != nil {
-		s.RecordsLeft = l.rebuild.left
+	s.Unreadable = len(l.unreadableJobs)
+	if l.loss != nil {
+		s.RecordsLeft = l.loss.pending
 	}
 	s.Copies = len(c.wholeCopies())
 	s.OccurrencesMade, s.OccurrencesMissed, s.OccurrencesLate = l.sched.made, l.sched.missed, l.sched.late
--- a/internal/core/store.go
+++ b/internal/core/store.go
@@ -110,7 +110,7 @@
 			return
 		}
 	}
-	c.restoreMore()
+	c.restoreNext()
 	// The others leave room in the allowance for what users wait for.
 	for range 2 {
 		if len(p.waits[urgent]) > 0 || p.writes.TokensAt(c.now) < float64(p.writes.Burst())/2 {
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -12,32 +12,32 @@
 
 // How a new leader reads the records of earlier terms and begins its work.
 
-// load reads the records of the earlier terms, page by page.
-func (c *Core) load(from string) {
+// readRecords reads the records of the earlier terms, page by page.
+func (c *Core) readRecords(from string) {
 	c.storeWhileLeading(StoreCall{Op: StoreList, Key: liveKeys, From: from, Limit: 400}, func(r StoreReply) {
 		if r.Outcome != OK {
-			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.load(from) })
+			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.readRecords(from) })
 			return
 		}
-		g := c.leadership.gather
+		g := c.leadership.recovery
 		for _, e := range r.Entries {
 			g.stored = append(g.stored, snapshot.Record{Key: e.Key, Value: e.Value, Rev: e.Rev})
 		}
 		if r.More && len(r.Entries) > 0 {
-			c.load(r.Entries[len(r.Entries)-1].Key)
+			c.readRecords(r.Entries[len(r.Entries)-1].Key)
 			return
 		}
-		g.read = true
-		c.rebuilt()
+		g.complete = true
+		c.advanceRecovery()
 	})
 }
 
-// loadEntry takes in a record of an earlier term. Its key says what must be in it;
+// loadRecord takes in a record of an earlier term. Its key says what must be in it;
 // anything else there cannot be read, whatever it is, and is left as it is.
 //
 // Should a fault of ours make one of them end the process, every controller would come
 // to the same end at each start, and no job would be served for the sake of one.
-func (c *Core) loadEntry(e Entry) {
+func (c *Core) loadRecord(e Entry) {
 	l := c.leadership
 	unreadable := func(effect string) {
 		c.note(slog.LevelError, "record is unreadable", "key", e.Key, "effect", effect)
@@ -47,25 +47,25 @@
 			unreadable(fmt.Sprint("set aside: ", p))
 			if id, ok := strings.CutPrefix(e.Key, jobKeys); ok {
 				delete(l.jobs, id)
-				l.unread[id] = true
+				l.unreadableJobs[id] = true
 			} else if strings.HasPrefix(e.Key, machineKeys) {
-				c.loadUnknown(e.Key, e.Rev)
+				c.loadUnreadableMachines(e.Key, e.Rev)
 			}
 		}
 	}()
 	if id, ok := strings.CutPrefix(e.Key, jobKeys); ok {
 		if v, _ := e.Value.(*JobRecord); v == nil || v.Spec.ID != id {
-			l.unread[id] = true
+			l.unreadableJobs[id] = true
 			unreadable("the job is not served")
 		} else if l.jobs[id] == nil {
 			c.addJob(v, true)
 		}
-	} else if ofConfiguration(e.Key) {
+	} else if isConfigKey(e.Key) {
 		c.loadConfig(e)
 	} else if strings.HasPrefix(e.Key, machineKeys) {
 		if v, _ := e.Value.(*MachineRecord); v == nil {
 			unreadable("the take-over waits until every lease of an earlier term is over")
-			c.loadUnknown(e.Key, e.Rev)
+			c.loadUnreadableMachines(e.Key, e.Rev)
 		} else {
 			c.loadGroup(e.Key, v, e.Rev)
 		}
@@ -74,7 +74,7 @@
 		id, chunk := splitChunkKey(name)
 		j := l.jobs[id]
 		if j == nil {
-			if !l.unread[id] { // left over by a job that is over
+			if !l.unreadableJobs[id] { // left over by a job that is over
 				l.pipe.add(&change{writes: []Write{{Key: e.Key}}, lane: bulk})
 			}
 			return
@@ -92,45 +92,45 @@
 	}
 }
 
-// loadedAll begins the work of the term.
-func (c *Core) loadedAll() {
+// startWork begins the work of the term.
+func (c *Core) startWork() {
 	l := c.leadership
 	l.loaded = true
 	c.configLoaded()
 	for _, j := range l.sortedJobs() {
 		c.jobLoaded(j)
 	}
-	c.note(slog.LevelInfo, "records read", "term", l.term, "jobs", len(l.jobs), "machines", len(l.owed))
-	if c.takeWaiting(); c.leadership != l {
+	c.note(slog.LevelInfo, "records read", "term", l.term, "jobs", len(l.jobs), "machines", len(l.unaccounted))
+	if c.takePendingHeartbeats(); c.leadership != l {
 		return // one of them has seen a newer epoch, and we were out of authority
 	}
 	c.listMachines("", nil)
-	c.probeAll()
+	c.probeUnaccounted()
 	if len(c.cfg.Seeds) > 0 {
 		c.followAlone()
 	}
-	c.loadSchedulesSoon()
-	c.afterWhileLeading(c.jitter(searchEvery), c.searchRecords)
+	c.loadSchedulesWhenRestored()
+	c.afterWhileLeading(c.jitter(scrubInterval), c.scrubRecords)
 	c.tickLeader()
 }
 
-// takenMost is how many reports are taken in a row that have waited for the records.
-const takenMost = 100
+// pendingHeartbeatsPerStep is how many reports are taken in a row that have waited for the records.
+const pendingHeartbeatsPerStep = 100
 
-// takeWaiting takes in reports that have waited for the records, or the first of them.
-func (c *Core) takeWaiting() {
+// takePendingHeartbeats takes in reports that have waited for the records, or the first of them.
+func (c *Core) takePendingHeartbeats() {
 	l := c.leadership
-	n := min(len(l.waiting), takenMost)
-	some := slices.Clone(l.waiting[:n])
-	l.waiting = slices.Delete(l.waiting, 0, n)
+	n := min(len(l.pendingHeartbeats), pendingHeartbeatsPerStep)
+	some := slices.Clone(l.pendingHeartbeats[:n])
+	l.pendingHeartbeats = slices.Delete(l.pendingHeartbeats, 0, n)
 	for _, r := range some {
 		c.reportIn(r) // which passes it on should we lead no more
 	}
-	if c.leadership == l && len(l.waiting) > 0 && !l.taking {
-		l.taking = true
+	if c.leadership == l && len(l.pendingHeartbeats) > 0 && !l.takingPending {
+		l.takingPending = true
 		c.afterWhileLeading(0, func() {
-			l.taking = false
-			c.takeWaiting()
+			l.takingPending = false
+			c.takePendingHeartbeats()
 		})
 	}
 }
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -142,7 +142,7 @@
 	}
 	c.readJob(call.ID, func(v *JobView, known bool) {
 		if known {
-			v, known = c.fromCopy(call.ID, v)
+			v, known = c.correctByReplica(call.ID, v)
 		}
 		switch {
 		case !known:
@@ -216,7 +216,7 @@
 		c.serveCluster(call)
 		return
 	}
-	if l.unread[call.ID] {
+	if l.unreadableJobs[call.ID] {
 		c.reread(call)
 		return
 	}
@@ -264,10 +264,10 @@
 			rec, _ = r.Entries[0].Value.(*JobRecord)
 		}
 		switch {
-		case !l.unread[id]: // somebody else's question has seen to it
+		case !l.unreadableJobs[id]: // somebody else's question has seen to it
 			c.serve(call)
 		case r.Outcome == NotFound:
-			delete(l.unread, id)
+			delete(l.unreadableJobs, id)
 			c.serve(call)
 		case rec == nil || rec.Spec.ID != id:
 			no()
@@ -277,7 +277,7 @@
 					no()
 					return
 				}
-				if l.unread[id] && !c.takeUp(r.Entries[0], p.Entries) {
+				if l.unreadableJobs[id] && !c.takeUp(r.Entries[0], p.Entries) {
 					no()
 					return
 				}
@@ -292,8 +292,8 @@
 // of ours cannot take in stays set aside, as at a take-over.
 func (c *Core) takeUp(rec Entry, progress []Entry) bool {
 	l, id := c.leadership, strings.TrimPrefix(rec.Key, jobKeys)
-	delete(l.unread, id)
-	c.loadEntry(rec)
+	delete(l.unreadableJobs, id)
+	c.loadRecord(rec)
 	j := l.jobs[id]
 	if j == nil {
 		return false
@@ -302,7 +302,7 @@
 	c.keep(rec)
 	for _, e := range progress {
 		c.keep(e)
-		c.loadEntry(e)
+		c.loadRecord(e)
 	}
 	for _, m := range l.fleet {
 		for _, r := range m.runs {
@@ -329,7 +329,7 @@
 			c.answer(call, unavailable("the state service does not answer"))
 		case l.jobs[call.ID] != nil || l.accept[call.ID] != nil:
 			c.serve(call) // accepted since the read began, which saw nothing of it
-		case v == nil && l.unsure(c.now):
+		case v == nil && l.mayHaveLostJobs(c.now):
 			c.answer(call, unavailable("data was lost, and what there is is being looked for"))
 		case v == nil:
 			c.confirmTerm(unheardOf(call.ID), func(r StoreReply) {
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -41,7 +41,7 @@
 	}
 	sights := map[string]zones.Sight{}
 	for _, m := range l.fleet {
-		if m.releasing || !m.leaving.IsZero() || !m.reported && !m.lost && !l.owed[m.host] {
+		if m.releasing || !m.leaving.IsZero() || !m.reported && !m.lost && !l.unaccounted[m.host] {
 			continue // on its way out, or not up yet
 		}
 		s := sights[m.zone]
