--- a/internal/core/alone.go
+++ b/internal/core/alone.go
@@ -68,7 +68,7 @@
 	}
 	// Nor does the service know of all jobs if it has lost some. Whoever has the last
 	// leader's copy knows.
-	k := c.lastCopy()
+	k := c.lastLeaderReplica()
 	if k == nil {
 		c.answer(call, no)
 		return
@@ -95,7 +95,7 @@
 		switch r.Outcome {
 		case OK:
 			c.note(slog.LevelInfo, "job accepted without a leader", "job", s.ID)
-			c.keepAlone(rec, r.Rev)
+			c.replicateLeaderless(rec, r.Rev)
 			c.answer(call, AnswerUser{Status: 201, View: JobView{ID: s.ID, State: Queued}})
 		case Conflict, Unknown:
 			// It has a record, maybe this one.
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -48,7 +48,7 @@
 	}
 	r.Unread = slices.Sorted(maps.Keys(l.unreadableJobs))
 	r.Unread = r.Unread[:min(len(r.Unread), 10)]
-	r.Copies = c.wholeCopies()
+	r.Copies = c.completeReplicas()
 	return r
 }
 
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -113,7 +113,7 @@
 	if value == nil {
 		conf.damaged[strings.TrimPrefix(e.Key, configKeys)] = true
 		from := "the settings"
-		if k := c.bestCopy(); k != nil {
+		if k := c.newestReplica(); k != nil {
 			if r, ok := k.Get(e.Key); ok {
 				value, from = r.Value, "a copy"
 			}
@@ -263,7 +263,7 @@
 				if rec, _ := e.Value.(*liveconfig.TeamRecord); rec != nil {
 					state.LoadTeam(*rec)
 				}
-				c.keep(e)
+				c.replicate(e)
 			}
 			if n := len(r.Entries); r.More && n > 0 {
 				page(r.Entries[n-1].Key)
@@ -443,9 +443,9 @@
 // keepBatch takes the records of a batch into our copy, unless they are there by the
 // transaction's own answer.
 func (c *Core) keepBatch(b *configBatch, rev uint64) {
-	c.keep(Entry{Key: configHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}, Rev: rev})
+	c.replicate(Entry{Key: configHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}, Rev: rev})
 	for _, r := range b.Records() {
-		c.keep(Entry{Key: configTeamKeys + r.Team.Name, Value: &r, Rev: rev})
+		c.replicate(Entry{Key: configTeamKeys + r.Team.Name, Value: &r, Rev: rev})
 	}
 }
 
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -129,12 +129,12 @@
 	if since.IsZero() {
 		since = c.began
 	}
-	return ConfigHere{c.copiedRevision(), c.now.Sub(since).Seconds()}
+	return ConfigHere{c.replicatedRevision(), c.now.Sub(since).Seconds()}
 }
 
-// copiedRevision is that of the last leader's copy.
-func (c *Core) copiedRevision() uint64 {
-	k := c.bestCopy()
+// replicatedRevision is that of the last leader's copy.
+func (c *Core) replicatedRevision() uint64 {
+	k := c.newestReplica()
 	if k == nil {
 		return 0
 	}
@@ -212,7 +212,7 @@
 	if from != c.knownLeader || m.Term != c.highestTerm {
 		return
 	}
-	have := c.copiedRevision()
+	have := c.replicatedRevision()
 	if have >= m.Ref {
 		c.configHeard = c.now
 	}
--- a/internal/core/copies.go
+++ b/internal/core/copies.go
@@ -15,32 +15,32 @@
 
 // How copies of the records are passed on.
 const (
-	copyEvery   = 100 * time.Millisecond // a part of the base goes out
-	copyPart    = 200                    // records: to one that waits for them, or to all that lack them together
-	copyBytes   = 96 << 10               // of one line, well below what a peer reads of one
-	finalsPerMB = 40                     // of the machine's memory; one takes about 250 bytes in all
+	replicaInterval       = 100 * time.Millisecond // a part of the base goes out
+	replicaRecordsPerLine = 200                    // records: to one that waits for them, or to all that lack them together
+	replicaLineBytes      = 96 << 10               // of one line, well below what a peer reads of one
+	finalsPerMemoryMB     = 40                     // of the machine's memory; one takes about 250 bytes in all
 )
 
-// copies is what a controller keeps of the records.
-type copies struct {
-	own   *snapshot.Copy      // as we lead, or led last
-	held  snapshot.Holder     // what a leader passes on to us
-	lends map[string]*lending // to whom we are sending what we have
+// replicas is what a controller keeps of the records.
+type replicas struct {
+	own       *snapshot.Copy       // as we lead, or led last
+	received  snapshot.Receiver    // what a leader passes on to us
+	transfers map[string]*transfer // to whom we are sending what we have
 }
 
-// lending is a copy on its way to somebody who has asked for it, or has none.
-type lending struct {
+// transfer is a copy on its way to somebody who has asked for it, or has none.
+type transfer struct {
 	sender *snapshot.Sender
-	copy   *snapshot.Copy
+	source *snapshot.Copy
 }
 
-// finalsMost is of how many jobs it is remembered how they have ended.
-func finalsMost(cfg *config.Config) int {
-	return max(4096, int(cfg.Settings.Limits.MemMB*finalsPerMB))
+// maxFinals is of how many jobs it is remembered how they have ended.
+func maxFinals(cfg *config.Config) int {
+	return max(4096, int(cfg.Settings.Limits.MemMB*finalsPerMemoryMB))
 }
 
-// copySize estimates the bytes of a record in a line, with room to spare.
-func copySize(r snapshot.Record) int {
+// replicaRecordSize estimates the bytes of a record in a line, with room to spare.
+func replicaRecordSize(r snapshot.Record) int {
 	n := 100 + len(r.Key)
 	switch v := r.Value.(type) {
 	case *JobRecord:
@@ -57,59 +57,59 @@
 	return n
 }
 
-// bestCopy returns the newest copy that this process has, or nil.
-func (c *Core) bestCopy() *snapshot.Copy {
-	best := c.copies.own
-	if h := c.copies.held.Copy(); h.Newer(best) {
+// newestReplica returns the newest copy that this process has, or nil.
+func (c *Core) newestReplica() *snapshot.Copy {
+	best := c.replicas.own
+	if h := c.replicas.received.Copy(); h.Newer(best) {
 		best = h
 	}
 	return best
 }
 
-// lastCopy returns the copy of the last leader that we know of, or nil without one, and
+// lastLeaderReplica returns the copy of the last leader that we know of, or nil without one, and
 // when the service is known to have lost data since.
-func (c *Core) lastCopy() *snapshot.Copy {
-	if k := c.bestCopy(); k != nil && k.Term == c.confirmedTerm && c.dataLossReason == "" {
+func (c *Core) lastLeaderReplica() *snapshot.Copy {
+	if k := c.newestReplica(); k != nil && k.Term == c.confirmedTerm && c.dataLossReason == "" {
 		return k
 	}
 	return nil
 }
 
-// ownCopy returns the copy of the term that we lead, or nil.
-func (c *Core) ownCopy() *snapshot.Copy {
-	if own := c.copies.own; own != nil && c.leadership != nil && own.Term == c.leadership.term {
+// ownReplica returns the copy of the term that we lead, or nil.
+func (c *Core) ownReplica() *snapshot.Copy {
+	if own := c.replicas.own; own != nil && c.leadership != nil && own.Term == c.leadership.term {
 		return own
 	}
 	return nil
 }
 
-// keep takes a record that was read into the copy.
-func (c *Core) keep(e Entry) {
-	own := c.ownCopy()
+// replicate takes a record that was read into the copy.
+func (c *Core) replicate(e Entry) {
+	own := c.ownReplica()
 	if own == nil || e.Value == nil {
 		return
 	}
 	if r, ok := own.Get(e.Key); !ok || r.Rev != e.Rev {
-		c.passOnCopy([]snapshot.Record{{Key: e.Key, Value: e.Value, Rev: e.Rev}}, nil)
+		c.replicateChange([]snapshot.Record{{Key: e.Key, Value: e.Value, Rev: e.Rev}}, nil)
 	}
 }
 
-// unkeep takes a record out of the copy that we have dropped, however we have learned that
+// replicateDrop takes a record out of the copy that we have dropped, however we have learned that
 // it is gone. That it is not there is not enough: it may have been lost, and the copy is then
 // all that is left of it.
-func (c *Core) unkeep(key string) {
-	if own := c.ownCopy(); own != nil {
+func (c *Core) replicateDrop(key string) {
+	if own := c.ownReplica(); own != nil {
 		if _, ok := own.Get(key); ok {
-			c.passOnCopy(nil, []string{key})
+			c.replicateChange(nil, []string{key})
 		}
 	}
 }
 
-// keepAlone takes a job that was accepted without a leader into the copies of all who are
+// replicateLeaderless takes a job that was accepted without a leader into the copies of all who are
 // in reach: until a leader has taken it on, nobody else knows of it.
-func (c *Core) keepAlone(rec *JobRecord, rev uint64) {
+func (c *Core) replicateLeaderless(rec *JobRecord, rev uint64) {
 	r := snapshot.Record{Key: jobKeys + rec.Spec.ID, Value: rec, Rev: rev}
-	if k := c.bestCopy(); k != nil {
+	if k := c.newestReplica(); k != nil {
 		k.Put(r.Key, r.Value, r.Rev)
 	}
 	for _, s := range c.cfg.Seeds {
@@ -117,9 +117,9 @@
 	}
 }
 
-// peerAlone takes in a job that another node has accepted without a leader.
-func (c *Core) peerAlone(line *snapshot.Line) {
-	k := c.bestCopy()
+// handleLeaderlessJob takes in a job that another node has accepted without a leader.
+func (c *Core) handleLeaderlessJob(line *snapshot.Line) {
+	k := c.newestReplica()
 	if c.leadership != nil || k == nil || k.Term != line.Term {
 		return // a leader takes it on by its note
 	}
@@ -130,9 +130,9 @@
 	}
 }
 
-// passOnCopy takes changes into the leader's copy, and tells its holders.
-func (c *Core) passOnCopy(puts []snapshot.Record, drops []string) {
-	own := c.copies.own
+// replicateChange takes changes into the leader's copy, and tells its holders.
+func (c *Core) replicateChange(puts []snapshot.Record, drops []string) {
+	own := c.replicas.own
 	for _, r := range puts {
 		own.Put(r.Key, r.Value, r.Rev)
 	}
@@ -141,16 +141,16 @@
 	}
 	own.Seq++
 	for _, s := range c.cfg.Seeds {
-		if h := c.leadership.holders[s.HostName]; h != nil {
-			c.sendCopy(s.HostName, h.Change(own, puts, drops))
+		if h := c.leadership.followers[s.HostName]; h != nil {
+			c.sendReplicaLine(s.HostName, h.Change(own, puts, drops))
 		}
 	}
 }
 
-// copied takes a committed transaction into the leader's copy, and tells its holders. It
+// replicateBatch takes a committed transaction into the leader's copy, and tells its holders. It
 // goes out before whoever waits for the commit is answered.
-func (c *Core) copied(batch []*change, rev uint64) {
-	if c.ownCopy() == nil {
+func (c *Core) replicateBatch(batch []*change, rev uint64) {
+	if c.ownReplica() == nil {
 		return
 	}
 	var puts []snapshot.Record
@@ -167,72 +167,72 @@
 		}
 	}
 	if len(puts)+len(drops) > 0 {
-		c.passOnCopy(puts, drops)
+		c.replicateChange(puts, drops)
 	}
 }
 
-func (c *Core) sendCopy(to string, line snapshot.Line) {
+func (c *Core) sendReplicaLine(to string, line snapshot.Line) {
 	c.emit(PeerSend{to, PeerMsg{Kind: PeerCopy, Term: max(1, c.highestTerm), Copy: &line}})
 }
 
-// supplyCopies has every controller in reach supplied with a copy: any of them may have
+// supplyReplicas has every controller in reach supplied with a copy: any of them may have
 // to go on by it, and none accepts a job without a leader that lacks one.
-func (c *Core) supplyCopies() {
+func (c *Core) supplyReplicas() {
 	l := c.leadership
-	if c.ownCopy() == nil {
+	if c.ownReplica() == nil {
 		return
 	}
 	for _, s := range c.cfg.Seeds {
-		if l.holders[s.HostName] != nil || !c.links[s.HostName] {
+		if l.followers[s.HostName] != nil || !c.links[s.HostName] {
 			continue // a link that is lost takes its holder with it
 		}
-		l.holders[s.HostName] = snapshot.NewSender(c.rng.Uint64()|1, c.copies.own)
-		if !l.copying {
-			l.copying = true
-			c.afterWhileLeading(0, c.copyMore)
+		l.followers[s.HostName] = snapshot.NewSender(c.rng.Uint64()|1, c.replicas.own)
+		if !l.sendingBase {
+			l.sendingBase = true
+			c.afterWhileLeading(0, c.sendBase)
 		}
 	}
 }
 
-// wholeCopies names the controllers that have a whole copy of the records, this one aside.
-func (c *Core) wholeCopies() (names []string) {
+// completeReplicas names the controllers that have a whole copy of the records, this one aside.
+func (c *Core) completeReplicas() (names []string) {
 	for _, s := range c.cfg.Seeds {
-		if h := c.leadership.holders[s.HostName]; h != nil && h.Whole() {
+		if h := c.leadership.followers[s.HostName]; h != nil && h.Complete() {
 			names = append(names, s.HostName)
 		}
 	}
 	return names
 }
 
-// copyMore sends a part of the base to those that have not got all of it, some to each.
-func (c *Core) copyMore() {
+// sendBase sends a part of the base to those that have not got all of it, some to each.
+func (c *Core) sendBase() {
 	l := c.leadership
-	l.copying = false
+	l.sendingBase = false
 	lacking := 0
-	for _, h := range l.holders {
-		if !h.Whole() {
+	for _, h := range l.followers {
+		if !h.Complete() {
 			lacking++
 		}
 	}
 	for _, s := range c.cfg.Seeds {
-		if h := l.holders[s.HostName]; h != nil {
-			if line, more := h.Base(c.copies.own, max(1, copyPart/max(1, lacking)), copyBytes, copySize); more {
-				c.sendCopy(s.HostName, line)
-				l.copying = true
+		if h := l.followers[s.HostName]; h != nil {
+			if line, more := h.Base(c.replicas.own, max(1, replicaRecordsPerLine/max(1, lacking)), replicaLineBytes, replicaRecordSize); more {
+				c.sendReplicaLine(s.HostName, line)
+				l.sendingBase = true
 			}
 		}
 	}
-	if l.copying {
-		c.afterWhileLeading(copyEvery, c.copyMore)
+	if l.sendingBase {
+		c.afterWhileLeading(replicaInterval, c.sendBase)
 	}
 }
 
-// peerCopy takes in a line of a copy: of the leader's, or of one that we have asked for.
-func (c *Core) peerCopy(from string, line *snapshot.Line) {
-	h := &c.copies.held
+// handleReplicaLine takes in a line of a copy: of the leader's, or of one that we have asked for.
+func (c *Core) handleReplicaLine(from string, line *snapshot.Line) {
+	h := &c.replicas.received
 	if l := c.leadership; l != nil {
-		if l.recovery == nil && l.endsFrom == from && from != "" {
-			c.learnEnds(line)
+		if l.recovery == nil && l.finalsSource == from && from != "" {
+			c.receiveFinals(line)
 			return
 		}
 		if l.recovery == nil || l.recovery.replicaSource != from || line.Term >= l.term {
@@ -243,12 +243,12 @@
 	} else if from != c.knownLeader || line.Term > c.highestTerm {
 		return // of nobody who leads
 	}
-	if err := h.Take(line, finalKeys, finalsMost(c.cfg)); err != nil {
+	if err := h.Take(line, finalKeys, maxFinals(c.cfg)); err != nil {
 		c.note(slog.LevelWarn, "copy of the records is wanted anew", "from", from, "reason", err)
 		c.emit(PeerSend{from, PeerMsg{Kind: PeerAgain, Term: max(1, line.Term), Ref: line.Session}})
 		return
 	}
-	c.dropOwnCopy()
+	c.dropOwnReplica()
 	for i := range line.Puts {
 		c.observed.Rev = max(c.observed.Rev, line.Puts[i].Rev)
 	}
@@ -257,27 +257,27 @@
 	}
 }
 
-// dropOwnCopy drops our copy of a term that we led once we hold a whole one of a later term.
+// dropOwnReplica drops our copy of a term that we led once we hold a whole one of a later term.
 // Not sooner, however far the terms have gone on: after a loss they go on far above the last
 // one, and what we have is then the newest that there is.
-func (c *Core) dropOwnCopy() {
-	if own, held := c.copies.own, c.copies.held.Copy(); c.leadership == nil && own != nil && held != nil && held.Term > own.Term {
-		c.copies.own = nil
+func (c *Core) dropOwnReplica() {
+	if own, held := c.replicas.own, c.replicas.received.Copy(); c.leadership == nil && own != nil && held != nil && held.Term > own.Term {
+		c.replicas.own = nil
 	}
 }
 
-// learnEnds takes in how jobs have ended, from the copy of another: what the service has of
+// receiveFinals takes in how jobs have ended, from the copy of another: what the service has of
 // them it may have lost without a word, and a process that has just begun remembers none.
-func (c *Core) learnEnds(line *snapshot.Line) {
+func (c *Core) receiveFinals(line *snapshot.Line) {
 	l := c.leadership
-	own := c.ownCopy()
-	if own == nil || line.Term >= l.term || l.ends.Take(line, finalKeys, finalsMost(c.cfg)) != nil {
+	own := c.ownReplica()
+	if own == nil || line.Term >= l.term || l.finalsReceiver.Take(line, finalKeys, maxFinals(c.cfg)) != nil {
 		return // it can do without
 	}
-	if k := l.ends.Copy(); k != nil {
+	if k := l.finalsReceiver.Copy(); k != nil {
 		own.Inherit(k)
-		c.rememberEnds(k)
-		l.endsFrom = ""
+		c.rememberFinals(k)
+		l.finalsSource = ""
 		// Nor does what it has of schedules show that none is lost: they lie apart.
 		for _, key := range k.Keys(rootKey + "schedule") {
 			if _, ok := own.Get(key); !ok {
@@ -291,50 +291,50 @@
 	}
 }
 
-// rememberEnds takes in how the jobs of a copy have ended.
-func (c *Core) rememberEnds(k *snapshot.Copy) {
+// rememberFinals takes in how the jobs of a copy have ended.
+func (c *Core) rememberFinals(k *snapshot.Copy) {
 	for _, key := range k.Keys(finalKeys) {
 		r, _ := k.Get(key)
 		if f, _ := r.Value.(*FinalRecord); f != nil {
-			c.final.Add(strings.TrimPrefix(key, finalKeys), *f)
+			c.finals.Add(strings.TrimPrefix(key, finalKeys), *f)
 		}
 	}
 }
 
-// copyAgain begins a stream anew whose lines did not all arrive.
-func (c *Core) copyAgain(from string, session uint64) {
+// restartReplica begins a stream anew whose lines did not all arrive.
+func (c *Core) restartReplica(from string, session uint64) {
 	if l := c.leadership; l != nil {
-		if h := l.holders[from]; h != nil && h.Session() == session {
-			delete(l.holders, from)
+		if h := l.followers[from]; h != nil && h.Session() == session {
+			delete(l.followers, from)
 		}
 		return // supplied again with the next look
 	}
-	if x := c.copies.lends[from]; x != nil && x.sender.Session() == session {
-		c.lend(from)
+	if x := c.replicas.transfers[from]; x != nil && x.sender.Session() == session {
+		c.startTransfer(from)
 	}
 }
 
-// lend sends what we have to a new leader that wants it, or before we lead ourselves to
+// startTransfer sends what we have to a new leader that wants it, or before we lead ourselves to
 // somebody who has nothing: should we end now it would be lost.
-func (c *Core) lend(name string) {
-	best := c.bestCopy()
+func (c *Core) startTransfer(name string) {
+	best := c.newestReplica()
 	if best == nil {
 		return
 	}
-	x := &lending{snapshot.NewSender(c.rng.Uint64()|1, best), best}
-	c.copies.lends[name] = x
-	c.lendMore(name, x)
+	x := &transfer{snapshot.NewSender(c.rng.Uint64()|1, best), best}
+	c.replicas.transfers[name] = x
+	c.continueTransfer(name, x)
 }
 
-func (c *Core) lendMore(name string, x *lending) {
-	if c.copies.lends[name] != x {
+func (c *Core) continueTransfer(name string, x *transfer) {
+	if c.replicas.transfers[name] != x {
 		return
 	}
-	line, more := x.sender.Base(x.copy, copyPart, copyBytes, copySize)
+	line, more := x.sender.Base(x.source, replicaRecordsPerLine, replicaLineBytes, replicaRecordSize)
 	if !more || c.leadership != nil && c.leadership.recovery == nil {
-		delete(c.copies.lends, name)
+		delete(c.replicas.transfers, name)
 		return
 	}
-	c.sendCopy(name, line)
-	c.after(copyEvery/5, func() { c.lendMore(name, x) })
+	c.sendReplicaLine(name, line)
+	c.after(replicaInterval/5, func() { c.continueTransfer(name, x) })
 }
--- a/internal/core/copies_test.go
+++ b/internal/core/copies_test.go
@@ -12,18 +12,18 @@
 func TestOwnCopyOutlivesAJumpOfTerms(t *testing.T) {
 	c := leaderOf(t, 1)
 	c.leadership, c.cfg.HostName = nil, "n1"
-	c.copies.own = snapshot.New(5, 2, finalKeys, 10)
+	c.replicas.own = snapshot.New(5, 2, finalKeys, 10)
 	c.observeTerm(9, 188, 1)
-	if k := c.bestCopy(); k == nil || k.Term != 2 {
+	if k := c.newestReplica(); k == nil || k.Term != 2 {
 		t.Fatal("the copy is gone")
 	}
 	c.knownLeader, c.highestTerm = "n0", 188
-	c.peerCopy("n0", &snapshot.Line{Era: 9, Term: 188, Session: 1, Number: 1})
-	if k := c.bestCopy(); k.Term != 2 {
+	c.handleReplicaLine("n0", &snapshot.Line{Era: 9, Term: 188, Session: 1, Number: 1})
+	if k := c.newestReplica(); k.Term != 2 {
 		t.Fatal("the copy is gone before the next one is whole")
 	}
-	c.peerCopy("n0", &snapshot.Line{Era: 9, Term: 188, Session: 1, Number: 2, Whole: true})
-	if k := c.bestCopy(); k.Term != 188 || c.copies.own != nil {
+	c.handleReplicaLine("n0", &snapshot.Line{Era: 9, Term: 188, Session: 1, Number: 2, Complete: true})
+	if k := c.newestReplica(); k.Term != 188 || c.replicas.own != nil {
 		t.Error("the older copy is still there")
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -74,12 +74,12 @@
 	observed              rebuild.Known // what we have seen of the state service
 	dataLossReason        string        // why it must have lost data, until somebody leads who knows
 	lastLedTerm           uint64        // the last term that we led
-	copies                copies
+	replicas              replicas
 	confirmedTerm         uint64 // the newest that the state service has told us of
 	confirmedTermRevision uint64 // at which it is on record
 	links                 map[string]bool
 	leaderLinkLostAt      time.Time                       // since when we have no link to the leader that we know
-	final                 *lru.Cache[string, FinalRecord] // how recent jobs ended
+	finals                *lru.Cache[string, FinalRecord] // how recent jobs ended
 	relay                 relaying
 	handedOverAt          time.Time      // when we last handed over
 	instanceTypes         []InstanceType // as read while not leading
@@ -95,11 +95,11 @@
 
 // New returns a controller that has not begun; give it a Tick to begin.
 func New(cfg *config.Config, pol *policy.Policy, cal *calendar.Set, seed uint64) *Core {
-	final, _ := lru.New[string, FinalRecord](finalsMost(cfg)) // errs only for a size below 1
+	final, _ := lru.New[string, FinalRecord](maxFinals(cfg)) // errs only for a size below 1
 	c := &Core{
 		cfg: cfg, pol: pol, cal: cal, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		stores: map[uint64]func(StoreReply){}, clouds: map[uint64]func(CloudReply){}, probes: map[uint64]func(ProbeReply){},
-		copies: copies{lends: map[string]*lending{}}, calls: map[uint64]*forwarded{}, links: map[string]bool{}, final: final, relay: newRelaying(), stateUp: true,
+		replicas: replicas{transfers: map[string]*transfer{}}, calls: map[uint64]*forwarded{}, links: map[string]bool{}, finals: final, relay: newRelaying(), stateUp: true,
 		reads:  newReadLimit(cfg.Settings.State.RPS, 1+len(cfg.Seeds)),
 		report: cfg.Settings.Workers.Report.Duration(),
 		lease:  cfg.Settings.Workers.Lease.Duration(),
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -32,7 +32,7 @@
 			// A small random delay keeps the nodes from all standing at once. One without
 			// a copy of the records leaves it to others first.
 			wait := c.jitter(40 * time.Millisecond)
-			if c.bestCopy() == nil && len(c.cfg.Seeds) > 0 {
+			if c.newestReplica() == nil && len(c.cfg.Seeds) > 0 {
 				wait += noReplicaDelay
 			}
 			c.after(wait, func() { c.campaign(0) })
--- a/internal/core/gather.go
+++ b/internal/core/gather.go
@@ -33,7 +33,7 @@
 	peerKnowledge   map[string]*Knowledge
 	replica         *snapshot.Copy // to go by
 	replicaSource   string         // whose copy is on its way
-	receiver        snapshot.Holder
+	receiver        snapshot.Receiver
 	failedSources   map[string]bool
 	replicaDeadline time.Time // the copy is waited for
 	askedEnded      bool      // about jobs that may have ended
@@ -78,7 +78,7 @@
 	l := c.leadership
 	if g := l.recovery; g != nil {
 		if g.peerKnowledge[from] == nil && k.CopyTerm == 0 {
-			c.lend(from)
+			c.startTransfer(from)
 		}
 		g.peerKnowledge[from] = k
 		c.advanceRecovery()
@@ -105,7 +105,7 @@
 func (g *recovery) awaitsPeers(c *Core) bool {
 	waited := c.now.Sub(c.leadership.electedAt)
 	within, all := peerAnswerTimeout, false
-	best := c.bestCopy()
+	best := c.newestReplica()
 	switch {
 	case g.lossReason != "" || g.termRead.Missing:
 	case best != nil && best.Term == g.termRead.Term && best.Era == g.termRead.Era:
@@ -154,7 +154,7 @@
 			offers, names = append(offers, age), append(names, name)
 		}
 	}
-	if own := c.bestCopy(); own != nil && own.Term < l.term {
+	if own := c.newestReplica(); own != nil && own.Term < l.term {
 		offer("", own.Age)
 	}
 	for _, s := range c.cfg.Seeds {
@@ -183,7 +183,7 @@
 		name := names[best]
 		switch {
 		case name == "":
-			g.replica = c.bestCopy()
+			g.replica = c.newestReplica()
 		case g.receiver.Copy() != nil && g.replicaSource == name:
 			if came := g.receiver.Copy(); offers[best].After(came.Age) {
 				// Not the one that was offered. Another may be newer by now.
@@ -195,9 +195,9 @@
 		case g.lossReason == "" && g.peerKnowledge[name].Live == digestRecords(g.stored) && g.peerKnowledge[name].CopyEra == g.termRead.Era:
 			// Nothing is missing, as far as its keys tell; but for how jobs have ended,
 			// which is learned beside the work.
-			l.endsFrom = name
+			l.finalsSource = name
 		case g.replicaSource != name:
-			g.replicaSource, g.replicaDeadline, g.receiver = name, c.now.Add(replicaTimeout), snapshot.Holder{}
+			g.replicaSource, g.replicaDeadline, g.receiver = name, c.now.Add(replicaTimeout), snapshot.Receiver{}
 			c.emit(PeerSend{name, PeerMsg{Kind: PeerWant, Term: l.term}})
 			c.afterWhileLeading(replicaTimeout+time.Millisecond, c.advanceRecovery)
 			return
--- a/internal/core/groups.go
+++ b/internal/core/groups.go
@@ -111,7 +111,7 @@
 			dropped := ch.writes[0].Value == nil
 			c.readBackKey(g.key, func(e Entry, found bool) {
 				if dropped && !found {
-					c.unkeep(g.key)
+					c.replicateDrop(g.key)
 				}
 				g.rev = e.Rev // 0 if there is none
 				c.writeGroup(g, ln)
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -276,8 +276,8 @@
 // closed follows the commit of a final record.
 func (c *Core) closed(j *job, f FinalRecord) {
 	l := c.leadership
-	c.final.Add(j.spec.ID, f)
-	c.unkeep(jobKeys + j.spec.ID) // however we have learned that it is over
+	c.finals.Add(j.spec.ID, f)
+	c.replicateDrop(jobKeys + j.spec.ID) // however we have learned that it is over
 	delete(l.jobs, j.spec.ID)
 	j.team.jobs--
 	c.unbook(j)
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -178,7 +178,7 @@
 		return
 	}
 	c.housekeep()
-	c.supplyCopies()
+	c.supplyReplicas()
 	c.dueSchedules()
 	c.afterWhileLeading(tickEvery, c.tickLeader)
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -117,11 +117,11 @@
 // replication is the copies of the records at the other controllers, and what is learned
 // from theirs.
 type replication struct {
-	holders  map[string]*snapshot.Sender // controllers that have a copy
-	copying  bool
-	endsFrom string // who tells us how jobs have ended
-	ends     snapshot.Holder
-	scrub    scrubber
+	followers      map[string]*snapshot.Sender // controllers that have a copy
+	sendingBase    bool
+	finalsSource   string // who tells us how jobs have ended
+	finalsReceiver snapshot.Receiver
+	scrub          scrubber
 }
 
 // Parts of the state service's allowance that the leader's pipeline takes.
@@ -139,7 +139,7 @@
 		workload:    workload{jobs: map[string]*job{}, accept: map[string]*accepting{}, teams: map[string]*team{}, est: newEstimates()},
 		membership:  membership{gone: newForgetful(now), machines: map[string]*machine{}, relays: map[string]*relayPeer{}},
 		dispatching: dispatching{holding: map[holdKey]*machine{}},
-		replication: replication{holders: map[string]*snapshot.Sender{}},
+		replication: replication{followers: map[string]*snapshot.Sender{}},
 		pipe:        newPipeline(cfg.Settings.State),
 		rent:        newRenting(cfg),
 		tally:       topology.NewTally(),
--- a/internal/core/loss.go
+++ b/internal/core/loss.go
@@ -54,7 +54,7 @@
 // knowledge is what we tell a new leader.
 func (c *Core) knowledge() *Knowledge {
 	k := &Knowledge{Known: c.observed}
-	if best := c.bestCopy(); best != nil {
+	if best := c.newestReplica(); best != nil {
 		k.CopyEra, k.CopyTerm, k.CopySeq, k.Live = best.Era, best.Term, best.Seq, best.Digest(liveKeys)
 	}
 	return k
@@ -68,7 +68,7 @@
 // correctByReplica corrects what was read of a job without a leader by the copy of the last one:
 // the service may have lost data since, or gone back. known is false without such a copy.
 func (c *Core) correctByReplica(id string, v *JobView) (_ *JobView, known bool) {
-	k := c.lastCopy()
+	k := c.lastLeaderReplica()
 	if k == nil {
 		return nil, false
 	}
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -116,8 +116,8 @@
 	d.running("wk-1", 1)
 	l := d.c.leadership
 	key := jobKeys + "wk-1"
-	d.c.copies.own = snapshot.New(1, l.term, finalKeys, 100)
-	d.c.copies.own.Put(key, l.jobs["wk-1"].rec, 0)
+	d.c.replicas.own = snapshot.New(1, l.term, finalKeys, 100)
+	d.c.replicas.own.Put(key, l.jobs["wk-1"].rec, 0)
 	l.loss = &dataLoss{pending: 1}
 	d.calls = nil
 	d.c.restoreRecord(snapshot.Record{Key: key, Value: l.jobs["wk-1"].rec})
--- a/internal/core/merge.go
+++ b/internal/core/merge.go
@@ -76,14 +76,14 @@
 	g := l.recovery
 	g.merged = true
 	records := g.stored
-	own := snapshot.New(c.observed.Era, l.term, finalKeys, finalsMost(c.cfg))
-	best := c.bestCopy()
+	own := snapshot.New(c.observed.Era, l.term, finalKeys, maxFinals(c.cfg))
+	best := c.newestReplica()
 	if g.replica != nil {
 		g.replica.Inherit(best)
 		res := rebuild.Merge(g.stored, g.replica, g.lossReason != "", recordKinds)
 		other := func(r snapshot.Record) bool { return !strings.HasPrefix(r.Key, liveKeys) }
 		records = slices.DeleteFunc(res.Records, other)
-		c.rememberEnds(g.replica)
+		c.rememberFinals(g.replica)
 		for _, key := range g.replica.Keys(finalKeys) {
 			r, _ := g.replica.Get(key)
 			if g.lossReason != "" {
@@ -130,7 +130,7 @@
 	}
 	c.dataLossReason = ""
 	own.Inherit(best)
-	c.copies.own = own
+	c.replicas.own = own
 	l.noEarlierTerm = g.termRead.Missing
 	c.loadRecords(records)
 }
@@ -141,7 +141,7 @@
 	for _, r := range records[:n] {
 		e := Entry{Key: r.Key, Value: r.Value, Rev: r.Rev}
 		c.loadRecord(e)
-		c.keep(e)
+		c.replicate(e)
 	}
 	if n < len(records) {
 		c.afterWhileLeading(0, func() { c.loadRecords(records[n:]) })
@@ -150,8 +150,8 @@
 	l := c.leadership
 	l.recovery = nil
 	c.prepareRestore()
-	if l.endsFrom != "" {
-		c.emit(PeerSend{l.endsFrom, PeerMsg{Kind: PeerWant, Term: l.term}})
+	if l.finalsSource != "" {
+		c.emit(PeerSend{l.finalsSource, PeerMsg{Kind: PeerWant, Term: l.term}})
 	}
 	c.startWork()
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -28,7 +28,7 @@
 		}
 	}
 	if !p.Up && c.leadership != nil {
-		delete(c.leadership.holders, p.Name) // it begins anew with the next link
+		delete(c.leadership.followers, p.Name) // it begins anew with the next link
 	}
 	if !p.Up {
 		c.linkLost(p.Name)
@@ -62,11 +62,11 @@
 	case PeerAnswer:
 		c.peerAnswer(p.From, p.Msg)
 	case PeerCopy:
-		c.peerCopy(p.From, p.Msg.Copy)
+		c.handleReplicaLine(p.From, p.Msg.Copy)
 	case PeerAlone:
-		c.peerAlone(p.Msg.Copy)
+		c.handleLeaderlessJob(p.Msg.Copy)
 	case PeerAgain:
-		c.copyAgain(p.From, p.Msg.Ref)
+		c.restartReplica(p.From, p.Msg.Ref)
 	case PeerAsk:
 		if c.leadership == nil {
 			c.emit(PeerSend{p.From, PeerMsg{Kind: PeerTell, Term: p.Msg.Term, Know: c.knowledge()}})
@@ -77,7 +77,7 @@
 		}
 	case PeerWant:
 		if c.leadership == nil {
-			c.lend(p.From)
+			c.startTransfer(p.From)
 		}
 	case PeerReports:
 		c.relayReports(p.From, p.Msg)
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -111,7 +111,7 @@
 		ch.lane = urgent
 	}
 	ch.fill = func() bool {
-		now, ok := c.copies.own.Get(r.Key)
+		now, ok := c.replicas.own.Get(r.Key)
 		if id, live := strings.CutPrefix(r.Key, jobKeys); live {
 			j := l.jobs[id]
 			ok = ok && j != nil && !j.closing
@@ -173,13 +173,13 @@
 		c.loadSchedules("")
 		return
 	}
-	c.afterWhileLeading(copyEvery, c.loadSchedulesWhenRestored)
+	c.afterWhileLeading(replicaInterval, c.loadSchedulesWhenRestored)
 }
 
 // restoreMissingSchedules has schedules written back that the copy we have gone by has, and the
 // service has not; first the numbers' record, if that is lost as well.
 func (c *Core) restoreMissingSchedules() {
-	own := c.ownCopy()
+	own := c.ownReplica()
 	if own == nil {
 		return
 	}
@@ -196,7 +196,7 @@
 	c.readBackKey(numberKey, func(e Entry, found bool) {
 		if n, ok := own.Get(numberKey); ok && !found {
 			n.Rev = 0
-			c.writeBack(n, func(Entry) { c.afterWhileLeading(copyEvery, c.restoreMissingSchedules) })
+			c.writeBack(n, func(Entry) { c.afterWhileLeading(replicaInterval, c.restoreMissingSchedules) })
 			return
 		}
 		c.leadership.sched.numberRev = e.Rev
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -48,7 +48,7 @@
 			t.Errorf("whoever asked about wk-2 is told %+v", a)
 		}
 	}
-	if _, ok := n.final.Get("wk-2"); ok {
+	if _, ok := n.finals.Get("wk-2"); ok {
 		t.Error("and so is everybody from then on")
 	}
 }
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -348,7 +348,7 @@
 	key := scheduleKeys + s.name
 	ch := &change{}
 	done := func() {
-		c.unkeep(key)
+		c.replicateDrop(key)
 		c.note(slog.LevelInfo, "schedule removed", "schedule", s.name)
 		s.reply(c, AnswerUser{Status: 200, Doc: map[string]string{"name": s.name, "status": "removed"}})
 		c.forgetSchedule(s)
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -117,7 +117,7 @@
 		c.leadership.sched.unread[strings.TrimPrefix(e.Key, scheduleKeys)] = true
 		return
 	}
-	c.keep(e)
+	c.replicate(e)
 	s := &scheduled{name: strings.TrimPrefix(e.Key, scheduleKeys), rec: rec, rev: e.Rev}
 	c.addSchedule(s)
 	es, _ := rec.Entries()
@@ -390,7 +390,7 @@
 		s.rec.Note(e)
 		if j := c.leadership.jobs[e.Job]; j != nil {
 			c.watchDeadline(s, j, e.Due)
-		} else if f, ok := c.final.Get(e.Job); ok { // over already
+		} else if f, ok := c.finals.Get(e.Job); ok { // over already
 			c.occurrenceOver(s, e.Job, f.State, c.wall())
 		}
 		c.flushSchedule(s)
--- a/internal/core/search.go
+++ b/internal/core/search.go
@@ -32,14 +32,14 @@
 func (c *Core) scrubRecords() {
 	l := c.leadership
 	c.afterWhileLeading(scrubInterval, c.scrubRecords)
-	own := c.ownCopy()
+	own := c.ownReplica()
 	if own == nil || !c.canAct() || len(l.restoring) > 0 || l.loss != nil && l.loss.pending > 0 || !c.reads.AllowN(c.now, 2) {
 		return
 	}
 	s := &l.scrub
 	prefix, asked := scrubbedPrefixes[s.place], c.observed.Rev
 	c.storeWhileLeading(StoreCall{Op: StoreList, Key: prefix, From: s.from, Limit: scrubPageSize}, func(r StoreReply) {
-		if r.Outcome != OK || c.ownCopy() != own {
+		if r.Outcome != OK || c.ownReplica() != own {
 			return
 		}
 		p := rebuild.Page{Prefix: prefix, From: s.from, Asked: asked}
@@ -89,7 +89,7 @@
 	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
 		now, still := own.Get(key)
 		gone := r.Outcome == NotFound || r.Outcome == OK && r.Entries[0].Rev < was.Rev
-		if gone && still && now.Rev == was.Rev && c.ownCopy() == own && !c.hasUncommittedChange(key) {
+		if gone && still && now.Rev == was.Rev && c.ownReplica() == own && !c.hasUncommittedChange(key) {
 			c.reportDataLoss("a record is missing or old that a copy has: " + strings.TrimPrefix(key, rootKey))
 		}
 	})
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -45,7 +45,7 @@
 	if l.loss != nil {
 		s.RecordsLeft = l.loss.pending
 	}
-	s.Copies = len(c.wholeCopies())
+	s.Copies = len(c.completeReplicas())
 	s.OccurrencesMade, s.OccurrencesMissed, s.OccurrencesLate = l.sched.made, l.sched.missed, l.sched.late
 	for _, j := range l.jobs {
 		s.Waiting += j.waiting
--- a/internal/core/store.go
+++ b/internal/core/store.go
@@ -138,7 +138,7 @@
 	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
 		switch r.Outcome {
 		case OK:
-			c.keep(r.Entries[0])
+			c.replicate(r.Entries[0])
 			f(r.Entries[0], true)
 		case NotFound:
 			f(Entry{}, false)
@@ -227,7 +227,7 @@
 	switch r.Outcome {
 	case OK:
 		p.backoff = 0
-		c.copied(batch, r.Rev)
+		c.replicateBatch(batch, r.Rev)
 		for _, ch := range batch {
 			if ch.done != nil {
 				ch.done(r.Rev)
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -59,7 +59,7 @@
 		c.answer(call, unavailable(notLeader))
 		return
 	}
-	if f, ok := c.final.Get(call.ID); ok {
+	if f, ok := c.finals.Get(call.ID); ok {
 		c.answer(call, AnswerUser{Status: 200, View: f.view(call.ID)}) // final states never change
 		return
 	}
@@ -111,7 +111,7 @@
 	if s := m.Answer.View.State; m.Answer.Status == 200 && (s == Done || s == Cancelled) && f.call.Op == OpGet {
 		// Only a final answer to a poll: a job that is cancelled may still be
 		// on record as such, which is final as well.
-		c.final.Add(f.call.ID, FinalRecord{s, m.Answer.View.Done})
+		c.finals.Add(f.call.ID, FinalRecord{s, m.Answer.View.Done})
 	}
 	c.answer(f.call, *m.Answer)
 }
@@ -186,7 +186,7 @@
 						f(nil, false)
 						return
 					}
-					c.final.Add(id, *rec)
+					c.finals.Add(id, *rec)
 					v := rec.view(id)
 					f(&v, true)
 				case NotFound:
@@ -230,7 +230,7 @@
 		}
 		return
 	}
-	if f, ok := c.final.Get(call.ID); ok {
+	if f, ok := c.finals.Get(call.ID); ok {
 		c.answer(call, AnswerUser{Status: 200, View: f.view(call.ID)})
 		return
 	}
@@ -299,9 +299,9 @@
 		return false
 	}
 	c.note(slog.LevelInfo, "record can be read again", "key", rec.Key)
-	c.keep(rec)
+	c.replicate(rec)
 	for _, e := range progress {
-		c.keep(e)
+		c.replicate(e)
 		c.loadRecord(e)
 	}
 	for _, m := range l.fleet {
@@ -356,7 +356,7 @@
 			otherwise()
 			return
 		}
-		c.keep(r.Entries[0])
+		c.replicate(r.Entries[0])
 		if rec, _ := r.Entries[0].Value.(*JobRecord); rec != nil && c.leadership.jobs[id] == nil {
 			a := c.leadership.accept[id]
 			delete(c.leadership.accept, id)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -86,7 +86,7 @@
 }
 
 func encodeLine(l *snapshot.Line) *lineJSON {
-	j := &lineJSON{Era: l.Era, Term: l.Term, Session: l.Session, Number: l.Number, Seq: l.Seq, Whole: l.Whole, Drops: l.Drops}
+	j := &lineJSON{Era: l.Era, Term: l.Term, Session: l.Session, Number: l.Number, Seq: l.Seq, Whole: l.Complete, Drops: l.Drops}
 	for _, r := range l.Puts {
 		j.Puts = append(j.Puts, recordJSON{r.Key, state.EncodeRecord(r.Value), r.Rev})
 	}
@@ -98,7 +98,7 @@
 	if l.Term == 0 || l.Term > core.MaxTerm || l.Session == 0 || l.Sum != l.sum() {
 		return nil, false
 	}
-	out := &snapshot.Line{Era: l.Era, Term: l.Term, Session: l.Session, Number: l.Number, Seq: l.Seq, Whole: l.Whole, Drops: l.Drops}
+	out := &snapshot.Line{Era: l.Era, Term: l.Term, Session: l.Session, Number: l.Number, Seq: l.Seq, Complete: l.Whole, Drops: l.Drops}
 	for _, r := range l.Puts {
 		v := state.DecodeRecord(r.K, r.V)
 		if v == nil {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -34,42 +34,42 @@
 	Era uint64 // of the state service's data, see package rebuild
 	Age
 
-	recs  map[string]*Record
-	spare string   // prefix of records of which only the latest are kept
-	most  int      // so many
-	order []string // theirs, the oldest first
+	records       map[string]*Record
+	boundedPrefix string   // prefix of records of which only the latest are kept
+	boundedMax    int      // so many
+	order         []string // theirs, the oldest first
 }
 
 // New returns an empty copy, in which at most so many records with the prefix spare are
 // kept: the latest.
 func New(era, term uint64, spare string, most int) *Copy {
-	return &Copy{Era: era, Age: Age{Term: term}, recs: map[string]*Record{}, spare: spare, most: most}
+	return &Copy{Era: era, Age: Age{Term: term}, records: map[string]*Record{}, boundedPrefix: spare, boundedMax: most}
 }
 
 // Put takes in a record.
 func (c *Copy) Put(key string, value any, rev uint64) {
-	if r := c.recs[key]; r != nil {
+	if r := c.records[key]; r != nil {
 		r.Value, r.Rev = value, rev
 		return
 	}
-	c.recs[key] = &Record{key, value, rev}
-	if !strings.HasPrefix(key, c.spare) {
+	c.records[key] = &Record{key, value, rev}
+	if !strings.HasPrefix(key, c.boundedPrefix) {
 		return
 	}
 	c.order = append(c.order, key)
-	for len(c.order) > c.most {
-		delete(c.recs, c.order[0])
+	for len(c.order) > c.boundedMax {
+		delete(c.records, c.order[0])
 		c.order = c.order[1:]
 	}
 }
 
 // Drop takes a record out.
 func (c *Copy) Drop(key string) {
-	if c.recs[key] == nil {
+	if c.records[key] == nil {
 		return
 	}
-	delete(c.recs, key)
-	if strings.HasPrefix(key, c.spare) {
+	delete(c.records, key)
+	if strings.HasPrefix(key, c.boundedPrefix) {
 		c.order = slices.DeleteFunc(c.order, func(k string) bool { return k == key })
 	}
 }
@@ -82,21 +82,21 @@
 	}
 	var older []string
 	for _, k := range before.order {
-		if c.recs[k] == nil {
+		if c.records[k] == nil {
 			older = append(older, k)
 		}
 	}
-	older = older[max(0, len(older)+len(c.order)-c.most):]
+	older = older[max(0, len(older)+len(c.order)-c.boundedMax):]
 	for _, k := range older {
-		r := before.recs[k]
-		c.recs[k] = &Record{k, r.Value, 0}
+		r := before.records[k]
+		c.records[k] = &Record{k, r.Value, 0}
 	}
 	c.order = append(older, c.order...)
 }
 
 // Get returns the record of a key.
 func (c *Copy) Get(key string) (Record, bool) {
-	if r := c.recs[key]; r != nil {
+	if r := c.records[key]; r != nil {
 		return *r, true
 	}
 	return Record{}, false
@@ -104,8 +104,8 @@
 
 // Keys returns the keys with a prefix in their order.
 func (c *Copy) Keys(prefix string) []string {
-	ks := make([]string, 0, len(c.recs))
-	for k := range c.recs {
+	ks := make([]string, 0, len(c.records))
+	for k := range c.records {
 		if strings.HasPrefix(k, prefix) {
 			ks = append(ks, k)
 		}
@@ -133,7 +133,7 @@
 
 // Digest returns the digest of the keys with a prefix.
 func (c *Copy) Digest(prefix string) (d Digest) {
-	for k := range c.recs {
+	for k := range c.records {
 		if strings.HasPrefix(k, prefix) {
 			d.Add(k)
 		}
@@ -148,21 +148,21 @@
 
 // Line is a part of a copy on its way to who holds one.
 type Line struct {
-	Era     uint64   // of the copy
-	Term    uint64   // of the copy
-	Session uint64   // one stream of lines; never 0
-	Number  uint64   // 1, 2, 3… within it; the first begins a copy anew
-	Seq     uint64   // of the copy, with this line
-	Whole   bool     // with this line, or one before it, the base is complete
-	Puts    []Record // a record's Rev goes along
-	Drops   []string
+	Era      uint64   // of the copy
+	Term     uint64   // of the copy
+	Session  uint64   // one stream of lines; never 0
+	Number   uint64   // 1, 2, 3… within it; the first begins a copy anew
+	Seq      uint64   // of the copy, with this line
+	Complete bool     // with this line, or one before it, the base is complete
+	Puts     []Record // a record's Rev goes along
+	Drops    []string
 }
 
 // Sender is the leader's end of a stream to one holder.
 type Sender struct {
 	session, number uint64
 	keys            []string // of the base, that have not gone
-	whole           bool
+	complete        bool
 }
 
 // NewSender begins a stream, whose number must not have been used before.
@@ -173,13 +173,13 @@
 // Session returns the number of the stream.
 func (s *Sender) Session() uint64 { return s.session }
 
-// Whole reports whether the whole base has gone out.
-func (s *Sender) Whole() bool { return s.whole }
+// Complete reports whether the whole base has gone out.
+func (s *Sender) Complete() bool { return s.complete }
 
 // Base returns the next part of the base, until there is none: at most so many records, of
 // at most so many bytes together by what size says of each, but one at the least.
 func (s *Sender) Base(c *Copy, most, bytes int, size func(Record) int) (l Line, more bool) {
-	if s.whole {
+	if s.complete {
 		return Line{}, false
 	}
 	n := 0
@@ -194,7 +194,7 @@
 		l.Puts = append(l.Puts, r)
 	}
 	s.keys = s.keys[n:]
-	s.whole = len(s.keys) == 0
+	s.complete = len(s.keys) == 0
 	return s.next(c, l), true
 }
 
@@ -205,42 +205,42 @@
 
 func (s *Sender) next(c *Copy, l Line) Line {
 	s.number++
-	l.Era, l.Term, l.Session, l.Number, l.Seq, l.Whole = c.Era, c.Term, s.session, s.number, c.Seq, s.whole
+	l.Era, l.Term, l.Session, l.Number, l.Seq, l.Complete = c.Era, c.Term, s.session, s.number, c.Seq, s.complete
 	return l
 }
 
-// Holder is the other end: it keeps the last copy that was whole until the next one is.
-type Holder struct {
+// Receiver is the other end: it keeps the last copy that was whole until the next one is.
+type Receiver struct {
 	session, number uint64
-	coming          *Copy
-	whole           *Copy
+	incoming        *Copy
+	complete        *Copy
 }
 
-// ErrOrder says that a line does not follow the one before: the copy is not whole, and
+// ErrMissingLines says that a line does not follow the one before: the copy is not whole, and
 // has to be sent anew.
-var ErrOrder = errors.New("lines of the copy are missing")
+var ErrMissingLines = errors.New("lines of the copy are missing")
 
 // Copy returns the last whole copy, or nil.
-func (h *Holder) Copy() *Copy { return h.whole }
+func (h *Receiver) Copy() *Copy { return h.complete }
 
 // Take takes in a line; spare and most are as for New.
-func (h *Holder) Take(l *Line, spare string, most int) error {
+func (h *Receiver) Take(l *Line, spare string, most int) error {
 	if l.Number == 1 && l.Session != 0 && l.Session != h.session {
-		if h.whole != nil && l.Term < h.whole.Term {
+		if h.complete != nil && l.Term < h.complete.Term {
 			return nil // of a leader before the one whose copy this is
 		}
-		h.session, h.number, h.coming = l.Session, 0, New(l.Era, l.Term, spare, most)
+		h.session, h.number, h.incoming = l.Session, 0, New(l.Era, l.Term, spare, most)
 	}
-	c := h.coming
+	c := h.incoming
 	if c == nil || l.Session != h.session || l.Number != h.number+1 || l.Term != c.Term || l.Era != c.Era || l.Seq < c.Seq {
-		if l.Session == h.session && l.Number <= h.number || h.whole != nil && l.Term < h.whole.Term {
+		if l.Session == h.session && l.Number <= h.number || h.complete != nil && l.Term < h.complete.Term {
 			return nil // once more, or older than what there is
 		}
-		h.coming = nil
-		if h.whole != nil && l.Session == h.session {
+		h.incoming = nil
+		if h.complete != nil && l.Session == h.session {
 			h.session = 0 // what is whole stays as it is
 		}
-		return ErrOrder
+		return ErrMissingLines
 	}
 	h.number, c.Seq = l.Number, l.Seq
 	for _, r := range l.Puts {
@@ -249,9 +249,9 @@
 	for _, k := range l.Drops {
 		c.Drop(k)
 	}
-	if l.Whole && h.whole != c {
-		c.Inherit(h.whole)
-		h.whole = c
+	if l.Complete && h.complete != c {
+		c.Inherit(h.complete)
+		h.complete = c
 	}
 	return nil
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -46,7 +46,7 @@
 		for range 40 {
 			change()
 		}
-		var h Holder
+		var h Receiver
 		session := uint64(1)
 		s := NewSender(session, c)
 		again := false
@@ -115,7 +115,7 @@
 	if got := b.Keys(""); !slices.Equal(got, []string{"f/3", "f/4", "f/9"}) {
 		t.Errorf("%q", got)
 	}
-	old, next := New(1, 1, "f/", 3), Holder{}
+	old, next := New(1, 1, "f/", 3), Receiver{}
 	s := NewSender(5, b)
 	l, _ := s.Base(b, 9, 100, ten)
 	next.Take(&l, "f/", 3)
