--- a/internal/core/copies.go
+++ b/internal/core/copies.go
@@ -250,7 +250,7 @@
 	}
 	c.dropOwnReplica()
 	for i := range line.Puts {
-		c.observed.Rev = max(c.observed.Rev, line.Puts[i].Rev)
+		c.observed.Revision = max(c.observed.Revision, line.Puts[i].Rev)
 	}
 	if c.leadership != nil && h.Copy() != nil {
 		c.advanceRecovery()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -64,16 +64,16 @@
 	calls                 map[uint64]*forwarded // users' requests at the leader's
 	wake                  byTime[func()]        // alarms: a large fleet has one for nearly every machine
 	leadership            *leadership
-	knownLeader           string        // who leads, as far as we know
-	leaderVersion         uint64        // the version that it talks in
-	configHeard           time.Time     // when the leader last told us that our configuration is the newest
-	highestTerm           uint64        // the highest term heard of
-	lastClaimRef          uint64        // calls numbered up to this one were made before it was heard of
-	leaderKeyRevision     uint64        // of the leader's key when it was last read
-	firstStoreRevision    uint64        // of the state service when it first answered this process
-	observed              rebuild.Known // what we have seen of the state service
-	dataLossReason        string        // why it must have lost data, until somebody leads who knows
-	lastLedTerm           uint64        // the last term that we led
+	knownLeader           string           // who leads, as far as we know
+	leaderVersion         uint64           // the version that it talks in
+	configHeard           time.Time        // when the leader last told us that our configuration is the newest
+	highestTerm           uint64           // the highest term heard of
+	lastClaimRef          uint64           // calls numbered up to this one were made before it was heard of
+	leaderKeyRevision     uint64           // of the leader's key when it was last read
+	firstStoreRevision    uint64           // of the state service when it first answered this process
+	observed              rebuild.Observed // what we have seen of the state service
+	dataLossReason        string           // why it must have lost data, until somebody leads who knows
+	lastLedTerm           uint64           // the last term that we led
 	replicas              replicas
 	confirmedTerm         uint64 // the newest that the state service has told us of
 	confirmedTermRevision uint64 // at which it is on record
@@ -227,7 +227,7 @@
 	if call.Timeout == 0 {
 		call.Timeout = storeTimeout
 	}
-	seen, era := c.observed.Rev, c.observed.Era
+	seen, era := c.observed.Revision, c.observed.Era
 	c.stores[call.Ref] = func(r StoreReply) {
 		c.observeRevision(r.Rev, seen, era)
 		f(r)
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -193,14 +193,14 @@
 				return
 			}
 			before := c.observed
-			found := rebuild.Found{Missing: t.Outcome == NotFound, Rev: t.Rev}
+			found := rebuild.TermRead{Missing: t.Outcome == NotFound, StoreRevision: t.Rev}
 			if t.Outcome == OK {
 				if rec, _ := t.Entries[0].Value.(*TermRecord); rec != nil {
 					found.Term, found.Era = rec.Term, rec.Era
 				}
 			}
 			if c.dataLossReason == "" {
-				c.dataLossReason = before.Lost(found)
+				c.dataLossReason = before.LossReason(found)
 			}
 			era := found.Era
 			if c.dataLossReason != "" || era == 0 {
@@ -226,8 +226,8 @@
 				ours := c.lastLedTerm != 0 && c.lastLedTerm == before.Term
 				c.becomeLeader(term, r.Rev, g.LeaseID, sent, ahead)
 				c.leadership.recovery = &recovery{ledLastTerm: ours, observed: before, termRead: found, lossReason: c.dataLossReason, peerKnowledge: map[string]*Knowledge{}, failedSources: map[string]bool{}}
-				c.observed = c.observed.Next(era, term, c.processID)
-				c.observed.Rev = max(c.observed.Rev, r.Rev)
+				c.observed = c.observed.AdvanceTo(era, term, c.processID)
+				c.observed.Revision = max(c.observed.Revision, r.Rev)
 				c.startRecovery()
 				c.readRecords("")
 			})
--- a/internal/core/gather.go
+++ b/internal/core/gather.go
@@ -25,8 +25,8 @@
 
 // recovery is what a new leader finds out before its term begins its work.
 type recovery struct {
-	observed        rebuild.Known // what we had seen before we stood
-	termRead        rebuild.Found
+	observed        rebuild.Observed // what we had seen before we stood
+	termRead        rebuild.TermRead
 	lossReason      string // why data must have been lost, or ""
 	stored          []snapshot.Record
 	complete        bool // all of it
@@ -82,16 +82,16 @@
 		}
 		g.peerKnowledge[from] = k
 		c.advanceRecovery()
-	} else if l.noEarlierTerm && k.Era == c.observed.Era && k.Term > l.term && k.Old < l.term {
+	} else if l.noEarlierTerm && k.Era == c.observed.Era && k.Term > l.term && k.HighestPastTerm < l.term {
 		// Of the same data: somebody leads after us, and we were cut off meanwhile.
 		if c.hasAuthority() {
 			c.verifyTerm("a newer term is known", func() {})
 		} else {
 			c.stepDown("a newer term is known")
 		}
-	} else if l.noEarlierTerm && k.Below(c.observed.Era, l.term, c.processID) {
+	} else if l.noEarlierTerm && k.HasHigherTerm(c.observed.Era, l.term, c.processID) {
 		// Nothing was on record and nobody in reach when we began; now somebody is.
-		c.handleHigherTerm(max(k.Old, k.Term))
+		c.handleHigherTerm(max(k.HighestPastTerm, k.Term))
 	}
 }
 
@@ -159,12 +159,12 @@
 	}
 	for _, s := range c.cfg.Seeds {
 		if k := g.peerKnowledge[s.HostName]; k != nil {
-			if k.Below(c.observed.Era, l.term, c.processID) {
-				floor = max(floor, k.Old, k.Term)
+			if k.HasHigherTerm(c.observed.Era, l.term, c.processID) {
+				floor = max(floor, k.HighestPastTerm, k.Term)
 			}
 			if k.Era != c.observed.Era { // else it has read of our term already
-				known = known.With(k.Known)
-			} else if g.lossReason == "" && g.termRead.Missing && k.Old > 0 {
+				known = known.Merge(k.Observed)
+			} else if g.lossReason == "" && g.termRead.Missing && k.HighestPastTerm > 0 {
 				g.lossReason = "no term is on record, and one was"
 			}
 			offer(s.HostName, snapshot.Age{Term: k.CopyTerm, Seq: k.CopySeq})
@@ -176,9 +176,9 @@
 	}
 	last = max(last, known.Term)
 	if g.lossReason == "" {
-		g.lossReason = known.Lost(g.termRead)
+		g.lossReason = known.LossReason(g.termRead)
 	}
-	best := rebuild.Best(offers)
+	best := rebuild.NewestOffer(offers)
 	if best >= 0 && g.replica == nil {
 		name := names[best]
 		switch {
--- a/internal/core/loss.go
+++ b/internal/core/loss.go
@@ -24,7 +24,7 @@
 		c.reportDataLoss("the state service's revision has fallen")
 		return
 	}
-	c.observed.Rev = max(c.observed.Rev, rev)
+	c.observed.Revision = max(c.observed.Revision, rev)
 }
 
 // reportDataLoss: what we have seen shows that data was lost. A leader's word rests on records
@@ -37,7 +37,7 @@
 		return
 	}
 	c.dataLossReason = why
-	c.note(slog.LevelError, "the state service has lost data", "reason", why, "era", c.observed.Era, "term", c.observed.Term, "revision", c.observed.Rev)
+	c.note(slog.LevelError, "the state service has lost data", "reason", why, "era", c.observed.Era, "term", c.observed.Term, "revision", c.observed.Revision)
 	if l := c.leadership; l != nil {
 		c.resignThen(why, then)
 	}
@@ -46,14 +46,14 @@
 // observeTerm takes note of the era and the term that are on record.
 func (c *Core) observeTerm(era, term, life uint64) {
 	was := c.observed.Era
-	if c.observed = c.observed.Next(era, term, life); c.observed.Era != was {
+	if c.observed = c.observed.AdvanceTo(era, term, life); c.observed.Era != was {
 		c.dataLossReason = "" // somebody leads who knows
 	}
 }
 
 // knowledge is what we tell a new leader.
 func (c *Core) knowledge() *Knowledge {
-	k := &Knowledge{Known: c.observed}
+	k := &Knowledge{Observed: c.observed}
 	if best := c.newestReplica(); best != nil {
 		k.CopyEra, k.CopyTerm, k.CopySeq, k.Live = best.Era, best.Term, best.Seq, best.Digest(liveKeys)
 	}
--- a/internal/core/merge.go
+++ b/internal/core/merge.go
@@ -18,7 +18,7 @@
 	Job:      func(key string) (string, bool) { return strings.CutPrefix(key, jobKeys) },
 	Final:    func(key string) (string, bool) { return strings.CutPrefix(key, finalKeys) },
 	Machines: func(key string) bool { return strings.HasPrefix(key, machineKeys) },
-	Part: func(key string) (string, bool) {
+	Progress: func(key string) (string, bool) {
 		name, ok := strings.CutPrefix(key, doneKeys)
 		id, _ := splitChunkKey(name)
 		return id, ok
--- a/internal/core/search.go
+++ b/internal/core/search.go
@@ -37,12 +37,12 @@
 		return
 	}
 	s := &l.scrub
-	prefix, asked := scrubbedPrefixes[s.place], c.observed.Rev
+	prefix, asked := scrubbedPrefixes[s.place], c.observed.Revision
 	c.storeWhileLeading(StoreCall{Op: StoreList, Key: prefix, From: s.from, Limit: scrubPageSize}, func(r StoreReply) {
 		if r.Outcome != OK || c.ownReplica() != own {
 			return
 		}
-		p := rebuild.Page{Prefix: prefix, From: s.from, Asked: asked}
+		p := rebuild.Page{Prefix: prefix, From: s.from, AskedRevision: asked}
 		for _, e := range r.Entries {
 			p.Listed = append(p.Listed, snapshot.Record{Key: e.Key, Rev: e.Rev})
 		}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -291,7 +291,7 @@
 
 // Knowledge is what a controller tells a new leader of the state service's past.
 type Knowledge struct {
-	rebuild.Known
+	rebuild.Observed
 	CopyEra  uint64          `json:"copyEra,omitempty"` // of the copy that it has
 	CopyTerm uint64          `json:"copyTerm,omitempty"`
 	CopySeq  uint64          `json:"copySeq,omitempty"`
--- a/internal/rebuild/missing.go
+++ b/internal/rebuild/missing.go
@@ -4,11 +4,11 @@
 
 // Page is a part of a list of records under a prefix.
 type Page struct {
-	Prefix string
-	From   string // after this key
-	To     string // up to this one; "" for the last part
-	Listed []snapshot.Record
-	Asked  uint64 // the service's revision that was known when the part was asked for
+	Prefix        string
+	From          string // after this key
+	To            string // up to this one; "" for the last part
+	Listed        []snapshot.Record
+	AskedRevision uint64 // the service's revision that was known when the part was asked for
 }
 
 // Missing returns the keys whose records a copy has and a list lacks, or has from before:
@@ -21,7 +21,7 @@
 	}
 	for _, key := range c.Keys(p.Prefix) {
 		r, _ := c.Get(key)
-		if key <= p.From || p.To != "" && key > p.To || r.Rev == 0 || r.Rev > p.Asked || busy(key) {
+		if key <= p.From || p.To != "" && key > p.To || r.Rev == 0 || r.Rev > p.AskedRevision || busy(key) {
 			continue
 		}
 		if rev, ok := listed[key]; !ok || rev < r.Rev {
--- a/internal/rebuild/missing_test.go
+++ b/internal/rebuild/missing_test.go
@@ -14,7 +14,7 @@
 	for key, rev := range map[string]uint64{"a/1": 5, "a/2": 6, "a/3": 0, "a/4": 20, "a/5": 7, "a/6": 8, "a/7": 9, "b/1": 3} {
 		c.Put(key, nil, rev)
 	}
-	p := Page{Prefix: "a/", From: "a/1", To: "a/6", Asked: 10, Listed: []snapshot.Record{{Key: "a/6", Rev: 4}}}
+	p := Page{Prefix: "a/", From: "a/1", To: "a/6", AskedRevision: 10, Listed: []snapshot.Record{{Key: "a/6", Rev: 4}}}
 	busy := func(key string) bool { return key == "a/5" }
 	// a/1 comes before the part and a/7 after it, a/3 was never there, a/4 came after the
 	// call, a/5 may have been dropped, a/6 is there from before.
--- a/internal/rebuild/rebuild.go
+++ b/internal/rebuild/rebuild.go
@@ -14,49 +14,49 @@
 	"yewpass/internal/snapshot"
 )
 
-// Known is what a controller has seen of the state service. None of it can become less
+// Observed is what a controller has seen of the state service. None of it can become less
 // while the service keeps its data.
-type Known struct {
-	Era  uint64 `json:"era,omitempty"` // drawn anew whenever data was lost, on record with the term
-	Term uint64 `json:"term,omitempty"`
-	Life uint64 `json:"life,omitempty"` // of the process that led it
-	Rev  uint64 `json:"rev,omitempty"`  // of the whole store
-	Old  uint64 `json:"old,omitempty"`  // the highest term of the eras before
+type Observed struct {
+	Era             uint64 `json:"era,omitempty"` // drawn anew whenever data was lost, on record with the term
+	Term            uint64 `json:"term,omitempty"`
+	ProcessID       uint64 `json:"life,omitempty"` // of the process that led it
+	Revision        uint64 `json:"rev,omitempty"`  // of the whole store
+	HighestPastTerm uint64 `json:"old,omitempty"`  // the highest term of the eras before
 }
 
-// Next returns what is known once another era and its term are on record.
-func (k Known) Next(era, term, life uint64) Known {
+// AdvanceTo returns what is known once another era and its term are on record.
+func (k Observed) AdvanceTo(era, term, life uint64) Observed {
 	if era == 0 || era == k.Era || k.Era == 0 {
 		if era != 0 {
 			k.Era = era
 		}
 		if term >= k.Term {
-			k.Term, k.Life = term, life
+			k.Term, k.ProcessID = term, life
 		}
 		return k
 	}
 	// Revisions may have begun again, and terms must not have.
-	return Known{Era: era, Term: term, Life: life, Old: max(k.Old, k.Term)}
+	return Observed{Era: era, Term: term, ProcessID: life, HighestPastTerm: max(k.HighestPastTerm, k.Term)}
 }
 
-// Below reports whether terms have begun again: whether the term that a process of that
+// HasHigherTerm reports whether terms have begun again: whether the term that a process of that
 // life leads is none above all those that were before it.
-func (k Known) Below(era, term, life uint64) bool {
-	return k.Old >= term || k.Term > term || k.Term == term && (k.Life != life || k.Era != era)
+func (k Observed) HasHigherTerm(era, term, life uint64) bool {
+	return k.HighestPastTerm >= term || k.Term > term || k.Term == term && (k.ProcessID != life || k.Era != era)
 }
 
-// Found is what a read of the term's record has found.
-type Found struct {
-	Missing   bool
-	Era, Term uint64 // 0 where the record has none or cannot be read
-	Rev       uint64 // of the store, when it was read
+// TermRead is what a read of the term's record has found.
+type TermRead struct {
+	Missing       bool
+	Era, Term     uint64 // 0 where the record has none or cannot be read
+	StoreRevision uint64 // of the store, when it was read
 }
 
-// Lost says why what was found shows that data was lost, or "". The revision in k must
+// LossReason says why what was found shows that data was lost, or "". The revision in k must
 // have been seen before the read was sent; answers overtake each other.
-func (k Known) Lost(f Found) string {
+func (k Observed) LossReason(f TermRead) string {
 	switch {
-	case f.Rev > 0 && f.Rev < k.Rev:
+	case f.StoreRevision > 0 && f.StoreRevision < k.Revision:
 		return "the state service's revision has fallen"
 	case f.Missing && k.Term > 0:
 		return "no term is on record, and one was"
@@ -68,22 +68,22 @@
 	return ""
 }
 
-// With adds what somebody else has seen.
-func (k Known) With(o Known) Known {
+// Merge adds what somebody else has seen.
+func (k Observed) Merge(o Observed) Observed {
 	if o.Term >= k.Term && o.Era != 0 {
 		k.Era = o.Era
 	}
 	if o.Term >= k.Term {
-		k.Life = o.Life
+		k.ProcessID = o.ProcessID
 	}
-	return Known{Era: k.Era, Term: max(k.Term, o.Term), Life: k.Life, Rev: max(k.Rev, o.Rev), Old: max(k.Old, o.Old)}
+	return Observed{Era: k.Era, Term: max(k.Term, o.Term), ProcessID: k.ProcessID, Revision: max(k.Revision, o.Revision), HighestPastTerm: max(k.HighestPastTerm, o.HighestPastTerm)}
 }
 
-// Best returns the place of the copy to go by, by how new those are that are offered, or -1:
+// NewestOffer returns the place of the copy to go by, by how new those are that are offered, or -1:
 // the newest. An offer of term 0 is none. It may be of a term well
 // before the last one, whose leader has not come to pass a copy on; what has ended since is
 // asked of the service before anything in it is believed to be live.
-func Best(offers []snapshot.Age) int {
+func NewestOffer(offers []snapshot.Age) int {
 	best := -1
 	for i, o := range offers {
 		if o.Term != 0 && (best < 0 || o.After(offers[best])) {
@@ -96,7 +96,7 @@
 // Kinds tells what a key is of. Other keys count for themselves.
 type Kinds struct {
 	Job, Final func(key string) (id string, ok bool)  // a job while it is not over, and how it ended
-	Part       func(key string) (job string, ok bool) // progress of a job
+	Progress   func(key string) (job string, ok bool) // progress of a job
 	Machines   func(key string) bool                  // machines that may hold tasks
 
 	// Join makes one value of the service's and the copy's, which is the newer one or
@@ -135,7 +135,7 @@
 	ended := func(key string) bool { // of a job that is over
 		id, ok := k.Job(key)
 		if !ok {
-			id, ok = k.Part(key)
+			id, ok = k.Progress(key)
 		}
 		return ok && over[id]
 	}
--- a/internal/rebuild/rebuild_test.go
+++ b/internal/rebuild/rebuild_test.go
@@ -10,29 +10,29 @@
 
 // TestLost: each sign of a loss is one, and none is seen where nothing was lost.
 func TestLost(t *testing.T) {
-	k := Known{Era: 5, Term: 7, Rev: 100}
+	k := Observed{Era: 5, Term: 7, Revision: 100}
 	for _, x := range []struct {
-		found Found
+		found TermRead
 		lost  bool
 	}{
-		{Found{Era: 5, Term: 7, Rev: 100}, false},
-		{Found{Era: 5, Term: 9, Rev: 140}, false},
-		{Found{Era: 6, Term: 8, Rev: 101}, false}, // somebody has found a loss, and leads
-		{Found{Missing: true, Rev: 100}, true},
-		{Found{Era: 5, Term: 6, Rev: 100}, true},
-		{Found{Era: 5, Term: 7, Rev: 99}, true},
-		{Found{Era: 4, Term: 7, Rev: 100}, true},
-		{Found{}, false}, // unreadable
+		{TermRead{Era: 5, Term: 7, StoreRevision: 100}, false},
+		{TermRead{Era: 5, Term: 9, StoreRevision: 140}, false},
+		{TermRead{Era: 6, Term: 8, StoreRevision: 101}, false}, // somebody has found a loss, and leads
+		{TermRead{Missing: true, StoreRevision: 100}, true},
+		{TermRead{Era: 5, Term: 6, StoreRevision: 100}, true},
+		{TermRead{Era: 5, Term: 7, StoreRevision: 99}, true},
+		{TermRead{Era: 4, Term: 7, StoreRevision: 100}, true},
+		{TermRead{}, false}, // unreadable
 	} {
-		if why := k.Lost(x.found); (why != "") != x.lost {
+		if why := k.LossReason(x.found); (why != "") != x.lost {
 			t.Errorf("%+v: %q", x.found, why)
 		}
 	}
-	if why := (Known{}).Lost(Found{Missing: true}); why != "" {
+	if why := (Observed{}).LossReason(TermRead{Missing: true}); why != "" {
 		t.Errorf("a first start: %q", why)
 	}
-	next := k.Next(6, 3, 1)
-	if next.Rev != 0 || next.Old != 7 || !next.Below(6, 3, 1) || k.Next(5, 8, 1).Below(5, 8, 1) || !k.Next(5, 8, 1).Below(5, 8, 2) {
+	next := k.AdvanceTo(6, 3, 1)
+	if next.Revision != 0 || next.HighestPastTerm != 7 || !next.HasHigherTerm(6, 3, 1) || k.AdvanceTo(5, 8, 1).HasHigherTerm(5, 8, 1) || !k.AdvanceTo(5, 8, 1).HasHigherTerm(5, 8, 2) {
 		t.Errorf("%+v", next)
 	}
 }
@@ -42,7 +42,7 @@
 	kinds := Kinds{
 		Job:      func(k string) (string, bool) { return strings.CutPrefix(k, "j/") },
 		Final:    func(k string) (string, bool) { return strings.CutPrefix(k, "f/") },
-		Part:     func(k string) (string, bool) { return strings.CutPrefix(k, "p/") },
+		Progress: func(k string) (string, bool) { return strings.CutPrefix(k, "p/") },
 		Machines: func(k string) bool { return strings.HasPrefix(k, "m/") },
 		Join:     func(s, c any, older bool) (any, bool) { return c, older && s != c },
 	}
