--- a/internal/core/alone.go
+++ b/internal/core/alone.go
@@ -14,7 +14,7 @@
 // one it knows does not answer, it writes the record itself, on the condition that the
 // job has neither a live nor a final one, and answers 201. To the leader, the next or
 // the same, that record is what one of its own is whose transaction came through after
-// it had been given up: whoever asks for the job has it taken on (readBack, adopt). So
+// it had been given up: whoever asks for the job has it taken on (answerFromRecords, adopt). So
 // that it need not wait for somebody to ask, a note goes along in the same transaction,
 // and the leader follows the notes.
 //
@@ -24,17 +24,17 @@
 // since its authority ended before that term began; one whose term began later reads
 // it with all others, as a job accepted earlier.
 const (
-	alonePart  = 0.1 // of the changes that the state service allows: a leader uses up to nine tenths
-	aloneBurst = 0.5 // of one second's changes: all nodes together stay below what the service takes at once
-	// submitWait is how long the leader is left to answer a submission that was passed on.
-	submitWait = 700 * time.Millisecond
+	leaderlessWriteShare = 0.1 // of the changes that the state service allows: a leader uses up to nine tenths
+	leaderlessBurst      = 0.5 // of one second's changes: all nodes together stay below what the service takes at once
+	// forwardedSubmitTimeout is how long the leader is left to answer a submission that was passed on.
+	forwardedSubmitTimeout = 700 * time.Millisecond
 	// instanceTypesInterval is how often a node that does not lead reads the machine types.
 	instanceTypesInterval  = time.Minute
 	instanceTypesFirstRead = 400 * time.Millisecond // and first so long after it has begun
 )
 
-func newAloneLimit(writes float64, nodes int) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(writes*alonePart/float64(nodes)), max(1, int(writes*aloneBurst/float64(nodes))))
+func newLeaderlessLimit(writes float64, nodes int) *rate.Limiter {
+	return rate.NewLimiter(rate.Limit(writes*leaderlessWriteShare/float64(nodes)), max(1, int(writes*leaderlessBurst/float64(nodes))))
 }
 
 // refreshInstanceTypes reads the machine types now and then: what can never run is refused, and
@@ -54,15 +54,15 @@
 	})
 }
 
-// acceptAlone records a submission without a leader.
-func (c *Core) acceptAlone(call UserCall) {
+// admitLeaderless records a submission without a leader.
+func (c *Core) admitLeaderless(call UserCall) {
 	s := call.Spec
 	no := unavailable("no leader at present")
 	switch {
 	case c.leadership != nil || call.From != "" || len(c.cfg.Seeds) == 0 || len(c.instanceTypes) == 0 || !c.pol.NeverRefuses():
 		c.answer(call, no)
 		return
-	case !c.fits(recordSize(s)):
+	case !c.fitsValue(recordSize(s)):
 		c.answer(call, tooLong)
 		return
 	}
@@ -77,11 +77,11 @@
 		c.answer(call, no)
 		return
 	}
-	if field, reason := neverRunsOn(s, c.teamAlone(k, s.Owner), c.instanceTypes); reason != "" {
-		c.refuseAlone(call, k, neverRun(field, reason))
+	if field, reason := unschedulableOn(s, c.teamFromReplica(k, s.Owner), c.instanceTypes); reason != "" {
+		c.rejectLeaderless(call, k, unprocessable(field, reason))
 		return
 	}
-	if !c.alone.AllowN(c.now, 2) || !c.reads.AllowN(c.now, 1) {
+	if !c.leaderlessLimit.AllowN(c.now, 2) || !c.readLimit.AllowN(c.now, 1) {
 		c.answer(call, no)
 		return
 	}
@@ -89,8 +89,8 @@
 	c.store(StoreCall{Op: StoreTxn,
 		// The term that we know must be on record: a service that has lost its data knows of
 		// no job, not even of those that are over. Nor must the configuration have changed.
-		Conditions: append(unheardOf(s.ID), Condition{termKey, c.confirmedTermRevision}, configHeadCond(k)),
-		Writes:     []Write{{Key: jobKeys + s.ID, Value: rec}, {Key: aloneKeys + s.ID, Value: &LeaderRecord{Node: c.cfg.HostName, Term: max(1, c.highestTerm)}}},
+		Conditions: append(noRecordOf(s.ID), Condition{termKey, c.confirmedTermRevision}, configHeadCond(k)),
+		Writes:     []Write{{Key: jobKeys + s.ID, Value: rec}, {Key: leaderlessKeys + s.ID, Value: &LeaderRecord{Node: c.cfg.HostName, Term: max(1, c.highestTerm)}}},
 	}, func(r StoreReply) {
 		switch r.Outcome {
 		case OK:
@@ -112,15 +112,15 @@
 	})
 }
 
-// refuseAlone refuses a submission for good without a leader: only if the records have the
+// rejectLeaderless refuses a submission for good without a leader: only if the records have the
 // last word that nobody ever accepted it, and the last leader's copy says the same.
-func (c *Core) refuseAlone(call UserCall, k *snapshot.Copy, refusal AnswerUser) {
+func (c *Core) rejectLeaderless(call UserCall, k *snapshot.Copy, refusal AnswerUser) {
 	id, no := call.Spec.ID, unavailable("no leader at present")
-	if _, live := k.Get(jobKeys + id); live || !c.reads.AllowN(c.now, 1) {
+	if _, live := k.Get(jobKeys + id); live || !c.readLimit.AllowN(c.now, 1) {
 		c.answer(call, no)
 		return
 	}
-	c.store(StoreCall{Op: StoreTxn, Conditions: append(unheardOf(id), Condition{termKey, c.confirmedTermRevision}, configHeadCond(k))}, func(r StoreReply) {
+	c.store(StoreCall{Op: StoreTxn, Conditions: append(noRecordOf(id), Condition{termKey, c.confirmedTermRevision}, configHeadCond(k))}, func(r StoreReply) {
 		if r.Outcome == OK {
 			c.answer(call, refusal)
 		} else {
@@ -129,33 +129,33 @@
 	})
 }
 
-// followAlone takes on what nodes have accepted without a leader.
-func (c *Core) followAlone() {
-	c.storeWhileLeading(StoreCall{Op: StoreList, Key: aloneKeys, Limit: 200}, func(r StoreReply) {
+// watchLeaderlessNotes takes on what nodes have accepted without a leader.
+func (c *Core) watchLeaderlessNotes() {
+	c.storeWhileLeading(StoreCall{Op: StoreList, Key: leaderlessKeys, Limit: 200}, func(r StoreReply) {
 		switch {
 		case r.Outcome != OK:
-			c.afterWhileLeading(c.jitter(time.Second), c.followAlone)
+			c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
 		case len(r.Entries) > 0:
 			for _, e := range r.Entries {
-				c.learnAlone(e.Key)
+				c.adoptLeaderless(e.Key)
 			}
-			c.afterWhileLeading(c.jitter(time.Second), c.followAlone)
+			c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
 		default:
-			c.storeWhileLeading(watchCall(aloneKeys, r.Rev), func(f StoreReply) {
+			c.storeWhileLeading(watchCall(leaderlessKeys, r.Rev), func(f StoreReply) {
 				if f.Outcome == OK {
-					c.followAlone()
+					c.watchLeaderlessNotes()
 				} else {
-					c.afterWhileLeading(c.jitter(time.Second), c.followAlone)
+					c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
 				}
 			})
 		}
 	})
 }
 
-// learnAlone takes on the job that a note names, and drops the note.
-func (c *Core) learnAlone(key string) {
+// adoptLeaderless takes on the job that a note names, and drops the note.
+func (c *Core) adoptLeaderless(key string) {
 	l := c.leadership
-	id := strings.TrimPrefix(key, aloneKeys)
+	id := strings.TrimPrefix(key, leaderlessKeys)
 	drop := func() { l.pipe.add(&change{lane: bulk, writes: []Write{{Key: key}}}) }
 	if l.jobs[id] != nil || l.unreadableJobs[id] {
 		drop()
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -300,7 +300,7 @@
 	d := newDesk(t)
 	ref := d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
 	d.calls = nil // its write is on its way
-	d.c.afterWhileLeading(0, func() { d.c.learnAlone(aloneKeys + "wk-1") })
+	d.c.afterWhileLeading(0, func() { d.c.adoptLeaderless(leaderlessKeys + "wk-1") })
 	d.in(Tick{})
 	for _, x := range d.calls {
 		if call, ok := x.(StoreCall); ok && call.Op == StoreGet && call.Key == jobKeys+"wk-1" {
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -158,9 +158,9 @@
 	l.dirty = true
 }
 
-// teamAlone returns a team as the copy of the last leader has it, or as the settings do; nil
+// teamFromReplica returns a team as the copy of the last leader has it, or as the settings do; nil
 // if there is none. The caller's decision has to be conditional on configHeadCond.
-func (c *Core) teamAlone(k *snapshot.Copy, name string) *team {
+func (c *Core) teamFromReplica(k *snapshot.Copy, name string) *team {
 	if r, ok := k.Get(configTeamKeys + name); ok {
 		if rec, _ := r.Value.(*liveconfig.TeamRecord); rec != nil {
 			return teamOf(rec.Team)
@@ -471,7 +471,7 @@
 // batchConflict: the head is not what it was. Either an earlier try of this very batch has
 // been carried out, or the head was written back after a loss.
 func (c *Core) batchConflict(b *configBatch, ch *change) {
-	c.readBackKey(configHeadKey, func(e Entry, _ bool) {
+	c.readBack(configHeadKey, func(e Entry, _ bool) {
 		if b.over {
 			return
 		}
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -176,11 +176,11 @@
 	c := leaderOf(t, 1)
 	c.enforceTeam(liveconfig.Team{Name: "t", CPUs: 5, Retired: true})
 	spec := &JobSpec{ID: "wk-1", Owner: "t", Tasks: 1, CPUs: 1}
-	if field, reason := c.neverRuns(spec); field != "owner" || reason == "" {
+	if field, reason := c.unschedulable(spec); field != "owner" || reason == "" {
 		t.Errorf("%q %q", field, reason)
 	}
 	c.enforceTeam(liveconfig.Team{Name: "t", CPUs: 5})
-	if field, reason := c.neverRuns(spec); reason != "" {
+	if field, reason := c.unschedulable(spec); reason != "" {
 		t.Errorf("back again: %q %q", field, reason)
 	}
 }
--- a/internal/core/copies.go
+++ b/internal/core/copies.go
@@ -158,7 +158,7 @@
 	for _, ch := range batch {
 		for _, w := range ch.writes {
 			switch {
-			case strings.HasPrefix(w.Key, aloneKeys):
+			case strings.HasPrefix(w.Key, leaderlessKeys):
 			case w.Value == nil:
 				drops = append(drops, w.Key)
 			default:
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -19,15 +19,15 @@
 // Keys of the state service. Everything that a successor reads lies under
 // liveKeys; how jobs ended lies apart, so that a take-over never reads it.
 const (
-	rootKey     = "yewpass/"
-	leaderKey   = rootKey + "leader"
-	termKey     = rootKey + "term"
-	liveKeys    = rootKey + "live/"
-	jobKeys     = liveKeys + "job/"
-	machineKeys = liveKeys + "machine/"
-	doneKeys    = liveKeys + "progress/"
-	finalKeys   = rootKey + "final/"
-	aloneKeys   = rootKey + "alone/" // notes of jobs that were accepted without a leader
+	rootKey        = "yewpass/"
+	leaderKey      = rootKey + "leader"
+	termKey        = rootKey + "term"
+	liveKeys       = rootKey + "live/"
+	jobKeys        = liveKeys + "job/"
+	machineKeys    = liveKeys + "machine/"
+	doneKeys       = liveKeys + "progress/"
+	finalKeys      = rootKey + "final/"
+	leaderlessKeys = rootKey + "alone/" // notes of jobs that were accepted without a leader
 
 	// Schedules lie apart: a take-over does not wait for them.
 	scheduleKeys = rootKey + "schedule/"
@@ -61,7 +61,7 @@
 	stores                map[uint64]func(StoreReply)
 	clouds                map[uint64]func(CloudReply)
 	probes                map[uint64]func(ProbeReply)
-	calls                 map[uint64]*forwarded // users' requests at the leader's
+	forwardedRequests     map[uint64]*forwarded // users' requests at the leader's
 	wake                  byTime[func()]        // alarms: a large fleet has one for nearly every machine
 	leadership            *leadership
 	knownLeader           string           // who leads, as far as we know
@@ -83,10 +83,10 @@
 	relay                 relaying
 	handedOverAt          time.Time      // when we last handed over
 	instanceTypes         []InstanceType // as read while not leading
-	alone                 *rate.Limiter
-	reads                 *rate.Limiter
-	stateUp               bool
-	served                time.Time // when the state service last served us
+	leaderlessLimit       *rate.Limiter
+	readLimit             *rate.Limiter
+	storeAvailable        bool
+	storeServedAt         time.Time // when the state service last served us
 	late                  int64     // reports that were older than what was known
 
 	report, lease time.Duration
@@ -99,12 +99,12 @@
 	c := &Core{
 		cfg: cfg, pol: pol, cal: cal, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		stores: map[uint64]func(StoreReply){}, clouds: map[uint64]func(CloudReply){}, probes: map[uint64]func(ProbeReply){},
-		replicas: replicas{transfers: map[string]*transfer{}}, calls: map[uint64]*forwarded{}, links: map[string]bool{}, finals: final, relay: newRelaying(), stateUp: true,
-		reads:  newReadLimit(cfg.Settings.State.RPS, 1+len(cfg.Seeds)),
-		report: cfg.Settings.Workers.Report.Duration(),
-		lease:  cfg.Settings.Workers.Lease.Duration(),
+		replicas: replicas{transfers: map[string]*transfer{}}, forwardedRequests: map[uint64]*forwarded{}, links: map[string]bool{}, finals: final, relay: newRelaying(), storeAvailable: true,
+		readLimit: newReadLimit(cfg.Settings.State.RPS, 1+len(cfg.Seeds)),
+		report:    cfg.Settings.Workers.Report.Duration(),
+		lease:     cfg.Settings.Workers.Lease.Duration(),
 	}
-	c.alone = newAloneLimit(cfg.Settings.State.WriteRPS, 1+len(cfg.Seeds))
+	c.leaderlessLimit = newLeaderlessLimit(cfg.Settings.State.WriteRPS, 1+len(cfg.Seeds))
 	// A process may follow another of its name within a fraction of a second, and what
 	// the leader answers to a call of the former one reaches the new one's link. Were both
 	// to count from 1, a user would be told about somebody else's job.
@@ -147,7 +147,7 @@
 	case ReportGone:
 		c.reportGone(in.Ref)
 	case StoreReply:
-		c.noteState(in.Outcome)
+		c.noteStoreOutcome(in.Outcome)
 		settle(c.stores, in.Ref, in)
 	case CloudReply:
 		settle(c.clouds, in.Ref, in)
@@ -247,31 +247,31 @@
 	return d/2 + time.Duration(c.rng.Int64N(int64(d)+1))
 }
 
-// readPart is how much of the requests that the state service allows goes into reads for
+// userReadShare is how much of the requests that the state service allows goes into reads for
 // users' calls: so much at the leader, and so much at all other nodes together. Each node
 // for itself may not take what all of them share: when users ask about unknown and
 // forgotten jobs many times as often, renewals of the grant would be refused with them.
-const readPart = 0.25
+const userReadShare = 0.25
 
 func newReadLimit(rps float64, nodes int) *rate.Limiter {
-	each := rps * readPart / float64(nodes)
+	each := rps * userReadShare / float64(nodes)
 	return rate.NewLimiter(rate.Limit(each), max(2, int(each))) // a poll may take two
 }
 
-// flicker is for how long calls must go unserved for it to be worth a word: a few are
+// storeOutageThreshold is for how long calls must go unserved for it to be worth a word: a few are
 // refused now and then when more come at once than the allowance has room for.
-const flicker = 500 * time.Millisecond
+const storeOutageThreshold = 500 * time.Millisecond
 
-// noteState logs when the state service goes away and comes back.
-func (c *Core) noteState(o Outcome) {
+// noteStoreOutcome logs when the state service goes away and comes back.
+func (c *Core) noteStoreOutcome(o Outcome) {
 	up := o != Refused && o != Unknown
 	if up {
-		c.served = c.now
+		c.storeServedAt = c.now
 	}
-	if up == c.stateUp || !up && c.now.Sub(c.served) < flicker {
+	if up == c.storeAvailable || !up && c.now.Sub(c.storeServedAt) < storeOutageThreshold {
 		return
 	}
-	c.stateUp = up
+	c.storeAvailable = up
 	if up {
 		c.note(slog.LevelInfo, "state service answers again")
 	} else {
@@ -288,7 +288,7 @@
 		alone := len(c.cfg.Seeds) > 0 && l.suspended && c.now.Sub(l.expiresAt) > readyWithoutLink && !c.hasAnyLink()
 		return l.loaded && !alone
 	}
-	return c.knownLeader != "" && (c.links[c.knownLeader] || c.stateUp && c.now.Sub(c.leaderLinkLostAt) < readyWithoutLink)
+	return c.knownLeader != "" && (c.links[c.knownLeader] || c.storeAvailable && c.now.Sub(c.leaderLinkLostAt) < readyWithoutLink)
 }
 
 // hasLeaderLink reports whether we know who leads and have a link to it.
--- a/internal/core/groups.go
+++ b/internal/core/groups.go
@@ -109,7 +109,7 @@
 		}
 		ch.failed = func() { // an earlier try of ours has been applied
 			dropped := ch.writes[0].Value == nil
-			c.readBackKey(g.key, func(e Entry, found bool) {
+			c.readBack(g.key, func(e Entry, found bool) {
 				if dropped && !found {
 					c.replicateDrop(g.key)
 				}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -193,7 +193,7 @@
 		},
 		failed: func() {
 			// A write of ours whose outcome was not known has been applied.
-			c.readBackKey(key, func(e Entry, _ bool) {
+			c.readBack(key, func(e Entry, _ bool) {
 				j.chunkRev[chunk] = e.Rev // 0 if there is none
 				if c.leadership.jobs[j.spec.ID] == j && !j.halted() {
 					c.flushChunk(j, chunk)
@@ -344,7 +344,7 @@
 		writes:     []Write{{Key: jobKeys + j.spec.ID, Value: &rec}},
 		failed: func() {
 			j.answerCancels(c, unavailable("the job has just ended, try again"))
-			c.readBackKey(finalKeys+j.spec.ID, func(e Entry, _ bool) {
+			c.readBack(finalKeys+j.spec.ID, func(e Entry, _ bool) {
 				if f, _ := e.Value.(*FinalRecord); f != nil && c.leadership.jobs[j.spec.ID] == j {
 					c.closed(j, *f)
 				}
@@ -362,18 +362,18 @@
 	c.leadership.pipe.add(ch)
 }
 
-// endingWait is how long a question about a job waits for the record of its end: shorter
+// endingTimeout is how long a question about a job waits for the record of its end: shorter
 // than one that was passed on to us does.
-const endingWait = 600 * time.Millisecond
+const endingTimeout = 600 * time.Millisecond
 
-// ends has a question about a job wait if its end may be on record without our knowing.
+// waitForEnding has a question about a job wait if its end may be on record without our knowing.
 // Whoever reads the record may have told the user, who must hear nothing older from us.
-func (c *Core) ends(j *job, call UserCall) bool {
+func (c *Core) waitForEnding(j *job, call UserCall) bool {
 	if j.ending == nil || !j.ending.sent {
 		return false
 	}
 	j.cancels = append(j.cancels, call)
-	c.afterWhileLeading(endingWait, func() {
+	c.afterWhileLeading(endingTimeout, func() {
 		if i := slices.IndexFunc(j.cancels, func(x UserCall) bool { return x.From == call.From && x.Ref == call.Ref }); i >= 0 {
 			j.cancels = slices.Delete(j.cancels, i, i+1)
 			c.answer(call, unavailable("its end is being recorded"))
@@ -382,9 +382,9 @@
 	return true
 }
 
-// fits reports whether a record of so many bytes fits into a value of the state
+// fitsValue reports whether a record of so many bytes fits into a value of the state
 // service.
-func (c *Core) fits(size int) bool {
+func (c *Core) fitsValue(size int) bool {
 	return float64(size) <= c.cfg.Settings.State.ValueKB*1024
 }
 
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -20,7 +20,7 @@
 // becomeLeader begins a term.
 func (c *Core) becomeLeader(term, rev, grant uint64, sent time.Time, ahead time.Duration) {
 	c.highestTerm, c.confirmedTerm, c.knownLeader, c.lastLedTerm = term, term, "", term
-	c.reads = newReadLimit(c.cfg.Settings.State.RPS, 1)
+	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1)
 	c.leadership = newLeadership(c.cfg, c.now)
 	c.leadership.authority.start(term, rev, grant, c.authorityUntil(sent), c.now, ahead)
 	// What this node has read of the catalog lately serves until it can be read anew. Without,
@@ -137,7 +137,7 @@
 	}
 	c.note(slog.LevelWarn, "leadership lost", "term", l.term, "reason", why)
 	c.leadership = nil
-	c.reads = newReadLimit(c.cfg.Settings.State.RPS, 1+len(c.cfg.Seeds))
+	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1+len(c.cfg.Seeds))
 	if len(l.rent.instanceTypes) > 0 {
 		c.instanceTypes = l.rent.instanceTypes
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -31,7 +31,7 @@
 		delete(c.leadership.followers, p.Name) // it begins anew with the next link
 	}
 	if !p.Up {
-		c.linkLost(p.Name)
+		c.answerForwardedTo(p.Name)
 	}
 }
 
@@ -121,7 +121,7 @@
 // something says that it is not. If it is, unfounded is called.
 func (c *Core) verifyTerm(because string, unfounded func()) {
 	l := c.leadership
-	if l.verifying || !c.reads.AllowN(c.now, 1) {
+	if l.verifying || !c.readLimit.AllowN(c.now, 1) {
 		return // whoever insists will say so again
 	}
 	l.verifying = true
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -142,7 +142,7 @@
 			over(Entry{})
 			return
 		}
-		c.readBackKey(r.Key, func(e Entry, found bool) {
+		c.readBack(r.Key, func(e Entry, found bool) {
 			if _, differ := joinRecords(e.Value, r.Value, true); found && !differ {
 				over(e)
 				return
@@ -152,7 +152,7 @@
 				c.writeBack(r, over)
 				return
 			}
-			c.readBackKey(numberKey, func(n Entry, _ bool) {
+			c.readBack(numberKey, func(n Entry, _ bool) {
 				l.sched.numberRev = n.Rev
 				c.writeBack(r, over)
 			})
@@ -193,7 +193,7 @@
 	if len(keys) == 0 {
 		return
 	}
-	c.readBackKey(numberKey, func(e Entry, found bool) {
+	c.readBack(numberKey, func(e Entry, found bool) {
 		if n, ok := own.Get(numberKey); ok && !found {
 			n.Rev = 0
 			c.writeBack(n, func(Entry) { c.afterWhileLeading(replicaInterval, c.restoreMissingSchedules) })
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -193,7 +193,7 @@
 	}
 	file, err := json.Marshal(q.File)
 	rec := &schedule.Record{File: file, Edition: 1}
-	if err != nil || !c.fits(rec.Size()) {
+	if err != nil || !c.fitsValue(rec.Size()) {
 		c.answer(call, AnswerUser{Status: 400, Field: "at", Reason: "at, rule or job: the description is too long"})
 		return
 	}
@@ -202,11 +202,11 @@
 		return
 	}
 	job := def.Template()
-	if field, reason := c.neverRuns(&job); reason != "" {
+	if field, reason := c.unschedulable(&job); reason != "" {
 		c.answer(call, AnswerUser{Status: 422, Field: "job." + field, Reason: "job." + field + ": " + reason})
 		return
 	}
-	if !c.fits(recordSize(&job)) {
+	if !c.fitsValue(recordSize(&job)) {
 		c.answer(call, AnswerUser{Status: 400, Field: "job.flavors", Reason: "job.flavors: the description is too long"})
 		return
 	}
@@ -258,7 +258,7 @@
 	ch.failed = func() { // a try of ours whose outcome was not known
 		c.readSchedule(s, func(found *schedule.Record, rev uint64) {
 			if found == nil { // another schedule was removed meanwhile
-				c.readBackKey(numberKey, func(e Entry, _ bool) {
+				c.readBack(numberKey, func(e Entry, _ bool) {
 					c.leadership.sched.numberRev = e.Rev
 					ch.conditions = c.newSchedule(key)
 					c.leadership.pipe.add(ch)
@@ -354,7 +354,7 @@
 		c.forgetSchedule(s)
 	}
 	remove := func(rev uint64) {
-		c.readBackKey(numberKey, func(e Entry, found bool) {
+		c.readBack(numberKey, func(e Entry, found bool) {
 			ch.conditions = []Condition{{key, rev}, {numberKey, e.Rev}}
 			ch.writes = []Write{{Key: key}}
 			if found && e.Value != nil { // see newSchedule
--- a/internal/core/schedule_write.go
+++ b/internal/core/schedule_write.go
@@ -32,7 +32,7 @@
 	if job != nil {
 		id := job.Spec.ID
 		ch.size += recordSize(&job.Spec)
-		ch.conditions = append(ch.conditions, unheardOf(id)...)
+		ch.conditions = append(ch.conditions, noRecordOf(id)...)
 		ch.writes = append(ch.writes, Write{Key: jobKeys + id, Value: job})
 	}
 	ch.done = func(rev uint64) {
@@ -73,7 +73,7 @@
 
 // readSchedule reads a record back; found is nil if there is none.
 func (c *Core) readSchedule(s *scheduled, f func(found *schedule.Record, rev uint64)) {
-	c.readBackKey(scheduleKeys+s.name, func(e Entry, found bool) {
+	c.readBack(scheduleKeys+s.name, func(e Entry, found bool) {
 		rec, _ := e.Value.(*schedule.Record)
 		if found && rec == nil {
 			c.note(slog.LevelError, "record is unreadable", "key", e.Key)
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -283,9 +283,9 @@
 		o, v, reason := s.def.Decide(cursor, now, before)
 		if v == schedule.Make {
 			job := s.def.Job(s.rec.Number, o)
-			if _, why := c.neverRuns(&job); why != "" {
+			if _, why := c.unschedulable(&job); why != "" {
 				v, reason = schedule.Miss, "can never run: "+why
-			} else if late, refused := c.refuses(&job); refused && now.Sub(o.Start) > max(s.def.Within, schedule.OnTime) {
+			} else if late, refused := c.admissionRefused(&job); refused && now.Sub(o.Start) > max(s.def.Within, schedule.OnTime) {
 				v, reason = schedule.Miss, "refused for as long as it could be made"
 			} else if refused {
 				v = schedule.Later
--- a/internal/core/store.go
+++ b/internal/core/store.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// readBackKey reads a record whose write met a condition that does not hold, until
+// answerFromRecords reads a record whose write met a condition that does not hold, until
 // the state service answers; found is false if there is none.
-func (c *Core) readBackKey(key string, f func(e Entry, found bool)) {
+func (c *Core) readBack(key string, f func(e Entry, found bool)) {
 	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
 		switch r.Outcome {
 		case OK:
@@ -143,7 +143,7 @@
 		case NotFound:
 			f(Entry{}, false)
 		default:
-			c.afterWhileLeading(c.jitter(500*time.Millisecond), func() { c.readBackKey(key, f) })
+			c.afterWhileLeading(c.jitter(500*time.Millisecond), func() { c.readBack(key, f) })
 		}
 	})
 }
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -107,7 +107,7 @@
 	c.listMachines("", nil)
 	c.probeUnaccounted()
 	if len(c.cfg.Seeds) > 0 {
-		c.followAlone()
+		c.watchLeaderlessNotes()
 	}
 	c.loadSchedulesWhenRestored()
 	c.afterWhileLeading(c.jitter(scrubInterval), c.scrubRecords)
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -10,13 +10,13 @@
 	"yewpass/internal/policy"
 )
 
-// accepting is a submission whose record is on its way to the state service.
-type accepting struct {
+// admission is a submission whose record is on its way to the state service.
+type admission struct {
 	spec    *JobSpec
 	waiters []UserCall
 }
 
-func (a *accepting) answerAll(c *Core, ans AnswerUser) {
+func (a *admission) answerAll(c *Core, ans AnswerUser) {
 	for _, w := range a.waiters {
 		c.answer(w, ans)
 	}
@@ -72,40 +72,40 @@
 		c.forward(call)
 		return
 	}
-	c.withoutLeader(call)
+	c.serveWithoutLeader(call)
 }
 
 // forward passes a request on to the leader.
 func (c *Core) forward(call UserCall) {
 	ref := c.nextRef()
-	c.calls[ref] = &forwarded{call, c.knownLeader}
+	c.forwardedRequests[ref] = &forwarded{call, c.knownLeader}
 	c.emit(PeerSend{c.knownLeader, PeerMsg{Kind: PeerCall, Ref: ref, Op: call.Op, ID: call.ID, Spec: call.Spec, Schedule: call.Schedule, Config: call.Config}})
 	wait := 2500 * time.Millisecond
 	switch call.Op {
 	case OpGet:
 		wait = 800 * time.Millisecond // a poll is given up after 2 s
 	case OpSubmit:
-		wait = submitWait
+		wait = forwardedSubmitTimeout
 	}
 	c.after(wait, func() {
-		if c.calls[ref] != nil {
-			delete(c.calls, ref)
-			c.withoutLeader(call)
+		if c.forwardedRequests[ref] != nil {
+			delete(c.forwardedRequests, ref)
+			c.serveWithoutLeader(call)
 		}
 	})
 }
 
 func (c *Core) peerAnswer(from string, m PeerMsg) {
-	f := c.calls[m.Ref]
+	f := c.forwardedRequests[m.Ref]
 	if f == nil || f.leader != from || m.Answer == nil {
 		return
 	}
 	if v := m.Answer.View.ID; v != "" && v != f.call.ID && f.call.ofJob() {
 		return // about another job: meant for somebody else
 	}
-	delete(c.calls, m.Ref)
+	delete(c.forwardedRequests, m.Ref)
 	if m.Answer.Status == 503 && (f.call.Op == OpGet || f.call.Op == OpSubmit && m.Answer.Reason == notLeader) {
-		c.withoutLeader(f.call)
+		c.serveWithoutLeader(f.call)
 		return
 	}
 	if s := m.Answer.View.State; m.Answer.Status == 200 && (s == Done || s == Cancelled) && f.call.Op == OpGet {
@@ -116,22 +116,22 @@
 	c.answer(f.call, *m.Answer)
 }
 
-// linkLost answers what was forwarded over a lost link.
-func (c *Core) linkLost(name string) {
-	for _, ref := range slices.Sorted(maps.Keys(c.calls)) {
-		if f := c.calls[ref]; f.leader == name {
-			delete(c.calls, ref)
-			c.withoutLeader(f.call)
+// answerForwardedTo answers what was forwarded over a lost link.
+func (c *Core) answerForwardedTo(name string) {
+	for _, ref := range slices.Sorted(maps.Keys(c.forwardedRequests)) {
+		if f := c.forwardedRequests[ref]; f.leader == name {
+			delete(c.forwardedRequests, ref)
+			c.serveWithoutLeader(f.call)
 		}
 	}
 }
 
-// withoutLeader serves what the state service alone can answer.
-func (c *Core) withoutLeader(call UserCall) {
+// serveWithoutLeader serves what the state service alone can answer.
+func (c *Core) serveWithoutLeader(call UserCall) {
 	switch call.Op {
 	case OpGet:
 	case OpSubmit:
-		c.acceptAlone(call)
+		c.admitLeaderless(call)
 		return
 	case OpCluster:
 		c.answer(call, AnswerUser{Status: 200, Doc: c.cluster()})
@@ -160,7 +160,7 @@
 // then the final one, because a job moves from the first to the second in one
 // transaction. v is nil for a job that does not exist.
 func (c *Core) readJob(id string, f func(v *JobView, known bool)) {
-	if !c.reads.AllowN(c.now, 3) { // with what makes sure that there is none
+	if !c.readLimit.AllowN(c.now, 3) { // with what makes sure that there is none
 		f(nil, false)
 		return
 	}
@@ -217,7 +217,7 @@
 		return
 	}
 	if l.unreadableJobs[call.ID] {
-		c.reread(call)
+		c.rereadUnreadable(call)
 		return
 	}
 	if j := l.jobs[call.ID]; j != nil {
@@ -225,7 +225,7 @@
 			c.cancel(j, call)
 			return
 		}
-		if j.cancelled || !c.ends(j, call) {
+		if j.cancelled || !c.waitForEnding(j, call) {
 			c.answer(call, AnswerUser{Status: 200, View: j.view(), Reason: c.waitsFor(j)})
 		}
 		return
@@ -246,15 +246,15 @@
 		c.submit(call)
 		return
 	}
-	c.readBack(call, func() { c.answer(call, AnswerUser{Status: 404, Reason: "no such job"}) })
+	c.answerFromRecords(call, func() { c.answer(call, AnswerUser{Status: 404, Reason: "no such job"}) })
 }
 
-// reread looks again at the record of a job that could not be read: it may have been put
+// rereadUnreadable looks again at the record of a job that could not be read: it may have been put
 // right, or dropped.
-func (c *Core) reread(call UserCall) {
+func (c *Core) rereadUnreadable(call UserCall) {
 	l, id := c.leadership, call.ID
 	no := func() { c.answer(call, unavailable("the job's record cannot be read")) }
-	if !c.reads.AllowN(c.now, 2) {
+	if !c.readLimit.AllowN(c.now, 2) {
 		no()
 		return
 	}
@@ -277,7 +277,7 @@
 					no()
 					return
 				}
-				if l.unreadableJobs[id] && !c.takeUp(r.Entries[0], p.Entries) {
+				if l.unreadableJobs[id] && !c.adoptReadable(r.Entries[0], p.Entries) {
 					no()
 					return
 				}
@@ -287,10 +287,10 @@
 	})
 }
 
-// takeUp takes on a job whose record could not be read before. Its tasks were stopped; those
+// adoptReadable takes on a job whose record could not be read before. Its tasks were stopped; those
 // that may still be on machines are its own again until they are gone. A record that a fault
 // of ours cannot take in stays set aside, as at a take-over.
-func (c *Core) takeUp(rec Entry, progress []Entry) bool {
+func (c *Core) adoptReadable(rec Entry, progress []Entry) bool {
 	l, id := c.leadership, strings.TrimPrefix(rec.Key, jobKeys)
 	delete(l.unreadableJobs, id)
 	c.loadRecord(rec)
@@ -318,10 +318,10 @@
 	return true
 }
 
-// readBack answers from the records, or calls missing for a job that has none.
+// answerFromRecords answers from the records, or calls missing for a job that has none.
 // A record that memory does not have is an acceptance whose write came through
 // after it had been given up: the job is taken on.
-func (c *Core) readBack(call UserCall, missing func()) {
+func (c *Core) answerFromRecords(call UserCall, missing func()) {
 	l := c.leadership
 	c.readJob(call.ID, func(v *JobView, known bool) {
 		switch {
@@ -332,7 +332,7 @@
 		case v == nil && l.mayHaveLostJobs(c.now):
 			c.answer(call, unavailable("data was lost, and what there is is being looked for"))
 		case v == nil:
-			c.confirmTerm(unheardOf(call.ID), func(r StoreReply) {
+			c.confirmTerm(noRecordOf(call.ID), func(r StoreReply) {
 				if r.Outcome == OK && c.canAct() {
 					missing()
 				} else {
@@ -377,8 +377,8 @@
 // tooLong answers a submission whose record would not fit into a value.
 var tooLong = AnswerUser{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
 
-// unheardOf is the condition that a job has neither a live nor a final record.
-func unheardOf(id string) []Condition { return []Condition{{jobKeys + id, 0}, {finalKeys + id, 0}} }
+// noRecordOf is the condition that a job has neither a live nor a final record.
+func noRecordOf(id string) []Condition { return []Condition{{jobKeys + id, 0}, {finalKeys + id, 0}} }
 
 // submit decides on a new job and answers once its record is committed.
 func (c *Core) submit(call UserCall) {
@@ -388,42 +388,42 @@
 		return
 	}
 	s := call.Spec
-	if !c.fits(recordSize(s)) {
+	if !c.fitsValue(recordSize(s)) {
 		// Its record would not fit into a value, now or on any retry.
 		c.answer(call, tooLong)
 		return
 	}
 	// A refusal must never meet a job that was accepted once, so the records
 	// have the last word before it.
-	if field, reason := c.neverRuns(s); reason != "" {
+	if field, reason := c.unschedulable(s); reason != "" {
 		if !l.rent.read {
 			c.answer(call, unavailable("the machine types are not known yet"))
 			return
 		}
-		c.readBack(call, func() { c.answer(call, neverRun(field, reason)) })
+		c.answerFromRecords(call, func() { c.answer(call, unprocessable(field, reason)) })
 		return
 	}
-	if late, refused := c.refuses(s); refused {
-		c.readBack(call, func() {
+	if late, refused := c.admissionRefused(s); refused {
+		c.answerFromRecords(call, func() {
 			c.note(slog.LevelInfo, "admission refused", "job", s.ID, "class", s.Class, "late", late)
 			wait := min(max(late, time.Second), 30*time.Second)
 			c.answer(call, AnswerUser{Status: 429, RetryAfter: wait, Reason: "no timeline can complete the job in time at present"})
 		})
 		return
 	}
-	a := &accepting{spec: s, waiters: []UserCall{call}}
+	a := &admission{spec: s, waiters: []UserCall{call}}
 	l.accept[s.ID] = a
 	rec := &JobRecord{Spec: *s, Submitted: c.now.Round(0)}
 	l.pipe.add(&change{
 		size:       recordSize(s),
-		conditions: unheardOf(s.ID),
+		conditions: noRecordOf(s.ID),
 		writes:     []Write{{Key: jobKeys + s.ID, Value: rec}},
 		done: func(uint64) {
 			delete(l.accept, s.ID)
 			j := c.newJob(rec)
 			a.answerAll(c, AnswerUser{Status: 201, View: j.view()})
 		},
-		failed: func() { c.acceptConflict(a) },
+		failed: func() { c.resolveAdmissionConflict(a) },
 		rejected: func() {
 			delete(l.accept, s.ID)
 			a.answerAll(c, unavailable("the state service rejects the record"))
@@ -443,9 +443,9 @@
 	return j
 }
 
-// acceptConflict: the job has a record already, maybe from a try of ours whose
+// resolveAdmissionConflict: the job has a record already, maybe from a try of ours whose
 // outcome was not known.
-func (c *Core) acceptConflict(a *accepting) {
+func (c *Core) resolveAdmissionConflict(a *admission) {
 	id := a.spec.ID
 	c.readJob(id, func(v *JobView, known bool) {
 		if c.leadership == nil || c.leadership.accept[id] != a {
@@ -454,7 +454,7 @@
 		switch {
 		case !known || v == nil:
 			a.answerAll(c, unavailable("the state service does not answer"))
-			c.afterWhileLeading(time.Second, func() { c.acceptConflict(a) })
+			c.afterWhileLeading(time.Second, func() { c.resolveAdmissionConflict(a) })
 		case v.State == Done || v.State == Cancelled:
 			delete(c.leadership.accept, id)
 			a.answerAll(c, AnswerUser{Status: 200, View: *v})
@@ -466,24 +466,24 @@
 				}
 			}, func() {
 				a.answerAll(c, unavailable("the state service does not answer"))
-				c.afterWhileLeading(time.Second, func() { c.acceptConflict(a) })
+				c.afterWhileLeading(time.Second, func() { c.resolveAdmissionConflict(a) })
 			})
 		}
 	})
 }
 
-// neverRun refuses a job for good.
-func neverRun(field, reason string) AnswerUser {
+// unprocessable refuses a job for good.
+func unprocessable(field, reason string) AnswerUser {
 	return AnswerUser{Status: 422, Field: field, Reason: field + ": " + reason}
 }
 
-// neverRuns says why a job can never run, and by which of its fields, or "".
-func (c *Core) neverRuns(s *JobSpec) (field, reason string) {
-	return neverRunsOn(s, c.leadership.teams[s.Owner], c.leadership.rent.instanceTypes)
+// unschedulable says why a job can never run, and by which of its fields, or "".
+func (c *Core) unschedulable(s *JobSpec) (field, reason string) {
+	return unschedulableOn(s, c.leadership.teams[s.Owner], c.leadership.rent.instanceTypes)
 }
 
-// neverRunsOn is neverRuns for its team, nil if there is none of that name, and types.
-func neverRunsOn(s *JobSpec, t *team, flavors []InstanceType) (field, reason string) {
+// unschedulableOn is unschedulable for its team, nil if there is none of that name, and types.
+func unschedulableOn(s *JobSpec, t *team, flavors []InstanceType) (field, reason string) {
 	if t == nil || !t.configured {
 		return "owner", "unknown team " + s.Owner
 	}
@@ -526,9 +526,9 @@
 	return field, "a task fits no allowed machine type"
 }
 
-// refuses judges a dated job against the timelines of the machines at hand and
+// admissionRefused judges a dated job against the timelines of the machines at hand and
 // of the types that can be rented, and asks the policy.
-func (c *Core) refuses(s *JobSpec) (time.Duration, bool) {
+func (c *Core) admissionRefused(s *JobSpec) (time.Duration, bool) {
 	if !s.HasDeadline || c.pol.NeverRefuses() {
 		return 0, false // what the timelines say is a search over the whole fleet
 	}
