--- a/internal/core/alone.go
+++ b/internal/core/alone.go
@@ -156,7 +156,7 @@
 func (c *Core) adoptLeaderless(key string) {
 	l := c.leadership
 	id := strings.TrimPrefix(key, leaderlessKeys)
-	drop := func() { l.pipe.add(&change{lane: bulk, writes: []Write{{Key: key}}}) }
+	drop := func() { l.writes.add(&change{priority: priorityBulk, writes: []Write{{Key: key}}}) }
 	if l.jobs[id] != nil || l.unreadableJobs[id] {
 		drop()
 		return
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -357,17 +357,17 @@
 	}
 	b := &configBatch{}
 	conf.batch = b
-	ch := &change{lane: configuration, size: 1}
-	ch.fill = func() bool {
+	ch := &change{priority: priorityConfig, size: 1}
+	ch.prepare = func() bool {
 		if b.Batch == nil {
 			c.fillBatch(b, ch)
 		}
 		return !b.over
 	}
-	ch.done = func(rev uint64) { c.batchMade(b, rev) }
-	ch.failed = func() { c.batchConflict(b, ch) }
-	ch.rejected = func() { c.batchRejected(b) }
-	c.leadership.pipe.add(ch)
+	ch.onCommit = func(rev uint64) { c.batchMade(b, rev) }
+	ch.onConflict = func() { c.batchConflict(b, ch) }
+	ch.onReject = func() { c.batchRejected(b) }
+	c.leadership.writes.add(ch)
 }
 
 // batchDue reports whether the batch that waits may go: with what waits for it now, or
@@ -380,7 +380,7 @@
 		return true
 	}
 	ops := c.cfg.Settings.State.TxnOps
-	room := c.leadership.pipe.roomFor(configuration, c.now, ops)
+	room := c.leadership.writes.roomFor(priorityConfig, c.now, ops)
 	least := len(conf.waiting[0].change.Teams) + 1 // with the head; it goes whole
 	if room < least {
 		return false
@@ -401,7 +401,7 @@
 	for i, w := range conf.waiting {
 		changes[i] = &w.change
 	}
-	b.Batch = liveconfig.NewBatch(conf.state, changes, c.leadership.pipe.roomFor(configuration, c.now, c.cfg.Settings.State.TxnOps))
+	b.Batch = liveconfig.NewBatch(conf.state, changes, c.leadership.writes.roomFor(priorityConfig, c.now, c.cfg.Settings.State.TxnOps))
 	b.changes = slices.Clone(conf.waiting[:b.Taken])
 	conf.waiting = slices.Delete(conf.waiting, 0, b.Taken)
 	records := b.Records()
@@ -486,7 +486,7 @@
 		case conf.state.Revision:
 			conf.headRev = e.Rev
 			ch.conditions[0].Rev = e.Rev
-			c.leadership.pipe.add(ch)
+			c.leadership.writes.add(ch)
 		default:
 			c.batchFails(b, unavailable("the configuration on record is being read"))
 			c.headFound(found, e.Rev)
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -129,23 +129,23 @@
 // TestConfigHasItsPart: a storm of submissions does not hold up a change of configuration,
 // and a storm of changes leaves the others their part.
 func TestConfigHasItsPart(t *testing.T) {
-	p := pipeline{writes: rate.NewLimiter(72, 64), reqs: rate.NewLimiter(210, 175), configWrites: configWrites(config.State{WriteRPS: 80, TxnOps: 12}), busy: map[string]bool{}}
+	p := writeBatcher{writes: rate.NewLimiter(72, 64), requests: rate.NewLimiter(210, 175), configWrites: configWrites(config.State{WriteRPS: 80, TxnOps: 12}), keysInFlight: map[string]bool{}}
 	now := t0
-	p.spend(urgent, now, 64) // a storm has taken all there is
-	if room := p.roomFor(urgent, now, 12); room >= leastRoom(urgent) {
+	p.spend(priorityUrgent, now, 64) // a storm has taken all there is
+	if room := p.roomFor(priorityUrgent, now, 12); room >= minBatchRoom(priorityUrgent) {
 		t.Errorf("room for %d more submissions", room)
 	}
-	if room := p.roomFor(configuration, now, 12); room < leastRoom(configuration) {
+	if room := p.roomFor(priorityConfig, now, 12); room < minBatchRoom(priorityConfig) {
 		t.Errorf("no room for a change of configuration: %d", room)
 	}
 	written, others := 0, 0
 	for end := now.Add(time.Minute); now.Before(end); now = now.Add(10 * time.Millisecond) {
-		if room := p.roomFor(configuration, now, 12); room >= 12 { // as many changes as go
-			p.spend(configuration, now, room)
+		if room := p.roomFor(priorityConfig, now, 12); room >= 12 { // as many changes as go
+			p.spend(priorityConfig, now, room)
 			written += room
 		}
-		if room := p.roomFor(urgent, now, 12); room > 0 {
-			p.spend(urgent, now, room)
+		if room := p.roomFor(priorityUrgent, now, 12); room > 0 {
+			p.spend(priorityUrgent, now, room)
 			others += room
 		}
 	}
@@ -237,7 +237,7 @@
 // allowance that configuration has holds all of it.
 func TestWideChangeWaitsForItsRoom(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.leadership.pipe.spend(configuration, c.now, 10) // two of twelve are left
+	c.leadership.writes.spend(priorityConfig, c.now, 10) // two of twelve are left
 	var wide []liveconfig.TeamChange
 	for i := range c.cfg.Settings.State.TxnOps - 1 {
 		wide = append(wide, liveconfig.TeamChange{Team: liveconfig.Team{Name: fmt.Sprint("w", i)}})
@@ -256,7 +256,7 @@
 			if after := c.now.Sub(began); after < time.Second || after > 1500*time.Millisecond {
 				t.Errorf("it goes after %s, ten changes come back in 1.1 s", after)
 			}
-			if room := c.leadership.pipe.roomFor(configuration, c.now, 12); room > 0 {
+			if room := c.leadership.writes.roomFor(priorityConfig, c.now, 12); room > 0 {
 				t.Errorf("room for %d more", room)
 			}
 			return
@@ -273,7 +273,7 @@
 	c := leaderOf(t, 1)
 	st := c.cfg.Settings.State
 	rate := st.WriteRPS * configPart
-	c.leadership.pipe.spend(configuration, c.now, st.TxnOps)
+	c.leadership.writes.spend(priorityConfig, c.now, st.TxnOps)
 	const piled = 40
 	asked, made := 0, 0
 	ask := func() []any {
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -53,11 +53,11 @@
 // at once, for ever.
 func TestStrangeConflict(t *testing.T) {
 	c := leaderOf(t, 0)
-	p := &c.leadership.pipe
+	p := &c.leadership.writes
 	ch := &change{writes: []Write{{Key: "a", Value: &TermRecord{Term: 1}}}}
-	c.batchDone([]*change{ch}, StoreReply{Outcome: Conflict, FailedKeys: []string{"something else"}})
-	if !p.pause.After(c.now) || len(p.waits[urgent]) != 1 {
-		t.Errorf("pause until %v, %d wait", p.pause, len(p.waits[urgent]))
+	c.handleBatchReply([]*change{ch}, StoreReply{Outcome: Conflict, FailedKeys: []string{"something else"}})
+	if !p.pausedUntil.After(c.now) || len(p.queued[priorityUrgent]) != 1 {
+		t.Errorf("pause until %v, %d wait", p.pausedUntil, len(p.queued[priorityUrgent]))
 	}
 }
 
@@ -65,17 +65,17 @@
 // behind the others.
 func TestMalformedChange(t *testing.T) {
 	c := leaderOf(t, 0)
-	p := &c.leadership.pipe
+	p := &c.leadership.writes
 	bad, good := &change{writes: []Write{{Key: "a"}}}, &change{writes: []Write{{Key: "b"}}}
-	c.batchDone([]*change{bad, good}, StoreReply{Outcome: Invalid})
-	p.take(&p.waits[urgent], 9)
-	c.batchDone([]*change{bad}, StoreReply{Outcome: Invalid})
-	if w := p.waits[urgent]; len(w) != 1 || w[0] != good {
+	c.handleBatchReply([]*change{bad, good}, StoreReply{Outcome: Invalid})
+	p.take(&p.queued[priorityUrgent], 9)
+	c.handleBatchReply([]*change{bad}, StoreReply{Outcome: Invalid})
+	if w := p.queued[priorityUrgent]; len(w) != 1 || w[0] != good {
 		t.Errorf("%d wait", len(w))
 	}
 	c.now = c.now.Add(2 * time.Second)
 	c.alarms()
-	if w := p.waits[urgent]; len(w) != 2 || w[1] != bad {
+	if w := p.queued[priorityUrgent]; len(w) != 2 || w[1] != bad {
 		t.Errorf("%d wait: the malformed one is lost or goes first", len(w))
 	}
 }
--- a/internal/core/groups.go
+++ b/internal/core/groups.go
@@ -16,9 +16,9 @@
 	key      string
 	rev      uint64 // of the record
 	machines []*machine
-	size     int  // bytes, estimated
-	queued   bool // a change of it waits
-	lane     lane // how pressing
+	size     int           // bytes, estimated
+	queued   bool          // a change of it waits
+	priority writePriority // how pressing
 	flushed  time.Time
 }
 
@@ -55,7 +55,7 @@
 	m.record, m.group = recording, g
 	g.machines = append(g.machines, m)
 	g.size += recordedSize(m)
-	c.writeGroup(g, urgent)
+	c.writeGroup(g, priorityUrgent)
 }
 
 // unrecord takes a machine that is gone out of its record.
@@ -67,7 +67,7 @@
 	m.record, m.group = unrecorded, nil
 	g.machines = slices.DeleteFunc(g.machines, func(x *machine) bool { return x == m })
 	g.size -= recordedSize(m)
-	c.writeGroup(g, bulk)
+	c.writeGroup(g, priorityBulk)
 }
 
 // writeGroup writes a record of machines. What changes until then goes along.
@@ -76,16 +76,16 @@
 // is sent again and may be applied late all the same, under this very leader and
 // after newer ones: it must not bring back a list that lacks machines, which a
 // successor would take for empty.
-func (c *Core) writeGroup(g *group, ln lane) {
-	if g.queued && ln >= g.lane {
+func (c *Core) writeGroup(g *group, ln writePriority) {
+	if g.queued && ln >= g.priority {
 		return
 	}
-	g.queued, g.lane = true, ln
+	g.queued, g.priority = true, ln
 	c.afterWhileLeading(max(0, g.flushed.Add(groupEvery).Sub(c.now)), func() {
 		var news []*machine
 		sent := false
-		ch := &change{lane: ln, writes: []Write{{Key: g.key}}, size: int(c.cfg.Settings.State.ValueKB * 1024)}
-		ch.fill = func() bool {
+		ch := &change{priority: ln, writes: []Write{{Key: g.key}}, size: int(c.cfg.Settings.State.ValueKB * 1024)}
+		ch.prepare = func() bool {
 			if !g.queued && !sent {
 				return false // went along with a more pressing one
 			}
@@ -107,7 +107,7 @@
 			}
 			return true
 		}
-		ch.failed = func() { // an earlier try of ours has been applied
+		ch.onConflict = func() { // an earlier try of ours has been applied
 			dropped := ch.writes[0].Value == nil
 			c.readBack(g.key, func(e Entry, found bool) {
 				if dropped && !found {
@@ -117,7 +117,7 @@
 				c.writeGroup(g, ln)
 			})
 		}
-		ch.done = func(rev uint64) {
+		ch.onCommit = func(rev uint64) {
 			if g.rev = rev; ch.writes[0].Value == nil {
 				g.rev = 0
 			}
@@ -128,7 +128,7 @@
 				}
 			}
 		}
-		c.leadership.pipe.add(ch)
+		c.leadership.writes.add(ch)
 	})
 }
 
@@ -167,7 +167,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(l.unreadableMachineRecords)) {
 		c.note(slog.LevelWarn, "unreadable record of machines is accounted for, dropping it", "key", key)
-		l.pipe.add(&change{lane: bulk, conditions: []Condition{{key, l.unreadableMachineRecords[key]}}, writes: []Write{{Key: key}}})
+		l.writes.add(&change{priority: priorityBulk, conditions: []Condition{{key, l.unreadableMachineRecords[key]}}, writes: []Write{{Key: key}}})
 		c.markAccounted(key)
 	}
 	clear(l.unreadableMachineRecords)
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -185,13 +185,13 @@
 	key := chunkKey(j.spec.ID, chunk)
 	var had bitset
 	ch := &change{
-		lane: bulk, size: 300 + 4*min(j.spec.Tasks, chunkTasks)/3/8,
+		priority: priorityBulk, size: 300 + 4*min(j.spec.Tasks, chunkTasks)/3/8,
 		writes: []Write{{Key: key}},
-		done: func(rev uint64) {
+		onCommit: func(rev uint64) {
 			j.chunkRev[chunk] = rev
 			c.progressSaved(j, chunk, had)
 		},
-		failed: func() {
+		onConflict: func() {
 			// A write of ours whose outcome was not known has been applied.
 			c.readBack(key, func(e Entry, _ bool) {
 				j.chunkRev[chunk] = e.Rev // 0 if there is none
@@ -201,7 +201,7 @@
 			})
 		},
 	}
-	ch.fill = func() bool {
+	ch.prepare = func() bool {
 		if j.halted() || j.left == 0 {
 			return false
 		}
@@ -211,7 +211,7 @@
 		ch.writes[0].Value = &ProgressRecord{j.done.encodeChunk(chunk * chunkTasks)}
 		return true
 	}
-	c.leadership.pipe.add(ch)
+	c.leadership.writes.add(ch)
 }
 
 // clone copies one chunk's members.
@@ -251,8 +251,8 @@
 	}
 	j.closing = true
 	ch := &change{
-		writes: []Write{{Key: finalKeys + j.spec.ID, Value: &final}, {Key: jobKeys + j.spec.ID}},
-		done:   func(uint64) { c.closed(j, final) },
+		writes:   []Write{{Key: finalKeys + j.spec.ID, Value: &final}, {Key: jobKeys + j.spec.ID}},
+		onCommit: func(uint64) { c.closed(j, final) },
 	}
 	j.ending = ch
 	drops := make([]*change, 0, 1)
@@ -264,12 +264,12 @@
 		if len(ch.writes) < c.cfg.Settings.State.TxnOps {
 			ch.writes = append(ch.writes, w)
 		} else {
-			drops = append(drops, &change{writes: []Write{w}, lane: bulk})
+			drops = append(drops, &change{writes: []Write{w}, priority: priorityBulk})
 		}
 	}
-	l.pipe.add(ch)
+	l.writes.add(ch)
 	for _, d := range drops {
-		l.pipe.add(d)
+		l.writes.add(d)
 	}
 }
 
@@ -342,7 +342,7 @@
 		// A try that is applied late must not bring back a job that is over.
 		conditions: []Condition{{finalKeys + j.spec.ID, 0}},
 		writes:     []Write{{Key: jobKeys + j.spec.ID, Value: &rec}},
-		failed: func() {
+		onConflict: func() {
 			j.answerCancels(c, unavailable("the job has just ended, try again"))
 			c.readBack(finalKeys+j.spec.ID, func(e Entry, _ bool) {
 				if f, _ := e.Value.(*FinalRecord); f != nil && c.leadership.jobs[j.spec.ID] == j {
@@ -350,7 +350,7 @@
 				}
 			})
 		},
-		done: func(uint64) {
+		onCommit: func(uint64) {
 			j.cancelling, j.cancelled, j.rec, j.ending = false, true, &rec, nil
 			c.unbook(j)
 			c.note(slog.LevelDebug, "job cancelled", "job", j.spec.ID)
@@ -359,7 +359,7 @@
 		},
 	}
 	j.ending = ch
-	c.leadership.pipe.add(ch)
+	c.leadership.writes.add(ch)
 }
 
 // endingTimeout is how long a question about a job waits for the record of its end: shorter
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -210,12 +210,12 @@
 	if !l.loaded {
 		return
 	}
-	c.pumpStore()
+	c.flushWrites()
 	c.bookUnplaced()
 	if l.dirty || len(l.poked) > 0 {
 		c.dispatch()
 		c.bookUnplaced()
-		c.pumpStore()
+		c.flushWrites()
 	}
 }
 
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -25,7 +25,7 @@
 	regions *zones.RegionWatch
 	places  *topology.Tree
 	tally   *topology.Tally // tasks of jobs with rules on places
-	pipe    pipeline
+	writes  writeBatcher
 	sched   schedules
 	conf    configuring
 	rent    renting
@@ -126,10 +126,10 @@
 
 // Parts of the state service's allowance that the leader's pipeline takes.
 const (
-	writePart  = 0.9 // of the changes a second
-	writeBurst = 0.8 // of a second's changes at once
-	askPart    = 0.6 // of the requests a second
-	askBurst   = 0.5 // of a second's requests at once
+	writeShare   = 0.9 // of the changes a second
+	writeBurst   = 0.8 // of a second's changes at once
+	requestShare = 0.6 // of the requests a second
+	requestBurst = 0.5 // of a second's requests at once
 )
 
 func newLeadership(cfg *config.Config, now time.Time) *leadership {
@@ -140,7 +140,7 @@
 		membership:  membership{gone: newForgetful(now), machines: map[string]*machine{}, relays: map[string]*relayPeer{}},
 		dispatching: dispatching{holding: map[holdKey]*machine{}},
 		replication: replication{followers: map[string]*snapshot.Sender{}},
-		pipe:        newPipeline(cfg.Settings.State),
+		writes:      newWriteBatcher(cfg.Settings.State),
 		rent:        newRenting(cfg),
 		tally:       topology.NewTally(),
 		sched:       newSchedules(),
@@ -148,11 +148,11 @@
 	}
 }
 
-func newPipeline(st config.State) pipeline {
-	return pipeline{
-		writes:       rate.NewLimiter(rate.Limit(st.WriteRPS*writePart), max(st.TxnOps, int(st.WriteRPS*writeBurst))),
+func newWriteBatcher(st config.State) writeBatcher {
+	return writeBatcher{
+		writes:       rate.NewLimiter(rate.Limit(st.WriteRPS*writeShare), max(st.TxnOps, int(st.WriteRPS*writeBurst))),
 		configWrites: configWrites(st),
-		reqs:         rate.NewLimiter(rate.Limit(st.RPS*askPart), max(1, int(st.RPS*askBurst))),
-		busy:         map[string]bool{},
+		requests:     rate.NewLimiter(rate.Limit(st.RPS*requestShare), max(1, int(st.RPS*requestBurst))),
+		keysInFlight: map[string]bool{},
 	}
 }
--- a/internal/core/merge.go
+++ b/internal/core/merge.go
@@ -98,7 +98,7 @@
 			own.Put(key, r.Value, 0)
 		}
 		for _, key := range res.Drops {
-			l.pipe.add(&change{lane: bulk, writes: []Write{{Key: key}}})
+			l.writes.add(&change{priority: priorityBulk, writes: []Write{{Key: key}}})
 		}
 		if g.lossReason == "" {
 			// Ended jobs and schedules of a copy are older news than the service's.
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -31,7 +31,7 @@
 			for _, m := range g.machines {
 				m.record = recording
 			}
-			c.writeGroup(g, urgent)
+			c.writeGroup(g, priorityUrgent)
 		}
 	}
 	// Schedules first, which nothing is made of until they are there, then jobs, the
@@ -61,8 +61,8 @@
 // first, and so does the news of the day.
 func (c *Core) restoreNext() {
 	l := c.leadership
-	p := &l.pipe
-	for len(l.restoring) > 0 && len(p.waits[bulk]) < c.cfg.Settings.State.TxnOps {
+	p := &l.writes
+	for len(l.restoring) > 0 && len(p.queued[priorityBulk]) < c.cfg.Settings.State.TxnOps {
 		r := l.restoring[0]
 		l.restoring = l.restoring[1:]
 		c.restoreRecord(r)
@@ -99,18 +99,18 @@
 // known, or nothing has to be written any more.
 func (c *Core) writeBack(r snapshot.Record, over func(on Entry)) {
 	l := c.leadership
-	ch := &change{lane: bulk, conditions: []Condition{{r.Key, r.Rev}}, writes: []Write{{Key: r.Key}}, size: 400}
+	ch := &change{priority: priorityBulk, conditions: []Condition{{r.Key, r.Rev}}, writes: []Write{{Key: r.Key}}, size: 400}
 	if rec, ok := r.Value.(*JobRecord); ok {
 		// Applied late, once the job is over and its record gone again, it would bring the
 		// job back to the next leader.
 		ch.conditions = append(ch.conditions, Condition{finalKeys + rec.Spec.ID, 0})
 		ch.size = recordSize(&rec.Spec)
 	} else if rec, ok := r.Value.(*schedule.Record); ok {
-		ch.size, ch.lane = rec.Size(), urgent
+		ch.size, ch.priority = rec.Size(), priorityUrgent
 	} else if isConfigKey(r.Key) || r.Key == numberKey {
-		ch.lane = urgent
+		ch.priority = priorityUrgent
 	}
-	ch.fill = func() bool {
+	ch.prepare = func() bool {
 		now, ok := c.replicas.own.Get(r.Key)
 		if id, live := strings.CutPrefix(r.Key, jobKeys); live {
 			j := l.jobs[id]
@@ -128,7 +128,7 @@
 		}
 		return true
 	}
-	ch.done = func(rev uint64) {
+	ch.onCommit = func(rev uint64) {
 		switch r.Key {
 		case numberKey:
 			l.sched.numberRev = rev
@@ -137,7 +137,7 @@
 		}
 		over(Entry{Key: r.Key, Value: ch.writes[0].Value, Rev: rev})
 	}
-	ch.failed = func() { // there is one by now, written after the loss or late, or older
+	ch.onConflict = func() { // there is one by now, written after the loss or late, or older
 		if !isScheduleKey(r.Key) {
 			over(Entry{})
 			return
@@ -158,8 +158,8 @@
 			})
 		})
 	}
-	ch.rejected = func() { over(Entry{}) }
-	l.pipe.add(ch)
+	ch.onReject = func() { over(Entry{}) }
+	l.writes.add(ch)
 }
 
 // isScheduleKey reports whether a record is one of those that schedules are read from.
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -298,7 +298,7 @@
 			for b.Loop() {
 				c.housekeep()
 				c.dueSchedules()
-				c.pumpStore()
+				c.flushWrites()
 				c.out = c.out[:0]
 			}
 			b.ReportMetric(float64(held)/float64(max(n, 1)), "bytes/schedule")
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -213,7 +213,7 @@
 	if s != nil {
 		cursor, missed := def.Edited(s.def, s.rec.Cursor, c.wall())
 		s.asker = &call
-		c.writeSchedule(s, urgent, func(r *schedule.Record) {
+		c.writeSchedule(s, priorityUrgent, func(r *schedule.Record) {
 			r.File = file
 			r.Edition++
 			r.Pass(cursor, missed)
@@ -251,28 +251,28 @@
 		c.written(s, func() { s.reply(c, c.viewOf(s, 201)) })
 	}
 	ch := &change{size: rec.Size(), conditions: c.newSchedule(key), writes: []Write{{Key: key, Value: rec}}}
-	ch.done = func(rev uint64) {
+	ch.onCommit = func(rev uint64) {
 		c.note(slog.LevelInfo, "schedule created", "schedule", s.name, "number", rec.Number)
 		made(rec, rev)
 	}
-	ch.failed = func() { // a try of ours whose outcome was not known
+	ch.onConflict = func() { // a try of ours whose outcome was not known
 		c.readSchedule(s, func(found *schedule.Record, rev uint64) {
 			if found == nil { // another schedule was removed meanwhile
 				c.readBack(numberKey, func(e Entry, _ bool) {
 					c.leadership.sched.numberRev = e.Rev
 					ch.conditions = c.newSchedule(key)
-					c.leadership.pipe.add(ch)
+					c.leadership.writes.add(ch)
 				})
 				return
 			}
 			made(found, rev)
 		})
 	}
-	ch.rejected = func() {
+	ch.onReject = func() {
 		delete(c.leadership.sched.byName, s.name)
 		s.reply(c, AnswerUser{Status: 400, Field: "name", Reason: "the state service rejects the record"})
 	}
-	c.leadership.pipe.add(ch)
+	c.leadership.writes.add(ch)
 }
 
 // newSchedule is the condition on which the first record of a schedule is written. A try
@@ -326,18 +326,18 @@
 			fail()
 			return
 		}
-		c.leadership.pipe.add(&change{
+		c.leadership.writes.add(&change{
 			conditions: []Condition{{numberKey, rev}}, writes: []Write{{Key: numberKey, Value: &NumberRecord{from + numberBlock}}},
-			done: func(rev uint64) {
+			onCommit: func(rev uint64) {
 				sch.numberRev = rev
 				sch.next, sch.last, sch.numbering = from, from+numberBlock, false
 				c.handOutNumbers()
 			},
-			failed: func() { // a try of ours was applied: take the next block
+			onConflict: func() { // a try of ours was applied: take the next block
 				sch.numbering = false
 				c.handOutNumbers()
 			},
-			rejected: fail,
+			onReject: fail,
 		})
 	})
 }
@@ -360,11 +360,11 @@
 			if found && e.Value != nil { // see newSchedule
 				ch.writes = append(ch.writes, Write{Key: numberKey, Value: e.Value})
 			}
-			c.leadership.pipe.add(ch)
+			c.leadership.writes.add(ch)
 		})
 	}
-	ch.done = func(uint64) { done() }
-	ch.failed = func() {
+	ch.onCommit = func(uint64) { done() }
+	ch.onConflict = func() {
 		c.readSchedule(s, func(found *schedule.Record, rev uint64) {
 			if found == nil {
 				done()
@@ -390,7 +390,7 @@
 		cursor, missed = s.def.Resumed(cursor, c.wall())
 	}
 	s.asker = &call
-	c.writeSchedule(s, urgent, func(r *schedule.Record) {
+	c.writeSchedule(s, priorityUrgent, func(r *schedule.Record) {
 		r.Paused = pause
 		r.Edition++
 		r.Pass(cursor, missed)
--- a/internal/core/schedule_write.go
+++ b/internal/core/schedule_write.go
@@ -11,12 +11,12 @@
 // writeSchedule writes a record as apply changes it, with the job of an
 // occurrence if there is one. taken is called when the job's id has a record
 // already.
-func (c *Core) writeSchedule(s *scheduled, ln lane, apply func(r *schedule.Record), job *JobRecord, done, taken func()) {
+func (c *Core) writeSchedule(s *scheduled, ln writePriority, apply func(r *schedule.Record), job *JobRecord, done, taken func()) {
 	s.busy = true
 	s.gen++
-	ch := &change{lane: ln}
+	ch := &change{priority: ln}
 	c.compose(s, ch, apply, job, done, taken)
-	c.leadership.pipe.add(ch)
+	c.leadership.writes.add(ch)
 }
 
 // compose fills in a change of a schedule's record.
@@ -35,7 +35,7 @@
 		ch.conditions = append(ch.conditions, noRecordOf(id)...)
 		ch.writes = append(ch.writes, Write{Key: jobKeys + id, Value: job})
 	}
-	ch.done = func(rev uint64) {
+	ch.onCommit = func(rev uint64) {
 		// News of jobs that came meanwhile are in memory only, and go next. The
 		// record that was written stays as it is.
 		rec := rec.Clone()
@@ -43,7 +43,7 @@
 		s.rec, s.rev = rec, rev
 		c.written(s, done)
 	}
-	ch.failed = func() {
+	ch.onConflict = func() {
 		// A condition did not hold. Ours to write: either an earlier try of this
 		// very change has been applied, or a job has the id.
 		c.readSchedule(s, func(found *schedule.Record, rev uint64) {
@@ -52,19 +52,19 @@
 				s.reply(c, noSchedule(s.name))
 				c.forgetSchedule(s)
 			case found.Seq == rec.Seq:
-				ch.done(rev)
+				ch.onCommit(rev)
 			case rev != s.rev:
 				s.rev = rev
 				ch.conditions[0].Rev = rev
-				c.leadership.pipe.add(ch)
+				c.leadership.writes.add(ch)
 			case taken != nil:
 				c.written(s, taken)
 			default:
-				c.leadership.pipe.add(ch)
+				c.leadership.writes.add(ch)
 			}
 		})
 	}
-	ch.rejected = func() {
+	ch.onReject = func() {
 		s.def, s.problem = nil, "the state service rejects its record"
 		s.reply(c, unavailable(s.problem))
 		c.written(s, func() {})
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -206,7 +206,7 @@
 	}
 	sch.ready.push(at, place{s, s.gen})
 	if sch.ready.len() == 1 {
-		c.nudge()
+		c.wakeBatcherSoon()
 	}
 }
 
@@ -247,7 +247,7 @@
 		return
 	}
 	room := c.cfg.Settings.State.TxnOps
-	for _, ch := range c.leadership.pipe.waits[due] {
+	for _, ch := range c.leadership.writes.queued[priorityOccurrence] {
 		room -= len(ch.writes)
 	}
 	for room >= 2 && sch.ready.len() > 0 {
@@ -262,7 +262,7 @@
 // occurrencesWait reports whether some could be made if the allowance let them.
 func (c *Core) occurrencesWait() bool {
 	l := c.leadership
-	return len(l.pipe.waits[due]) > 0 || l.sched.ready.len() > 0 && l.rent.read
+	return len(l.writes.queued[priorityOccurrence]) > 0 || l.sched.ready.len() > 0 && l.rent.read
 }
 
 // decide decides on the next occurrences of a schedule, up to one that becomes a
@@ -320,14 +320,14 @@
 
 // passOver has it written that occurrences do not run.
 func (c *Core) passOver(s *scheduled, cursor schedule.Cursor, gone []schedule.Passed) {
-	c.writeSchedule(s, due, func(r *schedule.Record) { r.Pass(cursor, gone) }, nil, func() { c.told(s, gone) }, nil)
+	c.writeSchedule(s, priorityOccurrence, func(r *schedule.Record) { r.Pass(cursor, gone) }, nil, func() { c.told(s, gone) }, nil)
 }
 
 // makeJob makes an occurrence a job; past is the cursor behind it.
 func (c *Core) makeJob(s *scheduled, past schedule.Cursor, o calendar.Occurrence, job *JobRecord, gone []schedule.Passed) {
 	id := job.Spec.ID
 	s.notBefore = time.Time{}
-	c.writeSchedule(s, due, func(r *schedule.Record) {
+	c.writeSchedule(s, priorityOccurrence, func(r *schedule.Record) {
 		r.Pass(past, gone)
 		r.LastJob = id
 		r.Add(schedule.Entry{Job: id, Planned: o.Start, Due: o.Due, Made: c.wall(), State: schedule.StateMade})
@@ -452,9 +452,9 @@
 	}
 	s.flushing = true
 	c.afterWhileLeading(historyAfter, func() {
-		ch := &change{lane: bulk, writes: []Write{{Key: scheduleKeys + s.name}}, size: s.rec.Size()}
+		ch := &change{priority: priorityBulk, writes: []Write{{Key: scheduleKeys + s.name}}, size: s.rec.Size()}
 		sent := false
-		ch.fill = func() bool {
+		ch.prepare = func() bool {
 			if sent {
 				return true // it may not have been executed: the same goes again
 			}
@@ -467,7 +467,7 @@
 			c.compose(s, ch, func(*schedule.Record) {}, nil, func() {}, nil)
 			return true
 		}
-		c.leadership.pipe.add(ch)
+		c.leadership.writes.add(ch)
 	})
 }
 
--- a/internal/core/search.go
+++ b/internal/core/search.go
@@ -65,11 +65,11 @@
 // hasUncommittedChange reports whether a change of the key is on its way, or has been sent without
 // our knowing what became of it.
 func (c *Core) hasUncommittedChange(key string) bool {
-	p := &c.leadership.pipe
-	if p.busy[key] {
+	p := &c.leadership.writes
+	if p.keysInFlight[key] {
 		return true
 	}
-	for _, list := range p.waits {
+	for _, list := range p.queued {
 		for _, ch := range list {
 			if ch.sent && slices.ContainsFunc(ch.writes, func(w Write) bool { return w.Key == key }) {
 				return true
--- a/internal/core/store.go
+++ b/internal/core/store.go
@@ -8,15 +8,15 @@
 	"golang.org/x/time/rate"
 )
 
-// lane says how pressing a change is.
-type lane int
+// writePriority says how pressing a change is.
+type writePriority int
 
 const (
-	urgent        lane = iota // users or machines wait for it
-	configuration             // changes of configuration, which have a part of the allowance of their own
-	due                       // occurrences of schedules, by deadline
-	bulk                      // progress and other news that can wait
-	lanes
+	priorityUrgent     writePriority = iota // users or machines wait for it
+	priorityConfig                          // changes of configuration, which have a part of the allowance of their own
+	priorityOccurrence                      // occurrences of schedules, by deadline
+	priorityBulk                            // progress and other news that can wait
+	priorities
 )
 
 // change is a set of writes that go together, with the conditions of its own.
@@ -24,52 +24,52 @@
 	conditions []Condition
 	writes     []Write
 	size       int // estimated bytes
-	lane       lane
-	fill       func() bool // called when it is about to go, to set what it writes; false: nothing any more
-	done       func(rev uint64)
-	failed     func() // a condition of its own did not hold
+	priority   writePriority
+	prepare    func() bool // called when it is about to go, to set what it writes; false: nothing any more
+	onCommit   func(rev uint64)
+	onConflict func() // a condition of its own did not hold
 
-	rejected func() // malformed in the state service's eyes, on its own
+	onReject func() // malformed in the state service's eyes, on its own
 
 	sent bool // at least once: it may be on record
 }
 
-// pipeline batches changes into transactions within the state service's limits.
+// writeBatcher batches changes into transactions within the state service's limits.
 // The other lanes only go when nothing urgent waits and half of the allowance is
 // left, so that an acceptance is never delayed behind them; they take turns.
 // Changes of the same key never overlap.
-type pipeline struct {
-	writes, reqs *rate.Limiter
-	configWrites *rate.Limiter // the part of writes that configuration has
-	waits        [lanes][]*change
-	flying       [lanes]int
-	bulkNext     bool
-	busy         map[string]bool // keys of transactions on their way
-	pause        time.Time
-	backoff      time.Duration
-	nudged       bool
-	single       int // so many changes go one by one, to find a malformed one
+type writeBatcher struct {
+	writes, requests *rate.Limiter
+	configWrites     *rate.Limiter // the part of writes that configuration has
+	queued           [priorities][]*change
+	inFlight         [priorities]int
+	bulkNext         bool
+	keysInFlight     map[string]bool // keys of transactions on their way
+	pausedUntil      time.Time
+	backoff          time.Duration
+	wakeScheduled    bool
+	singly           int // so many changes go one by one, to find a malformed one
 }
 
-func (p *pipeline) add(ch *change) {
+func (p *writeBatcher) add(ch *change) {
 	if ch.size == 0 {
 		ch.size = 120 * (len(ch.writes) + len(ch.conditions))
 	}
-	p.waits[ch.lane] = append(p.waits[ch.lane], ch)
+	p.queued[ch.priority] = append(p.queued[ch.priority], ch)
 }
 
-// txnBytes keeps a transaction below the protocol's 64 KiB.
-const txnBytes = 48 << 10
+// maxTxnBytes keeps a transaction below the protocol's 64 KiB.
+const maxTxnBytes = 48 << 10
 
 // take removes a batch from list.
-func (p *pipeline) take(list *[]*change, ops int) []*change {
+func (p *writeBatcher) take(list *[]*change, ops int) []*change {
 	var batch []*change
 	n, conds, size := 0, 1, 0
 	keys := map[string]bool{}
 	rest := (*list)[:0:0]
 	for i, ch := range *list {
-		clash := slices.ContainsFunc(ch.writes, func(w Write) bool { return p.busy[w.Key] || keys[w.Key] })
-		full := p.single > 0 || n+len(ch.writes) > ops || conds+len(ch.conditions) > 4*ops || size+ch.size > txnBytes
+		clash := slices.ContainsFunc(ch.writes, func(w Write) bool { return p.keysInFlight[w.Key] || keys[w.Key] })
+		full := p.singly > 0 || n+len(ch.writes) > ops || conds+len(ch.conditions) > 4*ops || size+ch.size > maxTxnBytes
 		if full && len(batch) > 0 {
 			rest = append(rest, (*list)[i:]...)
 			break
@@ -81,54 +81,54 @@
 			rest = append(rest, ch)
 			continue
 		}
-		if ch.fill != nil && !ch.fill() {
+		if ch.prepare != nil && !ch.prepare() {
 			continue
 		}
 		batch = append(batch, ch)
 		n, conds, size = n+len(ch.writes), conds+len(ch.conditions), size+ch.size
 	}
 	*list = rest
-	p.single = max(0, p.single-len(batch))
+	p.singly = max(0, p.singly-len(batch))
 	return batch
 }
 
-// pumpStore sends what may be sent.
-func (c *Core) pumpStore() {
-	p := &c.leadership.pipe
-	if !c.canAct() || c.now.Before(p.pause) {
+// flushWrites sends what may be sent.
+func (c *Core) flushWrites() {
+	p := &c.leadership.writes
+	if !c.canAct() || c.now.Before(p.pausedUntil) {
 		return
 	}
-	if len(p.waits[configuration]) > 0 && p.flying[configuration] == 0 {
+	if len(p.queued[priorityConfig]) > 0 && p.inFlight[priorityConfig] == 0 {
 		if c.batchDue() {
-			c.sendBatch(configuration)
+			c.sendBatch(priorityConfig)
 		} else {
-			c.nudge()
+			c.wakeBatcherSoon()
 		}
 	}
-	for len(p.waits[urgent]) > 0 && p.flying[urgent] < 3 {
-		if !c.sendBatch(urgent) {
+	for len(p.queued[priorityUrgent]) > 0 && p.inFlight[priorityUrgent] < 3 {
+		if !c.sendBatch(priorityUrgent) {
 			return
 		}
 	}
 	c.restoreNext()
 	// The others leave room in the allowance for what users wait for.
 	for range 2 {
-		if len(p.waits[urgent]) > 0 || p.writes.TokensAt(c.now) < float64(p.writes.Burst())/2 {
+		if len(p.queued[priorityUrgent]) > 0 || p.writes.TokensAt(c.now) < float64(p.writes.Burst())/2 {
 			break
 		}
 		p.bulkNext = !p.bulkNext
-		if p.bulkNext && len(p.waits[bulk]) > 0 && p.flying[bulk] == 0 {
-			c.sendBatch(bulk)
-		} else if !p.bulkNext && p.flying[due] < 2 {
+		if p.bulkNext && len(p.queued[priorityBulk]) > 0 && p.inFlight[priorityBulk] == 0 {
+			c.sendBatch(priorityBulk)
+		} else if !p.bulkNext && p.inFlight[priorityOccurrence] < 2 {
 			c.makeOccurrences()
-			if len(p.waits[due]) > 0 {
-				c.sendBatch(due)
+			if len(p.queued[priorityOccurrence]) > 0 {
+				c.sendBatch(priorityOccurrence)
 			}
 		}
 	}
 	// What waits for the allowance is seen to when it has come back.
-	if p.flying[due] == 0 && c.occurrencesWait() {
-		c.nudge()
+	if p.inFlight[priorityOccurrence] == 0 && c.occurrencesWait() {
+		c.wakeBatcherSoon()
 	}
 }
 
@@ -148,28 +148,28 @@
 	})
 }
 
-// nudge has the pump run again soon.
-func (c *Core) nudge() {
-	p := &c.leadership.pipe
-	if !p.nudged {
-		p.nudged = true
-		c.afterWhileLeading(20*time.Millisecond, func() { p.nudged = false })
+// wakeBatcherSoon has the pump run again soon.
+func (c *Core) wakeBatcherSoon() {
+	p := &c.leadership.writes
+	if !p.wakeScheduled {
+		p.wakeScheduled = true
+		c.afterWhileLeading(20*time.Millisecond, func() { p.wakeScheduled = false })
 	}
 }
 
-// leastRoom is how many changes a transaction of a lane has at the least: one of
+// minBatchRoom is how many changes a transaction of a lane has at the least: one of
 // configuration has an object and the head.
-func leastRoom(ln lane) int {
-	if ln == configuration {
+func minBatchRoom(ln writePriority) int {
+	if ln == priorityConfig {
 		return 2
 	}
 	return 1
 }
 
 // roomFor is how many changes may go in a transaction of a lane now.
-func (p *pipeline) roomFor(ln lane, now time.Time, ops int) int {
+func (p *writeBatcher) roomFor(ln writePriority, now time.Time, ops int) int {
 	limiter := p.writes
-	if ln == configuration {
+	if ln == priorityConfig {
 		limiter = p.configWrites
 	}
 	return min(ops, int(limiter.TokensAt(now)))
@@ -177,22 +177,22 @@
 
 // spend takes changes out of the allowance. What configuration takes goes out of the whole
 // too, also ahead of time: together they stay below what the state service takes.
-func (p *pipeline) spend(ln lane, now time.Time, writes int) {
-	p.reqs.AllowN(now, 1)
-	if ln == configuration {
+func (p *writeBatcher) spend(ln writePriority, now time.Time, writes int) {
+	p.requests.AllowN(now, 1)
+	if ln == priorityConfig {
 		p.configWrites.ReserveN(now, min(writes, p.configWrites.Burst()))
 	}
 	p.writes.ReserveN(now, min(writes, p.writes.Burst()))
 }
 
-func (c *Core) sendBatch(ln lane) bool {
-	p := &c.leadership.pipe
+func (c *Core) sendBatch(ln writePriority) bool {
+	p := &c.leadership.writes
 	ops := p.roomFor(ln, c.now, c.cfg.Settings.State.TxnOps)
-	if p.reqs.TokensAt(c.now) < 1 || ops < leastRoom(ln) {
-		c.nudge()
+	if p.requests.TokensAt(c.now) < 1 || ops < minBatchRoom(ln) {
+		c.wakeBatcherSoon()
 		return false
 	}
-	batch := p.take(&p.waits[ln], ops)
+	batch := p.take(&p.queued[ln], ops)
 	if len(batch) == 0 {
 		return false
 	}
@@ -204,24 +204,24 @@
 	}
 	p.spend(ln, c.now, len(call.Writes))
 	for _, w := range call.Writes {
-		p.busy[w.Key] = true
+		p.keysInFlight[w.Key] = true
 	}
-	p.flying[ln]++
+	p.inFlight[ln]++
 	c.storeWhileLeading(call, func(r StoreReply) {
-		p.flying[ln]--
+		p.inFlight[ln]--
 		for _, w := range call.Writes {
-			delete(p.busy, w.Key)
+			delete(p.keysInFlight, w.Key)
 		}
-		c.batchDone(batch, r)
+		c.handleBatchReply(batch, r)
 	})
 	return true
 }
 
-func (c *Core) batchDone(batch []*change, r StoreReply) {
-	p := &c.leadership.pipe
+func (c *Core) handleBatchReply(batch []*change, r StoreReply) {
+	p := &c.leadership.writes
 	again := func(chs []*change) {
 		for _, ch := range slices.Backward(chs) {
-			p.waits[ch.lane] = slices.Insert(p.waits[ch.lane], 0, ch)
+			p.queued[ch.priority] = slices.Insert(p.queued[ch.priority], 0, ch)
 		}
 	}
 	switch r.Outcome {
@@ -229,8 +229,8 @@
 		p.backoff = 0
 		c.replicateBatch(batch, r.Rev)
 		for _, ch := range batch {
-			if ch.done != nil {
-				ch.done(r.Rev)
+			if ch.onCommit != nil {
+				ch.onCommit(r.Rev)
 			}
 		}
 	case Conflict:
@@ -242,8 +242,8 @@
 		for _, ch := range batch {
 			own := slices.ContainsFunc(ch.conditions, func(w Condition) bool { return slices.Contains(r.FailedKeys, w.Key) })
 			switch {
-			case own && ch.failed != nil:
-				ch.failed()
+			case own && ch.onConflict != nil:
+				ch.onConflict()
 			case own:
 			default:
 				rest = append(rest, ch)
@@ -251,7 +251,7 @@
 		}
 		if len(rest) == len(batch) {
 			// It names none of ours: nothing would be different the next time.
-			c.standBack()
+			c.backOff()
 		} else {
 			p.backoff = 0
 		}
@@ -260,8 +260,8 @@
 		// Ours to get right: log it loudly, and try the changes one by one so
 		// that a single bad one does not block the rest for ever.
 		c.note(slog.LevelError, "transaction rejected as malformed", "changes", len(batch), "key", batch[0].writes[0].Key)
-		if len(batch) == 1 && batch[0].rejected != nil {
-			batch[0].rejected()
+		if len(batch) == 1 && batch[0].onReject != nil {
+			batch[0].onReject()
 			return
 		}
 		if len(batch) == 1 {
@@ -270,22 +270,22 @@
 			c.afterWhileLeading(c.jitter(time.Second), func() { p.add(ch) })
 			return
 		}
-		p.single = max(p.single, len(batch))
+		p.singly = max(p.singly, len(batch))
 		again(batch)
 	default:
 		// Known not to have been executed, or not known: both are sent again.
 		// Should the first try be applied as well, the second meets a condition
 		// of its own, which is read back.
-		c.standBack()
+		c.backOff()
 		again(batch)
 	}
 }
 
-// standBack has the pipeline wait a little, longer each time in a row.
-func (c *Core) standBack() {
-	p := &c.leadership.pipe
+// backOff has the pipeline wait a little, longer each time in a row.
+func (c *Core) backOff() {
+	p := &c.leadership.writes
 	p.backoff = min(max(2*p.backoff, 100*time.Millisecond), 2*time.Second)
 	d := c.jitter(p.backoff)
-	p.pause = c.now.Add(d)
+	p.pausedUntil = c.now.Add(d)
 	c.afterWhileLeading(d, func() {})
 }
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -75,7 +75,7 @@
 		j := l.jobs[id]
 		if j == nil {
 			if !l.unreadableJobs[id] { // left over by a job that is over
-				l.pipe.add(&change{writes: []Write{{Key: e.Key}}, lane: bulk})
+				l.writes.add(&change{writes: []Write{{Key: e.Key}}, priority: priorityBulk})
 			}
 			return
 		}
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -414,17 +414,17 @@
 	a := &admission{spec: s, waiters: []UserCall{call}}
 	l.accept[s.ID] = a
 	rec := &JobRecord{Spec: *s, Submitted: c.now.Round(0)}
-	l.pipe.add(&change{
+	l.writes.add(&change{
 		size:       recordSize(s),
 		conditions: noRecordOf(s.ID),
 		writes:     []Write{{Key: jobKeys + s.ID, Value: rec}},
-		done: func(uint64) {
+		onCommit: func(uint64) {
 			delete(l.accept, s.ID)
 			j := c.newJob(rec)
 			a.answerAll(c, AnswerUser{Status: 201, View: j.view()})
 		},
-		failed: func() { c.resolveAdmissionConflict(a) },
-		rejected: func() {
+		onConflict: func() { c.resolveAdmissionConflict(a) },
+		onReject: func() {
 			delete(l.accept, s.ID)
 			a.answerAll(c, unavailable("the state service rejects the record"))
 		},
