--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -27,7 +27,7 @@
 	m := l.fleet[0]
 	m.held, m.fencingToken = &heldReport{holdKey: holdKey{ref: 9}}, l.term
 	j := newJob(c, 1, 3, testRand())
-	c.book(j)
+	c.reserve(j)
 	l.attempts = maxAttempts
 	if os := c.startOn(m); len(os) > 0 {
 		t.Errorf("%d starts beyond the last attempt", len(os))
@@ -270,7 +270,7 @@
 	c.began = t0
 	l := c.leadership
 	j := newJob(c, 1, 1, testRand())
-	c.book(j)
+	c.reserve(j)
 	if !c.HasAuthority(t0) {
 		t.Fatal("does not lead")
 	}
--- a/internal/core/estimate.go
+++ b/internal/core/estimate.go
@@ -43,10 +43,10 @@
 		return
 	}
 	j.took.add(took.Seconds())
-	o := c.leadership.est.of(&j.spec)
+	o := c.leadership.runtimes.of(&j.spec)
 	if o == nil {
 		o = &observed{}
-		c.leadership.est.Add(j.spec.Class+"/"+j.spec.Owner, o)
+		c.leadership.runtimes.Add(j.spec.Class+"/"+j.spec.Owner, o)
 	}
 	if j.took.n <= 8 { // a large array must not outweigh all other jobs
 		o.add(took.Seconds() / j.spec.Runtime.Seconds())
@@ -66,7 +66,7 @@
 
 func (c *Core) estimateSpec(s *JobSpec) time.Duration {
 	d := s.Runtime
-	if o := c.leadership.est.of(s); o != nil && o.n >= 5 {
+	if o := c.leadership.runtimes.of(s); o != nil && o.n >= 5 {
 		d = timeline.Seconds(d.Seconds() * min(max(o.mean, 0.3), 3))
 	}
 	return max(d, 100*time.Millisecond)
--- a/internal/core/giveback.go
+++ b/internal/core/giveback.go
@@ -30,7 +30,7 @@
 		if !ok {
 			left = t.guarantee.CPU - t.used.CPU
 		}
-		n := min(left, int64(j.booked)*j.need.CPU)
+		n := min(left, int64(j.reserved)*j.need.CPU)
 		seen[t] = left - n
 		short += n
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -29,7 +29,7 @@
 	left    int          // tasks not done
 	runs    map[int]*run // tasks on machines, or that may be
 
-	booked   int // members of pending that have a place in the queue
+	reserved int // members of pending that have a place in the queue
 	chunkRev map[int]uint64
 	dirty    map[int]bool // chunks with news not yet on their way
 
@@ -39,23 +39,23 @@
 	ending     *change    // whichever of the two is on its way
 	cancels    []UserCall // who waits for it
 
-	errHosts  map[string]bool // machines on which its tasks failed
-	failures  int             // since a task last completed
-	retryAt   time.Time       // not before this, after failures
-	any       bool            // a task has completed
-	missed    time.Time       // aims up to this are out of reach
-	took      observed        // seconds that its tasks took
-	books     []*booking      // places in the queue, in order
-	turn      time.Time       // of the first, while queued
-	queued    bool
-	unplaced  bool       // to be booked soon
-	rebooked  time.Time  // when its bookings were last looked at again
-	localTill time.Time  // until then it starts only where its image is
-	running   int        // tasks that workers report as running or saving
-	ended     []*run     // completed, and not known to be on record
-	ran       bool       // a task of it has run, or is done
-	sched     *scheduled // whose occurrence it is, or nil
-	begun     bool       // and has been noted to have started
+	errHosts           map[string]bool // machines on which its tasks failed
+	failures           int             // since a task last completed
+	retryAt            time.Time       // not before this, after failures
+	any                bool            // a task has completed
+	missed             time.Time       // aims up to this are out of reach
+	took               observed        // seconds that its tasks took
+	reservations       []*reservation  // places in the queue, in order
+	queueTime          time.Time       // of the first, while queued
+	queued             bool
+	reservationPending bool       // to be booked soon
+	lastRereserved     time.Time  // when its bookings were last looked at again
+	imageLocalUntil    time.Time  // until then it starts only where its image is
+	running            int        // tasks that workers report as running or saving
+	ended              []*run     // completed, and not known to be on record
+	ran                bool       // a task of it has run, or is done
+	sched              *scheduled // whose occurrence it is, or nil
+	begun              bool       // and has been noted to have started
 }
 
 // addJob takes a job into memory.
@@ -103,7 +103,7 @@
 		c.closeIfOver(j)
 		return
 	}
-	c.bookSoon(j)
+	c.reserveSoon(j)
 }
 
 // halted reports whether no task of the job may start any more.
@@ -132,7 +132,7 @@
 	if j.pending.has(i) {
 		j.pending.clear(i)
 		j.waiting--
-		c.unbookOne(j)
+		c.dropExcessReservation(j)
 	}
 	j.done.set(i)
 	j.ran = true
@@ -166,7 +166,7 @@
 	}
 	j.pending.set(i)
 	j.waiting++
-	c.bookSoon(j)
+	c.reserveSoon(j)
 }
 
 func chunkKey(id string, chunk int) string { return doneKeys + id + "/" + strconv.Itoa(chunk) }
@@ -280,7 +280,7 @@
 	c.replicateDrop(jobKeys + j.spec.ID) // however we have learned that it is over
 	delete(l.jobs, j.spec.ID)
 	j.team.jobs--
-	c.unbook(j)
+	c.dropReservations(j)
 	for _, r := range j.ended {
 		r.saved = true
 	}
@@ -352,7 +352,7 @@
 		},
 		onCommit: func(uint64) {
 			j.cancelling, j.cancelled, j.rec, j.ending = false, true, &rec, nil
-			c.unbook(j)
+			c.dropReservations(j)
 			c.note(slog.LevelDebug, "job cancelled", "job", j.spec.ID)
 			j.answerCancels(c, AnswerUser{Status: 200, View: j.view()})
 			c.closeIfOver(j)
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -211,10 +211,10 @@
 		return
 	}
 	c.flushWrites()
-	c.bookUnplaced()
+	c.reserveUnscheduled()
 	if l.dirty || len(l.poked) > 0 {
 		c.dispatch()
-		c.bookUnplaced()
+		c.reserveUnscheduled()
 		c.flushWrites()
 	}
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -79,16 +79,16 @@
 
 // workload is the jobs, their teams and their places in the queue.
 type workload struct {
-	jobs       map[string]*job
-	accept     map[string]*admission
-	teams      map[string]*team
-	guarantees bool // some team has one
-	queue      waitQueue
-	overdue    []*job // of which nothing has run for too long
-	est        estimates
-	unplaced   []*job      // see bookSoon
-	placing    bool        // there are more of them than go in one step
-	offers     []slotOffer // scratch space
+	jobs                map[string]*job
+	accept              map[string]*admission
+	teams               map[string]*team
+	guarantees          bool // some team has one
+	queue               jobQueue
+	overdue             []*job // of which nothing has run for too long
+	runtimes            estimates
+	unscheduled         []*job           // see reserveSoon
+	schedulingContinues bool             // there are more of them than go in one step
+	offerBuffer         []placementOffer // scratch space
 }
 
 // membership is the machines, the records that name them, and by which controllers they report.
@@ -136,7 +136,7 @@
 	return &leadership{
 		authority:   authority{acknowledged: map[string]bool{}},
 		failover:    failover{unaccounted: map[string]bool{}, unreadableJobs: map[string]bool{}, unreadableMachineRecords: map[string]uint64{}, newerTokens: map[string]uint64{}},
-		workload:    workload{jobs: map[string]*job{}, accept: map[string]*admission{}, teams: map[string]*team{}, est: newEstimates()},
+		workload:    workload{jobs: map[string]*job{}, accept: map[string]*admission{}, teams: map[string]*team{}, runtimes: newEstimates()},
 		membership:  membership{gone: newForgetful(now), machines: map[string]*machine{}, relays: map[string]*relayPeer{}},
 		dispatching: dispatching{holding: map[holdKey]*machine{}},
 		replication: replication{followers: map[string]*snapshot.Sender{}},
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -59,13 +59,13 @@
 	moved                time.Time  // when it was last led to another node
 	poked                bool       // has orders that need not wait for its next report
 
-	tl     *timeline.Timeline
-	runs   []*run
-	books  []*booking // of tasks that wait
-	used   timeline.Resources
-	warm   int64                            // CPUs, in thousandths, kept free for work that must start at once
-	images *simplelru.LRU[string, struct{}] // that it has, as far as we know
-	idle   time.Time                        // since when nothing runs or is booked
+	timeline     *timeline.Timeline
+	runs         []*run
+	reservations []*reservation // of tasks that wait
+	used         timeline.Resources
+	warm         int64                            // CPUs, in thousandths, kept free for work that must start at once
+	images       *simplelru.LRU[string, struct{}] // that it has, as far as we know
+	idle         time.Time                        // since when nothing runs or is booked
 
 	releasing bool
 	draining  bool // its work fits elsewhere: no new tasks, then it goes back
@@ -84,7 +84,7 @@
 	m := l.machines[host]
 	if m == nil {
 		m = &machine{host: host, typeName: flavor, zone: zone, spot: reclaimable,
-			since: c.now, rentedAt: c.now, idle: c.now, images: newImages(), tl: timeline.New(timeline.Resources{})}
+			since: c.now, rentedAt: c.now, idle: c.now, images: newImages(), timeline: timeline.New(timeline.Resources{})}
 		m.leaf, _ = l.places.Machine(host, "", zone)
 		m.in = l.zones.Zone(zone)
 		l.machines[host] = m
@@ -108,7 +108,7 @@
 				tl.Add(r.slot)
 			}
 		}
-		m.tl = tl
+		m.timeline = tl
 	}
 }
 
@@ -118,7 +118,7 @@
 }
 
 func (m *machine) room() timeline.Resources {
-	return m.tl.Capacity().Add(m.used, -1)
+	return m.timeline.Capacity().Add(m.used, -1)
 }
 
 // find returns the run of an attempt. Workers list tasks in the order of their
@@ -193,5 +193,5 @@
 	c.leadership.leaves(m)
 	m.answered = time.Time{}
 	c.markAccounted(m.host)
-	c.unbookMachine(m)
+	c.dropMachineReservations(m)
 }
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -10,31 +10,31 @@
 	"yewpass/internal/timeline"
 )
 
-// booking reserves room for waiting tasks of one job on one machine's timeline.
+// reservation reserves room for waiting tasks of one job on one machine's timeline.
 // Without a machine it only keeps their place in the queue.
-type booking struct {
+type reservation struct {
 	timeline.Booking
-	job  *job
-	m    *machine
-	back time.Duration // by how much it stands back in the queue
-	each time.Duration // by how much less for every task of the job that starts
+	job          *job
+	machine      *machine
+	yield        time.Duration // by how much it stands back in the queue
+	yieldPerTask time.Duration // by how much less for every task of the job that starts
 }
 
-// lateYield is by how much a booking that misses its deadline anyway stands
+// lateQueueYield is by how much a booking that misses its deadline anyway stands
 // back in the queue; beyond that it takes its turn, so that it never starves.
-const lateYield = 90 * time.Second
+const lateQueueYield = 90 * time.Second
 
-// turn is the booking's place in the queue.
-func (b *booking) turn() time.Time { return b.Start.Add(b.back) }
+// queueTime is the booking's place in the queue.
+func (b *reservation) queueTime() time.Time { return b.Start.Add(b.yield) }
 
-// waitQueue is the jobs that have bookings, each at the turn of its first one,
+// jobQueue is the jobs that have bookings, each at the turn of its first one,
 // then by submission. Going through it while every job moves on to its next
 // booking as it is served is going through all bookings in timeline order, at
 // the cost of the jobs alone.
-type waitQueue []*job
+type jobQueue []*job
 
 func (j *job) before(o *job) bool {
-	if x := j.turn.Compare(o.turn); x != 0 {
+	if x := j.queueTime.Compare(o.queueTime); x != 0 {
 		return x < 0
 	}
 	if !j.submitted.Equal(o.submitted) {
@@ -43,28 +43,28 @@
 	return j.spec.ID < o.spec.ID
 }
 
-// place puts the job where its first booking stands, or takes it out when it
+// reposition puts the job where its first booking stands, or takes it out when it
 // has none.
-func (q *waitQueue) place(j *job) {
+func (q *jobQueue) reposition(j *job) {
 	if j.queued {
-		if len(j.books) > 0 && j.books[0].turn().Equal(j.turn) {
+		if len(j.reservations) > 0 && j.reservations[0].queueTime().Equal(j.queueTime) {
 			return
 		}
 		i := sort.Search(len(*q), func(i int) bool { return !(*q)[i].before(j) })
 		*q = slices.Delete(*q, i, i+1)
 		j.queued = false
 	}
-	if len(j.books) == 0 {
+	if len(j.reservations) == 0 {
 		return
 	}
-	j.turn, j.queued = j.books[0].turn(), true
+	j.queueTime, j.queued = j.reservations[0].queueTime(), true
 	i := sort.Search(len(*q), func(i int) bool { return j.before((*q)[i]) })
 	*q = slices.Insert(*q, i, j)
 }
 
-// window bounds how many waiting tasks of a job are booked at a time, so that
+// reservationWindow bounds how many waiting tasks of a job are booked at a time, so that
 // an array of 100,000 tasks costs no more than a large one.
-const window = 256
+const reservationWindow = 256
 
 func allowsInstanceType(s *JobSpec, name string) bool {
 	return len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, name)
@@ -72,23 +72,25 @@
 
 func hasZone(f *InstanceType, zone string) bool { return slices.Contains(f.Zones, zone) }
 
-// eligible reports whether the job's tasks may run on the machine at all.
-func (m *machine) eligible(j *job) bool {
+// eligibleFor reports whether the job's tasks may run on the machine at all.
+func (m *machine) eligibleFor(j *job) bool {
 	s := &j.spec
 	return m.usable() && (!m.spot || s.AllowSpot) && allowsInstanceType(s, m.typeName) &&
-		(s.Zone == "" || s.Zone == m.zone) && j.need.Fits(m.tl.Capacity()) &&
+		(s.Zone == "" || s.Zone == m.zone) && j.need.Fits(m.timeline.Capacity()) &&
 		(len(j.errHosts) == 0 || !j.errHosts[m.host] || len(j.errHosts) > errHostsMost)
 }
 
-// stretched is how long a task of the job is booked for, without its image.
-func (c *Core) stretched(j *job) time.Duration {
+// paddedEstimate is how long a task of the job is booked for, without its image.
+func (c *Core) paddedEstimate(j *job) time.Duration {
 	return timeline.Seconds(c.estimate(j).Seconds() * (1 + c.leadership.margin))
 }
 
-// length is how long a booking of a task on the machine lasts.
-func (c *Core) length(j *job, m *machine) time.Duration { return lengthOn(j, m, c.stretched(j)) }
+// occupancy is how long a booking of a task on the machine lasts.
+func (c *Core) occupancy(j *job, m *machine) time.Duration {
+	return occupancyOn(j, m, c.paddedEstimate(j))
+}
 
-func lengthOn(j *job, m *machine, base time.Duration) time.Duration {
+func occupancyOn(j *job, m *machine, base time.Duration) time.Duration {
 	if j.spec.Service {
 		return timeline.Forever
 	}
@@ -182,7 +184,7 @@
 	var sizes []int64
 	for _, m := range l.fleet {
 		m.warm = 0
-		if n := m.tl.Capacity().CPU; !slices.Contains(sizes, n) {
+		if n := m.timeline.Capacity().CPU; !slices.Contains(sizes, n) {
 			sizes = append(sizes, n) // as many as there are types
 		}
 	}
@@ -192,7 +194,7 @@
 			if left <= 0 {
 				return
 			}
-			if m.tl.Capacity().CPU == n && m.usable() && m.reported {
+			if m.timeline.Capacity().CPU == n && m.usable() && m.reported {
 				m.warm = min(left, n/4)
 				left -= m.warm
 			}
@@ -200,8 +202,8 @@
 	}
 }
 
-// from is when tasks can start on the machine at the earliest.
-func (c *Core) from(m *machine) time.Time {
+// earliestStart is when tasks can start on the machine at the earliest.
+func (c *Core) earliestStart(m *machine) time.Time {
 	if !m.reported && m.readyAt.After(c.now) {
 		return m.readyAt
 	}
@@ -211,43 +213,43 @@
 // slot offers the latest start on the machine that meets the deadline, or the
 // earliest fit for a job that has none to meet.
 func (c *Core) slot(j *job, m *machine, length time.Duration, by time.Time, dated bool) (time.Time, bool) {
-	from := c.from(m)
+	from := c.earliestStart(m)
 	if dated {
-		return m.tl.Latest(from, by, length, j.need)
+		return m.timeline.Latest(from, by, length, j.need)
 	}
-	return m.tl.Earliest(from, length, j.need)
+	return m.timeline.Earliest(from, length, j.need)
 }
 
-// slotOffer is the slot that a machine offers for a task of a job.
-type slotOffer struct {
-	m      *machine
-	start  time.Time
-	length time.Duration
-	at     int // the machine's place in the fleet
+// placementOffer is the slot that a machine offers for a task of a job.
+type placementOffer struct {
+	machine    *machine
+	start      time.Time
+	length     time.Duration
+	fleetIndex int // the machine's place in the fleet
 }
 
-// slotOffers is the offers for one job, the best on top: the latest start, or
+// placementOffers is the offers for one job, the best on top: the latest start, or
 // the earliest for a job that has no deadline to meet; among ties the machine
 // with the most free room now.
-type slotOffers struct {
-	list  []slotOffer
+type placementOffers struct {
+	list  []placementOffer
 	dated bool
 }
 
-func (s *slotOffers) Len() int      { return len(s.list) }
-func (s *slotOffers) Swap(i, j int) { s.list[i], s.list[j] = s.list[j], s.list[i] }
-func (s *slotOffers) Less(i, j int) bool {
+func (s *placementOffers) Len() int      { return len(s.list) }
+func (s *placementOffers) Swap(i, j int) { s.list[i], s.list[j] = s.list[j], s.list[i] }
+func (s *placementOffers) Less(i, j int) bool {
 	a, b := &s.list[i], &s.list[j]
 	if x := a.start.Compare(b.start); x != 0 {
 		return x > 0 == s.dated
 	}
-	if x, y := a.m.room().CPU, b.m.room().CPU; x != y {
+	if x, y := a.machine.room().CPU, b.machine.room().CPU; x != y {
 		return x > y
 	}
-	return a.at < b.at
+	return a.fleetIndex < b.fleetIndex
 }
-func (s *slotOffers) Push(x any) { s.list = append(s.list, x.(slotOffer)) }
-func (s *slotOffers) Pop() any {
+func (s *placementOffers) Push(x any) { s.list = append(s.list, x.(placementOffer)) }
+func (s *placementOffers) Pop() any {
 	last := s.list[len(s.list)-1]
 	s.list = s.list[:len(s.list)-1]
 	return last
@@ -255,60 +257,60 @@
 
 // offers asks every machine once. Booking a task changes the offer of its own
 // machine only, so the rest of an array costs no further search.
-func (c *Core) offers(j *job, base time.Duration, by time.Time, dated bool) (s *slotOffers, anyMachine bool) {
+func (c *Core) offers(j *job, base time.Duration, by time.Time, dated bool) (s *placementOffers, anyMachine bool) {
 	l := c.leadership
-	s = &slotOffers{list: l.offers[:0], dated: dated}
+	s = &placementOffers{list: l.offerBuffer[:0], dated: dated}
 	for i, m := range l.fleet {
-		if !m.eligible(j) {
+		if !m.eligibleFor(j) {
 			continue
 		}
 		anyMachine = true
-		d := lengthOn(j, m, base)
+		d := occupancyOn(j, m, base)
 		if at, ok := c.slot(j, m, d, by, dated); ok {
-			s.list = append(s.list, slotOffer{m, at, d, i})
+			s.list = append(s.list, placementOffer{m, at, d, i})
 		}
 	}
-	l.offers = s.list
+	l.offerBuffer = s.list
 	heap.Init(s)
 	return s, anyMachine
 }
 
-// book reserves room for the job's waiting tasks: each time on the machine that
+// reserve reserves room for the job's waiting tasks: each time on the machine that
 // offers the latest feasible start, among ties the one with the most free room
 // now. When an aim that takes all tasks is out of reach for one of them, the
 // others give their slots back and the next aim is tried; a job with none left
 // takes the earliest fit.
-func (c *Core) book(j *job) {
+func (c *Core) reserve(j *job) {
 	l := c.leadership
-	n := min(j.waiting, window) - j.booked
+	n := min(j.waiting, reservationWindow) - j.reserved
 	if j.halted() || n <= 0 {
 		return
 	}
-	defer l.queue.place(j)
-	base := c.stretched(j)
+	defer l.queue.reposition(j)
+	base := c.paddedEstimate(j)
 	a, dated := c.aim(j, base)
 	offers, anyMachine := c.offers(j, base, a.by, dated)
-	for ; n > 0; n = min(j.waiting, window) - j.booked {
+	for ; n > 0; n = min(j.waiting, reservationWindow) - j.reserved {
 		if len(offers.list) == 0 {
 			if !dated || !anyMachine {
 				break
 			}
 			j.missed = a.by
 			if a.whole {
-				c.unbook(j)
+				c.dropReservations(j)
 			}
 			a, dated = c.aim(j, base)
 			offers, anyMachine = c.offers(j, base, a.by, dated)
 			continue
 		}
 		o := &offers.list[0]
-		k := max(o.m.tl.Count(o.start, o.length, j.need, n), 1)
+		k := max(o.machine.timeline.Count(o.start, o.length, j.need, n), 1)
 		var back, each time.Duration
-		if !dated && (c.yields(j, o.length) || c.aimless(j)) {
-			back, each = c.standsBack(j, o.start)
+		if !dated && (c.yieldsWhenLate(j, o.length) || c.aimless(j)) {
+			back, each = c.queueYield(j, o.start)
 		}
-		c.addBooking(&booking{timeline.Booking{Start: o.start, End: o.start.Add(o.length), Need: j.need, Count: k}, j, o.m, back, each})
-		if at, ok := c.slot(j, o.m, o.length, a.by, dated); ok {
+		c.addReservation(&reservation{timeline.Booking{Start: o.start, End: o.start.Add(o.length), Need: j.need, Count: k}, j, o.machine, back, each})
+		if at, ok := c.slot(j, o.machine, o.length, a.by, dated); ok {
 			o.start = at
 			heap.Fix(offers, 0)
 		} else {
@@ -321,14 +323,14 @@
 		if dated {
 			at = a.by.Add(-base)
 		}
-		c.addBooking(&booking{timeline.Booking{Start: at, End: at.Add(max(base, time.Second)), Need: j.need, Count: n}, j, nil, 0, 0})
+		c.addReservation(&reservation{timeline.Booking{Start: at, End: at.Add(max(base, time.Second)), Need: j.need, Count: n}, j, nil, 0, 0})
 	}
 }
 
-// yields reports whether a task that takes so long and has no aim left stands
+// yieldsWhenLate reports whether a task that takes so long and has no aim left stands
 // back. What was never going to be in time does not: its tasks are long, and
 // begun late they would keep machines up when all else is over.
-func (c *Core) yields(j *job, length time.Duration) bool {
+func (c *Core) yieldsWhenLate(j *job, length time.Duration) bool {
 	_, ok := c.aimFrom(j, j.submitted, j.submitted.Add(length*11/10), length)
 	return ok
 }
@@ -342,31 +344,31 @@
 	scarceWeight = 40
 )
 
-// standsBack is by how much a task that has no aim left, and could start at a time,
+// queueYield is by how much a task that has no aim left, and could start at a time,
 // stands back in the queue. While machines are scarce those jobs go before others that
 // need the least: most of them are then served, and what is begun is finished before more
 // is. Each going on a little, hardly any would end. Whatever has an aim to meet goes
 // before them all, and a job's turn comes nearer as it waits, so that none starves.
-func (c *Core) standsBack(j *job, start time.Time) (back, each time.Duration) {
+func (c *Core) queueYield(j *job, start time.Time) (back, each time.Duration) {
 	rent := &c.leadership.rent
 	if rent.backlog < scarceBacklog || rent.cpus <= 0 {
-		return lateYield, 0
+		return lateQueueYield, 0
 	}
 	each = timeline.Seconds(scarceWeight * float64(j.need.CPU) / 1000 * c.estimate(j).Seconds() / rent.cpus)
-	return lateYield + time.Duration(j.waiting)*each - start.Sub(c.now), each
+	return lateQueueYield + time.Duration(j.waiting)*each - start.Sub(c.now), each
 }
 
-// stepUp moves a job of which n more tasks have begun up in the queue, if it stands back by its length.
-func (c *Core) stepUp(j *job, n int) {
+// advanceInQueue moves a job of which n more tasks have begun up in the queue, if it stands back by its length.
+func (c *Core) advanceInQueue(j *job, n int) {
 	moved := false
-	for _, b := range j.books {
-		if b.each > 0 {
-			b.back -= time.Duration(n) * b.each
+	for _, b := range j.reservations {
+		if b.yieldPerTask > 0 {
+			b.yield -= time.Duration(n) * b.yieldPerTask
 			moved = true
 		}
 	}
 	if moved {
-		c.leadership.queue.place(j)
+		c.leadership.queue.reposition(j)
 	}
 }
 
@@ -383,161 +385,161 @@
 	return none
 }
 
-// addBooking adds a booking, in the order of the job's others; the job's place
+// addReservation adds a booking, in the order of the job's others; the job's place
 // in the queue is for the caller to see to.
-func (c *Core) addBooking(b *booking) {
+func (c *Core) addReservation(b *reservation) {
 	j := b.job
-	i := sort.Search(len(j.books), func(i int) bool { return b.turn().Before(j.books[i].turn()) })
-	j.books = slices.Insert(j.books, i, b)
-	j.booked += b.Count
-	if b.m != nil {
-		b.m.tl.Add(&b.Booking)
-		b.m.books = append(b.m.books, b)
+	i := sort.Search(len(j.reservations), func(i int) bool { return b.queueTime().Before(j.reservations[i].queueTime()) })
+	j.reservations = slices.Insert(j.reservations, i, b)
+	j.reserved += b.Count
+	if b.machine != nil {
+		b.machine.timeline.Add(&b.Booking)
+		b.machine.reservations = append(b.machine.reservations, b)
 	}
 }
 
-// bookSoon has the job's waiting tasks booked once the input at hand has been
+// reserveSoon has the job's waiting tasks booked once the input at hand has been
 // taken in: a lost machine returns many tasks of a job at once.
-func (c *Core) bookSoon(j *job) {
-	if !j.unplaced {
-		j.unplaced = true
-		c.leadership.unplaced = append(c.leadership.unplaced, j)
+func (c *Core) reserveSoon(j *job) {
+	if !j.reservationPending {
+		j.reservationPending = true
+		c.leadership.unscheduled = append(c.leadership.unscheduled, j)
 	}
 }
 
-// bookUnplaced books what bookSoon was called for.
-func (c *Core) bookUnplaced() {
+// reserveUnscheduled books what reserveSoon was called for.
+func (c *Core) reserveUnscheduled() {
 	l := c.leadership
 	// Most tasks of earlier jobs run somewhere, and their machines are about to say so:
 	// booked before that, they would be booked for nothing.
 	early := !l.allAccounted() && 10*len(l.unaccounted) > len(l.fleet) && c.now.Sub(l.electedAt) < c.report
-	visits, booked, left := 0, 0, l.unplaced[:0]
-	for _, j := range l.unplaced {
-		if early && j.earlier || visits >= visitsMost {
+	visits, booked, left := 0, 0, l.unscheduled[:0]
+	for _, j := range l.unscheduled {
+		if early && j.earlier || visits >= maxVisitsPerStep {
 			left = append(left, j)
 			continue
 		}
-		j.unplaced = false
-		c.book(j)
+		j.reservationPending = false
+		c.reserve(j)
 		booked++
 		visits += 1 + len(l.fleet)
 	}
-	clear(l.unplaced[len(left):])
-	if l.unplaced = left; booked > 0 {
+	clear(l.unscheduled[len(left):])
+	if l.unscheduled = left; booked > 0 {
 		l.dirty = true
 	}
-	if len(left) > 0 && visits >= visitsMost && !l.placing {
-		l.placing = true
-		c.afterWhileLeading(0, func() { l.placing = false }) // and on in the step after it
+	if len(left) > 0 && visits >= maxVisitsPerStep && !l.schedulingContinues {
+		l.schedulingContinues = true
+		c.afterWhileLeading(0, func() { l.schedulingContinues = false }) // and on in the step after it
 	}
 }
 
-// visitsMost bounds how many machines are asked for slots in a row. A take-over, or a
+// maxVisitsPerStep bounds how many machines are asked for slots in a row. A take-over, or a
 // zone that is lost, has hundreds of jobs booked on thousands of machines: done in one
 // step, that outlasts the leader's grant on a small share of a processor, and the next
 // leader's as well, and so on for ever.
-const visitsMost = 1 << 14
+const maxVisitsPerStep = 1 << 14
 
-// drop takes a booking away whole.
-func (c *Core) drop(b *booking) {
+// dropReservation takes a booking away whole.
+func (c *Core) dropReservation(b *reservation) {
 	j := b.job
-	j.booked -= b.Count
-	if i := slices.Index(j.books, b); i >= 0 {
-		j.books = slices.Delete(j.books, i, i+1)
+	j.reserved -= b.Count
+	if i := slices.Index(j.reservations, b); i >= 0 {
+		j.reservations = slices.Delete(j.reservations, i, i+1)
 	}
-	if b.m != nil {
-		b.m.tl.Remove(&b.Booking)
-		if i := slices.Index(b.m.books, b); i >= 0 {
-			b.m.books = slices.Delete(b.m.books, i, i+1)
+	if b.machine != nil {
+		b.machine.timeline.Remove(&b.Booking)
+		if i := slices.Index(b.machine.reservations, b); i >= 0 {
+			b.machine.reservations = slices.Delete(b.machine.reservations, i, i+1)
 		}
 	}
 	b.Count = 0
-	c.leadership.queue.place(j)
+	c.leadership.queue.reposition(j)
 }
 
-// use takes one task off a booking.
-func (c *Core) use(b *booking) {
+// consumeReservation takes one task off a booking.
+func (c *Core) consumeReservation(b *reservation) {
 	if b.Count == 1 {
-		c.drop(b)
+		c.dropReservation(b)
 		return
 	}
 	b.Count--
-	b.job.booked--
-	if b.m != nil {
-		b.m.tl.Touch()
+	b.job.reserved--
+	if b.machine != nil {
+		b.machine.timeline.Touch()
 	}
 }
 
-// unbook drops all bookings of a job.
-func (c *Core) unbook(j *job) {
-	for len(j.books) > 0 {
-		c.drop(j.books[len(j.books)-1])
+// dropReservations drops all bookings of a job.
+func (c *Core) dropReservations(j *job) {
+	for len(j.reservations) > 0 {
+		c.dropReservation(j.reservations[len(j.reservations)-1])
 	}
 }
 
-// unbookOne drops the booking of a task that no longer waits.
-func (c *Core) unbookOne(j *job) {
-	if j.booked > j.waiting {
-		c.use(j.books[len(j.books)-1])
+// dropExcessReservation drops the booking of a task that no longer waits.
+func (c *Core) dropExcessReservation(j *job) {
+	if j.reserved > j.waiting {
+		c.consumeReservation(j.reservations[len(j.reservations)-1])
 	}
 }
 
-// unbookMachine books elsewhere what waits for the machine.
-func (c *Core) unbookMachine(m *machine) {
-	for len(m.books) > 0 {
-		b := m.books[len(m.books)-1]
-		c.drop(b)
-		c.bookSoon(b.job)
+// dropMachineReservations books elsewhere what waits for the machine.
+func (c *Core) dropMachineReservations(m *machine) {
+	for len(m.reservations) > 0 {
+		b := m.reservations[len(m.reservations)-1]
+		c.dropReservation(b)
+		c.reserveSoon(b.job)
 	}
 }
 
 const (
-	// rebookMost is how many jobs are looked at again at a time, at the most.
-	rebookMost = 24
-	// rebookVisits is how many machines may be asked for that in a second, for a whole
+	// maxRereserve is how many jobs are looked at again at a time, at the most.
+	maxRereserve = 24
+	// rereserveVisitsPerSecond is how many machines may be asked for that in a second, for a whole
 	// core: about a fifth of its time. With a long queue on a full fleet all of it is due
 	// all the time, and little comes of it; reports, users and the grant go first.
-	rebookVisits = 120_000
-	// rebookEvery is how often one job is looked at again.
-	rebookEvery = 2 * time.Second
+	rereserveVisitsPerSecond = 120_000
+	// rereserveInterval is how often one job is looked at again.
+	rereserveInterval = 2 * time.Second
 )
 
-// rebookLimit is how many jobs are looked at again in one look of the leader's: each asks
+// rereserveLimit is how many jobs are looked at again in one look of the leader's: each asks
 // every machine.
-func (c *Core) rebookLimit() int {
+func (c *Core) rereserveLimit() int {
 	share := c.cfg.Settings.Limits.CPUShare
 	if share <= 0 {
 		share = 1 // no limit
 	}
-	visits := share * rebookVisits * tickEvery.Seconds()
-	return min(rebookMost, max(2, int(visits)/max(1, len(c.leadership.fleet))))
+	visits := share * rereserveVisitsPerSecond * tickEvery.Seconds()
+	return min(maxRereserve, max(2, int(visits)/max(1, len(c.leadership.fleet))))
 }
 
-// rebook finds new slots for jobs that have bookings whose time has come without
+// rereserve finds new slots for jobs that have bookings whose time has come without
 // room, or none on a machine. A few at a time: it is the costliest thing we do.
-func (c *Core) rebook(limit int) {
+func (c *Core) rereserve(limit int) {
 	var due []*job
 	for _, j := range c.leadership.queue {
 		if len(due) >= limit {
 			break
 		}
-		if b := j.books[0]; (b.m == nil || b.Start.Before(c.now.Add(-300*time.Millisecond))) && c.now.Sub(j.rebooked) > rebookEvery {
-			j.rebooked = c.now
+		if b := j.reservations[0]; (b.machine == nil || b.Start.Before(c.now.Add(-300*time.Millisecond))) && c.now.Sub(j.lastRereserved) > rereserveInterval {
+			j.lastRereserved = c.now
 			due = append(due, j)
 		}
 	}
 	for _, j := range due {
 		if !j.halted() {
-			c.unbook(j)
+			c.dropReservations(j)
 			j.missed = time.Time{} // room may have come free: look at all aims again
-			c.book(j)
+			c.reserve(j)
 		}
 	}
 }
 
-// placeRoom says how many more tasks of the job may be on the machine now, given
+// topologyRoom says how many more tasks of the job may be on the machine now, given
 // where its others are, or may be.
-func (c *Core) placeRoom(j *job, m *machine, n int) int {
+func (c *Core) topologyRoom(j *job, m *machine, n int) int {
 	if len(j.places.Rules) == 0 {
 		return n
 	}
@@ -553,12 +555,12 @@
 // couldStart reports whether a task of the job may start now wherever it fits.
 func (c *Core) couldStart(j *job) bool { return c.mayStart(j) && j.team.room(j.need, 1) > 0 }
 
-// overdueMost is how many jobs at a time have a first task started ahead of their turn.
-const overdueMost = 64
+// maxOverdueJobs is how many jobs at a time have a first task started ahead of their turn.
+const maxOverdueJobs = 64
 
-// lookForOverdue finds the jobs of which nothing has run for long after they were submitted.
+// findOverdue finds the jobs of which nothing has run for long after they were submitted.
 // By their turn they might not begin for as long as smaller and more pressing ones come.
-func (c *Core) lookForOverdue(within time.Duration) {
+func (c *Core) findOverdue(within time.Duration) {
 	l := c.leadership
 	l.overdue = l.overdue[:0]
 	for _, j := range l.queue {
@@ -567,7 +569,7 @@
 		}
 	}
 	slices.SortStableFunc(l.overdue, func(a, b *job) int { return a.submitted.Compare(b.submitted) })
-	l.overdue = l.overdue[:min(len(l.overdue), overdueMost)]
+	l.overdue = l.overdue[:min(len(l.overdue), maxOverdueJobs)]
 }
 
 // startOverdue starts a first task of jobs that have waited for long, one each, as far as
@@ -575,31 +577,31 @@
 func (c *Core) startOverdue(m *machine) (os []Order, blocked bool) {
 	l := c.leadership
 	for _, j := range l.overdue {
-		if len(j.books) == 0 || len(j.runs) > 0 || !m.eligible(j) || !c.mayStart(j) || j.team.room(j.need, 1) == 0 || c.placeRoom(j, m, 1) == 0 ||
+		if len(j.reservations) == 0 || len(j.runs) > 0 || !m.eligibleFor(j) || !c.mayStart(j) || j.team.room(j.need, 1) == 0 || c.topologyRoom(j, m, 1) == 0 ||
 			l.guarantees && j.team.guaranteed(j.need, 1) == 0 || m.suspect && len(m.runs) > 0 {
 			continue
 		}
 		if !j.need.Fits(m.room()) {
-			blocked = blocked || m.bookedFor(j)
+			blocked = blocked || m.hasReservationOf(j)
 			continue
 		}
-		b := j.books[0]
+		b := j.reservations[0]
 		os = append(os, c.start(b, m))
-		if b.each > 0 {
-			c.stepUp(j, 1)
+		if b.yieldPerTask > 0 {
+			c.advanceInQueue(j, 1)
 		}
 	}
 	return os, blocked
 }
 
-// barredMost is how many jobs one reply finds in the way of something larger before it
+// maxBlockedJobs is how many jobs one reply finds in the way of something larger before it
 // leaves the rest of the queue to later ones. Each look goes over the machine's timeline:
 // with hundreds of small jobs waiting on full machines (a guest's many single tasks) that
 // took most of a leader's processor share, and users' calls waited for seconds.
-const barredMost = 8
+const maxBlockedJobs = 8
 
-// startsMost is how many tasks one reply starts at the most, or a few more.
-const startsMost = 256
+// maxStartsPerReply is how many tasks one reply starts at the most, or a few more.
+const maxStartsPerReply = 256
 
 // startOn starts booked tasks on the machine in timeline order while they fit,
 // ahead of their time if need be, wherever they were booked: a machine with
@@ -607,7 +609,7 @@
 func (c *Core) startOn(m *machine) []Order {
 	l := c.leadership
 	room := m.room()
-	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.in.Takes() || c.now.Before(m.retryAt) || l.unaccounted[m.host] || l.attempts > maxAttempts-startsMost {
+	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.in.Takes() || c.now.Before(m.retryAt) || l.unaccounted[m.host] || l.attempts > maxAttempts-maxStartsPerReply {
 		return nil
 	}
 	os, blocked := c.startOverdue(m)
@@ -615,7 +617,7 @@
 	var barred []timeline.Booking // what has been found to stand in its way
 	// What lies within a team's guarantee goes first: borrowing is for what is
 	// left unused.
-	for borrowing, i := !l.guarantees, 0; room.CPU > 0 && len(os) < startsMost; {
+	for borrowing, i := !l.guarantees, 0; room.CPU > 0 && len(os) < maxStartsPerReply; {
 		if i >= len(l.queue) {
 			if borrowing {
 				break
@@ -625,7 +627,7 @@
 		}
 		j := l.queue[i]
 		i++
-		if !borrowing && j.team.guaranteed(j.need, 1) == 0 || !m.eligible(j) || !c.mayStart(j) {
+		if !borrowing && j.team.guaranteed(j.need, 1) == 0 || !m.eligibleFor(j) || !c.mayStart(j) {
 			continue
 		}
 		if m.suspect && len(m.runs) > 0 {
@@ -635,31 +637,31 @@
 		if m.warm > 0 && !j.prompt {
 			have.CPU -= m.warm
 		}
-		b := c.firstFor(j, m)
+		b := c.nextReservationFor(j, m)
 		if b == nil {
 			continue // better started elsewhere, where its image is
 		}
 		n := j.need.Times(have, b.Count)
 		if n == 0 {
-			blocked = blocked || m.bookedFor(j)
+			blocked = blocked || m.hasReservationOf(j)
 			continue
 		}
 		if blocked {
 			// Something larger waits here for its slot: start only what does
 			// not stand in its way.
-			d := c.length(j, m)
-			if b.m != m && slices.ContainsFunc(barred, func(x timeline.Booking) bool { return x.Need.Fits(j.need) && !x.End.After(c.now.Add(d)) }) {
+			d := c.occupancy(j, m)
+			if b.machine != m && slices.ContainsFunc(barred, func(x timeline.Booking) bool { return x.Need.Fits(j.need) && !x.End.After(c.now.Add(d)) }) {
 				continue // more, or for longer, than what did
 			}
-			if b.m == m {
-				m.tl.Remove(&b.Booking)
+			if b.machine == m {
+				m.timeline.Remove(&b.Booking)
 			}
-			n = m.tl.Count(c.now, d, j.need, n)
-			if b.m == m {
-				m.tl.Add(&b.Booking)
+			n = m.timeline.Count(c.now, d, j.need, n)
+			if b.machine == m {
+				m.timeline.Add(&b.Booking)
 			}
 			if n == 0 {
-				if barred = append(barred, timeline.Booking{Need: j.need, End: c.now.Add(d)}); len(barred) >= barredMost {
+				if barred = append(barred, timeline.Booking{Need: j.need, End: c.now.Add(d)}); len(barred) >= maxBlockedJobs {
 					break
 				}
 				continue
@@ -671,7 +673,7 @@
 		if !borrowing {
 			n = j.team.guaranteed(j.need, n)
 		}
-		n = c.placeRoom(j, m, n)
+		n = c.topologyRoom(j, m, n)
 		if m.suspect || j.failures > 0 && !j.any {
 			n = min(n, max(0, 1-len(j.runs)))
 		}
@@ -686,11 +688,11 @@
 		if whole {
 			i-- // the job has moved on to its next booking, or left the queue
 		}
-		if b.each > 0 {
-			c.stepUp(j, n)
+		if b.yieldPerTask > 0 {
+			c.advanceInQueue(j, n)
 		}
-		if j.waiting > j.booked && j.booked < window/2 {
-			c.bookSoon(j)
+		if j.waiting > j.reserved && j.reserved < reservationWindow/2 {
+			c.reserveSoon(j)
 		}
 		if m.suspect {
 			break
@@ -699,18 +701,18 @@
 	return os
 }
 
-// firstFor returns the job's first booking that the machine may serve. A machine
+// nextReservationFor returns the job's first booking that the machine may serve. A machine
 // that lacks the image leaves alone what is booked on one that has both the
 // image and the room, and at first what waits for any that has the image.
-func (c *Core) firstFor(j *job, m *machine) *booking {
+func (c *Core) nextReservationFor(j *job, m *machine) *reservation {
 	if m.images.Contains(j.spec.Image) {
-		return j.books[0]
+		return j.reservations[0]
 	}
-	if c.now.Before(j.localTill) {
+	if c.now.Before(j.imageLocalUntil) {
 		return nil
 	}
-	for i, b := range j.books {
-		if b.m == nil || b.m == m || !b.m.ready(j) {
+	for i, b := range j.reservations {
+		if b.machine == nil || b.machine == m || !b.machine.canStartNow(j) {
 			return b
 		}
 		if i >= 16 {
@@ -720,14 +722,14 @@
 	return nil
 }
 
-// localWait is how long a job that must start at once waits for room on a
+// imageLocalityWait is how long a job that must start at once waits for room on a
 // machine that has its image. On a busy fleet room comes free many times a
 // second, and the fetch that a start elsewhere needs takes longer than that.
-const localWait = 700 * time.Millisecond
+const imageLocalityWait = 700 * time.Millisecond
 
-// preferLocal has a new job wait for machines that have its image, if there
+// preferImageLocality has a new job wait for machines that have its image, if there
 // are enough of them.
-func (c *Core) preferLocal(j *job) {
+func (c *Core) preferImageLocality(j *job) {
 	if !j.prompt {
 		return
 	}
@@ -735,33 +737,33 @@
 	have := int64(0)
 	for _, m := range l.fleet {
 		if m.images.Contains(j.spec.Image) {
-			have += m.tl.Capacity().CPU
+			have += m.timeline.Capacity().CPU
 		}
 	}
 	if have < 4*int64(j.spec.Tasks)*j.need.CPU {
 		return
 	}
-	j.localTill = c.now.Add(localWait)
-	c.afterWhileLeading(localWait, func() { l.dirty = true })
+	j.imageLocalUntil = c.now.Add(imageLocalityWait)
+	c.afterWhileLeading(imageLocalityWait, func() { l.dirty = true })
 }
 
-// bookedFor reports whether tasks of the job are booked on the machine.
-func (m *machine) bookedFor(j *job) bool {
-	return slices.ContainsFunc(m.books, func(b *booking) bool { return b.job == j })
+// hasReservationOf reports whether tasks of the job are booked on the machine.
+func (m *machine) hasReservationOf(j *job) bool {
+	return slices.ContainsFunc(m.reservations, func(b *reservation) bool { return b.job == j })
 }
 
-// ready reports whether the job's tasks could start on the machine right away.
-func (m *machine) ready(j *job) bool {
+// canStartNow reports whether the job's tasks could start on the machine right away.
+func (m *machine) canStartNow(j *job) bool {
 	return m.reported && m.usable() && m.images.Contains(j.spec.Image) && j.need.Fits(m.room())
 }
 
 // start orders one task of a booking to start on a machine. The order goes out
 // with the reply to the machine's last report.
-func (c *Core) start(b *booking, m *machine) Order {
+func (c *Core) start(b *reservation, m *machine) Order {
 	l := c.leadership
 	j := b.job
 	i := j.pending.first()
-	c.use(b)
+	c.consumeReservation(b)
 	j.pending.clear(i)
 	j.waiting--
 	// Attempts rise across terms as well: the term comes first.
@@ -780,8 +782,8 @@
 	run := timeline.Seconds(c.estimateSpec(s).Seconds() * (1 + l.margin))
 	best := time.Duration(1<<63 - 1)
 	for _, m := range l.fleet {
-		if m.eligible(j) {
-			if t, ok := m.tl.Earliest(c.from(m), run, j.need); ok {
+		if m.eligibleFor(j) {
+			if t, ok := m.timeline.Earliest(c.earliestStart(m), run, j.need); ok {
 				best = min(best, t.Add(run).Sub(c.now))
 			}
 		}
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -51,8 +51,8 @@
 	submit := func(id int) *job {
 		j := newJob(c, id, 2, rand.New(rand.NewPCG(1, 1)))
 		j.prompt = true
-		c.preferLocal(j)
-		c.book(j)
+		c.preferImageLocality(j)
+		c.reserve(j)
 		return j
 	}
 	submit(1)
@@ -69,7 +69,7 @@
 	if os := c.startOn(m); len(os) != 0 {
 		t.Errorf("started %v where the image is not", os)
 	}
-	c.now = c.now.Add(localWait)
+	c.now = c.now.Add(imageLocalityWait)
 	if c.startOn(m); j.waiting != 0 {
 		t.Errorf("%d tasks still wait", j.waiting)
 	}
@@ -93,7 +93,7 @@
 			j := newJob(c, i, 1, rng)
 			j.spec.CPUs, j.spec.HasDeadline, j.spec.Class, j.spec.Image, j.spec.Runtime = cpus, false, "x", "img0", time.Hour
 			j.need, j.submitted, j.any = j.spec.Need(), t0.Add(submitted), true
-			c.book(j)
+			c.reserve(j)
 		}
 		m.images.Add("img0", struct{}{})
 		c.now = t0
@@ -137,7 +137,7 @@
 		waits := newJob(c, 2, 1, rng)
 		waits.spec.Owner, waits.team = "u", c.leadership.teams["u"]
 		waits.submitted = t0.Add(-time.Minute)
-		c.book(waits)
+		c.reserve(waits)
 		c.giveBack()
 		if stopped := m.runs[0].stop; stopped != (phase == Pulling) {
 			t.Errorf("found %s: stopped %v", phase, stopped)
@@ -146,7 +146,7 @@
 		rep.Counter++
 		rep.Tasks[0] = TaskReport{Task: TaskID{Job: long.spec.ID}, Try: 1, Phase: Exited, Cause: CauseDone}
 		c.learn(m, &rep)
-		if seen := c.leadership.est.of(&long.spec) != nil; seen != (phase == Pulling) {
+		if seen := c.leadership.runtimes.of(&long.spec) != nil; seen != (phase == Pulling) {
 			t.Errorf("found %s: counts for estimates %v", phase, seen)
 		}
 	}
@@ -160,27 +160,27 @@
 	add := func(id int, class string, urgency Urgency) *job {
 		j := newJob(c, id, 1, rng)
 		j.spec.Class, j.spec.HasDeadline, j.spec.Urgency = class, false, urgency
-		c.book(j)
+		c.reserve(j)
 		return j
 	}
 	guest, dear := add(1, "x", Idle), add(2, "x", Standard)
 	late := add(3, "c", Idle)
 	late.missed = t0.Add(time.Hour)
-	c.unbook(late)
-	c.book(late)
-	if guest.turn.Before(late.turn) || !dear.turn.Before(late.turn) {
-		t.Errorf("turns: aimless idle %v, aimless %v, late %v", guest.turn.Sub(t0), dear.turn.Sub(t0), late.turn.Sub(t0))
+	c.dropReservations(late)
+	c.reserve(late)
+	if guest.queueTime.Before(late.queueTime) || !dear.queueTime.Before(late.queueTime) {
+		t.Errorf("turns: aimless idle %v, aimless %v, late %v", guest.queueTime.Sub(t0), dear.queueTime.Sub(t0), late.queueTime.Sub(t0))
 	}
 }
 
 // TestRebookLimit: looking again at what is booked takes a bounded part of the processor
 // share, whatever the fleet and the queue, and one job has its turn every while only.
 func TestRebookLimit(t *testing.T) {
-	for machines, want := range map[int]int{100: rebookMost, 700: 14, 1300: 7, 2600: 3, 20000: 2} {
+	for machines, want := range map[int]int{100: maxRereserve, 700: 14, 1300: 7, 2600: 3, 20000: 2} {
 		c := leaderOf(t, 1)
 		c.cfg.Settings.Limits.CPUShare = 0.168
 		c.leadership.fleet = make([]*machine, machines)
-		if n := c.rebookLimit(); n != want {
+		if n := c.rereserveLimit(); n != want {
 			t.Errorf("%d machines: %d jobs at a time, not %d", machines, n, want)
 		}
 	}
@@ -188,29 +188,29 @@
 	rng := testRand()
 	for i := range 40 {
 		j := newJob(c, i, 50, rng)
-		c.book(j)
+		c.reserve(j)
 	}
 	c.now = c.now.Add(time.Hour) // all is due
 	looked := func() (n int) {
 		for _, j := range c.leadership.jobs {
-			if j.rebooked.Equal(c.now) {
+			if j.lastRereserved.Equal(c.now) {
 				n++
 			}
 		}
 		return n
 	}
-	c.rebook(10)
+	c.rereserve(10)
 	if n := looked(); n != 10 {
 		t.Fatalf("%d jobs are looked at", n)
 	}
 	first := map[*job]bool{}
 	for _, j := range c.leadership.jobs {
-		first[j] = j.rebooked.Equal(c.now)
+		first[j] = j.lastRereserved.Equal(c.now)
 	}
 	c.now = c.now.Add(tickEvery)
-	c.rebook(10)
+	c.rereserve(10)
 	for j, was := range first {
-		if was && j.rebooked.Equal(c.now) {
+		if was && j.lastRereserved.Equal(c.now) {
 			t.Errorf("job %s is looked at again at once", j.spec.ID)
 		}
 	}
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -185,7 +185,7 @@
 	m := c.leadership.fleet[0]
 	j := newJob(c, 1, 1, testRand())
 	j.spec.Class, j.any = "c", true
-	c.book(j)
+	c.reserve(j)
 	rep := reportOf(m)
 	send := func(session, number, ref uint64, f *relay.Fold, r Report) (orders int, answered bool) {
 		for _, o := range c.Step(c.now.Add(time.Second), PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: 1, Reports: f.Batch([]relay.Item{f.Item(ref, &r)}, nil)}}) {
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -175,7 +175,7 @@
 	}
 	m.releasing = true
 	c.leadership.rent.releases = append(c.leadership.rent.releases, m.host)
-	c.unbookMachine(m)
+	c.dropMachineReservations(m)
 }
 
 func (c *Core) pumpReleases() {
@@ -238,7 +238,7 @@
 	secs := timeline.Seconds
 	l.holdIdle, l.holdBusy = secs(c.pol.HoldIdle(e)), secs(c.pol.HoldBusy(e))
 	l.margin, l.reportBudget = c.pol.Margin(e), c.pol.ReportBytes(e)
-	c.lookForOverdue(secs(c.pol.BeginWithin(e)))
+	c.findOverdue(secs(c.pol.BeginWithin(e)))
 	silent, idle := secs(c.pol.SilentRelease(e)), secs(c.pol.IdleReturn(e))
 	if !c.canAct() {
 		return
@@ -279,7 +279,7 @@
 	c.keepWarm(c.pol.Warm(e))
 	c.giveBack()
 	c.consolidate()
-	c.rebook(c.rebookLimit())
+	c.rereserve(c.rereserveLimit())
 	// Releases go first: a take-over may wait for one, and rentals use up what
 	// calls the cloud allows for as long as there is a backlog.
 	c.pumpReleases()
@@ -375,7 +375,7 @@
 // wanted reports whether waiting tasks could use the machine.
 func (c *Core) wanted(m *machine) bool {
 	return slices.ContainsFunc(c.leadership.queue, func(j *job) bool {
-		return m.eligible(j) && c.couldStart(j)
+		return m.eligibleFor(j) && c.couldStart(j)
 	})
 }
 
@@ -512,7 +512,7 @@
 		if x := cmp.Compare(dear(b), dear(a)); x != 0 {
 			return x
 		}
-		return cmp.Compare(a.used.CPU*b.tl.Capacity().CPU, b.used.CPU*a.tl.Capacity().CPU)
+		return cmp.Compare(a.used.CPU*b.timeline.Capacity().CPU, b.used.CPU*a.timeline.Capacity().CPU)
 	})
 	reserve := max(c.expected()-used, 0) + 0.1*used + 2
 	most := draining + 1 + len(l.fleet)/drainPart
@@ -527,7 +527,7 @@
 		draining++
 		m.draining = true
 		c.note(slog.LevelInfo, "machine drained", "machine", m.host, "type", m.typeName, "cheap", m.spot, "tasks", len(m.runs))
-		c.unbookMachine(m)
+		c.dropMachineReservations(m)
 	}
 }
 
@@ -598,7 +598,7 @@
 	}
 	// A job that no machine at hand can take needs one of its own.
 	for _, j := range l.queue {
-		if j.books[0].m != nil || j.halted() || slices.ContainsFunc(l.fleet, func(m *machine) bool { return m.eligible(j) }) {
+		if j.reservations[0].machine != nil || j.halted() || slices.ContainsFunc(l.fleet, func(m *machine) bool { return m.eligibleFor(j) }) {
 			continue
 		}
 		if j.spec.Zone != "" && !l.zones.Zone(j.spec.Zone).Rents() {
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -181,7 +181,7 @@
 	m.incarnation, m.counter = 1, 2
 	j := newJob(c, 1, 1, testRand())
 	j.spec.Class, j.any = "c", true
-	c.book(j)
+	c.reserve(j)
 	now := reportOf(m)
 	now.FencingToken = 6
 	c.Step(c.now, ReportIn{Ref: 1, Report: now})
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -80,21 +80,21 @@
 	if j.pending.has(i) {
 		j.pending.clear(i)
 		j.waiting--
-		c.unbookOne(j)
+		c.dropExcessReservation(j)
 	}
 	if len(j.places.Rules) > 0 {
 		c.leadership.tally.Add(j.spec.ID, r.m.leaf, 1)
 	}
 	r.m.used = r.m.used.Add(j.need, 1)
 	j.team.used = j.team.used.Add(j.need, 1)
-	r.slot = &timeline.Booking{Start: c.now, End: c.now.Add(c.length(j, r.m)), Need: j.need, Count: 1}
-	r.m.tl.Add(r.slot)
+	r.slot = &timeline.Booking{Start: c.now, End: c.now.Add(c.occupancy(j, r.m)), Need: j.need, Count: 1}
+	r.m.timeline.Add(r.slot)
 }
 
 // vacate is the reverse of occupy: the task is surely not on the machine.
 func (c *Core) vacate(r *run) {
 	if r.slot != nil {
-		r.m.tl.Remove(r.slot)
+		r.m.timeline.Remove(r.slot)
 		r.slot = nil
 	}
 	if r.stray {
@@ -180,8 +180,8 @@
 			if j != nil {
 				m.images.Add(j.spec.Image, struct{}{})
 				if r.slot != nil {
-					r.slot.End = c.now.Add(c.length(j, m))
-					m.tl.Touch()
+					r.slot.End = c.now.Add(c.occupancy(j, m))
+					m.timeline.Touch()
 				}
 			}
 		}
@@ -243,8 +243,8 @@
 func (c *Core) stretch(m *machine) {
 	for _, r := range m.runs {
 		if r.slot != nil && !r.slot.End.After(c.now) {
-			r.slot.End = c.now.Add(max(c.length(r.job, m)/8, time.Second))
-			m.tl.Touch()
+			r.slot.End = c.now.Add(max(c.occupancy(r.job, m)/8, time.Second))
+			m.timeline.Touch()
 		}
 	}
 }
@@ -272,7 +272,7 @@
 	if m.strikes >= 4 && !m.condemned {
 		m.condemned = true
 		c.note(slog.LevelWarn, "machine condemned", "machine", m.host, "type", m.typeName, "reason", "tasks fail on it that run elsewhere")
-		c.unbookMachine(m)
+		c.dropMachineReservations(m)
 	}
 }
 
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -66,18 +66,18 @@
 // plainBook is book as the paper writes it: every machine is asked for every
 // booking.
 func (c *Core) plainBook(j *job) {
-	base := c.stretched(j)
+	base := c.paddedEstimate(j)
 	a, dated := c.aim(j, base)
-	for n := min(j.waiting, window) - j.booked; n > 0; n = min(j.waiting, window) - j.booked {
+	for n := min(j.waiting, reservationWindow) - j.reserved; n > 0; n = min(j.waiting, reservationWindow) - j.reserved {
 		var back, each time.Duration
 		var best *machine
 		var start time.Time
 		var length time.Duration
 		for _, m := range c.leadership.fleet {
-			if !m.eligible(j) {
+			if !m.eligibleFor(j) {
 				continue
 			}
-			d := c.length(j, m)
+			d := c.occupancy(j, m)
 			s, ok := c.slot(j, m, d, a.by, dated)
 			if ok && (best == nil || s.Equal(start) && best.room().CPU < m.room().CPU || !s.Equal(start) && s.After(start) == dated) {
 				best, start, length = m, s, d
@@ -86,7 +86,7 @@
 		if best == nil && dated {
 			j.missed = a.by
 			if a.whole {
-				c.unbook(j)
+				c.dropReservations(j)
 			}
 			a, dated = c.aim(j, base)
 			continue
@@ -94,12 +94,12 @@
 		if best == nil {
 			return
 		}
-		k := max(best.tl.Count(start, length, j.need, n), 1)
-		if !dated && (c.yields(j, length) || c.aimless(j)) {
-			back, each = c.standsBack(j, start)
+		k := max(best.timeline.Count(start, length, j.need, n), 1)
+		if !dated && (c.yieldsWhenLate(j, length) || c.aimless(j)) {
+			back, each = c.queueYield(j, start)
 		}
-		c.addBooking(&booking{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.need, Count: k}, job: j, m: best, back: back, each: each})
-		c.leadership.queue.place(j)
+		c.addReservation(&reservation{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.need, Count: k}, job: j, machine: best, yield: back, yieldPerTask: each})
+		c.leadership.queue.reposition(j)
 	}
 }
 
@@ -131,16 +131,16 @@
 			tasks := 1 + rng.IntN(300)
 			twin.IntN(300)
 			a, b := newJob(fast, i, tasks, rng), newJob(plain, i, tasks, twin)
-			fast.book(a)
+			fast.reserve(a)
 			plain.plainBook(b)
-			if len(a.books) != len(b.books) {
-				t.Fatalf("seed %d, job %d: %d bookings, plain search has %d", seed, i, len(a.books), len(b.books))
+			if len(a.reservations) != len(b.reservations) {
+				t.Fatalf("seed %d, job %d: %d bookings, plain search has %d", seed, i, len(a.reservations), len(b.reservations))
 			}
-			for k := range a.books {
-				x, y := a.books[k], b.books[k]
-				if x.m.host != y.m.host || !x.Start.Equal(y.Start) || x.Count != y.Count {
+			for k := range a.reservations {
+				x, y := a.reservations[k], b.reservations[k]
+				if x.machine.host != y.machine.host || !x.Start.Equal(y.Start) || x.Count != y.Count {
 					t.Fatalf("seed %d, job %d, booking %d: %s at %v for %d, plain search has %s at %v for %d", seed, i, k,
-						x.m.host, x.Start.Sub(t0), x.Count, y.m.host, y.Start.Sub(t0), y.Count)
+						x.machine.host, x.Start.Sub(t0), x.Count, y.machine.host, y.Start.Sub(t0), y.Count)
 				}
 			}
 		}
@@ -158,7 +158,7 @@
 					c.fill(m)
 				}
 				for i := range jobs {
-					c.book(newJob(c, 1000+i, 100, rng))
+					c.reserve(newJob(c, 1000+i, 100, rng))
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
@@ -203,8 +203,8 @@
 	sizes(b, func(b *testing.B, c *Core, rng *rand.Rand) {
 		j := newJob(c, 1, 1800, rng)
 		for range b.N {
-			c.book(j)
-			c.unbook(j)
+			c.reserve(j)
+			c.dropReservations(j)
 		}
 	})
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -67,7 +67,7 @@
 		}
 		if m.reported {
 			s.Reporting++
-			s.CPUs += float64(m.tl.Capacity().CPU) / 1000
+			s.CPUs += float64(m.timeline.Capacity().CPU) / 1000
 			s.CPUsUsed += float64(m.used.CPU) / 1000
 		}
 	}
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -438,7 +438,7 @@
 		c.ranNow(s, j)
 	}
 	c.arrived(j)
-	c.preferLocal(j)
+	c.preferImageLocality(j)
 	c.jobLoaded(j)
 	return j
 }
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -70,7 +70,7 @@
 		case m.away || m.releasing || heard(m):
 		default:
 			m.away = true
-			c.unbookMachine(m)
+			c.dropMachineReservations(m)
 		}
 	}
 	c.giveBackZones()
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -50,14 +50,14 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	pinned := newJob(c, 1, 50, rng)
 	pinned.spec.Zone = "a"
-	c.book(pinned)
+	c.reserve(pinned)
 	silence(c, 15*time.Second)
 	if z := c.leadership.zones.Zone("a"); z.State != zones.Doubtful {
 		t.Fatal("the zone is", z.State)
 	}
 	for _, m := range c.leadership.fleet {
-		if m.zone == "a" && (m.releasing || m.usable() || len(m.books) > 0) {
-			t.Fatalf("%s: released %v, usable %v, %d bookings", m.host, m.releasing, m.usable(), len(m.books))
+		if m.zone == "a" && (m.releasing || m.usable() || len(m.reservations) > 0) {
+			t.Fatalf("%s: released %v, usable %v, %d bookings", m.host, m.releasing, m.usable(), len(m.reservations))
 		}
 	}
 	if r := c.waitsFor(pinned); !strings.Contains(r, "zone a is doubtful") {
@@ -66,7 +66,7 @@
 	c.out = nil
 	other := newJob(c, 2, 20000, rng)
 	other.spec.Runtime, other.spec.HasDeadline = time.Hour, false
-	c.book(other)
+	c.reserve(other)
 	silence(c, 30*time.Second)
 	if zs := rentals(c); len(zs) == 0 {
 		t.Error("a job that waits for the zone keeps others from renting")
