--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -14,14 +14,14 @@
 
 // job is an accepted job that is not over.
 type job struct {
-	spec      JobSpec
-	need      timeline.Resources
-	submitted time.Time // on the core's clock
-	rec       *JobRecord
-	earlier   bool         // accepted in an earlier term: its tasks may be anywhere
-	places    topology.Job // its rules on places
-	team      *team
-	prompt    bool // must start at once
+	spec         JobSpec
+	need         timeline.Resources
+	submitted    time.Time // on the core's clock
+	rec          *JobRecord
+	earlier      bool         // accepted in an earlier term: its tasks may be anywhere
+	places       topology.Job // its rules on places
+	team         *team
+	startsAtOnce bool // must start at once
 
 	done    bitset       // completed
 	pending bitset       // neither done nor on a machine
@@ -43,7 +43,7 @@
 	failures           int             // since a task last completed
 	retryAt            time.Time       // not before this, after failures
 	any                bool            // a task has completed
-	missed             time.Time       // aims up to this are out of reach
+	missedUntil        time.Time       // aims up to this are out of reach
 	took               observed        // seconds that its tasks took
 	reservations       []*reservation  // places in the queue, in order
 	queueTime          time.Time       // of the first, while queued
@@ -66,7 +66,7 @@
 		submitted: c.now.Add(rec.Submitted.Sub(c.now.Round(0))),
 		done:      newBitset(s.Tasks), pending: newBitset(s.Tasks), left: s.Tasks,
 		runs: map[int]*run{}, chunkRev: map[int]uint64{}, dirty: map[int]bool{}, errHosts: map[string]bool{},
-		team: c.leadership.teams[s.Owner], prompt: c.promptly(s.Class),
+		team: c.leadership.teams[s.Owner], startsAtOnce: c.mustStartAtOnce(s.Class),
 	}
 	j.places = topology.Job{Key: s.ID, Tasks: s.Tasks}
 	if s.SamePlace {
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -100,44 +100,44 @@
 	return base
 }
 
-// aim is something that a job's tasks should be in time for.
-type aim struct {
-	by    time.Time
-	whole bool // it takes all tasks to reach it; otherwise each one counts
+// objective is something that a job's tasks should be in time for.
+type objective struct {
+	deadline time.Time
+	wholeJob bool // it takes all tasks to reach it; otherwise each one counts
 }
 
-// aim returns by when a task of the job, running for about length, should be
+// nextObjective returns by when a task of the job, running for about length, should be
 // over: by the user's deadline and by the operators' objectives, whichever is
 // the most pressing that can still be reached. An objective on waiting counts
 // as a deadline one run time later. False: nothing is left to be reached.
-func (c *Core) aim(j *job, length time.Duration) (best aim, ok bool) {
-	return c.aimFrom(j, c.now, j.missed, length)
+func (c *Core) nextObjective(j *job, length time.Duration) (best objective, ok bool) {
+	return c.nextObjectiveFrom(j, c.now, j.missedUntil, length)
 }
 
-// aimFrom is aim at the time from, for aims after missed.
-func (c *Core) aimFrom(j *job, from, missed time.Time, length time.Duration) (best aim, ok bool) {
+// nextObjectiveFrom is aim at the time from, for aims after missed.
+func (c *Core) nextObjectiveFrom(j *job, from, missed time.Time, length time.Duration) (best objective, ok bool) {
 	earliest := from.Add(length)
-	c.eachAim(j, length, func(a aim) {
-		if !a.by.Before(earliest) && a.by.After(missed) && (!ok || a.by.Before(best.by)) {
+	c.forEachObjective(j, length, func(a objective) {
+		if !a.deadline.Before(earliest) && a.deadline.After(missed) && (!ok || a.deadline.Before(best.deadline)) {
 			best, ok = a, true
 		}
 	})
 	return best, ok
 }
 
-// earlyPart is at which part of the time that an objective gives a job to finish
+// earlyObjectivePercent is at which part of the time that an objective gives a job to finish
 // it is first aimed, in hundredths: the last task of a large array takes twice as
 // long as most do, and booked as late as can be it would be too late. Idle jobs
 // stand back for others instead.
-const earlyPart = 60
+const earlyObjectivePercent = 60
 
-// eachAim calls f with every aim of the job, whose tasks run for about length.
-func (c *Core) eachAim(j *job, length time.Duration, f func(aim)) {
+// forEachObjective calls f with every aim of the job, whose tasks run for about length.
+func (c *Core) forEachObjective(j *job, length time.Duration, f func(objective)) {
 	if j.spec.Service {
 		return
 	}
 	if j.spec.HasDeadline {
-		f(aim{j.submitted.Add(j.spec.Deadline), true})
+		f(objective{j.submitted.Add(j.spec.Deadline), true})
 	}
 	for _, o := range c.cfg.Settings.Objectives {
 		if o.Class != "" && o.Class != j.spec.Class {
@@ -147,26 +147,26 @@
 		switch o.Kind {
 		case "deadline":
 			if j.spec.HasDeadline && o.Times > 1 {
-				f(aim{j.submitted.Add(timeline.Seconds(j.spec.Deadline.Seconds() * o.Times)), true})
+				f(objective{j.submitted.Add(timeline.Seconds(j.spec.Deadline.Seconds() * o.Times)), true})
 			}
 		case "wait":
-			f(aim{j.submitted.Add(within + length), false})
+			f(objective{j.submitted.Add(within + length), false})
 		case "finished":
 			if j.spec.Urgency > Idle {
-				f(aim{j.submitted.Add(within * earlyPart / 100), true})
+				f(objective{j.submitted.Add(within * earlyObjectivePercent / 100), true})
 			}
-			f(aim{j.submitted.Add(within), true})
+			f(objective{j.submitted.Add(within), true})
 		case "guarantee":
 			if j.team.guarantee.CPU > 0 || j.team.guarantee.GPU > 0 {
-				f(aim{j.submitted.Add(within + length), false})
+				f(objective{j.submitted.Add(within + length), false})
 			}
 		}
 	}
 }
 
-// promptly reports whether jobs of the class have an objective on waiting that
+// mustStartAtOnce reports whether jobs of the class have an objective on waiting that
 // holds whatever their team.
-func (c *Core) promptly(class string) bool {
+func (c *Core) mustStartAtOnce(class string) bool {
 	return slices.ContainsFunc(c.cfg.Settings.Objectives, func(o config.Objective) bool {
 		return o.Kind == "wait" && (o.Class == "" || o.Class == class)
 	})
@@ -288,29 +288,29 @@
 	}
 	defer l.queue.reposition(j)
 	base := c.paddedEstimate(j)
-	a, dated := c.aim(j, base)
-	offers, anyMachine := c.offers(j, base, a.by, dated)
+	a, dated := c.nextObjective(j, base)
+	offers, anyMachine := c.offers(j, base, a.deadline, dated)
 	for ; n > 0; n = min(j.waiting, reservationWindow) - j.reserved {
 		if len(offers.list) == 0 {
 			if !dated || !anyMachine {
 				break
 			}
-			j.missed = a.by
-			if a.whole {
+			j.missedUntil = a.deadline
+			if a.wholeJob {
 				c.dropReservations(j)
 			}
-			a, dated = c.aim(j, base)
-			offers, anyMachine = c.offers(j, base, a.by, dated)
+			a, dated = c.nextObjective(j, base)
+			offers, anyMachine = c.offers(j, base, a.deadline, dated)
 			continue
 		}
 		o := &offers.list[0]
 		k := max(o.machine.timeline.Count(o.start, o.length, j.need, n), 1)
 		var back, each time.Duration
-		if !dated && (c.yieldsWhenLate(j, o.length) || c.aimless(j)) {
+		if !dated && (c.yieldsWhenLate(j, o.length) || c.hasNoObjective(j)) {
 			back, each = c.queueYield(j, o.start)
 		}
 		c.addReservation(&reservation{timeline.Booking{Start: o.start, End: o.start.Add(o.length), Need: j.need, Count: k}, j, o.machine, back, each})
-		if at, ok := c.slot(j, o.machine, o.length, a.by, dated); ok {
+		if at, ok := c.slot(j, o.machine, o.length, a.deadline, dated); ok {
 			o.start = at
 			heap.Fix(offers, 0)
 		} else {
@@ -321,7 +321,7 @@
 		// No machine at all: keep the place in the queue.
 		at := c.now
 		if dated {
-			at = a.by.Add(-base)
+			at = a.deadline.Add(-base)
 		}
 		c.addReservation(&reservation{timeline.Booking{Start: at, End: at.Add(max(base, time.Second)), Need: j.need, Count: n}, j, nil, 0, 0})
 	}
@@ -331,7 +331,7 @@
 // back. What was never going to be in time does not: its tasks are long, and
 // begun late they would keep machines up when all else is over.
 func (c *Core) yieldsWhenLate(j *job, length time.Duration) bool {
-	_, ok := c.aimFrom(j, j.submitted, j.submitted.Add(length*11/10), length)
+	_, ok := c.nextObjectiveFrom(j, j.submitted, j.submitted.Add(length*11/10), length)
 	return ok
 }
 
@@ -372,16 +372,16 @@
 	}
 }
 
-// aimless reports whether nobody expects anything of an idle job: no deadline, no
+// hasNoObjective reports whether nobody expects anything of an idle job: no deadline, no
 // objective of the operators. It stands back like one that is late. Otherwise it would
 // go ahead of all that has missed an aim, and a guest's spare-time work would take the
 // room of the standing classes.
-func (c *Core) aimless(j *job) bool {
+func (c *Core) hasNoObjective(j *job) bool {
 	if j.spec.Urgency != Idle || j.spec.Service {
 		return false
 	}
 	none := true
-	c.eachAim(j, 0, func(aim) { none = false })
+	c.forEachObjective(j, 0, func(objective) { none = false })
 	return none
 }
 
@@ -531,7 +531,7 @@
 	for _, j := range due {
 		if !j.halted() {
 			c.dropReservations(j)
-			j.missed = time.Time{} // room may have come free: look at all aims again
+			j.missedUntil = time.Time{} // room may have come free: look at all aims again
 			c.reserve(j)
 		}
 	}
@@ -634,7 +634,7 @@
 			break // one task at a time shows whether the machine works
 		}
 		have := room
-		if m.warm > 0 && !j.prompt {
+		if m.warm > 0 && !j.startsAtOnce {
 			have.CPU -= m.warm
 		}
 		b := c.nextReservationFor(j, m)
@@ -730,7 +730,7 @@
 // preferImageLocality has a new job wait for machines that have its image, if there
 // are enough of them.
 func (c *Core) preferImageLocality(j *job) {
-	if !j.prompt {
+	if !j.startsAtOnce {
 		return
 	}
 	l := c.leadership
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -22,11 +22,11 @@
 	}{{Standard, []float64{100, 150, 120, 200}}, {Idle, []float64{100, 150, 200}}} {
 		j.spec.Urgency = x.urgency
 		var got []float64
-		c.eachAim(j, time.Second, func(a aim) {
-			if !a.whole {
+		c.forEachObjective(j, time.Second, func(a objective) {
+			if !a.wholeJob {
 				t.Error("takes all tasks")
 			}
-			got = append(got, a.by.Sub(j.submitted).Seconds())
+			got = append(got, a.deadline.Sub(j.submitted).Seconds())
 		})
 		if len(got) != len(x.want) {
 			t.Fatalf("%v: %v, want %v", x.urgency, got, x.want)
@@ -38,8 +38,8 @@
 		}
 	}
 	j.spec.Urgency = Standard
-	if a, ok := c.aimFrom(j, t0, t0.Add(120*time.Second), time.Second); !ok || a.by != j.submitted.Add(150*time.Second) {
-		t.Errorf("after 120 s: %v", a.by.Sub(t0))
+	if a, ok := c.nextObjectiveFrom(j, t0, t0.Add(120*time.Second), time.Second); !ok || a.deadline != j.submitted.Add(150*time.Second) {
+		t.Errorf("after 120 s: %v", a.deadline.Sub(t0))
 	}
 }
 
@@ -50,7 +50,7 @@
 	m := c.leadership.fleet[0]
 	submit := func(id int) *job {
 		j := newJob(c, id, 2, rand.New(rand.NewPCG(1, 1)))
-		j.prompt = true
+		j.startsAtOnce = true
 		c.preferImageLocality(j)
 		c.reserve(j)
 		return j
@@ -165,7 +165,7 @@
 	}
 	guest, dear := add(1, "x", Idle), add(2, "x", Standard)
 	late := add(3, "c", Idle)
-	late.missed = t0.Add(time.Hour)
+	late.missedUntil = t0.Add(time.Hour)
 	c.dropReservations(late)
 	c.reserve(late)
 	if guest.queueTime.Before(late.queueTime) || !dear.queueTime.Before(late.queueTime) {
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -433,7 +433,7 @@
 	if !j.spec.Service {
 		secs = c.estimate(j).Seconds()
 	}
-	if j.prompt {
+	if j.startsAtOnce {
 		cpus := float64(j.spec.Tasks) * float64(j.need.CPU) / 1000
 		if rent.burstAt.IsZero() {
 			rent.burst = cpus
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -67,7 +67,7 @@
 // booking.
 func (c *Core) plainBook(j *job) {
 	base := c.paddedEstimate(j)
-	a, dated := c.aim(j, base)
+	a, dated := c.nextObjective(j, base)
 	for n := min(j.waiting, reservationWindow) - j.reserved; n > 0; n = min(j.waiting, reservationWindow) - j.reserved {
 		var back, each time.Duration
 		var best *machine
@@ -78,24 +78,24 @@
 				continue
 			}
 			d := c.occupancy(j, m)
-			s, ok := c.slot(j, m, d, a.by, dated)
+			s, ok := c.slot(j, m, d, a.deadline, dated)
 			if ok && (best == nil || s.Equal(start) && best.room().CPU < m.room().CPU || !s.Equal(start) && s.After(start) == dated) {
 				best, start, length = m, s, d
 			}
 		}
 		if best == nil && dated {
-			j.missed = a.by
-			if a.whole {
+			j.missedUntil = a.deadline
+			if a.wholeJob {
 				c.dropReservations(j)
 			}
-			a, dated = c.aim(j, base)
+			a, dated = c.nextObjective(j, base)
 			continue
 		}
 		if best == nil {
 			return
 		}
 		k := max(best.timeline.Count(start, length, j.need, n), 1)
-		if !dated && (c.yieldsWhenLate(j, length) || c.aimless(j)) {
+		if !dated && (c.yieldsWhenLate(j, length) || c.hasNoObjective(j)) {
 			back, each = c.queueYield(j, start)
 		}
 		c.addReservation(&reservation{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.need, Count: k}, job: j, machine: best, yield: back, yieldPerTask: each})
