--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -218,7 +218,7 @@
 		},
 		"a start on a new machine": func(d *desk) func() bool {
 			m := d.c.leadership.fleet[0]
-			m.condemned = true
+			m.quarantined = true
 			d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
 			d.finish()
 			n := uint64(0)
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -132,8 +132,8 @@
 	waiting := map[*zones.Zone]int{}
 	for _, m := range l.fleet {
 		if m.away {
-			for _, r := range m.runs {
-				if r.holds {
+			for _, r := range m.attempts {
+				if r.occupies {
 					waiting[m.in]++
 				}
 			}
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -29,11 +29,11 @@
 	j := newJob(c, 1, 3, testRand())
 	c.reserve(j)
 	l.attempts = maxAttempts
-	if os := c.startOn(m); len(os) > 0 {
+	if os := c.startTasksOn(m); len(os) > 0 {
 		t.Errorf("%d starts beyond the last attempt", len(os))
 	}
 	l.attempts = maxAttempts - spareAttempts - 1
-	if os := c.startOn(m); len(os) == 0 {
+	if os := c.startTasksOn(m); len(os) == 0 {
 		t.Error("no start, and there are attempts left")
 	}
 	c.out = c.out[:0]
--- a/internal/core/estimate.go
+++ b/internal/core/estimate.go
@@ -8,47 +8,49 @@
 	"yewpass/internal/timeline"
 )
 
-// estimates corrects the owners' estimates by observed run times: by job once a
+// runtimeEstimates corrects the owners' estimates by observed run times: by job once a
 // task of it has completed, by class and owner before.
 //
 // Classes are the users' own words, so only the latest used ones are kept.
-type estimates struct{ *lru.Cache[string, *observed] }
+type runtimeEstimates struct {
+	*lru.Cache[string, *runtimeAverage]
+}
 
-const estimatesKept = 4096
+const maxRuntimeEstimates = 4096
 
-func newEstimates() estimates {
-	kept, _ := lru.New[string, *observed](estimatesKept) // errs only for a size below 1
-	return estimates{kept}
+func newRuntimeEstimates() runtimeEstimates {
+	kept, _ := lru.New[string, *runtimeAverage](maxRuntimeEstimates) // errs only for a size below 1
+	return runtimeEstimates{kept}
 }
 
-func (e estimates) of(s *JobSpec) *observed {
+func (e runtimeEstimates) of(s *JobSpec) *runtimeAverage {
 	o, _ := e.Get(s.Class + "/" + s.Owner)
 	return o
 }
 
-type observed struct {
+type runtimeAverage struct {
 	n    int
 	mean float64 // class: actual over estimate; job: seconds
 }
 
-func (o *observed) add(x float64) {
+func (o *runtimeAverage) add(x float64) {
 	o.n++
 	w := max(1/float64(o.n), 0.08)
 	o.mean += w * (x - o.mean)
 }
 
-// observe takes in how long a task ran.
-func (c *Core) observe(j *job, m *machine, took time.Duration) {
+// recordRuntime takes in how long a task ran.
+func (c *Core) recordRuntime(j *job, m *machine, took time.Duration) {
 	if j.spec.Runtime <= 0 {
 		return
 	}
-	j.took.add(took.Seconds())
+	j.runtime.add(took.Seconds())
 	o := c.leadership.runtimes.of(&j.spec)
 	if o == nil {
-		o = &observed{}
+		o = &runtimeAverage{}
 		c.leadership.runtimes.Add(j.spec.Class+"/"+j.spec.Owner, o)
 	}
-	if j.took.n <= 8 { // a large array must not outweigh all other jobs
+	if j.runtime.n <= 8 { // a large array must not outweigh all other jobs
 		o.add(took.Seconds() / j.spec.Runtime.Seconds())
 	}
 }
@@ -58,8 +60,8 @@
 	if j.spec.Service {
 		return 0
 	}
-	if j.took.n > 0 {
-		return timeline.Seconds(j.took.mean)
+	if j.runtime.n > 0 {
+		return timeline.Seconds(j.runtime.mean)
 	}
 	return c.estimateSpec(&j.spec)
 }
@@ -72,8 +74,8 @@
 	return max(d, 100*time.Millisecond)
 }
 
-// fetch returns how long the machine needs to fetch the image.
-func fetch(s *JobSpec, f *InstanceType) time.Duration {
+// imageFetchTime returns how long the machine needs to fetch the image.
+func imageFetchTime(s *JobSpec, f *InstanceType) time.Duration {
 	if f == nil || f.ImageGBps <= 0 {
 		return 0
 	}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -77,8 +77,8 @@
 			}
 			for range next() % 3 { // what it was told to start
 				if m := c.leadership; m != nil && len(m.fleet) > 0 {
-					for _, x := range m.fleet[next()%len(m.fleet)].runs {
-						r.Tasks = append(r.Tasks, TaskReport{Task: x.id, Try: x.try, Phase: []Phase{TaskRuns, Exited}[next()%2], Cause: CauseDone})
+					for _, x := range m.fleet[next()%len(m.fleet)].attempts {
+						r.Tasks = append(r.Tasks, TaskReport{Task: x.id, Try: x.number, Phase: []Phase{TaskRuns, Exited}[next()%2], Cause: CauseDone})
 					}
 				}
 			}
--- a/internal/core/giveback.go
+++ b/internal/core/giveback.go
@@ -43,8 +43,8 @@
 		return
 	}
 	for _, m := range l.fleet { // what is being stopped already
-		for _, r := range m.runs {
-			if r.stop && r.holds {
+		for _, r := range m.attempts {
+			if r.stopRequested && r.occupies {
 				short -= r.need.CPU
 			}
 		}
@@ -53,7 +53,7 @@
 		return
 	}
 	type borrower struct {
-		r    *run
+		r    *attempt
 		loss time.Duration
 	}
 	var bs []borrower
@@ -62,18 +62,18 @@
 		if !m.usable() || !m.reported {
 			continue
 		}
-		for _, r := range m.runs {
-			if !r.holds || r.stop || r.phase != TaskRuns || r.job.team.used.CPU <= r.job.team.guarantee.CPU {
+		for _, r := range m.attempts {
+			if !r.occupies || r.stopRequested || r.phase != TaskRuns || r.job.team.used.CPU <= r.job.team.guarantee.CPU {
 				continue
 			}
 			// What cannot save loses all: it is stopped only when it has hardly
 			// begun and would keep the room for long.
 			loss := r.job.spec.CheckpointTime
 			if r.job.spec.CheckpointInterval <= 0 {
-				if r.midway {
+				if r.foundRunning {
 					continue // it may have run for long: to a new leader all look begun just now
 				}
-				loss = c.now.Sub(r.began)
+				loss = c.now.Sub(r.startedAt)
 				if !r.job.spec.Service {
 					d, ok := lasts[r.job]
 					if !ok {
@@ -101,10 +101,10 @@
 		}
 		over[t] -= b.r.need.CPU
 		short -= b.r.need.CPU
-		b.r.stop = true
-		c.poke(b.r.m)
+		b.r.stopRequested = true
+		c.poke(b.r.machine)
 		if b.r.job.spec.CheckpointInterval > 0 {
-			b.r.drain = b.r.job.spec.CheckpointTime + time.Second
+			b.r.drainTime = b.r.job.spec.CheckpointTime + time.Second
 		}
 		stopped++
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -23,11 +23,11 @@
 	team         *team
 	startsAtOnce bool // must start at once
 
-	done    bitset       // completed
-	pending bitset       // neither done nor on a machine
-	waiting int          // members of pending
-	left    int          // tasks not done
-	runs    map[int]*run // tasks on machines, or that may be
+	done     bitset           // completed
+	pending  bitset           // neither done nor on a machine
+	waiting  int              // members of pending
+	left     int              // tasks not done
+	attempts map[int]*attempt // tasks on machines, or that may be
 
 	reserved int // members of pending that have a place in the queue
 	chunkRev map[int]uint64
@@ -39,12 +39,12 @@
 	ending     *change    // whichever of the two is on its way
 	cancels    []UserCall // who waits for it
 
-	errHosts           map[string]bool // machines on which its tasks failed
+	failedOn           map[string]bool // machines on which its tasks failed
 	failures           int             // since a task last completed
 	retryAt            time.Time       // not before this, after failures
-	any                bool            // a task has completed
+	anyCompleted       bool            // a task has completed
 	missedUntil        time.Time       // aims up to this are out of reach
-	took               observed        // seconds that its tasks took
+	runtime            runtimeAverage  // seconds that its tasks took
 	reservations       []*reservation  // places in the queue, in order
 	queueTime          time.Time       // of the first, while queued
 	queued             bool
@@ -52,7 +52,7 @@
 	lastRereserved     time.Time  // when its bookings were last looked at again
 	imageLocalUntil    time.Time  // until then it starts only where its image is
 	running            int        // tasks that workers report as running or saving
-	ended              []*run     // completed, and not known to be on record
+	completed          []*attempt // completed, and not known to be on record
 	ran                bool       // a task of it has run, or is done
 	sched              *scheduled // whose occurrence it is, or nil
 	begun              bool       // and has been noted to have started
@@ -65,7 +65,7 @@
 		spec: s, need: s.Need(), rec: rec, earlier: earlier, cancelled: rec.Cancelled,
 		submitted: c.now.Add(rec.Submitted.Sub(c.now.Round(0))),
 		done:      newBitset(s.Tasks), pending: newBitset(s.Tasks), left: s.Tasks,
-		runs: map[int]*run{}, chunkRev: map[int]uint64{}, dirty: map[int]bool{}, errHosts: map[string]bool{},
+		attempts: map[int]*attempt{}, chunkRev: map[int]uint64{}, dirty: map[int]bool{}, failedOn: map[string]bool{},
 		team: c.leadership.teams[s.Owner], startsAtOnce: c.mustStartAtOnce(s.Class),
 	}
 	j.places = topology.Job{Key: s.ID, Tasks: s.Tasks}
@@ -90,7 +90,7 @@
 		if j.done.has(i) {
 			j.left--
 			j.ran = true
-		} else if j.runs[i] == nil {
+		} else if j.attempts[i] == nil {
 			j.pending.set(i)
 			j.waiting++
 		}
@@ -137,7 +137,7 @@
 	j.done.set(i)
 	j.ran = true
 	j.left--
-	j.any = true
+	j.anyCompleted = true
 	j.failures = 0
 	j.retryAt = time.Time{}
 	if j.left == 0 {
@@ -161,7 +161,7 @@
 
 // requeue makes a task wait again.
 func (c *Core) requeue(j *job, i int) {
-	if j.halted() || i >= j.spec.Tasks || j.done.has(i) || j.pending.has(i) || j.runs[i] != nil {
+	if j.halted() || i >= j.spec.Tasks || j.done.has(i) || j.pending.has(i) || j.attempts[i] != nil {
 		return
 	}
 	j.pending.set(i)
@@ -223,11 +223,11 @@
 // progressSaved lets workers forget the tasks that the state service now knows
 // to be done. Until then their reports repeat it to any successor.
 func (c *Core) progressSaved(j *job, chunk int, saved bitset) {
-	j.ended = slices.DeleteFunc(j.ended, func(r *run) bool {
+	j.completed = slices.DeleteFunc(j.completed, func(r *attempt) bool {
 		if r.id.Index/chunkTasks == chunk && saved.has(r.id.Index%chunkTasks) {
-			r.saved = true
+			r.forgettable = true
 		}
-		return r.saved
+		return r.forgettable
 	})
 }
 
@@ -242,7 +242,7 @@
 	final := FinalRecord{Done, j.spec.Tasks}
 	switch {
 	case j.cancelled:
-		if len(j.runs) > 0 || (j.earlier && !l.allAccounted()) {
+		if len(j.attempts) > 0 || (j.earlier && !l.allAccounted()) {
 			return
 		}
 		final = FinalRecord{Cancelled, j.spec.Tasks - j.left}
@@ -281,10 +281,10 @@
 	delete(l.jobs, j.spec.ID)
 	j.team.jobs--
 	c.dropReservations(j)
-	for _, r := range j.ended {
-		r.saved = true
+	for _, r := range j.completed {
+		r.forgettable = true
 	}
-	j.ended = nil
+	j.completed = nil
 	j.answerCancels(c, AnswerUser{Status: 200, View: f.view(j.spec.ID)})
 	if j.sched != nil {
 		c.occurrenceOver(j.sched, j.spec.ID, f.State, c.wall())
@@ -315,8 +315,8 @@
 	// Whatever becomes of the record, its user wants nothing of it any more. Others may read
 	// it and tell before we know that it is committed: what renews leases meanwhile, with
 	// authority or without, has to carry the stops.
-	for _, r := range j.runs {
-		c.poke(r.m)
+	for _, r := range j.attempts {
+		c.poke(r.machine)
 	}
 	c.recordCancelled(j, c.leaseTiming.CancelSafeAfter(c.now, c.leadership.electedAt.Add(c.leadership.earlierLeaderLag)))
 }
@@ -325,7 +325,7 @@
 // on any machine: where the settings leave no room a lease may last longer than tasks of a
 // cancelled job may.
 func (c *Core) recordCancelled(j *job, from time.Time) {
-	if from.After(c.now) && (len(j.runs) > 0 || j.earlier && !c.leadership.allAccounted()) {
+	if from.After(c.now) && (len(j.attempts) > 0 || j.earlier && !c.leadership.allAccounted()) {
 		for _, call := range j.cancels { // once for each: who asks again is told again
 			no := unavailable("the tasks are being stopped")
 			no.RetryAfter = from.Sub(c.now)
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -85,7 +85,7 @@
 	guarantees          bool // some team has one
 	queue               jobQueue
 	overdue             []*job // of which nothing has run for too long
-	runtimes            estimates
+	runtimes            runtimeEstimates
 	unscheduled         []*job           // see reserveSoon
 	schedulingContinues bool             // there are more of them than go in one step
 	offerBuffer         []placementOffer // scratch space
@@ -136,7 +136,7 @@
 	return &leadership{
 		authority:   authority{acknowledged: map[string]bool{}},
 		failover:    failover{unaccounted: map[string]bool{}, unreadableJobs: map[string]bool{}, unreadableMachineRecords: map[string]uint64{}, newerTokens: map[string]uint64{}},
-		workload:    workload{jobs: map[string]*job{}, accept: map[string]*admission{}, teams: map[string]*team{}, runtimes: newEstimates()},
+		workload:    workload{jobs: map[string]*job{}, accept: map[string]*admission{}, teams: map[string]*team{}, runtimes: newRuntimeEstimates()},
 		membership:  membership{gone: newForgetful(now), machines: map[string]*machine{}, relays: map[string]*relayPeer{}},
 		dispatching: dispatching{holding: map[holdKey]*machine{}},
 		replication: replication{followers: map[string]*snapshot.Sender{}},
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -60,22 +60,22 @@
 	poked                bool       // has orders that need not wait for its next report
 
 	timeline     *timeline.Timeline
-	runs         []*run
+	attempts     []*attempt
 	reservations []*reservation // of tasks that wait
 	used         timeline.Resources
 	warm         int64                            // CPUs, in thousandths, kept free for work that must start at once
 	images       *simplelru.LRU[string, struct{}] // that it has, as far as we know
 	idle         time.Time                        // since when nothing runs or is booked
 
-	releasing bool
-	draining  bool // its work fits elsewhere: no new tasks, then it goes back
-	condemned bool
-	lost      bool      // its lease is over and it has not reported since
-	away      bool      // silent, in a zone that seems to be cut off
-	leaving   time.Time // the cloud takes it away
-	retryAt   time.Time // after a refused start
-	strikes   int
-	suspect   bool // its last task failed: one task at a time until one completes
+	releasing    bool
+	draining     bool // its work fits elsewhere: no new tasks, then it goes back
+	quarantined  bool
+	lost         bool      // its lease is over and it has not reported since
+	away         bool      // silent, in a zone that seems to be cut off
+	leaving      time.Time // the cloud takes it away
+	retryAt      time.Time // after a refused start
+	failureScore int
+	onProbation  bool // its last task failed: one task at a time until one completes
 }
 
 // machine returns the machine named host, made known if need be.
@@ -103,9 +103,9 @@
 	if f := c.leadership.rent.instanceType(m.typeName); f != nil && m.instanceType == nil {
 		m.instanceType = f
 		tl := timeline.New(f.Capacity)
-		for _, r := range m.runs {
-			if r.slot != nil {
-				tl.Add(r.slot)
+		for _, r := range m.attempts {
+			if r.reservation != nil {
+				tl.Add(r.reservation)
 			}
 		}
 		m.timeline = tl
@@ -114,19 +114,19 @@
 
 // usable reports whether new tasks may be booked on the machine.
 func (m *machine) usable() bool {
-	return m.instanceType != nil && !m.releasing && !m.draining && !m.condemned && !m.lost && !m.away && m.leaving.IsZero()
+	return m.instanceType != nil && !m.releasing && !m.draining && !m.quarantined && !m.lost && !m.away && m.leaving.IsZero()
 }
 
 func (m *machine) room() timeline.Resources {
 	return m.timeline.Capacity().Add(m.used, -1)
 }
 
-// find returns the run of an attempt. Workers list tasks in the order of their
+// findAttempt returns the run of an attempt. Workers list tasks in the order of their
 // starts, as we do: the search begins where that has it.
-func (m *machine) find(id TaskID, try uint64, from int) *run {
-	n := len(m.runs)
+func (m *machine) findAttempt(id TaskID, try uint64, from int) *attempt {
+	n := len(m.attempts)
 	for i := range n {
-		if r := m.runs[(from+i)%n]; r.try == try && r.id == id {
+		if r := m.attempts[(from+i)%n]; r.number == try && r.id == id {
 			return r
 		}
 	}
@@ -182,9 +182,9 @@
 
 // expire gives up on the tasks of a machine whose lease is surely over.
 func (c *Core) expire(m *machine) {
-	c.note(slog.LevelWarn, "lease over", "machine", m.host, "tasks", len(m.runs))
-	for _, r := range slices.Clone(m.runs) {
-		c.dropRun(r)
+	c.note(slog.LevelWarn, "lease over", "machine", m.host, "tasks", len(m.attempts))
+	for _, r := range slices.Clone(m.attempts) {
+		c.dropAttempt(r)
 	}
 	if m.reported {
 		m.expiredIncarnation = m.incarnation
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -142,18 +142,18 @@
 	l := d.c.leadership
 	j := d.c.addJob(&JobRecord{Spec: *plainJob("wk-1", 1), Submitted: t0}, true)
 	d.c.jobLoaded(j)
-	at := func(host string, try uint64) *run {
+	at := func(host string, try uint64) *attempt {
 		m := d.c.machine(host, "f2", "a", true)
 		d.c.learn(m, &Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []TaskReport{{Task: TaskID{Job: "wk-1"}, Try: try, Phase: TaskRuns}}})
-		return m.runs[0]
+		return m.attempts[0]
 	}
 	old := at("host-x", 3)
 	now := at("host-y", 4)
-	if !old.stop || now.stop || j.runs[0] != now || l.teams["t"].used.CPU != j.need.CPU {
-		t.Errorf("the earlier attempt stops %v, the later one %v", old.stop, now.stop)
+	if !old.stopRequested || now.stopRequested || j.attempts[0] != now || l.teams["t"].used.CPU != j.need.CPU {
+		t.Errorf("the earlier attempt stops %v, the later one %v", old.stopRequested, now.stopRequested)
 	}
 	// The other way round the late word changes nothing.
-	if late := at("host-z", 2); !late.stop || j.runs[0] != now {
+	if late := at("host-z", 2); !late.stopRequested || j.attempts[0] != now {
 		t.Error("a late word of an earlier attempt takes the place of the one that runs")
 	}
 }
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -77,7 +77,7 @@
 	s := &j.spec
 	return m.usable() && (!m.spot || s.AllowSpot) && allowsInstanceType(s, m.typeName) &&
 		(s.Zone == "" || s.Zone == m.zone) && j.need.Fits(m.timeline.Capacity()) &&
-		(len(j.errHosts) == 0 || !j.errHosts[m.host] || len(j.errHosts) > errHostsMost)
+		(len(j.failedOn) == 0 || !j.failedOn[m.host] || len(j.failedOn) > maxFailedMachines)
 }
 
 // paddedEstimate is how long a task of the job is booked for, without its image.
@@ -95,7 +95,7 @@
 		return timeline.Forever
 	}
 	if !m.images.Contains(j.spec.Image) {
-		base += fetch(&j.spec, m.instanceType)
+		base += imageFetchTime(&j.spec, m.instanceType)
 	}
 	return base
 }
@@ -564,7 +564,7 @@
 	l := c.leadership
 	l.overdue = l.overdue[:0]
 	for _, j := range l.queue {
-		if !j.ran && len(j.runs) == 0 && c.now.Sub(j.submitted) > within {
+		if !j.ran && len(j.attempts) == 0 && c.now.Sub(j.submitted) > within {
 			l.overdue = append(l.overdue, j)
 		}
 	}
@@ -577,8 +577,8 @@
 func (c *Core) startOverdue(m *machine) (os []Order, blocked bool) {
 	l := c.leadership
 	for _, j := range l.overdue {
-		if len(j.reservations) == 0 || len(j.runs) > 0 || !m.eligibleFor(j) || !c.mayStart(j) || j.team.room(j.need, 1) == 0 || c.topologyRoom(j, m, 1) == 0 ||
-			l.guarantees && j.team.guaranteed(j.need, 1) == 0 || m.suspect && len(m.runs) > 0 {
+		if len(j.reservations) == 0 || len(j.attempts) > 0 || !m.eligibleFor(j) || !c.mayStart(j) || j.team.room(j.need, 1) == 0 || c.topologyRoom(j, m, 1) == 0 ||
+			l.guarantees && j.team.guaranteed(j.need, 1) == 0 || m.onProbation && len(m.attempts) > 0 {
 			continue
 		}
 		if !j.need.Fits(m.room()) {
@@ -586,7 +586,7 @@
 			continue
 		}
 		b := j.reservations[0]
-		os = append(os, c.start(b, m))
+		os = append(os, c.orderStart(b, m))
 		if b.yieldPerTask > 0 {
 			c.advanceInQueue(j, 1)
 		}
@@ -603,10 +603,10 @@
 // maxStartsPerReply is how many tasks one reply starts at the most, or a few more.
 const maxStartsPerReply = 256
 
-// startOn starts booked tasks on the machine in timeline order while they fit,
+// startTasksOn starts booked tasks on the machine in timeline order while they fit,
 // ahead of their time if need be, wherever they were booked: a machine with
 // free room takes what waits for a busy one.
-func (c *Core) startOn(m *machine) []Order {
+func (c *Core) startTasksOn(m *machine) []Order {
 	l := c.leadership
 	room := m.room()
 	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.in.Takes() || c.now.Before(m.retryAt) || l.unaccounted[m.host] || l.attempts > maxAttempts-maxStartsPerReply {
@@ -630,7 +630,7 @@
 		if !borrowing && j.team.guaranteed(j.need, 1) == 0 || !m.eligibleFor(j) || !c.mayStart(j) {
 			continue
 		}
-		if m.suspect && len(m.runs) > 0 {
+		if m.onProbation && len(m.attempts) > 0 {
 			break // one task at a time shows whether the machine works
 		}
 		have := room
@@ -674,15 +674,15 @@
 			n = j.team.guaranteed(j.need, n)
 		}
 		n = c.topologyRoom(j, m, n)
-		if m.suspect || j.failures > 0 && !j.any {
-			n = min(n, max(0, 1-len(j.runs)))
+		if m.onProbation || j.failures > 0 && !j.anyCompleted {
+			n = min(n, max(0, 1-len(j.attempts)))
 		}
 		if n == 0 {
 			continue
 		}
 		whole := n == b.Count
 		for range n {
-			os = append(os, c.start(b, m))
+			os = append(os, c.orderStart(b, m))
 		}
 		room = m.room()
 		if whole {
@@ -694,7 +694,7 @@
 		if j.waiting > j.reserved && j.reserved < reservationWindow/2 {
 			c.reserveSoon(j)
 		}
-		if m.suspect {
+		if m.onProbation {
 			break
 		}
 	}
@@ -757,9 +757,9 @@
 	return m.reported && m.usable() && m.images.Contains(j.spec.Image) && j.need.Fits(m.room())
 }
 
-// start orders one task of a booking to start on a machine. The order goes out
+// orderStart orders one task of a booking to start on a machine. The order goes out
 // with the reply to the machine's last report.
-func (c *Core) start(b *reservation, m *machine) Order {
+func (c *Core) orderStart(b *reservation, m *machine) Order {
 	l := c.leadership
 	j := b.job
 	i := j.pending.first()
@@ -768,10 +768,10 @@
 	j.waiting--
 	// Attempts rise across terms as well: the term comes first.
 	l.attempts++
-	r := &run{id: TaskID{Job: j.spec.ID, Index: i}, try: l.term<<attemptBits + l.attempts, m: m, phase: orderedFor, order: m.counter, ordered: c.now}
-	m.runs = append(m.runs, r)
+	r := &attempt{id: TaskID{Job: j.spec.ID, Index: i}, number: l.term<<attemptBits + l.attempts, machine: m, phase: Ordered, orderedCounter: m.counter, orderedAt: c.now}
+	m.attempts = append(m.attempts, r)
 	c.occupy(r, j)
-	return Order{Verb: Start, Task: r.id, Try: r.try}
+	return Order{Verb: Start, Task: r.id, Try: r.number}
 }
 
 // lateness is by how much the best timeline, of a machine at hand or of a type
@@ -791,7 +791,7 @@
 	for i := range l.rent.instanceTypes {
 		f := &l.rent.instanceTypes[i]
 		if allowsInstanceType(s, f.Name) && j.need.Fits(f.Capacity) && (s.Zone == "" || hasZone(f, s.Zone)) && l.rent.mayOffer(f, s.AllowSpot, c.now) {
-			best = min(best, f.BootTime+fetch(s, f)+run)
+			best = min(best, f.BootTime+imageFetchTime(s, f)+run)
 		}
 	}
 	return best - s.Deadline
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -56,7 +56,7 @@
 		return j
 	}
 	submit(1)
-	if len(c.startOn(m)) == 0 {
+	if len(c.startTasksOn(m)) == 0 {
 		t.Error("no machine has the image: it must be fetched somewhere")
 	}
 	for _, o := range c.leadership.fleet[1:] {
@@ -66,11 +66,11 @@
 		c.fill(o) // no room for now
 	}
 	j := submit(2)
-	if os := c.startOn(m); len(os) != 0 {
+	if os := c.startTasksOn(m); len(os) != 0 {
 		t.Errorf("started %v where the image is not", os)
 	}
 	c.now = c.now.Add(imageLocalityWait)
-	if c.startOn(m); j.waiting != 0 {
+	if c.startTasksOn(m); j.waiting != 0 {
 		t.Errorf("%d tasks still wait", j.waiting)
 	}
 }
@@ -83,16 +83,16 @@
 		c := leaderOf(t, 3)
 		m := c.leadership.fleet[2]
 		c.fill(m)
-		for _, r := range m.runs[:4] {
+		for _, r := range m.attempts[:4] {
 			c.vacate(r) // four CPUs are free, and the large job takes all
 		}
 		for _, x := range c.leadership.fleet[:2] {
-			x.condemned = true
+			x.quarantined = true
 		}
 		add := func(i int, cpus float64, submitted time.Duration) {
 			j := newJob(c, i, 1, rng)
 			j.spec.CPUs, j.spec.HasDeadline, j.spec.Class, j.spec.Image, j.spec.Runtime = cpus, false, "x", "img0", time.Hour
-			j.need, j.submitted, j.any = j.spec.Need(), t0.Add(submitted), true
+			j.need, j.submitted, j.anyCompleted = j.spec.Need(), t0.Add(submitted), true
 			c.reserve(j)
 		}
 		m.images.Add("img0", struct{}{})
@@ -104,7 +104,7 @@
 		best := time.Hour
 		for range 20 {
 			began := time.Now()
-			c.startOn(m)
+			c.startTasksOn(m)
 			best = min(best, time.Since(began))
 		}
 		return best
@@ -139,7 +139,7 @@
 		waits.submitted = t0.Add(-time.Minute)
 		c.reserve(waits)
 		c.giveBack()
-		if stopped := m.runs[0].stop; stopped != (phase == Pulling) {
+		if stopped := m.attempts[0].stopRequested; stopped != (phase == Pulling) {
 			t.Errorf("found %s: stopped %v", phase, stopped)
 		}
 		c.now = c.now.Add(3 * time.Second)
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -184,7 +184,7 @@
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
 	m := c.leadership.fleet[0]
 	j := newJob(c, 1, 1, testRand())
-	j.spec.Class, j.any = "c", true
+	j.spec.Class, j.anyCompleted = "c", true
 	c.reserve(j)
 	rep := reportOf(m)
 	send := func(session, number, ref uint64, f *relay.Fold, r Report) (orders int, answered bool) {
@@ -207,12 +207,12 @@
 	// The link broke with the reply on it.
 	f := relay.NewFold(4)
 	send(4, 1, 17, f, rep)
-	if len(m.runs) != 1 || j.waiting != 0 {
-		t.Fatalf("%d runs, %d wait", len(m.runs), j.waiting)
+	if len(m.attempts) != 1 || j.waiting != 0 {
+		t.Fatalf("%d runs, %d wait", len(m.attempts), j.waiting)
 	}
 	rep.Counter++
-	if send(4, 2, 18, f, rep); len(m.runs) != 0 || j.waiting != 1 {
-		t.Fatalf("%d runs, %d wait", len(m.runs), j.waiting)
+	if send(4, 2, 18, f, rep); len(m.attempts) != 0 || j.waiting != 1 {
+		t.Fatalf("%d runs, %d wait", len(m.attempts), j.waiting)
 	}
 	rep.Counter++
 	if n, ok := send(4, 3, 19, f, rep); !ok || n != 1 {
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -210,8 +210,8 @@
 	if m == nil {
 		return
 	}
-	for _, r := range slices.Clone(m.runs) {
-		c.dropRun(r)
+	for _, r := range slices.Clone(m.attempts) {
+		c.dropAttempt(r)
 	}
 	if m.held != nil {
 		c.refuseHeld(m)
@@ -289,7 +289,7 @@
 // review looks after one machine.
 func (c *Core) review(m *machine, silent, takeover, idle time.Duration, cutOff bool) {
 	l := c.leadership
-	if (len(m.runs) > 0 || l.unaccounted[m.host]) && (m.reported || l.unaccounted[m.host]) {
+	if (len(m.attempts) > 0 || l.unaccounted[m.host]) && (m.reported || l.unaccounted[m.host]) {
 		if at, ok := c.leaseOver(m); ok && c.now.After(at) {
 			c.expire(m)
 		}
@@ -336,7 +336,7 @@
 	case m.away && !l.unaccounted[m.host] && (!booting || c.now.Sub(last) <= 2*wait):
 		// Its zone is cut off: see giveBackZones.
 	case c.now.Sub(last) > wait && (!cutOff || booting):
-		c.note(slog.LevelWarn, "machine silent, releasing it", "machine", m.host, "type", m.typeName, "silent", c.now.Sub(last), "tasks", len(m.runs), "booted", !booting)
+		c.note(slog.LevelWarn, "machine silent, releasing it", "machine", m.host, "type", m.typeName, "silent", c.now.Sub(last), "tasks", len(m.attempts), "booted", !booting)
 		if booting && !m.away {
 			// When boots take longer than that for a while, giving up each time
 			// would never get a machine.
@@ -352,12 +352,12 @@
 		return
 	}
 	c.drain(m)
-	if len(m.runs) > 0 {
+	if len(m.attempts) > 0 {
 		return
 	}
 	age := c.now.Sub(m.rentedAt)
 	switch {
-	case m.condemned, m.draining, !m.leaving.IsZero():
+	case m.quarantined, m.draining, !m.leaving.IsZero():
 		c.release(m)
 	case c.now.Sub(m.idle) > idle && age > 50*time.Second && !c.wanted(m):
 		c.note(slog.LevelInfo, "machine idle, returning it", "machine", m.host, "type", m.typeName)
@@ -382,24 +382,24 @@
 // drain empties a machine that the cloud takes away or that is condemned: tasks
 // that will not be over in time save and go, the others finish.
 func (c *Core) drain(m *machine) {
-	if !m.condemned && !m.draining && m.leaving.IsZero() {
+	if !m.quarantined && !m.draining && m.leaving.IsZero() {
 		return
 	}
-	for _, r := range m.runs {
-		if r.phase == Exited || r.stop || r.job == nil {
+	for _, r := range m.attempts {
+		if r.phase == Exited || r.stopRequested || r.job == nil {
 			continue
 		}
 		left := m.leaving.Sub(c.now)
 		switch {
-		case m.condemned:
+		case m.quarantined:
 		case m.leaving.IsZero():
 			// Only what saves is moved, and only when it has long to go.
 			s := &r.job.spec
-			if r.phase != TaskRuns || s.CheckpointInterval <= 0 || c.left(r) < 2*s.CheckpointTime+10*time.Second {
+			if r.phase != TaskRuns || s.CheckpointInterval <= 0 || c.remaining(r) < 2*s.CheckpointTime+10*time.Second {
 				continue
 			}
 		case r.phase == TaskRuns && !r.job.spec.Service:
-			end := r.began.Add(c.estimate(r.job))
+			end := r.startedAt.Add(c.estimate(r.job))
 			if end.Before(m.leaving) {
 				continue
 			}
@@ -407,20 +407,20 @@
 				continue // saves a little later, as late as is safe
 			}
 		}
-		r.stop, r.drain = true, 0
+		r.stopRequested, r.drainTime = true, 0
 		if s := r.job.spec.CheckpointTime; r.job.spec.CheckpointInterval > 0 && (m.leaving.IsZero() || left > s) {
-			r.drain = s + time.Second
+			r.drainTime = s + time.Second
 		}
 		c.poke(m)
 	}
 }
 
-// left is how long a run still takes, as far as we know.
-func (c *Core) left(r *run) time.Duration {
+// remaining is how long a run still takes, as far as we know.
+func (c *Core) remaining(r *attempt) time.Duration {
 	if r.job.spec.Service {
 		return timeline.Forever
 	}
-	return r.began.Add(c.estimate(r.job)).Sub(c.now)
+	return r.startedAt.Add(c.estimate(r.job)).Sub(c.now)
 }
 
 // loadMemory is how long arrivals count towards the work to be expected.
@@ -526,7 +526,7 @@
 		free -= m.instanceType.CPUs
 		draining++
 		m.draining = true
-		c.note(slog.LevelInfo, "machine drained", "machine", m.host, "type", m.typeName, "cheap", m.spot, "tasks", len(m.runs))
+		c.note(slog.LevelInfo, "machine drained", "machine", m.host, "type", m.typeName, "cheap", m.spot, "tasks", len(m.attempts))
 		c.dropMachineReservations(m)
 	}
 }
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -40,23 +40,23 @@
 // orders collects what the machine has to do, other than to start tasks.
 func (c *Core) orders(m *machine) []Order {
 	var os []Order
-	for _, r := range m.runs {
+	for _, r := range m.attempts {
 		if r.phase == Exited {
-			if r.saved || r.job == nil && !c.leadership.unreadableJobs[r.id.Job] || r.job != nil && r.job.cancelled {
-				os = append(os, Order{Verb: Reap, Task: r.id, Try: r.try})
+			if r.forgettable || r.job == nil && !c.leadership.unreadableJobs[r.id.Job] || r.job != nil && r.job.cancelled {
+				os = append(os, Order{Verb: Reap, Task: r.id, Try: r.number})
 			}
 			continue
 		}
 		unwanted := r.job != nil && (r.job.cancelled || r.job.cancelling)
-		if r.stop || unwanted {
-			drain := r.drain
+		if r.stopRequested || unwanted {
+			drain := r.drainTime
 			if r.job == nil || unwanted {
 				drain = 0
 			}
-			if r.stopped.IsZero() {
-				r.stopped = c.now
+			if r.stopSentAt.IsZero() {
+				r.stopSentAt = c.now
 			}
-			os = append(os, Order{Verb: Stop, Task: r.id, Try: r.try, Drain: drain})
+			os = append(os, Order{Verb: Stop, Task: r.id, Try: r.number, Drain: drain})
 		}
 	}
 	return os
@@ -88,14 +88,14 @@
 		return
 	}
 	if m.fencingToken == l.term {
-		os = append(os, c.startOn(m)...)
+		os = append(os, c.startTasksOn(m)...)
 	}
 	if len(os) > 0 || due || m.fencingToken != l.term || m.releasing {
 		c.sendReply(m, os)
 		return
 	}
 	hold := c.leadership.holdIdle
-	if len(m.runs) > 0 && (m.warm == 0 || m.room().CPU < m.warm/2) {
+	if len(m.attempts) > 0 && (m.warm == 0 || m.room().CPU < m.warm/2) {
 		hold = c.leadership.holdBusy
 		if !m.usable() || m.room().CPU <= 0 {
 			hold = 0
@@ -163,7 +163,7 @@
 	if c.paceLeft(m, os) > 0 {
 		return // it is seen to when the time has come
 	}
-	if os = append(os, c.startOn(m)...); len(os) > 0 {
+	if os = append(os, c.startTasksOn(m)...); len(os) > 0 {
 		c.sendReply(m, os)
 	}
 }
@@ -185,7 +185,7 @@
 	if budget <= 0 || m.fencingToken != c.leadership.term || m.releasing || slices.ContainsFunc(os, func(o Order) bool { return o.Verb == Stop }) {
 		return 0
 	}
-	size := float64(reportBytes + reportTaskBytes*len(m.runs))
+	size := float64(reportBytes + reportTaskBytes*len(m.attempts))
 	gap := min(timeline.Seconds(size/budget), paceMost)
 	return m.held.since.Add(gap).Sub(c.now)
 }
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -25,7 +25,7 @@
 			c := leaderOf(t, 3) // the third machine has 32 CPUs
 			m := c.leadership.fleet[2]
 			j := newJob(c, 1, x.tasks, testRand())
-			j.spec.CPUs, j.spec.Class, j.any = 1, "c", true
+			j.spec.CPUs, j.spec.Class, j.anyCompleted = 1, "c", true
 			j.need = j.spec.Need()
 			rep := reportOf(m)
 			for i := range x.tasks {
@@ -49,7 +49,7 @@
 			}
 			answeredAfter(rep)
 			if x.stop {
-				m.runs[0].stop = true
+				m.attempts[0].stopRequested = true
 			}
 			rep.Tasks[1].Phase, rep.Tasks[1].Cause = Exited, CauseError // news that asks for orders
 			if got := answeredAfter(rep); got < x.not || got > x.within {
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -134,8 +134,8 @@
 	}
 	if m.reported && rep.Incarnation > m.incarnation {
 		// Its lease ran out: the worker has killed all that it had.
-		for _, r := range slices.Clone(m.runs) {
-			c.dropRun(r)
+		for _, r := range slices.Clone(m.attempts) {
+			c.dropAttempt(r)
 		}
 	}
 	m.reported, m.incarnation, m.counter, m.fencingToken = true, rep.Incarnation, rep.Counter, rep.FencingToken
@@ -152,23 +152,23 @@
 	l.learned++
 	for i := range rep.Tasks {
 		t := &rep.Tasks[i]
-		r := m.find(t.Task, t.Try, i)
+		r := m.findAttempt(t.Task, t.Try, i)
 		if r == nil {
-			r = c.foundRun(m, t)
+			r = c.adoptAttempt(m, t)
 		}
-		r.listed = l.learned
-		c.update(r, t)
+		r.lastListed = l.learned
+		c.updateAttempt(r, t)
 	}
 	// A start that went out with the reply to an earlier report and is not
 	// listed now was never executed, and never will be: the worker takes
 	// replies in turn and drops late ones.
 	lost := false
-	m.runs = slices.DeleteFunc(m.runs, func(r *run) bool {
-		if r.listed == l.learned || rep.Counter <= r.order {
+	m.attempts = slices.DeleteFunc(m.attempts, func(r *attempt) bool {
+		if r.lastListed == l.learned || rep.Counter <= r.orderedCounter {
 			return false
 		}
-		lost = lost || r.phase == orderedFor && r.order > 0
-		c.forget(r)
+		lost = lost || r.phase == Ordered && r.orderedCounter > 0
+		c.releaseAttempt(r)
 		return true
 	})
 	if lost {
@@ -181,7 +181,7 @@
 	if rep.FencingToken == l.term && l.unaccounted[m.host] {
 		c.markAccounted(m.host)
 	}
-	c.stretch(m)
+	c.extendOverruns(m)
 }
 
 // markAccounted: nothing of an earlier term can be on the machine unknown to us.
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -180,19 +180,19 @@
 	l.term, m.fencingToken = 6, 6 // known in this term by the counters it has now
 	m.incarnation, m.counter = 1, 2
 	j := newJob(c, 1, 1, testRand())
-	j.spec.Class, j.any = "c", true
+	j.spec.Class, j.anyCompleted = "c", true
 	c.reserve(j)
 	now := reportOf(m)
 	now.FencingToken = 6
 	c.Step(c.now, ReportIn{Ref: 1, Report: now})
-	if len(m.runs) != 1 {
-		t.Fatalf("%d runs", len(m.runs))
+	if len(m.attempts) != 1 {
+		t.Fatalf("%d runs", len(m.attempts))
 	}
 	for _, late := range []Report{{Incarnation: 1, Counter: 88}, {Incarnation: 3, Counter: 1}} {
 		late.Host, late.InstanceType, late.Zone, late.FencingToken = m.host, m.typeName, m.zone, 5
 		c.Step(c.now.Add(time.Second), ReportIn{Ref: 2, Report: late})
-		if len(m.runs) != 1 || j.waiting != 0 {
-			t.Fatalf("tenure %d, counter %d, epoch 5: %d runs, %d wait", late.Incarnation, late.Counter, len(m.runs), j.waiting)
+		if len(m.attempts) != 1 || j.waiting != 0 {
+			t.Fatalf("tenure %d, counter %d, epoch 5: %d runs, %d wait", late.Incarnation, late.Counter, len(m.attempts), j.waiting)
 		}
 	}
 	// Not for ever: once the lease is over by our clock it is a machine like any other.
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -173,19 +173,19 @@
 	j := c.leadership.jobs["wk-1"]
 	if j == nil {
 		j = c.addJob(&JobRecord{Spec: JobSpec{ID: "wk-1", Class: "r", Owner: "t", Tasks: MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute}, Submitted: t0}, false)
-		j.any = true
+		j.anyCompleted = true
 	}
 	for range m.room().CPU / 1000 {
-		r := &run{id: TaskID{Job: "wk-1", Index: len(j.runs)}, try: uint64(len(j.runs) + 1), m: m, phase: TaskRuns, ordered: c.now, began: c.now}
-		m.runs = append(m.runs, r)
+		r := &attempt{id: TaskID{Job: "wk-1", Index: len(j.attempts)}, number: uint64(len(j.attempts) + 1), machine: m, phase: TaskRuns, orderedAt: c.now, startedAt: c.now}
+		m.attempts = append(m.attempts, r)
 		c.occupy(r, j)
 	}
 }
 
 func reportOf(m *machine) Report {
 	r := Report{Host: m.host, Address: m.address, InstanceType: m.typeName, Zone: m.zone, Spot: true, Incarnation: m.incarnation, Counter: m.counter + 1, FencingToken: 1}
-	for _, x := range m.runs {
-		r.Tasks = append(r.Tasks, TaskReport{Task: x.id, Try: x.try, Phase: x.phase})
+	for _, x := range m.attempts {
+		r.Tasks = append(r.Tasks, TaskReport{Task: x.id, Try: x.number, Phase: x.phase})
 	}
 	return r
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -49,7 +49,7 @@
 	s.OccurrencesMade, s.OccurrencesMissed, s.OccurrencesLate = l.sched.made, l.sched.missed, l.sched.late
 	for _, j := range l.jobs {
 		s.Waiting += j.waiting
-		s.Running += len(j.runs)
+		s.Running += len(j.attempts)
 	}
 	for _, r := range l.regions.All() {
 		if r.IsAway() {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -81,7 +81,7 @@
 	TaskRuns      = report.TaskRuns
 	Checkpointing = report.Checkpointing
 	Exited        = report.Exited
-	orderedFor    = Phase("ordered") // a start is in a reply that is not yet answered for
+	Ordered       = Phase("ordered") // a start is in a reply that is not yet answered for
 )
 
 // Causes of an exit.
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -305,10 +305,10 @@
 		c.loadRecord(e)
 	}
 	for _, m := range l.fleet {
-		for _, r := range m.runs {
-			if r.stray && r.id.Job == id {
+		for _, r := range m.attempts {
+			if r.orphaned && r.id.Job == id {
 				c.vacate(r)
-				if r.id.Index < j.spec.Tasks && j.runs[r.id.Index] == nil {
+				if r.id.Index < j.spec.Tasks && j.attempts[r.id.Index] == nil {
 					c.occupy(r, j)
 				}
 			}
