--- a/internal/core/alone.go
+++ b/internal/core/alone.go
@@ -41,16 +41,16 @@
 // who knows no types can neither refuse nor accept.
 func (c *Core) refreshInstanceTypes() {
 	if c.leadership != nil { // which has its own
-		c.after(c.jitter(instanceTypesInterval), c.refreshInstanceTypes)
+		c.schedule(c.jitter(instanceTypesInterval), c.refreshInstanceTypes)
 		return
 	}
 	c.cloud(CloudCall{Op: CloudCatalog}, func(r CloudReply) {
 		if r.Outcome != OK || len(r.InstanceTypes) == 0 {
-			c.after(c.jitter(4*time.Second), c.refreshInstanceTypes)
+			c.schedule(c.jitter(4*time.Second), c.refreshInstanceTypes)
 			return
 		}
 		c.instanceTypes = r.InstanceTypes
-		c.after(c.jitter(instanceTypesInterval), c.refreshInstanceTypes)
+		c.schedule(c.jitter(instanceTypesInterval), c.refreshInstanceTypes)
 	})
 }
 
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -21,7 +21,7 @@
 func newDesk(t *testing.T) *desk {
 	d := &desk{T: t, c: leaderOf(t, 1), ref: 1e6}
 	d.c.leadership.sched.loaded = true
-	d.c.began = t0
+	d.c.startedAt = t0
 	d.c.leadership.suspended = false
 	return d
 }
@@ -229,7 +229,7 @@
 			d.c.release(d.c.leadership.fleet[0])
 			j := d.c.leadership.jobs["wk-1"]
 			return func() bool {
-				d.c.after(0, d.c.pumpReleases)
+				d.c.schedule(0, d.c.pumpReleases)
 				d.in(Tick{})
 				return j.waiting > 0
 			}
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -131,10 +131,10 @@
 	l := c.leadership
 	waiting := map[*zones.Zone]int{}
 	for _, m := range l.fleet {
-		if m.away {
+		if m.unreachable {
 			for _, r := range m.attempts {
 				if r.occupies {
-					waiting[m.in]++
+					waiting[m.zoneState]++
 				}
 			}
 		}
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -127,7 +127,7 @@
 	}
 	since := c.configHeard
 	if since.IsZero() {
-		since = c.began
+		since = c.startedAt
 	}
 	return ConfigHere{c.replicatedRevision(), c.now.Sub(since).Seconds()}
 }
--- a/internal/core/copies.go
+++ b/internal/core/copies.go
@@ -336,5 +336,5 @@
 		return
 	}
 	c.sendReplicaLine(name, line)
-	c.after(replicaInterval/5, func() { c.continueTransfer(name, x) })
+	c.schedule(replicaInterval/5, func() { c.continueTransfer(name, x) })
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -53,8 +53,8 @@
 	now time.Time
 	out []any
 
-	wander time.Duration
-	began  time.Time // the first input
+	clockOffset time.Duration
+	startedAt   time.Time // the first input
 
 	processID             uint64 // of this process: tells it from one of the same name that ended before
 	ref                   uint64
@@ -62,7 +62,7 @@
 	clouds                map[uint64]func(CloudReply)
 	probes                map[uint64]func(ProbeReply)
 	forwardedRequests     map[uint64]*forwarded // users' requests at the leader's
-	wake                  byTime[func()]        // alarms: a large fleet has one for nearly every machine
+	timers                timerHeap[func()]     // alarms: a large fleet has one for nearly every machine
 	leadership            *leadership
 	knownLeader           string           // who leads, as far as we know
 	leaderVersion         uint64           // the version that it talks in
@@ -125,7 +125,7 @@
 	c.now = now
 	c.out = c.out[:0]
 	if first {
-		c.began = now
+		c.startedAt = now
 		if short := c.leaseTiming.Shortfall(); short != "" {
 			c.note(slog.LevelWarn, "settings leave little room", "field", "workers.cancel_s", "lease", c.lease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
 		}
@@ -134,10 +134,10 @@
 			c.relayTick()
 			// Not at once: a process that ends again and again would use up what calls
 			// the cloud allows to all of them.
-			c.after(c.jitter(instanceTypesFirstRead), c.refreshInstanceTypes)
+			c.schedule(c.jitter(instanceTypesFirstRead), c.refreshInstanceTypes)
 		}
 	}
-	c.alarms()
+	c.runTimers()
 	switch in := in.(type) {
 	case Tick:
 	case UserCall:
@@ -170,13 +170,13 @@
 	return c.out
 }
 
-// SetWander moves the time of day against the clock of Step's now, for drivers
+// SetClockOffset moves the time of day against the clock of Step's now, for drivers
 // whose times carry no separate steady reading. In a process now carries both,
 // and a time of day that is set back moves by itself.
-func (c *Core) SetWander(d time.Duration) { c.wander = d }
+func (c *Core) SetClockOffset(d time.Duration) { c.clockOffset = d }
 
 // wall is the time of day. Schedules go by it, and by nothing else.
-func (c *Core) wall() time.Time { return c.now.Round(0).Add(c.wander) }
+func (c *Core) wall() time.Time { return c.now.Round(0).Add(c.clockOffset) }
 
 // settle hands a reply to whoever waits for it.
 func settle[R any](waiting map[uint64]func(R), ref uint64, r R) {
@@ -186,28 +186,28 @@
 	}
 }
 
-// Wake returns when the core next wants a Tick.
-func (c *Core) Wake() time.Time {
+// NextWake returns when the core next wants a Tick.
+func (c *Core) NextWake() time.Time {
 	at := c.now.Add(time.Second)
-	if c.wake.len() > 0 {
-		if first, _ := c.wake.first(); first.Before(at) {
+	if c.timers.len() > 0 {
+		if first, _ := c.timers.first(); first.Before(at) {
 			at = first
 		}
 	}
 	return at
 }
 
-// after has f called once d has passed.
-func (c *Core) after(d time.Duration, f func()) {
-	c.wake.push(c.now.Add(d), f)
+// schedule has f called once d has passed.
+func (c *Core) schedule(d time.Duration, f func()) {
+	c.timers.push(c.now.Add(d), f)
 }
 
-func (c *Core) alarms() {
-	for c.wake.len() > 0 {
-		if at, _ := c.wake.first(); at.After(c.now) {
+func (c *Core) runTimers() {
+	for c.timers.len() > 0 {
+		if at, _ := c.timers.first(); at.After(c.now) {
 			return
 		}
-		c.wake.pop()()
+		c.timers.pop()()
 	}
 }
 
@@ -319,5 +319,5 @@
 // lead, long after its grant. A time of day that is set costs no more than the time to the
 // next renewal.
 func (c *Core) clockSkew(now time.Time) time.Duration {
-	return now.Round(0).Add(c.wander).Sub(c.began.Round(0)) - now.Sub(c.began)
+	return now.Round(0).Add(c.clockOffset).Sub(c.startedAt.Round(0)) - now.Sub(c.startedAt)
 }
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -25,7 +25,7 @@
 	c := leaderOf(t, 1)
 	l := c.leadership
 	m := l.fleet[0]
-	m.held, m.fencingToken = &heldReport{holdKey: holdKey{ref: 9}}, l.term
+	m.heldReply, m.fencingToken = &heldReply{holdKey: holdKey{ref: 9}}, l.term
 	j := newJob(c, 1, 3, testRand())
 	c.reserve(j)
 	l.attempts = maxAttempts
@@ -74,7 +74,7 @@
 		t.Errorf("%d wait", len(w))
 	}
 	c.now = c.now.Add(2 * time.Second)
-	c.alarms()
+	c.runTimers()
 	if w := p.queued[priorityUrgent]; len(w) != 2 || w[1] != bad {
 		t.Errorf("%d wait: the malformed one is lost or goes first", len(w))
 	}
@@ -234,7 +234,7 @@
 		now = now.Add(100 * time.Second) // silent by now, and returned
 		for range 6 {
 			for _, m := range stay {
-				m.seen, m.answered, m.idle, m.draining = now, now, now, false
+				m.lastHeartbeat, m.lastReply, m.idleSince, m.draining = now, now, now, false
 			}
 			now = now.Add(500 * time.Millisecond)
 			done(Tick{})
@@ -267,14 +267,14 @@
 // does a time of day that is set end more than that.
 func TestClockStopped(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.began = t0
+	c.startedAt = t0
 	l := c.leadership
 	j := newJob(c, 1, 1, testRand())
 	c.reserve(j)
 	if !c.HasAuthority(t0) {
 		t.Fatal("does not lead")
 	}
-	c.SetWander(time.Hour)
+	c.SetClockOffset(time.Hour)
 	for _, o := range c.Step(t0.Add(time.Millisecond), ReportIn{Ref: 5, Report: Report{Host: l.fleet[0].host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: 2, FencingToken: 1}}) {
 		if a, ok := o.(AnswerReport); ok && len(a.Orders) > 0 {
 			t.Errorf("starts after an hour's sleep: %+v", a)
@@ -300,7 +300,7 @@
 	if !c.HasAuthority(c.now) || l.suspended {
 		t.Error("a renewal that is answered does not count")
 	}
-	c.SetWander(-time.Hour)
+	c.SetClockOffset(-time.Hour)
 	if !c.HasAuthority(c.now) {
 		t.Error("a time of day that is set back ends the authority")
 	}
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -27,7 +27,7 @@
 		switch {
 		case c.leadership != nil:
 		case r.Outcome != OK:
-			c.after(c.jitter(400*time.Millisecond), c.watchLeader)
+			c.schedule(c.jitter(400*time.Millisecond), c.watchLeader)
 		case len(r.Entries) == 0 || r.Entries[0].Key != leaderKey:
 			// A small random delay keeps the nodes from all standing at once. One without
 			// a copy of the records leaves it to others first.
@@ -35,7 +35,7 @@
 			if c.newestReplica() == nil && len(c.cfg.Seeds) > 0 {
 				wait += noReplicaDelay
 			}
-			c.after(wait, func() { c.campaign(0) })
+			c.schedule(wait, func() { c.campaign(0) })
 		default:
 			c.followLeaderRecord(r.Entries[0], r.Rev, asked)
 		}
@@ -66,13 +66,13 @@
 		case c.leadership != nil:
 		case still && r.Entries[0].LeaseID == 0:
 			c.note(slog.LevelError, "leader's key has no grant, it is taken over", "key", e.Key)
-			c.after(c.jitter(40*time.Millisecond), func() { c.campaign(e.Rev) })
+			c.schedule(c.jitter(40*time.Millisecond), func() { c.campaign(e.Rev) })
 		case own && still:
 			c.revokeFormerLease(r.Entries[0], rec, from)
 		case own:
-			c.after(c.jitter(40*time.Millisecond), c.watchLeader)
+			c.schedule(c.jitter(40*time.Millisecond), c.watchLeader)
 		case rec == nil:
-			c.after(c.jitter(time.Second), c.watchLeader)
+			c.schedule(c.jitter(time.Second), c.watchLeader)
 		default:
 			c.watchLeaderKey(from)
 		}
@@ -118,7 +118,7 @@
 		if r.Outcome == OK {
 			c.watchLeader()
 		} else {
-			c.after(c.jitter(400*time.Millisecond), c.watchLeader)
+			c.schedule(c.jitter(400*time.Millisecond), c.watchLeader)
 		}
 	})
 }
@@ -171,10 +171,10 @@
 		return
 	}
 	if wait := c.handedOverAt.Add(handOverCooldown).Sub(c.now); wait > 0 {
-		c.after(wait, c.watchLeader)
+		c.schedule(wait, c.watchLeader)
 		return
 	}
-	retry := func() { c.after(c.jitter(200*time.Millisecond), c.watchLeader) }
+	retry := func() { c.schedule(c.jitter(200*time.Millisecond), c.watchLeader) }
 	sent, ahead := c.now, c.clockSkew(c.now) // authority counts from before the grant was asked for
 	c.store(StoreCall{Op: StoreGrantLease, TTL: leaseTTL}, func(g StoreReply) {
 		if g.Outcome != OK {
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -89,7 +89,7 @@
 			c.now = c.now.Add([]time.Duration{time.Millisecond, 50 * time.Millisecond, time.Second, time.Minute}[next()%4])
 			if c.leadership == nil && next()%3 == 0 {
 				rev := num()
-				c.after(0, func() { // in the step, so that what it asks for is asked
+				c.schedule(0, func() { // in the step, so that what it asks for is asked
 					if c.leadership == nil {
 						c.becomeLeader(min(c.confirmedTerm+1, 1<<20), rev, 1, c.now, 0)
 					}
--- a/internal/core/groups.go
+++ b/internal/core/groups.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// group is a record that names machines which may hold tasks. Only once it is
+// machineRecord is a record that names machines which may hold tasks. Only once it is
 // committed do tasks start on a machine, so a successor that reads the records
 // knows where to look. Machines come up by the dozen on a large fleet and leave
 // the same way; together they cost a write or two.
-type group struct {
-	key      string
-	rev      uint64 // of the record
-	machines []*machine
-	size     int           // bytes, estimated
-	queued   bool          // a change of it waits
-	priority writePriority // how pressing
-	flushed  time.Time
+type machineRecord struct {
+	key         string
+	revision    uint64 // of the record
+	machines    []*machine
+	size        int           // bytes, estimated
+	writeQueued bool          // a change of it waits
+	priority    writePriority // how pressing
+	writtenAt   time.Time
 }
 
-// groupEvery is how often a record of machines is written at the most.
-const groupEvery = 250 * time.Millisecond
+// machineRecordInterval is how often a record of machines is written at the most.
+const machineRecordInterval = 250 * time.Millisecond
 
 // size bounds the bytes of a machine in a record: what a worker says of
 // itself may be anything, and one bad name must not spoil the record of many.
@@ -41,57 +41,57 @@
 	return r.size()
 }
 
-// recordMachine has it written that the machine may hold tasks.
-func (c *Core) recordMachine(m *machine) {
+// recordNewMachine has it written that the machine may hold tasks.
+func (c *Core) recordNewMachine(m *machine) {
 	l := c.leadership
 	limit := int(c.cfg.Settings.State.ValueKB * 1024 * 3 / 4)
-	i := slices.IndexFunc(l.groups, func(g *group) bool { return g.size+recordedSize(m) <= limit })
+	i := slices.IndexFunc(l.records, func(g *machineRecord) bool { return g.size+recordedSize(m) <= limit })
 	if i < 0 {
-		l.grouped++
-		l.groups = append(l.groups, &group{key: fmt.Sprintf("%s%d-%d", machineKeys, l.term, l.grouped)})
-		i = len(l.groups) - 1
+		l.recordCount++
+		l.records = append(l.records, &machineRecord{key: fmt.Sprintf("%s%d-%d", machineKeys, l.term, l.recordCount)})
+		i = len(l.records) - 1
 	}
-	g := l.groups[i]
-	m.record, m.group = recording, g
+	g := l.records[i]
+	m.record, m.recordedIn = recording, g
 	g.machines = append(g.machines, m)
 	g.size += recordedSize(m)
-	c.writeGroup(g, priorityUrgent)
+	c.writeMachineRecord(g, priorityUrgent)
 }
 
-// unrecord takes a machine that is gone out of its record.
-func (c *Core) unrecord(m *machine) {
-	g := m.group
+// removeFromRecord takes a machine that is gone out of its record.
+func (c *Core) removeFromRecord(m *machine) {
+	g := m.recordedIn
 	if g == nil {
 		return
 	}
-	m.record, m.group = unrecorded, nil
+	m.record, m.recordedIn = unrecorded, nil
 	g.machines = slices.DeleteFunc(g.machines, func(x *machine) bool { return x == m })
 	g.size -= recordedSize(m)
-	c.writeGroup(g, priorityBulk)
+	c.writeMachineRecord(g, priorityBulk)
 }
 
-// writeGroup writes a record of machines. What changes until then goes along.
+// writeMachineRecord writes a record of machines. What changes until then goes along.
 //
 // The record's own revision is a condition. A transaction whose answer was lost
 // is sent again and may be applied late all the same, under this very leader and
 // after newer ones: it must not bring back a list that lacks machines, which a
 // successor would take for empty.
-func (c *Core) writeGroup(g *group, ln writePriority) {
-	if g.queued && ln >= g.priority {
+func (c *Core) writeMachineRecord(g *machineRecord, ln writePriority) {
+	if g.writeQueued && ln >= g.priority {
 		return
 	}
-	g.queued, g.priority = true, ln
-	c.afterWhileLeading(max(0, g.flushed.Add(groupEvery).Sub(c.now)), func() {
+	g.writeQueued, g.priority = true, ln
+	c.afterWhileLeading(max(0, g.writtenAt.Add(machineRecordInterval).Sub(c.now)), func() {
 		var news []*machine
 		sent := false
 		ch := &change{priority: ln, writes: []Write{{Key: g.key}}, size: int(c.cfg.Settings.State.ValueKB * 1024)}
 		ch.prepare = func() bool {
-			if !g.queued && !sent {
+			if !g.writeQueued && !sent {
 				return false // went along with a more pressing one
 			}
 			// What has been sent may not have been executed: it goes again.
-			g.queued, g.flushed, sent = false, c.now, true
-			ch.conditions = []Condition{{g.key, g.rev}}
+			g.writeQueued, g.writtenAt, sent = false, c.now, true
+			ch.conditions = []Condition{{g.key, g.revision}}
 			news = nil
 			ch.size = g.size
 			rec := &MachineRecord{}
@@ -113,16 +113,16 @@
 				if dropped && !found {
 					c.replicateDrop(g.key)
 				}
-				g.rev = e.Rev // 0 if there is none
-				c.writeGroup(g, ln)
+				g.revision = e.Rev // 0 if there is none
+				c.writeMachineRecord(g, ln)
 			})
 		}
 		ch.onCommit = func(rev uint64) {
-			if g.rev = rev; ch.writes[0].Value == nil {
-				g.rev = 0
+			if g.revision = rev; ch.writes[0].Value == nil {
+				g.revision = 0
 			}
 			for _, m := range news {
-				if m.record == recording && m.group == g {
+				if m.record == recording && m.recordedIn == g {
 					m.record = recorded
 					c.poke(m)
 				}
@@ -132,21 +132,21 @@
 	})
 }
 
-// loadGroup takes in a record of an earlier term.
-func (c *Core) loadGroup(key string, rec *MachineRecord, rev uint64) {
+// loadMachineRecord takes in a record of an earlier term.
+func (c *Core) loadMachineRecord(key string, rec *MachineRecord, rev uint64) {
 	l := c.leadership
-	g := &group{key: key, rev: rev}
+	g := &machineRecord{key: key, revision: rev}
 	for _, r := range rec.Machines {
-		m := c.machine(r.Host, r.InstanceType, r.Zone, r.Spot)
-		if m.group != nil {
+		m := c.ensureMachine(r.Host, r.InstanceType, r.Zone, r.Spot)
+		if m.recordedIn != nil {
 			continue
 		}
 		l.unaccounted[r.Host] = true
-		m.record, m.group, m.address = recorded, g, r.Address
+		m.record, m.recordedIn, m.address = recorded, g, r.Address
 		g.machines = append(g.machines, m)
 		g.size += recordedSize(m)
 	}
-	l.groups = append(l.groups, g)
+	l.records = append(l.records, g)
 }
 
 // loadUnreadableMachines takes in a record of machines that cannot be read. Which they are is
@@ -162,7 +162,7 @@
 // more, and would hold up the next take-over as well.
 func (c *Core) dropExpiredMachineRecords() {
 	l := c.leadership
-	if len(l.unreadableMachineRecords) == 0 || !c.now.After(c.earlierLease()) {
+	if len(l.unreadableMachineRecords) == 0 || !c.now.After(c.earlierLeaseExpiry()) {
 		return
 	}
 	for _, key := range slices.Sorted(maps.Keys(l.unreadableMachineRecords)) {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -43,7 +43,7 @@
 	for _, ref := range c.relay.refs() {
 		c.leadership.pendingHeartbeats = append(c.leadership.pendingHeartbeats, ReportIn{Ref: ref, Report: c.relay.waiting[ref].report})
 	}
-	c.leadership.own = c.relay.known
+	c.leadership.knownReporters = c.relay.known
 	c.relay = newRelaying()
 	c.renewLease()
 	c.fetchCatalog()
@@ -52,7 +52,7 @@
 // afterWhileLeading runs f after d if this very leadership still holds.
 func (c *Core) afterWhileLeading(d time.Duration, f func()) {
 	l := c.leadership
-	c.after(d, func() {
+	c.schedule(d, func() {
 		if c.leadership == l {
 			f()
 		}
@@ -144,15 +144,15 @@
 	// Workers that wait here need not look for the next leader: we pass on what they
 	// have said. Other relays do the same with theirs.
 	for _, m := range l.fleet {
-		if m.held != nil && m.held.by.From == "" {
-			c.passOn(ReportIn{Ref: m.held.ref, Report: m.held.report})
+		if m.heldReply != nil && m.heldReply.by.From == "" {
+			c.passOn(ReportIn{Ref: m.heldReply.ref, Report: m.heldReply.report})
 		}
 	}
 	for _, r := range l.pendingHeartbeats {
 		c.passOn(r)
 	}
 	c.answerWaiting(l, unavailable("leadership was lost, try again"))
-	c.after(c.jitter(100*time.Millisecond), c.watchLeader)
+	c.schedule(c.jitter(100*time.Millisecond), c.watchLeader)
 }
 
 // answerWaiting answers everybody who waits for a write.
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -17,7 +17,7 @@
 	authority
 	failover
 	workload
-	membership
+	inventory
 	dispatching
 	replication
 
@@ -91,18 +91,18 @@
 	offerBuffer         []placementOffer // scratch space
 }
 
-// membership is the machines, the records that name them, and by which controllers they report.
-type membership struct {
-	machines map[string]*machine
-	fleet    []*machine            // the same, by name
-	gone     forgetful             // released, proven gone: their late reports count for nothing
-	grouped  uint64                // records of machines begun in this term
-	groups   []*group              // the records of the machines
-	relays   map[string]*relayPeer // "" for our own socket
-	nodes    []relay.Node          // scratch space
-	own      map[string]*reporter  // workers that reported to us before
-	moveAt   time.Time             // not before this is a worker led to another node
-	learned  uint64                // reports taken in
+// inventory is the machines, the records that name them, and by which controllers they report.
+type inventory struct {
+	machines       map[string]*machine
+	fleet          []*machine            // the same, by name
+	released       expiringSet           // released, proven gone: their late reports count for nothing
+	recordCount    uint64                // records of machines begun in this term
+	records        []*machineRecord      // the records of the machines
+	relays         map[string]*relayPeer // "" for our own socket
+	nodes          []relay.Node          // scratch space
+	knownReporters map[string]*reporter  // workers that reported to us before
+	nextMoveAt     time.Time             // not before this is a worker led to another node
+	heartbeatCount uint64                // reports taken in
 }
 
 // dispatching is the replies that are held, and when they are looked at again.
@@ -137,7 +137,7 @@
 		authority:   authority{acknowledged: map[string]bool{}},
 		failover:    failover{unaccounted: map[string]bool{}, unreadableJobs: map[string]bool{}, unreadableMachineRecords: map[string]uint64{}, newerTokens: map[string]uint64{}},
 		workload:    workload{jobs: map[string]*job{}, accept: map[string]*admission{}, teams: map[string]*team{}, runtimes: newRuntimeEstimates()},
-		membership:  membership{gone: newForgetful(now), machines: map[string]*machine{}, relays: map[string]*relayPeer{}},
+		inventory:   inventory{released: newExpiringSet(now), machines: map[string]*machine{}, relays: map[string]*relayPeer{}},
 		dispatching: dispatching{holding: map[holdKey]*machine{}},
 		replication: replication{followers: map[string]*snapshot.Sender{}},
 		writes:      newWriteBatcher(cfg.Settings.State),
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -30,7 +30,7 @@
 		l := d.c.leadership
 		d.c.now = later(d.c.now, l.expiresAt).Add(2 * time.Second)
 		l.clockSkew = d.c.clockSkew(d.c.now)
-		d.c.SetWander(ahead)
+		d.c.SetClockOffset(ahead)
 		d.ref++
 		d.in(ReportIn{Ref: d.ref, Report: Report{Host: "host-000000", InstanceType: "f2", Zone: "a", Incarnation: 1, Counter: 20, FencingToken: 1, Tasks: ts}})
 		if a := d.replied(d.ref); (a.Status == 200) != (ahead == 0) {
@@ -143,7 +143,7 @@
 	j := d.c.addJob(&JobRecord{Spec: *plainJob("wk-1", 1), Submitted: t0}, true)
 	d.c.jobLoaded(j)
 	at := func(host string, try uint64) *attempt {
-		m := d.c.machine(host, "f2", "a", true)
+		m := d.c.ensureMachine(host, "f2", "a", true)
 		d.c.learn(m, &Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []TaskReport{{Task: TaskID{Job: "wk-1"}, Try: try, Phase: TaskRuns}}})
 		return m.attempts[0]
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -160,7 +160,7 @@
 		case r.Outcome == OK || r.Outcome == NotFound:
 			c.verifyEndedClaim(term, again)
 		default:
-			c.after(c.jitter(500*time.Millisecond), again)
+			c.schedule(c.jitter(500*time.Millisecond), again)
 		}
 	})
 }
@@ -184,7 +184,7 @@
 		case r.Outcome == OK || r.Outcome == NotFound:
 			c.highestTerm, c.knownLeader = c.confirmedTerm, ""
 		default:
-			c.after(c.jitter(500*time.Millisecond), again)
+			c.schedule(c.jitter(500*time.Millisecond), again)
 		}
 	})
 }
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -183,7 +183,7 @@
 	}
 	var sizes []int64
 	for _, m := range l.fleet {
-		m.warm = 0
+		m.warmReserve = 0
 		if n := m.timeline.Capacity().CPU; !slices.Contains(sizes, n) {
 			sizes = append(sizes, n) // as many as there are types
 		}
@@ -195,8 +195,8 @@
 				return
 			}
 			if m.timeline.Capacity().CPU == n && m.usable() && m.reported {
-				m.warm = min(left, n/4)
-				left -= m.warm
+				m.warmReserve = min(left, n/4)
+				left -= m.warmReserve
 			}
 		}
 	}
@@ -543,7 +543,7 @@
 	if len(j.places.Rules) == 0 {
 		return n
 	}
-	return c.leadership.tally.Room(&j.places, m.leaf, n)
+	return c.leadership.tally.Room(&j.places, m.place, n)
 }
 
 // mayStart reports whether tasks of the job may start at all now.
@@ -609,7 +609,7 @@
 func (c *Core) startTasksOn(m *machine) []Order {
 	l := c.leadership
 	room := m.room()
-	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.in.Takes() || c.now.Before(m.retryAt) || l.unaccounted[m.host] || l.attempts > maxAttempts-maxStartsPerReply {
+	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.zoneState.Takes() || c.now.Before(m.retryAt) || l.unaccounted[m.host] || l.attempts > maxAttempts-maxStartsPerReply {
 		return nil
 	}
 	os, blocked := c.startOverdue(m)
@@ -634,8 +634,8 @@
 			break // one task at a time shows whether the machine works
 		}
 		have := room
-		if m.warm > 0 && !j.startsAtOnce {
-			have.CPU -= m.warm
+		if m.warmReserve > 0 && !j.startsAtOnce {
+			have.CPU -= m.warmReserve
 		}
 		b := c.nextReservationFor(j, m)
 		if b == nil {
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -20,7 +20,7 @@
 // probeUnaccounted begins to probe the machines that are owed: at once those that reported to
 // this node before it led.
 func (c *Core) probeUnaccounted() {
-	own := c.leadership.own
+	own := c.leadership.knownReporters
 	if !c.hasAnyLink() {
 		c.probeMatching(func(*machine) bool { return true })
 		return
@@ -87,7 +87,7 @@
 		case r.Outcome == Conflict && rep.Incarnation != tenure:
 			c.probe(m, rep.Incarnation)
 		default:
-			if m.unreached++; m.unreached < maxProbeAttempts {
+			if m.failedProbes++; m.failedProbes < maxProbeAttempts {
 				l.probeQueue = append(l.probeQueue, m)
 			}
 		}
--- a/internal/core/regions_test.go
+++ b/internal/core/regions_test.go
@@ -21,13 +21,13 @@
 	c.leadership.regions = zones.NewRegionWatch(set)
 	for zone := range 4 {
 		for i := range 3 {
-			m := c.machine(fmt.Sprintf("host-1%d%d", zone, i), "f0", fmt.Sprintf("r1-%d", zone), false)
-			m.reported, m.seen = true, t0
+			m := c.ensureMachine(fmt.Sprintf("host-1%d%d", zone, i), "f0", fmt.Sprintf("r1-%d", zone), false)
+			m.reported, m.lastHeartbeat = true, t0
 		}
 	}
 	c.now = t0.Add(20 * time.Second)
 	for _, m := range c.leadership.fleet[:12] {
-		m.seen = c.now
+		m.lastHeartbeat = c.now
 	}
 	c.out = nil
 	c.lookAtZones()
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -149,7 +149,7 @@
 
 // relayTick looks after what waits here, now and every while.
 func (c *Core) relayTick() {
-	c.after(relayBeat, c.relayTick)
+	c.schedule(relayBeat, c.relayTick)
 	if c.leadership != nil {
 		return
 	}
@@ -203,7 +203,7 @@
 	if wait := r.flushed.Add(every).Sub(c.now); wait > 0 && r.weight < lineMost {
 		if !r.flushing {
 			r.flushing = true
-			c.after(wait, func() { c.relay.flushing = false }) // and the pump after it
+			c.schedule(wait, func() { c.relay.flushing = false }) // and the pump after it
 		}
 		return
 	}
@@ -360,7 +360,7 @@
 		// All that waits there is told again. The numbers of the session before mean
 		// nothing any more.
 		for _, x := range l.fleet {
-			if x.held != nil && x.held.by.From == from {
+			if x.heldReply != nil && x.heldReply.by.From == from {
 				c.unhold(x)
 			}
 		}
@@ -448,18 +448,18 @@
 
 // reportsTo notes by which node a machine reports.
 func (l *leadership) reportsTo(m *machine, by string) {
-	if p := l.relay(by); m.home != p {
+	if p := l.relay(by); m.reportsVia != p {
 		l.leaves(m)
-		m.home = p
+		m.reportsVia = p
 		p.workers++
 	}
 }
 
 // leaves notes that a machine reports by none.
 func (l *leadership) leaves(m *machine) {
-	if m.home != nil {
-		m.home.workers--
-		m.home = nil
+	if m.reportsVia != nil {
+		m.reportsVia.workers--
+		m.reportsVia = nil
 	}
 }
 
@@ -513,7 +513,7 @@
 
 // patience is how long the machine may be silent, given how long one may be.
 func (c *Core) patience(m *machine, silent time.Duration) time.Duration {
-	if m.home != nil && m.home.quiet.After(m.seen) {
+	if m.reportsVia != nil && m.reportsVia.quiet.After(m.lastHeartbeat) {
 		return max(silent, c.heardAgain()+time.Second)
 	}
 	return silent
@@ -545,11 +545,11 @@
 // lose. A machine that comes back had a reason: the other node is out of its reach.
 func (c *Core) leadTo(m *machine, by string, first bool) string {
 	l := c.leadership
-	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.allAccounted() || m.releasing || c.now.Sub(m.moved) < 3*c.lease {
+	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.allAccounted() || m.releasing || c.now.Sub(m.lastMoved) < 3*c.lease {
 		return ""
 	}
 	first = first && by == ""
-	if !first && (c.now.Before(l.moveAt) || m.fencingToken != l.term) {
+	if !first && (c.now.Before(l.nextMoveAt) || m.fencingToken != l.term) {
 		return ""
 	}
 	nodes := c.nodes()
@@ -558,8 +558,8 @@
 		return ""
 	}
 	if !first {
-		l.moveAt = c.now.Add(time.Second / time.Duration(4+len(l.fleet)/50))
+		l.nextMoveAt = c.now.Add(time.Second / time.Duration(4+len(l.fleet)/50))
 	}
-	m.moved = c.now
+	m.lastMoved = c.now
 	return to
 }
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -149,12 +149,12 @@
 
 func (c *Core) listed(h Instance) {
 	l := c.leadership
-	if l.gone.has(h.Host) {
+	if l.released.has(h.Host) {
 		return // the list lags
 	}
 	m := l.machines[h.Host]
 	if m == nil {
-		m = c.machine(h.Host, h.InstanceType, h.Zone, h.Spot)
+		m = c.ensureMachine(h.Host, h.InstanceType, h.Zone, h.Spot)
 		m.rentedAt = c.now.Add(-h.Age)
 		if m.instanceType != nil {
 			m.readyAt = m.rentedAt.Add(m.instanceType.BootTime)
@@ -206,24 +206,24 @@
 func (c *Core) removed(host string) {
 	l := c.leadership
 	m := l.machines[host]
-	l.gone.add(host, c.now)
+	l.released.add(host, c.now)
 	if m == nil {
 		return
 	}
 	for _, r := range slices.Clone(m.attempts) {
 		c.dropAttempt(r)
 	}
-	if m.held != nil {
+	if m.heldReply != nil {
 		c.refuseHeld(m)
 	}
 	l.leaves(m)
 	delete(l.machines, host)
 	l.places.Forget(host)
-	if i := l.place(host); i < len(l.fleet) && l.fleet[i] == m {
+	if i := l.fleetIndex(host); i < len(l.fleet) && l.fleet[i] == m {
 		l.fleet = slices.Delete(l.fleet, i, i+1)
 	}
 	c.markAccounted(host)
-	c.unrecord(m)
+	c.removeFromRecord(m)
 }
 
 // cutOffMost is for how many leases we take ourselves to be cut off rather than most of
@@ -249,10 +249,10 @@
 	quiet, reporting := 0, 0
 	overdue := map[*relayPeer]int{}
 	for _, m := range l.fleet {
-		if m.reported && !m.away {
+		if m.reported && !m.unreachable {
 			reporting++
-			if m.home != nil && c.now.Sub(m.seen) > overdueAfter(c.report) {
-				overdue[m.home]++
+			if m.reportsVia != nil && c.now.Sub(m.lastHeartbeat) > overdueAfter(c.report) {
+				overdue[m.reportsVia]++
 			}
 			if c.now.Sub(c.heardLast(m)) > silent {
 				quiet++
@@ -290,34 +290,34 @@
 func (c *Core) review(m *machine, silent, takeover, idle time.Duration, cutOff bool) {
 	l := c.leadership
 	if (len(m.attempts) > 0 || l.unaccounted[m.host]) && (m.reported || l.unaccounted[m.host]) {
-		if at, ok := c.leaseOver(m); ok && c.now.After(at) {
-			c.expire(m)
+		if at, ok := c.leaseExpiry(m); ok && c.now.After(at) {
+			c.expireLease(m)
 		}
 	}
 	if m.releasing {
 		return
 	}
 	seen := c.heardLast(m)
-	if l.unaccounted[m.host] && (!m.reported || seen != m.seen) && takeover < silent {
+	if l.unaccounted[m.host] && (!m.reported || seen != m.lastHeartbeat) && takeover < silent {
 		// Everything waits for it. When most others have found us, it is gone
 		// or cut off.
 		silent = takeover
-		if m.unreached >= maxProbeAttempts {
+		if m.failedProbes >= maxProbeAttempts {
 			silent /= 2 // it does not answer us either
 		}
 	}
-	if !m.leaving.IsZero() && c.now.After(m.leaving.Add(time.Second)) {
+	if !m.interruptionAt.IsZero() && c.now.After(m.interruptionAt.Add(time.Second)) {
 		// Its notice has run out: a report that is a little overdue says enough.
 		silent = min(silent, c.report*3/4)
 	}
 	// A zone that returns does so over a report interval, and so do those who have tried
 	// in vain while we had no authority.
-	last := maxTime(seen, maxTime(m.in.Since, l.resumedAt))
+	last := maxTime(seen, maxTime(m.zoneState.Since, l.resumedAt))
 	if !m.reported {
-		last = maxTime(last, maxTime(m.since, l.electedAt))
+		last = maxTime(last, maxTime(m.knownSince, l.electedAt))
 	}
 	wait := c.patience(m, silent)
-	booting := m.seen.IsZero() && !l.unaccounted[m.host]
+	booting := m.lastHeartbeat.IsZero() && !l.unaccounted[m.host]
 	if booting {
 		// Some machines take several times as long, a few never come up.
 		ready := 30 * time.Second
@@ -328,16 +328,16 @@
 		if p := l.rent.patience[m.typeName]; p > 0 {
 			wait = timeline.Seconds(wait.Seconds() * p)
 		}
-		if m.since.Add(3 * silent).After(last.Add(wait)) {
-			last, wait = m.since, 3*silent
+		if m.knownSince.Add(3 * silent).After(last.Add(wait)) {
+			last, wait = m.knownSince, 3*silent
 		}
 	}
 	switch {
-	case m.away && !l.unaccounted[m.host] && (!booting || c.now.Sub(last) <= 2*wait):
+	case m.unreachable && !l.unaccounted[m.host] && (!booting || c.now.Sub(last) <= 2*wait):
 		// Its zone is cut off: see giveBackZones.
 	case c.now.Sub(last) > wait && (!cutOff || booting):
 		c.note(slog.LevelWarn, "machine silent, releasing it", "machine", m.host, "type", m.typeName, "silent", c.now.Sub(last), "tasks", len(m.attempts), "booted", !booting)
-		if booting && !m.away {
+		if booting && !m.unreachable {
 			// When boots take longer than that for a while, giving up each time
 			// would never get a machine.
 			l.rent.patience[m.typeName] = min(max(l.rent.patience[m.typeName], 1)*1.25, 6)
@@ -357,9 +357,9 @@
 	}
 	age := c.now.Sub(m.rentedAt)
 	switch {
-	case m.quarantined, m.draining, !m.leaving.IsZero():
+	case m.quarantined, m.draining, !m.interruptionAt.IsZero():
 		c.release(m)
-	case c.now.Sub(m.idle) > idle && age > 50*time.Second && !c.wanted(m):
+	case c.now.Sub(m.idleSince) > idle && age > 50*time.Second && !c.wanted(m):
 		c.note(slog.LevelInfo, "machine idle, returning it", "machine", m.host, "type", m.typeName)
 		c.release(m)
 	}
@@ -382,17 +382,17 @@
 // drain empties a machine that the cloud takes away or that is condemned: tasks
 // that will not be over in time save and go, the others finish.
 func (c *Core) drain(m *machine) {
-	if !m.quarantined && !m.draining && m.leaving.IsZero() {
+	if !m.quarantined && !m.draining && m.interruptionAt.IsZero() {
 		return
 	}
 	for _, r := range m.attempts {
 		if r.phase == Exited || r.stopRequested || r.job == nil {
 			continue
 		}
-		left := m.leaving.Sub(c.now)
+		left := m.interruptionAt.Sub(c.now)
 		switch {
 		case m.quarantined:
-		case m.leaving.IsZero():
+		case m.interruptionAt.IsZero():
 			// Only what saves is moved, and only when it has long to go.
 			s := &r.job.spec
 			if r.phase != TaskRuns || s.CheckpointInterval <= 0 || c.remaining(r) < 2*s.CheckpointTime+10*time.Second {
@@ -400,7 +400,7 @@
 			}
 		case r.phase == TaskRuns && !r.job.spec.Service:
 			end := r.startedAt.Add(c.estimate(r.job))
-			if end.Before(m.leaving) {
+			if end.Before(m.interruptionAt) {
 				continue
 			}
 			if s := r.job.spec.CheckpointTime; r.job.spec.CheckpointInterval > 0 && left > s+3*time.Second+c.report {
@@ -408,7 +408,7 @@
 			}
 		}
 		r.stopRequested, r.drainTime = true, 0
-		if s := r.job.spec.CheckpointTime; r.job.spec.CheckpointInterval > 0 && (m.leaving.IsZero() || left > s) {
+		if s := r.job.spec.CheckpointTime; r.job.spec.CheckpointInterval > 0 && (m.interruptionAt.IsZero() || left > s) {
 			r.drainTime = s + time.Second
 		}
 		c.poke(m)
@@ -486,7 +486,7 @@
 		if !m.usable() || !m.reported {
 			continue
 		}
-		u := float64(m.used.CPU) / 1000
+		u := float64(m.allocated.CPU) / 1000
 		used += u
 		free += float64(m.room().CPU) / 1000
 		if c.now.Sub(m.rentedAt) < 50*time.Second {
@@ -512,7 +512,7 @@
 		if x := cmp.Compare(dear(b), dear(a)); x != 0 {
 			return x
 		}
-		return cmp.Compare(a.used.CPU*b.timeline.Capacity().CPU, b.used.CPU*a.timeline.Capacity().CPU)
+		return cmp.Compare(a.allocated.CPU*b.timeline.Capacity().CPU, b.allocated.CPU*a.timeline.Capacity().CPU)
 	})
 	reserve := max(c.expected()-used, 0) + 0.1*used + 2
 	most := draining + 1 + len(l.fleet)/drainPart
@@ -729,10 +729,10 @@
 		case OK:
 			delete(l.rent.wanted, name)
 			for _, h := range r.Hosts {
-				if l.gone.has(h) {
+				if l.released.has(h) {
 					continue
 				}
-				m := c.machine(h, w.instanceType, w.zone, w.spot)
+				m := c.ensureMachine(h, w.instanceType, w.zone, w.spot)
 				m.rentedAt = w.at
 				if m.instanceType != nil {
 					m.readyAt = w.at.Add(m.instanceType.BootTime)
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -8,8 +8,8 @@
 
 // Replies to reports: what they order, and how long they are held.
 
-// heldReport is a report whose reply waits for something to say.
-type heldReport struct {
+// heldReply is a report whose reply waits for something to say.
+type heldReply struct {
 	holdKey
 	since  time.Time
 	report Report // of our own socket: whoever leads next is told of it
@@ -17,9 +17,9 @@
 
 // unhold takes away the report that a machine waits on and returns what names it.
 func (c *Core) unhold(m *machine) holdKey {
-	key := m.held.holdKey
+	key := m.heldReply.holdKey
 	delete(c.leadership.holding, key)
-	m.held = nil
+	m.heldReply = nil
 	return key
 }
 
@@ -31,8 +31,8 @@
 
 // poke has a held reply to the machine go out soon if there are orders for it.
 func (c *Core) poke(m *machine) {
-	if !m.poked {
-		m.poked = true
+	if !m.dispatchPending {
+		m.dispatchPending = true
 		c.leadership.poked = append(c.leadership.poked, m)
 	}
 }
@@ -66,7 +66,7 @@
 // nothing to say and something may come.
 func (c *Core) reply(m *machine, due bool) {
 	l := c.leadership
-	h := m.held
+	h := m.heldReply
 	if h == nil {
 		return
 	}
@@ -81,7 +81,7 @@
 	}
 	if wait := c.paceLeft(m, os); wait > 0 {
 		c.afterWhileLeading(wait, func() {
-			if m.held == h {
+			if m.heldReply == h {
 				c.reply(m, due)
 			}
 		})
@@ -95,7 +95,7 @@
 		return
 	}
 	hold := c.leadership.holdIdle
-	if len(m.attempts) > 0 && (m.warm == 0 || m.room().CPU < m.warm/2) {
+	if len(m.attempts) > 0 && (m.warmReserve == 0 || m.room().CPU < m.warmReserve/2) {
 		hold = c.leadership.holdBusy
 		if !m.usable() || m.room().CPU <= 0 {
 			hold = 0
@@ -106,7 +106,7 @@
 		return
 	}
 	c.afterWhileLeading(hold, func() {
-		if m.held == h {
+		if m.heldReply == h {
 			c.reply(m, true)
 		}
 	})
@@ -114,11 +114,11 @@
 
 func (c *Core) sendReply(m *machine, os []Order) {
 	key := c.unhold(m)
-	if m.fencingToken != c.leadership.term && m.deafSince.IsZero() {
-		m.deafSince = c.now
+	if m.fencingToken != c.leadership.term && m.unacknowledgedSince.IsZero() {
+		m.unacknowledgedSince = c.now
 	}
 	c.answerReport(key.by, AnswerReport{Ref: key.ref, Status: 200, FencingToken: c.leadership.term, Orders: os})
-	m.answered = c.now
+	m.lastReply = c.now
 }
 
 // dispatch looks again at machines whose replies are held: at those that have
@@ -127,7 +127,7 @@
 	l := c.leadership
 	for i := 0; i < len(l.poked); i++ {
 		m := l.poked[i]
-		m.poked = false
+		m.dispatchPending = false
 		c.replyIfAny(m)
 	}
 	l.poked = l.poked[:0]
@@ -144,7 +144,7 @@
 	l.dirty = false
 	l.dispatchAt = c.now.Add(dispatchEvery)
 	for _, m := range l.fleet {
-		if m.held == nil || m.room().CPU <= 0 {
+		if m.heldReply == nil || m.room().CPU <= 0 {
 			continue
 		}
 		if !slices.ContainsFunc(l.queue, c.couldStart) {
@@ -156,7 +156,7 @@
 
 // replyIfAny answers a held report if there are orders for the machine.
 func (c *Core) replyIfAny(m *machine) {
-	if m.held == nil || m.fencingToken != c.leadership.term {
+	if m.heldReply == nil || m.fencingToken != c.leadership.term {
 		return
 	}
 	os := c.orders(m)
@@ -187,13 +187,13 @@
 	}
 	size := float64(reportBytes + reportTaskBytes*len(m.attempts))
 	gap := min(timeline.Seconds(size/budget), paceMost)
-	return m.held.since.Add(gap).Sub(c.now)
+	return m.heldReply.since.Add(gap).Sub(c.now)
 }
 
 // releaseHeld answers all held reports.
 func (c *Core) releaseHeld() {
 	for _, m := range c.leadership.fleet {
-		if m.held != nil {
+		if m.heldReply != nil {
 			c.reply(m, true)
 		}
 	}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -24,7 +24,7 @@
 	case rep.FencingToken > l.term:
 		refuse()
 		c.handleNewerToken(rep.Host, rep.FencingToken, func() {
-			c.release(c.machine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot))
+			c.release(c.ensureMachine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot))
 		})
 		return
 	case !c.hasAuthority() && (c.leaseTiming.GraceOver(c.now.Sub(l.expiresAt), c.clockSkew(c.now)-l.clockSkew) || c.now.Before(l.expiresAt)):
@@ -32,7 +32,7 @@
 		// cannot say.
 		refuse()
 		return
-	case l.gone.has(rep.Host):
+	case l.released.has(rep.Host):
 		// Released and proven gone: whatever arrives now was sent before.
 		c.late++
 		refuse()
@@ -41,7 +41,7 @@
 		l.pendingHeartbeats = append(l.pendingHeartbeats, in)
 		return
 	}
-	m := c.machine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
+	m := c.ensureMachine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
 	if m.record == unrecorded {
 		m.address = rep.Address // a machine keeps it
 	}
@@ -49,7 +49,7 @@
 		// Overtaken by its own answer to our probe: nothing new, but a worker
 		// that waits for its reply.
 		c.answerReport(in.Relay, AnswerReport{Ref: in.Ref, Status: 200, FencingToken: l.term})
-		m.answered = c.now
+		m.lastReply = c.now
 		return
 	}
 	// A relay that has begun a new session tells again what waits there. What was
@@ -66,7 +66,7 @@
 		refuse()
 		return
 	}
-	if m.held != nil {
+	if m.heldReply != nil {
 		// The worker has given up on it; this is its next report.
 		c.refuseHeld(m)
 	}
@@ -77,17 +77,17 @@
 	}
 	l.reportsTo(m, in.Relay.From)
 	if m.record == unrecorded && c.hasAuthority() && m.usable() {
-		c.recordMachine(m)
+		c.recordNewMachine(m)
 	}
 	if to := c.leadTo(m, in.Relay.From, first); to != "" {
 		c.answerReport(in.Relay, AnswerReport{Ref: in.Ref, Status: 421, Upstream: to})
 		return
 	}
-	m.held = &heldReport{holdKey: holdKey{in.Relay, in.Ref}, since: c.now}
+	m.heldReply = &heldReply{holdKey: holdKey{in.Relay, in.Ref}, since: c.now}
 	if in.Relay.From == "" {
-		m.held.report = *rep
+		m.heldReply.report = *rep
 	}
-	l.holding[m.held.holdKey] = m
+	l.holding[m.heldReply.holdKey] = m
 	c.reply(m, false)
 }
 
@@ -100,7 +100,7 @@
 			return
 		}
 		c.note(slog.LevelWarn, "worker has seen an epoch that never was", "machine", host, "claimed", epoch, "term", c.leadership.term)
-		if c.leadership.loaded && !c.leadership.gone.has(host) {
+		if c.leadership.loaded && !c.leadership.released.has(host) {
 			useless()
 		}
 	})
@@ -129,7 +129,7 @@
 	l := c.leadership
 	if !m.reported {
 		c.note(slog.LevelDebug, "machine reports", "machine", m.host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
-		m.idle = c.now
+		m.idleSince = c.now
 		delete(l.rent.patience, m.typeName)
 	}
 	if m.reported && rep.Incarnation > m.incarnation {
@@ -139,24 +139,24 @@
 		}
 	}
 	m.reported, m.incarnation, m.counter, m.fencingToken = true, rep.Incarnation, rep.Counter, rep.FencingToken
-	m.seen, m.lost, m.away = c.now, false, false
+	m.lastHeartbeat, m.leaseExpired, m.unreachable = c.now, false, false
 	if rep.HasNotice {
-		if m.leaving.IsZero() {
+		if m.interruptionAt.IsZero() {
 			c.note(slog.LevelInfo, "machine will be taken", "machine", m.host, "notice", rep.Notice)
 		}
-		m.leaving = c.now.Add(rep.Notice)
+		m.interruptionAt = c.now.Add(rep.Notice)
 	}
 	if rep.FencingToken == l.term {
-		m.deafSince = time.Time{}
+		m.unacknowledgedSince = time.Time{}
 	}
-	l.learned++
+	l.heartbeatCount++
 	for i := range rep.Tasks {
 		t := &rep.Tasks[i]
 		r := m.findAttempt(t.Task, t.Try, i)
 		if r == nil {
 			r = c.adoptAttempt(m, t)
 		}
-		r.lastListed = l.learned
+		r.lastListed = l.heartbeatCount
 		c.updateAttempt(r, t)
 	}
 	// A start that went out with the reply to an earlier report and is not
@@ -164,7 +164,7 @@
 	// replies in turn and drops late ones.
 	lost := false
 	m.attempts = slices.DeleteFunc(m.attempts, func(r *attempt) bool {
-		if r.lastListed == l.learned || rep.Counter <= r.orderedCounter {
+		if r.lastListed == l.heartbeatCount || rep.Counter <= r.orderedCounter {
 			return false
 		}
 		lost = lost || r.phase == Ordered && r.orderedCounter > 0
@@ -174,8 +174,8 @@
 	if lost {
 		// Once may be chance or a relay that ended. A machine that does not hear us must
 		// not be what a task is tried on again and again while there is room elsewhere.
-		if m.lostStarts++; m.lostStarts > 1 {
-			m.retryAt = c.now.Add(min(time.Second<<min(m.lostStarts-1, 10), c.lease))
+		if m.unlistedStarts++; m.unlistedStarts > 1 {
+			m.retryAt = c.now.Add(min(time.Second<<min(m.unlistedStarts-1, 10), c.lease))
 		}
 	}
 	if rep.FencingToken == l.term && l.unaccounted[m.host] {
@@ -206,10 +206,10 @@
 // One that was answered long ago and whose reports still show no word of ours does not hear:
 // everything that was accepted earlier would wait for it for as long as that lasts.
 func (c *Core) heardLast(m *machine) time.Time {
-	if !m.deafSince.IsZero() && c.now.Sub(m.deafSince) > c.heardAgain() {
-		return m.deafSince
+	if !m.unacknowledgedSince.IsZero() && c.now.Sub(m.unacknowledgedSince) > c.heardAgain() {
+		return m.unacknowledgedSince
 	}
-	return m.seen
+	return m.lastHeartbeat
 }
 
 func (c *Core) reportGone(ref uint64) {
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -26,12 +26,12 @@
 		}
 		return false
 	})
-	for _, g := range l.groups {
+	for _, g := range l.records {
 		if lost[g.key] && len(g.machines) > 0 {
 			for _, m := range g.machines {
 				m.record = recording
 			}
-			c.writeGroup(g, priorityUrgent)
+			c.writeMachineRecord(g, priorityUrgent)
 		}
 	}
 	// Schedules first, which nothing is made of until they are there, then jobs, the
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -83,9 +83,9 @@
 		c.dropExcessReservation(j)
 	}
 	if len(j.places.Rules) > 0 {
-		c.leadership.tally.Add(j.spec.ID, r.machine.leaf, 1)
+		c.leadership.tally.Add(j.spec.ID, r.machine.place, 1)
 	}
-	r.machine.used = r.machine.used.Add(j.need, 1)
+	r.machine.allocated = r.machine.allocated.Add(j.need, 1)
 	j.team.used = j.team.used.Add(j.need, 1)
 	r.reservation = &timeline.Booking{Start: c.now, End: c.now.Add(c.occupancy(j, r.machine)), Need: j.need, Count: 1}
 	r.machine.timeline.Add(r.reservation)
@@ -109,15 +109,15 @@
 	j := r.job
 	c.countRunning(r, false)
 	if len(j.places.Rules) > 0 {
-		c.leadership.tally.Add(j.spec.ID, r.machine.leaf, -1)
+		c.leadership.tally.Add(j.spec.ID, r.machine.place, -1)
 	}
-	r.machine.used = r.machine.used.Add(r.need, -1)
+	r.machine.allocated = r.machine.allocated.Add(r.need, -1)
 	j.team.used = j.team.used.Add(r.need, -1)
 	if j.attempts[r.id.Index] == r {
 		delete(j.attempts, r.id.Index)
 	}
-	if r.machine.used == (timeline.Resources{}) {
-		r.machine.idle = c.now
+	if r.machine.allocated == (timeline.Resources{}) {
+		r.machine.idleSince = c.now
 	}
 	// The machine's own reply looks for work for the room. Others can make use
 	// of what the team or the job has got back.
@@ -172,7 +172,7 @@
 	}
 	m, j := r.machine, r.job
 	if r.phase == Ordered && r.orderedCounter > 0 {
-		m.lostStarts = 0
+		m.unlistedStarts = 0
 	}
 	if t.Phase != Exited {
 		if t.Phase == TaskRuns && r.phase != TaskRuns {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -42,8 +42,8 @@
 	}
 	l.rent.read = true
 	for i := range n {
-		m := c.machine(fmt.Sprintf("host-%06d", i), fmt.Sprint("f", i%3), "a", true)
-		m.reported, m.record, m.incarnation, m.fencingToken, m.seen = true, recorded, 1, 1, t0
+		m := c.ensureMachine(fmt.Sprintf("host-%06d", i), fmt.Sprint("f", i%3), "a", true)
+		m.reported, m.record, m.incarnation, m.fencingToken, m.lastHeartbeat = true, recorded, 1, 1, t0
 	}
 	return c
 }
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -22,8 +22,8 @@
 	unread map[string]bool // whose records cannot be read
 	loaded bool
 
-	later byTime[place] // schedules by when their next occurrence is due
-	ready byTime[place] // those that are due, by deadline
+	later timerHeap[place] // schedules by when their next occurrence is due
+	ready timerHeap[place] // those that are due, by deadline
 
 	runs       map[string]*scheduled     // whose job each request to run makes
 	numbers    []func(n uint64, ok bool) // who waits for a number
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -62,13 +62,13 @@
 		}
 	}
 	for _, m := range l.fleet {
-		if m.away {
+		if m.unreachable {
 			s.MachinesAway++
 		}
 		if m.reported {
 			s.Reporting++
 			s.CPUs += float64(m.timeline.Capacity().CPU) / 1000
-			s.CPUsUsed += float64(m.used.CPU) / 1000
+			s.CPUsUsed += float64(m.allocated.CPU) / 1000
 		}
 	}
 	return s
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -67,7 +67,7 @@
 			unreadable("the take-over waits until every lease of an earlier term is over")
 			c.loadUnreadableMachines(e.Key, e.Rev)
 		} else {
-			c.loadGroup(e.Key, v, e.Rev)
+			c.loadMachineRecord(e.Key, v, e.Rev)
 		}
 	} else if name, ok := strings.CutPrefix(e.Key, doneKeys); ok {
 		// Progress comes after jobs in key order, so the job is known by now.
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -87,7 +87,7 @@
 	case OpSubmit:
 		wait = forwardedSubmitTimeout
 	}
-	c.after(wait, func() {
+	c.schedule(wait, func() {
 		if c.forwardedRequests[ref] != nil {
 			delete(c.forwardedRequests, ref)
 			c.serveWithoutLeader(call)
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -37,15 +37,15 @@
 	l := c.leadership
 	quiet := c.quietAfter()
 	heard := func(m *machine) bool {
-		return m.reported && c.now.Sub(maxTime(m.seen, l.resumedAt)) <= quiet
+		return m.reported && c.now.Sub(maxTime(m.lastHeartbeat, l.resumedAt)) <= quiet
 	}
 	sights := map[string]zones.Sight{}
 	for _, m := range l.fleet {
-		if m.releasing || !m.leaving.IsZero() || !m.reported && !m.lost && !l.unaccounted[m.host] {
+		if m.releasing || !m.interruptionAt.IsZero() || !m.reported && !m.leaseExpired && !l.unaccounted[m.host] {
 			continue // on its way out, or not up yet
 		}
 		s := sights[m.zone]
-		if heard(m) || !m.reported && !m.lost && c.now.Sub(l.electedAt) <= min(quiet, zoneUnheard) {
+		if heard(m) || !m.reported && !m.leaseExpired && c.now.Sub(l.electedAt) <= min(quiet, zoneUnheard) {
 			s.Heard++
 		} else {
 			s.Silent++
@@ -65,11 +65,11 @@
 	}
 	for _, m := range l.fleet {
 		switch {
-		case !m.in.Away():
-			m.away = false
-		case m.away || m.releasing || heard(m):
+		case !m.zoneState.Away():
+			m.unreachable = false
+		case m.unreachable || m.releasing || heard(m):
 		default:
-			m.away = true
+			m.unreachable = true
 			c.dropMachineReservations(m)
 		}
 	}
@@ -108,13 +108,13 @@
 		}
 		var silent []*machine
 		for _, m := range l.fleet {
-			if m.in == z && m.away && !m.releasing && !m.seen.IsZero() && m.instanceType != nil {
+			if m.zoneState == z && m.unreachable && !m.releasing && !m.lastHeartbeat.IsZero() && m.instanceType != nil {
 				silent = append(silent, m)
 			}
 		}
 		slices.SortStableFunc(silent, func(a, b *machine) int { return cmp.Compare(b.perCPU(), a.perCPU()) })
 		for _, m := range silent[:min(n, len(silent))] {
-			c.note(slog.LevelInfo, "machine of a lost zone, returning it", "machine", m.host, "zone", z.Name, "silent", c.now.Sub(m.seen))
+			c.note(slog.LevelInfo, "machine of a lost zone, returning it", "machine", m.host, "zone", z.Name, "silent", c.now.Sub(m.lastHeartbeat))
 			c.release(m)
 		}
 	}
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -15,8 +15,8 @@
 	c := leaderOf(t, n)
 	c.leadership.rent.instanceTypes[0].Zones = []string{"a", "b"}
 	for i := range n {
-		m := c.machine(fmt.Sprintf("host-1%05d", i), "f0", "b", true)
-		m.reported, m.record, m.incarnation, m.fencingToken, m.seen = true, recorded, 1, 1, t0
+		m := c.ensureMachine(fmt.Sprintf("host-1%05d", i), "f0", "b", true)
+		m.reported, m.record, m.incarnation, m.fencingToken, m.lastHeartbeat = true, recorded, 1, 1, t0
 	}
 	return c
 }
@@ -27,7 +27,7 @@
 		c.now = c.now.Add(500 * time.Millisecond)
 		for _, m := range c.leadership.fleet {
 			if m.zone == "b" {
-				m.seen = c.now
+				m.lastHeartbeat = c.now
 			}
 		}
 		c.housekeep()
@@ -86,7 +86,7 @@
 	c := twoZones(t, 12)
 	p := c.leadership.relay("n1")
 	m := c.leadership.fleet[0]
-	m.home, p.heard = p, t0
+	m.reportsVia, p.heard = p, t0
 	silent := 10 * time.Second
 	if d := c.patience(m, silent); d != silent {
 		t.Errorf("%v with a relay in order", d)
@@ -95,7 +95,7 @@
 	if d := c.patience(m, silent); d < c.report*5/4+5*time.Second {
 		t.Errorf("%v with a quiet one", d)
 	}
-	m.seen = t0.Add(2 * time.Second)
+	m.lastHeartbeat = t0.Add(2 * time.Second)
 	if d := c.patience(m, silent); d != silent {
 		t.Errorf("%v once it has found another way", d)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -147,7 +147,7 @@
 			s := n.core.Stats()
 			n.gauges.now.Store(&s)
 		}
-		timer.Reset(max(time.Until(n.core.Wake()), time.Millisecond))
+		timer.Reset(max(time.Until(n.core.NextWake()), time.Millisecond))
 	}
 }
 
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -790,7 +790,7 @@
 	case "wander": // wander NODE D: its time of day goes D wrong
 		if n := s.node(f[1]); n != nil {
 			n.wander = span(f[2])
-			n.core.SetWander(n.wander)
+			n.core.SetClockOffset(n.wander)
 		}
 	case "plant":
 		s.plant(f[1])
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -234,7 +234,7 @@
 		}
 	}
 	n.core = core.New(&cfg, pol, n.calendars(), n.rng.Uint64())
-	n.core.SetWander(n.wander)
+	n.core.SetClockOffset(n.wander)
 	n.ref, n.reply = 0, map[uint64]func(any){} // a process numbers what it is asked from 1
 	n.links = map[string]*link{}
 	for _, o := range n.nodes {
@@ -367,7 +367,7 @@
 		}
 	}
 	// The core speaks in its own time; drift is too small to matter here.
-	wake := n.now.Add(max(n.core.Wake().Sub(n.local()), time.Millisecond))
+	wake := n.now.Add(max(n.core.NextWake().Sub(n.local()), time.Millisecond))
 	if n.wake.IsZero() || wake.Before(n.wake) || !n.wake.After(n.now) {
 		n.wake = wake
 		life := n.life
