--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -75,11 +75,11 @@
 // cluster returns what is known here.
 func (c *Core) cluster() *Cluster {
 	v := &Cluster{Node: c.cfg.HostName, Leader: c.knownLeader, Term: c.highestTerm}
-	own := ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: "relay", Link: true, Workers: len(c.relay.known)}
+	own := ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: "relay", Link: true, Workers: len(c.relay.reporters)}
 	l := c.leadership
 	if l != nil {
 		v.Leader, v.Term, v.LeadsS, v.Authority = c.cfg.HostName, l.term, c.now.Sub(l.electedAt).Seconds(), c.hasAuthority()
-		v.TookOver, v.Machines, v.Unaccounted, v.MachineMost = l.loaded && l.allAccounted(), len(l.fleet), len(l.unaccounted), c.fleetMost()
+		v.TookOver, v.Machines, v.Unaccounted, v.MachineMost = l.loaded && l.allAccounted(), len(l.fleet), len(l.unaccounted), c.maxFleet()
 		own.Role, own.Workers = "leader", l.relay("").workers
 		v.Regions = c.clusterRegions()
 		v.Zones, v.Records = c.clusterZones(), c.records()
@@ -96,8 +96,8 @@
 			n.Role = "away"
 			if p := l.relays[s.HostName]; p != nil {
 				n.Workers = p.workers
-				if !p.heard.IsZero() {
-					n.LagS = c.now.Sub(p.heard).Seconds()
+				if !p.lastBatch.IsZero() {
+					n.LagS = c.now.Sub(p.lastBatch).Seconds()
 				}
 				if c.takesWorkers(s.HostName, p) {
 					n.Role = "relay"
@@ -168,7 +168,7 @@
 		return "this node does not lead"
 	case !l.allAccounted():
 		return "the take-over is not complete"
-	case len(c.nodes()) == 0:
+	case len(c.relayNodes()) == 0:
 		return "no other controller is in reach"
 	}
 	return ""
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -155,7 +155,7 @@
 	for _, t := range l.teams {
 		l.guarantees = l.guarantees || t.guarantee.CPU > 0 || t.guarantee.GPU > 0
 	}
-	l.dirty = true
+	l.dispatchAll = true
 }
 
 // teamFromReplica returns a team as the copy of the last leader has it, or as the settings do; nil
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -80,17 +80,17 @@
 	links                 map[string]bool
 	leaderLinkLostAt      time.Time                       // since when we have no link to the leader that we know
 	finals                *lru.Cache[string, FinalRecord] // how recent jobs ended
-	relay                 relaying
+	relay                 relayState
 	handedOverAt          time.Time      // when we last handed over
 	instanceTypes         []InstanceType // as read while not leading
 	leaderlessLimit       *rate.Limiter
 	readLimit             *rate.Limiter
 	storeAvailable        bool
 	storeServedAt         time.Time // when the state service last served us
-	late                  int64     // reports that were older than what was known
+	staleHeartbeats       int64     // reports that were older than what was known
 
-	report, lease time.Duration
-	leaseTiming   lapse.Timing
+	heartbeatInterval, workerLease time.Duration
+	leaseTiming                    lapse.Timing
 }
 
 // New returns a controller that has not begun; give it a Tick to begin.
@@ -99,10 +99,10 @@
 	c := &Core{
 		cfg: cfg, pol: pol, cal: cal, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		stores: map[uint64]func(StoreReply){}, clouds: map[uint64]func(CloudReply){}, probes: map[uint64]func(ProbeReply){},
-		replicas: replicas{transfers: map[string]*transfer{}}, forwardedRequests: map[uint64]*forwarded{}, links: map[string]bool{}, finals: final, relay: newRelaying(), storeAvailable: true,
-		readLimit: newReadLimit(cfg.Settings.State.RPS, 1+len(cfg.Seeds)),
-		report:    cfg.Settings.Workers.Report.Duration(),
-		lease:     cfg.Settings.Workers.Lease.Duration(),
+		replicas: replicas{transfers: map[string]*transfer{}}, forwardedRequests: map[uint64]*forwarded{}, links: map[string]bool{}, finals: final, relay: newRelayState(), storeAvailable: true,
+		readLimit:         newReadLimit(cfg.Settings.State.RPS, 1+len(cfg.Seeds)),
+		heartbeatInterval: cfg.Settings.Workers.Report.Duration(),
+		workerLease:       cfg.Settings.Workers.Lease.Duration(),
 	}
 	c.leaderlessLimit = newLeaderlessLimit(cfg.Settings.State.WriteRPS, 1+len(cfg.Seeds))
 	// A process may follow another of its name within a fraction of a second, and what
@@ -111,7 +111,7 @@
 	lives := rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03))
 	c.processID = lives.Uint64()>>11 | 1 // what JSON readers of any kind take whole
 	c.ref = lives.Uint64N(1 << 48)
-	c.leaseTiming = lapse.Timing{LeaderLease: leaseTTL, WorkerLease: c.lease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
+	c.leaseTiming = lapse.Timing{LeaderLease: leaseTTL, WorkerLease: c.workerLease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
 	return c
 }
 
@@ -127,11 +127,11 @@
 	if first {
 		c.startedAt = now
 		if short := c.leaseTiming.Shortfall(); short != "" {
-			c.note(slog.LevelWarn, "settings leave little room", "field", "workers.cancel_s", "lease", c.lease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
+			c.note(slog.LevelWarn, "settings leave little room", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
 		}
 		c.watchLeader()
 		if len(c.cfg.Seeds) > 0 {
-			c.relayTick()
+			c.tickRelay()
 			// Not at once: a process that ends again and again would use up what calls
 			// the cloud allows to all of them.
 			c.schedule(c.jitter(instanceTypesFirstRead), c.refreshInstanceTypes)
@@ -143,9 +143,9 @@
 	case UserCall:
 		c.userCall(in)
 	case ReportIn:
-		c.reportIn(in)
+		c.handleHeartbeat(in)
 	case ReportGone:
-		c.reportGone(in.Ref)
+		c.dropHeartbeat(in.Ref)
 	case StoreReply:
 		c.noteStoreOutcome(in.Outcome)
 		settle(c.stores, in.Ref, in)
@@ -162,10 +162,10 @@
 	}
 	if c.leadership != nil {
 		c.runLeader()
-		c.repliesOut()
+		c.flushRelayReplies()
 	}
 	if c.leadership == nil {
-		c.relayPump()
+		c.runRelay()
 	}
 	return c.out
 }
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -25,7 +25,7 @@
 	c := leaderOf(t, 1)
 	l := c.leadership
 	m := l.fleet[0]
-	m.heldReply, m.fencingToken = &heldReply{holdKey: holdKey{ref: 9}}, l.term
+	m.heldReply, m.fencingToken = &heldReply{heartbeatKey: heartbeatKey{ref: 9}}, l.term
 	j := newJob(c, 1, 3, testRand())
 	c.reserve(j)
 	l.attempts = maxAttempts
--- a/internal/core/giveback.go
+++ b/internal/core/giveback.go
@@ -102,7 +102,7 @@
 		over[t] -= b.r.need.CPU
 		short -= b.r.need.CPU
 		b.r.stopRequested = true
-		c.poke(b.r.machine)
+		c.requestDispatch(b.r.machine)
 		if b.r.job.spec.CheckpointInterval > 0 {
 			b.r.drainTime = b.r.job.spec.CheckpointTime + time.Second
 		}
--- a/internal/core/groups.go
+++ b/internal/core/groups.go
@@ -124,7 +124,7 @@
 			for _, m := range news {
 				if m.record == recording && m.recordedIn == g {
 					m.record = recorded
-					c.poke(m)
+					c.requestDispatch(m)
 				}
 			}
 		}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -316,7 +316,7 @@
 	// it and tell before we know that it is committed: what renews leases meanwhile, with
 	// authority or without, has to carry the stops.
 	for _, r := range j.attempts {
-		c.poke(r.machine)
+		c.requestDispatch(r.machine)
 	}
 	c.recordCancelled(j, c.leaseTiming.CancelSafeAfter(c.now, c.leadership.electedAt.Add(c.leadership.earlierLeaderLag)))
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -43,8 +43,8 @@
 	for _, ref := range c.relay.refs() {
 		c.leadership.pendingHeartbeats = append(c.leadership.pendingHeartbeats, ReportIn{Ref: ref, Report: c.relay.waiting[ref].report})
 	}
-	c.leadership.knownReporters = c.relay.known
-	c.relay = newRelaying()
+	c.leadership.knownReporters = c.relay.reporters
+	c.relay = newRelayState()
 	c.renewLease()
 	c.fetchCatalog()
 }
@@ -99,7 +99,7 @@
 		}
 		if l.suspended && c.hasAuthority() {
 			l.suspended, l.resumedAt = false, c.now
-			l.dirty = true
+			l.dispatchAll = true
 			c.note(slog.LevelInfo, "authority regained", "term", l.term)
 		}
 	}
@@ -144,12 +144,12 @@
 	// Workers that wait here need not look for the next leader: we pass on what they
 	// have said. Other relays do the same with theirs.
 	for _, m := range l.fleet {
-		if m.heldReply != nil && m.heldReply.by.From == "" {
-			c.passOn(ReportIn{Ref: m.heldReply.ref, Report: m.heldReply.report})
+		if m.heldReply != nil && m.heldReply.link.From == "" {
+			c.relayHeartbeat(ReportIn{Ref: m.heldReply.ref, Report: m.heldReply.report})
 		}
 	}
 	for _, r := range l.pendingHeartbeats {
-		c.passOn(r)
+		c.relayHeartbeat(r)
 	}
 	c.answerWaiting(l, unavailable("leadership was lost, try again"))
 	c.schedule(c.jitter(100*time.Millisecond), c.watchLeader)
@@ -203,7 +203,7 @@
 			c.note(slog.LevelWarn, "authority lapsed, holding the workers", "term", l.term, "hold", c.leaseTiming.GracePeriod())
 			// Whoever waits for a write hears at once that it is not known.
 			c.answerWaiting(l, unavailable("the state service does not answer"))
-			c.releaseHeld()
+			c.flushHeldReplies()
 		}
 		return
 	}
@@ -212,7 +212,7 @@
 	}
 	c.flushWrites()
 	c.reserveUnscheduled()
-	if l.dirty || len(l.poked) > 0 {
+	if l.dispatchAll || len(l.pendingDispatch) > 0 {
 		c.dispatch()
 		c.reserveUnscheduled()
 		c.flushWrites()
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -94,24 +94,24 @@
 // inventory is the machines, the records that name them, and by which controllers they report.
 type inventory struct {
 	machines       map[string]*machine
-	fleet          []*machine            // the same, by name
-	released       expiringSet           // released, proven gone: their late reports count for nothing
-	recordCount    uint64                // records of machines begun in this term
-	records        []*machineRecord      // the records of the machines
-	relays         map[string]*relayPeer // "" for our own socket
-	nodes          []relay.Node          // scratch space
-	knownReporters map[string]*reporter  // workers that reported to us before
-	nextMoveAt     time.Time             // not before this is a worker led to another node
-	heartbeatCount uint64                // reports taken in
+	fleet          []*machine                // the same, by name
+	released       expiringSet               // released, proven gone: their late reports count for nothing
+	recordCount    uint64                    // records of machines begun in this term
+	records        []*machineRecord          // the records of the machines
+	relays         map[string]*relayLink     // "" for our own socket
+	nodes          []relay.Node              // scratch space
+	knownReporters map[string]*relayedWorker // workers that reported to us before
+	nextMoveAt     time.Time                 // not before this is a worker led to another node
+	heartbeatCount uint64                    // reports taken in
 }
 
 // dispatching is the replies that are held, and when they are looked at again.
 type dispatching struct {
-	holding       map[holdKey]*machine // whose replies are held
-	poked         []*machine           // see poke
-	dirty         bool                 // machines whose replies are held may have something to start
-	dispatchAt    time.Time            // not before this again
-	dispatchLater bool                 // and then it is seen to
+	heldReplies       map[heartbeatKey]*machine // whose replies are held
+	pendingDispatch   []*machine                // see poke
+	dispatchAll       bool                      // machines whose replies are held may have something to start
+	nextDispatch      time.Time                 // not before this again
+	dispatchScheduled bool                      // and then it is seen to
 }
 
 // replication is the copies of the records at the other controllers, and what is learned
@@ -137,8 +137,8 @@
 		authority:   authority{acknowledged: map[string]bool{}},
 		failover:    failover{unaccounted: map[string]bool{}, unreadableJobs: map[string]bool{}, unreadableMachineRecords: map[string]uint64{}, newerTokens: map[string]uint64{}},
 		workload:    workload{jobs: map[string]*job{}, accept: map[string]*admission{}, teams: map[string]*team{}, runtimes: newRuntimeEstimates()},
-		inventory:   inventory{released: newExpiringSet(now), machines: map[string]*machine{}, relays: map[string]*relayPeer{}},
-		dispatching: dispatching{holding: map[holdKey]*machine{}},
+		inventory:   inventory{released: newExpiringSet(now), machines: map[string]*machine{}, relays: map[string]*relayLink{}},
+		dispatching: dispatching{heldReplies: map[heartbeatKey]*machine{}},
 		replication: replication{followers: map[string]*snapshot.Sender{}},
 		writes:      newWriteBatcher(cfg.Settings.State),
 		rent:        newRenting(cfg),
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -55,7 +55,7 @@
 	heldReply            *heldReply
 	unacknowledgedSince  time.Time  // first answered in this term, and has not shown that it heard
 	unlistedStarts       int        // in a row: starts that its next report did not list
-	reportsVia           *relayPeer // by which it reports, among whose workers it counts
+	reportsVia           *relayLink // by which it reports, among whose workers it counts
 	lastMoved            time.Time  // when it was last led to another node
 	dispatchPending      bool       // has orders that need not wait for its next report
 
@@ -158,10 +158,10 @@
 		if m.lastReply.IsZero() {
 			return time.Time{}, false
 		}
-		return m.lastReply.Add(withDrift(c.lease)), true
+		return m.lastReply.Add(withDrift(c.workerLease)), true
 	}
 	base := c.earlierLeaseExpiry()
-	if at := m.lastReply.Add(withDrift(c.lease)); at.After(base) {
+	if at := m.lastReply.Add(withDrift(c.workerLease)); at.After(base) {
 		base = at
 	}
 	return base, true
@@ -173,7 +173,7 @@
 	l := c.leadership
 	over := c.leaseTiming.TasksGoneAfter(l.electedAt.Add(l.earlierLeaderLag))
 	if !l.allAcknowledgedAt.IsZero() {
-		if told := l.allAcknowledgedAt.Add(withDrift(c.lease)); told.Before(over) {
+		if told := l.allAcknowledgedAt.Add(withDrift(c.workerLease)); told.Before(over) {
 			return told
 		}
 	}
@@ -190,7 +190,7 @@
 		m.expiredIncarnation = m.incarnation
 	}
 	m.reported, m.leaseExpired = false, true
-	c.leadership.leaves(m)
+	c.leadership.clearReportsVia(m)
 	m.lastReply = time.Time{}
 	c.markAccounted(m.host)
 	c.dropMachineReservations(m)
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -90,7 +90,7 @@
 // written once the tasks are gone in time, and the user told at once to come back.
 func TestCancelShorterThanLease(t *testing.T) {
 	d := newDesk(t)
-	d.c.leaseTiming.CancelTimeout = d.c.lease - 5*time.Second
+	d.c.leaseTiming.CancelTimeout = d.c.workerLease - 5*time.Second
 	ts := d.running("wk-1", 1)
 	d.finish()
 	first := d.user(OpCancel, "wk-1", nil, nil)
@@ -144,7 +144,7 @@
 	d.c.jobLoaded(j)
 	at := func(host string, try uint64) *attempt {
 		m := d.c.ensureMachine(host, "f2", "a", true)
-		d.c.learn(m, &Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []TaskReport{{Task: TaskID{Job: "wk-1"}, Try: try, Phase: TaskRuns}}})
+		d.c.reconcile(m, &Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []TaskReport{{Task: TaskID{Job: "wk-1"}, Try: try, Phase: TaskRuns}}})
 		return m.attempts[0]
 	}
 	old := at("host-x", 3)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -80,9 +80,9 @@
 			c.startTransfer(p.From)
 		}
 	case PeerReports:
-		c.relayReports(p.From, p.Msg)
+		c.handleRelayedHeartbeats(p.From, p.Msg)
 	case PeerReplies:
-		c.relayReplies(p.From, p.Msg)
+		c.handleRelayedReplies(p.From, p.Msg)
 	}
 }
 
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -412,7 +412,7 @@
 	l := c.leadership
 	// Most tasks of earlier jobs run somewhere, and their machines are about to say so:
 	// booked before that, they would be booked for nothing.
-	early := !l.allAccounted() && 10*len(l.unaccounted) > len(l.fleet) && c.now.Sub(l.electedAt) < c.report
+	early := !l.allAccounted() && 10*len(l.unaccounted) > len(l.fleet) && c.now.Sub(l.electedAt) < c.heartbeatInterval
 	visits, booked, left := 0, 0, l.unscheduled[:0]
 	for _, j := range l.unscheduled {
 		if early && j.earlier || visits >= maxVisitsPerStep {
@@ -426,7 +426,7 @@
 	}
 	clear(l.unscheduled[len(left):])
 	if l.unscheduled = left; booked > 0 {
-		l.dirty = true
+		l.dispatchAll = true
 	}
 	if len(left) > 0 && visits >= maxVisitsPerStep && !l.schedulingContinues {
 		l.schedulingContinues = true
@@ -744,7 +744,7 @@
 		return
 	}
 	j.imageLocalUntil = c.now.Add(imageLocalityWait)
-	c.afterWhileLeading(imageLocalityWait, func() { l.dirty = true })
+	c.afterWhileLeading(imageLocalityWait, func() { l.dispatchAll = true })
 }
 
 // hasReservationOf reports whether tasks of the job are booked on the machine.
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -130,10 +130,10 @@
 		long.need = long.spec.Need()
 		rep := reportOf(m)
 		rep.Tasks = []TaskReport{{Task: TaskID{Job: long.spec.ID}, Try: 1, Phase: phase}}
-		c.learn(m, &rep)
+		c.reconcile(m, &rep)
 		rep.Counter++
 		rep.Tasks = []TaskReport{{Task: TaskID{Job: long.spec.ID}, Try: 1, Phase: TaskRuns}}
-		c.learn(m, &rep)
+		c.reconcile(m, &rep)
 		waits := newJob(c, 2, 1, rng)
 		waits.spec.Owner, waits.team = "u", c.leadership.teams["u"]
 		waits.submitted = t0.Add(-time.Minute)
@@ -145,7 +145,7 @@
 		c.now = c.now.Add(3 * time.Second)
 		rep.Counter++
 		rep.Tasks[0] = TaskReport{Task: TaskID{Job: long.spec.ID}, Try: 1, Phase: Exited, Cause: CauseDone}
-		c.learn(m, &rep)
+		c.reconcile(m, &rep)
 		if seen := c.leadership.runtimes.of(&long.spec) != nil; seen != (phase == Pulling) {
 			t.Errorf("found %s: counts for estimates %v", phase, seen)
 		}
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -60,7 +60,7 @@
 // reconcileProbe takes in an answer that counts, of a worker that has seen our term.
 func (c *Core) reconcileProbe(m *machine, rep *Report) {
 	m.probed = true
-	c.learn(m, rep)
+	c.reconcile(m, rep)
 }
 
 // probe probes a machine whose answer would count.
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -14,244 +14,244 @@
 // the way: a reply is the leader's word on one report, and counts or not by the
 // report's tenure and counter and by its term, however it has travelled.
 const (
-	// relayEvery is how often a relay sends at the most, and by how much less often for
+	// relayInterval is how often a relay sends at the most, and by how much less often for
 	// each of its workers: what comes in between goes in one line. Each line costs the
 	// leader a few calls to its system, whatever is in it.
-	relayEvery     = 10 * time.Millisecond
-	relayPerWorker = 25 * time.Microsecond
-	relayEveryMost = 40 * time.Millisecond
-	// relayBeat is how often a relay looks after what waits, and says that it is there.
-	relayBeat = 400 * time.Millisecond
-	// relayWait is how long a report waits for the leader's reply, or for a leader.
+	relayInterval          = 10 * time.Millisecond
+	relayIntervalPerWorker = 25 * time.Microsecond
+	maxRelayInterval       = 40 * time.Millisecond
+	// relayHeartbeat is how often a relay looks after what waits, and says that it is there.
+	relayHeartbeat = 400 * time.Millisecond
+	// relayReplyTimeout is how long a report waits for the leader's reply, or for a leader.
 	// Workers give up after 4 s.
-	relayWait = 3300 * time.Millisecond
-	// relayApart is for how long a relay without a link to its leader keeps its
+	relayReplyTimeout = 3300 * time.Millisecond
+	// relayLinkTimeout is for how long a relay without a link to its leader keeps its
 	// workers: a change of leader is over sooner.
-	relayApart = 2500 * time.Millisecond
-	// relayQuiet is after which time without a line the leader leads nobody to a relay.
-	relayQuiet = 3 * time.Second
-	// lineMost is about how much goes in one line, as items and replies weigh.
-	lineMost = 400
+	relayLinkTimeout = 2500 * time.Millisecond
+	// relaySilence is after which time without a line the leader leads nobody to a relay.
+	relaySilence = 3 * time.Second
+	// maxLineWeight is about how much goes in one line, as items and replies weigh.
+	maxLineWeight = 400
 )
 
-// relaying is what a controller keeps of the workers that report to it while it does
+// relayState is what a controller keeps of the workers that report to it while it does
 // not lead.
-type relaying struct {
-	waiting map[uint64]*passed // reports that wait for their replies, by our number
-	byHost  map[string]*passed
-	known   map[string]*reporter
-	pruned  time.Time
-
-	fold     *relay.Fold // the link to the leader; nil without one
-	to       string
-	term     uint64
-	items    []relay.Item // that have not gone out
-	weight   int          // of them
-	gone     []uint64
-	flushed  time.Time
-	flushing bool
-
-	probed  uint64   // the newest term whose leader we have helped to probe
-	toProbe []string // machines
-	probing int
-}
-
-// passed is a report that waits here.
-type passed struct {
-	ref    uint64
-	report Report
-	since  time.Time
-}
-
-// reporter is a worker that reports to us.
-type reporter struct {
+type relayState struct {
+	waiting   map[uint64]*relayedHeartbeat // reports that wait for their replies, by our number
+	byHost    map[string]*relayedHeartbeat
+	reporters map[string]*relayedWorker
+	prunedAt  time.Time
+
+	fold      *relay.Fold // the link to the leader; nil without one
+	leader    string
+	term      uint64
+	items     []relay.Item // that have not gone out
+	weight    int          // of them
+	abandoned []uint64
+	flushedAt time.Time
+	flushing  bool
+
+	probedTerm     uint64   // the newest term whose leader we have helped to probe
+	probeQueue     []string // machines
+	probesInFlight int
+}
+
+// relayedHeartbeat is a report that waits here.
+type relayedHeartbeat struct {
+	ref        uint64
+	report     Report
+	receivedAt time.Time
+}
+
+// relayedWorker is a worker that reports to us.
+type relayedWorker struct {
 	address                   string
 	incarnation, fencingToken uint64
-	seen                      time.Time
+	lastHeartbeat             time.Time
 }
 
-func newRelaying() relaying {
-	return relaying{waiting: map[uint64]*passed{}, byHost: map[string]*passed{}, known: map[string]*reporter{}}
+func newRelayState() relayState {
+	return relayState{waiting: map[uint64]*relayedHeartbeat{}, byHost: map[string]*relayedHeartbeat{}, reporters: map[string]*relayedWorker{}}
 }
 
-// passOn takes a worker's report for the leader, whoever that is or will be.
-func (c *Core) passOn(in ReportIn) {
+// relayHeartbeat takes a worker's report for the leader, whoever that is or will be.
+func (c *Core) relayHeartbeat(in ReportIn) {
 	r, rep := &c.relay, &in.Report
 	if in.Relay.From != "" {
 		return // meant for a leader: its relay will hear who that is
 	}
 	if p := r.byHost[rep.Host]; p != nil {
 		if !rep.Newer(p.report.Incarnation, p.report.Counter) {
-			c.late++
+			c.staleHeartbeats++
 			c.emit(AnswerReport{Ref: in.Ref, Status: 503}) // delayed on the way
 			return
 		}
-		c.dropPassed(p) // the worker has given up on it
+		c.dropRelayed(p) // the worker has given up on it
 		c.emit(AnswerReport{Ref: p.ref, Status: 503})
 	}
-	if len(c.cfg.Seeds) == 0 || c.outOfReach() {
+	if len(c.cfg.Seeds) == 0 || c.leaderOutOfReach() {
 		c.emit(AnswerReport{Ref: in.Ref, Status: 421, Upstream: c.knownLeader})
 		return
 	}
-	k := r.known[rep.Host]
+	k := r.reporters[rep.Host]
 	if k == nil {
-		k = &reporter{}
-		r.known[rep.Host] = k
+		k = &relayedWorker{}
+		r.reporters[rep.Host] = k
 	}
-	*k = reporter{rep.Address, rep.Incarnation, rep.FencingToken, c.now}
-	p := &passed{in.Ref, *rep, c.now}
+	*k = relayedWorker{rep.Address, rep.Incarnation, rep.FencingToken, c.now}
+	p := &relayedHeartbeat{in.Ref, *rep, c.now}
 	r.waiting[p.ref], r.byHost[rep.Host] = p, p
 	if r.fold != nil {
 		r.add(p.ref, &p.report)
 	}
 }
 
-// follows reports whether reports can be passed on to the leader that we know.
+// canRelay reports whether reports can be passed on to the leader that we know.
 //
 // A process that the state service has not answered yet knows of no term for sure. The one
 // before it may have taken note of a newer one than that of the leader it hears, and a
 // successor counts on that: it takes the leases to be over that the older leader could have
 // renewed by us.
-func (c *Core) follows() bool { return c.hasLeaderLink() && c.confirmedTerm != 0 }
+func (c *Core) canRelay() bool { return c.hasLeaderLink() && c.confirmedTerm != 0 }
 
-// outOfReach reports whether the leader has been known and without a link to us, or not
+// leaderOutOfReach reports whether the leader has been known and without a link to us, or not
 // known for sure, for longer than a change of leader takes. Its workers are then better
 // off with it.
-func (c *Core) outOfReach() bool {
-	return c.knownLeader != "" && !c.follows() && c.now.Sub(c.leaderLinkLostAt) > relayApart
+func (c *Core) leaderOutOfReach() bool {
+	return c.knownLeader != "" && !c.canRelay() && c.now.Sub(c.leaderLinkLostAt) > relayLinkTimeout
 }
 
-func (r *relaying) add(ref uint64, rep *Report) {
+func (r *relayState) add(ref uint64, rep *Report) {
 	it := r.fold.Item(ref, rep)
 	r.items = append(r.items, it)
 	r.weight += it.Weight()
 }
 
 // remove takes a report out of those that wait.
-func (r *relaying) remove(p *passed) {
+func (r *relayState) remove(p *relayedHeartbeat) {
 	delete(r.waiting, p.ref)
 	if r.byHost[p.report.Host] == p {
 		delete(r.byHost, p.report.Host)
 	}
 }
 
-// dropPassed takes a report out: nobody waits for its reply any more.
-func (c *Core) dropPassed(p *passed) {
+// dropRelayed takes a report out: nobody waits for its reply any more.
+func (c *Core) dropRelayed(p *relayedHeartbeat) {
 	r := &c.relay
 	r.remove(p)
 	if r.fold != nil {
-		r.gone = append(r.gone, p.ref)
+		r.abandoned = append(r.abandoned, p.ref)
 	}
 }
 
 // refs returns the numbers of the waiting reports in the order in which they came.
-func (r *relaying) refs() []uint64 { return slices.Sorted(maps.Keys(r.waiting)) }
+func (r *relayState) refs() []uint64 { return slices.Sorted(maps.Keys(r.waiting)) }
 
-// relayTick looks after what waits here, now and every while.
-func (c *Core) relayTick() {
-	c.schedule(relayBeat, c.relayTick)
+// tickRelay looks after what waits here, now and every while.
+func (c *Core) tickRelay() {
+	c.schedule(relayHeartbeat, c.tickRelay)
 	if c.leadership != nil {
 		return
 	}
 	r := &c.relay
-	away := c.outOfReach()
+	away := c.leaderOutOfReach()
 	for _, ref := range r.refs() {
 		p := r.waiting[ref]
-		if !away && c.now.Sub(p.since) < relayWait {
+		if !away && c.now.Sub(p.receivedAt) < relayReplyTimeout {
 			continue
 		}
 		a := AnswerReport{Ref: ref, Status: 421}
-		if c.knownLeader != "" && !c.follows() {
+		if c.knownLeader != "" && !c.canRelay() {
 			a.Upstream = c.knownLeader
 		}
-		c.dropPassed(p)
+		c.dropRelayed(p)
 		c.emit(a)
 	}
-	if c.now.Sub(r.pruned) > c.lease {
-		r.pruned = c.now
-		for _, host := range slices.Sorted(maps.Keys(r.known)) {
-			if c.now.Sub(r.known[host].seen) > c.lease {
-				delete(r.known, host)
+	if c.now.Sub(r.prunedAt) > c.workerLease {
+		r.prunedAt = c.now
+		for _, host := range slices.Sorted(maps.Keys(r.reporters)) {
+			if c.now.Sub(r.reporters[host].lastHeartbeat) > c.workerLease {
+				delete(r.reporters, host)
 				if r.fold != nil {
 					r.fold.Forget(host)
 				}
 			}
 		}
 	}
-	if r.fold != nil && c.now.Sub(r.flushed) > relayBeat {
-		c.relayFlush()
+	if r.fold != nil && c.now.Sub(r.flushedAt) > relayHeartbeat {
+		c.flushRelay()
 	}
 }
 
-// relayPump runs after each input while we do not lead.
-func (c *Core) relayPump() {
+// runRelay runs after each input while we do not lead.
+func (c *Core) runRelay() {
 	r := &c.relay
-	if !c.follows() {
-		r.fold, r.items, r.gone, r.weight = nil, nil, nil, 0
+	if !c.canRelay() {
+		r.fold, r.items, r.abandoned, r.weight = nil, nil, nil, 0
 		return
 	}
-	if r.fold == nil || r.to != c.knownLeader || r.term != c.highestTerm {
-		c.relayOpen()
+	if r.fold == nil || r.leader != c.knownLeader || r.term != c.highestTerm {
+		c.openRelaySession()
 	}
-	if c.confirmedTerm == r.term && r.probed != r.term {
-		c.relayProbes()
+	if c.confirmedTerm == r.term && r.probedTerm != r.term {
+		c.startRelayProbes()
 	}
-	if len(r.items) == 0 && len(r.gone) == 0 {
+	if len(r.items) == 0 && len(r.abandoned) == 0 {
 		return
 	}
-	every := min(relayEvery+time.Duration(len(r.known))*relayPerWorker, relayEveryMost)
-	if wait := r.flushed.Add(every).Sub(c.now); wait > 0 && r.weight < lineMost {
+	every := min(relayInterval+time.Duration(len(r.reporters))*relayIntervalPerWorker, maxRelayInterval)
+	if wait := r.flushedAt.Add(every).Sub(c.now); wait > 0 && r.weight < maxLineWeight {
 		if !r.flushing {
 			r.flushing = true
 			c.schedule(wait, func() { c.relay.flushing = false }) // and the pump after it
 		}
 		return
 	}
-	c.relayFlush()
+	c.flushRelay()
 }
 
-// relayOpen begins a session with the leader that we know, and tells it all that
+// openRelaySession begins a session with the leader that we know, and tells it all that
 // waits here.
-func (c *Core) relayOpen() {
+func (c *Core) openRelaySession() {
 	r := &c.relay
-	r.to, r.term = c.knownLeader, c.highestTerm
+	r.leader, r.term = c.knownLeader, c.highestTerm
 	r.fold = relay.NewFold(c.rng.Uint64() | 1) // never 0
-	r.items, r.gone, r.weight = nil, nil, 0
+	r.items, r.abandoned, r.weight = nil, nil, 0
 	for _, ref := range r.refs() {
 		r.add(ref, &r.waiting[ref].report)
 	}
-	c.relayFlush()
+	c.flushRelay()
 }
 
-// relayFlush sends what there is, or else that we are there.
-func (c *Core) relayFlush() {
+// flushRelay sends what there is, or else that we are there.
+func (c *Core) flushRelay() {
 	r := &c.relay
 	for first := true; first || len(r.items) > 0; first = false {
 		n := 0
-		for weight := 0; n < len(r.items) && weight < lineMost; n++ {
+		for weight := 0; n < len(r.items) && weight < maxLineWeight; n++ {
 			weight += r.items[n].Weight()
 		}
 		var gone []uint64
 		if n == len(r.items) {
-			gone, r.gone = r.gone, nil
+			gone, r.abandoned = r.abandoned, nil
 		}
-		c.emit(PeerSend{r.to, PeerMsg{Kind: PeerReports, Term: r.term, Reports: r.fold.Batch(r.items[:n:n], gone)}})
+		c.emit(PeerSend{r.leader, PeerMsg{Kind: PeerReports, Term: r.term, Reports: r.fold.Batch(r.items[:n:n], gone)}})
 		r.items = r.items[n:]
 	}
-	r.items, r.weight, r.flushed = nil, 0, c.now
+	r.items, r.weight, r.flushedAt = nil, 0, c.now
 }
 
-// relayReplies passes the leader's replies on to workers. Only those of the newest
+// handleRelayedReplies passes the leader's replies on to workers. Only those of the newest
 // term that we know, and of the session at hand: from when a node has taken note of a
 // term it lets no word of an older one out, and no word meant for an earlier life of
 // it, whose numbers stood for other reports.
-func (c *Core) relayReplies(from string, m PeerMsg) {
+func (c *Core) handleRelayedReplies(from string, m PeerMsg) {
 	r := &c.relay
-	if c.leadership != nil || r.fold == nil || from != r.to || from != c.knownLeader || m.Term != r.term || m.Term != c.highestTerm || m.Replies.Session != r.fold.Session() {
+	if c.leadership != nil || r.fold == nil || from != r.leader || from != c.knownLeader || m.Term != r.term || m.Term != c.highestTerm || m.Replies.Session != r.fold.Session() {
 		return
 	}
 	if m.Replies.Again {
-		c.relayOpen()
+		c.openRelaySession()
 		return
 	}
 	for i := range m.Replies.List {
@@ -266,50 +266,50 @@
 			a.Status = x.Status
 		}
 		if a.Status == 421 { // it goes elsewhere
-			delete(r.known, p.report.Host)
+			delete(r.reporters, p.report.Host)
 			r.fold.Forget(p.report.Host)
 		}
 		c.emit(a)
 	}
 }
 
-// relayProbes shows the new leader's epoch to our workers, as the leader itself would
+// startRelayProbes shows the new leader's epoch to our workers, as the leader itself would
 // (see probeUnaccounted), for it has many times as many. Only once the state service has
 // named it: a worker that has seen an epoch that never was is of no use any more.
-func (c *Core) relayProbes() {
+func (c *Core) startRelayProbes() {
 	r := &c.relay
-	r.probed, r.toProbe, r.probing = r.term, nil, 0
-	for _, host := range slices.Sorted(maps.Keys(r.known)) {
-		if k := r.known[host]; k.fencingToken < r.term && k.address != "" && c.now.Sub(k.seen) < 2*c.report {
-			r.toProbe = append(r.toProbe, host)
+	r.probedTerm, r.probeQueue, r.probesInFlight = r.term, nil, 0
+	for _, host := range slices.Sorted(maps.Keys(r.reporters)) {
+		if k := r.reporters[host]; k.fencingToken < r.term && k.address != "" && c.now.Sub(k.lastHeartbeat) < 2*c.heartbeatInterval {
+			r.probeQueue = append(r.probeQueue, host)
 		}
 	}
 	// Those heard of last are the likeliest to be there still. A machine that was
 	// returned answers nothing, and each such probe keeps others waiting.
-	slices.SortStableFunc(r.toProbe, func(a, b string) int { return r.known[b].seen.Compare(r.known[a].seen) })
-	c.relayProbeMore()
+	slices.SortStableFunc(r.probeQueue, func(a, b string) int { return r.reporters[b].lastHeartbeat.Compare(r.reporters[a].lastHeartbeat) })
+	c.relayProbeNext()
 }
 
-func (c *Core) relayProbeMore() {
+func (c *Core) relayProbeNext() {
 	r := &c.relay
-	for r.probing < maxProbesInFlight && len(r.toProbe) > 0 && c.leadership == nil {
-		host := r.toProbe[0]
-		r.toProbe = r.toProbe[1:]
-		if k := r.known[host]; k != nil && k.fencingToken < r.probed && r.byHost[host] == nil {
+	for r.probesInFlight < maxProbesInFlight && len(r.probeQueue) > 0 && c.leadership == nil {
+		host := r.probeQueue[0]
+		r.probeQueue = r.probeQueue[1:]
+		if k := r.reporters[host]; k != nil && k.fencingToken < r.probedTerm && r.byHost[host] == nil {
 			c.relayProbe(host, k, k.incarnation)
 		}
 	}
 }
 
-func (c *Core) relayProbe(host string, k *reporter, tenure uint64) {
+func (c *Core) relayProbe(host string, k *relayedWorker, tenure uint64) {
 	r := &c.relay
-	term := r.probed
-	r.probing++
+	term := r.probedTerm
+	r.probesInFlight++
 	c.probeCall(k.address, term, tenure, func(p ProbeReply) {
-		if r.probed != term {
+		if r.probedTerm != term {
 			return
 		}
-		r.probing--
+		r.probesInFlight--
 		rep := &p.Report
 		switch {
 		case c.leadership != nil || p.Outcome == Unknown || rep.Host != host:
@@ -320,30 +320,30 @@
 			k.fencingToken = term
 			r.add(0, rep)
 		}
-		c.relayProbeMore()
+		c.relayProbeNext()
 	})
 }
 
 // ---- the leader's end
 
-// relayPeer is a relay as the leader sees it.
-type relayPeer struct {
-	unfold  relay.Unfold
-	heard   time.Time
-	quiet   time.Time // when it was last found to say nothing
-	workers int       // that report to it
-	replies []relay.Reply
-	weight  int // of them
+// relayLink is a relay as the leader sees it.
+type relayLink struct {
+	unfold     relay.Unfold
+	lastBatch  time.Time
+	lastSilent time.Time // when it was last found to say nothing
+	workers    int       // that report to it
+	replies    []relay.Reply
+	weight     int // of them
 }
 
-// holdKey names a report whose reply is held: numbers are the relay's own.
-type holdKey struct {
-	by  relay.Link
-	ref uint64
+// heartbeatKey names a report whose reply is held: numbers are the relay's own.
+type heartbeatKey struct {
+	link relay.Link
+	ref  uint64
 }
 
-// relayReports takes in what a relay passes on.
-func (c *Core) relayReports(from string, m PeerMsg) {
+// handleRelayedHeartbeats takes in what a relay passes on.
+func (c *Core) handleRelayedHeartbeats(from string, m PeerMsg) {
 	l := c.leadership
 	if l == nil || m.Term != l.term {
 		return // it will hear of the newest term, and tell its leader again
@@ -355,13 +355,13 @@
 		if former != 0 {
 			// Maybe another process, back so soon that its end went unnoticed. Those who
 			// reported to the one before look for another node first.
-			p.quiet = c.now
+			p.lastSilent = c.now
 		}
 		// All that waits there is told again. The numbers of the session before mean
 		// nothing any more.
 		for _, x := range l.fleet {
-			if x.heldReply != nil && x.heldReply.by.From == from {
-				c.unhold(x)
+			if x.heldReply != nil && x.heldReply.link.From == from {
+				c.takeHeldReply(x)
 			}
 		}
 		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r ReportIn) bool { return r.Relay.From == from })
@@ -377,11 +377,11 @@
 		c.emit(PeerSend{from, PeerMsg{Kind: PeerReplies, Term: l.term, Replies: &relay.Replies{Session: m.Reports.Session, Again: true}}})
 		return
 	}
-	p.heard = c.now
+	p.lastBatch = c.now
 	by := relay.Link{From: from, Session: m.Reports.Session}
 	for i := range reps {
 		if ref := m.Reports.Reports[i].Ref; ref != 0 {
-			c.reportIn(ReportIn{Ref: ref, Relay: by, Report: reps[i]})
+			c.handleHeartbeat(ReportIn{Ref: ref, Relay: by, Report: reps[i]})
 		} else if x := l.machines[reps[i].Host]; x != nil && l.loaded && l.probeCounts(x) && reps[i].FencingToken == l.term {
 			c.reconcileProbe(x, &reps[i])
 		}
@@ -390,21 +390,21 @@
 		}
 	}
 	for _, ref := range m.Reports.Gone {
-		c.holdOver(holdKey{by, ref})
+		c.abandonHeldReply(heartbeatKey{by, ref})
 	}
 }
 
-func (l *leadership) relay(name string) *relayPeer {
+func (l *leadership) relay(name string) *relayLink {
 	p := l.relays[name]
 	if p == nil {
-		p = &relayPeer{}
+		p = &relayLink{}
 		l.relays[name] = p
 	}
 	return p
 }
 
-// answerReport answers a report the way it came.
-func (c *Core) answerReport(by relay.Link, a AnswerReport) {
+// replyHeartbeat answers a report the way it came.
+func (c *Core) replyHeartbeat(by relay.Link, a AnswerReport) {
 	if by.From == "" {
 		c.emit(a)
 		return
@@ -422,12 +422,12 @@
 	}
 	p.replies = append(p.replies, x)
 	p.weight += x.Weight()
-	if p.weight > lineMost {
-		c.sendReplies(by.From, p)
+	if p.weight > maxLineWeight {
+		c.sendRelayReplies(by.From, p)
 	}
 }
 
-func (c *Core) sendReplies(name string, p *relayPeer) {
+func (c *Core) sendRelayReplies(name string, p *relayLink) {
 	if len(p.replies) == 0 {
 		return
 	}
@@ -435,124 +435,124 @@
 	p.replies, p.weight = nil, 0
 }
 
-// repliesOut sends what was answered in this step to the relays.
-func (c *Core) repliesOut() {
+// flushRelayReplies sends what was answered in this step to the relays.
+func (c *Core) flushRelayReplies() {
 	if l := c.leadership; l != nil && len(l.relays) > 0 {
 		for _, s := range c.cfg.Seeds {
 			if p := l.relays[s.HostName]; p != nil {
-				c.sendReplies(s.HostName, p)
+				c.sendRelayReplies(s.HostName, p)
 			}
 		}
 	}
 }
 
-// reportsTo notes by which node a machine reports.
-func (l *leadership) reportsTo(m *machine, by string) {
+// setReportsVia notes by which node a machine reports.
+func (l *leadership) setReportsVia(m *machine, by string) {
 	if p := l.relay(by); m.reportsVia != p {
-		l.leaves(m)
+		l.clearReportsVia(m)
 		m.reportsVia = p
 		p.workers++
 	}
 }
 
-// leaves notes that a machine reports by none.
-func (l *leadership) leaves(m *machine) {
+// clearReportsVia notes that a machine reports by none.
+func (l *leadership) clearReportsVia(m *machine) {
 	if m.reportsVia != nil {
 		m.reportsVia.workers--
 		m.reportsVia = nil
 	}
 }
 
-// nodes returns the controllers that can take workers for us now.
-func (c *Core) nodes() []relay.Node {
+// relayNodes returns the controllers that can take workers for us now.
+func (c *Core) relayNodes() []relay.Node {
 	l := c.leadership
 	l.nodes = l.nodes[:0]
 	for _, s := range c.cfg.Seeds {
 		p := l.relays[s.HostName]
 		if c.takesWorkers(s.HostName, p) {
-			l.nodes = append(l.nodes, relay.Node{Name: s.HostName, Zone: s.Site, Workers: p.workers, Most: c.workersMost()})
+			l.nodes = append(l.nodes, relay.Node{Name: s.HostName, Zone: s.Site, Workers: p.workers, Most: c.maxWorkersPerNode()})
 		}
 	}
 	return l.nodes
 }
 
-// workerGivesUp is how long a worker waits for an answer, and until it asks the next
+// workerRetryTimeout is how long a worker waits for an answer, and until it asks the next
 // node: it may have sent its report to a relay that had just gone quiet.
-const workerGivesUp = 4*time.Second + time.Second
+const workerRetryTimeout = 4*time.Second + time.Second
 
-// heardAgain is within which time a worker that is well is heard again, though its next report
+// heardAgainWithin is within which time a worker that is well is heard again, though its next report
 // has no answer and goes to another node.
-func (c *Core) heardAgain() time.Duration { return c.report*5/4 + workerGivesUp }
+func (c *Core) heardAgainWithin() time.Duration { return c.heartbeatInterval*5/4 + workerRetryTimeout }
 
-// hearRelays notes which relays say nothing. A worker of theirs is not silent by itself:
+// noteSilentRelays notes which relays say nothing. A worker of theirs is not silent by itself:
 // it finds out when its next report has had no answer for long, and goes elsewhere then.
 // Returned before that it would have lost its tasks for nothing.
-func (c *Core) hearRelays() {
+func (c *Core) noteSilentRelays() {
 	for _, s := range c.cfg.Seeds {
-		if p := c.leadership.relays[s.HostName]; p != nil && c.now.Sub(p.heard) > 3*relayBeat {
-			p.quiet = c.now
+		if p := c.leadership.relays[s.HostName]; p != nil && c.now.Sub(p.lastBatch) > 3*relayHeartbeat {
+			p.lastSilent = c.now
 		}
 	}
 }
 
-// overdueAfter is when a report is overdue: they come up to a quarter late, and have waited
+// overdueHeartbeat is when a report is overdue: they come up to a quarter late, and have waited
 // for their replies before.
-func overdueAfter(report time.Duration) time.Duration { return report * 3 / 2 }
+func overdueHeartbeat(report time.Duration) time.Duration { return report * 3 / 2 }
 
-// hearCutOff notes which relays have lost their workers while we hear them ourselves, by
+// noteIsolatedRelays notes which relays have lost their workers while we hear them ourselves, by
 // how many of theirs are overdue. One machine of many is rather gone itself; a quarter of a
 // node's falling silent together have lost that node, and find out as those of a quiet
 // relay do.
-func (c *Core) hearCutOff(overdue map[*relayPeer]int) {
+func (c *Core) noteIsolatedRelays(overdue map[*relayLink]int) {
 	for p, n := range overdue {
 		if n > 2 && 4*n > p.workers {
-			p.quiet = c.now
+			p.lastSilent = c.now
 		}
 	}
 }
 
-// patience is how long the machine may be silent, given how long one may be.
-func (c *Core) patience(m *machine, silent time.Duration) time.Duration {
-	if m.reportsVia != nil && m.reportsVia.quiet.After(m.lastHeartbeat) {
-		return max(silent, c.heardAgain()+time.Second)
+// silenceLimit is how long the machine may be silent, given how long one may be.
+func (c *Core) silenceLimit(m *machine, silent time.Duration) time.Duration {
+	if m.reportsVia != nil && m.reportsVia.lastSilent.After(m.lastHeartbeat) {
+		return max(silent, c.heardAgainWithin()+time.Second)
 	}
 	return silent
 }
 
 // takesWorkers reports whether workers can report to us by a relay now.
-func (c *Core) takesWorkers(name string, p *relayPeer) bool {
-	return p != nil && c.links[name] && p.unfold.Session() != 0 && c.now.Sub(p.heard) < relayQuiet
+func (c *Core) takesWorkers(name string, p *relayLink) bool {
+	return p != nil && c.links[name] && p.unfold.Session() != 0 && c.now.Sub(p.lastBatch) < relaySilence
 }
 
-// workersMost is how many workers a node takes: their part of the connections that it
+// maxWorkersPerNode is how many workers a node takes: their part of the connections that it
 // lets in. The rest is for users.
-func (c *Core) workersMost() int {
+func (c *Core) maxWorkersPerNode() int {
 	if n := c.cfg.Settings.Limits.MaxConnections; n > 0 {
 		return max(4, relay.Clients(n)*5/6)
 	}
 	return 1 << 30
 }
 
-// fleetMost is how many machines the controllers can serve together. The leader takes
+// maxFleet is how many machines the controllers can serve together. The leader takes
 // no workers itself while there are others, and one of those may be away.
-func (c *Core) fleetMost() int {
-	return c.workersMost() * max(1, len(c.cfg.Seeds)-1)
+func (c *Core) maxFleet() int {
+	return c.maxWorkersPerNode() * max(1, len(c.cfg.Seeds)-1)
 }
 
-// leadTo says to which node a machine that has just reported by another should report,
+// redirectTarget says to which node a machine that has just reported by another should report,
 // or "" while it stays. Workers are led away one at a time, so that no storm comes of
 // it; only one that nobody has heard of before goes at once, for it has nothing to
 // lose. A machine that comes back had a reason: the other node is out of its reach.
-func (c *Core) leadTo(m *machine, by string, first bool) string {
+func (c *Core) redirectTarget(m *machine, by string, first bool) string {
 	l := c.leadership
-	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.allAccounted() || m.releasing || c.now.Sub(m.lastMoved) < 3*c.lease {
+	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.allAccounted() || m.releasing || c.now.Sub(m.lastMoved) < 3*c.workerLease {
 		return ""
 	}
 	first = first && by == ""
 	if !first && (c.now.Before(l.nextMoveAt) || m.fencingToken != l.term) {
 		return ""
 	}
-	nodes := c.nodes()
+	nodes := c.relayNodes()
 	to := relay.Spread(nodes, m.zone)
 	if to == "" || to == by || by != "" && !relay.Uneven(nodes, by, to, m.zone) {
 		return ""
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -111,7 +111,7 @@
 	for _, m := range l.fleet {
 		if f := l.rent.instanceType(m.typeName); m.instanceType == nil {
 			c.setInstanceType(m)
-			l.dirty = true
+			l.dispatchAll = true
 		} else if f != nil {
 			m.instanceType = f
 		}
@@ -159,7 +159,7 @@
 		if m.instanceType != nil {
 			m.readyAt = m.rentedAt.Add(m.instanceType.BootTime)
 		}
-		l.dirty = true
+		l.dispatchAll = true
 	}
 	if h.Status == "failed" && !m.releasing {
 		c.note(slog.LevelWarn, "machine failed", "machine", h.Host)
@@ -214,9 +214,9 @@
 		c.dropAttempt(r)
 	}
 	if m.heldReply != nil {
-		c.refuseHeld(m)
+		c.refuseHeldReply(m)
 	}
-	l.leaves(m)
+	l.clearReportsVia(m)
 	delete(l.machines, host)
 	l.places.Forget(host)
 	if i := l.fleetIndex(host); i < len(l.fleet) && l.fleet[i] == m {
@@ -243,23 +243,23 @@
 	if !c.canAct() {
 		return
 	}
-	c.hearRelays()
+	c.noteSilentRelays()
 	c.lookAtZones()
 	// When most machines fall silent at once, it is rather we who are cut off.
 	quiet, reporting := 0, 0
-	overdue := map[*relayPeer]int{}
+	overdue := map[*relayLink]int{}
 	for _, m := range l.fleet {
 		if m.reported && !m.unreachable {
 			reporting++
-			if m.reportsVia != nil && c.now.Sub(m.lastHeartbeat) > overdueAfter(c.report) {
+			if m.reportsVia != nil && c.now.Sub(m.lastHeartbeat) > overdueHeartbeat(c.heartbeatInterval) {
 				overdue[m.reportsVia]++
 			}
-			if c.now.Sub(c.heardLast(m)) > silent {
+			if c.now.Sub(c.lastHeard(m)) > silent {
 				quiet++
 			}
 		}
 	}
-	c.hearCutOff(overdue)
+	c.noteIsolatedRelays(overdue)
 	takeover := silent
 	if 2*len(l.unaccounted) < reporting {
 		takeover = secs(c.pol.TakeoverRelease(e))
@@ -267,7 +267,7 @@
 	cutOff := quiet > 2 && 2*quiet > reporting
 	if !cutOff {
 		l.lastMostlyHeardAt = c.now
-	} else if c.now.Sub(l.lastMostlyHeardAt) > cutOffMost*c.lease {
+	} else if c.now.Sub(l.lastMostlyHeardAt) > cutOffMost*c.workerLease {
 		// Machines that are no more, of which a late report has told, must not stand in
 		// the way of all others for ever: they count as room, and nothing is rented.
 		cutOff = false
@@ -297,7 +297,7 @@
 	if m.releasing {
 		return
 	}
-	seen := c.heardLast(m)
+	seen := c.lastHeard(m)
 	if l.unaccounted[m.host] && (!m.reported || seen != m.lastHeartbeat) && takeover < silent {
 		// Everything waits for it. When most others have found us, it is gone
 		// or cut off.
@@ -308,7 +308,7 @@
 	}
 	if !m.interruptionAt.IsZero() && c.now.After(m.interruptionAt.Add(time.Second)) {
 		// Its notice has run out: a report that is a little overdue says enough.
-		silent = min(silent, c.report*3/4)
+		silent = min(silent, c.heartbeatInterval*3/4)
 	}
 	// A zone that returns does so over a report interval, and so do those who have tried
 	// in vain while we had no authority.
@@ -316,7 +316,7 @@
 	if !m.reported {
 		last = maxTime(last, maxTime(m.knownSince, l.electedAt))
 	}
-	wait := c.patience(m, silent)
+	wait := c.silenceLimit(m, silent)
 	booting := m.lastHeartbeat.IsZero() && !l.unaccounted[m.host]
 	if booting {
 		// Some machines take several times as long, a few never come up.
@@ -403,7 +403,7 @@
 			if end.Before(m.interruptionAt) {
 				continue
 			}
-			if s := r.job.spec.CheckpointTime; r.job.spec.CheckpointInterval > 0 && left > s+3*time.Second+c.report {
+			if s := r.job.spec.CheckpointTime; r.job.spec.CheckpointInterval > 0 && left > s+3*time.Second+c.heartbeatInterval {
 				continue // saves a little later, as late as is safe
 			}
 		}
@@ -411,7 +411,7 @@
 		if s := r.job.spec.CheckpointTime; r.job.spec.CheckpointInterval > 0 && (m.interruptionAt.IsZero() || left > s) {
 			r.drainTime = s + time.Second
 		}
-		c.poke(m)
+		c.requestDispatch(m)
 	}
 }
 
@@ -641,14 +641,14 @@
 // be sent. Nothing is rented in a zone that is cut off, but as a probe.
 func (c *Core) rentFor(s *JobSpec, cpus float64, pressing, probe bool) bool {
 	l := c.leadership
-	room := c.fleetMost() - len(l.fleet) - l.rent.asked()
+	room := c.maxFleet() - len(l.fleet) - l.rent.asked()
 	if l.rent.full != (room <= 0) {
 		// More machines than the controllers have connections for would serve nobody:
 		// they would crowd out each other, and users.
 		if l.rent.full = room <= 0; l.rent.full {
-			c.note(slog.LevelWarn, "no more machines are rented", "machines", len(l.fleet), "most", c.fleetMost(), "reason", "the controllers cannot serve more")
+			c.note(slog.LevelWarn, "no more machines are rented", "machines", len(l.fleet), "most", c.maxFleet(), "reason", "the controllers cannot serve more")
 		} else {
-			c.note(slog.LevelInfo, "machines are rented again", "machines", len(l.fleet), "most", c.fleetMost())
+			c.note(slog.LevelInfo, "machines are rented again", "machines", len(l.fleet), "most", c.maxFleet())
 		}
 	}
 	if room <= 0 {
@@ -742,7 +742,7 @@
 			if len(r.Hosts) < w.n {
 				l.rent.refused[w.offer] = c.now.Add(c.jitter(10 * time.Second))
 			}
-			l.dirty = true
+			l.dispatchAll = true
 		case Refused:
 			delete(l.rent.wanted, name)
 			l.zones.Zone(w.zone).Refused(c.now)
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -10,30 +10,30 @@
 
 // heldReply is a report whose reply waits for something to say.
 type heldReply struct {
-	holdKey
+	heartbeatKey
 	since  time.Time
 	report Report // of our own socket: whoever leads next is told of it
 }
 
-// unhold takes away the report that a machine waits on and returns what names it.
-func (c *Core) unhold(m *machine) holdKey {
-	key := m.heldReply.holdKey
-	delete(c.leadership.holding, key)
+// takeHeldReply takes away the report that a machine waits on and returns what names it.
+func (c *Core) takeHeldReply(m *machine) heartbeatKey {
+	key := m.heldReply.heartbeatKey
+	delete(c.leadership.heldReplies, key)
 	m.heldReply = nil
 	return key
 }
 
-// refuseHeld answers the report that a machine waits on with a no.
-func (c *Core) refuseHeld(m *machine) {
-	key := c.unhold(m)
-	c.answerReport(key.by, AnswerReport{Ref: key.ref, Status: 503})
+// refuseHeldReply answers the report that a machine waits on with a no.
+func (c *Core) refuseHeldReply(m *machine) {
+	key := c.takeHeldReply(m)
+	c.replyHeartbeat(key.link, AnswerReport{Ref: key.ref, Status: 503})
 }
 
-// poke has a held reply to the machine go out soon if there are orders for it.
-func (c *Core) poke(m *machine) {
+// requestDispatch has a held reply to the machine go out soon if there are orders for it.
+func (c *Core) requestDispatch(m *machine) {
 	if !m.dispatchPending {
 		m.dispatchPending = true
-		c.leadership.poked = append(c.leadership.poked, m)
+		c.leadership.pendingDispatch = append(c.leadership.pendingDispatch, m)
 	}
 }
 
@@ -79,7 +79,7 @@
 		c.sendReply(m, os)
 		return
 	}
-	if wait := c.paceLeft(m, os); wait > 0 {
+	if wait := c.paceDelay(m, os); wait > 0 {
 		c.afterWhileLeading(wait, func() {
 			if m.heldReply == h {
 				c.reply(m, due)
@@ -113,11 +113,11 @@
 }
 
 func (c *Core) sendReply(m *machine, os []Order) {
-	key := c.unhold(m)
+	key := c.takeHeldReply(m)
 	if m.fencingToken != c.leadership.term && m.unacknowledgedSince.IsZero() {
 		m.unacknowledgedSince = c.now
 	}
-	c.answerReport(key.by, AnswerReport{Ref: key.ref, Status: 200, FencingToken: c.leadership.term, Orders: os})
+	c.replyHeartbeat(key.link, AnswerReport{Ref: key.ref, Status: 200, FencingToken: c.leadership.term, Orders: os})
 	m.lastReply = c.now
 }
 
@@ -125,24 +125,24 @@
 // got orders, and at all when there is work that any of them may take.
 func (c *Core) dispatch() {
 	l := c.leadership
-	for i := 0; i < len(l.poked); i++ {
-		m := l.poked[i]
+	for i := 0; i < len(l.pendingDispatch); i++ {
+		m := l.pendingDispatch[i]
 		m.dispatchPending = false
-		c.replyIfAny(m)
+		c.replyIfOrders(m)
 	}
-	l.poked = l.poked[:0]
-	if !l.dirty {
+	l.pendingDispatch = l.pendingDispatch[:0]
+	if !l.dispatchAll {
 		return
 	}
-	if c.now.Before(l.dispatchAt) {
-		if !l.dispatchLater {
-			l.dispatchLater = true
-			c.afterWhileLeading(l.dispatchAt.Sub(c.now), func() { l.dispatchLater = false })
+	if c.now.Before(l.nextDispatch) {
+		if !l.dispatchScheduled {
+			l.dispatchScheduled = true
+			c.afterWhileLeading(l.nextDispatch.Sub(c.now), func() { l.dispatchScheduled = false })
 		}
 		return
 	}
-	l.dirty = false
-	l.dispatchAt = c.now.Add(dispatchEvery)
+	l.dispatchAll = false
+	l.nextDispatch = c.now.Add(dispatchInterval)
 	for _, m := range l.fleet {
 		if m.heldReply == nil || m.room().CPU <= 0 {
 			continue
@@ -150,17 +150,17 @@
 		if !slices.ContainsFunc(l.queue, c.couldStart) {
 			break
 		}
-		c.replyIfAny(m)
+		c.replyIfOrders(m)
 	}
 }
 
-// replyIfAny answers a held report if there are orders for the machine.
-func (c *Core) replyIfAny(m *machine) {
+// replyIfOrders answers a held report if there are orders for the machine.
+func (c *Core) replyIfOrders(m *machine) {
 	if m.heldReply == nil || m.fencingToken != c.leadership.term {
 		return
 	}
 	os := c.orders(m)
-	if c.paceLeft(m, os) > 0 {
+	if c.paceDelay(m, os) > 0 {
 		return // it is seen to when the time has come
 	}
 	if os = append(os, c.startTasksOn(m)...); len(os) > 0 {
@@ -171,27 +171,27 @@
 // What a report and its reply take on the wire, about: HTTP's headers and the fields of the
 // machine, and each task that is listed.
 const (
-	reportBytes     = 480
-	reportTaskBytes = 90
-	// paceMost bounds for how long a reply is held for its bytes: workers give up after 4 s.
-	paceMost = 2500 * time.Millisecond
+	heartbeatBytes     = 480
+	heartbeatTaskBytes = 90
+	// maxPaceDelay bounds for how long a reply is held for its bytes: workers give up after 4 s.
+	maxPaceDelay = 2500 * time.Millisecond
 )
 
-// paceLeft is for how long a reply to the machine is still held so that its worker keeps to
+// paceDelay is for how long a reply to the machine is still held so that its worker keeps to
 // the bytes a second that operators allow: a worker sends its next report after the reply at
 // the earliest, and one with many tasks has news all the time. Stops are never held back.
-func (c *Core) paceLeft(m *machine, os []Order) time.Duration {
+func (c *Core) paceDelay(m *machine, os []Order) time.Duration {
 	budget := c.leadership.reportBudget
 	if budget <= 0 || m.fencingToken != c.leadership.term || m.releasing || slices.ContainsFunc(os, func(o Order) bool { return o.Verb == Stop }) {
 		return 0
 	}
-	size := float64(reportBytes + reportTaskBytes*len(m.attempts))
-	gap := min(timeline.Seconds(size/budget), paceMost)
+	size := float64(heartbeatBytes + heartbeatTaskBytes*len(m.attempts))
+	gap := min(timeline.Seconds(size/budget), maxPaceDelay)
 	return m.heldReply.since.Add(gap).Sub(c.now)
 }
 
-// releaseHeld answers all held reports.
-func (c *Core) releaseHeld() {
+// flushHeldReplies answers all held reports.
+func (c *Core) flushHeldReplies() {
 	for _, m := range c.leadership.fleet {
 		if m.heldReply != nil {
 			c.reply(m, true)
@@ -199,18 +199,18 @@
 	}
 }
 
-// holdOver: nobody waits for the reply to a report any more.
-func (c *Core) holdOver(key holdKey) {
+// abandonHeldReply: nobody waits for the reply to a report any more.
+func (c *Core) abandonHeldReply(key heartbeatKey) {
 	l := c.leadership
-	if m := l.holding[key]; m != nil {
-		c.unhold(m)
+	if m := l.heldReplies[key]; m != nil {
+		c.takeHeldReply(m)
 	}
 	// Reports that wait for the records to be read would pile up while that fails.
 	if len(l.pendingHeartbeats) > 0 {
-		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r ReportIn) bool { return r.Ref == key.ref && r.Relay == key.by })
+		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r ReportIn) bool { return r.Ref == key.ref && r.Relay == key.link })
 	}
 }
 
-// dispatchEvery bounds how often all held replies are looked at: news come
+// dispatchInterval bounds how often all held replies are looked at: news come
 // many times as often on a large fleet, and each look goes over all of it.
-const dispatchEvery = 40 * time.Millisecond
+const dispatchInterval = 40 * time.Millisecond
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -19,7 +19,7 @@
 		{0, 30, false, 10 * time.Millisecond, 0},
 		{4096, 30, false, 900 * time.Millisecond, 700 * time.Millisecond},
 		{4096, 30, true, 10 * time.Millisecond, 0},
-		{500, 30, false, paceMost + 50*time.Millisecond, paceMost - 50*time.Millisecond},
+		{500, 30, false, maxPaceDelay + 50*time.Millisecond, maxPaceDelay - 50*time.Millisecond},
 	} {
 		t.Run(fmt.Sprint(x), func(t *testing.T) {
 			c := leaderOf(t, 3) // the third machine has 32 CPUs
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -9,17 +9,17 @@
 
 // Reports of workers: which are believed, and what is learned from them.
 
-func (c *Core) reportIn(in ReportIn) {
+func (c *Core) handleHeartbeat(in ReportIn) {
 	l := c.leadership
 	rep := &in.Report
-	refuse := func() { c.answerReport(in.Relay, AnswerReport{Ref: in.Ref, Status: 503}) }
+	refuse := func() { c.replyHeartbeat(in.Relay, AnswerReport{Ref: in.Ref, Status: 503}) }
 	if l != nil && rep.FencingToken > l.term && !c.hasAuthority() {
 		c.stepDown("a worker has seen a newer epoch")
 		l = nil
 	}
 	switch {
 	case l == nil:
-		c.passOn(in)
+		c.relayHeartbeat(in)
 		return
 	case rep.FencingToken > l.term:
 		refuse()
@@ -34,7 +34,7 @@
 		return
 	case l.released.has(rep.Host):
 		// Released and proven gone: whatever arrives now was sent before.
-		c.late++
+		c.staleHeartbeats++
 		refuse()
 		return
 	case !l.loaded:
@@ -48,7 +48,7 @@
 	if m.probed && rep.Incarnation == m.incarnation && rep.Counter <= m.counter && c.hasAuthority() {
 		// Overtaken by its own answer to our probe: nothing new, but a worker
 		// that waits for its reply.
-		c.answerReport(in.Relay, AnswerReport{Ref: in.Ref, Status: 200, FencingToken: l.term})
+		c.replyHeartbeat(in.Relay, AnswerReport{Ref: in.Ref, Status: 200, FencingToken: l.term})
 		m.lastReply = c.now
 		return
 	}
@@ -62,32 +62,32 @@
 	forgets := m.reported && rep.FencingToken < m.fencingToken
 	if !again && m.reported && !rep.Newer(m.incarnation, m.counter) || rep.Incarnation <= m.expiredIncarnation || forgets {
 		// Delayed on the way: its task list is older than what we know.
-		c.late++
+		c.staleHeartbeats++
 		refuse()
 		return
 	}
 	if m.heldReply != nil {
 		// The worker has given up on it; this is its next report.
-		c.refuseHeld(m)
+		c.refuseHeldReply(m)
 	}
 	first := !m.reported && !l.unaccounted[m.host]
 	if !again {
 		m.probed = false
-		c.learn(m, rep)
+		c.reconcile(m, rep)
 	}
-	l.reportsTo(m, in.Relay.From)
+	l.setReportsVia(m, in.Relay.From)
 	if m.record == unrecorded && c.hasAuthority() && m.usable() {
 		c.recordNewMachine(m)
 	}
-	if to := c.leadTo(m, in.Relay.From, first); to != "" {
-		c.answerReport(in.Relay, AnswerReport{Ref: in.Ref, Status: 421, Upstream: to})
+	if to := c.redirectTarget(m, in.Relay.From, first); to != "" {
+		c.replyHeartbeat(in.Relay, AnswerReport{Ref: in.Ref, Status: 421, Upstream: to})
 		return
 	}
-	m.heldReply = &heldReply{holdKey: holdKey{in.Relay, in.Ref}, since: c.now}
+	m.heldReply = &heldReply{heartbeatKey: heartbeatKey{in.Relay, in.Ref}, since: c.now}
 	if in.Relay.From == "" {
 		m.heldReply.report = *rep
 	}
-	l.holding[m.heldReply.holdKey] = m
+	l.heldReplies[m.heldReply.heartbeatKey] = m
 	c.reply(m, false)
 }
 
@@ -112,7 +112,7 @@
 // soon as several say so, the terms go on above theirs.
 func (c *Core) termsBeganAgain(host string, epoch uint64) bool {
 	l := c.leadership
-	if !l.noEarlierTerm || epoch > maxFencingToken || c.now.Sub(l.electedAt) > 2*c.lease {
+	if !l.noEarlierTerm || epoch > maxFencingToken || c.now.Sub(l.electedAt) > 2*c.workerLease {
 		return false
 	}
 	l.newerTokens[host] = epoch
@@ -124,8 +124,8 @@
 	return true
 }
 
-// learn takes in what a report says.
-func (c *Core) learn(m *machine, rep *Report) {
+// reconcile takes in what a report says.
+func (c *Core) reconcile(m *machine, rep *Report) {
 	l := c.leadership
 	if !m.reported {
 		c.note(slog.LevelDebug, "machine reports", "machine", m.host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
@@ -175,7 +175,7 @@
 		// Once may be chance or a relay that ended. A machine that does not hear us must
 		// not be what a task is tried on again and again while there is room elsewhere.
 		if m.unlistedStarts++; m.unlistedStarts > 1 {
-			m.retryAt = c.now.Add(min(time.Second<<min(m.unlistedStarts-1, 10), c.lease))
+			m.retryAt = c.now.Add(min(time.Second<<min(m.unlistedStarts-1, 10), c.workerLease))
 		}
 	}
 	if rep.FencingToken == l.term && l.unaccounted[m.host] {
@@ -198,25 +198,25 @@
 				c.closeIfOver(j)
 			}
 		}
-		l.dirty = true
+		l.dispatchAll = true
 	}
 }
 
-// heardLast is when the machine was last heard in a way that shows more than that it can speak.
+// lastHeard is when the machine was last heard in a way that shows more than that it can speak.
 // One that was answered long ago and whose reports still show no word of ours does not hear:
 // everything that was accepted earlier would wait for it for as long as that lasts.
-func (c *Core) heardLast(m *machine) time.Time {
-	if !m.unacknowledgedSince.IsZero() && c.now.Sub(m.unacknowledgedSince) > c.heardAgain() {
+func (c *Core) lastHeard(m *machine) time.Time {
+	if !m.unacknowledgedSince.IsZero() && c.now.Sub(m.unacknowledgedSince) > c.heardAgainWithin() {
 		return m.unacknowledgedSince
 	}
 	return m.lastHeartbeat
 }
 
-func (c *Core) reportGone(ref uint64) {
+func (c *Core) dropHeartbeat(ref uint64) {
 	if c.leadership != nil {
-		c.holdOver(holdKey{ref: ref})
+		c.abandonHeldReply(heartbeatKey{ref: ref})
 	} else if p := c.relay.waiting[ref]; p != nil {
-		c.dropPassed(p)
+		c.dropRelayed(p)
 	}
 }
 
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -67,7 +67,7 @@
 	}
 	n.expect("of a leader that only says so itself", 1)
 	// It does not keep the worker waiting for long: the leader itself can show what it is.
-	n.pass(relayApart + relayBeat)
+	n.pass(relayLinkTimeout + relayHeartbeat)
 	n.expect("led to who may be the leader", 1, 421)
 	// The state service knows better.
 	n.in(PeerLink{Name: "n2", Up: true})
@@ -196,7 +196,7 @@
 		}
 	}
 	// Not for ever: once the lease is over by our clock it is a machine like any other.
-	c.now = c.now.Add(withDrift(c.lease) + 2*time.Second)
+	c.now = c.now.Add(withDrift(c.workerLease) + 2*time.Second)
 	l.expiresAt = c.now.Add(time.Hour)
 	c.review(m, time.Hour, time.Hour, time.Hour, false)
 	if c.Step(c.now, ReportIn{Ref: 3, Report: Report{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Incarnation: 2, Counter: 9}}); !m.reported || m.fencingToken != 0 {
@@ -216,11 +216,11 @@
 	}
 	f := relay.NewFold(3)
 	send(f, f.Item(17, &rep))
-	if p := c.patience(m, 10*time.Second); p != 10*time.Second {
+	if p := c.silenceLimit(m, 10*time.Second); p != 10*time.Second {
 		t.Fatalf("patience of %v while the relay goes on", p)
 	}
 	send(relay.NewFold(4))
-	if p := c.patience(m, 10*time.Second); p <= c.report*5/4+workerGivesUp {
+	if p := c.silenceLimit(m, 10*time.Second); p <= c.heartbeatInterval*5/4+workerRetryTimeout {
 		t.Errorf("patience of %v", p)
 	}
 }
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -100,7 +100,7 @@
 	if r.orphaned {
 		r.orphaned = false
 		c.leadership.orphanedTasks--
-		c.leadership.dirty = true
+		c.leadership.dispatchAll = true
 	}
 	if !r.occupies {
 		return
@@ -123,7 +123,7 @@
 	// of what the team or the job has got back.
 	if j.team.short || j.spec.SamePlace || j.spec.Apart || j.failures > 0 {
 		j.team.short = false
-		c.leadership.dirty = true
+		c.leadership.dispatchAll = true
 	}
 }
 
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -9,7 +9,7 @@
 	CPUs, CPUsUsed          float64 // of the reporting ones
 	Unaccounted             int     // machines that may hold an earlier term's tasks
 	BacklogSeconds          float64
-	Direct, Relays, Passed  int  // machines that report to the leader itself; nodes that take others for it; workers that report here to be passed on
+	Direct, Relays, Relayed int  // machines that report to the leader itself; nodes that take others for it; workers that report here to be passed on
 	RegionsAway             int  // regions that are doubtful or lost as a whole
 	ZonesAway, MachinesAway int  // zones that are doubtful or lost; silent machines there
 	RecordsLeft, Unreadable int  // records that a loss has taken and that are not on record again; jobs whose records cannot be read
@@ -22,14 +22,14 @@
 	ConfigChanges  int64   // made by this leader
 	ConfigDamaged  int     // objects whose records cannot be read
 
-	Late                                                int64 // reports that were older than what was known, and taught nothing
+	StaleHeartbeats                                     int64 // reports that were older than what was known, and taught nothing
 	Schedules                                           int   // read by this leader
 	OccurrencesMade, OccurrencesMissed, OccurrencesLate int64 // by this leader
 }
 
 // Stats returns the figures of now.
 func (c *Core) Stats() Stats {
-	s := Stats{Term: c.highestTerm, Passed: len(c.relay.known), Late: c.late}
+	s := Stats{Term: c.highestTerm, Relayed: len(c.relay.reporters), StaleHeartbeats: c.staleHeartbeats}
 	here := c.ConfigHere()
 	s.ConfigRevision, s.ConfigAge = here.Revision, here.AgeS
 	l := c.leadership
@@ -39,7 +39,7 @@
 	s.ConfigSpread, s.ConfigChanges, s.ConfigDamaged = l.conf.spread.Seconds(), l.conf.changes, len(l.conf.damaged)
 	s.Leads, s.Authority = true, c.hasAuthority()
 	s.Jobs, s.Machines, s.Unaccounted, s.BacklogSeconds = len(l.jobs), len(l.fleet), len(l.unaccounted), l.rent.backlog.Seconds()
-	s.Direct, s.Relays, s.Full = l.relay("").workers, len(c.nodes()), l.rent.full
+	s.Direct, s.Relays, s.Full = l.relay("").workers, len(c.relayNodes()), l.rent.full
 	s.Schedules = len(l.sched.names)
 	s.Unreadable = len(l.unreadableJobs)
 	if l.loss != nil {
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -124,7 +124,7 @@
 	some := slices.Clone(l.pendingHeartbeats[:n])
 	l.pendingHeartbeats = slices.Delete(l.pendingHeartbeats, 0, n)
 	for _, r := range some {
-		c.reportIn(r) // which passes it on should we lead no more
+		c.handleHeartbeat(r) // which passes it on should we lead no more
 	}
 	if c.leadership == l && len(l.pendingHeartbeats) > 0 && !l.takingPending {
 		l.takingPending = true
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -539,7 +539,7 @@
 }
 
 func (c *Core) policyEnv() policy.Env {
-	e := policy.Env{ReportS: c.report.Seconds(), LeaseS: c.lease.Seconds()}
+	e := policy.Env{ReportS: c.heartbeatInterval.Seconds(), LeaseS: c.workerLease.Seconds()}
 	if c.leadership != nil {
 		e.BacklogS = c.leadership.rent.backlog.Seconds()
 	}
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -21,14 +21,14 @@
 // once the lease is, whatever happens inside.
 func (c *Core) zoneSettings() zones.Settings {
 	return zones.Settings{
-		LostAfter: withDrift(c.lease), Steady: 2 * c.report, Probe: probeZoneEvery,
+		LostAfter: withDrift(c.workerLease), Steady: 2 * c.heartbeatInterval, Probe: probeZoneEvery,
 		Keep: timeline.Seconds(c.pol.ZoneKeep(c.policyEnv())),
 	}
 }
 
 // quietAfter is how long a machine that is well may go without a report: the longest
 // interval, and some of the way.
-func (c *Core) quietAfter() time.Duration { return c.report * 3 / 2 }
+func (c *Core) quietAfter() time.Duration { return c.heartbeatInterval * 3 / 2 }
 
 // lookAtZones tells zones that are cut off from machines that are, and leaves the
 // machines of such a zone alone: nothing is booked on them or counted on, and they are
@@ -61,7 +61,7 @@
 			level = slog.LevelDebug // the region's event says it
 		}
 		c.note(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.After, "heard", z.Sight.Heard, "silent", z.Sight.Silent)
-		l.dirty = true
+		l.dispatchAll = true
 	}
 	for _, m := range l.fleet {
 		switch {
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -86,17 +86,17 @@
 	c := twoZones(t, 12)
 	p := c.leadership.relay("n1")
 	m := c.leadership.fleet[0]
-	m.reportsVia, p.heard = p, t0
+	m.reportsVia, p.lastBatch = p, t0
 	silent := 10 * time.Second
-	if d := c.patience(m, silent); d != silent {
+	if d := c.silenceLimit(m, silent); d != silent {
 		t.Errorf("%v with a relay in order", d)
 	}
-	p.quiet = t0.Add(time.Second)
-	if d := c.patience(m, silent); d < c.report*5/4+5*time.Second {
+	p.lastSilent = t0.Add(time.Second)
+	if d := c.silenceLimit(m, silent); d < c.heartbeatInterval*5/4+5*time.Second {
 		t.Errorf("%v with a quiet one", d)
 	}
 	m.lastHeartbeat = t0.Add(2 * time.Second)
-	if d := c.patience(m, silent); d != silent {
+	if d := c.silenceLimit(m, silent); d != silent {
 		t.Errorf("%v once it has found another way", d)
 	}
 }
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -305,7 +305,7 @@
 	case "late-refused": // reports that were told to be older than what is known
 		n := 0
 		for _, x := range s.nodes {
-			n += int(x.core.Stats().Late)
+			n += int(x.core.Stats().StaleHeartbeats)
 		}
 		return compare(n, e[1])
 	case "met": // met WORD N: how often a meeting came about
