--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -85,9 +85,9 @@
 	switch call.Op {
 	case core.CloudCatalog:
 		method, path = http.MethodGet, "/catalog"
-	case core.CloudRent:
+	case core.CloudScaleOut:
 		method, path = http.MethodPost, "/machines"
-		v = rentJSON{call.Rental, call.InstanceType, call.Zone, call.Spot, call.Count}
+		v = rentJSON{call.RequestName, call.InstanceType, call.Zone, call.Spot, call.Count}
 	case core.CloudRelease:
 		method, path, v = http.MethodPost, "/machines/release", hostsJSON{call.Hosts}
 	case core.CloudList:
@@ -139,7 +139,7 @@
 				CPUs: f.VCPUs, LocalGB: f.LocalGB, ImageGBps: f.FetchGBps, OnDemandRate: f.Rate, SpotRate: f.LowPrice,
 				BootTime: timeline.Seconds(f.ReadyS), Zones: f.Halls})
 		}
-	case core.CloudRent:
+	case core.CloudScaleOut:
 		var a hostsJSON
 		if json.Unmarshal(data, &a) != nil || len(a.Hosts) > call.Count {
 			return unknown
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -15,14 +15,14 @@
 		body   string
 		want   core.Outcome
 	}{
-		{core.CloudRent, 200, `{"hosts":["host-1"]}`, core.OK},
-		{core.CloudRent, 200, `{"hosts":["host-1","host-2","host-3"]}`, core.Unknown}, // more than asked for
-		{core.CloudRent, 200, `{"hosts":7}`, core.Unknown},
-		{core.CloudRent, 503, `{"error":"no capacity"}`, core.Refused},
-		{core.CloudRent, 503, `{"error":"trouble"}`, core.Unknown},
-		{core.CloudRent, 503, ``, core.Unknown},
-		{core.CloudRent, 429, ``, core.Unknown},
-		{core.CloudRent, 400, ``, core.Invalid},
+		{core.CloudScaleOut, 200, `{"hosts":["host-1"]}`, core.OK},
+		{core.CloudScaleOut, 200, `{"hosts":["host-1","host-2","host-3"]}`, core.Unknown}, // more than asked for
+		{core.CloudScaleOut, 200, `{"hosts":7}`, core.Unknown},
+		{core.CloudScaleOut, 503, `{"error":"no capacity"}`, core.Refused},
+		{core.CloudScaleOut, 503, `{"error":"trouble"}`, core.Unknown},
+		{core.CloudScaleOut, 503, ``, core.Unknown},
+		{core.CloudScaleOut, 429, ``, core.Unknown},
+		{core.CloudScaleOut, 400, ``, core.Invalid},
 		{core.CloudRelease, 200, `{}`, core.OK},
 		{core.CloudRelease, 500, ``, core.Unknown},
 		{core.CloudCatalog, 200, `{"flavors":[{"name":"g8","vcpus":96,"gpus":8,"memGb":768}]}`, core.OK},
--- a/internal/cloud/fuzz_test.go
+++ b/internal/cloud/fuzz_test.go
@@ -17,7 +17,7 @@
 		for op := core.CloudCatalog; op <= core.CloudList; op++ {
 			f.Add(int(op), 200, []byte(s))
 		}
-		f.Add(int(core.CloudRent), 503, []byte(s))
+		f.Add(int(core.CloudScaleOut), 503, []byte(s))
 	}
 	f.Fuzz(func(t *testing.T, op, status int, data []byte) {
 		r := Decode(core.CloudCall{Op: core.CloudOp(op), Count: 2, After: "h1"}, status, data)
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -229,7 +229,7 @@
 			d.c.release(d.c.leadership.fleet[0])
 			j := d.c.leadership.jobs["wk-1"]
 			return func() bool {
-				d.c.schedule(0, d.c.pumpReleases)
+				d.c.schedule(0, d.c.sendReleases)
 				d.in(Tick{})
 				return j.waiting > 0
 			}
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -170,10 +170,10 @@
 				done(r)
 			case CloudCall:
 				r := CloudReply{Ref: o.Ref}
-				if o.Op == CloudRent {
+				if o.Op == CloudScaleOut {
 					r.Outcome = Refused
 				} else if o.Op == CloudCatalog {
-					r.InstanceTypes = l.rent.instanceTypes
+					r.InstanceTypes = l.autoscaler.instanceTypes
 				}
 				done(r)
 			case AnswerReport:
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -46,7 +46,7 @@
 			Endpoint string `toml:"endpoint"`
 		}{HostName: "n1"})
 		c.leadership.sched.loaded = true
-		flavors := c.leadership.rent.instanceTypes
+		flavors := c.leadership.autoscaler.instanceTypes
 		c.tickLeader()
 		counter := uint64(10)
 		hosts := []string{"host-000000", "host-000001", "host-000002", "host-x", "a"}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -26,7 +26,7 @@
 	// What this node has read of the catalog lately serves until it can be read anew. Without,
 	// a leader that begins while the cloud is out would start nothing and accept nothing, with
 	// machines at hand.
-	c.leadership.rent.instanceTypes = slices.Clone(c.instanceTypes)
+	c.leadership.autoscaler.instanceTypes = slices.Clone(c.instanceTypes)
 	c.leadership.zones = zones.New(c.zoneSettings())
 	c.leadership.regions = zones.NewRegionWatch(c.reg)
 	c.leadership.places, _ = topology.New(topology.Definition{}) // zones alone: cannot fail
@@ -46,7 +46,7 @@
 	c.leadership.knownReporters = c.relay.reporters
 	c.relay = newRelayState()
 	c.renewLease()
-	c.fetchCatalog()
+	c.refreshCatalog()
 }
 
 // afterWhileLeading runs f after d if this very leadership still holds.
@@ -138,8 +138,8 @@
 	c.note(slog.LevelWarn, "leadership lost", "term", l.term, "reason", why)
 	c.leadership = nil
 	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1+len(c.cfg.Seeds))
-	if len(l.rent.instanceTypes) > 0 {
-		c.instanceTypes = l.rent.instanceTypes
+	if len(l.autoscaler.instanceTypes) > 0 {
+		c.instanceTypes = l.autoscaler.instanceTypes
 	}
 	// Workers that wait here need not look for the next leader: we pass on what they
 	// have said. Other relays do the same with theirs.
@@ -177,7 +177,7 @@
 		c.resign("the attempts of the term are used up")
 		return
 	}
-	c.housekeep()
+	c.tickFleet()
 	c.supplyReplicas()
 	c.dueSchedules()
 	c.afterWhileLeading(tickEvery, c.tickLeader)
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -21,14 +21,14 @@
 	dispatching
 	replication
 
-	zones   *zones.Watch
-	regions *zones.RegionWatch
-	places  *topology.Tree
-	tally   *topology.Tally // tasks of jobs with rules on places
-	writes  writeBatcher
-	sched   schedules
-	conf    configuring
-	rent    renting
+	zones      *zones.Watch
+	regions    *zones.RegionWatch
+	places     *topology.Tree
+	tally      *topology.Tally // tasks of jobs with rules on places
+	writes     writeBatcher
+	sched      schedules
+	conf       configuring
+	autoscaler autoscaler
 
 	holdIdle, holdBusy time.Duration
 	margin             float64
@@ -141,7 +141,7 @@
 		dispatching: dispatching{heldReplies: map[heartbeatKey]*machine{}},
 		replication: replication{followers: map[string]*snapshot.Sender{}},
 		writes:      newWriteBatcher(cfg.Settings.State),
-		rent:        newRenting(cfg),
+		autoscaler:  newAutoscaler(cfg),
 		tally:       topology.NewTally(),
 		sched:       newSchedules(),
 		conf:        newConfiguring(cfg),
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -100,7 +100,7 @@
 }
 
 func (c *Core) setInstanceType(m *machine) {
-	if f := c.leadership.rent.instanceType(m.typeName); f != nil && m.instanceType == nil {
+	if f := c.leadership.autoscaler.instanceType(m.typeName); f != nil && m.instanceType == nil {
 		m.instanceType = f
 		tl := timeline.New(f.Capacity)
 		for _, r := range m.attempts {
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -172,13 +172,13 @@
 	})
 }
 
-// keepWarm shares out the room that is kept free for jobs that must start at
+// reserveWarmRoom shares out the room that is kept free for jobs that must start at
 // once: as much as such a job usually takes, on the machines with the most CPUs,
 // where one report serves many tasks.
-func (c *Core) keepWarm(part float64) {
+func (c *Core) reserveWarmRoom(part float64) {
 	l := c.leadership
-	left := int64(l.rent.burst * part * 1000)
-	if c.now.Sub(l.rent.burstAt) > loadMemory {
+	left := int64(l.autoscaler.burstCPUs * part * 1000)
+	if c.now.Sub(l.autoscaler.burstAt) > arrivalMemory {
 		left = 0
 	}
 	var sizes []int64
@@ -350,7 +350,7 @@
 // is. Each going on a little, hardly any would end. Whatever has an aim to meet goes
 // before them all, and a job's turn comes nearer as it waits, so that none starves.
 func (c *Core) queueYield(j *job, start time.Time) (back, each time.Duration) {
-	rent := &c.leadership.rent
+	rent := &c.leadership.autoscaler
 	if rent.backlog < scarceBacklog || rent.cpus <= 0 {
 		return lateQueueYield, 0
 	}
@@ -788,9 +788,9 @@
 			}
 		}
 	}
-	for i := range l.rent.instanceTypes {
-		f := &l.rent.instanceTypes[i]
-		if allowsInstanceType(s, f.Name) && j.need.Fits(f.Capacity) && (s.Zone == "" || hasZone(f, s.Zone)) && l.rent.mayOffer(f, s.AllowSpot, c.now) {
+	for i := range l.autoscaler.instanceTypes {
+		f := &l.autoscaler.instanceTypes[i]
+		if allowsInstanceType(s, f.Name) && j.need.Fits(f.Capacity) && (s.Zone == "" || hasZone(f, s.Zone)) && l.autoscaler.mayHaveCapacity(f, s.AllowSpot, c.now) {
 			best = min(best, f.BootTime+imageFetchTime(s, f)+run)
 		}
 	}
--- a/internal/core/regions_test.go
+++ b/internal/core/regions_test.go
@@ -30,7 +30,7 @@
 		m.lastHeartbeat = c.now
 	}
 	c.out = nil
-	c.lookAtZones()
+	c.observeZones()
 	var warned []string
 	for _, o := range c.out {
 		if n, ok := o.(Note); ok && n.Level >= slog.LevelWarn {
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -15,48 +15,48 @@
 	"yewpass/internal/timeline"
 )
 
-// offer is a kind of machine that can be rented.
-type offer struct {
+// instanceOffer is a kind of machine that can be rented.
+type instanceOffer struct {
 	instanceType string
 	zone         string
 	spot         bool
 }
 
-// renting is what the leader knows of the cloud.
-type renting struct {
-	instanceTypes []InstanceType
-	limit         *rate.Limiter
-	refused       map[offer]time.Time // no capacity until then
-	wanted        map[string]*rental  // requests whose outcome is not known
-	count         uint64              // names never repeat: term and this
-	backlog       time.Duration
-	cpus          float64 // at hand or on their way
-	burst         float64 // CPUs that a job takes which must start at once
-	burstAt       time.Time
-	patience      map[string]float64 // by type, how much longer than usual boots take at present
-	releases      []string
-	freeing       bool
-	full          bool // the controllers cannot serve more machines
-	blind         bool // the cloud's catalog could not be read last time
-	read          bool // it has been read in this term: only then is a type that it lacks none
+// autoscaler is what the leader knows of the cloud.
+type autoscaler struct {
+	instanceTypes     []InstanceType
+	callLimit         *rate.Limiter
+	noCapacityUntil   map[instanceOffer]time.Time // no capacity until then
+	pending           map[string]*pendingRequest  // requests whose outcome is not known
+	requestCount      uint64                      // names never repeat: term and this
+	backlog           time.Duration
+	cpus              float64 // at hand or on their way
+	burstCPUs         float64 // CPUs that a job takes which must start at once
+	burstAt           time.Time
+	bootPatience      map[string]float64 // by type, how much longer than usual boots take at present
+	releases          []string
+	releaseInFlight   bool
+	fleetFull         bool // the controllers cannot serve more machines
+	catalogUnreadable bool // the cloud's catalog could not be read last time
+	catalogRead       bool // it has been read in this term: only then is a type that it lacks none
 }
 
-type rental struct {
-	offer
-	n    int
-	cpus float64
-	at   time.Time
+type pendingRequest struct {
+	instanceOffer
+	count       int
+	cpus        float64
+	requestedAt time.Time
 }
 
-func newRenting(cfg *config.Config) renting {
+func newAutoscaler(cfg *config.Config) autoscaler {
 	rps := cfg.Settings.Cloud.RPS
-	return renting{
-		limit: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps))), refused: map[offer]time.Time{},
-		wanted: map[string]*rental{}, patience: map[string]float64{},
+	return autoscaler{
+		callLimit: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps))), noCapacityUntil: map[instanceOffer]time.Time{},
+		pending: map[string]*pendingRequest{}, bootPatience: map[string]float64{},
 	}
 }
 
-func (r *renting) instanceType(name string) *InstanceType {
+func (r *autoscaler) instanceType(name string) *InstanceType {
 	for i := range r.instanceTypes {
 		if r.instanceTypes[i].Name == name {
 			return &r.instanceTypes[i]
@@ -65,51 +65,51 @@
 	return nil
 }
 
-// asked is how many machines may come of the requests under way.
-func (r *renting) asked() (n int) {
-	for _, w := range r.wanted {
-		n += w.n
+// requested is how many machines may come of the requests under way.
+func (r *autoscaler) requested() (n int) {
+	for _, w := range r.pending {
+		n += w.count
 	}
 	return n
 }
 
-// mayOffer reports whether some zone may have capacity for the type.
-func (r *renting) mayOffer(f *InstanceType, reclaimable bool, now time.Time) bool {
+// mayHaveCapacity reports whether some zone may have capacity for the type.
+func (r *autoscaler) mayHaveCapacity(f *InstanceType, reclaimable bool, now time.Time) bool {
 	for _, z := range f.Zones {
-		if now.After(r.refused[offer{f.Name, z, false}]) || reclaimable && now.After(r.refused[offer{f.Name, z, true}]) {
+		if now.After(r.noCapacityUntil[instanceOffer{f.Name, z, false}]) || reclaimable && now.After(r.noCapacityUntil[instanceOffer{f.Name, z, true}]) {
 			return true
 		}
 	}
 	return false
 }
 
-// fetchCatalog reads the machine types and prices.
-func (c *Core) fetchCatalog() {
+// refreshCatalog reads the machine types and prices.
+func (c *Core) refreshCatalog() {
 	l := c.leadership
 	c.cloud(CloudCall{Op: CloudCatalog}, func(r CloudReply) {
 		if c.leadership != l {
 			return
 		}
 		if r.Outcome != OK || len(r.InstanceTypes) == 0 {
-			if !l.rent.blind {
-				l.rent.blind = true
-				c.note(slog.LevelWarn, "machine types cannot be read", "known", len(l.rent.instanceTypes))
+			if !l.autoscaler.catalogUnreadable {
+				l.autoscaler.catalogUnreadable = true
+				c.note(slog.LevelWarn, "machine types cannot be read", "known", len(l.autoscaler.instanceTypes))
 			}
-			c.afterWhileLeading(c.jitter(time.Second), c.fetchCatalog)
+			c.afterWhileLeading(c.jitter(time.Second), c.refreshCatalog)
 			return
 		}
-		l.rent.blind = false
-		c.takeCatalog(r.InstanceTypes)
-		c.afterWhileLeading(30*time.Second, c.fetchCatalog)
+		l.autoscaler.catalogUnreadable = false
+		c.applyCatalog(r.InstanceTypes)
+		c.afterWhileLeading(30*time.Second, c.refreshCatalog)
 	})
 }
 
-// takeCatalog takes the machine types as the catalog has them now: prices move, and types come.
-func (c *Core) takeCatalog(flavors []InstanceType) {
+// applyCatalog takes the machine types as the catalog has them now: prices move, and types come.
+func (c *Core) applyCatalog(flavors []InstanceType) {
 	l := c.leadership
-	l.rent.instanceTypes, l.rent.read = flavors, true
+	l.autoscaler.instanceTypes, l.autoscaler.catalogRead = flavors, true
 	for _, m := range l.fleet {
-		if f := l.rent.instanceType(m.typeName); m.instanceType == nil {
+		if f := l.autoscaler.instanceType(m.typeName); m.instanceType == nil {
 			c.setInstanceType(m)
 			l.dispatchAll = true
 		} else if f != nil {
@@ -118,13 +118,13 @@
 	}
 }
 
-// listMost ends a list that goes on and on: names that rise for ever would have us
+// maxListed ends a list that goes on and on: names that rise for ever would have us
 // read and remember for ever. No fleet comes near it.
-const listMost = 100_000
+const maxListed = 100_000
 
-// listMachines reads the cloud's list, to find machines that an earlier leader
+// listInstances reads the cloud's list, to find machines that an earlier leader
 // or a late request rented, and those that have failed.
-func (c *Core) listMachines(after string, got []Instance) {
+func (c *Core) listInstances(after string, got []Instance) {
 	l := c.leadership
 	again := 6 * time.Second
 	c.cloud(CloudCall{Op: CloudList, After: after}, func(r CloudReply) {
@@ -132,22 +132,22 @@
 			return
 		}
 		if r.Outcome != OK {
-			c.afterWhileLeading(c.jitter(again), func() { c.listMachines("", nil) })
+			c.afterWhileLeading(c.jitter(again), func() { c.listInstances("", nil) })
 			return
 		}
 		got = append(got, r.Instances...)
-		if r.More && len(got) < listMost {
-			c.listMachines(r.Instances[len(r.Instances)-1].Host, got)
+		if r.More && len(got) < maxListed {
+			c.listInstances(r.Instances[len(r.Instances)-1].Host, got)
 			return
 		}
 		for _, h := range got {
-			c.listed(h)
+			c.handleListed(h)
 		}
-		c.afterWhileLeading(again, func() { c.listMachines("", nil) })
+		c.afterWhileLeading(again, func() { c.listInstances("", nil) })
 	})
 }
 
-func (c *Core) listed(h Instance) {
+func (c *Core) handleListed(h Instance) {
 	l := c.leadership
 	if l.released.has(h.Host) {
 		return // the list lags
@@ -174,36 +174,36 @@
 		return
 	}
 	m.releasing = true
-	c.leadership.rent.releases = append(c.leadership.rent.releases, m.host)
+	c.leadership.autoscaler.releases = append(c.leadership.autoscaler.releases, m.host)
 	c.dropMachineReservations(m)
 }
 
-func (c *Core) pumpReleases() {
+func (c *Core) sendReleases() {
 	l := c.leadership
-	rent := &l.rent
-	if rent.freeing || len(rent.releases) == 0 || !c.canAct() || !rent.limit.AllowN(c.now, 1) {
+	rent := &l.autoscaler
+	if rent.releaseInFlight || len(rent.releases) == 0 || !c.canAct() || !rent.callLimit.AllowN(c.now, 1) {
 		return
 	}
-	rent.freeing = true
+	rent.releaseInFlight = true
 	hosts := slices.Clone(rent.releases[:min(len(rent.releases), 100)])
 	c.cloud(CloudCall{Op: CloudRelease, Hosts: hosts}, func(r CloudReply) {
 		if c.leadership != l {
 			return
 		}
-		rent.freeing = false
+		rent.releaseInFlight = false
 		if r.Outcome != OK {
 			return // still in the list of releases: tried again
 		}
 		for _, h := range hosts {
 			rent.releases = slices.DeleteFunc(rent.releases, func(x string) bool { return x == h })
-			c.removed(h)
+			c.confirmReleased(h)
 		}
-		c.pumpReleases()
+		c.sendReleases()
 	})
 }
 
-// removed: the machine is proven gone.
-func (c *Core) removed(host string) {
+// confirmReleased: the machine is proven gone.
+func (c *Core) confirmReleased(host string) {
 	l := c.leadership
 	m := l.machines[host]
 	l.released.add(host, c.now)
@@ -226,12 +226,12 @@
 	c.removeFromRecord(m)
 }
 
-// cutOffMost is for how many leases we take ourselves to be cut off rather than most of
+// maxIsolatedLeases is for how many leases we take ourselves to be cut off rather than most of
 // the machines to be gone.
-const cutOffMost = 2
+const maxIsolatedLeases = 2
 
-// housekeep does what the passing of time asks for.
-func (c *Core) housekeep() {
+// tickFleet does what the passing of time asks for.
+func (c *Core) tickFleet() {
 	l := c.leadership
 	c.demand()
 	e := c.policyEnv()
@@ -244,7 +244,7 @@
 		return
 	}
 	c.noteSilentRelays()
-	c.lookAtZones()
+	c.observeZones()
 	// When most machines fall silent at once, it is rather we who are cut off.
 	quiet, reporting := 0, 0
 	overdue := map[*relayLink]int{}
@@ -267,27 +267,27 @@
 	cutOff := quiet > 2 && 2*quiet > reporting
 	if !cutOff {
 		l.lastMostlyHeardAt = c.now
-	} else if c.now.Sub(l.lastMostlyHeardAt) > cutOffMost*c.workerLease {
+	} else if c.now.Sub(l.lastMostlyHeardAt) > maxIsolatedLeases*c.workerLease {
 		// Machines that are no more, of which a late report has told, must not stand in
 		// the way of all others for ever: they count as room, and nothing is rented.
 		cutOff = false
 	}
 	for _, m := range slices.Clone(l.fleet) {
-		c.review(m, silent, takeover, idle, cutOff)
+		c.reviewMachine(m, silent, takeover, idle, cutOff)
 	}
 	c.dropExpiredMachineRecords()
-	c.keepWarm(c.pol.Warm(e))
+	c.reserveWarmRoom(c.pol.Warm(e))
 	c.giveBack()
-	c.consolidate()
+	c.scaleIn()
 	c.rereserve(c.rereserveLimit())
 	// Releases go first: a take-over may wait for one, and rentals use up what
 	// calls the cloud allows for as long as there is a backlog.
-	c.pumpReleases()
-	c.rentMore(secs(c.pol.RentBacklog(e)), secs(c.pol.OrdinaryBacklog(e)))
+	c.sendReleases()
+	c.scaleOut(secs(c.pol.RentBacklog(e)), secs(c.pol.OrdinaryBacklog(e)))
 }
 
-// review looks after one machine.
-func (c *Core) review(m *machine, silent, takeover, idle time.Duration, cutOff bool) {
+// reviewMachine looks after one machine.
+func (c *Core) reviewMachine(m *machine, silent, takeover, idle time.Duration, cutOff bool) {
 	l := c.leadership
 	if (len(m.attempts) > 0 || l.unaccounted[m.host]) && (m.reported || l.unaccounted[m.host]) {
 		if at, ok := c.leaseExpiry(m); ok && c.now.After(at) {
@@ -325,7 +325,7 @@
 			ready = m.instanceType.BootTime
 		}
 		last, wait = m.rentedAt, max(3*ready, ready+30*time.Second)
-		if p := l.rent.patience[m.typeName]; p > 0 {
+		if p := l.autoscaler.bootPatience[m.typeName]; p > 0 {
 			wait = timeline.Seconds(wait.Seconds() * p)
 		}
 		if m.knownSince.Add(3 * silent).After(last.Add(wait)) {
@@ -334,24 +334,24 @@
 	}
 	switch {
 	case m.unreachable && !l.unaccounted[m.host] && (!booting || c.now.Sub(last) <= 2*wait):
-		// Its zone is cut off: see giveBackZones.
+		// Its zone is cut off: see releaseLostZones.
 	case c.now.Sub(last) > wait && (!cutOff || booting):
 		c.note(slog.LevelWarn, "machine silent, releasing it", "machine", m.host, "type", m.typeName, "silent", c.now.Sub(last), "tasks", len(m.attempts), "booted", !booting)
 		if booting && !m.unreachable {
 			// When boots take longer than that for a while, giving up each time
 			// would never get a machine.
-			l.rent.patience[m.typeName] = min(max(l.rent.patience[m.typeName], 1)*1.25, 6)
+			l.autoscaler.bootPatience[m.typeName] = min(max(l.autoscaler.bootPatience[m.typeName], 1)*1.25, 6)
 		}
 		c.release(m)
 		return
-	case m.instanceType == nil && l.rent.read:
+	case m.instanceType == nil && l.autoscaler.catalogRead:
 		c.release(m) // of a type that the catalog does not have
 		return
 	}
 	if !m.reported {
 		return
 	}
-	c.drain(m)
+	c.drainMachine(m)
 	if len(m.attempts) > 0 {
 		return
 	}
@@ -359,7 +359,7 @@
 	switch {
 	case m.quarantined, m.draining, !m.interruptionAt.IsZero():
 		c.release(m)
-	case c.now.Sub(m.idleSince) > idle && age > 50*time.Second && !c.wanted(m):
+	case c.now.Sub(m.idleSince) > idle && age > 50*time.Second && !c.isWanted(m):
 		c.note(slog.LevelInfo, "machine idle, returning it", "machine", m.host, "type", m.typeName)
 		c.release(m)
 	}
@@ -372,16 +372,16 @@
 	return b
 }
 
-// wanted reports whether waiting tasks could use the machine.
-func (c *Core) wanted(m *machine) bool {
+// isWanted reports whether waiting tasks could use the machine.
+func (c *Core) isWanted(m *machine) bool {
 	return slices.ContainsFunc(c.leadership.queue, func(j *job) bool {
 		return m.eligibleFor(j) && c.couldStart(j)
 	})
 }
 
-// drain empties a machine that the cloud takes away or that is condemned: tasks
+// drainMachine empties a machine that the cloud takes away or that is condemned: tasks
 // that will not be over in time save and go, the others finish.
-func (c *Core) drain(m *machine) {
+func (c *Core) drainMachine(m *machine) {
 	if !m.quarantined && !m.draining && m.interruptionAt.IsZero() {
 		return
 	}
@@ -423,36 +423,36 @@
 	return r.startedAt.Add(c.estimate(r.job)).Sub(c.now)
 }
 
-// loadMemory is how long arrivals count towards the work to be expected.
-const loadMemory = 60 * time.Second
+// arrivalMemory is how long arrivals count towards the work to be expected.
+const arrivalMemory = 60 * time.Second
 
-// arrived takes note of a new job's work.
-func (c *Core) arrived(j *job) {
-	rent := &c.leadership.rent
-	secs := loadMemory.Seconds()
+// recordArrival takes note of a new job's work.
+func (c *Core) recordArrival(j *job) {
+	rent := &c.leadership.autoscaler
+	secs := arrivalMemory.Seconds()
 	if !j.spec.Service {
 		secs = c.estimate(j).Seconds()
 	}
 	if j.startsAtOnce {
 		cpus := float64(j.spec.Tasks) * float64(j.need.CPU) / 1000
 		if rent.burstAt.IsZero() {
-			rent.burst = cpus
+			rent.burstCPUs = cpus
 		}
-		rent.burst += 0.15 * (cpus - rent.burst)
+		rent.burstCPUs += 0.15 * (cpus - rent.burstCPUs)
 		rent.burstAt = c.now
 	}
 	t := j.team
-	t.load = t.expected(c.now) + float64(j.spec.Tasks)*float64(j.need.CPU)/1000*secs/loadMemory.Seconds()
+	t.load = t.expectedCPUs(c.now) + float64(j.spec.Tasks)*float64(j.need.CPU)/1000*secs/arrivalMemory.Seconds()
 	t.loadAt = c.now
 }
 
-// expected is how many CPUs the work of late arrivals keeps busy, as far as the
+// expectedCPUs is how many CPUs the work of late arrivals keeps busy, as far as the
 // teams' limits let it.
-func (c *Core) expected() float64 {
+func (c *Core) expectedCPUs() float64 {
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(c.leadership.teams)) {
 		t := c.leadership.teams[name]
-		x := t.expected(c.now)
+		x := t.expectedCPUs(c.now)
 		if t.limit.CPU > 0 {
 			x = min(x, float64(t.limit.CPU)/1000)
 		}
@@ -461,8 +461,8 @@
 	return sum
 }
 
-func (t *team) expected(now time.Time) float64 {
-	return t.load * math.Exp(-now.Sub(t.loadAt).Seconds()/loadMemory.Seconds())
+func (t *team) expectedCPUs(now time.Time) float64 {
+	return t.load * math.Exp(-now.Sub(t.loadAt).Seconds()/arrivalMemory.Seconds())
 }
 
 // perCPU is what a CPU of the machine costs.
@@ -473,9 +473,9 @@
 	return m.instanceType.OnDemandRate / m.instanceType.CPUs
 }
 
-// consolidate empties the machines that are the dearest to keep when what runs
+// scaleIn empties the machines that are the dearest to keep when what runs
 // on them fits on the others, with some room for what is to be expected.
-func (c *Core) consolidate() {
+func (c *Core) scaleIn() {
 	l := c.leadership
 	used, free, draining := 0.0, 0.0, 0
 	var spare []*machine
@@ -494,10 +494,10 @@
 		}
 		spare = append(spare, m)
 	}
-	waits := len(l.queue) > 0 && l.rent.backlog > time.Second
+	waits := len(l.queue) > 0 && l.autoscaler.backlog > time.Second
 	if waits {
 		for _, m := range l.fleet {
-			if m.draining && !m.releasing && l.rent.backlog > 10*time.Second {
+			if m.draining && !m.releasing && l.autoscaler.backlog > 10*time.Second {
 				m.draining = false // needed after all
 			}
 		}
@@ -514,8 +514,8 @@
 		}
 		return cmp.Compare(a.allocated.CPU*b.timeline.Capacity().CPU, b.allocated.CPU*a.timeline.Capacity().CPU)
 	})
-	reserve := max(c.expected()-used, 0) + 0.1*used + 2
-	most := draining + 1 + len(l.fleet)/drainPart
+	reserve := max(c.expectedCPUs()-used, 0) + 0.1*used + 2
+	most := draining + 1 + len(l.fleet)/drainDivisor
 	for _, m := range spare {
 		if draining >= most || draining > len(l.fleet)/3 {
 			break
@@ -531,9 +531,9 @@
 	}
 }
 
-// drainPart bounds how many machines begin to drain at a time: one, and one
+// drainDivisor bounds how many machines begin to drain at a time: one, and one
 // more for so many that there are.
-const drainPart = 20
+const drainDivisor = 20
 
 // supply is how many CPUs are at hand or on their way.
 func (c *Core) supply(ordinaryOnly bool) (total, free float64) {
@@ -547,7 +547,7 @@
 		total += m.instanceType.CPUs
 		free += float64(m.room().CPU) / 1000
 	}
-	for _, r := range c.leadership.rent.wanted {
+	for _, r := range c.leadership.autoscaler.pending {
 		if !ordinaryOnly || !r.spot {
 			total += r.cpus
 			free += r.cpus
@@ -585,15 +585,15 @@
 		}
 	}
 	total, _ := c.supply(false)
-	l.rent.backlog, l.rent.cpus = timeline.Seconds(work/max(total, 1)), total
+	l.autoscaler.backlog, l.autoscaler.cpus = timeline.Seconds(work/max(total, 1)), total
 	return cpus, work, ordinaryCPUs, ordinaryWork
 }
 
-// rentMore rents machines while the waiting work would take too long on those
+// scaleOut rents machines while the waiting work would take too long on those
 // at hand.
-func (c *Core) rentMore(bar, ordinaryBar time.Duration) {
+func (c *Core) scaleOut(bar, ordinaryBar time.Duration) {
 	l := c.leadership
-	if len(l.rent.instanceTypes) == 0 || !c.canAct() {
+	if len(l.autoscaler.instanceTypes) == 0 || !c.canAct() {
 		return
 	}
 	// A job that no machine at hand can take needs one of its own.
@@ -604,17 +604,17 @@
 		if j.spec.Zone != "" && !l.zones.Zone(j.spec.Zone).Rents() {
 			continue // it waits for its zone, and nobody else for it
 		}
-		if !c.rentFor(&j.spec, float64(min(j.waiting, 8))*j.spec.CPUs, true, false) {
+		if !c.requestInstances(&j.spec, float64(min(j.waiting, 8))*j.spec.CPUs, true, false) {
 			return
 		}
 		break
 	}
 	cpus, work, ocpus, owork := c.demand()
-	c.rentShortage(ocpus, owork, bar, 0, true)
-	c.rentShortage(cpus, work, bar, ordinaryBar, false)
+	c.coverShortage(ocpus, owork, bar, 0, true)
+	c.coverShortage(cpus, work, bar, ordinaryBar, false)
 }
 
-func (c *Core) rentShortage(cpus, work float64, bar, ordinaryBar time.Duration, ordinary bool) {
+func (c *Core) coverShortage(cpus, work float64, bar, ordinaryBar time.Duration, ordinary bool) {
 	total, free := c.supply(ordinary)
 	// Enough to do the waiting work within the bar, but never more than could
 	// be used at once.
@@ -624,7 +624,7 @@
 	}
 	for short > 0.5 {
 		any := &JobSpec{AllowSpot: !ordinary}
-		got := c.rentFor(any, short, work/max(total, 1) > ordinaryBar.Seconds(), false)
+		got := c.requestInstances(any, short, work/max(total, 1) > ordinaryBar.Seconds(), false)
 		if !got {
 			return
 		}
@@ -637,15 +637,15 @@
 	}
 }
 
-// rentFor sends one request for machines that suit the job; false if none could
+// requestInstances sends one request for machines that suit the job; false if none could
 // be sent. Nothing is rented in a zone that is cut off, but as a probe.
-func (c *Core) rentFor(s *JobSpec, cpus float64, pressing, probe bool) bool {
+func (c *Core) requestInstances(s *JobSpec, cpus float64, pressing, probe bool) bool {
 	l := c.leadership
-	room := c.maxFleet() - len(l.fleet) - l.rent.asked()
-	if l.rent.full != (room <= 0) {
+	room := c.maxFleet() - len(l.fleet) - l.autoscaler.requested()
+	if l.autoscaler.fleetFull != (room <= 0) {
 		// More machines than the controllers have connections for would serve nobody:
 		// they would crowd out each other, and users.
-		if l.rent.full = room <= 0; l.rent.full {
+		if l.autoscaler.fleetFull = room <= 0; l.autoscaler.fleetFull {
 			c.note(slog.LevelWarn, "no more machines are rented", "machines", len(l.fleet), "most", c.maxFleet(), "reason", "the controllers cannot serve more")
 		} else {
 			c.note(slog.LevelInfo, "machines are rented again", "machines", len(l.fleet), "most", c.maxFleet())
@@ -655,19 +655,19 @@
 		return false
 	}
 	type choice struct {
-		offer
+		instanceOffer
 		f    *InstanceType
 		cost float64
 	}
 	// Tasks that take no CPU need a machine all the same.
 	cpus = max(cpus, 0.001)
 	var cs []choice
-	have := map[offer]int{}
+	have := map[instanceOffer]int{}
 	for _, m := range l.fleet {
-		have[offer{m.typeName, m.zone, m.spot}]++
+		have[instanceOffer{m.typeName, m.zone, m.spot}]++
 	}
-	for i := range l.rent.instanceTypes {
-		f := &l.rent.instanceTypes[i]
+	for i := range l.autoscaler.instanceTypes {
+		f := &l.autoscaler.instanceTypes[i]
 		if !allowsInstanceType(s, f.Name) || !(s.Need() == timeline.Resources{} || s.Need().Fits(f.Capacity)) || f.CPUs <= 0 {
 			continue
 		}
@@ -676,8 +676,8 @@
 				continue
 			}
 			for _, low := range []bool{true, false} {
-				o := offer{f.Name, z, low}
-				if low && !s.AllowSpot || !low && s.AllowSpot && !pressing || c.now.Before(l.rent.refused[o]) {
+				o := instanceOffer{f.Name, z, low}
+				if low && !s.AllowSpot || !low && s.AllowSpot && !pressing || c.now.Before(l.autoscaler.noCapacityUntil[o]) {
 					continue
 				}
 				price := f.OnDemandRate
@@ -692,7 +692,7 @@
 			}
 		}
 	}
-	if len(cs) == 0 || !l.rent.limit.AllowN(c.now, 1) {
+	if len(cs) == 0 || !l.autoscaler.callLimit.AllowN(c.now, 1) {
 		return false
 	}
 	slices.SortStableFunc(cs, func(a, b choice) int {
@@ -706,56 +706,56 @@
 	})
 	ch := cs[0]
 	n := min(int(math.Ceil(cpus/ch.f.CPUs)), 50, room)
-	l.rent.count++
+	l.autoscaler.requestCount++
 	// Terms rise for as long as they are on record; where all of it is lost they may begin
 	// again, and only the era is another then. The cloud would answer a name that it knows
 	// with machines that are long gone.
-	name := fmt.Sprintf("t%d-%d-%x", l.term, l.rent.count, c.observed.Era)
-	l.rent.wanted[name] = &rental{offer: ch.offer, n: n, cpus: float64(n) * ch.f.CPUs, at: c.now}
-	c.request(name)
+	name := fmt.Sprintf("t%d-%d-%x", l.term, l.autoscaler.requestCount, c.observed.Era)
+	l.autoscaler.pending[name] = &pendingRequest{instanceOffer: ch.instanceOffer, count: n, cpus: float64(n) * ch.f.CPUs, requestedAt: c.now}
+	c.sendRequest(name)
 	return true
 }
 
-// request sends a rental, and again under the same name while its outcome is
+// sendRequest sends a rental, and again under the same name while its outcome is
 // not known.
-func (c *Core) request(name string) {
+func (c *Core) sendRequest(name string) {
 	l := c.leadership
-	w := l.rent.wanted[name]
-	c.cloud(CloudCall{Op: CloudRent, Rental: name, InstanceType: w.instanceType, Zone: w.zone, Spot: w.spot, Count: w.n}, func(r CloudReply) {
+	w := l.autoscaler.pending[name]
+	c.cloud(CloudCall{Op: CloudScaleOut, RequestName: name, InstanceType: w.instanceType, Zone: w.zone, Spot: w.spot, Count: w.count}, func(r CloudReply) {
 		if c.leadership != l {
 			return
 		}
 		switch r.Outcome {
 		case OK:
-			delete(l.rent.wanted, name)
+			delete(l.autoscaler.pending, name)
 			for _, h := range r.Hosts {
 				if l.released.has(h) {
 					continue
 				}
 				m := c.ensureMachine(h, w.instanceType, w.zone, w.spot)
-				m.rentedAt = w.at
+				m.rentedAt = w.requestedAt
 				if m.instanceType != nil {
-					m.readyAt = w.at.Add(m.instanceType.BootTime)
+					m.readyAt = w.requestedAt.Add(m.instanceType.BootTime)
 				}
 			}
-			c.note(slog.LevelInfo, "machines rented", "rental", name, "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.n, "got", len(r.Hosts))
-			if len(r.Hosts) < w.n {
-				l.rent.refused[w.offer] = c.now.Add(c.jitter(10 * time.Second))
+			c.note(slog.LevelInfo, "machines rented", "rental", name, "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.count, "got", len(r.Hosts))
+			if len(r.Hosts) < w.count {
+				l.autoscaler.noCapacityUntil[w.instanceOffer] = c.now.Add(c.jitter(10 * time.Second))
 			}
 			l.dispatchAll = true
 		case Refused:
-			delete(l.rent.wanted, name)
+			delete(l.autoscaler.pending, name)
 			l.zones.Zone(w.zone).Refused(c.now)
-			l.rent.refused[w.offer] = c.now.Add(c.jitter(10 * time.Second))
-			c.note(slog.LevelInfo, "rental refused", "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.n)
+			l.autoscaler.noCapacityUntil[w.instanceOffer] = c.now.Add(c.jitter(10 * time.Second))
+			c.note(slog.LevelInfo, "rental refused", "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.count)
 		case Invalid:
-			delete(l.rent.wanted, name)
-			l.rent.refused[w.offer] = c.now.Add(time.Minute)
+			delete(l.autoscaler.pending, name)
+			l.autoscaler.noCapacityUntil[w.instanceOffer] = c.now.Add(time.Minute)
 			c.note(slog.LevelError, "rental rejected as malformed", "type", w.instanceType, "zone", w.zone)
 		default:
 			c.afterWhileLeading(c.jitter(2*time.Second), func() {
-				if l.rent.wanted[name] != nil {
-					c.request(name)
+				if l.autoscaler.pending[name] != nil {
+					c.sendRequest(name)
 				}
 			})
 		}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -130,7 +130,7 @@
 	if !m.reported {
 		c.note(slog.LevelDebug, "machine reports", "machine", m.host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
 		m.idleSince = c.now
-		delete(l.rent.patience, m.typeName)
+		delete(l.autoscaler.bootPatience, m.typeName)
 	}
 	if m.reported && rep.Incarnation > m.incarnation {
 		// Its lease ran out: the worker has killed all that it had.
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -198,7 +198,7 @@
 	// Not for ever: once the lease is over by our clock it is a machine like any other.
 	c.now = c.now.Add(withDrift(c.workerLease) + 2*time.Second)
 	l.expiresAt = c.now.Add(time.Hour)
-	c.review(m, time.Hour, time.Hour, time.Hour, false)
+	c.reviewMachine(m, time.Hour, time.Hour, time.Hour, false)
 	if c.Step(c.now, ReportIn{Ref: 3, Report: Report{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Incarnation: 2, Counter: 9}}); !m.reported || m.fencingToken != 0 {
 		t.Error("the machine never counts again")
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -38,9 +38,9 @@
 	l := c.leadership
 	l.loaded, l.margin, l.expiresAt = true, 0.15, t0.Add(1000*time.Hour)
 	for i, cpus := range []float64{4, 8, 32} {
-		l.rent.instanceTypes = append(l.rent.instanceTypes, InstanceType{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, ImageGBps: 0.4, OnDemandRate: cpus, SpotRate: cpus / 3, BootTime: 20 * time.Second, Zones: []string{"a"}})
+		l.autoscaler.instanceTypes = append(l.autoscaler.instanceTypes, InstanceType{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, ImageGBps: 0.4, OnDemandRate: cpus, SpotRate: cpus / 3, BootTime: 20 * time.Second, Zones: []string{"a"}})
 	}
-	l.rent.read = true
+	l.autoscaler.catalogRead = true
 	for i := range n {
 		m := c.ensureMachine(fmt.Sprintf("host-%06d", i), fmt.Sprint("f", i%3), "a", true)
 		m.reported, m.record, m.incarnation, m.fencingToken, m.lastHeartbeat = true, recorded, 1, 1, t0
@@ -221,7 +221,7 @@
 	sizes(b, func(b *testing.B, c *Core, _ *rand.Rand) {
 		for range b.N {
 			c.out = c.out[:0]
-			c.housekeep()
+			c.tickFleet()
 		}
 	})
 }
@@ -296,7 +296,7 @@
 			c.out = nil
 			held := heap() - before
 			for b.Loop() {
-				c.housekeep()
+				c.tickFleet()
 				c.dueSchedules()
 				c.flushWrites()
 				c.out = c.out[:0]
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -197,7 +197,7 @@
 		c.answer(call, AnswerUser{Status: 400, Field: "at", Reason: "at, rule or job: the description is too long"})
 		return
 	}
-	if !l.rent.read {
+	if !l.autoscaler.catalogRead {
 		c.answer(call, unavailable("the machine types are not known yet"))
 		return
 	}
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -243,7 +243,7 @@
 // what is known when it goes.
 func (c *Core) makeOccurrences() {
 	sch := &c.leadership.sched
-	if sch.ready.len() == 0 || !c.leadership.rent.read || !c.canAct() {
+	if sch.ready.len() == 0 || !c.leadership.autoscaler.catalogRead || !c.canAct() {
 		return
 	}
 	room := c.cfg.Settings.State.TxnOps
@@ -262,7 +262,7 @@
 // occurrencesWait reports whether some could be made if the allowance let them.
 func (c *Core) occurrencesWait() bool {
 	l := c.leadership
-	return len(l.writes.queued[priorityOccurrence]) > 0 || l.sched.ready.len() > 0 && l.rent.read
+	return len(l.writes.queued[priorityOccurrence]) > 0 || l.sched.ready.len() > 0 && l.autoscaler.catalogRead
 }
 
 // decide decides on the next occurrences of a schedule, up to one that becomes a
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -38,8 +38,8 @@
 	}
 	s.ConfigSpread, s.ConfigChanges, s.ConfigDamaged = l.conf.spread.Seconds(), l.conf.changes, len(l.conf.damaged)
 	s.Leads, s.Authority = true, c.hasAuthority()
-	s.Jobs, s.Machines, s.Unaccounted, s.BacklogSeconds = len(l.jobs), len(l.fleet), len(l.unaccounted), l.rent.backlog.Seconds()
-	s.Direct, s.Relays, s.Full = l.relay("").workers, len(c.relayNodes()), l.rent.full
+	s.Jobs, s.Machines, s.Unaccounted, s.BacklogSeconds = len(l.jobs), len(l.fleet), len(l.unaccounted), l.autoscaler.backlog.Seconds()
+	s.Direct, s.Relays, s.Full = l.relay("").workers, len(c.relayNodes()), l.autoscaler.fleetFull
 	s.Schedules = len(l.sched.names)
 	s.Unreadable = len(l.unreadableJobs)
 	if l.loss != nil {
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -104,7 +104,7 @@
 	if c.takePendingHeartbeats(); c.leadership != l {
 		return // one of them has seen a newer epoch, and we were out of authority
 	}
-	c.listMachines("", nil)
+	c.listInstances("", nil)
 	c.probeUnaccounted()
 	if len(c.cfg.Seeds) > 0 {
 		c.watchLeaderlessNotes()
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -431,7 +431,7 @@
 // The calls to the cloud.
 const (
 	CloudCatalog CloudOp = iota
-	CloudRent
+	CloudScaleOut
 	CloudRelease
 	CloudList
 )
@@ -440,7 +440,7 @@
 type CloudCall struct {
 	Ref          uint64
 	Op           CloudOp
-	Rental       string
+	RequestName  string
 	InstanceType string
 	Zone         string
 	Spot         bool
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -226,7 +226,7 @@
 			return
 		}
 		if j.cancelled || !c.waitForEnding(j, call) {
-			c.answer(call, AnswerUser{Status: 200, View: j.view(), Reason: c.waitsFor(j)})
+			c.answer(call, AnswerUser{Status: 200, View: j.view(), Reason: c.waitReason(j)})
 		}
 		return
 	}
@@ -383,7 +383,7 @@
 // submit decides on a new job and answers once its record is committed.
 func (c *Core) submit(call UserCall) {
 	l := c.leadership
-	if len(l.rent.instanceTypes) == 0 {
+	if len(l.autoscaler.instanceTypes) == 0 {
 		c.answer(call, unavailable("the machine types are not known yet"))
 		return
 	}
@@ -396,7 +396,7 @@
 	// A refusal must never meet a job that was accepted once, so the records
 	// have the last word before it.
 	if field, reason := c.unschedulable(s); reason != "" {
-		if !l.rent.read {
+		if !l.autoscaler.catalogRead {
 			c.answer(call, unavailable("the machine types are not known yet"))
 			return
 		}
@@ -437,7 +437,7 @@
 	if s := c.leadership.sched.runs[rec.Spec.ID]; s != nil {
 		c.ranNow(s, j)
 	}
-	c.arrived(j)
+	c.recordArrival(j)
 	c.preferImageLocality(j)
 	c.jobLoaded(j)
 	return j
@@ -479,7 +479,7 @@
 
 // unschedulable says why a job can never run, and by which of its fields, or "".
 func (c *Core) unschedulable(s *JobSpec) (field, reason string) {
-	return unschedulableOn(s, c.leadership.teams[s.Owner], c.leadership.rent.instanceTypes)
+	return unschedulableOn(s, c.leadership.teams[s.Owner], c.leadership.autoscaler.instanceTypes)
 }
 
 // unschedulableOn is unschedulable for its team, nil if there is none of that name, and types.
@@ -541,7 +541,7 @@
 func (c *Core) policyEnv() policy.Env {
 	e := policy.Env{ReportS: c.heartbeatInterval.Seconds(), LeaseS: c.workerLease.Seconds()}
 	if c.leadership != nil {
-		e.BacklogS = c.leadership.rent.backlog.Seconds()
+		e.BacklogS = c.leadership.autoscaler.backlog.Seconds()
 	}
 	return e
 }
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -10,32 +10,32 @@
 	"yewpass/internal/zones"
 )
 
-// probeZoneEvery is how often one machine is rented in a lost zone that has none left.
-const probeZoneEvery = time.Minute
+// zoneProbeInterval is how often one machine is rented in a lost zone that has none left.
+const zoneProbeInterval = time.Minute
 
-// zoneUnheard is after how long in a term a machine of an earlier one counts as silent:
+// unheardAfterElection is after how long in a term a machine of an earlier one counts as silent:
 // its relay, and a probe, would have told of it by then.
-const zoneUnheard = 2500 * time.Millisecond
+const unheardAfterElection = 2500 * time.Millisecond
 
 // zoneSettings are the times that verdicts on zones rest on. What ran in a zone is over
 // once the lease is, whatever happens inside.
 func (c *Core) zoneSettings() zones.Settings {
 	return zones.Settings{
-		LostAfter: withDrift(c.workerLease), Steady: 2 * c.heartbeatInterval, Probe: probeZoneEvery,
+		LostAfter: withDrift(c.workerLease), Steady: 2 * c.heartbeatInterval, Probe: zoneProbeInterval,
 		Keep: timeline.Seconds(c.pol.ZoneKeep(c.policyEnv())),
 	}
 }
 
-// quietAfter is how long a machine that is well may go without a report: the longest
+// silentAfter is how long a machine that is well may go without a report: the longest
 // interval, and some of the way.
-func (c *Core) quietAfter() time.Duration { return c.heartbeatInterval * 3 / 2 }
+func (c *Core) silentAfter() time.Duration { return c.heartbeatInterval * 3 / 2 }
 
-// lookAtZones tells zones that are cut off from machines that are, and leaves the
+// observeZones tells zones that are cut off from machines that are, and leaves the
 // machines of such a zone alone: nothing is booked on them or counted on, and they are
 // not returned for being silent.
-func (c *Core) lookAtZones() {
+func (c *Core) observeZones() {
 	l := c.leadership
-	quiet := c.quietAfter()
+	quiet := c.silentAfter()
 	heard := func(m *machine) bool {
 		return m.reported && c.now.Sub(maxTime(m.lastHeartbeat, l.resumedAt)) <= quiet
 	}
@@ -45,7 +45,7 @@
 			continue // on its way out, or not up yet
 		}
 		s := sights[m.zone]
-		if heard(m) || !m.reported && !m.leaseExpired && c.now.Sub(l.electedAt) <= min(quiet, zoneUnheard) {
+		if heard(m) || !m.reported && !m.leaseExpired && c.now.Sub(l.electedAt) <= min(quiet, unheardAfterElection) {
 			s.Heard++
 		} else {
 			s.Silent++
@@ -53,7 +53,7 @@
 		sights[m.zone] = s
 	}
 	changes := l.zones.Look(c.now, sights)
-	c.lookAtRegions()
+	c.observeRegions()
 	for _, x := range changes {
 		z := x.Zone
 		level := eventLevel(x.To)
@@ -73,7 +73,7 @@
 			c.dropMachineReservations(m)
 		}
 	}
-	c.giveBackZones()
+	c.releaseLostZones()
 }
 
 // eventLevel is how loudly operators are told that a zone or region has come to a state.
@@ -84,8 +84,8 @@
 	return slog.LevelWarn
 }
 
-// lookAtRegions tells of regions that are cut off as a whole, once.
-func (c *Core) lookAtRegions() {
+// observeRegions tells of regions that are cut off as a whole, once.
+func (c *Core) observeRegions() {
 	l := c.leadership
 	for _, x := range l.regions.Look(c.now, l.zones.All()) {
 		r := x.Region
@@ -93,14 +93,14 @@
 	}
 }
 
-// giveBackZones returns machines of lost zones, the dearest first, as far as they are not
+// releaseLostZones returns machines of lost zones, the dearest first, as far as they are not
 // to be kept any longer.
-func (c *Core) giveBackZones() {
+func (c *Core) releaseLostZones() {
 	l := c.leadership
 	for _, z := range l.zones.All() {
 		if z.Probe(c.now) {
 			c.note(slog.LevelInfo, "a machine is rented to see whether the zone is back", "zone", z.Name)
-			c.rentFor(&JobSpec{Zone: z.Name, AllowSpot: true}, 0, true, true)
+			c.requestInstances(&JobSpec{Zone: z.Name, AllowSpot: true}, 0, true, true)
 		}
 		n := z.Sight.Silent - z.Kept(c.now)
 		if !z.Away() || n <= 0 {
@@ -120,8 +120,8 @@
 	}
 }
 
-// waitsFor says what keeps a job's tasks waiting that may run in one zone only, or "".
-func (c *Core) waitsFor(j *job) string {
+// waitReason says what keeps a job's tasks waiting that may run in one zone only, or "".
+func (c *Core) waitReason(j *job) string {
 	if j.spec.Zone == "" || j.waiting == 0 {
 		return ""
 	}
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -13,7 +13,7 @@
 // twoZones returns a leader with n machines in each of zones a and b.
 func twoZones(t *testing.T, n int) *Core {
 	c := leaderOf(t, n)
-	c.leadership.rent.instanceTypes[0].Zones = []string{"a", "b"}
+	c.leadership.autoscaler.instanceTypes[0].Zones = []string{"a", "b"}
 	for i := range n {
 		m := c.ensureMachine(fmt.Sprintf("host-1%05d", i), "f0", "b", true)
 		m.reported, m.record, m.incarnation, m.fencingToken, m.lastHeartbeat = true, recorded, 1, 1, t0
@@ -30,13 +30,13 @@
 				m.lastHeartbeat = c.now
 			}
 		}
-		c.housekeep()
+		c.tickFleet()
 	}
 }
 
 func rentals(c *Core) (zs []string) {
 	for _, o := range c.out {
-		if x, ok := o.(CloudCall); ok && x.Op == CloudRent {
+		if x, ok := o.(CloudCall); ok && x.Op == CloudScaleOut {
 			zs = append(zs, x.Zone)
 		}
 	}
@@ -60,7 +60,7 @@
 			t.Fatalf("%s: released %v, usable %v, %d bookings", m.host, m.releasing, m.usable(), len(m.reservations))
 		}
 	}
-	if r := c.waitsFor(pinned); !strings.Contains(r, "zone a is doubtful") {
+	if r := c.waitReason(pinned); !strings.Contains(r, "zone a is doubtful") {
 		t.Errorf("its user is told %q", r)
 	}
 	c.out = nil
