--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -147,13 +147,13 @@
 	l := c.leadership
 	now := teamOf(t)
 	if was := l.teams[t.Name]; was != nil {
-		was.configured, was.retired, was.guarantee, was.limit = true, now.retired, now.guarantee, now.limit
+		was.configured, was.retired, was.guaranteed, was.limit = true, now.retired, now.guaranteed, now.limit
 	} else {
 		l.teams[t.Name] = now
 	}
 	l.guarantees = false
 	for _, t := range l.teams {
-		l.guarantees = l.guarantees || t.guarantee.CPU > 0 || t.guarantee.GPU > 0
+		l.guarantees = l.guarantees || t.guaranteed.CPU > 0 || t.guaranteed.GPU > 0
 	}
 	l.dispatchAll = true
 }
--- a/internal/core/giveback.go
+++ b/internal/core/giveback.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// owesAfter is how long work within a guarantee waits before borrowers have to
+// preemptAfter is how long work within a guarantee waits before borrowers have to
 // give back: an ordinary end of a task often makes the room sooner.
-const owesAfter = 4 * time.Second
+const preemptAfter = 4 * time.Second
 
-// giveBack stops tasks that teams run beyond their own guarantee where another
+// preemptBorrowers stops tasks that teams run beyond their own guarantee where another
 // team waits for its own. Those go first that lose the least; tasks that save
 // are let save.
-func (c *Core) giveBack() {
+func (c *Core) preemptBorrowers() {
 	l := c.leadership
 	if !l.allAccounted() {
 		return
@@ -23,12 +23,12 @@
 	seen := map[*team]int64{}
 	for _, j := range l.queue {
 		t := j.team
-		if t.guarantee.CPU == 0 || !c.mayStart(j) || c.now.Sub(j.submitted) < owesAfter || t.used.CPU+j.need.CPU > t.guarantee.CPU {
+		if t.guaranteed.CPU == 0 || !c.mayStart(j) || c.now.Sub(j.submitted) < preemptAfter || t.allocated.CPU+j.need.CPU > t.guaranteed.CPU {
 			continue
 		}
 		left, ok := seen[t]
 		if !ok {
-			left = t.guarantee.CPU - t.used.CPU
+			left = t.guaranteed.CPU - t.allocated.CPU
 		}
 		n := min(left, int64(j.reserved)*j.need.CPU)
 		seen[t] = left - n
@@ -63,7 +63,7 @@
 			continue
 		}
 		for _, r := range m.attempts {
-			if !r.occupies || r.stopRequested || r.phase != TaskRuns || r.job.team.used.CPU <= r.job.team.guarantee.CPU {
+			if !r.occupies || r.stopRequested || r.phase != TaskRuns || r.job.team.allocated.CPU <= r.job.team.guaranteed.CPU {
 				continue
 			}
 			// What cannot save loses all: it is stopped only when it has hardly
@@ -94,7 +94,7 @@
 	for _, b := range bs {
 		t := b.r.job.team
 		if _, ok := over[t]; !ok {
-			over[t] = t.used.CPU - t.guarantee.CPU
+			over[t] = t.allocated.CPU - t.guaranteed.CPU
 		}
 		if short <= 0 || over[t] < b.r.need.CPU {
 			continue
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -80,7 +80,7 @@
 		c.leadership.teams[s.Owner] = j.team
 	}
 	c.leadership.jobs[s.ID] = j
-	j.team.jobs++
+	j.team.jobCount++
 	return j
 }
 
@@ -279,7 +279,7 @@
 	c.finals.Add(j.spec.ID, f)
 	c.replicateDrop(jobKeys + j.spec.ID) // however we have learned that it is over
 	delete(l.jobs, j.spec.ID)
-	j.team.jobs--
+	j.team.jobCount--
 	c.dropReservations(j)
 	for _, r := range j.completed {
 		r.forgettable = true
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -149,7 +149,7 @@
 	}
 	old := at("host-x", 3)
 	now := at("host-y", 4)
-	if !old.stopRequested || now.stopRequested || j.attempts[0] != now || l.teams["t"].used.CPU != j.need.CPU {
+	if !old.stopRequested || now.stopRequested || j.attempts[0] != now || l.teams["t"].allocated.CPU != j.need.CPU {
 		t.Errorf("the earlier attempt stops %v, the later one %v", old.stopRequested, now.stopRequested)
 	}
 	// The other way round the late word changes nothing.
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -157,7 +157,7 @@
 			}
 			f(objective{j.submitted.Add(within), true})
 		case "guarantee":
-			if j.team.guarantee.CPU > 0 || j.team.guarantee.GPU > 0 {
+			if j.team.guaranteed.CPU > 0 || j.team.guaranteed.GPU > 0 {
 				f(objective{j.submitted.Add(within + length), false})
 			}
 		}
@@ -553,7 +553,9 @@
 }
 
 // couldStart reports whether a task of the job may start now wherever it fits.
-func (c *Core) couldStart(j *job) bool { return c.mayStart(j) && j.team.room(j.need, 1) > 0 }
+func (c *Core) couldStart(j *job) bool {
+	return c.mayStart(j) && j.team.tasksWithinLimit(j.need, 1) > 0
+}
 
 // maxOverdueJobs is how many jobs at a time have a first task started ahead of their turn.
 const maxOverdueJobs = 64
@@ -577,8 +579,8 @@
 func (c *Core) startOverdue(m *machine) (os []Order, blocked bool) {
 	l := c.leadership
 	for _, j := range l.overdue {
-		if len(j.reservations) == 0 || len(j.attempts) > 0 || !m.eligibleFor(j) || !c.mayStart(j) || j.team.room(j.need, 1) == 0 || c.topologyRoom(j, m, 1) == 0 ||
-			l.guarantees && j.team.guaranteed(j.need, 1) == 0 || m.onProbation && len(m.attempts) > 0 {
+		if len(j.reservations) == 0 || len(j.attempts) > 0 || !m.eligibleFor(j) || !c.mayStart(j) || j.team.tasksWithinLimit(j.need, 1) == 0 || c.topologyRoom(j, m, 1) == 0 ||
+			l.guarantees && j.team.guaranteedTasks(j.need, 1) == 0 || m.onProbation && len(m.attempts) > 0 {
 			continue
 		}
 		if !j.need.Fits(m.room()) {
@@ -627,7 +629,7 @@
 		}
 		j := l.queue[i]
 		i++
-		if !borrowing && j.team.guaranteed(j.need, 1) == 0 || !m.eligibleFor(j) || !c.mayStart(j) {
+		if !borrowing && j.team.guaranteedTasks(j.need, 1) == 0 || !m.eligibleFor(j) || !c.mayStart(j) {
 			continue
 		}
 		if m.onProbation && len(m.attempts) > 0 {
@@ -667,11 +669,11 @@
 				continue
 			}
 		}
-		if n = j.team.room(j.need, n); n == 0 {
-			j.team.short = true
+		if n = j.team.tasksWithinLimit(j.need, n); n == 0 {
+			j.team.limitReached = true
 		}
 		if !borrowing {
-			n = j.team.guaranteed(j.need, n)
+			n = j.team.guaranteedTasks(j.need, n)
 		}
 		n = c.topologyRoom(j, m, n)
 		if m.onProbation || j.failures > 0 && !j.anyCompleted {
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -122,8 +122,8 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, phase := range []Phase{Pulling, TaskRuns} {
 		c := leaderOf(t, 1)
-		c.leadership.teams["u"] = &team{guarantee: timeline.Capacity(100, 0, 0)}
-		c.leadership.teams["t"].guarantee = timeline.Resources{}
+		c.leadership.teams["u"] = &team{guaranteed: timeline.Capacity(100, 0, 0)}
+		c.leadership.teams["t"].guaranteed = timeline.Resources{}
 		m := c.leadership.fleet[0]
 		long := newJob(c, 1, 1, rng)
 		long.spec.CPUs, long.spec.Runtime = 4, 10*time.Minute
@@ -138,7 +138,7 @@
 		waits.spec.Owner, waits.team = "u", c.leadership.teams["u"]
 		waits.submitted = t0.Add(-time.Minute)
 		c.reserve(waits)
-		c.giveBack()
+		c.preemptBorrowers()
 		if stopped := m.attempts[0].stopRequested; stopped != (phase == Pulling) {
 			t.Errorf("found %s: stopped %v", phase, stopped)
 		}
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -277,7 +277,7 @@
 	}
 	c.dropExpiredMachineRecords()
 	c.reserveWarmRoom(c.pol.Warm(e))
-	c.giveBack()
+	c.preemptBorrowers()
 	c.scaleIn()
 	c.rereserve(c.rereserveLimit())
 	// Releases go first: a take-over may wait for one, and rentals use up what
@@ -568,7 +568,7 @@
 		if t := j.team; t.limit.CPU > 0 {
 			left, ok := room[t]
 			if !ok {
-				left = float64(t.limit.CPU-t.used.CPU) / 1000
+				left = float64(t.limit.CPU-t.allocated.CPU) / 1000
 			}
 			n = min(n, left)
 			room[t] = left - n
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -86,7 +86,7 @@
 		c.leadership.tally.Add(j.spec.ID, r.machine.place, 1)
 	}
 	r.machine.allocated = r.machine.allocated.Add(j.need, 1)
-	j.team.used = j.team.used.Add(j.need, 1)
+	j.team.allocated = j.team.allocated.Add(j.need, 1)
 	r.reservation = &timeline.Booking{Start: c.now, End: c.now.Add(c.occupancy(j, r.machine)), Need: j.need, Count: 1}
 	r.machine.timeline.Add(r.reservation)
 }
@@ -112,7 +112,7 @@
 		c.leadership.tally.Add(j.spec.ID, r.machine.place, -1)
 	}
 	r.machine.allocated = r.machine.allocated.Add(r.need, -1)
-	j.team.used = j.team.used.Add(r.need, -1)
+	j.team.allocated = j.team.allocated.Add(r.need, -1)
 	if j.attempts[r.id.Index] == r {
 		delete(j.attempts, r.id.Index)
 	}
@@ -121,8 +121,8 @@
 	}
 	// The machine's own reply looks for work for the room. Others can make use
 	// of what the team or the job has got back.
-	if j.team.short || j.spec.SamePlace || j.spec.Apart || j.failures > 0 {
-		j.team.short = false
+	if j.team.limitReached || j.spec.SamePlace || j.spec.Apart || j.failures > 0 {
+		j.team.limitReached = false
 		c.leadership.dispatchAll = true
 	}
 }
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -494,7 +494,7 @@
 	if s.Service {
 		n = s.Tasks
 	}
-	if need := s.Need(); !t.within(need, n) {
+	if need := s.Need(); !t.fitsLimit(need, n) {
 		field = "vcpus"
 		if t.limit.CPU == 0 || need.CPU*int64(n) <= t.limit.CPU {
 			field = "gpus"
