--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -175,8 +175,8 @@
 // and a time of day that is set back moves by itself.
 func (c *Core) SetClockOffset(d time.Duration) { c.clockOffset = d }
 
-// wall is the time of day. Schedules go by it, and by nothing else.
-func (c *Core) wall() time.Time { return c.now.Round(0).Add(c.clockOffset) }
+// timeOfDay is the time of day. Schedules go by it, and by nothing else.
+func (c *Core) timeOfDay() time.Time { return c.now.Round(0).Add(c.clockOffset) }
 
 // settle hands a reply to whoever waits for it.
 func settle[R any](waiting map[uint64]func(R), ref uint64, r R) {
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -14,30 +14,30 @@
 
 // job is an accepted job that is not over.
 type job struct {
-	spec         JobSpec
-	need         timeline.Resources
-	submitted    time.Time // on the core's clock
-	rec          *JobRecord
-	earlier      bool         // accepted in an earlier term: its tasks may be anywhere
-	places       topology.Job // its rules on places
-	team         *team
-	startsAtOnce bool // must start at once
+	spec            JobSpec
+	need            timeline.Resources
+	submitted       time.Time // on the core's clock
+	record          *JobRecord
+	fromEarlierTerm bool         // accepted in an earlier term: its tasks may be anywhere
+	placement       topology.Job // its rules on places
+	team            *team
+	startsAtOnce    bool // must start at once
 
-	done     bitset           // completed
-	pending  bitset           // neither done nor on a machine
-	waiting  int              // members of pending
-	left     int              // tasks not done
-	attempts map[int]*attempt // tasks on machines, or that may be
+	done      bitset           // completed
+	pending   bitset           // neither done nor on a machine
+	waiting   int              // members of pending
+	remaining int              // tasks not done
+	attempts  map[int]*attempt // tasks on machines, or that may be
 
-	reserved int // members of pending that have a place in the queue
-	chunkRev map[int]uint64
-	dirty    map[int]bool // chunks with news not yet on their way
+	reserved       int // members of pending that have a place in the queue
+	chunkRevisions map[int]uint64
+	dirtyChunks    map[int]bool // chunks with news not yet on their way
 
-	cancelling bool       // a cancellation has been begun
-	cancelled  bool       // and has been committed
-	closing    bool       // the final record is on its way
-	ending     *change    // whichever of the two is on its way
-	cancels    []UserCall // who waits for it
+	cancelling    bool       // a cancellation has been begun
+	cancelled     bool       // and has been committed
+	finishing     bool       // the final record is on its way
+	endingChange  *change    // whichever of the two is on its way
+	cancelWaiters []UserCall // who waits for it
 
 	failedOn           map[string]bool // machines on which its tasks failed
 	failures           int             // since a task last completed
@@ -53,27 +53,27 @@
 	imageLocalUntil    time.Time  // until then it starts only where its image is
 	running            int        // tasks that workers report as running or saving
 	completed          []*attempt // completed, and not known to be on record
-	ran                bool       // a task of it has run, or is done
-	sched              *scheduled // whose occurrence it is, or nil
-	begun              bool       // and has been noted to have started
+	hasRun             bool       // a task of it has run, or is done
+	schedule           *scheduled // whose occurrence it is, or nil
+	startNoted         bool       // and has been noted to have started
 }
 
 // addJob takes a job into memory.
 func (c *Core) addJob(rec *JobRecord, earlier bool) *job {
 	s := rec.Spec
 	j := &job{
-		spec: s, need: s.Need(), rec: rec, earlier: earlier, cancelled: rec.Cancelled,
+		spec: s, need: s.Need(), record: rec, fromEarlierTerm: earlier, cancelled: rec.Cancelled,
 		submitted: c.now.Add(rec.Submitted.Sub(c.now.Round(0))),
-		done:      newBitset(s.Tasks), pending: newBitset(s.Tasks), left: s.Tasks,
-		attempts: map[int]*attempt{}, chunkRev: map[int]uint64{}, dirty: map[int]bool{}, failedOn: map[string]bool{},
+		done:      newBitset(s.Tasks), pending: newBitset(s.Tasks), remaining: s.Tasks,
+		attempts: map[int]*attempt{}, chunkRevisions: map[int]uint64{}, dirtyChunks: map[int]bool{}, failedOn: map[string]bool{},
 		team: c.leadership.teams[s.Owner], startsAtOnce: c.mustStartAtOnce(s.Class),
 	}
-	j.places = topology.Job{Key: s.ID, Tasks: s.Tasks}
+	j.placement = topology.Job{Key: s.ID, Tasks: s.Tasks}
 	if s.SamePlace {
-		j.places.Rules = append(j.places.Rules, topology.SamePlace)
+		j.placement.Rules = append(j.placement.Rules, topology.SamePlace)
 	}
 	if s.Apart {
-		j.places.Rules = append(j.places.Rules, topology.Apart)
+		j.placement.Rules = append(j.placement.Rules, topology.Apart)
 	}
 	if j.team == nil { // the team has left the settings: its jobs still run
 		j.team = &team{}
@@ -84,33 +84,33 @@
 	return j
 }
 
-// jobLoaded makes a job's tasks wait for machines, once its progress is known.
-func (c *Core) jobLoaded(j *job) {
+// queueJob makes a job's tasks wait for machines, once its progress is known.
+func (c *Core) queueJob(j *job) {
 	for i := range j.spec.Tasks {
 		if j.done.has(i) {
-			j.left--
-			j.ran = true
+			j.remaining--
+			j.hasRun = true
 		} else if j.attempts[i] == nil {
 			j.pending.set(i)
 			j.waiting++
 		}
 	}
 	if j.cancelled {
-		c.closeIfOver(j)
+		c.finishIfOver(j)
 		return
 	}
-	if j.left == 0 && !j.spec.Service {
-		c.closeIfOver(j)
+	if j.remaining == 0 && !j.spec.Service {
+		c.finishIfOver(j)
 		return
 	}
 	c.reserveSoon(j)
 }
 
 // halted reports whether no task of the job may start any more.
-func (j *job) halted() bool { return j.cancelled || j.cancelling || j.closing }
+func (j *job) halted() bool { return j.cancelled || j.cancelling || j.finishing }
 
 func (j *job) view() JobView {
-	v := JobView{ID: j.spec.ID, State: Queued, Done: j.spec.Tasks - j.left, Running: j.running}
+	v := JobView{ID: j.spec.ID, State: Queued, Done: j.spec.Tasks - j.remaining, Running: j.running}
 	switch {
 	case j.cancelled:
 		v.State = Cancelled
@@ -120,13 +120,13 @@
 	return v
 }
 
-// taskDone marks a task complete. It is not written yet: progress goes in bulk.
-func (c *Core) taskDone(j *job, i int) {
+// completeTask marks a task complete. It is not written yet: progress goes in bulk.
+func (c *Core) completeTask(j *job, i int) {
 	if i >= j.spec.Tasks || j.spec.Service {
 		return
 	}
 	if j.done.has(i) {
-		c.flushSoon(j, i) // a worker still has it: write again, so that it may forget
+		c.recordProgressSoon(j, i) // a worker still has it: write again, so that it may forget
 		return
 	}
 	if j.pending.has(i) {
@@ -135,28 +135,28 @@
 		c.dropExcessReservation(j)
 	}
 	j.done.set(i)
-	j.ran = true
-	j.left--
+	j.hasRun = true
+	j.remaining--
 	j.anyCompleted = true
 	j.failures = 0
 	j.retryAt = time.Time{}
-	if j.left == 0 {
-		c.closeIfOver(j)
+	if j.remaining == 0 {
+		c.finishIfOver(j)
 		return
 	}
-	c.flushSoon(j, i)
+	c.recordProgressSoon(j, i)
 }
 
-// flushSoon has the progress around task i written. One change a chunk waits at
+// recordProgressSoon has the progress around task i written. One change a chunk waits at
 // a time and is filled in when it goes: however slow the writes, the news of
 // many seconds go in one. The final record makes most of them needless.
-func (c *Core) flushSoon(j *job, i int) {
+func (c *Core) recordProgressSoon(j *job, i int) {
 	chunk := i / chunkTasks
-	if j.dirty[chunk] {
+	if j.dirtyChunks[chunk] {
 		return
 	}
-	j.dirty[chunk] = true
-	c.afterWhileLeading(time.Second, func() { c.flushChunk(j, chunk) })
+	j.dirtyChunks[chunk] = true
+	c.afterWhileLeading(time.Second, func() { c.recordProgress(j, chunk) })
 }
 
 // requeue makes a task wait again.
@@ -180,34 +180,34 @@
 	return id, n
 }
 
-// flushChunk writes the progress of one chunk of a job.
-func (c *Core) flushChunk(j *job, chunk int) {
+// recordProgress writes the progress of one chunk of a job.
+func (c *Core) recordProgress(j *job, chunk int) {
 	key := chunkKey(j.spec.ID, chunk)
 	var had bitset
 	ch := &change{
 		priority: priorityBulk, size: 300 + 4*min(j.spec.Tasks, chunkTasks)/3/8,
 		writes: []Write{{Key: key}},
 		onCommit: func(rev uint64) {
-			j.chunkRev[chunk] = rev
-			c.progressSaved(j, chunk, had)
+			j.chunkRevisions[chunk] = rev
+			c.progressRecorded(j, chunk, had)
 		},
 		onConflict: func() {
 			// A write of ours whose outcome was not known has been applied.
 			c.readBack(key, func(e Entry, _ bool) {
-				j.chunkRev[chunk] = e.Rev // 0 if there is none
+				j.chunkRevisions[chunk] = e.Rev // 0 if there is none
 				if c.leadership.jobs[j.spec.ID] == j && !j.halted() {
-					c.flushChunk(j, chunk)
+					c.recordProgress(j, chunk)
 				}
 			})
 		},
 	}
 	ch.prepare = func() bool {
-		if j.halted() || j.left == 0 {
+		if j.halted() || j.remaining == 0 {
 			return false
 		}
-		delete(j.dirty, chunk)
+		delete(j.dirtyChunks, chunk)
 		had = j.done.clone(chunk)
-		ch.conditions = []Condition{{key, j.chunkRev[chunk]}}
+		ch.conditions = []Condition{{key, j.chunkRevisions[chunk]}}
 		ch.writes[0].Value = &ProgressRecord{j.done.encodeChunk(chunk * chunkTasks)}
 		return true
 	}
@@ -220,9 +220,9 @@
 	return append(bitset(nil), b[from:min(len(b), from+chunkTasks/64)]...)
 }
 
-// progressSaved lets workers forget the tasks that the state service now knows
+// progressRecorded lets workers forget the tasks that the state service now knows
 // to be done. Until then their reports repeat it to any successor.
-func (c *Core) progressSaved(j *job, chunk int, saved bitset) {
+func (c *Core) progressRecorded(j *job, chunk int, saved bitset) {
 	j.completed = slices.DeleteFunc(j.completed, func(r *attempt) bool {
 		if r.id.Index/chunkTasks == chunk && saved.has(r.id.Index%chunkTasks) {
 			r.forgettable = true
@@ -231,33 +231,33 @@
 	})
 }
 
-// closeIfOver writes the final record of a job that is over. A cancelled job
+// finishIfOver writes the final record of a job that is over. A cancelled job
 // stays on record until none of its tasks can be on any machine, because its
 // tasks still count for its team.
-func (c *Core) closeIfOver(j *job) {
+func (c *Core) finishIfOver(j *job) {
 	l := c.leadership
-	if j.closing || j.cancelling {
+	if j.finishing || j.cancelling {
 		return
 	}
 	final := FinalRecord{Done, j.spec.Tasks}
 	switch {
 	case j.cancelled:
-		if len(j.attempts) > 0 || (j.earlier && !l.allAccounted()) {
+		if len(j.attempts) > 0 || (j.fromEarlierTerm && !l.allAccounted()) {
 			return
 		}
-		final = FinalRecord{Cancelled, j.spec.Tasks - j.left}
-	case j.spec.Service || j.left > 0:
+		final = FinalRecord{Cancelled, j.spec.Tasks - j.remaining}
+	case j.spec.Service || j.remaining > 0:
 		return
 	}
-	j.closing = true
+	j.finishing = true
 	ch := &change{
 		writes:   []Write{{Key: finalKeys + j.spec.ID, Value: &final}, {Key: jobKeys + j.spec.ID}},
-		onCommit: func(uint64) { c.closed(j, final) },
+		onCommit: func(uint64) { c.jobFinished(j, final) },
 	}
-	j.ending = ch
+	j.endingChange = ch
 	drops := make([]*change, 0, 1)
-	for _, chunk := range slices.Sorted(maps.Keys(j.chunkRev)) {
-		if j.chunkRev[chunk] == 0 {
+	for _, chunk := range slices.Sorted(maps.Keys(j.chunkRevisions)) {
+		if j.chunkRevisions[chunk] == 0 {
 			continue
 		}
 		w := Write{Key: chunkKey(j.spec.ID, chunk)}
@@ -273,8 +273,8 @@
 	}
 }
 
-// closed follows the commit of a final record.
-func (c *Core) closed(j *job, f FinalRecord) {
+// jobFinished follows the commit of a final record.
+func (c *Core) jobFinished(j *job, f FinalRecord) {
 	l := c.leadership
 	c.finals.Add(j.spec.ID, f)
 	c.replicateDrop(jobKeys + j.spec.ID) // however we have learned that it is over
@@ -285,30 +285,30 @@
 		r.forgettable = true
 	}
 	j.completed = nil
-	j.answerCancels(c, AnswerUser{Status: 200, View: f.view(j.spec.ID)})
-	if j.sched != nil {
-		c.occurrenceOver(j.sched, j.spec.ID, f.State, c.wall())
+	j.answerCancelWaiters(c, AnswerUser{Status: 200, View: f.view(j.spec.ID)})
+	if j.schedule != nil {
+		c.occurrenceOver(j.schedule, j.spec.ID, f.State, c.timeOfDay())
 	}
 	c.note(slog.LevelDebug, "job over", "job", j.spec.ID, "state", f.State)
 }
 
 func (f FinalRecord) view(id string) JobView { return JobView{ID: id, State: f.State, Done: f.Done} }
 
-func (j *job) answerCancels(c *Core, a AnswerUser) {
-	for _, call := range j.cancels {
+func (j *job) answerCancelWaiters(c *Core, a AnswerUser) {
+	for _, call := range j.cancelWaiters {
 		c.answer(call, a)
 	}
-	j.cancels = nil
+	j.cancelWaiters = nil
 }
 
-// cancel records a cancellation and answers once it is committed.
-func (c *Core) cancel(j *job, call UserCall) {
+// cancelJob records a cancellation and answers once it is committed.
+func (c *Core) cancelJob(j *job, call UserCall) {
 	if j.cancelled {
 		c.answer(call, AnswerUser{Status: 200, View: j.view()})
 		return
 	}
-	j.cancels = append(j.cancels, call)
-	if j.cancelling || j.closing {
+	j.cancelWaiters = append(j.cancelWaiters, call)
+	if j.cancelling || j.finishing {
 		return
 	}
 	j.cancelling = true
@@ -325,17 +325,17 @@
 // on any machine: where the settings leave no room a lease may last longer than tasks of a
 // cancelled job may.
 func (c *Core) recordCancelled(j *job, from time.Time) {
-	if from.After(c.now) && (len(j.attempts) > 0 || j.earlier && !c.leadership.allAccounted()) {
-		for _, call := range j.cancels { // once for each: who asks again is told again
+	if from.After(c.now) && (len(j.attempts) > 0 || j.fromEarlierTerm && !c.leadership.allAccounted()) {
+		for _, call := range j.cancelWaiters { // once for each: who asks again is told again
 			no := unavailable("the tasks are being stopped")
 			no.RetryAfter = from.Sub(c.now)
 			c.answer(call, no)
 		}
-		j.cancels = nil
+		j.cancelWaiters = nil
 		c.afterWhileLeading(min(from.Sub(c.now), tickEvery), func() { c.recordCancelled(j, from) })
 		return
 	}
-	rec := *j.rec
+	rec := *j.record
 	rec.Cancelled = true
 	ch := &change{
 		size: recordSize(&rec.Spec),
@@ -343,22 +343,22 @@
 		conditions: []Condition{{finalKeys + j.spec.ID, 0}},
 		writes:     []Write{{Key: jobKeys + j.spec.ID, Value: &rec}},
 		onConflict: func() {
-			j.answerCancels(c, unavailable("the job has just ended, try again"))
+			j.answerCancelWaiters(c, unavailable("the job has just ended, try again"))
 			c.readBack(finalKeys+j.spec.ID, func(e Entry, _ bool) {
 				if f, _ := e.Value.(*FinalRecord); f != nil && c.leadership.jobs[j.spec.ID] == j {
-					c.closed(j, *f)
+					c.jobFinished(j, *f)
 				}
 			})
 		},
 		onCommit: func(uint64) {
-			j.cancelling, j.cancelled, j.rec, j.ending = false, true, &rec, nil
+			j.cancelling, j.cancelled, j.record, j.endingChange = false, true, &rec, nil
 			c.dropReservations(j)
 			c.note(slog.LevelDebug, "job cancelled", "job", j.spec.ID)
-			j.answerCancels(c, AnswerUser{Status: 200, View: j.view()})
-			c.closeIfOver(j)
+			j.answerCancelWaiters(c, AnswerUser{Status: 200, View: j.view()})
+			c.finishIfOver(j)
 		},
 	}
-	j.ending = ch
+	j.endingChange = ch
 	c.leadership.writes.add(ch)
 }
 
@@ -369,13 +369,13 @@
 // waitForEnding has a question about a job wait if its end may be on record without our knowing.
 // Whoever reads the record may have told the user, who must hear nothing older from us.
 func (c *Core) waitForEnding(j *job, call UserCall) bool {
-	if j.ending == nil || !j.ending.sent {
+	if j.endingChange == nil || !j.endingChange.sent {
 		return false
 	}
-	j.cancels = append(j.cancels, call)
+	j.cancelWaiters = append(j.cancelWaiters, call)
 	c.afterWhileLeading(endingTimeout, func() {
-		if i := slices.IndexFunc(j.cancels, func(x UserCall) bool { return x.From == call.From && x.Ref == call.Ref }); i >= 0 {
-			j.cancels = slices.Delete(j.cancels, i, i+1)
+		if i := slices.IndexFunc(j.cancelWaiters, func(x UserCall) bool { return x.From == call.From && x.Ref == call.Ref }); i >= 0 {
+			j.cancelWaiters = slices.Delete(j.cancelWaiters, i, i+1)
 			c.answer(call, unavailable("its end is being recorded"))
 		}
 	})
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -161,7 +161,7 @@
 		l.accept[id].answerAll(c, a)
 	}
 	for _, j := range l.sortedJobs() {
-		j.answerCancels(c, a)
+		j.answerCancelWaiters(c, a)
 	}
 	c.answerSchedules(l, a)
 	c.answerConfig(l, a)
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -117,10 +117,10 @@
 	l := d.c.leadership
 	key := jobKeys + "wk-1"
 	d.c.replicas.own = snapshot.New(1, l.term, finalKeys, 100)
-	d.c.replicas.own.Put(key, l.jobs["wk-1"].rec, 0)
+	d.c.replicas.own.Put(key, l.jobs["wk-1"].record, 0)
 	l.loss = &dataLoss{pending: 1}
 	d.calls = nil
-	d.c.restoreRecord(snapshot.Record{Key: key, Value: l.jobs["wk-1"].rec})
+	d.c.restoreRecord(snapshot.Record{Key: key, Value: l.jobs["wk-1"].record})
 	d.pass(time.Second)
 	for _, x := range d.calls {
 		call, ok := x.(StoreCall)
@@ -141,7 +141,7 @@
 	d := newDesk(t)
 	l := d.c.leadership
 	j := d.c.addJob(&JobRecord{Spec: *plainJob("wk-1", 1), Submitted: t0}, true)
-	d.c.jobLoaded(j)
+	d.c.queueJob(j)
 	at := func(host string, try uint64) *attempt {
 		m := d.c.ensureMachine(host, "f2", "a", true)
 		d.c.reconcile(m, &Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []TaskReport{{Task: TaskID{Job: "wk-1"}, Try: try, Phase: TaskRuns}}})
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -415,7 +415,7 @@
 	early := !l.allAccounted() && 10*len(l.unaccounted) > len(l.fleet) && c.now.Sub(l.electedAt) < c.heartbeatInterval
 	visits, booked, left := 0, 0, l.unscheduled[:0]
 	for _, j := range l.unscheduled {
-		if early && j.earlier || visits >= maxVisitsPerStep {
+		if early && j.fromEarlierTerm || visits >= maxVisitsPerStep {
 			left = append(left, j)
 			continue
 		}
@@ -540,16 +540,16 @@
 // topologyRoom says how many more tasks of the job may be on the machine now, given
 // where its others are, or may be.
 func (c *Core) topologyRoom(j *job, m *machine, n int) int {
-	if len(j.places.Rules) == 0 {
+	if len(j.placement.Rules) == 0 {
 		return n
 	}
-	return c.leadership.tally.Room(&j.places, m.place, n)
+	return c.leadership.tally.Room(&j.placement, m.place, n)
 }
 
 // mayStart reports whether tasks of the job may start at all now.
 func (c *Core) mayStart(j *job) bool {
 	l := c.leadership
-	return !j.halted() && !c.now.Before(j.retryAt) && (l.allAccounted() || !j.earlier && !j.team.limited()) && (l.orphanedTasks == 0 || !j.team.limited())
+	return !j.halted() && !c.now.Before(j.retryAt) && (l.allAccounted() || !j.fromEarlierTerm && !j.team.limited()) && (l.orphanedTasks == 0 || !j.team.limited())
 }
 
 // couldStart reports whether a task of the job may start now wherever it fits.
@@ -566,7 +566,7 @@
 	l := c.leadership
 	l.overdue = l.overdue[:0]
 	for _, j := range l.queue {
-		if !j.ran && len(j.attempts) == 0 && c.now.Sub(j.submitted) > within {
+		if !j.hasRun && len(j.attempts) == 0 && c.now.Sub(j.submitted) > within {
 			l.overdue = append(l.overdue, j)
 		}
 	}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -195,7 +195,7 @@
 		c.note(slog.LevelInfo, "take-over complete", "term", l.term, "after", c.now.Sub(l.electedAt))
 		for _, j := range l.sortedJobs() {
 			if j.cancelled {
-				c.closeIfOver(j)
+				c.finishIfOver(j)
 			}
 		}
 		l.dispatchAll = true
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -86,7 +86,7 @@
 	if part, ok := strings.CutPrefix(r.Key, doneKeys); ok {
 		// By the way that progress is always written.
 		if id, chunk := splitChunkKey(part); l.jobs[id] != nil && chunk >= 0 {
-			c.flushSoon(l.jobs[id], chunk*chunkTasks)
+			c.recordProgressSoon(l.jobs[id], chunk*chunkTasks)
 		}
 		over(Entry{})
 		return
@@ -114,7 +114,7 @@
 		now, ok := c.replicas.own.Get(r.Key)
 		if id, live := strings.CutPrefix(r.Key, jobKeys); live {
 			j := l.jobs[id]
-			ok = ok && j != nil && !j.closing
+			ok = ok && j != nil && !j.finishing
 		} else if isScheduleKey(r.Key) {
 			now, ok = r, true // they are read from record later
 		}
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -82,7 +82,7 @@
 		j.waiting--
 		c.dropExcessReservation(j)
 	}
-	if len(j.places.Rules) > 0 {
+	if len(j.placement.Rules) > 0 {
 		c.leadership.tally.Add(j.spec.ID, r.machine.place, 1)
 	}
 	r.machine.allocated = r.machine.allocated.Add(j.need, 1)
@@ -108,7 +108,7 @@
 	r.occupies = false
 	j := r.job
 	c.countRunning(r, false)
-	if len(j.places.Rules) > 0 {
+	if len(j.placement.Rules) > 0 {
 		c.leadership.tally.Add(j.spec.ID, r.machine.place, -1)
 	}
 	r.machine.allocated = r.machine.allocated.Add(r.need, -1)
@@ -135,8 +135,8 @@
 	r.countedRunning = runs
 	if runs {
 		r.job.running++
-		r.job.ran = true
-		if r.job.sched != nil {
+		r.job.hasRun = true
+		if r.job.schedule != nil {
 			c.occurrenceStarted(r.job)
 		}
 	} else {
@@ -160,7 +160,7 @@
 	if held {
 		c.requeue(r.job, r.id.Index)
 		if r.job.cancelled {
-			c.closeIfOver(r.job)
+			c.finishIfOver(r.job)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 	if t.Cause == CauseDone {
 		m.failureScore, m.onProbation = 0, false
 		r.forgettable = j == nil && !c.leadership.unreadableJobs[r.id.Job] || j != nil && c.leadership.jobs[r.id.Job] != j
-		if j != nil && !r.forgettable && j.closing && !j.cancelled {
+		if j != nil && !r.forgettable && j.finishing && !j.cancelled {
 			// Its final record is on its way: until that is known this exit may be
 			// all that tells a successor that the task is done.
 			j.completed = append(j.completed, r)
@@ -210,12 +210,12 @@
 				c.recordRuntime(j, m, c.now.Sub(r.startedAt))
 			}
 			j.completed = append(j.completed, r)
-			c.taskDone(j, i)
+			c.completeTask(j, i)
 			return
 		}
 		if j != nil && held && j.cancelled {
 			r.forgettable = true
-			c.closeIfOver(j)
+			c.finishIfOver(j)
 		}
 		return
 	}
@@ -233,7 +233,7 @@
 		j.retryAt = c.now.Add(2 * time.Second)
 	}
 	if j.cancelled {
-		c.closeIfOver(j)
+		c.finishIfOver(j)
 	} else if held {
 		c.requeue(j, i)
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -236,7 +236,7 @@
 			var entries []Entry
 			for i := range 200 {
 				j := newJob(old, i, 100, rng)
-				entries = append(entries, Entry{Key: jobKeys + j.spec.ID, Value: j.rec, Rev: 1})
+				entries = append(entries, Entry{Key: jobKeys + j.spec.ID, Value: j.record, Rev: 1})
 			}
 			rec := &MachineRecord{}
 			for _, m := range old.leadership.fleet {
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -114,8 +114,8 @@
 		}
 		job := s.def.Template()
 		job.ID = schedule.RequestID(s.rec.Number, q.Request)
-		if by := s.def.Timing.DueAfter(c.wall()); !by.IsZero() {
-			job.Deadline, job.HasDeadline = by.Sub(c.wall()), true
+		if by := s.def.Timing.DueAfter(c.timeOfDay()); !by.IsZero() {
+			job.Deadline, job.HasDeadline = by.Sub(c.timeOfDay()), true
 		}
 		if len(c.leadership.sched.runs) >= runsMost { // refused ones, of which nobody has asked again
 			clear(c.leadership.sched.runs)
@@ -184,7 +184,7 @@
 		return
 	}
 	def, err := q.File.Compile(c.cal)
-	if err == nil && !def.Timing.Occurs(calendar.Wall(c.wall(), def.Timing.Zone())) {
+	if err == nil && !def.Timing.Occurs(calendar.Wall(c.timeOfDay(), def.Timing.Zone())) {
 		err = &calendar.FieldError{Field: "rule", Reason: "never occurs from now on"}
 	}
 	if fe := (*calendar.FieldError)(nil); errors.As(err, &fe) {
@@ -211,7 +211,7 @@
 		return
 	}
 	if s != nil {
-		cursor, missed := def.Edited(s.def, s.rec.Cursor, c.wall())
+		cursor, missed := def.Edited(s.def, s.rec.Cursor, c.timeOfDay())
 		s.asker = &call
 		c.writeSchedule(s, priorityUrgent, func(r *schedule.Record) {
 			r.File = file
@@ -237,7 +237,7 @@
 			s.reply(c, unavailable("the state service does not answer"))
 			return
 		}
-		rec.Number, rec.Cursor = n, def.From(c.wall())
+		rec.Number, rec.Cursor = n, def.From(c.timeOfDay())
 		c.createSchedule(s, rec)
 	})
 }
@@ -387,7 +387,7 @@
 	cursor := s.rec.Cursor
 	var missed []schedule.Passed
 	if !pause && s.def != nil {
-		cursor, missed = s.def.Resumed(cursor, c.wall())
+		cursor, missed = s.def.Resumed(cursor, c.timeOfDay())
 	}
 	s.asker = &call
 	c.writeSchedule(s, priorityUrgent, func(r *schedule.Record) {
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -126,14 +126,14 @@
 			continue
 		}
 		if j := c.leadership.jobs[x.Job]; j != nil {
-			j.sched = s
+			j.schedule = s
 			c.watchDeadline(s, j, x.Due)
 		} else {
 			c.leadership.sched.unresolved = append(c.leadership.sched.unresolved, occurrenceOf{s, x.Job})
 		}
 	}
 	if j := c.leadership.jobs[rec.LastJob]; j != nil {
-		j.sched = s
+		j.schedule = s
 	}
 	c.plan(s)
 }
@@ -186,12 +186,12 @@
 		at = s.notBefore
 	}
 	sch := &c.leadership.sched
-	if !at.After(c.wall()) {
+	if !at.After(c.timeOfDay()) {
 		c.isReady(s, o)
 		return
 	}
 	sch.later.push(at, place{s, s.gen})
-	if d := at.Sub(c.wall()); d < tickEvery {
+	if d := at.Sub(c.timeOfDay()); d < tickEvery {
 		c.afterWhileLeading(d, c.dueSchedules)
 	}
 }
@@ -201,7 +201,7 @@
 func (c *Core) isReady(s *scheduled, o calendar.Occurrence) {
 	sch := &c.leadership.sched
 	at := o.Due
-	if !at.After(c.wall()) {
+	if !at.After(c.timeOfDay()) {
 		at = o.Start.Add(undatedBehind)
 	}
 	sch.ready.push(at, place{s, s.gen})
@@ -214,7 +214,7 @@
 // anew, so a clock that is set back or forward only changes when.
 func (c *Core) dueSchedules() {
 	sch := &c.leadership.sched
-	now := c.wall()
+	now := c.timeOfDay()
 	for n := 0; sch.later.len() > 0; {
 		at, top := sch.later.first()
 		if top.gen != top.s.gen {
@@ -268,7 +268,7 @@
 // decide decides on the next occurrences of a schedule, up to one that becomes a
 // job, and has the outcome written.
 func (c *Core) decide(s *scheduled) {
-	l, now := c.leadership, c.wall()
+	l, now := c.leadership, c.timeOfDay()
 	s.gen++
 	if s.busy {
 		return // planned again when the write is over
@@ -330,18 +330,18 @@
 	c.writeSchedule(s, priorityOccurrence, func(r *schedule.Record) {
 		r.Pass(past, gone)
 		r.LastJob = id
-		r.Add(schedule.Entry{Job: id, Planned: o.Start, Due: o.Due, Made: c.wall(), State: schedule.StateMade})
+		r.Add(schedule.Entry{Job: id, Planned: o.Start, Due: o.Due, Made: c.timeOfDay(), State: schedule.StateMade})
 	}, job, func() {
 		c.told(s, gone)
 		c.leadership.sched.made++
-		if late := c.wall().Sub(o.Start); late > schedule.OnTime {
+		if late := c.timeOfDay().Sub(o.Start); late > schedule.OnTime {
 			c.note(slog.LevelWarn, "occurrence made late", "schedule", s.name, "planned", o.Start, "job", id, "late", late)
 		}
 		if c.leadership.jobs[id] == nil { // else its id was submitted at the same time, and taken on
 			c.newJob(job)
 		}
 		j := c.leadership.jobs[id]
-		j.sched = s
+		j.schedule = s
 		c.watchDeadline(s, j, o.Due)
 	}, func() {
 		c.note(slog.LevelError, "occurrence failed, its job id is taken", "schedule", s.name, "planned", o.Start, "job", id)
@@ -356,7 +356,7 @@
 		return
 	}
 	id := j.spec.ID
-	c.afterWhileLeading(max(0, due.Sub(c.wall())), func() {
+	c.afterWhileLeading(max(0, due.Sub(c.timeOfDay())), func() {
 		if c.leadership.jobs[id] != j || j.cancelled || s.gone {
 			return
 		}
@@ -372,11 +372,11 @@
 	if s.gone {
 		return
 	}
-	e := schedule.Entry{Job: j.spec.ID, Planned: c.wall(), Made: c.wall(), State: schedule.StateMade}
+	e := schedule.Entry{Job: j.spec.ID, Planned: c.timeOfDay(), Made: c.timeOfDay(), State: schedule.StateMade}
 	if j.spec.HasDeadline {
 		e.Due = e.Made.Add(j.spec.Deadline)
 	}
-	j.sched = s
+	j.schedule = s
 	s.notes = append(s.notes, e)
 	if !s.busy {
 		c.takeNotes(s)
@@ -391,7 +391,7 @@
 		if j := c.leadership.jobs[e.Job]; j != nil {
 			c.watchDeadline(s, j, e.Due)
 		} else if f, ok := c.finals.Get(e.Job); ok { // over already
-			c.occurrenceOver(s, e.Job, f.State, c.wall())
+			c.occurrenceOver(s, e.Job, f.State, c.timeOfDay())
 		}
 		c.flushSchedule(s)
 	}
@@ -409,13 +409,13 @@
 
 // occurrenceStarted follows the first start of a task of an occurrence.
 func (c *Core) occurrenceStarted(j *job) {
-	s := j.sched
-	if j.begun || s.gone {
+	s := j.schedule
+	if j.startNoted || s.gone {
 		return
 	}
-	j.begun = true
+	j.startNoted = true
 	if e, ok := s.rec.Entry(j.spec.ID); ok && e.Started.IsZero() {
-		s.rec.Update(j.spec.ID, func(e *schedule.Entry) { e.Started = c.wall() })
+		s.rec.Update(j.spec.ID, func(e *schedule.Entry) { e.Started = c.timeOfDay() })
 		c.flushSchedule(s)
 	}
 }
@@ -487,7 +487,7 @@
 		if ok {
 			sch.unresolved = slices.Delete(sch.unresolved, 0, 1)
 			if v != nil && (v.State == Done || v.State == Cancelled) {
-				at := c.wall()
+				at := c.timeOfDay()
 				if e, ok := x.s.rec.Entry(x.job); ok && !e.Due.IsZero() && !e.Late && at.After(e.Due) {
 					at = e.Due // nobody saw it late
 				}
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -86,7 +86,7 @@
 		if v, _ := e.Value.(*ProgressRecord); v == nil || !j.done.decodeChunk(chunk*chunkTasks, j.spec.Tasks, v.Ranges) {
 			unreadable("its tasks run again")
 		}
-		j.chunkRev[chunk] = e.Rev
+		j.chunkRevisions[chunk] = e.Rev
 	} else {
 		unreadable("none")
 	}
@@ -98,7 +98,7 @@
 	l.loaded = true
 	c.configLoaded()
 	for _, j := range l.sortedJobs() {
-		c.jobLoaded(j)
+		c.queueJob(j)
 	}
 	c.note(slog.LevelInfo, "records read", "term", l.term, "jobs", len(l.jobs), "machines", len(l.unaccounted))
 	if c.takePendingHeartbeats(); c.leadership != l {
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -222,7 +222,7 @@
 	}
 	if j := l.jobs[call.ID]; j != nil {
 		if call.Op == OpCancel {
-			c.cancel(j, call)
+			c.cancelJob(j, call)
 			return
 		}
 		if j.cancelled || !c.waitForEnding(j, call) {
@@ -314,7 +314,7 @@
 			}
 		}
 	}
-	c.jobLoaded(j)
+	c.queueJob(j)
 	return true
 }
 
@@ -361,7 +361,7 @@
 			a := c.leadership.accept[id]
 			delete(c.leadership.accept, id)
 			j := c.addJob(rec, false)
-			c.jobLoaded(j)
+			c.queueJob(j)
 			if a != nil { // what another node has accepted meanwhile: nobody else tells them
 				a.answerAll(c, AnswerUser{Status: 200, View: j.view()})
 			}
@@ -439,7 +439,7 @@
 	}
 	c.recordArrival(j)
 	c.preferImageLocality(j)
-	c.jobLoaded(j)
+	c.queueJob(j)
 	return j
 }
 
