--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -20,7 +20,7 @@
 
 func newDesk(t *testing.T) *desk {
 	d := &desk{T: t, c: leaderOf(t, 1), ref: 1e6}
-	d.c.leadership.sched.loaded = true
+	d.c.leadership.schedules.loaded = true
 	d.c.startedAt = t0
 	d.c.leadership.suspended = false
 	return d
--- a/internal/core/copies.go
+++ b/internal/core/copies.go
@@ -285,7 +285,7 @@
 				own.Put(key, r.Value, 0)
 			}
 		}
-		if l.sched.loaded {
+		if l.schedules.loaded {
 			c.restoreMissingSchedules()
 		}
 	}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -45,7 +45,7 @@
 			Site     string `toml:"site"`
 			Endpoint string `toml:"endpoint"`
 		}{HostName: "n1"})
-		c.leadership.sched.loaded = true
+		c.leadership.schedules.loaded = true
 		flavors := c.leadership.autoscaler.instanceTypes
 		c.tickLeader()
 		counter := uint64(10)
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -48,14 +48,14 @@
 	reservations       []*reservation  // places in the queue, in order
 	queueTime          time.Time       // of the first, while queued
 	queued             bool
-	reservationPending bool       // to be booked soon
-	lastRereserved     time.Time  // when its bookings were last looked at again
-	imageLocalUntil    time.Time  // until then it starts only where its image is
-	running            int        // tasks that workers report as running or saving
-	completed          []*attempt // completed, and not known to be on record
-	hasRun             bool       // a task of it has run, or is done
-	schedule           *scheduled // whose occurrence it is, or nil
-	startNoted         bool       // and has been noted to have started
+	reservationPending bool          // to be booked soon
+	lastRereserved     time.Time     // when its bookings were last looked at again
+	imageLocalUntil    time.Time     // until then it starts only where its image is
+	running            int           // tasks that workers report as running or saving
+	completed          []*attempt    // completed, and not known to be on record
+	hasRun             bool          // a task of it has run, or is done
+	schedule           *recurringJob // whose occurrence it is, or nil
+	startNoted         bool          // and has been noted to have started
 }
 
 // addJob takes a job into memory.
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -26,7 +26,7 @@
 	places     *topology.Tree
 	tally      *topology.Tally // tasks of jobs with rules on places
 	writes     writeBatcher
-	sched      schedules
+	schedules  scheduler
 	conf       configuring
 	autoscaler autoscaler
 
@@ -143,7 +143,7 @@
 		writes:      newWriteBatcher(cfg.Settings.State),
 		autoscaler:  newAutoscaler(cfg),
 		tally:       topology.NewTally(),
-		sched:       newSchedules(),
+		schedules:   newSchedules(),
 		conf:        newConfiguring(cfg),
 	}
 }
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -124,14 +124,14 @@
 		}
 		ch.writes[0].Value = now.Value
 		if strings.HasPrefix(r.Key, scheduleKeys) {
-			ch.conditions = []Condition{{r.Key, r.Rev}, {numberKey, l.sched.numberRev}} // see newSchedule
+			ch.conditions = []Condition{{r.Key, r.Rev}, {numberKey, l.schedules.numberRev}} // see newSchedule
 		}
 		return true
 	}
 	ch.onCommit = func(rev uint64) {
 		switch r.Key {
 		case numberKey:
-			l.sched.numberRev = rev
+			l.schedules.numberRev = rev
 		case configHeadKey:
 			l.conf.headRev = rev
 		}
@@ -153,7 +153,7 @@
 				return
 			}
 			c.readBack(numberKey, func(n Entry, _ bool) {
-				l.sched.numberRev = n.Rev
+				l.schedules.numberRev = n.Rev
 				c.writeBack(r, over)
 			})
 		})
@@ -186,7 +186,7 @@
 	var keys []string
 	for _, key := range own.Keys(scheduleKeys) {
 		r, _ := own.Get(key)
-		if rec, _ := r.Value.(*schedule.Record); r.Rev == 0 && rec != nil && c.leadership.sched.byName[strings.TrimPrefix(key, scheduleKeys)] == nil {
+		if rec, _ := r.Value.(*schedule.Record); r.Rev == 0 && rec != nil && c.leadership.schedules.byName[strings.TrimPrefix(key, scheduleKeys)] == nil {
 			keys = append(keys, key)
 		}
 	}
@@ -199,12 +199,12 @@
 			c.writeBack(n, func(Entry) { c.afterWhileLeading(replicaInterval, c.restoreMissingSchedules) })
 			return
 		}
-		c.leadership.sched.numberRev = e.Rev
+		c.leadership.schedules.numberRev = e.Rev
 		for _, key := range keys {
 			r, _ := own.Get(key)
 			c.note(slog.LevelError, "a schedule is missing that a copy has, it is written back", "key", key)
 			c.writeBack(r, func(on Entry) {
-				if on.Value != nil && c.leadership.sched.byName[strings.TrimPrefix(key, scheduleKeys)] == nil {
+				if on.Value != nil && c.leadership.schedules.byName[strings.TrimPrefix(key, scheduleKeys)] == nil {
 					c.loadSchedule(on)
 				}
 			})
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -272,7 +272,7 @@
 		rec.Add(schedule.Entry{Job: schedule.JobID(rec.Number, t0), Planned: t0, Due: t0, Made: t0, Started: t0, Ended: t0, State: schedule.StateDone})
 	}
 	c.loadSchedule(Entry{Key: scheduleKeys + fmt.Sprintf("s%05d", i), Value: rec, Rev: 1})
-	if s := c.leadership.sched.byName[fmt.Sprintf("s%05d", i)]; s.def == nil {
+	if s := c.leadership.schedules.byName[fmt.Sprintf("s%05d", i)]; s.definition == nil {
 		tb.Fatal(s.problem)
 	}
 }
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -13,16 +13,16 @@
 )
 
 // reply answers whoever waits for the write on its way.
-func (s *scheduled) reply(c *Core, a AnswerUser) {
-	if s.asker != nil {
-		c.answer(*s.asker, a)
-		s.asker = nil
+func (s *recurringJob) reply(c *Core, a AnswerUser) {
+	if s.requester != nil {
+		c.answer(*s.requester, a)
+		s.requester = nil
 	}
 }
 
 // answerSchedules answers everybody who waits for a write of a schedule.
 func (c *Core) answerSchedules(l *leadership, a AnswerUser) {
-	for _, s := range l.sched.byName {
+	for _, s := range l.schedules.byName {
 		s.reply(c, a)
 		for _, call := range s.waiting {
 			c.answer(call, a)
@@ -37,7 +37,7 @@
 
 // serveSchedule answers as the leader.
 func (c *Core) serveSchedule(call UserCall) {
-	sch, q := &c.leadership.sched, call.Schedule
+	sch, q := &c.leadership.schedules, call.Schedule
 	if !sch.loaded {
 		c.answer(call, unavailable("the schedules are being read"))
 		return
@@ -46,7 +46,7 @@
 		c.answer(call, AnswerUser{Status: 200, Doc: c.listSchedules(q)})
 		return
 	}
-	if sch.unread[q.Name] {
+	if sch.unreadable[q.Name] {
 		c.answer(call, unavailable("the schedule's record cannot be read"))
 		return
 	}
@@ -60,21 +60,21 @@
 		return
 	}
 	reads := call.Op == OpScheduleGet || call.Op == OpScheduleUpcoming || call.Op == OpScheduleHistory
-	if call.Op == OpSchedulePut && !s.busy && s.def != nil && q.File != nil && s.says(q.File) {
+	if call.Op == OpSchedulePut && !s.writing && s.definition != nil && q.File != nil && s.hasDefinition(q.File) {
 		// Asked again, perhaps because the answer was lost: it is as it was asked for.
-		c.answer(call, c.viewOf(s, 200))
+		c.answer(call, c.scheduleView(s, 200))
 		return
 	}
-	if s.busy && (!reads || s.rec == nil) {
-		if len(s.waiting) >= waitingMost || s.rec == nil {
+	if s.writing && (!reads || s.record == nil) {
+		if len(s.waiting) >= maxWaiting || s.record == nil {
 			c.answer(call, unavailable("the schedule is being changed"))
 			return
 		}
 		s.waiting = append(s.waiting, call)
 		return
 	}
-	if !reads && q.IfMatch != "" && q.IfMatch != s.rec.ETag() {
-		reason := "the schedule has changed since it was read; its ETag is " + s.rec.ETag()
+	if !reads && q.IfMatch != "" && q.IfMatch != s.record.ETag() {
+		reason := "the schedule has changed since it was read; its ETag is " + s.record.ETag()
 		if q.IfMatch == NewOnly {
 			reason = "there is a schedule of this name"
 		}
@@ -85,75 +85,75 @@
 	case OpSchedulePut:
 		c.putSchedule(s, call)
 	case OpScheduleGet:
-		c.answer(call, c.viewOf(s, 200))
+		c.answer(call, c.scheduleView(s, 200))
 	case OpScheduleUpcoming:
 		doc := schedule.Coming{Upcoming: []schedule.Upcoming{}}
-		for cursor := s.rec.Cursor; s.def != nil && !s.rec.Paused && len(doc.Upcoming) < q.Count; {
-			o, ok := s.def.Next(cursor)
+		for cursor := s.record.Cursor; s.definition != nil && !s.record.Paused && len(doc.Upcoming) < q.Count; {
+			o, ok := s.definition.Next(cursor)
 			if !ok {
 				break
 			}
-			doc.Upcoming = append(doc.Upcoming, *s.def.Tell(s.rec.Number, o))
+			doc.Upcoming = append(doc.Upcoming, *s.definition.Tell(s.record.Number, o))
 			cursor = cursor.Past(o)
 		}
 		c.answer(call, AnswerUser{Status: 200, Doc: doc})
 	case OpScheduleHistory:
 		zone := time.UTC
-		if s.def != nil {
-			zone = s.def.Timing.Zone()
+		if s.definition != nil {
+			zone = s.definition.Timing.Zone()
 		}
-		c.answer(call, AnswerUser{Status: 200, Doc: s.rec.Told(zone)})
+		c.answer(call, AnswerUser{Status: 200, Doc: s.record.Told(zone)})
 	case OpScheduleDelete:
 		c.deleteSchedule(s, call)
 	case OpSchedulePause, OpScheduleResume:
 		c.pauseSchedule(s, call)
 	case OpScheduleRun:
-		if s.def == nil {
+		if s.definition == nil {
 			c.answer(call, AnswerUser{Status: 422, Reason: s.problem})
 			return
 		}
-		job := s.def.Template()
-		job.ID = schedule.RequestID(s.rec.Number, q.Request)
-		if by := s.def.Timing.DueAfter(c.timeOfDay()); !by.IsZero() {
+		job := s.definition.Template()
+		job.ID = schedule.RequestID(s.record.Number, q.Request)
+		if by := s.definition.Timing.DueAfter(c.timeOfDay()); !by.IsZero() {
 			job.Deadline, job.HasDeadline = by.Sub(c.timeOfDay()), true
 		}
-		if len(c.leadership.sched.runs) >= runsMost { // refused ones, of which nobody has asked again
-			clear(c.leadership.sched.runs)
+		if len(c.leadership.schedules.manualRuns) >= maxManualRuns { // refused ones, of which nobody has asked again
+			clear(c.leadership.schedules.manualRuns)
 		}
-		c.leadership.sched.runs[job.ID] = s
+		c.leadership.schedules.manualRuns[job.ID] = s
 		c.serve(UserCall{Ref: call.Ref, From: call.From, Op: OpSubmit, ID: job.ID, Spec: &job})
 	}
 }
 
-// says reports whether the schedule has this definition already.
-func (s *scheduled) says(f *schedule.File) bool {
+// hasDefinition reports whether the schedule has this definition already.
+func (s *recurringJob) hasDefinition(f *schedule.File) bool {
 	data, err := json.Marshal(f)
-	return err == nil && bytes.Equal(data, s.rec.File)
+	return err == nil && bytes.Equal(data, s.record.File)
 }
 
 // NewOnly as an ETag stands for a schedule that is not there yet.
 const NewOnly = "new"
 
-func (c *Core) viewOf(s *scheduled, status int) AnswerUser {
-	v := schedule.View{Schedule: s.rec.File, Number: s.rec.Number, ETag: s.rec.ETag(), Paused: s.rec.Paused, Problem: s.problem,
-		Next: s.comes(), Made: s.rec.Made, Missed: s.rec.Missed, Late: s.rec.Late}
+func (c *Core) scheduleView(s *recurringJob, status int) AnswerUser {
+	v := schedule.View{Schedule: s.record.File, Number: s.record.Number, ETag: s.record.ETag(), Paused: s.record.Paused, Problem: s.problem,
+		Next: s.nextOccurrence(), Made: s.record.Made, Missed: s.record.Missed, Late: s.record.Late}
 	return AnswerUser{Status: status, Doc: v, ETag: v.ETag}
 }
 
-// comes returns the next occurrence as users see it, or nil.
-func (s *scheduled) comes() *schedule.Upcoming {
-	if s.def == nil || s.rec.Paused {
+// nextOccurrence returns the next occurrence as users see it, or nil.
+func (s *recurringJob) nextOccurrence() *schedule.Upcoming {
+	if s.definition == nil || s.record.Paused {
 		return nil
 	}
-	o, ok := s.def.Next(s.rec.Cursor)
+	o, ok := s.definition.Next(s.record.Cursor)
 	if !ok {
 		return nil
 	}
-	return s.def.Tell(s.rec.Number, o)
+	return s.definition.Tell(s.record.Number, o)
 }
 
 func (c *Core) listSchedules(q *ScheduleCall) schedule.Page {
-	sch := &c.leadership.sched
+	sch := &c.leadership.schedules
 	page := schedule.Page{Schedules: []schedule.Brief{}}
 	i, found := slices.BinarySearch(sch.names, q.After)
 	if found {
@@ -162,7 +162,7 @@
 	for size := 0; i < len(sch.names); i++ {
 		s := sch.byName[sch.names[i]]
 		var f schedule.File
-		if s.rec == nil || json.Unmarshal(s.rec.File, &f) != nil {
+		if s.record == nil || json.Unmarshal(s.record.File, &f) != nil {
 			continue
 		}
 		size += 400 + 6*len(f.Rule) + len(f.Calendar) + len(f.Zone) + len(s.problem)
@@ -170,14 +170,14 @@
 			page.Truncated = true
 			break
 		}
-		page.Schedules = append(page.Schedules, schedule.Brief{Name: s.name, Zone: f.Zone, Rule: f.Rule, Calendar: f.Calendar, Paused: s.rec.Paused,
-			Problem: s.problem, Next: s.comes(), Made: s.rec.Made, Missed: s.rec.Missed, Late: s.rec.Late})
+		page.Schedules = append(page.Schedules, schedule.Brief{Name: s.name, Zone: f.Zone, Rule: f.Rule, Calendar: f.Calendar, Paused: s.record.Paused,
+			Problem: s.problem, Next: s.nextOccurrence(), Made: s.record.Made, Missed: s.record.Missed, Late: s.record.Late})
 	}
 	return page
 }
 
 // putSchedule creates a schedule or replaces the definition of one.
-func (c *Core) putSchedule(s *scheduled, call UserCall) {
+func (c *Core) putSchedule(s *recurringJob, call UserCall) {
 	l, q := c.leadership, call.Schedule
 	if q.File == nil { // from a peer of another version
 		c.answer(call, AnswerUser{Status: 400, Field: "name", Reason: "no schedule in the request"})
@@ -211,17 +211,17 @@
 		return
 	}
 	if s != nil {
-		cursor, missed := def.Edited(s.def, s.rec.Cursor, c.timeOfDay())
-		s.asker = &call
+		cursor, missed := def.Edited(s.definition, s.record.Cursor, c.timeOfDay())
+		s.requester = &call
 		c.writeSchedule(s, priorityUrgent, func(r *schedule.Record) {
 			r.File = file
 			r.Edition++
 			r.Pass(cursor, missed)
 		}, nil, func() {
-			c.told(s, missed)
-			s.def, s.problem, s.held = def, "", false
-			c.note(slog.LevelInfo, "schedule edited", "schedule", s.name, "edition", s.rec.Edition)
-			s.reply(c, c.viewOf(s, 200))
+			c.reportMissed(s, missed)
+			s.definition, s.problem, s.awaitingPrevious = def, "", false
+			c.note(slog.LevelInfo, "schedule edited", "schedule", s.name, "edition", s.record.Edition)
+			s.reply(c, c.scheduleView(s, 200))
 		}, nil)
 		return
 	}
@@ -229,11 +229,11 @@
 		c.answer(call, AnswerUser{Status: 412, Field: "name", Reason: "there is no schedule of this name"})
 		return
 	}
-	s = &scheduled{name: q.Name, busy: true, asker: &call}
-	l.sched.byName[s.name] = s
-	c.number(func(n uint64, ok bool) {
+	s = &recurringJob{name: q.Name, writing: true, requester: &call}
+	l.schedules.byName[s.name] = s
+	c.nextNumber(func(n uint64, ok bool) {
 		if !ok {
-			delete(l.sched.byName, s.name)
+			delete(l.schedules.byName, s.name)
 			s.reply(c, unavailable("the state service does not answer"))
 			return
 		}
@@ -243,12 +243,12 @@
 }
 
 // createSchedule writes the first record of a schedule.
-func (c *Core) createSchedule(s *scheduled, rec *schedule.Record) {
+func (c *Core) createSchedule(s *recurringJob, rec *schedule.Record) {
 	key := scheduleKeys + s.name
 	made := func(rec *schedule.Record, rev uint64) {
-		s.rec, s.rev = rec, rev
+		s.record, s.revision = rec, rev
 		c.addSchedule(s)
-		c.written(s, func() { s.reply(c, c.viewOf(s, 201)) })
+		c.writeFinished(s, func() { s.reply(c, c.scheduleView(s, 201)) })
 	}
 	ch := &change{size: rec.Size(), conditions: c.newSchedule(key), writes: []Write{{Key: key, Value: rec}}}
 	ch.onCommit = func(rev uint64) {
@@ -259,7 +259,7 @@
 		c.readSchedule(s, func(found *schedule.Record, rev uint64) {
 			if found == nil { // another schedule was removed meanwhile
 				c.readBack(numberKey, func(e Entry, _ bool) {
-					c.leadership.sched.numberRev = e.Rev
+					c.leadership.schedules.numberRev = e.Rev
 					ch.conditions = c.newSchedule(key)
 					c.leadership.writes.add(ch)
 				})
@@ -269,7 +269,7 @@
 		})
 	}
 	ch.onReject = func() {
-		delete(c.leadership.sched.byName, s.name)
+		delete(c.leadership.schedules.byName, s.name)
 		s.reply(c, AnswerUser{Status: 400, Field: "name", Reason: "the state service rejects the record"})
 	}
 	c.leadership.writes.add(ch)
@@ -280,34 +280,34 @@
 // every removal the numbers' record is written as well, so that such a try finds another
 // revision of it.
 func (c *Core) newSchedule(key string) []Condition {
-	return []Condition{{key, 0}, {numberKey, c.leadership.sched.numberRev}}
+	return []Condition{{key, 0}, {numberKey, c.leadership.schedules.numberRev}}
 }
 
-// number has f called with a number that no schedule ever had. Numbers are taken
+// nextNumber has f called with a number that no schedule ever had. Numbers are taken
 // from the state service in blocks; what is left of a block when a leader ends
 // is not used.
-func (c *Core) number(f func(n uint64, ok bool)) {
-	sch := &c.leadership.sched
-	sch.numbers = append(sch.numbers, f)
+func (c *Core) nextNumber(f func(n uint64, ok bool)) {
+	sch := &c.leadership.schedules
+	sch.numberWaiters = append(sch.numberWaiters, f)
 	c.handOutNumbers()
 }
 
 func (c *Core) handOutNumbers() {
-	sch := &c.leadership.sched
-	for len(sch.numbers) > 0 && sch.next < sch.last {
-		f := sch.numbers[0]
-		sch.numbers = slices.Delete(sch.numbers, 0, 1)
+	sch := &c.leadership.schedules
+	for len(sch.numberWaiters) > 0 && sch.next < sch.last {
+		f := sch.numberWaiters[0]
+		sch.numberWaiters = slices.Delete(sch.numberWaiters, 0, 1)
 		sch.next++
 		f(sch.next, true)
 	}
-	if len(sch.numbers) == 0 || sch.numbering {
+	if len(sch.numberWaiters) == 0 || sch.takingNumbers {
 		return
 	}
-	sch.numbering = true
+	sch.takingNumbers = true
 	fail := func() {
-		sch.numbering = false
-		fs := sch.numbers
-		sch.numbers = nil
+		sch.takingNumbers = false
+		fs := sch.numberWaiters
+		sch.numberWaiters = nil
 		for _, f := range fs {
 			f(0, false)
 		}
@@ -330,11 +330,11 @@
 			conditions: []Condition{{numberKey, rev}}, writes: []Write{{Key: numberKey, Value: &NumberRecord{from + numberBlock}}},
 			onCommit: func(rev uint64) {
 				sch.numberRev = rev
-				sch.next, sch.last, sch.numbering = from, from+numberBlock, false
+				sch.next, sch.last, sch.takingNumbers = from, from+numberBlock, false
 				c.handOutNumbers()
 			},
 			onConflict: func() { // a try of ours was applied: take the next block
-				sch.numbering = false
+				sch.takingNumbers = false
 				c.handOutNumbers()
 			},
 			onReject: fail,
@@ -342,9 +342,9 @@
 	})
 }
 
-func (c *Core) deleteSchedule(s *scheduled, call UserCall) {
-	s.busy, s.asker = true, &call
-	s.gen++
+func (c *Core) deleteSchedule(s *recurringJob, call UserCall) {
+	s.writing, s.requester = true, &call
+	s.generation++
 	key := scheduleKeys + s.name
 	ch := &change{}
 	done := func() {
@@ -373,30 +373,30 @@
 			remove(rev)
 		})
 	}
-	remove(s.rev)
+	remove(s.revision)
 }
 
 // pauseSchedule pauses a schedule, or resumes it: what would have run meanwhile
 // does not run.
-func (c *Core) pauseSchedule(s *scheduled, call UserCall) {
+func (c *Core) pauseSchedule(s *recurringJob, call UserCall) {
 	pause := call.Op == OpSchedulePause
-	if s.rec.Paused == pause {
-		c.answer(call, c.viewOf(s, 200))
+	if s.record.Paused == pause {
+		c.answer(call, c.scheduleView(s, 200))
 		return
 	}
-	cursor := s.rec.Cursor
+	cursor := s.record.Cursor
 	var missed []schedule.Passed
-	if !pause && s.def != nil {
-		cursor, missed = s.def.Resumed(cursor, c.timeOfDay())
+	if !pause && s.definition != nil {
+		cursor, missed = s.definition.Resumed(cursor, c.timeOfDay())
 	}
-	s.asker = &call
+	s.requester = &call
 	c.writeSchedule(s, priorityUrgent, func(r *schedule.Record) {
 		r.Paused = pause
 		r.Edition++
 		r.Pass(cursor, missed)
 	}, nil, func() {
-		c.told(s, missed)
-		s.held = false
-		s.reply(c, c.viewOf(s, 200))
+		c.reportMissed(s, missed)
+		s.awaitingPrevious = false
+		s.reply(c, c.scheduleView(s, 200))
 	}, nil)
 }
--- a/internal/core/schedule_write.go
+++ b/internal/core/schedule_write.go
@@ -11,23 +11,23 @@
 // writeSchedule writes a record as apply changes it, with the job of an
 // occurrence if there is one. taken is called when the job's id has a record
 // already.
-func (c *Core) writeSchedule(s *scheduled, ln writePriority, apply func(r *schedule.Record), job *JobRecord, done, taken func()) {
-	s.busy = true
-	s.gen++
+func (c *Core) writeSchedule(s *recurringJob, ln writePriority, apply func(r *schedule.Record), job *JobRecord, done, taken func()) {
+	s.writing = true
+	s.generation++
 	ch := &change{priority: ln}
-	c.compose(s, ch, apply, job, done, taken)
+	c.prepareWrite(s, ch, apply, job, done, taken)
 	c.leadership.writes.add(ch)
 }
 
-// compose fills in a change of a schedule's record.
-func (c *Core) compose(s *scheduled, ch *change, apply func(r *schedule.Record), job *JobRecord, done, taken func()) {
+// prepareWrite fills in a change of a schedule's record.
+func (c *Core) prepareWrite(s *recurringJob, ch *change, apply func(r *schedule.Record), job *JobRecord, done, taken func()) {
 	key := scheduleKeys + s.name
 	// Times are fixed here: what is applied to memory is what was written.
-	rec := s.rec.Clone()
+	rec := s.record.Clone()
 	apply(rec)
 	rec.Seq++
 	ch.size = rec.Size()
-	ch.conditions = []Condition{{key, s.rev}}
+	ch.conditions = []Condition{{key, s.revision}}
 	ch.writes = []Write{{Key: key, Value: rec}}
 	if job != nil {
 		id := job.Spec.ID
@@ -39,9 +39,9 @@
 		// News of jobs that came meanwhile are in memory only, and go next. The
 		// record that was written stays as it is.
 		rec := rec.Clone()
-		rec.Follow(s.rec)
-		s.rec, s.rev = rec, rev
-		c.written(s, done)
+		rec.Follow(s.record)
+		s.record, s.revision = rec, rev
+		c.writeFinished(s, done)
 	}
 	ch.onConflict = func() {
 		// A condition did not hold. Ours to write: either an earlier try of this
@@ -53,26 +53,26 @@
 				c.forgetSchedule(s)
 			case found.Seq == rec.Seq:
 				ch.onCommit(rev)
-			case rev != s.rev:
-				s.rev = rev
+			case rev != s.revision:
+				s.revision = rev
 				ch.conditions[0].Rev = rev
 				c.leadership.writes.add(ch)
 			case taken != nil:
-				c.written(s, taken)
+				c.writeFinished(s, taken)
 			default:
 				c.leadership.writes.add(ch)
 			}
 		})
 	}
 	ch.onReject = func() {
-		s.def, s.problem = nil, "the state service rejects its record"
+		s.definition, s.problem = nil, "the state service rejects its record"
 		s.reply(c, unavailable(s.problem))
-		c.written(s, func() {})
+		c.writeFinished(s, func() {})
 	}
 }
 
 // readSchedule reads a record back; found is nil if there is none.
-func (c *Core) readSchedule(s *scheduled, f func(found *schedule.Record, rev uint64)) {
+func (c *Core) readSchedule(s *recurringJob, f func(found *schedule.Record, rev uint64)) {
 	c.readBack(scheduleKeys+s.name, func(e Entry, found bool) {
 		rec, _ := e.Value.(*schedule.Record)
 		if found && rec == nil {
@@ -84,34 +84,34 @@
 	})
 }
 
-// written follows a write: what waited for it goes on.
-func (c *Core) written(s *scheduled, then func()) {
-	s.busy = false
+// writeFinished follows a write: what waited for it goes on.
+func (c *Core) writeFinished(s *recurringJob, then func()) {
+	s.writing = false
 	then()
-	for !s.busy && len(s.waiting) > 0 {
+	for !s.writing && len(s.waiting) > 0 {
 		call := s.waiting[0]
 		s.waiting = slices.Delete(s.waiting, 0, 1)
 		c.serveSchedule(call)
 	}
-	if s.busy || s.gone {
+	if s.writing || s.removed {
 		return
 	}
-	c.takeNotes(s)
-	if s.dirty {
+	c.applyPendingEntries(s)
+	if s.historyDirty {
 		c.flushSchedule(s)
 	}
-	c.plan(s)
+	c.planNext(s)
 }
 
-func (c *Core) forgetSchedule(s *scheduled) {
-	sch := &c.leadership.sched
-	s.gone = true
-	s.gen++
+func (c *Core) forgetSchedule(s *recurringJob) {
+	sch := &c.leadership.schedules
+	s.removed = true
+	s.generation++
 	if sch.byName[s.name] == s {
 		delete(sch.byName, s.name)
 		if i, found := slices.BinarySearch(sch.names, s.name); found {
 			sch.names = slices.Delete(sch.names, i, i+1)
 		}
 	}
-	c.written(s, func() {})
+	c.writeFinished(s, func() {})
 }
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -11,80 +11,80 @@
 	"yewpass/internal/schedule"
 )
 
-// schedules are the recurring work that a leader looks after. What a schedule
+// scheduler are the recurring work that a leader looks after. What a schedule
 // has come to (its cursor) changes in one transaction with the job that an
 // occurrence becomes, under the condition of the term and of the record's own
 // revision: a leader that dies, a transaction that is applied late or a leader
 // that follows can neither make an occurrence twice nor pass one over.
-type schedules struct {
-	byName map[string]*scheduled
-	names  []string        // sorted
-	unread map[string]bool // whose records cannot be read
-	loaded bool
-
-	later timerHeap[place] // schedules by when their next occurrence is due
-	ready timerHeap[place] // those that are due, by deadline
-
-	runs       map[string]*scheduled     // whose job each request to run makes
-	numbers    []func(n uint64, ok bool) // who waits for a number
-	next, last uint64                    // numbers at hand: next to last
-	numbering  bool
-	numberRev  uint64         // of their record, as we know it
-	unresolved []occurrenceOf // made by an earlier leader, over since
+type scheduler struct {
+	byName     map[string]*recurringJob
+	names      []string        // sorted
+	unreadable map[string]bool // whose records cannot be read
+	loaded     bool
+
+	upcoming timerHeap[heapEntry] // schedules by when their next occurrence is due
+	ready    timerHeap[heapEntry] // those that are due, by deadline
+
+	manualRuns    map[string]*recurringJob  // whose job each request to run makes
+	numberWaiters []func(n uint64, ok bool) // who waits for a number
+	next, last    uint64                    // numbers at hand: next to last
+	takingNumbers bool
+	numberRev     uint64         // of their record, as we know it
+	unresolved    []occurrenceOf // made by an earlier leader, over since
 
 	made, missed, late int64 // by this leader
 }
 
-func newSchedules() schedules {
-	return schedules{byName: map[string]*scheduled{}, unread: map[string]bool{}, runs: map[string]*scheduled{}}
+func newSchedules() scheduler {
+	return scheduler{byName: map[string]*recurringJob{}, unreadable: map[string]bool{}, manualRuns: map[string]*recurringJob{}}
 }
 
 type occurrenceOf struct {
-	s   *scheduled
+	s   *recurringJob
 	job string
 }
 
-// scheduled is one schedule.
-type scheduled struct {
-	name    string
-	rec     *schedule.Record // nil while it is being created
-	rev     uint64
-	def     *schedule.Def // nil if this leader cannot read it: see problem
-	problem string
-
-	busy    bool       // a write of it is on its way: what else is asked waits
-	asker   *UserCall  // who waits for that write
-	waiting []UserCall // who asks next
-	gone    bool
-
-	gen       uint64    // of its place in a heap; others are stale
-	held      bool      // waits for the job before
-	notBefore time.Time // it was refused for now
-
-	notes    []schedule.Entry // jobs that were asked for while a write was on its way
-	dirty    bool             // its history has news
-	flushing bool
+// recurringJob is one schedule.
+type recurringJob struct {
+	name       string
+	record     *schedule.Record // nil while it is being created
+	revision   uint64
+	definition *schedule.Def // nil if this leader cannot read it: see problem
+	problem    string
+
+	writing   bool       // a write of it is on its way: what else is asked waits
+	requester *UserCall  // who waits for that write
+	waiting   []UserCall // who asks next
+	removed   bool
+
+	generation       uint64    // of its place in a heap; others are stale
+	awaitingPrevious bool      // waits for the job before
+	notBefore        time.Time // it was refused for now
+
+	pendingEntries []schedule.Entry // jobs that were asked for while a write was on its way
+	historyDirty   bool             // its history has news
+	flushing       bool
 }
 
-// place is a schedule's place in a heap; it is stale once the schedule has
+// heapEntry is a schedule's place in a heap; it is stale once the schedule has
 // another.
-type place struct {
-	s   *scheduled
+type heapEntry struct {
+	s   *recurringJob
 	gen uint64
 }
 
 const (
-	schedulePage  = 100                    // records read at a time
-	scheduleGap   = 100 * time.Millisecond // between pages: what else a new leader has to do goes first
-	dueAtOnce     = 500                    // schedules that become due in one step
-	decideAtOnce  = 256                    // occurrences decided in one step
-	numberBlock   = 50                     // numbers taken from the state service at a time
-	waitingMost   = 8                      // users who wait for a schedule
-	runsMost      = 256                    // requests to run whose jobs are not accepted yet
-	historyAfter  = 2 * time.Second
-	resolveEvery  = 50 * time.Millisecond
-	pageBytes     = 48 << 10 // a line of an answer is below 64 KiB
-	undatedBehind = 100 * 365 * 24 * time.Hour
+	schedulePage        = 100                    // records read at a time
+	scheduleGap         = 100 * time.Millisecond // between pages: what else a new leader has to do goes first
+	maxDuePerStep       = 500                    // schedules that become due in one step
+	maxDecisionsPerStep = 256                    // occurrences decided in one step
+	numberBlock         = 50                     // numbers taken from the state service at a time
+	maxWaiting          = 8                      // users who wait for a schedule
+	maxManualRuns       = 256                    // requests to run whose jobs are not accepted yet
+	historyDelay        = 2 * time.Second
+	resolveInterval     = 50 * time.Millisecond
+	pageBytes           = 48 << 10 // a line of an answer is below 64 KiB
+	undatedDelay        = 100 * 365 * 24 * time.Hour
 )
 
 // loadSchedules reads the schedules, page by page, while the leader works.
@@ -101,9 +101,9 @@
 			c.afterWhileLeading(scheduleGap, func() { c.loadSchedules(r.Entries[len(r.Entries)-1].Key) })
 			return
 		}
-		c.leadership.sched.loaded = true
+		c.leadership.schedules.loaded = true
 		c.restoreMissingSchedules()
-		if n := len(c.leadership.sched.names); n > 0 {
+		if n := len(c.leadership.schedules.names); n > 0 {
 			c.note(slog.LevelInfo, "schedules read", "term", c.leadership.term, "schedules", n)
 			c.resolveNext()
 		}
@@ -114,11 +114,11 @@
 	rec, _ := e.Value.(*schedule.Record)
 	if rec == nil {
 		c.note(slog.LevelError, "record is unreadable", "key", e.Key, "effect", "the schedule makes no jobs and is not served")
-		c.leadership.sched.unread[strings.TrimPrefix(e.Key, scheduleKeys)] = true
+		c.leadership.schedules.unreadable[strings.TrimPrefix(e.Key, scheduleKeys)] = true
 		return
 	}
 	c.replicate(e)
-	s := &scheduled{name: strings.TrimPrefix(e.Key, scheduleKeys), rec: rec, rev: e.Rev}
+	s := &recurringJob{name: strings.TrimPrefix(e.Key, scheduleKeys), record: rec, revision: e.Rev}
 	c.addSchedule(s)
 	es, _ := rec.Entries()
 	for _, x := range es {
@@ -129,18 +129,18 @@
 			j.schedule = s
 			c.watchDeadline(s, j, x.Due)
 		} else {
-			c.leadership.sched.unresolved = append(c.leadership.sched.unresolved, occurrenceOf{s, x.Job})
+			c.leadership.schedules.unresolved = append(c.leadership.schedules.unresolved, occurrenceOf{s, x.Job})
 		}
 	}
 	if j := c.leadership.jobs[rec.LastJob]; j != nil {
 		j.schedule = s
 	}
-	c.plan(s)
+	c.planNext(s)
 }
 
 // addSchedule takes a schedule whose record is known into memory.
-func (c *Core) addSchedule(s *scheduled) {
-	sch := &c.leadership.sched
+func (c *Core) addSchedule(s *recurringJob) {
+	sch := &c.leadership.schedules
 	sch.byName[s.name] = s
 	if i, found := slices.BinarySearch(sch.names, s.name); !found {
 		sch.names = slices.Insert(sch.names, i, s.name)
@@ -151,9 +151,9 @@
 // compile reads the definition of a record. What this leader cannot read, say
 // because its operators' file lacks the calendar, makes no jobs under it: none
 // is better than one on a holiday.
-func (c *Core) compile(s *scheduled) {
-	s.def, s.problem = nil, ""
-	f, err := schedule.ParseJSON(s.rec.File)
+func (c *Core) compile(s *recurringJob) {
+	s.definition, s.problem = nil, ""
+	f, err := schedule.ParseJSON(s.record.File)
 	if err == nil {
 		err = func() (err error) {
 			defer func() { // a library reads the rule; one schedule must not end them all
@@ -161,7 +161,7 @@
 					err = fmt.Errorf("cannot be read: %v", p)
 				}
 			}()
-			s.def, err = f.Compile(c.cal)
+			s.definition, err = f.Compile(c.cal)
 			return err
 		}()
 	}
@@ -171,13 +171,13 @@
 	}
 }
 
-// plan puts a schedule where its next occurrence is due.
-func (c *Core) plan(s *scheduled) {
-	s.gen++
-	if s.gone || s.busy || s.held || s.rec == nil || s.rec.Paused || s.def == nil {
+// planNext puts a schedule where its next occurrence is due.
+func (c *Core) planNext(s *recurringJob) {
+	s.generation++
+	if s.removed || s.writing || s.awaitingPrevious || s.record == nil || s.record.Paused || s.definition == nil {
 		return
 	}
-	o, ok := s.def.Next(s.rec.Cursor)
+	o, ok := s.definition.Next(s.record.Cursor)
 	if !ok {
 		return
 	}
@@ -185,26 +185,26 @@
 	if s.notBefore.After(at) {
 		at = s.notBefore
 	}
-	sch := &c.leadership.sched
+	sch := &c.leadership.schedules
 	if !at.After(c.timeOfDay()) {
-		c.isReady(s, o)
+		c.enqueueDue(s, o)
 		return
 	}
-	sch.later.push(at, place{s, s.gen})
+	sch.upcoming.push(at, heapEntry{s, s.generation})
 	if d := at.Sub(c.timeOfDay()); d < tickEvery {
 		c.afterWhileLeading(d, c.dueSchedules)
 	}
 }
 
-// isReady puts a schedule among those that are due: by deadline, then those whose
+// enqueueDue puts a schedule among those that are due: by deadline, then those whose
 // deadline has passed or that have none.
-func (c *Core) isReady(s *scheduled, o calendar.Occurrence) {
-	sch := &c.leadership.sched
+func (c *Core) enqueueDue(s *recurringJob, o calendar.Occurrence) {
+	sch := &c.leadership.schedules
 	at := o.Due
 	if !at.After(c.timeOfDay()) {
-		at = o.Start.Add(undatedBehind)
+		at = o.Start.Add(undatedDelay)
 	}
-	sch.ready.push(at, place{s, s.gen})
+	sch.ready.push(at, heapEntry{s, s.generation})
 	if sch.ready.len() == 1 {
 		c.wakeBatcherSoon()
 	}
@@ -213,12 +213,12 @@
 // dueSchedules moves what has become due. It goes by the time of day each time
 // anew, so a clock that is set back or forward only changes when.
 func (c *Core) dueSchedules() {
-	sch := &c.leadership.sched
+	sch := &c.leadership.schedules
 	now := c.timeOfDay()
-	for n := 0; sch.later.len() > 0; {
-		at, top := sch.later.first()
-		if top.gen != top.s.gen {
-			sch.later.pop()
+	for n := 0; sch.upcoming.len() > 0; {
+		at, top := sch.upcoming.first()
+		if top.gen != top.s.generation {
+			sch.upcoming.pop()
 			continue
 		}
 		if d := at.Sub(now); d > 0 {
@@ -227,13 +227,13 @@
 			}
 			return
 		}
-		if n++; n > dueAtOnce {
+		if n++; n > maxDuePerStep {
 			c.afterWhileLeading(10*time.Millisecond, c.dueSchedules)
 			return
 		}
-		sch.later.pop()
-		if o, ok := top.s.def.Next(top.s.rec.Cursor); ok {
-			c.isReady(top.s, o)
+		sch.upcoming.pop()
+		if o, ok := top.s.definition.Next(top.s.record.Cursor); ok {
+			c.enqueueDue(top.s, o)
 		}
 	}
 }
@@ -242,7 +242,7 @@
 // The state service's allowance paces it, and what is decided is decided with
 // what is known when it goes.
 func (c *Core) makeOccurrences() {
-	sch := &c.leadership.sched
+	sch := &c.leadership.schedules
 	if sch.ready.len() == 0 || !c.leadership.autoscaler.catalogRead || !c.canAct() {
 		return
 	}
@@ -252,8 +252,8 @@
 	}
 	for room >= 2 && sch.ready.len() > 0 {
 		o := sch.ready.pop()
-		if o.gen == o.s.gen {
-			c.decide(o.s)
+		if o.gen == o.s.generation {
+			c.decideOccurrence(o.s)
 			room -= 2
 		}
 	}
@@ -262,30 +262,30 @@
 // occurrencesWait reports whether some could be made if the allowance let them.
 func (c *Core) occurrencesWait() bool {
 	l := c.leadership
-	return len(l.writes.queued[priorityOccurrence]) > 0 || l.sched.ready.len() > 0 && l.autoscaler.catalogRead
+	return len(l.writes.queued[priorityOccurrence]) > 0 || l.schedules.ready.len() > 0 && l.autoscaler.catalogRead
 }
 
-// decide decides on the next occurrences of a schedule, up to one that becomes a
+// decideOccurrence decides on the next occurrences of a schedule, up to one that becomes a
 // job, and has the outcome written.
-func (c *Core) decide(s *scheduled) {
+func (c *Core) decideOccurrence(s *recurringJob) {
 	l, now := c.leadership, c.timeOfDay()
-	s.gen++
-	if s.busy {
+	s.generation++
+	if s.writing {
 		return // planned again when the write is over
 	}
 	var gone []schedule.Passed
-	cursor := s.rec.Cursor
-	for range decideAtOnce {
-		before := schedule.Before{Live: l.jobs[s.rec.LastJob] != nil}
-		if e, ok := s.rec.Entry(s.rec.LastJob); ok {
+	cursor := s.record.Cursor
+	for range maxDecisionsPerStep {
+		before := schedule.Before{Live: l.jobs[s.record.LastJob] != nil}
+		if e, ok := s.record.Entry(s.record.LastJob); ok {
 			before.Ended = e.Ended
 		}
-		o, v, reason := s.def.Decide(cursor, now, before)
+		o, v, reason := s.definition.Decide(cursor, now, before)
 		if v == schedule.Make {
-			job := s.def.Job(s.rec.Number, o)
+			job := s.definition.Job(s.record.Number, o)
 			if _, why := c.unschedulable(&job); why != "" {
 				v, reason = schedule.Miss, "can never run: "+why
-			} else if late, refused := c.admissionRefused(&job); refused && now.Sub(o.Start) > max(s.def.Within, schedule.OnTime) {
+			} else if late, refused := c.admissionRefused(&job); refused && now.Sub(o.Start) > max(s.definition.Within, schedule.OnTime) {
 				v, reason = schedule.Miss, "refused for as long as it could be made"
 			} else if refused {
 				v = schedule.Later
@@ -300,31 +300,31 @@
 			cursor = cursor.Past(o)
 			continue
 		}
-		s.held = v == schedule.Hold
+		s.awaitingPrevious = v == schedule.Hold
 		break
 	}
 	if len(gone) > 0 {
-		c.passOver(s, cursor, gone)
+		c.recordMissed(s, cursor, gone)
 		return
 	}
-	c.plan(s)
+	c.planNext(s)
 }
 
-// told logs and counts occurrences that do not run.
-func (c *Core) told(s *scheduled, gone []schedule.Passed) {
-	c.leadership.sched.missed += int64(len(gone))
+// reportMissed logs and counts occurrences that do not run.
+func (c *Core) reportMissed(s *recurringJob, gone []schedule.Passed) {
+	c.leadership.schedules.missed += int64(len(gone))
 	for _, p := range gone {
-		c.note(slog.LevelWarn, "occurrence missed", "schedule", s.name, "planned", p.Start, "job", schedule.JobID(s.rec.Number, p.Nominal), "reason", p.Reason)
+		c.note(slog.LevelWarn, "occurrence missed", "schedule", s.name, "planned", p.Start, "job", schedule.JobID(s.record.Number, p.Nominal), "reason", p.Reason)
 	}
 }
 
-// passOver has it written that occurrences do not run.
-func (c *Core) passOver(s *scheduled, cursor schedule.Cursor, gone []schedule.Passed) {
-	c.writeSchedule(s, priorityOccurrence, func(r *schedule.Record) { r.Pass(cursor, gone) }, nil, func() { c.told(s, gone) }, nil)
+// recordMissed has it written that occurrences do not run.
+func (c *Core) recordMissed(s *recurringJob, cursor schedule.Cursor, gone []schedule.Passed) {
+	c.writeSchedule(s, priorityOccurrence, func(r *schedule.Record) { r.Pass(cursor, gone) }, nil, func() { c.reportMissed(s, gone) }, nil)
 }
 
 // makeJob makes an occurrence a job; past is the cursor behind it.
-func (c *Core) makeJob(s *scheduled, past schedule.Cursor, o calendar.Occurrence, job *JobRecord, gone []schedule.Passed) {
+func (c *Core) makeJob(s *recurringJob, past schedule.Cursor, o calendar.Occurrence, job *JobRecord, gone []schedule.Passed) {
 	id := job.Spec.ID
 	s.notBefore = time.Time{}
 	c.writeSchedule(s, priorityOccurrence, func(r *schedule.Record) {
@@ -332,8 +332,8 @@
 		r.LastJob = id
 		r.Add(schedule.Entry{Job: id, Planned: o.Start, Due: o.Due, Made: c.timeOfDay(), State: schedule.StateMade})
 	}, job, func() {
-		c.told(s, gone)
-		c.leadership.sched.made++
+		c.reportMissed(s, gone)
+		c.leadership.schedules.made++
 		if late := c.timeOfDay().Sub(o.Start); late > schedule.OnTime {
 			c.note(slog.LevelWarn, "occurrence made late", "schedule", s.name, "planned", o.Start, "job", id, "late", late)
 		}
@@ -345,31 +345,31 @@
 		c.watchDeadline(s, j, o.Due)
 	}, func() {
 		c.note(slog.LevelError, "occurrence failed, its job id is taken", "schedule", s.name, "planned", o.Start, "job", id)
-		c.passOver(s, past, append(gone, schedule.Passed{Occurrence: o, State: schedule.StateFailed, Reason: "job id " + id + " is taken"}))
+		c.recordMissed(s, past, append(gone, schedule.Passed{Occurrence: o, State: schedule.StateFailed, Reason: "job id " + id + " is taken"}))
 	})
 }
 
 // watchDeadline notes when an occurrence's deadline passes before its job is
 // over.
-func (c *Core) watchDeadline(s *scheduled, j *job, due time.Time) {
+func (c *Core) watchDeadline(s *recurringJob, j *job, due time.Time) {
 	if due.IsZero() {
 		return
 	}
 	id := j.spec.ID
 	c.afterWhileLeading(max(0, due.Sub(c.timeOfDay())), func() {
-		if c.leadership.jobs[id] != j || j.cancelled || s.gone {
+		if c.leadership.jobs[id] != j || j.cancelled || s.removed {
 			return
 		}
-		if e, ok := s.rec.Entry(id); ok && !e.Late {
-			c.wasLate(s, e)
+		if e, ok := s.record.Entry(id); ok && !e.Late {
+			c.noteLate(s, e)
 		}
 	})
 }
 
-// ranNow puts a job that was asked for into its schedule's history.
-func (c *Core) ranNow(s *scheduled, j *job) {
-	delete(c.leadership.sched.runs, j.spec.ID)
-	if s.gone {
+// noteManualRun puts a job that was asked for into its schedule's history.
+func (c *Core) noteManualRun(s *recurringJob, j *job) {
+	delete(c.leadership.schedules.manualRuns, j.spec.ID)
+	if s.removed {
 		return
 	}
 	e := schedule.Entry{Job: j.spec.ID, Planned: c.timeOfDay(), Made: c.timeOfDay(), State: schedule.StateMade}
@@ -377,17 +377,17 @@
 		e.Due = e.Made.Add(j.spec.Deadline)
 	}
 	j.schedule = s
-	s.notes = append(s.notes, e)
-	if !s.busy {
-		c.takeNotes(s)
+	s.pendingEntries = append(s.pendingEntries, e)
+	if !s.writing {
+		c.applyPendingEntries(s)
 	}
 }
 
-// takeNotes takes up what could not be while a write was on its way: the record
+// applyPendingEntries takes up what could not be while a write was on its way: the record
 // that was written would have replaced it.
-func (c *Core) takeNotes(s *scheduled) {
-	for _, e := range s.notes {
-		s.rec.Note(e)
+func (c *Core) applyPendingEntries(s *recurringJob) {
+	for _, e := range s.pendingEntries {
+		s.record.Note(e)
 		if j := c.leadership.jobs[e.Job]; j != nil {
 			c.watchDeadline(s, j, e.Due)
 		} else if f, ok := c.finals.Get(e.Job); ok { // over already
@@ -395,76 +395,76 @@
 		}
 		c.flushSchedule(s)
 	}
-	s.notes = nil
+	s.pendingEntries = nil
 }
 
-// wasLate notes that an occurrence was not over by its deadline.
-func (c *Core) wasLate(s *scheduled, e schedule.Entry) {
-	s.rec.Update(e.Job, func(e *schedule.Entry) { e.Late = true })
-	s.rec.Late++
+// noteLate notes that an occurrence was not over by its deadline.
+func (c *Core) noteLate(s *recurringJob, e schedule.Entry) {
+	s.record.Update(e.Job, func(e *schedule.Entry) { e.Late = true })
+	s.record.Late++
 	c.flushSchedule(s)
-	c.leadership.sched.late++
+	c.leadership.schedules.late++
 	c.note(slog.LevelWarn, "occurrence late", "schedule", s.name, "planned", e.Planned, "due", e.Due, "job", e.Job)
 }
 
 // occurrenceStarted follows the first start of a task of an occurrence.
 func (c *Core) occurrenceStarted(j *job) {
 	s := j.schedule
-	if j.startNoted || s.gone {
+	if j.startNoted || s.removed {
 		return
 	}
 	j.startNoted = true
-	if e, ok := s.rec.Entry(j.spec.ID); ok && e.Started.IsZero() {
-		s.rec.Update(j.spec.ID, func(e *schedule.Entry) { e.Started = c.timeOfDay() })
+	if e, ok := s.record.Entry(j.spec.ID); ok && e.Started.IsZero() {
+		s.record.Update(j.spec.ID, func(e *schedule.Entry) { e.Started = c.timeOfDay() })
 		c.flushSchedule(s)
 	}
 }
 
 // occurrenceOver follows the end of an occurrence's job.
-func (c *Core) occurrenceOver(s *scheduled, id string, state JobState, at time.Time) {
-	if s.gone {
+func (c *Core) occurrenceOver(s *recurringJob, id string, state JobState, at time.Time) {
+	if s.removed {
 		return
 	}
-	if e, ok := s.rec.Entry(id); ok && e.State == schedule.StateMade {
-		s.rec.Update(id, func(e *schedule.Entry) {
+	if e, ok := s.record.Entry(id); ok && e.State == schedule.StateMade {
+		s.record.Update(id, func(e *schedule.Entry) {
 			e.Ended, e.State = at, schedule.StateDone
 			if state == Cancelled {
 				e.State = schedule.StateCancelled
 			}
 		})
 		if state != Cancelled && !e.Due.IsZero() && at.After(e.Due) && !e.Late {
-			c.wasLate(s, e)
+			c.noteLate(s, e)
 		}
 		c.flushSchedule(s)
 	}
-	if s.held && id == s.rec.LastJob {
-		s.held = false
-		c.plan(s)
+	if s.awaitingPrevious && id == s.record.LastJob {
+		s.awaitingPrevious = false
+		c.planNext(s)
 	}
 }
 
 // flushSchedule has the news of a history written, some time. One that is due
 // before takes them along.
-func (c *Core) flushSchedule(s *scheduled) {
-	s.dirty = true
+func (c *Core) flushSchedule(s *recurringJob) {
+	s.historyDirty = true
 	if s.flushing {
 		return
 	}
 	s.flushing = true
-	c.afterWhileLeading(historyAfter, func() {
-		ch := &change{priority: priorityBulk, writes: []Write{{Key: scheduleKeys + s.name}}, size: s.rec.Size()}
+	c.afterWhileLeading(historyDelay, func() {
+		ch := &change{priority: priorityBulk, writes: []Write{{Key: scheduleKeys + s.name}}, size: s.record.Size()}
 		sent := false
 		ch.prepare = func() bool {
 			if sent {
 				return true // it may not have been executed: the same goes again
 			}
 			s.flushing = false
-			if s.gone || !s.dirty || s.busy {
+			if s.removed || !s.historyDirty || s.writing {
 				return false // the write that is on its way sees to it when it is over
 			}
-			sent, s.busy, s.dirty = true, true, false
-			s.gen++
-			c.compose(s, ch, func(*schedule.Record) {}, nil, func() {}, nil)
+			sent, s.writing, s.historyDirty = true, true, false
+			s.generation++
+			c.prepareWrite(s, ch, func(*schedule.Record) {}, nil, func() {}, nil)
 			return true
 		}
 		c.leadership.writes.add(ch)
@@ -474,7 +474,7 @@
 // resolveNext looks up how an occurrence ended whose job was over when this
 // leader began. When is not known: the time is that of the finding.
 func (c *Core) resolveNext() {
-	sch := &c.leadership.sched
+	sch := &c.leadership.schedules
 	if len(sch.unresolved) == 0 {
 		return
 	}
@@ -488,12 +488,12 @@
 			sch.unresolved = slices.Delete(sch.unresolved, 0, 1)
 			if v != nil && (v.State == Done || v.State == Cancelled) {
 				at := c.timeOfDay()
-				if e, ok := x.s.rec.Entry(x.job); ok && !e.Due.IsZero() && !e.Late && at.After(e.Due) {
+				if e, ok := x.s.record.Entry(x.job); ok && !e.Due.IsZero() && !e.Late && at.After(e.Due) {
 					at = e.Due // nobody saw it late
 				}
 				c.occurrenceOver(x.s, x.job, v.State, at)
 			}
 		}
-		c.afterWhileLeading(resolveEvery, c.resolveNext)
+		c.afterWhileLeading(resolveInterval, c.resolveNext)
 	})
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -40,13 +40,13 @@
 	s.Leads, s.Authority = true, c.hasAuthority()
 	s.Jobs, s.Machines, s.Unaccounted, s.BacklogSeconds = len(l.jobs), len(l.fleet), len(l.unaccounted), l.autoscaler.backlog.Seconds()
 	s.Direct, s.Relays, s.Full = l.relay("").workers, len(c.relayNodes()), l.autoscaler.fleetFull
-	s.Schedules = len(l.sched.names)
+	s.Schedules = len(l.schedules.names)
 	s.Unreadable = len(l.unreadableJobs)
 	if l.loss != nil {
 		s.RecordsLeft = l.loss.pending
 	}
 	s.Copies = len(c.completeReplicas())
-	s.OccurrencesMade, s.OccurrencesMissed, s.OccurrencesLate = l.sched.made, l.sched.missed, l.sched.late
+	s.OccurrencesMade, s.OccurrencesMissed, s.OccurrencesLate = l.schedules.made, l.schedules.missed, l.schedules.late
 	for _, j := range l.jobs {
 		s.Waiting += j.waiting
 		s.Running += len(j.attempts)
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -434,8 +434,8 @@
 // newJob takes on a job whose record has just been committed.
 func (c *Core) newJob(rec *JobRecord) *job {
 	j := c.addJob(rec, false)
-	if s := c.leadership.sched.runs[rec.Spec.ID]; s != nil {
-		c.ranNow(s, j)
+	if s := c.leadership.schedules.manualRuns[rec.Spec.ID]; s != nil {
+		c.noteManualRun(s, j)
 	}
 	c.recordArrival(j)
 	c.preferImageLocality(j)
