--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -25,13 +25,13 @@
 	configHeadKey  = configKeys + "head"
 	configTeamKeys = configKeys + "team/"
 
-	// configPart of the changes that the state service allows is kept for configuration:
+	// configWriteShare of the changes that the state service allows is kept for configuration:
 	// neither a storm of submissions nor one of changes holds up the other.
-	configPart = 0.15
-	// configWaitMost bounds the changes that wait to be written.
-	configWaitMost = 2000
-	// configTell is how often the leader tells the others which revision is in force.
-	configTell = time.Second
+	configWriteShare = 0.15
+	// maxConfigWaiting bounds the changes that wait to be written.
+	maxConfigWaiting = 2000
+	// configBroadcastInterval is how often the leader tells the others which revision is in force.
+	configBroadcastInterval = time.Second
 )
 
 // isConfigKey reports whether a key is of the configuration.
@@ -46,8 +46,8 @@
 	Count      int                     `json:"count,omitempty"`      // of list: how many at the most
 }
 
-// configuring is the leader's account of the configuration.
-type configuring struct {
+// liveConfig is the leader's account of the configuration.
+type liveConfig struct {
 	state     *liveconfig.State
 	headRev   uint64          // of the head's record in the state service, 0: there is none
 	damaged   map[string]bool // objects whose records cannot be read
@@ -78,13 +78,13 @@
 
 // configNode is what the leader knows of another controller.
 type configNode struct {
-	speaks   uint64 // version of the talk between controllers
+	version  uint64 // version of the talk between controllers
 	revision uint64 // of the configuration that it has
 	at       time.Time
 }
 
-func newConfiguring(cfg *config.Config) configuring {
-	return configuring{state: liveconfig.New(baseTeams(cfg)), damaged: map[string]bool{}, nodes: map[string]*configNode{}}
+func newConfiguring(cfg *config.Config) liveConfig {
+	return liveConfig{state: liveconfig.New(baseTeams(cfg)), damaged: map[string]bool{}, nodes: map[string]*configNode{}}
 }
 
 // baseTeams are the teams of the platform's settings.
@@ -97,7 +97,7 @@
 
 // configWrites is the limiter of the part of the changes that configuration has.
 func configWrites(st config.State) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(st.WriteRPS*configPart), max(2, st.TxnOps))
+	return rate.NewLimiter(rate.Limit(st.WriteRPS*configWriteShare), max(2, st.TxnOps))
 }
 
 // ---- reading
@@ -105,7 +105,7 @@
 // loadConfig takes in a record of the configuration. One that cannot be read leaves what is
 // known of its object as it is: what a copy has, or else the settings.
 func (c *Core) loadConfig(e Entry) {
-	conf := &c.leadership.conf
+	conf := &c.leadership.config
 	if e.Key == configHeadKey {
 		conf.headRev = e.Rev
 	}
@@ -128,22 +128,22 @@
 	}
 }
 
-// configLoaded puts what was read into force.
-func (c *Core) configLoaded() {
-	conf := &c.leadership.conf
+// applyLoadedConfig puts what was read into force.
+func (c *Core) applyLoadedConfig() {
+	conf := &c.leadership.config
 	for _, r := range conf.state.Changed() {
-		c.enforceTeam(r.Team)
+		c.applyTeam(r.Team)
 	}
 	conf.since = c.now
 	if conf.state.Revision > 0 {
 		c.note(slog.LevelInfo, "configuration read", "term", c.leadership.term, "revision", conf.state.Revision)
 	}
-	c.tellConfig()
+	c.broadcastConfig()
 }
 
-// enforceTeam has the leader decide by a team's configuration from now on. Tasks that run
+// applyTeam has the leader decide by a team's configuration from now on. Tasks that run
 // go on, and count; nothing more starts until there is room under a lower limit.
-func (c *Core) enforceTeam(t liveconfig.Team) {
+func (c *Core) applyTeam(t liveconfig.Team) {
 	l := c.leadership
 	now := teamOf(t)
 	if was := l.teams[t.Name]; was != nil {
@@ -188,28 +188,28 @@
 	if !l.loaded {
 		return nil
 	}
-	return []Condition{{configHeadKey, l.conf.headRev}}
+	return []Condition{{configHeadKey, l.config.headRev}}
 }
 
-// configMoved: a renewal that went out with a revision of the head has found another. If it
+// handleConfigConflict: a renewal that went out with a revision of the head has found another. If it
 // is not our own change that has come through meanwhile, the records have the last word;
 // until they have been read our authority is not renewed. Then it is confirmed again.
-func (c *Core) configMoved(asked uint64, confirm func()) {
-	conf := &c.leadership.conf
+func (c *Core) handleConfigConflict(asked uint64, confirm func()) {
+	conf := &c.leadership.config
 	if conf.headRev != asked {
-		c.afterWhileLeading(renewSoon, confirm)
+		c.afterWhileLeading(renewRetryDelay, confirm)
 		return
 	}
 	c.rereadConfig(confirm)
 }
 
-// renewSoon is when a renewal is tried again that met a change of configuration.
-const renewSoon = 20 * time.Millisecond
+// renewRetryDelay is when a renewal is tried again that met a change of configuration.
+const renewRetryDelay = 20 * time.Millisecond
 
 // rereadConfig reads the head back, to learn what became of a batch, or all if the head is
 // not one that we know.
 func (c *Core) rereadConfig(then func()) {
-	conf := &c.leadership.conf
+	conf := &c.leadership.config
 	if conf.rereading {
 		return
 	}
@@ -227,19 +227,19 @@
 				found = *rec
 			}
 		}
-		c.headFound(found.Revision, rev)
+		c.reconcileHead(found.Revision, rev)
 		then()
 	})
 }
 
-// headFound goes by the head that is on record.
-func (c *Core) headFound(revision, rev uint64) {
-	conf := &c.leadership.conf
+// reconcileHead goes by the head that is on record.
+func (c *Core) reconcileHead(revision, rev uint64) {
+	conf := &c.leadership.config
 	b := conf.batch
 	switch {
 	case rev == conf.headRev:
 	case b != nil && b.Batch != nil && revision == b.After.Revision:
-		c.batchMade(b, rev) // it has been carried out, and its answer was lost
+		c.configBatchCommitted(b, rev) // it has been carried out, and its answer was lost
 	case revision == conf.state.Revision:
 		conf.headRev = rev // written back after a loss
 	default:
@@ -250,7 +250,7 @@
 
 // reloadConfig reads all records of the configuration again.
 func (c *Core) reloadConfig(revision, rev uint64) {
-	conf := &c.leadership.conf
+	conf := &c.leadership.config
 	state := liveconfig.New(baseTeams(c.cfg))
 	var page func(from string)
 	page = func(from string) {
@@ -273,7 +273,7 @@
 			conf.state, conf.headRev = state, rev
 			for _, t := range state.Names() {
 				now, _, _ := state.Team(t)
-				c.enforceTeam(now)
+				c.applyTeam(now)
 			}
 		})
 	}
@@ -284,10 +284,10 @@
 
 // serveConfig answers as the leader.
 func (c *Core) serveConfig(call UserCall) {
-	conf, q := &c.leadership.conf, call.Config
+	conf, q := &c.leadership.config, call.Config
 	switch call.Op {
 	case OpConfigStatus:
-		c.askVersions()
+		c.askPeerVersions()
 		c.answer(call, AnswerUser{Status: 200, Doc: c.configStatus()})
 	case OpConfigGet:
 		v, ok := c.viewTeam(q.Name)
@@ -301,21 +301,21 @@
 	case OpConfigSet:
 		change := liveconfig.Change{Teams: q.Teams, IfRevision: q.IfRevision}
 		if err := change.Check(c.cfg.Settings.State.TxnOps - 1); err != nil {
-			c.answer(call, configRefused(err))
+			c.answer(call, configError(err))
 			return
 		}
-		if reason := c.cannotConfigure(); reason != "" {
-			c.askVersions()
+		if reason := c.configRefusal(); reason != "" {
+			c.askPeerVersions()
 			c.answer(call, unavailable(reason))
 			return
 		}
 		conf.waiting = append(conf.waiting, &configChange{call, change})
-		c.offerBatch()
+		c.queueConfigBatch()
 	}
 }
 
-// configRefused answers a change that cannot be made.
-func configRefused(err error) AnswerUser {
+// configError answers a change that cannot be made.
+func configError(err error) AnswerUser {
 	var e *liveconfig.Error
 	if !errors.As(err, &e) {
 		return AnswerUser{Status: 400, Reason: err.Error()}
@@ -327,13 +327,13 @@
 	return AnswerUser{Status: status, Field: e.Path(), Reason: e.Error()}
 }
 
-// cannotConfigure says why no change can be taken at present, or "".
-func (c *Core) cannotConfigure() string {
-	conf := &c.leadership.conf
+// configRefusal says why no change can be taken at present, or "".
+func (c *Core) configRefusal() string {
+	conf := &c.leadership.config
 	switch {
 	case conf.restoring > 0:
 		return "the configuration is being written back after a loss of data"
-	case len(conf.waiting) >= configWaitMost:
+	case len(conf.waiting) >= maxConfigWaiting:
 		return "too many changes wait"
 	case conf.state.Revision > 0:
 		return ""
@@ -342,16 +342,16 @@
 	// to lead after a change, it would go by them. So none is taken before all have said
 	// that they know better.
 	for _, s := range c.cfg.Seeds {
-		if n := conf.nodes[s.HostName]; n == nil || n.speaks < peerVersion {
+		if n := conf.nodes[s.HostName]; n == nil || n.version < peerVersion {
 			return "controller " + s.HostName + " has not said that it knows live configuration"
 		}
 	}
 	return ""
 }
 
-// offerBatch has the changes that wait written, with as many others as come until then.
-func (c *Core) offerBatch() {
-	conf := &c.leadership.conf
+// queueConfigBatch has the changes that wait written, with as many others as come until then.
+func (c *Core) queueConfigBatch() {
+	conf := &c.leadership.config
 	if conf.batch != nil || len(conf.waiting) == 0 {
 		return
 	}
@@ -360,21 +360,21 @@
 	ch := &change{priority: priorityConfig, size: 1}
 	ch.prepare = func() bool {
 		if b.Batch == nil {
-			c.fillBatch(b, ch)
+			c.prepareConfigBatch(b, ch)
 		}
 		return !b.over
 	}
-	ch.onCommit = func(rev uint64) { c.batchMade(b, rev) }
-	ch.onConflict = func() { c.batchConflict(b, ch) }
-	ch.onReject = func() { c.batchRejected(b) }
+	ch.onCommit = func(rev uint64) { c.configBatchCommitted(b, rev) }
+	ch.onConflict = func() { c.configBatchConflict(b, ch) }
+	ch.onReject = func() { c.configBatchRejected(b) }
 	c.leadership.writes.add(ch)
 }
 
-// batchDue reports whether the batch that waits may go: with what waits for it now, or
+// configBatchDue reports whether the batch that waits may go: with what waits for it now, or
 // with as much as the allowance had room for after a while. Small batches would spend
 // it on the head.
-func (c *Core) batchDue() bool {
-	conf := &c.leadership.conf
+func (c *Core) configBatchDue() bool {
+	conf := &c.leadership.config
 	b := conf.batch
 	if b == nil || b.Batch != nil || len(conf.waiting) == 0 {
 		return true
@@ -385,17 +385,17 @@
 	if room < least {
 		return false
 	}
-	return room >= min(ops, max(least, len(conf.waiting)+1)) || c.now.Sub(conf.filled) >= configFillsFor
+	return room >= min(ops, max(least, len(conf.waiting)+1)) || c.now.Sub(conf.filled) >= configBatchInterval
 }
 
-// configFillsFor is how long after the one before a batch may wait to become larger. It counts
+// configBatchInterval is how long after the one before a batch may wait to become larger. It counts
 // from there and not from when its changes came: once those are old, each batch would go with
 // as little as there is room for, spend half of it on the head, and never catch up.
-const configFillsFor = 700 * time.Millisecond
+const configBatchInterval = 700 * time.Millisecond
 
-// fillBatch decides what goes, now that something can.
-func (c *Core) fillBatch(b *configBatch, ch *change) {
-	conf := &c.leadership.conf
+// prepareConfigBatch decides what goes, now that something can.
+func (c *Core) prepareConfigBatch(b *configBatch, ch *change) {
+	conf := &c.leadership.config
 	conf.filled = c.now
 	changes := make([]*liveconfig.Change, len(conf.waiting))
 	for i, w := range conf.waiting {
@@ -406,7 +406,7 @@
 	conf.waiting = slices.Delete(conf.waiting, 0, b.Taken)
 	records := b.Records()
 	if len(records) == 0 { // nothing changes: all of it was refused, or is so already
-		c.batchOver(b)
+		c.answerConfigBatch(b)
 		return
 	}
 	ch.size = 0
@@ -419,58 +419,58 @@
 	ch.size += 200
 }
 
-// batchMade: the changes are on record. They are in force before anybody hears of it.
-func (c *Core) batchMade(b *configBatch, rev uint64) {
-	conf := &c.leadership.conf
+// configBatchCommitted: the changes are on record. They are in force before anybody hears of it.
+func (c *Core) configBatchCommitted(b *configBatch, rev uint64) {
+	conf := &c.leadership.config
 	if b.over {
 		return
 	}
 	conf.state, conf.headRev, conf.since = b.After, rev, c.now
 	conf.changes += int64(len(b.Each))
-	c.keepBatch(b, rev)
+	c.replicateConfigBatch(b, rev)
 	conf.spreading = len(c.cfg.Seeds) > 0
 	for _, name := range b.Names() {
 		t, _, _ := conf.state.Team(name)
-		c.enforceTeam(t)
+		c.applyTeam(t)
 		delete(conf.damaged, strings.TrimPrefix(configTeamKeys, configKeys)+name)
 	}
 	delete(conf.damaged, strings.TrimPrefix(configHeadKey, configKeys))
 	c.note(slog.LevelInfo, "configuration changed", "revision", conf.state.Revision, "teams", strings.Join(b.Names(), ","), "changes", len(b.changes))
-	c.tellConfigOnce()
-	c.batchOver(b)
+	c.sendConfigRevision()
+	c.answerConfigBatch(b)
 }
 
-// keepBatch takes the records of a batch into our copy, unless they are there by the
+// replicateConfigBatch takes the records of a batch into our copy, unless they are there by the
 // transaction's own answer.
-func (c *Core) keepBatch(b *configBatch, rev uint64) {
+func (c *Core) replicateConfigBatch(b *configBatch, rev uint64) {
 	c.replicate(Entry{Key: configHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}, Rev: rev})
 	for _, r := range b.Records() {
 		c.replicate(Entry{Key: configTeamKeys + r.Team.Name, Value: &r, Rev: rev})
 	}
 }
 
-// batchOver answers everybody whose change is decided.
-func (c *Core) batchOver(b *configBatch) {
-	conf := &c.leadership.conf
+// answerConfigBatch answers everybody whose change is decided.
+func (c *Core) answerConfigBatch(b *configBatch) {
+	conf := &c.leadership.config
 	b.over = true
 	if conf.batch == b {
 		conf.batch = nil
 	}
 	for i, w := range b.changes {
 		if made := b.Each[i]; made.Err != nil {
-			c.answer(w.call, configRefused(made.Err))
+			c.answer(w.call, configError(made.Err))
 		} else {
 			c.answer(w.call, AnswerUser{Status: 200, Doc: ConfigMade{Revision: made.Revision}})
 		}
 	}
 	b.changes = nil
 	// Not at once: the pipeline is looking at its lists.
-	c.afterWhileLeading(0, c.offerBatch)
+	c.afterWhileLeading(0, c.queueConfigBatch)
 }
 
-// batchConflict: the head is not what it was. Either an earlier try of this very batch has
+// configBatchConflict: the head is not what it was. Either an earlier try of this very batch has
 // been carried out, or the head was written back after a loss.
-func (c *Core) batchConflict(b *configBatch, ch *change) {
+func (c *Core) configBatchConflict(b *configBatch, ch *change) {
 	c.readBack(configHeadKey, func(e Entry, _ bool) {
 		if b.over {
 			return
@@ -479,27 +479,27 @@
 		if rec, _ := e.Value.(*liveconfig.HeadRecord); rec != nil {
 			found = rec.Revision
 		}
-		conf := &c.leadership.conf
+		conf := &c.leadership.config
 		switch found {
 		case b.After.Revision:
-			c.batchMade(b, e.Rev)
+			c.configBatchCommitted(b, e.Rev)
 		case conf.state.Revision:
 			conf.headRev = e.Rev
 			ch.conditions[0].Rev = e.Rev
 			c.leadership.writes.add(ch)
 		default:
-			c.batchFails(b, unavailable("the configuration on record is being read"))
-			c.headFound(found, e.Rev)
+			c.failConfigBatch(b, unavailable("the configuration on record is being read"))
+			c.reconcileHead(found, e.Rev)
 		}
 	})
 }
 
-func (c *Core) batchRejected(b *configBatch) {
-	c.batchFails(b, AnswerUser{Status: 400, Field: "teams", Reason: "teams: the state service rejects the records"})
+func (c *Core) configBatchRejected(b *configBatch) {
+	c.failConfigBatch(b, AnswerUser{Status: 400, Field: "teams", Reason: "teams: the state service rejects the records"})
 }
 
-func (c *Core) batchFails(b *configBatch, a AnswerUser) {
-	conf := &c.leadership.conf
+func (c *Core) failConfigBatch(b *configBatch, a AnswerUser) {
+	conf := &c.leadership.config
 	b.over = true
 	if conf.batch == b {
 		conf.batch = nil
@@ -508,20 +508,20 @@
 		c.answer(w.call, a)
 	}
 	b.changes = nil
-	c.afterWhileLeading(0, c.offerBatch)
+	c.afterWhileLeading(0, c.queueConfigBatch)
 }
 
 // answerConfig answers everybody who waits for a change. A batch that is on its way is
 // still followed up: it may be on record.
 func (c *Core) answerConfig(l *leadership, a AnswerUser) {
-	if b := l.conf.batch; b != nil {
+	if b := l.config.batch; b != nil {
 		for _, w := range b.changes {
 			c.answer(w.call, a)
 		}
 		b.changes = nil
 	}
-	for _, w := range l.conf.waiting {
+	for _, w := range l.config.waiting {
 		c.answer(w.call, a)
 	}
-	l.conf.waiting = nil
+	l.config.waiting = nil
 }
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -43,7 +43,7 @@
 	c := configLeader(t)
 	lowered := liveconfig.Team{Name: "t", CPUsMax: 7}
 	ack := func(from string, speaks uint64) {
-		c.Step(c.now, PeerIn{From: from, Msg: PeerMsg{Kind: PeerAck, Term: 1, Speaks: speaks}})
+		c.Step(c.now, PeerIn{From: from, Msg: PeerMsg{Kind: PeerAck, Term: 1, Version: speaks}})
 	}
 	ack("n1", peerVersion)
 	if a, txn := setTeam(c, 1, lowered); a == nil || a.Status != 503 || a.RetryAfter == 0 || txn != nil {
@@ -71,8 +71,8 @@
 			answered = a.Status == 200 && a.Doc == ConfigMade{1}
 		}
 	}
-	if !answered || c.leadership.conf.headRev != 40 {
-		t.Errorf("%v, head at %d", outs, c.leadership.conf.headRev)
+	if !answered || c.leadership.config.headRev != 40 {
+		t.Errorf("%v, head at %d", outs, c.leadership.config.headRev)
 	}
 	c.Step(c.now, PeerLink{Name: "n2"})
 	if a, txn := setTeam(c, 4, liveconfig.Team{Name: "t", CPUsMax: 9}); a != nil || txn == nil {
@@ -90,7 +90,7 @@
 	}
 	confirmed := false
 	c.now = c.now.Add(time.Millisecond)
-	c.configMoved(0, func() { confirmed = true })
+	c.handleConfigConflict(0, func() { confirmed = true })
 	var read *StoreCall
 	for _, o := range c.out {
 		if call, ok := o.(StoreCall); ok && call.Op == StoreGet && call.Key == configHeadKey {
@@ -109,8 +109,8 @@
 		}
 	}
 	count(c.Step(c.now, StoreReply{Ref: read.Ref, Outcome: OK, Entries: []Entry{{Key: configHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
-	if !confirmed || c.leadership.conf.state.Revision != 1 || c.leadership.conf.headRev != 40 || c.leadership.teams["t"].limit.CPU != 7000 {
-		t.Errorf("confirmed %v, revision %d, head %d", confirmed, c.leadership.conf.state.Revision, c.leadership.conf.headRev)
+	if !confirmed || c.leadership.config.state.Revision != 1 || c.leadership.config.headRev != 40 || c.leadership.teams["t"].limit.CPU != 7000 {
+		t.Errorf("confirmed %v, revision %d, head %d", confirmed, c.leadership.config.state.Revision, c.leadership.config.headRev)
 	}
 	count(c.Step(c.now, StoreReply{Ref: txn.Ref, Outcome: Unknown}))
 	for range 300 {
@@ -162,7 +162,7 @@
 func TestDamagedTeamKeepsWhatWasKnown(t *testing.T) {
 	c := leaderOf(t, 1)
 	c.loadConfig(Entry{Key: configTeamKeys + "t", Rev: 7})
-	c.configLoaded()
+	c.applyLoadedConfig()
 	if v, ok := c.viewTeam("t"); !ok || !v.Damaged || v.CPUs != 100 {
 		t.Errorf("%+v", v)
 	}
@@ -174,12 +174,12 @@
 // TestRetiredTeam: new jobs are refused by the name of the team, and tasks that run count.
 func TestRetiredTeam(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.enforceTeam(liveconfig.Team{Name: "t", CPUs: 5, Retired: true})
+	c.applyTeam(liveconfig.Team{Name: "t", CPUs: 5, Retired: true})
 	spec := &JobSpec{ID: "wk-1", Owner: "t", Tasks: 1, CPUs: 1}
 	if field, reason := c.unschedulable(spec); field != "owner" || reason == "" {
 		t.Errorf("%q %q", field, reason)
 	}
-	c.enforceTeam(liveconfig.Team{Name: "t", CPUs: 5})
+	c.applyTeam(liveconfig.Team{Name: "t", CPUs: 5})
 	if field, reason := c.unschedulable(spec); reason != "" {
 		t.Errorf("back again: %q %q", field, reason)
 	}
@@ -214,7 +214,7 @@
 		if p, ok := o.(PeerSend); ok && p.Msg.Kind == PeerLeader {
 			told++
 			for _, o := range other.Step(other.now, PeerIn{From: "n0", Msg: p.Msg}) {
-				if p, ok := o.(PeerSend); ok && p.Msg.Kind == PeerAck && p.Msg.Ref == tellVersion {
+				if p, ok := o.(PeerSend); ok && p.Msg.Kind == PeerAck && p.Msg.Ref == askForVersion {
 					t.Error("the answer is answered with a question")
 				}
 			}
@@ -272,7 +272,7 @@
 func TestBacklogOfChangesIsWorkedOff(t *testing.T) {
 	c := leaderOf(t, 1)
 	st := c.cfg.Settings.State
-	rate := st.WriteRPS * configPart
+	rate := st.WriteRPS * configWriteShare
 	c.leadership.writes.spend(priorityConfig, c.now, st.TxnOps)
 	const piled = 40
 	asked, made := 0, 0
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -56,7 +56,7 @@
 }
 
 func (c *Core) viewTeam(name string) (v TeamView, ok bool) {
-	conf := &c.leadership.conf
+	conf := &c.leadership.config
 	if v.Team, v.Revision, ok = conf.state.Team(name); !ok {
 		return v, false
 	}
@@ -68,8 +68,8 @@
 }
 
 func (c *Core) listTeams(q *ConfigCall) TeamPage {
-	page := TeamPage{Revision: c.leadership.conf.state.Revision, Teams: []TeamView{}}
-	names := c.leadership.conf.state.Names()
+	page := TeamPage{Revision: c.leadership.config.state.Revision, Teams: []TeamView{}}
+	names := c.leadership.config.state.Names()
 	i, found := slices.BinarySearch(names, q.After)
 	if found {
 		i++
@@ -88,9 +88,9 @@
 // configStatus tells which revision is in force where, as the leader knows.
 func (c *Core) configStatus() ConfigStatus {
 	l := c.leadership
-	conf := &l.conf
+	conf := &l.config
 	v := ConfigStatus{Revision: conf.state.Revision, Changes: conf.changes, Waiting: len(conf.waiting), SpreadS: conf.spread.Seconds(),
-		Damaged: slices.Sorted(maps.Keys(conf.damaged)), Refuses: c.cannotConfigure()}
+		Damaged: slices.Sorted(maps.Keys(conf.damaged)), Refuses: c.configRefusal()}
 	if conf.batch != nil {
 		v.Waiting += len(conf.batch.changes)
 	}
@@ -98,7 +98,7 @@
 	for _, s := range c.cfg.Seeds {
 		n := ConfigNodeStatus{Name: s.HostName, AgeS: -1}
 		if x := conf.nodes[s.HostName]; x != nil {
-			n.Revision, n.Knows = x.revision, x.speaks >= peerVersion
+			n.Revision, n.Knows = x.revision, x.version >= peerVersion
 			if !x.at.IsZero() {
 				n.AgeS = c.now.Sub(x.at).Seconds()
 			}
@@ -123,9 +123,9 @@
 // ConfigHere returns what this node has.
 func (c *Core) ConfigHere() ConfigHere {
 	if l := c.leadership; l != nil && l.loaded {
-		return ConfigHere{l.conf.state.Revision, c.confirmedAgo().Seconds()}
+		return ConfigHere{l.config.state.Revision, c.confirmedAgo().Seconds()}
 	}
-	since := c.configHeard
+	since := c.configConfirmedAt
 	if since.IsZero() {
 		since = c.startedAt
 	}
@@ -148,64 +148,64 @@
 
 // ---- telling each other
 
-// tellConfig tells the other controllers which revision is in force, now and every while.
+// broadcastConfig tells the other controllers which revision is in force, now and every while.
 // Where nothing was ever changed there is nothing to tell.
-func (c *Core) tellConfig() {
-	c.tellConfigOnce()
-	c.afterWhileLeading(configTell, c.tellConfig)
+func (c *Core) broadcastConfig() {
+	c.sendConfigRevision()
+	c.afterWhileLeading(configBroadcastInterval, c.broadcastConfig)
 }
 
-func (c *Core) tellConfigOnce() {
-	conf := &c.leadership.conf
+func (c *Core) sendConfigRevision() {
+	conf := &c.leadership.config
 	if conf.state.Revision == 0 {
 		return
 	}
-	c.askVersions()
+	c.askPeerVersions()
 	for _, s := range c.cfg.Seeds {
-		if n := conf.nodes[s.HostName]; n != nil && n.speaks >= peerVersion && c.links[s.HostName] {
+		if n := conf.nodes[s.HostName]; n != nil && n.version >= peerVersion && c.links[s.HostName] {
 			c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerConfig, Term: c.leadership.term, Ref: conf.state.Revision}})
 		}
 	}
 }
 
-// askVersions asks those controllers for the version that they talk in whose word for our
+// askPeerVersions asks those controllers for the version that they talk in whose word for our
 // term has not come: their link to us comes up after ours to them.
-func (c *Core) askVersions() {
+func (c *Core) askPeerVersions() {
 	for _, s := range c.cfg.Seeds {
-		if c.leadership.conf.nodes[s.HostName] == nil && c.links[s.HostName] {
-			c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerLeader, Term: c.leadership.term, Speaks: peerVersion}})
+		if c.leadership.config.nodes[s.HostName] == nil && c.links[s.HostName] {
+			c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerLeader, Term: c.leadership.term, Version: peerVersion}})
 		}
 	}
 }
 
-// tellVersion as an ack's reference asks the leader to say again in which version it talks.
+// askForVersion as an ack's reference asks the leader to say again in which version it talks.
 // Leaders of before there was one take it for an ack.
-const tellVersion = 1
+const askForVersion = 1
 
 // askLeaderVersion asks the leader that we know for the version that it talks in: we may have
 // learned of it from the record, or its word went to the process before this one.
 func (c *Core) askLeaderVersion() {
-	c.emit(PeerSend{c.knownLeader, PeerMsg{Kind: PeerAck, Term: max(1, c.highestTerm), Ref: tellVersion, Speaks: peerVersion}})
+	c.emit(PeerSend{c.knownLeader, PeerMsg{Kind: PeerAck, Term: max(1, c.highestTerm), Ref: askForVersion, Version: peerVersion}})
 }
 
-// peerSpeaks takes note of the version that another controller talks in.
-func (c *Core) peerSpeaks(from string, version uint64) {
-	conf := &c.leadership.conf
+// notePeerVersion takes note of the version that another controller talks in.
+func (c *Core) notePeerVersion(from string, version uint64) {
+	conf := &c.leadership.config
 	if conf.nodes[from] == nil {
 		conf.nodes[from] = &configNode{}
 	}
-	conf.nodes[from].speaks = version
+	conf.nodes[from].version = version
 }
 
-// peerConfig: the leader tells which revision is in force, or another node which one it has.
-func (c *Core) peerConfig(from string, m PeerMsg) {
+// handlePeerConfig: the leader tells which revision is in force, or another node which one it has.
+func (c *Core) handlePeerConfig(from string, m PeerMsg) {
 	if l := c.leadership; l != nil {
-		if n := l.conf.nodes[from]; n != nil && m.Term == l.term {
+		if n := l.config.nodes[from]; n != nil && m.Term == l.term {
 			n.revision = m.Ref
-			if n.revision >= l.conf.state.Revision {
+			if n.revision >= l.config.state.Revision {
 				n.at = c.now
 			}
-			c.configSpread()
+			c.measureConfigSpread()
 		}
 		return
 	}
@@ -214,27 +214,27 @@
 	}
 	have := c.replicatedRevision()
 	if have >= m.Ref {
-		c.configHeard = c.now
+		c.configConfirmedAt = c.now
 	}
 	c.emit(PeerSend{from, PeerMsg{Kind: PeerConfig, Term: m.Term, Ref: have}})
 }
 
-// configSpread measures how long a revision takes to be known to all that are in reach.
-func (c *Core) configSpread() {
-	conf := &c.leadership.conf
+// measureConfigSpread measures how long a revision takes to be known to all that are in reach.
+func (c *Core) measureConfigSpread() {
+	conf := &c.leadership.config
 	if !conf.spreading {
 		return
 	}
 	for name, n := range conf.nodes {
-		if c.links[name] && n.speaks >= peerVersion && n.revision < conf.state.Revision {
+		if c.links[name] && n.version >= peerVersion && n.revision < conf.state.Revision {
 			return
 		}
 	}
 	conf.spreading, conf.spread = false, c.now.Sub(conf.since)
-	if conf.spread > configBound {
+	if conf.spread > configSpreadTarget {
 		c.note(slog.LevelWarn, "a change of configuration was long in coming to all controllers", "revision", conf.state.Revision, "after", conf.spread)
 	}
 }
 
-// configBound is within what time a change is in force at every controller.
-const configBound = 3 * time.Second
+// configSpreadTarget is within what time a change is in force at every controller.
+const configSpreadTarget = 3 * time.Second
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -66,7 +66,7 @@
 	leadership            *leadership
 	knownLeader           string           // who leads, as far as we know
 	leaderVersion         uint64           // the version that it talks in
-	configHeard           time.Time        // when the leader last told us that our configuration is the newest
+	configConfirmedAt     time.Time        // when the leader last told us that our configuration is the newest
 	highestTerm           uint64           // the highest term heard of
 	lastClaimRef          uint64           // calls numbered up to this one were made before it was heard of
 	leaderKeyRevision     uint64           // of the leader's key when it was last read
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -105,12 +105,12 @@
 	}
 	var confirm func()
 	confirm = func() {
-		head := l.conf.headRev
+		head := l.config.headRev
 		c.confirmTerm(l.configConds(), func(r StoreReply) {
 			standing = r.Outcome == OK
 			both()
 			if r.Outcome == Conflict && c.leadership == l && slices.Contains(r.FailedKeys, configHeadKey) {
-				c.configMoved(head, confirm)
+				c.handleConfigConflict(head, confirm)
 			}
 		})
 	}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -27,7 +27,7 @@
 	tally      *topology.Tally // tasks of jobs with rules on places
 	writes     writeBatcher
 	schedules  scheduler
-	conf       configuring
+	config     liveConfig
 	autoscaler autoscaler
 
 	holdIdle, holdBusy time.Duration
@@ -144,7 +144,7 @@
 		autoscaler:  newAutoscaler(cfg),
 		tally:       topology.NewTally(),
 		schedules:   newSchedules(),
-		conf:        newConfiguring(cfg),
+		config:      newConfiguring(cfg),
 	}
 }
 
--- a/internal/core/merge.go
+++ b/internal/core/merge.go
@@ -113,7 +113,7 @@
 				l.schedulesRestoring++
 			}
 			if isConfigKey(r.Key) {
-				l.conf.restoring++
+				l.config.restoring++
 			}
 		}
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -10,7 +10,7 @@
 func (c *Core) announceTerm() {
 	for _, p := range c.cfg.Seeds {
 		if !c.leadership.acknowledged[p.HostName] {
-			c.emit(PeerSend{p.HostName, PeerMsg{Kind: PeerLeader, Term: c.leadership.term, Speaks: peerVersion}})
+			c.emit(PeerSend{p.HostName, PeerMsg{Kind: PeerLeader, Term: c.leadership.term, Version: peerVersion}})
 		}
 	}
 }
@@ -22,7 +22,7 @@
 	c.links[p.Name] = p.Up
 	if c.leadership != nil && p.Up {
 		// Also to one that has taken note of the term: it may be a new process.
-		c.emit(PeerSend{p.Name, PeerMsg{Kind: PeerLeader, Term: c.leadership.term, Speaks: peerVersion}})
+		c.emit(PeerSend{p.Name, PeerMsg{Kind: PeerLeader, Term: c.leadership.term, Version: peerVersion}})
 		if c.leadership.noEarlierTerm {
 			c.emit(PeerSend{p.Name, PeerMsg{Kind: PeerAsk, Term: c.leadership.term}})
 		}
@@ -38,17 +38,17 @@
 func (c *Core) peerIn(p PeerIn) {
 	switch p.Msg.Kind {
 	case PeerLeader:
-		c.handleLeaderClaim(p.From, p.Msg.Term, p.Msg.Speaks)
+		c.handleLeaderClaim(p.From, p.Msg.Term, p.Msg.Version)
 	case PeerConfig:
-		c.peerConfig(p.From, p.Msg)
+		c.handlePeerConfig(p.From, p.Msg)
 	case PeerAck:
 		l := c.leadership
 		if l == nil || p.Msg.Term != l.term {
 			return
 		}
-		c.peerSpeaks(p.From, p.Msg.Speaks)
-		if p.Msg.Ref == tellVersion {
-			c.emit(PeerSend{p.From, PeerMsg{Kind: PeerLeader, Term: l.term, Speaks: peerVersion}})
+		c.notePeerVersion(p.From, p.Msg.Version)
+		if p.Msg.Ref == askForVersion {
+			c.emit(PeerSend{p.From, PeerMsg{Kind: PeerLeader, Term: l.term, Version: peerVersion}})
 		}
 		if l.acknowledged[p.From] {
 			return
@@ -93,7 +93,7 @@
 	accept := func() {
 		c.noteLeader(from, term)
 		c.leaderVersion = speaks
-		c.emit(PeerSend{from, PeerMsg{Kind: PeerAck, Term: term, Speaks: peerVersion}})
+		c.emit(PeerSend{from, PeerMsg{Kind: PeerAck, Term: term, Version: peerVersion}})
 	}
 	switch l := c.leadership; {
 	case term < c.highestTerm:
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -77,7 +77,7 @@
 			l.schedulesRestoring--
 		}
 		if isConfigKey(r.Key) {
-			l.conf.restoring--
+			l.config.restoring--
 		}
 		if l.loss.pending--; l.loss.pending == 0 {
 			c.note(slog.LevelInfo, "the records are whole again", "term", l.term, "restored", l.loss.restored, "after", c.now.Sub(l.loss.since))
@@ -133,7 +133,7 @@
 		case numberKey:
 			l.schedules.numberRev = rev
 		case configHeadKey:
-			l.conf.headRev = rev
+			l.config.headRev = rev
 		}
 		over(Entry{Key: r.Key, Value: ch.writes[0].Value, Rev: rev})
 	}
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -36,7 +36,7 @@
 	if l == nil {
 		return s
 	}
-	s.ConfigSpread, s.ConfigChanges, s.ConfigDamaged = l.conf.spread.Seconds(), l.conf.changes, len(l.conf.damaged)
+	s.ConfigSpread, s.ConfigChanges, s.ConfigDamaged = l.config.spread.Seconds(), l.config.changes, len(l.config.damaged)
 	s.Leads, s.Authority = true, c.hasAuthority()
 	s.Jobs, s.Machines, s.Unaccounted, s.BacklogSeconds = len(l.jobs), len(l.fleet), len(l.unaccounted), l.autoscaler.backlog.Seconds()
 	s.Direct, s.Relays, s.Full = l.relay("").workers, len(c.relayNodes()), l.autoscaler.fleetFull
--- a/internal/core/store.go
+++ b/internal/core/store.go
@@ -99,7 +99,7 @@
 		return
 	}
 	if len(p.queued[priorityConfig]) > 0 && p.inFlight[priorityConfig] == 0 {
-		if c.batchDue() {
+		if c.configBatchDue() {
 			c.sendBatch(priorityConfig)
 		} else {
 			c.wakeBatcherSoon()
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -96,7 +96,7 @@
 func (c *Core) startWork() {
 	l := c.leadership
 	l.loaded = true
-	c.configLoaded()
+	c.applyLoadedConfig()
 	for _, j := range l.sortedJobs() {
 		c.queueJob(j)
 	}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -279,7 +279,7 @@
 	Spec   *JobSpec
 	Answer *AnswerUser
 
-	Speaks uint64 // of leader and ack: the version that the sender talks in
+	Version uint64 // of leader and ack: the version that the sender talks in
 
 	Schedule *ScheduleCall
 	Config   *ConfigCall
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -144,7 +144,7 @@
 	if ch == nil {
 		return
 	}
-	j := messageJSON{From: m.self, Kind: p.Msg.Kind, Term: p.Msg.Term, Ref: p.Msg.Ref, Op: p.Msg.Op, ID: p.Msg.ID, Speaks: p.Msg.Speaks, Schedule: p.Msg.Schedule, Config: p.Msg.Config, Reports: p.Msg.Reports, Replies: p.Msg.Replies, Know: p.Msg.Know}
+	j := messageJSON{From: m.self, Kind: p.Msg.Kind, Term: p.Msg.Term, Ref: p.Msg.Ref, Op: p.Msg.Op, ID: p.Msg.ID, Speaks: p.Msg.Version, Schedule: p.Msg.Schedule, Config: p.Msg.Config, Reports: p.Msg.Reports, Replies: p.Msg.Replies, Know: p.Msg.Know}
 	if p.Msg.Copy != nil {
 		j.Copy = encodeLine(p.Msg.Copy)
 	}
@@ -286,7 +286,7 @@
 	if !known[j.From] {
 		return in, false, "from: not one of the seeds"
 	}
-	in = core.PeerIn{From: j.From, Msg: core.PeerMsg{Kind: j.Kind, Term: j.Term, Ref: j.Ref, Op: j.Op, ID: j.ID, Speaks: j.Speaks, Schedule: j.Schedule, Config: j.Config, Reports: j.Reports, Replies: j.Replies, Know: j.Know}}
+	in = core.PeerIn{From: j.From, Msg: core.PeerMsg{Kind: j.Kind, Term: j.Term, Ref: j.Ref, Op: j.Op, ID: j.ID, Version: j.Speaks, Schedule: j.Schedule, Config: j.Config, Reports: j.Reports, Replies: j.Replies, Know: j.Know}}
 	switch j.Kind {
 	case kindPing:
 		return in, true, ""
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -85,8 +85,8 @@
 	if p := next(t, ib); p.Msg.Answer.ETag != "e2" || fmt.Sprintf("%s", p.Msg.Answer.Doc) != `{"schedules":null,"truncated":true}` {
 		t.Errorf("%+v", p.Msg.Answer)
 	}
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerAck, Term: 3, Speaks: 1}})
-	if p := next(t, ib); p.Msg.Speaks != 1 {
+	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerAck, Term: 3, Version: 1}})
+	if p := next(t, ib); p.Msg.Version != 1 {
 		t.Errorf("%+v", p)
 	}
 	at := uint64(4)
