--- a/cmd/yewpass/client.go
+++ b/cmd/yewpass/client.go
@@ -30,6 +30,7 @@
 	after  string
 }
 
+// Error gives the status, the reason and, where the node named one, the time to wait.
 func (e *statusError) Error() string {
 	s := fmt.Sprintf("%d %s: %s", e.status, http.StatusText(e.status), e.reason)
 	if e.after != "" {
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -54,6 +54,7 @@
 	return w
 }
 
+// Write queues a copy of the line. It never waits: a line that finds no room is lost and counted.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- bytes.Clone(line):
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -16,6 +16,7 @@
 	Index int
 }
 
+// String is the form that ParseTaskID reads: the job, a slash and the number.
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
 // ParseTaskID reads a task's name.
--- a/internal/scenario/clock.go
+++ b/internal/scenario/clock.go
@@ -17,17 +17,27 @@
 	do  func()
 }
 
+// events is a heap of events, the earliest at the top.
 type events []event
 
+// Len is the number of events waiting.
 func (e events) Len() int { return len(e) }
+
+// Less puts the earlier event first and, of two at one time, the one with the lower number.
 func (e events) Less(i, j int) bool {
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
 	return e[i].seq < e[j].seq
 }
+
+// Swap exchanges two events.
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
+
+// Push appends an event; heap.Push then moves it to its place.
+func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+
+// Pop takes the last event off, where heap.Pop has put the earliest.
 func (e *events) Pop() any {
 	old := *e
 	x := old[len(old)-1]
--- a/internal/scenario/scale_plan.go
+++ b/internal/scenario/scale_plan.go
@@ -50,6 +50,7 @@
 	Reason string
 }
 
+// Error names the field, then the reason.
 func (e *PlanError) Error() string { return e.Field + ": " + e.Reason }
 
 // Check returns a *PlanError for a plan that cannot be played.
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -25,12 +25,14 @@
 	bytes *atomic.Int64
 }
 
+// Read reads from the connection and counts what came.
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
+// Write writes to the connection and counts what went.
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -23,6 +23,7 @@
 // FieldError says which field is wrong, and why.
 type FieldError struct{ Field, Reason string }
 
+// Error names the field, then the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 func wrong(field, format string, args ...any) error {
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -23,6 +23,7 @@
 	Returning       // heard again, not yet for long
 )
 
+// String is the name of the state in lower case.
 func (s State) String() string {
 	return [...]string{"up", "doubtful", "lost", "returning"}[s]
 }
