--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -11,7 +11,7 @@
 
 	"yewpass/internal/config"
 	"yewpass/internal/liveconfig"
-	"yewpass/internal/snapshot"
+	"yewpass/internal/replica"
 )
 
 // Configuration that changes while the service runs. Its records lie with those that a
@@ -160,7 +160,7 @@
 
 // teamFromReplica returns a team as the copy of the last leader has it, or as the settings do; nil
 // if there is none. The caller's decision has to be conditional on configHeadCond.
-func (c *Core) teamFromReplica(k *snapshot.Copy, name string) *team {
+func (c *Core) teamFromReplica(k *replica.Copy, name string) *team {
 	if r, ok := k.Get(configTeamKeys + name); ok {
 		if rec, _ := r.Value.(*liveconfig.TeamRecord); rec != nil {
 			return teamOf(rec.Team)
@@ -175,7 +175,7 @@
 }
 
 // configHeadCond is the condition that the configuration is as a copy has it.
-func configHeadCond(k *snapshot.Copy) Condition {
+func configHeadCond(k *replica.Copy) Condition {
 	r, _ := k.Get(configHeadKey)
 	return Condition{configHeadKey, r.Rev}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,9 +10,9 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
-	"yewpass/internal/lapse"
+	"yewpass/internal/lease"
 	"yewpass/internal/policy"
-	"yewpass/internal/rebuild"
+	"yewpass/internal/recovery"
 	"yewpass/internal/zones"
 )
 
@@ -41,7 +41,7 @@
 	storeTimeout       = 1500 * time.Millisecond
 )
 
-func withDrift(d time.Duration) time.Duration { return lapse.WithDrift(d) }
+func withDrift(d time.Duration) time.Duration { return lease.WithDrift(d) }
 
 // Core is one controller.
 type Core struct {
@@ -64,16 +64,16 @@
 	forwardedRequests     map[uint64]*forwarded // users' requests at the leader's
 	timers                timerHeap[func()]     // alarms: a large fleet has one for nearly every machine
 	leadership            *leadership
-	knownLeader           string           // who leads, as far as we know
-	leaderVersion         uint64           // the version that it talks in
-	configConfirmedAt     time.Time        // when the leader last told us that our configuration is the newest
-	highestTerm           uint64           // the highest term heard of
-	lastClaimRef          uint64           // calls numbered up to this one were made before it was heard of
-	leaderKeyRevision     uint64           // of the leader's key when it was last read
-	firstStoreRevision    uint64           // of the state service when it first answered this process
-	observed              rebuild.Observed // what we have seen of the state service
-	dataLossReason        string           // why it must have lost data, until somebody leads who knows
-	lastLedTerm           uint64           // the last term that we led
+	knownLeader           string            // who leads, as far as we know
+	leaderVersion         uint64            // the version that it talks in
+	configConfirmedAt     time.Time         // when the leader last told us that our configuration is the newest
+	highestTerm           uint64            // the highest term heard of
+	lastClaimRef          uint64            // calls numbered up to this one were made before it was heard of
+	leaderKeyRevision     uint64            // of the leader's key when it was last read
+	firstStoreRevision    uint64            // of the state service when it first answered this process
+	observed              recovery.Observed // what we have seen of the state service
+	dataLossReason        string            // why it must have lost data, until somebody leads who knows
+	lastLedTerm           uint64            // the last term that we led
 	replicas              replicas
 	confirmedTerm         uint64 // the newest that the state service has told us of
 	confirmedTermRevision uint64 // at which it is on record
@@ -90,7 +90,7 @@
 	staleHeartbeats       int64     // reports that were older than what was known
 
 	heartbeatInterval, workerLease time.Duration
-	leaseTiming                    lapse.Timing
+	leaseTiming                    lease.Timing
 }
 
 // New returns a controller that has not begun; give it a Tick to begin.
@@ -111,7 +111,7 @@
 	lives := rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03))
 	c.processID = lives.Uint64()>>11 | 1 // what JSON readers of any kind take whole
 	c.ref = lives.Uint64N(1 << 48)
-	c.leaseTiming = lapse.Timing{LeaderLease: leaseTTL, WorkerLease: c.workerLease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
+	c.leaseTiming = lease.Timing{LeaderLease: leaseTTL, WorkerLease: c.workerLease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
 	return c
 }
 
@@ -311,7 +311,7 @@
 
 // HasAuthority reports whether the node leads and has authority at the given time.
 func (c *Core) HasAuthority(now time.Time) bool {
-	return c.leadership != nil && now.Before(c.leadership.expiresAt) && c.clockSkew(now)-c.leadership.clockSkew < lapse.MaxHiddenPause
+	return c.leadership != nil && now.Before(c.leadership.expiresAt) && c.clockSkew(now)-c.leadership.clockSkew < lease.MaxHiddenPause
 }
 
 // clockSkew is how far the time of day has run ahead of the steady clock so far. A machine that
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"yewpass/internal/rebuild"
+	"yewpass/internal/recovery"
 )
 
 // How a controller learns who leads, and stands for election when nobody does.
@@ -193,7 +193,7 @@
 				return
 			}
 			before := c.observed
-			found := rebuild.TermRead{Missing: t.Outcome == NotFound, StoreRevision: t.Rev}
+			found := recovery.TermRead{Missing: t.Outcome == NotFound, StoreRevision: t.Rev}
 			if t.Outcome == OK {
 				if rec, _ := t.Entries[0].Value.(*TermRecord); rec != nil {
 					found.Term, found.Era = rec.Term, rec.Era
@@ -225,7 +225,7 @@
 				}
 				ours := c.lastLedTerm != 0 && c.lastLedTerm == before.Term
 				c.becomeLeader(term, r.Rev, g.LeaseID, sent, ahead)
-				c.leadership.recovery = &recovery{ledLastTerm: ours, observed: before, termRead: found, lossReason: c.dataLossReason, peerKnowledge: map[string]*Knowledge{}, failedSources: map[string]bool{}}
+				c.leadership.recovery = &recoveryState{ledLastTerm: ours, observed: before, termRead: found, lossReason: c.dataLossReason, peerKnowledge: map[string]*Knowledge{}, failedSources: map[string]bool{}}
 				c.observed = c.observed.AdvanceTo(era, term, c.processID)
 				c.observed.Revision = max(c.observed.Revision, r.Rev)
 				c.startRecovery()
--- a/internal/core/takeover.go
+++ b/internal/core/failover.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"yewpass/internal/snapshot"
+	"yewpass/internal/replica"
 )
 
 // How a new leader reads the records of earlier terms and begins its work.
@@ -21,7 +21,7 @@
 		}
 		g := c.leadership.recovery
 		for _, e := range r.Entries {
-			g.stored = append(g.stored, snapshot.Record{Key: e.Key, Value: e.Value, Rev: e.Rev})
+			g.stored = append(g.stored, replica.Record{Key: e.Key, Value: e.Value, Rev: e.Rev})
 		}
 		if r.More && len(r.Entries) > 0 {
 			c.readRecords(r.Entries[len(r.Entries)-1].Key)
--- a/internal/core/alone.go
+++ b/internal/core/leaderless.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/time/rate"
 
-	"yewpass/internal/snapshot"
+	"yewpass/internal/replica"
 )
 
 // A submission needs a durable record, not a leader. While a node knows of none, or the
@@ -114,7 +114,7 @@
 
 // rejectLeaderless refuses a submission for good without a leader: only if the records have the
 // last word that nobody ever accepted it, and the last leader's copy says the same.
-func (c *Core) rejectLeaderless(call UserCall, k *snapshot.Copy, refusal AnswerUser) {
+func (c *Core) rejectLeaderless(call UserCall, k *replica.Copy, refusal AnswerUser) {
 	id, no := call.Spec.ID, unavailable("no leader at present")
 	if _, live := k.Get(jobKeys + id); live || !c.readLimit.AllowN(c.now, 1) {
 		c.answer(call, no)
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -7,7 +7,7 @@
 
 	"yewpass/internal/config"
 	"yewpass/internal/relay"
-	"yewpass/internal/snapshot"
+	"yewpass/internal/replica"
 	"yewpass/internal/topology"
 	"yewpass/internal/zones"
 )
@@ -60,9 +60,9 @@
 // machines that are not accounted for.
 type failover struct {
 	loaded                   bool              // the records have been read
-	recovery                 *recovery         // while the records are looked for
+	recovery                 *recoveryState    // while the records are looked for
 	loss                     *dataLoss         // after a loss
-	restoring                []snapshot.Record // still to be written back
+	restoring                []replica.Record  // still to be written back
 	schedulesRestoring       int               // of them, those that schedules are read from
 	pendingHeartbeats        []ReportIn        // reports that came while loading
 	takingPending            bool              // there are more of them than go in one step
@@ -117,10 +117,10 @@
 // replication is the copies of the records at the other controllers, and what is learned
 // from theirs.
 type replication struct {
-	followers      map[string]*snapshot.Sender // controllers that have a copy
+	followers      map[string]*replica.Sender // controllers that have a copy
 	sendingBase    bool
 	finalsSource   string // who tells us how jobs have ended
-	finalsReceiver snapshot.Receiver
+	finalsReceiver replica.Receiver
 	scrub          scrubber
 }
 
@@ -139,7 +139,7 @@
 		workload:    workload{jobs: map[string]*job{}, accept: map[string]*admission{}, teams: map[string]*team{}, runtimes: newRuntimeEstimates()},
 		inventory:   inventory{released: newExpiringSet(now), machines: map[string]*machine{}, relays: map[string]*relayLink{}},
 		dispatching: dispatching{heldReplies: map[heartbeatKey]*machine{}},
-		replication: replication{followers: map[string]*snapshot.Sender{}},
+		replication: replication{followers: map[string]*replica.Sender{}},
 		writes:      newWriteBatcher(cfg.Settings.State),
 		autoscaler:  newAutoscaler(cfg),
 		tally:       topology.NewTally(),
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"yewpass/internal/snapshot"
+	"yewpass/internal/replica"
 )
 
 // Two troubles that meet, where one core alone shows what it must do.
@@ -116,11 +116,11 @@
 	d.running("wk-1", 1)
 	l := d.c.leadership
 	key := jobKeys + "wk-1"
-	d.c.replicas.own = snapshot.New(1, l.term, finalKeys, 100)
+	d.c.replicas.own = replica.New(1, l.term, finalKeys, 100)
 	d.c.replicas.own.Put(key, l.jobs["wk-1"].record, 0)
 	l.loss = &dataLoss{pending: 1}
 	d.calls = nil
-	d.c.restoreRecord(snapshot.Record{Key: key, Value: l.jobs["wk-1"].record})
+	d.c.restoreRecord(replica.Record{Key: key, Value: l.jobs["wk-1"].record})
 	d.pass(time.Second)
 	for _, x := range d.calls {
 		call, ok := x.(StoreCall)
--- a/internal/core/gather.go
+++ b/internal/core/recovery.go
@@ -4,8 +4,8 @@
 	"strings"
 	"time"
 
-	"yewpass/internal/rebuild"
-	"yewpass/internal/snapshot"
+	"yewpass/internal/recovery"
+	"yewpass/internal/replica"
 )
 
 // What a new leader finds out, from the state service and the other controllers, before its
@@ -23,17 +23,17 @@
 	maxSingleFinalReads = 50
 )
 
-// recovery is what a new leader finds out before its term begins its work.
-type recovery struct {
-	observed        rebuild.Observed // what we had seen before we stood
-	termRead        rebuild.TermRead
+// recoveryState is what a new leader finds out before its term begins its work.
+type recoveryState struct {
+	observed        recovery.Observed // what we had seen before we stood
+	termRead        recovery.TermRead
 	lossReason      string // why data must have been lost, or ""
-	stored          []snapshot.Record
+	stored          []replica.Record
 	complete        bool // all of it
 	peerKnowledge   map[string]*Knowledge
-	replica         *snapshot.Copy // to go by
-	replicaSource   string         // whose copy is on its way
-	receiver        snapshot.Receiver
+	replica         *replica.Copy // to go by
+	replicaSource   string        // whose copy is on its way
+	receiver        replica.Receiver
 	failedSources   map[string]bool
 	replicaDeadline time.Time // the copy is waited for
 	askedEnded      bool      // about jobs that may have ended
@@ -102,7 +102,7 @@
 }
 
 // awaitsPeers reports whether somebody may still tell what is not known here.
-func (g *recovery) awaitsPeers(c *Core) bool {
+func (g *recoveryState) awaitsPeers(c *Core) bool {
 	waited := c.now.Sub(c.leadership.electedAt)
 	within, all := peerAnswerTimeout, false
 	best := c.newestReplica()
@@ -147,9 +147,9 @@
 	if !g.termRead.Missing {
 		last = max(last, g.termRead.Term)
 	}
-	offers, names := []snapshot.Age{}, []string{}
+	offers, names := []replica.Age{}, []string{}
 	floor := uint64(0)
-	offer := func(name string, age snapshot.Age) {
+	offer := func(name string, age replica.Age) {
 		if !g.failedSources[name] {
 			offers, names = append(offers, age), append(names, name)
 		}
@@ -167,7 +167,7 @@
 			} else if g.lossReason == "" && g.termRead.Missing && k.HighestPastTerm > 0 {
 				g.lossReason = "no term is on record, and one was"
 			}
-			offer(s.HostName, snapshot.Age{Term: k.CopyTerm, Seq: k.CopySeq})
+			offer(s.HostName, replica.Age{Term: k.CopyTerm, Seq: k.CopySeq})
 		}
 	}
 	if floor >= l.term {
@@ -178,7 +178,7 @@
 	if g.lossReason == "" {
 		g.lossReason = known.LossReason(g.termRead)
 	}
-	best := rebuild.NewestOffer(offers)
+	best := recovery.NewestOffer(offers)
 	if best >= 0 && g.replica == nil {
 		name := names[best]
 		switch {
@@ -197,7 +197,7 @@
 			// which is learned beside the work.
 			l.finalsSource = name
 		case g.replicaSource != name:
-			g.replicaSource, g.replicaDeadline, g.receiver = name, c.now.Add(replicaTimeout), snapshot.Receiver{}
+			g.replicaSource, g.replicaDeadline, g.receiver = name, c.now.Add(replicaTimeout), replica.Receiver{}
 			c.emit(PeerSend{name, PeerMsg{Kind: PeerWant, Term: l.term}})
 			c.afterWhileLeading(replicaTimeout+time.Millisecond, c.advanceRecovery)
 			return
@@ -231,7 +231,7 @@
 }
 
 // digestRecords is the digest of live records.
-func digestRecords(rs []snapshot.Record) (d snapshot.Digest) {
+func digestRecords(rs []replica.Record) (d replica.Digest) {
 	for _, r := range rs {
 		d.Add(r.Key)
 	}
--- a/internal/core/merge.go
+++ b/internal/core/recovery_merge.go
@@ -6,15 +6,15 @@
 	"strings"
 
 	"yewpass/internal/liveconfig"
-	"yewpass/internal/rebuild"
+	"yewpass/internal/recovery"
+	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
-	"yewpass/internal/snapshot"
 )
 
 // How a new leader makes one set of records of what the state service and a copy have.
 
 // recordKinds tells package rebuild what our keys are of.
-var recordKinds = rebuild.Kinds{
+var recordKinds = recovery.Kinds{
 	Job:      func(key string) (string, bool) { return strings.CutPrefix(key, jobKeys) },
 	Final:    func(key string) (string, bool) { return strings.CutPrefix(key, finalKeys) },
 	Machines: func(key string) bool { return strings.HasPrefix(key, machineKeys) },
@@ -76,12 +76,12 @@
 	g := l.recovery
 	g.merged = true
 	records := g.stored
-	own := snapshot.New(c.observed.Era, l.term, finalKeys, maxFinals(c.cfg))
+	own := replica.New(c.observed.Era, l.term, finalKeys, maxFinals(c.cfg))
 	best := c.newestReplica()
 	if g.replica != nil {
 		g.replica.Inherit(best)
-		res := rebuild.Merge(g.stored, g.replica, g.lossReason != "", recordKinds)
-		other := func(r snapshot.Record) bool { return !strings.HasPrefix(r.Key, liveKeys) }
+		res := recovery.Merge(g.stored, g.replica, g.lossReason != "", recordKinds)
+		other := func(r replica.Record) bool { return !strings.HasPrefix(r.Key, liveKeys) }
 		records = slices.DeleteFunc(res.Records, other)
 		c.rememberFinals(g.replica)
 		for _, key := range g.replica.Keys(finalKeys) {
@@ -136,7 +136,7 @@
 }
 
 // loadRecords takes in records, a part in each step.
-func (c *Core) loadRecords(records []snapshot.Record) {
+func (c *Core) loadRecords(records []replica.Record) {
 	n := min(len(records), recordsPerLoadStep)
 	for _, r := range records[:n] {
 		e := Entry{Key: r.Key, Value: r.Value, Rev: r.Rev}
--- a/internal/core/restore.go
+++ b/internal/core/recovery_restore.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
-	"yewpass/internal/snapshot"
 )
 
 // How records that were lost are written back.
@@ -18,7 +18,7 @@
 func (c *Core) prepareRestore() {
 	l := c.leadership
 	lost := map[string]bool{}
-	l.restoring = slices.DeleteFunc(l.restoring, func(r snapshot.Record) bool {
+	l.restoring = slices.DeleteFunc(l.restoring, func(r replica.Record) bool {
 		if strings.HasPrefix(r.Key, machineKeys) {
 			lost[r.Key] = true
 			l.loss.pending--
@@ -36,7 +36,7 @@
 	}
 	// Schedules first, which nothing is made of until they are there, then jobs, the
 	// most pressing and oldest first, then their progress, then how jobs have ended.
-	rank := func(r *snapshot.Record) (int, time.Time) {
+	rank := func(r *replica.Record) (int, time.Time) {
 		switch v := r.Value.(type) {
 		case *schedule.Record, *NumberRecord, *liveconfig.HeadRecord, *liveconfig.TeamRecord:
 			return 0, time.Time{}
@@ -47,7 +47,7 @@
 		}
 		return 101, time.Time{}
 	}
-	slices.SortStableFunc(l.restoring, func(a, b snapshot.Record) int {
+	slices.SortStableFunc(l.restoring, func(a, b replica.Record) int {
 		x, s := rank(&a)
 		y, t := rank(&b)
 		if x != y {
@@ -70,7 +70,7 @@
 }
 
 // restoreRecord writes a record back as it now is, if it still is, and counts it.
-func (c *Core) restoreRecord(r snapshot.Record) {
+func (c *Core) restoreRecord(r replica.Record) {
 	l := c.leadership
 	over := func(Entry) {
 		if isScheduleKey(r.Key) {
@@ -97,7 +97,7 @@
 // writeBack writes a lost record back, on the condition that the service still has what r
 // says it has. Then over is called with what is on record by then: no value if that is not
 // known, or nothing has to be written any more.
-func (c *Core) writeBack(r snapshot.Record, over func(on Entry)) {
+func (c *Core) writeBack(r replica.Record, over func(on Entry)) {
 	l := c.leadership
 	ch := &change{priority: priorityBulk, conditions: []Condition{{r.Key, r.Rev}}, writes: []Write{{Key: r.Key}}, size: 400}
 	if rec, ok := r.Value.(*JobRecord); ok {
--- a/internal/core/copies.go
+++ b/internal/core/replication.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"yewpass/internal/config"
+	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
-	"yewpass/internal/snapshot"
 )
 
 // Copies of the records: the leader's own, those that it passes on, and those that it is
@@ -23,15 +23,15 @@
 
 // replicas is what a controller keeps of the records.
 type replicas struct {
-	own       *snapshot.Copy       // as we lead, or led last
-	received  snapshot.Receiver    // what a leader passes on to us
+	own       *replica.Copy        // as we lead, or led last
+	received  replica.Receiver     // what a leader passes on to us
 	transfers map[string]*transfer // to whom we are sending what we have
 }
 
 // transfer is a copy on its way to somebody who has asked for it, or has none.
 type transfer struct {
-	sender *snapshot.Sender
-	source *snapshot.Copy
+	sender *replica.Sender
+	source *replica.Copy
 }
 
 // maxFinals is of how many jobs it is remembered how they have ended.
@@ -40,7 +40,7 @@
 }
 
 // replicaRecordSize estimates the bytes of a record in a line, with room to spare.
-func replicaRecordSize(r snapshot.Record) int {
+func replicaRecordSize(r replica.Record) int {
 	n := 100 + len(r.Key)
 	switch v := r.Value.(type) {
 	case *JobRecord:
@@ -58,7 +58,7 @@
 }
 
 // newestReplica returns the newest copy that this process has, or nil.
-func (c *Core) newestReplica() *snapshot.Copy {
+func (c *Core) newestReplica() *replica.Copy {
 	best := c.replicas.own
 	if h := c.replicas.received.Copy(); h.Newer(best) {
 		best = h
@@ -68,7 +68,7 @@
 
 // lastLeaderReplica returns the copy of the last leader that we know of, or nil without one, and
 // when the service is known to have lost data since.
-func (c *Core) lastLeaderReplica() *snapshot.Copy {
+func (c *Core) lastLeaderReplica() *replica.Copy {
 	if k := c.newestReplica(); k != nil && k.Term == c.confirmedTerm && c.dataLossReason == "" {
 		return k
 	}
@@ -76,7 +76,7 @@
 }
 
 // ownReplica returns the copy of the term that we lead, or nil.
-func (c *Core) ownReplica() *snapshot.Copy {
+func (c *Core) ownReplica() *replica.Copy {
 	if own := c.replicas.own; own != nil && c.leadership != nil && own.Term == c.leadership.term {
 		return own
 	}
@@ -90,7 +90,7 @@
 		return
 	}
 	if r, ok := own.Get(e.Key); !ok || r.Rev != e.Rev {
-		c.replicateChange([]snapshot.Record{{Key: e.Key, Value: e.Value, Rev: e.Rev}}, nil)
+		c.replicateChange([]replica.Record{{Key: e.Key, Value: e.Value, Rev: e.Rev}}, nil)
 	}
 }
 
@@ -108,17 +108,17 @@
 // replicateLeaderless takes a job that was accepted without a leader into the copies of all who are
 // in reach: until a leader has taken it on, nobody else knows of it.
 func (c *Core) replicateLeaderless(rec *JobRecord, rev uint64) {
-	r := snapshot.Record{Key: jobKeys + rec.Spec.ID, Value: rec, Rev: rev}
+	r := replica.Record{Key: jobKeys + rec.Spec.ID, Value: rec, Rev: rev}
 	if k := c.newestReplica(); k != nil {
 		k.Put(r.Key, r.Value, r.Rev)
 	}
 	for _, s := range c.cfg.Seeds {
-		c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerAlone, Term: c.confirmedTerm, Copy: &snapshot.Line{Term: c.confirmedTerm, Session: 1, Puts: []snapshot.Record{r}}}})
+		c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerAlone, Term: c.confirmedTerm, Copy: &replica.Line{Term: c.confirmedTerm, Session: 1, Puts: []replica.Record{r}}}})
 	}
 }
 
 // handleLeaderlessJob takes in a job that another node has accepted without a leader.
-func (c *Core) handleLeaderlessJob(line *snapshot.Line) {
+func (c *Core) handleLeaderlessJob(line *replica.Line) {
 	k := c.newestReplica()
 	if c.leadership != nil || k == nil || k.Term != line.Term {
 		return // a leader takes it on by its note
@@ -131,7 +131,7 @@
 }
 
 // replicateChange takes changes into the leader's copy, and tells its holders.
-func (c *Core) replicateChange(puts []snapshot.Record, drops []string) {
+func (c *Core) replicateChange(puts []replica.Record, drops []string) {
 	own := c.replicas.own
 	for _, r := range puts {
 		own.Put(r.Key, r.Value, r.Rev)
@@ -153,7 +153,7 @@
 	if c.ownReplica() == nil {
 		return
 	}
-	var puts []snapshot.Record
+	var puts []replica.Record
 	var drops []string
 	for _, ch := range batch {
 		for _, w := range ch.writes {
@@ -162,7 +162,7 @@
 			case w.Value == nil:
 				drops = append(drops, w.Key)
 			default:
-				puts = append(puts, snapshot.Record{Key: w.Key, Value: w.Value, Rev: rev})
+				puts = append(puts, replica.Record{Key: w.Key, Value: w.Value, Rev: rev})
 			}
 		}
 	}
@@ -171,7 +171,7 @@
 	}
 }
 
-func (c *Core) sendReplicaLine(to string, line snapshot.Line) {
+func (c *Core) sendReplicaLine(to string, line replica.Line) {
 	c.emit(PeerSend{to, PeerMsg{Kind: PeerCopy, Term: max(1, c.highestTerm), Copy: &line}})
 }
 
@@ -186,7 +186,7 @@
 		if l.followers[s.HostName] != nil || !c.links[s.HostName] {
 			continue // a link that is lost takes its holder with it
 		}
-		l.followers[s.HostName] = snapshot.NewSender(c.rng.Uint64()|1, c.replicas.own)
+		l.followers[s.HostName] = replica.NewSender(c.rng.Uint64()|1, c.replicas.own)
 		if !l.sendingBase {
 			l.sendingBase = true
 			c.afterWhileLeading(0, c.sendBase)
@@ -228,7 +228,7 @@
 }
 
 // handleReplicaLine takes in a line of a copy: of the leader's, or of one that we have asked for.
-func (c *Core) handleReplicaLine(from string, line *snapshot.Line) {
+func (c *Core) handleReplicaLine(from string, line *replica.Line) {
 	h := &c.replicas.received
 	if l := c.leadership; l != nil {
 		if l.recovery == nil && l.finalsSource == from && from != "" {
@@ -268,7 +268,7 @@
 
 // receiveFinals takes in how jobs have ended, from the copy of another: what the service has of
 // them it may have lost without a word, and a process that has just begun remembers none.
-func (c *Core) receiveFinals(line *snapshot.Line) {
+func (c *Core) receiveFinals(line *replica.Line) {
 	l := c.leadership
 	own := c.ownReplica()
 	if own == nil || line.Term >= l.term || l.finalsReceiver.Take(line, finalKeys, maxFinals(c.cfg)) != nil {
@@ -292,7 +292,7 @@
 }
 
 // rememberFinals takes in how the jobs of a copy have ended.
-func (c *Core) rememberFinals(k *snapshot.Copy) {
+func (c *Core) rememberFinals(k *replica.Copy) {
 	for _, key := range k.Keys(finalKeys) {
 		r, _ := k.Get(key)
 		if f, _ := r.Value.(*FinalRecord); f != nil {
@@ -321,7 +321,7 @@
 	if best == nil {
 		return
 	}
-	x := &transfer{snapshot.NewSender(c.rng.Uint64()|1, best), best}
+	x := &transfer{replica.NewSender(c.rng.Uint64()|1, best), best}
 	c.replicas.transfers[name] = x
 	c.continueTransfer(name, x)
 }
--- a/internal/core/copies_test.go
+++ b/internal/core/replication_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"yewpass/internal/snapshot"
+	"yewpass/internal/replica"
 )
 
 // TestOwnCopyOutlivesAJumpOfTerms: after a loss terms go on far above the last one. The copy
@@ -12,17 +12,17 @@
 func TestOwnCopyOutlivesAJumpOfTerms(t *testing.T) {
 	c := leaderOf(t, 1)
 	c.leadership, c.cfg.HostName = nil, "n1"
-	c.replicas.own = snapshot.New(5, 2, finalKeys, 10)
+	c.replicas.own = replica.New(5, 2, finalKeys, 10)
 	c.observeTerm(9, 188, 1)
 	if k := c.newestReplica(); k == nil || k.Term != 2 {
 		t.Fatal("the copy is gone")
 	}
 	c.knownLeader, c.highestTerm = "n0", 188
-	c.handleReplicaLine("n0", &snapshot.Line{Era: 9, Term: 188, Session: 1, Number: 1})
+	c.handleReplicaLine("n0", &replica.Line{Era: 9, Term: 188, Session: 1, Number: 1})
 	if k := c.newestReplica(); k.Term != 2 {
 		t.Fatal("the copy is gone before the next one is whole")
 	}
-	c.handleReplicaLine("n0", &snapshot.Line{Era: 9, Term: 188, Session: 1, Number: 2, Complete: true})
+	c.handleReplicaLine("n0", &replica.Line{Era: 9, Term: 188, Session: 1, Number: 2, Complete: true})
 	if k := c.newestReplica(); k.Term != 188 || c.replicas.own != nil {
 		t.Error("the older copy is still there")
 	}
--- a/internal/core/search.go
+++ b/internal/core/scrub.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"yewpass/internal/rebuild"
-	"yewpass/internal/snapshot"
+	"yewpass/internal/recovery"
+	"yewpass/internal/replica"
 )
 
 // A service that loses single records under a living leader says nothing, and the term
@@ -42,9 +42,9 @@
 		if r.Outcome != OK || c.ownReplica() != own {
 			return
 		}
-		p := rebuild.Page{Prefix: prefix, From: s.from, AskedRevision: asked}
+		p := recovery.Page{Prefix: prefix, From: s.from, AskedRevision: asked}
 		for _, e := range r.Entries {
-			p.Listed = append(p.Listed, snapshot.Record{Key: e.Key, Rev: e.Rev})
+			p.Listed = append(p.Listed, replica.Record{Key: e.Key, Rev: e.Rev})
 		}
 		if n := len(r.Entries); r.More && n > 0 {
 			p.To = r.Entries[n-1].Key
@@ -52,7 +52,7 @@
 			s.place = (s.place + 1) % len(scrubbedPrefixes)
 		}
 		s.from = p.To
-		if keys := rebuild.Missing(own, p, c.hasUncommittedChange); len(keys) > 0 {
+		if keys := recovery.Missing(own, p, c.hasUncommittedChange); len(keys) > 0 {
 			c.verifyMissing(own, keys[0])
 		}
 	})
@@ -81,7 +81,7 @@
 
 // verifyMissing asks for a record that seems to be missing or old. That it is shows that data was
 // lost, if nothing of ours has changed it since.
-func (c *Core) verifyMissing(own *snapshot.Copy, key string) {
+func (c *Core) verifyMissing(own *replica.Copy, key string) {
 	was, ok := own.Get(key)
 	if !ok || was.Rev == 0 || c.hasUncommittedChange(key) {
 		return
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -7,12 +7,12 @@
 	"log/slog"
 	"time"
 
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/liveconfig"
-	"yewpass/internal/rebuild"
+	"yewpass/internal/recovery"
 	"yewpass/internal/relay"
-	"yewpass/internal/report"
+	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
-	"yewpass/internal/snapshot"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
@@ -67,20 +67,20 @@
 
 // What workers say and are told has a package of its own: relays speak of it too.
 type (
-	TaskID     = report.TaskID
-	Phase      = report.Phase
-	TaskReport = report.Task
-	Report     = report.Report
-	Verb       = report.Verb
-	Order      = report.Order
+	TaskID     = heartbeat.TaskID
+	Phase      = heartbeat.Phase
+	TaskReport = heartbeat.Task
+	Report     = heartbeat.Report
+	Verb       = heartbeat.Verb
+	Order      = heartbeat.Order
 )
 
 // The phases that workers report.
 const (
-	Pulling       = report.Pulling
-	TaskRuns      = report.TaskRuns
-	Checkpointing = report.Checkpointing
-	Exited        = report.Exited
+	Pulling       = heartbeat.Pulling
+	TaskRuns      = heartbeat.TaskRuns
+	Checkpointing = heartbeat.Checkpointing
+	Exited        = heartbeat.Exited
 	Ordered       = Phase("ordered") // a start is in a reply that is not yet answered for
 )
 
@@ -96,13 +96,13 @@
 
 // The verbs of the worker protocol.
 const (
-	Start = report.Start
-	Stop  = report.Stop
-	Reap  = report.Reap
+	Start = heartbeat.Start
+	Stop  = heartbeat.Stop
+	Reap  = heartbeat.Reap
 )
 
 // ParseTaskID reads a task's name.
-func ParseTaskID(s string) (TaskID, bool) { return report.ParseTaskID(s) }
+func ParseTaskID(s string) (TaskID, bool) { return heartbeat.ParseTaskID(s) }
 
 // InstanceType is a machine type of the catalog.
 type InstanceType struct {
@@ -285,17 +285,17 @@
 	Config   *ConfigCall
 	Reports  *relay.Batch
 	Replies  *relay.Replies
-	Copy     *snapshot.Line
+	Copy     *replica.Line
 	Know     *Knowledge
 }
 
 // Knowledge is what a controller tells a new leader of the state service's past.
 type Knowledge struct {
-	rebuild.Observed
-	CopyEra  uint64          `json:"copyEra,omitempty"` // of the copy that it has
-	CopyTerm uint64          `json:"copyTerm,omitempty"`
-	CopySeq  uint64          `json:"copySeq,omitempty"`
-	Live     snapshot.Digest `json:"live"` // of its records under liveKeys
+	recovery.Observed
+	CopyEra  uint64         `json:"copyEra,omitempty"` // of the copy that it has
+	CopyTerm uint64         `json:"copyTerm,omitempty"`
+	CopySeq  uint64         `json:"copySeq,omitempty"`
+	Live     replica.Digest `json:"live"` // of its records under liveKeys
 }
 
 // Sound reports whether a call of a peer carries what its operation asks for, as the
--- a/internal/report/report.go
+++ b/internal/heartbeat/heartbeat.go
@@ -1,6 +1,6 @@
 // Package report holds what workers say and what they are told, as the protocol of
 // workers has it. It decides nothing.
-package report
+package heartbeat
 
 import (
 	"strconv"
--- a/internal/state/client.go
+++ b/internal/kvclient/client.go
@@ -1,5 +1,5 @@
 // Package state speaks the protocol of the state service.
-package state
+package kvclient
 
 import (
 	"bytes"
--- a/internal/state/fuzz_test.go
+++ b/internal/kvclient/fuzz_test.go
@@ -1,4 +1,4 @@
-package state
+package kvclient
 
 import (
 	"strings"
--- a/internal/lapse/lapse.go
+++ b/internal/lease/lease.go
@@ -2,7 +2,7 @@
 // authority, what it answers to workers beyond it, and the leases that it renewed are over,
 // and from when on a cancellation may therefore be confirmed. It decides nothing else and
 // knows no clock. docs/design/cancellation.md has the argument.
-package lapse
+package lease
 
 import (
 	"slices"
--- a/internal/lapse/lapse_test.go
+++ b/internal/lease/lease_test.go
@@ -1,4 +1,4 @@
-package lapse
+package lease
 
 import (
 	"math/rand/v2"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,10 +20,10 @@
 	"yewpass/internal/cloud"
 	"yewpass/internal/config"
 	"yewpass/internal/core"
+	"yewpass/internal/kvclient"
 	"yewpass/internal/operators"
 	"yewpass/internal/peer"
 	"yewpass/internal/relay"
-	"yewpass/internal/state"
 )
 
 // limits makes the runtime keep to the machine. The collector runs rarely while
@@ -54,7 +54,7 @@
 	signal.Notify(leaving, syscall.SIGTERM, syscall.SIGINT)
 	n := &node{
 		core:    core.New(cfg, ops.Policy, ops.Calendars, binary.LittleEndian.Uint64(seed[:])),
-		state:   state.New(cfg.External.State, urgent),
+		state:   kvclient.New(cfg.External.State, urgent),
 		cloud:   cloud.New(cfg.External.Cloud, inbox),
 		prober:  api.NewProber(inbox),
 		mesh:    peer.New(cfg.HostName, cfg.Seeds, peers, inbox),
@@ -74,7 +74,7 @@
 
 type node struct {
 	core    *core.Core
-	state   *state.Client
+	state   *kvclient.Client
 	cloud   *cloud.Client
 	prober  *api.Prober
 	mesh    *peer.Mesh
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -14,20 +14,20 @@
 
 	"yewpass/internal/config"
 	"yewpass/internal/core"
+	"yewpass/internal/kvclient"
 	"yewpass/internal/relay"
-	"yewpass/internal/snapshot"
-	"yewpass/internal/state"
+	"yewpass/internal/replica"
 )
 
 type messageJSON struct {
-	From   string            `json:"from"`
-	Kind   core.PeerKind     `json:"kind"`
-	Term   uint64            `json:"term,omitempty"`
-	Ref    uint64            `json:"ref,omitempty"`
-	Op     core.UserOp       `json:"op,omitempty"`
-	ID     string            `json:"id,omitempty"`
-	Spec   *state.SpecRecord `json:"spec,omitempty"`
-	Answer *answerJSON       `json:"answer,omitempty"`
+	From   string               `json:"from"`
+	Kind   core.PeerKind        `json:"kind"`
+	Term   uint64               `json:"term,omitempty"`
+	Ref    uint64               `json:"ref,omitempty"`
+	Op     core.UserOp          `json:"op,omitempty"`
+	ID     string               `json:"id,omitempty"`
+	Spec   *kvclient.SpecRecord `json:"spec,omitempty"`
+	Answer *answerJSON          `json:"answer,omitempty"`
 
 	Speaks uint64 `json:"speaks,omitempty"`
 
@@ -85,26 +85,26 @@
 	return h.Sum32()
 }
 
-func encodeLine(l *snapshot.Line) *lineJSON {
+func encodeLine(l *replica.Line) *lineJSON {
 	j := &lineJSON{Era: l.Era, Term: l.Term, Session: l.Session, Number: l.Number, Seq: l.Seq, Whole: l.Complete, Drops: l.Drops}
 	for _, r := range l.Puts {
-		j.Puts = append(j.Puts, recordJSON{r.Key, state.EncodeRecord(r.Value), r.Rev})
+		j.Puts = append(j.Puts, recordJSON{r.Key, kvclient.EncodeRecord(r.Value), r.Rev})
 	}
 	j.Sum = j.sum()
 	return j
 }
 
-func (l *lineJSON) decode() (*snapshot.Line, bool) {
+func (l *lineJSON) decode() (*replica.Line, bool) {
 	if l.Term == 0 || l.Term > core.MaxTerm || l.Session == 0 || l.Sum != l.sum() {
 		return nil, false
 	}
-	out := &snapshot.Line{Era: l.Era, Term: l.Term, Session: l.Session, Number: l.Number, Seq: l.Seq, Complete: l.Whole, Drops: l.Drops}
+	out := &replica.Line{Era: l.Era, Term: l.Term, Session: l.Session, Number: l.Number, Seq: l.Seq, Complete: l.Whole, Drops: l.Drops}
 	for _, r := range l.Puts {
-		v := state.DecodeRecord(r.K, r.V)
+		v := kvclient.DecodeRecord(r.K, r.V)
 		if v == nil {
 			return nil, false
 		}
-		out.Puts = append(out.Puts, snapshot.Record{Key: r.K, Value: v, Rev: r.R})
+		out.Puts = append(out.Puts, replica.Record{Key: r.K, Value: v, Rev: r.R})
 	}
 	return out, true
 }
@@ -149,7 +149,7 @@
 		j.Copy = encodeLine(p.Msg.Copy)
 	}
 	if p.Msg.Spec != nil {
-		s := state.EncodeSpec(p.Msg.Spec)
+		s := kvclient.EncodeSpec(p.Msg.Spec)
 		j.Spec = &s
 	}
 	if a := p.Msg.Answer; a != nil {
--- a/internal/rebuild/missing.go
+++ b/internal/recovery/missing.go
@@ -1,20 +1,20 @@
-package rebuild
+package recovery
 
-import "yewpass/internal/snapshot"
+import "yewpass/internal/replica"
 
 // Page is a part of a list of records under a prefix.
 type Page struct {
 	Prefix        string
 	From          string // after this key
 	To            string // up to this one; "" for the last part
-	Listed        []snapshot.Record
+	Listed        []replica.Record
 	AskedRevision uint64 // the service's revision that was known when the part was asked for
 }
 
 // Missing returns the keys whose records a copy has and a list lacks, or has from before:
 // those that the service was known to have when it was asked. busy tells of keys whose change
 // is on its way, or may have been made without our knowing.
-func Missing(c *snapshot.Copy, p Page, busy func(key string) bool) (keys []string) {
+func Missing(c *replica.Copy, p Page, busy func(key string) bool) (keys []string) {
 	listed := make(map[string]uint64, len(p.Listed))
 	for _, r := range p.Listed {
 		listed[r.Key] = r.Rev
--- a/internal/rebuild/rebuild.go
+++ b/internal/recovery/recovery.go
@@ -5,13 +5,13 @@
 // It makes no calls and keeps no clock. Package core asks it, and carries out what it says.
 // What must never happen here: that a record which was seen to be there is taken for one
 // that never was, or that an older copy goes above a newer one.
-package rebuild
+package recovery
 
 import (
 	"slices"
 	"strings"
 
-	"yewpass/internal/snapshot"
+	"yewpass/internal/replica"
 )
 
 // Observed is what a controller has seen of the state service. None of it can become less
@@ -83,7 +83,7 @@
 // the newest. An offer of term 0 is none. It may be of a term well
 // before the last one, whose leader has not come to pass a copy on; what has ended since is
 // asked of the service before anything in it is believed to be live.
-func NewestOffer(offers []snapshot.Age) int {
+func NewestOffer(offers []replica.Age) int {
 	best := -1
 	for i, o := range offers {
 		if o.Term != 0 && (best < 0 || o.After(offers[best])) {
@@ -106,9 +106,9 @@
 
 // Result is what there is after all.
 type Result struct {
-	Records []snapshot.Record // in the order of their keys
-	Writes  []snapshot.Record // of them, what the service does not have so; Rev is what it has, 0 for none
-	Drops   []string          // on record, and long over
+	Records []replica.Record // in the order of their keys
+	Writes  []replica.Record // of them, what the service does not have so; Rev is what it has, 0 for none
+	Drops   []string         // on record, and long over
 }
 
 // Merge makes one set of records of what the service has and what a copy has. When nothing
@@ -117,9 +117,9 @@
 //
 // A job that has ended by either is over: jobs never come back. Machines and progress of
 // both count, since neither can be wrong about what has been.
-func Merge(stored []snapshot.Record, c *snapshot.Copy, older bool, k Kinds) Result {
+func Merge(stored []replica.Record, c *replica.Copy, older bool, k Kinds) Result {
 	over := map[string]bool{}
-	have := make(map[string]snapshot.Record, len(stored))
+	have := make(map[string]replica.Record, len(stored))
 	for _, r := range stored {
 		have[r.Key] = r
 		if id, ok := k.Final(r.Key); ok {
@@ -141,7 +141,7 @@
 	}
 	var res Result
 	put := func(key string, value any, rev uint64) {
-		have[key] = snapshot.Record{Key: key, Value: value, Rev: rev}
+		have[key] = replica.Record{Key: key, Value: value, Rev: rev}
 		res.Writes = append(res.Writes, have[key])
 	}
 	for _, key := range keys {
@@ -172,7 +172,7 @@
 		}
 		res.Records = append(res.Records, r)
 	}
-	slices.SortFunc(res.Records, func(a, b snapshot.Record) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(res.Records, func(a, b replica.Record) int { return strings.Compare(a.Key, b.Key) })
 	slices.Sort(res.Drops)
 	return res
 }
--- a/internal/rebuild/rebuild_test.go
+++ b/internal/recovery/recovery_test.go
@@ -1,11 +1,11 @@
-package rebuild
+package recovery
 
 import (
 	"slices"
 	"strings"
 	"testing"
 
-	"yewpass/internal/snapshot"
+	"yewpass/internal/replica"
 )
 
 // TestLost: each sign of a loss is one, and none is seen where nothing was lost.
@@ -46,11 +46,11 @@
 		Machines: func(k string) bool { return strings.HasPrefix(k, "m/") },
 		Join:     func(s, c any, older bool) (any, bool) { return c, older && s != c },
 	}
-	c := snapshot.New(1, 2, "f/", 9)
+	c := replica.New(1, 2, "f/", 9)
 	for k, v := range map[string]string{"j/live": "new", "j/lost": "new", "f/over": "done", "p/lost": "new", "m/1": "b"} {
 		c.Put(k, v, 50)
 	}
-	stored := []snapshot.Record{{Key: "j/live", Value: "old", Rev: 3}, {Key: "j/over", Value: "old", Rev: 4}, {Key: "p/over", Value: "old", Rev: 4},
+	stored := []replica.Record{{Key: "j/live", Value: "old", Rev: 3}, {Key: "j/over", Value: "old", Rev: 4}, {Key: "p/over", Value: "old", Rev: 4},
 		{Key: "m/1", Value: "a", Rev: 5}, {Key: "j/alone", Value: "new", Rev: 6}}
 	for _, older := range []bool{false, true} {
 		res := Merge(stored, c, older, kinds)
@@ -72,7 +72,7 @@
 			t.Errorf("older %v: drops %v", older, res.Drops)
 		}
 		for _, w := range res.Writes {
-			if s := slices.IndexFunc(stored, func(r snapshot.Record) bool { return r.Key == w.Key }); (s < 0) != (w.Rev == 0) {
+			if s := slices.IndexFunc(stored, func(r replica.Record) bool { return r.Key == w.Key }); (s < 0) != (w.Rev == 0) {
 				t.Errorf("older %v: %s is written at revision %d", older, w.Key, w.Rev)
 			}
 		}
--- a/internal/relay/fold.go
+++ b/internal/relay/fold.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"yewpass/internal/report"
+	"yewpass/internal/heartbeat"
 )
 
 // Fold is a relay's end of a link: it turns reports into what has changed.
@@ -21,7 +21,7 @@
 type folded struct {
 	handle uint64
 	who    Who
-	tasks  []report.Task
+	tasks  []heartbeat.Task
 }
 
 // NewFold returns the relay's end of a new session, whose number must not have been
@@ -35,7 +35,7 @@
 
 // Item folds a report. It must go out with the next Batch, after those folded before.
 // The report's tasks must not be changed afterwards.
-func (f *Fold) Item(ref uint64, r *report.Report) Item {
+func (f *Fold) Item(ref uint64, r *heartbeat.Report) Item {
 	it := Item{Ref: ref, Incarnation: r.Incarnation, Counter: r.Counter, FencingToken: r.FencingToken}
 	if r.HasNotice {
 		ms := r.Notice.Milliseconds()
@@ -90,8 +90,8 @@
 // Unfold is a leader's end of the links of one relay, one after the other.
 type Unfold struct {
 	session, number uint64
-	former          []uint64                  // sessions that are over, the latest last
-	machines        map[uint64]*report.Report // the last one of each, by handle
+	former          []uint64                     // sessions that are over, the latest last
+	machines        map[uint64]*heartbeat.Report // the last one of each, by handle
 }
 
 // ErrBroken says that a batch does not follow the one before it: some were lost, or
@@ -116,7 +116,7 @@
 // Open turns a batch into reports, in its order; begun says that it begins a session.
 // After an error, which names what does not fit, nothing of the session can be used:
 // the relay has to begin a new one.
-func (u *Unfold) Open(b *Batch) (rs []report.Report, begun bool, err error) {
+func (u *Unfold) Open(b *Batch) (rs []heartbeat.Report, begun bool, err error) {
 	if slices.Contains(u.former, b.Session) {
 		return nil, false, ErrOver
 	}
@@ -125,14 +125,14 @@
 		if u.session != 0 {
 			former = append(former[max(0, len(former)+1-formerMost):], u.session)
 		}
-		*u = Unfold{session: b.Session, former: former, machines: map[uint64]*report.Report{}}
+		*u = Unfold{session: b.Session, former: former, machines: map[uint64]*heartbeat.Report{}}
 		begun = true
 	}
 	if b.Session != u.session || b.Session == 0 || b.Number != u.number+1 {
 		return nil, begun, ErrBroken
 	}
 	u.number++
-	rs = make([]report.Report, 0, len(b.Reports))
+	rs = make([]heartbeat.Report, 0, len(b.Reports))
 	for i := range b.Reports {
 		r, err := u.item(&b.Reports[i])
 		if err != nil {
@@ -147,20 +147,20 @@
 	return rs, begun, nil
 }
 
-func (u *Unfold) item(it *Item) (report.Report, error) {
+func (u *Unfold) item(it *Item) (heartbeat.Report, error) {
 	last := u.machines[it.Handle]
 	if w := it.Machine; w != nil {
 		if last == nil {
 			if len(u.machines) >= machinesMost {
-				return report.Report{}, errors.New("too many machines")
+				return heartbeat.Report{}, errors.New("too many machines")
 			}
-			last = &report.Report{}
+			last = &heartbeat.Report{}
 			u.machines[it.Handle] = last
 		}
-		*last = report.Report{Host: w.Host, Address: w.Address, InstanceType: w.InstanceType, Zone: w.Zone, Spot: w.Spot}
+		*last = heartbeat.Report{Host: w.Host, Address: w.Address, InstanceType: w.InstanceType, Zone: w.Zone, Spot: w.Spot}
 	}
 	if last == nil {
-		return report.Report{}, fmt.Errorf("machine %d is not known", it.Handle)
+		return heartbeat.Report{}, fmt.Errorf("machine %d is not known", it.Handle)
 	}
 	r := *last
 	r.Incarnation, r.Counter, r.FencingToken = it.Incarnation, it.Counter, it.FencingToken
@@ -170,7 +170,7 @@
 	}
 	if len(it.Dropped)+len(it.Changed)+len(it.Added) > 0 {
 		// A list of its own: whoever has got the one before may still use it.
-		ts := make([]report.Task, 0, len(r.Tasks)+len(it.Added))
+		ts := make([]heartbeat.Task, 0, len(r.Tasks)+len(it.Added))
 		d := 0
 		for i, t := range r.Tasks {
 			if d < len(it.Dropped) && it.Dropped[d] == i {
@@ -180,17 +180,17 @@
 			ts = append(ts, t)
 		}
 		if d != len(it.Dropped) {
-			return report.Report{}, errors.New("a task is dropped that was not listed")
+			return heartbeat.Report{}, errors.New("a task is dropped that was not listed")
 		}
 		for _, c := range it.Changed {
 			if c.At < 0 || c.At >= len(ts) || !c.Phase.Known() {
-				return report.Report{}, errors.New("a task changes that was not listed")
+				return heartbeat.Report{}, errors.New("a task changes that was not listed")
 			}
 			ts[c.At].Phase, ts[c.At].Cause = c.Phase, c.Cause
 		}
 		for _, a := range it.Added {
 			if a.Task.Job == "" || !a.Phase.Known() {
-				return report.Report{}, errors.New("a task is none")
+				return heartbeat.Report{}, errors.New("a task is none")
 			}
 			ts = append(ts, a)
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -9,7 +9,7 @@
 // differs from the one that Fold was given, or one out of the order of its link.
 package relay
 
-import "yewpass/internal/report"
+import "yewpass/internal/heartbeat"
 
 // Link is one uninterrupted stream of batches from a relay to a leader. A relay draws
 // a new session for every leader, every term and every time the stream breaks, so
@@ -65,9 +65,9 @@
 
 // Change is a task whose state has changed.
 type Change struct {
-	At    int          `json:"k"`
-	Phase report.Phase `json:"p"`
-	Cause string       `json:"c,omitempty"`
+	At    int             `json:"k"`
+	Phase heartbeat.Phase `json:"p"`
+	Cause string          `json:"c,omitempty"`
 }
 
 // Replies is what a leader has a relay tell its workers, in one line.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -8,29 +8,29 @@
 	"testing"
 	"time"
 
-	"yewpass/internal/report"
+	"yewpass/internal/heartbeat"
 )
 
 // worker makes reports of a machine whose list of tasks changes like a worker's, and
 // now and then like no worker's.
-type worker struct{ report.Report }
+type worker struct{ heartbeat.Report }
 
-func (w *worker) next(rng *rand.Rand, strange bool) report.Report {
+func (w *worker) next(rng *rand.Rand, strange bool) heartbeat.Report {
 	w.Counter++
-	ts := make([]report.Task, 0, len(w.Tasks)+3)
+	ts := make([]heartbeat.Task, 0, len(w.Tasks)+3)
 	for _, t := range w.Tasks {
 		switch rng.IntN(6) {
 		case 0:
 			continue
 		case 1:
-			t.Phase, t.Cause = report.Exited, "done"
+			t.Phase, t.Cause = heartbeat.Exited, "done"
 		case 2:
-			t.Phase = report.TaskRuns
+			t.Phase = heartbeat.TaskRuns
 		}
 		ts = append(ts, t)
 	}
 	for range rng.IntN(3) {
-		ts = append(ts, report.Task{Task: report.TaskID{Job: fmt.Sprint("wk-", rng.IntN(5)), Index: rng.IntN(4)}, Try: rng.Uint64N(9), Phase: report.Pulling})
+		ts = append(ts, heartbeat.Task{Task: heartbeat.TaskID{Job: fmt.Sprint("wk-", rng.IntN(5)), Index: rng.IntN(4)}, Try: rng.Uint64N(9), Phase: heartbeat.Pulling})
 	}
 	if strange && rng.IntN(3) == 0 {
 		rng.Shuffle(len(ts), func(i, j int) { ts[i], ts[j] = ts[j], ts[i] })
@@ -52,14 +52,14 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		var ws []*worker
 		for i := range 1 + rng.IntN(5) {
-			ws = append(ws, &worker{report.Report{Host: fmt.Sprint("host-", i), Address: "10.0.0.1:9000", InstanceType: "f", Zone: "a", Incarnation: 1}})
+			ws = append(ws, &worker{heartbeat.Report{Host: fmt.Sprint("host-", i), Address: "10.0.0.1:9000", InstanceType: "f", Zone: "a", Incarnation: 1}})
 		}
 		var u Unfold
 		session := uint64(1)
 		f := NewFold(session)
 		for range 60 {
 			var items []Item
-			var want []report.Report
+			var want []heartbeat.Report
 			for range rng.IntN(4) {
 				w := ws[rng.IntN(len(ws))]
 				r := w.next(rng, seed%3 == 0)
@@ -110,8 +110,8 @@
 
 // TestText: lists come back as they were, and texts that nobody writes do not pass.
 func TestText(t *testing.T) {
-	ts := Tasks{{Task: report.TaskID{Job: "wk-1", Index: 3}, Try: 1<<64 - 1, Phase: report.Exited, Cause: "done"}, {Task: report.TaskID{Job: "a b,c/ü+%", Index: 0}, Phase: "?", Cause: "no room, none"}}
-	os := Orders{{Verb: report.Stop, Task: report.TaskID{Job: "wk-1", Index: 7}, Try: 9, Drain: 2500 * time.Millisecond}, {Verb: report.Start, Task: report.TaskID{Job: ",", Index: 1}}}
+	ts := Tasks{{Task: heartbeat.TaskID{Job: "wk-1", Index: 3}, Try: 1<<64 - 1, Phase: heartbeat.Exited, Cause: "done"}, {Task: heartbeat.TaskID{Job: "a b,c/ü+%", Index: 0}, Phase: "?", Cause: "no room, none"}}
+	os := Orders{{Verb: heartbeat.Stop, Task: heartbeat.TaskID{Job: "wk-1", Index: 7}, Try: 9, Drain: 2500 * time.Millisecond}, {Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: ",", Index: 1}}}
 	line, err := json.Marshal(struct {
 		T Tasks
 		O Orders
@@ -143,9 +143,9 @@
 		"unknown machine": {Handle: 2},
 		"dropped":         {Handle: 1, Dropped: []int{0}},
 		"dropped below":   {Handle: 1, Machine: who, Dropped: []int{-1}},
-		"changed":         {Handle: 1, Changed: []Change{{At: 0, Phase: report.Exited}}},
-		"no phase":        {Handle: 1, Added: Tasks{{Task: report.TaskID{Job: "wk-1"}, Phase: "?"}}},
-		"no job":          {Handle: 1, Added: Tasks{{Phase: report.Exited}}},
+		"changed":         {Handle: 1, Changed: []Change{{At: 0, Phase: heartbeat.Exited}}},
+		"no phase":        {Handle: 1, Added: Tasks{{Task: heartbeat.TaskID{Job: "wk-1"}, Phase: "?"}}},
+		"no job":          {Handle: 1, Added: Tasks{{Phase: heartbeat.Exited}}},
 	} {
 		var u Unfold
 		if _, _, err := u.Open(&Batch{Session: 5, Number: 1, Reports: []Item{{Ref: 1, Handle: 1, Machine: who}}}); err != nil {
@@ -162,8 +162,8 @@
 		}
 	}
 	for i, r := range []Replies{
-		{List: []Reply{{Status: 200}}}, {List: []Reply{{Status: 99}}}, {List: []Reply{{Status: 421, Orders: Orders{{Verb: report.Start, Task: report.TaskID{Job: "wk-1"}}}}}},
-		{List: []Reply{{Orders: Orders{{Verb: "sing", Task: report.TaskID{Job: "wk-1"}}}}}}, {List: []Reply{{Orders: Orders{{Verb: report.Start}}}}},
+		{List: []Reply{{Status: 200}}}, {List: []Reply{{Status: 99}}}, {List: []Reply{{Status: 421, Orders: Orders{{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-1"}}}}}},
+		{List: []Reply{{Orders: Orders{{Verb: "sing", Task: heartbeat.TaskID{Job: "wk-1"}}}}}}, {List: []Reply{{Orders: Orders{{Verb: heartbeat.Start}}}}},
 	} {
 		if r.Sound() {
 			t.Errorf("replies %d pass", i)
@@ -220,12 +220,12 @@
 	}
 }
 
-func benchmarkReports(n int) []report.Report {
-	rs := make([]report.Report, n)
+func benchmarkReports(n int) []heartbeat.Report {
+	rs := make([]heartbeat.Report, n)
 	for i := range rs {
-		rs[i] = report.Report{Host: fmt.Sprintf("host-%06d", i), Address: "10.1.0.1:9000", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: 1, FencingToken: 41}
+		rs[i] = heartbeat.Report{Host: fmt.Sprintf("host-%06d", i), Address: "10.1.0.1:9000", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: 1, FencingToken: 41}
 		for k := range 16 {
-			rs[i].Tasks = append(rs[i].Tasks, report.Task{Task: report.TaskID{Job: "wk-000412", Index: k}, Try: 41<<28 + uint64(k), Phase: report.TaskRuns})
+			rs[i].Tasks = append(rs[i].Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-000412", Index: k}, Try: 41<<28 + uint64(k), Phase: heartbeat.TaskRuns})
 		}
 	}
 	return rs
@@ -253,8 +253,8 @@
 						r.Counter++
 						if changes {
 							b.StopTimer()
-							r.Tasks = append([]report.Task(nil), r.Tasks[1:]...)
-							r.Tasks = append(r.Tasks, report.Task{Task: report.TaskID{Job: "wk-000413", Index: i % 90}, Try: 41<<28 + uint64(i), Phase: report.Pulling})
+							r.Tasks = append([]heartbeat.Task(nil), r.Tasks[1:]...)
+							r.Tasks = append(r.Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-000413", Index: i % 90}, Try: 41<<28 + uint64(i), Phase: heartbeat.Pulling})
 							b.StartTimer()
 						}
 						if end == "leader" {
@@ -283,7 +283,7 @@
 
 // TestFormerSession: what was held on the way since a session that is over ends none.
 func TestFormerSession(t *testing.T) {
-	r := report.Report{Host: "host-1", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: 1}
+	r := heartbeat.Report{Host: "host-1", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: 1}
 	first, next := NewFold(1), NewFold(2)
 	held := first.Batch([]Item{first.Item(1, &r)}, nil)
 	var u Unfold
--- a/internal/relay/text.go
+++ b/internal/relay/text.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"yewpass/internal/report"
+	"yewpass/internal/heartbeat"
 )
 
 // Tasks and orders are most of what goes over a link, a hundred thousand of them when a
@@ -18,11 +18,11 @@
 var errText = errors.New("a list of tasks that no controller writes")
 
 // Tasks is a list of tasks on the wire: "JOB INDEX TRY PHASE CAUSE,…".
-type Tasks []report.Task
+type Tasks []heartbeat.Task
 
 // MarshalText implements encoding.TextMarshaler.
 func (ts Tasks) MarshalText() ([]byte, error) {
-	return write(ts, func(b []byte, t *report.Task) []byte {
+	return write(ts, func(b []byte, t *heartbeat.Task) []byte {
 		b = appendTask(b, t.Task, t.Try)
 		b = append(b, ' ')
 		b = append(b, url.QueryEscape(string(t.Phase))...)
@@ -53,7 +53,7 @@
 	return list, f.err
 }
 
-func appendTask(b []byte, id report.TaskID, try uint64) []byte {
+func appendTask(b []byte, id heartbeat.TaskID, try uint64) []byte {
 	b = append(b, url.QueryEscape(id.Job)...)
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, int64(id.Index), 10)
@@ -64,9 +64,9 @@
 // UnmarshalText implements encoding.TextUnmarshaler. What it takes is a task by its
 // form; whether a phase is one is for whoever reads it.
 func (ts *Tasks) UnmarshalText(text []byte) (err error) {
-	*ts, err = read(text, func(f *fields) report.Task {
-		t := report.Task{Task: report.TaskID{Job: f.name(' '), Index: f.index(' ')}, Try: f.number(' ')}
-		t.Phase = report.Phase(f.name(' '))
+	*ts, err = read(text, func(f *fields) heartbeat.Task {
+		t := heartbeat.Task{Task: heartbeat.TaskID{Job: f.name(' '), Index: f.index(' ')}, Try: f.number(' ')}
+		t.Phase = heartbeat.Phase(f.name(' '))
 		t.Cause = f.name(',')
 		return t
 	})
@@ -75,11 +75,11 @@
 
 // Orders is a list of orders on the wire: "VERB JOB INDEX TRY DRAIN,…", the drain in
 // milliseconds.
-type Orders []report.Order
+type Orders []heartbeat.Order
 
 // MarshalText implements encoding.TextMarshaler.
 func (os Orders) MarshalText() ([]byte, error) {
-	return write(os, func(b []byte, o *report.Order) []byte {
+	return write(os, func(b []byte, o *heartbeat.Order) []byte {
 		b = append(b, url.QueryEscape(string(o.Verb))...)
 		b = append(b, ' ')
 		b = appendTask(b, o.Task, o.Try)
@@ -90,8 +90,8 @@
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (os *Orders) UnmarshalText(text []byte) (err error) {
-	*os, err = read(text, func(f *fields) report.Order {
-		o := report.Order{Verb: report.Verb(f.name(' ')), Task: report.TaskID{Job: f.name(' '), Index: f.index(' ')}, Try: f.number(' ')}
+	*os, err = read(text, func(f *fields) heartbeat.Order {
+		o := heartbeat.Order{Verb: heartbeat.Verb(f.name(' ')), Task: heartbeat.TaskID{Job: f.name(' '), Index: f.index(' ')}, Try: f.number(' ')}
 		ms := f.number(',')
 		if ms > uint64(drainMost.Milliseconds()) {
 			f.err = errText
--- a/internal/snapshot/snapshot.go
+++ b/internal/replica/replica.go
@@ -4,7 +4,7 @@
 // It knows neither sockets nor encodings: package peer puts lines on the wire, with a
 // checksum each. What must never happen here: that a copy counts as whole which lacks a
 // line, has one twice, or has lines of two streams.
-package snapshot
+package replica
 
 import (
 	"errors"
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/replica/replica_test.go
@@ -1,4 +1,4 @@
-package snapshot
+package replica
 
 import (
 	"fmt"
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"yewpass/internal/core"
-	"yewpass/internal/snapshot"
+	"yewpass/internal/replica"
 )
 
 // What happens next? In the scenarios' ordinary play messages arrive in the order of
@@ -438,7 +438,7 @@
 		return out
 	}
 	line := *p.Msg.Copy
-	line.Puts = slices.DeleteFunc(slices.Clone(line.Puts), func(r snapshot.Record) bool { return gone(r.Value) })
+	line.Puts = slices.DeleteFunc(slices.Clone(line.Puts), func(r replica.Record) bool { return gone(r.Value) })
 	p.Msg.Copy = &line
 	return p
 }
--- a/internal/scenario/schedules.go
+++ b/internal/scenario/schedules.go
@@ -9,9 +9,9 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/core"
+	"yewpass/internal/kvclient"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
-	"yewpass/internal/state"
 )
 
 // clerk is the owner of a schedule: asks for it, reads its history, and has the
@@ -158,7 +158,7 @@
 	if k == nil {
 		return &schedule.Record{}, false
 	}
-	r, ok := state.Decode(core.StoreCall{Op: core.StoreGet, Key: key}, 200, encode(object{"k": key, "v": k.value, "keyRev": k.rev})).Entries[0].Value.(*schedule.Record)
+	r, ok := kvclient.Decode(core.StoreCall{Op: core.StoreGet, Key: key}, 200, encode(object{"k": key, "v": k.value, "keyRev": k.rev})).Entries[0].Value.(*schedule.Record)
 	return r, ok
 }
 
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -10,8 +10,8 @@
 	"yewpass/internal/cloud"
 	"yewpass/internal/config"
 	"yewpass/internal/core"
+	"yewpass/internal/kvclient"
 	"yewpass/internal/policy"
-	"yewpass/internal/state"
 )
 
 // world is everything that a scenario plays with.
@@ -418,7 +418,7 @@
 		o.Orders = slices.Clone(o.Orders)
 		n.answer(o.Ref, o)
 	case core.StoreCall:
-		method, path, body := state.Request(o)
+		method, path, body := kvclient.Request(o)
 		kind := "state"
 		if o.Op == core.StoreTxn && len(o.Writes) > 0 {
 			kind = "txn"
@@ -428,7 +428,7 @@
 		}, func(status int, data []byte) any {
 			r := core.StoreReply{Outcome: core.Unknown}
 			if status != 0 {
-				r = state.Decode(o, status, data)
+				r = kvclient.Decode(o, status, data)
 			}
 			r.Ref = o.Ref
 			return r
