--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -11,7 +11,9 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/schedule"
+	"yewpass/internal/spec"
 )
 
 // serve runs a server whose core is answered by f, and returns its address.
@@ -55,7 +57,7 @@
 }
 
 func TestSubmit(t *testing.T) {
-	var got *core.JobSpec
+	var got *spec.Job
 	url := serve(t, func(in any) any {
 		got = in.(core.UserCall).Spec
 		return core.AnswerUser{Status: 201, View: core.JobView{State: core.Queued}}
@@ -64,7 +66,7 @@
 	if status != 201 || v["id"] != "wk-000412" || v["status"] != "queued" {
 		t.Fatal(status, v)
 	}
-	if got.Tasks != 16 || got.Urgency != core.Urgent || got.Deadline != 900*time.Second || !got.HasDeadline || got.Zone != "" || got.Runtime != 240*time.Second {
+	if got.Tasks != 16 || got.Urgency != spec.Urgent || got.Deadline != 900*time.Second || !got.HasDeadline || got.Zone != "" || got.Runtime != 240*time.Second {
 		t.Errorf("%+v", got)
 	}
 	edit := func(from, to string) string {
@@ -140,15 +142,15 @@
 }
 
 func TestReport(t *testing.T) {
-	var got core.Report
+	var got heartbeat.Report
 	url := serve(t, func(in any) any {
 		got = in.(core.ReportIn).Report
 		if got.Host == "elsewhere" {
 			return core.AnswerReport{Status: 421, Upstream: "n2"}
 		}
-		return core.AnswerReport{Status: 200, FencingToken: 41, Orders: []core.Order{
-			{Verb: core.Start, Task: core.TaskID{Job: "wk-1", Index: 4}, Try: 2},
-			{Verb: core.Stop, Task: core.TaskID{Job: "wk-2", Index: 1}, Try: 1, Drain: 10 * time.Second}}}
+		return core.AnswerReport{Status: 200, FencingToken: 41, Orders: []heartbeat.Order{
+			{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-1", Index: 4}, Try: 2},
+			{Verb: heartbeat.Stop, Task: heartbeat.TaskID{Job: "wk-2", Index: 1}, Try: 1, Drain: 10 * time.Second}}}
 	})
 	body := `{"host":"host-000231","address":"10.1.0.232:9000","flavor":"g8","hall":"a","reclaimable":true,"tenure":1,"counter":88,
 "epoch":41,"warningS":null,"shards":[{"shard":"wk-000412/3","try":2,"status":"running"},{"shard":"wk-000398/0","try":1,"status":"exited","cause":"done"}]}`
@@ -160,7 +162,7 @@
 	if stop := orders[1].(map[string]any); stop["drainS"] != 10.0 || stop["shard"] != "wk-2/1" {
 		t.Error(stop)
 	}
-	if len(got.Tasks) != 2 || got.Tasks[0].Task != (core.TaskID{Job: "wk-000412", Index: 3}) || got.HasNotice || got.Counter != 88 {
+	if len(got.Tasks) != 2 || got.Tasks[0].Task != (heartbeat.TaskID{Job: "wk-000412", Index: 3}) || got.HasNotice || got.Counter != 88 {
 		t.Errorf("%+v", got)
 	}
 	if status, v, _ := post(t, url+"/hello", strings.Replace(body, "host-000231", "elsewhere", 1)); status != 421 || v["upstream"] != "n2" {
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -6,7 +6,6 @@
 	"testing"
 	"time"
 
-	"yewpass/internal/core"
 	"yewpass/internal/spec"
 )
 
@@ -31,7 +30,7 @@
 					t.Fatalf("%+v", rep)
 				}
 				for _, x := range rep.Tasks {
-					if x.Task.Index < 0 || x.Task.Index >= core.MaxTasks || x.Task.Job == "" {
+					if x.Task.Index < 0 || x.Task.Index >= spec.MaxTasks || x.Task.Job == "" {
 						t.Fatalf("%+v", x)
 					}
 				}
--- a/internal/api/probe.go
+++ b/internal/api/probe.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/rpc"
 	"yewpass/internal/wire"
 )
 
@@ -31,15 +32,15 @@
 // Do makes the call and delivers its reply.
 func (p *Prober) Do(call core.ProbeCall) {
 	go func() {
-		r := core.ProbeReply{Outcome: core.Unknown}
+		r := core.ProbeReply{Outcome: rpc.Unknown}
 		body, _ := json.Marshal(commandJSON{call.FencingToken, call.Incarnation, []orderJSON{}}) // plain struct: cannot fail
 		status, data, ok := p.caller.Call(http.MethodPost, call.Address+"/do", body, call.Timeout)
 		var j reportJSON
 		if ok && (status == http.StatusOK || status == http.StatusConflict) && json.Unmarshal(data, &j) == nil {
 			if rep, bad := j.report(); bad == "" {
-				r.Outcome, r.Report = core.OK, rep
+				r.Outcome, r.Report = rpc.OK, rep
 				if status == http.StatusConflict {
-					r.Outcome = core.Conflict
+					r.Outcome = rpc.Conflict
 				}
 			}
 		}
--- a/internal/api/probe_test.go
+++ b/internal/api/probe_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/rpc"
 )
 
 func TestProbe(t *testing.T) {
@@ -17,14 +18,14 @@
 		name    string
 		status  int
 		body    string
-		outcome core.Outcome
+		outcome rpc.Outcome
 	}{
-		{"noted", 200, report, core.OK},
-		{"another session or a newer epoch", 409, report, core.Conflict},
-		{"no report", 200, `{}`, core.Unknown},
-		{"not JSON", 200, `<`, core.Unknown},
-		{"refused", 400, report, core.Unknown},
-		{"too large", 200, report + strings.Repeat(" ", 4*maxBody), core.Unknown},
+		{"noted", 200, report, rpc.OK},
+		{"another session or a newer epoch", 409, report, rpc.Conflict},
+		{"no report", 200, `{}`, rpc.Unknown},
+		{"not JSON", 200, `<`, rpc.Unknown},
+		{"refused", 400, report, rpc.Unknown},
+		{"too large", 200, report + strings.Repeat(" ", 4*maxBody), rpc.Unknown},
 	} {
 		var sent string
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -37,7 +38,7 @@
 		NewProber(inbox).Do(core.ProbeCall{Ref: 5, Address: srv.Listener.Addr().String(), FencingToken: 7, Incarnation: 2, Timeout: time.Second})
 		got := (<-inbox).(core.ProbeReply)
 		srv.Close()
-		if got.Ref != 5 || got.Outcome != c.outcome || got.Outcome != core.Unknown && (got.Report.Host != "host-1" || len(got.Report.Tasks) != 1) {
+		if got.Ref != 5 || got.Outcome != c.outcome || got.Outcome != rpc.Unknown && (got.Report.Host != "host-1" || len(got.Report.Tasks) != 1) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 		if want := `POST/do{"epoch":7,"tenure":2,"orders":[]}`; sent != want {
--- a/internal/api/workers.go
+++ b/internal/api/workers.go
@@ -7,6 +7,7 @@
 	"github.com/julienschmidt/httprouter"
 
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/spec"
 )
 
@@ -24,17 +25,17 @@
 }
 
 type shardJSON struct {
-	Shard  string     `json:"shard"`
-	Try    uint64     `json:"try"`
-	Status core.Phase `json:"status"`
-	Cause  string     `json:"cause"`
+	Shard  string          `json:"shard"`
+	Try    uint64          `json:"try"`
+	Status heartbeat.Phase `json:"status"`
+	Cause  string          `json:"cause"`
 }
 
 type orderJSON struct {
-	Verb   core.Verb `json:"verb"`
-	Shard  string    `json:"shard"`
-	Try    uint64    `json:"try"`
-	DrainS *float64  `json:"drainS,omitempty"`
+	Verb   heartbeat.Verb `json:"verb"`
+	Shard  string         `json:"shard"`
+	Try    uint64         `json:"try"`
+	DrainS *float64       `json:"drainS,omitempty"`
 }
 
 type replyJSON struct {
@@ -50,8 +51,8 @@
 const maxNotice = 1e8
 
 // report checks a report; "" or what is wrong with it.
-func (j *reportJSON) report() (core.Report, string) {
-	r := core.Report{Host: j.Host, Address: j.Address, InstanceType: j.Flavor, Zone: j.Hall, Spot: j.Reclaimable, FencingToken: j.Epoch}
+func (j *reportJSON) report() (heartbeat.Report, string) {
+	r := heartbeat.Report{Host: j.Host, Address: j.Address, InstanceType: j.Flavor, Zone: j.Hall, Spot: j.Reclaimable, FencingToken: j.Epoch}
 	switch {
 	case j.Host == "" || len(j.Host) > 128:
 		return r, "host"
@@ -79,17 +80,17 @@
 		r.HasNotice = true
 		r.Notice = time.Duration(*j.WarningS * float64(time.Second))
 	}
-	r.Tasks = make([]core.TaskReport, 0, len(j.Shards))
+	r.Tasks = make([]heartbeat.Task, 0, len(j.Shards))
 	for _, s := range j.Shards {
-		id, ok := core.ParseTaskID(s.Shard)
+		id, ok := heartbeat.ParseTaskID(s.Shard)
 		if !ok {
 			return r, "shards.shard"
 		}
 		if !s.Status.Known() {
 			// A state that we do not know is one in which the task is there.
-			s.Status = core.Pulling
+			s.Status = heartbeat.Pulling
 		}
-		r.Tasks = append(r.Tasks, core.TaskReport{Task: id, Try: s.Try, Phase: s.Status, Cause: s.Cause})
+		r.Tasks = append(r.Tasks, heartbeat.Task{Task: id, Try: s.Try, Phase: s.Status, Cause: s.Cause})
 	}
 	return r, ""
 }
@@ -118,7 +119,7 @@
 			out := replyJSON{a.FencingToken, make([]orderJSON, 0, len(a.Orders))}
 			for _, o := range a.Orders {
 				oj := orderJSON{Verb: o.Verb, Shard: o.Task.String(), Try: o.Try}
-				if o.Verb == core.Stop {
+				if o.Verb == heartbeat.Stop {
 					d := o.Drain.Seconds()
 					oj.DrainS = &d
 				}
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/rpc"
 	"yewpass/internal/timeline"
 	"yewpass/internal/wire"
 )
@@ -74,7 +75,7 @@
 	method, path, body := Request(call)
 	status, data, ok := c.caller.Call(method, path, body, call.Timeout)
 	if !ok {
-		return core.CloudReply{Outcome: core.Unknown}
+		return core.CloudReply{Outcome: rpc.Unknown}
 	}
 	return Decode(call, status, data)
 }
@@ -106,7 +107,7 @@
 // Decode reads an answer. Whatever is not what the protocol promises is an
 // unknown outcome.
 func Decode(call core.CloudCall, status int, data []byte) core.CloudReply {
-	unknown := core.CloudReply{Outcome: core.Unknown}
+	unknown := core.CloudReply{Outcome: rpc.Unknown}
 	switch status {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable:
@@ -114,15 +115,15 @@
 			Error string `json:"error"`
 		}
 		if json.Unmarshal(data, &e) == nil && strings.Contains(e.Error, "capacity") {
-			return core.CloudReply{Outcome: core.Refused}
+			return core.CloudReply{Outcome: rpc.Refused}
 		}
 		return unknown // an outage: the same request is sent again
 	case http.StatusBadRequest:
-		return core.CloudReply{Outcome: core.Invalid}
+		return core.CloudReply{Outcome: rpc.Invalid}
 	default:
 		return unknown
 	}
-	r := core.CloudReply{Outcome: core.OK}
+	r := core.CloudReply{Outcome: rpc.OK}
 	switch call.Op {
 	case core.CloudCatalog:
 		var a struct {
--- a/internal/cloud/fuzz_test.go
+++ b/internal/cloud/fuzz_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"yewpass/internal/core"
+	"yewpass/internal/rpc"
 	"yewpass/internal/timeline"
 )
 
@@ -21,7 +22,7 @@
 	}
 	f.Fuzz(func(t *testing.T, op, status int, data []byte) {
 		r := Decode(core.CloudCall{Op: core.CloudOp(op), Count: 2, After: "h1"}, status, data)
-		if r.Outcome == core.OK && status != 200 || len(r.Hosts) > 2 {
+		if r.Outcome == rpc.OK && status != 200 || len(r.Hosts) > 2 {
 			t.Fatalf("%+v", r)
 		}
 		for _, x := range r.InstanceTypes {
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -8,11 +8,13 @@
 	"time"
 
 	"yewpass/internal/policy"
+	"yewpass/internal/rpc"
+	"yewpass/internal/spec"
 )
 
 // admission is a submission whose record is on its way to the state service.
 type admission struct {
-	spec    *JobSpec
+	spec    *spec.Job
 	waiters []UserCall
 }
 
@@ -166,7 +168,7 @@
 	}
 	c.store(StoreCall{Op: StoreGet, Key: jobKeys + id}, func(r StoreReply) {
 		switch r.Outcome {
-		case OK:
+		case rpc.OK:
 			rec, _ := r.Entries[0].Value.(*JobRecord)
 			if rec == nil {
 				f(nil, false)
@@ -177,10 +179,10 @@
 				v.State = Cancelled
 			}
 			f(&v, true)
-		case NotFound:
+		case rpc.NotFound:
 			c.store(StoreCall{Op: StoreGet, Key: finalKeys + id}, func(r StoreReply) {
 				switch r.Outcome {
-				case OK:
+				case rpc.OK:
 					rec, _ := r.Entries[0].Value.(*FinalRecord)
 					if rec == nil {
 						f(nil, false)
@@ -189,7 +191,7 @@
 					c.finals.Add(id, *rec)
 					v := rec.view(id)
 					f(&v, true)
-				case NotFound:
+				case rpc.NotFound:
 					f(nil, true)
 				default:
 					f(nil, false)
@@ -260,20 +262,20 @@
 	}
 	c.storeWhileLeadingOr(StoreCall{Op: StoreGet, Key: jobKeys + id}, no, func(r StoreReply) {
 		var rec *JobRecord
-		if r.Outcome == OK {
+		if r.Outcome == rpc.OK {
 			rec, _ = r.Entries[0].Value.(*JobRecord)
 		}
 		switch {
 		case !l.unreadableJobs[id]: // somebody else's question has seen to it
 			c.serve(call)
-		case r.Outcome == NotFound:
+		case r.Outcome == rpc.NotFound:
 			delete(l.unreadableJobs, id)
 			c.serve(call)
 		case rec == nil || rec.Spec.ID != id:
 			no()
 		default:
 			c.storeWhileLeadingOr(StoreCall{Op: StoreList, Key: doneKeys + id + "/", Limit: 400}, no, func(p StoreReply) {
-				if p.Outcome != OK || p.More {
+				if p.Outcome != rpc.OK || p.More {
 					no()
 					return
 				}
@@ -333,7 +335,7 @@
 			c.answer(call, unavailable("data was lost, and what there is is being looked for"))
 		case v == nil:
 			c.confirmTerm(noRecordOf(call.ID), func(r StoreReply) {
-				if r.Outcome == OK && c.canAct() {
+				if r.Outcome == rpc.OK && c.canAct() {
 					missing()
 				} else {
 					c.answer(call, unavailable("the state service does not answer"))
@@ -352,7 +354,7 @@
 // adopt takes on a job whose record exists but which memory lacks.
 func (c *Core) adopt(id string, then, otherwise func()) {
 	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: jobKeys + id}, func(r StoreReply) {
-		if r.Outcome != OK {
+		if r.Outcome != rpc.OK {
 			otherwise()
 			return
 		}
@@ -478,12 +480,12 @@
 }
 
 // unschedulable says why a job can never run, and by which of its fields, or "".
-func (c *Core) unschedulable(s *JobSpec) (field, reason string) {
+func (c *Core) unschedulable(s *spec.Job) (field, reason string) {
 	return unschedulableOn(s, c.leadership.teams[s.Owner], c.leadership.autoscaler.instanceTypes)
 }
 
 // unschedulableOn is unschedulable for its team, nil if there is none of that name, and types.
-func unschedulableOn(s *JobSpec, t *team, flavors []InstanceType) (field, reason string) {
+func unschedulableOn(s *spec.Job, t *team, flavors []InstanceType) (field, reason string) {
 	if t == nil || !t.configured {
 		return "owner", "unknown team " + s.Owner
 	}
@@ -528,7 +530,7 @@
 
 // admissionRefused judges a dated job against the timelines of the machines at hand and
 // of the types that can be rented, and asks the policy.
-func (c *Core) admissionRefused(s *JobSpec) (time.Duration, bool) {
+func (c *Core) admissionRefused(s *spec.Job) (time.Duration, bool) {
 	if !s.HasDeadline || c.pol.NeverRefuses() {
 		return 0, false // what the timelines say is a search over the whole fleet
 	}
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
 )
@@ -50,7 +52,7 @@
 
 // settle answers every call that waits: writes with the outcome, reads with nothing
 // found, and returns how many writes there were.
-func (d *desk) settle(o Outcome) (writes int) {
+func (d *desk) settle(o rpc.Outcome) (writes int) {
 	calls := d.calls
 	d.calls = nil
 	for _, x := range calls {
@@ -61,11 +63,11 @@
 				writes++
 				r.Outcome = o
 			} else if x.Op == StoreGet {
-				r.Outcome = NotFound
+				r.Outcome = rpc.NotFound
 			}
 			d.in(r)
 		case CloudCall:
-			r := CloudReply{Ref: x.Ref, Outcome: Refused}
+			r := CloudReply{Ref: x.Ref, Outcome: rpc.Refused}
 			if x.Op == CloudRelease {
 				writes++
 				r.Outcome = o
@@ -79,13 +81,13 @@
 // finish lets all that is on its way come to its end.
 func (d *desk) finish() {
 	for range 10 {
-		d.settle(OK)
+		d.settle(rpc.OK)
 		d.pass(100 * time.Millisecond)
 	}
 }
 
 // user asks as a user does, the answers are in said.
-func (d *desk) user(op UserOp, id string, s *JobSpec, q *ScheduleCall) uint64 {
+func (d *desk) user(op UserOp, id string, s *spec.Job, q *ScheduleCall) uint64 {
 	d.ref++
 	d.in(UserCall{Ref: d.ref, Op: op, ID: id, Spec: s, Schedule: q})
 	return d.ref
@@ -102,10 +104,10 @@
 }
 
 // report sends the machine's report and returns the orders that it gets.
-func (d *desk) report(host string, counter uint64, tasks ...TaskReport) []Order {
+func (d *desk) report(host string, counter uint64, tasks ...heartbeat.Task) []heartbeat.Order {
 	d.ref++
 	ref := d.ref
-	d.in(ReportIn{Ref: ref, Report: Report{Host: host, Address: host, InstanceType: "f2", Zone: "a", Spot: true, Incarnation: 1, Counter: counter, FencingToken: 1, Tasks: tasks}})
+	d.in(ReportIn{Ref: ref, Report: heartbeat.Report{Host: host, Address: host, InstanceType: "f2", Zone: "a", Spot: true, Incarnation: 1, Counter: counter, FencingToken: 1, Tasks: tasks}})
 	d.pass(5 * time.Second)
 	for _, o := range d.said {
 		if a, ok := o.(AnswerReport); ok && a.Ref == ref {
@@ -115,27 +117,27 @@
 	return nil
 }
 
-func verbs(os []Order, v Verb) []Order {
-	return slices.DeleteFunc(slices.Clone(os), func(o Order) bool { return o.Verb != v })
+func verbs(os []heartbeat.Order, v heartbeat.Verb) []heartbeat.Order {
+	return slices.DeleteFunc(slices.Clone(os), func(o heartbeat.Order) bool { return o.Verb != v })
 }
 
-func plainJob(id string, tasks int) *JobSpec {
-	return &JobSpec{ID: id, Class: "c", Owner: "t", Urgency: Standard, Tasks: tasks, CPUs: 1, MemGB: 1, Image: "i", AllowSpot: true, Runtime: time.Minute}
+func plainJob(id string, tasks int) *spec.Job {
+	return &spec.Job{ID: id, Class: "c", Owner: "t", Urgency: spec.Standard, Tasks: tasks, CPUs: 1, MemGB: 1, Image: "i", AllowSpot: true, Runtime: time.Minute}
 }
 
 // running has a job accepted and its tasks started on the machine.
-func (d *desk) running(id string, tasks int) []TaskReport {
+func (d *desk) running(id string, tasks int) []heartbeat.Task {
 	d.user(OpSubmit, id, plainJob(id, tasks), nil)
 	d.finish()
-	var ts []TaskReport
-	for _, o := range verbs(d.report("host-000000", 10), Start) {
-		ts = append(ts, TaskReport{Task: o.Task, Try: o.Try, Phase: TaskRuns})
+	var ts []heartbeat.Task
+	for _, o := range verbs(d.report("host-000000", 10), heartbeat.Start) {
+		ts = append(ts, heartbeat.Task{Task: o.Task, Try: o.Try, Phase: heartbeat.TaskRuns})
 	}
 	if len(ts) != tasks {
 		d.Fatalf("%d of %d tasks start", len(ts), tasks)
 	}
 	d.report("host-000000", 11, ts...)
-	d.settle(OK)
+	d.settle(rpc.OK)
 	return ts
 }
 
@@ -190,31 +192,31 @@
 		},
 		"done": func(d *desk) func() bool {
 			ts := d.running("wk-1", 1)
-			ts[0].Phase, ts[0].Cause = Exited, CauseDone
+			ts[0].Phase, ts[0].Cause = heartbeat.Exited, CauseDone
 			d.report("host-000000", 12, ts...)
 			return func() bool { return d.answer(d.user(OpGet, "wk-1", nil, nil)).View.State == Done }
 		},
 		"a reap at the end of a job": func(d *desk) func() bool {
 			ts := d.running("wk-1", 1)
-			ts[0].Phase, ts[0].Cause = Exited, CauseDone
+			ts[0].Phase, ts[0].Cause = heartbeat.Exited, CauseDone
 			n := uint64(12)
-			return func() bool { n++; return len(verbs(d.report("host-000000", n, ts...), Reap)) > 0 }
+			return func() bool { n++; return len(verbs(d.report("host-000000", n, ts...), heartbeat.Reap)) > 0 }
 		},
 		"a reap of what was done twice": func(d *desk) func() bool {
 			ts := d.running("wk-1", 1)
-			ts[0].Phase, ts[0].Cause = Exited, CauseDone
+			ts[0].Phase, ts[0].Cause = heartbeat.Exited, CauseDone
 			d.report("host-000000", 12, ts...) // the final record goes on its way
 			n := uint64(1)
 			return func() bool { // another attempt of an earlier term ends as well
 				n++
-				return len(verbs(d.report("host-2", n, TaskReport{Task: ts[0].Task, Try: 3, Phase: Exited, Cause: CauseDone}), Reap)) > 0
+				return len(verbs(d.report("host-2", n, heartbeat.Task{Task: ts[0].Task, Try: 3, Phase: heartbeat.Exited, Cause: CauseDone}), heartbeat.Reap)) > 0
 			}
 		},
 		"a reap in the middle of a job": func(d *desk) func() bool {
 			ts := d.running("wk-1", 2)
-			ts[0].Phase, ts[0].Cause = Exited, CauseDone
+			ts[0].Phase, ts[0].Cause = heartbeat.Exited, CauseDone
 			n := uint64(12)
-			return func() bool { n++; return len(verbs(d.report("host-000000", n, ts...), Reap)) > 0 }
+			return func() bool { n++; return len(verbs(d.report("host-000000", n, ts...), heartbeat.Reap)) > 0 }
 		},
 		"a start on a new machine": func(d *desk) func() bool {
 			m := d.c.leadership.fleet[0]
@@ -222,7 +224,7 @@
 			d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
 			d.finish()
 			n := uint64(0)
-			return func() bool { n++; return len(verbs(d.report("host-2", n), Start)) > 0 }
+			return func() bool { n++; return len(verbs(d.report("host-2", n), heartbeat.Start)) > 0 }
 		},
 		"a release": func(d *desk) func() bool {
 			d.running("wk-1", 1)
@@ -242,7 +244,7 @@
 		"schedule removed": schedules(OpScheduleDelete),
 		"schedule run now": schedules(OpScheduleRun),
 	} {
-		for _, bad := range []Outcome{Unknown, Refused} {
+		for _, bad := range []rpc.Outcome{rpc.Unknown, rpc.Refused} {
 			t.Run(name, func(t *testing.T) {
 				d := newDesk(t)
 				promised := promise(d)
@@ -262,7 +264,7 @@
 					t.Fatal("said on the word of no write")
 				}
 				for range 20 {
-					d.settle(OK)
+					d.settle(rpc.OK)
 					d.pass(500 * time.Millisecond)
 				}
 				if !promised() {
@@ -283,7 +285,7 @@
 			if !slices.Contains(call.Conditions, Condition{termKey, 1}) {
 				t.Errorf("a write without the condition of the term: %+v", call.Conditions)
 			}
-			d.in(StoreReply{Ref: call.Ref, Outcome: Conflict, FailedKeys: []string{termKey}})
+			d.in(StoreReply{Ref: call.Ref, Outcome: rpc.Conflict, FailedKeys: []string{termKey}})
 		}
 	}
 	if a := d.answer(ref); a.Status != 503 {
@@ -316,12 +318,12 @@
 // TestNothingFound: 404 takes two answers of the state service that say so, and one that
 // its data is what this leader's term is on record with.
 func TestNothingFound(t *testing.T) {
-	for _, o := range []Outcome{NotFound, Unknown, Refused, Invalid} {
+	for _, o := range []rpc.Outcome{rpc.NotFound, rpc.Unknown, rpc.Refused, rpc.Invalid} {
 		d := newDesk(t)
 		ref := d.user(OpGet, "wk-1", nil, nil)
 		for i := range 2 {
 			call := d.calls[len(d.calls)-1].(StoreCall)
-			r := StoreReply{Ref: call.Ref, Outcome: NotFound}
+			r := StoreReply{Ref: call.Ref, Outcome: rpc.NotFound}
 			if i == 1 {
 				r.Outcome = o
 			}
@@ -330,7 +332,7 @@
 			}
 			d.in(r)
 		}
-		if o != NotFound {
+		if o != rpc.NotFound {
 			if a := d.answer(ref); a.Status != 503 {
 				t.Errorf("outcome %v: %+v", o, a)
 			}
@@ -341,9 +343,9 @@
 			if call.Op != StoreTxn || len(call.Writes) > 0 || d.answer(ref).Status != 0 {
 				t.Fatalf("an answer before it is sure: %+v", call)
 			}
-			want, r := 404, StoreReply{Ref: call.Ref, Outcome: OK}
+			want, r := 404, StoreReply{Ref: call.Ref, Outcome: rpc.OK}
 			if !sure {
-				want, r = 503, StoreReply{Ref: call.Ref, Outcome: Conflict, FailedKeys: []string{termKey}}
+				want, r = 503, StoreReply{Ref: call.Ref, Outcome: rpc.Conflict, FailedKeys: []string{termKey}}
 			}
 			d.in(r)
 			if a := d.answer(ref); a.Status != want {
@@ -352,7 +354,7 @@
 			if sure { // and once more
 				ref = d.user(OpGet, "wk-2", nil, nil)
 				for range 2 {
-					d.in(StoreReply{Ref: d.calls[len(d.calls)-1].(StoreCall).Ref, Outcome: NotFound})
+					d.in(StoreReply{Ref: d.calls[len(d.calls)-1].(StoreCall).Ref, Outcome: rpc.NotFound})
 				}
 			}
 		}
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/timeline"
 )
 
@@ -13,12 +14,12 @@
 // attempt is one attempt of a task on a machine: from the order to start it until
 // the worker has forgotten it.
 type attempt struct {
-	id             TaskID
+	id             heartbeat.TaskID
 	number         uint64
 	machine        *machine
 	job            *job // nil: of no job that we know
 	need           timeline.Resources
-	phase          Phase
+	phase          heartbeat.Phase
 	occupies       bool   // counts against machine, team and job
 	orderedCounter uint64 // the counter of the report whose reply carried the start
 	orderedAt      time.Time
@@ -36,18 +37,18 @@
 
 // adoptAttempt makes a task known that a worker lists and we did not start: of an
 // earlier term, or of a job that is over.
-func (c *Core) adoptAttempt(m *machine, t *TaskReport) *attempt {
+func (c *Core) adoptAttempt(m *machine, t *heartbeat.Task) *attempt {
 	r := &attempt{id: t.Task, number: t.Try, machine: m, phase: Ordered, orderedAt: c.now, orderedCounter: 0}
 	m.attempts = append(m.attempts, r)
 	j := c.leadership.jobs[t.Task.Job]
 	if j != nil && t.Task.Index >= j.spec.Tasks {
 		j = nil
 	}
-	if t.Phase == Exited {
+	if t.Phase == heartbeat.Exited {
 		r.job = j
 		return r
 	}
-	r.foundRunning = t.Phase != Pulling
+	r.foundRunning = t.Phase != heartbeat.Pulling
 	if j != nil {
 		// A later attempt was only ordered once the earlier one was surely gone: what told
 		// of that one was late, and the one that runs is this.
@@ -166,16 +167,16 @@
 }
 
 // updateAttempt takes in the state of one task.
-func (c *Core) updateAttempt(r *attempt, t *TaskReport) {
-	if r.phase == Exited {
+func (c *Core) updateAttempt(r *attempt, t *heartbeat.Task) {
+	if r.phase == heartbeat.Exited {
 		return
 	}
 	m, j := r.machine, r.job
 	if r.phase == Ordered && r.orderedCounter > 0 {
 		m.unlistedStarts = 0
 	}
-	if t.Phase != Exited {
-		if t.Phase == TaskRuns && r.phase != TaskRuns {
+	if t.Phase != heartbeat.Exited {
+		if t.Phase == heartbeat.TaskRuns && r.phase != heartbeat.TaskRuns {
 			r.startedAt = c.now
 			if j != nil {
 				m.images.Add(j.spec.Image, struct{}{})
@@ -187,12 +188,12 @@
 		}
 		r.phase = t.Phase
 		if r.occupies {
-			c.countRunning(r, t.Phase == TaskRuns || t.Phase == Checkpointing)
+			c.countRunning(r, t.Phase == heartbeat.TaskRuns || t.Phase == heartbeat.Checkpointing)
 		}
 		return
 	}
 	was := r.phase
-	r.phase = Exited
+	r.phase = heartbeat.Exited
 	held := r.occupies
 	c.vacate(r)
 	i := r.id.Index
@@ -206,7 +207,7 @@
 			return
 		}
 		if j != nil && !r.forgettable && !j.halted() {
-			if was == TaskRuns && !r.startedAt.IsZero() && !r.foundRunning {
+			if was == heartbeat.TaskRuns && !r.startedAt.IsZero() && !r.foundRunning {
 				c.recordRuntime(j, m, c.now.Sub(r.startedAt))
 			}
 			j.completed = append(j.completed, r)
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -12,6 +12,9 @@
 	"golang.org/x/time/rate"
 
 	"yewpass/internal/config"
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/rpc"
+	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
 
@@ -90,7 +93,7 @@
 		if c.leadership != l {
 			return
 		}
-		if r.Outcome != OK || len(r.InstanceTypes) == 0 {
+		if r.Outcome != rpc.OK || len(r.InstanceTypes) == 0 {
 			if !l.autoscaler.catalogUnreadable {
 				l.autoscaler.catalogUnreadable = true
 				c.note(slog.LevelWarn, "machine types cannot be read", "known", len(l.autoscaler.instanceTypes))
@@ -131,7 +134,7 @@
 		if c.leadership != l {
 			return
 		}
-		if r.Outcome != OK {
+		if r.Outcome != rpc.OK {
 			c.afterWhileLeading(c.jitter(again), func() { c.listInstances("", nil) })
 			return
 		}
@@ -191,7 +194,7 @@
 			return
 		}
 		rent.releaseInFlight = false
-		if r.Outcome != OK {
+		if r.Outcome != rpc.OK {
 			return // still in the list of releases: tried again
 		}
 		for _, h := range hosts {
@@ -386,7 +389,7 @@
 		return
 	}
 	for _, r := range m.attempts {
-		if r.phase == Exited || r.stopRequested || r.job == nil {
+		if r.phase == heartbeat.Exited || r.stopRequested || r.job == nil {
 			continue
 		}
 		left := m.interruptionAt.Sub(c.now)
@@ -395,10 +398,10 @@
 		case m.interruptionAt.IsZero():
 			// Only what saves is moved, and only when it has long to go.
 			s := &r.job.spec
-			if r.phase != TaskRuns || s.CheckpointInterval <= 0 || c.remaining(r) < 2*s.CheckpointTime+10*time.Second {
+			if r.phase != heartbeat.TaskRuns || s.CheckpointInterval <= 0 || c.remaining(r) < 2*s.CheckpointTime+10*time.Second {
 				continue
 			}
-		case r.phase == TaskRuns && !r.job.spec.Service:
+		case r.phase == heartbeat.TaskRuns && !r.job.spec.Service:
 			end := r.startedAt.Add(c.estimate(r.job))
 			if end.Before(m.interruptionAt) {
 				continue
@@ -623,7 +626,7 @@
 		return
 	}
 	for short > 0.5 {
-		any := &JobSpec{AllowSpot: !ordinary}
+		any := &spec.Job{AllowSpot: !ordinary}
 		got := c.requestInstances(any, short, work/max(total, 1) > ordinaryBar.Seconds(), false)
 		if !got {
 			return
@@ -639,7 +642,7 @@
 
 // requestInstances sends one request for machines that suit the job; false if none could
 // be sent. Nothing is rented in a zone that is cut off, but as a probe.
-func (c *Core) requestInstances(s *JobSpec, cpus float64, pressing, probe bool) bool {
+func (c *Core) requestInstances(s *spec.Job, cpus float64, pressing, probe bool) bool {
 	l := c.leadership
 	room := c.maxFleet() - len(l.fleet) - l.autoscaler.requested()
 	if l.autoscaler.fleetFull != (room <= 0) {
@@ -726,7 +729,7 @@
 			return
 		}
 		switch r.Outcome {
-		case OK:
+		case rpc.OK:
 			delete(l.autoscaler.pending, name)
 			for _, h := range r.Hosts {
 				if l.released.has(h) {
@@ -743,12 +746,12 @@
 				l.autoscaler.noCapacityUntil[w.instanceOffer] = c.now.Add(c.jitter(10 * time.Second))
 			}
 			l.dispatchAll = true
-		case Refused:
+		case rpc.Refused:
 			delete(l.autoscaler.pending, name)
 			l.zones.Zone(w.zone).Refused(c.now)
 			l.autoscaler.noCapacityUntil[w.instanceOffer] = c.now.Add(c.jitter(10 * time.Second))
 			c.note(slog.LevelInfo, "rental refused", "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.count)
-		case Invalid:
+		case rpc.Invalid:
 			delete(l.autoscaler.pending, name)
 			l.autoscaler.noCapacityUntil[w.instanceOffer] = c.now.Add(time.Minute)
 			c.note(slog.LevelError, "rental rejected as malformed", "type", w.instanceType, "zone", w.zone)
--- a/internal/core/bitset_test.go
+++ b/internal/core/bitset_test.go
@@ -3,13 +3,14 @@
 import (
 	"math/rand/v2"
 	"testing"
+	"yewpass/internal/spec"
 )
 
 // TestChunks: progress is read back as written and stays small, however the
 // finished tasks are scattered.
 func TestChunks(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
-	for _, tasks := range []int{1, 63, 64, 65, 1000, chunkTasks, chunkTasks + 1, MaxTasks} {
+	for _, tasks := range []int{1, 63, 64, 65, 1000, chunkTasks, chunkTasks + 1, spec.MaxTasks} {
 		for _, part := range []float64{0, 0.001, 0.5, 1} {
 			in, out := newBitset(tasks), newBitset(tasks)
 			for i := range tasks {
@@ -51,7 +52,7 @@
 		f.Add(chunkTasks, chunkTasks+70, s)
 	}
 	f.Fuzz(func(t *testing.T, from, tasks int, s string) {
-		if tasks < 1 || tasks > MaxTasks || from < 0 || from >= tasks || from%chunkTasks != 0 {
+		if tasks < 1 || tasks > spec.MaxTasks || from < 0 || from >= tasks || from%chunkTasks != 0 {
 			return
 		}
 		b := newBitset(tasks)
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -12,6 +12,7 @@
 	"yewpass/internal/config"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/replica"
+	"yewpass/internal/rpc"
 )
 
 // Configuration that changes while the service runs. Its records lie with those that a
@@ -216,12 +217,12 @@
 	conf.rereading = true
 	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: configHeadKey}, func(r StoreReply) {
 		conf.rereading = false
-		if r.Outcome != OK && r.Outcome != NotFound {
+		if r.Outcome != rpc.OK && r.Outcome != rpc.NotFound {
 			return // the next renewal finds the same
 		}
 		var found liveconfig.HeadRecord
 		var rev uint64
-		if r.Outcome == OK {
+		if r.Outcome == rpc.OK {
 			rev = r.Entries[0].Rev
 			if rec, _ := r.Entries[0].Value.(*liveconfig.HeadRecord); rec != nil {
 				found = *rec
@@ -255,7 +256,7 @@
 	var page func(from string)
 	page = func(from string) {
 		c.storeWhileLeading(StoreCall{Op: StoreList, Key: configKeys, From: from, Limit: 400}, func(r StoreReply) {
-			if r.Outcome != OK {
+			if r.Outcome != rpc.OK {
 				c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { page(from) })
 				return
 			}
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -9,6 +9,8 @@
 
 	"yewpass/internal/config"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/rpc"
+	"yewpass/internal/spec"
 )
 
 // configLeader is a leader with two other controllers in reach.
@@ -61,7 +63,7 @@
 	if got := c.leadership.teams["t"].limit.CPU; got != 0 {
 		t.Errorf("in force before it is on record: %d", got)
 	}
-	outs := c.Step(c.now, StoreReply{Ref: txn.Ref, Outcome: OK, Rev: 40})
+	outs := c.Step(c.now, StoreReply{Ref: txn.Ref, Outcome: rpc.OK, Rev: 40})
 	if got := c.leadership.teams["t"].limit.CPU; got != 7000 {
 		t.Errorf("not in force once it is on record: %d", got)
 	}
@@ -108,11 +110,11 @@
 			}
 		}
 	}
-	count(c.Step(c.now, StoreReply{Ref: read.Ref, Outcome: OK, Entries: []Entry{{Key: configHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
+	count(c.Step(c.now, StoreReply{Ref: read.Ref, Outcome: rpc.OK, Entries: []Entry{{Key: configHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
 	if !confirmed || c.leadership.config.state.Revision != 1 || c.leadership.config.headRev != 40 || c.leadership.teams["t"].limit.CPU != 7000 {
 		t.Errorf("confirmed %v, revision %d, head %d", confirmed, c.leadership.config.state.Revision, c.leadership.config.headRev)
 	}
-	count(c.Step(c.now, StoreReply{Ref: txn.Ref, Outcome: Unknown}))
+	count(c.Step(c.now, StoreReply{Ref: txn.Ref, Outcome: rpc.Unknown}))
 	for range 300 {
 		c.now = c.now.Add(10 * time.Millisecond)
 		for _, o := range c.Step(c.now, Tick{}) {
@@ -175,7 +177,7 @@
 func TestRetiredTeam(t *testing.T) {
 	c := leaderOf(t, 1)
 	c.applyTeam(liveconfig.Team{Name: "t", CPUs: 5, Retired: true})
-	spec := &JobSpec{ID: "wk-1", Owner: "t", Tasks: 1, CPUs: 1}
+	spec := &spec.Job{ID: "wk-1", Owner: "t", Tasks: 1, CPUs: 1}
 	if field, reason := c.unschedulable(spec); field != "owner" || reason == "" {
 		t.Errorf("%q %q", field, reason)
 	}
@@ -303,7 +305,7 @@
 			case StoreCall:
 				if o.Op == StoreTxn && len(o.Writes) > 0 {
 					rev++
-					outs = append(outs, c.Step(c.now, StoreReply{Ref: o.Ref, Outcome: OK, Rev: rev})...)
+					outs = append(outs, c.Step(c.now, StoreReply{Ref: o.Ref, Outcome: rpc.OK, Rev: rev})...)
 				}
 			}
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,6 +13,7 @@
 	"yewpass/internal/lease"
 	"yewpass/internal/policy"
 	"yewpass/internal/recovery"
+	"yewpass/internal/rpc"
 	"yewpass/internal/zones"
 )
 
@@ -263,8 +264,8 @@
 const storeOutageThreshold = 500 * time.Millisecond
 
 // noteStoreOutcome logs when the state service goes away and comes back.
-func (c *Core) noteStoreOutcome(o Outcome) {
-	up := o != Refused && o != Unknown
+func (c *Core) noteStoreOutcome(o rpc.Outcome) {
+	up := o != rpc.Refused && o != rpc.Unknown
 	if up {
 		c.storeServedAt = c.now
 	}
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"slices"
 	"time"
+	"yewpass/internal/rpc"
 )
 
 // The state service may lose data: all of it, some of it, or go back to an older copy of
@@ -95,7 +96,7 @@
 	l := c.leadership
 	when := append([]Condition{{termKey, l.termRevision}, {leaderKey, l.termRevision}}, more...)
 	c.storeWhileLeading(StoreCall{Op: StoreTxn, Conditions: when, Timeout: leaseTTL / 2}, func(r StoreReply) {
-		if r.Outcome == Conflict && (slices.Contains(r.FailedKeys, termKey) || slices.Contains(r.FailedKeys, leaderKey)) {
+		if r.Outcome == rpc.Conflict && (slices.Contains(r.FailedKeys, termKey) || slices.Contains(r.FailedKeys, leaderKey)) {
 			c.resign("the term is not on record any more")
 		}
 		f(r)
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -9,6 +9,9 @@
 	"testing"
 	"time"
 
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/rpc"
+	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
 
@@ -55,7 +58,7 @@
 	c := leaderOf(t, 0)
 	p := &c.leadership.writes
 	ch := &change{writes: []Write{{Key: "a", Value: &TermRecord{Term: 1}}}}
-	c.handleBatchReply([]*change{ch}, StoreReply{Outcome: Conflict, FailedKeys: []string{"something else"}})
+	c.handleBatchReply([]*change{ch}, StoreReply{Outcome: rpc.Conflict, FailedKeys: []string{"something else"}})
 	if !p.pausedUntil.After(c.now) || len(p.queued[priorityUrgent]) != 1 {
 		t.Errorf("pause until %v, %d wait", p.pausedUntil, len(p.queued[priorityUrgent]))
 	}
@@ -67,9 +70,9 @@
 	c := leaderOf(t, 0)
 	p := &c.leadership.writes
 	bad, good := &change{writes: []Write{{Key: "a"}}}, &change{writes: []Write{{Key: "b"}}}
-	c.handleBatchReply([]*change{bad, good}, StoreReply{Outcome: Invalid})
+	c.handleBatchReply([]*change{bad, good}, StoreReply{Outcome: rpc.Invalid})
 	p.take(&p.queued[priorityUrgent], 9)
-	c.handleBatchReply([]*change{bad}, StoreReply{Outcome: Invalid})
+	c.handleBatchReply([]*change{bad}, StoreReply{Outcome: rpc.Invalid})
 	if w := p.queued[priorityUrgent]; len(w) != 1 || w[0] != good {
 		t.Errorf("%d wait", len(w))
 	}
@@ -88,7 +91,7 @@
 			t.Errorf("%g: %d, %d thousandths", x, up, down)
 		}
 		// The most that a job may take, summed over all of its tasks.
-		if s := (timeline.Resources{}).Add(timeline.Need(x, x, x), MaxTasks); s.CPU < 0 && x > 0 || s.Mem < 0 && x > 0 {
+		if s := (timeline.Resources{}).Add(timeline.Need(x, x, x), spec.MaxTasks); s.CPU < 0 && x > 0 || s.Mem < 0 && x > 0 {
 			t.Errorf("%g: the sum turns round: %v", x, s)
 		}
 		if d := timeline.Seconds(x); d > timeline.Forever || d < -timeline.Forever || x > 0 && d < 0 || x < 0 && d > 0 {
@@ -152,7 +155,7 @@
 	c.leaseTiming.CancelTimeout = 0 // no hold
 	now, rev := t0, uint64(10)
 	var done func(in any)
-	orders := map[uint64][]Order{}
+	orders := map[uint64][]heartbeat.Order{}
 	statuses := map[uint64]int{}
 	done = func(in any) {
 		for _, o := range append([]any(nil), c.Step(now, in)...) {
@@ -160,7 +163,7 @@
 			case StoreCall:
 				r := StoreReply{Ref: o.Ref, Rev: rev}
 				if o.Op == StoreGet {
-					r.Outcome = NotFound
+					r.Outcome = rpc.NotFound
 				} else if o.Op == StoreTxn {
 					rev++
 					r.Rev = rev
@@ -171,7 +174,7 @@
 			case CloudCall:
 				r := CloudReply{Ref: o.Ref}
 				if o.Op == CloudScaleOut {
-					r.Outcome = Refused
+					r.Outcome = rpc.Refused
 				} else if o.Op == CloudCatalog {
 					r.InstanceTypes = l.autoscaler.instanceTypes
 				}
@@ -182,7 +185,7 @@
 		}
 	}
 	ref := uint64(1e6)
-	say := func(r Report) int {
+	say := func(r heartbeat.Report) int {
 		ref++
 		delete(orders, ref)
 		done(ReportIn{Ref: ref, Report: r})
@@ -202,8 +205,8 @@
 	var early, ran int
 	for i := range day * days {
 		host := fmt.Sprintf("host-1%07d", i)
-		r := Report{Host: host, Address: host + ":9000", InstanceType: "f2", Zone: "a", Spot: true, Incarnation: 1, FencingToken: l.term}
-		j := &JobSpec{ID: fmt.Sprintf("wk-%07d", i), Class: fmt.Sprint("class ", i), Owner: "t", Tasks: 2, CPUs: 1, MemGB: 1, Image: fmt.Sprint("img", i), AllowSpot: true, Runtime: time.Minute}
+		r := heartbeat.Report{Host: host, Address: host + ":9000", InstanceType: "f2", Zone: "a", Spot: true, Incarnation: 1, FencingToken: l.term}
+		j := &spec.Job{ID: fmt.Sprintf("wk-%07d", i), Class: fmt.Sprint("class ", i), Owner: "t", Tasks: 2, CPUs: 1, MemGB: 1, Image: fmt.Sprint("img", i), AllowSpot: true, Runtime: time.Minute}
 		r.Counter++
 		say(r) // has it recorded
 		done(UserCall{Ref: uint64(i) + 5e6, Op: OpSubmit, ID: j.ID, Spec: j})
@@ -211,17 +214,17 @@
 			r.Counter++
 			say(r)
 			for k := range r.Tasks { // what was told to run runs, and is done
-				r.Tasks[k].Phase, r.Tasks[k].Cause = Exited, CauseDone
+				r.Tasks[k].Phase, r.Tasks[k].Cause = heartbeat.Exited, CauseDone
 				if round == 1 {
-					r.Tasks[k].Phase = TaskRuns
+					r.Tasks[k].Phase = heartbeat.TaskRuns
 				}
 			}
 			for _, o := range orders[ref] {
 				switch o.Verb {
-				case Start:
+				case heartbeat.Start:
 					ran++
-					r.Tasks = append(r.Tasks, TaskReport{Task: o.Task, Try: o.Try, Phase: TaskRuns})
-				case Reap:
+					r.Tasks = append(r.Tasks, heartbeat.Task{Task: o.Task, Try: o.Try, Phase: heartbeat.TaskRuns})
+				case heartbeat.Reap:
 					for k := range r.Tasks {
 						if r.Tasks[k].Try == o.Try {
 							r.Tasks = append(r.Tasks[:k], r.Tasks[k+1:]...)
@@ -275,7 +278,7 @@
 		t.Fatal("does not lead")
 	}
 	c.SetClockOffset(time.Hour)
-	for _, o := range c.Step(t0.Add(time.Millisecond), ReportIn{Ref: 5, Report: Report{Host: l.fleet[0].host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: 2, FencingToken: 1}}) {
+	for _, o := range c.Step(t0.Add(time.Millisecond), ReportIn{Ref: 5, Report: heartbeat.Report{Host: l.fleet[0].host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: 2, FencingToken: 1}}) {
 		if a, ok := o.(AnswerReport); ok && len(a.Orders) > 0 {
 			t.Errorf("starts after an hour's sleep: %+v", a)
 		}
@@ -311,8 +314,8 @@
 func TestPoisonedRecord(t *testing.T) {
 	c := leaderOf(t, 1)
 	l := c.leadership
-	bad := &JobRecord{Spec: JobSpec{ID: "wk-1", Owner: "t", Tasks: -1000}} // no bitset has so few members
-	good := &JobRecord{Spec: JobSpec{ID: "wk-2", Owner: "t", Tasks: 2}}
+	bad := &JobRecord{Spec: spec.Job{ID: "wk-1", Owner: "t", Tasks: -1000}} // no bitset has so few members
+	good := &JobRecord{Spec: spec.Job{ID: "wk-2", Owner: "t", Tasks: 2}}
 	c.loadRecord(Entry{Key: jobKeys + "wk-1", Value: bad, Rev: 3})
 	c.loadRecord(Entry{Key: jobKeys + "wk-2", Value: good, Rev: 4})
 	if l.jobs["wk-1"] != nil || !l.unreadableJobs["wk-1"] || l.jobs["wk-2"] == nil {
@@ -323,7 +326,7 @@
 	for i := 0; i < len(outs); i++ {
 		switch o := outs[i].(type) {
 		case StoreCall:
-			r := StoreReply{Ref: o.Ref, Outcome: OK, Rev: 9}
+			r := StoreReply{Ref: o.Ref, Outcome: rpc.OK, Rev: 9}
 			if o.Key == jobKeys+"wk-1" {
 				r.Entries = []Entry{{Key: o.Key, Value: bad, Rev: 3}}
 			}
@@ -348,7 +351,7 @@
 	c := leaderOf(t, 1)
 	m := c.leadership.fleet[0]
 	status := func(counter uint64) int {
-		for _, o := range c.Step(c.now.Add(time.Second), ReportIn{Ref: counter, Report: Report{Host: m.host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 1}}) {
+		for _, o := range c.Step(c.now.Add(time.Second), ReportIn{Ref: counter, Report: heartbeat.Report{Host: m.host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 1}}) {
 			if a, ok := o.(AnswerReport); ok && a.Ref == counter {
 				return a.Status
 			}
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"yewpass/internal/recovery"
+	"yewpass/internal/rpc"
 )
 
 // How a controller learns who leads, and stands for election when nobody does.
@@ -21,12 +22,12 @@
 	// again and again, by every node, until the service serves nobody else.
 	asked := c.ref
 	c.store(StoreCall{Op: StoreList, Key: leaderKey, Limit: 1}, func(r StoreReply) {
-		if r.Outcome == OK && c.firstStoreRevision == 0 {
+		if r.Outcome == rpc.OK && c.firstStoreRevision == 0 {
 			c.firstStoreRevision = max(1, r.Rev)
 		}
 		switch {
 		case c.leadership != nil:
-		case r.Outcome != OK:
+		case r.Outcome != rpc.OK:
 			c.schedule(c.jitter(400*time.Millisecond), c.watchLeader)
 		case len(r.Entries) == 0 || r.Entries[0].Key != leaderKey:
 			// A small random delay keeps the nodes from all standing at once. One without
@@ -61,7 +62,7 @@
 	// or brought back from a copy, stands for nobody, and would keep the nodes from a
 	// leader for ever.
 	c.store(StoreCall{Op: StoreGet, Key: leaderKey}, func(r StoreReply) {
-		still := r.Outcome == OK && r.Entries[0].Rev == e.Rev
+		still := r.Outcome == rpc.OK && r.Entries[0].Rev == e.Rev
 		switch {
 		case c.leadership != nil:
 		case still && r.Entries[0].LeaseID == 0:
@@ -94,7 +95,7 @@
 	}
 	c.note(slog.LevelInfo, "the grant of a former process is given back", "term", rec.Term)
 	c.store(StoreCall{Op: StoreRevokeLease, LeaseID: e.LeaseID}, func(d StoreReply) {
-		if d.Outcome == OK || d.Outcome == NotFound {
+		if d.Outcome == rpc.OK || d.Outcome == rpc.NotFound {
 			c.watchLeader()
 		} else {
 			c.watchLeaderKey(from)
@@ -115,7 +116,7 @@
 	call := watchCall(leaderKey, from)
 	call.Block = leaderWatchTimeout
 	c.store(call, func(r StoreReply) {
-		if r.Outcome == OK {
+		if r.Outcome == rpc.OK {
 			c.watchLeader()
 		} else {
 			c.schedule(c.jitter(400*time.Millisecond), c.watchLeader)
@@ -177,7 +178,7 @@
 	retry := func() { c.schedule(c.jitter(200*time.Millisecond), c.watchLeader) }
 	sent, ahead := c.now, c.clockSkew(c.now) // authority counts from before the grant was asked for
 	c.store(StoreCall{Op: StoreGrantLease, TTL: leaseTTL}, func(g StoreReply) {
-		if g.Outcome != OK {
+		if g.Outcome != rpc.OK {
 			retry()
 			return
 		}
@@ -188,13 +189,13 @@
 			retry()
 		}
 		c.store(StoreCall{Op: StoreGet, Key: termKey}, func(t StoreReply) {
-			if t.Outcome != OK && t.Outcome != NotFound {
+			if t.Outcome != rpc.OK && t.Outcome != rpc.NotFound {
 				drop()
 				return
 			}
 			before := c.observed
-			found := recovery.TermRead{Missing: t.Outcome == NotFound, StoreRevision: t.Rev}
-			if t.Outcome == OK {
+			found := recovery.TermRead{Missing: t.Outcome == rpc.NotFound, StoreRevision: t.Rev}
+			if t.Outcome == rpc.OK {
 				if rec, _ := t.Entries[0].Value.(*TermRecord); rec != nil {
 					found.Term, found.Era = rec.Term, rec.Era
 				}
@@ -219,7 +220,7 @@
 				// What was heard of terms does not count here, only the record: a
 				// peer may say anything. An answer that comes this late finds the
 				// grant over.
-				if r.Outcome != OK || !c.now.Before(c.authorityUntil(sent)) {
+				if r.Outcome != rpc.OK || !c.now.Before(c.authorityUntil(sent)) {
 					drop()
 					return
 				}
@@ -242,7 +243,7 @@
 // transaction that began it, because each begins with a change of its own; so one
 // above the revision at hand is above them all.
 func (c *Core) nextTerm(t StoreReply) (term, rev uint64) {
-	if t.Outcome == NotFound {
+	if t.Outcome == rpc.NotFound {
 		if term = max(t.Rev, c.confirmedTerm, c.observed.Term) + 1; t.Rev > 0 {
 			c.note(slog.LevelWarn, "no term is on record, going on above the state service's revision", "key", termKey, "term", term)
 		}
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"yewpass/internal/replica"
+	"yewpass/internal/rpc"
 )
 
 // How a new leader reads the records of earlier terms and begins its work.
@@ -15,7 +16,7 @@
 // readRecords reads the records of the earlier terms, page by page.
 func (c *Core) readRecords(from string) {
 	c.storeWhileLeading(StoreCall{Op: StoreList, Key: liveKeys, From: from, Limit: 400}, func(r StoreReply) {
-		if r.Outcome != OK {
+		if r.Outcome != rpc.OK {
 			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.readRecords(from) })
 			return
 		}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -6,7 +6,10 @@
 	"testing"
 	"time"
 
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/relay"
+	"yewpass/internal/rpc"
+	"yewpass/internal/spec"
 )
 
 // FuzzInputs: whatever passes the checks at the ports, in whatever order and with
@@ -51,13 +54,15 @@
 		counter := uint64(10)
 		hosts := []string{"host-000000", "host-000001", "host-000002", "host-x", "a"}
 		jobs := []string{"wk-1", "wk-2", "wk-3", "wk-99"}
-		task := func() TaskID { return TaskID{Job: pick(jobs...), Index: []int{0, 1, 7, MaxTasks - 1}[next()%4]} }
+		task := func() heartbeat.TaskID {
+			return heartbeat.TaskID{Job: pick(jobs...), Index: []int{0, 1, 7, spec.MaxTasks - 1}[next()%4]}
+		}
 		difference := func() time.Duration {
 			d := span()
 			return d - span()
 		}
-		report := func() Report {
-			r := Report{Host: pick(hosts...), Address: "x", InstanceType: pick("f0", "f2", "none"), Zone: "a", Spot: next()%2 == 0,
+		report := func() heartbeat.Report {
+			r := heartbeat.Report{Host: pick(hosts...), Address: "x", InstanceType: pick("f0", "f2", "none"), Zone: "a", Spot: next()%2 == 0,
 				Incarnation: 1, FencingToken: 1, HasNotice: next()%9 == 0, Notice: difference()}
 			counter++
 			r.Counter = counter
@@ -73,12 +78,12 @@
 				r.FencingToken = num()
 			}
 			for range next() % 4 {
-				r.Tasks = append(r.Tasks, TaskReport{Task: task(), Try: num(), Phase: []Phase{Pulling, TaskRuns, Checkpointing, Exited}[next()%4], Cause: pick(CauseDone, CauseError, CauseNoRoom, CauseStopped, "?", "")})
+				r.Tasks = append(r.Tasks, heartbeat.Task{Task: task(), Try: num(), Phase: []heartbeat.Phase{heartbeat.Pulling, heartbeat.TaskRuns, heartbeat.Checkpointing, heartbeat.Exited}[next()%4], Cause: pick(CauseDone, CauseError, CauseNoRoom, CauseStopped, "?", "")})
 			}
 			for range next() % 3 { // what it was told to start
 				if m := c.leadership; m != nil && len(m.fleet) > 0 {
 					for _, x := range m.fleet[next()%len(m.fleet)].attempts {
-						r.Tasks = append(r.Tasks, TaskReport{Task: x.id, Try: x.number, Phase: []Phase{TaskRuns, Exited}[next()%2], Cause: CauseDone})
+						r.Tasks = append(r.Tasks, heartbeat.Task{Task: x.id, Try: x.number, Phase: []heartbeat.Phase{heartbeat.TaskRuns, heartbeat.Exited}[next()%2], Cause: CauseDone})
 					}
 				}
 			}
@@ -115,7 +120,7 @@
 			case 1, 2:
 				step(ReportIn{Ref: ref, Report: report()})
 			case 3:
-				s := &JobSpec{ID: pick(jobs...), Class: "c", Owner: pick("t", "nobody"), Service: next()%4 == 0, Urgency: Urgency(next() % 4), Tasks: []int{1, 2, 300, MaxTasks}[next()%4],
+				s := &spec.Job{ID: pick(jobs...), Class: "c", Owner: pick("t", "nobody"), Service: next()%4 == 0, Urgency: spec.Urgency(next() % 4), Tasks: []int{1, 2, 300, spec.MaxTasks}[next()%4],
 					CPUs: amount(1e6), GPUs: amount(1e6), MemGB: amount(1e7), Image: "i", ImageGB: amount(1e6), AllowSpot: next()%2 == 0, SamePlace: next()%4 == 0, Apart: next()%4 == 0,
 					Runtime: span(), CheckpointInterval: span(), CheckpointTime: span(), Deadline: span(), HasDeadline: next()%2 == 0}
 				call := UserCall{Ref: ref, Op: OpSubmit, ID: s.ID, Spec: s, From: pick("", "n1")}
@@ -159,11 +164,11 @@
 				i := next() % len(calls)
 				call := calls[i]
 				calls = slices.Delete(calls, i, i+1)
-				outcome := []Outcome{OK, OK, OK, OK, OK, OK, OK, OK, OK, Conflict, NotFound, Refused, Invalid, Unknown}[next()%14]
+				outcome := []rpc.Outcome{rpc.OK, rpc.OK, rpc.OK, rpc.OK, rpc.OK, rpc.OK, rpc.OK, rpc.OK, rpc.OK, rpc.Conflict, rpc.NotFound, rpc.Refused, rpc.Invalid, rpc.Unknown}[next()%14]
 				switch call := call.(type) {
 				case StoreCall:
 					if call.Op == StoreKeepAlive && next()%40 > 0 {
-						outcome = OK
+						outcome = rpc.OK
 					}
 					if l := c.leadership; l != nil && call.Key == termKey && next()%4 > 0 {
 						step(StoreReply{Ref: call.Ref, Entries: []Entry{{Key: termKey, Value: &TermRecord{Term: l.term}, Rev: l.termRevision}}})
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 	"time"
+	"yewpass/internal/heartbeat"
 )
 
 // Reports of workers: which are believed, and what is learned from them.
@@ -125,7 +126,7 @@
 }
 
 // reconcile takes in what a report says.
-func (c *Core) reconcile(m *machine, rep *Report) {
+func (c *Core) reconcile(m *machine, rep *heartbeat.Report) {
 	l := c.leadership
 	if !m.reported {
 		c.note(slog.LevelDebug, "machine reports", "machine", m.host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -8,13 +8,14 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 	"yewpass/internal/topology"
 )
 
 // job is an accepted job that is not over.
 type job struct {
-	spec            JobSpec
+	spec            spec.Job
 	need            timeline.Resources
 	submitted       time.Time // on the core's clock
 	record          *JobRecord
@@ -389,7 +390,7 @@
 }
 
 // recordSize estimates the bytes of a job's record, with room to spare.
-func recordSize(s *JobSpec) int {
+func recordSize(s *spec.Job) int {
 	n := 700 + 6*(len(s.Class)+len(s.Owner)+len(s.Image)+len(s.Zone))
 	for _, f := range s.InstanceTypes {
 		n += 6*len(f) + 4
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/rpc"
 	"yewpass/internal/topology"
 	"yewpass/internal/zones"
 )
@@ -107,9 +108,9 @@
 	confirm = func() {
 		head := l.config.headRev
 		c.confirmTerm(l.configConds(), func(r StoreReply) {
-			standing = r.Outcome == OK
+			standing = r.Outcome == rpc.OK
 			both()
-			if r.Outcome == Conflict && c.leadership == l && slices.Contains(r.FailedKeys, configHeadKey) {
+			if r.Outcome == rpc.Conflict && c.leadership == l && slices.Contains(r.FailedKeys, configHeadKey) {
 				c.handleConfigConflict(head, confirm)
 			}
 		})
@@ -117,11 +118,11 @@
 	confirm()
 	c.storeWhileLeading(StoreCall{Op: StoreKeepAlive, LeaseID: l.leaseID, TTL: leaseTTL, Timeout: leaseTTL / 2}, func(r StoreReply) {
 		switch r.Outcome {
-		case OK:
+		case rpc.OK:
 			extended = true
 			both()
 			c.afterWhileLeading(max(0, leaseRenewInterval-c.now.Sub(sent)), c.renewLease)
-		case NotFound, Invalid:
+		case rpc.NotFound, rpc.Invalid:
 			c.stepDown("the grant has ended")
 		default:
 			c.afterWhileLeading(c.jitter(leaseRenewInterval/3), c.renewLease)
--- a/internal/core/leaderless.go
+++ b/internal/core/leaderless.go
@@ -8,6 +8,7 @@
 	"golang.org/x/time/rate"
 
 	"yewpass/internal/replica"
+	"yewpass/internal/rpc"
 )
 
 // A submission needs a durable record, not a leader. While a node knows of none, or the
@@ -45,7 +46,7 @@
 		return
 	}
 	c.cloud(CloudCall{Op: CloudCatalog}, func(r CloudReply) {
-		if r.Outcome != OK || len(r.InstanceTypes) == 0 {
+		if r.Outcome != rpc.OK || len(r.InstanceTypes) == 0 {
 			c.schedule(c.jitter(4*time.Second), c.refreshInstanceTypes)
 			return
 		}
@@ -93,11 +94,11 @@
 		Writes:     []Write{{Key: jobKeys + s.ID, Value: rec}, {Key: leaderlessKeys + s.ID, Value: &LeaderRecord{Node: c.cfg.HostName, Term: max(1, c.highestTerm)}}},
 	}, func(r StoreReply) {
 		switch r.Outcome {
-		case OK:
+		case rpc.OK:
 			c.note(slog.LevelInfo, "job accepted without a leader", "job", s.ID)
 			c.replicateLeaderless(rec, r.Rev)
 			c.answer(call, AnswerUser{Status: 201, View: JobView{ID: s.ID, State: Queued}})
-		case Conflict, Unknown:
+		case rpc.Conflict, rpc.Unknown:
 			// It has a record, maybe this one.
 			c.readJob(s.ID, func(v *JobView, known bool) {
 				if known && v != nil {
@@ -121,7 +122,7 @@
 		return
 	}
 	c.store(StoreCall{Op: StoreTxn, Conditions: append(noRecordOf(id), Condition{termKey, c.confirmedTermRevision}, configHeadCond(k))}, func(r StoreReply) {
-		if r.Outcome == OK {
+		if r.Outcome == rpc.OK {
 			c.answer(call, refusal)
 		} else {
 			c.answer(call, no)
@@ -133,7 +134,7 @@
 func (c *Core) watchLeaderlessNotes() {
 	c.storeWhileLeading(StoreCall{Op: StoreList, Key: leaderlessKeys, Limit: 200}, func(r StoreReply) {
 		switch {
-		case r.Outcome != OK:
+		case r.Outcome != rpc.OK:
 			c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
 		case len(r.Entries) > 0:
 			for _, e := range r.Entries {
@@ -142,7 +143,7 @@
 			c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
 		default:
 			c.storeWhileLeading(watchCall(leaderlessKeys, r.Rev), func(f StoreReply) {
-				if f.Outcome == OK {
+				if f.Outcome == rpc.OK {
 					c.watchLeaderlessNotes()
 				} else {
 					c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -8,6 +8,7 @@
 
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/timeline"
 	"yewpass/internal/topology"
 	"yewpass/internal/zones"
@@ -123,7 +124,7 @@
 
 // findAttempt returns the run of an attempt. Workers list tasks in the order of their
 // starts, as we do: the search begins where that has it.
-func (m *machine) findAttempt(id TaskID, try uint64, from int) *attempt {
+func (m *machine) findAttempt(id heartbeat.TaskID, try uint64, from int) *attempt {
 	n := len(m.attempts)
 	for i := range n {
 		if r := m.attempts[(from+i)%n]; r.number == try && r.id == id {
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -5,7 +5,9 @@
 	"testing"
 	"time"
 
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/replica"
+	"yewpass/internal/rpc"
 )
 
 // Two troubles that meet, where one core alone shows what it must do.
@@ -32,7 +34,7 @@
 		l.clockSkew = d.c.clockSkew(d.c.now)
 		d.c.SetClockOffset(ahead)
 		d.ref++
-		d.in(ReportIn{Ref: d.ref, Report: Report{Host: "host-000000", InstanceType: "f2", Zone: "a", Incarnation: 1, Counter: 20, FencingToken: 1, Tasks: ts}})
+		d.in(ReportIn{Ref: d.ref, Report: heartbeat.Report{Host: "host-000000", InstanceType: "f2", Zone: "a", Incarnation: 1, Counter: 20, FencingToken: 1, Tasks: ts}})
 		if a := d.replied(d.ref); (a.Status == 200) != (ahead == 0) {
 			t.Errorf("with the time of day %v ahead the answer is %d", ahead, a.Status)
 		}
@@ -60,7 +62,7 @@
 			d.c.leadership.clockSkew = d.c.clockSkew(d.c.now)
 			d.in(Tick{})
 		}
-		if os := d.report("host-000000", 20, ts...); len(verbs(os, Stop)) != 1 || len(os) != 1 || os[0].Drain != 0 {
+		if os := d.report("host-000000", 20, ts...); len(verbs(os, heartbeat.Stop)) != 1 || len(os) != 1 || os[0].Drain != 0 {
 			t.Errorf("lapsed %v: the machine is told %+v", lapsed, os)
 		}
 		if a := d.answer(cancel); a.Status == 200 {
@@ -79,7 +81,7 @@
 			t.Errorf("told %+v in the end", a)
 		}
 		get = d.user(OpGet, "wk-1", nil, nil)
-		d.settle(OK)
+		d.settle(rpc.OK)
 		if a := d.answer(get); a.Status != 200 || a.View.State != Cancelled {
 			t.Errorf("told %+v once it is committed", a)
 		}
@@ -97,10 +99,10 @@
 	if a := d.answer(first); a.Status != 503 || a.RetryAfter < 5*time.Second {
 		t.Errorf("told %+v", a)
 	}
-	if n := d.settle(OK); n != 0 {
+	if n := d.settle(rpc.OK); n != 0 {
 		t.Error("on record while a lease may outlast it")
 	}
-	ts[0].Phase, ts[0].Cause = Exited, CauseStopped
+	ts[0].Phase, ts[0].Cause = heartbeat.Exited, CauseStopped
 	d.report("host-000000", 20, ts...)
 	again := d.user(OpCancel, "wk-1", nil, nil)
 	d.finish()
@@ -144,7 +146,7 @@
 	d.c.queueJob(j)
 	at := func(host string, try uint64) *attempt {
 		m := d.c.ensureMachine(host, "f2", "a", true)
-		d.c.reconcile(m, &Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []TaskReport{{Task: TaskID{Job: "wk-1"}, Try: try, Phase: TaskRuns}}})
+		d.c.reconcile(m, &heartbeat.Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []heartbeat.Task{{Task: heartbeat.TaskID{Job: "wk-1"}, Try: try, Phase: heartbeat.TaskRuns}}})
 		return m.attempts[0]
 	}
 	old := at("host-x", 3)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 	"time"
+	"yewpass/internal/rpc"
 )
 
 // What controllers say to each other about who leads.
@@ -128,9 +129,9 @@
 	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: termKey}, func(r StoreReply) {
 		l.verifying = false
 		switch {
-		case r.Outcome == OK && r.Entries[0].Rev == l.termRevision:
+		case r.Outcome == rpc.OK && r.Entries[0].Rev == l.termRevision:
 			unfounded()
-		case r.Outcome == OK || r.Outcome == NotFound:
+		case r.Outcome == rpc.OK || r.Outcome == rpc.NotFound:
 			c.stepDown(because)
 		}
 	})
@@ -151,13 +152,13 @@
 			return
 		}
 		var rec *LeaderRecord
-		if r.Outcome == OK {
+		if r.Outcome == rpc.OK {
 			rec, _ = r.Entries[0].Value.(*LeaderRecord)
 		}
 		switch {
 		case rec != nil:
 			c.adoptRecordedLeader(rec, r.Entries[0].Rev, asked)
-		case r.Outcome == OK || r.Outcome == NotFound:
+		case r.Outcome == rpc.OK || r.Outcome == rpc.NotFound:
 			c.verifyEndedClaim(term, again)
 		default:
 			c.schedule(c.jitter(500*time.Millisecond), again)
@@ -173,7 +174,7 @@
 			return
 		}
 		var began *TermRecord
-		if r.Outcome == OK {
+		if r.Outcome == rpc.OK {
 			began, _ = r.Entries[0].Value.(*TermRecord)
 		}
 		switch {
@@ -181,7 +182,7 @@
 			if c.confirmedTerm < term {
 				c.confirmedTerm, c.confirmedTermRevision = term, r.Entries[0].Rev
 			}
-		case r.Outcome == OK || r.Outcome == NotFound:
+		case r.Outcome == rpc.OK || r.Outcome == rpc.NotFound:
 			c.highestTerm, c.knownLeader = c.confirmedTerm, ""
 		default:
 			c.schedule(c.jitter(500*time.Millisecond), again)
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"yewpass/internal/config"
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
 
@@ -66,7 +68,7 @@
 // an array of 100,000 tasks costs no more than a large one.
 const reservationWindow = 256
 
-func allowsInstanceType(s *JobSpec, name string) bool {
+func allowsInstanceType(s *spec.Job, name string) bool {
 	return len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, name)
 }
 
@@ -152,7 +154,7 @@
 		case "wait":
 			f(objective{j.submitted.Add(within + length), false})
 		case "finished":
-			if j.spec.Urgency > Idle {
+			if j.spec.Urgency > spec.Idle {
 				f(objective{j.submitted.Add(within * earlyObjectivePercent / 100), true})
 			}
 			f(objective{j.submitted.Add(within), true})
@@ -377,7 +379,7 @@
 // go ahead of all that has missed an aim, and a guest's spare-time work would take the
 // room of the standing classes.
 func (c *Core) hasNoObjective(j *job) bool {
-	if j.spec.Urgency != Idle || j.spec.Service {
+	if j.spec.Urgency != spec.Idle || j.spec.Service {
 		return false
 	}
 	none := true
@@ -576,7 +578,7 @@
 
 // startOverdue starts a first task of jobs that have waited for long, one each, as far as
 // guarantees and limits let it; blocked reports whether one waits here for more room.
-func (c *Core) startOverdue(m *machine) (os []Order, blocked bool) {
+func (c *Core) startOverdue(m *machine) (os []heartbeat.Order, blocked bool) {
 	l := c.leadership
 	for _, j := range l.overdue {
 		if len(j.reservations) == 0 || len(j.attempts) > 0 || !m.eligibleFor(j) || !c.mayStart(j) || j.team.tasksWithinLimit(j.need, 1) == 0 || c.topologyRoom(j, m, 1) == 0 ||
@@ -608,7 +610,7 @@
 // startTasksOn starts booked tasks on the machine in timeline order while they fit,
 // ahead of their time if need be, wherever they were booked: a machine with
 // free room takes what waits for a busy one.
-func (c *Core) startTasksOn(m *machine) []Order {
+func (c *Core) startTasksOn(m *machine) []heartbeat.Order {
 	l := c.leadership
 	room := m.room()
 	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.zoneState.Takes() || c.now.Before(m.retryAt) || l.unaccounted[m.host] || l.attempts > maxAttempts-maxStartsPerReply {
@@ -761,7 +763,7 @@
 
 // orderStart orders one task of a booking to start on a machine. The order goes out
 // with the reply to the machine's last report.
-func (c *Core) orderStart(b *reservation, m *machine) Order {
+func (c *Core) orderStart(b *reservation, m *machine) heartbeat.Order {
 	l := c.leadership
 	j := b.job
 	i := j.pending.first()
@@ -770,15 +772,15 @@
 	j.waiting--
 	// Attempts rise across terms as well: the term comes first.
 	l.attempts++
-	r := &attempt{id: TaskID{Job: j.spec.ID, Index: i}, number: l.term<<attemptBits + l.attempts, machine: m, phase: Ordered, orderedCounter: m.counter, orderedAt: c.now}
+	r := &attempt{id: heartbeat.TaskID{Job: j.spec.ID, Index: i}, number: l.term<<attemptBits + l.attempts, machine: m, phase: Ordered, orderedCounter: m.counter, orderedAt: c.now}
 	m.attempts = append(m.attempts, r)
 	c.occupy(r, j)
-	return Order{Verb: Start, Task: r.id, Try: r.number}
+	return heartbeat.Order{Verb: heartbeat.Start, Task: r.id, Try: r.number}
 }
 
 // lateness is by how much the best timeline, of a machine at hand or of a type
 // that can be rented, would miss a dated job's deadline.
-func (c *Core) lateness(s *JobSpec) time.Duration {
+func (c *Core) lateness(s *spec.Job) time.Duration {
 	l := c.leadership
 	j := &job{spec: *s, need: s.Need()}
 	run := timeline.Seconds(c.estimateSpec(s).Seconds() * (1 + l.margin))
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"yewpass/internal/config"
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
 
@@ -17,9 +19,9 @@
 	j := newJob(c, 1, 1, rand.New(rand.NewPCG(1, 1)))
 	j.spec.Class, j.spec.HasDeadline, j.spec.Deadline = "c", true, 100*time.Second
 	for _, x := range []struct {
-		urgency Urgency
+		urgency spec.Urgency
 		want    []float64
-	}{{Standard, []float64{100, 150, 120, 200}}, {Idle, []float64{100, 150, 200}}} {
+	}{{spec.Standard, []float64{100, 150, 120, 200}}, {spec.Idle, []float64{100, 150, 200}}} {
 		j.spec.Urgency = x.urgency
 		var got []float64
 		c.forEachObjective(j, time.Second, func(a objective) {
@@ -37,7 +39,7 @@
 			}
 		}
 	}
-	j.spec.Urgency = Standard
+	j.spec.Urgency = spec.Standard
 	if a, ok := c.nextObjectiveFrom(j, t0, t0.Add(120*time.Second), time.Second); !ok || a.deadline != j.submitted.Add(150*time.Second) {
 		t.Errorf("after 120 s: %v", a.deadline.Sub(t0))
 	}
@@ -120,7 +122,7 @@
 // tells nothing of how long tasks take, and is not stopped as hardly begun.
 func TestFoundMidway(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	for _, phase := range []Phase{Pulling, TaskRuns} {
+	for _, phase := range []heartbeat.Phase{heartbeat.Pulling, heartbeat.TaskRuns} {
 		c := leaderOf(t, 1)
 		c.leadership.teams["u"] = &team{guaranteed: timeline.Capacity(100, 0, 0)}
 		c.leadership.teams["t"].guaranteed = timeline.Resources{}
@@ -129,24 +131,24 @@
 		long.spec.CPUs, long.spec.Runtime = 4, 10*time.Minute
 		long.need = long.spec.Need()
 		rep := reportOf(m)
-		rep.Tasks = []TaskReport{{Task: TaskID{Job: long.spec.ID}, Try: 1, Phase: phase}}
+		rep.Tasks = []heartbeat.Task{{Task: heartbeat.TaskID{Job: long.spec.ID}, Try: 1, Phase: phase}}
 		c.reconcile(m, &rep)
 		rep.Counter++
-		rep.Tasks = []TaskReport{{Task: TaskID{Job: long.spec.ID}, Try: 1, Phase: TaskRuns}}
+		rep.Tasks = []heartbeat.Task{{Task: heartbeat.TaskID{Job: long.spec.ID}, Try: 1, Phase: heartbeat.TaskRuns}}
 		c.reconcile(m, &rep)
 		waits := newJob(c, 2, 1, rng)
 		waits.spec.Owner, waits.team = "u", c.leadership.teams["u"]
 		waits.submitted = t0.Add(-time.Minute)
 		c.reserve(waits)
 		c.preemptBorrowers()
-		if stopped := m.attempts[0].stopRequested; stopped != (phase == Pulling) {
+		if stopped := m.attempts[0].stopRequested; stopped != (phase == heartbeat.Pulling) {
 			t.Errorf("found %s: stopped %v", phase, stopped)
 		}
 		c.now = c.now.Add(3 * time.Second)
 		rep.Counter++
-		rep.Tasks[0] = TaskReport{Task: TaskID{Job: long.spec.ID}, Try: 1, Phase: Exited, Cause: CauseDone}
+		rep.Tasks[0] = heartbeat.Task{Task: heartbeat.TaskID{Job: long.spec.ID}, Try: 1, Phase: heartbeat.Exited, Cause: CauseDone}
 		c.reconcile(m, &rep)
-		if seen := c.leadership.runtimes.of(&long.spec) != nil; seen != (phase == Pulling) {
+		if seen := c.leadership.runtimes.of(&long.spec) != nil; seen != (phase == heartbeat.Pulling) {
 			t.Errorf("found %s: counts for estimates %v", phase, seen)
 		}
 	}
@@ -157,14 +159,14 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	c := leaderOf(t, 1)
 	c.fill(c.leadership.fleet[0])
-	add := func(id int, class string, urgency Urgency) *job {
+	add := func(id int, class string, urgency spec.Urgency) *job {
 		j := newJob(c, id, 1, rng)
 		j.spec.Class, j.spec.HasDeadline, j.spec.Urgency = class, false, urgency
 		c.reserve(j)
 		return j
 	}
-	guest, dear := add(1, "x", Idle), add(2, "x", Standard)
-	late := add(3, "c", Idle)
+	guest, dear := add(1, "x", spec.Idle), add(2, "x", spec.Standard)
+	late := add(3, "c", spec.Idle)
 	late.missedUntil = t0.Add(time.Hour)
 	c.dropReservations(late)
 	c.reserve(late)
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"slices"
 	"time"
+	"yewpass/internal/heartbeat"
 )
 
 // preemptAfter is how long work within a guarantee waits before borrowers have to
@@ -63,7 +64,7 @@
 			continue
 		}
 		for _, r := range m.attempts {
-			if !r.occupies || r.stopRequested || r.phase != TaskRuns || r.job.team.allocated.CPU <= r.job.team.guaranteed.CPU {
+			if !r.occupies || r.stopRequested || r.phase != heartbeat.TaskRuns || r.job.team.allocated.CPU <= r.job.team.guaranteed.CPU {
 				continue
 			}
 			// What cannot save loses all: it is stopped only when it has hardly
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -1,6 +1,10 @@
 package core
 
-import "time"
+import (
+	"time"
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/rpc"
+)
 
 // Probes speed up a take-over: tasks accepted earlier wait until every machine
 // that may hold one is accounted for, and left to themselves workers find the
@@ -58,7 +62,7 @@
 }
 
 // reconcileProbe takes in an answer that counts, of a worker that has seen our term.
-func (c *Core) reconcileProbe(m *machine, rep *Report) {
+func (c *Core) reconcileProbe(m *machine, rep *heartbeat.Report) {
 	m.probed = true
 	c.reconcile(m, rep)
 }
@@ -78,13 +82,13 @@
 		rep := &r.Report
 		switch {
 		case !l.probeCounts(m):
-		case r.Outcome != Unknown && rep.FencingToken > l.term:
+		case r.Outcome != rpc.Unknown && rep.FencingToken > l.term:
 			c.handleNewerToken(m.host, rep.FencingToken, func() { c.release(m) })
-		case r.Outcome != Unknown && rep.Host != m.host:
+		case r.Outcome != rpc.Unknown && rep.Host != m.host:
 			// Another machine has the address now.
-		case r.Outcome == OK && rep.FencingToken == l.term:
+		case r.Outcome == rpc.OK && rep.FencingToken == l.term:
 			c.reconcileProbe(m, rep)
-		case r.Outcome == Conflict && rep.Incarnation != tenure:
+		case r.Outcome == rpc.Conflict && rep.Incarnation != tenure:
 			c.probe(m, rep.Incarnation)
 		default:
 			if m.failedProbes++; m.failedProbes < maxProbeAttempts {
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -6,6 +6,7 @@
 
 	"yewpass/internal/recovery"
 	"yewpass/internal/replica"
+	"yewpass/internal/rpc"
 )
 
 // What a new leader finds out, from the state service and the other controllers, before its
@@ -268,9 +269,9 @@
 	read = func(key string) {
 		c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
 			switch r.Outcome {
-			case OK:
+			case rpc.OK:
 				g.replica.Put(key, r.Entries[0].Value, r.Entries[0].Rev)
-			case NotFound:
+			case rpc.NotFound:
 			default:
 				c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { read(key) })
 				return
@@ -289,7 +290,7 @@
 func (c *Core) listFinalRecords(from, to string) {
 	g := c.leadership.recovery
 	c.storeWhileLeading(StoreCall{Op: StoreList, Key: finalKeys, From: from[:len(from)-1], Limit: 1000}, func(r StoreReply) {
-		if r.Outcome != OK {
+		if r.Outcome != rpc.OK {
 			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.listFinalRecords(from, to) })
 			return
 		}
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -9,6 +9,7 @@
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
+	"yewpass/internal/spec"
 )
 
 // How records that were lost are written back.
@@ -41,7 +42,7 @@
 		case *schedule.Record, *NumberRecord, *liveconfig.HeadRecord, *liveconfig.TeamRecord:
 			return 0, time.Time{}
 		case *JobRecord:
-			return 1 + int(Idle) - int(v.Spec.Urgency), v.Submitted
+			return 1 + int(spec.Idle) - int(v.Spec.Urgency), v.Submitted
 		case *ProgressRecord:
 			return 100, time.Time{}
 		}
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -6,7 +6,9 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/relay"
+	"yewpass/internal/rpc"
 )
 
 // A controller that does not lead takes workers' reports and passes them on to the
@@ -59,7 +61,7 @@
 // relayedHeartbeat is a report that waits here.
 type relayedHeartbeat struct {
 	ref        uint64
-	report     Report
+	report     heartbeat.Report
 	receivedAt time.Time
 }
 
@@ -121,7 +123,7 @@
 	return c.knownLeader != "" && !c.canRelay() && c.now.Sub(c.leaderLinkLostAt) > relayLinkTimeout
 }
 
-func (r *relayState) add(ref uint64, rep *Report) {
+func (r *relayState) add(ref uint64, rep *heartbeat.Report) {
 	it := r.fold.Item(ref, rep)
 	r.items = append(r.items, it)
 	r.weight += it.Weight()
@@ -312,11 +314,11 @@
 		r.probesInFlight--
 		rep := &p.Report
 		switch {
-		case c.leadership != nil || p.Outcome == Unknown || rep.Host != host:
-		case p.Outcome == Conflict && rep.Incarnation != tenure && rep.Incarnation != k.incarnation:
+		case c.leadership != nil || p.Outcome == rpc.Unknown || rep.Host != host:
+		case p.Outcome == rpc.Conflict && rep.Incarnation != tenure && rep.Incarnation != k.incarnation:
 			k.incarnation = rep.Incarnation
 			c.relayProbe(host, k, rep.Incarnation)
-		case p.Outcome == OK && rep.FencingToken == term && r.fold != nil && r.term == term:
+		case p.Outcome == rpc.OK && rep.FencingToken == term && r.fold != nil && r.term == term:
 			k.fencingToken = term
 			r.add(0, rep)
 		}
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -6,8 +6,10 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/policy"
 	"yewpass/internal/relay"
+	"yewpass/internal/rpc"
 )
 
 // relayNode is a controller that does not lead, with a clock and what it has said.
@@ -32,7 +34,7 @@
 		n.in(PeerLink{Name: p, Up: true})
 	}
 	n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerLeader, Term: 5}})
-	n.reads(leaderKey, StoreReply{Outcome: OK, Entries: []Entry{{Key: leaderKey, Value: &LeaderRecord{Node: "n1", Term: 5}, Rev: 9, LeaseID: 3}}})
+	n.reads(leaderKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{{Key: leaderKey, Value: &LeaderRecord{Node: "n1", Term: 5}, Rev: 9, LeaseID: 3}}})
 	return n
 }
 
@@ -68,7 +70,7 @@
 }
 
 func (n *relayNode) worker(ref, counter uint64) {
-	n.in(ReportIn{Ref: ref, Report: Report{Host: "host-1", Address: "a:1", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 5}})
+	n.in(ReportIn{Ref: ref, Report: heartbeat.Report{Host: "host-1", Address: "a:1", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 5}})
 	n.pass(50 * time.Millisecond)
 }
 
@@ -95,7 +97,7 @@
 
 func (n *relayNode) reply(from string, term, session, ref uint64) {
 	n.in(PeerIn{From: from, Msg: PeerMsg{Kind: PeerReplies, Term: term, Replies: &relay.Replies{Session: session,
-		List: []relay.Reply{{Ref: ref, Orders: relay.Orders{{Verb: Start, Task: TaskID{Job: "wk-1"}, Try: 9}}}}}}})
+		List: []relay.Reply{{Ref: ref, Orders: relay.Orders{{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-1"}, Try: 9}}}}}}})
 }
 
 func (n *relayNode) expect(what string, ref uint64, want ...int) {
@@ -187,7 +189,7 @@
 	j.spec.Class, j.anyCompleted = "c", true
 	c.reserve(j)
 	rep := reportOf(m)
-	send := func(session, number, ref uint64, f *relay.Fold, r Report) (orders int, answered bool) {
+	send := func(session, number, ref uint64, f *relay.Fold, r heartbeat.Report) (orders int, answered bool) {
 		for _, o := range c.Step(c.now.Add(time.Second), PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: 1, Reports: f.Batch([]relay.Item{f.Item(ref, &r)}, nil)}}) {
 			p, ok := o.(PeerSend)
 			if !ok || p.Msg.Kind != PeerReplies || len(p.Msg.Replies.List) == 0 {
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 	"time"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/timeline"
 )
 
@@ -12,7 +13,7 @@
 type heldReply struct {
 	heartbeatKey
 	since  time.Time
-	report Report // of our own socket: whoever leads next is told of it
+	report heartbeat.Report // of our own socket: whoever leads next is told of it
 }
 
 // takeHeldReply takes away the report that a machine waits on and returns what names it.
@@ -38,12 +39,12 @@
 }
 
 // orders collects what the machine has to do, other than to start tasks.
-func (c *Core) orders(m *machine) []Order {
-	var os []Order
+func (c *Core) orders(m *machine) []heartbeat.Order {
+	var os []heartbeat.Order
 	for _, r := range m.attempts {
-		if r.phase == Exited {
+		if r.phase == heartbeat.Exited {
 			if r.forgettable || r.job == nil && !c.leadership.unreadableJobs[r.id.Job] || r.job != nil && r.job.cancelled {
-				os = append(os, Order{Verb: Reap, Task: r.id, Try: r.number})
+				os = append(os, heartbeat.Order{Verb: heartbeat.Reap, Task: r.id, Try: r.number})
 			}
 			continue
 		}
@@ -56,7 +57,7 @@
 			if r.stopSentAt.IsZero() {
 				r.stopSentAt = c.now
 			}
-			os = append(os, Order{Verb: Stop, Task: r.id, Try: r.number, Drain: drain})
+			os = append(os, heartbeat.Order{Verb: heartbeat.Stop, Task: r.id, Try: r.number, Drain: drain})
 		}
 	}
 	return os
@@ -75,7 +76,7 @@
 		// Out of authority: no starts, no acknowledgements; but what has been
 		// cancelled is stopped, or has been begun to be, since that was decided while we
 		// had it.
-		os = slices.DeleteFunc(os, func(o Order) bool { return o.Verb != Stop })
+		os = slices.DeleteFunc(os, func(o heartbeat.Order) bool { return o.Verb != heartbeat.Stop })
 		c.sendReply(m, os)
 		return
 	}
@@ -112,7 +113,7 @@
 	})
 }
 
-func (c *Core) sendReply(m *machine, os []Order) {
+func (c *Core) sendReply(m *machine, os []heartbeat.Order) {
 	key := c.takeHeldReply(m)
 	if m.fencingToken != c.leadership.term && m.unacknowledgedSince.IsZero() {
 		m.unacknowledgedSince = c.now
@@ -180,9 +181,9 @@
 // paceDelay is for how long a reply to the machine is still held so that its worker keeps to
 // the bytes a second that operators allow: a worker sends its next report after the reply at
 // the earliest, and one with many tasks has news all the time. Stops are never held back.
-func (c *Core) paceDelay(m *machine, os []Order) time.Duration {
+func (c *Core) paceDelay(m *machine, os []heartbeat.Order) time.Duration {
 	budget := c.leadership.reportBudget
-	if budget <= 0 || m.fencingToken != c.leadership.term || m.releasing || slices.ContainsFunc(os, func(o Order) bool { return o.Verb == Stop }) {
+	if budget <= 0 || m.fencingToken != c.leadership.term || m.releasing || slices.ContainsFunc(os, func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop }) {
 		return 0
 	}
 	size := float64(heartbeatBytes + heartbeatTaskBytes*len(m.attempts))
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 	"time"
+	"yewpass/internal/heartbeat"
 )
 
 // TestRepliesKeepToTheBytes: the reply to a worker that lists many tasks is held until its
@@ -29,10 +30,10 @@
 			j.need = j.spec.Need()
 			rep := reportOf(m)
 			for i := range x.tasks {
-				rep.Tasks = append(rep.Tasks, TaskReport{Task: TaskID{Job: j.spec.ID, Index: i}, Try: uint64(i) + 1, Phase: TaskRuns})
+				rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: j.spec.ID, Index: i}, Try: uint64(i) + 1, Phase: heartbeat.TaskRuns})
 			}
 			c.leadership.reportBudget = x.budget
-			answeredAfter := func(rep Report) time.Duration {
+			answeredAfter := func(rep heartbeat.Report) time.Duration {
 				rep.Counter = m.counter + 1
 				at := c.now
 				outs := c.Step(at, ReportIn{Ref: uint64(rep.Counter), Report: rep})
@@ -51,7 +52,7 @@
 			if x.stop {
 				m.attempts[0].stopRequested = true
 			}
-			rep.Tasks[1].Phase, rep.Tasks[1].Cause = Exited, CauseError // news that asks for orders
+			rep.Tasks[1].Phase, rep.Tasks[1].Cause = heartbeat.Exited, CauseError // news that asks for orders
 			if got := answeredAfter(rep); got < x.not || got > x.within {
 				t.Errorf("answered after %s, not from %s to %s", got, x.not, x.within)
 			}
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -6,7 +6,9 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/relay"
+	"yewpass/internal/rpc"
 )
 
 // A process, or a machine, that ends may be back within a fraction of a second, under
@@ -71,7 +73,7 @@
 	n.expect("led to who may be the leader", 1, 421)
 	// The state service knows better.
 	n.in(PeerLink{Name: "n2", Up: true})
-	n.reads(leaderKey, StoreReply{Outcome: OK, Entries: []Entry{leaderKeyOf("n2", 6, 20, 4)}})
+	n.reads(leaderKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{leaderKeyOf("n2", 6, 20, 4)}})
 	n.worker(2, 2)
 	bs := n.sent("n2")
 	if len(bs) == 0 {
@@ -93,7 +95,7 @@
 	}
 	n.in(PeerIn{From: "n2", Msg: PeerMsg{Kind: PeerLeader, Term: 6}}) // acknowledged
 	confirming := n.calls(leaderKey)
-	n.in(StoreReply{Ref: listing.Ref, Outcome: OK, Rev: 10, Entries: []Entry{leaderKeyOf("n1", 5, 9, 4)}})
+	n.in(StoreReply{Ref: listing.Ref, Outcome: rpc.OK, Rev: 10, Entries: []Entry{leaderKeyOf("n1", 5, 9, 4)}})
 	stillSix := func(when string) {
 		t.Helper()
 		if n.highestTerm != 6 {
@@ -111,8 +113,8 @@
 	stillSix("after an answer that was long on its way")
 	// The new leader has ended already, with its grant.
 	n.in(PeerLink{Name: "n2"})
-	n.in(StoreReply{Ref: confirming.Ref, Outcome: NotFound, Rev: 30})
-	n.reads(termKey, StoreReply{Outcome: OK, Entries: []Entry{{Key: termKey, Value: &TermRecord{Term: 6}, Rev: 25}}})
+	n.in(StoreReply{Ref: confirming.Ref, Outcome: rpc.NotFound, Rev: 30})
+	n.reads(termKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{{Key: termKey, Value: &TermRecord{Term: 6}, Rev: 25}}})
 	stillSix("after its leader has ended")
 }
 
@@ -133,14 +135,14 @@
 			n.in(Tick{})
 			first := n.calls(leaderKey)
 			if x.entry.Rev > 20 { // nobody leads at first
-				n.in(StoreReply{Ref: first.Ref, Outcome: Refused})
+				n.in(StoreReply{Ref: first.Ref, Outcome: rpc.Refused})
 				n.firstStoreRevision = 20
 				n.pass(time.Second)
 				first = n.calls(leaderKey)
 			}
-			n.in(StoreReply{Ref: first.Ref, Outcome: OK, Rev: 30, Entries: []Entry{x.entry}})
+			n.in(StoreReply{Ref: first.Ref, Outcome: rpc.OK, Rev: 30, Entries: []Entry{x.entry}})
 			if get := n.calls(leaderKey); get.Op == StoreGet {
-				n.reads(leaderKey, StoreReply{Outcome: OK, Entries: []Entry{x.entry}})
+				n.reads(leaderKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{x.entry}})
 			}
 			drops := false
 			for _, o := range n.outs {
@@ -188,7 +190,7 @@
 	if len(m.attempts) != 1 {
 		t.Fatalf("%d runs", len(m.attempts))
 	}
-	for _, late := range []Report{{Incarnation: 1, Counter: 88}, {Incarnation: 3, Counter: 1}} {
+	for _, late := range []heartbeat.Report{{Incarnation: 1, Counter: 88}, {Incarnation: 3, Counter: 1}} {
 		late.Host, late.InstanceType, late.Zone, late.FencingToken = m.host, m.typeName, m.zone, 5
 		c.Step(c.now.Add(time.Second), ReportIn{Ref: 2, Report: late})
 		if len(m.attempts) != 1 || j.waiting != 0 {
@@ -199,7 +201,7 @@
 	c.now = c.now.Add(withDrift(c.workerLease) + 2*time.Second)
 	l.expiresAt = c.now.Add(time.Hour)
 	c.reviewMachine(m, time.Hour, time.Hour, time.Hour, false)
-	if c.Step(c.now, ReportIn{Ref: 3, Report: Report{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Incarnation: 2, Counter: 9}}); !m.reported || m.fencingToken != 0 {
+	if c.Step(c.now, ReportIn{Ref: 3, Report: heartbeat.Report{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Incarnation: 2, Counter: 9}}); !m.reported || m.fencingToken != 0 {
 		t.Error("the machine never counts again")
 	}
 }
--- a/internal/core/runtime_estimates.go
+++ b/internal/core/runtime_estimates.go
@@ -5,6 +5,7 @@
 
 	lru "github.com/hashicorp/golang-lru/v2"
 
+	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
 
@@ -23,7 +24,7 @@
 	return runtimeEstimates{kept}
 }
 
-func (e runtimeEstimates) of(s *JobSpec) *runtimeAverage {
+func (e runtimeEstimates) of(s *spec.Job) *runtimeAverage {
 	o, _ := e.Get(s.Class + "/" + s.Owner)
 	return o
 }
@@ -66,7 +67,7 @@
 	return c.estimateSpec(&j.spec)
 }
 
-func (c *Core) estimateSpec(s *JobSpec) time.Duration {
+func (c *Core) estimateSpec(s *spec.Job) time.Duration {
 	d := s.Runtime
 	if o := c.leadership.runtimes.of(s); o != nil && o.n >= 5 {
 		d = timeline.Seconds(d.Seconds() * min(max(o.mean, 0.3), 3))
@@ -75,7 +76,7 @@
 }
 
 // imageFetchTime returns how long the machine needs to fetch the image.
-func imageFetchTime(s *JobSpec, f *InstanceType) time.Duration {
+func imageFetchTime(s *spec.Job, f *InstanceType) time.Duration {
 	if f == nil || f.ImageGBps <= 0 {
 		return 0
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -9,8 +9,10 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/policy"
 	"yewpass/internal/schedule"
+	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
 
@@ -50,7 +52,7 @@
 
 // newJob takes on a job without booking it.
 func newJob(c *Core, id int, tasks int, rng *rand.Rand) *job {
-	spec := JobSpec{ID: fmt.Sprintf("wk-%06d", id), Class: "c", Owner: "t", Urgency: Standard, Tasks: tasks, CPUs: float64(1 + rng.IntN(4)), MemGB: 1,
+	spec := spec.Job{ID: fmt.Sprintf("wk-%06d", id), Class: "c", Owner: "t", Urgency: spec.Standard, Tasks: tasks, CPUs: float64(1 + rng.IntN(4)), MemGB: 1,
 		Image: fmt.Sprint("img", rng.IntN(6)), ImageGB: 1, AllowSpot: true, Runtime: time.Duration(10+rng.IntN(60)) * time.Second}
 	if rng.IntN(2) == 0 {
 		spec.Class, spec.HasDeadline, spec.Deadline = "u", true, time.Duration(5+rng.IntN(200))*time.Second
@@ -172,20 +174,20 @@
 func (c *Core) fill(m *machine) {
 	j := c.leadership.jobs["wk-1"]
 	if j == nil {
-		j = c.addJob(&JobRecord{Spec: JobSpec{ID: "wk-1", Class: "r", Owner: "t", Tasks: MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute}, Submitted: t0}, false)
+		j = c.addJob(&JobRecord{Spec: spec.Job{ID: "wk-1", Class: "r", Owner: "t", Tasks: spec.MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute}, Submitted: t0}, false)
 		j.anyCompleted = true
 	}
 	for range m.room().CPU / 1000 {
-		r := &attempt{id: TaskID{Job: "wk-1", Index: len(j.attempts)}, number: uint64(len(j.attempts) + 1), machine: m, phase: TaskRuns, orderedAt: c.now, startedAt: c.now}
+		r := &attempt{id: heartbeat.TaskID{Job: "wk-1", Index: len(j.attempts)}, number: uint64(len(j.attempts) + 1), machine: m, phase: heartbeat.TaskRuns, orderedAt: c.now, startedAt: c.now}
 		m.attempts = append(m.attempts, r)
 		c.occupy(r, j)
 	}
 }
 
-func reportOf(m *machine) Report {
-	r := Report{Host: m.host, Address: m.address, InstanceType: m.typeName, Zone: m.zone, Spot: true, Incarnation: m.incarnation, Counter: m.counter + 1, FencingToken: 1}
+func reportOf(m *machine) heartbeat.Report {
+	r := heartbeat.Report{Host: m.host, Address: m.address, InstanceType: m.typeName, Zone: m.zone, Spot: true, Incarnation: m.incarnation, Counter: m.counter + 1, FencingToken: 1}
 	for _, x := range m.attempts {
-		r.Tasks = append(r.Tasks, TaskReport{Task: x.id, Try: x.number, Phase: x.phase})
+		r.Tasks = append(r.Tasks, heartbeat.Task{Task: x.id, Try: x.number, Phase: x.phase})
 	}
 	return r
 }
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"yewpass/internal/calendar"
+	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 )
 
@@ -314,7 +315,7 @@
 	}
 	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: numberKey}, func(r StoreReply) {
 		var from, rev uint64
-		if r.Outcome == OK {
+		if r.Outcome == rpc.OK {
 			rec, _ := r.Entries[0].Value.(*NumberRecord)
 			if rec == nil || rec.Number+numberBlock > schedule.MaxNumber {
 				c.note(slog.LevelError, "no numbers for schedules are left", "key", numberKey)
@@ -322,7 +323,7 @@
 				return
 			}
 			from, rev = rec.Number, r.Entries[0].Rev
-		} else if r.Outcome != NotFound {
+		} else if r.Outcome != rpc.NotFound {
 			fail()
 			return
 		}
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"yewpass/internal/calendar"
+	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 )
 
@@ -90,7 +91,7 @@
 // loadSchedules reads the schedules, page by page, while the leader works.
 func (c *Core) loadSchedules(from string) {
 	c.storeWhileLeading(StoreCall{Op: StoreList, Key: scheduleKeys, From: from, Limit: schedulePage}, func(r StoreReply) {
-		if r.Outcome != OK {
+		if r.Outcome != rpc.OK {
 			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.loadSchedules(from) })
 			return
 		}
--- a/internal/core/scrub.go
+++ b/internal/core/scrub.go
@@ -7,6 +7,7 @@
 
 	"yewpass/internal/recovery"
 	"yewpass/internal/replica"
+	"yewpass/internal/rpc"
 )
 
 // A service that loses single records under a living leader says nothing, and the term
@@ -39,7 +40,7 @@
 	s := &l.scrub
 	prefix, asked := scrubbedPrefixes[s.place], c.observed.Revision
 	c.storeWhileLeading(StoreCall{Op: StoreList, Key: prefix, From: s.from, Limit: scrubPageSize}, func(r StoreReply) {
-		if r.Outcome != OK || c.ownReplica() != own {
+		if r.Outcome != rpc.OK || c.ownReplica() != own {
 			return
 		}
 		p := recovery.Page{Prefix: prefix, From: s.from, AskedRevision: asked}
@@ -88,7 +89,7 @@
 	}
 	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
 		now, still := own.Get(key)
-		gone := r.Outcome == NotFound || r.Outcome == OK && r.Entries[0].Rev < was.Rev
+		gone := r.Outcome == rpc.NotFound || r.Outcome == rpc.OK && r.Entries[0].Rev < was.Rev
 		if gone && still && now.Rev == was.Rev && c.ownReplica() == own && !c.hasUncommittedChange(key) {
 			c.reportDataLoss("a record is missing or old that a copy has: " + strings.TrimPrefix(key, rootKey))
 		}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -12,29 +12,12 @@
 	"yewpass/internal/recovery"
 	"yewpass/internal/relay"
 	"yewpass/internal/replica"
+	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
 
-// The description of a job has a package of its own, because schedules and the
-// command line read it too.
-type (
-	JobSpec = spec.Job
-	Urgency = spec.Urgency
-)
-
-// The urgencies of the protocol.
-const (
-	Idle       = spec.Idle
-	Standard   = spec.Standard
-	Urgent     = spec.Urgent
-	Production = spec.Production
-)
-
-// MaxTasks is the protocol's limit on the tasks of a job.
-const MaxTasks = spec.MaxTasks
-
 // JobState is a job's state as users see it.
 type JobState string
 
@@ -65,23 +48,9 @@
 	spareAttempts = 1 << 20
 )
 
-// What workers say and are told has a package of its own: relays speak of it too.
-type (
-	TaskID     = heartbeat.TaskID
-	Phase      = heartbeat.Phase
-	TaskReport = heartbeat.Task
-	Report     = heartbeat.Report
-	Verb       = heartbeat.Verb
-	Order      = heartbeat.Order
-)
-
 // The phases that workers report.
 const (
-	Pulling       = heartbeat.Pulling
-	TaskRuns      = heartbeat.TaskRuns
-	Checkpointing = heartbeat.Checkpointing
-	Exited        = heartbeat.Exited
-	Ordered       = Phase("ordered") // a start is in a reply that is not yet answered for
+	Ordered = heartbeat.Phase("ordered") // a start is in a reply that is not yet answered for
 )
 
 // Causes of an exit.
@@ -94,16 +63,6 @@
 	CauseNoSuch  = "no_such"
 )
 
-// The verbs of the worker protocol.
-const (
-	Start = heartbeat.Start
-	Stop  = heartbeat.Stop
-	Reap  = heartbeat.Reap
-)
-
-// ParseTaskID reads a task's name.
-func ParseTaskID(s string) (TaskID, bool) { return heartbeat.ParseTaskID(s) }
-
 // InstanceType is a machine type of the catalog.
 type InstanceType struct {
 	Name         string
@@ -172,7 +131,7 @@
 	From string // the peer that forwarded it, empty for our own user
 	Op   UserOp
 	ID   string
-	Spec *JobSpec
+	Spec *spec.Job
 
 	Schedule *ScheduleCall
 	Config   *ConfigCall
@@ -186,25 +145,12 @@
 type ReportIn struct {
 	Ref    uint64
 	Relay  relay.Link // which it came by; zero: our own socket
-	Report Report
+	Report heartbeat.Report
 }
 
 // ReportGone says that the worker gave up on a report: its reply goes nowhere.
 type ReportGone struct{ Ref uint64 }
 
-// Outcome says what is known of a call to an outside service.
-type Outcome int
-
-// Outcomes. Anything malformed or unexpected counts as Unknown, never as OK.
-const (
-	OK       Outcome = iota
-	Conflict         // a transaction's condition failed
-	NotFound         // 404
-	Refused          // known not to have been executed: 429, 503
-	Invalid          // 400
-	Unknown          // may have been executed, or may be later
-)
-
 // Entry is one key of the state service.
 type Entry struct {
 	Key     string
@@ -216,7 +162,7 @@
 // StoreReply answers a StoreCall.
 type StoreReply struct {
 	Ref        uint64
-	Outcome    Outcome
+	Outcome    rpc.Outcome
 	Rev        uint64
 	LeaseID    uint64
 	FailedKeys []string
@@ -227,7 +173,7 @@
 // CloudReply answers a CloudCall.
 type CloudReply struct {
 	Ref           uint64
-	Outcome       Outcome
+	Outcome       rpc.Outcome
 	Hosts         []string
 	InstanceTypes []InstanceType
 	Instances     []Instance
@@ -276,7 +222,7 @@
 	Ref    uint64
 	Op     UserOp
 	ID     string
-	Spec   *JobSpec
+	Spec   *spec.Job
 	Answer *AnswerUser
 
 	Version uint64 // of leader and ack: the version that the sender talks in
@@ -378,7 +324,7 @@
 	Ref          uint64
 	Status       int
 	FencingToken uint64
-	Orders       []Order
+	Orders       []heartbeat.Order
 	Upstream     string
 }
 
@@ -462,8 +408,8 @@
 // epoch, Conflict when the tenure is another or it knows a newer epoch.
 type ProbeReply struct {
 	Ref     uint64
-	Outcome Outcome
-	Report  Report
+	Outcome rpc.Outcome
+	Report  heartbeat.Report
 }
 
 // PeerSend sends a message to a peer.
@@ -483,7 +429,7 @@
 
 // JobRecord keeps an accepted job until it is over.
 type JobRecord struct {
-	Spec      JobSpec
+	Spec      spec.Job
 	Submitted time.Time // time of day
 	Cancelled bool
 }
--- a/internal/core/write_batcher.go
+++ b/internal/core/write_batcher.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"slices"
 	"time"
+	"yewpass/internal/rpc"
 
 	"golang.org/x/time/rate"
 )
@@ -137,10 +138,10 @@
 func (c *Core) readBack(key string, f func(e Entry, found bool)) {
 	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
 		switch r.Outcome {
-		case OK:
+		case rpc.OK:
 			c.replicate(r.Entries[0])
 			f(r.Entries[0], true)
-		case NotFound:
+		case rpc.NotFound:
 			f(Entry{}, false)
 		default:
 			c.afterWhileLeading(c.jitter(500*time.Millisecond), func() { c.readBack(key, f) })
@@ -225,7 +226,7 @@
 		}
 	}
 	switch r.Outcome {
-	case OK:
+	case rpc.OK:
 		p.backoff = 0
 		c.replicateBatch(batch, r.Rev)
 		for _, ch := range batch {
@@ -233,7 +234,7 @@
 				ch.onCommit(r.Rev)
 			}
 		}
-	case Conflict:
+	case rpc.Conflict:
 		if slices.Contains(r.FailedKeys, termKey) {
 			c.stepDown("a newer term has been written")
 			return
@@ -256,7 +257,7 @@
 			p.backoff = 0
 		}
 		again(rest)
-	case Invalid:
+	case rpc.Invalid:
 		// Ours to get right: log it loudly, and try the changes one by one so
 		// that a single bad one does not block the rest for ever.
 		c.note(slog.LevelError, "transaction rejected as malformed", "changes", len(batch), "key", batch[0].writes[0].Key)
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 	"yewpass/internal/zones"
 )
@@ -100,7 +101,7 @@
 	for _, z := range l.zones.All() {
 		if z.Probe(c.now) {
 			c.note(slog.LevelInfo, "a machine is rented to see whether the zone is back", "zone", z.Name)
-			c.requestInstances(&JobSpec{Zone: z.Name, AllowSpot: true}, 0, true, true)
+			c.requestInstances(&spec.Job{Zone: z.Name, AllowSpot: true}, 0, true, true)
 		}
 		n := z.Sight.Silent - z.Kept(c.now)
 		if !z.Away() || n <= 0 {
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -14,7 +14,9 @@
 
 	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
+	"yewpass/internal/spec"
 	"yewpass/internal/wire"
 )
 
@@ -86,7 +88,7 @@
 	method, path, body := Request(call)
 	status, data, ok := c.caller.Call(method, path, body, call.Timeout)
 	if !ok {
-		return core.StoreReply{Outcome: core.Unknown}
+		return core.StoreReply{Outcome: rpc.Unknown}
 	}
 	return Decode(call, status, data)
 }
@@ -126,18 +128,18 @@
 // call is an unknown outcome: between us and the service there may be something that
 // answers in its place, and what is believed here decides who leads and what exists.
 func Decode(call core.StoreCall, status int, data []byte) core.StoreReply {
-	unknown := core.StoreReply{Outcome: core.Unknown}
+	unknown := core.StoreReply{Outcome: rpc.Unknown}
 	var a answerJSON
 	parsed := json.Unmarshal(data, &a) == nil
 	switch status {
 	case http.StatusOK:
 	case http.StatusConflict:
 		if call.Op == core.StoreTxn && parsed && len(a.Failed) > 0 {
-			return core.StoreReply{Outcome: core.Conflict, FailedKeys: a.Failed}
+			return core.StoreReply{Outcome: rpc.Conflict, FailedKeys: a.Failed}
 		}
 		return unknown
 	case http.StatusNotFound:
-		r := core.StoreReply{Outcome: core.NotFound}
+		r := core.StoreReply{Outcome: rpc.NotFound}
 		if call.Op == core.StoreGet {
 			// That a record does not exist is believed from the service alone.
 			if !parsed || a.StoreRev == nil {
@@ -147,21 +149,21 @@
 		}
 		return r
 	case http.StatusGone:
-		return core.StoreReply{Outcome: core.NotFound}
+		return core.StoreReply{Outcome: rpc.NotFound}
 	case http.StatusBadRequest:
-		return core.StoreReply{Outcome: core.Invalid}
+		return core.StoreReply{Outcome: rpc.Invalid}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return core.StoreReply{Outcome: core.Refused}
+		return core.StoreReply{Outcome: rpc.Refused}
 	default:
 		return unknown
 	}
 	if call.Op == core.StoreRevokeLease {
-		return core.StoreReply{Outcome: core.OK}
+		return core.StoreReply{Outcome: rpc.OK}
 	}
 	if !parsed {
 		return unknown
 	}
-	r := core.StoreReply{Outcome: core.OK, More: a.Truncated}
+	r := core.StoreReply{Outcome: rpc.OK, More: a.Truncated}
 	if a.StoreRev != nil {
 		r.Rev = *a.StoreRev
 	}
@@ -357,7 +359,7 @@
 	Class                string       `json:"class"`
 	Owner                string       `json:"owner"`
 	Service              bool         `json:"service,omitempty"`
-	Urgency              core.Urgency `json:"urgency"`
+	Urgency              spec.Urgency `json:"urgency"`
 	Tasks                int          `json:"tasks"`
 	CPUs                 float64      `json:"cpus,omitempty"`
 	GPUs                 float64      `json:"gpus,omitempty"`
@@ -377,14 +379,14 @@
 }
 
 // EncodeSpec turns a description into its record.
-func EncodeSpec(s *core.JobSpec) SpecRecord {
+func EncodeSpec(s *spec.Job) SpecRecord {
 	return SpecRecord{s.ID, s.Class, s.Owner, s.Service, s.Urgency, s.Tasks, s.CPUs, s.GPUs, s.MemGB, s.Image, s.ImageGB,
 		s.InstanceTypes, s.Zone, s.SamePlace, s.Apart, s.AllowSpot, s.Runtime.Milliseconds(), s.CheckpointInterval.Milliseconds(),
 		s.CheckpointTime.Milliseconds(), s.Deadline.Milliseconds(), s.HasDeadline}
 }
 
 // Decode turns a record into the description; false if it cannot be one.
-func (r SpecRecord) Decode() (core.JobSpec, bool) {
+func (r SpecRecord) Decode() (spec.Job, bool) {
 	// Beyond this a number of milliseconds would turn round as a duration.
 	ms := func(n int64) time.Duration {
 		if n < 0 || n > int64(math.MaxInt64/time.Millisecond) {
@@ -392,7 +394,7 @@
 		}
 		return time.Duration(n) * time.Millisecond
 	}
-	s := core.JobSpec{ID: r.ID, Class: r.Class, Owner: r.Owner, Service: r.Service, Urgency: r.Urgency, Tasks: r.Tasks,
+	s := spec.Job{ID: r.ID, Class: r.Class, Owner: r.Owner, Service: r.Service, Urgency: r.Urgency, Tasks: r.Tasks,
 		CPUs: r.CPUs, GPUs: r.GPUs, MemGB: r.MemGB, Image: r.Image, ImageGB: r.ImageGB, InstanceTypes: r.InstanceTypes, Zone: r.Zone,
 		SamePlace: r.SamePlace, Apart: r.Apart, AllowSpot: r.AllowSpot, Runtime: ms(r.RuntimeMS),
 		CheckpointInterval: ms(r.CheckpointIntervalMS), CheckpointTime: ms(r.CheckpointTimeMS), Deadline: ms(r.DeadlineMS), HasDeadline: r.HasDeadline}
--- a/internal/kvclient/client_test.go
+++ b/internal/kvclient/client_test.go
@@ -8,7 +8,9 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
+	"yewpass/internal/spec"
 )
 
 // TestDecode: what is malformed or unexpected is an unknown outcome, never a
@@ -18,39 +20,39 @@
 		op     core.StoreOp
 		status int
 		body   string
-		want   core.Outcome
+		want   rpc.Outcome
 	}{
-		{core.StoreTxn, 200, `{"storeRev":432}`, core.OK},
-		{core.StoreTxn, 200, `{}`, core.Unknown},
-		{core.StoreTxn, 200, `not json`, core.Unknown},
-		{core.StoreTxn, 409, `{"failed":["a"],"storeRev":3}`, core.Conflict},
-		{core.StoreTxn, 409, `{}`, core.Unknown},
-		{core.StoreTxn, 400, ``, core.Invalid},
-		{core.StoreTxn, 429, ``, core.Refused},
-		{core.StoreTxn, 503, ``, core.Refused},
-		{core.StoreTxn, 500, ``, core.Unknown},
-		{core.StoreTxn, 204, ``, core.Unknown},
-		{core.StoreGet, 404, `{"storeRev":1}`, core.NotFound},
-		{core.StoreGet, 200, `{"k":"a","v":{},"keyRev":4}`, core.OK},
-		{core.StoreGet, 200, `{"storeRev":4}`, core.Unknown},
-		{core.StoreList, 200, `{"entries":[],"truncated":false,"storeRev":1}`, core.OK},
-		{core.StoreList, 200, `{}`, core.Unknown},
-		{core.StoreGrantLease, 200, `{"grant":7}`, core.OK},
-		{core.StoreGrantLease, 200, `{"grant":"7"}`, core.Unknown},
-		{core.StoreKeepAlive, 404, ``, core.NotFound},
-		{core.StoreKeepAlive, 200, `{"grant":7}`, core.OK},
-		{core.StoreKeepAlive, 200, `{"grant":8}`, core.Unknown},
-		{core.StoreKeepAlive, 200, ``, core.Unknown},
-		{core.StoreRevokeLease, 200, ``, core.OK},
-		{core.StoreGet, 404, `<html>`, core.Unknown},
-		{core.StoreGet, 404, `{}`, core.Unknown},
-		{core.StoreGet, 200, `{"k":"b","v":{},"keyRev":4}`, core.Unknown},
-		{core.StoreList, 200, `{"entries":[{"k":"a/6","keyRev":1},{"k":"a/7","keyRev":1}],"truncated":true,"storeRev":1}`, core.OK},
-		{core.StoreList, 200, `{"entries":[{"k":"a/5","keyRev":1}],"truncated":true,"storeRev":1}`, core.Unknown},
-		{core.StoreList, 200, `{"entries":[{"k":"a/7","keyRev":1},{"k":"a/6","keyRev":1}],"storeRev":1}`, core.Unknown},
-		{core.StoreList, 200, `{"entries":[{"k":"b/6","keyRev":1}],"storeRev":1}`, core.Unknown},
-		{core.StoreList, 200, `{"entries":[],"truncated":true,"storeRev":1}`, core.Unknown},
-		{core.StoreWatch, 410, ``, core.NotFound},
+		{core.StoreTxn, 200, `{"storeRev":432}`, rpc.OK},
+		{core.StoreTxn, 200, `{}`, rpc.Unknown},
+		{core.StoreTxn, 200, `not json`, rpc.Unknown},
+		{core.StoreTxn, 409, `{"failed":["a"],"storeRev":3}`, rpc.Conflict},
+		{core.StoreTxn, 409, `{}`, rpc.Unknown},
+		{core.StoreTxn, 400, ``, rpc.Invalid},
+		{core.StoreTxn, 429, ``, rpc.Refused},
+		{core.StoreTxn, 503, ``, rpc.Refused},
+		{core.StoreTxn, 500, ``, rpc.Unknown},
+		{core.StoreTxn, 204, ``, rpc.Unknown},
+		{core.StoreGet, 404, `{"storeRev":1}`, rpc.NotFound},
+		{core.StoreGet, 200, `{"k":"a","v":{},"keyRev":4}`, rpc.OK},
+		{core.StoreGet, 200, `{"storeRev":4}`, rpc.Unknown},
+		{core.StoreList, 200, `{"entries":[],"truncated":false,"storeRev":1}`, rpc.OK},
+		{core.StoreList, 200, `{}`, rpc.Unknown},
+		{core.StoreGrantLease, 200, `{"grant":7}`, rpc.OK},
+		{core.StoreGrantLease, 200, `{"grant":"7"}`, rpc.Unknown},
+		{core.StoreKeepAlive, 404, ``, rpc.NotFound},
+		{core.StoreKeepAlive, 200, `{"grant":7}`, rpc.OK},
+		{core.StoreKeepAlive, 200, `{"grant":8}`, rpc.Unknown},
+		{core.StoreKeepAlive, 200, ``, rpc.Unknown},
+		{core.StoreRevokeLease, 200, ``, rpc.OK},
+		{core.StoreGet, 404, `<html>`, rpc.Unknown},
+		{core.StoreGet, 404, `{}`, rpc.Unknown},
+		{core.StoreGet, 200, `{"k":"b","v":{},"keyRev":4}`, rpc.Unknown},
+		{core.StoreList, 200, `{"entries":[{"k":"a/6","keyRev":1},{"k":"a/7","keyRev":1}],"truncated":true,"storeRev":1}`, rpc.OK},
+		{core.StoreList, 200, `{"entries":[{"k":"a/5","keyRev":1}],"truncated":true,"storeRev":1}`, rpc.Unknown},
+		{core.StoreList, 200, `{"entries":[{"k":"a/7","keyRev":1},{"k":"a/6","keyRev":1}],"storeRev":1}`, rpc.Unknown},
+		{core.StoreList, 200, `{"entries":[{"k":"b/6","keyRev":1}],"storeRev":1}`, rpc.Unknown},
+		{core.StoreList, 200, `{"entries":[],"truncated":true,"storeRev":1}`, rpc.Unknown},
+		{core.StoreWatch, 410, ``, rpc.NotFound},
 	} {
 		if got := Decode(core.StoreCall{Op: c.op, Key: "a", From: "a/5", LeaseID: 7}, c.status, []byte(c.body)); got.Outcome != c.want {
 			t.Errorf("%v %d %s: %v, want %v", c.op, c.status, c.body, got.Outcome, c.want)
@@ -60,7 +62,7 @@
 
 // TestRecords: what is written is read back; what is not a record is none.
 func TestRecords(t *testing.T) {
-	in := &core.JobRecord{Spec: core.JobSpec{ID: "wk-1", Class: "c", Owner: "o", Tasks: 5, CPUs: 1.5, Urgency: core.Urgent, Image: "i",
+	in := &core.JobRecord{Spec: spec.Job{ID: "wk-1", Class: "c", Owner: "o", Tasks: 5, CPUs: 1.5, Urgency: spec.Urgent, Image: "i",
 		InstanceTypes: []string{"f"}, Runtime: 90 * time.Second, Deadline: time.Minute, HasDeadline: true}, Submitted: time.UnixMilli(1234567), Cancelled: true}
 	data, err := json.Marshal(encodeValue(in))
 	if err != nil {
--- a/internal/kvclient/fuzz_test.go
+++ b/internal/kvclient/fuzz_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"yewpass/internal/core"
+	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 )
 
@@ -31,7 +32,7 @@
 			call.Key = "a/wk-1"
 		}
 		r := Decode(call, status, data)
-		if r.Outcome == core.OK && status != 200 || r.Outcome == core.NotFound && status != 404 && status != 410 {
+		if r.Outcome == rpc.OK && status != 200 || r.Outcome == rpc.NotFound && status != 404 && status != 410 {
 			t.Fatalf("%v for %d", r.Outcome, status)
 		}
 		last := ""
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -12,6 +12,7 @@
 	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/schedule"
+	"yewpass/internal/spec"
 )
 
 func listen(t *testing.T) net.Listener {
@@ -69,7 +70,7 @@
 		conn.Close()
 	}
 	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerCall, Ref: 7, Op: core.OpSubmit, ID: "wk-1",
-		Spec: &core.JobSpec{ID: "wk-1", Tasks: 3, CPUs: 1.5, Deadline: time.Minute, HasDeadline: true}}})
+		Spec: &spec.Job{ID: "wk-1", Tasks: 3, CPUs: 1.5, Deadline: time.Minute, HasDeadline: true}}})
 	if p := next(t, ib); p.From != "a" || p.Msg.Ref != 7 || p.Msg.Spec.Tasks != 3 || p.Msg.Spec.Deadline != time.Minute {
 		t.Errorf("%+v", p)
 	}
--- a/internal/scenario/configure_test.go
+++ b/internal/scenario/configure_test.go
@@ -9,6 +9,7 @@
 
 	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/rpc"
 )
 
 // configFleet has work of three teams, whose limits move among the troubles.
@@ -94,7 +95,7 @@
 			}
 			s.hears = func(_ *node, in any) any { // a change that was refused counts
 				if r, ok := in.(core.StoreReply); ok && changes[r.Ref] {
-					r.Outcome = core.OK
+					r.Outcome = rpc.OK
 					return r
 				}
 				return in
--- a/internal/scenario/drill_test.go
+++ b/internal/scenario/drill_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 )
 
 // site is what the drills play on: three machines up, more to be rented.
@@ -129,7 +130,7 @@
 	term := l.metric("yewpass_term")
 	for i := range 12 {
 		for _, p := range ps {
-			rep := core.Report{Host: "host-stray", Address: "127.0.0.1:9", InstanceType: "s", Zone: "a", Incarnation: 1, Counter: uint64(i), FencingToken: 1<<64 - 1}
+			rep := heartbeat.Report{Host: "host-stray", Address: "127.0.0.1:9", InstanceType: "s", Zone: "a", Incarnation: 1, Counter: uint64(i), FencingToken: 1<<64 - 1}
 			if status, _, _ := p.do("POST", "/hello", reportBody(rep)); status == 200 {
 				t.Error("a report that will be dropped is answered with 200")
 			}
@@ -300,7 +301,7 @@
 				ps[0].pipe.Close()
 			}
 			for i := range 60 { // each is a line in the log, or two
-				ps[0].do("POST", "/hello", reportBody(core.Report{Host: "host-" + strconv.Itoa(i), Address: "127.0.0.1:9", InstanceType: "s", Zone: "a", Incarnation: 1, Counter: 1}))
+				ps[0].do("POST", "/hello", reportBody(heartbeat.Report{Host: "host-" + strconv.Itoa(i), Address: "127.0.0.1:9", InstanceType: "s", Zone: "a", Incarnation: 1, Counter: 1}))
 			}
 			for i := range 3 {
 				f.works("wk-" + strconv.Itoa(100+i))
--- a/internal/scenario/looks.go
+++ b/internal/scenario/looks.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/spec"
 )
 
@@ -177,7 +178,7 @@
 // unfit submits a job that can never run.
 func (w *world) unfit() {
 	w.oddID++
-	s := core.JobSpec{ID: fmt.Sprintf("wk-8%07d", w.oddID), Class: "c", Owner: w.cfg.Settings.Teams[0].Name, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", AllowSpot: true}
+	s := spec.Job{ID: fmt.Sprintf("wk-8%07d", w.oddID), Class: "c", Owner: w.cfg.Settings.Teams[0].Name, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", AllowSpot: true}
 	switch w.rng.IntN(4) {
 	case 0:
 		s.CPUs = 1e5
@@ -294,7 +295,7 @@
 		}
 		have := [3]float64{m.flavor.cpus, m.flavor.gpus, m.flavor.mem}
 		for _, t := range m.tasks {
-			if t.job != nil && t.phase != core.Exited {
+			if t.job != nil && t.phase != heartbeat.Exited {
 				have = [3]float64{have[0] - t.job.spec.CPUs, have[1] - t.job.spec.GPUs, have[2] - t.job.spec.MemGB}
 			}
 		}
--- a/internal/scenario/loopback.go
+++ b/internal/scenario/loopback.go
@@ -13,6 +13,8 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/rpc"
 )
 
 // A loopback drives a world in real time: its clock goes with the time of day, its
@@ -178,7 +180,7 @@
 	})
 	select {
 	case a := <-got:
-		if a.Outcome != core.OK {
+		if a.Outcome != rpc.OK {
 			rw.WriteHeader(http.StatusConflict)
 		}
 		rw.Write(reportBody(a.Report))
@@ -188,7 +190,7 @@
 }
 
 // reportBody is a report as workers write it.
-func reportBody(r core.Report) []byte {
+func reportBody(r heartbeat.Report) []byte {
 	tasks := []object{}
 	for _, t := range r.Tasks {
 		tasks = append(tasks, object{"shard": t.Task.String(), "try": t.Try, "status": t.Phase, "cause": t.Cause})
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -8,7 +8,10 @@
 	"testing"
 
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/relay"
+	"yewpass/internal/rpc"
+	"yewpass/internal/spec"
 )
 
 // meeting has long tasks, jobs of two and three tasks that end far apart, many cancellations
@@ -167,7 +170,7 @@
 			}
 			s.hears = func(n *node, in any) any { // a release that was refused counts
 				if r, ok := in.(core.CloudReply); ok && releases[r.Ref] {
-					r.Outcome = core.OK
+					r.Outcome = rpc.OK
 					return r
 				}
 				return in
@@ -243,7 +246,7 @@
 run 120s`, "ran_cancelled", func(s *script) {
 			s.lie = func(n *node, out any) any { // a machine that has hung is told nothing of it
 				if a, ok := out.(core.AnswerReport); ok {
-					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o core.Order) bool { return o.Verb == core.Stop })
+					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop })
 					return a
 				}
 				return out
@@ -287,7 +290,7 @@
 expect met odd-lacks >5
 expect done all
 run 100s`, "unfit", func(s *script) {
-			s.careless = func(*core.JobSpec) *core.JobSpec { return &core.JobSpec{} }
+			s.careless = func(*spec.Job) *spec.Job { return &spec.Job{} }
 		}},
 		"close_looks": {few(3, 3) + `
 team t
@@ -318,7 +321,7 @@
 run 160s`, "waits", func(s *script) {
 			s.lie = func(n *node, out any) any {
 				if a, ok := out.(core.AnswerReport); ok {
-					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o core.Order) bool { return o.Task.Job == "wk-100003" })
+					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Task.Job == "wk-100003" })
 					return a
 				}
 				return out
@@ -333,7 +336,7 @@
 run 60s`, "start-after-cancel", func(s *script) {
 			s.lie = func(n *node, out any) any {
 				if a, ok := out.(core.AnswerReport); ok {
-					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o core.Order) bool { return o.Verb == core.Stop })
+					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop })
 					return a
 				}
 				return out
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/replica"
 )
 
@@ -552,7 +553,7 @@
 		{"cancel and start", "ran_cancelled", func() func(n *node, out any) any {
 			return func(n *node, out any) any { // stops are forgotten
 				if a, ok := out.(core.AnswerReport); ok {
-					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o core.Order) bool { return o.Verb == core.Stop })
+					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop })
 					return a
 				}
 				return out
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -19,6 +19,8 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/spec"
 )
 
 // process is a controller that runs as a process of the real program.
@@ -290,13 +292,13 @@
 }
 
 // answerReport makes a worker's report on the worker's own connection.
-func (p *process) answerReport(rep core.Report) core.AnswerReport {
+func (p *process) answerReport(rep heartbeat.Report) core.AnswerReport {
 	status, _, data := p.request(p.link(rep.Host, p.n.name), "POST", "/hello", reportBody(rep))
 	var r struct {
 		Epoch    uint64
 		Upstream string
 		Orders   []struct {
-			Verb   core.Verb
+			Verb   heartbeat.Verb
 			Shard  string
 			Try    uint64
 			DrainS float64
@@ -307,11 +309,11 @@
 	}
 	a := core.AnswerReport{Status: status, FencingToken: r.Epoch, Upstream: r.Upstream}
 	for _, o := range r.Orders {
-		id, ok := core.ParseTaskID(o.Shard)
+		id, ok := heartbeat.ParseTaskID(o.Shard)
 		if !ok {
 			p.complain("an order for %q", o.Shard)
 		}
-		a.Orders = append(a.Orders, core.Order{Verb: o.Verb, Task: id, Try: o.Try, Drain: time.Duration(o.DrainS * float64(time.Second))})
+		a.Orders = append(a.Orders, heartbeat.Order{Verb: o.Verb, Task: id, Try: o.Try, Drain: time.Duration(o.DrainS * float64(time.Second))})
 	}
 	return a
 }
@@ -359,7 +361,7 @@
 }
 
 // submission is a job as its user writes it.
-func submission(s *core.JobSpec) []byte {
+func submission(s *spec.Job) []byte {
 	o := object{"id": s.ID, "jobclass": s.Class, "owner": s.Owner, "shape": "array", "urgency": s.Urgency.String(), "shards": s.Tasks,
 		"vcpus": s.CPUs, "gpus": s.GPUs, "memGb": s.MemGB, "bundle": s.Image, "sizeGb": s.ImageGB, "flavors": s.InstanceTypes,
 		"samePlace": s.SamePlace, "apart": s.Apart, "reclaimable": s.AllowSpot, "runtimeS": s.Runtime.Seconds(),
--- a/internal/scenario/report_cost.go
+++ b/internal/scenario/report_cost.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 )
 
 // ReportCost is what one report takes of a worker's processor, all of HTTP and JSON
@@ -60,9 +60,9 @@
 // this process has taken for each.
 func MakeReports(addr string) (cost ReportCost, err error) {
 	link := newWorkerLink()
-	rep := core.Report{Host: "host-000231", Address: "10.1.0.232:9000", InstanceType: "node", Zone: "r1-z1", Incarnation: 1, FencingToken: 7}
+	rep := heartbeat.Report{Host: "host-000231", Address: "10.1.0.232:9000", InstanceType: "node", Zone: "r1-z1", Incarnation: 1, FencingToken: 7}
 	for i := range costTasks {
-		rep.Tasks = append(rep.Tasks, core.TaskReport{Task: core.TaskID{Job: "wk-0000412", Index: 100 + i}, Try: 7<<28 + uint64(i), Phase: core.TaskRuns})
+		rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-0000412", Index: 100 + i}, Try: 7<<28 + uint64(i), Phase: heartbeat.TaskRuns})
 	}
 	before := processorTime()
 	for range costReports {
--- a/internal/scenario/scale.go
+++ b/internal/scenario/scale.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"yewpass/internal/core"
+	"yewpass/internal/spec"
 )
 
 // scaleRun is a plan as it is played.
@@ -274,7 +274,7 @@
 	if !t.job.startedTasks[t.id.Index] { // a task that is started again has been late already
 		t.job.startedTasks[t.id.Index] = true
 		r.measures.starts[t.job.spec.Urgency].record(r.now.Sub(t.job.first))
-		if t.job.spec.Urgency == core.Urgent && r.now.Sub(t.job.first) > urgentWithin {
+		if t.job.spec.Urgency == spec.Urgent && r.now.Sub(t.job.first) > urgentWithin {
 			r.measures.urgentLate++
 		}
 	}
--- a/internal/scenario/scale_measures.go
+++ b/internal/scenario/scale_measures.go
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"yewpass/internal/core"
+	"yewpass/internal/spec"
 )
 
 // latencies is a distribution of times.
@@ -83,8 +83,8 @@
 
 // measures is what a run measures.
 type measures struct {
-	accepts    map[core.Urgency]latencies
-	starts     map[core.Urgency]latencies
+	accepts    map[spec.Urgency]latencies
+	starts     map[spec.Urgency]latencies
 	urgentLate int64
 	changes    latencies // of configuration, until their users are told
 	inForce    latencies // from then on, until every controller in reach has them
@@ -106,8 +106,8 @@
 }
 
 func (m *measures) begin(r *scaleRun) {
-	m.accepts, m.starts = map[core.Urgency]latencies{}, map[core.Urgency]latencies{}
-	for _, u := range []core.Urgency{core.Idle, core.Standard, core.Urgent} {
+	m.accepts, m.starts = map[spec.Urgency]latencies{}, map[spec.Urgency]latencies{}
+	for _, u := range []spec.Urgency{spec.Idle, spec.Standard, spec.Urgent} {
 		m.accepts[u], m.starts[u] = newLatencies(), newLatencies()
 	}
 	m.changes, m.inForce = newLatencies(), newLatencies()
--- a/internal/scenario/scale_plan.go
+++ b/internal/scenario/scale_plan.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"yewpass/internal/config"
-	"yewpass/internal/core"
+	"yewpass/internal/spec"
 )
 
 // ScalePlan says what a scale run plays. The same plan with the same seed plays the same
@@ -143,7 +143,7 @@
 // scaleClass is a class of jobs of the generator.
 type scaleClass struct {
 	name    string
-	urgency core.Urgency
+	urgency spec.Urgency
 	share   float64 // of the tasks
 	jobs    float64 // of the jobs
 	cpus    float64
@@ -155,9 +155,9 @@
 // The classes have the proportions of a large deployment: few large arrays and many of
 // middling size, a part of them urgent.
 var scaleClasses = []scaleClass{
-	{name: "alert", urgency: core.Urgent, share: 0.46, jobs: 0.65, cpus: 1, memory: 1.6, seconds: 18, due: 2 * time.Minute},
-	{name: "ingest", urgency: core.Standard, share: 0.35, jobs: 0.09, cpus: 2, memory: 2.7, seconds: 25},
-	{name: "rollup", urgency: core.Idle, share: 0.19, jobs: 0.26, cpus: 4, memory: 5.8, seconds: 50},
+	{name: "alert", urgency: spec.Urgent, share: 0.46, jobs: 0.65, cpus: 1, memory: 1.6, seconds: 18, due: 2 * time.Minute},
+	{name: "ingest", urgency: spec.Standard, share: 0.35, jobs: 0.09, cpus: 2, memory: 2.7, seconds: 25},
+	{name: "rollup", urgency: spec.Idle, share: 0.19, jobs: 0.26, cpus: 4, memory: 5.8, seconds: 50},
 }
 
 // urgentWithin is the plan's aim on the start of urgent tasks.
@@ -280,10 +280,10 @@
 		x -= class.jobs
 	}
 	mean := p.Tasks / p.Jobs * class.share / class.jobs
-	tasks := max(1, min(core.MaxTasks, int(math.Round(min(largestArray, g.rng.ExpFloat64())*mean))))
+	tasks := max(1, min(spec.MaxTasks, int(math.Round(min(largestArray, g.rng.ExpFloat64())*mean))))
 	runs := time.Duration(class.seconds * p.stretch() * (0.7 + 0.6*g.rng.Float64()) * float64(time.Second))
 	j := &userJob{runs: runs, varies: taskSpread, done: map[int]bool{}, progress: map[int]time.Duration{}}
-	j.spec = core.JobSpec{ID: fmt.Sprintf("wk-%07d", g.made), Class: class.name, Owner: p.teamName(g.rng.IntN(p.Teams)), Urgency: class.urgency,
+	j.spec = spec.Job{ID: fmt.Sprintf("wk-%07d", g.made), Class: class.name, Owner: p.teamName(g.rng.IntN(p.Teams)), Urgency: class.urgency,
 		Tasks: tasks, CPUs: class.cpus, MemGB: class.memory, Image: "image-" + class.name, ImageGB: imageGB, Runtime: runs.Round(time.Second)}
 	if class.due > 0 {
 		j.spec.Deadline, j.spec.HasDeadline = class.due+runs, true
--- a/internal/scenario/scale_report.go
+++ b/internal/scenario/scale_report.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"yewpass/internal/core"
+	"yewpass/internal/spec"
 )
 
 // ScaleReport is what a scale run has measured, over the hold unless said otherwise.
@@ -103,7 +103,7 @@
 	for u, l := range m.accepts {
 		out.Accept[u.String()], out.Start[u.String()] = l.quantiles(), m.starts[u].quantiles()
 	}
-	out.UrgentLate = float64(m.urgentLate) / float64(max(1, m.starts[core.Urgent].TotalCount()))
+	out.UrgentLate = float64(m.urgentLate) / float64(max(1, m.starts[spec.Urgent].TotalCount()))
 	out.Changes, out.InForce = m.changes.quantiles(), m.inForce.quantiles()
 	out.Starts, out.Running, out.Killed = per(m.over.started-m.at.started), m.over.running, m.over.killed-m.at.killed
 	for _, p := range r.processes {
@@ -161,7 +161,7 @@
 		name string
 		of   map[string]Quantiles
 	}{{"accepted", r.Accept}, {"started", r.Start}} {
-		for _, u := range []core.Urgency{core.Urgent, core.Standard, core.Idle} {
+		for _, u := range []spec.Urgency{spec.Urgent, spec.Standard, spec.Idle} {
 			quantilesRow(w, kind.name+" "+u.String(), kind.of[u.String()])
 		}
 	}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -13,6 +13,7 @@
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/spec"
 )
 
@@ -75,7 +76,7 @@
 }
 
 func newWorld() *world {
-	w := &world{clock: newClock(1), workers: map[string]*worker{}, jobs: map[string]*userJob{}, cals: map[string]calendar.Definition{}, clerks: map[string]*clerk{}, history: map[string][]call{}, broken: map[string]bool{}, met: map[string]int{}, tries: map[core.TaskID]uint64{}, ledger: ledger{}}
+	w := &world{clock: newClock(1), workers: map[string]*worker{}, jobs: map[string]*userJob{}, cals: map[string]calendar.Definition{}, clerks: map[string]*clerk{}, history: map[string][]call{}, broken: map[string]bool{}, met: map[string]int{}, tries: map[heartbeat.TaskID]uint64{}, ledger: ledger{}}
 	w.admin = newAdmin(w)
 	w.net = &network{clock: w.clock, latency: time.Millisecond, last: map[[2]string]time.Time{}}
 	w.store = &store{clock: w.clock, putsOf: map[string]int{}, keeps: 10000, keys: map[string]*storedKey{}, grants: map[uint64]*storedGrant{}, denied: map[string]time.Time{}, muted: map[string]mute{}, unheard: map[string]unheard{}, refilled: w.now, met: w.met}
@@ -470,7 +471,7 @@
 	run := dur(a, "run", 20*time.Second)
 	j := &userJob{runs: run, faulty: a["faulty"] != "", done: map[int]bool{}, progress: map[int]time.Duration{}}
 	sp := &j.spec
-	*sp = core.JobSpec{ID: id, Class: a["class"], Owner: "t", Service: a["service"] != "", Urgency: core.Standard, Tasks: int(num(a, "tasks", 1)),
+	*sp = spec.Job{ID: id, Class: a["class"], Owner: "t", Service: a["service"] != "", Urgency: spec.Standard, Tasks: int(num(a, "tasks", 1)),
 		CPUs: num(a, "cpus", 1), GPUs: num(a, "gpus", 0), MemGB: num(a, "mem", 1), Image: "img", ImageGB: num(a, "gb", 1), AllowSpot: a["ordinary"] == "",
 		SamePlace: a["samePlace"] != "", Apart: a["apart"] != "", Zone: a["zone"], Runtime: dur(a, "est", run),
 		CheckpointInterval: dur(a, "every", 0), CheckpointTime: dur(a, "save", 0)}
@@ -487,7 +488,7 @@
 		sp.InstanceTypes = strings.Split(v, ",")
 	}
 	if v := a["urgency"]; v != "" {
-		sp.Urgency = core.Urgency(slices.Index(spec.UrgencyNames[:], v))
+		sp.Urgency = spec.Urgency(slices.Index(spec.UrgencyNames[:], v))
 	}
 	if _, ok := a["due"]; ok {
 		sp.Deadline, sp.HasDeadline = dur(a, "due", 0), true
@@ -805,8 +806,8 @@
 	w := s.world
 	ms := s.busiest(len(w.cloud.machines))
 	j := w.order[0]
-	force := func(m *worker, id core.TaskID) {
-		t := &task{id: id, try: 1, job: w.jobs[id.Job], phase: core.Pulling}
+	force := func(m *worker, id heartbeat.TaskID) {
+		t := &task{id: id, try: 1, job: w.jobs[id.Job], phase: heartbeat.Pulling}
 		m.tasks = append(m.tasks, t)
 		w.ledger.hold(m, t)
 		w.dirty = true
@@ -822,11 +823,11 @@
 		}
 	case "quota":
 		for i := range 40 {
-			force(ms[i%len(ms)], core.TaskID{Job: j.spec.ID, Index: i % j.spec.Tasks})
+			force(ms[i%len(ms)], heartbeat.TaskID{Job: j.spec.ID, Index: i % j.spec.Tasks})
 		}
 	case "wrong_place":
 		j.spec.Zone = "elsewhere"
-		force(ms[0], core.TaskID{Job: j.spec.ID})
+		force(ms[0], heartbeat.TaskID{Job: j.spec.ID})
 	case "ran_cancelled":
 		j.told, j.toldAt = core.Cancelled, w.now.Add(-w.cancelWithin-time.Second)
 		w.calledOff = append(w.calledOff, j)
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -5,11 +5,12 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/spec"
 )
 
 // userJob is a job and what its user knows of it.
 type userJob struct {
-	spec     core.JobSpec
+	spec     spec.Job
 	runs     time.Duration // how long a task really takes
 	varies   float64       // give or take this part of it, each task for itself
 	faulty   bool          // every task fails
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/rpc"
 )
 
 // worker is the stand-in of a machine and its worker.
@@ -38,10 +40,10 @@
 
 // task is an attempt on a machine.
 type task struct {
-	id     core.TaskID
+	id     heartbeat.TaskID
 	try    uint64
 	job    *userJob
-	phase  core.Phase
+	phase  heartbeat.Phase
 	cause  string
 	began  time.Time
 	change int  // number of the latest planned change
@@ -52,7 +54,7 @@
 
 // on reports whether the task is on the machine in the sense of the rules: it
 // has its image and has not exited.
-func (t *task) on() bool { return t.phase == core.TaskRuns || t.phase == core.Checkpointing }
+func (t *task) on() bool { return t.phase == heartbeat.TaskRuns || t.phase == heartbeat.Checkpointing }
 
 // do runs f when the machine executes: not before a hang is over, never once it
 // is gone, and after the lease has been looked at.
@@ -81,7 +83,7 @@
 	m.tenure++
 	m.answered = m.now
 	for _, x := range m.tasks {
-		if x.phase != core.Exited {
+		if x.phase != heartbeat.Exited {
 			m.killed++
 			m.met["killed"]++
 		}
@@ -191,7 +193,7 @@
 			back(func() {
 				if m.now.Before(m.deaf) {
 					m.met["deaf-answer"]++
-					m.met["deaf-start"] += len(slices.DeleteFunc(ans.Orders, func(o core.Order) bool { return o.Verb != core.Start }))
+					m.met["deaf-start"] += len(slices.DeleteFunc(ans.Orders, func(o heartbeat.Order) bool { return o.Verb != heartbeat.Start }))
 					return
 				}
 				m.reply(id, tenure, sent, ans)
@@ -216,7 +218,7 @@
 const keptMost = 3
 
 // keepReport keeps a copy for the next leader.
-func (w *world) keepReport(rep core.Report) {
+func (w *world) keepReport(rep heartbeat.Report) {
 	n := 0
 	for i := range w.kept {
 		if w.kept[i].Host == rep.Host {
@@ -269,14 +271,14 @@
 }
 
 // describe is what the worker says of itself.
-func (m *worker) describe() core.Report {
-	rep := core.Report{Host: m.host, Address: m.address(m.host), InstanceType: m.flavor.name, Zone: m.zone, Spot: m.reclaimable,
+func (m *worker) describe() heartbeat.Report {
+	rep := heartbeat.Report{Host: m.host, Address: m.address(m.host), InstanceType: m.flavor.name, Zone: m.zone, Spot: m.reclaimable,
 		Incarnation: m.tenure, Counter: m.counter, FencingToken: m.epoch}
 	if !m.leaves.IsZero() {
 		rep.HasNotice, rep.Notice = true, m.leaves.Sub(m.now)
 	}
 	for _, t := range m.tasks {
-		rep.Tasks = append(rep.Tasks, core.TaskReport{Task: t.id, Try: t.try, Phase: t.phase, Cause: t.cause})
+		rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: t.id, Try: t.try, Phase: t.phase, Cause: t.cause})
 	}
 	return rep
 }
@@ -285,19 +287,19 @@
 const workerPort = ":9000"
 
 // command is a direct command without orders.
-func (m *worker) command(epoch, tenure uint64) (core.Outcome, core.Report) {
+func (m *worker) command(epoch, tenure uint64) (rpc.Outcome, heartbeat.Report) {
 	if m.now.Before(m.mute) {
 		m.met["mute-command"]++
 	}
 	m.counter++
 	if epoch < m.epoch || tenure != m.tenure {
-		return core.Conflict, m.describe()
+		return rpc.Conflict, m.describe()
 	}
 	m.sees(epoch)
 	if m.news && m.flight == 0 {
 		m.planReport(max(0, m.sent.Add(500*time.Millisecond).Sub(m.now)))
 	}
-	return core.OK, m.describe()
+	return rpc.OK, m.describe()
 }
 
 // sees takes note of an epoch; a higher one is news.
@@ -384,7 +386,7 @@
 	}
 }
 
-func (m *worker) find(id core.TaskID, try uint64) *task {
+func (m *worker) find(id heartbeat.TaskID, try uint64) *task {
 	for _, t := range m.tasks {
 		if t.id == id && t.try == try {
 			return t
@@ -394,12 +396,12 @@
 }
 
 // execute carries out an order of the answer to a report that was sent at a time.
-func (m *worker) execute(o core.Order, reported time.Time) {
+func (m *worker) execute(o heartbeat.Order, reported time.Time) {
 	t := m.find(o.Task, o.Try)
 	m.news = true
 	m.dirty = true
 	switch o.Verb {
-	case core.Start:
+	case heartbeat.Start:
 		if t == nil {
 			if o.Try <= m.tries[o.Task] {
 				m.fail("misuse", "%s starts as attempt %d after %d", o.Task, o.Try, m.tries[o.Task])
@@ -407,16 +409,16 @@
 			m.tries[o.Task] = o.Try
 			m.start(o, reported)
 		}
-	case core.Stop:
-		if t == nil || t.phase == core.Exited {
+	case heartbeat.Stop:
+		if t == nil || t.phase == heartbeat.Exited {
 			return
 		}
 		s := &t.job.spec
-		if t.phase == core.Checkpointing && o.Drain > 0 {
+		if t.phase == heartbeat.Checkpointing && o.Drain > 0 {
 			return
 		}
-		if t.phase == core.TaskRuns && s.CheckpointInterval > 0 && o.Drain >= s.CheckpointTime {
-			t.phase = core.Checkpointing
+		if t.phase == heartbeat.TaskRuns && s.CheckpointInterval > 0 && o.Drain >= s.CheckpointTime {
+			t.phase = heartbeat.Checkpointing
 			m.later(t, s.CheckpointTime, func() {
 				t.job.progress[t.id.Index] += m.now.Sub(t.began)
 				m.exit(t, core.CauseStopped)
@@ -424,8 +426,8 @@
 			return
 		}
 		m.exit(t, core.CauseStopped)
-	case core.Reap:
-		if t != nil && t.phase == core.Exited {
+	case heartbeat.Reap:
+		if t != nil && t.phase == heartbeat.Exited {
 			m.tasks = slices.DeleteFunc(m.tasks, func(x *task) bool { return x == t })
 		}
 	}
@@ -437,7 +439,7 @@
 	n, tenure := t.change, m.tenure
 	m.after(d, func() {
 		m.do(func() {
-			if t.change == n && m.tenure == tenure && t.phase != core.Exited {
+			if t.change == n && m.tenure == tenure && t.phase != heartbeat.Exited {
 				f()
 			}
 		})
@@ -446,7 +448,7 @@
 
 func (m *worker) exit(t *task, cause string) {
 	t.change++
-	t.phase, t.cause = core.Exited, cause
+	t.phase, t.cause = heartbeat.Exited, cause
 	m.ledger.release(t)
 	if cause == core.CauseDone {
 		t.job.done[t.id.Index] = true
@@ -458,13 +460,13 @@
 	m.changed()
 }
 
-func (m *worker) start(o core.Order, reported time.Time) {
-	t := &task{id: o.Task, try: o.Try, phase: core.Pulling}
+func (m *worker) start(o heartbeat.Order, reported time.Time) {
+	t := &task{id: o.Task, try: o.Try, phase: heartbeat.Pulling}
 	t.job = m.described(o.Task.Job)
 	refuse := ""
 	cpus, gpus, mem := 0.0, 0.0, 0.0
 	for _, x := range m.tasks {
-		if x.phase != core.Exited {
+		if x.phase != heartbeat.Exited {
 			if x.id == o.Task {
 				refuse = core.CauseBusy
 			}
@@ -474,7 +476,7 @@
 	}
 	m.tasks = append(m.tasks, t)
 	if t.job == nil || t.id.Index >= t.job.spec.Tasks {
-		t.phase, t.cause = core.Exited, core.CauseNoSuch
+		t.phase, t.cause = heartbeat.Exited, core.CauseNoSuch
 		return
 	}
 	s := &t.job.spec
@@ -483,7 +485,7 @@
 		refuse = core.CauseNoRoom
 	}
 	if refuse != "" {
-		t.phase, t.cause = core.Exited, refuse
+		t.phase, t.cause = heartbeat.Exited, refuse
 		m.refusals++
 		return
 	}
@@ -500,7 +502,7 @@
 // begin: the task has its image and is on the machine from now on.
 func (m *worker) begin(t *task) {
 	m.checkStart(m, t)
-	t.phase, t.began = core.TaskRuns, m.now
+	t.phase, t.began = heartbeat.TaskRuns, m.now
 	if t.job.begun.IsZero() {
 		t.job.begun = m.now
 	}
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -10,8 +10,11 @@
 	"yewpass/internal/cloud"
 	"yewpass/internal/config"
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/kvclient"
 	"yewpass/internal/policy"
+	"yewpass/internal/rpc"
+	"yewpass/internal/spec"
 )
 
 // world is everything that a scenario plays with.
@@ -31,18 +34,18 @@
 
 	reportEvery, lease, cancelWithin time.Duration
 
-	saved              func()         // puts back what the state service had
-	met                map[string]int // how often the meetings that a scenario is about came about
-	troubled           time.Time      // the last trouble is over by then
-	reports            lateness       // that share of reports arrives a second time, late
-	kept               []core.Report  // copies for the next leader
-	atEnd              lateness       // that share of the jobs that end is called off just then
-	looks              time.Time      // until then users look closely
+	saved              func()             // puts back what the state service had
+	met                map[string]int     // how often the meetings that a scenario is about came about
+	troubled           time.Time          // the last trouble is over by then
+	reports            lateness           // that share of reports arrives a second time, late
+	kept               []heartbeat.Report // copies for the next leader
+	atEnd              lateness           // that share of the jobs that end is called off just then
+	looks              time.Time          // until then users look closely
 	history            map[string][]call
 	oddID              int
-	careless           func(*core.JobSpec) *core.JobSpec // a planted error of the reader of submissions
-	repair             func()                            // puts right what was damaged last
-	lossy              bool                              // the state service has lost something
+	careless           func(*spec.Job) *spec.Job // a planted error of the reader of submissions
+	repair             func()                    // puts right what was damaged last
+	lossy              bool                      // the state service has lost something
 	dirty              bool
 	ledger             ledger
 	admin              *admin
@@ -54,11 +57,11 @@
 	moves              int // workers that went from a node that had served them to another
 	killed             int // tasks that ended with their lease
 	polls              int
-	tries              map[core.TaskID]uint64    // the latest attempt that a worker was told to start
-	lie                func(n *node, o any) any  // what a planted error makes of an output
-	hears              func(n *node, in any) any // and of an input
-	address            func(host string) string  // where a worker takes commands
-	given              time.Time                 // when the answer at hand was given
+	tries              map[heartbeat.TaskID]uint64 // the latest attempt that a worker was told to start
+	lie                func(n *node, o any) any    // what a planted error makes of an output
+	hears              func(n *node, in any) any   // and of an input
+	address            func(host string) string    // where a worker takes commands
+	given              time.Time                   // when the answer at hand was given
 	answered, failures []time.Time
 	trace              func(string)
 	measure            func(n *node, in any) []any // has the core take an input, in place of input
@@ -426,7 +429,7 @@
 		n.exchange(kind, "state", o.Timeout, func(answer func(int, []byte)) {
 			n.store.serve(n.name, method, path, body, answer)
 		}, func(status int, data []byte) any {
-			r := core.StoreReply{Outcome: core.Unknown}
+			r := core.StoreReply{Outcome: rpc.Unknown}
 			if status != 0 {
 				r = kvclient.Decode(o, status, data)
 			}
@@ -442,7 +445,7 @@
 		n.exchange(kind, "cloud", o.Timeout, func(answer func(int, []byte)) {
 			n.cloud.serve(method, path, body, answer)
 		}, func(status int, data []byte) any {
-			r := core.CloudReply{Outcome: core.Unknown}
+			r := core.CloudReply{Outcome: rpc.Unknown}
 			if status != 0 {
 				r = cloud.Decode(o, status, data)
 			}
@@ -458,7 +461,7 @@
 					answer(core.ProbeReply{Ref: o.Ref, Outcome: outcome, Report: rep})
 				})
 			}
-		}, core.ProbeReply{Ref: o.Ref, Outcome: core.Unknown})
+		}, core.ProbeReply{Ref: o.Ref, Outcome: rpc.Unknown})
 	case core.PeerSend:
 		for _, p := range n.nodes {
 			if l := n.links[p.name]; p.name == o.To && l.up {
