--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -62,7 +62,7 @@
 		return
 	}
 	if f, ok := c.finals.Get(call.ID); ok {
-		c.answer(call, AnswerUser{Status: 200, View: f.view(call.ID)}) // final states never change
+		c.answer(call, AnswerUser{Status: 200, View: finalStatus(call.ID, f)}) // final states never change
 		return
 	}
 	if c.leadership == nil && c.hasLeaderLink() {
@@ -102,7 +102,7 @@
 	if f == nil || f.leader != from || m.Answer == nil {
 		return
 	}
-	if v := m.Answer.View.ID; v != "" && v != f.call.ID && f.call.ofJob() {
+	if v := m.Answer.View.ID; v != "" && v != f.call.ID && f.call.IsJob() {
 		return // about another job: meant for somebody else
 	}
 	delete(c.forwardedRequests, m.Ref)
@@ -189,7 +189,7 @@
 						return
 					}
 					c.finals.Add(id, *rec)
-					v := rec.view(id)
+					v := finalStatus(id, *rec)
 					f(&v, true)
 				case rpc.NotFound:
 					f(nil, true)
@@ -233,7 +233,7 @@
 		return
 	}
 	if f, ok := c.finals.Get(call.ID); ok {
-		c.answer(call, AnswerUser{Status: 200, View: f.view(call.ID)})
+		c.answer(call, AnswerUser{Status: 200, View: finalStatus(call.ID, f)})
 		return
 	}
 	if a := l.accept[call.ID]; a != nil {
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -75,7 +75,7 @@
 	}
 	if r, ok := k.Get(finalKeys + id); ok {
 		if f, _ := r.Value.(*FinalRecord); f != nil {
-			view := f.view(id)
+			view := finalStatus(id, *f)
 			return &view, true
 		}
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -286,14 +286,17 @@
 		r.forgettable = true
 	}
 	j.completed = nil
-	j.answerCancelWaiters(c, AnswerUser{Status: 200, View: f.view(j.spec.ID)})
+	j.answerCancelWaiters(c, AnswerUser{Status: 200, View: finalStatus(j.spec.ID, f)})
 	if j.schedule != nil {
 		c.occurrenceOver(j.schedule, j.spec.ID, f.State, c.timeOfDay())
 	}
 	c.note(slog.LevelDebug, "job over", "job", j.spec.ID, "state", f.State)
 }
 
-func (f FinalRecord) view(id string) JobView { return JobView{ID: id, State: f.State, Done: f.Done} }
+// finalStatus is what a user is told of a job that has ended.
+func finalStatus(id string, f FinalRecord) JobView {
+	return JobView{ID: id, State: f.State, Done: f.Done}
+}
 
 func (j *job) answerCancelWaiters(c *Core, a AnswerUser) {
 	for _, call := range j.cancelWaiters {
--- a/internal/core/machine_records.go
+++ b/internal/core/machine_records.go
@@ -25,9 +25,9 @@
 // machineRecordInterval is how often a record of machines is written at the most.
 const machineRecordInterval = 250 * time.Millisecond
 
-// size bounds the bytes of a machine in a record: what a worker says of
+// Size bounds the bytes of a machine in a record: what a worker says of
 // itself may be anything, and one bad name must not spoil the record of many.
-func (m *RecordedMachine) size() int {
+func (m *RecordedMachine) Size() int {
 	return 90 + len(m.Host) + 6*(len(m.Address)+len(m.InstanceType)+len(m.Zone))
 }
 
@@ -38,7 +38,7 @@
 
 func recordedSize(m *machine) int {
 	r := m.recorded()
-	return r.size()
+	return r.Size()
 }
 
 // recordNewMachine has it written that the machine may hold tasks.
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -47,7 +47,7 @@
 		n += recordSize(&v.Spec)
 	case *MachineRecord:
 		for i := range v.Machines {
-			n += v.Machines[i].size()
+			n += v.Machines[i].Size()
 		}
 	case *ProgressRecord:
 		n += len(v.Ranges)
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -137,8 +137,8 @@
 	Config   *ConfigCall
 }
 
-// ofJob reports whether the call is about one job.
-func (u *UserCall) ofJob() bool { return u.Schedule == nil && u.Config == nil && !ofCluster(u.Op) }
+// IsJob reports whether the call is about one job.
+func (u *UserCall) IsJob() bool { return u.Schedule == nil && u.Config == nil && !ofCluster(u.Op) }
 
 // ReportIn is a worker's report waiting for its reply, from this node's own socket or
 // handed on by a relay.
