--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -148,7 +148,7 @@
 
 type viewJSON struct {
 	ID      string        `json:"id"`
-	Status  core.JobState `json:"status"`
+	Status  spec.JobState `json:"status"`
 	Done    int           `json:"done"`
 	Running int           `json:"running"`
 	Reason  string        `json:"reason,omitempty"` // what the job waits for, where that is known
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -60,7 +60,7 @@
 	var got *spec.Job
 	url := serve(t, func(in any) any {
 		got = in.(core.UserCall).Spec
-		return core.AnswerUser{Status: 201, View: core.JobView{State: core.Queued}}
+		return core.AnswerUser{Status: 201, View: core.JobView{State: spec.Queued}}
 	})
 	status, v, _ := post(t, url+"/v2/runs", good)
 	if status != 201 || v["id"] != "wk-000412" || v["status"] != "queued" {
@@ -114,7 +114,7 @@
 		if in.(core.UserCall).Op == core.OpCancel {
 			return core.AnswerUser{Status: 429, RetryAfter: 1500 * time.Millisecond, Reason: "later"}
 		}
-		return core.AnswerUser{Status: 200, View: core.JobView{State: core.Running, Done: 3, Running: 13}}
+		return core.AnswerUser{Status: 200, View: core.JobView{State: spec.Running, Done: 3, Running: 13}}
 	})
 	get := func(method, path string) int {
 		req, _ := http.NewRequest(method, url+path, nil)
@@ -186,7 +186,7 @@
 		c := in.(core.UserCall)
 		got, op = c.Schedule, c.Op
 		if op == core.OpScheduleRun {
-			return core.AnswerUser{Status: 201, View: core.JobView{ID: "wk-9", State: core.Queued}}
+			return core.AnswerUser{Status: 201, View: core.JobView{ID: "wk-9", State: spec.Queued}}
 		}
 		return core.AnswerUser{Status: 200, ETag: `"1-2"`, Doc: schedule.Coming{}}
 	})
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"yewpass/internal/policy"
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 )
@@ -110,10 +111,10 @@
 		c.serveWithoutLeader(f.call)
 		return
 	}
-	if s := m.Answer.View.State; m.Answer.Status == 200 && (s == Done || s == Cancelled) && f.call.Op == OpGet {
+	if s := m.Answer.View.State; m.Answer.Status == 200 && (s == spec.Done || s == spec.Cancelled) && f.call.Op == OpGet {
 		// Only a final answer to a poll: a job that is cancelled may still be
 		// on record as such, which is final as well.
-		c.finals.Add(f.call.ID, FinalRecord{s, m.Answer.View.Done})
+		c.finals.Add(f.call.ID, record.Final{State: s, Done: m.Answer.View.Done})
 	}
 	c.answer(f.call, *m.Answer)
 }
@@ -166,24 +167,24 @@
 		f(nil, false)
 		return
 	}
-	c.store(StoreCall{Op: StoreGet, Key: jobKeys + id}, func(r StoreReply) {
+	c.store(StoreCall{Op: StoreGet, Key: record.JobPrefix + id}, func(r StoreReply) {
 		switch r.Outcome {
 		case rpc.OK:
-			rec, _ := r.Entries[0].Value.(*JobRecord)
+			rec, _ := r.Entries[0].Value.(*record.Job)
 			if rec == nil {
 				f(nil, false)
 				return
 			}
-			v := JobView{ID: id, State: Queued}
+			v := JobView{ID: id, State: spec.Queued}
 			if rec.Cancelled {
-				v.State = Cancelled
+				v.State = spec.Cancelled
 			}
 			f(&v, true)
 		case rpc.NotFound:
-			c.store(StoreCall{Op: StoreGet, Key: finalKeys + id}, func(r StoreReply) {
+			c.store(StoreCall{Op: StoreGet, Key: record.FinalPrefix + id}, func(r StoreReply) {
 				switch r.Outcome {
 				case rpc.OK:
-					rec, _ := r.Entries[0].Value.(*FinalRecord)
+					rec, _ := r.Entries[0].Value.(*record.Final)
 					if rec == nil {
 						f(nil, false)
 						return
@@ -260,10 +261,10 @@
 		no()
 		return
 	}
-	c.storeWhileLeadingOr(StoreCall{Op: StoreGet, Key: jobKeys + id}, no, func(r StoreReply) {
-		var rec *JobRecord
+	c.storeWhileLeadingOr(StoreCall{Op: StoreGet, Key: record.JobPrefix + id}, no, func(r StoreReply) {
+		var rec *record.Job
 		if r.Outcome == rpc.OK {
-			rec, _ = r.Entries[0].Value.(*JobRecord)
+			rec, _ = r.Entries[0].Value.(*record.Job)
 		}
 		switch {
 		case !l.unreadableJobs[id]: // somebody else's question has seen to it
@@ -274,7 +275,7 @@
 		case rec == nil || rec.Spec.ID != id:
 			no()
 		default:
-			c.storeWhileLeadingOr(StoreCall{Op: StoreList, Key: doneKeys + id + "/", Limit: 400}, no, func(p StoreReply) {
+			c.storeWhileLeadingOr(StoreCall{Op: StoreList, Key: record.ProgressPrefix + id + "/", Limit: 400}, no, func(p StoreReply) {
 				if p.Outcome != rpc.OK || p.More {
 					no()
 					return
@@ -293,7 +294,7 @@
 // that may still be on machines are its own again until they are gone. A record that a fault
 // of ours cannot take in stays set aside, as at a take-over.
 func (c *Core) adoptReadable(rec Entry, progress []Entry) bool {
-	l, id := c.leadership, strings.TrimPrefix(rec.Key, jobKeys)
+	l, id := c.leadership, strings.TrimPrefix(rec.Key, record.JobPrefix)
 	delete(l.unreadableJobs, id)
 	c.loadRecord(rec)
 	j := l.jobs[id]
@@ -341,7 +342,7 @@
 					c.answer(call, unavailable("the state service does not answer"))
 				}
 			})
-		case v.State == Done || v.State == Cancelled:
+		case v.State == spec.Done || v.State == spec.Cancelled:
 			c.answer(call, AnswerUser{Status: 200, View: *v})
 		default:
 			c.adopt(call.ID, func() { c.serve(call) }, func() {
@@ -353,13 +354,13 @@
 
 // adopt takes on a job whose record exists but which memory lacks.
 func (c *Core) adopt(id string, then, otherwise func()) {
-	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: jobKeys + id}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: record.JobPrefix + id}, func(r StoreReply) {
 		if r.Outcome != rpc.OK {
 			otherwise()
 			return
 		}
 		c.replicate(r.Entries[0])
-		if rec, _ := r.Entries[0].Value.(*JobRecord); rec != nil && c.leadership.jobs[id] == nil {
+		if rec, _ := r.Entries[0].Value.(*record.Job); rec != nil && c.leadership.jobs[id] == nil {
 			a := c.leadership.accept[id]
 			delete(c.leadership.accept, id)
 			j := c.addJob(rec, false)
@@ -380,7 +381,9 @@
 var tooLong = AnswerUser{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
 
 // noRecordOf is the condition that a job has neither a live nor a final record.
-func noRecordOf(id string) []Condition { return []Condition{{jobKeys + id, 0}, {finalKeys + id, 0}} }
+func noRecordOf(id string) []Condition {
+	return []Condition{{record.JobPrefix + id, 0}, {record.FinalPrefix + id, 0}}
+}
 
 // submit decides on a new job and answers once its record is committed.
 func (c *Core) submit(call UserCall) {
@@ -415,11 +418,11 @@
 	}
 	a := &admission{spec: s, waiters: []UserCall{call}}
 	l.accept[s.ID] = a
-	rec := &JobRecord{Spec: *s, Submitted: c.now.Round(0)}
+	rec := &record.Job{Spec: *s, Submitted: c.now.Round(0)}
 	l.writes.add(&change{
 		size:       recordSize(s),
 		conditions: noRecordOf(s.ID),
-		writes:     []Write{{Key: jobKeys + s.ID, Value: rec}},
+		writes:     []Write{{Key: record.JobPrefix + s.ID, Value: rec}},
 		onCommit: func(uint64) {
 			delete(l.accept, s.ID)
 			j := c.newJob(rec)
@@ -434,7 +437,7 @@
 }
 
 // newJob takes on a job whose record has just been committed.
-func (c *Core) newJob(rec *JobRecord) *job {
+func (c *Core) newJob(rec *record.Job) *job {
 	j := c.addJob(rec, false)
 	if s := c.leadership.schedules.manualRuns[rec.Spec.ID]; s != nil {
 		c.noteManualRun(s, j)
@@ -457,7 +460,7 @@
 		case !known || v == nil:
 			a.answerAll(c, unavailable("the state service does not answer"))
 			c.afterWhileLeading(time.Second, func() { c.resolveAdmissionConflict(a) })
-		case v.State == Done || v.State == Cancelled:
+		case v.State == spec.Done || v.State == spec.Cancelled:
 			delete(c.leadership.accept, id)
 			a.answerAll(c, AnswerUser{Status: 200, View: *v})
 		default:
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
@@ -188,13 +189,13 @@
 			d.running("wk-1", 1)
 			ref := d.user(OpCancel, "wk-1", nil, nil)
 			poll := d.user(OpGet, "wk-1", nil, nil)
-			return func() bool { return ok(d, ref)() || d.answer(poll).View.State == Cancelled }
+			return func() bool { return ok(d, ref)() || d.answer(poll).View.State == spec.Cancelled }
 		},
 		"done": func(d *desk) func() bool {
 			ts := d.running("wk-1", 1)
 			ts[0].Phase, ts[0].Cause = heartbeat.Exited, CauseDone
 			d.report("host-000000", 12, ts...)
-			return func() bool { return d.answer(d.user(OpGet, "wk-1", nil, nil)).View.State == Done }
+			return func() bool { return d.answer(d.user(OpGet, "wk-1", nil, nil)).View.State == spec.Done }
 		},
 		"a reap at the end of a job": func(d *desk) func() bool {
 			ts := d.running("wk-1", 1)
@@ -282,10 +283,10 @@
 	ref := d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
 	for _, x := range d.calls {
 		if call, ok := x.(StoreCall); ok && call.Op == StoreTxn {
-			if !slices.Contains(call.Conditions, Condition{termKey, 1}) {
+			if !slices.Contains(call.Conditions, Condition{record.TermKey, 1}) {
 				t.Errorf("a write without the condition of the term: %+v", call.Conditions)
 			}
-			d.in(StoreReply{Ref: call.Ref, Outcome: rpc.Conflict, FailedKeys: []string{termKey}})
+			d.in(StoreReply{Ref: call.Ref, Outcome: rpc.Conflict, FailedKeys: []string{record.TermKey}})
 		}
 	}
 	if a := d.answer(ref); a.Status != 503 {
@@ -302,15 +303,15 @@
 	d := newDesk(t)
 	ref := d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
 	d.calls = nil // its write is on its way
-	d.c.afterWhileLeading(0, func() { d.c.adoptLeaderless(leaderlessKeys + "wk-1") })
+	d.c.afterWhileLeading(0, func() { d.c.adoptLeaderless(record.LeaderlessPrefix + "wk-1") })
 	d.in(Tick{})
 	for _, x := range d.calls {
-		if call, ok := x.(StoreCall); ok && call.Op == StoreGet && call.Key == jobKeys+"wk-1" {
-			rec := &JobRecord{Spec: *plainJob("wk-1", 1), Submitted: d.c.now}
+		if call, ok := x.(StoreCall); ok && call.Op == StoreGet && call.Key == record.JobPrefix+"wk-1" {
+			rec := &record.Job{Spec: *plainJob("wk-1", 1), Submitted: d.c.now}
 			d.in(StoreReply{Ref: call.Ref, Rev: 90, Entries: []Entry{{Key: call.Key, Value: rec, Rev: 90}}})
 		}
 	}
-	if a := d.answer(ref); a.Status != 200 || a.View.State != Queued {
+	if a := d.answer(ref); a.Status != 200 || a.View.State != spec.Queued {
 		t.Errorf("%+v", a)
 	}
 }
@@ -345,7 +346,7 @@
 			}
 			want, r := 404, StoreReply{Ref: call.Ref, Outcome: rpc.OK}
 			if !sure {
-				want, r = 503, StoreReply{Ref: call.Ref, Outcome: rpc.Conflict, FailedKeys: []string{termKey}}
+				want, r = 503, StoreReply{Ref: call.Ref, Outcome: rpc.Conflict, FailedKeys: []string{record.TermKey}}
 			}
 			d.in(r)
 			if a := d.answer(ref); a.Status != want {
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -11,6 +11,7 @@
 
 	"yewpass/internal/config"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/rpc"
 )
@@ -22,9 +23,6 @@
 // is confirmed with each renewal of its grant, and what a node without a leader accepts is
 // conditional on the head. docs/design/configuration.md has the argument.
 const (
-	configKeys     = liveKeys + "config/"
-	configHeadKey  = configKeys + "head"
-	configTeamKeys = configKeys + "team/"
 
 	// configWriteShare of the changes that the state service allows is kept for configuration:
 	// neither a storm of submissions nor one of changes holds up the other.
@@ -35,9 +33,6 @@
 	configBroadcastInterval = time.Second
 )
 
-// isConfigKey reports whether a key is of the configuration.
-func isConfigKey(key string) bool { return strings.HasPrefix(key, configKeys) }
-
 // ConfigCall is what a user asks of the configuration, next to the operation.
 type ConfigCall struct {
 	Name       string                  `json:"name,omitempty"`       // of get
@@ -107,12 +102,12 @@
 // known of its object as it is: what a copy has, or else the settings.
 func (c *Core) loadConfig(e Entry) {
 	conf := &c.leadership.config
-	if e.Key == configHeadKey {
+	if e.Key == record.ConfigHeadKey {
 		conf.headRev = e.Rev
 	}
 	value := e.Value
 	if value == nil {
-		conf.damaged[strings.TrimPrefix(e.Key, configKeys)] = true
+		conf.damaged[strings.TrimPrefix(e.Key, record.ConfigPrefix)] = true
 		from := "the settings"
 		if k := c.newestReplica(); k != nil {
 			if r, ok := k.Get(e.Key); ok {
@@ -162,7 +157,7 @@
 // teamFromReplica returns a team as the copy of the last leader has it, or as the settings do; nil
 // if there is none. The caller's decision has to be conditional on configHeadCond.
 func (c *Core) teamFromReplica(k *replica.Copy, name string) *team {
-	if r, ok := k.Get(configTeamKeys + name); ok {
+	if r, ok := k.Get(record.ConfigTeamPrefix + name); ok {
 		if rec, _ := r.Value.(*liveconfig.TeamRecord); rec != nil {
 			return teamOf(rec.Team)
 		}
@@ -177,8 +172,8 @@
 
 // configHeadCond is the condition that the configuration is as a copy has it.
 func configHeadCond(k *replica.Copy) Condition {
-	r, _ := k.Get(configHeadKey)
-	return Condition{configHeadKey, r.Rev}
+	r, _ := k.Get(record.ConfigHeadKey)
+	return Condition{record.ConfigHeadKey, r.Rev}
 }
 
 // ---- the renewal
@@ -189,7 +184,7 @@
 	if !l.loaded {
 		return nil
 	}
-	return []Condition{{configHeadKey, l.config.headRev}}
+	return []Condition{{record.ConfigHeadKey, l.config.headRev}}
 }
 
 // handleConfigConflict: a renewal that went out with a revision of the head has found another. If it
@@ -215,7 +210,7 @@
 		return
 	}
 	conf.rereading = true
-	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: configHeadKey}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: record.ConfigHeadKey}, func(r StoreReply) {
 		conf.rereading = false
 		if r.Outcome != rpc.OK && r.Outcome != rpc.NotFound {
 			return // the next renewal finds the same
@@ -255,7 +250,7 @@
 	state := liveconfig.New(baseTeams(c.cfg))
 	var page func(from string)
 	page = func(from string) {
-		c.storeWhileLeading(StoreCall{Op: StoreList, Key: configKeys, From: from, Limit: 400}, func(r StoreReply) {
+		c.storeWhileLeading(StoreCall{Op: StoreList, Key: record.ConfigPrefix, From: from, Limit: 400}, func(r StoreReply) {
 			if r.Outcome != rpc.OK {
 				c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { page(from) })
 				return
@@ -412,11 +407,11 @@
 	}
 	ch.size = 0
 	for _, r := range records {
-		ch.writes = append(ch.writes, Write{Key: configTeamKeys + r.Team.Name, Value: &r})
+		ch.writes = append(ch.writes, Write{Key: record.ConfigTeamPrefix + r.Team.Name, Value: &r})
 		ch.size += 200 + 2*len(r.Team.Name)
 	}
-	ch.writes = append(ch.writes, Write{Key: configHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}})
-	ch.conditions = []Condition{{configHeadKey, conf.headRev}}
+	ch.writes = append(ch.writes, Write{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}})
+	ch.conditions = []Condition{{record.ConfigHeadKey, conf.headRev}}
 	ch.size += 200
 }
 
@@ -433,9 +428,9 @@
 	for _, name := range b.Names() {
 		t, _, _ := conf.state.Team(name)
 		c.applyTeam(t)
-		delete(conf.damaged, strings.TrimPrefix(configTeamKeys, configKeys)+name)
+		delete(conf.damaged, strings.TrimPrefix(record.ConfigTeamPrefix, record.ConfigPrefix)+name)
 	}
-	delete(conf.damaged, strings.TrimPrefix(configHeadKey, configKeys))
+	delete(conf.damaged, strings.TrimPrefix(record.ConfigHeadKey, record.ConfigPrefix))
 	c.note(slog.LevelInfo, "configuration changed", "revision", conf.state.Revision, "teams", strings.Join(b.Names(), ","), "changes", len(b.changes))
 	c.sendConfigRevision()
 	c.answerConfigBatch(b)
@@ -444,9 +439,9 @@
 // replicateConfigBatch takes the records of a batch into our copy, unless they are there by the
 // transaction's own answer.
 func (c *Core) replicateConfigBatch(b *configBatch, rev uint64) {
-	c.replicate(Entry{Key: configHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}, Rev: rev})
+	c.replicate(Entry{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}, Rev: rev})
 	for _, r := range b.Records() {
-		c.replicate(Entry{Key: configTeamKeys + r.Team.Name, Value: &r, Rev: rev})
+		c.replicate(Entry{Key: record.ConfigTeamPrefix + r.Team.Name, Value: &r, Rev: rev})
 	}
 }
 
@@ -472,7 +467,7 @@
 // configBatchConflict: the head is not what it was. Either an earlier try of this very batch has
 // been carried out, or the head was written back after a loss.
 func (c *Core) configBatchConflict(b *configBatch, ch *change) {
-	c.readBack(configHeadKey, func(e Entry, _ bool) {
+	c.readBack(record.ConfigHeadKey, func(e Entry, _ bool) {
 		if b.over {
 			return
 		}
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -9,6 +9,7 @@
 
 	"yewpass/internal/config"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 )
@@ -95,7 +96,7 @@
 	c.handleConfigConflict(0, func() { confirmed = true })
 	var read *StoreCall
 	for _, o := range c.out {
-		if call, ok := o.(StoreCall); ok && call.Op == StoreGet && call.Key == configHeadKey {
+		if call, ok := o.(StoreCall); ok && call.Op == StoreGet && call.Key == record.ConfigHeadKey {
 			read = &call
 		}
 	}
@@ -110,7 +111,7 @@
 			}
 		}
 	}
-	count(c.Step(c.now, StoreReply{Ref: read.Ref, Outcome: rpc.OK, Entries: []Entry{{Key: configHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
+	count(c.Step(c.now, StoreReply{Ref: read.Ref, Outcome: rpc.OK, Entries: []Entry{{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
 	if !confirmed || c.leadership.config.state.Revision != 1 || c.leadership.config.headRev != 40 || c.leadership.teams["t"].limit.CPU != 7000 {
 		t.Errorf("confirmed %v, revision %d, head %d", confirmed, c.leadership.config.state.Revision, c.leadership.config.headRev)
 	}
@@ -118,7 +119,7 @@
 	for range 300 {
 		c.now = c.now.Add(10 * time.Millisecond)
 		for _, o := range c.Step(c.now, Tick{}) {
-			if call, ok := o.(StoreCall); ok && call.Op == StoreTxn && len(call.Writes) > 0 && call.Writes[0].Key == configTeamKeys+"t" {
+			if call, ok := o.(StoreCall); ok && call.Op == StoreTxn && len(call.Writes) > 0 && call.Writes[0].Key == record.ConfigTeamPrefix+"t" {
 				t.Fatal("the change is made again")
 			}
 		}
@@ -163,7 +164,7 @@
 // what a copy has, in force, and is told of.
 func TestDamagedTeamKeepsWhatWasKnown(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.loadConfig(Entry{Key: configTeamKeys + "t", Rev: 7})
+	c.loadConfig(Entry{Key: record.ConfigTeamPrefix + "t", Rev: 7})
 	c.applyLoadedConfig()
 	if v, ok := c.viewTeam("t"); !ok || !v.Damaged || v.CPUs != 100 {
 		t.Errorf("%+v", v)
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/record"
 )
 
 // peerVersion is the version of the talk between controllers. Those of before it was told
@@ -138,7 +139,7 @@
 	if k == nil {
 		return 0
 	}
-	r, _ := k.Get(configHeadKey)
+	r, _ := k.Get(record.ConfigHeadKey)
 	head, _ := r.Value.(*liveconfig.HeadRecord)
 	if head == nil {
 		return 0
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,29 +12,12 @@
 	"yewpass/internal/config"
 	"yewpass/internal/lease"
 	"yewpass/internal/policy"
+	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/rpc"
 	"yewpass/internal/zones"
 )
 
-// Keys of the state service. Everything that a successor reads lies under
-// liveKeys; how jobs ended lies apart, so that a take-over never reads it.
-const (
-	rootKey        = "yewpass/"
-	leaderKey      = rootKey + "leader"
-	termKey        = rootKey + "term"
-	liveKeys       = rootKey + "live/"
-	jobKeys        = liveKeys + "job/"
-	machineKeys    = liveKeys + "machine/"
-	doneKeys       = liveKeys + "progress/"
-	finalKeys      = rootKey + "final/"
-	leaderlessKeys = rootKey + "alone/" // notes of jobs that were accepted without a leader
-
-	// Schedules lie apart: a take-over does not wait for them.
-	scheduleKeys = rootKey + "schedule/"
-	numberKey    = rootKey + "schedules" // the numbers given to schedules
-)
-
 // Times of the leader's grant.
 const (
 	leaseTTL           = 2 * time.Second
@@ -79,8 +62,8 @@
 	confirmedTerm         uint64 // the newest that the state service has told us of
 	confirmedTermRevision uint64 // at which it is on record
 	links                 map[string]bool
-	leaderLinkLostAt      time.Time                       // since when we have no link to the leader that we know
-	finals                *lru.Cache[string, FinalRecord] // how recent jobs ended
+	leaderLinkLostAt      time.Time                        // since when we have no link to the leader that we know
+	finals                *lru.Cache[string, record.Final] // how recent jobs ended
 	relay                 relayState
 	handedOverAt          time.Time      // when we last handed over
 	instanceTypes         []InstanceType // as read while not leading
@@ -96,7 +79,7 @@
 
 // New returns a controller that has not begun; give it a Tick to begin.
 func New(cfg *config.Config, pol *policy.Policy, cal *calendar.Set, seed uint64) *Core {
-	final, _ := lru.New[string, FinalRecord](maxFinals(cfg)) // errs only for a size below 1
+	final, _ := lru.New[string, record.Final](maxFinals(cfg)) // errs only for a size below 1
 	c := &Core{
 		cfg: cfg, pol: pol, cal: cal, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		stores: map[uint64]func(StoreReply){}, clouds: map[uint64]func(CloudReply){}, probes: map[uint64]func(ProbeReply){},
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -4,7 +4,9 @@
 	"log/slog"
 	"slices"
 	"time"
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
+	"yewpass/internal/spec"
 )
 
 // The state service may lose data: all of it, some of it, or go back to an older copy of
@@ -56,7 +58,7 @@
 func (c *Core) knowledge() *Knowledge {
 	k := &Knowledge{Observed: c.observed}
 	if best := c.newestReplica(); best != nil {
-		k.CopyEra, k.CopyTerm, k.CopySeq, k.Live = best.Era, best.Term, best.Seq, best.Digest(liveKeys)
+		k.CopyEra, k.CopyTerm, k.CopySeq, k.Live = best.Era, best.Term, best.Seq, best.Digest(record.LivePrefix)
 	}
 	return k
 }
@@ -73,17 +75,17 @@
 	if k == nil {
 		return nil, false
 	}
-	if r, ok := k.Get(finalKeys + id); ok {
-		if f, _ := r.Value.(*FinalRecord); f != nil {
+	if r, ok := k.Get(record.FinalPrefix + id); ok {
+		if f, _ := r.Value.(*record.Final); f != nil {
 			view := finalStatus(id, *f)
 			return &view, true
 		}
 	}
-	if r, ok := k.Get(jobKeys + id); ok && (v == nil || v.State == Queued) {
-		if rec, _ := r.Value.(*JobRecord); rec != nil {
-			v = &JobView{ID: id, State: Queued}
+	if r, ok := k.Get(record.JobPrefix + id); ok && (v == nil || v.State == spec.Queued) {
+		if rec, _ := r.Value.(*record.Job); rec != nil {
+			v = &JobView{ID: id, State: spec.Queued}
 			if rec.Cancelled {
-				v.State = Cancelled
+				v.State = spec.Cancelled
 			}
 		}
 	}
@@ -94,9 +96,9 @@
 // a leader says rests on it, and whether more holds at the same time.
 func (c *Core) confirmTerm(more []Condition, f func(r StoreReply)) {
 	l := c.leadership
-	when := append([]Condition{{termKey, l.termRevision}, {leaderKey, l.termRevision}}, more...)
+	when := append([]Condition{{record.TermKey, l.termRevision}, {record.LeaderKey, l.termRevision}}, more...)
 	c.storeWhileLeading(StoreCall{Op: StoreTxn, Conditions: when, Timeout: leaseTTL / 2}, func(r StoreReply) {
-		if r.Outcome == rpc.Conflict && (slices.Contains(r.FailedKeys, termKey) || slices.Contains(r.FailedKeys, leaderKey)) {
+		if r.Outcome == rpc.Conflict && (slices.Contains(r.FailedKeys, record.TermKey) || slices.Contains(r.FailedKeys, record.LeaderKey)) {
 			c.resign("the term is not on record any more")
 		}
 		f(r)
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
@@ -19,10 +20,10 @@
 // ends before it has none left.
 func TestAttemptsOfATerm(t *testing.T) {
 	const term = 7
-	if last, next := uint64(term)<<attemptBits+maxAttempts, uint64(term+1)<<attemptBits+1; last >= next {
+	if last, next := uint64(term)<<record.AttemptBits+maxAttempts, uint64(term+1)<<record.AttemptBits+1; last >= next {
 		t.Errorf("the last attempt of a term is %d, the first of the next %d", last, next)
 	}
-	if first := uint64(MaxTerm)<<attemptBits + 1; first>>attemptBits != MaxTerm {
+	if first := uint64(record.MaxTerm)<<record.AttemptBits + 1; first>>record.AttemptBits != record.MaxTerm {
 		t.Error("the last term's attempts turn round")
 	}
 	c := leaderOf(t, 1)
@@ -57,7 +58,7 @@
 func TestStrangeConflict(t *testing.T) {
 	c := leaderOf(t, 0)
 	p := &c.leadership.writes
-	ch := &change{writes: []Write{{Key: "a", Value: &TermRecord{Term: 1}}}}
+	ch := &change{writes: []Write{{Key: "a", Value: &record.Term{Term: 1}}}}
 	c.handleBatchReply([]*change{ch}, StoreReply{Outcome: rpc.Conflict, FailedKeys: []string{"something else"}})
 	if !p.pausedUntil.After(c.now) || len(p.queued[priorityUrgent]) != 1 {
 		t.Errorf("pause until %v, %d wait", p.pausedUntil, len(p.queued[priorityUrgent]))
@@ -314,10 +315,10 @@
 func TestPoisonedRecord(t *testing.T) {
 	c := leaderOf(t, 1)
 	l := c.leadership
-	bad := &JobRecord{Spec: spec.Job{ID: "wk-1", Owner: "t", Tasks: -1000}} // no bitset has so few members
-	good := &JobRecord{Spec: spec.Job{ID: "wk-2", Owner: "t", Tasks: 2}}
-	c.loadRecord(Entry{Key: jobKeys + "wk-1", Value: bad, Rev: 3})
-	c.loadRecord(Entry{Key: jobKeys + "wk-2", Value: good, Rev: 4})
+	bad := &record.Job{Spec: spec.Job{ID: "wk-1", Owner: "t", Tasks: -1000}} // no bitset has so few members
+	good := &record.Job{Spec: spec.Job{ID: "wk-2", Owner: "t", Tasks: 2}}
+	c.loadRecord(Entry{Key: record.JobPrefix + "wk-1", Value: bad, Rev: 3})
+	c.loadRecord(Entry{Key: record.JobPrefix + "wk-2", Value: good, Rev: 4})
 	if l.jobs["wk-1"] != nil || !l.unreadableJobs["wk-1"] || l.jobs["wk-2"] == nil {
 		t.Errorf("%v %v", l.jobs, l.unreadableJobs)
 	}
@@ -327,10 +328,10 @@
 		switch o := outs[i].(type) {
 		case StoreCall:
 			r := StoreReply{Ref: o.Ref, Outcome: rpc.OK, Rev: 9}
-			if o.Key == jobKeys+"wk-1" {
+			if o.Key == record.JobPrefix+"wk-1" {
 				r.Entries = []Entry{{Key: o.Key, Value: bad, Rev: 3}}
 			}
-			if o.Key == jobKeys+"wk-1" || o.Key == doneKeys+"wk-1/" {
+			if o.Key == record.JobPrefix+"wk-1" || o.Key == record.ProgressPrefix+"wk-1/" {
 				outs = append(outs, slices.Clone(c.Step(c.now, r))...)
 			}
 		case AnswerUser:
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"time"
 
+	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/rpc"
 )
@@ -21,7 +22,7 @@
 	// is 10,000 changes old: following from there would be turned away at once,
 	// again and again, by every node, until the service serves nobody else.
 	asked := c.ref
-	c.store(StoreCall{Op: StoreList, Key: leaderKey, Limit: 1}, func(r StoreReply) {
+	c.store(StoreCall{Op: StoreList, Key: record.LeaderKey, Limit: 1}, func(r StoreReply) {
 		if r.Outcome == rpc.OK && c.firstStoreRevision == 0 {
 			c.firstStoreRevision = max(1, r.Rev)
 		}
@@ -29,7 +30,7 @@
 		case c.leadership != nil:
 		case r.Outcome != rpc.OK:
 			c.schedule(c.jitter(400*time.Millisecond), c.watchLeader)
-		case len(r.Entries) == 0 || r.Entries[0].Key != leaderKey:
+		case len(r.Entries) == 0 || r.Entries[0].Key != record.LeaderKey:
 			// A small random delay keeps the nodes from all standing at once. One without
 			// a copy of the records leaves it to others first.
 			wait := c.jitter(40 * time.Millisecond)
@@ -45,7 +46,7 @@
 
 // followLeaderRecord follows the leader's key, which is there.
 func (c *Core) followLeaderRecord(e Entry, from, asked uint64) {
-	rec, _ := e.Value.(*LeaderRecord)
+	rec, _ := e.Value.(*record.Leader)
 	known := e.Rev == c.leaderKeyRevision
 	c.leaderKeyRevision = e.Rev
 	if rec != nil {
@@ -61,7 +62,7 @@
 	// A leader's key is under its grant. One that stands without, because it was damaged
 	// or brought back from a copy, stands for nobody, and would keep the nodes from a
 	// leader for ever.
-	c.store(StoreCall{Op: StoreGet, Key: leaderKey}, func(r StoreReply) {
+	c.store(StoreCall{Op: StoreGet, Key: record.LeaderKey}, func(r StoreReply) {
 		still := r.Outcome == rpc.OK && r.Entries[0].Rev == e.Rev
 		switch {
 		case c.leadership != nil:
@@ -87,7 +88,7 @@
 // Nothing of it is taken on: whoever leads next has a term and a grant of its own. What
 // was written under our name after this process had begun to read is neither, but a
 // transaction that came late, or a second process of this name; it runs out by itself.
-func (c *Core) revokeFormerLease(e Entry, rec *LeaderRecord, from uint64) {
+func (c *Core) revokeFormerLease(e Entry, rec *record.Leader, from uint64) {
 	if rec.Life != c.processID && e.Rev > c.firstStoreRevision {
 		c.note(slog.LevelError, "another process leads under this node's name, or a late transaction says so", "key", e.Key, "term", rec.Term)
 		c.watchLeaderKey(from)
@@ -113,7 +114,7 @@
 const leaderWatchTimeout = 4 * time.Second
 
 func (c *Core) watchLeaderKey(from uint64) {
-	call := watchCall(leaderKey, from)
+	call := watchCall(record.LeaderKey, from)
 	call.Block = leaderWatchTimeout
 	c.store(call, func(r StoreReply) {
 		if r.Outcome == rpc.OK {
@@ -128,7 +129,7 @@
 // above everything that peers have said, unless it was read before they said it: an answer
 // that has been on its way for long must not have a term forgotten that we have taken note
 // of. Its leader counts on our not passing on an older one's replies any more.
-func (c *Core) adoptRecordedLeader(rec *LeaderRecord, rev, asked uint64) {
+func (c *Core) adoptRecordedLeader(rec *record.Leader, rev, asked uint64) {
 	if rec.Term < c.highestTerm {
 		if asked < c.lastClaimRef {
 			return
@@ -188,7 +189,7 @@
 			c.store(StoreCall{Op: StoreRevokeLease, LeaseID: g.LeaseID}, func(StoreReply) {})
 			retry()
 		}
-		c.store(StoreCall{Op: StoreGet, Key: termKey}, func(t StoreReply) {
+		c.store(StoreCall{Op: StoreGet, Key: record.TermKey}, func(t StoreReply) {
 			if t.Outcome != rpc.OK && t.Outcome != rpc.NotFound {
 				drop()
 				return
@@ -196,7 +197,7 @@
 			before := c.observed
 			found := recovery.TermRead{Missing: t.Outcome == rpc.NotFound, StoreRevision: t.Rev}
 			if t.Outcome == rpc.OK {
-				if rec, _ := t.Entries[0].Value.(*TermRecord); rec != nil {
+				if rec, _ := t.Entries[0].Value.(*record.Term); rec != nil {
 					found.Term, found.Era = rec.Term, rec.Era
 				}
 			}
@@ -208,14 +209,14 @@
 				era = c.rng.Uint64()>>11 | 1
 			}
 			term, rev := c.nextTerm(t)
-			if term > MaxTerm {
-				c.note(slog.LevelError, "terms are used up", "key", termKey, "term", term)
+			if term > record.MaxTerm {
+				c.note(slog.LevelError, "terms are used up", "key", record.TermKey, "term", term)
 				drop()
 				return
 			}
 			c.store(StoreCall{Op: StoreTxn,
-				Conditions: []Condition{{leaderKey, keyRev}, {termKey, rev}},
-				Writes:     []Write{{leaderKey, &LeaderRecord{c.cfg.HostName, term, c.processID, era}, g.LeaseID}, {termKey, &TermRecord{term, era}, 0}},
+				Conditions: []Condition{{record.LeaderKey, keyRev}, {record.TermKey, rev}},
+				Writes:     []Write{{record.LeaderKey, &record.Leader{Node: c.cfg.HostName, Term: term, Life: c.processID, Era: era}, g.LeaseID}, {record.TermKey, &record.Term{Term: term, Era: era}, 0}},
 			}, func(r StoreReply) {
 				// What was heard of terms does not count here, only the record: a
 				// peer may say anything. An answer that comes this late finds the
@@ -245,15 +246,15 @@
 func (c *Core) nextTerm(t StoreReply) (term, rev uint64) {
 	if t.Outcome == rpc.NotFound {
 		if term = max(t.Rev, c.confirmedTerm, c.observed.Term) + 1; t.Rev > 0 {
-			c.note(slog.LevelWarn, "no term is on record, going on above the state service's revision", "key", termKey, "term", term)
+			c.note(slog.LevelWarn, "no term is on record, going on above the state service's revision", "key", record.TermKey, "term", term)
 		}
 		return term, 0
 	}
 	e := t.Entries[0]
-	if rec, _ := e.Value.(*TermRecord); rec != nil {
+	if rec, _ := e.Value.(*record.Term); rec != nil {
 		return max(rec.Term, c.confirmedTerm, c.observed.Term) + 1, e.Rev // the record may be of an old copy
 	}
 	term = max(e.Rev, c.confirmedTerm, c.observed.Term) + 1
-	c.note(slog.LevelError, "record is unreadable", "key", termKey, "effect", "terms go on above its revision", "term", term)
+	c.note(slog.LevelError, "record is unreadable", "key", record.TermKey, "effect", "terms go on above its revision", "term", term)
 	return term, e.Rev
 }
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/rpc"
 )
@@ -15,7 +16,7 @@
 
 // readRecords reads the records of the earlier terms, page by page.
 func (c *Core) readRecords(from string) {
-	c.storeWhileLeading(StoreCall{Op: StoreList, Key: liveKeys, From: from, Limit: 400}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreList, Key: record.LivePrefix, From: from, Limit: 400}, func(r StoreReply) {
 		if r.Outcome != rpc.OK {
 			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.readRecords(from) })
 			return
@@ -46,31 +47,31 @@
 	defer func() {
 		if p := recover(); p != nil {
 			unreadable(fmt.Sprint("set aside: ", p))
-			if id, ok := strings.CutPrefix(e.Key, jobKeys); ok {
+			if id, ok := strings.CutPrefix(e.Key, record.JobPrefix); ok {
 				delete(l.jobs, id)
 				l.unreadableJobs[id] = true
-			} else if strings.HasPrefix(e.Key, machineKeys) {
+			} else if strings.HasPrefix(e.Key, record.MachinePrefix) {
 				c.loadUnreadableMachines(e.Key, e.Rev)
 			}
 		}
 	}()
-	if id, ok := strings.CutPrefix(e.Key, jobKeys); ok {
-		if v, _ := e.Value.(*JobRecord); v == nil || v.Spec.ID != id {
+	if id, ok := strings.CutPrefix(e.Key, record.JobPrefix); ok {
+		if v, _ := e.Value.(*record.Job); v == nil || v.Spec.ID != id {
 			l.unreadableJobs[id] = true
 			unreadable("the job is not served")
 		} else if l.jobs[id] == nil {
 			c.addJob(v, true)
 		}
-	} else if isConfigKey(e.Key) {
+	} else if record.IsConfigKey(e.Key) {
 		c.loadConfig(e)
-	} else if strings.HasPrefix(e.Key, machineKeys) {
-		if v, _ := e.Value.(*MachineRecord); v == nil {
+	} else if strings.HasPrefix(e.Key, record.MachinePrefix) {
+		if v, _ := e.Value.(*record.Machines); v == nil {
 			unreadable("the take-over waits until every lease of an earlier term is over")
 			c.loadUnreadableMachines(e.Key, e.Rev)
 		} else {
 			c.loadMachineRecord(e.Key, v, e.Rev)
 		}
-	} else if name, ok := strings.CutPrefix(e.Key, doneKeys); ok {
+	} else if name, ok := strings.CutPrefix(e.Key, record.ProgressPrefix); ok {
 		// Progress comes after jobs in key order, so the job is known by now.
 		id, chunk := splitChunkKey(name)
 		j := l.jobs[id]
@@ -84,7 +85,7 @@
 			unreadable("none, the job has no such tasks")
 			return
 		}
-		if v, _ := e.Value.(*ProgressRecord); v == nil || !j.done.decodeChunk(chunk*chunkTasks, j.spec.Tasks, v.Ranges) {
+		if v, _ := e.Value.(*record.Progress); v == nil || !j.done.decodeChunk(chunk*chunkTasks, j.spec.Tasks, v.Ranges) {
 			unreadable("its tasks run again")
 		}
 		j.chunkRevisions[chunk] = e.Rev
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/record"
 	"yewpass/internal/relay"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
@@ -37,7 +38,7 @@
 			return int(b)
 		}
 		pick := func(xs ...string) string { return xs[next()%len(xs)] }
-		num := func() uint64 { return []uint64{0, 1, 2, 3, 9, 1 << 28, MaxTerm, 1<<63 - 1, 1<<64 - 1}[next()%9] }
+		num := func() uint64 { return []uint64{0, 1, 2, 3, 9, 1 << 28, record.MaxTerm, 1<<63 - 1, 1<<64 - 1}[next()%9] }
 		amount := func(most float64) float64 { return []float64{0, 1e-9, 0.5, 1, 4, most}[next()%6] }
 		span := func() time.Duration {
 			return []time.Duration{0, 1, time.Second, time.Minute, 1e8 * time.Second}[next()%5]
@@ -129,8 +130,8 @@
 				}
 				step(call)
 			case 4:
-				step(PeerIn{From: "n1", Msg: PeerMsg{Kind: []PeerKind{PeerAck, PeerAnswer, PeerAck, PeerAnswer, PeerLeader}[next()%5], Term: max(1, min(num(), MaxTerm)), Ref: ref,
-					Answer: &AnswerUser{Status: 200, View: JobView{ID: "wk-1", State: Done}}}})
+				step(PeerIn{From: "n1", Msg: PeerMsg{Kind: []PeerKind{PeerAck, PeerAnswer, PeerAck, PeerAnswer, PeerLeader}[next()%5], Term: max(1, min(num(), record.MaxTerm)), Ref: ref,
+					Answer: &AnswerUser{Status: 200, View: JobView{ID: "wk-1", State: spec.Done}}}})
 			case 5:
 				if q := nightly(); next()%2 == 0 {
 					ops := []UserOp{OpSchedulePut, OpSchedulePut, OpScheduleGet, OpScheduleList, OpScheduleDelete, OpSchedulePause, OpScheduleResume, OpScheduleRun, OpScheduleUpcoming, OpScheduleHistory}
@@ -170,14 +171,14 @@
 					if call.Op == StoreKeepAlive && next()%40 > 0 {
 						outcome = rpc.OK
 					}
-					if l := c.leadership; l != nil && call.Key == termKey && next()%4 > 0 {
-						step(StoreReply{Ref: call.Ref, Entries: []Entry{{Key: termKey, Value: &TermRecord{Term: l.term}, Rev: l.termRevision}}})
+					if l := c.leadership; l != nil && call.Key == record.TermKey && next()%4 > 0 {
+						step(StoreReply{Ref: call.Ref, Entries: []Entry{{Key: record.TermKey, Value: &record.Term{Term: l.term}, Rev: l.termRevision}}})
 						continue
 					}
-					r := StoreReply{Ref: call.Ref, Outcome: outcome, Rev: num(), LeaseID: 1, FailedKeys: []string{pick("x", jobKeys+"wk-1", finalKeys+"wk-2", "y", termKey)}, More: next()%4 == 0}
+					r := StoreReply{Ref: call.Ref, Outcome: outcome, Rev: num(), LeaseID: 1, FailedKeys: []string{pick("x", record.JobPrefix+"wk-1", record.FinalPrefix+"wk-2", "y", record.TermKey)}, More: next()%4 == 0}
 					if call.Op == StoreGet || call.Op == StoreList {
-						values := []any{nil, &JobRecord{Spec: *plainJob("wk-1", 3)}, &FinalRecord{State: Done, Done: 3}, &MachineRecord{Machines: []RecordedMachine{{Host: "host-x"}}},
-							&ProgressRecord{Ranges: "0-1"}, &LeaderRecord{Node: "n1", Term: 5}, &TermRecord{Term: 5}}
+						values := []any{nil, &record.Job{Spec: *plainJob("wk-1", 3)}, &record.Final{State: spec.Done, Done: 3}, &record.Machines{Machines: []record.Machine{{Host: "host-x"}}},
+							&record.Progress{Ranges: "0-1"}, &record.Leader{Node: "n1", Term: 5}, &record.Term{Term: 5}}
 						key := pick(call.Key, call.Key+"wk-1", call.Key+"machine/x", call.Key+"job/wk-1", call.Key+"progress/wk-1/0")
 						if call.Op == StoreGet {
 							key = call.Key
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/record"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 	"yewpass/internal/topology"
@@ -18,7 +19,7 @@
 	spec            spec.Job
 	need            timeline.Resources
 	submitted       time.Time // on the core's clock
-	record          *JobRecord
+	record          *record.Job
 	fromEarlierTerm bool         // accepted in an earlier term: its tasks may be anywhere
 	placement       topology.Job // its rules on places
 	team            *team
@@ -60,7 +61,7 @@
 }
 
 // addJob takes a job into memory.
-func (c *Core) addJob(rec *JobRecord, earlier bool) *job {
+func (c *Core) addJob(rec *record.Job, earlier bool) *job {
 	s := rec.Spec
 	j := &job{
 		spec: s, need: s.Need(), record: rec, fromEarlierTerm: earlier, cancelled: rec.Cancelled,
@@ -111,12 +112,12 @@
 func (j *job) halted() bool { return j.cancelled || j.cancelling || j.finishing }
 
 func (j *job) view() JobView {
-	v := JobView{ID: j.spec.ID, State: Queued, Done: j.spec.Tasks - j.remaining, Running: j.running}
+	v := JobView{ID: j.spec.ID, State: spec.Queued, Done: j.spec.Tasks - j.remaining, Running: j.running}
 	switch {
 	case j.cancelled:
-		v.State = Cancelled
+		v.State = spec.Cancelled
 	case v.Running > 0:
-		v.State = Running
+		v.State = spec.Running
 	}
 	return v
 }
@@ -170,7 +171,9 @@
 	c.reserveSoon(j)
 }
 
-func chunkKey(id string, chunk int) string { return doneKeys + id + "/" + strconv.Itoa(chunk) }
+func chunkKey(id string, chunk int) string {
+	return record.ProgressPrefix + id + "/" + strconv.Itoa(chunk)
+}
 
 func splitChunkKey(s string) (string, int) {
 	id, num, _ := strings.Cut(s, "/")
@@ -209,7 +212,7 @@
 		delete(j.dirtyChunks, chunk)
 		had = j.done.clone(chunk)
 		ch.conditions = []Condition{{key, j.chunkRevisions[chunk]}}
-		ch.writes[0].Value = &ProgressRecord{j.done.encodeChunk(chunk * chunkTasks)}
+		ch.writes[0].Value = &record.Progress{Ranges: j.done.encodeChunk(chunk * chunkTasks)}
 		return true
 	}
 	c.leadership.writes.add(ch)
@@ -240,19 +243,19 @@
 	if j.finishing || j.cancelling {
 		return
 	}
-	final := FinalRecord{Done, j.spec.Tasks}
+	final := record.Final{State: spec.Done, Done: j.spec.Tasks}
 	switch {
 	case j.cancelled:
 		if len(j.attempts) > 0 || (j.fromEarlierTerm && !l.allAccounted()) {
 			return
 		}
-		final = FinalRecord{Cancelled, j.spec.Tasks - j.remaining}
+		final = record.Final{State: spec.Cancelled, Done: j.spec.Tasks - j.remaining}
 	case j.spec.Service || j.remaining > 0:
 		return
 	}
 	j.finishing = true
 	ch := &change{
-		writes:   []Write{{Key: finalKeys + j.spec.ID, Value: &final}, {Key: jobKeys + j.spec.ID}},
+		writes:   []Write{{Key: record.FinalPrefix + j.spec.ID, Value: &final}, {Key: record.JobPrefix + j.spec.ID}},
 		onCommit: func(uint64) { c.jobFinished(j, final) },
 	}
 	j.endingChange = ch
@@ -275,10 +278,10 @@
 }
 
 // jobFinished follows the commit of a final record.
-func (c *Core) jobFinished(j *job, f FinalRecord) {
+func (c *Core) jobFinished(j *job, f record.Final) {
 	l := c.leadership
 	c.finals.Add(j.spec.ID, f)
-	c.replicateDrop(jobKeys + j.spec.ID) // however we have learned that it is over
+	c.replicateDrop(record.JobPrefix + j.spec.ID) // however we have learned that it is over
 	delete(l.jobs, j.spec.ID)
 	j.team.jobCount--
 	c.dropReservations(j)
@@ -294,7 +297,7 @@
 }
 
 // finalStatus is what a user is told of a job that has ended.
-func finalStatus(id string, f FinalRecord) JobView {
+func finalStatus(id string, f record.Final) JobView {
 	return JobView{ID: id, State: f.State, Done: f.Done}
 }
 
@@ -344,12 +347,12 @@
 	ch := &change{
 		size: recordSize(&rec.Spec),
 		// A try that is applied late must not bring back a job that is over.
-		conditions: []Condition{{finalKeys + j.spec.ID, 0}},
-		writes:     []Write{{Key: jobKeys + j.spec.ID, Value: &rec}},
+		conditions: []Condition{{record.FinalPrefix + j.spec.ID, 0}},
+		writes:     []Write{{Key: record.JobPrefix + j.spec.ID, Value: &rec}},
 		onConflict: func() {
 			j.answerCancelWaiters(c, unavailable("the job has just ended, try again"))
-			c.readBack(finalKeys+j.spec.ID, func(e Entry, _ bool) {
-				if f, _ := e.Value.(*FinalRecord); f != nil && c.leadership.jobs[j.spec.ID] == j {
+			c.readBack(record.FinalPrefix+j.spec.ID, func(e Entry, _ bool) {
+				if f, _ := e.Value.(*record.Final); f != nil && c.leadership.jobs[j.spec.ID] == j {
 					c.jobFinished(j, *f)
 				}
 			})
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/topology"
 	"yewpass/internal/zones"
@@ -110,7 +111,7 @@
 		c.confirmTerm(l.configConds(), func(r StoreReply) {
 			standing = r.Outcome == rpc.OK
 			both()
-			if r.Outcome == rpc.Conflict && c.leadership == l && slices.Contains(r.FailedKeys, configHeadKey) {
+			if r.Outcome == rpc.Conflict && c.leadership == l && slices.Contains(r.FailedKeys, record.ConfigHeadKey) {
 				c.handleConfigConflict(head, confirm)
 			}
 		})
--- a/internal/core/leaderless.go
+++ b/internal/core/leaderless.go
@@ -7,8 +7,10 @@
 
 	"golang.org/x/time/rate"
 
+	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/rpc"
+	"yewpass/internal/spec"
 )
 
 // A submission needs a durable record, not a leader. While a node knows of none, or the
@@ -74,7 +76,7 @@
 		c.answer(call, no)
 		return
 	}
-	if _, over := k.Get(finalKeys + s.ID); over {
+	if _, over := k.Get(record.FinalPrefix + s.ID); over {
 		c.answer(call, no)
 		return
 	}
@@ -86,18 +88,18 @@
 		c.answer(call, no)
 		return
 	}
-	rec := &JobRecord{Spec: *s, Submitted: c.now.Round(0)}
+	rec := &record.Job{Spec: *s, Submitted: c.now.Round(0)}
 	c.store(StoreCall{Op: StoreTxn,
 		// The term that we know must be on record: a service that has lost its data knows of
 		// no job, not even of those that are over. Nor must the configuration have changed.
-		Conditions: append(noRecordOf(s.ID), Condition{termKey, c.confirmedTermRevision}, configHeadCond(k)),
-		Writes:     []Write{{Key: jobKeys + s.ID, Value: rec}, {Key: leaderlessKeys + s.ID, Value: &LeaderRecord{Node: c.cfg.HostName, Term: max(1, c.highestTerm)}}},
+		Conditions: append(noRecordOf(s.ID), Condition{record.TermKey, c.confirmedTermRevision}, configHeadCond(k)),
+		Writes:     []Write{{Key: record.JobPrefix + s.ID, Value: rec}, {Key: record.LeaderlessPrefix + s.ID, Value: &record.Leader{Node: c.cfg.HostName, Term: max(1, c.highestTerm)}}},
 	}, func(r StoreReply) {
 		switch r.Outcome {
 		case rpc.OK:
 			c.note(slog.LevelInfo, "job accepted without a leader", "job", s.ID)
 			c.replicateLeaderless(rec, r.Rev)
-			c.answer(call, AnswerUser{Status: 201, View: JobView{ID: s.ID, State: Queued}})
+			c.answer(call, AnswerUser{Status: 201, View: JobView{ID: s.ID, State: spec.Queued}})
 		case rpc.Conflict, rpc.Unknown:
 			// It has a record, maybe this one.
 			c.readJob(s.ID, func(v *JobView, known bool) {
@@ -117,11 +119,11 @@
 // last word that nobody ever accepted it, and the last leader's copy says the same.
 func (c *Core) rejectLeaderless(call UserCall, k *replica.Copy, refusal AnswerUser) {
 	id, no := call.Spec.ID, unavailable("no leader at present")
-	if _, live := k.Get(jobKeys + id); live || !c.readLimit.AllowN(c.now, 1) {
+	if _, live := k.Get(record.JobPrefix + id); live || !c.readLimit.AllowN(c.now, 1) {
 		c.answer(call, no)
 		return
 	}
-	c.store(StoreCall{Op: StoreTxn, Conditions: append(noRecordOf(id), Condition{termKey, c.confirmedTermRevision}, configHeadCond(k))}, func(r StoreReply) {
+	c.store(StoreCall{Op: StoreTxn, Conditions: append(noRecordOf(id), Condition{record.TermKey, c.confirmedTermRevision}, configHeadCond(k))}, func(r StoreReply) {
 		if r.Outcome == rpc.OK {
 			c.answer(call, refusal)
 		} else {
@@ -132,7 +134,7 @@
 
 // watchLeaderlessNotes takes on what nodes have accepted without a leader.
 func (c *Core) watchLeaderlessNotes() {
-	c.storeWhileLeading(StoreCall{Op: StoreList, Key: leaderlessKeys, Limit: 200}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreList, Key: record.LeaderlessPrefix, Limit: 200}, func(r StoreReply) {
 		switch {
 		case r.Outcome != rpc.OK:
 			c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
@@ -142,7 +144,7 @@
 			}
 			c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
 		default:
-			c.storeWhileLeading(watchCall(leaderlessKeys, r.Rev), func(f StoreReply) {
+			c.storeWhileLeading(watchCall(record.LeaderlessPrefix, r.Rev), func(f StoreReply) {
 				if f.Outcome == rpc.OK {
 					c.watchLeaderlessNotes()
 				} else {
@@ -156,7 +158,7 @@
 // adoptLeaderless takes on the job that a note names, and drops the note.
 func (c *Core) adoptLeaderless(key string) {
 	l := c.leadership
-	id := strings.TrimPrefix(key, leaderlessKeys)
+	id := strings.TrimPrefix(key, record.LeaderlessPrefix)
 	drop := func() { l.writes.add(&change{priority: priorityBulk, writes: []Write{{Key: key}}}) }
 	if l.jobs[id] != nil || l.unreadableJobs[id] {
 		drop()
@@ -164,7 +166,7 @@
 	}
 	c.adopt(id, drop, func() {
 		c.readJob(id, func(v *JobView, known bool) {
-			if c.leadership == l && known && (v == nil || v.State == Done || v.State == Cancelled) {
+			if c.leadership == l && known && (v == nil || v.State == spec.Done || v.State == spec.Cancelled) {
 				drop() // it is over already
 			}
 		})
--- a/internal/core/machine_records.go
+++ b/internal/core/machine_records.go
@@ -6,6 +6,7 @@
 	"maps"
 	"slices"
 	"time"
+	"yewpass/internal/record"
 )
 
 // machineRecord is a record that names machines which may hold tasks. Only once it is
@@ -25,15 +26,9 @@
 // machineRecordInterval is how often a record of machines is written at the most.
 const machineRecordInterval = 250 * time.Millisecond
 
-// Size bounds the bytes of a machine in a record: what a worker says of
-// itself may be anything, and one bad name must not spoil the record of many.
-func (m *RecordedMachine) Size() int {
-	return 90 + len(m.Host) + 6*(len(m.Address)+len(m.InstanceType)+len(m.Zone))
-}
-
 // recorded is how a record names the machine.
-func (m *machine) recorded() RecordedMachine {
-	return RecordedMachine{m.host, m.address, m.typeName, m.zone, m.spot}
+func (m *machine) recorded() record.Machine {
+	return record.Machine{Host: m.host, Address: m.address, InstanceType: m.typeName, Zone: m.zone, Spot: m.spot}
 }
 
 func recordedSize(m *machine) int {
@@ -48,7 +43,7 @@
 	i := slices.IndexFunc(l.records, func(g *machineRecord) bool { return g.size+recordedSize(m) <= limit })
 	if i < 0 {
 		l.recordCount++
-		l.records = append(l.records, &machineRecord{key: fmt.Sprintf("%s%d-%d", machineKeys, l.term, l.recordCount)})
+		l.records = append(l.records, &machineRecord{key: fmt.Sprintf("%s%d-%d", record.MachinePrefix, l.term, l.recordCount)})
 		i = len(l.records) - 1
 	}
 	g := l.records[i]
@@ -94,7 +89,7 @@
 			ch.conditions = []Condition{{g.key, g.revision}}
 			news = nil
 			ch.size = g.size
-			rec := &MachineRecord{}
+			rec := &record.Machines{}
 			for _, m := range g.machines {
 				rec.Machines = append(rec.Machines, m.recorded())
 				if m.record == recording {
@@ -133,7 +128,7 @@
 }
 
 // loadMachineRecord takes in a record of an earlier term.
-func (c *Core) loadMachineRecord(key string, rec *MachineRecord, rev uint64) {
+func (c *Core) loadMachineRecord(key string, rec *record.Machines, rev uint64) {
 	l := c.leadership
 	g := &machineRecord{key: key, revision: rev}
 	for _, r := range rec.Machines {
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -6,8 +6,10 @@
 	"time"
 
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/rpc"
+	"yewpass/internal/spec"
 )
 
 // Two troubles that meet, where one core alone shows what it must do.
@@ -82,7 +84,7 @@
 		}
 		get = d.user(OpGet, "wk-1", nil, nil)
 		d.settle(rpc.OK)
-		if a := d.answer(get); a.Status != 200 || a.View.State != Cancelled {
+		if a := d.answer(get); a.Status != 200 || a.View.State != spec.Cancelled {
 			t.Errorf("told %+v once it is committed", a)
 		}
 	}
@@ -106,7 +108,7 @@
 	d.report("host-000000", 20, ts...)
 	again := d.user(OpCancel, "wk-1", nil, nil)
 	d.finish()
-	if a := d.answer(again); a.Status != 200 || a.View.State != Cancelled {
+	if a := d.answer(again); a.Status != 200 || a.View.State != spec.Cancelled {
 		t.Errorf("told %+v once its task is gone", a)
 	}
 }
@@ -117,8 +119,8 @@
 	d := newDesk(t)
 	d.running("wk-1", 1)
 	l := d.c.leadership
-	key := jobKeys + "wk-1"
-	d.c.replicas.own = replica.New(1, l.term, finalKeys, 100)
+	key := record.JobPrefix + "wk-1"
+	d.c.replicas.own = replica.New(1, l.term, record.FinalPrefix, 100)
 	d.c.replicas.own.Put(key, l.jobs["wk-1"].record, 0)
 	l.loss = &dataLoss{pending: 1}
 	d.calls = nil
@@ -129,7 +131,7 @@
 		if !ok || !slices.ContainsFunc(call.Writes, func(w Write) bool { return w.Key == key }) {
 			continue
 		}
-		if !slices.Contains(call.Conditions, Condition{finalKeys + "wk-1", 0}) {
+		if !slices.Contains(call.Conditions, Condition{record.FinalPrefix + "wk-1", 0}) {
 			t.Errorf("written back on %+v", call.Conditions)
 		}
 		return
@@ -142,7 +144,7 @@
 func TestLaterAttemptStays(t *testing.T) {
 	d := newDesk(t)
 	l := d.c.leadership
-	j := d.c.addJob(&JobRecord{Spec: *plainJob("wk-1", 1), Submitted: t0}, true)
+	j := d.c.addJob(&record.Job{Spec: *plainJob("wk-1", 1), Submitted: t0}, true)
 	d.c.queueJob(j)
 	at := func(host string, try uint64) *attempt {
 		m := d.c.ensureMachine(host, "f2", "a", true)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 	"time"
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 )
 
@@ -126,7 +127,7 @@
 		return // whoever insists will say so again
 	}
 	l.verifying = true
-	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: termKey}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: record.TermKey}, func(r StoreReply) {
 		l.verifying = false
 		switch {
 		case r.Outcome == rpc.OK && r.Entries[0].Rev == l.termRevision:
@@ -147,13 +148,13 @@
 		}
 	}
 	asked := c.ref
-	c.store(StoreCall{Op: StoreGet, Key: leaderKey}, func(r StoreReply) {
+	c.store(StoreCall{Op: StoreGet, Key: record.LeaderKey}, func(r StoreReply) {
 		if c.leadership != nil || c.highestTerm != term {
 			return
 		}
-		var rec *LeaderRecord
+		var rec *record.Leader
 		if r.Outcome == rpc.OK {
-			rec, _ = r.Entries[0].Value.(*LeaderRecord)
+			rec, _ = r.Entries[0].Value.(*record.Leader)
 		}
 		switch {
 		case rec != nil:
@@ -169,13 +170,13 @@
 // verifyEndedClaim is confirm where nobody leads: the term may have been, and be over. Then no
 // older one must be listened to either.
 func (c *Core) verifyEndedClaim(term uint64, again func()) {
-	c.store(StoreCall{Op: StoreGet, Key: termKey}, func(r StoreReply) {
+	c.store(StoreCall{Op: StoreGet, Key: record.TermKey}, func(r StoreReply) {
 		if c.leadership != nil || c.highestTerm != term {
 			return
 		}
-		var began *TermRecord
+		var began *record.Term
 		if r.Outcome == rpc.OK {
-			began, _ = r.Entries[0].Value.(*TermRecord)
+			began, _ = r.Entries[0].Value.(*record.Term)
 		}
 		switch {
 		case began != nil && began.Term >= term:
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -8,6 +8,7 @@
 
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/record"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
@@ -772,7 +773,7 @@
 	j.waiting--
 	// Attempts rise across terms as well: the term comes first.
 	l.attempts++
-	r := &attempt{id: heartbeat.TaskID{Job: j.spec.ID, Index: i}, number: l.term<<attemptBits + l.attempts, machine: m, phase: Ordered, orderedCounter: m.counter, orderedAt: c.now}
+	r := &attempt{id: heartbeat.TaskID{Job: j.spec.ID, Index: i}, number: l.term<<record.AttemptBits + l.attempts, machine: m, phase: Ordered, orderedCounter: m.counter, orderedAt: c.now}
 	m.attempts = append(m.attempts, r)
 	c.occupy(r, j)
 	return heartbeat.Order{Verb: heartbeat.Start, Task: r.id, Try: r.number}
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -4,6 +4,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/replica"
 	"yewpass/internal/rpc"
@@ -250,8 +251,8 @@
 		have[r.Key] = true
 	}
 	var missing []string // keys of their final records, in order
-	for _, key := range g.replica.Keys(jobKeys) {
-		final := finalKeys + strings.TrimPrefix(key, jobKeys)
+	for _, key := range g.replica.Keys(record.JobPrefix) {
+		final := record.FinalPrefix + strings.TrimPrefix(key, record.JobPrefix)
 		if _, over := g.replica.Get(final); !have[key] && !over {
 			missing = append(missing, final)
 		}
@@ -289,14 +290,14 @@
 // listFinalRecords is resolveMissingJobs for many: all final records from one key to another.
 func (c *Core) listFinalRecords(from, to string) {
 	g := c.leadership.recovery
-	c.storeWhileLeading(StoreCall{Op: StoreList, Key: finalKeys, From: from[:len(from)-1], Limit: 1000}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreList, Key: record.FinalPrefix, From: from[:len(from)-1], Limit: 1000}, func(r StoreReply) {
 		if r.Outcome != rpc.OK {
 			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.listFinalRecords(from, to) })
 			return
 		}
 		for _, e := range r.Entries {
-			id := strings.TrimPrefix(e.Key, finalKeys)
-			if _, live := g.replica.Get(jobKeys + id); live && e.Value != nil {
+			id := strings.TrimPrefix(e.Key, record.FinalPrefix)
+			if _, live := g.replica.Get(record.JobPrefix + id); live && e.Value != nil {
 				g.replica.Put(e.Key, e.Value, e.Rev)
 			}
 		}
--- a/internal/core/recovery_merge.go
+++ b/internal/core/recovery_merge.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
@@ -15,11 +16,11 @@
 
 // recordKinds tells package rebuild what our keys are of.
 var recordKinds = recovery.Kinds{
-	Job:      func(key string) (string, bool) { return strings.CutPrefix(key, jobKeys) },
-	Final:    func(key string) (string, bool) { return strings.CutPrefix(key, finalKeys) },
-	Machines: func(key string) bool { return strings.HasPrefix(key, machineKeys) },
+	Job:      func(key string) (string, bool) { return strings.CutPrefix(key, record.JobPrefix) },
+	Final:    func(key string) (string, bool) { return strings.CutPrefix(key, record.FinalPrefix) },
+	Machines: func(key string) bool { return strings.HasPrefix(key, record.MachinePrefix) },
 	Progress: func(key string) (string, bool) {
-		name, ok := strings.CutPrefix(key, doneKeys)
+		name, ok := strings.CutPrefix(key, record.ProgressPrefix)
 		id, _ := splitChunkKey(name)
 		return id, ok
 	},
@@ -30,8 +31,8 @@
 // cancellation.
 func joinRecords(stored, copied any, older bool) (any, bool) {
 	switch y := copied.(type) {
-	case *ProgressRecord:
-		x, _ := stored.(*ProgressRecord)
+	case *record.Progress:
+		x, _ := stored.(*record.Progress)
 		p, q := newBitset(chunkTasks), newBitset(chunkTasks)
 		if x == nil || !p.decodeChunk(0, chunkTasks, x.Ranges) {
 			return y, true
@@ -47,9 +48,9 @@
 		if !more {
 			return x, false
 		}
-		return &ProgressRecord{p.encodeChunk(0)}, true
-	case *JobRecord:
-		x, _ := stored.(*JobRecord)
+		return &record.Progress{Ranges: p.encodeChunk(0)}, true
+	case *record.Job:
+		x, _ := stored.(*record.Job)
 		if x == nil {
 			return y, true
 		}
@@ -57,8 +58,8 @@
 	case *schedule.Record:
 		x, _ := stored.(*schedule.Record)
 		return y, older && (x == nil || x.Seq < y.Seq)
-	case *NumberRecord:
-		x, _ := stored.(*NumberRecord)
+	case *record.ScheduleNumber:
+		x, _ := stored.(*record.ScheduleNumber)
 		return y, older && (x == nil || x.Number < y.Number)
 	case *liveconfig.HeadRecord:
 		x, _ := stored.(*liveconfig.HeadRecord)
@@ -76,22 +77,22 @@
 	g := l.recovery
 	g.merged = true
 	records := g.stored
-	own := replica.New(c.observed.Era, l.term, finalKeys, maxFinals(c.cfg))
+	own := replica.New(c.observed.Era, l.term, record.FinalPrefix, maxFinals(c.cfg))
 	best := c.newestReplica()
 	if g.replica != nil {
 		g.replica.Inherit(best)
 		res := recovery.Merge(g.stored, g.replica, g.lossReason != "", recordKinds)
-		other := func(r replica.Record) bool { return !strings.HasPrefix(r.Key, liveKeys) }
+		other := func(r replica.Record) bool { return !strings.HasPrefix(r.Key, record.LivePrefix) }
 		records = slices.DeleteFunc(res.Records, other)
 		c.rememberFinals(g.replica)
-		for _, key := range g.replica.Keys(finalKeys) {
+		for _, key := range g.replica.Keys(record.FinalPrefix) {
 			r, _ := g.replica.Get(key)
 			if g.lossReason != "" {
 				r.Rev = 0 // revisions have begun again
 			}
 			own.Put(key, r.Value, r.Rev)
 		}
-		for _, key := range g.replica.Keys(rootKey + "schedule") {
+		for _, key := range g.replica.Keys(record.Root + "schedule") {
 			// Until they have been read: a copy that is passed on without them would be
 			// newer than one that has them.
 			r, _ := g.replica.Get(key)
@@ -109,10 +110,10 @@
 		}
 		l.restoring = res.Writes
 		for _, r := range l.restoring {
-			if isScheduleKey(r.Key) {
+			if record.IsScheduleKey(r.Key) {
 				l.schedulesRestoring++
 			}
-			if isConfigKey(r.Key) {
+			if record.IsConfigKey(r.Key) {
 				l.config.restoring++
 			}
 		}
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
@@ -20,7 +21,7 @@
 	l := c.leadership
 	lost := map[string]bool{}
 	l.restoring = slices.DeleteFunc(l.restoring, func(r replica.Record) bool {
-		if strings.HasPrefix(r.Key, machineKeys) {
+		if strings.HasPrefix(r.Key, record.MachinePrefix) {
 			lost[r.Key] = true
 			l.loss.pending--
 			return true
@@ -39,11 +40,11 @@
 	// most pressing and oldest first, then their progress, then how jobs have ended.
 	rank := func(r *replica.Record) (int, time.Time) {
 		switch v := r.Value.(type) {
-		case *schedule.Record, *NumberRecord, *liveconfig.HeadRecord, *liveconfig.TeamRecord:
+		case *schedule.Record, *record.ScheduleNumber, *liveconfig.HeadRecord, *liveconfig.TeamRecord:
 			return 0, time.Time{}
-		case *JobRecord:
+		case *record.Job:
 			return 1 + int(spec.Idle) - int(v.Spec.Urgency), v.Submitted
-		case *ProgressRecord:
+		case *record.Progress:
 			return 100, time.Time{}
 		}
 		return 101, time.Time{}
@@ -74,17 +75,17 @@
 func (c *Core) restoreRecord(r replica.Record) {
 	l := c.leadership
 	over := func(Entry) {
-		if isScheduleKey(r.Key) {
+		if record.IsScheduleKey(r.Key) {
 			l.schedulesRestoring--
 		}
-		if isConfigKey(r.Key) {
+		if record.IsConfigKey(r.Key) {
 			l.config.restoring--
 		}
 		if l.loss.pending--; l.loss.pending == 0 {
 			c.note(slog.LevelInfo, "the records are whole again", "term", l.term, "restored", l.loss.restored, "after", c.now.Sub(l.loss.since))
 		}
 	}
-	if part, ok := strings.CutPrefix(r.Key, doneKeys); ok {
+	if part, ok := strings.CutPrefix(r.Key, record.ProgressPrefix); ok {
 		// By the way that progress is always written.
 		if id, chunk := splitChunkKey(part); l.jobs[id] != nil && chunk >= 0 {
 			c.recordProgressSoon(l.jobs[id], chunk*chunkTasks)
@@ -101,22 +102,22 @@
 func (c *Core) writeBack(r replica.Record, over func(on Entry)) {
 	l := c.leadership
 	ch := &change{priority: priorityBulk, conditions: []Condition{{r.Key, r.Rev}}, writes: []Write{{Key: r.Key}}, size: 400}
-	if rec, ok := r.Value.(*JobRecord); ok {
+	if rec, ok := r.Value.(*record.Job); ok {
 		// Applied late, once the job is over and its record gone again, it would bring the
 		// job back to the next leader.
-		ch.conditions = append(ch.conditions, Condition{finalKeys + rec.Spec.ID, 0})
+		ch.conditions = append(ch.conditions, Condition{record.FinalPrefix + rec.Spec.ID, 0})
 		ch.size = recordSize(&rec.Spec)
 	} else if rec, ok := r.Value.(*schedule.Record); ok {
 		ch.size, ch.priority = rec.Size(), priorityUrgent
-	} else if isConfigKey(r.Key) || r.Key == numberKey {
+	} else if record.IsConfigKey(r.Key) || r.Key == record.ScheduleNumberKey {
 		ch.priority = priorityUrgent
 	}
 	ch.prepare = func() bool {
 		now, ok := c.replicas.own.Get(r.Key)
-		if id, live := strings.CutPrefix(r.Key, jobKeys); live {
+		if id, live := strings.CutPrefix(r.Key, record.JobPrefix); live {
 			j := l.jobs[id]
 			ok = ok && j != nil && !j.finishing
-		} else if isScheduleKey(r.Key) {
+		} else if record.IsScheduleKey(r.Key) {
 			now, ok = r, true // they are read from record later
 		}
 		if !ok {
@@ -124,22 +125,22 @@
 			return false
 		}
 		ch.writes[0].Value = now.Value
-		if strings.HasPrefix(r.Key, scheduleKeys) {
-			ch.conditions = []Condition{{r.Key, r.Rev}, {numberKey, l.schedules.numberRev}} // see newSchedule
+		if strings.HasPrefix(r.Key, record.SchedulePrefix) {
+			ch.conditions = []Condition{{r.Key, r.Rev}, {record.ScheduleNumberKey, l.schedules.numberRev}} // see newSchedule
 		}
 		return true
 	}
 	ch.onCommit = func(rev uint64) {
 		switch r.Key {
-		case numberKey:
+		case record.ScheduleNumberKey:
 			l.schedules.numberRev = rev
-		case configHeadKey:
+		case record.ConfigHeadKey:
 			l.config.headRev = rev
 		}
 		over(Entry{Key: r.Key, Value: ch.writes[0].Value, Rev: rev})
 	}
 	ch.onConflict = func() { // there is one by now, written after the loss or late, or older
-		if !isScheduleKey(r.Key) {
+		if !record.IsScheduleKey(r.Key) {
 			over(Entry{})
 			return
 		}
@@ -149,11 +150,11 @@
 				return
 			}
 			r.Rev = e.Rev
-			if r.Key == numberKey {
+			if r.Key == record.ScheduleNumberKey {
 				c.writeBack(r, over)
 				return
 			}
-			c.readBack(numberKey, func(n Entry, _ bool) {
+			c.readBack(record.ScheduleNumberKey, func(n Entry, _ bool) {
 				l.schedules.numberRev = n.Rev
 				c.writeBack(r, over)
 			})
@@ -163,11 +164,6 @@
 	l.writes.add(ch)
 }
 
-// isScheduleKey reports whether a record is one of those that schedules are read from.
-func isScheduleKey(key string) bool {
-	return strings.HasPrefix(key, scheduleKeys) || key == numberKey
-}
-
 // loadSchedulesWhenRestored reads the schedules once they are on record.
 func (c *Core) loadSchedulesWhenRestored() {
 	if c.leadership.schedulesRestoring == 0 {
@@ -185,17 +181,17 @@
 		return
 	}
 	var keys []string
-	for _, key := range own.Keys(scheduleKeys) {
+	for _, key := range own.Keys(record.SchedulePrefix) {
 		r, _ := own.Get(key)
-		if rec, _ := r.Value.(*schedule.Record); r.Rev == 0 && rec != nil && c.leadership.schedules.byName[strings.TrimPrefix(key, scheduleKeys)] == nil {
+		if rec, _ := r.Value.(*schedule.Record); r.Rev == 0 && rec != nil && c.leadership.schedules.byName[strings.TrimPrefix(key, record.SchedulePrefix)] == nil {
 			keys = append(keys, key)
 		}
 	}
 	if len(keys) == 0 {
 		return
 	}
-	c.readBack(numberKey, func(e Entry, found bool) {
-		if n, ok := own.Get(numberKey); ok && !found {
+	c.readBack(record.ScheduleNumberKey, func(e Entry, found bool) {
+		if n, ok := own.Get(record.ScheduleNumberKey); ok && !found {
 			n.Rev = 0
 			c.writeBack(n, func(Entry) { c.afterWhileLeading(replicaInterval, c.restoreMissingSchedules) })
 			return
@@ -205,7 +201,7 @@
 			r, _ := own.Get(key)
 			c.note(slog.LevelError, "a schedule is missing that a copy has, it is written back", "key", key)
 			c.writeBack(r, func(on Entry) {
-				if on.Value != nil && c.leadership.schedules.byName[strings.TrimPrefix(key, scheduleKeys)] == nil {
+				if on.Value != nil && c.leadership.schedules.byName[strings.TrimPrefix(key, record.SchedulePrefix)] == nil {
 					c.loadSchedule(on)
 				}
 			})
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -8,6 +8,7 @@
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/policy"
+	"yewpass/internal/record"
 	"yewpass/internal/relay"
 	"yewpass/internal/rpc"
 )
@@ -34,7 +35,7 @@
 		n.in(PeerLink{Name: p, Up: true})
 	}
 	n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerLeader, Term: 5}})
-	n.reads(leaderKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{{Key: leaderKey, Value: &LeaderRecord{Node: "n1", Term: 5}, Rev: 9, LeaseID: 3}}})
+	n.reads(record.LeaderKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{{Key: record.LeaderKey, Value: &record.Leader{Node: "n1", Term: 5}, Rev: 9, LeaseID: 3}}})
 	return n
 }
 
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yewpass/internal/config"
+	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
 )
@@ -43,13 +44,13 @@
 func replicaRecordSize(r replica.Record) int {
 	n := 100 + len(r.Key)
 	switch v := r.Value.(type) {
-	case *JobRecord:
+	case *record.Job:
 		n += recordSize(&v.Spec)
-	case *MachineRecord:
+	case *record.Machines:
 		for i := range v.Machines {
 			n += v.Machines[i].Size()
 		}
-	case *ProgressRecord:
+	case *record.Progress:
 		n += len(v.Ranges)
 	case *schedule.Record:
 		n += v.Size()
@@ -107,8 +108,8 @@
 
 // replicateLeaderless takes a job that was accepted without a leader into the copies of all who are
 // in reach: until a leader has taken it on, nobody else knows of it.
-func (c *Core) replicateLeaderless(rec *JobRecord, rev uint64) {
-	r := replica.Record{Key: jobKeys + rec.Spec.ID, Value: rec, Rev: rev}
+func (c *Core) replicateLeaderless(rec *record.Job, rev uint64) {
+	r := replica.Record{Key: record.JobPrefix + rec.Spec.ID, Value: rec, Rev: rev}
 	if k := c.newestReplica(); k != nil {
 		k.Put(r.Key, r.Value, r.Rev)
 	}
@@ -124,7 +125,7 @@
 		return // a leader takes it on by its note
 	}
 	for _, r := range line.Puts {
-		if _, known := k.Get(r.Key); !known && strings.HasPrefix(r.Key, jobKeys) {
+		if _, known := k.Get(r.Key); !known && strings.HasPrefix(r.Key, record.JobPrefix) {
 			k.Put(r.Key, r.Value, r.Rev)
 		}
 	}
@@ -158,7 +159,7 @@
 	for _, ch := range batch {
 		for _, w := range ch.writes {
 			switch {
-			case strings.HasPrefix(w.Key, leaderlessKeys):
+			case strings.HasPrefix(w.Key, record.LeaderlessPrefix):
 			case w.Value == nil:
 				drops = append(drops, w.Key)
 			default:
@@ -243,7 +244,7 @@
 	} else if from != c.knownLeader || line.Term > c.highestTerm {
 		return // of nobody who leads
 	}
-	if err := h.Take(line, finalKeys, maxFinals(c.cfg)); err != nil {
+	if err := h.Take(line, record.FinalPrefix, maxFinals(c.cfg)); err != nil {
 		c.note(slog.LevelWarn, "copy of the records is wanted anew", "from", from, "reason", err)
 		c.emit(PeerSend{from, PeerMsg{Kind: PeerAgain, Term: max(1, line.Term), Ref: line.Session}})
 		return
@@ -271,7 +272,7 @@
 func (c *Core) receiveFinals(line *replica.Line) {
 	l := c.leadership
 	own := c.ownReplica()
-	if own == nil || line.Term >= l.term || l.finalsReceiver.Take(line, finalKeys, maxFinals(c.cfg)) != nil {
+	if own == nil || line.Term >= l.term || l.finalsReceiver.Take(line, record.FinalPrefix, maxFinals(c.cfg)) != nil {
 		return // it can do without
 	}
 	if k := l.finalsReceiver.Copy(); k != nil {
@@ -279,7 +280,7 @@
 		c.rememberFinals(k)
 		l.finalsSource = ""
 		// Nor does what it has of schedules show that none is lost: they lie apart.
-		for _, key := range k.Keys(rootKey + "schedule") {
+		for _, key := range k.Keys(record.Root + "schedule") {
 			if _, ok := own.Get(key); !ok {
 				r, _ := k.Get(key)
 				own.Put(key, r.Value, 0)
@@ -293,10 +294,10 @@
 
 // rememberFinals takes in how the jobs of a copy have ended.
 func (c *Core) rememberFinals(k *replica.Copy) {
-	for _, key := range k.Keys(finalKeys) {
+	for _, key := range k.Keys(record.FinalPrefix) {
 		r, _ := k.Get(key)
-		if f, _ := r.Value.(*FinalRecord); f != nil {
-			c.finals.Add(strings.TrimPrefix(key, finalKeys), *f)
+		if f, _ := r.Value.(*record.Final); f != nil {
+			c.finals.Add(strings.TrimPrefix(key, record.FinalPrefix), *f)
 		}
 	}
 }
--- a/internal/core/replication_test.go
+++ b/internal/core/replication_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"yewpass/internal/record"
 	"yewpass/internal/replica"
 )
 
@@ -12,7 +13,7 @@
 func TestOwnCopyOutlivesAJumpOfTerms(t *testing.T) {
 	c := leaderOf(t, 1)
 	c.leadership, c.cfg.HostName = nil, "n1"
-	c.replicas.own = replica.New(5, 2, finalKeys, 10)
+	c.replicas.own = replica.New(5, 2, record.FinalPrefix, 10)
 	c.observeTerm(9, 188, 1)
 	if k := c.newestReplica(); k == nil || k.Term != 2 {
 		t.Fatal("the copy is gone")
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -7,8 +7,10 @@
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/record"
 	"yewpass/internal/relay"
 	"yewpass/internal/rpc"
+	"yewpass/internal/spec"
 )
 
 // A process, or a machine, that ends may be back within a fraction of a second, under
@@ -16,7 +18,7 @@
 // something that then cannot be told from the former one's by these.
 
 func leaderKeyOf(node string, term, rev, life uint64) Entry {
-	return Entry{Key: leaderKey, Value: &LeaderRecord{Node: node, Term: term, Life: life}, Rev: rev, LeaseID: 3}
+	return Entry{Key: record.LeaderKey, Value: &record.Leader{Node: node, Term: term, Life: life}, Rev: rev, LeaseID: 3}
 }
 
 // TestAnswerOfFormerProcess: what a leader answers to a call of the process before this
@@ -44,7 +46,7 @@
 	// Not even by chance.
 	ref = forwards(n, "wk-2")
 	n.outs = nil
-	n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerAnswer, Ref: ref, Answer: &AnswerUser{Status: 200, View: JobView{ID: "wk-1", State: Done}}}})
+	n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerAnswer, Ref: ref, Answer: &AnswerUser{Status: 200, View: JobView{ID: "wk-1", State: spec.Done}}}})
 	for _, o := range n.outs {
 		if a, ok := o.(AnswerUser); ok {
 			t.Errorf("whoever asked about wk-2 is told %+v", a)
@@ -73,7 +75,7 @@
 	n.expect("led to who may be the leader", 1, 421)
 	// The state service knows better.
 	n.in(PeerLink{Name: "n2", Up: true})
-	n.reads(leaderKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{leaderKeyOf("n2", 6, 20, 4)}})
+	n.reads(record.LeaderKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{leaderKeyOf("n2", 6, 20, 4)}})
 	n.worker(2, 2)
 	bs := n.sent("n2")
 	if len(bs) == 0 {
@@ -89,12 +91,12 @@
 	n := newRelayNode(t)
 	n.in(Tick{})
 	n.pass(time.Second)
-	listing := n.calls(leaderKey)
+	listing := n.calls(record.LeaderKey)
 	if listing.Op != StoreList {
 		t.Fatalf("%+v", listing)
 	}
 	n.in(PeerIn{From: "n2", Msg: PeerMsg{Kind: PeerLeader, Term: 6}}) // acknowledged
-	confirming := n.calls(leaderKey)
+	confirming := n.calls(record.LeaderKey)
 	n.in(StoreReply{Ref: listing.Ref, Outcome: rpc.OK, Rev: 10, Entries: []Entry{leaderKeyOf("n1", 5, 9, 4)}})
 	stillSix := func(when string) {
 		t.Helper()
@@ -114,7 +116,7 @@
 	// The new leader has ended already, with its grant.
 	n.in(PeerLink{Name: "n2"})
 	n.in(StoreReply{Ref: confirming.Ref, Outcome: rpc.NotFound, Rev: 30})
-	n.reads(termKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{{Key: termKey, Value: &TermRecord{Term: 6}, Rev: 25}}})
+	n.reads(record.TermKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{{Key: record.TermKey, Value: &record.Term{Term: 6}, Rev: 25}}})
 	stillSix("after its leader has ended")
 }
 
@@ -133,16 +135,16 @@
 			cfg.Settings.State = config.State{RPS: 250, WriteRPS: 60, ValueKB: 16, TxnOps: 12}
 			n := &relayNode{New(cfg, nil, calendar.NewSet(nil), 7), t, t0, nil}
 			n.in(Tick{})
-			first := n.calls(leaderKey)
+			first := n.calls(record.LeaderKey)
 			if x.entry.Rev > 20 { // nobody leads at first
 				n.in(StoreReply{Ref: first.Ref, Outcome: rpc.Refused})
 				n.firstStoreRevision = 20
 				n.pass(time.Second)
-				first = n.calls(leaderKey)
+				first = n.calls(record.LeaderKey)
 			}
 			n.in(StoreReply{Ref: first.Ref, Outcome: rpc.OK, Rev: 30, Entries: []Entry{x.entry}})
-			if get := n.calls(leaderKey); get.Op == StoreGet {
-				n.reads(leaderKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{x.entry}})
+			if get := n.calls(record.LeaderKey); get.Op == StoreGet {
+				n.reads(record.LeaderKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{x.entry}})
 			}
 			drops := false
 			for _, o := range n.outs {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -11,6 +11,7 @@
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/policy"
+	"yewpass/internal/record"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
@@ -57,7 +58,7 @@
 	if rng.IntN(2) == 0 {
 		spec.Class, spec.HasDeadline, spec.Deadline = "u", true, time.Duration(5+rng.IntN(200))*time.Second
 	}
-	j := c.addJob(&JobRecord{Spec: spec, Submitted: c.now.Round(0)}, false)
+	j := c.addJob(&record.Job{Spec: spec, Submitted: c.now.Round(0)}, false)
 	for i := range tasks {
 		j.pending.set(i)
 		j.waiting++
@@ -174,7 +175,7 @@
 func (c *Core) fill(m *machine) {
 	j := c.leadership.jobs["wk-1"]
 	if j == nil {
-		j = c.addJob(&JobRecord{Spec: spec.Job{ID: "wk-1", Class: "r", Owner: "t", Tasks: spec.MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute}, Submitted: t0}, false)
+		j = c.addJob(&record.Job{Spec: spec.Job{ID: "wk-1", Class: "r", Owner: "t", Tasks: spec.MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute}, Submitted: t0}, false)
 		j.anyCompleted = true
 	}
 	for range m.room().CPU / 1000 {
@@ -238,14 +239,14 @@
 			var entries []Entry
 			for i := range 200 {
 				j := newJob(old, i, 100, rng)
-				entries = append(entries, Entry{Key: jobKeys + j.spec.ID, Value: j.record, Rev: 1})
+				entries = append(entries, Entry{Key: record.JobPrefix + j.spec.ID, Value: j.record, Rev: 1})
 			}
-			rec := &MachineRecord{}
+			rec := &record.Machines{}
 			for _, m := range old.leadership.fleet {
 				old.fill(m)
-				rec.Machines = append(rec.Machines, RecordedMachine{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Spot: true})
+				rec.Machines = append(rec.Machines, record.Machine{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Spot: true})
 			}
-			entries = append(entries, Entry{Key: machineKeys + "1-1", Value: rec, Rev: 1})
+			entries = append(entries, Entry{Key: record.MachinePrefix + "1-1", Value: rec, Rev: 1})
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -273,7 +274,7 @@
 	for range schedule.HistoryLength {
 		rec.Add(schedule.Entry{Job: schedule.JobID(rec.Number, t0), Planned: t0, Due: t0, Made: t0, Started: t0, Ended: t0, State: schedule.StateDone})
 	}
-	c.loadSchedule(Entry{Key: scheduleKeys + fmt.Sprintf("s%05d", i), Value: rec, Rev: 1})
+	c.loadSchedule(Entry{Key: record.SchedulePrefix + fmt.Sprintf("s%05d", i), Value: rec, Rev: 1})
 	if s := c.leadership.schedules.byName[fmt.Sprintf("s%05d", i)]; s.definition == nil {
 		tb.Fatal(s.problem)
 	}
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"yewpass/internal/calendar"
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 )
@@ -245,7 +246,7 @@
 
 // createSchedule writes the first record of a schedule.
 func (c *Core) createSchedule(s *recurringJob, rec *schedule.Record) {
-	key := scheduleKeys + s.name
+	key := record.SchedulePrefix + s.name
 	made := func(rec *schedule.Record, rev uint64) {
 		s.record, s.revision = rec, rev
 		c.addSchedule(s)
@@ -259,7 +260,7 @@
 	ch.onConflict = func() { // a try of ours whose outcome was not known
 		c.readSchedule(s, func(found *schedule.Record, rev uint64) {
 			if found == nil { // another schedule was removed meanwhile
-				c.readBack(numberKey, func(e Entry, _ bool) {
+				c.readBack(record.ScheduleNumberKey, func(e Entry, _ bool) {
 					c.leadership.schedules.numberRev = e.Rev
 					ch.conditions = c.newSchedule(key)
 					c.leadership.writes.add(ch)
@@ -281,7 +282,7 @@
 // every removal the numbers' record is written as well, so that such a try finds another
 // revision of it.
 func (c *Core) newSchedule(key string) []Condition {
-	return []Condition{{key, 0}, {numberKey, c.leadership.schedules.numberRev}}
+	return []Condition{{key, 0}, {record.ScheduleNumberKey, c.leadership.schedules.numberRev}}
 }
 
 // nextNumber has f called with a number that no schedule ever had. Numbers are taken
@@ -313,12 +314,12 @@
 			f(0, false)
 		}
 	}
-	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: numberKey}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: record.ScheduleNumberKey}, func(r StoreReply) {
 		var from, rev uint64
 		if r.Outcome == rpc.OK {
-			rec, _ := r.Entries[0].Value.(*NumberRecord)
+			rec, _ := r.Entries[0].Value.(*record.ScheduleNumber)
 			if rec == nil || rec.Number+numberBlock > schedule.MaxNumber {
-				c.note(slog.LevelError, "no numbers for schedules are left", "key", numberKey)
+				c.note(slog.LevelError, "no numbers for schedules are left", "key", record.ScheduleNumberKey)
 				fail()
 				return
 			}
@@ -328,7 +329,7 @@
 			return
 		}
 		c.leadership.writes.add(&change{
-			conditions: []Condition{{numberKey, rev}}, writes: []Write{{Key: numberKey, Value: &NumberRecord{from + numberBlock}}},
+			conditions: []Condition{{record.ScheduleNumberKey, rev}}, writes: []Write{{Key: record.ScheduleNumberKey, Value: &record.ScheduleNumber{Number: from + numberBlock}}},
 			onCommit: func(rev uint64) {
 				sch.numberRev = rev
 				sch.next, sch.last, sch.takingNumbers = from, from+numberBlock, false
@@ -346,7 +347,7 @@
 func (c *Core) deleteSchedule(s *recurringJob, call UserCall) {
 	s.writing, s.requester = true, &call
 	s.generation++
-	key := scheduleKeys + s.name
+	key := record.SchedulePrefix + s.name
 	ch := &change{}
 	done := func() {
 		c.replicateDrop(key)
@@ -355,11 +356,11 @@
 		c.forgetSchedule(s)
 	}
 	remove := func(rev uint64) {
-		c.readBack(numberKey, func(e Entry, found bool) {
-			ch.conditions = []Condition{{key, rev}, {numberKey, e.Rev}}
+		c.readBack(record.ScheduleNumberKey, func(e Entry, found bool) {
+			ch.conditions = []Condition{{key, rev}, {record.ScheduleNumberKey, e.Rev}}
 			ch.writes = []Write{{Key: key}}
 			if found && e.Value != nil { // see newSchedule
-				ch.writes = append(ch.writes, Write{Key: numberKey, Value: e.Value})
+				ch.writes = append(ch.writes, Write{Key: record.ScheduleNumberKey, Value: e.Value})
 			}
 			c.leadership.writes.add(ch)
 		})
--- a/internal/core/schedule_write.go
+++ b/internal/core/schedule_write.go
@@ -5,13 +5,14 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/record"
 	"yewpass/internal/schedule"
 )
 
 // writeSchedule writes a record as apply changes it, with the job of an
 // occurrence if there is one. taken is called when the job's id has a record
 // already.
-func (c *Core) writeSchedule(s *recurringJob, ln writePriority, apply func(r *schedule.Record), job *JobRecord, done, taken func()) {
+func (c *Core) writeSchedule(s *recurringJob, ln writePriority, apply func(r *schedule.Record), job *record.Job, done, taken func()) {
 	s.writing = true
 	s.generation++
 	ch := &change{priority: ln}
@@ -20,8 +21,8 @@
 }
 
 // prepareWrite fills in a change of a schedule's record.
-func (c *Core) prepareWrite(s *recurringJob, ch *change, apply func(r *schedule.Record), job *JobRecord, done, taken func()) {
-	key := scheduleKeys + s.name
+func (c *Core) prepareWrite(s *recurringJob, ch *change, apply func(r *schedule.Record), job *record.Job, done, taken func()) {
+	key := record.SchedulePrefix + s.name
 	// Times are fixed here: what is applied to memory is what was written.
 	rec := s.record.Clone()
 	apply(rec)
@@ -33,7 +34,7 @@
 		id := job.Spec.ID
 		ch.size += recordSize(&job.Spec)
 		ch.conditions = append(ch.conditions, noRecordOf(id)...)
-		ch.writes = append(ch.writes, Write{Key: jobKeys + id, Value: job})
+		ch.writes = append(ch.writes, Write{Key: record.JobPrefix + id, Value: job})
 	}
 	ch.onCommit = func(rev uint64) {
 		// News of jobs that came meanwhile are in memory only, and go next. The
@@ -73,7 +74,7 @@
 
 // readSchedule reads a record back; found is nil if there is none.
 func (c *Core) readSchedule(s *recurringJob, f func(found *schedule.Record, rev uint64)) {
-	c.readBack(scheduleKeys+s.name, func(e Entry, found bool) {
+	c.readBack(record.SchedulePrefix+s.name, func(e Entry, found bool) {
 		rec, _ := e.Value.(*schedule.Record)
 		if found && rec == nil {
 			c.note(slog.LevelError, "record is unreadable", "key", e.Key)
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -8,8 +8,10 @@
 	"time"
 
 	"yewpass/internal/calendar"
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
+	"yewpass/internal/spec"
 )
 
 // scheduler are the recurring work that a leader looks after. What a schedule
@@ -90,7 +92,7 @@
 
 // loadSchedules reads the schedules, page by page, while the leader works.
 func (c *Core) loadSchedules(from string) {
-	c.storeWhileLeading(StoreCall{Op: StoreList, Key: scheduleKeys, From: from, Limit: schedulePage}, func(r StoreReply) {
+	c.storeWhileLeading(StoreCall{Op: StoreList, Key: record.SchedulePrefix, From: from, Limit: schedulePage}, func(r StoreReply) {
 		if r.Outcome != rpc.OK {
 			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.loadSchedules(from) })
 			return
@@ -115,11 +117,11 @@
 	rec, _ := e.Value.(*schedule.Record)
 	if rec == nil {
 		c.note(slog.LevelError, "record is unreadable", "key", e.Key, "effect", "the schedule makes no jobs and is not served")
-		c.leadership.schedules.unreadable[strings.TrimPrefix(e.Key, scheduleKeys)] = true
+		c.leadership.schedules.unreadable[strings.TrimPrefix(e.Key, record.SchedulePrefix)] = true
 		return
 	}
 	c.replicate(e)
-	s := &recurringJob{name: strings.TrimPrefix(e.Key, scheduleKeys), record: rec, revision: e.Rev}
+	s := &recurringJob{name: strings.TrimPrefix(e.Key, record.SchedulePrefix), record: rec, revision: e.Rev}
 	c.addSchedule(s)
 	es, _ := rec.Entries()
 	for _, x := range es {
@@ -292,7 +294,7 @@
 				v = schedule.Later
 				s.notBefore = now.Add(min(max(late, time.Second), 30*time.Second))
 			} else {
-				c.makeJob(s, cursor.Past(o), o, &JobRecord{Spec: job, Submitted: o.Start}, gone)
+				c.makeJob(s, cursor.Past(o), o, &record.Job{Spec: job, Submitted: o.Start}, gone)
 				return
 			}
 		}
@@ -325,7 +327,7 @@
 }
 
 // makeJob makes an occurrence a job; past is the cursor behind it.
-func (c *Core) makeJob(s *recurringJob, past schedule.Cursor, o calendar.Occurrence, job *JobRecord, gone []schedule.Passed) {
+func (c *Core) makeJob(s *recurringJob, past schedule.Cursor, o calendar.Occurrence, job *record.Job, gone []schedule.Passed) {
 	id := job.Spec.ID
 	s.notBefore = time.Time{}
 	c.writeSchedule(s, priorityOccurrence, func(r *schedule.Record) {
@@ -422,18 +424,18 @@
 }
 
 // occurrenceOver follows the end of an occurrence's job.
-func (c *Core) occurrenceOver(s *recurringJob, id string, state JobState, at time.Time) {
+func (c *Core) occurrenceOver(s *recurringJob, id string, state spec.JobState, at time.Time) {
 	if s.removed {
 		return
 	}
 	if e, ok := s.record.Entry(id); ok && e.State == schedule.StateMade {
 		s.record.Update(id, func(e *schedule.Entry) {
 			e.Ended, e.State = at, schedule.StateDone
-			if state == Cancelled {
+			if state == spec.Cancelled {
 				e.State = schedule.StateCancelled
 			}
 		})
-		if state != Cancelled && !e.Due.IsZero() && at.After(e.Due) && !e.Late {
+		if state != spec.Cancelled && !e.Due.IsZero() && at.After(e.Due) && !e.Late {
 			c.noteLate(s, e)
 		}
 		c.flushSchedule(s)
@@ -453,7 +455,7 @@
 	}
 	s.flushing = true
 	c.afterWhileLeading(historyDelay, func() {
-		ch := &change{priority: priorityBulk, writes: []Write{{Key: scheduleKeys + s.name}}, size: s.record.Size()}
+		ch := &change{priority: priorityBulk, writes: []Write{{Key: record.SchedulePrefix + s.name}}, size: s.record.Size()}
 		sent := false
 		ch.prepare = func() bool {
 			if sent {
@@ -487,7 +489,7 @@
 		}
 		if ok {
 			sch.unresolved = slices.Delete(sch.unresolved, 0, 1)
-			if v != nil && (v.State == Done || v.State == Cancelled) {
+			if v != nil && (v.State == spec.Done || v.State == spec.Cancelled) {
 				at := c.timeOfDay()
 				if e, ok := x.s.record.Entry(x.job); ok && !e.Due.IsZero() && !e.Late && at.After(e.Due) {
 					at = e.Due // nobody saw it late
--- a/internal/core/scrub.go
+++ b/internal/core/scrub.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/replica"
 	"yewpass/internal/rpc"
@@ -27,7 +28,7 @@
 	final int    // of those that have ended
 }
 
-var scrubbedPrefixes = []string{liveKeys, scheduleKeys}
+var scrubbedPrefixes = []string{record.LivePrefix, record.SchedulePrefix}
 
 // scrubRecords reads on, now and every while.
 func (c *Core) scrubRecords() {
@@ -91,7 +92,7 @@
 		now, still := own.Get(key)
 		gone := r.Outcome == rpc.NotFound || r.Outcome == rpc.OK && r.Entries[0].Rev < was.Rev
 		if gone && still && now.Rev == was.Rev && c.ownReplica() == own && !c.hasUncommittedChange(key) {
-			c.reportDataLoss("a record is missing or old that a copy has: " + strings.TrimPrefix(key, rootKey))
+			c.reportDataLoss("a record is missing or old that a copy has: " + strings.TrimPrefix(key, record.Root))
 		}
 	})
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -9,6 +9,7 @@
 
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/relay"
 	"yewpass/internal/replica"
@@ -18,33 +19,10 @@
 	"yewpass/internal/timeline"
 )
 
-// JobState is a job's state as users see it.
-type JobState string
-
-// The states of a job.
-const (
-	Queued    JobState = "queued"
-	Running   JobState = "running"
-	Done      JobState = "done"
-	Cancelled JobState = "cancelled"
-)
-
-// Known reports whether s is a state of the protocol, or none.
-func (s JobState) Known() bool {
-	return s == "" || s == Queued || s == Running || s == Done || s == Cancelled
-}
-
-// MaxTerm bounds the terms, and with them the workers' epochs: an attempt carries
-// its term in its upper bits. A number above it was never a term.
-const MaxTerm = 1<<(64-attemptBits) - 1
-
-// attemptBits is how much of an attempt counts the starts of a term.
-const attemptBits = 28
-
 // A term has so many attempts, and ends while there are some left: more than can go
 // out between two ticks.
 const (
-	maxAttempts   = 1<<attemptBits - 1
+	maxAttempts   = 1<<record.AttemptBits - 1
 	spareAttempts = 1 << 20
 )
 
@@ -154,7 +132,7 @@
 // Entry is one key of the state service.
 type Entry struct {
 	Key     string
-	Value   any // *JobRecord, *FinalRecord, *MachineRecord, *ProgressRecord, *LeaderRecord, *TermRecord, *NumberRecord, *schedule.Record, *liveconfig.HeadRecord, *liveconfig.TeamRecord, or nil when unreadable
+	Value   any // *Job, *Final, *Machines, *Progress, *Leader, *Term, *ScheduleNumber, *schedule.Record, *liveconfig.HeadRecord, *liveconfig.TeamRecord, or nil when unreadable
 	Rev     uint64
 	LeaseID uint64 // that the key is attached to; known from StoreGet alone
 }
@@ -241,7 +219,7 @@
 	CopyEra  uint64         `json:"copyEra,omitempty"` // of the copy that it has
 	CopyTerm uint64         `json:"copyTerm,omitempty"`
 	CopySeq  uint64         `json:"copySeq,omitempty"`
-	Live     replica.Digest `json:"live"` // of its records under liveKeys
+	Live     replica.Digest `json:"live"` // of its records under LivePrefix
 }
 
 // Sound reports whether a call of a peer carries what its operation asks for, as the
@@ -303,7 +281,7 @@
 // JobView is what a user is told of a job.
 type JobView struct {
 	ID            string
-	State         JobState
+	State         spec.JobState
 	Done, Running int
 }
 
@@ -426,52 +404,3 @@
 }
 
 // ---- records in the state service
-
-// JobRecord keeps an accepted job until it is over.
-type JobRecord struct {
-	Spec      spec.Job
-	Submitted time.Time // time of day
-	Cancelled bool
-}
-
-// FinalRecord keeps how a job ended, for good.
-type FinalRecord struct {
-	State JobState
-	Done  int
-}
-
-// ProgressRecord keeps which tasks of one chunk of a job are done.
-type ProgressRecord struct {
-	Ranges string
-}
-
-// MachineRecord names machines that may hold tasks, many in one record: a large
-// fleet would otherwise spend the state service's allowance on them alone.
-type MachineRecord struct {
-	Machines []RecordedMachine
-}
-
-// RecordedMachine is a machine that may hold tasks.
-type RecordedMachine struct {
-	Host, Address, InstanceType, Zone string
-	Spot                              bool
-}
-
-// LeaderRecord names the leader, under its grant.
-type LeaderRecord struct {
-	Node string
-	Term uint64
-	Life uint64 // of the node's process; 0 in records of versions that had none
-	Era  uint64 // see TermRecord
-}
-
-// NumberRecord says up to which number schedules may have been numbered.
-type NumberRecord struct {
-	Number uint64
-}
-
-// TermRecord counts the terms; a term is the workers' epoch.
-type TermRecord struct {
-	Term uint64
-	Era  uint64 // drawn anew whenever data was found to be lost; 0 in records of versions that had none
-}
--- a/internal/core/write_batcher.go
+++ b/internal/core/write_batcher.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"slices"
 	"time"
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 
 	"golang.org/x/time/rate"
@@ -197,7 +198,7 @@
 	if len(batch) == 0 {
 		return false
 	}
-	call := StoreCall{Op: StoreTxn, Conditions: []Condition{{termKey, c.leadership.termRevision}}}
+	call := StoreCall{Op: StoreTxn, Conditions: []Condition{{record.TermKey, c.leadership.termRevision}}}
 	for _, ch := range batch {
 		ch.sent = true
 		call.Conditions = append(call.Conditions, ch.conditions...)
@@ -235,7 +236,7 @@
 			}
 		}
 	case rpc.Conflict:
-		if slices.Contains(r.FailedKeys, termKey) {
+		if slices.Contains(r.FailedKeys, record.TermKey) {
 			c.stepDown("a newer term has been written")
 			return
 		}
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -14,6 +14,7 @@
 
 	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
@@ -233,7 +234,7 @@
 
 type finalJSON struct {
 	Type  string        `json:"type"` // "final"
-	State core.JobState `json:"state"`
+	State spec.JobState `json:"state"`
 	Done  int           `json:"done"`
 }
 
@@ -414,25 +415,25 @@
 
 func encodeValue(v any) any {
 	switch v := v.(type) {
-	case *core.JobRecord:
+	case *record.Job:
 		return jobJSON{"job", EncodeSpec(&v.Spec), v.Submitted.UnixMilli(), v.Cancelled}
-	case *core.FinalRecord:
+	case *record.Final:
 		return finalJSON{"final", v.State, v.Done}
-	case *core.ProgressRecord:
+	case *record.Progress:
 		return progressJSON{"progress", v.Ranges}
-	case *core.MachineRecord:
+	case *record.Machines:
 		m := machineJSON{Type: "machines"}
 		for _, h := range v.Machines {
 			m.Machines = append(m.Machines, hostJSON(h))
 		}
 		return m
-	case *core.LeaderRecord:
+	case *record.Leader:
 		return leaderJSON{"leader", v.Node, v.Term, v.Life, v.Era}
-	case *core.TermRecord:
+	case *record.Term:
 		return leaderJSON{"term", "", v.Term, 0, v.Era}
 	case *schedule.Record:
 		return encodeSchedule(v)
-	case *core.NumberRecord:
+	case *record.ScheduleNumber:
 		return numberJSON{"number", v.Number}
 	case *liveconfig.HeadRecord:
 		return headJSON{"configHead", v.Revision}
@@ -460,41 +461,41 @@
 		var j jobJSON
 		if json.Unmarshal(e.V, &j) == nil {
 			if s, ok := j.Spec.Decode(); ok && strings.HasSuffix(e.K, "/"+s.ID) {
-				out.Value = &core.JobRecord{Spec: s, Submitted: time.UnixMilli(j.Submitted), Cancelled: j.Cancelled}
+				out.Value = &record.Job{Spec: s, Submitted: time.UnixMilli(j.Submitted), Cancelled: j.Cancelled}
 			}
 		}
 	case "final":
 		var f finalJSON
-		if json.Unmarshal(e.V, &f) == nil && (f.State == core.Done || f.State == core.Cancelled) && f.Done >= 0 {
-			out.Value = &core.FinalRecord{State: f.State, Done: f.Done}
+		if json.Unmarshal(e.V, &f) == nil && (f.State == spec.Done || f.State == spec.Cancelled) && f.Done >= 0 {
+			out.Value = &record.Final{State: f.State, Done: f.Done}
 		}
 	case "progress":
 		var p progressJSON
 		if json.Unmarshal(e.V, &p) == nil {
-			out.Value = &core.ProgressRecord{Ranges: p.Ranges}
+			out.Value = &record.Progress{Ranges: p.Ranges}
 		}
 	case "machine", "machines":
 		var m machineJSON
 		// A record that names nobody is none of ours: it would be dropped instead.
 		if json.Unmarshal(e.V, &m) == nil && (tag.Type == "machine" || len(m.Machines) > 0) {
-			rec := &core.MachineRecord{}
+			rec := &record.Machines{}
 			for _, h := range m.Machines {
-				rec.Machines = append(rec.Machines, core.RecordedMachine(h))
+				rec.Machines = append(rec.Machines, record.Machine(h))
 			}
 			if tag.Type == "machine" {
-				rec.Machines = []core.RecordedMachine{{Host: e.K[strings.LastIndexByte(e.K, '/')+1:], InstanceType: m.InstanceType, Zone: m.Zone, Spot: m.Spot}}
+				rec.Machines = []record.Machine{{Host: e.K[strings.LastIndexByte(e.K, '/')+1:], InstanceType: m.InstanceType, Zone: m.Zone, Spot: m.Spot}}
 			}
 			out.Value = rec
 		}
 	case "leader":
 		var l leaderJSON
-		if json.Unmarshal(e.V, &l) == nil && l.Node != "" && l.Term > 0 && l.Term <= core.MaxTerm {
-			out.Value = &core.LeaderRecord{Node: l.Node, Term: l.Term, Life: l.Life, Era: l.Era}
+		if json.Unmarshal(e.V, &l) == nil && l.Node != "" && l.Term > 0 && l.Term <= record.MaxTerm {
+			out.Value = &record.Leader{Node: l.Node, Term: l.Term, Life: l.Life, Era: l.Era}
 		}
 	case "term":
 		var l leaderJSON
-		if json.Unmarshal(e.V, &l) == nil && l.Term > 0 && l.Term <= core.MaxTerm {
-			out.Value = &core.TermRecord{Term: l.Term, Era: l.Era}
+		if json.Unmarshal(e.V, &l) == nil && l.Term > 0 && l.Term <= record.MaxTerm {
+			out.Value = &record.Term{Term: l.Term, Era: l.Era}
 		}
 	case "schedule":
 		var j scheduleJSON
@@ -506,7 +507,7 @@
 	case "number":
 		var n numberJSON
 		if json.Unmarshal(e.V, &n) == nil {
-			out.Value = &core.NumberRecord{Number: n.Number}
+			out.Value = &record.ScheduleNumber{Number: n.Number}
 		}
 	case "configHead":
 		var h headJSON
--- a/internal/kvclient/client_test.go
+++ b/internal/kvclient/client_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"yewpass/internal/core"
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
@@ -62,13 +63,13 @@
 
 // TestRecords: what is written is read back; what is not a record is none.
 func TestRecords(t *testing.T) {
-	in := &core.JobRecord{Spec: spec.Job{ID: "wk-1", Class: "c", Owner: "o", Tasks: 5, CPUs: 1.5, Urgency: spec.Urgent, Image: "i",
+	in := &record.Job{Spec: spec.Job{ID: "wk-1", Class: "c", Owner: "o", Tasks: 5, CPUs: 1.5, Urgency: spec.Urgent, Image: "i",
 		InstanceTypes: []string{"f"}, Runtime: 90 * time.Second, Deadline: time.Minute, HasDeadline: true}, Submitted: time.UnixMilli(1234567), Cancelled: true}
 	data, err := json.Marshal(encodeValue(in))
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, ok := decodeEntry(entryJSON{K: "live/job/wk-1", V: data, KeyRev: 3}).Value.(*core.JobRecord)
+	out, ok := decodeEntry(entryJSON{K: "live/job/wk-1", V: data, KeyRev: 3}).Value.(*record.Job)
 	if !ok || out.Spec.Runtime != in.Spec.Runtime || out.Spec.InstanceTypes[0] != "f" || !out.Cancelled || !out.Submitted.Equal(in.Submitted) || !out.Spec.HasDeadline {
 		t.Errorf("%+v", out)
 	}
--- a/internal/kvclient/fuzz_test.go
+++ b/internal/kvclient/fuzz_test.go
@@ -5,8 +5,10 @@
 	"testing"
 
 	"yewpass/internal/core"
+	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
+	"yewpass/internal/spec"
 )
 
 // FuzzDecode: an answer of the state service is an unknown outcome, or what the
@@ -42,19 +44,19 @@
 			}
 			last = e.Key
 			switch v := e.Value.(type) {
-			case *core.JobRecord:
+			case *record.Job:
 				if !v.Spec.Sound() || !strings.HasSuffix(e.Key, v.Spec.ID) {
 					t.Fatalf("%+v", v)
 				}
-			case *core.FinalRecord:
-				if v.Done < 0 || v.State != core.Done && v.State != core.Cancelled {
+			case *record.Final:
+				if v.Done < 0 || v.State != spec.Done && v.State != spec.Cancelled {
 					t.Fatalf("%+v", v)
 				}
-			case *core.TermRecord:
-				if v.Term == 0 || v.Term > core.MaxTerm {
+			case *record.Term:
+				if v.Term == 0 || v.Term > record.MaxTerm {
 					t.Fatalf("%+v", v)
 				}
-			case *core.MachineRecord:
+			case *record.Machines:
 				if len(v.Machines) == 0 {
 					t.Fatal("a record of no machines")
 				}
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"yewpass/internal/core"
+	"yewpass/internal/record"
 )
 
 // FuzzLine: what passes as a message is one that the core can take.
@@ -26,7 +27,7 @@
 		m := in.Msg
 		switch m.Kind {
 		case core.PeerLeader, core.PeerAck:
-			if m.Term == 0 || m.Term > core.MaxTerm {
+			if m.Term == 0 || m.Term > record.MaxTerm {
 				t.Fatal(m.Term)
 			}
 		case core.PeerCall:
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,8 +15,10 @@
 	"yewpass/internal/config"
 	"yewpass/internal/core"
 	"yewpass/internal/kvclient"
+	"yewpass/internal/record"
 	"yewpass/internal/relay"
 	"yewpass/internal/replica"
+	"yewpass/internal/spec"
 )
 
 type messageJSON struct {
@@ -42,7 +44,7 @@
 type answerJSON struct {
 	Status  int           `json:"status"`
 	RetryMS int64         `json:"retryMs,omitempty"`
-	State   core.JobState `json:"state,omitempty"`
+	State   spec.JobState `json:"state,omitempty"`
 	Done    int           `json:"done,omitempty"`
 	Running int           `json:"running,omitempty"`
 	Field   string        `json:"field,omitempty"`
@@ -95,7 +97,7 @@
 }
 
 func (l *lineJSON) decode() (*replica.Line, bool) {
-	if l.Term == 0 || l.Term > core.MaxTerm || l.Session == 0 || l.Sum != l.sum() {
+	if l.Term == 0 || l.Term > record.MaxTerm || l.Session == 0 || l.Sum != l.sum() {
 		return nil, false
 	}
 	out := &replica.Line{Era: l.Era, Term: l.Term, Session: l.Session, Number: l.Number, Seq: l.Seq, Complete: l.Whole, Drops: l.Drops}
@@ -300,11 +302,11 @@
 		}
 		in.Msg.Copy = line
 	case core.PeerTell:
-		if k := j.Know; k == nil || j.Term == 0 || j.Term > core.MaxTerm || k.Term > core.MaxTerm || k.CopyTerm > core.MaxTerm {
+		if k := j.Know; k == nil || j.Term == 0 || j.Term > record.MaxTerm || k.Term > record.MaxTerm || k.CopyTerm > record.MaxTerm {
 			return in, false, "tell: out of range"
 		}
 	case core.PeerLeader, core.PeerAck, core.PeerAsk, core.PeerWant, core.PeerAgain, core.PeerConfig:
-		if j.Term == 0 || j.Term > core.MaxTerm {
+		if j.Term == 0 || j.Term > record.MaxTerm {
 			return in, false, "term: out of range"
 		}
 	case core.PeerCall:
@@ -329,11 +331,11 @@
 			in.Msg.Answer.Doc = a.Doc
 		}
 	case core.PeerReports:
-		if j.Reports == nil || j.Term == 0 || j.Term > core.MaxTerm {
+		if j.Reports == nil || j.Term == 0 || j.Term > record.MaxTerm {
 			return in, false, "reports: none of a term"
 		}
 	case core.PeerReplies:
-		if j.Replies == nil || j.Term == 0 || j.Term > core.MaxTerm || !j.Replies.Sound() {
+		if j.Replies == nil || j.Term == 0 || j.Term > record.MaxTerm || !j.Replies.Sound() {
 			return in, false, "replies: not what a leader says"
 		}
 	default:
--- /dev/null
+++ b/internal/record/keys.go
@@ -0,0 +1,35 @@
+package record
+
+import "strings"
+
+const ConfigPrefix = LivePrefix + "config/"
+
+const ConfigHeadKey = ConfigPrefix + "head"
+
+const ConfigTeamPrefix = ConfigPrefix + "team/"
+
+// IsConfigKey reports whether a key is of the configuration.
+func IsConfigKey(key string) bool { return strings.HasPrefix(key, ConfigPrefix) }
+
+// Keys of the state service. Everything that a successor reads lies under
+// LivePrefix; how jobs ended lies apart, so that a take-over never reads it.
+const (
+	Root             = "yewpass/"
+	LeaderKey        = Root + "leader"
+	TermKey          = Root + "term"
+	LivePrefix       = Root + "live/"
+	JobPrefix        = LivePrefix + "job/"
+	MachinePrefix    = LivePrefix + "machine/"
+	ProgressPrefix   = LivePrefix + "progress/"
+	FinalPrefix      = Root + "final/"
+	LeaderlessPrefix = Root + "alone/" // notes of jobs that were accepted without a leader
+
+	// Schedules lie apart: a take-over does not wait for them.
+	SchedulePrefix    = Root + "schedule/"
+	ScheduleNumberKey = Root + "schedules" // the numbers given to schedules
+)
+
+// IsScheduleKey reports whether a record is one of those that schedules are read from.
+func IsScheduleKey(key string) bool {
+	return strings.HasPrefix(key, SchedulePrefix) || key == ScheduleNumberKey
+}
--- a/internal/scenario/config_drill_test.go
+++ b/internal/scenario/config_drill_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"yewpass/internal/core"
+	"yewpass/internal/spec"
 )
 
 // yewpass runs the program as operators do and returns what it prints: again, as it is told
@@ -54,7 +54,7 @@
 	f.with(func() { f.cfg.Settings.Teams[0].CPUsMax = 3 }) // what the rules go by: the settings said 40
 	l := f.leader()
 	l.kill()
-	f.until("the job is done", told(core.Done, j))
+	f.until("the job is done", told(spec.Done, j))
 	refused := f.job("wk-2", "tasks=1", "owner=u", "run=1s")
 	f.until("a job of the retired team is refused", func() bool { return refused.status == 422 })
 	l.start()
--- a/internal/scenario/drill_test.go
+++ b/internal/scenario/drill_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/spec"
 )
 
 // site is what the drills play on: three machines up, more to be rented.
@@ -46,7 +46,7 @@
 		f.net.split(map[string]bool{ms[0].host: true}, nil, true, 20*time.Second)
 	})
 	l.kill()
-	f.until("the jobs are done", told(core.Done, j, k))
+	f.until("the jobs are done", told(spec.Done, j, k))
 	l.start()
 	f.until("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
 }
@@ -55,7 +55,7 @@
 func (f *front) works(id string) {
 	f.t.Helper()
 	j := f.job(id, "tasks=3", "run=500ms")
-	f.until(id+" is done", told(core.Done, j))
+	f.until(id+" is done", told(spec.Done, j))
 }
 
 // running checks that no process has ended by itself.
@@ -165,7 +165,7 @@
 		f.until("tasks run", func() bool { return f.on(id) > 5 })
 		f.with(func() { f.store.wipe("", true) })
 		kill()
-		f.until(id+" is done", told(core.Done, j))
+		f.until(id+" is done", told(spec.Done, j))
 	}
 	lost("wk-2", func() {})
 	f.running(ps)
@@ -227,7 +227,7 @@
 		})
 		l.cmd.Process.Signal(syscall.SIGCONT)
 	}
-	f.until("the job is done", told(core.Done, j))
+	f.until("the job is done", told(spec.Done, j))
 	f.running(ps)
 }
 
@@ -423,7 +423,7 @@
 	for _, p := range ps {
 		p.start()
 	}
-	f.until("the readable job is done", told(core.Done, j))
+	f.until("the readable job is done", told(spec.Done, j))
 	f.running(ps)
 	for _, p := range ps {
 		for _, b := range []*userJob{bad, odd} {
@@ -504,7 +504,7 @@
 		}
 		return status, data
 	})
-	f.until("wk-1 is done", told(core.Done, j))
+	f.until("wk-1 is done", told(spec.Done, j))
 	f.works("wk-2")
 }
 
@@ -549,10 +549,10 @@
 func (p *proc) knowsDone(id string) {
 	for {
 		status, _, data := p.do("GET", "/v2/runs/"+id, nil)
-		var v struct{ Status core.JobState }
+		var v struct{ Status spec.JobState }
 		json.Unmarshal(data, &v)
 		switch {
-		case status == 200 && v.Status == core.Done:
+		case status == 200 && v.Status == spec.Done:
 			return
 		case (status == 503 || status == 0) && time.Since(p.started) < answersWithin:
 			time.Sleep(20 * time.Millisecond)
@@ -581,7 +581,7 @@
 		p.start()
 	}
 	for i, j := range jobs {
-		f.until(j.spec.ID+" is done", told(core.Done, j))
+		f.until(j.spec.ID+" is done", told(spec.Done, j))
 		ps[i%3].knowsDone(j.spec.ID)
 	}
 	l := f.leader()
--- a/internal/scenario/front_test.go
+++ b/internal/scenario/front_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"yewpass/internal/config"
-	"yewpass/internal/core"
+	"yewpass/internal/spec"
 )
 
 // front is a loopback world of a test: the real program against the stand-ins.
@@ -147,7 +147,7 @@
 }
 
 // told reports whether the jobs' users have all been told this state.
-func told(state core.JobState, js ...*userJob) func() bool {
+func told(state spec.JobState, js ...*userJob) func() bool {
 	return func() bool {
 		for _, j := range js {
 			if j.told != state {
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -13,6 +13,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"yewpass/internal/core"
+	"yewpass/internal/spec"
 )
 
 // All users' calls on a job are a history of invocations and responses, whichever node took
@@ -36,9 +37,9 @@
 		return jobUnknown
 	case x.status != 200 && x.status != 201:
 		return -1
-	case x.state == core.Done:
+	case x.state == spec.Done:
 		return jobDone
-	case x.state == core.Cancelled:
+	case x.state == spec.Cancelled:
 		return jobCancelled
 	}
 	return jobAccepted
@@ -150,7 +151,7 @@
 // TestLinear: the checker tells good histories from bad ones.
 func TestLinear(t *testing.T) {
 	at := func(ms int) time.Time { return newClock(0).start.Add(time.Duration(ms) * time.Millisecond) }
-	x := func(op core.UserOp, from, to, status int, s core.JobState) call {
+	x := func(op core.UserOp, from, to, status int, s spec.JobState) call {
 		c := call{op: op, invoked: at(from), status: status, state: s}
 		if to > 0 {
 			c.ended = at(to)
@@ -162,19 +163,19 @@
 		good  bool
 		calls []call
 	}{
-		"in order":                       {true, []call{x(get, 0, 1, 404, ""), x(submit, 2, 5, 201, core.Queued), x("", 6, 0, 0, ""), x(get, 7, 8, 200, core.Running), x(get, 9, 10, 200, core.Done)}},
-		"overlapping":                    {true, []call{x(submit, 0, 9, 201, core.Queued), x(get, 1, 8, 404, ""), x(get, 2, 7, 200, core.Queued)}},
-		"404 after an acceptance":        {false, []call{x(submit, 0, 2, 201, core.Queued), x(get, 3, 4, 404, "")}},
-		"404 after another poll":         {false, []call{x(submit, 0, 9, 201, core.Queued), x(get, 1, 2, 200, core.Queued), x(get, 3, 4, 404, "")}},
-		"accepted without an answer":     {true, []call{x(submit, 0, 0, 0, ""), x(get, 8, 9, 200, core.Queued)}},
-		"queued after done":              {false, []call{x(submit, 0, 2, 201, core.Queued), x("", 3, 0, 0, ""), x(get, 4, 5, 200, core.Done), x(get, 6, 7, 200, core.Queued)}},
-		"running after cancelled":        {false, []call{x(submit, 0, 2, 201, core.Queued), x(cancel, 3, 6, 200, core.Cancelled), x(get, 7, 8, 200, core.Running)}},
-		"running after a repeat says so": {false, []call{x(submit, 0, 2, 201, core.Queued), x(cancel, 3, 0, 503, ""), x(submit, 4, 5, 200, core.Cancelled), x(get, 7, 8, 200, core.Running)}},
-		"cancelled without an answer":    {true, []call{x(submit, 0, 2, 201, core.Queued), x(cancel, 3, 0, 503, ""), x(get, 5, 6, 200, core.Running), x(get, 7, 8, 200, core.Cancelled)}},
-		"done after cancelled":           {false, []call{x(submit, 0, 2, 201, core.Queued), x("", 2, 0, 0, ""), x(cancel, 3, 4, 200, core.Cancelled), x(get, 5, 6, 200, core.Done)}},
-		"cancelled by nobody":            {false, []call{x(submit, 0, 2, 201, core.Queued), x(get, 5, 6, 200, core.Cancelled)}},
-		"refused after an acceptance":    {false, []call{x(submit, 0, 2, 201, core.Queued), x(submit, 3, 4, 422, "")}},
-		"known to nobody":                {false, []call{x(get, 5, 6, 200, core.Queued)}},
+		"in order":                       {true, []call{x(get, 0, 1, 404, ""), x(submit, 2, 5, 201, spec.Queued), x("", 6, 0, 0, ""), x(get, 7, 8, 200, spec.Running), x(get, 9, 10, 200, spec.Done)}},
+		"overlapping":                    {true, []call{x(submit, 0, 9, 201, spec.Queued), x(get, 1, 8, 404, ""), x(get, 2, 7, 200, spec.Queued)}},
+		"404 after an acceptance":        {false, []call{x(submit, 0, 2, 201, spec.Queued), x(get, 3, 4, 404, "")}},
+		"404 after another poll":         {false, []call{x(submit, 0, 9, 201, spec.Queued), x(get, 1, 2, 200, spec.Queued), x(get, 3, 4, 404, "")}},
+		"accepted without an answer":     {true, []call{x(submit, 0, 0, 0, ""), x(get, 8, 9, 200, spec.Queued)}},
+		"queued after done":              {false, []call{x(submit, 0, 2, 201, spec.Queued), x("", 3, 0, 0, ""), x(get, 4, 5, 200, spec.Done), x(get, 6, 7, 200, spec.Queued)}},
+		"running after cancelled":        {false, []call{x(submit, 0, 2, 201, spec.Queued), x(cancel, 3, 6, 200, spec.Cancelled), x(get, 7, 8, 200, spec.Running)}},
+		"running after a repeat says so": {false, []call{x(submit, 0, 2, 201, spec.Queued), x(cancel, 3, 0, 503, ""), x(submit, 4, 5, 200, spec.Cancelled), x(get, 7, 8, 200, spec.Running)}},
+		"cancelled without an answer":    {true, []call{x(submit, 0, 2, 201, spec.Queued), x(cancel, 3, 0, 503, ""), x(get, 5, 6, 200, spec.Running), x(get, 7, 8, 200, spec.Cancelled)}},
+		"done after cancelled":           {false, []call{x(submit, 0, 2, 201, spec.Queued), x("", 2, 0, 0, ""), x(cancel, 3, 4, 200, spec.Cancelled), x(get, 5, 6, 200, spec.Done)}},
+		"cancelled by nobody":            {false, []call{x(submit, 0, 2, 201, spec.Queued), x(get, 5, 6, 200, spec.Cancelled)}},
+		"refused after an acceptance":    {false, []call{x(submit, 0, 2, 201, spec.Queued), x(submit, 3, 4, 422, "")}},
+		"known to nobody":                {false, []call{x(get, 5, 6, 200, spec.Queued)}},
 	} {
 		if got := linear("wk-1", h.calls) == ""; got != h.good {
 			t.Errorf("%s: %v, want %v", name, got, h.good)
--- a/internal/scenario/looks.go
+++ b/internal/scenario/looks.go
@@ -20,7 +20,7 @@
 	op             core.UserOp // OpSubmit, OpGet, OpCancel; "" is the end of its last task
 	invoked, ended time.Time   // ended is zero while there is no answer
 	status         int         // 0: none, it may have happened or not
-	state          core.JobState
+	state          spec.JobState
 }
 
 // recordCall notes a call and returns what notes its answer.
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -186,7 +186,7 @@
 run 250s`, "no order", func(s *script) {
 			s.lie = func(n *node, out any) any { // a poll does not wait for a record that may be there
 				if a, ok := out.(core.AnswerUser); ok && a.Reason == "its end is being recorded" {
-					a.Status, a.View = 200, core.JobView{State: core.Running}
+					a.Status, a.View = 200, core.JobView{State: spec.Running}
 					return a
 				}
 				return out
@@ -260,8 +260,8 @@
 expect over
 run 150s`, "went_back", func(s *script) {
 			s.lie = func(n *node, out any) any { // whoever called it off is told that it is cancelled
-				if a, ok := out.(core.AnswerUser); ok && a.View.State == core.Done && s.jobs[a.View.ID].wants && s.jobs[a.View.ID].told == "" {
-					a.View.State = core.Cancelled
+				if a, ok := out.(core.AnswerUser); ok && a.View.State == spec.Done && s.jobs[a.View.ID].wants && s.jobs[a.View.ID].told == "" {
+					a.View.State = spec.Cancelled
 					return a
 				}
 				return out
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -13,7 +13,9 @@
 
 	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/record"
 	"yewpass/internal/replica"
+	"yewpass/internal/spec"
 )
 
 // What happens next? In the scenarios' ordinary play messages arrive in the order of
@@ -458,7 +460,7 @@
 // order, so the search can fail.
 func TestOrdersPlanted(t *testing.T) {
 	ofMachines := func(v any) bool {
-		_, ok := v.(*core.MachineRecord)
+		_, ok := v.(*record.Machines)
 		return ok
 	}
 	unrecorded := func() func(n *node, out any) any {
@@ -500,7 +502,7 @@
 		{"an answer lost after a cancellation", "no order", func() func(n *node, out any) any {
 			return func(n *node, out any) any { // a poll does not wait for a record that may be there
 				if a, ok := out.(core.AnswerUser); ok && a.Reason == "its end is being recorded" {
-					a.Status, a.View = 200, core.JobView{ID: "wk-1", State: core.Running}
+					a.Status, a.View = 200, core.JobView{ID: "wk-1", State: spec.Running}
 					return a
 				}
 				return out
@@ -518,8 +520,8 @@
 		{"a cancellation at the end of the last task", "went_back", func() func(n *node, out any) any {
 			told := false
 			return func(n *node, out any) any { // whoever asks first after the end is told that it is cancelled
-				if a, ok := out.(core.AnswerUser); ok && a.View.State == core.Done && n.jobs["wk-1"].wants && !told {
-					told, a.View.State = true, core.Cancelled
+				if a, ok := out.(core.AnswerUser); ok && a.View.State == spec.Done && n.jobs["wk-1"].wants && !told {
+					told, a.View.State = true, spec.Cancelled
 					return a
 				}
 				return out
@@ -529,9 +531,9 @@
 			return func(n *node, out any) any { // an answer before its write
 				if call, ok := out.(core.StoreCall); ok && call.Op == core.StoreTxn {
 					for _, w := range call.Writes {
-						if rec, ok := w.Value.(*core.JobRecord); ok && !rec.Cancelled {
+						if rec, ok := w.Value.(*record.Job); ok && !rec.Cancelled {
 							for _, x := range n.nodes { // whichever the user has asked
-								x.answer(x.submission, core.AnswerUser{Ref: x.submission, Status: 201, View: core.JobView{ID: rec.Spec.ID, State: core.Queued}})
+								x.answer(x.submission, core.AnswerUser{Ref: x.submission, Status: 201, View: core.JobView{ID: rec.Spec.ID, State: spec.Queued}})
 							}
 						}
 					}
@@ -545,7 +547,7 @@
 		{"a loss and a change of leader", "forgotten", func() func(n *node, out any) any {
 			return func(n *node, out any) any { // copies lack jobs
 				return withoutCopies(out, func(v any) bool {
-					_, job := v.(*core.JobRecord)
+					_, job := v.(*record.Job)
 					return job
 				})
 			}
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -340,7 +340,7 @@
 	}
 	var v struct {
 		ID            string
-		Status        core.JobState
+		Status        spec.JobState
 		Done, Running int
 	}
 	json.Unmarshal(data, &v)
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -829,7 +829,7 @@
 		j.spec.Zone = "elsewhere"
 		force(ms[0], heartbeat.TaskID{Job: j.spec.ID})
 	case "ran_cancelled":
-		j.told, j.toldAt = core.Cancelled, w.now.Add(-w.cancelWithin-time.Second)
+		j.told, j.toldAt = spec.Cancelled, w.now.Add(-w.cancelWithin-time.Second)
 		w.calledOff = append(w.calledOff, j)
 		w.dirty = true
 	case "forgotten":
@@ -846,10 +846,10 @@
 		w.after(3*time.Second, func() { w.jobs[j.spec.ID] = j })
 	case "not_done":
 		w.given = w.now
-		w.hear(j, core.JobView{ID: j.spec.ID, State: core.Done})
+		w.hear(j, core.JobView{ID: j.spec.ID, State: spec.Done})
 	case "went_back":
 		w.given = w.now
-		w.hear(j, core.JobView{ID: j.spec.ID, State: core.Cancelled})
+		w.hear(j, core.JobView{ID: j.spec.ID, State: spec.Cancelled})
 	case "nothing_ran":
 		w.started = 0
 		w.at(w.start.Add(s.end), func() { w.started = 0 })
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -19,7 +19,7 @@
 	accepted bool
 	since    time.Time     // when its user first heard that it is accepted
 	toldOn   time.Time     // when its user was told the state in told
-	told     core.JobState // the last state of consequence: "", done or cancelled
+	told     spec.JobState // the last state of consequence: "", done or cancelled
 	wants    bool          // its user asked to cancel it
 	toldAt   time.Time     // when it was told cancelled
 	done     map[int]bool
@@ -172,7 +172,7 @@
 		w.fail("went_back", "%s was called %s, then %s", j.spec.ID, j.told, v.State)
 	}
 	switch v.State {
-	case core.Done:
+	case spec.Done:
 		if len(j.done) < j.spec.Tasks {
 			w.fail("not_done", "%s is called done with %d of %d tasks", j.spec.ID, len(j.done), j.spec.Tasks)
 		}
@@ -180,7 +180,7 @@
 			defer w.look(j, true)
 		}
 		j.told, j.toldOn = v.State, w.now
-	case core.Cancelled:
+	case spec.Cancelled:
 		if !j.wants {
 			w.fail("went_back", "%s is called cancelled, its user did not cancel it", j.spec.ID)
 		}
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -8,6 +8,7 @@
 	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/rpc"
+	"yewpass/internal/spec"
 )
 
 // worker is the stand-in of a machine and its worker.
@@ -378,7 +379,7 @@
 // renews that is not the newest: the meeting that the bound on cancellations is about.
 func (m *worker) outrun(epoch uint64) {
 	for _, t := range m.tasks {
-		if t.outran || !t.on() || t.job.told != core.Cancelled || epoch >= m.newestTerm() {
+		if t.outran || !t.on() || t.job.told != spec.Cancelled || epoch >= m.newestTerm() {
 			continue
 		}
 		t.outran = true
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -106,7 +106,7 @@
 	if s.Apart && here > (s.Tasks+1)/2 {
 		w.fail("wrong_place", "%d of %d tasks of %s are in %s", here, s.Tasks, s.ID, m.zone)
 	}
-	if t.job.told == core.Cancelled {
+	if t.job.told == spec.Cancelled {
 		w.met["start-after-cancel"]++ // its command was on its way, or it waited for its image
 		if w.now.Sub(t.job.toldAt) > w.cancelWithin {
 			w.fail("ran_cancelled", "%s starts", t.id)
