--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/kv"
 	"yewpass/internal/policy"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
@@ -167,7 +168,7 @@
 		f(nil, false)
 		return
 	}
-	c.store(StoreCall{Op: StoreGet, Key: record.JobPrefix + id}, func(r StoreReply) {
+	c.store(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, func(r kv.Response) {
 		switch r.Outcome {
 		case rpc.OK:
 			rec, _ := r.Entries[0].Value.(*record.Job)
@@ -181,7 +182,7 @@
 			}
 			f(&v, true)
 		case rpc.NotFound:
-			c.store(StoreCall{Op: StoreGet, Key: record.FinalPrefix + id}, func(r StoreReply) {
+			c.store(kv.Request{Op: kv.Get, Key: record.FinalPrefix + id}, func(r kv.Response) {
 				switch r.Outcome {
 				case rpc.OK:
 					rec, _ := r.Entries[0].Value.(*record.Final)
@@ -261,7 +262,7 @@
 		no()
 		return
 	}
-	c.storeWhileLeadingOr(StoreCall{Op: StoreGet, Key: record.JobPrefix + id}, no, func(r StoreReply) {
+	c.storeWhileLeadingOr(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, no, func(r kv.Response) {
 		var rec *record.Job
 		if r.Outcome == rpc.OK {
 			rec, _ = r.Entries[0].Value.(*record.Job)
@@ -275,7 +276,7 @@
 		case rec == nil || rec.Spec.ID != id:
 			no()
 		default:
-			c.storeWhileLeadingOr(StoreCall{Op: StoreList, Key: record.ProgressPrefix + id + "/", Limit: 400}, no, func(p StoreReply) {
+			c.storeWhileLeadingOr(kv.Request{Op: kv.List, Key: record.ProgressPrefix + id + "/", Limit: 400}, no, func(p kv.Response) {
 				if p.Outcome != rpc.OK || p.More {
 					no()
 					return
@@ -293,7 +294,7 @@
 // adoptReadable takes on a job whose record could not be read before. Its tasks were stopped; those
 // that may still be on machines are its own again until they are gone. A record that a fault
 // of ours cannot take in stays set aside, as at a take-over.
-func (c *Core) adoptReadable(rec Entry, progress []Entry) bool {
+func (c *Core) adoptReadable(rec kv.Entry, progress []kv.Entry) bool {
 	l, id := c.leadership, strings.TrimPrefix(rec.Key, record.JobPrefix)
 	delete(l.unreadableJobs, id)
 	c.loadRecord(rec)
@@ -335,7 +336,7 @@
 		case v == nil && l.mayHaveLostJobs(c.now):
 			c.answer(call, unavailable("data was lost, and what there is is being looked for"))
 		case v == nil:
-			c.confirmTerm(noRecordOf(call.ID), func(r StoreReply) {
+			c.confirmTerm(noRecordOf(call.ID), func(r kv.Response) {
 				if r.Outcome == rpc.OK && c.canAct() {
 					missing()
 				} else {
@@ -354,7 +355,7 @@
 
 // adopt takes on a job whose record exists but which memory lacks.
 func (c *Core) adopt(id string, then, otherwise func()) {
-	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: record.JobPrefix + id}, func(r StoreReply) {
+	c.storeWhileLeading(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, func(r kv.Response) {
 		if r.Outcome != rpc.OK {
 			otherwise()
 			return
@@ -381,8 +382,8 @@
 var tooLong = AnswerUser{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
 
 // noRecordOf is the condition that a job has neither a live nor a final record.
-func noRecordOf(id string) []Condition {
-	return []Condition{{record.JobPrefix + id, 0}, {record.FinalPrefix + id, 0}}
+func noRecordOf(id string) []kv.Condition {
+	return []kv.Condition{{Key: record.JobPrefix + id, Rev: 0}, {Key: record.FinalPrefix + id, Rev: 0}}
 }
 
 // submit decides on a new job and answers once its record is committed.
@@ -422,7 +423,7 @@
 	l.writes.add(&change{
 		size:       recordSize(s),
 		conditions: noRecordOf(s.ID),
-		writes:     []Write{{Key: record.JobPrefix + s.ID, Value: rec}},
+		writes:     []kv.Write{{Key: record.JobPrefix + s.ID, Value: rec}},
 		onCommit: func(uint64) {
 			delete(l.accept, s.ID)
 			j := c.newJob(rec)
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
@@ -17,7 +18,7 @@
 	*testing.T
 	c     *Core
 	ref   uint64
-	calls []any // StoreCall and CloudCall that nobody has answered
+	calls []any // Request and CloudCall that nobody has answered
 	said  []any // all else that has come out
 }
 
@@ -32,7 +33,7 @@
 func (d *desk) in(x any) {
 	for _, o := range slices.Clone(d.c.Step(d.c.now.Add(time.Millisecond), x)) {
 		switch o := o.(type) {
-		case StoreCall, CloudCall:
+		case kv.Request, CloudCall:
 			d.calls = append(d.calls, o)
 		case AnswerReport:
 			o.Orders = slices.Clone(o.Orders)
@@ -58,12 +59,12 @@
 	d.calls = nil
 	for _, x := range calls {
 		switch x := x.(type) {
-		case StoreCall:
-			r := StoreReply{Ref: x.Ref, Rev: x.Ref + 100}
-			if x.Op == StoreTxn {
+		case kv.Request:
+			r := kv.Response{Ref: x.Ref, Rev: x.Ref + 100}
+			if x.Op == kv.Txn {
 				writes++
 				r.Outcome = o
-			} else if x.Op == StoreGet {
+			} else if x.Op == kv.Get {
 				r.Outcome = rpc.NotFound
 			}
 			d.in(r)
@@ -282,11 +283,11 @@
 	d := newDesk(t)
 	ref := d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
 	for _, x := range d.calls {
-		if call, ok := x.(StoreCall); ok && call.Op == StoreTxn {
-			if !slices.Contains(call.Conditions, Condition{record.TermKey, 1}) {
+		if call, ok := x.(kv.Request); ok && call.Op == kv.Txn {
+			if !slices.Contains(call.Conditions, kv.Condition{Key: record.TermKey, Rev: 1}) {
 				t.Errorf("a write without the condition of the term: %+v", call.Conditions)
 			}
-			d.in(StoreReply{Ref: call.Ref, Outcome: rpc.Conflict, FailedKeys: []string{record.TermKey}})
+			d.in(kv.Response{Ref: call.Ref, Outcome: rpc.Conflict, FailedKeys: []string{record.TermKey}})
 		}
 	}
 	if a := d.answer(ref); a.Status != 503 {
@@ -306,9 +307,9 @@
 	d.c.afterWhileLeading(0, func() { d.c.adoptLeaderless(record.LeaderlessPrefix + "wk-1") })
 	d.in(Tick{})
 	for _, x := range d.calls {
-		if call, ok := x.(StoreCall); ok && call.Op == StoreGet && call.Key == record.JobPrefix+"wk-1" {
+		if call, ok := x.(kv.Request); ok && call.Op == kv.Get && call.Key == record.JobPrefix+"wk-1" {
 			rec := &record.Job{Spec: *plainJob("wk-1", 1), Submitted: d.c.now}
-			d.in(StoreReply{Ref: call.Ref, Rev: 90, Entries: []Entry{{Key: call.Key, Value: rec, Rev: 90}}})
+			d.in(kv.Response{Ref: call.Ref, Rev: 90, Entries: []kv.Entry{{Key: call.Key, Value: rec, Rev: 90}}})
 		}
 	}
 	if a := d.answer(ref); a.Status != 200 || a.View.State != spec.Queued {
@@ -323,8 +324,8 @@
 		d := newDesk(t)
 		ref := d.user(OpGet, "wk-1", nil, nil)
 		for i := range 2 {
-			call := d.calls[len(d.calls)-1].(StoreCall)
-			r := StoreReply{Ref: call.Ref, Outcome: rpc.NotFound}
+			call := d.calls[len(d.calls)-1].(kv.Request)
+			r := kv.Response{Ref: call.Ref, Outcome: rpc.NotFound}
 			if i == 1 {
 				r.Outcome = o
 			}
@@ -340,13 +341,13 @@
 			continue
 		}
 		for _, sure := range []bool{true, false} {
-			call := d.calls[len(d.calls)-1].(StoreCall)
-			if call.Op != StoreTxn || len(call.Writes) > 0 || d.answer(ref).Status != 0 {
+			call := d.calls[len(d.calls)-1].(kv.Request)
+			if call.Op != kv.Txn || len(call.Writes) > 0 || d.answer(ref).Status != 0 {
 				t.Fatalf("an answer before it is sure: %+v", call)
 			}
-			want, r := 404, StoreReply{Ref: call.Ref, Outcome: rpc.OK}
+			want, r := 404, kv.Response{Ref: call.Ref, Outcome: rpc.OK}
 			if !sure {
-				want, r = 503, StoreReply{Ref: call.Ref, Outcome: rpc.Conflict, FailedKeys: []string{record.TermKey}}
+				want, r = 503, kv.Response{Ref: call.Ref, Outcome: rpc.Conflict, FailedKeys: []string{record.TermKey}}
 			}
 			d.in(r)
 			if a := d.answer(ref); a.Status != want {
@@ -355,7 +356,7 @@
 			if sure { // and once more
 				ref = d.user(OpGet, "wk-2", nil, nil)
 				for range 2 {
-					d.in(StoreReply{Ref: d.calls[len(d.calls)-1].(StoreCall).Ref, Outcome: rpc.NotFound})
+					d.in(kv.Response{Ref: d.calls[len(d.calls)-1].(kv.Request).Ref, Outcome: rpc.NotFound})
 				}
 			}
 		}
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -10,6 +10,7 @@
 	"golang.org/x/time/rate"
 
 	"yewpass/internal/config"
+	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
@@ -100,7 +101,7 @@
 
 // loadConfig takes in a record of the configuration. One that cannot be read leaves what is
 // known of its object as it is: what a copy has, or else the settings.
-func (c *Core) loadConfig(e Entry) {
+func (c *Core) loadConfig(e kv.Entry) {
 	conf := &c.leadership.config
 	if e.Key == record.ConfigHeadKey {
 		conf.headRev = e.Rev
@@ -171,20 +172,20 @@
 }
 
 // configHeadCond is the condition that the configuration is as a copy has it.
-func configHeadCond(k *replica.Copy) Condition {
+func configHeadCond(k *replica.Copy) kv.Condition {
 	r, _ := k.Get(record.ConfigHeadKey)
-	return Condition{record.ConfigHeadKey, r.Rev}
+	return kv.Condition{Key: record.ConfigHeadKey, Rev: r.Rev}
 }
 
 // ---- the renewal
 
 // configConds are the conditions on which a renewal shows that the leader's configuration
 // is the newest.
-func (l *leadership) configConds() []Condition {
+func (l *leadership) configConds() []kv.Condition {
 	if !l.loaded {
 		return nil
 	}
-	return []Condition{{record.ConfigHeadKey, l.config.headRev}}
+	return []kv.Condition{{Key: record.ConfigHeadKey, Rev: l.config.headRev}}
 }
 
 // handleConfigConflict: a renewal that went out with a revision of the head has found another. If it
@@ -210,7 +211,7 @@
 		return
 	}
 	conf.rereading = true
-	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: record.ConfigHeadKey}, func(r StoreReply) {
+	c.storeWhileLeading(kv.Request{Op: kv.Get, Key: record.ConfigHeadKey}, func(r kv.Response) {
 		conf.rereading = false
 		if r.Outcome != rpc.OK && r.Outcome != rpc.NotFound {
 			return // the next renewal finds the same
@@ -250,7 +251,7 @@
 	state := liveconfig.New(baseTeams(c.cfg))
 	var page func(from string)
 	page = func(from string) {
-		c.storeWhileLeading(StoreCall{Op: StoreList, Key: record.ConfigPrefix, From: from, Limit: 400}, func(r StoreReply) {
+		c.storeWhileLeading(kv.Request{Op: kv.List, Key: record.ConfigPrefix, From: from, Limit: 400}, func(r kv.Response) {
 			if r.Outcome != rpc.OK {
 				c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { page(from) })
 				return
@@ -407,11 +408,11 @@
 	}
 	ch.size = 0
 	for _, r := range records {
-		ch.writes = append(ch.writes, Write{Key: record.ConfigTeamPrefix + r.Team.Name, Value: &r})
+		ch.writes = append(ch.writes, kv.Write{Key: record.ConfigTeamPrefix + r.Team.Name, Value: &r})
 		ch.size += 200 + 2*len(r.Team.Name)
 	}
-	ch.writes = append(ch.writes, Write{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}})
-	ch.conditions = []Condition{{record.ConfigHeadKey, conf.headRev}}
+	ch.writes = append(ch.writes, kv.Write{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}})
+	ch.conditions = []kv.Condition{{Key: record.ConfigHeadKey, Rev: conf.headRev}}
 	ch.size += 200
 }
 
@@ -439,9 +440,9 @@
 // replicateConfigBatch takes the records of a batch into our copy, unless they are there by the
 // transaction's own answer.
 func (c *Core) replicateConfigBatch(b *configBatch, rev uint64) {
-	c.replicate(Entry{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}, Rev: rev})
+	c.replicate(kv.Entry{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}, Rev: rev})
 	for _, r := range b.Records() {
-		c.replicate(Entry{Key: record.ConfigTeamPrefix + r.Team.Name, Value: &r, Rev: rev})
+		c.replicate(kv.Entry{Key: record.ConfigTeamPrefix + r.Team.Name, Value: &r, Rev: rev})
 	}
 }
 
@@ -467,7 +468,7 @@
 // configBatchConflict: the head is not what it was. Either an earlier try of this very batch has
 // been carried out, or the head was written back after a loss.
 func (c *Core) configBatchConflict(b *configBatch, ch *change) {
-	c.readBack(record.ConfigHeadKey, func(e Entry, _ bool) {
+	c.readBack(record.ConfigHeadKey, func(e kv.Entry, _ bool) {
 		if b.over {
 			return
 		}
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -8,6 +8,7 @@
 	"golang.org/x/time/rate"
 
 	"yewpass/internal/config"
+	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
@@ -24,14 +25,14 @@
 
 // setTeam asks for a change and returns the answer, if there is one at once, and the
 // transaction that is to make it.
-func setTeam(c *Core, ref uint64, team liveconfig.Team) (answer *AnswerUser, txn *StoreCall) {
+func setTeam(c *Core, ref uint64, team liveconfig.Team) (answer *AnswerUser, txn *kv.Request) {
 	call := UserCall{Ref: ref, Op: OpConfigSet, Config: &ConfigCall{Teams: []liveconfig.TeamChange{{Team: team}}}}
 	for _, o := range c.Step(c.now, call) {
 		switch o := o.(type) {
 		case AnswerUser:
 			answer = &o
-		case StoreCall:
-			if o.Op == StoreTxn && len(o.Writes) > 0 {
+		case kv.Request:
+			if o.Op == kv.Txn && len(o.Writes) > 0 {
 				txn = &o
 			}
 		}
@@ -64,7 +65,7 @@
 	if got := c.leadership.teams["t"].limit.CPU; got != 0 {
 		t.Errorf("in force before it is on record: %d", got)
 	}
-	outs := c.Step(c.now, StoreReply{Ref: txn.Ref, Outcome: rpc.OK, Rev: 40})
+	outs := c.Step(c.now, kv.Response{Ref: txn.Ref, Outcome: rpc.OK, Rev: 40})
 	if got := c.leadership.teams["t"].limit.CPU; got != 7000 {
 		t.Errorf("not in force once it is on record: %d", got)
 	}
@@ -94,9 +95,9 @@
 	confirmed := false
 	c.now = c.now.Add(time.Millisecond)
 	c.handleConfigConflict(0, func() { confirmed = true })
-	var read *StoreCall
+	var read *kv.Request
 	for _, o := range c.out {
-		if call, ok := o.(StoreCall); ok && call.Op == StoreGet && call.Key == record.ConfigHeadKey {
+		if call, ok := o.(kv.Request); ok && call.Op == kv.Get && call.Key == record.ConfigHeadKey {
 			read = &call
 		}
 	}
@@ -111,15 +112,15 @@
 			}
 		}
 	}
-	count(c.Step(c.now, StoreReply{Ref: read.Ref, Outcome: rpc.OK, Entries: []Entry{{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
+	count(c.Step(c.now, kv.Response{Ref: read.Ref, Outcome: rpc.OK, Entries: []kv.Entry{{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
 	if !confirmed || c.leadership.config.state.Revision != 1 || c.leadership.config.headRev != 40 || c.leadership.teams["t"].limit.CPU != 7000 {
 		t.Errorf("confirmed %v, revision %d, head %d", confirmed, c.leadership.config.state.Revision, c.leadership.config.headRev)
 	}
-	count(c.Step(c.now, StoreReply{Ref: txn.Ref, Outcome: rpc.Unknown}))
+	count(c.Step(c.now, kv.Response{Ref: txn.Ref, Outcome: rpc.Unknown}))
 	for range 300 {
 		c.now = c.now.Add(10 * time.Millisecond)
 		for _, o := range c.Step(c.now, Tick{}) {
-			if call, ok := o.(StoreCall); ok && call.Op == StoreTxn && len(call.Writes) > 0 && call.Writes[0].Key == record.ConfigTeamPrefix+"t" {
+			if call, ok := o.(kv.Request); ok && call.Op == kv.Txn && len(call.Writes) > 0 && call.Writes[0].Key == record.ConfigTeamPrefix+"t" {
 				t.Fatal("the change is made again")
 			}
 		}
@@ -164,7 +165,7 @@
 // what a copy has, in force, and is told of.
 func TestDamagedTeamKeepsWhatWasKnown(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.loadConfig(Entry{Key: record.ConfigTeamPrefix + "t", Rev: 7})
+	c.loadConfig(kv.Entry{Key: record.ConfigTeamPrefix + "t", Rev: 7})
 	c.applyLoadedConfig()
 	if v, ok := c.viewTeam("t"); !ok || !v.Damaged || v.CPUs != 100 {
 		t.Errorf("%+v", v)
@@ -249,8 +250,8 @@
 	began := c.now
 	for c.now.Sub(began) < 5*time.Second {
 		for _, o := range outs {
-			call, ok := o.(StoreCall)
-			if !ok || call.Op != StoreTxn || len(call.Writes) == 0 {
+			call, ok := o.(kv.Request)
+			if !ok || call.Op != kv.Txn || len(call.Writes) == 0 {
 				continue
 			}
 			if len(call.Writes) != len(wide)+1 {
@@ -303,10 +304,10 @@
 			switch o := o.(type) {
 			case AnswerUser:
 				made++
-			case StoreCall:
-				if o.Op == StoreTxn && len(o.Writes) > 0 {
+			case kv.Request:
+				if o.Op == kv.Txn && len(o.Writes) > 0 {
 					rev++
-					outs = append(outs, c.Step(c.now, StoreReply{Ref: o.Ref, Outcome: rpc.OK, Rev: rev})...)
+					outs = append(outs, c.Step(c.now, kv.Response{Ref: o.Ref, Outcome: rpc.OK, Rev: rev})...)
 				}
 			}
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,6 +10,7 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
+	"yewpass/internal/kv"
 	"yewpass/internal/lease"
 	"yewpass/internal/policy"
 	"yewpass/internal/record"
@@ -42,7 +43,7 @@
 
 	processID             uint64 // of this process: tells it from one of the same name that ended before
 	ref                   uint64
-	stores                map[uint64]func(StoreReply)
+	stores                map[uint64]func(kv.Response)
 	clouds                map[uint64]func(CloudReply)
 	probes                map[uint64]func(ProbeReply)
 	forwardedRequests     map[uint64]*forwarded // users' requests at the leader's
@@ -82,7 +83,7 @@
 	final, _ := lru.New[string, record.Final](maxFinals(cfg)) // errs only for a size below 1
 	c := &Core{
 		cfg: cfg, pol: pol, cal: cal, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		stores: map[uint64]func(StoreReply){}, clouds: map[uint64]func(CloudReply){}, probes: map[uint64]func(ProbeReply){},
+		stores: map[uint64]func(kv.Response){}, clouds: map[uint64]func(CloudReply){}, probes: map[uint64]func(ProbeReply){},
 		replicas: replicas{transfers: map[string]*transfer{}}, forwardedRequests: map[uint64]*forwarded{}, links: map[string]bool{}, finals: final, relay: newRelayState(), storeAvailable: true,
 		readLimit:         newReadLimit(cfg.Settings.State.RPS, 1+len(cfg.Seeds)),
 		heartbeatInterval: cfg.Settings.Workers.Report.Duration(),
@@ -130,7 +131,7 @@
 		c.handleHeartbeat(in)
 	case ReportGone:
 		c.dropHeartbeat(in.Ref)
-	case StoreReply:
+	case kv.Response:
 		c.noteStoreOutcome(in.Outcome)
 		settle(c.stores, in.Ref, in)
 	case CloudReply:
@@ -206,13 +207,13 @@
 	return c.ref
 }
 
-func (c *Core) store(call StoreCall, f func(StoreReply)) {
+func (c *Core) store(call kv.Request, f func(kv.Response)) {
 	call.Ref = c.nextRef()
 	if call.Timeout == 0 {
 		call.Timeout = storeTimeout
 	}
 	seen, era := c.observed.Revision, c.observed.Era
-	c.stores[call.Ref] = func(r StoreReply) {
+	c.stores[call.Ref] = func(r kv.Response) {
 		c.observeRevision(r.Rev, seen, era)
 		f(r)
 	}
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"slices"
 	"time"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
@@ -94,10 +95,10 @@
 
 // confirmTerm asks the state service whether our term is on record with its leader, as whatever
 // a leader says rests on it, and whether more holds at the same time.
-func (c *Core) confirmTerm(more []Condition, f func(r StoreReply)) {
+func (c *Core) confirmTerm(more []kv.Condition, f func(r kv.Response)) {
 	l := c.leadership
-	when := append([]Condition{{record.TermKey, l.termRevision}, {record.LeaderKey, l.termRevision}}, more...)
-	c.storeWhileLeading(StoreCall{Op: StoreTxn, Conditions: when, Timeout: leaseTTL / 2}, func(r StoreReply) {
+	when := append([]kv.Condition{{Key: record.TermKey, Rev: l.termRevision}, {Key: record.LeaderKey, Rev: l.termRevision}}, more...)
+	c.storeWhileLeading(kv.Request{Op: kv.Txn, Conditions: when, Timeout: leaseTTL / 2}, func(r kv.Response) {
 		if r.Outcome == rpc.Conflict && (slices.Contains(r.FailedKeys, record.TermKey) || slices.Contains(r.FailedKeys, record.LeaderKey)) {
 			c.resign("the term is not on record any more")
 		}
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
@@ -46,7 +47,7 @@
 		t.Fatal("the term goes on")
 	}
 	for _, o := range c.out {
-		if s, ok := o.(StoreCall); ok && s.Op == StoreRevokeLease && s.LeaseID == l.leaseID {
+		if s, ok := o.(kv.Request); ok && s.Op == kv.RevokeLease && s.LeaseID == l.leaseID {
 			return
 		}
 	}
@@ -58,8 +59,8 @@
 func TestStrangeConflict(t *testing.T) {
 	c := leaderOf(t, 0)
 	p := &c.leadership.writes
-	ch := &change{writes: []Write{{Key: "a", Value: &record.Term{Term: 1}}}}
-	c.handleBatchReply([]*change{ch}, StoreReply{Outcome: rpc.Conflict, FailedKeys: []string{"something else"}})
+	ch := &change{writes: []kv.Write{{Key: "a", Value: &record.Term{Term: 1}}}}
+	c.handleBatchReply([]*change{ch}, kv.Response{Outcome: rpc.Conflict, FailedKeys: []string{"something else"}})
 	if !p.pausedUntil.After(c.now) || len(p.queued[priorityUrgent]) != 1 {
 		t.Errorf("pause until %v, %d wait", p.pausedUntil, len(p.queued[priorityUrgent]))
 	}
@@ -70,10 +71,10 @@
 func TestMalformedChange(t *testing.T) {
 	c := leaderOf(t, 0)
 	p := &c.leadership.writes
-	bad, good := &change{writes: []Write{{Key: "a"}}}, &change{writes: []Write{{Key: "b"}}}
-	c.handleBatchReply([]*change{bad, good}, StoreReply{Outcome: rpc.Invalid})
+	bad, good := &change{writes: []kv.Write{{Key: "a"}}}, &change{writes: []kv.Write{{Key: "b"}}}
+	c.handleBatchReply([]*change{bad, good}, kv.Response{Outcome: rpc.Invalid})
 	p.take(&p.queued[priorityUrgent], 9)
-	c.handleBatchReply([]*change{bad}, StoreReply{Outcome: rpc.Invalid})
+	c.handleBatchReply([]*change{bad}, kv.Response{Outcome: rpc.Invalid})
 	if w := p.queued[priorityUrgent]; len(w) != 1 || w[0] != good {
 		t.Errorf("%d wait", len(w))
 	}
@@ -161,14 +162,14 @@
 	done = func(in any) {
 		for _, o := range append([]any(nil), c.Step(now, in)...) {
 			switch o := o.(type) {
-			case StoreCall:
-				r := StoreReply{Ref: o.Ref, Rev: rev}
-				if o.Op == StoreGet {
+			case kv.Request:
+				r := kv.Response{Ref: o.Ref, Rev: rev}
+				if o.Op == kv.Get {
 					r.Outcome = rpc.NotFound
-				} else if o.Op == StoreTxn {
+				} else if o.Op == kv.Txn {
 					rev++
 					r.Rev = rev
-				} else if o.Op == StoreWatch {
+				} else if o.Op == kv.Watch {
 					continue
 				}
 				done(r)
@@ -290,7 +291,7 @@
 	c.renewLease()
 	var refs []uint64 // of the grant, and of the term's record
 	for _, o := range c.out {
-		if s, ok := o.(StoreCall); ok && (s.Op == StoreKeepAlive || s.Op == StoreTxn && len(s.Writes) == 0) {
+		if s, ok := o.(kv.Request); ok && (s.Op == kv.KeepAlive || s.Op == kv.Txn && len(s.Writes) == 0) {
 			refs = append(refs, s.Ref)
 		}
 	}
@@ -299,7 +300,7 @@
 		if i == 1 && c.HasAuthority(c.now) {
 			t.Error("one answer of two is enough")
 		}
-		c.Step(c.now.Add(time.Millisecond), StoreReply{Ref: ref})
+		c.Step(c.now.Add(time.Millisecond), kv.Response{Ref: ref})
 	}
 	if !c.HasAuthority(c.now) || l.suspended {
 		t.Error("a renewal that is answered does not count")
@@ -317,8 +318,8 @@
 	l := c.leadership
 	bad := &record.Job{Spec: spec.Job{ID: "wk-1", Owner: "t", Tasks: -1000}} // no bitset has so few members
 	good := &record.Job{Spec: spec.Job{ID: "wk-2", Owner: "t", Tasks: 2}}
-	c.loadRecord(Entry{Key: record.JobPrefix + "wk-1", Value: bad, Rev: 3})
-	c.loadRecord(Entry{Key: record.JobPrefix + "wk-2", Value: good, Rev: 4})
+	c.loadRecord(kv.Entry{Key: record.JobPrefix + "wk-1", Value: bad, Rev: 3})
+	c.loadRecord(kv.Entry{Key: record.JobPrefix + "wk-2", Value: good, Rev: 4})
 	if l.jobs["wk-1"] != nil || !l.unreadableJobs["wk-1"] || l.jobs["wk-2"] == nil {
 		t.Errorf("%v %v", l.jobs, l.unreadableJobs)
 	}
@@ -326,10 +327,10 @@
 	outs := slices.Clone(c.Step(c.now.Add(time.Second), UserCall{Ref: 5, Op: OpGet, ID: "wk-1"}))
 	for i := 0; i < len(outs); i++ {
 		switch o := outs[i].(type) {
-		case StoreCall:
-			r := StoreReply{Ref: o.Ref, Outcome: rpc.OK, Rev: 9}
+		case kv.Request:
+			r := kv.Response{Ref: o.Ref, Outcome: rpc.OK, Rev: 9}
 			if o.Key == record.JobPrefix+"wk-1" {
-				r.Entries = []Entry{{Key: o.Key, Value: bad, Rev: 3}}
+				r.Entries = []kv.Entry{{Key: o.Key, Value: bad, Rev: 3}}
 			}
 			if o.Key == record.JobPrefix+"wk-1" || o.Key == record.ProgressPrefix+"wk-1/" {
 				outs = append(outs, slices.Clone(c.Step(c.now, r))...)
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"time"
 
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/rpc"
@@ -22,7 +23,7 @@
 	// is 10,000 changes old: following from there would be turned away at once,
 	// again and again, by every node, until the service serves nobody else.
 	asked := c.ref
-	c.store(StoreCall{Op: StoreList, Key: record.LeaderKey, Limit: 1}, func(r StoreReply) {
+	c.store(kv.Request{Op: kv.List, Key: record.LeaderKey, Limit: 1}, func(r kv.Response) {
 		if r.Outcome == rpc.OK && c.firstStoreRevision == 0 {
 			c.firstStoreRevision = max(1, r.Rev)
 		}
@@ -45,7 +46,7 @@
 }
 
 // followLeaderRecord follows the leader's key, which is there.
-func (c *Core) followLeaderRecord(e Entry, from, asked uint64) {
+func (c *Core) followLeaderRecord(e kv.Entry, from, asked uint64) {
 	rec, _ := e.Value.(*record.Leader)
 	known := e.Rev == c.leaderKeyRevision
 	c.leaderKeyRevision = e.Rev
@@ -62,7 +63,7 @@
 	// A leader's key is under its grant. One that stands without, because it was damaged
 	// or brought back from a copy, stands for nobody, and would keep the nodes from a
 	// leader for ever.
-	c.store(StoreCall{Op: StoreGet, Key: record.LeaderKey}, func(r StoreReply) {
+	c.store(kv.Request{Op: kv.Get, Key: record.LeaderKey}, func(r kv.Response) {
 		still := r.Outcome == rpc.OK && r.Entries[0].Rev == e.Rev
 		switch {
 		case c.leadership != nil:
@@ -88,14 +89,14 @@
 // Nothing of it is taken on: whoever leads next has a term and a grant of its own. What
 // was written under our name after this process had begun to read is neither, but a
 // transaction that came late, or a second process of this name; it runs out by itself.
-func (c *Core) revokeFormerLease(e Entry, rec *record.Leader, from uint64) {
+func (c *Core) revokeFormerLease(e kv.Entry, rec *record.Leader, from uint64) {
 	if rec.Life != c.processID && e.Rev > c.firstStoreRevision {
 		c.note(slog.LevelError, "another process leads under this node's name, or a late transaction says so", "key", e.Key, "term", rec.Term)
 		c.watchLeaderKey(from)
 		return
 	}
 	c.note(slog.LevelInfo, "the grant of a former process is given back", "term", rec.Term)
-	c.store(StoreCall{Op: StoreRevokeLease, LeaseID: e.LeaseID}, func(d StoreReply) {
+	c.store(kv.Request{Op: kv.RevokeLease, LeaseID: e.LeaseID}, func(d kv.Response) {
 		if d.Outcome == rpc.OK || d.Outcome == rpc.NotFound {
 			c.watchLeader()
 		} else {
@@ -105,8 +106,8 @@
 }
 
 // watchCall waits until a key below the prefix has changed after a revision, or for long.
-func watchCall(prefix string, from uint64) StoreCall {
-	return StoreCall{Op: StoreWatch, Key: prefix, FromRev: from, Block: 20 * time.Second, Timeout: 25 * time.Second}
+func watchCall(prefix string, from uint64) kv.Request {
+	return kv.Request{Op: kv.Watch, Key: prefix, FromRev: from, Block: 20 * time.Second, Timeout: 25 * time.Second}
 }
 
 // leaderWatchTimeout is for how long the leader's key is followed before it is read anew: what
@@ -116,7 +117,7 @@
 func (c *Core) watchLeaderKey(from uint64) {
 	call := watchCall(record.LeaderKey, from)
 	call.Block = leaderWatchTimeout
-	c.store(call, func(r StoreReply) {
+	c.store(call, func(r kv.Response) {
 		if r.Outcome == rpc.OK {
 			c.watchLeader()
 		} else {
@@ -178,7 +179,7 @@
 	}
 	retry := func() { c.schedule(c.jitter(200*time.Millisecond), c.watchLeader) }
 	sent, ahead := c.now, c.clockSkew(c.now) // authority counts from before the grant was asked for
-	c.store(StoreCall{Op: StoreGrantLease, TTL: leaseTTL}, func(g StoreReply) {
+	c.store(kv.Request{Op: kv.GrantLease, TTL: leaseTTL}, func(g kv.Response) {
 		if g.Outcome != rpc.OK {
 			retry()
 			return
@@ -186,10 +187,10 @@
 		drop := func() {
 			// Ends the grant at once: should the transaction have been applied
 			// all the same, its key goes with it.
-			c.store(StoreCall{Op: StoreRevokeLease, LeaseID: g.LeaseID}, func(StoreReply) {})
+			c.store(kv.Request{Op: kv.RevokeLease, LeaseID: g.LeaseID}, func(kv.Response) {})
 			retry()
 		}
-		c.store(StoreCall{Op: StoreGet, Key: record.TermKey}, func(t StoreReply) {
+		c.store(kv.Request{Op: kv.Get, Key: record.TermKey}, func(t kv.Response) {
 			if t.Outcome != rpc.OK && t.Outcome != rpc.NotFound {
 				drop()
 				return
@@ -214,10 +215,10 @@
 				drop()
 				return
 			}
-			c.store(StoreCall{Op: StoreTxn,
-				Conditions: []Condition{{record.LeaderKey, keyRev}, {record.TermKey, rev}},
-				Writes:     []Write{{record.LeaderKey, &record.Leader{Node: c.cfg.HostName, Term: term, Life: c.processID, Era: era}, g.LeaseID}, {record.TermKey, &record.Term{Term: term, Era: era}, 0}},
-			}, func(r StoreReply) {
+			c.store(kv.Request{Op: kv.Txn,
+				Conditions: []kv.Condition{{Key: record.LeaderKey, Rev: keyRev}, {Key: record.TermKey, Rev: rev}},
+				Writes:     []kv.Write{{Key: record.LeaderKey, Value: &record.Leader{Node: c.cfg.HostName, Term: term, Life: c.processID, Era: era}, LeaseID: g.LeaseID}, {Key: record.TermKey, Value: &record.Term{Term: term, Era: era}, LeaseID: 0}},
+			}, func(r kv.Response) {
 				// What was heard of terms does not count here, only the record: a
 				// peer may say anything. An answer that comes this late finds the
 				// grant over.
@@ -243,7 +244,7 @@
 // would fall and names of rentals repeat. No term was ever above the revision of the
 // transaction that began it, because each begins with a change of its own; so one
 // above the revision at hand is above them all.
-func (c *Core) nextTerm(t StoreReply) (term, rev uint64) {
+func (c *Core) nextTerm(t kv.Response) (term, rev uint64) {
 	if t.Outcome == rpc.NotFound {
 		if term = max(t.Rev, c.confirmedTerm, c.observed.Term) + 1; t.Rev > 0 {
 			c.note(slog.LevelWarn, "no term is on record, going on above the state service's revision", "key", record.TermKey, "term", term)
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/rpc"
@@ -16,7 +17,7 @@
 
 // readRecords reads the records of the earlier terms, page by page.
 func (c *Core) readRecords(from string) {
-	c.storeWhileLeading(StoreCall{Op: StoreList, Key: record.LivePrefix, From: from, Limit: 400}, func(r StoreReply) {
+	c.storeWhileLeading(kv.Request{Op: kv.List, Key: record.LivePrefix, From: from, Limit: 400}, func(r kv.Response) {
 		if r.Outcome != rpc.OK {
 			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.readRecords(from) })
 			return
@@ -39,7 +40,7 @@
 //
 // Should a fault of ours make one of them end the process, every controller would come
 // to the same end at each start, and no job would be served for the sake of one.
-func (c *Core) loadRecord(e Entry) {
+func (c *Core) loadRecord(e kv.Entry) {
 	l := c.leadership
 	unreadable := func(effect string) {
 		c.note(slog.LevelError, "record is unreadable", "key", e.Key, "effect", effect)
@@ -77,7 +78,7 @@
 		j := l.jobs[id]
 		if j == nil {
 			if !l.unreadableJobs[id] { // left over by a job that is over
-				l.writes.add(&change{writes: []Write{{Key: e.Key}}, priority: priorityBulk})
+				l.writes.add(&change{writes: []kv.Write{{Key: e.Key}}, priority: priorityBulk})
 			}
 			return
 		}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
 	"yewpass/internal/rpc"
@@ -106,7 +107,7 @@
 			}
 			for _, o := range slices.Clone(c.Step(c.now, in)) {
 				switch o.(type) {
-				case StoreCall, CloudCall, ProbeCall:
+				case kv.Request, CloudCall, ProbeCall:
 					calls = append(calls, o)
 				}
 			}
@@ -167,23 +168,23 @@
 				calls = slices.Delete(calls, i, i+1)
 				outcome := []rpc.Outcome{rpc.OK, rpc.OK, rpc.OK, rpc.OK, rpc.OK, rpc.OK, rpc.OK, rpc.OK, rpc.OK, rpc.Conflict, rpc.NotFound, rpc.Refused, rpc.Invalid, rpc.Unknown}[next()%14]
 				switch call := call.(type) {
-				case StoreCall:
-					if call.Op == StoreKeepAlive && next()%40 > 0 {
+				case kv.Request:
+					if call.Op == kv.KeepAlive && next()%40 > 0 {
 						outcome = rpc.OK
 					}
 					if l := c.leadership; l != nil && call.Key == record.TermKey && next()%4 > 0 {
-						step(StoreReply{Ref: call.Ref, Entries: []Entry{{Key: record.TermKey, Value: &record.Term{Term: l.term}, Rev: l.termRevision}}})
+						step(kv.Response{Ref: call.Ref, Entries: []kv.Entry{{Key: record.TermKey, Value: &record.Term{Term: l.term}, Rev: l.termRevision}}})
 						continue
 					}
-					r := StoreReply{Ref: call.Ref, Outcome: outcome, Rev: num(), LeaseID: 1, FailedKeys: []string{pick("x", record.JobPrefix+"wk-1", record.FinalPrefix+"wk-2", "y", record.TermKey)}, More: next()%4 == 0}
-					if call.Op == StoreGet || call.Op == StoreList {
+					r := kv.Response{Ref: call.Ref, Outcome: outcome, Rev: num(), LeaseID: 1, FailedKeys: []string{pick("x", record.JobPrefix+"wk-1", record.FinalPrefix+"wk-2", "y", record.TermKey)}, More: next()%4 == 0}
+					if call.Op == kv.Get || call.Op == kv.List {
 						values := []any{nil, &record.Job{Spec: *plainJob("wk-1", 3)}, &record.Final{State: spec.Done, Done: 3}, &record.Machines{Machines: []record.Machine{{Host: "host-x"}}},
 							&record.Progress{Ranges: "0-1"}, &record.Leader{Node: "n1", Term: 5}, &record.Term{Term: 5}}
 						key := pick(call.Key, call.Key+"wk-1", call.Key+"machine/x", call.Key+"job/wk-1", call.Key+"progress/wk-1/0")
-						if call.Op == StoreGet {
+						if call.Op == kv.Get {
 							key = call.Key
 						}
-						r.Entries = []Entry{{Key: key, Value: values[next()%len(values)], Rev: num()}}
+						r.Entries = []kv.Entry{{Key: key, Value: values[next()%len(values)], Rev: num()}}
 					}
 					step(r)
 				case CloudCall:
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
@@ -190,14 +191,14 @@
 	var had bitset
 	ch := &change{
 		priority: priorityBulk, size: 300 + 4*min(j.spec.Tasks, chunkTasks)/3/8,
-		writes: []Write{{Key: key}},
+		writes: []kv.Write{{Key: key}},
 		onCommit: func(rev uint64) {
 			j.chunkRevisions[chunk] = rev
 			c.progressRecorded(j, chunk, had)
 		},
 		onConflict: func() {
 			// A write of ours whose outcome was not known has been applied.
-			c.readBack(key, func(e Entry, _ bool) {
+			c.readBack(key, func(e kv.Entry, _ bool) {
 				j.chunkRevisions[chunk] = e.Rev // 0 if there is none
 				if c.leadership.jobs[j.spec.ID] == j && !j.halted() {
 					c.recordProgress(j, chunk)
@@ -211,7 +212,7 @@
 		}
 		delete(j.dirtyChunks, chunk)
 		had = j.done.clone(chunk)
-		ch.conditions = []Condition{{key, j.chunkRevisions[chunk]}}
+		ch.conditions = []kv.Condition{{Key: key, Rev: j.chunkRevisions[chunk]}}
 		ch.writes[0].Value = &record.Progress{Ranges: j.done.encodeChunk(chunk * chunkTasks)}
 		return true
 	}
@@ -255,7 +256,7 @@
 	}
 	j.finishing = true
 	ch := &change{
-		writes:   []Write{{Key: record.FinalPrefix + j.spec.ID, Value: &final}, {Key: record.JobPrefix + j.spec.ID}},
+		writes:   []kv.Write{{Key: record.FinalPrefix + j.spec.ID, Value: &final}, {Key: record.JobPrefix + j.spec.ID}},
 		onCommit: func(uint64) { c.jobFinished(j, final) },
 	}
 	j.endingChange = ch
@@ -264,11 +265,11 @@
 		if j.chunkRevisions[chunk] == 0 {
 			continue
 		}
-		w := Write{Key: chunkKey(j.spec.ID, chunk)}
+		w := kv.Write{Key: chunkKey(j.spec.ID, chunk)}
 		if len(ch.writes) < c.cfg.Settings.State.TxnOps {
 			ch.writes = append(ch.writes, w)
 		} else {
-			drops = append(drops, &change{writes: []Write{w}, priority: priorityBulk})
+			drops = append(drops, &change{writes: []kv.Write{w}, priority: priorityBulk})
 		}
 	}
 	l.writes.add(ch)
@@ -347,11 +348,11 @@
 	ch := &change{
 		size: recordSize(&rec.Spec),
 		// A try that is applied late must not bring back a job that is over.
-		conditions: []Condition{{record.FinalPrefix + j.spec.ID, 0}},
-		writes:     []Write{{Key: record.JobPrefix + j.spec.ID, Value: &rec}},
+		conditions: []kv.Condition{{Key: record.FinalPrefix + j.spec.ID, Rev: 0}},
+		writes:     []kv.Write{{Key: record.JobPrefix + j.spec.ID, Value: &rec}},
 		onConflict: func() {
 			j.answerCancelWaiters(c, unavailable("the job has just ended, try again"))
-			c.readBack(record.FinalPrefix+j.spec.ID, func(e Entry, _ bool) {
+			c.readBack(record.FinalPrefix+j.spec.ID, func(e kv.Entry, _ bool) {
 				if f, _ := e.Value.(*record.Final); f != nil && c.leadership.jobs[j.spec.ID] == j {
 					c.jobFinished(j, *f)
 				}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/topology"
@@ -62,9 +63,9 @@
 }
 
 // storeWhileLeading makes a call whose answer only this leadership wants.
-func (c *Core) storeWhileLeading(call StoreCall, f func(StoreReply)) {
+func (c *Core) storeWhileLeading(call kv.Request, f func(kv.Response)) {
 	l := c.leadership
-	c.store(call, func(r StoreReply) {
+	c.store(call, func(r kv.Response) {
 		if c.leadership == l {
 			f(r)
 		}
@@ -72,9 +73,9 @@
 }
 
 // storeWhileLeadingOr is storeWhileLeading where somebody must hear if this leadership ends meanwhile.
-func (c *Core) storeWhileLeadingOr(call StoreCall, otherwise func(), f func(StoreReply)) {
+func (c *Core) storeWhileLeadingOr(call kv.Request, otherwise func(), f func(kv.Response)) {
 	l := c.leadership
-	c.store(call, func(r StoreReply) {
+	c.store(call, func(r kv.Response) {
 		if c.leadership == l && c.canAct() {
 			f(r)
 		} else {
@@ -108,7 +109,7 @@
 	var confirm func()
 	confirm = func() {
 		head := l.config.headRev
-		c.confirmTerm(l.configConds(), func(r StoreReply) {
+		c.confirmTerm(l.configConds(), func(r kv.Response) {
 			standing = r.Outcome == rpc.OK
 			both()
 			if r.Outcome == rpc.Conflict && c.leadership == l && slices.Contains(r.FailedKeys, record.ConfigHeadKey) {
@@ -117,7 +118,7 @@
 		})
 	}
 	confirm()
-	c.storeWhileLeading(StoreCall{Op: StoreKeepAlive, LeaseID: l.leaseID, TTL: leaseTTL, Timeout: leaseTTL / 2}, func(r StoreReply) {
+	c.storeWhileLeading(kv.Request{Op: kv.KeepAlive, LeaseID: l.leaseID, TTL: leaseTTL, Timeout: leaseTTL / 2}, func(r kv.Response) {
 		switch r.Outcome {
 		case rpc.OK:
 			extended = true
@@ -193,7 +194,7 @@
 func (c *Core) resignThen(why string, then func()) {
 	grant := c.leadership.leaseID
 	c.stepDown(why)
-	c.store(StoreCall{Op: StoreRevokeLease, LeaseID: grant}, func(StoreReply) { then() })
+	c.store(kv.Request{Op: kv.RevokeLease, LeaseID: grant}, func(kv.Response) { then() })
 }
 
 // runLeader runs after each input while we lead.
--- a/internal/core/leaderless.go
+++ b/internal/core/leaderless.go
@@ -7,6 +7,7 @@
 
 	"golang.org/x/time/rate"
 
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/rpc"
@@ -89,12 +90,12 @@
 		return
 	}
 	rec := &record.Job{Spec: *s, Submitted: c.now.Round(0)}
-	c.store(StoreCall{Op: StoreTxn,
+	c.store(kv.Request{Op: kv.Txn,
 		// The term that we know must be on record: a service that has lost its data knows of
 		// no job, not even of those that are over. Nor must the configuration have changed.
-		Conditions: append(noRecordOf(s.ID), Condition{record.TermKey, c.confirmedTermRevision}, configHeadCond(k)),
-		Writes:     []Write{{Key: record.JobPrefix + s.ID, Value: rec}, {Key: record.LeaderlessPrefix + s.ID, Value: &record.Leader{Node: c.cfg.HostName, Term: max(1, c.highestTerm)}}},
-	}, func(r StoreReply) {
+		Conditions: append(noRecordOf(s.ID), kv.Condition{Key: record.TermKey, Rev: c.confirmedTermRevision}, configHeadCond(k)),
+		Writes:     []kv.Write{{Key: record.JobPrefix + s.ID, Value: rec}, {Key: record.LeaderlessPrefix + s.ID, Value: &record.Leader{Node: c.cfg.HostName, Term: max(1, c.highestTerm)}}},
+	}, func(r kv.Response) {
 		switch r.Outcome {
 		case rpc.OK:
 			c.note(slog.LevelInfo, "job accepted without a leader", "job", s.ID)
@@ -123,7 +124,7 @@
 		c.answer(call, no)
 		return
 	}
-	c.store(StoreCall{Op: StoreTxn, Conditions: append(noRecordOf(id), Condition{record.TermKey, c.confirmedTermRevision}, configHeadCond(k))}, func(r StoreReply) {
+	c.store(kv.Request{Op: kv.Txn, Conditions: append(noRecordOf(id), kv.Condition{Key: record.TermKey, Rev: c.confirmedTermRevision}, configHeadCond(k))}, func(r kv.Response) {
 		if r.Outcome == rpc.OK {
 			c.answer(call, refusal)
 		} else {
@@ -134,7 +135,7 @@
 
 // watchLeaderlessNotes takes on what nodes have accepted without a leader.
 func (c *Core) watchLeaderlessNotes() {
-	c.storeWhileLeading(StoreCall{Op: StoreList, Key: record.LeaderlessPrefix, Limit: 200}, func(r StoreReply) {
+	c.storeWhileLeading(kv.Request{Op: kv.List, Key: record.LeaderlessPrefix, Limit: 200}, func(r kv.Response) {
 		switch {
 		case r.Outcome != rpc.OK:
 			c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
@@ -144,7 +145,7 @@
 			}
 			c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
 		default:
-			c.storeWhileLeading(watchCall(record.LeaderlessPrefix, r.Rev), func(f StoreReply) {
+			c.storeWhileLeading(watchCall(record.LeaderlessPrefix, r.Rev), func(f kv.Response) {
 				if f.Outcome == rpc.OK {
 					c.watchLeaderlessNotes()
 				} else {
@@ -159,7 +160,7 @@
 func (c *Core) adoptLeaderless(key string) {
 	l := c.leadership
 	id := strings.TrimPrefix(key, record.LeaderlessPrefix)
-	drop := func() { l.writes.add(&change{priority: priorityBulk, writes: []Write{{Key: key}}}) }
+	drop := func() { l.writes.add(&change{priority: priorityBulk, writes: []kv.Write{{Key: key}}}) }
 	if l.jobs[id] != nil || l.unreadableJobs[id] {
 		drop()
 		return
--- a/internal/core/machine_records.go
+++ b/internal/core/machine_records.go
@@ -6,6 +6,7 @@
 	"maps"
 	"slices"
 	"time"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 )
 
@@ -79,14 +80,14 @@
 	c.afterWhileLeading(max(0, g.writtenAt.Add(machineRecordInterval).Sub(c.now)), func() {
 		var news []*machine
 		sent := false
-		ch := &change{priority: ln, writes: []Write{{Key: g.key}}, size: int(c.cfg.Settings.State.ValueKB * 1024)}
+		ch := &change{priority: ln, writes: []kv.Write{{Key: g.key}}, size: int(c.cfg.Settings.State.ValueKB * 1024)}
 		ch.prepare = func() bool {
 			if !g.writeQueued && !sent {
 				return false // went along with a more pressing one
 			}
 			// What has been sent may not have been executed: it goes again.
 			g.writeQueued, g.writtenAt, sent = false, c.now, true
-			ch.conditions = []Condition{{g.key, g.revision}}
+			ch.conditions = []kv.Condition{{Key: g.key, Rev: g.revision}}
 			news = nil
 			ch.size = g.size
 			rec := &record.Machines{}
@@ -104,7 +105,7 @@
 		}
 		ch.onConflict = func() { // an earlier try of ours has been applied
 			dropped := ch.writes[0].Value == nil
-			c.readBack(g.key, func(e Entry, found bool) {
+			c.readBack(g.key, func(e kv.Entry, found bool) {
 				if dropped && !found {
 					c.replicateDrop(g.key)
 				}
@@ -162,7 +163,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(l.unreadableMachineRecords)) {
 		c.note(slog.LevelWarn, "unreadable record of machines is accounted for, dropping it", "key", key)
-		l.writes.add(&change{priority: priorityBulk, conditions: []Condition{{key, l.unreadableMachineRecords[key]}}, writes: []Write{{Key: key}}})
+		l.writes.add(&change{priority: priorityBulk, conditions: []kv.Condition{{Key: key, Rev: l.unreadableMachineRecords[key]}}, writes: []kv.Write{{Key: key}}})
 		c.markAccounted(key)
 	}
 	clear(l.unreadableMachineRecords)
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/rpc"
@@ -127,11 +128,11 @@
 	d.c.restoreRecord(replica.Record{Key: key, Value: l.jobs["wk-1"].record})
 	d.pass(time.Second)
 	for _, x := range d.calls {
-		call, ok := x.(StoreCall)
-		if !ok || !slices.ContainsFunc(call.Writes, func(w Write) bool { return w.Key == key }) {
+		call, ok := x.(kv.Request)
+		if !ok || !slices.ContainsFunc(call.Writes, func(w kv.Write) bool { return w.Key == key }) {
 			continue
 		}
-		if !slices.Contains(call.Conditions, Condition{record.FinalPrefix + "wk-1", 0}) {
+		if !slices.Contains(call.Conditions, kv.Condition{Key: record.FinalPrefix + "wk-1", Rev: 0}) {
 			t.Errorf("written back on %+v", call.Conditions)
 		}
 		return
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 	"time"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 )
@@ -127,7 +128,7 @@
 		return // whoever insists will say so again
 	}
 	l.verifying = true
-	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: record.TermKey}, func(r StoreReply) {
+	c.storeWhileLeading(kv.Request{Op: kv.Get, Key: record.TermKey}, func(r kv.Response) {
 		l.verifying = false
 		switch {
 		case r.Outcome == rpc.OK && r.Entries[0].Rev == l.termRevision:
@@ -148,7 +149,7 @@
 		}
 	}
 	asked := c.ref
-	c.store(StoreCall{Op: StoreGet, Key: record.LeaderKey}, func(r StoreReply) {
+	c.store(kv.Request{Op: kv.Get, Key: record.LeaderKey}, func(r kv.Response) {
 		if c.leadership != nil || c.highestTerm != term {
 			return
 		}
@@ -170,7 +171,7 @@
 // verifyEndedClaim is confirm where nobody leads: the term may have been, and be over. Then no
 // older one must be listened to either.
 func (c *Core) verifyEndedClaim(term uint64, again func()) {
-	c.store(StoreCall{Op: StoreGet, Key: record.TermKey}, func(r StoreReply) {
+	c.store(kv.Request{Op: kv.Get, Key: record.TermKey}, func(r kv.Response) {
 		if c.leadership != nil || c.highestTerm != term {
 			return
 		}
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -4,6 +4,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/replica"
@@ -268,7 +269,7 @@
 	left := len(missing)
 	var read func(key string)
 	read = func(key string) {
-		c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
+		c.storeWhileLeading(kv.Request{Op: kv.Get, Key: key}, func(r kv.Response) {
 			switch r.Outcome {
 			case rpc.OK:
 				g.replica.Put(key, r.Entries[0].Value, r.Entries[0].Rev)
@@ -290,7 +291,7 @@
 // listFinalRecords is resolveMissingJobs for many: all final records from one key to another.
 func (c *Core) listFinalRecords(from, to string) {
 	g := c.leadership.recovery
-	c.storeWhileLeading(StoreCall{Op: StoreList, Key: record.FinalPrefix, From: from[:len(from)-1], Limit: 1000}, func(r StoreReply) {
+	c.storeWhileLeading(kv.Request{Op: kv.List, Key: record.FinalPrefix, From: from[:len(from)-1], Limit: 1000}, func(r kv.Response) {
 		if r.Outcome != rpc.OK {
 			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.listFinalRecords(from, to) })
 			return
--- a/internal/core/recovery_merge.go
+++ b/internal/core/recovery_merge.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strings"
 
+	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
 	"yewpass/internal/recovery"
@@ -99,7 +100,7 @@
 			own.Put(key, r.Value, 0)
 		}
 		for _, key := range res.Drops {
-			l.writes.add(&change{priority: priorityBulk, writes: []Write{{Key: key}}})
+			l.writes.add(&change{priority: priorityBulk, writes: []kv.Write{{Key: key}}})
 		}
 		if g.lossReason == "" {
 			// Ended jobs and schedules of a copy are older news than the service's.
@@ -140,7 +141,7 @@
 func (c *Core) loadRecords(records []replica.Record) {
 	n := min(len(records), recordsPerLoadStep)
 	for _, r := range records[:n] {
-		e := Entry{Key: r.Key, Value: r.Value, Rev: r.Rev}
+		e := kv.Entry{Key: r.Key, Value: r.Value, Rev: r.Rev}
 		c.loadRecord(e)
 		c.replicate(e)
 	}
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
@@ -74,7 +75,7 @@
 // restoreRecord writes a record back as it now is, if it still is, and counts it.
 func (c *Core) restoreRecord(r replica.Record) {
 	l := c.leadership
-	over := func(Entry) {
+	over := func(kv.Entry) {
 		if record.IsScheduleKey(r.Key) {
 			l.schedulesRestoring--
 		}
@@ -90,7 +91,7 @@
 		if id, chunk := splitChunkKey(part); l.jobs[id] != nil && chunk >= 0 {
 			c.recordProgressSoon(l.jobs[id], chunk*chunkTasks)
 		}
-		over(Entry{})
+		over(kv.Entry{})
 		return
 	}
 	c.writeBack(r, over)
@@ -99,13 +100,13 @@
 // writeBack writes a lost record back, on the condition that the service still has what r
 // says it has. Then over is called with what is on record by then: no value if that is not
 // known, or nothing has to be written any more.
-func (c *Core) writeBack(r replica.Record, over func(on Entry)) {
+func (c *Core) writeBack(r replica.Record, over func(on kv.Entry)) {
 	l := c.leadership
-	ch := &change{priority: priorityBulk, conditions: []Condition{{r.Key, r.Rev}}, writes: []Write{{Key: r.Key}}, size: 400}
+	ch := &change{priority: priorityBulk, conditions: []kv.Condition{{Key: r.Key, Rev: r.Rev}}, writes: []kv.Write{{Key: r.Key}}, size: 400}
 	if rec, ok := r.Value.(*record.Job); ok {
 		// Applied late, once the job is over and its record gone again, it would bring the
 		// job back to the next leader.
-		ch.conditions = append(ch.conditions, Condition{record.FinalPrefix + rec.Spec.ID, 0})
+		ch.conditions = append(ch.conditions, kv.Condition{Key: record.FinalPrefix + rec.Spec.ID, Rev: 0})
 		ch.size = recordSize(&rec.Spec)
 	} else if rec, ok := r.Value.(*schedule.Record); ok {
 		ch.size, ch.priority = rec.Size(), priorityUrgent
@@ -121,12 +122,12 @@
 			now, ok = r, true // they are read from record later
 		}
 		if !ok {
-			over(Entry{})
+			over(kv.Entry{})
 			return false
 		}
 		ch.writes[0].Value = now.Value
 		if strings.HasPrefix(r.Key, record.SchedulePrefix) {
-			ch.conditions = []Condition{{r.Key, r.Rev}, {record.ScheduleNumberKey, l.schedules.numberRev}} // see newSchedule
+			ch.conditions = []kv.Condition{{Key: r.Key, Rev: r.Rev}, {Key: record.ScheduleNumberKey, Rev: l.schedules.numberRev}} // see newSchedule
 		}
 		return true
 	}
@@ -137,14 +138,14 @@
 		case record.ConfigHeadKey:
 			l.config.headRev = rev
 		}
-		over(Entry{Key: r.Key, Value: ch.writes[0].Value, Rev: rev})
+		over(kv.Entry{Key: r.Key, Value: ch.writes[0].Value, Rev: rev})
 	}
 	ch.onConflict = func() { // there is one by now, written after the loss or late, or older
 		if !record.IsScheduleKey(r.Key) {
-			over(Entry{})
+			over(kv.Entry{})
 			return
 		}
-		c.readBack(r.Key, func(e Entry, found bool) {
+		c.readBack(r.Key, func(e kv.Entry, found bool) {
 			if _, differ := joinRecords(e.Value, r.Value, true); found && !differ {
 				over(e)
 				return
@@ -154,13 +155,13 @@
 				c.writeBack(r, over)
 				return
 			}
-			c.readBack(record.ScheduleNumberKey, func(n Entry, _ bool) {
+			c.readBack(record.ScheduleNumberKey, func(n kv.Entry, _ bool) {
 				l.schedules.numberRev = n.Rev
 				c.writeBack(r, over)
 			})
 		})
 	}
-	ch.onReject = func() { over(Entry{}) }
+	ch.onReject = func() { over(kv.Entry{}) }
 	l.writes.add(ch)
 }
 
@@ -190,17 +191,17 @@
 	if len(keys) == 0 {
 		return
 	}
-	c.readBack(record.ScheduleNumberKey, func(e Entry, found bool) {
+	c.readBack(record.ScheduleNumberKey, func(e kv.Entry, found bool) {
 		if n, ok := own.Get(record.ScheduleNumberKey); ok && !found {
 			n.Rev = 0
-			c.writeBack(n, func(Entry) { c.afterWhileLeading(replicaInterval, c.restoreMissingSchedules) })
+			c.writeBack(n, func(kv.Entry) { c.afterWhileLeading(replicaInterval, c.restoreMissingSchedules) })
 			return
 		}
 		c.leadership.schedules.numberRev = e.Rev
 		for _, key := range keys {
 			r, _ := own.Get(key)
 			c.note(slog.LevelError, "a schedule is missing that a copy has, it is written back", "key", key)
-			c.writeBack(r, func(on Entry) {
+			c.writeBack(r, func(on kv.Entry) {
 				if on.Value != nil && c.leadership.schedules.byName[strings.TrimPrefix(key, record.SchedulePrefix)] == nil {
 					c.loadSchedule(on)
 				}
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -7,6 +7,7 @@
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/kv"
 	"yewpass/internal/policy"
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
@@ -35,15 +36,15 @@
 		n.in(PeerLink{Name: p, Up: true})
 	}
 	n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerLeader, Term: 5}})
-	n.reads(record.LeaderKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{{Key: record.LeaderKey, Value: &record.Leader{Node: "n1", Term: 5}, Rev: 9, LeaseID: 3}}})
+	n.reads(record.LeaderKey, kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{{Key: record.LeaderKey, Value: &record.Leader{Node: "n1", Term: 5}, Rev: 9, LeaseID: 3}}})
 	return n
 }
 
 // calls returns the latest call of the state service that the node has made for the key
 // and that has not been answered.
-func (n *relayNode) calls(key string) (call StoreCall) {
+func (n *relayNode) calls(key string) (call kv.Request) {
 	for _, o := range n.outs {
-		if s, ok := o.(StoreCall); ok && s.Key == key && n.stores[s.Ref] != nil {
+		if s, ok := o.(kv.Request); ok && s.Key == key && n.stores[s.Ref] != nil {
 			call = s
 		}
 	}
@@ -51,7 +52,7 @@
 }
 
 // reads answers it.
-func (n *relayNode) reads(key string, r StoreReply) {
+func (n *relayNode) reads(key string, r kv.Response) {
 	n.t.Helper()
 	if r.Ref = n.calls(key).Ref; r.Ref == 0 {
 		n.t.Fatal("nobody asks for ", key)
@@ -231,8 +232,8 @@
 			switch o := o.(type) {
 			case AnswerUser:
 				a = o
-			case StoreCall:
-				dropped = dropped || o.Op == StoreRevokeLease
+			case kv.Request:
+				dropped = dropped || o.Op == kv.RevokeLease
 			}
 		}
 		return a, dropped
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yewpass/internal/config"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
@@ -85,7 +86,7 @@
 }
 
 // replicate takes a record that was read into the copy.
-func (c *Core) replicate(e Entry) {
+func (c *Core) replicate(e kv.Entry) {
 	own := c.ownReplica()
 	if own == nil || e.Value == nil {
 		return
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -7,6 +7,7 @@
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
 	"yewpass/internal/rpc"
@@ -17,8 +18,8 @@
 // the name, the address and the counters of the one before. Each test here is about
 // something that then cannot be told from the former one's by these.
 
-func leaderKeyOf(node string, term, rev, life uint64) Entry {
-	return Entry{Key: record.LeaderKey, Value: &record.Leader{Node: node, Term: term, Life: life}, Rev: rev, LeaseID: 3}
+func leaderKeyOf(node string, term, rev, life uint64) kv.Entry {
+	return kv.Entry{Key: record.LeaderKey, Value: &record.Leader{Node: node, Term: term, Life: life}, Rev: rev, LeaseID: 3}
 }
 
 // TestAnswerOfFormerProcess: what a leader answers to a call of the process before this
@@ -75,7 +76,7 @@
 	n.expect("led to who may be the leader", 1, 421)
 	// The state service knows better.
 	n.in(PeerLink{Name: "n2", Up: true})
-	n.reads(record.LeaderKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{leaderKeyOf("n2", 6, 20, 4)}})
+	n.reads(record.LeaderKey, kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{leaderKeyOf("n2", 6, 20, 4)}})
 	n.worker(2, 2)
 	bs := n.sent("n2")
 	if len(bs) == 0 {
@@ -92,12 +93,12 @@
 	n.in(Tick{})
 	n.pass(time.Second)
 	listing := n.calls(record.LeaderKey)
-	if listing.Op != StoreList {
+	if listing.Op != kv.List {
 		t.Fatalf("%+v", listing)
 	}
 	n.in(PeerIn{From: "n2", Msg: PeerMsg{Kind: PeerLeader, Term: 6}}) // acknowledged
 	confirming := n.calls(record.LeaderKey)
-	n.in(StoreReply{Ref: listing.Ref, Outcome: rpc.OK, Rev: 10, Entries: []Entry{leaderKeyOf("n1", 5, 9, 4)}})
+	n.in(kv.Response{Ref: listing.Ref, Outcome: rpc.OK, Rev: 10, Entries: []kv.Entry{leaderKeyOf("n1", 5, 9, 4)}})
 	stillSix := func(when string) {
 		t.Helper()
 		if n.highestTerm != 6 {
@@ -115,15 +116,15 @@
 	stillSix("after an answer that was long on its way")
 	// The new leader has ended already, with its grant.
 	n.in(PeerLink{Name: "n2"})
-	n.in(StoreReply{Ref: confirming.Ref, Outcome: rpc.NotFound, Rev: 30})
-	n.reads(record.TermKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{{Key: record.TermKey, Value: &record.Term{Term: 6}, Rev: 25}}})
+	n.in(kv.Response{Ref: confirming.Ref, Outcome: rpc.NotFound, Rev: 30})
+	n.reads(record.TermKey, kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{{Key: record.TermKey, Value: &record.Term{Term: 6}, Rev: 25}}})
 	stillSix("after its leader has ended")
 }
 
 // TestFormerGrant: a process gives back the grant of the one before it, and no other.
 func TestFormerGrant(t *testing.T) {
 	for name, x := range map[string]struct {
-		entry Entry
+		entry kv.Entry
 		drops bool
 	}{
 		"the former process's":                    {leaderKeyOf("n0", 7, 12, 99), true},
@@ -137,19 +138,19 @@
 			n.in(Tick{})
 			first := n.calls(record.LeaderKey)
 			if x.entry.Rev > 20 { // nobody leads at first
-				n.in(StoreReply{Ref: first.Ref, Outcome: rpc.Refused})
+				n.in(kv.Response{Ref: first.Ref, Outcome: rpc.Refused})
 				n.firstStoreRevision = 20
 				n.pass(time.Second)
 				first = n.calls(record.LeaderKey)
 			}
-			n.in(StoreReply{Ref: first.Ref, Outcome: rpc.OK, Rev: 30, Entries: []Entry{x.entry}})
-			if get := n.calls(record.LeaderKey); get.Op == StoreGet {
-				n.reads(record.LeaderKey, StoreReply{Outcome: rpc.OK, Entries: []Entry{x.entry}})
+			n.in(kv.Response{Ref: first.Ref, Outcome: rpc.OK, Rev: 30, Entries: []kv.Entry{x.entry}})
+			if get := n.calls(record.LeaderKey); get.Op == kv.Get {
+				n.reads(record.LeaderKey, kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{x.entry}})
 			}
 			drops := false
 			for _, o := range n.outs {
-				s, ok := o.(StoreCall)
-				drops = drops || ok && s.Op == StoreRevokeLease && s.LeaseID == x.entry.LeaseID
+				s, ok := o.(kv.Request)
+				drops = drops || ok && s.Op == kv.RevokeLease && s.LeaseID == x.entry.LeaseID
 			}
 			if drops != x.drops {
 				t.Errorf("grant given back: %v", drops)
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -10,6 +10,7 @@
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/kv"
 	"yewpass/internal/policy"
 	"yewpass/internal/record"
 	"yewpass/internal/schedule"
@@ -236,17 +237,17 @@
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 2))
 			old := leaderOf(b, machines)
-			var entries []Entry
+			var entries []kv.Entry
 			for i := range 200 {
 				j := newJob(old, i, 100, rng)
-				entries = append(entries, Entry{Key: record.JobPrefix + j.spec.ID, Value: j.record, Rev: 1})
+				entries = append(entries, kv.Entry{Key: record.JobPrefix + j.spec.ID, Value: j.record, Rev: 1})
 			}
 			rec := &record.Machines{}
 			for _, m := range old.leadership.fleet {
 				old.fill(m)
 				rec.Machines = append(rec.Machines, record.Machine{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Spot: true})
 			}
-			entries = append(entries, Entry{Key: record.MachinePrefix + "1-1", Value: rec, Rev: 1})
+			entries = append(entries, kv.Entry{Key: record.MachinePrefix + "1-1", Value: rec, Rev: 1})
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -274,7 +275,7 @@
 	for range schedule.HistoryLength {
 		rec.Add(schedule.Entry{Job: schedule.JobID(rec.Number, t0), Planned: t0, Due: t0, Made: t0, Started: t0, Ended: t0, State: schedule.StateDone})
 	}
-	c.loadSchedule(Entry{Key: record.SchedulePrefix + fmt.Sprintf("s%05d", i), Value: rec, Rev: 1})
+	c.loadSchedule(kv.Entry{Key: record.SchedulePrefix + fmt.Sprintf("s%05d", i), Value: rec, Rev: 1})
 	if s := c.leadership.schedules.byName[fmt.Sprintf("s%05d", i)]; s.definition == nil {
 		tb.Fatal(s.problem)
 	}
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"yewpass/internal/calendar"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
@@ -252,7 +253,7 @@
 		c.addSchedule(s)
 		c.writeFinished(s, func() { s.reply(c, c.scheduleView(s, 201)) })
 	}
-	ch := &change{size: rec.Size(), conditions: c.newSchedule(key), writes: []Write{{Key: key, Value: rec}}}
+	ch := &change{size: rec.Size(), conditions: c.newSchedule(key), writes: []kv.Write{{Key: key, Value: rec}}}
 	ch.onCommit = func(rev uint64) {
 		c.note(slog.LevelInfo, "schedule created", "schedule", s.name, "number", rec.Number)
 		made(rec, rev)
@@ -260,7 +261,7 @@
 	ch.onConflict = func() { // a try of ours whose outcome was not known
 		c.readSchedule(s, func(found *schedule.Record, rev uint64) {
 			if found == nil { // another schedule was removed meanwhile
-				c.readBack(record.ScheduleNumberKey, func(e Entry, _ bool) {
+				c.readBack(record.ScheduleNumberKey, func(e kv.Entry, _ bool) {
 					c.leadership.schedules.numberRev = e.Rev
 					ch.conditions = c.newSchedule(key)
 					c.leadership.writes.add(ch)
@@ -281,8 +282,8 @@
 // that got no answer may be carried out late, after the schedule was removed again: with
 // every removal the numbers' record is written as well, so that such a try finds another
 // revision of it.
-func (c *Core) newSchedule(key string) []Condition {
-	return []Condition{{key, 0}, {record.ScheduleNumberKey, c.leadership.schedules.numberRev}}
+func (c *Core) newSchedule(key string) []kv.Condition {
+	return []kv.Condition{{Key: key, Rev: 0}, {Key: record.ScheduleNumberKey, Rev: c.leadership.schedules.numberRev}}
 }
 
 // nextNumber has f called with a number that no schedule ever had. Numbers are taken
@@ -314,7 +315,7 @@
 			f(0, false)
 		}
 	}
-	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: record.ScheduleNumberKey}, func(r StoreReply) {
+	c.storeWhileLeading(kv.Request{Op: kv.Get, Key: record.ScheduleNumberKey}, func(r kv.Response) {
 		var from, rev uint64
 		if r.Outcome == rpc.OK {
 			rec, _ := r.Entries[0].Value.(*record.ScheduleNumber)
@@ -329,7 +330,7 @@
 			return
 		}
 		c.leadership.writes.add(&change{
-			conditions: []Condition{{record.ScheduleNumberKey, rev}}, writes: []Write{{Key: record.ScheduleNumberKey, Value: &record.ScheduleNumber{Number: from + numberBlock}}},
+			conditions: []kv.Condition{{Key: record.ScheduleNumberKey, Rev: rev}}, writes: []kv.Write{{Key: record.ScheduleNumberKey, Value: &record.ScheduleNumber{Number: from + numberBlock}}},
 			onCommit: func(rev uint64) {
 				sch.numberRev = rev
 				sch.next, sch.last, sch.takingNumbers = from, from+numberBlock, false
@@ -356,11 +357,11 @@
 		c.forgetSchedule(s)
 	}
 	remove := func(rev uint64) {
-		c.readBack(record.ScheduleNumberKey, func(e Entry, found bool) {
-			ch.conditions = []Condition{{key, rev}, {record.ScheduleNumberKey, e.Rev}}
-			ch.writes = []Write{{Key: key}}
+		c.readBack(record.ScheduleNumberKey, func(e kv.Entry, found bool) {
+			ch.conditions = []kv.Condition{{Key: key, Rev: rev}, {Key: record.ScheduleNumberKey, Rev: e.Rev}}
+			ch.writes = []kv.Write{{Key: key}}
 			if found && e.Value != nil { // see newSchedule
-				ch.writes = append(ch.writes, Write{Key: record.ScheduleNumberKey, Value: e.Value})
+				ch.writes = append(ch.writes, kv.Write{Key: record.ScheduleNumberKey, Value: e.Value})
 			}
 			c.leadership.writes.add(ch)
 		})
--- a/internal/core/schedule_write.go
+++ b/internal/core/schedule_write.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/schedule"
 )
@@ -28,13 +29,13 @@
 	apply(rec)
 	rec.Seq++
 	ch.size = rec.Size()
-	ch.conditions = []Condition{{key, s.revision}}
-	ch.writes = []Write{{Key: key, Value: rec}}
+	ch.conditions = []kv.Condition{{Key: key, Rev: s.revision}}
+	ch.writes = []kv.Write{{Key: key, Value: rec}}
 	if job != nil {
 		id := job.Spec.ID
 		ch.size += recordSize(&job.Spec)
 		ch.conditions = append(ch.conditions, noRecordOf(id)...)
-		ch.writes = append(ch.writes, Write{Key: record.JobPrefix + id, Value: job})
+		ch.writes = append(ch.writes, kv.Write{Key: record.JobPrefix + id, Value: job})
 	}
 	ch.onCommit = func(rev uint64) {
 		// News of jobs that came meanwhile are in memory only, and go next. The
@@ -74,7 +75,7 @@
 
 // readSchedule reads a record back; found is nil if there is none.
 func (c *Core) readSchedule(s *recurringJob, f func(found *schedule.Record, rev uint64)) {
-	c.readBack(record.SchedulePrefix+s.name, func(e Entry, found bool) {
+	c.readBack(record.SchedulePrefix+s.name, func(e kv.Entry, found bool) {
 		rec, _ := e.Value.(*schedule.Record)
 		if found && rec == nil {
 			c.note(slog.LevelError, "record is unreadable", "key", e.Key)
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"yewpass/internal/calendar"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
@@ -92,7 +93,7 @@
 
 // loadSchedules reads the schedules, page by page, while the leader works.
 func (c *Core) loadSchedules(from string) {
-	c.storeWhileLeading(StoreCall{Op: StoreList, Key: record.SchedulePrefix, From: from, Limit: schedulePage}, func(r StoreReply) {
+	c.storeWhileLeading(kv.Request{Op: kv.List, Key: record.SchedulePrefix, From: from, Limit: schedulePage}, func(r kv.Response) {
 		if r.Outcome != rpc.OK {
 			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.loadSchedules(from) })
 			return
@@ -113,7 +114,7 @@
 	})
 }
 
-func (c *Core) loadSchedule(e Entry) {
+func (c *Core) loadSchedule(e kv.Entry) {
 	rec, _ := e.Value.(*schedule.Record)
 	if rec == nil {
 		c.note(slog.LevelError, "record is unreadable", "key", e.Key, "effect", "the schedule makes no jobs and is not served")
@@ -455,7 +456,7 @@
 	}
 	s.flushing = true
 	c.afterWhileLeading(historyDelay, func() {
-		ch := &change{priority: priorityBulk, writes: []Write{{Key: record.SchedulePrefix + s.name}}, size: s.record.Size()}
+		ch := &change{priority: priorityBulk, writes: []kv.Write{{Key: record.SchedulePrefix + s.name}}, size: s.record.Size()}
 		sent := false
 		ch.prepare = func() bool {
 			if sent {
--- a/internal/core/scrub.go
+++ b/internal/core/scrub.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/replica"
@@ -40,7 +41,7 @@
 	}
 	s := &l.scrub
 	prefix, asked := scrubbedPrefixes[s.place], c.observed.Revision
-	c.storeWhileLeading(StoreCall{Op: StoreList, Key: prefix, From: s.from, Limit: scrubPageSize}, func(r StoreReply) {
+	c.storeWhileLeading(kv.Request{Op: kv.List, Key: prefix, From: s.from, Limit: scrubPageSize}, func(r kv.Response) {
 		if r.Outcome != rpc.OK || c.ownReplica() != own {
 			return
 		}
@@ -73,7 +74,7 @@
 	}
 	for _, list := range p.queued {
 		for _, ch := range list {
-			if ch.sent && slices.ContainsFunc(ch.writes, func(w Write) bool { return w.Key == key }) {
+			if ch.sent && slices.ContainsFunc(ch.writes, func(w kv.Write) bool { return w.Key == key }) {
 				return true
 			}
 		}
@@ -88,7 +89,7 @@
 	if !ok || was.Rev == 0 || c.hasUncommittedChange(key) {
 		return
 	}
-	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
+	c.storeWhileLeading(kv.Request{Op: kv.Get, Key: key}, func(r kv.Response) {
 		now, still := own.Get(key)
 		gone := r.Outcome == rpc.NotFound || r.Outcome == rpc.OK && r.Entries[0].Rev < was.Rev
 		if gone && still && now.Rev == was.Rev && c.ownReplica() == own && !c.hasUncommittedChange(key) {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -129,25 +129,6 @@
 // ReportGone says that the worker gave up on a report: its reply goes nowhere.
 type ReportGone struct{ Ref uint64 }
 
-// Entry is one key of the state service.
-type Entry struct {
-	Key     string
-	Value   any // *Job, *Final, *Machines, *Progress, *Leader, *Term, *ScheduleNumber, *schedule.Record, *liveconfig.HeadRecord, *liveconfig.TeamRecord, or nil when unreadable
-	Rev     uint64
-	LeaseID uint64 // that the key is attached to; known from StoreGet alone
-}
-
-// StoreReply answers a StoreCall.
-type StoreReply struct {
-	Ref        uint64
-	Outcome    rpc.Outcome
-	Rev        uint64
-	LeaseID    uint64
-	FailedKeys []string
-	Entries    []Entry
-	More       bool
-}
-
 // CloudReply answers a CloudCall.
 type CloudReply struct {
 	Ref           uint64
@@ -306,49 +287,6 @@
 	Upstream     string
 }
 
-// StoreOp is a kind of call to the state service.
-type StoreOp int
-
-// The calls to the state service.
-const (
-	StoreGet StoreOp = iota
-	StoreList
-	StoreTxn
-	StoreGrantLease
-	StoreKeepAlive
-	StoreRevokeLease
-	StoreWatch
-)
-
-// Condition is a condition of a transaction: the revision a key must have.
-type Condition struct {
-	Key string
-	Rev uint64
-}
-
-// Write is one change of a transaction; a nil value drops the key.
-type Write struct {
-	Key     string
-	Value   any
-	LeaseID uint64
-}
-
-// StoreCall asks the state service for something.
-type StoreCall struct {
-	Ref        uint64
-	Op         StoreOp
-	Key        string // or prefix
-	From       string
-	FromRev    uint64
-	Limit      int
-	Block      time.Duration // of StoreWatch
-	TTL        time.Duration
-	LeaseID    uint64
-	Conditions []Condition
-	Writes     []Write
-	Timeout    time.Duration // give up after this
-}
-
 // CloudOp is a kind of call to the cloud.
 type CloudOp int
 
--- a/internal/core/write_batcher.go
+++ b/internal/core/write_batcher.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"slices"
 	"time"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 
@@ -23,8 +24,8 @@
 
 // change is a set of writes that go together, with the conditions of its own.
 type change struct {
-	conditions []Condition
-	writes     []Write
+	conditions []kv.Condition
+	writes     []kv.Write
 	size       int // estimated bytes
 	priority   writePriority
 	prepare    func() bool // called when it is about to go, to set what it writes; false: nothing any more
@@ -70,7 +71,7 @@
 	keys := map[string]bool{}
 	rest := (*list)[:0:0]
 	for i, ch := range *list {
-		clash := slices.ContainsFunc(ch.writes, func(w Write) bool { return p.keysInFlight[w.Key] || keys[w.Key] })
+		clash := slices.ContainsFunc(ch.writes, func(w kv.Write) bool { return p.keysInFlight[w.Key] || keys[w.Key] })
 		full := p.singly > 0 || n+len(ch.writes) > ops || conds+len(ch.conditions) > 4*ops || size+ch.size > maxTxnBytes
 		if full && len(batch) > 0 {
 			rest = append(rest, (*list)[i:]...)
@@ -136,14 +137,14 @@
 
 // answerFromRecords reads a record whose write met a condition that does not hold, until
 // the state service answers; found is false if there is none.
-func (c *Core) readBack(key string, f func(e Entry, found bool)) {
-	c.storeWhileLeading(StoreCall{Op: StoreGet, Key: key}, func(r StoreReply) {
+func (c *Core) readBack(key string, f func(e kv.Entry, found bool)) {
+	c.storeWhileLeading(kv.Request{Op: kv.Get, Key: key}, func(r kv.Response) {
 		switch r.Outcome {
 		case rpc.OK:
 			c.replicate(r.Entries[0])
 			f(r.Entries[0], true)
 		case rpc.NotFound:
-			f(Entry{}, false)
+			f(kv.Entry{}, false)
 		default:
 			c.afterWhileLeading(c.jitter(500*time.Millisecond), func() { c.readBack(key, f) })
 		}
@@ -198,7 +199,7 @@
 	if len(batch) == 0 {
 		return false
 	}
-	call := StoreCall{Op: StoreTxn, Conditions: []Condition{{record.TermKey, c.leadership.termRevision}}}
+	call := kv.Request{Op: kv.Txn, Conditions: []kv.Condition{{Key: record.TermKey, Rev: c.leadership.termRevision}}}
 	for _, ch := range batch {
 		ch.sent = true
 		call.Conditions = append(call.Conditions, ch.conditions...)
@@ -209,7 +210,7 @@
 		p.keysInFlight[w.Key] = true
 	}
 	p.inFlight[ln]++
-	c.storeWhileLeading(call, func(r StoreReply) {
+	c.storeWhileLeading(call, func(r kv.Response) {
 		p.inFlight[ln]--
 		for _, w := range call.Writes {
 			delete(p.keysInFlight, w.Key)
@@ -219,7 +220,7 @@
 	return true
 }
 
-func (c *Core) handleBatchReply(batch []*change, r StoreReply) {
+func (c *Core) handleBatchReply(batch []*change, r kv.Response) {
 	p := &c.leadership.writes
 	again := func(chs []*change) {
 		for _, ch := range slices.Backward(chs) {
@@ -242,7 +243,7 @@
 		}
 		var rest []*change
 		for _, ch := range batch {
-			own := slices.ContainsFunc(ch.conditions, func(w Condition) bool { return slices.Contains(r.FailedKeys, w.Key) })
+			own := slices.ContainsFunc(ch.conditions, func(w kv.Condition) bool { return slices.Contains(r.FailedKeys, w.Key) })
 			switch {
 			case own && ch.onConflict != nil:
 				ch.onConflict()
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"yewpass/internal/core"
+	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
@@ -35,7 +35,7 @@
 }
 
 // Do makes the call and delivers its reply.
-func (c *Client) Do(call core.StoreCall) {
+func (c *Client) Do(call kv.Request) {
 	go func() {
 		r := c.call(call)
 		r.Ref = call.Ref
@@ -85,38 +85,38 @@
 // items.
 const maxAnswer = 2 << 20
 
-func (c *Client) call(call core.StoreCall) core.StoreReply {
+func (c *Client) call(call kv.Request) kv.Response {
 	method, path, body := Request(call)
 	status, data, ok := c.caller.Call(method, path, body, call.Timeout)
 	if !ok {
-		return core.StoreReply{Outcome: rpc.Unknown}
+		return kv.Response{Outcome: rpc.Unknown}
 	}
 	return Decode(call, status, data)
 }
 
 // Request writes a call as the service's protocol has it.
-func Request(call core.StoreCall) (method, path string, body []byte) {
+func Request(call kv.Request) (method, path string, body []byte) {
 	var v any
 	switch call.Op {
-	case core.StoreGet:
+	case kv.Get:
 		method, path = http.MethodGet, "/store/"+call.Key
-	case core.StoreList:
+	case kv.List:
 		q := url.Values{"under": {call.Key}, "limit": {strconv.Itoa(call.Limit)}}
 		if call.From != "" {
 			q.Set("from", call.From)
 		}
 		method, path = http.MethodGet, "/store?"+q.Encode()
-	case core.StoreWatch:
+	case kv.Watch:
 		q := url.Values{"under": {call.Key}, "from": {strconv.FormatUint(call.FromRev, 10)},
 			"blockMs": {strconv.FormatInt(call.Block.Milliseconds(), 10)}}
 		method, path = http.MethodGet, "/follow?"+q.Encode()
-	case core.StoreTxn:
+	case kv.Txn:
 		method, path, v = http.MethodPost, "/multi", encodeTxn(call)
-	case core.StoreGrantLease:
+	case kv.GrantLease:
 		method, path, v = http.MethodPost, "/grants", ttlJSON{call.TTL.Milliseconds()}
-	case core.StoreKeepAlive:
+	case kv.KeepAlive:
 		method, path, v = http.MethodPost, fmt.Sprintf("/grants/%d/extend", call.LeaseID), ttlJSON{call.TTL.Milliseconds()}
-	case core.StoreRevokeLease:
+	case kv.RevokeLease:
 		method, path = http.MethodDelete, fmt.Sprintf("/grants/%d", call.LeaseID)
 	}
 	if v != nil {
@@ -128,20 +128,20 @@
 // Decode reads an answer. Whatever is not what the protocol promises for this very
 // call is an unknown outcome: between us and the service there may be something that
 // answers in its place, and what is believed here decides who leads and what exists.
-func Decode(call core.StoreCall, status int, data []byte) core.StoreReply {
-	unknown := core.StoreReply{Outcome: rpc.Unknown}
+func Decode(call kv.Request, status int, data []byte) kv.Response {
+	unknown := kv.Response{Outcome: rpc.Unknown}
 	var a answerJSON
 	parsed := json.Unmarshal(data, &a) == nil
 	switch status {
 	case http.StatusOK:
 	case http.StatusConflict:
-		if call.Op == core.StoreTxn && parsed && len(a.Failed) > 0 {
-			return core.StoreReply{Outcome: rpc.Conflict, FailedKeys: a.Failed}
+		if call.Op == kv.Txn && parsed && len(a.Failed) > 0 {
+			return kv.Response{Outcome: rpc.Conflict, FailedKeys: a.Failed}
 		}
 		return unknown
 	case http.StatusNotFound:
-		r := core.StoreReply{Outcome: rpc.NotFound}
-		if call.Op == core.StoreGet {
+		r := kv.Response{Outcome: rpc.NotFound}
+		if call.Op == kv.Get {
 			// That a record does not exist is believed from the service alone.
 			if !parsed || a.StoreRev == nil {
 				return unknown
@@ -150,26 +150,26 @@
 		}
 		return r
 	case http.StatusGone:
-		return core.StoreReply{Outcome: rpc.NotFound}
+		return kv.Response{Outcome: rpc.NotFound}
 	case http.StatusBadRequest:
-		return core.StoreReply{Outcome: rpc.Invalid}
+		return kv.Response{Outcome: rpc.Invalid}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return core.StoreReply{Outcome: rpc.Refused}
+		return kv.Response{Outcome: rpc.Refused}
 	default:
 		return unknown
 	}
-	if call.Op == core.StoreRevokeLease {
-		return core.StoreReply{Outcome: rpc.OK}
+	if call.Op == kv.RevokeLease {
+		return kv.Response{Outcome: rpc.OK}
 	}
 	if !parsed {
 		return unknown
 	}
-	r := core.StoreReply{Outcome: rpc.OK, More: a.Truncated}
+	r := kv.Response{Outcome: rpc.OK, More: a.Truncated}
 	if a.StoreRev != nil {
 		r.Rev = *a.StoreRev
 	}
 	switch call.Op {
-	case core.StoreGet:
+	case kv.Get:
 		if a.K != call.Key || a.KeyRev == 0 {
 			return unknown
 		}
@@ -177,8 +177,8 @@
 		if a.Grant != nil {
 			e.LeaseID = *a.Grant
 		}
-		r.Entries = []core.Entry{e}
-	case core.StoreList:
+		r.Entries = []kv.Entry{e}
+	case kv.List:
 		if a.Entries == nil && a.StoreRev == nil {
 			return unknown
 		}
@@ -195,12 +195,12 @@
 		if r.More && len(r.Entries) == 0 {
 			return unknown
 		}
-	case core.StoreGrantLease, core.StoreKeepAlive:
-		if a.Grant == nil || call.Op == core.StoreKeepAlive && *a.Grant != call.LeaseID {
+	case kv.GrantLease, kv.KeepAlive:
+		if a.Grant == nil || call.Op == kv.KeepAlive && *a.Grant != call.LeaseID {
 			return unknown
 		}
 		r.LeaseID = *a.Grant
-	case core.StoreTxn, core.StoreWatch:
+	case kv.Txn, kv.Watch:
 		if a.StoreRev == nil {
 			return unknown
 		}
@@ -208,7 +208,7 @@
 	return r
 }
 
-func encodeTxn(call core.StoreCall) txnJSON {
+func encodeTxn(call kv.Request) txnJSON {
 	t := txnJSON{When: make([]condJSON, 0, len(call.Conditions)), Then: make([]writeJSON, 0, len(call.Writes))}
 	for _, w := range call.Conditions {
 		t.When = append(t.When, condJSON{w.Key, w.Rev})
@@ -445,8 +445,8 @@
 }
 
 // decodeEntry reads a record; its value is nil when it is not one of ours.
-func decodeEntry(e entryJSON) core.Entry {
-	out := core.Entry{Key: e.K, Rev: e.KeyRev}
+func decodeEntry(e entryJSON) kv.Entry {
+	out := kv.Entry{Key: e.K, Rev: e.KeyRev}
 	var tag struct {
 		Type string `json:"type"`
 	}
--- a/internal/kvclient/client_test.go
+++ b/internal/kvclient/client_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"yewpass/internal/core"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
@@ -18,44 +18,44 @@
 // success.
 func TestDecode(t *testing.T) {
 	for _, c := range []struct {
-		op     core.StoreOp
+		op     kv.Op
 		status int
 		body   string
 		want   rpc.Outcome
 	}{
-		{core.StoreTxn, 200, `{"storeRev":432}`, rpc.OK},
-		{core.StoreTxn, 200, `{}`, rpc.Unknown},
-		{core.StoreTxn, 200, `not json`, rpc.Unknown},
-		{core.StoreTxn, 409, `{"failed":["a"],"storeRev":3}`, rpc.Conflict},
-		{core.StoreTxn, 409, `{}`, rpc.Unknown},
-		{core.StoreTxn, 400, ``, rpc.Invalid},
-		{core.StoreTxn, 429, ``, rpc.Refused},
-		{core.StoreTxn, 503, ``, rpc.Refused},
-		{core.StoreTxn, 500, ``, rpc.Unknown},
-		{core.StoreTxn, 204, ``, rpc.Unknown},
-		{core.StoreGet, 404, `{"storeRev":1}`, rpc.NotFound},
-		{core.StoreGet, 200, `{"k":"a","v":{},"keyRev":4}`, rpc.OK},
-		{core.StoreGet, 200, `{"storeRev":4}`, rpc.Unknown},
-		{core.StoreList, 200, `{"entries":[],"truncated":false,"storeRev":1}`, rpc.OK},
-		{core.StoreList, 200, `{}`, rpc.Unknown},
-		{core.StoreGrantLease, 200, `{"grant":7}`, rpc.OK},
-		{core.StoreGrantLease, 200, `{"grant":"7"}`, rpc.Unknown},
-		{core.StoreKeepAlive, 404, ``, rpc.NotFound},
-		{core.StoreKeepAlive, 200, `{"grant":7}`, rpc.OK},
-		{core.StoreKeepAlive, 200, `{"grant":8}`, rpc.Unknown},
-		{core.StoreKeepAlive, 200, ``, rpc.Unknown},
-		{core.StoreRevokeLease, 200, ``, rpc.OK},
-		{core.StoreGet, 404, `<html>`, rpc.Unknown},
-		{core.StoreGet, 404, `{}`, rpc.Unknown},
-		{core.StoreGet, 200, `{"k":"b","v":{},"keyRev":4}`, rpc.Unknown},
-		{core.StoreList, 200, `{"entries":[{"k":"a/6","keyRev":1},{"k":"a/7","keyRev":1}],"truncated":true,"storeRev":1}`, rpc.OK},
-		{core.StoreList, 200, `{"entries":[{"k":"a/5","keyRev":1}],"truncated":true,"storeRev":1}`, rpc.Unknown},
-		{core.StoreList, 200, `{"entries":[{"k":"a/7","keyRev":1},{"k":"a/6","keyRev":1}],"storeRev":1}`, rpc.Unknown},
-		{core.StoreList, 200, `{"entries":[{"k":"b/6","keyRev":1}],"storeRev":1}`, rpc.Unknown},
-		{core.StoreList, 200, `{"entries":[],"truncated":true,"storeRev":1}`, rpc.Unknown},
-		{core.StoreWatch, 410, ``, rpc.NotFound},
+		{kv.Txn, 200, `{"storeRev":432}`, rpc.OK},
+		{kv.Txn, 200, `{}`, rpc.Unknown},
+		{kv.Txn, 200, `not json`, rpc.Unknown},
+		{kv.Txn, 409, `{"failed":["a"],"storeRev":3}`, rpc.Conflict},
+		{kv.Txn, 409, `{}`, rpc.Unknown},
+		{kv.Txn, 400, ``, rpc.Invalid},
+		{kv.Txn, 429, ``, rpc.Refused},
+		{kv.Txn, 503, ``, rpc.Refused},
+		{kv.Txn, 500, ``, rpc.Unknown},
+		{kv.Txn, 204, ``, rpc.Unknown},
+		{kv.Get, 404, `{"storeRev":1}`, rpc.NotFound},
+		{kv.Get, 200, `{"k":"a","v":{},"keyRev":4}`, rpc.OK},
+		{kv.Get, 200, `{"storeRev":4}`, rpc.Unknown},
+		{kv.List, 200, `{"entries":[],"truncated":false,"storeRev":1}`, rpc.OK},
+		{kv.List, 200, `{}`, rpc.Unknown},
+		{kv.GrantLease, 200, `{"grant":7}`, rpc.OK},
+		{kv.GrantLease, 200, `{"grant":"7"}`, rpc.Unknown},
+		{kv.KeepAlive, 404, ``, rpc.NotFound},
+		{kv.KeepAlive, 200, `{"grant":7}`, rpc.OK},
+		{kv.KeepAlive, 200, `{"grant":8}`, rpc.Unknown},
+		{kv.KeepAlive, 200, ``, rpc.Unknown},
+		{kv.RevokeLease, 200, ``, rpc.OK},
+		{kv.Get, 404, `<html>`, rpc.Unknown},
+		{kv.Get, 404, `{}`, rpc.Unknown},
+		{kv.Get, 200, `{"k":"b","v":{},"keyRev":4}`, rpc.Unknown},
+		{kv.List, 200, `{"entries":[{"k":"a/6","keyRev":1},{"k":"a/7","keyRev":1}],"truncated":true,"storeRev":1}`, rpc.OK},
+		{kv.List, 200, `{"entries":[{"k":"a/5","keyRev":1}],"truncated":true,"storeRev":1}`, rpc.Unknown},
+		{kv.List, 200, `{"entries":[{"k":"a/7","keyRev":1},{"k":"a/6","keyRev":1}],"storeRev":1}`, rpc.Unknown},
+		{kv.List, 200, `{"entries":[{"k":"b/6","keyRev":1}],"storeRev":1}`, rpc.Unknown},
+		{kv.List, 200, `{"entries":[],"truncated":true,"storeRev":1}`, rpc.Unknown},
+		{kv.Watch, 410, ``, rpc.NotFound},
 	} {
-		if got := Decode(core.StoreCall{Op: c.op, Key: "a", From: "a/5", LeaseID: 7}, c.status, []byte(c.body)); got.Outcome != c.want {
+		if got := Decode(kv.Request{Op: c.op, Key: "a", From: "a/5", LeaseID: 7}, c.status, []byte(c.body)); got.Outcome != c.want {
 			t.Errorf("%v %d %s: %v, want %v", c.op, c.status, c.body, got.Outcome, c.want)
 		}
 	}
--- a/internal/kvclient/fuzz_test.go
+++ b/internal/kvclient/fuzz_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"yewpass/internal/core"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
@@ -22,15 +22,15 @@
 		`{"k":"a/wk-1","v":{"type":"schedule","number":1,"file":{},"cursorMs":-9223372036854775808,"past":"x"},"keyRev":4}`,
 		`{"failed":["a"]}`, `{"storeRev":3}`, `{"grant":7}`, `<html>`, ``, "\xff", `null`, strings.Repeat("[", 20000),
 	} {
-		for op := core.StoreGet; op <= core.StoreWatch; op++ {
+		for op := kv.Get; op <= kv.Watch; op++ {
 			f.Add(int(op), 200, []byte(s))
 		}
-		f.Add(int(core.StoreGet), 404, []byte(s))
-		f.Add(int(core.StoreTxn), 409, []byte(s))
+		f.Add(int(kv.Get), 404, []byte(s))
+		f.Add(int(kv.Txn), 409, []byte(s))
 	}
 	f.Fuzz(func(t *testing.T, op, status int, data []byte) {
-		call := core.StoreCall{Op: core.StoreOp(op), Key: "a/", LeaseID: 7}
-		if call.Op == core.StoreGet {
+		call := kv.Request{Op: kv.Op(op), Key: "a/", LeaseID: 7}
+		if call.Op == kv.Get {
 			call.Key = "a/wk-1"
 		}
 		r := Decode(call, status, data)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,6 +20,7 @@
 	"yewpass/internal/cloud"
 	"yewpass/internal/config"
 	"yewpass/internal/core"
+	"yewpass/internal/kv"
 	"yewpass/internal/kvclient"
 	"yewpass/internal/operators"
 	"yewpass/internal/peer"
@@ -225,7 +226,7 @@
 		n.answer(o.Ref, o)
 	case core.AnswerReport:
 		n.answer(o.Ref, o)
-	case core.StoreCall:
+	case kv.Request:
 		n.state.Do(o)
 	case core.CloudCall:
 		n.cloud.Do(o)
--- a/internal/scenario/configure_test.go
+++ b/internal/scenario/configure_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"yewpass/internal/core"
+	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/rpc"
 )
@@ -88,13 +88,13 @@
 		"told before it is on record": {strings.Replace(lowered, "at 10s config", "at 9900ms deny leader 12s\nat 10s config", 1), func(s *script) {
 			changes := map[uint64]bool{}
 			s.lie = func(_ *node, out any) any {
-				if call, ok := out.(core.StoreCall); ok && slices.ContainsFunc(call.Writes, func(w core.Write) bool { return strings.HasSuffix(w.Key, "config/head") }) {
+				if call, ok := out.(kv.Request); ok && slices.ContainsFunc(call.Writes, func(w kv.Write) bool { return strings.HasSuffix(w.Key, "config/head") }) {
 					changes[call.Ref] = true
 				}
 				return withoutTeams(out)
 			}
 			s.hears = func(_ *node, in any) any { // a change that was refused counts
-				if r, ok := in.(core.StoreReply); ok && changes[r.Ref] {
+				if r, ok := in.(kv.Response); ok && changes[r.Ref] {
 					r.Outcome = rpc.OK
 					return r
 				}
@@ -112,11 +112,11 @@
 expect configured
 run 120s`, func(s *script) {
 			s.lie = func(_ *node, out any) any {
-				call, ok := out.(core.StoreCall)
-				if !ok || !slices.ContainsFunc(call.Writes, func(w core.Write) bool { return strings.HasPrefix(w.Key, "yewpass/alone/") }) {
+				call, ok := out.(kv.Request)
+				if !ok || !slices.ContainsFunc(call.Writes, func(w kv.Write) bool { return strings.HasPrefix(w.Key, "yewpass/alone/") }) {
 					return out
 				}
-				call.Conditions = slices.DeleteFunc(slices.Clone(call.Conditions), func(c core.Condition) bool { return strings.HasSuffix(c.Key, "config/head") })
+				call.Conditions = slices.DeleteFunc(slices.Clone(call.Conditions), func(c kv.Condition) bool { return strings.HasSuffix(c.Key, "config/head") })
 				return call
 			}
 		}},
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -9,6 +9,7 @@
 
 	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/kv"
 	"yewpass/internal/relay"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
@@ -128,8 +129,8 @@
 expect started =1
 run 120s`, "started =1", func(s *script) {
 			s.lie = func(n *node, out any) any { // changes without conditions but the term
-				if call, ok := out.(core.StoreCall); ok && call.Op == core.StoreTxn && len(call.Writes) > 0 {
-					call.Conditions = slices.DeleteFunc(slices.Clone(call.Conditions), func(w core.Condition) bool { return strings.Contains(w.Key, "wk-") })
+				if call, ok := out.(kv.Request); ok && call.Op == kv.Txn && len(call.Writes) > 0 {
+					call.Conditions = slices.DeleteFunc(slices.Clone(call.Conditions), func(w kv.Condition) bool { return strings.Contains(w.Key, "wk-") })
 					return call
 				}
 				return out
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -13,6 +13,7 @@
 
 	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/spec"
@@ -448,11 +449,11 @@
 
 // withoutWrites is an output that writes no records of some kind.
 func withoutWrites(out any, gone func(value any) bool) any {
-	call, ok := out.(core.StoreCall)
-	if !ok || call.Op != core.StoreTxn {
+	call, ok := out.(kv.Request)
+	if !ok || call.Op != kv.Txn {
 		return out
 	}
-	call.Writes = slices.DeleteFunc(slices.Clone(call.Writes), func(w core.Write) bool { return gone(w.Value) })
+	call.Writes = slices.DeleteFunc(slices.Clone(call.Writes), func(w kv.Write) bool { return gone(w.Value) })
 	return call
 }
 
@@ -529,7 +530,7 @@
 		}, honest},
 		{"accept and retry", "forgotten", func() func(n *node, out any) any {
 			return func(n *node, out any) any { // an answer before its write
-				if call, ok := out.(core.StoreCall); ok && call.Op == core.StoreTxn {
+				if call, ok := out.(kv.Request); ok && call.Op == kv.Txn {
 					for _, w := range call.Writes {
 						if rec, ok := w.Value.(*record.Job); ok && !rec.Cancelled {
 							for _, x := range n.nodes { // whichever the user has asked
--- a/internal/scenario/schedules.go
+++ b/internal/scenario/schedules.go
@@ -9,6 +9,7 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/core"
+	"yewpass/internal/kv"
 	"yewpass/internal/kvclient"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
@@ -158,7 +159,7 @@
 	if k == nil {
 		return &schedule.Record{}, false
 	}
-	r, ok := kvclient.Decode(core.StoreCall{Op: core.StoreGet, Key: key}, 200, encode(object{"k": key, "v": k.value, "keyRev": k.rev})).Entries[0].Value.(*schedule.Record)
+	r, ok := kvclient.Decode(kv.Request{Op: kv.Get, Key: key}, 200, encode(object{"k": key, "v": k.value, "keyRev": k.rev})).Entries[0].Value.(*schedule.Record)
 	return r, ok
 }
 
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -11,6 +11,7 @@
 	"yewpass/internal/config"
 	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/kv"
 	"yewpass/internal/kvclient"
 	"yewpass/internal/policy"
 	"yewpass/internal/rpc"
@@ -333,7 +334,7 @@
 		n.found = nil
 		for _, first := range []bool{true, false} {
 			for _, in := range found {
-				if _, ok := in.(core.StoreReply); ok == first && n.life == life && n.alive {
+				if _, ok := in.(kv.Response); ok == first && n.life == life && n.alive {
 					n.input(in)
 				}
 			}
@@ -420,16 +421,16 @@
 	case core.AnswerReport:
 		o.Orders = slices.Clone(o.Orders)
 		n.answer(o.Ref, o)
-	case core.StoreCall:
+	case kv.Request:
 		method, path, body := kvclient.Request(o)
 		kind := "state"
-		if o.Op == core.StoreTxn && len(o.Writes) > 0 {
+		if o.Op == kv.Txn && len(o.Writes) > 0 {
 			kind = "txn"
 		}
 		n.exchange(kind, "state", o.Timeout, func(answer func(int, []byte)) {
 			n.store.serve(n.name, method, path, body, answer)
 		}, func(status int, data []byte) any {
-			r := core.StoreReply{Outcome: rpc.Unknown}
+			r := kv.Response{Outcome: rpc.Unknown}
 			if status != 0 {
 				r = kvclient.Decode(o, status, data)
 			}
