--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"yewpass/internal/core"
+	"yewpass/internal/provider"
 	"yewpass/internal/rpc"
 	"yewpass/internal/timeline"
 	"yewpass/internal/wire"
@@ -27,7 +27,7 @@
 }
 
 // Do makes the call and delivers its reply.
-func (c *Client) Do(call core.CloudCall) {
+func (c *Client) Do(call provider.Request) {
 	go func() {
 		r := c.call(call)
 		r.Ref = call.Ref
@@ -71,27 +71,27 @@
 
 const listLimit = "500"
 
-func (c *Client) call(call core.CloudCall) core.CloudReply {
+func (c *Client) call(call provider.Request) provider.Response {
 	method, path, body := Request(call)
 	status, data, ok := c.caller.Call(method, path, body, call.Timeout)
 	if !ok {
-		return core.CloudReply{Outcome: rpc.Unknown}
+		return provider.Response{Outcome: rpc.Unknown}
 	}
 	return Decode(call, status, data)
 }
 
 // Request writes a call as the cloud's protocol has it.
-func Request(call core.CloudCall) (method, path string, body []byte) {
+func Request(call provider.Request) (method, path string, body []byte) {
 	var v any
 	switch call.Op {
-	case core.CloudCatalog:
+	case provider.Catalog:
 		method, path = http.MethodGet, "/catalog"
-	case core.CloudScaleOut:
+	case provider.ScaleOut:
 		method, path = http.MethodPost, "/machines"
 		v = rentJSON{call.RequestName, call.InstanceType, call.Zone, call.Spot, call.Count}
-	case core.CloudRelease:
+	case provider.Release:
 		method, path, v = http.MethodPost, "/machines/release", hostsJSON{call.Hosts}
-	case core.CloudList:
+	case provider.List:
 		q := url.Values{"limit": {listLimit}}
 		if call.After != "" {
 			q.Set("from", call.After)
@@ -106,8 +106,8 @@
 
 // Decode reads an answer. Whatever is not what the protocol promises is an
 // unknown outcome.
-func Decode(call core.CloudCall, status int, data []byte) core.CloudReply {
-	unknown := core.CloudReply{Outcome: rpc.Unknown}
+func Decode(call provider.Request, status int, data []byte) provider.Response {
+	unknown := provider.Response{Outcome: rpc.Unknown}
 	switch status {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable:
@@ -115,17 +115,17 @@
 			Error string `json:"error"`
 		}
 		if json.Unmarshal(data, &e) == nil && strings.Contains(e.Error, "capacity") {
-			return core.CloudReply{Outcome: rpc.Refused}
+			return provider.Response{Outcome: rpc.Refused}
 		}
 		return unknown // an outage: the same request is sent again
 	case http.StatusBadRequest:
-		return core.CloudReply{Outcome: rpc.Invalid}
+		return provider.Response{Outcome: rpc.Invalid}
 	default:
 		return unknown
 	}
-	r := core.CloudReply{Outcome: rpc.OK}
+	r := provider.Response{Outcome: rpc.OK}
 	switch call.Op {
-	case core.CloudCatalog:
+	case provider.Catalog:
 		var a struct {
 			Flavors []flavorJSON `json:"flavors"`
 		}
@@ -136,17 +136,17 @@
 			if !f.sound() {
 				return unknown
 			}
-			r.InstanceTypes = append(r.InstanceTypes, core.InstanceType{Name: f.Name, Capacity: timeline.Capacity(f.VCPUs, f.GPUs, f.MemGB),
+			r.InstanceTypes = append(r.InstanceTypes, provider.InstanceType{Name: f.Name, Capacity: timeline.Capacity(f.VCPUs, f.GPUs, f.MemGB),
 				CPUs: f.VCPUs, LocalGB: f.LocalGB, ImageGBps: f.FetchGBps, OnDemandRate: f.Rate, SpotRate: f.LowPrice,
 				BootTime: timeline.Seconds(f.ReadyS), Zones: f.Halls})
 		}
-	case core.CloudScaleOut:
+	case provider.ScaleOut:
 		var a hostsJSON
 		if json.Unmarshal(data, &a) != nil || len(a.Hosts) > call.Count {
 			return unknown
 		}
 		r.Hosts = a.Hosts
-	case core.CloudList:
+	case provider.List:
 		var a struct {
 			Hosts     []hostJSON `json:"hosts"`
 			Truncated bool       `json:"truncated"`
@@ -162,7 +162,7 @@
 				return unknown
 			}
 			after = h.ID
-			r.Instances = append(r.Instances, core.Instance{Host: h.ID, InstanceType: h.Flavor, Zone: h.Hall, Status: h.Status,
+			r.Instances = append(r.Instances, provider.Instance{Host: h.ID, InstanceType: h.Flavor, Zone: h.Hall, Status: h.Status,
 				Spot: h.Reclaimable, Age: timeline.Seconds(h.AgeS)})
 		}
 	}
--- a/internal/cloud/fuzz_test.go
+++ b/internal/cloud/fuzz_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"yewpass/internal/core"
+	"yewpass/internal/provider"
 	"yewpass/internal/rpc"
 	"yewpass/internal/timeline"
 )
@@ -15,13 +15,13 @@
 		`{"flavors":[{"name":"s","vcpus":1e308,"readyS":-1e308}]}`, `{"hosts":["h1","h2","h3"]}`, `{"hosts":[{"id":"h2","ageS":1e308},{"id":"h1"}],"truncated":true}`,
 		`{"error":"no capacity"}`, `{"error":7}`, ``, "\xff", `null`, `[]`,
 	} {
-		for op := core.CloudCatalog; op <= core.CloudList; op++ {
+		for op := provider.Catalog; op <= provider.List; op++ {
 			f.Add(int(op), 200, []byte(s))
 		}
-		f.Add(int(core.CloudScaleOut), 503, []byte(s))
+		f.Add(int(provider.ScaleOut), 503, []byte(s))
 	}
 	f.Fuzz(func(t *testing.T, op, status int, data []byte) {
-		r := Decode(core.CloudCall{Op: core.CloudOp(op), Count: 2, After: "h1"}, status, data)
+		r := Decode(provider.Request{Op: provider.Op(op), Count: 2, After: "h1"}, status, data)
 		if r.Outcome == rpc.OK && status != 200 || len(r.Hosts) > 2 {
 			t.Fatalf("%+v", r)
 		}
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -9,6 +9,7 @@
 
 	"yewpass/internal/kv"
 	"yewpass/internal/policy"
+	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
@@ -489,7 +490,7 @@
 }
 
 // unschedulableOn is unschedulable for its team, nil if there is none of that name, and types.
-func unschedulableOn(s *spec.Job, t *team, flavors []InstanceType) (field, reason string) {
+func unschedulableOn(s *spec.Job, t *team, flavors []provider.InstanceType) (field, reason string) {
 	if t == nil || !t.configured {
 		return "owner", "unknown team " + s.Owner
 	}
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -7,6 +7,7 @@
 
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
@@ -18,7 +19,7 @@
 	*testing.T
 	c     *Core
 	ref   uint64
-	calls []any // Request and CloudCall that nobody has answered
+	calls []any // Request and Request that nobody has answered
 	said  []any // all else that has come out
 }
 
@@ -33,7 +34,7 @@
 func (d *desk) in(x any) {
 	for _, o := range slices.Clone(d.c.Step(d.c.now.Add(time.Millisecond), x)) {
 		switch o := o.(type) {
-		case kv.Request, CloudCall:
+		case kv.Request, provider.Request:
 			d.calls = append(d.calls, o)
 		case AnswerReport:
 			o.Orders = slices.Clone(o.Orders)
@@ -68,9 +69,9 @@
 				r.Outcome = rpc.NotFound
 			}
 			d.in(r)
-		case CloudCall:
-			r := CloudReply{Ref: x.Ref, Outcome: rpc.Refused}
-			if x.Op == CloudRelease {
+		case provider.Request:
+			r := provider.Response{Ref: x.Ref, Outcome: rpc.Refused}
+			if x.Op == provider.Release {
 				writes++
 				r.Outcome = o
 			}
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -13,6 +13,7 @@
 
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/provider"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
@@ -27,7 +28,7 @@
 
 // autoscaler is what the leader knows of the cloud.
 type autoscaler struct {
-	instanceTypes     []InstanceType
+	instanceTypes     []provider.InstanceType
 	callLimit         *rate.Limiter
 	noCapacityUntil   map[instanceOffer]time.Time // no capacity until then
 	pending           map[string]*pendingRequest  // requests whose outcome is not known
@@ -59,7 +60,7 @@
 	}
 }
 
-func (r *autoscaler) instanceType(name string) *InstanceType {
+func (r *autoscaler) instanceType(name string) *provider.InstanceType {
 	for i := range r.instanceTypes {
 		if r.instanceTypes[i].Name == name {
 			return &r.instanceTypes[i]
@@ -77,7 +78,7 @@
 }
 
 // mayHaveCapacity reports whether some zone may have capacity for the type.
-func (r *autoscaler) mayHaveCapacity(f *InstanceType, reclaimable bool, now time.Time) bool {
+func (r *autoscaler) mayHaveCapacity(f *provider.InstanceType, reclaimable bool, now time.Time) bool {
 	for _, z := range f.Zones {
 		if now.After(r.noCapacityUntil[instanceOffer{f.Name, z, false}]) || reclaimable && now.After(r.noCapacityUntil[instanceOffer{f.Name, z, true}]) {
 			return true
@@ -89,7 +90,7 @@
 // refreshCatalog reads the machine types and prices.
 func (c *Core) refreshCatalog() {
 	l := c.leadership
-	c.cloud(CloudCall{Op: CloudCatalog}, func(r CloudReply) {
+	c.cloud(provider.Request{Op: provider.Catalog}, func(r provider.Response) {
 		if c.leadership != l {
 			return
 		}
@@ -108,7 +109,7 @@
 }
 
 // applyCatalog takes the machine types as the catalog has them now: prices move, and types come.
-func (c *Core) applyCatalog(flavors []InstanceType) {
+func (c *Core) applyCatalog(flavors []provider.InstanceType) {
 	l := c.leadership
 	l.autoscaler.instanceTypes, l.autoscaler.catalogRead = flavors, true
 	for _, m := range l.fleet {
@@ -127,10 +128,10 @@
 
 // listInstances reads the cloud's list, to find machines that an earlier leader
 // or a late request rented, and those that have failed.
-func (c *Core) listInstances(after string, got []Instance) {
+func (c *Core) listInstances(after string, got []provider.Instance) {
 	l := c.leadership
 	again := 6 * time.Second
-	c.cloud(CloudCall{Op: CloudList, After: after}, func(r CloudReply) {
+	c.cloud(provider.Request{Op: provider.List, After: after}, func(r provider.Response) {
 		if c.leadership != l {
 			return
 		}
@@ -150,7 +151,7 @@
 	})
 }
 
-func (c *Core) handleListed(h Instance) {
+func (c *Core) handleListed(h provider.Instance) {
 	l := c.leadership
 	if l.released.has(h.Host) {
 		return // the list lags
@@ -189,7 +190,7 @@
 	}
 	rent.releaseInFlight = true
 	hosts := slices.Clone(rent.releases[:min(len(rent.releases), 100)])
-	c.cloud(CloudCall{Op: CloudRelease, Hosts: hosts}, func(r CloudReply) {
+	c.cloud(provider.Request{Op: provider.Release, Hosts: hosts}, func(r provider.Response) {
 		if c.leadership != l {
 			return
 		}
@@ -659,7 +660,7 @@
 	}
 	type choice struct {
 		instanceOffer
-		f    *InstanceType
+		f    *provider.InstanceType
 		cost float64
 	}
 	// Tasks that take no CPU need a machine all the same.
@@ -724,7 +725,7 @@
 func (c *Core) sendRequest(name string) {
 	l := c.leadership
 	w := l.autoscaler.pending[name]
-	c.cloud(CloudCall{Op: CloudScaleOut, RequestName: name, InstanceType: w.instanceType, Zone: w.zone, Spot: w.spot, Count: w.count}, func(r CloudReply) {
+	c.cloud(provider.Request{Op: provider.ScaleOut, RequestName: name, InstanceType: w.instanceType, Zone: w.zone, Spot: w.spot, Count: w.count}, func(r provider.Response) {
 		if c.leadership != l {
 			return
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,6 +13,7 @@
 	"yewpass/internal/kv"
 	"yewpass/internal/lease"
 	"yewpass/internal/policy"
+	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/rpc"
@@ -44,7 +45,7 @@
 	processID             uint64 // of this process: tells it from one of the same name that ended before
 	ref                   uint64
 	stores                map[uint64]func(kv.Response)
-	clouds                map[uint64]func(CloudReply)
+	clouds                map[uint64]func(provider.Response)
 	probes                map[uint64]func(ProbeReply)
 	forwardedRequests     map[uint64]*forwarded // users' requests at the leader's
 	timers                timerHeap[func()]     // alarms: a large fleet has one for nearly every machine
@@ -66,8 +67,8 @@
 	leaderLinkLostAt      time.Time                        // since when we have no link to the leader that we know
 	finals                *lru.Cache[string, record.Final] // how recent jobs ended
 	relay                 relayState
-	handedOverAt          time.Time      // when we last handed over
-	instanceTypes         []InstanceType // as read while not leading
+	handedOverAt          time.Time               // when we last handed over
+	instanceTypes         []provider.InstanceType // as read while not leading
 	leaderlessLimit       *rate.Limiter
 	readLimit             *rate.Limiter
 	storeAvailable        bool
@@ -83,7 +84,7 @@
 	final, _ := lru.New[string, record.Final](maxFinals(cfg)) // errs only for a size below 1
 	c := &Core{
 		cfg: cfg, pol: pol, cal: cal, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		stores: map[uint64]func(kv.Response){}, clouds: map[uint64]func(CloudReply){}, probes: map[uint64]func(ProbeReply){},
+		stores: map[uint64]func(kv.Response){}, clouds: map[uint64]func(provider.Response){}, probes: map[uint64]func(ProbeReply){},
 		replicas: replicas{transfers: map[string]*transfer{}}, forwardedRequests: map[uint64]*forwarded{}, links: map[string]bool{}, finals: final, relay: newRelayState(), storeAvailable: true,
 		readLimit:         newReadLimit(cfg.Settings.State.RPS, 1+len(cfg.Seeds)),
 		heartbeatInterval: cfg.Settings.Workers.Report.Duration(),
@@ -134,7 +135,7 @@
 	case kv.Response:
 		c.noteStoreOutcome(in.Outcome)
 		settle(c.stores, in.Ref, in)
-	case CloudReply:
+	case provider.Response:
 		settle(c.clouds, in.Ref, in)
 	case ProbeReply:
 		settle(c.probes, in.Ref, in)
@@ -220,7 +221,7 @@
 	c.emit(call)
 }
 
-func (c *Core) cloud(call CloudCall, f func(CloudReply)) {
+func (c *Core) cloud(call provider.Request, f func(provider.Response)) {
 	call.Ref = c.nextRef()
 	call.Timeout = 4 * time.Second
 	c.clouds[call.Ref] = f
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -11,6 +11,7 @@
 
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
@@ -173,11 +174,11 @@
 					continue
 				}
 				done(r)
-			case CloudCall:
-				r := CloudReply{Ref: o.Ref}
-				if o.Op == CloudScaleOut {
+			case provider.Request:
+				r := provider.Response{Ref: o.Ref}
+				if o.Op == provider.ScaleOut {
 					r.Outcome = rpc.Refused
-				} else if o.Op == CloudCatalog {
+				} else if o.Op == provider.Catalog {
 					r.InstanceTypes = l.autoscaler.instanceTypes
 				}
 				done(r)
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -8,6 +8,7 @@
 
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
 	"yewpass/internal/rpc"
@@ -107,7 +108,7 @@
 			}
 			for _, o := range slices.Clone(c.Step(c.now, in)) {
 				switch o.(type) {
-				case kv.Request, CloudCall, ProbeCall:
+				case kv.Request, provider.Request, ProbeCall:
 					calls = append(calls, o)
 				}
 			}
@@ -187,11 +188,11 @@
 						r.Entries = []kv.Entry{{Key: key, Value: values[next()%len(values)], Rev: num()}}
 					}
 					step(r)
-				case CloudCall:
-					r := CloudReply{Ref: call.Ref, Outcome: outcome, More: next()%4 == 0}
+				case provider.Request:
+					r := provider.Response{Ref: call.Ref, Outcome: outcome, More: next()%4 == 0}
 					r.Hosts = hosts[:min(call.Count, next()%3)]
-					r.Instances = []Instance{{Host: pick(hosts...), InstanceType: pick("f0", "none"), Zone: "a", Status: pick("running", "failed", "?"), Age: span()}}
-					if call.Op == CloudCatalog {
+					r.Instances = []provider.Instance{{Host: pick(hosts...), InstanceType: pick("f0", "none"), Zone: "a", Status: pick("running", "failed", "?"), Age: span()}}
+					if call.Op == provider.Catalog {
 						r.InstanceTypes = slices.Clone(flavors)
 					}
 					step(r)
--- a/internal/core/leaderless.go
+++ b/internal/core/leaderless.go
@@ -8,6 +8,7 @@
 	"golang.org/x/time/rate"
 
 	"yewpass/internal/kv"
+	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/rpc"
@@ -48,7 +49,7 @@
 		c.schedule(c.jitter(instanceTypesInterval), c.refreshInstanceTypes)
 		return
 	}
-	c.cloud(CloudCall{Op: CloudCatalog}, func(r CloudReply) {
+	c.cloud(provider.Request{Op: provider.Catalog}, func(r provider.Response) {
 		if r.Outcome != rpc.OK || len(r.InstanceTypes) == 0 {
 			c.schedule(c.jitter(4*time.Second), c.refreshInstanceTypes)
 			return
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -9,6 +9,7 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/provider"
 	"yewpass/internal/timeline"
 	"yewpass/internal/topology"
 	"yewpass/internal/zones"
@@ -35,9 +36,9 @@
 type machine struct {
 	host, typeName, zone string
 	address              string
-	place                *topology.Place // where it stands
-	zoneState            *zones.Zone     // and how that zone is
-	instanceType         *InstanceType   // nil while the catalog is unknown
+	place                *topology.Place        // where it stands
+	zoneState            *zones.Zone            // and how that zone is
+	instanceType         *provider.InstanceType // nil while the catalog is unknown
 	spot                 bool
 	record               recordStatus   // a successor must know of it before it may hold tasks
 	recordedIn           *machineRecord // the record that names it
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -8,6 +8,7 @@
 
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
@@ -73,7 +74,7 @@
 	return len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, name)
 }
 
-func hasZone(f *InstanceType, zone string) bool { return slices.Contains(f.Zones, zone) }
+func hasZone(f *provider.InstanceType, zone string) bool { return slices.Contains(f.Zones, zone) }
 
 // eligibleFor reports whether the job's tasks may run on the machine at all.
 func (m *machine) eligibleFor(j *job) bool {
--- a/internal/core/runtime_estimates.go
+++ b/internal/core/runtime_estimates.go
@@ -5,6 +5,7 @@
 
 	lru "github.com/hashicorp/golang-lru/v2"
 
+	"yewpass/internal/provider"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
@@ -76,7 +77,7 @@
 }
 
 // imageFetchTime returns how long the machine needs to fetch the image.
-func imageFetchTime(s *spec.Job, f *InstanceType) time.Duration {
+func imageFetchTime(s *spec.Job, f *provider.InstanceType) time.Duration {
 	if f == nil || f.ImageGBps <= 0 {
 		return 0
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -12,6 +12,7 @@
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/policy"
+	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
@@ -42,7 +43,7 @@
 	l := c.leadership
 	l.loaded, l.margin, l.expiresAt = true, 0.15, t0.Add(1000*time.Hour)
 	for i, cpus := range []float64{4, 8, 32} {
-		l.autoscaler.instanceTypes = append(l.autoscaler.instanceTypes, InstanceType{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, ImageGBps: 0.4, OnDemandRate: cpus, SpotRate: cpus / 3, BootTime: 20 * time.Second, Zones: []string{"a"}})
+		l.autoscaler.instanceTypes = append(l.autoscaler.instanceTypes, provider.InstanceType{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, ImageGBps: 0.4, OnDemandRate: cpus, SpotRate: cpus / 3, BootTime: 20 * time.Second, Zones: []string{"a"}})
 	}
 	l.autoscaler.catalogRead = true
 	for i := range n {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -16,7 +16,6 @@
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
-	"yewpass/internal/timeline"
 )
 
 // A term has so many attempts, and ends while there are some left: more than can go
@@ -41,26 +40,6 @@
 	CauseNoSuch  = "no_such"
 )
 
-// InstanceType is a machine type of the catalog.
-type InstanceType struct {
-	Name         string
-	Capacity     timeline.Resources
-	CPUs         float64
-	LocalGB      float64
-	ImageGBps    float64
-	OnDemandRate float64 // per hour
-	SpotRate     float64 // per hour, reclaimable
-	BootTime     time.Duration
-	Zones        []string
-}
-
-// Instance is a machine in the cloud's list.
-type Instance struct {
-	Host, InstanceType, Zone, Status string
-	Spot                             bool
-	Age                              time.Duration
-}
-
 // ---- inputs
 
 // UserOp is what a user asks for.
@@ -129,16 +108,6 @@
 // ReportGone says that the worker gave up on a report: its reply goes nowhere.
 type ReportGone struct{ Ref uint64 }
 
-// CloudReply answers a CloudCall.
-type CloudReply struct {
-	Ref           uint64
-	Outcome       rpc.Outcome
-	Hosts         []string
-	InstanceTypes []InstanceType
-	Instances     []Instance
-	More          bool
-}
-
 // PeerIn is a message from another controller.
 type PeerIn struct {
 	From string
@@ -287,31 +256,6 @@
 	Upstream     string
 }
 
-// CloudOp is a kind of call to the cloud.
-type CloudOp int
-
-// The calls to the cloud.
-const (
-	CloudCatalog CloudOp = iota
-	CloudScaleOut
-	CloudRelease
-	CloudList
-)
-
-// CloudCall asks the cloud for something.
-type CloudCall struct {
-	Ref          uint64
-	Op           CloudOp
-	RequestName  string
-	InstanceType string
-	Zone         string
-	Spot         bool
-	Count        int
-	Hosts        []string
-	After        string
-	Timeout      time.Duration
-}
-
 // ProbeCall shows a worker our epoch, with no orders, and asks for its report.
 type ProbeCall struct {
 	Ref                       uint64
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"yewpass/internal/provider"
 	"yewpass/internal/zones"
 )
 
@@ -36,7 +37,7 @@
 
 func rentals(c *Core) (zs []string) {
 	for _, o := range c.out {
-		if x, ok := o.(CloudCall); ok && x.Op == CloudScaleOut {
+		if x, ok := o.(provider.Request); ok && x.Op == provider.ScaleOut {
 			zs = append(zs, x.Zone)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,6 +24,7 @@
 	"yewpass/internal/kvclient"
 	"yewpass/internal/operators"
 	"yewpass/internal/peer"
+	"yewpass/internal/provider"
 	"yewpass/internal/relay"
 )
 
@@ -228,7 +229,7 @@
 		n.answer(o.Ref, o)
 	case kv.Request:
 		n.state.Do(o)
-	case core.CloudCall:
+	case provider.Request:
 		n.cloud.Do(o)
 	case core.ProbeCall:
 		n.prober.Do(o)
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -10,6 +10,7 @@
 	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/provider"
 	"yewpass/internal/relay"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
@@ -164,13 +165,13 @@
 run 250s`, "ran_twice", func(s *script) {
 			releases := map[uint64]bool{}
 			s.lie = func(n *node, out any) any {
-				if call, ok := out.(core.CloudCall); ok && call.Op == core.CloudRelease {
+				if call, ok := out.(provider.Request); ok && call.Op == provider.Release {
 					releases[call.Ref] = true
 				}
 				return out
 			}
 			s.hears = func(n *node, in any) any { // a release that was refused counts
-				if r, ok := in.(core.CloudReply); ok && releases[r.Ref] {
+				if r, ok := in.(provider.Response); ok && releases[r.Ref] {
 					r.Outcome = rpc.OK
 					return r
 				}
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -14,6 +14,7 @@
 	"yewpass/internal/kv"
 	"yewpass/internal/kvclient"
 	"yewpass/internal/policy"
+	"yewpass/internal/provider"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 )
@@ -437,16 +438,16 @@
 			r.Ref = o.Ref
 			return r
 		})
-	case core.CloudCall:
+	case provider.Request:
 		method, path, body := cloud.Request(o)
 		kind := "cloud"
-		if o.Op == core.CloudRelease {
+		if o.Op == provider.Release {
 			kind = "release"
 		}
 		n.exchange(kind, "cloud", o.Timeout, func(answer func(int, []byte)) {
 			n.cloud.serve(method, path, body, answer)
 		}, func(status int, data []byte) any {
-			r := core.CloudReply{Outcome: rpc.Unknown}
+			r := provider.Response{Outcome: rpc.Unknown}
 			if status != 0 {
 				r = cloud.Decode(o, status, data)
 			}
