--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -144,11 +144,11 @@
 func TestReport(t *testing.T) {
 	var got heartbeat.Report
 	url := serve(t, func(in any) any {
-		got = in.(core.ReportIn).Report
+		got = in.(heartbeat.Received).Report
 		if got.Host == "elsewhere" {
-			return core.AnswerReport{Status: 421, Upstream: "n2"}
+			return heartbeat.Reply{Status: 421, Upstream: "n2"}
 		}
-		return core.AnswerReport{Status: 200, FencingToken: 41, Orders: []heartbeat.Order{
+		return heartbeat.Reply{Status: 200, FencingToken: 41, Orders: []heartbeat.Order{
 			{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-1", Index: 4}, Try: 2},
 			{Verb: heartbeat.Stop, Task: heartbeat.TaskID{Job: "wk-2", Index: 1}, Try: 1, Drain: 10 * time.Second}}}
 	})
--- a/internal/api/probe.go
+++ b/internal/api/probe.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/rpc"
 	"yewpass/internal/wire"
 )
@@ -30,9 +30,9 @@
 }
 
 // Do makes the call and delivers its reply.
-func (p *Prober) Do(call core.ProbeCall) {
+func (p *Prober) Do(call heartbeat.Probe) {
 	go func() {
-		r := core.ProbeReply{Outcome: rpc.Unknown}
+		r := heartbeat.ProbeReply{Outcome: rpc.Unknown}
 		body, _ := json.Marshal(commandJSON{call.FencingToken, call.Incarnation, []orderJSON{}}) // plain struct: cannot fail
 		status, data, ok := p.caller.Call(http.MethodPost, call.Address+"/do", body, call.Timeout)
 		var j reportJSON
--- a/internal/api/probe_test.go
+++ b/internal/api/probe_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/rpc"
 )
 
@@ -35,8 +35,8 @@
 			io.WriteString(w, c.body)
 		}))
 		inbox := make(chan any, 1)
-		NewProber(inbox).Do(core.ProbeCall{Ref: 5, Address: srv.Listener.Addr().String(), FencingToken: 7, Incarnation: 2, Timeout: time.Second})
-		got := (<-inbox).(core.ProbeReply)
+		NewProber(inbox).Do(heartbeat.Probe{Ref: 5, Address: srv.Listener.Addr().String(), FencingToken: 7, Incarnation: 2, Timeout: time.Second})
+		got := (<-inbox).(heartbeat.ProbeReply)
 		srv.Close()
 		if got.Ref != 5 || got.Outcome != c.outcome || got.Outcome != rpc.Unknown && (got.Report.Host != "host-1" || len(got.Report.Tasks) != 1) {
 			t.Errorf("%s: %+v", c.name, got)
--- a/internal/api/workers.go
+++ b/internal/api/workers.go
@@ -6,7 +6,6 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/spec"
 )
@@ -108,12 +107,12 @@
 	reports.Inc()
 	s.conns.hasRequest(r, true)
 	reply := make(chan any, 1)
-	s.inbox <- Call{core.ReportIn{Report: rep}, reply}
+	s.inbox <- Call{heartbeat.Received{Report: rep}, reply}
 	t := time.NewTimer(reportWait)
 	defer t.Stop()
 	select {
 	case v := <-reply:
-		a := v.(core.AnswerReport)
+		a := v.(heartbeat.Reply)
 		switch a.Status {
 		case http.StatusOK:
 			out := replyJSON{a.FencingToken, make([]orderJSON, 0, len(a.Orders))}
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -36,7 +36,7 @@
 		switch o := o.(type) {
 		case kv.Request, provider.Request:
 			d.calls = append(d.calls, o)
-		case AnswerReport:
+		case heartbeat.Reply:
 			o.Orders = slices.Clone(o.Orders)
 			d.said = append(d.said, o)
 		default:
@@ -110,10 +110,10 @@
 func (d *desk) report(host string, counter uint64, tasks ...heartbeat.Task) []heartbeat.Order {
 	d.ref++
 	ref := d.ref
-	d.in(ReportIn{Ref: ref, Report: heartbeat.Report{Host: host, Address: host, InstanceType: "f2", Zone: "a", Spot: true, Incarnation: 1, Counter: counter, FencingToken: 1, Tasks: tasks}})
+	d.in(heartbeat.Received{Ref: ref, Report: heartbeat.Report{Host: host, Address: host, InstanceType: "f2", Zone: "a", Spot: true, Incarnation: 1, Counter: counter, FencingToken: 1, Tasks: tasks}})
 	d.pass(5 * time.Second)
 	for _, o := range d.said {
-		if a, ok := o.(AnswerReport); ok && a.Ref == ref {
+		if a, ok := o.(heartbeat.Reply); ok && a.Ref == ref {
 			return a.Orders
 		}
 	}
@@ -195,29 +195,29 @@
 		},
 		"done": func(d *desk) func() bool {
 			ts := d.running("wk-1", 1)
-			ts[0].Phase, ts[0].Cause = heartbeat.Exited, CauseDone
+			ts[0].Phase, ts[0].Cause = heartbeat.Exited, heartbeat.CauseDone
 			d.report("host-000000", 12, ts...)
 			return func() bool { return d.answer(d.user(OpGet, "wk-1", nil, nil)).View.State == spec.Done }
 		},
 		"a reap at the end of a job": func(d *desk) func() bool {
 			ts := d.running("wk-1", 1)
-			ts[0].Phase, ts[0].Cause = heartbeat.Exited, CauseDone
+			ts[0].Phase, ts[0].Cause = heartbeat.Exited, heartbeat.CauseDone
 			n := uint64(12)
 			return func() bool { n++; return len(verbs(d.report("host-000000", n, ts...), heartbeat.Reap)) > 0 }
 		},
 		"a reap of what was done twice": func(d *desk) func() bool {
 			ts := d.running("wk-1", 1)
-			ts[0].Phase, ts[0].Cause = heartbeat.Exited, CauseDone
+			ts[0].Phase, ts[0].Cause = heartbeat.Exited, heartbeat.CauseDone
 			d.report("host-000000", 12, ts...) // the final record goes on its way
 			n := uint64(1)
 			return func() bool { // another attempt of an earlier term ends as well
 				n++
-				return len(verbs(d.report("host-2", n, heartbeat.Task{Task: ts[0].Task, Try: 3, Phase: heartbeat.Exited, Cause: CauseDone}), heartbeat.Reap)) > 0
+				return len(verbs(d.report("host-2", n, heartbeat.Task{Task: ts[0].Task, Try: 3, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}), heartbeat.Reap)) > 0
 			}
 		},
 		"a reap in the middle of a job": func(d *desk) func() bool {
 			ts := d.running("wk-1", 2)
-			ts[0].Phase, ts[0].Cause = heartbeat.Exited, CauseDone
+			ts[0].Phase, ts[0].Cause = heartbeat.Exited, heartbeat.CauseDone
 			n := uint64(12)
 			return func() bool { n++; return len(verbs(d.report("host-000000", n, ts...), heartbeat.Reap)) > 0 }
 		},
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -197,7 +197,7 @@
 	held := r.occupies
 	c.vacate(r)
 	i := r.id.Index
-	if t.Cause == CauseDone {
+	if t.Cause == heartbeat.CauseDone {
 		m.failureScore, m.onProbation = 0, false
 		r.forgettable = j == nil && !c.leadership.unreadableJobs[r.id.Job] || j != nil && c.leadership.jobs[r.id.Job] != j
 		if j != nil && !r.forgettable && j.finishing && !j.cancelled {
@@ -225,12 +225,12 @@
 		return
 	}
 	switch t.Cause {
-	case CauseError:
+	case heartbeat.CauseError:
 		c.recordFailure(j, m)
-	case CauseNoRoom:
+	case heartbeat.CauseNoRoom:
 		// The worker sees less room than we do; ask again a little later.
 		m.retryAt = c.now.Add(time.Second)
-	case CauseNoSuch:
+	case heartbeat.CauseNoSuch:
 		j.retryAt = c.now.Add(2 * time.Second)
 	}
 	if j.cancelled {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,6 +10,7 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/lease"
 	"yewpass/internal/policy"
@@ -46,7 +47,7 @@
 	ref                   uint64
 	stores                map[uint64]func(kv.Response)
 	clouds                map[uint64]func(provider.Response)
-	probes                map[uint64]func(ProbeReply)
+	probes                map[uint64]func(heartbeat.ProbeReply)
 	forwardedRequests     map[uint64]*forwarded // users' requests at the leader's
 	timers                timerHeap[func()]     // alarms: a large fleet has one for nearly every machine
 	leadership            *leadership
@@ -84,7 +85,7 @@
 	final, _ := lru.New[string, record.Final](maxFinals(cfg)) // errs only for a size below 1
 	c := &Core{
 		cfg: cfg, pol: pol, cal: cal, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		stores: map[uint64]func(kv.Response){}, clouds: map[uint64]func(provider.Response){}, probes: map[uint64]func(ProbeReply){},
+		stores: map[uint64]func(kv.Response){}, clouds: map[uint64]func(provider.Response){}, probes: map[uint64]func(heartbeat.ProbeReply){},
 		replicas: replicas{transfers: map[string]*transfer{}}, forwardedRequests: map[uint64]*forwarded{}, links: map[string]bool{}, finals: final, relay: newRelayState(), storeAvailable: true,
 		readLimit:         newReadLimit(cfg.Settings.State.RPS, 1+len(cfg.Seeds)),
 		heartbeatInterval: cfg.Settings.Workers.Report.Duration(),
@@ -128,16 +129,16 @@
 	case Tick:
 	case UserCall:
 		c.userCall(in)
-	case ReportIn:
+	case heartbeat.Received:
 		c.handleHeartbeat(in)
-	case ReportGone:
+	case heartbeat.Abandoned:
 		c.dropHeartbeat(in.Ref)
 	case kv.Response:
 		c.noteStoreOutcome(in.Outcome)
 		settle(c.stores, in.Ref, in)
 	case provider.Response:
 		settle(c.clouds, in.Ref, in)
-	case ProbeReply:
+	case heartbeat.ProbeReply:
 		settle(c.probes, in.Ref, in)
 	case PeerIn:
 		c.peerIn(in)
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -182,7 +182,7 @@
 					r.InstanceTypes = l.autoscaler.instanceTypes
 				}
 				done(r)
-			case AnswerReport:
+			case heartbeat.Reply:
 				orders[o.Ref], statuses[o.Ref] = o.Orders, o.Status
 			}
 		}
@@ -191,7 +191,7 @@
 	say := func(r heartbeat.Report) int {
 		ref++
 		delete(orders, ref)
-		done(ReportIn{Ref: ref, Report: r})
+		done(heartbeat.Received{Ref: ref, Report: r})
 		for range 8 { // held, at the most so long
 			if _, ok := orders[ref]; ok {
 				break
@@ -217,7 +217,7 @@
 			r.Counter++
 			say(r)
 			for k := range r.Tasks { // what was told to run runs, and is done
-				r.Tasks[k].Phase, r.Tasks[k].Cause = heartbeat.Exited, CauseDone
+				r.Tasks[k].Phase, r.Tasks[k].Cause = heartbeat.Exited, heartbeat.CauseDone
 				if round == 1 {
 					r.Tasks[k].Phase = heartbeat.TaskRuns
 				}
@@ -281,8 +281,8 @@
 		t.Fatal("does not lead")
 	}
 	c.SetClockOffset(time.Hour)
-	for _, o := range c.Step(t0.Add(time.Millisecond), ReportIn{Ref: 5, Report: heartbeat.Report{Host: l.fleet[0].host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: 2, FencingToken: 1}}) {
-		if a, ok := o.(AnswerReport); ok && len(a.Orders) > 0 {
+	for _, o := range c.Step(t0.Add(time.Millisecond), heartbeat.Received{Ref: 5, Report: heartbeat.Report{Host: l.fleet[0].host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: 2, FencingToken: 1}}) {
+		if a, ok := o.(heartbeat.Reply); ok && len(a.Orders) > 0 {
 			t.Errorf("starts after an hour's sleep: %+v", a)
 		}
 	}
@@ -354,8 +354,8 @@
 	c := leaderOf(t, 1)
 	m := c.leadership.fleet[0]
 	status := func(counter uint64) int {
-		for _, o := range c.Step(c.now.Add(time.Second), ReportIn{Ref: counter, Report: heartbeat.Report{Host: m.host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 1}}) {
-			if a, ok := o.(AnswerReport); ok && a.Ref == counter {
+		for _, o := range c.Step(c.now.Add(time.Second), heartbeat.Received{Ref: counter, Report: heartbeat.Report{Host: m.host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 1}}) {
+			if a, ok := o.(heartbeat.Reply); ok && a.Ref == counter {
 				return a.Status
 			}
 		}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -81,12 +81,12 @@
 				r.FencingToken = num()
 			}
 			for range next() % 4 {
-				r.Tasks = append(r.Tasks, heartbeat.Task{Task: task(), Try: num(), Phase: []heartbeat.Phase{heartbeat.Pulling, heartbeat.TaskRuns, heartbeat.Checkpointing, heartbeat.Exited}[next()%4], Cause: pick(CauseDone, CauseError, CauseNoRoom, CauseStopped, "?", "")})
+				r.Tasks = append(r.Tasks, heartbeat.Task{Task: task(), Try: num(), Phase: []heartbeat.Phase{heartbeat.Pulling, heartbeat.TaskRuns, heartbeat.Checkpointing, heartbeat.Exited}[next()%4], Cause: pick(heartbeat.CauseDone, heartbeat.CauseError, heartbeat.CauseNoRoom, heartbeat.CauseStopped, "?", "")})
 			}
 			for range next() % 3 { // what it was told to start
 				if m := c.leadership; m != nil && len(m.fleet) > 0 {
 					for _, x := range m.fleet[next()%len(m.fleet)].attempts {
-						r.Tasks = append(r.Tasks, heartbeat.Task{Task: x.id, Try: x.number, Phase: []heartbeat.Phase{heartbeat.TaskRuns, heartbeat.Exited}[next()%2], Cause: CauseDone})
+						r.Tasks = append(r.Tasks, heartbeat.Task{Task: x.id, Try: x.number, Phase: []heartbeat.Phase{heartbeat.TaskRuns, heartbeat.Exited}[next()%2], Cause: heartbeat.CauseDone})
 					}
 				}
 			}
@@ -108,7 +108,7 @@
 			}
 			for _, o := range slices.Clone(c.Step(c.now, in)) {
 				switch o.(type) {
-				case kv.Request, provider.Request, ProbeCall:
+				case kv.Request, provider.Request, heartbeat.Probe:
 					calls = append(calls, o)
 				}
 			}
@@ -121,7 +121,7 @@
 			case 0:
 				step(Tick{})
 			case 1, 2:
-				step(ReportIn{Ref: ref, Report: report()})
+				step(heartbeat.Received{Ref: ref, Report: report()})
 			case 3:
 				s := &spec.Job{ID: pick(jobs...), Class: "c", Owner: pick("t", "nobody"), Service: next()%4 == 0, Urgency: spec.Urgency(next() % 4), Tasks: []int{1, 2, 300, spec.MaxTasks}[next()%4],
 					CPUs: amount(1e6), GPUs: amount(1e6), MemGB: amount(1e7), Image: "i", ImageGB: amount(1e6), AllowSpot: next()%2 == 0, SamePlace: next()%4 == 0, Apart: next()%4 == 0,
@@ -142,7 +142,7 @@
 					continue
 				}
 				step(PeerLink{Name: "n1", Up: next()%2 == 0})
-				step(ReportGone{Ref: ref - uint64(next())})
+				step(heartbeat.Abandoned{Ref: ref - uint64(next())})
 				switch rep := report(); next() % 4 {
 				case 0: // a relay that is in order
 					fold := relay.NewFold(uint64(next()) + 1)
@@ -196,8 +196,8 @@
 						r.InstanceTypes = slices.Clone(flavors)
 					}
 					step(r)
-				case ProbeCall:
-					step(ProbeReply{Ref: call.Ref, Outcome: outcome, Report: report()})
+				case heartbeat.Probe:
+					step(heartbeat.ProbeReply{Ref: call.Ref, Outcome: outcome, Report: report()})
 				}
 			}
 		}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -10,10 +10,10 @@
 
 // Reports of workers: which are believed, and what is learned from them.
 
-func (c *Core) handleHeartbeat(in ReportIn) {
+func (c *Core) handleHeartbeat(in heartbeat.Received) {
 	l := c.leadership
 	rep := &in.Report
-	refuse := func() { c.replyHeartbeat(in.Relay, AnswerReport{Ref: in.Ref, Status: 503}) }
+	refuse := func() { c.replyHeartbeat(in.Relay, heartbeat.Reply{Ref: in.Ref, Status: 503}) }
 	if l != nil && rep.FencingToken > l.term && !c.hasAuthority() {
 		c.stepDown("a worker has seen a newer epoch")
 		l = nil
@@ -49,7 +49,7 @@
 	if m.probed && rep.Incarnation == m.incarnation && rep.Counter <= m.counter && c.hasAuthority() {
 		// Overtaken by its own answer to our probe: nothing new, but a worker
 		// that waits for its reply.
-		c.replyHeartbeat(in.Relay, AnswerReport{Ref: in.Ref, Status: 200, FencingToken: l.term})
+		c.replyHeartbeat(in.Relay, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
 		m.lastReply = c.now
 		return
 	}
@@ -81,7 +81,7 @@
 		c.recordNewMachine(m)
 	}
 	if to := c.redirectTarget(m, in.Relay.From, first); to != "" {
-		c.replyHeartbeat(in.Relay, AnswerReport{Ref: in.Ref, Status: 421, Upstream: to})
+		c.replyHeartbeat(in.Relay, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
 		return
 	}
 	m.heldReply = &heldReply{heartbeatKey: heartbeatKey{in.Relay, in.Ref}, since: c.now}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
@@ -44,7 +45,7 @@
 	}
 	// What waited here for a leader waits for us now.
 	for _, ref := range c.relay.refs() {
-		c.leadership.pendingHeartbeats = append(c.leadership.pendingHeartbeats, ReportIn{Ref: ref, Report: c.relay.waiting[ref].report})
+		c.leadership.pendingHeartbeats = append(c.leadership.pendingHeartbeats, heartbeat.Received{Ref: ref, Report: c.relay.waiting[ref].report})
 	}
 	c.leadership.knownReporters = c.relay.reporters
 	c.relay = newRelayState()
@@ -148,7 +149,7 @@
 	// have said. Other relays do the same with theirs.
 	for _, m := range l.fleet {
 		if m.heldReply != nil && m.heldReply.link.From == "" {
-			c.relayHeartbeat(ReportIn{Ref: m.heldReply.ref, Report: m.heldReply.report})
+			c.relayHeartbeat(heartbeat.Received{Ref: m.heldReply.ref, Report: m.heldReply.report})
 		}
 	}
 	for _, r := range l.pendingHeartbeats {
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -6,6 +6,7 @@
 	"golang.org/x/time/rate"
 
 	"yewpass/internal/config"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/relay"
 	"yewpass/internal/replica"
 	"yewpass/internal/topology"
@@ -59,22 +60,22 @@
 // failover is what is left of earlier terms: records to be read, written back or missing, and
 // machines that are not accounted for.
 type failover struct {
-	loaded                   bool              // the records have been read
-	recovery                 *recoveryState    // while the records are looked for
-	loss                     *dataLoss         // after a loss
-	restoring                []replica.Record  // still to be written back
-	schedulesRestoring       int               // of them, those that schedules are read from
-	pendingHeartbeats        []ReportIn        // reports that came while loading
-	takingPending            bool              // there are more of them than go in one step
-	unaccounted              map[string]bool   // recorded machines that may hold an earlier term's tasks
-	unreadableJobs           map[string]bool   // jobs whose records cannot be read
-	orphanedTasks            int               // tasks of theirs on machines, which may count for any team
-	unreadableMachineRecords map[string]uint64 // records of machines that cannot be read, by key; owed as well
-	noEarlierTerm            bool              // no term was on record before ours
-	newerTokens              map[string]uint64 // epochs above our term that workers have seen, by machine
-	earlierLeaderLag         time.Duration     // for so long into our term an earlier leader may have led
-	probeQueue               []*machine        // see probeUnaccounted
-	probesInFlight           int               // probes on their way
+	loaded                   bool                 // the records have been read
+	recovery                 *recoveryState       // while the records are looked for
+	loss                     *dataLoss            // after a loss
+	restoring                []replica.Record     // still to be written back
+	schedulesRestoring       int                  // of them, those that schedules are read from
+	pendingHeartbeats        []heartbeat.Received // reports that came while loading
+	takingPending            bool                 // there are more of them than go in one step
+	unaccounted              map[string]bool      // recorded machines that may hold an earlier term's tasks
+	unreadableJobs           map[string]bool      // jobs whose records cannot be read
+	orphanedTasks            int                  // tasks of theirs on machines, which may count for any team
+	unreadableMachineRecords map[string]uint64    // records of machines that cannot be read, by key; owed as well
+	noEarlierTerm            bool                 // no term was on record before ours
+	newerTokens              map[string]uint64    // epochs above our term that workers have seen, by machine
+	earlierLeaderLag         time.Duration        // for so long into our term an earlier leader may have led
+	probeQueue               []*machine           // see probeUnaccounted
+	probesInFlight           int                  // probes on their way
 }
 
 // workload is the jobs, their teams and their places in the queue.
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -16,9 +16,9 @@
 // Two troubles that meet, where one core alone shows what it must do.
 
 // statuses returns how a report was answered, and with which orders.
-func (d *desk) replied(ref uint64) (a AnswerReport) {
+func (d *desk) replied(ref uint64) (a heartbeat.Reply) {
 	for _, o := range d.said {
-		if x, ok := o.(AnswerReport); ok && x.Ref == ref {
+		if x, ok := o.(heartbeat.Reply); ok && x.Ref == ref {
 			a = x
 		}
 	}
@@ -37,7 +37,7 @@
 		l.clockSkew = d.c.clockSkew(d.c.now)
 		d.c.SetClockOffset(ahead)
 		d.ref++
-		d.in(ReportIn{Ref: d.ref, Report: heartbeat.Report{Host: "host-000000", InstanceType: "f2", Zone: "a", Incarnation: 1, Counter: 20, FencingToken: 1, Tasks: ts}})
+		d.in(heartbeat.Received{Ref: d.ref, Report: heartbeat.Report{Host: "host-000000", InstanceType: "f2", Zone: "a", Incarnation: 1, Counter: 20, FencingToken: 1, Tasks: ts}})
 		if a := d.replied(d.ref); (a.Status == 200) != (ahead == 0) {
 			t.Errorf("with the time of day %v ahead the answer is %d", ahead, a.Status)
 		}
@@ -105,7 +105,7 @@
 	if n := d.settle(rpc.OK); n != 0 {
 		t.Error("on record while a lease may outlast it")
 	}
-	ts[0].Phase, ts[0].Cause = heartbeat.Exited, CauseStopped
+	ts[0].Phase, ts[0].Cause = heartbeat.Exited, heartbeat.CauseStopped
 	d.report("host-000000", 20, ts...)
 	again := d.user(OpCancel, "wk-1", nil, nil)
 	d.finish()
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -146,7 +146,7 @@
 		}
 		c.now = c.now.Add(3 * time.Second)
 		rep.Counter++
-		rep.Tasks[0] = heartbeat.Task{Task: heartbeat.TaskID{Job: long.spec.ID}, Try: 1, Phase: heartbeat.Exited, Cause: CauseDone}
+		rep.Tasks[0] = heartbeat.Task{Task: heartbeat.TaskID{Job: long.spec.ID}, Try: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}
 		c.reconcile(m, &rep)
 		if seen := c.leadership.runtimes.of(&long.spec) != nil; seen != (phase == heartbeat.Pulling) {
 			t.Errorf("found %s: counts for estimates %v", phase, seen)
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -74,7 +74,7 @@
 		return
 	}
 	l.probesInFlight++
-	c.probeCall(m.address, l.term, tenure, func(r ProbeReply) {
+	c.probeCall(m.address, l.term, tenure, func(r heartbeat.ProbeReply) {
 		if c.leadership != l {
 			return
 		}
@@ -100,8 +100,8 @@
 }
 
 // probeCall sends a probe and has f called with its answer.
-func (c *Core) probeCall(address string, epoch, tenure uint64, f func(ProbeReply)) {
+func (c *Core) probeCall(address string, epoch, tenure uint64, f func(heartbeat.ProbeReply)) {
 	ref := c.nextRef()
 	c.probes[ref] = f
-	c.emit(ProbeCall{Ref: ref, Address: address, FencingToken: epoch, Incarnation: tenure, Timeout: probeTimeout})
+	c.emit(heartbeat.Probe{Ref: ref, Address: address, FencingToken: epoch, Incarnation: tenure, Timeout: probeTimeout})
 }
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -77,7 +77,7 @@
 }
 
 // relayHeartbeat takes a worker's report for the leader, whoever that is or will be.
-func (c *Core) relayHeartbeat(in ReportIn) {
+func (c *Core) relayHeartbeat(in heartbeat.Received) {
 	r, rep := &c.relay, &in.Report
 	if in.Relay.From != "" {
 		return // meant for a leader: its relay will hear who that is
@@ -85,14 +85,14 @@
 	if p := r.byHost[rep.Host]; p != nil {
 		if !rep.Newer(p.report.Incarnation, p.report.Counter) {
 			c.staleHeartbeats++
-			c.emit(AnswerReport{Ref: in.Ref, Status: 503}) // delayed on the way
+			c.emit(heartbeat.Reply{Ref: in.Ref, Status: 503}) // delayed on the way
 			return
 		}
 		c.dropRelayed(p) // the worker has given up on it
-		c.emit(AnswerReport{Ref: p.ref, Status: 503})
+		c.emit(heartbeat.Reply{Ref: p.ref, Status: 503})
 	}
 	if len(c.cfg.Seeds) == 0 || c.leaderOutOfReach() {
-		c.emit(AnswerReport{Ref: in.Ref, Status: 421, Upstream: c.knownLeader})
+		c.emit(heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: c.knownLeader})
 		return
 	}
 	k := r.reporters[rep.Host]
@@ -162,7 +162,7 @@
 		if !away && c.now.Sub(p.receivedAt) < relayReplyTimeout {
 			continue
 		}
-		a := AnswerReport{Ref: ref, Status: 421}
+		a := heartbeat.Reply{Ref: ref, Status: 421}
 		if c.knownLeader != "" && !c.canRelay() {
 			a.Upstream = c.knownLeader
 		}
@@ -263,7 +263,7 @@
 			continue
 		}
 		r.remove(p)
-		a := AnswerReport{Ref: x.Ref, Status: 200, FencingToken: m.Term, Orders: x.Orders, Upstream: x.Upstream}
+		a := heartbeat.Reply{Ref: x.Ref, Status: 200, FencingToken: m.Term, Orders: x.Orders, Upstream: x.Upstream}
 		if x.Status != 0 {
 			a.Status = x.Status
 		}
@@ -307,7 +307,7 @@
 	r := &c.relay
 	term := r.probedTerm
 	r.probesInFlight++
-	c.probeCall(k.address, term, tenure, func(p ProbeReply) {
+	c.probeCall(k.address, term, tenure, func(p heartbeat.ProbeReply) {
 		if r.probedTerm != term {
 			return
 		}
@@ -340,7 +340,7 @@
 
 // heartbeatKey names a report whose reply is held: numbers are the relay's own.
 type heartbeatKey struct {
-	link relay.Link
+	link heartbeat.Link
 	ref  uint64
 }
 
@@ -366,7 +366,7 @@
 				c.takeHeldReply(x)
 			}
 		}
-		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r ReportIn) bool { return r.Relay.From == from })
+		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Relay.From == from })
 		p.replies, p.weight = nil, 0
 	}
 	if err == relay.ErrOver {
@@ -380,10 +380,10 @@
 		return
 	}
 	p.lastBatch = c.now
-	by := relay.Link{From: from, Session: m.Reports.Session}
+	by := heartbeat.Link{From: from, Session: m.Reports.Session}
 	for i := range reps {
 		if ref := m.Reports.Reports[i].Ref; ref != 0 {
-			c.handleHeartbeat(ReportIn{Ref: ref, Relay: by, Report: reps[i]})
+			c.handleHeartbeat(heartbeat.Received{Ref: ref, Relay: by, Report: reps[i]})
 		} else if x := l.machines[reps[i].Host]; x != nil && l.loaded && l.probeCounts(x) && reps[i].FencingToken == l.term {
 			c.reconcileProbe(x, &reps[i])
 		}
@@ -406,7 +406,7 @@
 }
 
 // replyHeartbeat answers a report the way it came.
-func (c *Core) replyHeartbeat(by relay.Link, a AnswerReport) {
+func (c *Core) replyHeartbeat(by heartbeat.Link, a heartbeat.Reply) {
 	if by.From == "" {
 		c.emit(a)
 		return
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -72,7 +72,7 @@
 }
 
 func (n *relayNode) worker(ref, counter uint64) {
-	n.in(ReportIn{Ref: ref, Report: heartbeat.Report{Host: "host-1", Address: "a:1", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 5}})
+	n.in(heartbeat.Received{Ref: ref, Report: heartbeat.Report{Host: "host-1", Address: "a:1", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 5}})
 	n.pass(50 * time.Millisecond)
 }
 
@@ -90,7 +90,7 @@
 // told returns the statuses that a report's worker was told.
 func (n *relayNode) told(ref uint64) (ss []int) {
 	for _, o := range n.outs {
-		if a, ok := o.(AnswerReport); ok && a.Ref == ref {
+		if a, ok := o.(heartbeat.Reply); ok && a.Ref == ref {
 			ss = append(ss, a.Status)
 		}
 	}
@@ -161,7 +161,7 @@
 	n.expect("delayed on the way", 4, 503)
 	n.worker(5, 5)
 	n.expect("given up", 3, 503)
-	n.in(ReportGone{Ref: 5})
+	n.in(heartbeat.Abandoned{Ref: 5})
 	n.pass(50 * time.Millisecond)
 	var gone []uint64
 	for _, b := range n.sent("n2") {
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -27,7 +27,7 @@
 // refuseHeldReply answers the report that a machine waits on with a no.
 func (c *Core) refuseHeldReply(m *machine) {
 	key := c.takeHeldReply(m)
-	c.replyHeartbeat(key.link, AnswerReport{Ref: key.ref, Status: 503})
+	c.replyHeartbeat(key.link, heartbeat.Reply{Ref: key.ref, Status: 503})
 }
 
 // requestDispatch has a held reply to the machine go out soon if there are orders for it.
@@ -118,7 +118,7 @@
 	if m.fencingToken != c.leadership.term && m.unacknowledgedSince.IsZero() {
 		m.unacknowledgedSince = c.now
 	}
-	c.replyHeartbeat(key.link, AnswerReport{Ref: key.ref, Status: 200, FencingToken: c.leadership.term, Orders: os})
+	c.replyHeartbeat(key.link, heartbeat.Reply{Ref: key.ref, Status: 200, FencingToken: c.leadership.term, Orders: os})
 	m.lastReply = c.now
 }
 
@@ -208,7 +208,7 @@
 	}
 	// Reports that wait for the records to be read would pile up while that fails.
 	if len(l.pendingHeartbeats) > 0 {
-		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r ReportIn) bool { return r.Ref == key.ref && r.Relay == key.link })
+		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Ref == key.ref && r.Relay == key.link })
 	}
 }
 
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -36,10 +36,10 @@
 			answeredAfter := func(rep heartbeat.Report) time.Duration {
 				rep.Counter = m.counter + 1
 				at := c.now
-				outs := c.Step(at, ReportIn{Ref: uint64(rep.Counter), Report: rep})
+				outs := c.Step(at, heartbeat.Received{Ref: uint64(rep.Counter), Report: rep})
 				for d := time.Duration(0); d < 4*time.Second; d += 10 * time.Millisecond {
 					for _, o := range outs {
-						if a, ok := o.(AnswerReport); ok && a.Status == 200 {
+						if a, ok := o.(heartbeat.Reply); ok && a.Status == 200 {
 							return d
 						}
 					}
@@ -52,7 +52,7 @@
 			if x.stop {
 				m.attempts[0].stopRequested = true
 			}
-			rep.Tasks[1].Phase, rep.Tasks[1].Cause = heartbeat.Exited, CauseError // news that asks for orders
+			rep.Tasks[1].Phase, rep.Tasks[1].Cause = heartbeat.Exited, heartbeat.CauseError // news that asks for orders
 			if got := answeredAfter(rep); got < x.not || got > x.within {
 				t.Errorf("answered after %s, not from %s to %s", got, x.not, x.within)
 			}
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -111,7 +111,7 @@
 			n.reply("n1", 5, b.Session, 1)
 		}
 		n.expect(when, 1)
-		n.in(ReportGone{Ref: 1})
+		n.in(heartbeat.Abandoned{Ref: 1})
 	}
 	stillSix("after an answer that was long on its way")
 	// The new leader has ended already, with its grant.
@@ -189,13 +189,13 @@
 	c.reserve(j)
 	now := reportOf(m)
 	now.FencingToken = 6
-	c.Step(c.now, ReportIn{Ref: 1, Report: now})
+	c.Step(c.now, heartbeat.Received{Ref: 1, Report: now})
 	if len(m.attempts) != 1 {
 		t.Fatalf("%d runs", len(m.attempts))
 	}
 	for _, late := range []heartbeat.Report{{Incarnation: 1, Counter: 88}, {Incarnation: 3, Counter: 1}} {
 		late.Host, late.InstanceType, late.Zone, late.FencingToken = m.host, m.typeName, m.zone, 5
-		c.Step(c.now.Add(time.Second), ReportIn{Ref: 2, Report: late})
+		c.Step(c.now.Add(time.Second), heartbeat.Received{Ref: 2, Report: late})
 		if len(m.attempts) != 1 || j.waiting != 0 {
 			t.Fatalf("tenure %d, counter %d, epoch 5: %d runs, %d wait", late.Incarnation, late.Counter, len(m.attempts), j.waiting)
 		}
@@ -204,7 +204,7 @@
 	c.now = c.now.Add(withDrift(c.workerLease) + 2*time.Second)
 	l.expiresAt = c.now.Add(time.Hour)
 	c.reviewMachine(m, time.Hour, time.Hour, time.Hour, false)
-	if c.Step(c.now, ReportIn{Ref: 3, Report: heartbeat.Report{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Incarnation: 2, Counter: 9}}); !m.reported || m.fencingToken != 0 {
+	if c.Step(c.now, heartbeat.Received{Ref: 3, Report: heartbeat.Report{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Incarnation: 2, Counter: 9}}); !m.reported || m.fencingToken != 0 {
 		t.Error("the machine never counts again")
 	}
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -199,7 +199,7 @@
 	sizes(b, func(b *testing.B, c *Core, _ *rand.Rand) {
 		for i := range b.N {
 			m := c.leadership.fleet[i%len(c.leadership.fleet)]
-			c.Step(t0.Add(time.Duration(i)*time.Microsecond), ReportIn{Ref: uint64(i), Report: reportOf(m)})
+			c.Step(t0.Add(time.Duration(i)*time.Microsecond), heartbeat.Received{Ref: uint64(i), Report: reportOf(m)})
 		}
 	})
 }
@@ -258,7 +258,7 @@
 				}
 				c.startWork()
 				for i, m := range old.leadership.fleet {
-					c.Step(t0, ReportIn{Ref: uint64(i), Report: reportOf(m)})
+					c.Step(t0, heartbeat.Received{Ref: uint64(i), Report: reportOf(m)})
 				}
 			}
 		})
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -13,7 +13,6 @@
 	"yewpass/internal/recovery"
 	"yewpass/internal/relay"
 	"yewpass/internal/replica"
-	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
 )
@@ -30,16 +29,6 @@
 	Ordered = heartbeat.Phase("ordered") // a start is in a reply that is not yet answered for
 )
 
-// Causes of an exit.
-const (
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CauseError   = "error"
-	CauseNoRoom  = "no_room"
-	CauseBusy    = "busy"
-	CauseNoSuch  = "no_such"
-)
-
 // ---- inputs
 
 // UserOp is what a user asks for.
@@ -97,17 +86,6 @@
 // IsJob reports whether the call is about one job.
 func (u *UserCall) IsJob() bool { return u.Schedule == nil && u.Config == nil && !ofCluster(u.Op) }
 
-// ReportIn is a worker's report waiting for its reply, from this node's own socket or
-// handed on by a relay.
-type ReportIn struct {
-	Ref    uint64
-	Relay  relay.Link // which it came by; zero: our own socket
-	Report heartbeat.Report
-}
-
-// ReportGone says that the worker gave up on a report: its reply goes nowhere.
-type ReportGone struct{ Ref uint64 }
-
 // PeerIn is a message from another controller.
 type PeerIn struct {
 	From string
@@ -247,31 +225,6 @@
 	ETag       string // of the document
 }
 
-// AnswerReport answers a ReportIn.
-type AnswerReport struct {
-	Ref          uint64
-	Status       int
-	FencingToken uint64
-	Orders       []heartbeat.Order
-	Upstream     string
-}
-
-// ProbeCall shows a worker our epoch, with no orders, and asks for its report.
-type ProbeCall struct {
-	Ref                       uint64
-	Address                   string
-	FencingToken, Incarnation uint64
-	Timeout                   time.Duration
-}
-
-// ProbeReply answers a ProbeCall: OK when the worker has taken note of the
-// epoch, Conflict when the tenure is another or it knows a newer epoch.
-type ProbeReply struct {
-	Ref     uint64
-	Outcome rpc.Outcome
-	Report  heartbeat.Report
-}
-
 // PeerSend sends a message to a peer.
 type PeerSend struct {
 	To  string
--- a/internal/node/later_test.go
+++ b/internal/node/later_test.go
@@ -5,13 +5,14 @@
 
 	"yewpass/internal/api"
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 )
 
 // TestLater: users' calls wait behind other inputs, in order, not for ever, and
 // not without bound.
 func TestLater(t *testing.T) {
 	for in, want := range map[any]bool{
-		api.Call{Input: core.ReportIn{}.Ref}:                  false,
+		api.Call{Input: heartbeat.Received{}.Ref}:             false,
 		core.PeerIn{Msg: core.PeerMsg{Kind: core.PeerCall}}:   true,
 		core.PeerIn{Msg: core.PeerMsg{Kind: core.PeerAck}}:    false,
 		core.PeerIn{Msg: core.PeerMsg{Kind: core.PeerAnswer}}: false,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,6 +20,7 @@
 	"yewpass/internal/cloud"
 	"yewpass/internal/config"
 	"yewpass/internal/core"
+	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/kvclient"
 	"yewpass/internal/operators"
@@ -136,7 +137,7 @@
 		case api.Gone:
 			ref := n.refs[x.Reply]
 			n.forget(ref)
-			in = core.ReportGone{Ref: ref}
+			in = heartbeat.Abandoned{Ref: ref}
 		}
 		now := time.Now()
 		for _, o := range n.core.Step(now, in) {
@@ -200,7 +201,7 @@
 	case core.UserCall:
 		in.Ref = n.ref
 		return in
-	case core.ReportIn:
+	case heartbeat.Received:
 		in.Ref = n.ref
 		return in
 	}
@@ -225,13 +226,13 @@
 	switch o := o.(type) {
 	case core.AnswerUser:
 		n.answer(o.Ref, o)
-	case core.AnswerReport:
+	case heartbeat.Reply:
 		n.answer(o.Ref, o)
 	case kv.Request:
 		n.state.Do(o)
 	case provider.Request:
 		n.cloud.Do(o)
-	case core.ProbeCall:
+	case heartbeat.Probe:
 		n.prober.Do(o)
 	case core.PeerSend:
 		n.mesh.Send(o)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -11,15 +11,6 @@
 
 import "yewpass/internal/heartbeat"
 
-// Link is one uninterrupted stream of batches from a relay to a leader. A relay draws
-// a new session for every leader, every term and every time the stream breaks, so
-// that what was meant for an earlier stream, or an earlier life of the relay, is told
-// from what is meant for this one.
-type Link struct {
-	From    string // the relay
-	Session uint64
-}
-
 // Batch is what a relay passes on in one line.
 type Batch struct {
 	Session uint64   `json:"s"`
--- a/internal/scenario/loopback.go
+++ b/internal/scenario/loopback.go
@@ -12,7 +12,6 @@
 	"sync/atomic"
 	"time"
 
-	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/rpc"
 )
@@ -169,12 +168,12 @@
 func (l *loopback) worker(rw http.ResponseWriter, r *http.Request) {
 	var c struct{ Epoch, Tenure uint64 }
 	json.NewDecoder(r.Body).Decode(&c)
-	got := make(chan core.ProbeReply, 1)
+	got := make(chan heartbeat.ProbeReply, 1)
 	l.with(func() {
 		if m := l.workers[strings.Split(r.URL.Path, "/")[1]]; m != nil && l.net.open(m.host, outsider) {
 			m.do(func() {
 				outcome, rep := m.command(c.Epoch, c.Tenure)
-				got <- core.ProbeReply{Outcome: outcome, Report: rep}
+				got <- heartbeat.ProbeReply{Outcome: outcome, Report: rep}
 			})
 		}
 	})
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -146,7 +146,7 @@
 run 200s`, "ran_twice", func(s *script) {
 			last := uint64(1000)
 			s.hears = func(n *node, in any) any { // whatever comes later is newer
-				if r, ok := in.(core.ReportIn); ok {
+				if r, ok := in.(heartbeat.Received); ok {
 					last++
 					r.Report.Counter = last
 					return r
@@ -205,7 +205,7 @@
 expect done all
 run 250s`, "ran_twice", func(s *script) {
 			s.hears = func(n *node, in any) any { // every report counts as one of the term at hand
-				if r, ok := in.(core.ReportIn); ok && n.core.HasAuthority(n.local()) {
+				if r, ok := in.(heartbeat.Received); ok && n.core.HasAuthority(n.local()) {
 					r.Report.FencingToken = n.core.Stats().Term
 					return r
 				}
@@ -224,7 +224,7 @@
 run 250s`, "ran_twice", func(s *script) {
 			s.hears = func(n *node, in any) any { // what a command's answer lists is not looked at
 				switch in := in.(type) {
-				case core.ProbeReply:
+				case heartbeat.ProbeReply:
 					in.Report.Tasks = nil
 					return in
 				case core.PeerIn:
@@ -247,7 +247,7 @@
 expect met cancelled-on >0
 run 120s`, "ran_cancelled", func(s *script) {
 			s.lie = func(n *node, out any) any { // a machine that has hung is told nothing of it
-				if a, ok := out.(core.AnswerReport); ok {
+				if a, ok := out.(heartbeat.Reply); ok {
 					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop })
 					return a
 				}
@@ -322,7 +322,7 @@
 expect done all
 run 160s`, "waits", func(s *script) {
 			s.lie = func(n *node, out any) any {
-				if a, ok := out.(core.AnswerReport); ok {
+				if a, ok := out.(heartbeat.Reply); ok {
 					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Task.Job == "wk-100003" })
 					return a
 				}
@@ -337,7 +337,7 @@
 expect met start-after-cancel =0
 run 60s`, "start-after-cancel", func(s *script) {
 			s.lie = func(n *node, out any) any {
-				if a, ok := out.(core.AnswerReport); ok {
+				if a, ok := out.(heartbeat.Reply); ok {
 					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop })
 					return a
 				}
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -471,7 +471,7 @@
 	}
 	lower := func() func(n *node, out any) any {
 		return func(n *node, out any) any { // attempts of the second term are below the first's
-			if a, ok := out.(core.AnswerReport); ok {
+			if a, ok := out.(heartbeat.Reply); ok {
 				a.Orders = slices.Clone(a.Orders)
 				for i := range a.Orders {
 					a.Orders[i].Try = a.Orders[i].Try&0xffff + 100/a.FencingToken
@@ -511,7 +511,7 @@
 		}, honest},
 		{"an old report at the start of a term", "ran_twice", honest, func() func(n *node, in any) any {
 			return func(n *node, in any) any { // every report counts as one of the term at hand
-				if r, ok := in.(core.ReportIn); ok && n.core.HasAuthority(n.local()) {
+				if r, ok := in.(heartbeat.Received); ok && n.core.HasAuthority(n.local()) {
 					r.Report.FencingToken = n.core.Stats().Term
 					return r
 				}
@@ -555,7 +555,7 @@
 		}, honest},
 		{"cancel and start", "ran_cancelled", func() func(n *node, out any) any {
 			return func(n *node, out any) any { // stops are forgotten
-				if a, ok := out.(core.AnswerReport); ok {
+				if a, ok := out.(heartbeat.Reply); ok {
 					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop })
 					return a
 				}
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -282,7 +282,7 @@
 	go func() {
 		var a any
 		switch in := in.(type) {
-		case core.ReportIn:
+		case heartbeat.Received:
 			a = p.answerReport(in.Report)
 		case core.UserCall:
 			a = p.answerUser(in)
@@ -292,7 +292,7 @@
 }
 
 // answerReport makes a worker's report on the worker's own connection.
-func (p *process) answerReport(rep heartbeat.Report) core.AnswerReport {
+func (p *process) answerReport(rep heartbeat.Report) heartbeat.Reply {
 	status, _, data := p.request(p.link(rep.Host, p.n.name), "POST", "/hello", reportBody(rep))
 	var r struct {
 		Epoch    uint64
@@ -307,7 +307,7 @@
 	if json.Unmarshal(data, &r) != nil {
 		status = 0
 	}
-	a := core.AnswerReport{Status: status, FencingToken: r.Epoch, Upstream: r.Upstream}
+	a := heartbeat.Reply{Status: status, FencingToken: r.Epoch, Upstream: r.Upstream}
 	for _, o := range r.Orders {
 		id, ok := heartbeat.ParseTaskID(o.Shard)
 		if !ok {
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -5,7 +5,6 @@
 	"strings"
 	"time"
 
-	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
@@ -188,8 +187,8 @@
 		if m.now.Sub(sent) > 4*time.Second && n.process == nil && n.core.HasAuthority(n.local()) {
 			m.met["held-report"]++
 		}
-		n.ask(func(ref uint64) any { return core.ReportIn{Ref: ref, Report: rep} }, func(a any) {
-			ans := a.(core.AnswerReport)
+		n.ask(func(ref uint64) any { return heartbeat.Received{Ref: ref, Report: rep} }, func(a any) {
+			ans := a.(heartbeat.Reply)
 			ans.Orders = slices.Clone(ans.Orders)
 			back(func() {
 				if m.now.Before(m.deaf) {
@@ -208,7 +207,7 @@
 		m.after(m.spread(m.lease+2*time.Second, 1-4/(m.lease.Seconds()+2)), func() {
 			if n.alive {
 				m.met["late-report"]++
-				n.ask(func(ref uint64) any { return core.ReportIn{Ref: ref, Report: rep} }, func(any) {})
+				n.ask(func(ref uint64) any { return heartbeat.Received{Ref: ref, Report: rep} }, func(any) {})
 			}
 		})
 	}
@@ -246,7 +245,7 @@
 				if m := w.workers[rep.Host]; !m.gone.IsZero() {
 					w.met["report-of-gone"]++
 				}
-				n.ask(func(ref uint64) any { return core.ReportIn{Ref: ref, Report: rep} }, func(any) {})
+				n.ask(func(ref uint64) any { return heartbeat.Received{Ref: ref, Report: rep} }, func(any) {})
 			}
 			w.after([]time.Duration{0, time.Millisecond, 4 * time.Millisecond, 40 * time.Millisecond, 500 * time.Millisecond}[w.rng.IntN(5)], func() {
 				w.net.send("kept", "copy of "+rep.Host, n.name, arrive) // the network has it, not the machine
@@ -333,7 +332,7 @@
 	m.node = node
 }
 
-func (m *worker) reply(id int, tenure uint64, sent time.Time, a core.AnswerReport) {
+func (m *worker) reply(id int, tenure uint64, sent time.Time, a heartbeat.Reply) {
 	if m.flight != id {
 		return // given up
 	}
@@ -422,11 +421,11 @@
 			t.phase = heartbeat.Checkpointing
 			m.later(t, s.CheckpointTime, func() {
 				t.job.progress[t.id.Index] += m.now.Sub(t.began)
-				m.exit(t, core.CauseStopped)
+				m.exit(t, heartbeat.CauseStopped)
 			})
 			return
 		}
-		m.exit(t, core.CauseStopped)
+		m.exit(t, heartbeat.CauseStopped)
 	case heartbeat.Reap:
 		if t != nil && t.phase == heartbeat.Exited {
 			m.tasks = slices.DeleteFunc(m.tasks, func(x *task) bool { return x == t })
@@ -451,7 +450,7 @@
 	t.change++
 	t.phase, t.cause = heartbeat.Exited, cause
 	m.ledger.release(t)
-	if cause == core.CauseDone {
+	if cause == heartbeat.CauseDone {
 		t.job.done[t.id.Index] = true
 		if len(t.job.done) == t.job.spec.Tasks && t.job.finished.IsZero() {
 			t.job.finished = m.now
@@ -469,7 +468,7 @@
 	for _, x := range m.tasks {
 		if x.phase != heartbeat.Exited {
 			if x.id == o.Task {
-				refuse = core.CauseBusy
+				refuse = heartbeat.CauseBusy
 			}
 			s := &x.job.spec
 			cpus, gpus, mem = cpus+s.CPUs, gpus+s.GPUs, mem+s.MemGB
@@ -477,13 +476,13 @@
 	}
 	m.tasks = append(m.tasks, t)
 	if t.job == nil || t.id.Index >= t.job.spec.Tasks {
-		t.phase, t.cause = heartbeat.Exited, core.CauseNoSuch
+		t.phase, t.cause = heartbeat.Exited, heartbeat.CauseNoSuch
 		return
 	}
 	s := &t.job.spec
 	const eps = 1e-6
 	if refuse == "" && (cpus+s.CPUs > m.flavor.cpus+eps || mem+s.MemGB > m.flavor.mem+eps || gpus+s.GPUs > m.flavor.gpus+eps) {
-		refuse = core.CauseNoRoom
+		refuse = heartbeat.CauseNoRoom
 	}
 	if refuse != "" {
 		t.phase, t.cause = heartbeat.Exited, refuse
@@ -514,12 +513,12 @@
 	m.changed()
 	switch {
 	case m.sick || t.job.faulty:
-		m.later(t, 500*time.Millisecond, func() { m.exit(t, core.CauseError) })
+		m.later(t, 500*time.Millisecond, func() { m.exit(t, heartbeat.CauseError) })
 	case !t.job.spec.Service:
 		left := max(0, t.job.runs-t.job.progress[t.id.Index])
 		if t.job.varies > 0 {
 			left = m.spread(left, t.job.varies)
 		}
-		m.later(t, time.Duration(float64(left)*m.speed), func() { m.exit(t, core.CauseDone) })
+		m.later(t, time.Duration(float64(left)*m.speed), func() { m.exit(t, heartbeat.CauseDone) })
 	}
 }
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -419,7 +419,7 @@
 	switch o := o.(type) {
 	case core.AnswerUser:
 		n.answer(o.Ref, o)
-	case core.AnswerReport:
+	case heartbeat.Reply:
 		o.Orders = slices.Clone(o.Orders)
 		n.answer(o.Ref, o)
 	case kv.Request:
@@ -454,16 +454,16 @@
 			r.Ref = o.Ref
 			return r
 		})
-	case core.ProbeCall:
+	case heartbeat.Probe:
 		host := strings.TrimSuffix(o.Address, workerPort)
 		n.roundTrip("probe", host, o.Timeout, func(answer func(any)) {
 			if m := n.workers[host]; m != nil && !n.now.Before(m.deaf) {
 				m.do(func() {
 					outcome, rep := m.command(o.FencingToken, o.Incarnation)
-					answer(core.ProbeReply{Ref: o.Ref, Outcome: outcome, Report: rep})
+					answer(heartbeat.ProbeReply{Ref: o.Ref, Outcome: outcome, Report: rep})
 				})
 			}
-		}, core.ProbeReply{Ref: o.Ref, Outcome: rpc.Unknown})
+		}, heartbeat.ProbeReply{Ref: o.Ref, Outcome: rpc.Unknown})
 	case core.PeerSend:
 		for _, p := range n.nodes {
 			if l := n.links[p.name]; p.name == o.To && l.up {
