--- a/cmd/yewpass/config.go
+++ b/cmd/yewpass/config.go
@@ -14,6 +14,7 @@
 
 	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/request"
 	"yewpass/internal/tomltext"
 )
 
@@ -62,7 +63,7 @@
 
 // allTeams reads the list page by page.
 func allTeams(node string) (all core.TeamPage, err error) {
-	query := url.Values{"limit": {strconv.Itoa(core.MaxCount)}}
+	query := url.Values{"limit": {strconv.Itoa(request.MaxCount)}}
 	for {
 		var page core.TeamPage
 		if err := exchange(http.MethodGet, node, teamsPath+"?"+query.Encode(), nil, nil, &page); err != nil {
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -15,7 +15,7 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/julienschmidt/httprouter"
 
-	"yewpass/internal/core"
+	"yewpass/internal/request"
 	"yewpass/internal/spec"
 )
 
@@ -59,8 +59,8 @@
 	r.POST("/v2/runs/:id/cancel", s.cancel)
 	s.schedules(r)
 	s.configuration(r)
-	r.GET("/v2/cluster", s.cluster(core.OpCluster))
-	r.POST("/v2/cluster/hand-over", s.cluster(core.OpHandOver))
+	r.GET("/v2/cluster", s.cluster(request.Cluster))
+	r.POST("/v2/cluster/hand-over", s.cluster(request.HandOver))
 	r.POST("/hello", s.hello)
 	r.GET("/ready", s.isReady)
 	r.GET("/metrics", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -159,7 +159,7 @@
 	reports     = metrics.NewCounter(`yewpass_reports_total`)
 )
 
-func (s *Server) user(w http.ResponseWriter, r *http.Request, call core.UserCall) {
+func (s *Server) user(w http.ResponseWriter, r *http.Request, call request.Request) {
 	began := time.Now()
 	s.conns.hasRequest(r, false)
 	reply := make(chan any, 1)
@@ -169,7 +169,7 @@
 	defer userSeconds.UpdateDuration(began)
 	select {
 	case v := <-reply:
-		a := v.(core.AnswerUser)
+		a := v.(request.Response)
 		if a.Status >= 400 {
 			fail(w, a.Status, a.Field, a.Reason, a.RetryAfter)
 			return
@@ -203,28 +203,28 @@
 		fail(w, http.StatusBadRequest, field, field+": "+reason, 0)
 		return
 	}
-	s.user(w, r, core.UserCall{Op: core.OpSubmit, ID: job.ID, Spec: job})
+	s.user(w, r, request.Request{Op: request.Submit, ID: job.ID, Spec: job})
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	s.known(w, r, core.OpGet, p.ByName("id"))
+	s.known(w, r, request.Get, p.ByName("id"))
 }
 
 func (s *Server) cancel(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	s.known(w, r, core.OpCancel, p.ByName("id"))
+	s.known(w, r, request.Cancel, p.ByName("id"))
 }
 
 // cluster serves what operators ask of the controllers.
-func (s *Server) cluster(op core.UserOp) httprouter.Handle {
+func (s *Server) cluster(op request.Operation) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-		s.user(w, r, core.UserCall{Op: op})
+		s.user(w, r, request.Request{Op: op})
 	}
 }
 
-func (s *Server) known(w http.ResponseWriter, r *http.Request, op core.UserOp, id string) {
+func (s *Server) known(w http.ResponseWriter, r *http.Request, op request.Operation, id string) {
 	if !spec.ValidID(id) {
 		fail(w, http.StatusNotFound, "id", "no such job", 0)
 		return
 	}
-	s.user(w, r, core.UserCall{Op: op, ID: id})
+	s.user(w, r, request.Request{Op: op, ID: id})
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/request"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
 )
@@ -59,8 +59,8 @@
 func TestSubmit(t *testing.T) {
 	var got *spec.Job
 	url := serve(t, func(in any) any {
-		got = in.(core.UserCall).Spec
-		return core.AnswerUser{Status: 201, View: core.JobView{State: spec.Queued}}
+		got = in.(request.Request).Spec
+		return request.Response{Status: 201, View: request.JobStatus{State: spec.Queued}}
 	})
 	status, v, _ := post(t, url+"/v2/runs", good)
 	if status != 201 || v["id"] != "wk-000412" || v["status"] != "queued" {
@@ -111,10 +111,10 @@
 
 func TestOtherRequests(t *testing.T) {
 	url := serve(t, func(in any) any {
-		if in.(core.UserCall).Op == core.OpCancel {
-			return core.AnswerUser{Status: 429, RetryAfter: 1500 * time.Millisecond, Reason: "later"}
+		if in.(request.Request).Op == request.Cancel {
+			return request.Response{Status: 429, RetryAfter: 1500 * time.Millisecond, Reason: "later"}
 		}
-		return core.AnswerUser{Status: 200, View: core.JobView{State: spec.Running, Done: 3, Running: 13}}
+		return request.Response{Status: 200, View: request.JobStatus{State: spec.Running, Done: 3, Running: 13}}
 	})
 	get := func(method, path string) int {
 		req, _ := http.NewRequest(method, url+path, nil)
@@ -180,30 +180,30 @@
 // TestSchedules: each request reaches the core as what it is, what is wrong with
 // it is said with the field, and ETags go both ways.
 func TestSchedules(t *testing.T) {
-	var got *core.ScheduleCall
-	var op core.UserOp
+	var got *request.ScheduleParams
+	var op request.Operation
 	url := serve(t, func(in any) any {
-		c := in.(core.UserCall)
+		c := in.(request.Request)
 		got, op = c.Schedule, c.Op
-		if op == core.OpScheduleRun {
-			return core.AnswerUser{Status: 201, View: core.JobView{ID: "wk-9", State: spec.Queued}}
+		if op == request.ScheduleRun {
+			return request.Response{Status: 201, View: request.JobStatus{ID: "wk-9", State: spec.Queued}}
 		}
-		return core.AnswerUser{Status: 200, ETag: `"1-2"`, Doc: schedule.Coming{}}
+		return request.Response{Status: 200, ETag: `"1-2"`, Doc: schedule.Coming{}}
 	})
 	file := `{"name":"n","zone":"UTC","rule":"FREQ=DAILY","at":["01:00"],"job":{}}`
 	for _, c := range []struct {
 		method, path, body, head string
 		status                   int
-		op                       core.UserOp
+		op                       request.Operation
 		field                    string
 	}{
-		{"PUT", "/n", file, "", 200, core.OpSchedulePut, ""}, {"PUT", "/n", strings.Replace(file, `"name":"n",`, "", 1), "If-Match: \"1-1\"", 200, core.OpSchedulePut, ""},
-		{"PUT", "/n", file, "If-None-Match: *", 200, core.OpSchedulePut, ""}, {"PUT", "/other", file, "", 400, "", "name"}, {"PUT", "/n", `{"rules":"x"}`, "", 400, "", "rules"},
-		{"PUT", "/n", `{`, "", 400, "", ""}, {"PUT", "/n", strings.Repeat("x", maxBody+1), "", 400, "", ""}, {"GET", "/n", "", "", 200, core.OpScheduleGet, ""},
-		{"GET", "/N", "", "", 404, "", "name"}, {"DELETE", "/n", "", "If-Match: \"1-1\"", 200, core.OpScheduleDelete, ""}, {"POST", "/n/pause", "", "", 200, core.OpSchedulePause, ""},
-		{"POST", "/n/resume", "", "", 200, core.OpScheduleResume, ""}, {"POST", "/n/run", `{"request":"r"}`, "", 201, core.OpScheduleRun, ""}, {"POST", "/n/run", `{}`, "", 400, "", "request"},
-		{"GET", "/n/upcoming?count=3", "", "", 200, core.OpScheduleUpcoming, ""}, {"GET", "/n/upcoming?count=3000", "", "", 400, "", "count"}, {"GET", "/n/history", "", "", 200, core.OpScheduleHistory, ""},
-		{"GET", "?after=m&limit=5", "", "", 200, core.OpScheduleList, ""}, {"GET", "?limit=x", "", "", 400, "", "limit"},
+		{"PUT", "/n", file, "", 200, request.SchedulePut, ""}, {"PUT", "/n", strings.Replace(file, `"name":"n",`, "", 1), "If-Match: \"1-1\"", 200, request.SchedulePut, ""},
+		{"PUT", "/n", file, "If-None-Match: *", 200, request.SchedulePut, ""}, {"PUT", "/other", file, "", 400, "", "name"}, {"PUT", "/n", `{"rules":"x"}`, "", 400, "", "rules"},
+		{"PUT", "/n", `{`, "", 400, "", ""}, {"PUT", "/n", strings.Repeat("x", maxBody+1), "", 400, "", ""}, {"GET", "/n", "", "", 200, request.ScheduleGet, ""},
+		{"GET", "/N", "", "", 404, "", "name"}, {"DELETE", "/n", "", "If-Match: \"1-1\"", 200, request.ScheduleDelete, ""}, {"POST", "/n/pause", "", "", 200, request.SchedulePause, ""},
+		{"POST", "/n/resume", "", "", 200, request.ScheduleResume, ""}, {"POST", "/n/run", `{"request":"r"}`, "", 201, request.ScheduleRun, ""}, {"POST", "/n/run", `{}`, "", 400, "", "request"},
+		{"GET", "/n/upcoming?count=3", "", "", 200, request.ScheduleUpcoming, ""}, {"GET", "/n/upcoming?count=3000", "", "", 400, "", "count"}, {"GET", "/n/history", "", "", 200, request.ScheduleHistory, ""},
+		{"GET", "?after=m&limit=5", "", "", 200, request.ScheduleList, ""}, {"GET", "?limit=x", "", "", 400, "", "limit"},
 	} {
 		got, op = nil, ""
 		req, _ := http.NewRequest(c.method, url+"/v2/schedules"+c.path, strings.NewReader(c.body))
@@ -224,11 +224,11 @@
 		}
 		switch {
 		case got == nil:
-		case c.head == "If-None-Match: *" && got.IfMatch != core.NewOnly, strings.HasPrefix(c.head, "If-Match") && got.IfMatch != `"1-1"`:
+		case c.head == "If-None-Match: *" && got.IfMatch != request.NewOnly, strings.HasPrefix(c.head, "If-Match") && got.IfMatch != `"1-1"`:
 			t.Errorf("%s %s %s: %+v", c.method, c.path, c.head, got)
-		case op == core.OpSchedulePut && got.File.Name != "n", op == core.OpScheduleUpcoming && got.Count != 3, op == core.OpScheduleRun && !strings.Contains(string(data), "wk-9"):
+		case op == request.SchedulePut && got.File.Name != "n", op == request.ScheduleUpcoming && got.Count != 3, op == request.ScheduleRun && !strings.Contains(string(data), "wk-9"):
 			t.Errorf("%s %s: %+v %s", c.method, c.path, got, data)
-		case op != core.OpScheduleRun && resp.Header.Get("ETag") != `"1-2"`:
+		case op != request.ScheduleRun && resp.Header.Get("ETag") != `"1-2"`:
 			t.Errorf("%s %s: no ETag", c.method, c.path)
 		}
 	}
--- a/internal/api/config.go
+++ b/internal/api/config.go
@@ -5,37 +5,37 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/request"
 )
 
 // configuration serves the configuration that changes while the service runs, from any node.
 func (s *Server) configuration(r *httprouter.Router) {
-	r.GET("/v2/config", s.configCall(core.OpConfigStatus, nil))
-	r.POST("/v2/config", s.configCall(core.OpConfigSet, readChange))
-	r.GET("/v2/config/here", s.configCall(core.OpConfigHere, nil))
-	r.GET("/v2/config/teams", s.configCall(core.OpConfigList, func(w http.ResponseWriter, r *http.Request, _ httprouter.Params, q *core.ConfigCall) bool {
+	r.GET("/v2/config", s.configCall(request.ConfigStatus, nil))
+	r.POST("/v2/config", s.configCall(request.ConfigSet, readChange))
+	r.GET("/v2/config/here", s.configCall(request.ConfigHere, nil))
+	r.GET("/v2/config/teams", s.configCall(request.ConfigList, func(w http.ResponseWriter, r *http.Request, _ httprouter.Params, q *request.ConfigParams) bool {
 		q.After = r.URL.Query().Get("after")
 		return count(w, r, "limit", maxListed, &q.Count)
 	}))
-	r.GET("/v2/config/teams/:name", s.configCall(core.OpConfigGet, teamName))
-	r.PUT("/v2/config/teams/:name", s.configCall(core.OpConfigSet, readTeam))
+	r.GET("/v2/config/teams/:name", s.configCall(request.ConfigGet, teamName))
+	r.PUT("/v2/config/teams/:name", s.configCall(request.ConfigSet, readTeam))
 }
 
 // configReader reads what an operation needs of a request; false if an answer has been sent.
-type configReader func(http.ResponseWriter, *http.Request, httprouter.Params, *core.ConfigCall) bool
+type configReader func(http.ResponseWriter, *http.Request, httprouter.Params, *request.ConfigParams) bool
 
 // configCall serves an operation on the configuration.
-func (s *Server) configCall(op core.UserOp, read configReader) httprouter.Handle {
+func (s *Server) configCall(op request.Operation, read configReader) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-		q := &core.ConfigCall{}
+		q := &request.ConfigParams{}
 		if read == nil || read(w, r, p, q) {
-			s.user(w, r, core.UserCall{Op: op, Config: q})
+			s.user(w, r, request.Request{Op: op, Config: q})
 		}
 	}
 }
 
-func teamName(w http.ResponseWriter, _ *http.Request, p httprouter.Params, q *core.ConfigCall) bool {
+func teamName(w http.ResponseWriter, _ *http.Request, p httprouter.Params, q *request.ConfigParams) bool {
 	q.Name = p.ByName("name")
 	if !liveconfig.ValidName(q.Name) {
 		fail(w, http.StatusNotFound, "name", "no such team", 0)
@@ -50,7 +50,7 @@
 	IfRevision *uint64                 `json:"ifRevision"`
 }
 
-func readChange(w http.ResponseWriter, r *http.Request, _ httprouter.Params, q *core.ConfigCall) bool {
+func readChange(w http.ResponseWriter, r *http.Request, _ httprouter.Params, q *request.ConfigParams) bool {
 	var c changeJSON
 	if !body(w, r, &c) {
 		return false
@@ -60,7 +60,7 @@
 }
 
 // readTeam reads a change of one team, which the path names.
-func readTeam(w http.ResponseWriter, r *http.Request, p httprouter.Params, q *core.ConfigCall) bool {
+func readTeam(w http.ResponseWriter, r *http.Request, p httprouter.Params, q *request.ConfigParams) bool {
 	var c liveconfig.TeamChange
 	if !teamName(w, r, p, q) || !body(w, r, &c) {
 		return false
--- a/internal/api/schedules.go
+++ b/internal/api/schedules.go
@@ -8,7 +8,7 @@
 	"github.com/julienschmidt/httprouter"
 
 	"yewpass/internal/calendar"
-	"yewpass/internal/core"
+	"yewpass/internal/request"
 	"yewpass/internal/schedule"
 )
 
@@ -16,7 +16,7 @@
 const (
 	defaultCount = 20
 	maxUpcoming  = 100
-	maxListed    = core.MaxCount
+	maxListed    = request.MaxCount
 	maxRequest   = 200 // bytes of a request's name
 )
 
@@ -25,33 +25,33 @@
 	const one = "/v2/schedules/:name"
 	r.GET("/v2/schedules", s.listSchedules)
 	r.PUT(one, s.putSchedule)
-	r.GET(one, s.schedule(core.OpScheduleGet, nil))
-	r.DELETE(one, s.schedule(core.OpScheduleDelete, ifMatch))
-	r.POST(one+"/pause", s.schedule(core.OpSchedulePause, ifMatch))
-	r.POST(one+"/resume", s.schedule(core.OpScheduleResume, ifMatch))
-	r.POST(one+"/run", s.schedule(core.OpScheduleRun, runRequest))
-	r.GET(one+"/upcoming", s.schedule(core.OpScheduleUpcoming, func(w http.ResponseWriter, r *http.Request, q *core.ScheduleCall) bool {
+	r.GET(one, s.schedule(request.ScheduleGet, nil))
+	r.DELETE(one, s.schedule(request.ScheduleDelete, ifMatch))
+	r.POST(one+"/pause", s.schedule(request.SchedulePause, ifMatch))
+	r.POST(one+"/resume", s.schedule(request.ScheduleResume, ifMatch))
+	r.POST(one+"/run", s.schedule(request.ScheduleRun, runRequest))
+	r.GET(one+"/upcoming", s.schedule(request.ScheduleUpcoming, func(w http.ResponseWriter, r *http.Request, q *request.ScheduleParams) bool {
 		return count(w, r, "count", maxUpcoming, &q.Count)
 	}))
-	r.GET(one+"/history", s.schedule(core.OpScheduleHistory, nil))
+	r.GET(one+"/history", s.schedule(request.ScheduleHistory, nil))
 }
 
 // schedule serves an operation on one schedule; more reads what it needs besides
 // the name and is false if an answer has been sent.
-func (s *Server) schedule(op core.UserOp, more func(http.ResponseWriter, *http.Request, *core.ScheduleCall) bool) httprouter.Handle {
+func (s *Server) schedule(op request.Operation, more func(http.ResponseWriter, *http.Request, *request.ScheduleParams) bool) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-		q := &core.ScheduleCall{Name: p.ByName("name")}
+		q := &request.ScheduleParams{Name: p.ByName("name")}
 		if !schedule.ValidName(q.Name) {
 			fail(w, http.StatusNotFound, "name", "no such schedule", 0)
 			return
 		}
 		if more == nil || more(w, r, q) {
-			s.user(w, r, core.UserCall{Op: op, Schedule: q})
+			s.user(w, r, request.Request{Op: op, Schedule: q})
 		}
 	}
 }
 
-func ifMatch(_ http.ResponseWriter, r *http.Request, q *core.ScheduleCall) bool {
+func ifMatch(_ http.ResponseWriter, r *http.Request, q *request.ScheduleParams) bool {
 	if q.IfMatch = r.Header.Get("If-Match"); q.IfMatch == "*" {
 		q.IfMatch = ""
 	}
@@ -60,7 +60,7 @@
 
 // runRequest reads the caller's name for a request to run now, without which a
 // repetition could not be told from another request.
-func runRequest(w http.ResponseWriter, r *http.Request, q *core.ScheduleCall) bool {
+func runRequest(w http.ResponseWriter, r *http.Request, q *request.ScheduleParams) bool {
 	var v struct {
 		Request string `json:"request"`
 	}
@@ -89,9 +89,9 @@
 }
 
 func (s *Server) listSchedules(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	q := &core.ScheduleCall{After: r.URL.Query().Get("after")}
+	q := &request.ScheduleParams{After: r.URL.Query().Get("after")}
 	if count(w, r, "limit", maxListed, &q.Count) {
-		s.user(w, r, core.UserCall{Op: core.OpScheduleList, Schedule: q})
+		s.user(w, r, request.Request{Op: request.ScheduleList, Schedule: q})
 	}
 }
 
@@ -109,7 +109,7 @@
 		fail(w, http.StatusBadRequest, fe.Field, reason, 0)
 		return
 	}
-	q := &core.ScheduleCall{Name: p.ByName("name"), File: f}
+	q := &request.ScheduleParams{Name: p.ByName("name"), File: f}
 	if f.Name == "" {
 		f.Name = q.Name
 	}
@@ -119,7 +119,7 @@
 	}
 	ifMatch(w, r, q)
 	if r.Header.Get("If-None-Match") == "*" {
-		q.IfMatch = core.NewOnly
+		q.IfMatch = request.NewOnly
 	}
-	s.user(w, r, core.UserCall{Op: core.OpSchedulePut, Schedule: q})
+	s.user(w, r, request.Request{Op: request.SchedulePut, Schedule: q})
 }
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -11,6 +11,7 @@
 	"yewpass/internal/policy"
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 )
@@ -18,10 +19,10 @@
 // admission is a submission whose record is on its way to the state service.
 type admission struct {
 	spec    *spec.Job
-	waiters []UserCall
+	waiters []request.Request
 }
 
-func (a *admission) answerAll(c *Core, ans AnswerUser) {
+func (a *admission) answerAll(c *Core, ans request.Response) {
 	for _, w := range a.waiters {
 		c.answer(w, ans)
 	}
@@ -30,19 +31,19 @@
 
 // forwarded is a request that the leader answers for us.
 type forwarded struct {
-	call   UserCall
+	call   request.Request
 	leader string
 }
 
 // notLeader is what a node says to one that took it for the leader.
 const notLeader = "not the leader"
 
-func unavailable(reason string) AnswerUser {
-	return AnswerUser{Status: 503, RetryAfter: time.Second, Reason: reason}
+func unavailable(reason string) request.Response {
+	return request.Response{Status: 503, RetryAfter: time.Second, Reason: reason}
 }
 
 // answer sends an answer to where the request came from.
-func (c *Core) answer(call UserCall, a AnswerUser) {
+func (c *Core) answer(call request.Request, a request.Response) {
 	a.Ref = call.Ref
 	if call.From == "" {
 		c.emit(a)
@@ -51,9 +52,9 @@
 	c.emit(PeerSend{call.From, PeerMsg{Kind: PeerAnswer, Ref: call.Ref, Answer: &a}})
 }
 
-func (c *Core) userCall(call UserCall) {
-	if call.Op == OpConfigHere {
-		c.answer(call, AnswerUser{Status: 200, Doc: c.ConfigHere()})
+func (c *Core) userCall(call request.Request) {
+	if call.Op == request.ConfigHere {
+		c.answer(call, request.Response{Status: 200, Doc: c.ConfigHere()})
 		return
 	}
 	if c.canAct() {
@@ -65,7 +66,7 @@
 		return
 	}
 	if f, ok := c.finals.Get(call.ID); ok {
-		c.answer(call, AnswerUser{Status: 200, View: finalStatus(call.ID, f)}) // final states never change
+		c.answer(call, request.Response{Status: 200, View: finalStatus(call.ID, f)}) // final states never change
 		return
 	}
 	if c.leadership == nil && c.hasLeaderLink() {
@@ -81,15 +82,15 @@
 }
 
 // forward passes a request on to the leader.
-func (c *Core) forward(call UserCall) {
+func (c *Core) forward(call request.Request) {
 	ref := c.nextRef()
 	c.forwardedRequests[ref] = &forwarded{call, c.knownLeader}
 	c.emit(PeerSend{c.knownLeader, PeerMsg{Kind: PeerCall, Ref: ref, Op: call.Op, ID: call.ID, Spec: call.Spec, Schedule: call.Schedule, Config: call.Config}})
 	wait := 2500 * time.Millisecond
 	switch call.Op {
-	case OpGet:
+	case request.Get:
 		wait = 800 * time.Millisecond // a poll is given up after 2 s
-	case OpSubmit:
+	case request.Submit:
 		wait = forwardedSubmitTimeout
 	}
 	c.schedule(wait, func() {
@@ -109,11 +110,11 @@
 		return // about another job: meant for somebody else
 	}
 	delete(c.forwardedRequests, m.Ref)
-	if m.Answer.Status == 503 && (f.call.Op == OpGet || f.call.Op == OpSubmit && m.Answer.Reason == notLeader) {
+	if m.Answer.Status == 503 && (f.call.Op == request.Get || f.call.Op == request.Submit && m.Answer.Reason == notLeader) {
 		c.serveWithoutLeader(f.call)
 		return
 	}
-	if s := m.Answer.View.State; m.Answer.Status == 200 && (s == spec.Done || s == spec.Cancelled) && f.call.Op == OpGet {
+	if s := m.Answer.View.State; m.Answer.Status == 200 && (s == spec.Done || s == spec.Cancelled) && f.call.Op == request.Get {
 		// Only a final answer to a poll: a job that is cancelled may still be
 		// on record as such, which is final as well.
 		c.finals.Add(f.call.ID, record.Final{State: s, Done: m.Answer.View.Done})
@@ -132,20 +133,20 @@
 }
 
 // serveWithoutLeader serves what the state service alone can answer.
-func (c *Core) serveWithoutLeader(call UserCall) {
+func (c *Core) serveWithoutLeader(call request.Request) {
 	switch call.Op {
-	case OpGet:
-	case OpSubmit:
+	case request.Get:
+	case request.Submit:
 		c.admitLeaderless(call)
 		return
-	case OpCluster:
-		c.answer(call, AnswerUser{Status: 200, Doc: c.cluster()})
+	case request.Cluster:
+		c.answer(call, request.Response{Status: 200, Doc: c.cluster()})
 		return
 	default:
 		c.answer(call, unavailable("no leader at present"))
 		return
 	}
-	c.readJob(call.ID, func(v *JobView, known bool) {
+	c.readJob(call.ID, func(v *request.JobStatus, known bool) {
 		if known {
 			v, known = c.correctByReplica(call.ID, v)
 		}
@@ -156,7 +157,7 @@
 			// That there is none only a leader can say, who knows what was lost.
 			c.answer(call, unavailable("no leader at present"))
 		default:
-			c.answer(call, AnswerUser{Status: 200, View: *v})
+			c.answer(call, request.Response{Status: 200, View: *v})
 		}
 	})
 }
@@ -164,7 +165,7 @@
 // readJob reads a job's state from the state service: first the live record,
 // then the final one, because a job moves from the first to the second in one
 // transaction. v is nil for a job that does not exist.
-func (c *Core) readJob(id string, f func(v *JobView, known bool)) {
+func (c *Core) readJob(id string, f func(v *request.JobStatus, known bool)) {
 	if !c.readLimit.AllowN(c.now, 3) { // with what makes sure that there is none
 		f(nil, false)
 		return
@@ -177,7 +178,7 @@
 				f(nil, false)
 				return
 			}
-			v := JobView{ID: id, State: spec.Queued}
+			v := request.JobStatus{ID: id, State: spec.Queued}
 			if rec.Cancelled {
 				v.State = spec.Cancelled
 			}
@@ -207,7 +208,7 @@
 }
 
 // serve answers as the leader.
-func (c *Core) serve(call UserCall) {
+func (c *Core) serve(call request.Request) {
 	l := c.leadership
 	if call.Schedule != nil {
 		c.serveSchedule(call)
@@ -217,7 +218,7 @@
 		c.serveConfig(call)
 		return
 	}
-	if ofCluster(call.Op) {
+	if request.IsCluster(call.Op) {
 		c.serveCluster(call)
 		return
 	}
@@ -226,37 +227,37 @@
 		return
 	}
 	if j := l.jobs[call.ID]; j != nil {
-		if call.Op == OpCancel {
+		if call.Op == request.Cancel {
 			c.cancelJob(j, call)
 			return
 		}
 		if j.cancelled || !c.waitForEnding(j, call) {
-			c.answer(call, AnswerUser{Status: 200, View: j.view(), Reason: c.waitReason(j)})
+			c.answer(call, request.Response{Status: 200, View: j.view(), Reason: c.waitReason(j)})
 		}
 		return
 	}
 	if f, ok := c.finals.Get(call.ID); ok {
-		c.answer(call, AnswerUser{Status: 200, View: finalStatus(call.ID, f)})
+		c.answer(call, request.Response{Status: 200, View: finalStatus(call.ID, f)})
 		return
 	}
 	if a := l.accept[call.ID]; a != nil {
-		if call.Op == OpSubmit {
+		if call.Op == request.Submit {
 			a.waiters = append(a.waiters, call)
 		} else {
 			c.answer(call, unavailable("the submission is being recorded"))
 		}
 		return
 	}
-	if call.Op == OpSubmit {
+	if call.Op == request.Submit {
 		c.submit(call)
 		return
 	}
-	c.answerFromRecords(call, func() { c.answer(call, AnswerUser{Status: 404, Reason: "no such job"}) })
+	c.answerFromRecords(call, func() { c.answer(call, request.Response{Status: 404, Reason: "no such job"}) })
 }
 
 // rereadUnreadable looks again at the record of a job that could not be read: it may have been put
 // right, or dropped.
-func (c *Core) rereadUnreadable(call UserCall) {
+func (c *Core) rereadUnreadable(call request.Request) {
 	l, id := c.leadership, call.ID
 	no := func() { c.answer(call, unavailable("the job's record cannot be read")) }
 	if !c.readLimit.AllowN(c.now, 2) {
@@ -326,9 +327,9 @@
 // answerFromRecords answers from the records, or calls missing for a job that has none.
 // A record that memory does not have is an acceptance whose write came through
 // after it had been given up: the job is taken on.
-func (c *Core) answerFromRecords(call UserCall, missing func()) {
+func (c *Core) answerFromRecords(call request.Request, missing func()) {
 	l := c.leadership
-	c.readJob(call.ID, func(v *JobView, known bool) {
+	c.readJob(call.ID, func(v *request.JobStatus, known bool) {
 		switch {
 		case c.leadership != l || !c.canAct() || !known:
 			c.answer(call, unavailable("the state service does not answer"))
@@ -345,7 +346,7 @@
 				}
 			})
 		case v.State == spec.Done || v.State == spec.Cancelled:
-			c.answer(call, AnswerUser{Status: 200, View: *v})
+			c.answer(call, request.Response{Status: 200, View: *v})
 		default:
 			c.adopt(call.ID, func() { c.serve(call) }, func() {
 				c.answer(call, unavailable("the state service does not answer"))
@@ -368,7 +369,7 @@
 			j := c.addJob(rec, false)
 			c.queueJob(j)
 			if a != nil { // what another node has accepted meanwhile: nobody else tells them
-				a.answerAll(c, AnswerUser{Status: 200, View: j.view()})
+				a.answerAll(c, request.Response{Status: 200, View: j.view()})
 			}
 		}
 		if c.leadership.jobs[id] == nil {
@@ -380,7 +381,7 @@
 }
 
 // tooLong answers a submission whose record would not fit into a value.
-var tooLong = AnswerUser{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
+var tooLong = request.Response{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
 
 // noRecordOf is the condition that a job has neither a live nor a final record.
 func noRecordOf(id string) []kv.Condition {
@@ -388,7 +389,7 @@
 }
 
 // submit decides on a new job and answers once its record is committed.
-func (c *Core) submit(call UserCall) {
+func (c *Core) submit(call request.Request) {
 	l := c.leadership
 	if len(l.autoscaler.instanceTypes) == 0 {
 		c.answer(call, unavailable("the machine types are not known yet"))
@@ -414,11 +415,11 @@
 		c.answerFromRecords(call, func() {
 			c.note(slog.LevelInfo, "admission refused", "job", s.ID, "class", s.Class, "late", late)
 			wait := min(max(late, time.Second), 30*time.Second)
-			c.answer(call, AnswerUser{Status: 429, RetryAfter: wait, Reason: "no timeline can complete the job in time at present"})
+			c.answer(call, request.Response{Status: 429, RetryAfter: wait, Reason: "no timeline can complete the job in time at present"})
 		})
 		return
 	}
-	a := &admission{spec: s, waiters: []UserCall{call}}
+	a := &admission{spec: s, waiters: []request.Request{call}}
 	l.accept[s.ID] = a
 	rec := &record.Job{Spec: *s, Submitted: c.now.Round(0)}
 	l.writes.add(&change{
@@ -428,7 +429,7 @@
 		onCommit: func(uint64) {
 			delete(l.accept, s.ID)
 			j := c.newJob(rec)
-			a.answerAll(c, AnswerUser{Status: 201, View: j.view()})
+			a.answerAll(c, request.Response{Status: 201, View: j.view()})
 		},
 		onConflict: func() { c.resolveAdmissionConflict(a) },
 		onReject: func() {
@@ -454,7 +455,7 @@
 // outcome was not known.
 func (c *Core) resolveAdmissionConflict(a *admission) {
 	id := a.spec.ID
-	c.readJob(id, func(v *JobView, known bool) {
+	c.readJob(id, func(v *request.JobStatus, known bool) {
 		if c.leadership == nil || c.leadership.accept[id] != a {
 			return
 		}
@@ -464,12 +465,12 @@
 			c.afterWhileLeading(time.Second, func() { c.resolveAdmissionConflict(a) })
 		case v.State == spec.Done || v.State == spec.Cancelled:
 			delete(c.leadership.accept, id)
-			a.answerAll(c, AnswerUser{Status: 200, View: *v})
+			a.answerAll(c, request.Response{Status: 200, View: *v})
 		default:
 			c.adopt(id, func() {
 				delete(c.leadership.accept, id)
 				if j := c.leadership.jobs[id]; j != nil {
-					a.answerAll(c, AnswerUser{Status: 200, View: j.view()})
+					a.answerAll(c, request.Response{Status: 200, View: j.view()})
 				}
 			}, func() {
 				a.answerAll(c, unavailable("the state service does not answer"))
@@ -480,8 +481,8 @@
 }
 
 // unprocessable refuses a job for good.
-func unprocessable(field, reason string) AnswerUser {
-	return AnswerUser{Status: 422, Field: field, Reason: field + ": " + reason}
+func unprocessable(field, reason string) request.Response {
+	return request.Response{Status: 422, Field: field, Reason: field + ": " + reason}
 }
 
 // unschedulable says why a job can never run, and by which of its fields, or "".
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -9,6 +9,7 @@
 	"yewpass/internal/kv"
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
@@ -90,20 +91,20 @@
 }
 
 // user asks as a user does, the answers are in said.
-func (d *desk) user(op UserOp, id string, s *spec.Job, q *ScheduleCall) uint64 {
+func (d *desk) user(op request.Operation, id string, s *spec.Job, q *request.ScheduleParams) uint64 {
 	d.ref++
-	d.in(UserCall{Ref: d.ref, Op: op, ID: id, Spec: s, Schedule: q})
+	d.in(request.Request{Ref: d.ref, Op: op, ID: id, Spec: s, Schedule: q})
 	return d.ref
 }
 
 // answer returns the answer to a call, or none with status 0.
-func (d *desk) answer(ref uint64) AnswerUser {
+func (d *desk) answer(ref uint64) request.Response {
 	for _, o := range d.said {
-		if a, ok := o.(AnswerUser); ok && a.Ref == ref {
+		if a, ok := o.(request.Response); ok && a.Ref == ref {
 			return a
 		}
 	}
-	return AnswerUser{}
+	return request.Response{}
 }
 
 // report sends the machine's report and returns the orders that it gets.
@@ -130,7 +131,7 @@
 
 // running has a job accepted and its tasks started on the machine.
 func (d *desk) running(id string, tasks int) []heartbeat.Task {
-	d.user(OpSubmit, id, plainJob(id, tasks), nil)
+	d.user(request.Submit, id, plainJob(id, tasks), nil)
 	d.finish()
 	var ts []heartbeat.Task
 	for _, o := range verbs(d.report("host-000000", 10), heartbeat.Start) {
@@ -147,9 +148,9 @@
 func text(s string) *string     { return &s }
 func number(x float64) *float64 { return &x }
 
-func nightly() *ScheduleCall {
+func nightly() *request.ScheduleParams {
 	n, no, yes := 1, false, true
-	return &ScheduleCall{Name: "n", File: &schedule.File{Name: "n", Zone: "UTC", Rule: "FREQ=DAILY", At: []string{"01:00"}, Job: spec.Submission{
+	return &request.ScheduleParams{Name: "n", File: &schedule.File{Name: "n", Zone: "UTC", Rule: "FREQ=DAILY", At: []string{"01:00"}, Job: spec.Submission{
 		JobClass: text("c"), Owner: text("t"), Shape: text("array"), Urgency: text("idle"), Shards: &n, VCPUs: number(1), GPUs: number(0), MemGB: number(1),
 		Bundle: text("i"), SizeGB: number(1), SamePlace: &no, Apart: &no, Reclaimable: &yes, RuntimeS: number(10), SnapshotEveryS: number(0), SnapshotS: number(0)}}}
 }
@@ -160,20 +161,20 @@
 	ok := func(d *desk, ref uint64) func() bool {
 		return func() bool { s := d.answer(ref).Status; return s >= 200 && s < 300 }
 	}
-	schedules := func(op UserOp) func(d *desk) func() bool {
+	schedules := func(op request.Operation) func(d *desk) func() bool {
 		return func(d *desk) func() bool {
-			d.user(OpSchedulePut, "", nil, nightly())
+			d.user(request.SchedulePut, "", nil, nightly())
 			d.finish()
-			return ok(d, d.user(op, "", nil, &ScheduleCall{Name: "n", Request: "r"}))
+			return ok(d, d.user(op, "", nil, &request.ScheduleParams{Name: "n", Request: "r"}))
 		}
 	}
 	for name, promise := range map[string]func(d *desk) (promised func() bool){
 		"accepted": func(d *desk) func() bool {
-			ref := d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
+			ref := d.user(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
 			return ok(d, ref)
 		},
 		"accepted, asked by a peer": func(d *desk) func() bool {
-			d.in(UserCall{Ref: 7, From: "n1", Op: OpSubmit, ID: "wk-1", Spec: plainJob("wk-1", 1)})
+			d.in(request.Request{Ref: 7, From: "n1", Op: request.Submit, ID: "wk-1", Spec: plainJob("wk-1", 1)})
 			return func() bool {
 				return slices.ContainsFunc(d.said, func(o any) bool {
 					p, ok := o.(PeerSend)
@@ -182,22 +183,22 @@
 			}
 		},
 		"known": func(d *desk) func() bool {
-			d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
-			ref := d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
-			poll := d.user(OpGet, "wk-1", nil, nil)
+			d.user(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
+			ref := d.user(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
+			poll := d.user(request.Get, "wk-1", nil, nil)
 			return func() bool { return ok(d, ref)() || ok(d, poll)() }
 		},
 		"cancelled": func(d *desk) func() bool {
 			d.running("wk-1", 1)
-			ref := d.user(OpCancel, "wk-1", nil, nil)
-			poll := d.user(OpGet, "wk-1", nil, nil)
+			ref := d.user(request.Cancel, "wk-1", nil, nil)
+			poll := d.user(request.Get, "wk-1", nil, nil)
 			return func() bool { return ok(d, ref)() || d.answer(poll).View.State == spec.Cancelled }
 		},
 		"done": func(d *desk) func() bool {
 			ts := d.running("wk-1", 1)
 			ts[0].Phase, ts[0].Cause = heartbeat.Exited, heartbeat.CauseDone
 			d.report("host-000000", 12, ts...)
-			return func() bool { return d.answer(d.user(OpGet, "wk-1", nil, nil)).View.State == spec.Done }
+			return func() bool { return d.answer(d.user(request.Get, "wk-1", nil, nil)).View.State == spec.Done }
 		},
 		"a reap at the end of a job": func(d *desk) func() bool {
 			ts := d.running("wk-1", 1)
@@ -224,7 +225,7 @@
 		"a start on a new machine": func(d *desk) func() bool {
 			m := d.c.leadership.fleet[0]
 			m.quarantined = true
-			d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
+			d.user(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
 			d.finish()
 			n := uint64(0)
 			return func() bool { n++; return len(verbs(d.report("host-2", n), heartbeat.Start)) > 0 }
@@ -240,12 +241,12 @@
 			}
 		},
 		"schedule stored": func(d *desk) func() bool {
-			ref := d.user(OpSchedulePut, "", nil, nightly())
+			ref := d.user(request.SchedulePut, "", nil, nightly())
 			return ok(d, ref)
 		},
-		"schedule paused":  schedules(OpSchedulePause),
-		"schedule removed": schedules(OpScheduleDelete),
-		"schedule run now": schedules(OpScheduleRun),
+		"schedule paused":  schedules(request.SchedulePause),
+		"schedule removed": schedules(request.ScheduleDelete),
+		"schedule run now": schedules(request.ScheduleRun),
 	} {
 		for _, bad := range []rpc.Outcome{rpc.Unknown, rpc.Refused} {
 			t.Run(name, func(t *testing.T) {
@@ -282,7 +283,7 @@
 // hears that it is not known, and what a poll hears is as old as the records.
 func TestNoAnswerOfAnotherTerm(t *testing.T) {
 	d := newDesk(t)
-	ref := d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
+	ref := d.user(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
 	for _, x := range d.calls {
 		if call, ok := x.(kv.Request); ok && call.Op == kv.Txn {
 			if !slices.Contains(call.Conditions, kv.Condition{Key: record.TermKey, Rev: 1}) {
@@ -303,7 +304,7 @@
 // accepts meanwhile hears so when the leader takes it on.
 func TestAcceptedElsewhereMeanwhile(t *testing.T) {
 	d := newDesk(t)
-	ref := d.user(OpSubmit, "wk-1", plainJob("wk-1", 1), nil)
+	ref := d.user(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
 	d.calls = nil // its write is on its way
 	d.c.afterWhileLeading(0, func() { d.c.adoptLeaderless(record.LeaderlessPrefix + "wk-1") })
 	d.in(Tick{})
@@ -323,7 +324,7 @@
 func TestNothingFound(t *testing.T) {
 	for _, o := range []rpc.Outcome{rpc.NotFound, rpc.Unknown, rpc.Refused, rpc.Invalid} {
 		d := newDesk(t)
-		ref := d.user(OpGet, "wk-1", nil, nil)
+		ref := d.user(request.Get, "wk-1", nil, nil)
 		for i := range 2 {
 			call := d.calls[len(d.calls)-1].(kv.Request)
 			r := kv.Response{Ref: call.Ref, Outcome: rpc.NotFound}
@@ -355,7 +356,7 @@
 				t.Errorf("sure %v: %+v", sure, a)
 			}
 			if sure { // and once more
-				ref = d.user(OpGet, "wk-2", nil, nil)
+				ref = d.user(request.Get, "wk-2", nil, nil)
 				for range 2 {
 					d.in(kv.Response{Ref: d.calls[len(d.calls)-1].(kv.Request).Ref, Outcome: rpc.NotFound})
 				}
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/request"
 	"yewpass/internal/zones"
 )
 
@@ -148,16 +149,16 @@
 }
 
 // serveCluster answers what operators ask of the controllers, as the leader.
-func (c *Core) serveCluster(call UserCall) {
-	if call.Op == OpCluster {
-		c.answer(call, AnswerUser{Status: 200, Doc: c.cluster()})
+func (c *Core) serveCluster(call request.Request) {
+	if call.Op == request.Cluster {
+		c.answer(call, request.Response{Status: 200, Doc: c.cluster()})
 		return
 	}
 	if reason := c.cannotHandOver(); reason != "" {
-		c.answer(call, AnswerUser{Status: 409, Reason: reason})
+		c.answer(call, request.Response{Status: 409, Reason: reason})
 		return
 	}
-	c.answer(call, AnswerUser{Status: 200, Doc: c.cluster()})
+	c.answer(call, request.Response{Status: 200, Doc: c.cluster()})
 	c.handOver("asked for by an operator")
 }
 
@@ -194,6 +195,3 @@
 	}
 	c.handOver("the process ends")
 }
-
-// ofCluster reports whether an operation is about the controllers and not about jobs.
-func ofCluster(op UserOp) bool { return op == OpCluster || op == OpHandOver }
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -14,6 +14,7 @@
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 )
 
@@ -34,15 +35,6 @@
 	configBroadcastInterval = time.Second
 )
 
-// ConfigCall is what a user asks of the configuration, next to the operation.
-type ConfigCall struct {
-	Name       string                  `json:"name,omitempty"`       // of get
-	Teams      []liveconfig.TeamChange `json:"teams,omitempty"`      // of set
-	IfRevision *uint64                 `json:"ifRevision,omitempty"` // of set
-	After      string                  `json:"after,omitempty"`      // of list: the name before
-	Count      int                     `json:"count,omitempty"`      // of list: how many at the most
-}
-
 // liveConfig is the leader's account of the configuration.
 type liveConfig struct {
 	state     *liveconfig.State
@@ -62,7 +54,7 @@
 
 // configChange is a change that somebody waits for.
 type configChange struct {
-	call   UserCall
+	call   request.Request
 	change liveconfig.Change
 }
 
@@ -280,22 +272,22 @@
 // ---- changing
 
 // serveConfig answers as the leader.
-func (c *Core) serveConfig(call UserCall) {
+func (c *Core) serveConfig(call request.Request) {
 	conf, q := &c.leadership.config, call.Config
 	switch call.Op {
-	case OpConfigStatus:
+	case request.ConfigStatus:
 		c.askPeerVersions()
-		c.answer(call, AnswerUser{Status: 200, Doc: c.configStatus()})
-	case OpConfigGet:
+		c.answer(call, request.Response{Status: 200, Doc: c.configStatus()})
+	case request.ConfigGet:
 		v, ok := c.viewTeam(q.Name)
 		if !ok {
-			c.answer(call, AnswerUser{Status: 404, Field: "name", Reason: "no team " + q.Name})
+			c.answer(call, request.Response{Status: 404, Field: "name", Reason: "no team " + q.Name})
 			return
 		}
-		c.answer(call, AnswerUser{Status: 200, Doc: v})
-	case OpConfigList:
-		c.answer(call, AnswerUser{Status: 200, Doc: c.listTeams(q)})
-	case OpConfigSet:
+		c.answer(call, request.Response{Status: 200, Doc: v})
+	case request.ConfigList:
+		c.answer(call, request.Response{Status: 200, Doc: c.listTeams(q)})
+	case request.ConfigSet:
 		change := liveconfig.Change{Teams: q.Teams, IfRevision: q.IfRevision}
 		if err := change.Check(c.cfg.Settings.State.TxnOps - 1); err != nil {
 			c.answer(call, configError(err))
@@ -312,16 +304,16 @@
 }
 
 // configError answers a change that cannot be made.
-func configError(err error) AnswerUser {
+func configError(err error) request.Response {
 	var e *liveconfig.Error
 	if !errors.As(err, &e) {
-		return AnswerUser{Status: 400, Reason: err.Error()}
+		return request.Response{Status: 400, Reason: err.Error()}
 	}
 	status := 400
 	if e.Stale {
 		status = 412
 	}
-	return AnswerUser{Status: status, Field: e.Path(), Reason: e.Error()}
+	return request.Response{Status: status, Field: e.Path(), Reason: e.Error()}
 }
 
 // configRefusal says why no change can be taken at present, or "".
@@ -457,7 +449,7 @@
 		if made := b.Each[i]; made.Err != nil {
 			c.answer(w.call, configError(made.Err))
 		} else {
-			c.answer(w.call, AnswerUser{Status: 200, Doc: ConfigMade{Revision: made.Revision}})
+			c.answer(w.call, request.Response{Status: 200, Doc: ConfigMade{Revision: made.Revision}})
 		}
 	}
 	b.changes = nil
@@ -492,10 +484,10 @@
 }
 
 func (c *Core) configBatchRejected(b *configBatch) {
-	c.failConfigBatch(b, AnswerUser{Status: 400, Field: "teams", Reason: "teams: the state service rejects the records"})
+	c.failConfigBatch(b, request.Response{Status: 400, Field: "teams", Reason: "teams: the state service rejects the records"})
 }
 
-func (c *Core) failConfigBatch(b *configBatch, a AnswerUser) {
+func (c *Core) failConfigBatch(b *configBatch, a request.Response) {
 	conf := &c.leadership.config
 	b.over = true
 	if conf.batch == b {
@@ -510,7 +502,7 @@
 
 // answerConfig answers everybody who waits for a change. A batch that is on its way is
 // still followed up: it may be on record.
-func (c *Core) answerConfig(l *leadership, a AnswerUser) {
+func (c *Core) answerConfig(l *leadership, a request.Response) {
 	if b := l.config.batch; b != nil {
 		for _, w := range b.changes {
 			c.answer(w.call, a)
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -11,6 +11,7 @@
 	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 )
@@ -25,11 +26,11 @@
 
 // setTeam asks for a change and returns the answer, if there is one at once, and the
 // transaction that is to make it.
-func setTeam(c *Core, ref uint64, team liveconfig.Team) (answer *AnswerUser, txn *kv.Request) {
-	call := UserCall{Ref: ref, Op: OpConfigSet, Config: &ConfigCall{Teams: []liveconfig.TeamChange{{Team: team}}}}
+func setTeam(c *Core, ref uint64, team liveconfig.Team) (answer *request.Response, txn *kv.Request) {
+	call := request.Request{Ref: ref, Op: request.ConfigSet, Config: &request.ConfigParams{Teams: []liveconfig.TeamChange{{Team: team}}}}
 	for _, o := range c.Step(c.now, call) {
 		switch o := o.(type) {
-		case AnswerUser:
+		case request.Response:
 			answer = &o
 		case kv.Request:
 			if o.Op == kv.Txn && len(o.Writes) > 0 {
@@ -71,7 +72,7 @@
 	}
 	answered := false
 	for _, o := range outs {
-		if a, ok := o.(AnswerUser); ok && a.Ref == 3 {
+		if a, ok := o.(request.Response); ok && a.Ref == 3 {
 			answered = a.Status == 200 && a.Doc == ConfigMade{1}
 		}
 	}
@@ -107,7 +108,7 @@
 	answers := 0
 	count := func(outs []any) {
 		for _, o := range outs {
-			if a, ok := o.(AnswerUser); ok && a.Ref == 1 && a.Status == 200 {
+			if a, ok := o.(request.Response); ok && a.Ref == 1 && a.Status == 200 {
 				answers++
 			}
 		}
@@ -198,13 +199,13 @@
 	other.links["n0"] = true
 	other.noteLeader("n0", 1)
 	var ask *PeerMsg
-	for _, o := range other.Step(other.now, UserCall{Ref: 1, Op: OpConfigStatus, Config: &ConfigCall{}}) {
+	for _, o := range other.Step(other.now, request.Request{Ref: 1, Op: request.ConfigStatus, Config: &request.ConfigParams{}}) {
 		switch o := o.(type) {
 		case PeerSend:
 			if o.Msg.Kind == PeerAck {
 				ask = &o.Msg
 			}
-		case AnswerUser:
+		case request.Response:
 			if o.Status != 503 || o.RetryAfter == 0 {
 				t.Errorf("%+v", o)
 			}
@@ -228,7 +229,7 @@
 		t.Errorf("told %d times, the leader speaks %d", told, other.leaderVersion)
 	}
 	forwarded := false
-	for _, o := range other.Step(other.now, UserCall{Ref: 2, Op: OpConfigStatus, Config: &ConfigCall{}}) {
+	for _, o := range other.Step(other.now, request.Request{Ref: 2, Op: request.ConfigStatus, Config: &request.ConfigParams{}}) {
 		p, ok := o.(PeerSend)
 		forwarded = forwarded || ok && p.Msg.Kind == PeerCall
 	}
@@ -246,7 +247,7 @@
 	for i := range c.cfg.Settings.State.TxnOps - 1 {
 		wide = append(wide, liveconfig.TeamChange{Team: liveconfig.Team{Name: fmt.Sprint("w", i)}})
 	}
-	outs := c.Step(c.now, UserCall{Ref: 1, Op: OpConfigSet, Config: &ConfigCall{Teams: wide}})
+	outs := c.Step(c.now, request.Request{Ref: 1, Op: request.ConfigSet, Config: &request.ConfigParams{Teams: wide}})
 	began := c.now
 	for c.now.Sub(began) < 5*time.Second {
 		for _, o := range outs {
@@ -283,7 +284,7 @@
 	ask := func() []any {
 		asked++
 		team := liveconfig.TeamChange{Team: liveconfig.Team{Name: fmt.Sprint("team-", asked)}}
-		return c.Step(c.now, UserCall{Ref: uint64(asked), Op: OpConfigSet, Config: &ConfigCall{Teams: []liveconfig.TeamChange{team}}})
+		return c.Step(c.now, request.Request{Ref: uint64(asked), Op: request.ConfigSet, Config: &request.ConfigParams{Teams: []liveconfig.TeamChange{team}}})
 	}
 	var outs []any
 	for range piled {
@@ -302,7 +303,7 @@
 			o := outs[0]
 			outs = outs[1:]
 			switch o := o.(type) {
-			case AnswerUser:
+			case request.Response:
 				made++
 			case kv.Request:
 				if o.Op == kv.Txn && len(o.Writes) > 0 {
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -8,6 +8,7 @@
 
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 )
 
 // peerVersion is the version of the talk between controllers. Those of before it was told
@@ -68,7 +69,7 @@
 	return v, true
 }
 
-func (c *Core) listTeams(q *ConfigCall) TeamPage {
+func (c *Core) listTeams(q *request.ConfigParams) TeamPage {
 	page := TeamPage{Revision: c.leadership.config.state.Revision, Teams: []TeamView{}}
 	names := c.leadership.config.state.Names()
 	i, found := slices.BinarySearch(names, q.After)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,6 +17,7 @@
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/recovery"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/zones"
 )
@@ -127,7 +128,7 @@
 	c.runTimers()
 	switch in := in.(type) {
 	case Tick:
-	case UserCall:
+	case request.Request:
 		c.userCall(in)
 	case heartbeat.Received:
 		c.handleHeartbeat(in)
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -6,6 +6,7 @@
 	"time"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 )
@@ -71,7 +72,7 @@
 
 // correctByReplica corrects what was read of a job without a leader by the copy of the last one:
 // the service may have lost data since, or gone back. known is false without such a copy.
-func (c *Core) correctByReplica(id string, v *JobView) (_ *JobView, known bool) {
+func (c *Core) correctByReplica(id string, v *request.JobStatus) (_ *request.JobStatus, known bool) {
 	k := c.lastLeaderReplica()
 	if k == nil {
 		return nil, false
@@ -84,7 +85,7 @@
 	}
 	if r, ok := k.Get(record.JobPrefix + id); ok && (v == nil || v.State == spec.Queued) {
 		if rec, _ := r.Value.(*record.Job); rec != nil {
-			v = &JobView{ID: id, State: spec.Queued}
+			v = &request.JobStatus{ID: id, State: spec.Queued}
 			if rec.Cancelled {
 				v.State = spec.Cancelled
 			}
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -13,6 +13,7 @@
 	"yewpass/internal/kv"
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
@@ -212,7 +213,7 @@
 		j := &spec.Job{ID: fmt.Sprintf("wk-%07d", i), Class: fmt.Sprint("class ", i), Owner: "t", Tasks: 2, CPUs: 1, MemGB: 1, Image: fmt.Sprint("img", i), AllowSpot: true, Runtime: time.Minute}
 		r.Counter++
 		say(r) // has it recorded
-		done(UserCall{Ref: uint64(i) + 5e6, Op: OpSubmit, ID: j.ID, Spec: j})
+		done(request.Request{Ref: uint64(i) + 5e6, Op: request.Submit, ID: j.ID, Spec: j})
 		for round := range 4 {
 			r.Counter++
 			say(r)
@@ -325,7 +326,7 @@
 		t.Errorf("%v %v", l.jobs, l.unreadableJobs)
 	}
 	// Whoever asks has it looked at again, and it is as it was.
-	outs := slices.Clone(c.Step(c.now.Add(time.Second), UserCall{Ref: 5, Op: OpGet, ID: "wk-1"}))
+	outs := slices.Clone(c.Step(c.now.Add(time.Second), request.Request{Ref: 5, Op: request.Get, ID: "wk-1"}))
 	for i := 0; i < len(outs); i++ {
 		switch o := outs[i].(type) {
 		case kv.Request:
@@ -336,7 +337,7 @@
 			if o.Key == record.JobPrefix+"wk-1" || o.Key == record.ProgressPrefix+"wk-1/" {
 				outs = append(outs, slices.Clone(c.Step(c.now, r))...)
 			}
-		case AnswerUser:
+		case request.Response:
 			if o.Status != 503 || !l.unreadableJobs["wk-1"] || l.jobs["wk-1"] != nil {
 				t.Errorf("%+v", o)
 			}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -11,6 +11,7 @@
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 )
@@ -126,19 +127,19 @@
 				s := &spec.Job{ID: pick(jobs...), Class: "c", Owner: pick("t", "nobody"), Service: next()%4 == 0, Urgency: spec.Urgency(next() % 4), Tasks: []int{1, 2, 300, spec.MaxTasks}[next()%4],
 					CPUs: amount(1e6), GPUs: amount(1e6), MemGB: amount(1e7), Image: "i", ImageGB: amount(1e6), AllowSpot: next()%2 == 0, SamePlace: next()%4 == 0, Apart: next()%4 == 0,
 					Runtime: span(), CheckpointInterval: span(), CheckpointTime: span(), Deadline: span(), HasDeadline: next()%2 == 0}
-				call := UserCall{Ref: ref, Op: OpSubmit, ID: s.ID, Spec: s, From: pick("", "n1")}
+				call := request.Request{Ref: ref, Op: request.Submit, ID: s.ID, Spec: s, From: pick("", "n1")}
 				if next()%3 == 0 {
-					call.Op, call.Spec = []UserOp{OpGet, OpCancel}[next()%2], nil
+					call.Op, call.Spec = []request.Operation{request.Get, request.Cancel}[next()%2], nil
 				}
 				step(call)
 			case 4:
 				step(PeerIn{From: "n1", Msg: PeerMsg{Kind: []PeerKind{PeerAck, PeerAnswer, PeerAck, PeerAnswer, PeerLeader}[next()%5], Term: max(1, min(num(), record.MaxTerm)), Ref: ref,
-					Answer: &AnswerUser{Status: 200, View: JobView{ID: "wk-1", State: spec.Done}}}})
+					Answer: &request.Response{Status: 200, View: request.JobStatus{ID: "wk-1", State: spec.Done}}}})
 			case 5:
 				if q := nightly(); next()%2 == 0 {
-					ops := []UserOp{OpSchedulePut, OpSchedulePut, OpScheduleGet, OpScheduleList, OpScheduleDelete, OpSchedulePause, OpScheduleResume, OpScheduleRun, OpScheduleUpcoming, OpScheduleHistory}
-					q.Name, q.Request, q.Count = pick("n", "m"), pick("r", "s"), next()%MaxCount
-					step(UserCall{Ref: ref, Op: ops[next()%len(ops)], Schedule: q})
+					ops := []request.Operation{request.SchedulePut, request.SchedulePut, request.ScheduleGet, request.ScheduleList, request.ScheduleDelete, request.SchedulePause, request.ScheduleResume, request.ScheduleRun, request.ScheduleUpcoming, request.ScheduleHistory}
+					q.Name, q.Request, q.Count = pick("n", "m"), pick("r", "s"), next()%request.MaxCount
+					step(request.Request{Ref: ref, Op: ops[next()%len(ops)], Schedule: q})
 					continue
 				}
 				step(PeerLink{Name: "n1", Up: next()%2 == 0})
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -10,6 +10,7 @@
 
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 	"yewpass/internal/topology"
@@ -36,11 +37,11 @@
 	chunkRevisions map[int]uint64
 	dirtyChunks    map[int]bool // chunks with news not yet on their way
 
-	cancelling    bool       // a cancellation has been begun
-	cancelled     bool       // and has been committed
-	finishing     bool       // the final record is on its way
-	endingChange  *change    // whichever of the two is on its way
-	cancelWaiters []UserCall // who waits for it
+	cancelling    bool              // a cancellation has been begun
+	cancelled     bool              // and has been committed
+	finishing     bool              // the final record is on its way
+	endingChange  *change           // whichever of the two is on its way
+	cancelWaiters []request.Request // who waits for it
 
 	failedOn           map[string]bool // machines on which its tasks failed
 	failures           int             // since a task last completed
@@ -112,8 +113,8 @@
 // halted reports whether no task of the job may start any more.
 func (j *job) halted() bool { return j.cancelled || j.cancelling || j.finishing }
 
-func (j *job) view() JobView {
-	v := JobView{ID: j.spec.ID, State: spec.Queued, Done: j.spec.Tasks - j.remaining, Running: j.running}
+func (j *job) view() request.JobStatus {
+	v := request.JobStatus{ID: j.spec.ID, State: spec.Queued, Done: j.spec.Tasks - j.remaining, Running: j.running}
 	switch {
 	case j.cancelled:
 		v.State = spec.Cancelled
@@ -290,7 +291,7 @@
 		r.forgettable = true
 	}
 	j.completed = nil
-	j.answerCancelWaiters(c, AnswerUser{Status: 200, View: finalStatus(j.spec.ID, f)})
+	j.answerCancelWaiters(c, request.Response{Status: 200, View: finalStatus(j.spec.ID, f)})
 	if j.schedule != nil {
 		c.occurrenceOver(j.schedule, j.spec.ID, f.State, c.timeOfDay())
 	}
@@ -298,11 +299,11 @@
 }
 
 // finalStatus is what a user is told of a job that has ended.
-func finalStatus(id string, f record.Final) JobView {
-	return JobView{ID: id, State: f.State, Done: f.Done}
+func finalStatus(id string, f record.Final) request.JobStatus {
+	return request.JobStatus{ID: id, State: f.State, Done: f.Done}
 }
 
-func (j *job) answerCancelWaiters(c *Core, a AnswerUser) {
+func (j *job) answerCancelWaiters(c *Core, a request.Response) {
 	for _, call := range j.cancelWaiters {
 		c.answer(call, a)
 	}
@@ -310,9 +311,9 @@
 }
 
 // cancelJob records a cancellation and answers once it is committed.
-func (c *Core) cancelJob(j *job, call UserCall) {
+func (c *Core) cancelJob(j *job, call request.Request) {
 	if j.cancelled {
-		c.answer(call, AnswerUser{Status: 200, View: j.view()})
+		c.answer(call, request.Response{Status: 200, View: j.view()})
 		return
 	}
 	j.cancelWaiters = append(j.cancelWaiters, call)
@@ -362,7 +363,7 @@
 			j.cancelling, j.cancelled, j.record, j.endingChange = false, true, &rec, nil
 			c.dropReservations(j)
 			c.note(slog.LevelDebug, "job cancelled", "job", j.spec.ID)
-			j.answerCancelWaiters(c, AnswerUser{Status: 200, View: j.view()})
+			j.answerCancelWaiters(c, request.Response{Status: 200, View: j.view()})
 			c.finishIfOver(j)
 		},
 	}
@@ -376,13 +377,13 @@
 
 // waitForEnding has a question about a job wait if its end may be on record without our knowing.
 // Whoever reads the record may have told the user, who must hear nothing older from us.
-func (c *Core) waitForEnding(j *job, call UserCall) bool {
+func (c *Core) waitForEnding(j *job, call request.Request) bool {
 	if j.endingChange == nil || !j.endingChange.sent {
 		return false
 	}
 	j.cancelWaiters = append(j.cancelWaiters, call)
 	c.afterWhileLeading(endingTimeout, func() {
-		if i := slices.IndexFunc(j.cancelWaiters, func(x UserCall) bool { return x.From == call.From && x.Ref == call.Ref }); i >= 0 {
+		if i := slices.IndexFunc(j.cancelWaiters, func(x request.Request) bool { return x.From == call.From && x.Ref == call.Ref }); i >= 0 {
 			j.cancelWaiters = slices.Delete(j.cancelWaiters, i, i+1)
 			c.answer(call, unavailable("its end is being recorded"))
 		}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -9,6 +9,7 @@
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/topology"
 	"yewpass/internal/zones"
@@ -160,7 +161,7 @@
 }
 
 // answerWaiting answers everybody who waits for a write.
-func (c *Core) answerWaiting(l *leadership, a AnswerUser) {
+func (c *Core) answerWaiting(l *leadership, a request.Response) {
 	for _, id := range slices.Sorted(maps.Keys(l.accept)) {
 		l.accept[id].answerAll(c, a)
 	}
--- a/internal/core/leaderless.go
+++ b/internal/core/leaderless.go
@@ -11,6 +11,7 @@
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 )
@@ -60,7 +61,7 @@
 }
 
 // admitLeaderless records a submission without a leader.
-func (c *Core) admitLeaderless(call UserCall) {
+func (c *Core) admitLeaderless(call request.Request) {
 	s := call.Spec
 	no := unavailable("no leader at present")
 	switch {
@@ -101,12 +102,12 @@
 		case rpc.OK:
 			c.note(slog.LevelInfo, "job accepted without a leader", "job", s.ID)
 			c.replicateLeaderless(rec, r.Rev)
-			c.answer(call, AnswerUser{Status: 201, View: JobView{ID: s.ID, State: spec.Queued}})
+			c.answer(call, request.Response{Status: 201, View: request.JobStatus{ID: s.ID, State: spec.Queued}})
 		case rpc.Conflict, rpc.Unknown:
 			// It has a record, maybe this one.
-			c.readJob(s.ID, func(v *JobView, known bool) {
+			c.readJob(s.ID, func(v *request.JobStatus, known bool) {
 				if known && v != nil {
-					c.answer(call, AnswerUser{Status: 200, View: *v})
+					c.answer(call, request.Response{Status: 200, View: *v})
 				} else {
 					c.answer(call, no)
 				}
@@ -119,7 +120,7 @@
 
 // rejectLeaderless refuses a submission for good without a leader: only if the records have the
 // last word that nobody ever accepted it, and the last leader's copy says the same.
-func (c *Core) rejectLeaderless(call UserCall, k *replica.Copy, refusal AnswerUser) {
+func (c *Core) rejectLeaderless(call request.Request, k *replica.Copy, refusal request.Response) {
 	id, no := call.Spec.ID, unavailable("no leader at present")
 	if _, live := k.Get(record.JobPrefix + id); live || !c.readLimit.AllowN(c.now, 1) {
 		c.answer(call, no)
@@ -167,7 +168,7 @@
 		return
 	}
 	c.adopt(id, drop, func() {
-		c.readJob(id, func(v *JobView, known bool) {
+		c.readJob(id, func(v *request.JobStatus, known bool) {
 			if c.leadership == l && known && (v == nil || v.State == spec.Done || v.State == spec.Cancelled) {
 				drop() // it is over already
 			}
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -9,6 +9,7 @@
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 )
@@ -59,7 +60,7 @@
 		d := newDesk(t)
 		d.c.leaseTiming.CancelTimeout = 60 * time.Second
 		ts := d.running("wk-1", 1)
-		cancel := d.user(OpCancel, "wk-1", nil, nil)
+		cancel := d.user(request.Cancel, "wk-1", nil, nil)
 		if lapsed {
 			d.c.now = later(d.c.now, d.c.leadership.expiresAt).Add(2 * time.Second)
 			d.c.leadership.clockSkew = d.c.clockSkew(d.c.now)
@@ -74,7 +75,7 @@
 		if lapsed {
 			continue
 		}
-		get := d.user(OpGet, "wk-1", nil, nil)
+		get := d.user(request.Get, "wk-1", nil, nil)
 		d.pass(100 * time.Millisecond)
 		if a := d.answer(get); a.Status != 0 {
 			t.Errorf("told %+v while the record may say otherwise", a)
@@ -83,7 +84,7 @@
 		if a := d.answer(get); a.Status != 503 {
 			t.Errorf("told %+v in the end", a)
 		}
-		get = d.user(OpGet, "wk-1", nil, nil)
+		get = d.user(request.Get, "wk-1", nil, nil)
 		d.settle(rpc.OK)
 		if a := d.answer(get); a.Status != 200 || a.View.State != spec.Cancelled {
 			t.Errorf("told %+v once it is committed", a)
@@ -98,7 +99,7 @@
 	d.c.leaseTiming.CancelTimeout = d.c.workerLease - 5*time.Second
 	ts := d.running("wk-1", 1)
 	d.finish()
-	first := d.user(OpCancel, "wk-1", nil, nil)
+	first := d.user(request.Cancel, "wk-1", nil, nil)
 	if a := d.answer(first); a.Status != 503 || a.RetryAfter < 5*time.Second {
 		t.Errorf("told %+v", a)
 	}
@@ -107,7 +108,7 @@
 	}
 	ts[0].Phase, ts[0].Cause = heartbeat.Exited, heartbeat.CauseStopped
 	d.report("host-000000", 20, ts...)
-	again := d.user(OpCancel, "wk-1", nil, nil)
+	again := d.user(request.Cancel, "wk-1", nil, nil)
 	d.finish()
 	if a := d.answer(again); a.Status != 200 || a.View.State != spec.Cancelled {
 		t.Errorf("told %+v once its task is gone", a)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -5,6 +5,7 @@
 	"time"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 )
 
@@ -61,7 +62,7 @@
 			l.allAcknowledgedAt = c.now
 		}
 	case PeerCall:
-		c.userCall(UserCall{Ref: p.Msg.Ref, From: p.From, Op: p.Msg.Op, ID: p.Msg.ID, Spec: p.Msg.Spec, Schedule: p.Msg.Schedule, Config: p.Msg.Config})
+		c.userCall(request.Request{Ref: p.Msg.Ref, From: p.From, Op: p.Msg.Op, ID: p.Msg.ID, Spec: p.Msg.Spec, Schedule: p.Msg.Schedule, Config: p.Msg.Config})
 	case PeerAnswer:
 		c.peerAnswer(p.From, p.Msg)
 	case PeerCopy:
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -11,6 +11,7 @@
 	"yewpass/internal/policy"
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 )
 
@@ -227,10 +228,10 @@
 // TestCluster: any node tells of the controllers, the leader with all that it knows; and
 // a leadership is handed over only to somebody.
 func TestCluster(t *testing.T) {
-	ask := func(c *Core, op UserOp) (a AnswerUser, dropped bool) {
-		for _, o := range c.Step(c.now.Add(time.Millisecond), UserCall{Ref: 3, Op: op}) {
+	ask := func(c *Core, op request.Operation) (a request.Response, dropped bool) {
+		for _, o := range c.Step(c.now.Add(time.Millisecond), request.Request{Ref: 3, Op: op}) {
 			switch o := o.(type) {
-			case AnswerUser:
+			case request.Response:
 				a = o
 			case kv.Request:
 				dropped = dropped || o.Op == kv.RevokeLease
@@ -241,22 +242,22 @@
 	n := newRelayNode(t)
 	n.worker(1, 1)
 	n.in(PeerLink{Name: "n1"})
-	a, _ := ask(n.Core, OpCluster)
+	a, _ := ask(n.Core, request.Cluster)
 	if v, _ := a.Doc.(*Cluster); v == nil || v.Leader != "n1" || v.Term != 5 || v.Nodes[0].Workers != 1 || v.Nodes[0].Role != "away" {
 		t.Errorf("%+v", a.Doc)
 	}
 	c := leaderOf(t, 2)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1", Site: "b"}}
-	a, _ = ask(c, OpCluster)
+	a, _ = ask(c, request.Cluster)
 	if v, _ := a.Doc.(*Cluster); v == nil || v.Leader != "n0" || !v.Authority || v.Machines != 2 || len(v.Nodes) != 2 || v.Nodes[1].Role != "away" {
 		t.Errorf("%+v", a.Doc)
 	}
-	if a, dropped := ask(c, OpHandOver); a.Status != 409 || dropped || c.leadership == nil {
+	if a, dropped := ask(c, request.HandOver); a.Status != 409 || dropped || c.leadership == nil {
 		t.Errorf("handed over to nobody: %d %s", a.Status, a.Reason)
 	}
 	c.Step(c.now, PeerLink{Name: "n1", Up: true})
 	c.Step(c.now, PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: 1, Reports: relay.NewFold(3).Batch(nil, nil)}})
-	if a, dropped := ask(c, OpHandOver); a.Status != 200 || !dropped || c.leadership != nil {
+	if a, dropped := ask(c, request.HandOver); a.Status != 200 || !dropped || c.leadership != nil {
 		t.Errorf("not handed over: %d %s", a.Status, a.Reason)
 	}
 }
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -10,6 +10,7 @@
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 )
@@ -27,7 +28,7 @@
 func TestAnswerOfFormerProcess(t *testing.T) {
 	forwards := func(n *relayNode, id string) (ref uint64) {
 		n.outs = nil
-		n.in(UserCall{Ref: 1, Op: OpGet, ID: id})
+		n.in(request.Request{Ref: 1, Op: request.Get, ID: id})
 		for _, o := range n.outs {
 			if p, ok := o.(PeerSend); ok && p.Msg.Kind == PeerCall {
 				ref = p.Msg.Ref
@@ -47,9 +48,9 @@
 	// Not even by chance.
 	ref = forwards(n, "wk-2")
 	n.outs = nil
-	n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerAnswer, Ref: ref, Answer: &AnswerUser{Status: 200, View: JobView{ID: "wk-1", State: spec.Done}}}})
+	n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerAnswer, Ref: ref, Answer: &request.Response{Status: 200, View: request.JobStatus{ID: "wk-1", State: spec.Done}}}})
 	for _, o := range n.outs {
-		if a, ok := o.(AnswerUser); ok {
+		if a, ok := o.(request.Response); ok {
 			t.Errorf("whoever asked about wk-2 is told %+v", a)
 		}
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -14,6 +14,7 @@
 	"yewpass/internal/policy"
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
@@ -217,7 +218,7 @@
 func BenchmarkPoll(b *testing.B) {
 	sizes(b, func(b *testing.B, c *Core, _ *rand.Rand) {
 		for i := range b.N {
-			c.Step(t0, UserCall{Ref: uint64(i), Op: OpGet, ID: "wk-001000"})
+			c.Step(t0, request.Request{Ref: uint64(i), Op: request.Get, ID: "wk-001000"})
 		}
 	})
 }
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -11,12 +11,13 @@
 	"yewpass/internal/calendar"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 )
 
 // reply answers whoever waits for the write on its way.
-func (s *recurringJob) reply(c *Core, a AnswerUser) {
+func (s *recurringJob) reply(c *Core, a request.Response) {
 	if s.requester != nil {
 		c.answer(*s.requester, a)
 		s.requester = nil
@@ -24,7 +25,7 @@
 }
 
 // answerSchedules answers everybody who waits for a write of a schedule.
-func (c *Core) answerSchedules(l *leadership, a AnswerUser) {
+func (c *Core) answerSchedules(l *leadership, a request.Response) {
 	for _, s := range l.schedules.byName {
 		s.reply(c, a)
 		for _, call := range s.waiting {
@@ -34,19 +35,19 @@
 	}
 }
 
-func noSchedule(name string) AnswerUser {
-	return AnswerUser{Status: 404, Field: "name", Reason: "no schedule " + name}
+func noSchedule(name string) request.Response {
+	return request.Response{Status: 404, Field: "name", Reason: "no schedule " + name}
 }
 
 // serveSchedule answers as the leader.
-func (c *Core) serveSchedule(call UserCall) {
+func (c *Core) serveSchedule(call request.Request) {
 	sch, q := &c.leadership.schedules, call.Schedule
 	if !sch.loaded {
 		c.answer(call, unavailable("the schedules are being read"))
 		return
 	}
-	if call.Op == OpScheduleList {
-		c.answer(call, AnswerUser{Status: 200, Doc: c.listSchedules(q)})
+	if call.Op == request.ScheduleList {
+		c.answer(call, request.Response{Status: 200, Doc: c.listSchedules(q)})
 		return
 	}
 	if sch.unreadable[q.Name] {
@@ -55,15 +56,15 @@
 	}
 	s := sch.byName[q.Name]
 	if s == nil {
-		if call.Op == OpSchedulePut {
+		if call.Op == request.SchedulePut {
 			c.putSchedule(nil, call)
 		} else {
 			c.answer(call, noSchedule(q.Name))
 		}
 		return
 	}
-	reads := call.Op == OpScheduleGet || call.Op == OpScheduleUpcoming || call.Op == OpScheduleHistory
-	if call.Op == OpSchedulePut && !s.writing && s.definition != nil && q.File != nil && s.hasDefinition(q.File) {
+	reads := call.Op == request.ScheduleGet || call.Op == request.ScheduleUpcoming || call.Op == request.ScheduleHistory
+	if call.Op == request.SchedulePut && !s.writing && s.definition != nil && q.File != nil && s.hasDefinition(q.File) {
 		// Asked again, perhaps because the answer was lost: it is as it was asked for.
 		c.answer(call, c.scheduleView(s, 200))
 		return
@@ -78,18 +79,18 @@
 	}
 	if !reads && q.IfMatch != "" && q.IfMatch != s.record.ETag() {
 		reason := "the schedule has changed since it was read; its ETag is " + s.record.ETag()
-		if q.IfMatch == NewOnly {
+		if q.IfMatch == request.NewOnly {
 			reason = "there is a schedule of this name"
 		}
-		c.answer(call, AnswerUser{Status: 412, Field: "name", Reason: reason})
+		c.answer(call, request.Response{Status: 412, Field: "name", Reason: reason})
 		return
 	}
 	switch call.Op {
-	case OpSchedulePut:
+	case request.SchedulePut:
 		c.putSchedule(s, call)
-	case OpScheduleGet:
+	case request.ScheduleGet:
 		c.answer(call, c.scheduleView(s, 200))
-	case OpScheduleUpcoming:
+	case request.ScheduleUpcoming:
 		doc := schedule.Coming{Upcoming: []schedule.Upcoming{}}
 		for cursor := s.record.Cursor; s.definition != nil && !s.record.Paused && len(doc.Upcoming) < q.Count; {
 			o, ok := s.definition.Next(cursor)
@@ -99,20 +100,20 @@
 			doc.Upcoming = append(doc.Upcoming, *s.definition.Tell(s.record.Number, o))
 			cursor = cursor.Past(o)
 		}
-		c.answer(call, AnswerUser{Status: 200, Doc: doc})
-	case OpScheduleHistory:
+		c.answer(call, request.Response{Status: 200, Doc: doc})
+	case request.ScheduleHistory:
 		zone := time.UTC
 		if s.definition != nil {
 			zone = s.definition.Timing.Zone()
 		}
-		c.answer(call, AnswerUser{Status: 200, Doc: s.record.Told(zone)})
-	case OpScheduleDelete:
+		c.answer(call, request.Response{Status: 200, Doc: s.record.Told(zone)})
+	case request.ScheduleDelete:
 		c.deleteSchedule(s, call)
-	case OpSchedulePause, OpScheduleResume:
+	case request.SchedulePause, request.ScheduleResume:
 		c.pauseSchedule(s, call)
-	case OpScheduleRun:
+	case request.ScheduleRun:
 		if s.definition == nil {
-			c.answer(call, AnswerUser{Status: 422, Reason: s.problem})
+			c.answer(call, request.Response{Status: 422, Reason: s.problem})
 			return
 		}
 		job := s.definition.Template()
@@ -124,7 +125,7 @@
 			clear(c.leadership.schedules.manualRuns)
 		}
 		c.leadership.schedules.manualRuns[job.ID] = s
-		c.serve(UserCall{Ref: call.Ref, From: call.From, Op: OpSubmit, ID: job.ID, Spec: &job})
+		c.serve(request.Request{Ref: call.Ref, From: call.From, Op: request.Submit, ID: job.ID, Spec: &job})
 	}
 }
 
@@ -134,13 +135,10 @@
 	return err == nil && bytes.Equal(data, s.record.File)
 }
 
-// NewOnly as an ETag stands for a schedule that is not there yet.
-const NewOnly = "new"
-
-func (c *Core) scheduleView(s *recurringJob, status int) AnswerUser {
+func (c *Core) scheduleView(s *recurringJob, status int) request.Response {
 	v := schedule.View{Schedule: s.record.File, Number: s.record.Number, ETag: s.record.ETag(), Paused: s.record.Paused, Problem: s.problem,
 		Next: s.nextOccurrence(), Made: s.record.Made, Missed: s.record.Missed, Late: s.record.Late}
-	return AnswerUser{Status: status, Doc: v, ETag: v.ETag}
+	return request.Response{Status: status, Doc: v, ETag: v.ETag}
 }
 
 // nextOccurrence returns the next occurrence as users see it, or nil.
@@ -155,7 +153,7 @@
 	return s.definition.Tell(s.record.Number, o)
 }
 
-func (c *Core) listSchedules(q *ScheduleCall) schedule.Page {
+func (c *Core) listSchedules(q *request.ScheduleParams) schedule.Page {
 	sch := &c.leadership.schedules
 	page := schedule.Page{Schedules: []schedule.Brief{}}
 	i, found := slices.BinarySearch(sch.names, q.After)
@@ -180,10 +178,10 @@
 }
 
 // putSchedule creates a schedule or replaces the definition of one.
-func (c *Core) putSchedule(s *recurringJob, call UserCall) {
+func (c *Core) putSchedule(s *recurringJob, call request.Request) {
 	l, q := c.leadership, call.Schedule
 	if q.File == nil { // from a peer of another version
-		c.answer(call, AnswerUser{Status: 400, Field: "name", Reason: "no schedule in the request"})
+		c.answer(call, request.Response{Status: 400, Field: "name", Reason: "no schedule in the request"})
 		return
 	}
 	def, err := q.File.Compile(c.cal)
@@ -191,13 +189,13 @@
 		err = &calendar.FieldError{Field: "rule", Reason: "never occurs from now on"}
 	}
 	if fe := (*calendar.FieldError)(nil); errors.As(err, &fe) {
-		c.answer(call, AnswerUser{Status: 400, Field: fe.Field, Reason: fe.Error()})
+		c.answer(call, request.Response{Status: 400, Field: fe.Field, Reason: fe.Error()})
 		return
 	}
 	file, err := json.Marshal(q.File)
 	rec := &schedule.Record{File: file, Edition: 1}
 	if err != nil || !c.fitsValue(rec.Size()) {
-		c.answer(call, AnswerUser{Status: 400, Field: "at", Reason: "at, rule or job: the description is too long"})
+		c.answer(call, request.Response{Status: 400, Field: "at", Reason: "at, rule or job: the description is too long"})
 		return
 	}
 	if !l.autoscaler.catalogRead {
@@ -206,11 +204,11 @@
 	}
 	job := def.Template()
 	if field, reason := c.unschedulable(&job); reason != "" {
-		c.answer(call, AnswerUser{Status: 422, Field: "job." + field, Reason: "job." + field + ": " + reason})
+		c.answer(call, request.Response{Status: 422, Field: "job." + field, Reason: "job." + field + ": " + reason})
 		return
 	}
 	if !c.fitsValue(recordSize(&job)) {
-		c.answer(call, AnswerUser{Status: 400, Field: "job.flavors", Reason: "job.flavors: the description is too long"})
+		c.answer(call, request.Response{Status: 400, Field: "job.flavors", Reason: "job.flavors: the description is too long"})
 		return
 	}
 	if s != nil {
@@ -228,8 +226,8 @@
 		}, nil)
 		return
 	}
-	if q.IfMatch != "" && q.IfMatch != NewOnly {
-		c.answer(call, AnswerUser{Status: 412, Field: "name", Reason: "there is no schedule of this name"})
+	if q.IfMatch != "" && q.IfMatch != request.NewOnly {
+		c.answer(call, request.Response{Status: 412, Field: "name", Reason: "there is no schedule of this name"})
 		return
 	}
 	s = &recurringJob{name: q.Name, writing: true, requester: &call}
@@ -273,7 +271,7 @@
 	}
 	ch.onReject = func() {
 		delete(c.leadership.schedules.byName, s.name)
-		s.reply(c, AnswerUser{Status: 400, Field: "name", Reason: "the state service rejects the record"})
+		s.reply(c, request.Response{Status: 400, Field: "name", Reason: "the state service rejects the record"})
 	}
 	c.leadership.writes.add(ch)
 }
@@ -345,7 +343,7 @@
 	})
 }
 
-func (c *Core) deleteSchedule(s *recurringJob, call UserCall) {
+func (c *Core) deleteSchedule(s *recurringJob, call request.Request) {
 	s.writing, s.requester = true, &call
 	s.generation++
 	key := record.SchedulePrefix + s.name
@@ -353,7 +351,7 @@
 	done := func() {
 		c.replicateDrop(key)
 		c.note(slog.LevelInfo, "schedule removed", "schedule", s.name)
-		s.reply(c, AnswerUser{Status: 200, Doc: map[string]string{"name": s.name, "status": "removed"}})
+		s.reply(c, request.Response{Status: 200, Doc: map[string]string{"name": s.name, "status": "removed"}})
 		c.forgetSchedule(s)
 	}
 	remove := func(rev uint64) {
@@ -381,8 +379,8 @@
 
 // pauseSchedule pauses a schedule, or resumes it: what would have run meanwhile
 // does not run.
-func (c *Core) pauseSchedule(s *recurringJob, call UserCall) {
-	pause := call.Op == OpSchedulePause
+func (c *Core) pauseSchedule(s *recurringJob, call request.Request) {
+	pause := call.Op == request.SchedulePause
 	if s.record.Paused == pause {
 		c.answer(call, c.scheduleView(s, 200))
 		return
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -10,6 +10,7 @@
 	"yewpass/internal/calendar"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
@@ -56,9 +57,9 @@
 	definition *schedule.Def // nil if this leader cannot read it: see problem
 	problem    string
 
-	writing   bool       // a write of it is on its way: what else is asked waits
-	requester *UserCall  // who waits for that write
-	waiting   []UserCall // who asks next
+	writing   bool              // a write of it is on its way: what else is asked waits
+	requester *request.Request  // who waits for that write
+	waiting   []request.Request // who asks next
 	removed   bool
 
 	generation       uint64    // of its place in a heap; others are stale
@@ -484,7 +485,7 @@
 	}
 	x := sch.unresolved[0]
 	l := c.leadership
-	c.readJob(x.job, func(v *JobView, ok bool) {
+	c.readJob(x.job, func(v *request.JobStatus, ok bool) {
 		if c.leadership != l {
 			return
 		}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -5,7 +5,6 @@
 
 import (
 	"log/slog"
-	"time"
 
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/liveconfig"
@@ -13,6 +12,7 @@
 	"yewpass/internal/recovery"
 	"yewpass/internal/relay"
 	"yewpass/internal/replica"
+	"yewpass/internal/request"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
 )
@@ -31,61 +31,6 @@
 
 // ---- inputs
 
-// UserOp is what a user asks for.
-type UserOp string
-
-// The operations of the user interface.
-const (
-	OpSubmit UserOp = "submit"
-	OpGet    UserOp = "get"
-	OpCancel UserOp = "cancel"
-
-	OpCluster  UserOp = "cluster"
-	OpHandOver UserOp = "hand over"
-
-	OpConfigSet    UserOp = "config set"
-	OpConfigGet    UserOp = "config get"
-	OpConfigList   UserOp = "config list"
-	OpConfigStatus UserOp = "config status"
-	OpConfigHere   UserOp = "config here" // what the node has that is asked, whoever leads
-
-	OpSchedulePut      UserOp = "schedule put"
-	OpScheduleGet      UserOp = "schedule get"
-	OpScheduleList     UserOp = "schedule list"
-	OpScheduleDelete   UserOp = "schedule delete"
-	OpSchedulePause    UserOp = "schedule pause"
-	OpScheduleResume   UserOp = "schedule resume"
-	OpScheduleRun      UserOp = "schedule run"
-	OpScheduleUpcoming UserOp = "schedule upcoming"
-	OpScheduleHistory  UserOp = "schedule history"
-)
-
-// ScheduleCall is what a user asks of a schedule, next to the operation.
-type ScheduleCall struct {
-	Name    string         `json:"name,omitempty"`
-	File    *schedule.File `json:"file,omitempty"`    // of put
-	IfMatch string         `json:"ifMatch,omitempty"` // the ETag it is based on; "" any, "new" none
-	After   string         `json:"after,omitempty"`   // of list: the name before
-	Count   int            `json:"count,omitempty"`   // of list and upcoming: how many at the most
-	Request string         `json:"request,omitempty"` // of run: the caller's name for it
-}
-
-// UserCall is a user's request, from this node's own socket or forwarded by a
-// peer.
-type UserCall struct {
-	Ref  uint64
-	From string // the peer that forwarded it, empty for our own user
-	Op   UserOp
-	ID   string
-	Spec *spec.Job
-
-	Schedule *ScheduleCall
-	Config   *ConfigCall
-}
-
-// IsJob reports whether the call is about one job.
-func (u *UserCall) IsJob() bool { return u.Schedule == nil && u.Config == nil && !ofCluster(u.Op) }
-
 // PeerIn is a message from another controller.
 type PeerIn struct {
 	From string
@@ -126,15 +71,15 @@
 	Kind   PeerKind
 	Term   uint64
 	Ref    uint64
-	Op     UserOp
+	Op     request.Operation
 	ID     string
 	Spec   *spec.Job
-	Answer *AnswerUser
+	Answer *request.Response
 
 	Version uint64 // of leader and ack: the version that the sender talks in
 
-	Schedule *ScheduleCall
-	Config   *ConfigCall
+	Schedule *request.ScheduleParams
+	Config   *request.ConfigParams
 	Reports  *relay.Batch
 	Replies  *relay.Replies
 	Copy     *replica.Line
@@ -153,78 +98,51 @@
 // Sound reports whether a call of a peer carries what its operation asks for, as the
 // interface to users makes sure of for our own.
 func (m *PeerMsg) Sound() bool {
-	if ofConfig(m.Op) {
+	if request.IsConfig(m.Op) {
 		return m.soundConfig()
 	}
 	if m.Config != nil {
 		return false
 	}
 	switch m.Op {
-	case OpSubmit:
+	case request.Submit:
 		return m.Schedule == nil && m.Spec != nil && m.Spec.ID == m.ID
-	case OpGet, OpCancel:
+	case request.Get, request.Cancel:
 		return m.Schedule == nil && m.Spec == nil && spec.ValidID(m.ID)
 	}
-	if ofCluster(m.Op) {
+	if request.IsCluster(m.Op) {
 		return m.Schedule == nil && m.Spec == nil && m.ID == ""
 	}
 	q := m.Schedule
-	if q == nil || m.Spec != nil || q.Count < 0 || q.Count > MaxCount {
+	if q == nil || m.Spec != nil || q.Count < 0 || q.Count > request.MaxCount {
 		return false
 	}
 	switch m.Op {
-	case OpScheduleList:
+	case request.ScheduleList:
 		return true
-	case OpSchedulePut:
+	case request.SchedulePut:
 		return schedule.ValidName(q.Name) && q.File != nil
-	case OpScheduleRun:
+	case request.ScheduleRun:
 		return schedule.ValidName(q.Name) && q.Request != ""
-	case OpScheduleGet, OpScheduleDelete, OpSchedulePause, OpScheduleResume, OpScheduleUpcoming, OpScheduleHistory:
+	case request.ScheduleGet, request.ScheduleDelete, request.SchedulePause, request.ScheduleResume, request.ScheduleUpcoming, request.ScheduleHistory:
 		return schedule.ValidName(q.Name)
 	}
 	return false
 }
 
-// ofConfig reports whether an operation is about the configuration.
-func ofConfig(op UserOp) bool {
-	return op == OpConfigSet || op == OpConfigGet || op == OpConfigList || op == OpConfigStatus
-}
-
 func (m *PeerMsg) soundConfig() bool {
 	q := m.Config
-	if q == nil || m.Spec != nil || m.Schedule != nil || m.ID != "" || q.Count < 0 || q.Count > MaxCount {
+	if q == nil || m.Spec != nil || m.Schedule != nil || m.ID != "" || q.Count < 0 || q.Count > request.MaxCount {
 		return false
 	}
-	return m.Op != OpConfigGet || liveconfig.ValidName(q.Name)
+	return m.Op != request.ConfigGet || liveconfig.ValidName(q.Name)
 }
 
-// MaxCount bounds what one answer lists.
-const MaxCount = 200
-
 // Tick lets the core act on the passing of time.
 type Tick struct{}
 
 // ---- outputs
 
-// JobView is what a user is told of a job.
-type JobView struct {
-	ID            string
-	State         spec.JobState
-	Done, Running int
-}
-
-// AnswerUser answers a UserCall.
-type AnswerUser struct {
-	Ref        uint64
-	Status     int
-	RetryAfter time.Duration
-	View       JobView
-	Field      string
-	Reason     string
-	Doc        any    // a document in JSON instead of the view
-	ETag       string // of the document
-}
-
 // PeerSend sends a message to a peer.
 type PeerSend struct {
 	To  string
--- a/internal/node/later.go
+++ b/internal/node/later.go
@@ -3,6 +3,7 @@
 import (
 	"yewpass/internal/api"
 	"yewpass/internal/core"
+	"yewpass/internal/request"
 )
 
 // later holds users' calls back behind everything else. When the node falls
@@ -22,7 +23,7 @@
 func userCall(in any) bool {
 	switch x := in.(type) {
 	case api.Call:
-		_, ok := x.Input.(core.UserCall)
+		_, ok := x.Input.(request.Request)
 		return ok
 	case core.PeerIn:
 		return x.Msg.Kind == core.PeerCall
--- a/internal/node/later_test.go
+++ b/internal/node/later_test.go
@@ -6,6 +6,7 @@
 	"yewpass/internal/api"
 	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/request"
 )
 
 // TestLater: users' calls wait behind other inputs, in order, not for ever, and
@@ -22,7 +23,7 @@
 			t.Errorf("%T %v: not %v", in, in, want)
 		}
 	}
-	if !userCall(api.Call{Input: core.UserCall{Op: core.OpGet}}) {
+	if !userCall(api.Call{Input: request.Request{Op: request.Get}}) {
 		t.Error("a poll is no user's call")
 	}
 	var l later
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,6 +27,7 @@
 	"yewpass/internal/peer"
 	"yewpass/internal/provider"
 	"yewpass/internal/relay"
+	"yewpass/internal/request"
 )
 
 // limits makes the runtime keep to the machine. The collector runs rarely while
@@ -183,7 +184,7 @@
 // sendAway tells a user at once to come back: more calls wait than can be taken
 // in time.
 func (n *node) sendAway(in any) {
-	busy := core.AnswerUser{Status: 503, RetryAfter: 2 * time.Second, Reason: "the service is behind"}
+	busy := request.Response{Status: 503, RetryAfter: 2 * time.Second, Reason: "the service is behind"}
 	switch x := in.(type) {
 	case api.Call:
 		x.Reply <- busy // has room for its one answer
@@ -198,7 +199,7 @@
 	n.waiting[n.ref] = c.Reply
 	n.refs[c.Reply] = n.ref
 	switch in := c.Input.(type) {
-	case core.UserCall:
+	case request.Request:
 		in.Ref = n.ref
 		return in
 	case heartbeat.Received:
@@ -224,7 +225,7 @@
 
 func (n *node) do(o any) {
 	switch o := o.(type) {
-	case core.AnswerUser:
+	case request.Response:
 		n.answer(o.Ref, o)
 	case heartbeat.Reply:
 		n.answer(o.Ref, o)
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -5,6 +5,7 @@
 
 	"yewpass/internal/core"
 	"yewpass/internal/record"
+	"yewpass/internal/request"
 )
 
 // FuzzLine: what passes as a message is one that the core can take.
@@ -31,7 +32,7 @@
 				t.Fatal(m.Term)
 			}
 		case core.PeerCall:
-			if !m.Sound() || m.Op == core.OpSubmit && !m.Spec.Sound() {
+			if !m.Sound() || m.Op == request.Submit && !m.Spec.Sound() {
 				t.Fatalf("%+v", m)
 			}
 		case core.PeerAnswer:
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -18,6 +18,7 @@
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
 	"yewpass/internal/replica"
+	"yewpass/internal/request"
 	"yewpass/internal/spec"
 )
 
@@ -26,19 +27,19 @@
 	Kind   core.PeerKind        `json:"kind"`
 	Term   uint64               `json:"term,omitempty"`
 	Ref    uint64               `json:"ref,omitempty"`
-	Op     core.UserOp          `json:"op,omitempty"`
+	Op     request.Operation    `json:"op,omitempty"`
 	ID     string               `json:"id,omitempty"`
 	Spec   *kvclient.SpecRecord `json:"spec,omitempty"`
 	Answer *answerJSON          `json:"answer,omitempty"`
 
 	Speaks uint64 `json:"speaks,omitempty"`
 
-	Schedule *core.ScheduleCall `json:"schedule,omitempty"`
-	Config   *core.ConfigCall   `json:"config,omitempty"`
-	Copy     *lineJSON          `json:"copy,omitempty"`
-	Know     *core.Knowledge    `json:"know,omitempty"`
-	Reports  *relay.Batch       `json:"reports,omitempty"`
-	Replies  *relay.Replies     `json:"replies,omitempty"`
+	Schedule *request.ScheduleParams `json:"schedule,omitempty"`
+	Config   *request.ConfigParams   `json:"config,omitempty"`
+	Copy     *lineJSON               `json:"copy,omitempty"`
+	Know     *core.Knowledge         `json:"know,omitempty"`
+	Reports  *relay.Batch            `json:"reports,omitempty"`
+	Replies  *relay.Replies          `json:"replies,omitempty"`
 }
 
 type answerJSON struct {
@@ -325,8 +326,8 @@
 		if a == nil || a.Status < 200 || a.Status > 599 || a.RetryMS < 0 || a.RetryMS > maxRetry.Milliseconds() || a.Done < 0 || a.Running < 0 || !a.State.Known() {
 			return in, false, "answer: not one that a node gives"
 		}
-		in.Msg.Answer = &core.AnswerUser{Status: a.Status, RetryAfter: time.Duration(a.RetryMS) * time.Millisecond,
-			View: core.JobView{ID: a.ViewID, State: a.State, Done: a.Done, Running: a.Running}, Field: a.Field, Reason: a.Reason, ETag: a.ETag}
+		in.Msg.Answer = &request.Response{Status: a.Status, RetryAfter: time.Duration(a.RetryMS) * time.Millisecond,
+			View: request.JobStatus{ID: a.ViewID, State: a.State, Done: a.Done, Running: a.Running}, Field: a.Field, Reason: a.Reason, ETag: a.ETag}
 		if len(a.Doc) > 0 {
 			in.Msg.Answer.Doc = a.Doc
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,6 +11,7 @@
 	"yewpass/internal/config"
 	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/request"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
 )
@@ -69,20 +70,20 @@
 		}
 		conn.Close()
 	}
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerCall, Ref: 7, Op: core.OpSubmit, ID: "wk-1",
+	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerCall, Ref: 7, Op: request.Submit, ID: "wk-1",
 		Spec: &spec.Job{ID: "wk-1", Tasks: 3, CPUs: 1.5, Deadline: time.Minute, HasDeadline: true}}})
 	if p := next(t, ib); p.From != "a" || p.Msg.Ref != 7 || p.Msg.Spec.Tasks != 3 || p.Msg.Spec.Deadline != time.Minute {
 		t.Errorf("%+v", p)
 	}
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerAnswer, Ref: 8, Answer: &core.AnswerUser{Status: 503, RetryAfter: time.Second, Reason: "x"}}})
+	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerAnswer, Ref: 8, Answer: &request.Response{Status: 503, RetryAfter: time.Second, Reason: "x"}}})
 	if p := next(t, ib); p.Msg.Answer == nil || p.Msg.Answer.Status != 503 || p.Msg.Answer.RetryAfter != time.Second {
 		t.Errorf("%+v", p)
 	}
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerCall, Ref: 9, Op: core.OpSchedulePut, Schedule: &core.ScheduleCall{Name: "n", IfMatch: "e", File: &schedule.File{Rule: "FREQ=DAILY"}}}})
+	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerCall, Ref: 9, Op: request.SchedulePut, Schedule: &request.ScheduleParams{Name: "n", IfMatch: "e", File: &schedule.File{Rule: "FREQ=DAILY"}}}})
 	if p := next(t, ib); p.Msg.Schedule == nil || p.Msg.Schedule.File.Rule != "FREQ=DAILY" || p.Msg.Schedule.IfMatch != "e" {
 		t.Errorf("%+v", p)
 	}
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerAnswer, Ref: 9, Answer: &core.AnswerUser{Status: 201, ETag: "e2", Doc: schedule.Page{Truncated: true}}}})
+	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerAnswer, Ref: 9, Answer: &request.Response{Status: 201, ETag: "e2", Doc: schedule.Page{Truncated: true}}}})
 	if p := next(t, ib); p.Msg.Answer.ETag != "e2" || fmt.Sprintf("%s", p.Msg.Answer.Doc) != `{"schedules":null,"truncated":true}` {
 		t.Errorf("%+v", p.Msg.Answer)
 	}
@@ -91,7 +92,7 @@
 		t.Errorf("%+v", p)
 	}
 	at := uint64(4)
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerCall, Ref: 10, Op: core.OpConfigSet, Config: &core.ConfigCall{
+	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerCall, Ref: 10, Op: request.ConfigSet, Config: &request.ConfigParams{
 		Teams: []liveconfig.TeamChange{{Team: liveconfig.Team{Name: "t", CPUsMax: 7.5, Retired: true}, IfRevision: &at}}}}})
 	if p := next(t, ib); p.Msg.Config == nil || p.Msg.Config.Teams[0].CPUsMax != 7.5 || !p.Msg.Config.Teams[0].Retired || *p.Msg.Config.Teams[0].IfRevision != at {
 		t.Errorf("%+v", p.Msg.Config)
--- a/internal/scenario/configure.go
+++ b/internal/scenario/configure.go
@@ -8,6 +8,7 @@
 
 	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/request"
 )
 
 // configWithin is within what time a change that its user was told of is in force.
@@ -67,8 +68,8 @@
 // send asks until the change is on record.
 func (a *admin) send(c *teamChange) {
 	w := a.w
-	call := core.UserCall{Op: core.OpConfigSet, Config: &core.ConfigCall{Teams: []liveconfig.TeamChange{{Team: c.team, IfRevision: &c.before}}}}
-	w.call(call, 5*time.Second, func(status int, ans core.AnswerUser) {
+	call := request.Request{Op: request.ConfigSet, Config: &request.ConfigParams{Teams: []liveconfig.TeamChange{{Team: c.team, IfRevision: &c.before}}}}
+	w.call(call, 5*time.Second, func(status int, ans request.Response) {
 		made, ok := madeOf(ans)
 		switch {
 		case status == 200 && ok:
@@ -83,7 +84,7 @@
 }
 
 // madeOf reads the answer to a change, which a process gives as JSON.
-func madeOf(ans core.AnswerUser) (core.ConfigMade, bool) {
+func madeOf(ans request.Response) (core.ConfigMade, bool) {
 	made, ok := ans.Doc.(core.ConfigMade)
 	return made, ok
 }
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"yewpass/internal/core"
+	"yewpass/internal/request"
 	"yewpass/internal/spec"
 )
 
@@ -33,7 +33,7 @@
 // stateOf is the state that an answer tells, or -1 when it tells none.
 func stateOf(x call) int {
 	switch {
-	case x.status == 404 || x.op == core.OpSubmit && (x.status == 400 || x.status == 422):
+	case x.status == 404 || x.op == request.Submit && (x.status == 400 || x.status == 422):
 		return jobUnknown
 	case x.status != 200 && x.status != 201:
 		return -1
@@ -52,9 +52,9 @@
 	Step: func(state, input, output interface{}) (bool, interface{}) {
 		is, x, told := state.(int), input.(call), output.(int)
 		switch {
-		case x.op == core.OpSubmit && is == jobUnknown && told != jobUnknown:
+		case x.op == request.Submit && is == jobUnknown && told != jobUnknown:
 			is = jobAccepted
-		case x.op == core.OpCancel && is == jobAccepted:
+		case x.op == request.Cancel && is == jobAccepted:
 			is = jobCancelled
 		case x.op == "" && is == jobAccepted:
 			is = jobDone
@@ -66,7 +66,7 @@
 // needed takes out of a history, in the order of invocations, what says nothing that the rest
 // does not: the search goes over the orders of all that overlaps. Each step is exact.
 func needed(calls []call) (rest []call) {
-	unsure := map[core.UserOp]bool{}
+	unsure := map[request.Operation]bool{}
 	known, over := time.Time{}, time.Time{} // when an answer first said that it is accepted, that it is over
 	first := func(t *time.Time, x call) {
 		if t.IsZero() || x.ended.Before(*t) {
@@ -87,11 +87,11 @@
 		if told < 0 {
 			// Of those that may have happened at any time from then on the first says it all,
 			// and one that can change nothing any more says nothing.
-			if x.op == core.OpGet || unsure[x.op] || x.op == core.OpSubmit && after(x, known) || x.op == core.OpCancel && after(x, over) {
+			if x.op == request.Get || unsure[x.op] || x.op == request.Submit && after(x, known) || x.op == request.Cancel && after(x, over) {
 				continue
 			}
 			unsure[x.op] = true
-		} else if x.op == core.OpGet || x.op == core.OpSubmit && after(x, known) {
+		} else if x.op == request.Get || x.op == request.Submit && after(x, known) {
 			// It changes nothing, and another call in the midst of it was told the same.
 			inside := func(k int, y call) bool {
 				return k != i && stateOf(y) == told && !y.invoked.Before(x.invoked) && !y.ended.After(x.ended) &&
@@ -151,14 +151,14 @@
 // TestLinear: the checker tells good histories from bad ones.
 func TestLinear(t *testing.T) {
 	at := func(ms int) time.Time { return newClock(0).start.Add(time.Duration(ms) * time.Millisecond) }
-	x := func(op core.UserOp, from, to, status int, s spec.JobState) call {
+	x := func(op request.Operation, from, to, status int, s spec.JobState) call {
 		c := call{op: op, invoked: at(from), status: status, state: s}
 		if to > 0 {
 			c.ended = at(to)
 		}
 		return c
 	}
-	const submit, get, cancel = core.OpSubmit, core.OpGet, core.OpCancel
+	const submit, get, cancel = request.Submit, request.Get, request.Cancel
 	for name, h := range map[string]struct {
 		good  bool
 		calls []call
--- a/internal/scenario/looks.go
+++ b/internal/scenario/looks.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/request"
 	"yewpass/internal/spec"
 )
 
@@ -17,21 +17,21 @@
 
 // call is a user's call on a job: an operation of the job's history.
 type call struct {
-	op             core.UserOp // OpSubmit, OpGet, OpCancel; "" is the end of its last task
-	invoked, ended time.Time   // ended is zero while there is no answer
-	status         int         // 0: none, it may have happened or not
+	op             request.Operation // OpSubmit, OpGet, OpCancel; "" is the end of its last task
+	invoked, ended time.Time         // ended is zero while there is no answer
+	status         int               // 0: none, it may have happened or not
 	state          spec.JobState
 }
 
 // recordCall notes a call and returns what notes its answer.
-func (w *world) recordCall(u core.UserCall) func(status int, a core.AnswerUser) {
-	if w.blind || u.Schedule != nil || u.Op != core.OpSubmit && u.Op != core.OpGet && u.Op != core.OpCancel {
-		return func(int, core.AnswerUser) {}
+func (w *world) recordCall(u request.Request) func(status int, a request.Response) {
+	if w.blind || u.Schedule != nil || u.Op != request.Submit && u.Op != request.Get && u.Op != request.Cancel {
+		return func(int, request.Response) {}
 	}
 	id := u.ID
 	w.history[id] = append(w.history[id], call{op: u.Op, invoked: w.now})
 	i := len(w.history[id]) - 1
-	return func(status int, a core.AnswerUser) {
+	return func(status int, a request.Response) {
 		x := &w.history[id][i]
 		x.ended, x.status, x.state = w.now, status, a.View.State
 	}
@@ -65,12 +65,12 @@
 		for _, n := range w.nodes {
 			w.after(d, func() {
 				if n.alive {
-					w.requestAt(n, core.OpGet, nil, j.spec.ID, 2*time.Second, w.polled(j))
+					w.requestAt(n, request.Get, nil, j.spec.ID, 2*time.Second, w.polled(j))
 				}
 			})
 		}
 		w.after(d, func() {
-			w.request(core.OpSubmit, j, j.spec.ID, 5*time.Second, func(status int, a core.AnswerUser) { w.repeated(j, status, a) })
+			w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) { w.repeated(j, status, a) })
 		})
 	}
 	if during && !j.wants && w.rng.IntN(8) == 0 {
@@ -82,7 +82,7 @@
 }
 
 // repeated takes the answer to a repeated submission of an accepted job.
-func (w *world) repeated(j *userJob, status int, a core.AnswerUser) {
+func (w *world) repeated(j *userJob, status int, a request.Response) {
 	switch status {
 	case 200, 201:
 		w.hear(j, a.View)
@@ -157,10 +157,10 @@
 	switch k := w.rng.IntN(4); {
 	case k == 0 && len(going) > 0:
 		j := going[w.rng.IntN(len(going))]
-		w.request(core.OpSubmit, j, j.spec.ID, 5*time.Second, func(status int, a core.AnswerUser) { w.repeated(j, status, a) })
+		w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) { w.repeated(j, status, a) })
 	case k == 1 && len(over) > 0:
 		j := over[w.rng.IntN(len(over))]
-		w.request(core.OpCancel, nil, j.spec.ID, 5*time.Second, func(status int, a core.AnswerUser) {
+		w.request(request.Cancel, nil, j.spec.ID, 5*time.Second, func(status int, a request.Response) {
 			switch status {
 			case 200:
 				w.hear(j, a.View)
@@ -189,7 +189,7 @@
 	default:
 		s.InstanceTypes = []string{"none"}
 	}
-	w.call(core.UserCall{Op: core.OpSubmit, ID: s.ID, Spec: &s}, 5*time.Second, func(status int, a core.AnswerUser) {
+	w.call(request.Request{Op: request.Submit, ID: s.ID, Spec: &s}, 5*time.Second, func(status int, a request.Response) {
 		switch status {
 		case 200, 201:
 			w.fail("unfit", "%s is accepted though it can never run", s.ID)
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -12,6 +12,7 @@
 	"yewpass/internal/kv"
 	"yewpass/internal/provider"
 	"yewpass/internal/relay"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 )
@@ -187,8 +188,8 @@
 expect over
 run 250s`, "no order", func(s *script) {
 			s.lie = func(n *node, out any) any { // a poll does not wait for a record that may be there
-				if a, ok := out.(core.AnswerUser); ok && a.Reason == "its end is being recorded" {
-					a.Status, a.View = 200, core.JobView{State: spec.Running}
+				if a, ok := out.(request.Response); ok && a.Reason == "its end is being recorded" {
+					a.Status, a.View = 200, request.JobStatus{State: spec.Running}
 					return a
 				}
 				return out
@@ -262,7 +263,7 @@
 expect over
 run 150s`, "went_back", func(s *script) {
 			s.lie = func(n *node, out any) any { // whoever called it off is told that it is cancelled
-				if a, ok := out.(core.AnswerUser); ok && a.View.State == spec.Done && s.jobs[a.View.ID].wants && s.jobs[a.View.ID].told == "" {
+				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && s.jobs[a.View.ID].wants && s.jobs[a.View.ID].told == "" {
 					a.View.State = spec.Cancelled
 					return a
 				}
@@ -278,7 +279,7 @@
 expect done all
 run 100s`, "unfit", func(s *script) {
 			s.lie = func(n *node, out any) any {
-				if a, ok := out.(core.AnswerUser); ok && a.Status == 422 {
+				if a, ok := out.(request.Response); ok && a.Status == 422 {
 					a.Status = 201
 					return a
 				}
@@ -301,9 +302,9 @@
 expect met look >30
 expect over
 run 150s`, "no order", func(s *script) {
-			first := map[string]core.JobView{}
+			first := map[string]request.JobStatus{}
 			s.lie = func(n *node, out any) any { // a node tells for a second what it has told before
-				a, ok := out.(core.AnswerUser)
+				a, ok := out.(request.Response)
 				if !ok || a.Status != 200 && a.Status != 201 || a.View.ID == "" {
 					return out
 				}
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -16,6 +16,7 @@
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
+	"yewpass/internal/request"
 	"yewpass/internal/spec"
 )
 
@@ -486,9 +487,9 @@
 		lie, hears func() func(n *node, x any) any
 	}{
 		{"a look at each node", "no order", func() func(n *node, out any) any {
-			first := map[string]core.JobView{}
+			first := map[string]request.JobStatus{}
 			return func(n *node, out any) any { // a node tells again what it has told once
-				a, ok := out.(core.AnswerUser)
+				a, ok := out.(request.Response)
 				if !ok || a.Status != 200 && a.Status != 201 || a.View.ID == "" {
 					return out
 				}
@@ -502,8 +503,8 @@
 		}, honest},
 		{"an answer lost after a cancellation", "no order", func() func(n *node, out any) any {
 			return func(n *node, out any) any { // a poll does not wait for a record that may be there
-				if a, ok := out.(core.AnswerUser); ok && a.Reason == "its end is being recorded" {
-					a.Status, a.View = 200, core.JobView{ID: "wk-1", State: spec.Running}
+				if a, ok := out.(request.Response); ok && a.Reason == "its end is being recorded" {
+					a.Status, a.View = 200, request.JobStatus{ID: "wk-1", State: spec.Running}
 					return a
 				}
 				return out
@@ -521,7 +522,7 @@
 		{"a cancellation at the end of the last task", "went_back", func() func(n *node, out any) any {
 			told := false
 			return func(n *node, out any) any { // whoever asks first after the end is told that it is cancelled
-				if a, ok := out.(core.AnswerUser); ok && a.View.State == spec.Done && n.jobs["wk-1"].wants && !told {
+				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && n.jobs["wk-1"].wants && !told {
 					told, a.View.State = true, spec.Cancelled
 					return a
 				}
@@ -534,7 +535,7 @@
 					for _, w := range call.Writes {
 						if rec, ok := w.Value.(*record.Job); ok && !rec.Cancelled {
 							for _, x := range n.nodes { // whichever the user has asked
-								x.answer(x.submission, core.AnswerUser{Ref: x.submission, Status: 201, View: core.JobView{ID: rec.Spec.ID, State: spec.Queued}})
+								x.answer(x.submission, request.Response{Ref: x.submission, Status: 201, View: request.JobStatus{ID: rec.Spec.ID, State: spec.Queued}})
 							}
 						}
 					}
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -20,6 +20,7 @@
 
 	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/request"
 	"yewpass/internal/spec"
 )
 
@@ -284,7 +285,7 @@
 		switch in := in.(type) {
 		case heartbeat.Received:
 			a = p.answerReport(in.Report)
-		case core.UserCall:
+		case request.Request:
 			a = p.answerUser(in)
 		}
 		p.with(func() { f(a) })
@@ -318,25 +319,25 @@
 	return a
 }
 
-func (p *process) answerUser(in core.UserCall) core.AnswerUser {
+func (p *process) answerUser(in request.Request) request.Response {
 	var status int
 	var head http.Header
 	var data []byte
 	switch in.Op {
-	case core.OpSubmit:
+	case request.Submit:
 		status, head, data = p.do("POST", "/v2/runs", submission(in.Spec))
-	case core.OpGet:
+	case request.Get:
 		status, head, data = p.do("GET", "/v2/runs/"+in.ID, nil)
-	case core.OpCancel:
+	case request.Cancel:
 		status, head, data = p.do("POST", "/v2/runs/"+in.ID+"/cancel", nil)
-	case core.OpConfigSet:
+	case request.ConfigSet:
 		status, head, data = p.do("POST", "/v2/config", encode(in.Config))
-	case core.OpConfigHere:
+	case request.ConfigHere:
 		status, head, data = p.do("GET", "/v2/config/here", nil)
 	}
 	after, _ := strconv.Atoi(head.Get("Retry-After"))
 	if in.Config != nil {
-		return core.AnswerUser{Status: status, RetryAfter: time.Duration(after) * time.Second, Reason: string(data), Doc: configDoc(in.Op, data)}
+		return request.Response{Status: status, RetryAfter: time.Duration(after) * time.Second, Reason: string(data), Doc: configDoc(in.Op, data)}
 	}
 	var v struct {
 		ID            string
@@ -344,17 +345,17 @@
 		Done, Running int
 	}
 	json.Unmarshal(data, &v)
-	return core.AnswerUser{Status: status, RetryAfter: time.Duration(after) * time.Second, View: core.JobView{ID: v.ID, State: v.Status, Done: v.Done, Running: v.Running}}
+	return request.Response{Status: status, RetryAfter: time.Duration(after) * time.Second, View: request.JobStatus{ID: v.ID, State: v.Status, Done: v.Done, Running: v.Running}}
 }
 
 // configDoc reads an answer about the configuration; nil if it is none.
-func configDoc(op core.UserOp, data []byte) any {
+func configDoc(op request.Operation, data []byte) any {
 	var made core.ConfigMade
 	var here core.ConfigHere
-	if op == core.OpConfigSet && json.Unmarshal(data, &made) == nil {
+	if op == request.ConfigSet && json.Unmarshal(data, &made) == nil {
 		return made
 	}
-	if op == core.OpConfigHere && json.Unmarshal(data, &here) == nil {
+	if op == request.ConfigHere && json.Unmarshal(data, &here) == nil {
 		return here
 	}
 	return nil
--- a/internal/scenario/scale_config.go
+++ b/internal/scenario/scale_config.go
@@ -6,6 +6,7 @@
 
 	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/request"
 )
 
 // configure begins the plan's changes of configuration.
@@ -54,8 +55,8 @@
 
 // awaitRevision calls then once a controller has a revision, or is away.
 func (r *scaleRun) awaitRevision(n *node, revision uint64, then func()) {
-	call := core.UserCall{Op: core.OpConfigHere, Config: &core.ConfigCall{}}
-	r.callAt(n, call, time.Second, func(status int, a core.AnswerUser) {
+	call := request.Request{Op: request.ConfigHere, Config: &request.ConfigParams{}}
+	r.callAt(n, call, time.Second, func(status int, a request.Response) {
 		here, _ := a.Doc.(core.ConfigHere)
 		if status == 200 && here.Revision >= revision || !n.alive || !r.net.open(n.name, outsider) {
 			then()
--- a/internal/scenario/schedule_scale_test.go
+++ b/internal/scenario/schedule_scale_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"yewpass/internal/config"
-	"yewpass/internal/core"
 	"yewpass/internal/kv"
 	"yewpass/internal/kvclient"
+	"yewpass/internal/request"
 	"yewpass/internal/schedule"
 )
 
@@ -67,7 +67,7 @@
 		s := &script{world: w}
 		j := s.job(fmt.Sprintf("wk-7%05d", n), map[string]string{})
 		began := w.now
-		w.call(core.UserCall{Op: core.OpSubmit, ID: j.spec.ID, Spec: &j.spec}, 5*time.Second, func(status int, a core.AnswerUser) {
+		w.call(request.Request{Op: request.Submit, ID: j.spec.ID, Spec: &j.spec}, 5*time.Second, func(status int, a request.Response) {
 			if status != 201 {
 				*longest = time.Hour
 			}
--- a/internal/scenario/schedules.go
+++ b/internal/scenario/schedules.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"yewpass/internal/calendar"
-	"yewpass/internal/core"
 	"yewpass/internal/kv"
 	"yewpass/internal/kvclient"
+	"yewpass/internal/request"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
 )
@@ -69,21 +69,21 @@
 		Job: spec.Submission{JobClass: &sp.Class, Owner: &sp.Owner, Shape: &shape, Urgency: ptr(sp.Urgency.String()), Shards: &sp.Tasks, VCPUs: &sp.CPUs,
 			GPUs: &sp.GPUs, MemGB: &sp.MemGB, Bundle: &sp.Image, SizeGB: &sp.ImageGB, SamePlace: &sp.SamePlace, Apart: &sp.Apart, Reclaimable: &sp.AllowSpot,
 			RuntimeS: ptr(sp.Runtime.Seconds()), SnapshotEveryS: ptr(sp.CheckpointInterval.Seconds()), SnapshotS: ptr(sp.CheckpointTime.Seconds())}}
-	c.ask(core.OpSchedulePut, nil)
+	c.ask(request.SchedulePut, nil)
 }
 
 // ask repeats a call until it is answered for good.
-func (c *clerk) ask(op core.UserOp, a map[string]string) {
+func (c *clerk) ask(op request.Operation, a map[string]string) {
 	w := c.s.world
-	q := &core.ScheduleCall{Name: c.file.Name, Request: a["request"]}
-	if op == core.OpSchedulePut {
+	q := &request.ScheduleParams{Name: c.file.Name, Request: a["request"]}
+	if op == request.SchedulePut {
 		f := c.file
 		q.File = &f
 	}
-	w.call(core.UserCall{Op: op, Schedule: q}, 5*time.Second, func(status int, ans core.AnswerUser) {
+	w.call(request.Request{Op: op, Schedule: q}, 5*time.Second, func(status int, ans request.Response) {
 		switch {
 		case status == 200 || status == 201:
-			if op == core.OpSchedulePut && c.number == 0 {
+			if op == request.SchedulePut && c.number == 0 {
 				v := reread[schedule.View](ans.Doc)
 				c.number, c.since = v.Number, w.now
 				if !c.begun {
@@ -91,7 +91,7 @@
 					c.readHistory()
 				}
 			}
-			if op == core.OpScheduleRun {
+			if op == request.ScheduleRun {
 				c.s.described(ans.View.ID)
 				w.hear(w.jobs[ans.View.ID], ans.View)
 				w.poll(w.jobs[ans.View.ID])
@@ -115,7 +115,7 @@
 // readHistory polls for occurrences that have become jobs, and polls those.
 func (c *clerk) readHistory() {
 	w := c.s.world
-	w.call(core.UserCall{Op: core.OpScheduleHistory, Schedule: &core.ScheduleCall{Name: c.file.Name}}, 2*time.Second, func(status int, ans core.AnswerUser) {
+	w.call(request.Request{Op: request.ScheduleHistory, Schedule: &request.ScheduleParams{Name: c.file.Name}}, 2*time.Second, func(status int, ans request.Response) {
 		if status == 200 {
 			for _, e := range reread[schedule.History](ans.Doc).History {
 				if e.Made == nil {
@@ -144,7 +144,7 @@
 		}
 		j := c.s.job(id, c.args)
 		j.first = w.now
-		w.history[id] = append(w.history[id], call{op: core.OpSubmit, invoked: w.start}) // the leader's own, at a time that no user sees
+		w.history[id] = append(w.history[id], call{op: request.Submit, invoked: w.start}) // the leader's own, at a time that no user sees
 		w.jobs[id] = j
 		w.order = append(w.order, j)
 		return j
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -14,6 +14,7 @@
 	"yewpass/internal/config"
 	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/request"
 	"yewpass/internal/spec"
 )
 
@@ -777,7 +778,7 @@
 	case "config", "configs":
 		s.configure(f)
 	case "pause", "resume", "remove", "start":
-		w.clerks[f[1]].ask(map[string]core.UserOp{"pause": core.OpSchedulePause, "resume": core.OpScheduleResume, "remove": core.OpScheduleDelete, "start": core.OpScheduleRun}[f[0]], args(f[2:]))
+		w.clerks[f[1]].ask(map[string]request.Operation{"pause": request.SchedulePause, "resume": request.ScheduleResume, "remove": request.ScheduleDelete, "start": request.ScheduleRun}[f[0]], args(f[2:]))
 	case "damage": // damage PREFIX VALUE: what the first key below the prefix holds
 		w.lossy = true
 		for _, k := range w.store.sorted(f[1])[:1] {
@@ -834,11 +835,11 @@
 		w.dirty = true
 	case "forgotten":
 		w.given = w.now
-		w.submitted(j, 422, core.AnswerUser{})
+		w.submitted(j, 422, request.Response{})
 	case "invented":
 		k := map[string]*userJob{}
 		w.jobs = k // its user knows nothing of it any more
-		w.request(core.OpGet, nil, j.spec.ID, 2*time.Second, func(status int, a core.AnswerUser) {
+		w.request(request.Get, nil, j.spec.ID, 2*time.Second, func(status int, a request.Response) {
 			if status == 200 && w.jobs[j.spec.ID] == nil {
 				w.fail("invented", "%s gets 200", j.spec.ID)
 			}
@@ -846,10 +847,10 @@
 		w.after(3*time.Second, func() { w.jobs[j.spec.ID] = j })
 	case "not_done":
 		w.given = w.now
-		w.hear(j, core.JobView{ID: j.spec.ID, State: spec.Done})
+		w.hear(j, request.JobStatus{ID: j.spec.ID, State: spec.Done})
 	case "went_back":
 		w.given = w.now
-		w.hear(j, core.JobView{ID: j.spec.ID, State: spec.Cancelled})
+		w.hear(j, request.JobStatus{ID: j.spec.ID, State: spec.Cancelled})
 	case "nothing_ran":
 		w.started = 0
 		w.at(w.start.Add(s.end), func() { w.started = 0 })
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"yewpass/internal/core"
+	"yewpass/internal/request"
 	"yewpass/internal/spec"
 )
 
@@ -39,14 +39,14 @@
 	startedTasks map[int]bool // that have started once, where that is measured
 }
 
-func (w *world) request(op core.UserOp, j *userJob, id string, timeout time.Duration, f func(status int, a core.AnswerUser)) {
+func (w *world) request(op request.Operation, j *userJob, id string, timeout time.Duration, f func(status int, a request.Response)) {
 	w.requestAt(w.pickNode(), op, j, id, timeout, f)
 }
 
 // requestAt is request at one node.
-func (w *world) requestAt(n *node, op core.UserOp, j *userJob, id string, timeout time.Duration, f func(status int, a core.AnswerUser)) {
-	call := core.UserCall{Op: op, ID: id}
-	if op == core.OpSubmit {
+func (w *world) requestAt(n *node, op request.Operation, j *userJob, id string, timeout time.Duration, f func(status int, a request.Response)) {
+	call := request.Request{Op: op, ID: id}
+	if op == request.Submit {
 		s := j.spec
 		call.Spec = &s
 	}
@@ -54,35 +54,35 @@
 }
 
 // call makes a user's call through the load balancer.
-func (w *world) call(call core.UserCall, timeout time.Duration, f func(status int, a core.AnswerUser)) {
+func (w *world) call(call request.Request, timeout time.Duration, f func(status int, a request.Response)) {
 	w.callAt(w.pickNode(), call, timeout, f)
 }
 
 // callAt makes a user's call at a node, nil: none takes it.
-func (w *world) callAt(n *node, call core.UserCall, timeout time.Duration, f func(status int, a core.AnswerUser)) {
+func (w *world) callAt(n *node, call request.Request, timeout time.Duration, f func(status int, a request.Response)) {
 	over, record := false, w.recordCall(call)
-	answer := func(status int, a core.AnswerUser) { // f learns in w.given when the node gave its answer
+	answer := func(status int, a request.Response) { // f learns in w.given when the node gave its answer
 		if !over {
 			over = true
 			record(status, a)
 			f(status, a)
 		}
 	}
-	w.after(timeout, func() { answer(0, core.AnswerUser{}) })
+	w.after(timeout, func() { answer(0, request.Response{}) })
 	if n == nil {
-		w.after(10*time.Millisecond, func() { answer(0, core.AnswerUser{}) })
+		w.after(10*time.Millisecond, func() { answer(0, request.Response{}) })
 		return
 	}
 	w.net.send("call", "user", n.name, func() {
 		if !n.alive {
-			w.net.send("answer", n.name, "user", func() { answer(0, core.AnswerUser{}) })
+			w.net.send("answer", n.name, "user", func() { answer(0, request.Response{}) })
 			return
 		}
 		n.ask(func(ref uint64) any {
 			call.Ref = ref
 			return call
 		}, func(v any) {
-			a := v.(core.AnswerUser)
+			a := v.(request.Response)
 			given := w.now
 			w.net.send("answer", n.name, "user", func() {
 				w.given = given
@@ -106,7 +106,7 @@
 	return up[w.rng.IntN(len(up))]
 }
 
-func again(a core.AnswerUser) time.Duration { return max(time.Second, a.RetryAfter) }
+func again(a request.Response) time.Duration { return max(time.Second, a.RetryAfter) }
 
 func (w *world) submit(j *userJob) {
 	if j.first.IsZero() {
@@ -115,12 +115,12 @@
 		w.order = append(w.order, j)
 	}
 	j.asking = w.now
-	w.request(core.OpSubmit, j, j.spec.ID, 5*time.Second, func(status int, a core.AnswerUser) {
+	w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) {
 		w.submitted(j, status, a)
 	})
 }
 
-func (w *world) submitted(j *userJob, status int, a core.AnswerUser) {
+func (w *world) submitted(j *userJob, status int, a request.Response) {
 	switch status {
 	case 200, 201:
 		w.hear(j, a.View)
@@ -152,7 +152,7 @@
 }
 
 // submitAgain is for a submission that has got no final answer.
-func (w *world) submitAgain(j *userJob, a core.AnswerUser) {
+func (w *world) submitAgain(j *userJob, a request.Response) {
 	if !j.asked && j.status == 0 && w.now.Sub(j.first) < 60*time.Second {
 		w.after(again(a), func() { w.submit(j) })
 	}
@@ -160,7 +160,7 @@
 
 // hear checks an answer against what the user was told before and against what
 // really happened.
-func (w *world) hear(j *userJob, v core.JobView) {
+func (w *world) hear(j *userJob, v request.JobStatus) {
 	if !j.accepted {
 		j.accepted, j.since = true, w.now
 		w.look(j, true)
@@ -224,15 +224,15 @@
 // pollOnce polls once and has then called after the answer.
 func (w *world) pollOnce(j *userJob, then func()) {
 	take := w.polled(j)
-	w.request(core.OpGet, nil, j.spec.ID, 2*time.Second, func(status int, a core.AnswerUser) {
+	w.request(request.Get, nil, j.spec.ID, 2*time.Second, func(status int, a request.Response) {
 		take(status, a)
 		then()
 	})
 }
 
 // polled returns what takes the answer to a poll.
-func (w *world) polled(j *userJob) func(status int, a core.AnswerUser) {
-	return func(status int, a core.AnswerUser) {
+func (w *world) polled(j *userJob) func(status int, a request.Response) {
+	return func(status int, a request.Response) {
 		w.polls++
 		switch status {
 		case 200:
@@ -281,7 +281,7 @@
 
 func (w *world) cancel(j *userJob) {
 	j.wants = true
-	w.request(core.OpCancel, nil, j.spec.ID, 5*time.Second, func(status int, a core.AnswerUser) {
+	w.request(request.Cancel, nil, j.spec.ID, 5*time.Second, func(status int, a request.Response) {
 		switch status {
 		case 200:
 			w.hear(j, a.View)
@@ -304,7 +304,7 @@
 
 func (w *world) pollUnknown() {
 	id := fmt.Sprintf("wk-9%08d", w.rng.IntN(1e8))
-	w.request(core.OpGet, nil, id, 2*time.Second, func(status int, a core.AnswerUser) {
+	w.request(request.Get, nil, id, 2*time.Second, func(status int, a request.Response) {
 		if status == 200 {
 			w.fail("invented", "%s, which nobody submitted, gets 200", id)
 		}
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -15,6 +15,7 @@
 	"yewpass/internal/kvclient"
 	"yewpass/internal/policy"
 	"yewpass/internal/provider"
+	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 )
@@ -312,7 +313,7 @@
 		return
 	}
 	n.reply[n.ref] = f
-	if call, ok := in(n.ref).(core.UserCall); ok && call.Op == core.OpSubmit {
+	if call, ok := in(n.ref).(request.Request); ok && call.Op == request.Submit {
 		n.submission = n.ref
 	}
 	n.input(in(n.ref))
@@ -417,7 +418,7 @@
 		o = n.lie(n, o)
 	}
 	switch o := o.(type) {
-	case core.AnswerUser:
+	case request.Response:
 		n.answer(o.Ref, o)
 	case heartbeat.Reply:
 		o.Orders = slices.Clone(o.Orders)
