--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"yewpass/internal/kv"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/policy"
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
@@ -49,7 +50,7 @@
 		c.emit(a)
 		return
 	}
-	c.emit(PeerSend{call.From, PeerMsg{Kind: PeerAnswer, Ref: call.Ref, Answer: &a}})
+	c.emit(peermsg.Outgoing{To: call.From, Msg: peermsg.Message{Kind: peermsg.Response, Ref: call.Ref, Answer: &a}})
 }
 
 func (c *Core) userCall(call request.Request) {
@@ -85,7 +86,7 @@
 func (c *Core) forward(call request.Request) {
 	ref := c.nextRef()
 	c.forwardedRequests[ref] = &forwarded{call, c.knownLeader}
-	c.emit(PeerSend{c.knownLeader, PeerMsg{Kind: PeerCall, Ref: ref, Op: call.Op, ID: call.ID, Spec: call.Spec, Schedule: call.Schedule, Config: call.Config}})
+	c.emit(peermsg.Outgoing{To: c.knownLeader, Msg: peermsg.Message{Kind: peermsg.Request, Ref: ref, Op: call.Op, ID: call.ID, Spec: call.Spec, Schedule: call.Schedule, Config: call.Config}})
 	wait := 2500 * time.Millisecond
 	switch call.Op {
 	case request.Get:
@@ -101,7 +102,7 @@
 	})
 }
 
-func (c *Core) peerAnswer(from string, m PeerMsg) {
+func (c *Core) peerAnswer(from string, m peermsg.Message) {
 	f := c.forwardedRequests[m.Ref]
 	if f == nil || f.leader != from || m.Answer == nil {
 		return
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -7,6 +7,7 @@
 
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
@@ -177,8 +178,8 @@
 			d.in(request.Request{Ref: 7, From: "n1", Op: request.Submit, ID: "wk-1", Spec: plainJob("wk-1", 1)})
 			return func() bool {
 				return slices.ContainsFunc(d.said, func(o any) bool {
-					p, ok := o.(PeerSend)
-					return ok && p.Msg.Kind == PeerAnswer && p.Msg.Answer.Status == 201
+					p, ok := o.(peermsg.Outgoing)
+					return ok && p.Msg.Kind == peermsg.Response && p.Msg.Answer.Status == 201
 				})
 			}
 		},
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -10,6 +10,7 @@
 	"yewpass/internal/config"
 	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
@@ -48,7 +49,7 @@
 	c := configLeader(t)
 	lowered := liveconfig.Team{Name: "t", CPUsMax: 7}
 	ack := func(from string, speaks uint64) {
-		c.Step(c.now, PeerIn{From: from, Msg: PeerMsg{Kind: PeerAck, Term: 1, Version: speaks}})
+		c.Step(c.now, peermsg.Received{From: from, Msg: peermsg.Message{Kind: peermsg.Ack, Term: 1, Version: speaks}})
 	}
 	ack("n1", peerVersion)
 	if a, txn := setTeam(c, 1, lowered); a == nil || a.Status != 503 || a.RetryAfter == 0 || txn != nil {
@@ -79,7 +80,7 @@
 	if !answered || c.leadership.config.headRev != 40 {
 		t.Errorf("%v, head at %d", outs, c.leadership.config.headRev)
 	}
-	c.Step(c.now, PeerLink{Name: "n2"})
+	c.Step(c.now, peermsg.LinkChange{Name: "n2"})
 	if a, txn := setTeam(c, 4, liveconfig.Team{Name: "t", CPUsMax: 9}); a != nil || txn == nil {
 		t.Errorf("a later change with n2 away: %+v", a)
 	}
@@ -198,11 +199,11 @@
 	other.leadership, other.cfg.HostName = nil, "n1"
 	other.links["n0"] = true
 	other.noteLeader("n0", 1)
-	var ask *PeerMsg
+	var ask *peermsg.Message
 	for _, o := range other.Step(other.now, request.Request{Ref: 1, Op: request.ConfigStatus, Config: &request.ConfigParams{}}) {
 		switch o := o.(type) {
-		case PeerSend:
-			if o.Msg.Kind == PeerAck {
+		case peermsg.Outgoing:
+			if o.Msg.Kind == peermsg.Ack {
 				ask = &o.Msg
 			}
 		case request.Response:
@@ -215,11 +216,11 @@
 		t.Fatal("the leader is not asked")
 	}
 	told := 0
-	for _, o := range leader.Step(leader.now, PeerIn{From: "n1", Msg: *ask}) {
-		if p, ok := o.(PeerSend); ok && p.Msg.Kind == PeerLeader {
+	for _, o := range leader.Step(leader.now, peermsg.Received{From: "n1", Msg: *ask}) {
+		if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Leader {
 			told++
-			for _, o := range other.Step(other.now, PeerIn{From: "n0", Msg: p.Msg}) {
-				if p, ok := o.(PeerSend); ok && p.Msg.Kind == PeerAck && p.Msg.Ref == askForVersion {
+			for _, o := range other.Step(other.now, peermsg.Received{From: "n0", Msg: p.Msg}) {
+				if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Ack && p.Msg.Ref == askForVersion {
 					t.Error("the answer is answered with a question")
 				}
 			}
@@ -230,8 +231,8 @@
 	}
 	forwarded := false
 	for _, o := range other.Step(other.now, request.Request{Ref: 2, Op: request.ConfigStatus, Config: &request.ConfigParams{}}) {
-		p, ok := o.(PeerSend)
-		forwarded = forwarded || ok && p.Msg.Kind == PeerCall
+		p, ok := o.(peermsg.Outgoing)
+		forwarded = forwarded || ok && p.Msg.Kind == peermsg.Request
 	}
 	if !forwarded {
 		t.Error("the call is not passed on to the leader")
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
 )
@@ -165,7 +166,7 @@
 	c.askPeerVersions()
 	for _, s := range c.cfg.Seeds {
 		if n := conf.nodes[s.HostName]; n != nil && n.version >= peerVersion && c.links[s.HostName] {
-			c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerConfig, Term: c.leadership.term, Ref: conf.state.Revision}})
+			c.emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.ConfigRevision, Term: c.leadership.term, Ref: conf.state.Revision}})
 		}
 	}
 }
@@ -175,7 +176,7 @@
 func (c *Core) askPeerVersions() {
 	for _, s := range c.cfg.Seeds {
 		if c.leadership.config.nodes[s.HostName] == nil && c.links[s.HostName] {
-			c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerLeader, Term: c.leadership.term, Version: peerVersion}})
+			c.emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
 		}
 	}
 }
@@ -187,7 +188,7 @@
 // askLeaderVersion asks the leader that we know for the version that it talks in: we may have
 // learned of it from the record, or its word went to the process before this one.
 func (c *Core) askLeaderVersion() {
-	c.emit(PeerSend{c.knownLeader, PeerMsg{Kind: PeerAck, Term: max(1, c.highestTerm), Ref: askForVersion, Version: peerVersion}})
+	c.emit(peermsg.Outgoing{To: c.knownLeader, Msg: peermsg.Message{Kind: peermsg.Ack, Term: max(1, c.highestTerm), Ref: askForVersion, Version: peerVersion}})
 }
 
 // notePeerVersion takes note of the version that another controller talks in.
@@ -200,7 +201,7 @@
 }
 
 // handlePeerConfig: the leader tells which revision is in force, or another node which one it has.
-func (c *Core) handlePeerConfig(from string, m PeerMsg) {
+func (c *Core) handlePeerConfig(from string, m peermsg.Message) {
 	if l := c.leadership; l != nil {
 		if n := l.config.nodes[from]; n != nil && m.Term == l.term {
 			n.revision = m.Ref
@@ -218,7 +219,7 @@
 	if have >= m.Ref {
 		c.configConfirmedAt = c.now
 	}
-	c.emit(PeerSend{from, PeerMsg{Kind: PeerConfig, Term: m.Term, Ref: have}})
+	c.emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.ConfigRevision, Term: m.Term, Ref: have}})
 }
 
 // measureConfigSpread measures how long a revision takes to be known to all that are in reach.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,6 +13,7 @@
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/lease"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/policy"
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
@@ -141,9 +142,9 @@
 		settle(c.clouds, in.Ref, in)
 	case heartbeat.ProbeReply:
 		settle(c.probes, in.Ref, in)
-	case PeerIn:
+	case peermsg.Received:
 		c.peerIn(in)
-	case PeerLink:
+	case peermsg.LinkChange:
 		c.peerLink(in)
 	case Leave:
 		c.leave()
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 	"yewpass/internal/kv"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
@@ -57,8 +58,8 @@
 }
 
 // knowledge is what we tell a new leader.
-func (c *Core) knowledge() *Knowledge {
-	k := &Knowledge{Observed: c.observed}
+func (c *Core) knowledge() *peermsg.Knowledge {
+	k := &peermsg.Knowledge{Observed: c.observed}
 	if best := c.newestReplica(); best != nil {
 		k.CopyEra, k.CopyTerm, k.CopySeq, k.Live = best.Era, best.Term, best.Seq, best.Digest(record.LivePrefix)
 	}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -8,6 +8,7 @@
 
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
@@ -133,7 +134,7 @@
 				}
 				step(call)
 			case 4:
-				step(PeerIn{From: "n1", Msg: PeerMsg{Kind: []PeerKind{PeerAck, PeerAnswer, PeerAck, PeerAnswer, PeerLeader}[next()%5], Term: max(1, min(num(), record.MaxTerm)), Ref: ref,
+				step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: []peermsg.Kind{peermsg.Ack, peermsg.Response, peermsg.Ack, peermsg.Response, peermsg.Leader}[next()%5], Term: max(1, min(num(), record.MaxTerm)), Ref: ref,
 					Answer: &request.Response{Status: 200, View: request.JobStatus{ID: "wk-1", State: spec.Done}}}})
 			case 5:
 				if q := nightly(); next()%2 == 0 {
@@ -142,24 +143,24 @@
 					step(request.Request{Ref: ref, Op: ops[next()%len(ops)], Schedule: q})
 					continue
 				}
-				step(PeerLink{Name: "n1", Up: next()%2 == 0})
+				step(peermsg.LinkChange{Name: "n1", Up: next()%2 == 0})
 				step(heartbeat.Abandoned{Ref: ref - uint64(next())})
 				switch rep := report(); next() % 4 {
 				case 0: // a relay that is in order
 					fold := relay.NewFold(uint64(next()) + 1)
 					for range 1 + next()%3 {
-						step(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: max(1, c.highestTerm), Reports: fold.Batch([]relay.Item{fold.Item(uint64(next()%3), &rep)}, []uint64{uint64(next() % 3)})}})
+						step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.highestTerm), Reports: fold.Batch([]relay.Item{fold.Item(uint64(next()%3), &rep)}, []uint64{uint64(next() % 3)})}})
 						rep.Counter++
 					}
 				case 1: // one that is not
-					step(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: max(1, c.highestTerm), Reports: &relay.Batch{Session: num(), Number: num(), Left: []uint64{num()},
+					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.highestTerm), Reports: &relay.Batch{Session: num(), Number: num(), Left: []uint64{num()},
 						Reports: []relay.Item{{Ref: num(), Handle: num(), Incarnation: num(), Counter: num(), FencingToken: num(), Dropped: []int{next() - 9}}}}}})
 				case 2: // a leader's replies
 					rs := &relay.Replies{Session: num(), Again: next()%4 == 0, List: []relay.Reply{{Ref: ref - uint64(next()%9)}, {Ref: ref, Status: 421, Upstream: "n2"}}}
 					if c.relay.fold != nil && next()%2 == 0 {
 						rs.Session = c.relay.fold.Session()
 					}
-					step(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReplies, Term: max(1, c.highestTerm), Replies: rs}})
+					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: max(1, c.highestTerm), Replies: rs}})
 				}
 			default:
 				if len(calls) == 0 {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"time"
 	"yewpass/internal/kv"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
@@ -14,21 +15,21 @@
 func (c *Core) announceTerm() {
 	for _, p := range c.cfg.Seeds {
 		if !c.leadership.acknowledged[p.HostName] {
-			c.emit(PeerSend{p.HostName, PeerMsg{Kind: PeerLeader, Term: c.leadership.term, Version: peerVersion}})
+			c.emit(peermsg.Outgoing{To: p.HostName, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
 		}
 	}
 }
 
-func (c *Core) peerLink(p PeerLink) {
+func (c *Core) peerLink(p peermsg.LinkChange) {
 	if p.Name == c.knownLeader && c.links[p.Name] {
 		c.leaderLinkLostAt = c.now
 	}
 	c.links[p.Name] = p.Up
 	if c.leadership != nil && p.Up {
 		// Also to one that has taken note of the term: it may be a new process.
-		c.emit(PeerSend{p.Name, PeerMsg{Kind: PeerLeader, Term: c.leadership.term, Version: peerVersion}})
+		c.emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
 		if c.leadership.noEarlierTerm {
-			c.emit(PeerSend{p.Name, PeerMsg{Kind: PeerAsk, Term: c.leadership.term}})
+			c.emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.AskKnowledge, Term: c.leadership.term}})
 		}
 	}
 	if !p.Up && c.leadership != nil {
@@ -39,20 +40,20 @@
 	}
 }
 
-func (c *Core) peerIn(p PeerIn) {
+func (c *Core) peerIn(p peermsg.Received) {
 	switch p.Msg.Kind {
-	case PeerLeader:
+	case peermsg.Leader:
 		c.handleLeaderClaim(p.From, p.Msg.Term, p.Msg.Version)
-	case PeerConfig:
+	case peermsg.ConfigRevision:
 		c.handlePeerConfig(p.From, p.Msg)
-	case PeerAck:
+	case peermsg.Ack:
 		l := c.leadership
 		if l == nil || p.Msg.Term != l.term {
 			return
 		}
 		c.notePeerVersion(p.From, p.Msg.Version)
 		if p.Msg.Ref == askForVersion {
-			c.emit(PeerSend{p.From, PeerMsg{Kind: PeerLeader, Term: l.term, Version: peerVersion}})
+			c.emit(peermsg.Outgoing{To: p.From, Msg: peermsg.Message{Kind: peermsg.Leader, Term: l.term, Version: peerVersion}})
 		}
 		if l.acknowledged[p.From] {
 			return
@@ -61,31 +62,31 @@
 		if len(l.acknowledged) == len(c.cfg.Seeds) {
 			l.allAcknowledgedAt = c.now
 		}
-	case PeerCall:
+	case peermsg.Request:
 		c.userCall(request.Request{Ref: p.Msg.Ref, From: p.From, Op: p.Msg.Op, ID: p.Msg.ID, Spec: p.Msg.Spec, Schedule: p.Msg.Schedule, Config: p.Msg.Config})
-	case PeerAnswer:
+	case peermsg.Response:
 		c.peerAnswer(p.From, p.Msg)
-	case PeerCopy:
+	case peermsg.Replica:
 		c.handleReplicaLine(p.From, p.Msg.Copy)
-	case PeerAlone:
+	case peermsg.LeaderlessJob:
 		c.handleLeaderlessJob(p.Msg.Copy)
-	case PeerAgain:
+	case peermsg.ReplicaRestart:
 		c.restartReplica(p.From, p.Msg.Ref)
-	case PeerAsk:
+	case peermsg.AskKnowledge:
 		if c.leadership == nil {
-			c.emit(PeerSend{p.From, PeerMsg{Kind: PeerTell, Term: p.Msg.Term, Know: c.knowledge()}})
+			c.emit(peermsg.Outgoing{To: p.From, Msg: peermsg.Message{Kind: peermsg.TellKnowledge, Term: p.Msg.Term, Know: c.knowledge()}})
 		}
-	case PeerTell:
+	case peermsg.TellKnowledge:
 		if l := c.leadership; l != nil && p.Msg.Term == l.term {
 			c.handleKnowledge(p.From, p.Msg.Know)
 		}
-	case PeerWant:
+	case peermsg.WantReplica:
 		if c.leadership == nil {
 			c.startTransfer(p.From)
 		}
-	case PeerReports:
+	case peermsg.Heartbeats:
 		c.handleRelayedHeartbeats(p.From, p.Msg)
-	case PeerReplies:
+	case peermsg.HeartbeatReplies:
 		c.handleRelayedReplies(p.From, p.Msg)
 	}
 }
@@ -97,7 +98,7 @@
 	accept := func() {
 		c.noteLeader(from, term)
 		c.leaderVersion = speaks
-		c.emit(PeerSend{from, PeerMsg{Kind: PeerAck, Term: term, Version: peerVersion}})
+		c.emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.Ack, Term: term, Version: peerVersion}})
 	}
 	switch l := c.leadership; {
 	case term < c.highestTerm:
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"yewpass/internal/kv"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/replica"
@@ -33,7 +34,7 @@
 	lossReason      string // why data must have been lost, or ""
 	stored          []replica.Record
 	complete        bool // all of it
-	peerKnowledge   map[string]*Knowledge
+	peerKnowledge   map[string]*peermsg.Knowledge
 	replica         *replica.Copy // to go by
 	replicaSource   string        // whose copy is on its way
 	receiver        replica.Receiver
@@ -70,14 +71,14 @@
 	}
 	for _, p := range c.cfg.Seeds {
 		if g.peerKnowledge[p.HostName] == nil {
-			c.emit(PeerSend{p.HostName, PeerMsg{Kind: PeerAsk, Term: c.leadership.term}})
+			c.emit(peermsg.Outgoing{To: p.HostName, Msg: peermsg.Message{Kind: peermsg.AskKnowledge, Term: c.leadership.term}})
 		}
 	}
 	c.afterWhileLeading(askInterval, c.askPeers)
 }
 
 // handleKnowledge takes in what a peer knows.
-func (c *Core) handleKnowledge(from string, k *Knowledge) {
+func (c *Core) handleKnowledge(from string, k *peermsg.Knowledge) {
 	l := c.leadership
 	if g := l.recovery; g != nil {
 		if g.peerKnowledge[from] == nil && k.CopyTerm == 0 {
@@ -201,7 +202,7 @@
 			l.finalsSource = name
 		case g.replicaSource != name:
 			g.replicaSource, g.replicaDeadline, g.receiver = name, c.now.Add(replicaTimeout), replica.Receiver{}
-			c.emit(PeerSend{name, PeerMsg{Kind: PeerWant, Term: l.term}})
+			c.emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
 			c.afterWhileLeading(replicaTimeout+time.Millisecond, c.advanceRecovery)
 			return
 		case c.now.Before(g.replicaDeadline):
--- a/internal/core/recovery_merge.go
+++ b/internal/core/recovery_merge.go
@@ -7,6 +7,7 @@
 
 	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/replica"
@@ -153,7 +154,7 @@
 	l.recovery = nil
 	c.prepareRestore()
 	if l.finalsSource != "" {
-		c.emit(PeerSend{l.finalsSource, PeerMsg{Kind: PeerWant, Term: l.term}})
+		c.emit(peermsg.Outgoing{To: l.finalsSource, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
 	}
 	c.startWork()
 }
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/relay"
 	"yewpass/internal/rpc"
 )
@@ -237,7 +238,7 @@
 		if n == len(r.items) {
 			gone, r.abandoned = r.abandoned, nil
 		}
-		c.emit(PeerSend{r.leader, PeerMsg{Kind: PeerReports, Term: r.term, Reports: r.fold.Batch(r.items[:n:n], gone)}})
+		c.emit(peermsg.Outgoing{To: r.leader, Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: r.term, Reports: r.fold.Batch(r.items[:n:n], gone)}})
 		r.items = r.items[n:]
 	}
 	r.items, r.weight, r.flushedAt = nil, 0, c.now
@@ -247,7 +248,7 @@
 // term that we know, and of the session at hand: from when a node has taken note of a
 // term it lets no word of an older one out, and no word meant for an earlier life of
 // it, whose numbers stood for other reports.
-func (c *Core) handleRelayedReplies(from string, m PeerMsg) {
+func (c *Core) handleRelayedReplies(from string, m peermsg.Message) {
 	r := &c.relay
 	if c.leadership != nil || r.fold == nil || from != r.leader || from != c.knownLeader || m.Term != r.term || m.Term != c.highestTerm || m.Replies.Session != r.fold.Session() {
 		return
@@ -345,7 +346,7 @@
 }
 
 // handleRelayedHeartbeats takes in what a relay passes on.
-func (c *Core) handleRelayedHeartbeats(from string, m PeerMsg) {
+func (c *Core) handleRelayedHeartbeats(from string, m peermsg.Message) {
 	l := c.leadership
 	if l == nil || m.Term != l.term {
 		return // it will hear of the newest term, and tell its leader again
@@ -376,7 +377,7 @@
 		if err != relay.ErrBroken {
 			c.note(slog.LevelWarn, "relay's reports cannot be read", "relay", from, "reason", err)
 		}
-		c.emit(PeerSend{from, PeerMsg{Kind: PeerReplies, Term: l.term, Replies: &relay.Replies{Session: m.Reports.Session, Again: true}}})
+		c.emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: l.term, Replies: &relay.Replies{Session: m.Reports.Session, Again: true}}})
 		return
 	}
 	p.lastBatch = c.now
@@ -433,7 +434,7 @@
 	if len(p.replies) == 0 {
 		return
 	}
-	c.emit(PeerSend{name, PeerMsg{Kind: PeerReplies, Term: c.leadership.term, Replies: &relay.Replies{Session: p.unfold.Session(), List: p.replies}}})
+	c.emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: c.leadership.term, Replies: &relay.Replies{Session: p.unfold.Session(), List: p.replies}}})
 	p.replies, p.weight = nil, 0
 }
 
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -8,6 +8,7 @@
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/policy"
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
@@ -34,9 +35,9 @@
 	n := &relayNode{New(cfg, pol, calendar.NewSet(nil), 7), t, t0, nil}
 	n.in(Tick{})
 	for _, p := range []string{"n1", "n2"} {
-		n.in(PeerLink{Name: p, Up: true})
+		n.in(peermsg.LinkChange{Name: p, Up: true})
 	}
-	n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerLeader, Term: 5}})
+	n.in(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Leader, Term: 5}})
 	n.reads(record.LeaderKey, kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{{Key: record.LeaderKey, Value: &record.Leader{Node: "n1", Term: 5}, Rev: 9, LeaseID: 3}}})
 	return n
 }
@@ -80,7 +81,7 @@
 // sent returns the batches that went to a node since it was last asked.
 func (n *relayNode) sent(to string) (bs []*relay.Batch) {
 	for i, o := range n.outs {
-		if p, ok := o.(PeerSend); ok && p.To == to && p.Msg.Kind == PeerReports {
+		if p, ok := o.(peermsg.Outgoing); ok && p.To == to && p.Msg.Kind == peermsg.Heartbeats {
 			bs = append(bs, p.Msg.Reports)
 			n.outs[i] = nil
 		}
@@ -99,7 +100,7 @@
 }
 
 func (n *relayNode) reply(from string, term, session, ref uint64) {
-	n.in(PeerIn{From: from, Msg: PeerMsg{Kind: PeerReplies, Term: term, Replies: &relay.Replies{Session: session,
+	n.in(peermsg.Received{From: from, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: term, Replies: &relay.Replies{Session: session,
 		List: []relay.Reply{{Ref: ref, Orders: relay.Orders{{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-1"}, Try: 9}}}}}}})
 }
 
@@ -135,7 +136,7 @@
 	// hears of the report.
 	n.worker(2, 2)
 	n.sent("n1")
-	n.in(PeerIn{From: "n2", Msg: PeerMsg{Kind: PeerLeader, Term: 6}})
+	n.in(peermsg.Received{From: "n2", Msg: peermsg.Message{Kind: peermsg.Leader, Term: 6}})
 	n.reply("n1", 5, first, 2)
 	n.expect("of the term before", 2)
 	n.pass(50 * time.Millisecond)
@@ -146,7 +147,7 @@
 	second := bs[0].Session
 
 	// Lines were lost: all that waits is told again, in a session of its own.
-	n.in(PeerIn{From: "n2", Msg: PeerMsg{Kind: PeerReplies, Term: 6, Replies: &relay.Replies{Session: second, Again: true}}})
+	n.in(peermsg.Received{From: "n2", Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: 6, Replies: &relay.Replies{Session: second, Again: true}}})
 	bs = n.sent("n2")
 	if len(bs) != 1 || len(bs[0].Reports) != 1 || bs[0].Session == second || bs[0].Number != 1 {
 		t.Fatalf("not told again: %+v", bs)
@@ -174,7 +175,7 @@
 
 	// Nobody answers in time, and the leader is out of reach: the worker goes there.
 	n.worker(6, 6)
-	n.in(PeerLink{Name: "n2"})
+	n.in(peermsg.LinkChange{Name: "n2"})
 	n.pass(3800 * time.Millisecond)
 	n.expect("unanswered", 6, 421)
 	n.worker(7, 7)
@@ -193,9 +194,9 @@
 	c.reserve(j)
 	rep := reportOf(m)
 	send := func(session, number, ref uint64, f *relay.Fold, r heartbeat.Report) (orders int, answered bool) {
-		for _, o := range c.Step(c.now.Add(time.Second), PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: 1, Reports: f.Batch([]relay.Item{f.Item(ref, &r)}, nil)}}) {
-			p, ok := o.(PeerSend)
-			if !ok || p.Msg.Kind != PeerReplies || len(p.Msg.Replies.List) == 0 {
+		for _, o := range c.Step(c.now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch([]relay.Item{f.Item(ref, &r)}, nil)}}) {
+			p, ok := o.(peermsg.Outgoing)
+			if !ok || p.Msg.Kind != peermsg.HeartbeatReplies || len(p.Msg.Replies.List) == 0 {
 				continue
 			}
 			x := p.Msg.Replies.List[0]
@@ -241,7 +242,7 @@
 	}
 	n := newRelayNode(t)
 	n.worker(1, 1)
-	n.in(PeerLink{Name: "n1"})
+	n.in(peermsg.LinkChange{Name: "n1"})
 	a, _ := ask(n.Core, request.Cluster)
 	if v, _ := a.Doc.(*Cluster); v == nil || v.Leader != "n1" || v.Term != 5 || v.Nodes[0].Workers != 1 || v.Nodes[0].Role != "away" {
 		t.Errorf("%+v", a.Doc)
@@ -255,8 +256,8 @@
 	if a, dropped := ask(c, request.HandOver); a.Status != 409 || dropped || c.leadership == nil {
 		t.Errorf("handed over to nobody: %d %s", a.Status, a.Reason)
 	}
-	c.Step(c.now, PeerLink{Name: "n1", Up: true})
-	c.Step(c.now, PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: 1, Reports: relay.NewFold(3).Batch(nil, nil)}})
+	c.Step(c.now, peermsg.LinkChange{Name: "n1", Up: true})
+	c.Step(c.now, peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: relay.NewFold(3).Batch(nil, nil)}})
 	if a, dropped := ask(c, request.HandOver); a.Status != 200 || !dropped || c.leadership != nil {
 		t.Errorf("not handed over: %d %s", a.Status, a.Reason)
 	}
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -7,6 +7,7 @@
 
 	"yewpass/internal/config"
 	"yewpass/internal/kv"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
@@ -115,7 +116,7 @@
 		k.Put(r.Key, r.Value, r.Rev)
 	}
 	for _, s := range c.cfg.Seeds {
-		c.emit(PeerSend{s.HostName, PeerMsg{Kind: PeerAlone, Term: c.confirmedTerm, Copy: &replica.Line{Term: c.confirmedTerm, Session: 1, Puts: []replica.Record{r}}}})
+		c.emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.LeaderlessJob, Term: c.confirmedTerm, Copy: &replica.Line{Term: c.confirmedTerm, Session: 1, Puts: []replica.Record{r}}}})
 	}
 }
 
@@ -174,7 +175,7 @@
 }
 
 func (c *Core) sendReplicaLine(to string, line replica.Line) {
-	c.emit(PeerSend{to, PeerMsg{Kind: PeerCopy, Term: max(1, c.highestTerm), Copy: &line}})
+	c.emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.Replica, Term: max(1, c.highestTerm), Copy: &line}})
 }
 
 // supplyReplicas has every controller in reach supplied with a copy: any of them may have
@@ -247,7 +248,7 @@
 	}
 	if err := h.Take(line, record.FinalPrefix, maxFinals(c.cfg)); err != nil {
 		c.note(slog.LevelWarn, "copy of the records is wanted anew", "from", from, "reason", err)
-		c.emit(PeerSend{from, PeerMsg{Kind: PeerAgain, Term: max(1, line.Term), Ref: line.Session}})
+		c.emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.ReplicaRestart, Term: max(1, line.Term), Ref: line.Session}})
 		return
 	}
 	c.dropOwnReplica()
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -8,6 +8,7 @@
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
 	"yewpass/internal/request"
@@ -30,7 +31,7 @@
 		n.outs = nil
 		n.in(request.Request{Ref: 1, Op: request.Get, ID: id})
 		for _, o := range n.outs {
-			if p, ok := o.(PeerSend); ok && p.Msg.Kind == PeerCall {
+			if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Request {
 				ref = p.Msg.Ref
 			}
 		}
@@ -40,15 +41,15 @@
 	ref := forwards(former, "wk-1")
 	n := newRelayNode(t)
 	n.Core = New(former.cfg, former.pol, calendar.NewSet(nil), 8) // another life
-	n.in(PeerLink{Name: "n1", Up: true})
-	n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerLeader, Term: 5}})
+	n.in(peermsg.LinkChange{Name: "n1", Up: true})
+	n.in(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Leader, Term: 5}})
 	if again := forwards(n, "wk-2"); ref == 0 || again == ref {
 		t.Fatalf("calls of two lives have the number %d", ref)
 	}
 	// Not even by chance.
 	ref = forwards(n, "wk-2")
 	n.outs = nil
-	n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerAnswer, Ref: ref, Answer: &request.Response{Status: 200, View: request.JobStatus{ID: "wk-1", State: spec.Done}}}})
+	n.in(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Response, Ref: ref, Answer: &request.Response{Status: 200, View: request.JobStatus{ID: "wk-1", State: spec.Done}}}})
 	for _, o := range n.outs {
 		if a, ok := o.(request.Response); ok {
 			t.Errorf("whoever asked about wk-2 is told %+v", a)
@@ -65,8 +66,8 @@
 	n := newRelayNode(t)
 	n.Core, n.outs = New(n.cfg, n.pol, calendar.NewSet(nil), 8), nil
 	n.in(Tick{})
-	n.in(PeerLink{Name: "n1", Up: true})
-	n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerLeader, Term: 5}}) // which holds on, out of authority
+	n.in(peermsg.LinkChange{Name: "n1", Up: true})
+	n.in(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Leader, Term: 5}}) // which holds on, out of authority
 	n.worker(1, 1)
 	for _, b := range n.sent("n1") {
 		n.reply("n1", 5, b.Session, 1)
@@ -76,7 +77,7 @@
 	n.pass(relayLinkTimeout + relayHeartbeat)
 	n.expect("led to who may be the leader", 1, 421)
 	// The state service knows better.
-	n.in(PeerLink{Name: "n2", Up: true})
+	n.in(peermsg.LinkChange{Name: "n2", Up: true})
 	n.reads(record.LeaderKey, kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{leaderKeyOf("n2", 6, 20, 4)}})
 	n.worker(2, 2)
 	bs := n.sent("n2")
@@ -97,7 +98,7 @@
 	if listing.Op != kv.List {
 		t.Fatalf("%+v", listing)
 	}
-	n.in(PeerIn{From: "n2", Msg: PeerMsg{Kind: PeerLeader, Term: 6}}) // acknowledged
+	n.in(peermsg.Received{From: "n2", Msg: peermsg.Message{Kind: peermsg.Leader, Term: 6}}) // acknowledged
 	confirming := n.calls(record.LeaderKey)
 	n.in(kv.Response{Ref: listing.Ref, Outcome: rpc.OK, Rev: 10, Entries: []kv.Entry{leaderKeyOf("n1", 5, 9, 4)}})
 	stillSix := func(when string) {
@@ -106,7 +107,7 @@
 			t.Fatalf("%s: the newest term is %d", when, n.highestTerm)
 		}
 		n.outs = nil
-		n.in(PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerLeader, Term: 5}})
+		n.in(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Leader, Term: 5}})
 		n.worker(1, 1)
 		for _, b := range n.sent("n1") {
 			n.reply("n1", 5, b.Session, 1)
@@ -116,7 +117,7 @@
 	}
 	stillSix("after an answer that was long on its way")
 	// The new leader has ended already, with its grant.
-	n.in(PeerLink{Name: "n2"})
+	n.in(peermsg.LinkChange{Name: "n2"})
 	n.in(kv.Response{Ref: confirming.Ref, Outcome: rpc.NotFound, Rev: 30})
 	n.reads(record.TermKey, kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{{Key: record.TermKey, Value: &record.Term{Term: 6}, Rev: 25}}})
 	stillSix("after its leader has ended")
@@ -168,9 +169,9 @@
 func TestLeaderTellsAgain(t *testing.T) {
 	c := leaderOf(t, 0)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
-	c.Step(c.now, PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerAck, Term: 1}})
-	for _, o := range c.Step(c.now, PeerLink{Name: "n1", Up: true}) {
-		if p, ok := o.(PeerSend); ok && p.Msg.Kind == PeerLeader {
+	c.Step(c.now, peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Ack, Term: 1}})
+	for _, o := range c.Step(c.now, peermsg.LinkChange{Name: "n1", Up: true}) {
+		if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Leader {
 			return
 		}
 	}
@@ -218,7 +219,7 @@
 	m := c.leadership.fleet[0]
 	rep := reportOf(m)
 	send := func(f *relay.Fold, items ...relay.Item) {
-		c.Step(c.now.Add(time.Second), PeerIn{From: "n1", Msg: PeerMsg{Kind: PeerReports, Term: 1, Reports: f.Batch(items, nil)}})
+		c.Step(c.now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch(items, nil)}})
 	}
 	f := relay.NewFold(3)
 	send(f, f.Item(17, &rep))
--- a/internal/node/later.go
+++ b/internal/node/later.go
@@ -2,7 +2,7 @@
 
 import (
 	"yewpass/internal/api"
-	"yewpass/internal/core"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/request"
 )
 
@@ -25,8 +25,8 @@
 	case api.Call:
 		_, ok := x.Input.(request.Request)
 		return ok
-	case core.PeerIn:
-		return x.Msg.Kind == core.PeerCall
+	case peermsg.Received:
+		return x.Msg.Kind == peermsg.Request
 	}
 	return false
 }
--- a/internal/node/later_test.go
+++ b/internal/node/later_test.go
@@ -6,6 +6,7 @@
 	"yewpass/internal/api"
 	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/request"
 )
 
@@ -13,10 +14,10 @@
 // not without bound.
 func TestLater(t *testing.T) {
 	for in, want := range map[any]bool{
-		api.Call{Input: heartbeat.Received{}.Ref}:             false,
-		core.PeerIn{Msg: core.PeerMsg{Kind: core.PeerCall}}:   true,
-		core.PeerIn{Msg: core.PeerMsg{Kind: core.PeerAck}}:    false,
-		core.PeerIn{Msg: core.PeerMsg{Kind: core.PeerAnswer}}: false,
+		api.Call{Input: heartbeat.Received{}.Ref}:                      false,
+		peermsg.Received{Msg: peermsg.Message{Kind: peermsg.Request}}:  true,
+		peermsg.Received{Msg: peermsg.Message{Kind: peermsg.Ack}}:      false,
+		peermsg.Received{Msg: peermsg.Message{Kind: peermsg.Response}}: false,
 		core.Tick{}: false,
 	} {
 		if userCall(in) != want {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,6 +25,7 @@
 	"yewpass/internal/kvclient"
 	"yewpass/internal/operators"
 	"yewpass/internal/peer"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/provider"
 	"yewpass/internal/relay"
 	"yewpass/internal/request"
@@ -188,8 +189,8 @@
 	switch x := in.(type) {
 	case api.Call:
 		x.Reply <- busy // has room for its one answer
-	case core.PeerIn:
-		n.mesh.Send(core.PeerSend{To: x.From, Msg: core.PeerMsg{Kind: core.PeerAnswer, Ref: x.Msg.Ref, Answer: &busy}})
+	case peermsg.Received:
+		n.mesh.Send(peermsg.Outgoing{To: x.From, Msg: peermsg.Message{Kind: peermsg.Response, Ref: x.Msg.Ref, Answer: &busy}})
 	}
 }
 
@@ -235,7 +236,7 @@
 		n.cloud.Do(o)
 	case heartbeat.Probe:
 		n.prober.Do(o)
-	case core.PeerSend:
+	case peermsg.Outgoing:
 		n.mesh.Send(o)
 	case core.Note:
 		slog.Log(context.Background(), o.Level, o.Text, o.Attrs...)
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"yewpass/internal/core"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
 )
@@ -27,15 +27,15 @@
 		}
 		m := in.Msg
 		switch m.Kind {
-		case core.PeerLeader, core.PeerAck:
+		case peermsg.Leader, peermsg.Ack:
 			if m.Term == 0 || m.Term > record.MaxTerm {
 				t.Fatal(m.Term)
 			}
-		case core.PeerCall:
+		case peermsg.Request:
 			if !m.Sound() || m.Op == request.Submit && !m.Spec.Sound() {
 				t.Fatalf("%+v", m)
 			}
-		case core.PeerAnswer:
+		case peermsg.Response:
 			if m.Answer.Status < 200 || m.Answer.RetryAfter < 0 || !m.Answer.View.State.Known() {
 				t.Fatalf("%+v", m.Answer)
 			}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"yewpass/internal/config"
-	"yewpass/internal/core"
 	"yewpass/internal/kvclient"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
 	"yewpass/internal/replica"
@@ -24,7 +24,7 @@
 
 type messageJSON struct {
 	From   string               `json:"from"`
-	Kind   core.PeerKind        `json:"kind"`
+	Kind   peermsg.Kind         `json:"kind"`
 	Term   uint64               `json:"term,omitempty"`
 	Ref    uint64               `json:"ref,omitempty"`
 	Op     request.Operation    `json:"op,omitempty"`
@@ -37,7 +37,7 @@
 	Schedule *request.ScheduleParams `json:"schedule,omitempty"`
 	Config   *request.ConfigParams   `json:"config,omitempty"`
 	Copy     *lineJSON               `json:"copy,omitempty"`
-	Know     *core.Knowledge         `json:"know,omitempty"`
+	Know     *peermsg.Knowledge      `json:"know,omitempty"`
 	Reports  *relay.Batch            `json:"reports,omitempty"`
 	Replies  *relay.Replies          `json:"replies,omitempty"`
 }
@@ -142,7 +142,7 @@
 }
 
 // Send queues a message; it is lost when the link is down or its queue full.
-func (m *Mesh) Send(p core.PeerSend) {
+func (m *Mesh) Send(p peermsg.Outgoing) {
 	ch := m.out[p.To]
 	if ch == nil {
 		return
@@ -201,7 +201,7 @@
 	up := false
 	defer func() {
 		if up {
-			m.inbox <- core.PeerLink{Name: name}
+			m.inbox <- peermsg.LinkChange{Name: name}
 		}
 	}()
 	tick := time.NewTicker(pingEvery)
@@ -217,7 +217,7 @@
 		}
 		if !up {
 			up = true
-			m.inbox <- core.PeerLink{Name: name, Up: true}
+			m.inbox <- peermsg.LinkChange{Name: name, Up: true}
 		}
 		select {
 		case msg = <-ch:
@@ -281,7 +281,7 @@
 // parse reads a line; reason says why it is none that a controller sends. The core
 // takes what passes as it is: a call without what it asks for, or an answer that HTTP
 // has no status for, would end the process that serves it.
-func parse(line []byte, known map[string]bool) (in core.PeerIn, ping bool, reason string) {
+func parse(line []byte, known map[string]bool) (in peermsg.Received, ping bool, reason string) {
 	var j messageJSON
 	if err := json.Unmarshal(line, &j); err != nil {
 		return in, false, "not a message: " + err.Error()
@@ -289,11 +289,11 @@
 	if !known[j.From] {
 		return in, false, "from: not one of the seeds"
 	}
-	in = core.PeerIn{From: j.From, Msg: core.PeerMsg{Kind: j.Kind, Term: j.Term, Ref: j.Ref, Op: j.Op, ID: j.ID, Version: j.Speaks, Schedule: j.Schedule, Config: j.Config, Reports: j.Reports, Replies: j.Replies, Know: j.Know}}
+	in = peermsg.Received{From: j.From, Msg: peermsg.Message{Kind: j.Kind, Term: j.Term, Ref: j.Ref, Op: j.Op, ID: j.ID, Version: j.Speaks, Schedule: j.Schedule, Config: j.Config, Reports: j.Reports, Replies: j.Replies, Know: j.Know}}
 	switch j.Kind {
 	case kindPing:
 		return in, true, ""
-	case core.PeerCopy, core.PeerAlone:
+	case peermsg.Replica, peermsg.LeaderlessJob:
 		if j.Copy == nil {
 			return in, false, "copy: no line"
 		}
@@ -302,15 +302,15 @@
 			return in, false, "copy: damaged"
 		}
 		in.Msg.Copy = line
-	case core.PeerTell:
+	case peermsg.TellKnowledge:
 		if k := j.Know; k == nil || j.Term == 0 || j.Term > record.MaxTerm || k.Term > record.MaxTerm || k.CopyTerm > record.MaxTerm {
 			return in, false, "tell: out of range"
 		}
-	case core.PeerLeader, core.PeerAck, core.PeerAsk, core.PeerWant, core.PeerAgain, core.PeerConfig:
+	case peermsg.Leader, peermsg.Ack, peermsg.AskKnowledge, peermsg.WantReplica, peermsg.ReplicaRestart, peermsg.ConfigRevision:
 		if j.Term == 0 || j.Term > record.MaxTerm {
 			return in, false, "term: out of range"
 		}
-	case core.PeerCall:
+	case peermsg.Request:
 		if j.Spec != nil {
 			s, ok := j.Spec.Decode()
 			if !ok {
@@ -321,7 +321,7 @@
 		if !in.Msg.Sound() {
 			return in, false, "op: not a call that a node forwards"
 		}
-	case core.PeerAnswer:
+	case peermsg.Response:
 		a := j.Answer
 		if a == nil || a.Status < 200 || a.Status > 599 || a.RetryMS < 0 || a.RetryMS > maxRetry.Milliseconds() || a.Done < 0 || a.Running < 0 || !a.State.Known() {
 			return in, false, "answer: not one that a node gives"
@@ -331,11 +331,11 @@
 		if len(a.Doc) > 0 {
 			in.Msg.Answer.Doc = a.Doc
 		}
-	case core.PeerReports:
+	case peermsg.Heartbeats:
 		if j.Reports == nil || j.Term == 0 || j.Term > record.MaxTerm {
 			return in, false, "reports: none of a term"
 		}
-	case core.PeerReplies:
+	case peermsg.HeartbeatReplies:
 		if j.Replies == nil || j.Term == 0 || j.Term > record.MaxTerm || !j.Replies.Sound() {
 			return in, false, "replies: not what a leader says"
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"yewpass/internal/config"
-	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/request"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
@@ -27,12 +27,12 @@
 }
 
 // next returns the next input that is not about the link.
-func next(t *testing.T, inbox <-chan any) core.PeerIn {
+func next(t *testing.T, inbox <-chan any) peermsg.Received {
 	t.Helper()
 	for {
 		select {
 		case in := <-inbox:
-			if p, ok := in.(core.PeerIn); ok {
+			if p, ok := in.(peermsg.Received); ok {
 				return p
 			}
 		case <-time.After(5 * time.Second):
@@ -51,7 +51,7 @@
 	for up := false; !up; {
 		select {
 		case in := <-ia:
-			l, ok := in.(core.PeerLink)
+			l, ok := in.(peermsg.LinkChange)
 			up = ok && l.Up && l.Name == "b"
 		case <-time.After(5 * time.Second):
 			t.Fatal("no link")
@@ -70,35 +70,35 @@
 		}
 		conn.Close()
 	}
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerCall, Ref: 7, Op: request.Submit, ID: "wk-1",
+	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Request, Ref: 7, Op: request.Submit, ID: "wk-1",
 		Spec: &spec.Job{ID: "wk-1", Tasks: 3, CPUs: 1.5, Deadline: time.Minute, HasDeadline: true}}})
 	if p := next(t, ib); p.From != "a" || p.Msg.Ref != 7 || p.Msg.Spec.Tasks != 3 || p.Msg.Spec.Deadline != time.Minute {
 		t.Errorf("%+v", p)
 	}
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerAnswer, Ref: 8, Answer: &request.Response{Status: 503, RetryAfter: time.Second, Reason: "x"}}})
+	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Response, Ref: 8, Answer: &request.Response{Status: 503, RetryAfter: time.Second, Reason: "x"}}})
 	if p := next(t, ib); p.Msg.Answer == nil || p.Msg.Answer.Status != 503 || p.Msg.Answer.RetryAfter != time.Second {
 		t.Errorf("%+v", p)
 	}
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerCall, Ref: 9, Op: request.SchedulePut, Schedule: &request.ScheduleParams{Name: "n", IfMatch: "e", File: &schedule.File{Rule: "FREQ=DAILY"}}}})
+	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Request, Ref: 9, Op: request.SchedulePut, Schedule: &request.ScheduleParams{Name: "n", IfMatch: "e", File: &schedule.File{Rule: "FREQ=DAILY"}}}})
 	if p := next(t, ib); p.Msg.Schedule == nil || p.Msg.Schedule.File.Rule != "FREQ=DAILY" || p.Msg.Schedule.IfMatch != "e" {
 		t.Errorf("%+v", p)
 	}
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerAnswer, Ref: 9, Answer: &request.Response{Status: 201, ETag: "e2", Doc: schedule.Page{Truncated: true}}}})
+	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Response, Ref: 9, Answer: &request.Response{Status: 201, ETag: "e2", Doc: schedule.Page{Truncated: true}}}})
 	if p := next(t, ib); p.Msg.Answer.ETag != "e2" || fmt.Sprintf("%s", p.Msg.Answer.Doc) != `{"schedules":null,"truncated":true}` {
 		t.Errorf("%+v", p.Msg.Answer)
 	}
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerAck, Term: 3, Version: 1}})
+	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Ack, Term: 3, Version: 1}})
 	if p := next(t, ib); p.Msg.Version != 1 {
 		t.Errorf("%+v", p)
 	}
 	at := uint64(4)
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerCall, Ref: 10, Op: request.ConfigSet, Config: &request.ConfigParams{
+	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Request, Ref: 10, Op: request.ConfigSet, Config: &request.ConfigParams{
 		Teams: []liveconfig.TeamChange{{Team: liveconfig.Team{Name: "t", CPUsMax: 7.5, Retired: true}, IfRevision: &at}}}}})
 	if p := next(t, ib); p.Msg.Config == nil || p.Msg.Config.Teams[0].CPUsMax != 7.5 || !p.Msg.Config.Teams[0].Retired || *p.Msg.Config.Teams[0].IfRevision != at {
 		t.Errorf("%+v", p.Msg.Config)
 	}
-	a.Send(core.PeerSend{To: "b", Msg: core.PeerMsg{Kind: core.PeerConfig, Term: 3, Ref: 12}})
-	if p := next(t, ib); p.Msg.Kind != core.PeerConfig || p.Msg.Ref != 12 {
+	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.ConfigRevision, Term: 3, Ref: 12}})
+	if p := next(t, ib); p.Msg.Kind != peermsg.ConfigRevision || p.Msg.Ref != 12 {
 		t.Errorf("%+v", p.Msg)
 	}
 }
--- a/internal/scenario/cost_test.go
+++ b/internal/scenario/cost_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"yewpass/internal/config"
-	"yewpass/internal/core"
+	"yewpass/internal/peermsg"
 )
 
 var costOf = flag.Int("cost", 0, "measure what a fleet of so many machines costs its controllers")
@@ -32,14 +32,14 @@
 		return outs
 	}
 	kind := strings.TrimPrefix(fmt.Sprintf("%T", in), "core.")
-	if p, ok := in.(core.PeerIn); ok {
+	if p, ok := in.(peermsg.Received); ok {
 		kind = "peer " + string(p.Msg.Kind)
 	}
 	key := [2]string{n.name, kind}
 	k.spent[key] += spent
 	k.count[key]++
 	for _, o := range outs {
-		p, ok := o.(core.PeerSend)
+		p, ok := o.(peermsg.Outgoing)
 		if !ok || p.Msg.Reports == nil && p.Msg.Replies == nil {
 			continue
 		}
@@ -52,7 +52,7 @@
 		k.bytes[n.name] += len(a) + len(b)
 		key = [2]string{p.To, "line in"}
 		began = time.Now()
-		var in core.PeerMsg
+		var in peermsg.Message
 		json.Unmarshal(a, &in.Reports)
 		json.Unmarshal(b, &in.Replies)
 		k.spent[key] += time.Since(began)
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
-	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/provider"
 	"yewpass/internal/relay"
 	"yewpass/internal/request"
@@ -228,7 +228,7 @@
 				case heartbeat.ProbeReply:
 					in.Report.Tasks = nil
 					return in
-				case core.PeerIn:
+				case peermsg.Received:
 					if in.Msg.Reports != nil {
 						b := *in.Msg.Reports
 						b.Reports = slices.DeleteFunc(slices.Clone(b.Reports), func(x relay.Item) bool { return x.Ref == 0 })
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/request"
@@ -438,7 +438,7 @@
 
 // withoutCopies is an output that passes on no copies of some records.
 func withoutCopies(out any, gone func(value any) bool) any {
-	p, ok := out.(core.PeerSend)
+	p, ok := out.(peermsg.Outgoing)
 	if !ok || p.Msg.Copy == nil {
 		return out
 	}
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -13,6 +13,7 @@
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/kvclient"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/policy"
 	"yewpass/internal/provider"
 	"yewpass/internal/request"
@@ -291,7 +292,7 @@
 		switch {
 		case o.alive && open && !l.up:
 			l.up, l.life, l.broken = true, o.life, time.Time{}
-			n.input(core.PeerLink{Name: o.name, Up: true})
+			n.input(peermsg.LinkChange{Name: o.name, Up: true})
 		case o.alive && open && l.life == o.life:
 			l.broken = time.Time{}
 		case l.up && l.broken.IsZero():
@@ -299,7 +300,7 @@
 		}
 		if l.up && !l.broken.IsZero() && (open || n.now.Sub(l.broken) > 2500*time.Millisecond) {
 			l.up = false
-			n.input(core.PeerLink{Name: o.name})
+			n.input(peermsg.LinkChange{Name: o.name})
 		}
 	}
 	n.after(300*time.Millisecond, func() { n.checkLinks(life) })
@@ -465,13 +466,13 @@
 				})
 			}
 		}, heartbeat.ProbeReply{Ref: o.Ref, Outcome: rpc.Unknown})
-	case core.PeerSend:
+	case peermsg.Outgoing:
 		for _, p := range n.nodes {
 			if l := n.links[p.name]; p.name == o.To && l.up {
 				msg, life := o.Msg, l.life
 				n.net.send("peer", n.name, p.name, func() {
 					if p.alive && p.life == life { // else the connection has gone with it
-						p.input(core.PeerIn{From: n.name, Msg: msg})
+						p.input(peermsg.Received{From: n.name, Msg: msg})
 					}
 				})
 			}
