--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -47,10 +47,10 @@
 func (c *Core) answer(call request.Request, a request.Response) {
 	a.Ref = call.Ref
 	if call.From == "" {
-		c.emit(a)
+		c.Emit(a)
 		return
 	}
-	c.emit(peermsg.Outgoing{To: call.From, Msg: peermsg.Message{Kind: peermsg.Response, Ref: call.Ref, Answer: &a}})
+	c.Emit(peermsg.Outgoing{To: call.From, Msg: peermsg.Message{Kind: peermsg.Response, Ref: call.Ref, Answer: &a}})
 }
 
 func (c *Core) userCall(call request.Request) {
@@ -84,9 +84,9 @@
 
 // forward passes a request on to the leader.
 func (c *Core) forward(call request.Request) {
-	ref := c.nextRef()
+	ref := c.NextRef()
 	c.forwardedRequests[ref] = &forwarded{call, c.knownLeader}
-	c.emit(peermsg.Outgoing{To: c.knownLeader, Msg: peermsg.Message{Kind: peermsg.Request, Ref: ref, Op: call.Op, ID: call.ID, Spec: call.Spec, Schedule: call.Schedule, Config: call.Config}})
+	c.Emit(peermsg.Outgoing{To: c.knownLeader, Msg: peermsg.Message{Kind: peermsg.Request, Ref: ref, Op: call.Op, ID: call.ID, Spec: call.Spec, Schedule: call.Schedule, Config: call.Config}})
 	wait := 2500 * time.Millisecond
 	switch call.Op {
 	case request.Get:
@@ -94,7 +94,7 @@
 	case request.Submit:
 		wait = forwardedSubmitTimeout
 	}
-	c.schedule(wait, func() {
+	c.After(wait, func() {
 		if c.forwardedRequests[ref] != nil {
 			delete(c.forwardedRequests, ref)
 			c.serveWithoutLeader(call)
@@ -167,11 +167,11 @@
 // then the final one, because a job moves from the first to the second in one
 // transaction. v is nil for a job that does not exist.
 func (c *Core) readJob(id string, f func(v *request.JobStatus, known bool)) {
-	if !c.readLimit.AllowN(c.now, 3) { // with what makes sure that there is none
+	if !c.readLimit.AllowN(c.Now, 3) { // with what makes sure that there is none
 		f(nil, false)
 		return
 	}
-	c.store(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, func(r kv.Response) {
+	c.CallStore(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, func(r kv.Response) {
 		switch r.Outcome {
 		case rpc.OK:
 			rec, _ := r.Entries[0].Value.(*record.Job)
@@ -185,7 +185,7 @@
 			}
 			f(&v, true)
 		case rpc.NotFound:
-			c.store(kv.Request{Op: kv.Get, Key: record.FinalPrefix + id}, func(r kv.Response) {
+			c.CallStore(kv.Request{Op: kv.Get, Key: record.FinalPrefix + id}, func(r kv.Response) {
 				switch r.Outcome {
 				case rpc.OK:
 					rec, _ := r.Entries[0].Value.(*record.Final)
@@ -261,7 +261,7 @@
 func (c *Core) rereadUnreadable(call request.Request) {
 	l, id := c.leadership, call.ID
 	no := func() { c.answer(call, unavailable("the job's record cannot be read")) }
-	if !c.readLimit.AllowN(c.now, 2) {
+	if !c.readLimit.AllowN(c.Now, 2) {
 		no()
 		return
 	}
@@ -305,7 +305,7 @@
 	if j == nil {
 		return false
 	}
-	c.note(slog.LevelInfo, "record can be read again", "key", rec.Key)
+	c.Log(slog.LevelInfo, "record can be read again", "key", rec.Key)
 	c.replicate(rec)
 	for _, e := range progress {
 		c.replicate(e)
@@ -336,7 +336,7 @@
 			c.answer(call, unavailable("the state service does not answer"))
 		case l.jobs[call.ID] != nil || l.accept[call.ID] != nil:
 			c.serve(call) // accepted since the read began, which saw nothing of it
-		case v == nil && l.mayHaveLostJobs(c.now):
+		case v == nil && l.mayHaveLostJobs(c.Now):
 			c.answer(call, unavailable("data was lost, and what there is is being looked for"))
 		case v == nil:
 			c.confirmTerm(noRecordOf(call.ID), func(r kv.Response) {
@@ -414,7 +414,7 @@
 	}
 	if late, refused := c.admissionRefused(s); refused {
 		c.answerFromRecords(call, func() {
-			c.note(slog.LevelInfo, "admission refused", "job", s.ID, "class", s.Class, "late", late)
+			c.Log(slog.LevelInfo, "admission refused", "job", s.ID, "class", s.Class, "late", late)
 			wait := min(max(late, time.Second), 30*time.Second)
 			c.answer(call, request.Response{Status: 429, RetryAfter: wait, Reason: "no timeline can complete the job in time at present"})
 		})
@@ -422,7 +422,7 @@
 	}
 	a := &admission{spec: s, waiters: []request.Request{call}}
 	l.accept[s.ID] = a
-	rec := &record.Job{Spec: *s, Submitted: c.now.Round(0)}
+	rec := &record.Job{Spec: *s, Submitted: c.Now.Round(0)}
 	l.writes.add(&change{
 		size:       recordSize(s),
 		conditions: noRecordOf(s.ID),
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -28,13 +28,13 @@
 func newDesk(t *testing.T) *desk {
 	d := &desk{T: t, c: leaderOf(t, 1), ref: 1e6}
 	d.c.leadership.schedules.loaded = true
-	d.c.startedAt = t0
+	d.c.StartedAt = t0
 	d.c.leadership.suspended = false
 	return d
 }
 
 func (d *desk) in(x any) {
-	for _, o := range slices.Clone(d.c.Step(d.c.now.Add(time.Millisecond), x)) {
+	for _, o := range slices.Clone(d.c.Step(d.c.Now.Add(time.Millisecond), x)) {
 		switch o := o.(type) {
 		case kv.Request, provider.Request:
 			d.calls = append(d.calls, o)
@@ -49,8 +49,8 @@
 
 // pass lets time pass.
 func (d *desk) pass(span time.Duration) {
-	for end := d.c.now.Add(span); d.c.now.Before(end); {
-		d.c.now = d.c.now.Add(50 * time.Millisecond)
+	for end := d.c.Now.Add(span); d.c.Now.Before(end); {
+		d.c.Now = d.c.Now.Add(50 * time.Millisecond)
 		d.in(Tick{})
 	}
 }
@@ -236,7 +236,7 @@
 			d.c.release(d.c.leadership.fleet[0])
 			j := d.c.leadership.jobs["wk-1"]
 			return func() bool {
-				d.c.schedule(0, d.c.sendReleases)
+				d.c.After(0, d.c.sendReleases)
 				d.in(Tick{})
 				return j.waiting > 0
 			}
@@ -311,7 +311,7 @@
 	d.in(Tick{})
 	for _, x := range d.calls {
 		if call, ok := x.(kv.Request); ok && call.Op == kv.Get && call.Key == record.JobPrefix+"wk-1" {
-			rec := &record.Job{Spec: *plainJob("wk-1", 1), Submitted: d.c.now}
+			rec := &record.Job{Spec: *plainJob("wk-1", 1), Submitted: d.c.Now}
 			d.in(kv.Response{Ref: call.Ref, Rev: 90, Entries: []kv.Entry{{Key: call.Key, Value: rec, Rev: 90}}})
 		}
 	}
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -38,7 +38,7 @@
 // adoptAttempt makes a task known that a worker lists and we did not start: of an
 // earlier term, or of a job that is over.
 func (c *Core) adoptAttempt(m *machine, t *heartbeat.Task) *attempt {
-	r := &attempt{id: t.Task, number: t.Try, machine: m, phase: Ordered, orderedAt: c.now, orderedCounter: 0}
+	r := &attempt{id: t.Task, number: t.Try, machine: m, phase: Ordered, orderedAt: c.Now, orderedCounter: 0}
 	m.attempts = append(m.attempts, r)
 	j := c.leadership.jobs[t.Task.Job]
 	if j != nil && t.Task.Index >= j.spec.Tasks {
@@ -65,7 +65,7 @@
 			c.leadership.orphanedTasks++
 		}
 		if j != nil {
-			c.note(slog.LevelWarn, "task is listed twice or done, stopping it", "task", t.Task, "machine", m.host)
+			c.Log(slog.LevelWarn, "task is listed twice or done, stopping it", "task", t.Task, "machine", m.host)
 		}
 		return r
 	}
@@ -88,7 +88,7 @@
 	}
 	r.machine.allocated = r.machine.allocated.Add(j.need, 1)
 	j.team.allocated = j.team.allocated.Add(j.need, 1)
-	r.reservation = &timeline.Booking{Start: c.now, End: c.now.Add(c.occupancy(j, r.machine)), Need: j.need, Count: 1}
+	r.reservation = &timeline.Booking{Start: c.Now, End: c.Now.Add(c.occupancy(j, r.machine)), Need: j.need, Count: 1}
 	r.machine.timeline.Add(r.reservation)
 }
 
@@ -118,7 +118,7 @@
 		delete(j.attempts, r.id.Index)
 	}
 	if r.machine.allocated == (timeline.Resources{}) {
-		r.machine.idleSince = c.now
+		r.machine.idleSince = c.Now
 	}
 	// The machine's own reply looks for work for the room. Others can make use
 	// of what the team or the job has got back.
@@ -177,11 +177,11 @@
 	}
 	if t.Phase != heartbeat.Exited {
 		if t.Phase == heartbeat.TaskRuns && r.phase != heartbeat.TaskRuns {
-			r.startedAt = c.now
+			r.startedAt = c.Now
 			if j != nil {
 				m.images.Add(j.spec.Image, struct{}{})
 				if r.reservation != nil {
-					r.reservation.End = c.now.Add(c.occupancy(j, m))
+					r.reservation.End = c.Now.Add(c.occupancy(j, m))
 					m.timeline.Touch()
 				}
 			}
@@ -208,7 +208,7 @@
 		}
 		if j != nil && !r.forgettable && !j.halted() {
 			if was == heartbeat.TaskRuns && !r.startedAt.IsZero() && !r.foundRunning {
-				c.recordRuntime(j, m, c.now.Sub(r.startedAt))
+				c.recordRuntime(j, m, c.Now.Sub(r.startedAt))
 			}
 			j.completed = append(j.completed, r)
 			c.completeTask(j, i)
@@ -229,9 +229,9 @@
 		c.recordFailure(j, m)
 	case heartbeat.CauseNoRoom:
 		// The worker sees less room than we do; ask again a little later.
-		m.retryAt = c.now.Add(time.Second)
+		m.retryAt = c.Now.Add(time.Second)
 	case heartbeat.CauseNoSuch:
-		j.retryAt = c.now.Add(2 * time.Second)
+		j.retryAt = c.Now.Add(2 * time.Second)
 	}
 	if j.cancelled {
 		c.finishIfOver(j)
@@ -243,8 +243,8 @@
 // extendOverruns moves the end of runs that take longer than booked.
 func (c *Core) extendOverruns(m *machine) {
 	for _, r := range m.attempts {
-		if r.reservation != nil && !r.reservation.End.After(c.now) {
-			r.reservation.End = c.now.Add(max(c.occupancy(r.job, m)/8, time.Second))
+		if r.reservation != nil && !r.reservation.End.After(c.Now) {
+			r.reservation.End = c.Now.Add(max(c.occupancy(r.job, m)/8, time.Second))
 			m.timeline.Touch()
 		}
 	}
@@ -267,12 +267,12 @@
 		// Failed on several machines and never completed: more likely the job.
 		// It goes on one task at a time, less and less often.
 		wait := min(2*time.Second<<min(j.failures/2, 5), time.Minute)
-		j.retryAt = c.now.Add(wait)
-		c.note(slog.LevelDebug, "job keeps failing", "job", j.spec.ID, "failures", j.failures, "wait", wait)
+		j.retryAt = c.Now.Add(wait)
+		c.Log(slog.LevelDebug, "job keeps failing", "job", j.spec.ID, "failures", j.failures, "wait", wait)
 	}
 	if m.failureScore >= 4 && !m.quarantined {
 		m.quarantined = true
-		c.note(slog.LevelWarn, "machine condemned", "machine", m.host, "type", m.typeName, "reason", "tasks fail on it that run elsewhere")
+		c.Log(slog.LevelWarn, "machine condemned", "machine", m.host, "type", m.typeName, "reason", "tasks fail on it that run elsewhere")
 		c.dropMachineReservations(m)
 	}
 }
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -90,16 +90,16 @@
 // refreshCatalog reads the machine types and prices.
 func (c *Core) refreshCatalog() {
 	l := c.leadership
-	c.cloud(provider.Request{Op: provider.Catalog}, func(r provider.Response) {
+	c.CallCloud(provider.Request{Op: provider.Catalog}, func(r provider.Response) {
 		if c.leadership != l {
 			return
 		}
 		if r.Outcome != rpc.OK || len(r.InstanceTypes) == 0 {
 			if !l.autoscaler.catalogUnreadable {
 				l.autoscaler.catalogUnreadable = true
-				c.note(slog.LevelWarn, "machine types cannot be read", "known", len(l.autoscaler.instanceTypes))
+				c.Log(slog.LevelWarn, "machine types cannot be read", "known", len(l.autoscaler.instanceTypes))
 			}
-			c.afterWhileLeading(c.jitter(time.Second), c.refreshCatalog)
+			c.afterWhileLeading(c.Jitter(time.Second), c.refreshCatalog)
 			return
 		}
 		l.autoscaler.catalogUnreadable = false
@@ -131,12 +131,12 @@
 func (c *Core) listInstances(after string, got []provider.Instance) {
 	l := c.leadership
 	again := 6 * time.Second
-	c.cloud(provider.Request{Op: provider.List, After: after}, func(r provider.Response) {
+	c.CallCloud(provider.Request{Op: provider.List, After: after}, func(r provider.Response) {
 		if c.leadership != l {
 			return
 		}
 		if r.Outcome != rpc.OK {
-			c.afterWhileLeading(c.jitter(again), func() { c.listInstances("", nil) })
+			c.afterWhileLeading(c.Jitter(again), func() { c.listInstances("", nil) })
 			return
 		}
 		got = append(got, r.Instances...)
@@ -159,14 +159,14 @@
 	m := l.machines[h.Host]
 	if m == nil {
 		m = c.ensureMachine(h.Host, h.InstanceType, h.Zone, h.Spot)
-		m.rentedAt = c.now.Add(-h.Age)
+		m.rentedAt = c.Now.Add(-h.Age)
 		if m.instanceType != nil {
 			m.readyAt = m.rentedAt.Add(m.instanceType.BootTime)
 		}
 		l.dispatchAll = true
 	}
 	if h.Status == "failed" && !m.releasing {
-		c.note(slog.LevelWarn, "machine failed", "machine", h.Host)
+		c.Log(slog.LevelWarn, "machine failed", "machine", h.Host)
 		c.release(m)
 	}
 }
@@ -185,12 +185,12 @@
 func (c *Core) sendReleases() {
 	l := c.leadership
 	rent := &l.autoscaler
-	if rent.releaseInFlight || len(rent.releases) == 0 || !c.canAct() || !rent.callLimit.AllowN(c.now, 1) {
+	if rent.releaseInFlight || len(rent.releases) == 0 || !c.canAct() || !rent.callLimit.AllowN(c.Now, 1) {
 		return
 	}
 	rent.releaseInFlight = true
 	hosts := slices.Clone(rent.releases[:min(len(rent.releases), 100)])
-	c.cloud(provider.Request{Op: provider.Release, Hosts: hosts}, func(r provider.Response) {
+	c.CallCloud(provider.Request{Op: provider.Release, Hosts: hosts}, func(r provider.Response) {
 		if c.leadership != l {
 			return
 		}
@@ -210,7 +210,7 @@
 func (c *Core) confirmReleased(host string) {
 	l := c.leadership
 	m := l.machines[host]
-	l.released.add(host, c.now)
+	l.released.add(host, c.Now)
 	if m == nil {
 		return
 	}
@@ -255,10 +255,10 @@
 	for _, m := range l.fleet {
 		if m.reported && !m.unreachable {
 			reporting++
-			if m.reportsVia != nil && c.now.Sub(m.lastHeartbeat) > overdueHeartbeat(c.heartbeatInterval) {
+			if m.reportsVia != nil && c.Now.Sub(m.lastHeartbeat) > overdueHeartbeat(c.heartbeatInterval) {
 				overdue[m.reportsVia]++
 			}
-			if c.now.Sub(c.lastHeard(m)) > silent {
+			if c.Now.Sub(c.lastHeard(m)) > silent {
 				quiet++
 			}
 		}
@@ -270,8 +270,8 @@
 	}
 	cutOff := quiet > 2 && 2*quiet > reporting
 	if !cutOff {
-		l.lastMostlyHeardAt = c.now
-	} else if c.now.Sub(l.lastMostlyHeardAt) > maxIsolatedLeases*c.workerLease {
+		l.lastMostlyHeardAt = c.Now
+	} else if c.Now.Sub(l.lastMostlyHeardAt) > maxIsolatedLeases*c.workerLease {
 		// Machines that are no more, of which a late report has told, must not stand in
 		// the way of all others for ever: they count as room, and nothing is rented.
 		cutOff = false
@@ -294,7 +294,7 @@
 func (c *Core) reviewMachine(m *machine, silent, takeover, idle time.Duration, cutOff bool) {
 	l := c.leadership
 	if (len(m.attempts) > 0 || l.unaccounted[m.host]) && (m.reported || l.unaccounted[m.host]) {
-		if at, ok := c.leaseExpiry(m); ok && c.now.After(at) {
+		if at, ok := c.leaseExpiry(m); ok && c.Now.After(at) {
 			c.expireLease(m)
 		}
 	}
@@ -310,7 +310,7 @@
 			silent /= 2 // it does not answer us either
 		}
 	}
-	if !m.interruptionAt.IsZero() && c.now.After(m.interruptionAt.Add(time.Second)) {
+	if !m.interruptionAt.IsZero() && c.Now.After(m.interruptionAt.Add(time.Second)) {
 		// Its notice has run out: a report that is a little overdue says enough.
 		silent = min(silent, c.heartbeatInterval*3/4)
 	}
@@ -337,10 +337,10 @@
 		}
 	}
 	switch {
-	case m.unreachable && !l.unaccounted[m.host] && (!booting || c.now.Sub(last) <= 2*wait):
+	case m.unreachable && !l.unaccounted[m.host] && (!booting || c.Now.Sub(last) <= 2*wait):
 		// Its zone is cut off: see releaseLostZones.
-	case c.now.Sub(last) > wait && (!cutOff || booting):
-		c.note(slog.LevelWarn, "machine silent, releasing it", "machine", m.host, "type", m.typeName, "silent", c.now.Sub(last), "tasks", len(m.attempts), "booted", !booting)
+	case c.Now.Sub(last) > wait && (!cutOff || booting):
+		c.Log(slog.LevelWarn, "machine silent, releasing it", "machine", m.host, "type", m.typeName, "silent", c.Now.Sub(last), "tasks", len(m.attempts), "booted", !booting)
 		if booting && !m.unreachable {
 			// When boots take longer than that for a while, giving up each time
 			// would never get a machine.
@@ -359,12 +359,12 @@
 	if len(m.attempts) > 0 {
 		return
 	}
-	age := c.now.Sub(m.rentedAt)
+	age := c.Now.Sub(m.rentedAt)
 	switch {
 	case m.quarantined, m.draining, !m.interruptionAt.IsZero():
 		c.release(m)
-	case c.now.Sub(m.idleSince) > idle && age > 50*time.Second && !c.isWanted(m):
-		c.note(slog.LevelInfo, "machine idle, returning it", "machine", m.host, "type", m.typeName)
+	case c.Now.Sub(m.idleSince) > idle && age > 50*time.Second && !c.isWanted(m):
+		c.Log(slog.LevelInfo, "machine idle, returning it", "machine", m.host, "type", m.typeName)
 		c.release(m)
 	}
 }
@@ -393,7 +393,7 @@
 		if r.phase == heartbeat.Exited || r.stopRequested || r.job == nil {
 			continue
 		}
-		left := m.interruptionAt.Sub(c.now)
+		left := m.interruptionAt.Sub(c.Now)
 		switch {
 		case m.quarantined:
 		case m.interruptionAt.IsZero():
@@ -424,7 +424,7 @@
 	if r.job.spec.Service {
 		return timeline.Forever
 	}
-	return r.startedAt.Add(c.estimate(r.job)).Sub(c.now)
+	return r.startedAt.Add(c.estimate(r.job)).Sub(c.Now)
 }
 
 // arrivalMemory is how long arrivals count towards the work to be expected.
@@ -443,11 +443,11 @@
 			rent.burstCPUs = cpus
 		}
 		rent.burstCPUs += 0.15 * (cpus - rent.burstCPUs)
-		rent.burstAt = c.now
+		rent.burstAt = c.Now
 	}
 	t := j.team
-	t.load = t.expectedCPUs(c.now) + float64(j.spec.Tasks)*float64(j.need.CPU)/1000*secs/arrivalMemory.Seconds()
-	t.loadAt = c.now
+	t.load = t.expectedCPUs(c.Now) + float64(j.spec.Tasks)*float64(j.need.CPU)/1000*secs/arrivalMemory.Seconds()
+	t.loadAt = c.Now
 }
 
 // expectedCPUs is how many CPUs the work of late arrivals keeps busy, as far as the
@@ -456,7 +456,7 @@
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(c.leadership.teams)) {
 		t := c.leadership.teams[name]
-		x := t.expectedCPUs(c.now)
+		x := t.expectedCPUs(c.Now)
 		if t.limit.CPU > 0 {
 			x = min(x, float64(t.limit.CPU)/1000)
 		}
@@ -493,7 +493,7 @@
 		u := float64(m.allocated.CPU) / 1000
 		used += u
 		free += float64(m.room().CPU) / 1000
-		if c.now.Sub(m.rentedAt) < 50*time.Second {
+		if c.Now.Sub(m.rentedAt) < 50*time.Second {
 			continue // it is paid for a minute anyway
 		}
 		spare = append(spare, m)
@@ -530,7 +530,7 @@
 		free -= m.instanceType.CPUs
 		draining++
 		m.draining = true
-		c.note(slog.LevelInfo, "machine drained", "machine", m.host, "type", m.typeName, "cheap", m.spot, "tasks", len(m.attempts))
+		c.Log(slog.LevelInfo, "machine drained", "machine", m.host, "type", m.typeName, "cheap", m.spot, "tasks", len(m.attempts))
 		c.dropMachineReservations(m)
 	}
 }
@@ -545,7 +545,7 @@
 		if !m.usable() || ordinaryOnly && m.spot {
 			continue
 		}
-		if !m.reported && c.now.Sub(m.rentedAt) > 2*m.instanceType.BootTime+10*time.Second {
+		if !m.reported && c.Now.Sub(m.rentedAt) > 2*m.instanceType.BootTime+10*time.Second {
 			continue // not to be counted on
 		}
 		total += m.instanceType.CPUs
@@ -565,7 +565,7 @@
 	l := c.leadership
 	room := map[*team]float64{}
 	for _, j := range l.queue {
-		if j.halted() || c.now.Before(j.retryAt) || j.spec.Zone != "" && !l.zones.Zone(j.spec.Zone).Rents() {
+		if j.halted() || c.Now.Before(j.retryAt) || j.spec.Zone != "" && !l.zones.Zone(j.spec.Zone).Rents() {
 			continue // machines elsewhere would be rented for nothing
 		}
 		n := float64(j.waiting) * float64(j.need.CPU) / 1000
@@ -650,9 +650,9 @@
 		// More machines than the controllers have connections for would serve nobody:
 		// they would crowd out each other, and users.
 		if l.autoscaler.fleetFull = room <= 0; l.autoscaler.fleetFull {
-			c.note(slog.LevelWarn, "no more machines are rented", "machines", len(l.fleet), "most", c.maxFleet(), "reason", "the controllers cannot serve more")
+			c.Log(slog.LevelWarn, "no more machines are rented", "machines", len(l.fleet), "most", c.maxFleet(), "reason", "the controllers cannot serve more")
 		} else {
-			c.note(slog.LevelInfo, "machines are rented again", "machines", len(l.fleet), "most", c.maxFleet())
+			c.Log(slog.LevelInfo, "machines are rented again", "machines", len(l.fleet), "most", c.maxFleet())
 		}
 	}
 	if room <= 0 {
@@ -681,7 +681,7 @@
 			}
 			for _, low := range []bool{true, false} {
 				o := instanceOffer{f.Name, z, low}
-				if low && !s.AllowSpot || !low && s.AllowSpot && !pressing || c.now.Before(l.autoscaler.noCapacityUntil[o]) {
+				if low && !s.AllowSpot || !low && s.AllowSpot && !pressing || c.Now.Before(l.autoscaler.noCapacityUntil[o]) {
 					continue
 				}
 				price := f.OnDemandRate
@@ -696,7 +696,7 @@
 			}
 		}
 	}
-	if len(cs) == 0 || !l.autoscaler.callLimit.AllowN(c.now, 1) {
+	if len(cs) == 0 || !l.autoscaler.callLimit.AllowN(c.Now, 1) {
 		return false
 	}
 	slices.SortStableFunc(cs, func(a, b choice) int {
@@ -715,7 +715,7 @@
 	// again, and only the era is another then. The cloud would answer a name that it knows
 	// with machines that are long gone.
 	name := fmt.Sprintf("t%d-%d-%x", l.term, l.autoscaler.requestCount, c.observed.Era)
-	l.autoscaler.pending[name] = &pendingRequest{instanceOffer: ch.instanceOffer, count: n, cpus: float64(n) * ch.f.CPUs, requestedAt: c.now}
+	l.autoscaler.pending[name] = &pendingRequest{instanceOffer: ch.instanceOffer, count: n, cpus: float64(n) * ch.f.CPUs, requestedAt: c.Now}
 	c.sendRequest(name)
 	return true
 }
@@ -725,7 +725,7 @@
 func (c *Core) sendRequest(name string) {
 	l := c.leadership
 	w := l.autoscaler.pending[name]
-	c.cloud(provider.Request{Op: provider.ScaleOut, RequestName: name, InstanceType: w.instanceType, Zone: w.zone, Spot: w.spot, Count: w.count}, func(r provider.Response) {
+	c.CallCloud(provider.Request{Op: provider.ScaleOut, RequestName: name, InstanceType: w.instanceType, Zone: w.zone, Spot: w.spot, Count: w.count}, func(r provider.Response) {
 		if c.leadership != l {
 			return
 		}
@@ -742,22 +742,22 @@
 					m.readyAt = w.requestedAt.Add(m.instanceType.BootTime)
 				}
 			}
-			c.note(slog.LevelInfo, "machines rented", "rental", name, "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.count, "got", len(r.Hosts))
+			c.Log(slog.LevelInfo, "machines rented", "rental", name, "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.count, "got", len(r.Hosts))
 			if len(r.Hosts) < w.count {
-				l.autoscaler.noCapacityUntil[w.instanceOffer] = c.now.Add(c.jitter(10 * time.Second))
+				l.autoscaler.noCapacityUntil[w.instanceOffer] = c.Now.Add(c.Jitter(10 * time.Second))
 			}
 			l.dispatchAll = true
 		case rpc.Refused:
 			delete(l.autoscaler.pending, name)
-			l.zones.Zone(w.zone).Refused(c.now)
-			l.autoscaler.noCapacityUntil[w.instanceOffer] = c.now.Add(c.jitter(10 * time.Second))
-			c.note(slog.LevelInfo, "rental refused", "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.count)
+			l.zones.Zone(w.zone).Refused(c.Now)
+			l.autoscaler.noCapacityUntil[w.instanceOffer] = c.Now.Add(c.Jitter(10 * time.Second))
+			c.Log(slog.LevelInfo, "rental refused", "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.count)
 		case rpc.Invalid:
 			delete(l.autoscaler.pending, name)
-			l.autoscaler.noCapacityUntil[w.instanceOffer] = c.now.Add(time.Minute)
-			c.note(slog.LevelError, "rental rejected as malformed", "type", w.instanceType, "zone", w.zone)
+			l.autoscaler.noCapacityUntil[w.instanceOffer] = c.Now.Add(time.Minute)
+			c.Log(slog.LevelError, "rental rejected as malformed", "type", w.instanceType, "zone", w.zone)
 		default:
-			c.afterWhileLeading(c.jitter(2*time.Second), func() {
+			c.afterWhileLeading(c.Jitter(2*time.Second), func() {
 				if l.autoscaler.pending[name] != nil {
 					c.sendRequest(name)
 				}
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -45,7 +45,7 @@
 	l := c.leadership
 	r := &Records{Era: c.observed.Era}
 	if b := l.loss; b != nil {
-		r.Lost, r.From, r.SinceS, r.Restored, r.Left = b.reason, b.source, c.now.Sub(b.since).Seconds(), b.restored, b.pending
+		r.Lost, r.From, r.SinceS, r.Restored, r.Left = b.reason, b.source, c.Now.Sub(b.since).Seconds(), b.restored, b.pending
 	}
 	r.Unread = slices.Sorted(maps.Keys(l.unreadableJobs))
 	r.Unread = r.Unread[:min(len(r.Unread), 10)]
@@ -79,7 +79,7 @@
 	own := ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: "relay", Link: true, Workers: len(c.relay.reporters)}
 	l := c.leadership
 	if l != nil {
-		v.Leader, v.Term, v.LeadsS, v.Authority = c.cfg.HostName, l.term, c.now.Sub(l.electedAt).Seconds(), c.hasAuthority()
+		v.Leader, v.Term, v.LeadsS, v.Authority = c.cfg.HostName, l.term, c.Now.Sub(l.electedAt).Seconds(), c.hasAuthority()
 		v.TookOver, v.Machines, v.Unaccounted, v.MachineMost = l.loaded && l.allAccounted(), len(l.fleet), len(l.unaccounted), c.maxFleet()
 		own.Role, own.Workers = "leader", l.relay("").workers
 		v.Regions = c.clusterRegions()
@@ -98,7 +98,7 @@
 			if p := l.relays[s.HostName]; p != nil {
 				n.Workers = p.workers
 				if !p.lastBatch.IsZero() {
-					n.LagS = c.now.Sub(p.lastBatch).Seconds()
+					n.LagS = c.Now.Sub(p.lastBatch).Seconds()
 				}
 				if c.takesWorkers(s.HostName, p) {
 					n.Role = "relay"
@@ -123,7 +123,7 @@
 
 func (c *Core) clusterRegions() (rs []ClusterRegion) {
 	for _, r := range c.leadership.regions.All() {
-		rs = append(rs, ClusterRegion{Name: r.Name, State: r.State.String(), SinceS: c.now.Sub(r.Since).Seconds(), Zones: r.Zones, Away: r.Away, Heard: r.Sight.Heard, Silent: r.Sight.Silent})
+		rs = append(rs, ClusterRegion{Name: r.Name, State: r.State.String(), SinceS: c.Now.Sub(r.Since).Seconds(), Zones: r.Zones, Away: r.Away, Heard: r.Sight.Heard, Silent: r.Sight.Silent})
 	}
 	return rs
 }
@@ -142,7 +142,7 @@
 	}
 	var zs []ClusterZone
 	for _, z := range l.zones.All() {
-		zs = append(zs, ClusterZone{Name: z.Name, State: z.State.String(), SinceS: c.now.Sub(z.Since).Seconds(),
+		zs = append(zs, ClusterZone{Name: z.Name, State: z.State.String(), SinceS: c.Now.Sub(z.Since).Seconds(),
 			Heard: z.Sight.Heard, Silent: z.Sight.Silent, Unknown: waiting[z]})
 	}
 	return zs
@@ -177,7 +177,7 @@
 
 // handOver gives the leadership to whoever of the others takes it first.
 func (c *Core) handOver(why string) {
-	c.handedOverAt = c.now
+	c.handedOverAt = c.Now
 	c.resign(why)
 }
 
@@ -190,7 +190,7 @@
 
 func (c *Core) leave() {
 	if reason := c.cannotHandOver(); reason != "" {
-		c.note(slog.LevelInfo, "nothing is handed over", "reason", reason)
+		c.Log(slog.LevelInfo, "nothing is handed over", "reason", reason)
 		return
 	}
 	c.handOver("the process ends")
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -107,7 +107,7 @@
 				value, from = r.Value, "a copy"
 			}
 		}
-		c.note(slog.LevelError, "record is unreadable", "key", e.Key, "effect", "the object stays as "+from+" has it")
+		c.Log(slog.LevelError, "record is unreadable", "key", e.Key, "effect", "the object stays as "+from+" has it")
 	}
 	switch v := value.(type) {
 	case *liveconfig.HeadRecord:
@@ -123,9 +123,9 @@
 	for _, r := range conf.state.Changed() {
 		c.applyTeam(r.Team)
 	}
-	conf.since = c.now
+	conf.since = c.Now
 	if conf.state.Revision > 0 {
-		c.note(slog.LevelInfo, "configuration read", "term", c.leadership.term, "revision", conf.state.Revision)
+		c.Log(slog.LevelInfo, "configuration read", "term", c.leadership.term, "revision", conf.state.Revision)
 	}
 	c.broadcastConfig()
 }
@@ -232,7 +232,7 @@
 	case revision == conf.state.Revision:
 		conf.headRev = rev // written back after a loss
 	default:
-		c.note(slog.LevelError, "configuration on record is not the one known, it is read anew", "revision", revision, "known", conf.state.Revision)
+		c.Log(slog.LevelError, "configuration on record is not the one known, it is read anew", "revision", revision, "known", conf.state.Revision)
 		c.reloadConfig(revision, rev)
 	}
 }
@@ -245,7 +245,7 @@
 	page = func(from string) {
 		c.storeWhileLeading(kv.Request{Op: kv.List, Key: record.ConfigPrefix, From: from, Limit: 400}, func(r kv.Response) {
 			if r.Outcome != rpc.OK {
-				c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { page(from) })
+				c.afterWhileLeading(c.Jitter(200*time.Millisecond), func() { page(from) })
 				return
 			}
 			for _, e := range r.Entries {
@@ -369,12 +369,12 @@
 		return true
 	}
 	ops := c.cfg.Settings.State.TxnOps
-	room := c.leadership.writes.roomFor(priorityConfig, c.now, ops)
+	room := c.leadership.writes.roomFor(priorityConfig, c.Now, ops)
 	least := len(conf.waiting[0].change.Teams) + 1 // with the head; it goes whole
 	if room < least {
 		return false
 	}
-	return room >= min(ops, max(least, len(conf.waiting)+1)) || c.now.Sub(conf.filled) >= configBatchInterval
+	return room >= min(ops, max(least, len(conf.waiting)+1)) || c.Now.Sub(conf.filled) >= configBatchInterval
 }
 
 // configBatchInterval is how long after the one before a batch may wait to become larger. It counts
@@ -385,12 +385,12 @@
 // prepareConfigBatch decides what goes, now that something can.
 func (c *Core) prepareConfigBatch(b *configBatch, ch *change) {
 	conf := &c.leadership.config
-	conf.filled = c.now
+	conf.filled = c.Now
 	changes := make([]*liveconfig.Change, len(conf.waiting))
 	for i, w := range conf.waiting {
 		changes[i] = &w.change
 	}
-	b.Batch = liveconfig.NewBatch(conf.state, changes, c.leadership.writes.roomFor(priorityConfig, c.now, c.cfg.Settings.State.TxnOps))
+	b.Batch = liveconfig.NewBatch(conf.state, changes, c.leadership.writes.roomFor(priorityConfig, c.Now, c.cfg.Settings.State.TxnOps))
 	b.changes = slices.Clone(conf.waiting[:b.Taken])
 	conf.waiting = slices.Delete(conf.waiting, 0, b.Taken)
 	records := b.Records()
@@ -414,7 +414,7 @@
 	if b.over {
 		return
 	}
-	conf.state, conf.headRev, conf.since = b.After, rev, c.now
+	conf.state, conf.headRev, conf.since = b.After, rev, c.Now
 	conf.changes += int64(len(b.Each))
 	c.replicateConfigBatch(b, rev)
 	conf.spreading = len(c.cfg.Seeds) > 0
@@ -424,7 +424,7 @@
 		delete(conf.damaged, strings.TrimPrefix(record.ConfigTeamPrefix, record.ConfigPrefix)+name)
 	}
 	delete(conf.damaged, strings.TrimPrefix(record.ConfigHeadKey, record.ConfigPrefix))
-	c.note(slog.LevelInfo, "configuration changed", "revision", conf.state.Revision, "teams", strings.Join(b.Names(), ","), "changes", len(b.changes))
+	c.Log(slog.LevelInfo, "configuration changed", "revision", conf.state.Revision, "teams", strings.Join(b.Names(), ","), "changes", len(b.changes))
 	c.sendConfigRevision()
 	c.answerConfigBatch(b)
 }
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -29,7 +29,7 @@
 // transaction that is to make it.
 func setTeam(c *Core, ref uint64, team liveconfig.Team) (answer *request.Response, txn *kv.Request) {
 	call := request.Request{Ref: ref, Op: request.ConfigSet, Config: &request.ConfigParams{Teams: []liveconfig.TeamChange{{Team: team}}}}
-	for _, o := range c.Step(c.now, call) {
+	for _, o := range c.Step(c.Now, call) {
 		switch o := o.(type) {
 		case request.Response:
 			answer = &o
@@ -49,7 +49,7 @@
 	c := configLeader(t)
 	lowered := liveconfig.Team{Name: "t", CPUsMax: 7}
 	ack := func(from string, speaks uint64) {
-		c.Step(c.now, peermsg.Received{From: from, Msg: peermsg.Message{Kind: peermsg.Ack, Term: 1, Version: speaks}})
+		c.Step(c.Now, peermsg.Received{From: from, Msg: peermsg.Message{Kind: peermsg.Ack, Term: 1, Version: speaks}})
 	}
 	ack("n1", peerVersion)
 	if a, txn := setTeam(c, 1, lowered); a == nil || a.Status != 503 || a.RetryAfter == 0 || txn != nil {
@@ -67,7 +67,7 @@
 	if got := c.leadership.teams["t"].limit.CPU; got != 0 {
 		t.Errorf("in force before it is on record: %d", got)
 	}
-	outs := c.Step(c.now, kv.Response{Ref: txn.Ref, Outcome: rpc.OK, Rev: 40})
+	outs := c.Step(c.Now, kv.Response{Ref: txn.Ref, Outcome: rpc.OK, Rev: 40})
 	if got := c.leadership.teams["t"].limit.CPU; got != 7000 {
 		t.Errorf("not in force once it is on record: %d", got)
 	}
@@ -80,7 +80,7 @@
 	if !answered || c.leadership.config.headRev != 40 {
 		t.Errorf("%v, head at %d", outs, c.leadership.config.headRev)
 	}
-	c.Step(c.now, peermsg.LinkChange{Name: "n2"})
+	c.Step(c.Now, peermsg.LinkChange{Name: "n2"})
 	if a, txn := setTeam(c, 4, liveconfig.Team{Name: "t", CPUsMax: 9}); a != nil || txn == nil {
 		t.Errorf("a later change with n2 away: %+v", a)
 	}
@@ -95,10 +95,10 @@
 		t.Fatal("no transaction")
 	}
 	confirmed := false
-	c.now = c.now.Add(time.Millisecond)
+	c.Now = c.Now.Add(time.Millisecond)
 	c.handleConfigConflict(0, func() { confirmed = true })
 	var read *kv.Request
-	for _, o := range c.out {
+	for _, o := range c.Outputs {
 		if call, ok := o.(kv.Request); ok && call.Op == kv.Get && call.Key == record.ConfigHeadKey {
 			read = &call
 		}
@@ -114,14 +114,14 @@
 			}
 		}
 	}
-	count(c.Step(c.now, kv.Response{Ref: read.Ref, Outcome: rpc.OK, Entries: []kv.Entry{{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
+	count(c.Step(c.Now, kv.Response{Ref: read.Ref, Outcome: rpc.OK, Entries: []kv.Entry{{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
 	if !confirmed || c.leadership.config.state.Revision != 1 || c.leadership.config.headRev != 40 || c.leadership.teams["t"].limit.CPU != 7000 {
 		t.Errorf("confirmed %v, revision %d, head %d", confirmed, c.leadership.config.state.Revision, c.leadership.config.headRev)
 	}
-	count(c.Step(c.now, kv.Response{Ref: txn.Ref, Outcome: rpc.Unknown}))
+	count(c.Step(c.Now, kv.Response{Ref: txn.Ref, Outcome: rpc.Unknown}))
 	for range 300 {
-		c.now = c.now.Add(10 * time.Millisecond)
-		for _, o := range c.Step(c.now, Tick{}) {
+		c.Now = c.Now.Add(10 * time.Millisecond)
+		for _, o := range c.Step(c.Now, Tick{}) {
 			if call, ok := o.(kv.Request); ok && call.Op == kv.Txn && len(call.Writes) > 0 && call.Writes[0].Key == record.ConfigTeamPrefix+"t" {
 				t.Fatal("the change is made again")
 			}
@@ -200,7 +200,7 @@
 	other.links["n0"] = true
 	other.noteLeader("n0", 1)
 	var ask *peermsg.Message
-	for _, o := range other.Step(other.now, request.Request{Ref: 1, Op: request.ConfigStatus, Config: &request.ConfigParams{}}) {
+	for _, o := range other.Step(other.Now, request.Request{Ref: 1, Op: request.ConfigStatus, Config: &request.ConfigParams{}}) {
 		switch o := o.(type) {
 		case peermsg.Outgoing:
 			if o.Msg.Kind == peermsg.Ack {
@@ -216,10 +216,10 @@
 		t.Fatal("the leader is not asked")
 	}
 	told := 0
-	for _, o := range leader.Step(leader.now, peermsg.Received{From: "n1", Msg: *ask}) {
+	for _, o := range leader.Step(leader.Now, peermsg.Received{From: "n1", Msg: *ask}) {
 		if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Leader {
 			told++
-			for _, o := range other.Step(other.now, peermsg.Received{From: "n0", Msg: p.Msg}) {
+			for _, o := range other.Step(other.Now, peermsg.Received{From: "n0", Msg: p.Msg}) {
 				if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Ack && p.Msg.Ref == askForVersion {
 					t.Error("the answer is answered with a question")
 				}
@@ -230,7 +230,7 @@
 		t.Errorf("told %d times, the leader speaks %d", told, other.leaderVersion)
 	}
 	forwarded := false
-	for _, o := range other.Step(other.now, request.Request{Ref: 2, Op: request.ConfigStatus, Config: &request.ConfigParams{}}) {
+	for _, o := range other.Step(other.Now, request.Request{Ref: 2, Op: request.ConfigStatus, Config: &request.ConfigParams{}}) {
 		p, ok := o.(peermsg.Outgoing)
 		forwarded = forwarded || ok && p.Msg.Kind == peermsg.Request
 	}
@@ -243,14 +243,14 @@
 // allowance that configuration has holds all of it.
 func TestWideChangeWaitsForItsRoom(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.leadership.writes.spend(priorityConfig, c.now, 10) // two of twelve are left
+	c.leadership.writes.spend(priorityConfig, c.Now, 10) // two of twelve are left
 	var wide []liveconfig.TeamChange
 	for i := range c.cfg.Settings.State.TxnOps - 1 {
 		wide = append(wide, liveconfig.TeamChange{Team: liveconfig.Team{Name: fmt.Sprint("w", i)}})
 	}
-	outs := c.Step(c.now, request.Request{Ref: 1, Op: request.ConfigSet, Config: &request.ConfigParams{Teams: wide}})
-	began := c.now
-	for c.now.Sub(began) < 5*time.Second {
+	outs := c.Step(c.Now, request.Request{Ref: 1, Op: request.ConfigSet, Config: &request.ConfigParams{Teams: wide}})
+	began := c.Now
+	for c.Now.Sub(began) < 5*time.Second {
 		for _, o := range outs {
 			call, ok := o.(kv.Request)
 			if !ok || call.Op != kv.Txn || len(call.Writes) == 0 {
@@ -259,16 +259,16 @@
 			if len(call.Writes) != len(wide)+1 {
 				t.Errorf("%d changes in the transaction", len(call.Writes))
 			}
-			if after := c.now.Sub(began); after < time.Second || after > 1500*time.Millisecond {
+			if after := c.Now.Sub(began); after < time.Second || after > 1500*time.Millisecond {
 				t.Errorf("it goes after %s, ten changes come back in 1.1 s", after)
 			}
-			if room := c.leadership.writes.roomFor(priorityConfig, c.now, 12); room > 0 {
+			if room := c.leadership.writes.roomFor(priorityConfig, c.Now, 12); room > 0 {
 				t.Errorf("room for %d more", room)
 			}
 			return
 		}
-		c.now = c.now.Add(20 * time.Millisecond)
-		outs = c.Step(c.now, Tick{})
+		c.Now = c.Now.Add(20 * time.Millisecond)
+		outs = c.Step(c.Now, Tick{})
 	}
 	t.Error("it never goes")
 }
@@ -279,27 +279,27 @@
 	c := leaderOf(t, 1)
 	st := c.cfg.Settings.State
 	rate := st.WriteRPS * configWriteShare
-	c.leadership.writes.spend(priorityConfig, c.now, st.TxnOps)
+	c.leadership.writes.spend(priorityConfig, c.Now, st.TxnOps)
 	const piled = 40
 	asked, made := 0, 0
 	ask := func() []any {
 		asked++
 		team := liveconfig.TeamChange{Team: liveconfig.Team{Name: fmt.Sprint("team-", asked)}}
-		return c.Step(c.now, request.Request{Ref: uint64(asked), Op: request.ConfigSet, Config: &request.ConfigParams{Teams: []liveconfig.TeamChange{team}}})
+		return c.Step(c.Now, request.Request{Ref: uint64(asked), Op: request.ConfigSet, Config: &request.ConfigParams{Teams: []liveconfig.TeamChange{team}}})
 	}
 	var outs []any
 	for range piled {
 		outs = append(outs, ask()...)
 	}
-	began, rev := c.now, uint64(100)
+	began, rev := c.Now, uint64(100)
 	next := began
-	for made < asked && c.now.Sub(began) < 5*time.Minute {
-		c.now = c.now.Add(20 * time.Millisecond)
-		if !c.now.Before(next) { // seven tenths of what the part takes keep coming
+	for made < asked && c.Now.Sub(began) < 5*time.Minute {
+		c.Now = c.Now.Add(20 * time.Millisecond)
+		if !c.Now.Before(next) { // seven tenths of what the part takes keep coming
 			next = next.Add(time.Duration(float64(time.Second) / (0.7 * rate)))
 			outs = append(outs, ask()...)
 		}
-		outs = append(outs, c.Step(c.now, Tick{})...)
+		outs = append(outs, c.Step(c.Now, Tick{})...)
 		for len(outs) > 0 {
 			o := outs[0]
 			outs = outs[1:]
@@ -309,13 +309,13 @@
 			case kv.Request:
 				if o.Op == kv.Txn && len(o.Writes) > 0 {
 					rev++
-					outs = append(outs, c.Step(c.now, kv.Response{Ref: o.Ref, Outcome: rpc.OK, Rev: rev})...)
+					outs = append(outs, c.Step(c.Now, kv.Response{Ref: o.Ref, Outcome: rpc.OK, Rev: rev})...)
 				}
 			}
 		}
 	}
 	if made < asked {
-		t.Errorf("%d of %d changes are made after %s", made, asked, c.now.Sub(began))
+		t.Errorf("%d of %d changes are made after %s", made, asked, c.Now.Sub(began))
 	}
-	t.Logf("%d changes after %s", made, c.now.Sub(began))
+	t.Logf("%d changes after %s", made, c.Now.Sub(began))
 }
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -103,7 +103,7 @@
 		if x := conf.nodes[s.HostName]; x != nil {
 			n.Revision, n.Knows = x.revision, x.version >= peerVersion
 			if !x.at.IsZero() {
-				n.AgeS = c.now.Sub(x.at).Seconds()
+				n.AgeS = c.Now.Sub(x.at).Seconds()
 			}
 		}
 		v.Nodes = append(v.Nodes, n)
@@ -114,7 +114,7 @@
 // confirmedAgo is how long ago the state service last confirmed what this leader goes by:
 // its authority counts from then.
 func (c *Core) confirmedAgo() time.Duration {
-	return max(0, c.leaseTiming.Authority()-c.leadership.expiresAt.Sub(c.now))
+	return max(0, c.leaseTiming.Authority()-c.leadership.expiresAt.Sub(c.Now))
 }
 
 // ConfigHere is the configuration that this node has, whoever leads.
@@ -130,9 +130,9 @@
 	}
 	since := c.configConfirmedAt
 	if since.IsZero() {
-		since = c.startedAt
+		since = c.StartedAt
 	}
-	return ConfigHere{c.replicatedRevision(), c.now.Sub(since).Seconds()}
+	return ConfigHere{c.replicatedRevision(), c.Now.Sub(since).Seconds()}
 }
 
 // replicatedRevision is that of the last leader's copy.
@@ -166,7 +166,7 @@
 	c.askPeerVersions()
 	for _, s := range c.cfg.Seeds {
 		if n := conf.nodes[s.HostName]; n != nil && n.version >= peerVersion && c.links[s.HostName] {
-			c.emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.ConfigRevision, Term: c.leadership.term, Ref: conf.state.Revision}})
+			c.Emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.ConfigRevision, Term: c.leadership.term, Ref: conf.state.Revision}})
 		}
 	}
 }
@@ -176,7 +176,7 @@
 func (c *Core) askPeerVersions() {
 	for _, s := range c.cfg.Seeds {
 		if c.leadership.config.nodes[s.HostName] == nil && c.links[s.HostName] {
-			c.emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
+			c.Emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
 		}
 	}
 }
@@ -188,7 +188,7 @@
 // askLeaderVersion asks the leader that we know for the version that it talks in: we may have
 // learned of it from the record, or its word went to the process before this one.
 func (c *Core) askLeaderVersion() {
-	c.emit(peermsg.Outgoing{To: c.knownLeader, Msg: peermsg.Message{Kind: peermsg.Ack, Term: max(1, c.highestTerm), Ref: askForVersion, Version: peerVersion}})
+	c.Emit(peermsg.Outgoing{To: c.knownLeader, Msg: peermsg.Message{Kind: peermsg.Ack, Term: max(1, c.highestTerm), Ref: askForVersion, Version: peerVersion}})
 }
 
 // notePeerVersion takes note of the version that another controller talks in.
@@ -206,7 +206,7 @@
 		if n := l.config.nodes[from]; n != nil && m.Term == l.term {
 			n.revision = m.Ref
 			if n.revision >= l.config.state.Revision {
-				n.at = c.now
+				n.at = c.Now
 			}
 			c.measureConfigSpread()
 		}
@@ -217,9 +217,9 @@
 	}
 	have := c.replicatedRevision()
 	if have >= m.Ref {
-		c.configConfirmedAt = c.now
+		c.configConfirmedAt = c.Now
 	}
-	c.emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.ConfigRevision, Term: m.Term, Ref: have}})
+	c.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.ConfigRevision, Term: m.Term, Ref: have}})
 }
 
 // measureConfigSpread measures how long a revision takes to be known to all that are in reach.
@@ -233,9 +233,9 @@
 			return
 		}
 	}
-	conf.spreading, conf.spread = false, c.now.Sub(conf.since)
+	conf.spreading, conf.spread = false, c.Now.Sub(conf.since)
 	if conf.spread > configSpreadTarget {
-		c.note(slog.LevelWarn, "a change of configuration was long in coming to all controllers", "revision", conf.state.Revision, "after", conf.spread)
+		c.Log(slog.LevelWarn, "a change of configuration was long in coming to all controllers", "revision", conf.state.Revision, "after", conf.spread)
 	}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -34,22 +34,22 @@
 
 // Core is one controller.
 type Core struct {
-	cfg *config.Config
-	pol *policy.Policy
-	cal *calendar.Set
-	reg *zones.Regions
-	rng *rand.Rand
-	now time.Time
-	out []any
+	cfg     *config.Config
+	pol     *policy.Policy
+	cal     *calendar.Set
+	reg     *zones.Regions
+	Rand    *rand.Rand
+	Now     time.Time
+	Outputs []any
 
 	clockOffset time.Duration
-	startedAt   time.Time // the first input
+	StartedAt   time.Time // the first input
 
 	processID             uint64 // of this process: tells it from one of the same name that ended before
-	ref                   uint64
-	stores                map[uint64]func(kv.Response)
-	clouds                map[uint64]func(provider.Response)
-	probes                map[uint64]func(heartbeat.ProbeReply)
+	LastRef               uint64
+	pendingStore          map[uint64]func(kv.Response)
+	pendingCloud          map[uint64]func(provider.Response)
+	pendingProbes         map[uint64]func(heartbeat.ProbeReply)
 	forwardedRequests     map[uint64]*forwarded // users' requests at the leader's
 	timers                timerHeap[func()]     // alarms: a large fleet has one for nearly every machine
 	leadership            *leadership
@@ -86,8 +86,8 @@
 func New(cfg *config.Config, pol *policy.Policy, cal *calendar.Set, seed uint64) *Core {
 	final, _ := lru.New[string, record.Final](maxFinals(cfg)) // errs only for a size below 1
 	c := &Core{
-		cfg: cfg, pol: pol, cal: cal, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		stores: map[uint64]func(kv.Response){}, clouds: map[uint64]func(provider.Response){}, probes: map[uint64]func(heartbeat.ProbeReply){},
+		cfg: cfg, pol: pol, cal: cal, Rand: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+		pendingStore: map[uint64]func(kv.Response){}, pendingCloud: map[uint64]func(provider.Response){}, pendingProbes: map[uint64]func(heartbeat.ProbeReply){},
 		replicas: replicas{transfers: map[string]*transfer{}}, forwardedRequests: map[uint64]*forwarded{}, links: map[string]bool{}, finals: final, relay: newRelayState(), storeAvailable: true,
 		readLimit:         newReadLimit(cfg.Settings.State.RPS, 1+len(cfg.Seeds)),
 		heartbeatInterval: cfg.Settings.Workers.Report.Duration(),
@@ -99,7 +99,7 @@
 	// to count from 1, a user would be told about somebody else's job.
 	lives := rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03))
 	c.processID = lives.Uint64()>>11 | 1 // what JSON readers of any kind take whole
-	c.ref = lives.Uint64N(1 << 48)
+	c.LastRef = lives.Uint64N(1 << 48)
 	c.leaseTiming = lease.Timing{LeaderLease: leaseTTL, WorkerLease: c.workerLease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
 	return c
 }
@@ -110,23 +110,23 @@
 // Step takes one input and returns what follows from it. The slice is valid
 // until the next call.
 func (c *Core) Step(now time.Time, in any) []any {
-	first := c.now.IsZero()
-	c.now = now
-	c.out = c.out[:0]
+	first := c.Now.IsZero()
+	c.Now = now
+	c.Outputs = c.Outputs[:0]
 	if first {
-		c.startedAt = now
+		c.StartedAt = now
 		if short := c.leaseTiming.Shortfall(); short != "" {
-			c.note(slog.LevelWarn, "settings leave little room", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
+			c.Log(slog.LevelWarn, "settings leave little room", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
 		}
 		c.watchLeader()
 		if len(c.cfg.Seeds) > 0 {
 			c.tickRelay()
 			// Not at once: a process that ends again and again would use up what calls
 			// the cloud allows to all of them.
-			c.schedule(c.jitter(instanceTypesFirstRead), c.refreshInstanceTypes)
+			c.After(c.Jitter(instanceTypesFirstRead), c.refreshInstanceTypes)
 		}
 	}
-	c.runTimers()
+	c.RunTimers()
 	switch in := in.(type) {
 	case Tick:
 	case request.Request:
@@ -137,11 +137,11 @@
 		c.dropHeartbeat(in.Ref)
 	case kv.Response:
 		c.noteStoreOutcome(in.Outcome)
-		settle(c.stores, in.Ref, in)
+		settle(c.pendingStore, in.Ref, in)
 	case provider.Response:
-		settle(c.clouds, in.Ref, in)
+		settle(c.pendingCloud, in.Ref, in)
 	case heartbeat.ProbeReply:
-		settle(c.probes, in.Ref, in)
+		settle(c.pendingProbes, in.Ref, in)
 	case peermsg.Received:
 		c.peerIn(in)
 	case peermsg.LinkChange:
@@ -156,7 +156,7 @@
 	if c.leadership == nil {
 		c.runRelay()
 	}
-	return c.out
+	return c.Outputs
 }
 
 // SetClockOffset moves the time of day against the clock of Step's now, for drivers
@@ -164,8 +164,8 @@
 // and a time of day that is set back moves by itself.
 func (c *Core) SetClockOffset(d time.Duration) { c.clockOffset = d }
 
-// timeOfDay is the time of day. Schedules go by it, and by nothing else.
-func (c *Core) timeOfDay() time.Time { return c.now.Round(0).Add(c.clockOffset) }
+// TimeOfDay is the time of day. Schedules go by it, and by nothing else.
+func (c *Core) TimeOfDay() time.Time { return c.Now.Round(0).Add(c.clockOffset) }
 
 // settle hands a reply to whoever waits for it.
 func settle[R any](waiting map[uint64]func(R), ref uint64, r R) {
@@ -177,63 +177,63 @@
 
 // NextWake returns when the core next wants a Tick.
 func (c *Core) NextWake() time.Time {
-	at := c.now.Add(time.Second)
-	if c.timers.len() > 0 {
-		if first, _ := c.timers.first(); first.Before(at) {
+	at := c.Now.Add(time.Second)
+	if c.timers.Len() > 0 {
+		if first, _ := c.timers.First(); first.Before(at) {
 			at = first
 		}
 	}
 	return at
 }
 
-// schedule has f called once d has passed.
-func (c *Core) schedule(d time.Duration, f func()) {
-	c.timers.push(c.now.Add(d), f)
+// After has f called once d has passed.
+func (c *Core) After(d time.Duration, f func()) {
+	c.timers.Push(c.Now.Add(d), f)
 }
 
-func (c *Core) runTimers() {
-	for c.timers.len() > 0 {
-		if at, _ := c.timers.first(); at.After(c.now) {
+func (c *Core) RunTimers() {
+	for c.timers.Len() > 0 {
+		if at, _ := c.timers.First(); at.After(c.Now) {
 			return
 		}
-		c.timers.pop()()
+		c.timers.Pop()()
 	}
 }
 
-func (c *Core) emit(o any) { c.out = append(c.out, o) }
+func (c *Core) Emit(o any) { c.Outputs = append(c.Outputs, o) }
 
-func (c *Core) note(level slog.Level, text string, attrs ...any) {
-	c.emit(Note{level, text, attrs})
+func (c *Core) Log(level slog.Level, text string, attrs ...any) {
+	c.Emit(LogEntry{level, text, attrs})
 }
 
-func (c *Core) nextRef() uint64 {
-	c.ref++
-	return c.ref
+func (c *Core) NextRef() uint64 {
+	c.LastRef++
+	return c.LastRef
 }
 
-func (c *Core) store(call kv.Request, f func(kv.Response)) {
-	call.Ref = c.nextRef()
+func (c *Core) CallStore(call kv.Request, f func(kv.Response)) {
+	call.Ref = c.NextRef()
 	if call.Timeout == 0 {
 		call.Timeout = storeTimeout
 	}
 	seen, era := c.observed.Revision, c.observed.Era
-	c.stores[call.Ref] = func(r kv.Response) {
+	c.pendingStore[call.Ref] = func(r kv.Response) {
 		c.observeRevision(r.Rev, seen, era)
 		f(r)
 	}
-	c.emit(call)
+	c.Emit(call)
 }
 
-func (c *Core) cloud(call provider.Request, f func(provider.Response)) {
-	call.Ref = c.nextRef()
+func (c *Core) CallCloud(call provider.Request, f func(provider.Response)) {
+	call.Ref = c.NextRef()
 	call.Timeout = 4 * time.Second
-	c.clouds[call.Ref] = f
-	c.emit(call)
+	c.pendingCloud[call.Ref] = f
+	c.Emit(call)
 }
 
-// jitter returns between half of d and d and a half.
-func (c *Core) jitter(d time.Duration) time.Duration {
-	return d/2 + time.Duration(c.rng.Int64N(int64(d)+1))
+// Jitter returns between half of d and d and a half.
+func (c *Core) Jitter(d time.Duration) time.Duration {
+	return d/2 + time.Duration(c.Rand.Int64N(int64(d)+1))
 }
 
 // userReadShare is how much of the requests that the state service allows goes into reads for
@@ -255,16 +255,16 @@
 func (c *Core) noteStoreOutcome(o rpc.Outcome) {
 	up := o != rpc.Refused && o != rpc.Unknown
 	if up {
-		c.storeServedAt = c.now
+		c.storeServedAt = c.Now
 	}
-	if up == c.storeAvailable || !up && c.now.Sub(c.storeServedAt) < storeOutageThreshold {
+	if up == c.storeAvailable || !up && c.Now.Sub(c.storeServedAt) < storeOutageThreshold {
 		return
 	}
 	c.storeAvailable = up
 	if up {
-		c.note(slog.LevelInfo, "state service answers again")
+		c.Log(slog.LevelInfo, "state service answers again")
 	} else {
-		c.note(slog.LevelWarn, "state service does not serve us")
+		c.Log(slog.LevelWarn, "state service does not serve us")
 	}
 }
 
@@ -274,10 +274,10 @@
 	if l := c.leadership; l != nil {
 		// Out of authority, and no peer in reach that would know of another leader:
 		// users are served better anywhere else.
-		alone := len(c.cfg.Seeds) > 0 && l.suspended && c.now.Sub(l.expiresAt) > readyWithoutLink && !c.hasAnyLink()
+		alone := len(c.cfg.Seeds) > 0 && l.suspended && c.Now.Sub(l.expiresAt) > readyWithoutLink && !c.hasAnyLink()
 		return l.loaded && !alone
 	}
-	return c.knownLeader != "" && (c.links[c.knownLeader] || c.storeAvailable && c.now.Sub(c.leaderLinkLostAt) < readyWithoutLink)
+	return c.knownLeader != "" && (c.links[c.knownLeader] || c.storeAvailable && c.Now.Sub(c.leaderLinkLostAt) < readyWithoutLink)
 }
 
 // hasLeaderLink reports whether we know who leads and have a link to it.
@@ -300,13 +300,13 @@
 
 // HasAuthority reports whether the node leads and has authority at the given time.
 func (c *Core) HasAuthority(now time.Time) bool {
-	return c.leadership != nil && now.Before(c.leadership.expiresAt) && c.clockSkew(now)-c.leadership.clockSkew < lease.MaxHiddenPause
+	return c.leadership != nil && now.Before(c.leadership.expiresAt) && c.ClockSkew(now)-c.leadership.clockSkew < lease.MaxHiddenPause
 }
 
-// clockSkew is how far the time of day has run ahead of the steady clock so far. A machine that
+// ClockSkew is how far the time of day has run ahead of the steady clock so far. A machine that
 // was put to sleep wakes with a steady clock that has stood still: by that it would still
 // lead, long after its grant. A time of day that is set costs no more than the time to the
 // next renewal.
-func (c *Core) clockSkew(now time.Time) time.Duration {
-	return now.Round(0).Add(c.clockOffset).Sub(c.startedAt.Round(0)) - now.Sub(c.startedAt)
+func (c *Core) ClockSkew(now time.Time) time.Duration {
+	return now.Round(0).Add(c.clockOffset).Sub(c.StartedAt.Round(0)) - now.Sub(c.StartedAt)
 }
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -43,7 +43,7 @@
 		return
 	}
 	c.dataLossReason = why
-	c.note(slog.LevelError, "the state service has lost data", "reason", why, "era", c.observed.Era, "term", c.observed.Term, "revision", c.observed.Revision)
+	c.Log(slog.LevelError, "the state service has lost data", "reason", why, "era", c.observed.Era, "term", c.observed.Term, "revision", c.observed.Revision)
 	if l := c.leadership; l != nil {
 		c.resignThen(why, then)
 	}
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -43,12 +43,12 @@
 	if os := c.startTasksOn(m); len(os) == 0 {
 		t.Error("no start, and there are attempts left")
 	}
-	c.out = c.out[:0]
+	c.Outputs = c.Outputs[:0]
 	c.tickLeader()
 	if c.leadership != nil {
 		t.Fatal("the term goes on")
 	}
-	for _, o := range c.out {
+	for _, o := range c.Outputs {
 		if s, ok := o.(kv.Request); ok && s.Op == kv.RevokeLease && s.LeaseID == l.leaseID {
 			return
 		}
@@ -63,7 +63,7 @@
 	p := &c.leadership.writes
 	ch := &change{writes: []kv.Write{{Key: "a", Value: &record.Term{Term: 1}}}}
 	c.handleBatchReply([]*change{ch}, kv.Response{Outcome: rpc.Conflict, FailedKeys: []string{"something else"}})
-	if !p.pausedUntil.After(c.now) || len(p.queued[priorityUrgent]) != 1 {
+	if !p.pausedUntil.After(c.Now) || len(p.queued[priorityUrgent]) != 1 {
 		t.Errorf("pause until %v, %d wait", p.pausedUntil, len(p.queued[priorityUrgent]))
 	}
 }
@@ -80,8 +80,8 @@
 	if w := p.queued[priorityUrgent]; len(w) != 1 || w[0] != good {
 		t.Errorf("%d wait", len(w))
 	}
-	c.now = c.now.Add(2 * time.Second)
-	c.runTimers()
+	c.Now = c.Now.Add(2 * time.Second)
+	c.RunTimers()
 	if w := p.queued[priorityUrgent]; len(w) != 2 || w[1] != bad {
 		t.Errorf("%d wait: the malformed one is lost or goes first", len(w))
 	}
@@ -204,7 +204,7 @@
 	}
 	stay := slices.Clone(l.fleet)
 	c.tickLeader()
-	c.out = nil
+	c.Outputs = nil
 	const day, days = 720, 60
 	var early, ran int
 	for i := range day * days {
@@ -274,7 +274,7 @@
 // does a time of day that is set end more than that.
 func TestClockStopped(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.startedAt = t0
+	c.StartedAt = t0
 	l := c.leadership
 	j := newJob(c, 1, 1, testRand())
 	c.reserve(j)
@@ -287,28 +287,28 @@
 			t.Errorf("starts after an hour's sleep: %+v", a)
 		}
 	}
-	if c.HasAuthority(c.now) || !l.suspended {
+	if c.HasAuthority(c.Now) || !l.suspended {
 		t.Error("leads on after an hour's sleep")
 	}
 	c.renewLease()
 	var refs []uint64 // of the grant, and of the term's record
-	for _, o := range c.out {
+	for _, o := range c.Outputs {
 		if s, ok := o.(kv.Request); ok && (s.Op == kv.KeepAlive || s.Op == kv.Txn && len(s.Writes) == 0) {
 			refs = append(refs, s.Ref)
 		}
 	}
 	l.expiresAt = time.Time{}
 	for i, ref := range refs {
-		if i == 1 && c.HasAuthority(c.now) {
+		if i == 1 && c.HasAuthority(c.Now) {
 			t.Error("one answer of two is enough")
 		}
-		c.Step(c.now.Add(time.Millisecond), kv.Response{Ref: ref})
+		c.Step(c.Now.Add(time.Millisecond), kv.Response{Ref: ref})
 	}
-	if !c.HasAuthority(c.now) || l.suspended {
+	if !c.HasAuthority(c.Now) || l.suspended {
 		t.Error("a renewal that is answered does not count")
 	}
 	c.SetClockOffset(-time.Hour)
-	if !c.HasAuthority(c.now) {
+	if !c.HasAuthority(c.Now) {
 		t.Error("a time of day that is set back ends the authority")
 	}
 }
@@ -326,7 +326,7 @@
 		t.Errorf("%v %v", l.jobs, l.unreadableJobs)
 	}
 	// Whoever asks has it looked at again, and it is as it was.
-	outs := slices.Clone(c.Step(c.now.Add(time.Second), request.Request{Ref: 5, Op: request.Get, ID: "wk-1"}))
+	outs := slices.Clone(c.Step(c.Now.Add(time.Second), request.Request{Ref: 5, Op: request.Get, ID: "wk-1"}))
 	for i := 0; i < len(outs); i++ {
 		switch o := outs[i].(type) {
 		case kv.Request:
@@ -335,7 +335,7 @@
 				r.Entries = []kv.Entry{{Key: o.Key, Value: bad, Rev: 3}}
 			}
 			if o.Key == record.JobPrefix+"wk-1" || o.Key == record.ProgressPrefix+"wk-1/" {
-				outs = append(outs, slices.Clone(c.Step(c.now, r))...)
+				outs = append(outs, slices.Clone(c.Step(c.Now, r))...)
 			}
 		case request.Response:
 			if o.Status != 503 || !l.unreadableJobs["wk-1"] || l.jobs["wk-1"] != nil {
@@ -355,7 +355,7 @@
 	c := leaderOf(t, 1)
 	m := c.leadership.fleet[0]
 	status := func(counter uint64) int {
-		for _, o := range c.Step(c.now.Add(time.Second), heartbeat.Received{Ref: counter, Report: heartbeat.Report{Host: m.host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 1}}) {
+		for _, o := range c.Step(c.Now.Add(time.Second), heartbeat.Received{Ref: counter, Report: heartbeat.Report{Host: m.host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 1}}) {
 			if a, ok := o.(heartbeat.Reply); ok && a.Ref == counter {
 				return a.Status
 			}
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -23,23 +23,23 @@
 	// followed. The key's own is as old as the term, and the service forgets what
 	// is 10,000 changes old: following from there would be turned away at once,
 	// again and again, by every node, until the service serves nobody else.
-	asked := c.ref
-	c.store(kv.Request{Op: kv.List, Key: record.LeaderKey, Limit: 1}, func(r kv.Response) {
+	asked := c.LastRef
+	c.CallStore(kv.Request{Op: kv.List, Key: record.LeaderKey, Limit: 1}, func(r kv.Response) {
 		if r.Outcome == rpc.OK && c.firstStoreRevision == 0 {
 			c.firstStoreRevision = max(1, r.Rev)
 		}
 		switch {
 		case c.leadership != nil:
 		case r.Outcome != rpc.OK:
-			c.schedule(c.jitter(400*time.Millisecond), c.watchLeader)
+			c.After(c.Jitter(400*time.Millisecond), c.watchLeader)
 		case len(r.Entries) == 0 || r.Entries[0].Key != record.LeaderKey:
 			// A small random delay keeps the nodes from all standing at once. One without
 			// a copy of the records leaves it to others first.
-			wait := c.jitter(40 * time.Millisecond)
+			wait := c.Jitter(40 * time.Millisecond)
 			if c.newestReplica() == nil && len(c.cfg.Seeds) > 0 {
 				wait += noReplicaDelay
 			}
-			c.schedule(wait, func() { c.campaign(0) })
+			c.After(wait, func() { c.campaign(0) })
 		default:
 			c.followLeaderRecord(r.Entries[0], r.Rev, asked)
 		}
@@ -54,7 +54,7 @@
 	if rec != nil {
 		c.adoptRecordedLeader(rec, e.Rev, asked)
 	} else if !known {
-		c.note(slog.LevelError, "record is unreadable", "key", e.Key, "effect", "if its grant lives its leader goes on, unknown to us")
+		c.Log(slog.LevelError, "record is unreadable", "key", e.Key, "effect", "if its grant lives its leader goes on, unknown to us")
 	}
 	own := rec != nil && rec.Node == c.cfg.HostName
 	if rec != nil && !own && !known {
@@ -64,19 +64,19 @@
 	// A leader's key is under its grant. One that stands without, because it was damaged
 	// or brought back from a copy, stands for nobody, and would keep the nodes from a
 	// leader for ever.
-	c.store(kv.Request{Op: kv.Get, Key: record.LeaderKey}, func(r kv.Response) {
+	c.CallStore(kv.Request{Op: kv.Get, Key: record.LeaderKey}, func(r kv.Response) {
 		still := r.Outcome == rpc.OK && r.Entries[0].Rev == e.Rev
 		switch {
 		case c.leadership != nil:
 		case still && r.Entries[0].LeaseID == 0:
-			c.note(slog.LevelError, "leader's key has no grant, it is taken over", "key", e.Key)
-			c.schedule(c.jitter(40*time.Millisecond), func() { c.campaign(e.Rev) })
+			c.Log(slog.LevelError, "leader's key has no grant, it is taken over", "key", e.Key)
+			c.After(c.Jitter(40*time.Millisecond), func() { c.campaign(e.Rev) })
 		case own && still:
 			c.revokeFormerLease(r.Entries[0], rec, from)
 		case own:
-			c.schedule(c.jitter(40*time.Millisecond), c.watchLeader)
+			c.After(c.Jitter(40*time.Millisecond), c.watchLeader)
 		case rec == nil:
-			c.schedule(c.jitter(time.Second), c.watchLeader)
+			c.After(c.Jitter(time.Second), c.watchLeader)
 		default:
 			c.watchLeaderKey(from)
 		}
@@ -92,12 +92,12 @@
 // transaction that came late, or a second process of this name; it runs out by itself.
 func (c *Core) revokeFormerLease(e kv.Entry, rec *record.Leader, from uint64) {
 	if rec.Life != c.processID && e.Rev > c.firstStoreRevision {
-		c.note(slog.LevelError, "another process leads under this node's name, or a late transaction says so", "key", e.Key, "term", rec.Term)
+		c.Log(slog.LevelError, "another process leads under this node's name, or a late transaction says so", "key", e.Key, "term", rec.Term)
 		c.watchLeaderKey(from)
 		return
 	}
-	c.note(slog.LevelInfo, "the grant of a former process is given back", "term", rec.Term)
-	c.store(kv.Request{Op: kv.RevokeLease, LeaseID: e.LeaseID}, func(d kv.Response) {
+	c.Log(slog.LevelInfo, "the grant of a former process is given back", "term", rec.Term)
+	c.CallStore(kv.Request{Op: kv.RevokeLease, LeaseID: e.LeaseID}, func(d kv.Response) {
 		if d.Outcome == rpc.OK || d.Outcome == rpc.NotFound {
 			c.watchLeader()
 		} else {
@@ -118,11 +118,11 @@
 func (c *Core) watchLeaderKey(from uint64) {
 	call := watchCall(record.LeaderKey, from)
 	call.Block = leaderWatchTimeout
-	c.store(call, func(r kv.Response) {
+	c.CallStore(call, func(r kv.Response) {
 		if r.Outcome == rpc.OK {
 			c.watchLeader()
 		} else {
-			c.schedule(c.jitter(400*time.Millisecond), c.watchLeader)
+			c.After(c.Jitter(400*time.Millisecond), c.watchLeader)
 		}
 	})
 }
@@ -139,7 +139,7 @@
 		if rec.Term < c.observed.Term && rec.Era == c.observed.Era {
 			c.reportDataLoss("the term on record is older than one that was")
 		}
-		c.note(slog.LevelWarn, "a term that was claimed never was", "claimed", c.highestTerm, "term", rec.Term)
+		c.Log(slog.LevelWarn, "a term that was claimed never was", "claimed", c.highestTerm, "term", rec.Term)
 		c.highestTerm = rec.Term
 	}
 	c.noteLeader(rec.Node, rec.Term)
@@ -153,13 +153,13 @@
 		return
 	}
 	if term > c.highestTerm || c.knownLeader != node {
-		c.note(slog.LevelInfo, "leader known", "leader", node, "term", term)
+		c.Log(slog.LevelInfo, "leader known", "leader", node, "term", term)
 	}
 	if c.knownLeader != node {
-		c.leaderLinkLostAt, c.leaderVersion = c.now, 0
+		c.leaderLinkLostAt, c.leaderVersion = c.Now, 0
 	}
 	if term > c.highestTerm {
-		c.lastClaimRef = c.ref
+		c.lastClaimRef = c.LastRef
 	}
 	c.highestTerm = term
 	if node == c.cfg.HostName {
@@ -174,13 +174,13 @@
 	if c.leadership != nil {
 		return
 	}
-	if wait := c.handedOverAt.Add(handOverCooldown).Sub(c.now); wait > 0 {
-		c.schedule(wait, c.watchLeader)
+	if wait := c.handedOverAt.Add(handOverCooldown).Sub(c.Now); wait > 0 {
+		c.After(wait, c.watchLeader)
 		return
 	}
-	retry := func() { c.schedule(c.jitter(200*time.Millisecond), c.watchLeader) }
-	sent, ahead := c.now, c.clockSkew(c.now) // authority counts from before the grant was asked for
-	c.store(kv.Request{Op: kv.GrantLease, TTL: leaseTTL}, func(g kv.Response) {
+	retry := func() { c.After(c.Jitter(200*time.Millisecond), c.watchLeader) }
+	sent, ahead := c.Now, c.ClockSkew(c.Now) // authority counts from before the grant was asked for
+	c.CallStore(kv.Request{Op: kv.GrantLease, TTL: leaseTTL}, func(g kv.Response) {
 		if g.Outcome != rpc.OK {
 			retry()
 			return
@@ -188,10 +188,10 @@
 		drop := func() {
 			// Ends the grant at once: should the transaction have been applied
 			// all the same, its key goes with it.
-			c.store(kv.Request{Op: kv.RevokeLease, LeaseID: g.LeaseID}, func(kv.Response) {})
+			c.CallStore(kv.Request{Op: kv.RevokeLease, LeaseID: g.LeaseID}, func(kv.Response) {})
 			retry()
 		}
-		c.store(kv.Request{Op: kv.Get, Key: record.TermKey}, func(t kv.Response) {
+		c.CallStore(kv.Request{Op: kv.Get, Key: record.TermKey}, func(t kv.Response) {
 			if t.Outcome != rpc.OK && t.Outcome != rpc.NotFound {
 				drop()
 				return
@@ -208,22 +208,22 @@
 			}
 			era := found.Era
 			if c.dataLossReason != "" || era == 0 {
-				era = c.rng.Uint64()>>11 | 1
+				era = c.Rand.Uint64()>>11 | 1
 			}
 			term, rev := c.nextTerm(t)
 			if term > record.MaxTerm {
-				c.note(slog.LevelError, "terms are used up", "key", record.TermKey, "term", term)
+				c.Log(slog.LevelError, "terms are used up", "key", record.TermKey, "term", term)
 				drop()
 				return
 			}
-			c.store(kv.Request{Op: kv.Txn,
+			c.CallStore(kv.Request{Op: kv.Txn,
 				Conditions: []kv.Condition{{Key: record.LeaderKey, Rev: keyRev}, {Key: record.TermKey, Rev: rev}},
 				Writes:     []kv.Write{{Key: record.LeaderKey, Value: &record.Leader{Node: c.cfg.HostName, Term: term, Life: c.processID, Era: era}, LeaseID: g.LeaseID}, {Key: record.TermKey, Value: &record.Term{Term: term, Era: era}, LeaseID: 0}},
 			}, func(r kv.Response) {
 				// What was heard of terms does not count here, only the record: a
 				// peer may say anything. An answer that comes this late finds the
 				// grant over.
-				if r.Outcome != rpc.OK || !c.now.Before(c.authorityUntil(sent)) {
+				if r.Outcome != rpc.OK || !c.Now.Before(c.authorityUntil(sent)) {
 					drop()
 					return
 				}
@@ -248,7 +248,7 @@
 func (c *Core) nextTerm(t kv.Response) (term, rev uint64) {
 	if t.Outcome == rpc.NotFound {
 		if term = max(t.Rev, c.confirmedTerm, c.observed.Term) + 1; t.Rev > 0 {
-			c.note(slog.LevelWarn, "no term is on record, going on above the state service's revision", "key", record.TermKey, "term", term)
+			c.Log(slog.LevelWarn, "no term is on record, going on above the state service's revision", "key", record.TermKey, "term", term)
 		}
 		return term, 0
 	}
@@ -257,6 +257,6 @@
 		return max(rec.Term, c.confirmedTerm, c.observed.Term) + 1, e.Rev // the record may be of an old copy
 	}
 	term = max(e.Rev, c.confirmedTerm, c.observed.Term) + 1
-	c.note(slog.LevelError, "record is unreadable", "key", record.TermKey, "effect", "terms go on above its revision", "term", term)
+	c.Log(slog.LevelError, "record is unreadable", "key", record.TermKey, "effect", "terms go on above its revision", "term", term)
 	return term, e.Rev
 }
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -19,7 +19,7 @@
 func (c *Core) readRecords(from string) {
 	c.storeWhileLeading(kv.Request{Op: kv.List, Key: record.LivePrefix, From: from, Limit: 400}, func(r kv.Response) {
 		if r.Outcome != rpc.OK {
-			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.readRecords(from) })
+			c.afterWhileLeading(c.Jitter(200*time.Millisecond), func() { c.readRecords(from) })
 			return
 		}
 		g := c.leadership.recovery
@@ -43,7 +43,7 @@
 func (c *Core) loadRecord(e kv.Entry) {
 	l := c.leadership
 	unreadable := func(effect string) {
-		c.note(slog.LevelError, "record is unreadable", "key", e.Key, "effect", effect)
+		c.Log(slog.LevelError, "record is unreadable", "key", e.Key, "effect", effect)
 	}
 	defer func() {
 		if p := recover(); p != nil {
@@ -103,7 +103,7 @@
 	for _, j := range l.sortedJobs() {
 		c.queueJob(j)
 	}
-	c.note(slog.LevelInfo, "records read", "term", l.term, "jobs", len(l.jobs), "machines", len(l.unaccounted))
+	c.Log(slog.LevelInfo, "records read", "term", l.term, "jobs", len(l.jobs), "machines", len(l.unaccounted))
 	if c.takePendingHeartbeats(); c.leadership != l {
 		return // one of them has seen a newer epoch, and we were out of authority
 	}
@@ -113,7 +113,7 @@
 		c.watchLeaderlessNotes()
 	}
 	c.loadSchedulesWhenRestored()
-	c.afterWhileLeading(c.jitter(scrubInterval), c.scrubRecords)
+	c.afterWhileLeading(c.Jitter(scrubInterval), c.scrubRecords)
 	c.tickLeader()
 }
 
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -96,19 +96,19 @@
 		}
 		var calls []any
 		step := func(in any) {
-			c.now = c.now.Add([]time.Duration{time.Millisecond, 50 * time.Millisecond, time.Second, time.Minute}[next()%4])
+			c.Now = c.Now.Add([]time.Duration{time.Millisecond, 50 * time.Millisecond, time.Second, time.Minute}[next()%4])
 			if c.leadership == nil && next()%3 == 0 {
 				rev := num()
-				c.schedule(0, func() { // in the step, so that what it asks for is asked
+				c.After(0, func() { // in the step, so that what it asks for is asked
 					if c.leadership == nil {
-						c.becomeLeader(min(c.confirmedTerm+1, 1<<20), rev, 1, c.now, 0)
+						c.becomeLeader(min(c.confirmedTerm+1, 1<<20), rev, 1, c.Now, 0)
 					}
 				})
 			}
 			if l := c.leadership; l != nil && next()%20 > 0 {
-				l.expiresAt = c.now.Add(time.Minute)
+				l.expiresAt = c.Now.Add(time.Minute)
 			}
-			for _, o := range slices.Clone(c.Step(c.now, in)) {
+			for _, o := range slices.Clone(c.Step(c.Now, in)) {
 				switch o.(type) {
 				case kv.Request, provider.Request, heartbeat.Probe:
 					calls = append(calls, o)
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -28,7 +28,7 @@
 			c.release(c.ensureMachine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot))
 		})
 		return
-	case !c.hasAuthority() && (c.leaseTiming.GraceOver(c.now.Sub(l.expiresAt), c.clockSkew(c.now)-l.clockSkew) || c.now.Before(l.expiresAt)):
+	case !c.hasAuthority() && (c.leaseTiming.GraceOver(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew) || c.Now.Before(l.expiresAt)):
 		// The hold is over by one of our clocks, or the steady one has stood still and
 		// cannot say.
 		refuse()
@@ -50,7 +50,7 @@
 		// Overtaken by its own answer to our probe: nothing new, but a worker
 		// that waits for its reply.
 		c.replyHeartbeat(in.Relay, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
-		m.lastReply = c.now
+		m.lastReply = c.Now
 		return
 	}
 	// A relay that has begun a new session tells again what waits there. What was
@@ -84,7 +84,7 @@
 		c.replyHeartbeat(in.Relay, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
 		return
 	}
-	m.heldReply = &heldReply{heartbeatKey: heartbeatKey{in.Relay, in.Ref}, since: c.now}
+	m.heldReply = &heldReply{heartbeatKey: heartbeatKey{in.Relay, in.Ref}, since: c.Now}
 	if in.Relay.From == "" {
 		m.heldReply.report = *rep
 	}
@@ -100,7 +100,7 @@
 		if c.termsBeganAgain(host, epoch) {
 			return
 		}
-		c.note(slog.LevelWarn, "worker has seen an epoch that never was", "machine", host, "claimed", epoch, "term", c.leadership.term)
+		c.Log(slog.LevelWarn, "worker has seen an epoch that never was", "machine", host, "claimed", epoch, "term", c.leadership.term)
 		if c.leadership.loaded && !c.leadership.released.has(host) {
 			useless()
 		}
@@ -113,7 +113,7 @@
 // soon as several say so, the terms go on above theirs.
 func (c *Core) termsBeganAgain(host string, epoch uint64) bool {
 	l := c.leadership
-	if !l.noEarlierTerm || epoch > maxFencingToken || c.now.Sub(l.electedAt) > 2*c.workerLease {
+	if !l.noEarlierTerm || epoch > maxFencingToken || c.Now.Sub(l.electedAt) > 2*c.workerLease {
 		return false
 	}
 	l.newerTokens[host] = epoch
@@ -129,8 +129,8 @@
 func (c *Core) reconcile(m *machine, rep *heartbeat.Report) {
 	l := c.leadership
 	if !m.reported {
-		c.note(slog.LevelDebug, "machine reports", "machine", m.host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
-		m.idleSince = c.now
+		c.Log(slog.LevelDebug, "machine reports", "machine", m.host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
+		m.idleSince = c.Now
 		delete(l.autoscaler.bootPatience, m.typeName)
 	}
 	if m.reported && rep.Incarnation > m.incarnation {
@@ -140,12 +140,12 @@
 		}
 	}
 	m.reported, m.incarnation, m.counter, m.fencingToken = true, rep.Incarnation, rep.Counter, rep.FencingToken
-	m.lastHeartbeat, m.leaseExpired, m.unreachable = c.now, false, false
+	m.lastHeartbeat, m.leaseExpired, m.unreachable = c.Now, false, false
 	if rep.HasNotice {
 		if m.interruptionAt.IsZero() {
-			c.note(slog.LevelInfo, "machine will be taken", "machine", m.host, "notice", rep.Notice)
+			c.Log(slog.LevelInfo, "machine will be taken", "machine", m.host, "notice", rep.Notice)
 		}
-		m.interruptionAt = c.now.Add(rep.Notice)
+		m.interruptionAt = c.Now.Add(rep.Notice)
 	}
 	if rep.FencingToken == l.term {
 		m.unacknowledgedSince = time.Time{}
@@ -176,7 +176,7 @@
 		// Once may be chance or a relay that ended. A machine that does not hear us must
 		// not be what a task is tried on again and again while there is room elsewhere.
 		if m.unlistedStarts++; m.unlistedStarts > 1 {
-			m.retryAt = c.now.Add(min(time.Second<<min(m.unlistedStarts-1, 10), c.workerLease))
+			m.retryAt = c.Now.Add(min(time.Second<<min(m.unlistedStarts-1, 10), c.workerLease))
 		}
 	}
 	if rep.FencingToken == l.term && l.unaccounted[m.host] {
@@ -193,7 +193,7 @@
 	}
 	delete(l.unaccounted, host)
 	if l.allAccounted() {
-		c.note(slog.LevelInfo, "take-over complete", "term", l.term, "after", c.now.Sub(l.electedAt))
+		c.Log(slog.LevelInfo, "take-over complete", "term", l.term, "after", c.Now.Sub(l.electedAt))
 		for _, j := range l.sortedJobs() {
 			if j.cancelled {
 				c.finishIfOver(j)
@@ -207,7 +207,7 @@
 // One that was answered long ago and whose reports still show no word of ours does not hear:
 // everything that was accepted earlier would wait for it for as long as that lasts.
 func (c *Core) lastHeard(m *machine) time.Time {
-	if !m.unacknowledgedSince.IsZero() && c.now.Sub(m.unacknowledgedSince) > c.heardAgainWithin() {
+	if !m.unacknowledgedSince.IsZero() && c.Now.Sub(m.unacknowledgedSince) > c.heardAgainWithin() {
 		return m.unacknowledgedSince
 	}
 	return m.lastHeartbeat
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -67,7 +67,7 @@
 	s := rec.Spec
 	j := &job{
 		spec: s, need: s.Need(), record: rec, fromEarlierTerm: earlier, cancelled: rec.Cancelled,
-		submitted: c.now.Add(rec.Submitted.Sub(c.now.Round(0))),
+		submitted: c.Now.Add(rec.Submitted.Sub(c.Now.Round(0))),
 		done:      newBitset(s.Tasks), pending: newBitset(s.Tasks), remaining: s.Tasks,
 		attempts: map[int]*attempt{}, chunkRevisions: map[int]uint64{}, dirtyChunks: map[int]bool{}, failedOn: map[string]bool{},
 		team: c.leadership.teams[s.Owner], startsAtOnce: c.mustStartAtOnce(s.Class),
@@ -293,9 +293,9 @@
 	j.completed = nil
 	j.answerCancelWaiters(c, request.Response{Status: 200, View: finalStatus(j.spec.ID, f)})
 	if j.schedule != nil {
-		c.occurrenceOver(j.schedule, j.spec.ID, f.State, c.timeOfDay())
+		c.occurrenceOver(j.schedule, j.spec.ID, f.State, c.TimeOfDay())
 	}
-	c.note(slog.LevelDebug, "job over", "job", j.spec.ID, "state", f.State)
+	c.Log(slog.LevelDebug, "job over", "job", j.spec.ID, "state", f.State)
 }
 
 // finalStatus is what a user is told of a job that has ended.
@@ -327,21 +327,21 @@
 	for _, r := range j.attempts {
 		c.requestDispatch(r.machine)
 	}
-	c.recordCancelled(j, c.leaseTiming.CancelSafeAfter(c.now, c.leadership.electedAt.Add(c.leadership.earlierLeaderLag)))
+	c.recordCancelled(j, c.leaseTiming.CancelSafeAfter(c.Now, c.leadership.electedAt.Add(c.leadership.earlierLeaderLag)))
 }
 
 // recordCancelled writes a cancellation, not before a time unless nothing of the job can be
 // on any machine: where the settings leave no room a lease may last longer than tasks of a
 // cancelled job may.
 func (c *Core) recordCancelled(j *job, from time.Time) {
-	if from.After(c.now) && (len(j.attempts) > 0 || j.fromEarlierTerm && !c.leadership.allAccounted()) {
+	if from.After(c.Now) && (len(j.attempts) > 0 || j.fromEarlierTerm && !c.leadership.allAccounted()) {
 		for _, call := range j.cancelWaiters { // once for each: who asks again is told again
 			no := unavailable("the tasks are being stopped")
-			no.RetryAfter = from.Sub(c.now)
+			no.RetryAfter = from.Sub(c.Now)
 			c.answer(call, no)
 		}
 		j.cancelWaiters = nil
-		c.afterWhileLeading(min(from.Sub(c.now), tickEvery), func() { c.recordCancelled(j, from) })
+		c.afterWhileLeading(min(from.Sub(c.Now), tickEvery), func() { c.recordCancelled(j, from) })
 		return
 	}
 	rec := *j.record
@@ -362,7 +362,7 @@
 		onCommit: func(uint64) {
 			j.cancelling, j.cancelled, j.record, j.endingChange = false, true, &rec, nil
 			c.dropReservations(j)
-			c.note(slog.LevelDebug, "job cancelled", "job", j.spec.ID)
+			c.Log(slog.LevelDebug, "job cancelled", "job", j.spec.ID)
 			j.answerCancelWaiters(c, request.Response{Status: 200, View: j.view()})
 			c.finishIfOver(j)
 		},
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -15,7 +15,7 @@
 	"yewpass/internal/zones"
 )
 
-func (c *Core) hasAuthority() bool { return c.HasAuthority(c.now) }
+func (c *Core) hasAuthority() bool { return c.HasAuthority(c.Now) }
 
 // canAct reports whether we lead, in authority, and know the records.
 func (c *Core) canAct() bool { return c.hasAuthority() && c.leadership.loaded }
@@ -26,8 +26,8 @@
 func (c *Core) becomeLeader(term, rev, grant uint64, sent time.Time, ahead time.Duration) {
 	c.highestTerm, c.confirmedTerm, c.knownLeader, c.lastLedTerm = term, term, "", term
 	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1)
-	c.leadership = newLeadership(c.cfg, c.now)
-	c.leadership.authority.start(term, rev, grant, c.authorityUntil(sent), c.now, ahead)
+	c.leadership = newLeadership(c.cfg, c.Now)
+	c.leadership.authority.start(term, rev, grant, c.authorityUntil(sent), c.Now, ahead)
 	// What this node has read of the catalog lately serves until it can be read anew. Without,
 	// a leader that begins while the cloud is out would start nothing and accept nothing, with
 	// machines at hand.
@@ -39,10 +39,10 @@
 		c.leadership.teams[t.Name] = newTeam(t)
 		c.leadership.guarantees = c.leadership.guarantees || t.CPUs > 0 || t.GPUs > 0
 	}
-	c.note(slog.LevelInfo, "leadership won", "term", term)
+	c.Log(slog.LevelInfo, "leadership won", "term", term)
 	c.announceTerm()
 	if len(c.cfg.Seeds) == 0 {
-		c.leadership.allAcknowledgedAt = c.now
+		c.leadership.allAcknowledgedAt = c.Now
 	}
 	// What waited here for a leader waits for us now.
 	for _, ref := range c.relay.refs() {
@@ -57,7 +57,7 @@
 // afterWhileLeading runs f after d if this very leadership still holds.
 func (c *Core) afterWhileLeading(d time.Duration, f func()) {
 	l := c.leadership
-	c.schedule(d, func() {
+	c.After(d, func() {
 		if c.leadership == l {
 			f()
 		}
@@ -67,7 +67,7 @@
 // storeWhileLeading makes a call whose answer only this leadership wants.
 func (c *Core) storeWhileLeading(call kv.Request, f func(kv.Response)) {
 	l := c.leadership
-	c.store(call, func(r kv.Response) {
+	c.CallStore(call, func(r kv.Response) {
 		if c.leadership == l {
 			f(r)
 		}
@@ -77,7 +77,7 @@
 // storeWhileLeadingOr is storeWhileLeading where somebody must hear if this leadership ends meanwhile.
 func (c *Core) storeWhileLeadingOr(call kv.Request, otherwise func(), f func(kv.Response)) {
 	l := c.leadership
-	c.store(call, func(r kv.Response) {
+	c.CallStore(call, func(r kv.Response) {
 		if c.leadership == l && c.canAct() {
 			f(r)
 		} else {
@@ -91,7 +91,7 @@
 // time again after an outage, and the same term then goes on.
 func (c *Core) renewLease() {
 	l := c.leadership
-	sent, ahead := c.now, c.clockSkew(c.now)
+	sent, ahead := c.Now, c.ClockSkew(c.Now)
 	// The grant alone does not show that the term is on record: a service that has lost
 	// data may know the one and not the other, and whoever looks finds nobody leading.
 	extended, standing := false, false
@@ -103,9 +103,9 @@
 			l.expiresAt, l.clockSkew = u, ahead
 		}
 		if l.suspended && c.hasAuthority() {
-			l.suspended, l.resumedAt = false, c.now
+			l.suspended, l.resumedAt = false, c.Now
 			l.dispatchAll = true
-			c.note(slog.LevelInfo, "authority regained", "term", l.term)
+			c.Log(slog.LevelInfo, "authority regained", "term", l.term)
 		}
 	}
 	var confirm func()
@@ -125,11 +125,11 @@
 		case rpc.OK:
 			extended = true
 			both()
-			c.afterWhileLeading(max(0, leaseRenewInterval-c.now.Sub(sent)), c.renewLease)
+			c.afterWhileLeading(max(0, leaseRenewInterval-c.Now.Sub(sent)), c.renewLease)
 		case rpc.NotFound, rpc.Invalid:
 			c.stepDown("the grant has ended")
 		default:
-			c.afterWhileLeading(c.jitter(leaseRenewInterval/3), c.renewLease)
+			c.afterWhileLeading(c.Jitter(leaseRenewInterval/3), c.renewLease)
 		}
 	})
 }
@@ -140,7 +140,7 @@
 	if l == nil {
 		return
 	}
-	c.note(slog.LevelWarn, "leadership lost", "term", l.term, "reason", why)
+	c.Log(slog.LevelWarn, "leadership lost", "term", l.term, "reason", why)
 	c.leadership = nil
 	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1+len(c.cfg.Seeds))
 	if len(l.autoscaler.instanceTypes) > 0 {
@@ -157,7 +157,7 @@
 		c.relayHeartbeat(r)
 	}
 	c.answerWaiting(l, unavailable("leadership was lost, try again"))
-	c.schedule(c.jitter(100*time.Millisecond), c.watchLeader)
+	c.After(c.Jitter(100*time.Millisecond), c.watchLeader)
 }
 
 // answerWaiting answers everybody who waits for a write.
@@ -196,7 +196,7 @@
 func (c *Core) resignThen(why string, then func()) {
 	grant := c.leadership.leaseID
 	c.stepDown(why)
-	c.store(kv.Request{Op: kv.RevokeLease, LeaseID: grant}, func(kv.Response) { then() })
+	c.CallStore(kv.Request{Op: kv.RevokeLease, LeaseID: grant}, func(kv.Response) { then() })
 }
 
 // runLeader runs after each input while we lead.
@@ -205,7 +205,7 @@
 	if !c.hasAuthority() {
 		if !l.suspended {
 			l.suspended = true
-			c.note(slog.LevelWarn, "authority lapsed, holding the workers", "term", l.term, "hold", c.leaseTiming.GracePeriod())
+			c.Log(slog.LevelWarn, "authority lapsed, holding the workers", "term", l.term, "hold", c.leaseTiming.GracePeriod())
 			// Whoever waits for a write hears at once that it is not known.
 			c.answerWaiting(l, unavailable("the state service does not answer"))
 			c.flushHeldReplies()
--- a/internal/core/leaderless.go
+++ b/internal/core/leaderless.go
@@ -47,16 +47,16 @@
 // who knows no types can neither refuse nor accept.
 func (c *Core) refreshInstanceTypes() {
 	if c.leadership != nil { // which has its own
-		c.schedule(c.jitter(instanceTypesInterval), c.refreshInstanceTypes)
+		c.After(c.Jitter(instanceTypesInterval), c.refreshInstanceTypes)
 		return
 	}
-	c.cloud(provider.Request{Op: provider.Catalog}, func(r provider.Response) {
+	c.CallCloud(provider.Request{Op: provider.Catalog}, func(r provider.Response) {
 		if r.Outcome != rpc.OK || len(r.InstanceTypes) == 0 {
-			c.schedule(c.jitter(4*time.Second), c.refreshInstanceTypes)
+			c.After(c.Jitter(4*time.Second), c.refreshInstanceTypes)
 			return
 		}
 		c.instanceTypes = r.InstanceTypes
-		c.schedule(c.jitter(instanceTypesInterval), c.refreshInstanceTypes)
+		c.After(c.Jitter(instanceTypesInterval), c.refreshInstanceTypes)
 	})
 }
 
@@ -87,12 +87,12 @@
 		c.rejectLeaderless(call, k, unprocessable(field, reason))
 		return
 	}
-	if !c.leaderlessLimit.AllowN(c.now, 2) || !c.readLimit.AllowN(c.now, 1) {
+	if !c.leaderlessLimit.AllowN(c.Now, 2) || !c.readLimit.AllowN(c.Now, 1) {
 		c.answer(call, no)
 		return
 	}
-	rec := &record.Job{Spec: *s, Submitted: c.now.Round(0)}
-	c.store(kv.Request{Op: kv.Txn,
+	rec := &record.Job{Spec: *s, Submitted: c.Now.Round(0)}
+	c.CallStore(kv.Request{Op: kv.Txn,
 		// The term that we know must be on record: a service that has lost its data knows of
 		// no job, not even of those that are over. Nor must the configuration have changed.
 		Conditions: append(noRecordOf(s.ID), kv.Condition{Key: record.TermKey, Rev: c.confirmedTermRevision}, configHeadCond(k)),
@@ -100,7 +100,7 @@
 	}, func(r kv.Response) {
 		switch r.Outcome {
 		case rpc.OK:
-			c.note(slog.LevelInfo, "job accepted without a leader", "job", s.ID)
+			c.Log(slog.LevelInfo, "job accepted without a leader", "job", s.ID)
 			c.replicateLeaderless(rec, r.Rev)
 			c.answer(call, request.Response{Status: 201, View: request.JobStatus{ID: s.ID, State: spec.Queued}})
 		case rpc.Conflict, rpc.Unknown:
@@ -122,11 +122,11 @@
 // last word that nobody ever accepted it, and the last leader's copy says the same.
 func (c *Core) rejectLeaderless(call request.Request, k *replica.Copy, refusal request.Response) {
 	id, no := call.Spec.ID, unavailable("no leader at present")
-	if _, live := k.Get(record.JobPrefix + id); live || !c.readLimit.AllowN(c.now, 1) {
+	if _, live := k.Get(record.JobPrefix + id); live || !c.readLimit.AllowN(c.Now, 1) {
 		c.answer(call, no)
 		return
 	}
-	c.store(kv.Request{Op: kv.Txn, Conditions: append(noRecordOf(id), kv.Condition{Key: record.TermKey, Rev: c.confirmedTermRevision}, configHeadCond(k))}, func(r kv.Response) {
+	c.CallStore(kv.Request{Op: kv.Txn, Conditions: append(noRecordOf(id), kv.Condition{Key: record.TermKey, Rev: c.confirmedTermRevision}, configHeadCond(k))}, func(r kv.Response) {
 		if r.Outcome == rpc.OK {
 			c.answer(call, refusal)
 		} else {
@@ -140,18 +140,18 @@
 	c.storeWhileLeading(kv.Request{Op: kv.List, Key: record.LeaderlessPrefix, Limit: 200}, func(r kv.Response) {
 		switch {
 		case r.Outcome != rpc.OK:
-			c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
+			c.afterWhileLeading(c.Jitter(time.Second), c.watchLeaderlessNotes)
 		case len(r.Entries) > 0:
 			for _, e := range r.Entries {
 				c.adoptLeaderless(e.Key)
 			}
-			c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
+			c.afterWhileLeading(c.Jitter(time.Second), c.watchLeaderlessNotes)
 		default:
 			c.storeWhileLeading(watchCall(record.LeaderlessPrefix, r.Rev), func(f kv.Response) {
 				if f.Outcome == rpc.OK {
 					c.watchLeaderlessNotes()
 				} else {
-					c.afterWhileLeading(c.jitter(time.Second), c.watchLeaderlessNotes)
+					c.afterWhileLeading(c.Jitter(time.Second), c.watchLeaderlessNotes)
 				}
 			})
 		}
--- a/internal/core/machine_records.go
+++ b/internal/core/machine_records.go
@@ -77,7 +77,7 @@
 		return
 	}
 	g.writeQueued, g.priority = true, ln
-	c.afterWhileLeading(max(0, g.writtenAt.Add(machineRecordInterval).Sub(c.now)), func() {
+	c.afterWhileLeading(max(0, g.writtenAt.Add(machineRecordInterval).Sub(c.Now)), func() {
 		var news []*machine
 		sent := false
 		ch := &change{priority: ln, writes: []kv.Write{{Key: g.key}}, size: int(c.cfg.Settings.State.ValueKB * 1024)}
@@ -86,7 +86,7 @@
 				return false // went along with a more pressing one
 			}
 			// What has been sent may not have been executed: it goes again.
-			g.writeQueued, g.writtenAt, sent = false, c.now, true
+			g.writeQueued, g.writtenAt, sent = false, c.Now, true
 			ch.conditions = []kv.Condition{{Key: g.key, Rev: g.revision}}
 			news = nil
 			ch.size = g.size
@@ -158,11 +158,11 @@
 // more, and would hold up the next take-over as well.
 func (c *Core) dropExpiredMachineRecords() {
 	l := c.leadership
-	if len(l.unreadableMachineRecords) == 0 || !c.now.After(c.earlierLeaseExpiry()) {
+	if len(l.unreadableMachineRecords) == 0 || !c.Now.After(c.earlierLeaseExpiry()) {
 		return
 	}
 	for _, key := range slices.Sorted(maps.Keys(l.unreadableMachineRecords)) {
-		c.note(slog.LevelWarn, "unreadable record of machines is accounted for, dropping it", "key", key)
+		c.Log(slog.LevelWarn, "unreadable record of machines is accounted for, dropping it", "key", key)
 		l.writes.add(&change{priority: priorityBulk, conditions: []kv.Condition{{Key: key, Rev: l.unreadableMachineRecords[key]}}, writes: []kv.Write{{Key: key}}})
 		c.markAccounted(key)
 	}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -86,7 +86,7 @@
 	m := l.machines[host]
 	if m == nil {
 		m = &machine{host: host, typeName: flavor, zone: zone, spot: reclaimable,
-			knownSince: c.now, rentedAt: c.now, idleSince: c.now, images: newImages(), timeline: timeline.New(timeline.Resources{})}
+			knownSince: c.Now, rentedAt: c.Now, idleSince: c.Now, images: newImages(), timeline: timeline.New(timeline.Resources{})}
 		m.place, _ = l.places.Machine(host, "", zone)
 		m.zoneState = l.zones.Zone(zone)
 		l.machines[host] = m
@@ -184,7 +184,7 @@
 
 // expireLease gives up on the tasks of a machine whose lease is surely over.
 func (c *Core) expireLease(m *machine) {
-	c.note(slog.LevelWarn, "lease over", "machine", m.host, "tasks", len(m.attempts))
+	c.Log(slog.LevelWarn, "lease over", "machine", m.host, "tasks", len(m.attempts))
 	for _, r := range slices.Clone(m.attempts) {
 		c.dropAttempt(r)
 	}
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -34,8 +34,8 @@
 		d.c.leaseTiming.CancelTimeout = 60 * time.Second // holds for half a minute
 		ts := d.running("wk-1", 1)
 		l := d.c.leadership
-		d.c.now = later(d.c.now, l.expiresAt).Add(2 * time.Second)
-		l.clockSkew = d.c.clockSkew(d.c.now)
+		d.c.Now = later(d.c.Now, l.expiresAt).Add(2 * time.Second)
+		l.clockSkew = d.c.ClockSkew(d.c.Now)
 		d.c.SetClockOffset(ahead)
 		d.ref++
 		d.in(heartbeat.Received{Ref: d.ref, Report: heartbeat.Report{Host: "host-000000", InstanceType: "f2", Zone: "a", Incarnation: 1, Counter: 20, FencingToken: 1, Tasks: ts}})
@@ -62,8 +62,8 @@
 		ts := d.running("wk-1", 1)
 		cancel := d.user(request.Cancel, "wk-1", nil, nil)
 		if lapsed {
-			d.c.now = later(d.c.now, d.c.leadership.expiresAt).Add(2 * time.Second)
-			d.c.leadership.clockSkew = d.c.clockSkew(d.c.now)
+			d.c.Now = later(d.c.Now, d.c.leadership.expiresAt).Add(2 * time.Second)
+			d.c.leadership.clockSkew = d.c.ClockSkew(d.c.Now)
 			d.in(Tick{})
 		}
 		if os := d.report("host-000000", 20, ts...); len(verbs(os, heartbeat.Stop)) != 1 || len(os) != 1 || os[0].Drain != 0 {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -15,21 +15,21 @@
 func (c *Core) announceTerm() {
 	for _, p := range c.cfg.Seeds {
 		if !c.leadership.acknowledged[p.HostName] {
-			c.emit(peermsg.Outgoing{To: p.HostName, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
+			c.Emit(peermsg.Outgoing{To: p.HostName, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
 		}
 	}
 }
 
 func (c *Core) peerLink(p peermsg.LinkChange) {
 	if p.Name == c.knownLeader && c.links[p.Name] {
-		c.leaderLinkLostAt = c.now
+		c.leaderLinkLostAt = c.Now
 	}
 	c.links[p.Name] = p.Up
 	if c.leadership != nil && p.Up {
 		// Also to one that has taken note of the term: it may be a new process.
-		c.emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
+		c.Emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
 		if c.leadership.noEarlierTerm {
-			c.emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.AskKnowledge, Term: c.leadership.term}})
+			c.Emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.AskKnowledge, Term: c.leadership.term}})
 		}
 	}
 	if !p.Up && c.leadership != nil {
@@ -53,14 +53,14 @@
 		}
 		c.notePeerVersion(p.From, p.Msg.Version)
 		if p.Msg.Ref == askForVersion {
-			c.emit(peermsg.Outgoing{To: p.From, Msg: peermsg.Message{Kind: peermsg.Leader, Term: l.term, Version: peerVersion}})
+			c.Emit(peermsg.Outgoing{To: p.From, Msg: peermsg.Message{Kind: peermsg.Leader, Term: l.term, Version: peerVersion}})
 		}
 		if l.acknowledged[p.From] {
 			return
 		}
 		l.acknowledged[p.From] = true
 		if len(l.acknowledged) == len(c.cfg.Seeds) {
-			l.allAcknowledgedAt = c.now
+			l.allAcknowledgedAt = c.Now
 		}
 	case peermsg.Request:
 		c.userCall(request.Request{Ref: p.Msg.Ref, From: p.From, Op: p.Msg.Op, ID: p.Msg.ID, Spec: p.Msg.Spec, Schedule: p.Msg.Schedule, Config: p.Msg.Config})
@@ -74,7 +74,7 @@
 		c.restartReplica(p.From, p.Msg.Ref)
 	case peermsg.AskKnowledge:
 		if c.leadership == nil {
-			c.emit(peermsg.Outgoing{To: p.From, Msg: peermsg.Message{Kind: peermsg.TellKnowledge, Term: p.Msg.Term, Know: c.knowledge()}})
+			c.Emit(peermsg.Outgoing{To: p.From, Msg: peermsg.Message{Kind: peermsg.TellKnowledge, Term: p.Msg.Term, Know: c.knowledge()}})
 		}
 	case peermsg.TellKnowledge:
 		if l := c.leadership; l != nil && p.Msg.Term == l.term {
@@ -98,17 +98,17 @@
 	accept := func() {
 		c.noteLeader(from, term)
 		c.leaderVersion = speaks
-		c.emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.Ack, Term: term, Version: peerVersion}})
+		c.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.Ack, Term: term, Version: peerVersion}})
 	}
 	switch l := c.leadership; {
 	case term < c.highestTerm:
 	case l != nil && term == l.term:
-		c.note(slog.LevelError, "a peer claims the term that this node leads", "peer", from, "term", term)
+		c.Log(slog.LevelError, "a peer claims the term that this node leads", "peer", from, "term", term)
 	case l != nil && c.hasAuthority():
 		// In authority our grant lives, and nobody else can have begun a term, as
 		// far as our clock goes; the state service knows.
 		c.verifyTerm("a newer term is known", func() {
-			c.note(slog.LevelWarn, "a term that was claimed never was", "peer", from, "claimed", term, "term", l.term)
+			c.Log(slog.LevelWarn, "a term that was claimed never was", "peer", from, "claimed", term, "term", l.term)
 		})
 	case l != nil:
 		c.stepDown("a newer term is known")
@@ -126,7 +126,7 @@
 // something says that it is not. If it is, unfounded is called.
 func (c *Core) verifyTerm(because string, unfounded func()) {
 	l := c.leadership
-	if l.verifying || !c.readLimit.AllowN(c.now, 1) {
+	if l.verifying || !c.readLimit.AllowN(c.Now, 1) {
 		return // whoever insists will say so again
 	}
 	l.verifying = true
@@ -150,8 +150,8 @@
 			c.verifyClaim(term)
 		}
 	}
-	asked := c.ref
-	c.store(kv.Request{Op: kv.Get, Key: record.LeaderKey}, func(r kv.Response) {
+	asked := c.LastRef
+	c.CallStore(kv.Request{Op: kv.Get, Key: record.LeaderKey}, func(r kv.Response) {
 		if c.leadership != nil || c.highestTerm != term {
 			return
 		}
@@ -165,7 +165,7 @@
 		case r.Outcome == rpc.OK || r.Outcome == rpc.NotFound:
 			c.verifyEndedClaim(term, again)
 		default:
-			c.schedule(c.jitter(500*time.Millisecond), again)
+			c.After(c.Jitter(500*time.Millisecond), again)
 		}
 	})
 }
@@ -173,7 +173,7 @@
 // verifyEndedClaim is confirm where nobody leads: the term may have been, and be over. Then no
 // older one must be listened to either.
 func (c *Core) verifyEndedClaim(term uint64, again func()) {
-	c.store(kv.Request{Op: kv.Get, Key: record.TermKey}, func(r kv.Response) {
+	c.CallStore(kv.Request{Op: kv.Get, Key: record.TermKey}, func(r kv.Response) {
 		if c.leadership != nil || c.highestTerm != term {
 			return
 		}
@@ -189,7 +189,7 @@
 		case r.Outcome == rpc.OK || r.Outcome == rpc.NotFound:
 			c.highestTerm, c.knownLeader = c.confirmedTerm, ""
 		default:
-			c.schedule(c.jitter(500*time.Millisecond), again)
+			c.After(c.Jitter(500*time.Millisecond), again)
 		}
 	})
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -115,7 +115,7 @@
 // the most pressing that can still be reached. An objective on waiting counts
 // as a deadline one run time later. False: nothing is left to be reached.
 func (c *Core) nextObjective(j *job, length time.Duration) (best objective, ok bool) {
-	return c.nextObjectiveFrom(j, c.now, j.missedUntil, length)
+	return c.nextObjectiveFrom(j, c.Now, j.missedUntil, length)
 }
 
 // nextObjectiveFrom is aim at the time from, for aims after missed.
@@ -182,7 +182,7 @@
 func (c *Core) reserveWarmRoom(part float64) {
 	l := c.leadership
 	left := int64(l.autoscaler.burstCPUs * part * 1000)
-	if c.now.Sub(l.autoscaler.burstAt) > arrivalMemory {
+	if c.Now.Sub(l.autoscaler.burstAt) > arrivalMemory {
 		left = 0
 	}
 	var sizes []int64
@@ -208,10 +208,10 @@
 
 // earliestStart is when tasks can start on the machine at the earliest.
 func (c *Core) earliestStart(m *machine) time.Time {
-	if !m.reported && m.readyAt.After(c.now) {
+	if !m.reported && m.readyAt.After(c.Now) {
 		return m.readyAt
 	}
-	return c.now
+	return c.Now
 }
 
 // slot offers the latest start on the machine that meets the deadline, or the
@@ -323,7 +323,7 @@
 	}
 	if n > 0 {
 		// No machine at all: keep the place in the queue.
-		at := c.now
+		at := c.Now
 		if dated {
 			at = a.deadline.Add(-base)
 		}
@@ -359,7 +359,7 @@
 		return lateQueueYield, 0
 	}
 	each = timeline.Seconds(scarceWeight * float64(j.need.CPU) / 1000 * c.estimate(j).Seconds() / rent.cpus)
-	return lateQueueYield + time.Duration(j.waiting)*each - start.Sub(c.now), each
+	return lateQueueYield + time.Duration(j.waiting)*each - start.Sub(c.Now), each
 }
 
 // advanceInQueue moves a job of which n more tasks have begun up in the queue, if it stands back by its length.
@@ -416,7 +416,7 @@
 	l := c.leadership
 	// Most tasks of earlier jobs run somewhere, and their machines are about to say so:
 	// booked before that, they would be booked for nothing.
-	early := !l.allAccounted() && 10*len(l.unaccounted) > len(l.fleet) && c.now.Sub(l.electedAt) < c.heartbeatInterval
+	early := !l.allAccounted() && 10*len(l.unaccounted) > len(l.fleet) && c.Now.Sub(l.electedAt) < c.heartbeatInterval
 	visits, booked, left := 0, 0, l.unscheduled[:0]
 	for _, j := range l.unscheduled {
 		if early && j.fromEarlierTerm || visits >= maxVisitsPerStep {
@@ -527,8 +527,8 @@
 		if len(due) >= limit {
 			break
 		}
-		if b := j.reservations[0]; (b.machine == nil || b.Start.Before(c.now.Add(-300*time.Millisecond))) && c.now.Sub(j.lastRereserved) > rereserveInterval {
-			j.lastRereserved = c.now
+		if b := j.reservations[0]; (b.machine == nil || b.Start.Before(c.Now.Add(-300*time.Millisecond))) && c.Now.Sub(j.lastRereserved) > rereserveInterval {
+			j.lastRereserved = c.Now
 			due = append(due, j)
 		}
 	}
@@ -553,7 +553,7 @@
 // mayStart reports whether tasks of the job may start at all now.
 func (c *Core) mayStart(j *job) bool {
 	l := c.leadership
-	return !j.halted() && !c.now.Before(j.retryAt) && (l.allAccounted() || !j.fromEarlierTerm && !j.team.limited()) && (l.orphanedTasks == 0 || !j.team.limited())
+	return !j.halted() && !c.Now.Before(j.retryAt) && (l.allAccounted() || !j.fromEarlierTerm && !j.team.limited()) && (l.orphanedTasks == 0 || !j.team.limited())
 }
 
 // couldStart reports whether a task of the job may start now wherever it fits.
@@ -570,7 +570,7 @@
 	l := c.leadership
 	l.overdue = l.overdue[:0]
 	for _, j := range l.queue {
-		if !j.hasRun && len(j.attempts) == 0 && c.now.Sub(j.submitted) > within {
+		if !j.hasRun && len(j.attempts) == 0 && c.Now.Sub(j.submitted) > within {
 			l.overdue = append(l.overdue, j)
 		}
 	}
@@ -615,7 +615,7 @@
 func (c *Core) startTasksOn(m *machine) []heartbeat.Order {
 	l := c.leadership
 	room := m.room()
-	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.zoneState.Takes() || c.now.Before(m.retryAt) || l.unaccounted[m.host] || l.attempts > maxAttempts-maxStartsPerReply {
+	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.zoneState.Takes() || c.Now.Before(m.retryAt) || l.unaccounted[m.host] || l.attempts > maxAttempts-maxStartsPerReply {
 		return nil
 	}
 	os, blocked := c.startOverdue(m)
@@ -656,18 +656,18 @@
 			// Something larger waits here for its slot: start only what does
 			// not stand in its way.
 			d := c.occupancy(j, m)
-			if b.machine != m && slices.ContainsFunc(barred, func(x timeline.Booking) bool { return x.Need.Fits(j.need) && !x.End.After(c.now.Add(d)) }) {
+			if b.machine != m && slices.ContainsFunc(barred, func(x timeline.Booking) bool { return x.Need.Fits(j.need) && !x.End.After(c.Now.Add(d)) }) {
 				continue // more, or for longer, than what did
 			}
 			if b.machine == m {
 				m.timeline.Remove(&b.Booking)
 			}
-			n = m.timeline.Count(c.now, d, j.need, n)
+			n = m.timeline.Count(c.Now, d, j.need, n)
 			if b.machine == m {
 				m.timeline.Add(&b.Booking)
 			}
 			if n == 0 {
-				if barred = append(barred, timeline.Booking{Need: j.need, End: c.now.Add(d)}); len(barred) >= maxBlockedJobs {
+				if barred = append(barred, timeline.Booking{Need: j.need, End: c.Now.Add(d)}); len(barred) >= maxBlockedJobs {
 					break
 				}
 				continue
@@ -714,7 +714,7 @@
 	if m.images.Contains(j.spec.Image) {
 		return j.reservations[0]
 	}
-	if c.now.Before(j.imageLocalUntil) {
+	if c.Now.Before(j.imageLocalUntil) {
 		return nil
 	}
 	for i, b := range j.reservations {
@@ -749,7 +749,7 @@
 	if have < 4*int64(j.spec.Tasks)*j.need.CPU {
 		return
 	}
-	j.imageLocalUntil = c.now.Add(imageLocalityWait)
+	j.imageLocalUntil = c.Now.Add(imageLocalityWait)
 	c.afterWhileLeading(imageLocalityWait, func() { l.dispatchAll = true })
 }
 
@@ -774,7 +774,7 @@
 	j.waiting--
 	// Attempts rise across terms as well: the term comes first.
 	l.attempts++
-	r := &attempt{id: heartbeat.TaskID{Job: j.spec.ID, Index: i}, number: l.term<<record.AttemptBits + l.attempts, machine: m, phase: Ordered, orderedCounter: m.counter, orderedAt: c.now}
+	r := &attempt{id: heartbeat.TaskID{Job: j.spec.ID, Index: i}, number: l.term<<record.AttemptBits + l.attempts, machine: m, phase: Ordered, orderedCounter: m.counter, orderedAt: c.Now}
 	m.attempts = append(m.attempts, r)
 	c.occupy(r, j)
 	return heartbeat.Order{Verb: heartbeat.Start, Task: r.id, Try: r.number}
@@ -790,13 +790,13 @@
 	for _, m := range l.fleet {
 		if m.eligibleFor(j) {
 			if t, ok := m.timeline.Earliest(c.earliestStart(m), run, j.need); ok {
-				best = min(best, t.Add(run).Sub(c.now))
+				best = min(best, t.Add(run).Sub(c.Now))
 			}
 		}
 	}
 	for i := range l.autoscaler.instanceTypes {
 		f := &l.autoscaler.instanceTypes[i]
-		if allowsInstanceType(s, f.Name) && j.need.Fits(f.Capacity) && (s.Zone == "" || hasZone(f, s.Zone)) && l.autoscaler.mayHaveCapacity(f, s.AllowSpot, c.now) {
+		if allowsInstanceType(s, f.Name) && j.need.Fits(f.Capacity) && (s.Zone == "" || hasZone(f, s.Zone)) && l.autoscaler.mayHaveCapacity(f, s.AllowSpot, c.Now) {
 			best = min(best, f.BootTime+imageFetchTime(s, f)+run)
 		}
 	}
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -71,7 +71,7 @@
 	if os := c.startTasksOn(m); len(os) != 0 {
 		t.Errorf("started %v where the image is not", os)
 	}
-	c.now = c.now.Add(imageLocalityWait)
+	c.Now = c.Now.Add(imageLocalityWait)
 	if c.startTasksOn(m); j.waiting != 0 {
 		t.Errorf("%d tasks still wait", j.waiting)
 	}
@@ -98,7 +98,7 @@
 			c.reserve(j)
 		}
 		m.images.Add("img0", struct{}{})
-		c.now = t0
+		c.Now = t0
 		add(1, 32, -time.Minute)
 		for i := range small {
 			add(100+i, 1+float64(i%7)/10, time.Duration(i)*time.Millisecond)
@@ -144,7 +144,7 @@
 		if stopped := m.attempts[0].stopRequested; stopped != (phase == heartbeat.Pulling) {
 			t.Errorf("found %s: stopped %v", phase, stopped)
 		}
-		c.now = c.now.Add(3 * time.Second)
+		c.Now = c.Now.Add(3 * time.Second)
 		rep.Counter++
 		rep.Tasks[0] = heartbeat.Task{Task: heartbeat.TaskID{Job: long.spec.ID}, Try: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}
 		c.reconcile(m, &rep)
@@ -192,10 +192,10 @@
 		j := newJob(c, i, 50, rng)
 		c.reserve(j)
 	}
-	c.now = c.now.Add(time.Hour) // all is due
+	c.Now = c.Now.Add(time.Hour) // all is due
 	looked := func() (n int) {
 		for _, j := range c.leadership.jobs {
-			if j.lastRereserved.Equal(c.now) {
+			if j.lastRereserved.Equal(c.Now) {
 				n++
 			}
 		}
@@ -207,12 +207,12 @@
 	}
 	first := map[*job]bool{}
 	for _, j := range c.leadership.jobs {
-		first[j] = j.lastRereserved.Equal(c.now)
+		first[j] = j.lastRereserved.Equal(c.Now)
 	}
-	c.now = c.now.Add(tickEvery)
+	c.Now = c.Now.Add(tickEvery)
 	c.rereserve(10)
 	for j, was := range first {
-		if was && j.lastRereserved.Equal(c.now) {
+		if was && j.lastRereserved.Equal(c.Now) {
 			t.Errorf("job %s is looked at again at once", j.spec.ID)
 		}
 	}
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -24,7 +24,7 @@
 	seen := map[*team]int64{}
 	for _, j := range l.queue {
 		t := j.team
-		if t.guaranteed.CPU == 0 || !c.mayStart(j) || c.now.Sub(j.submitted) < preemptAfter || t.allocated.CPU+j.need.CPU > t.guaranteed.CPU {
+		if t.guaranteed.CPU == 0 || !c.mayStart(j) || c.Now.Sub(j.submitted) < preemptAfter || t.allocated.CPU+j.need.CPU > t.guaranteed.CPU {
 			continue
 		}
 		left, ok := seen[t]
@@ -74,7 +74,7 @@
 				if r.foundRunning {
 					continue // it may have run for long: to a new leader all look begun just now
 				}
-				loss = c.now.Sub(r.startedAt)
+				loss = c.Now.Sub(r.startedAt)
 				if !r.job.spec.Service {
 					d, ok := lasts[r.job]
 					if !ok {
@@ -110,6 +110,6 @@
 		stopped++
 	}
 	if stopped > 0 {
-		c.note(slog.LevelInfo, "borrowers give back", "tasks", stopped)
+		c.Log(slog.LevelInfo, "borrowers give back", "tasks", stopped)
 	}
 }
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -74,7 +74,7 @@
 		return
 	}
 	l.probesInFlight++
-	c.probeCall(m.address, l.term, tenure, func(r heartbeat.ProbeReply) {
+	c.CallWorker(m.address, l.term, tenure, func(r heartbeat.ProbeReply) {
 		if c.leadership != l {
 			return
 		}
@@ -99,9 +99,9 @@
 	})
 }
 
-// probeCall sends a probe and has f called with its answer.
-func (c *Core) probeCall(address string, epoch, tenure uint64, f func(heartbeat.ProbeReply)) {
-	ref := c.nextRef()
-	c.probes[ref] = f
-	c.emit(heartbeat.Probe{Ref: ref, Address: address, FencingToken: epoch, Incarnation: tenure, Timeout: probeTimeout})
+// CallWorker sends a probe and has f called with its answer.
+func (c *Core) CallWorker(address string, epoch, tenure uint64, f func(heartbeat.ProbeReply)) {
+	ref := c.NextRef()
+	c.pendingProbes[ref] = f
+	c.Emit(heartbeat.Probe{Ref: ref, Address: address, FencingToken: epoch, Incarnation: tenure, Timeout: probeTimeout})
 }
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -71,7 +71,7 @@
 	}
 	for _, p := range c.cfg.Seeds {
 		if g.peerKnowledge[p.HostName] == nil {
-			c.emit(peermsg.Outgoing{To: p.HostName, Msg: peermsg.Message{Kind: peermsg.AskKnowledge, Term: c.leadership.term}})
+			c.Emit(peermsg.Outgoing{To: p.HostName, Msg: peermsg.Message{Kind: peermsg.AskKnowledge, Term: c.leadership.term}})
 		}
 	}
 	c.afterWhileLeading(askInterval, c.askPeers)
@@ -107,7 +107,7 @@
 
 // awaitsPeers reports whether somebody may still tell what is not known here.
 func (g *recoveryState) awaitsPeers(c *Core) bool {
-	waited := c.now.Sub(c.leadership.electedAt)
+	waited := c.Now.Sub(c.leadership.electedAt)
 	within, all := peerAnswerTimeout, false
 	best := c.newestReplica()
 	switch {
@@ -201,11 +201,11 @@
 			// which is learned beside the work.
 			l.finalsSource = name
 		case g.replicaSource != name:
-			g.replicaSource, g.replicaDeadline, g.receiver = name, c.now.Add(replicaTimeout), replica.Receiver{}
-			c.emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
+			g.replicaSource, g.replicaDeadline, g.receiver = name, c.Now.Add(replicaTimeout), replica.Receiver{}
+			c.Emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
 			c.afterWhileLeading(replicaTimeout+time.Millisecond, c.advanceRecovery)
 			return
-		case c.now.Before(g.replicaDeadline):
+		case c.Now.Before(g.replicaDeadline):
 			return
 		default:
 			g.failedSources[name], g.replicaSource = true, ""
@@ -223,7 +223,7 @@
 		if !ours {
 			l.earlierLeaderLag = withDrift(leaseTTL)
 		}
-		if c.now.Sub(l.electedAt) < l.earlierLeaderLag {
+		if c.Now.Sub(l.electedAt) < l.earlierLeaderLag {
 			return
 		}
 	}
@@ -276,7 +276,7 @@
 				g.replica.Put(key, r.Entries[0].Value, r.Entries[0].Rev)
 			case rpc.NotFound:
 			default:
-				c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { read(key) })
+				c.afterWhileLeading(c.Jitter(200*time.Millisecond), func() { read(key) })
 				return
 			}
 			if left--; left == 0 {
@@ -294,7 +294,7 @@
 	g := c.leadership.recovery
 	c.storeWhileLeading(kv.Request{Op: kv.List, Key: record.FinalPrefix, From: from[:len(from)-1], Limit: 1000}, func(r kv.Response) {
 		if r.Outcome != rpc.OK {
-			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.listFinalRecords(from, to) })
+			c.afterWhileLeading(c.Jitter(200*time.Millisecond), func() { c.listFinalRecords(from, to) })
 			return
 		}
 		for _, e := range r.Entries {
--- a/internal/core/recovery_merge.go
+++ b/internal/core/recovery_merge.go
@@ -125,10 +125,10 @@
 		if from == "" && g.replica != nil {
 			from = c.cfg.HostName
 		}
-		l.loss = &dataLoss{restored: len(l.restoring), pending: len(l.restoring), since: c.now, reason: g.lossReason, source: from}
-		c.note(slog.LevelError, "rebuilding after a loss of data", "term", l.term, "era", c.observed.Era, "reason", g.lossReason, "copy of", from, "records", len(records), "restored", len(l.restoring))
+		l.loss = &dataLoss{restored: len(l.restoring), pending: len(l.restoring), since: c.Now, reason: g.lossReason, source: from}
+		c.Log(slog.LevelError, "rebuilding after a loss of data", "term", l.term, "era", c.observed.Era, "reason", g.lossReason, "copy of", from, "records", len(records), "restored", len(l.restoring))
 		if g.replica == nil {
-			c.note(slog.LevelError, "no copy of the records is left: what the state service has lost is lost", "term", l.term)
+			c.Log(slog.LevelError, "no copy of the records is left: what the state service has lost is lost", "term", l.term)
 		}
 	}
 	c.dataLossReason = ""
@@ -154,7 +154,7 @@
 	l.recovery = nil
 	c.prepareRestore()
 	if l.finalsSource != "" {
-		c.emit(peermsg.Outgoing{To: l.finalsSource, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
+		c.Emit(peermsg.Outgoing{To: l.finalsSource, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
 	}
 	c.startWork()
 }
--- a/internal/core/regions_test.go
+++ b/internal/core/regions_test.go
@@ -25,15 +25,15 @@
 			m.reported, m.lastHeartbeat = true, t0
 		}
 	}
-	c.now = t0.Add(20 * time.Second)
+	c.Now = t0.Add(20 * time.Second)
 	for _, m := range c.leadership.fleet[:12] {
-		m.lastHeartbeat = c.now
+		m.lastHeartbeat = c.Now
 	}
-	c.out = nil
+	c.Outputs = nil
 	c.observeZones()
 	var warned []string
-	for _, o := range c.out {
-		if n, ok := o.(Note); ok && n.Level >= slog.LevelWarn {
+	for _, o := range c.Outputs {
+		if n, ok := o.(LogEntry); ok && n.Level >= slog.LevelWarn {
 			warned = append(warned, n.Text)
 		}
 	}
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -86,14 +86,14 @@
 	if p := r.byHost[rep.Host]; p != nil {
 		if !rep.Newer(p.report.Incarnation, p.report.Counter) {
 			c.staleHeartbeats++
-			c.emit(heartbeat.Reply{Ref: in.Ref, Status: 503}) // delayed on the way
+			c.Emit(heartbeat.Reply{Ref: in.Ref, Status: 503}) // delayed on the way
 			return
 		}
 		c.dropRelayed(p) // the worker has given up on it
-		c.emit(heartbeat.Reply{Ref: p.ref, Status: 503})
+		c.Emit(heartbeat.Reply{Ref: p.ref, Status: 503})
 	}
 	if len(c.cfg.Seeds) == 0 || c.leaderOutOfReach() {
-		c.emit(heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: c.knownLeader})
+		c.Emit(heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: c.knownLeader})
 		return
 	}
 	k := r.reporters[rep.Host]
@@ -101,8 +101,8 @@
 		k = &relayedWorker{}
 		r.reporters[rep.Host] = k
 	}
-	*k = relayedWorker{rep.Address, rep.Incarnation, rep.FencingToken, c.now}
-	p := &relayedHeartbeat{in.Ref, *rep, c.now}
+	*k = relayedWorker{rep.Address, rep.Incarnation, rep.FencingToken, c.Now}
+	p := &relayedHeartbeat{in.Ref, *rep, c.Now}
 	r.waiting[p.ref], r.byHost[rep.Host] = p, p
 	if r.fold != nil {
 		r.add(p.ref, &p.report)
@@ -121,7 +121,7 @@
 // known for sure, for longer than a change of leader takes. Its workers are then better
 // off with it.
 func (c *Core) leaderOutOfReach() bool {
-	return c.knownLeader != "" && !c.canRelay() && c.now.Sub(c.leaderLinkLostAt) > relayLinkTimeout
+	return c.knownLeader != "" && !c.canRelay() && c.Now.Sub(c.leaderLinkLostAt) > relayLinkTimeout
 }
 
 func (r *relayState) add(ref uint64, rep *heartbeat.Report) {
@@ -152,7 +152,7 @@
 
 // tickRelay looks after what waits here, now and every while.
 func (c *Core) tickRelay() {
-	c.schedule(relayHeartbeat, c.tickRelay)
+	c.After(relayHeartbeat, c.tickRelay)
 	if c.leadership != nil {
 		return
 	}
@@ -160,7 +160,7 @@
 	away := c.leaderOutOfReach()
 	for _, ref := range r.refs() {
 		p := r.waiting[ref]
-		if !away && c.now.Sub(p.receivedAt) < relayReplyTimeout {
+		if !away && c.Now.Sub(p.receivedAt) < relayReplyTimeout {
 			continue
 		}
 		a := heartbeat.Reply{Ref: ref, Status: 421}
@@ -168,12 +168,12 @@
 			a.Upstream = c.knownLeader
 		}
 		c.dropRelayed(p)
-		c.emit(a)
+		c.Emit(a)
 	}
-	if c.now.Sub(r.prunedAt) > c.workerLease {
-		r.prunedAt = c.now
+	if c.Now.Sub(r.prunedAt) > c.workerLease {
+		r.prunedAt = c.Now
 		for _, host := range slices.Sorted(maps.Keys(r.reporters)) {
-			if c.now.Sub(r.reporters[host].lastHeartbeat) > c.workerLease {
+			if c.Now.Sub(r.reporters[host].lastHeartbeat) > c.workerLease {
 				delete(r.reporters, host)
 				if r.fold != nil {
 					r.fold.Forget(host)
@@ -181,7 +181,7 @@
 			}
 		}
 	}
-	if r.fold != nil && c.now.Sub(r.flushedAt) > relayHeartbeat {
+	if r.fold != nil && c.Now.Sub(r.flushedAt) > relayHeartbeat {
 		c.flushRelay()
 	}
 }
@@ -203,10 +203,10 @@
 		return
 	}
 	every := min(relayInterval+time.Duration(len(r.reporters))*relayIntervalPerWorker, maxRelayInterval)
-	if wait := r.flushedAt.Add(every).Sub(c.now); wait > 0 && r.weight < maxLineWeight {
+	if wait := r.flushedAt.Add(every).Sub(c.Now); wait > 0 && r.weight < maxLineWeight {
 		if !r.flushing {
 			r.flushing = true
-			c.schedule(wait, func() { c.relay.flushing = false }) // and the pump after it
+			c.After(wait, func() { c.relay.flushing = false }) // and the pump after it
 		}
 		return
 	}
@@ -218,7 +218,7 @@
 func (c *Core) openRelaySession() {
 	r := &c.relay
 	r.leader, r.term = c.knownLeader, c.highestTerm
-	r.fold = relay.NewFold(c.rng.Uint64() | 1) // never 0
+	r.fold = relay.NewFold(c.Rand.Uint64() | 1) // never 0
 	r.items, r.abandoned, r.weight = nil, nil, 0
 	for _, ref := range r.refs() {
 		r.add(ref, &r.waiting[ref].report)
@@ -238,10 +238,10 @@
 		if n == len(r.items) {
 			gone, r.abandoned = r.abandoned, nil
 		}
-		c.emit(peermsg.Outgoing{To: r.leader, Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: r.term, Reports: r.fold.Batch(r.items[:n:n], gone)}})
+		c.Emit(peermsg.Outgoing{To: r.leader, Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: r.term, Reports: r.fold.Batch(r.items[:n:n], gone)}})
 		r.items = r.items[n:]
 	}
-	r.items, r.weight, r.flushedAt = nil, 0, c.now
+	r.items, r.weight, r.flushedAt = nil, 0, c.Now
 }
 
 // handleRelayedReplies passes the leader's replies on to workers. Only those of the newest
@@ -272,7 +272,7 @@
 			delete(r.reporters, p.report.Host)
 			r.fold.Forget(p.report.Host)
 		}
-		c.emit(a)
+		c.Emit(a)
 	}
 }
 
@@ -283,7 +283,7 @@
 	r := &c.relay
 	r.probedTerm, r.probeQueue, r.probesInFlight = r.term, nil, 0
 	for _, host := range slices.Sorted(maps.Keys(r.reporters)) {
-		if k := r.reporters[host]; k.fencingToken < r.term && k.address != "" && c.now.Sub(k.lastHeartbeat) < 2*c.heartbeatInterval {
+		if k := r.reporters[host]; k.fencingToken < r.term && k.address != "" && c.Now.Sub(k.lastHeartbeat) < 2*c.heartbeatInterval {
 			r.probeQueue = append(r.probeQueue, host)
 		}
 	}
@@ -308,7 +308,7 @@
 	r := &c.relay
 	term := r.probedTerm
 	r.probesInFlight++
-	c.probeCall(k.address, term, tenure, func(p heartbeat.ProbeReply) {
+	c.CallWorker(k.address, term, tenure, func(p heartbeat.ProbeReply) {
 		if r.probedTerm != term {
 			return
 		}
@@ -358,7 +358,7 @@
 		if former != 0 {
 			// Maybe another process, back so soon that its end went unnoticed. Those who
 			// reported to the one before look for another node first.
-			p.lastSilent = c.now
+			p.lastSilent = c.Now
 		}
 		// All that waits there is told again. The numbers of the session before mean
 		// nothing any more.
@@ -375,12 +375,12 @@
 	}
 	if err != nil {
 		if err != relay.ErrBroken {
-			c.note(slog.LevelWarn, "relay's reports cannot be read", "relay", from, "reason", err)
+			c.Log(slog.LevelWarn, "relay's reports cannot be read", "relay", from, "reason", err)
 		}
-		c.emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: l.term, Replies: &relay.Replies{Session: m.Reports.Session, Again: true}}})
+		c.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: l.term, Replies: &relay.Replies{Session: m.Reports.Session, Again: true}}})
 		return
 	}
-	p.lastBatch = c.now
+	p.lastBatch = c.Now
 	by := heartbeat.Link{From: from, Session: m.Reports.Session}
 	for i := range reps {
 		if ref := m.Reports.Reports[i].Ref; ref != 0 {
@@ -409,7 +409,7 @@
 // replyHeartbeat answers a report the way it came.
 func (c *Core) replyHeartbeat(by heartbeat.Link, a heartbeat.Reply) {
 	if by.From == "" {
-		c.emit(a)
+		c.Emit(a)
 		return
 	}
 	if c.leadership == nil {
@@ -434,7 +434,7 @@
 	if len(p.replies) == 0 {
 		return
 	}
-	c.emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: c.leadership.term, Replies: &relay.Replies{Session: p.unfold.Session(), List: p.replies}}})
+	c.Emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: c.leadership.term, Replies: &relay.Replies{Session: p.unfold.Session(), List: p.replies}}})
 	p.replies, p.weight = nil, 0
 }
 
@@ -492,8 +492,8 @@
 // Returned before that it would have lost its tasks for nothing.
 func (c *Core) noteSilentRelays() {
 	for _, s := range c.cfg.Seeds {
-		if p := c.leadership.relays[s.HostName]; p != nil && c.now.Sub(p.lastBatch) > 3*relayHeartbeat {
-			p.lastSilent = c.now
+		if p := c.leadership.relays[s.HostName]; p != nil && c.Now.Sub(p.lastBatch) > 3*relayHeartbeat {
+			p.lastSilent = c.Now
 		}
 	}
 }
@@ -509,7 +509,7 @@
 func (c *Core) noteIsolatedRelays(overdue map[*relayLink]int) {
 	for p, n := range overdue {
 		if n > 2 && 4*n > p.workers {
-			p.lastSilent = c.now
+			p.lastSilent = c.Now
 		}
 	}
 }
@@ -524,7 +524,7 @@
 
 // takesWorkers reports whether workers can report to us by a relay now.
 func (c *Core) takesWorkers(name string, p *relayLink) bool {
-	return p != nil && c.links[name] && p.unfold.Session() != 0 && c.now.Sub(p.lastBatch) < relaySilence
+	return p != nil && c.links[name] && p.unfold.Session() != 0 && c.Now.Sub(p.lastBatch) < relaySilence
 }
 
 // maxWorkersPerNode is how many workers a node takes: their part of the connections that it
@@ -548,11 +548,11 @@
 // lose. A machine that comes back had a reason: the other node is out of its reach.
 func (c *Core) redirectTarget(m *machine, by string, first bool) string {
 	l := c.leadership
-	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.allAccounted() || m.releasing || c.now.Sub(m.lastMoved) < 3*c.workerLease {
+	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.allAccounted() || m.releasing || c.Now.Sub(m.lastMoved) < 3*c.workerLease {
 		return ""
 	}
 	first = first && by == ""
-	if !first && (c.now.Before(l.nextMoveAt) || m.fencingToken != l.term) {
+	if !first && (c.Now.Before(l.nextMoveAt) || m.fencingToken != l.term) {
 		return ""
 	}
 	nodes := c.relayNodes()
@@ -561,8 +561,8 @@
 		return ""
 	}
 	if !first {
-		l.nextMoveAt = c.now.Add(time.Second / time.Duration(4+len(l.fleet)/50))
+		l.nextMoveAt = c.Now.Add(time.Second / time.Duration(4+len(l.fleet)/50))
 	}
-	m.lastMoved = c.now
+	m.lastMoved = c.Now
 	return to
 }
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -46,7 +46,7 @@
 // and that has not been answered.
 func (n *relayNode) calls(key string) (call kv.Request) {
 	for _, o := range n.outs {
-		if s, ok := o.(kv.Request); ok && s.Key == key && n.stores[s.Ref] != nil {
+		if s, ok := o.(kv.Request); ok && s.Key == key && n.pendingStore[s.Ref] != nil {
 			call = s
 		}
 	}
@@ -194,7 +194,7 @@
 	c.reserve(j)
 	rep := reportOf(m)
 	send := func(session, number, ref uint64, f *relay.Fold, r heartbeat.Report) (orders int, answered bool) {
-		for _, o := range c.Step(c.now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch([]relay.Item{f.Item(ref, &r)}, nil)}}) {
+		for _, o := range c.Step(c.Now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch([]relay.Item{f.Item(ref, &r)}, nil)}}) {
 			p, ok := o.(peermsg.Outgoing)
 			if !ok || p.Msg.Kind != peermsg.HeartbeatReplies || len(p.Msg.Replies.List) == 0 {
 				continue
@@ -230,7 +230,7 @@
 // a leadership is handed over only to somebody.
 func TestCluster(t *testing.T) {
 	ask := func(c *Core, op request.Operation) (a request.Response, dropped bool) {
-		for _, o := range c.Step(c.now.Add(time.Millisecond), request.Request{Ref: 3, Op: op}) {
+		for _, o := range c.Step(c.Now.Add(time.Millisecond), request.Request{Ref: 3, Op: op}) {
 			switch o := o.(type) {
 			case request.Response:
 				a = o
@@ -256,8 +256,8 @@
 	if a, dropped := ask(c, request.HandOver); a.Status != 409 || dropped || c.leadership == nil {
 		t.Errorf("handed over to nobody: %d %s", a.Status, a.Reason)
 	}
-	c.Step(c.now, peermsg.LinkChange{Name: "n1", Up: true})
-	c.Step(c.now, peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: relay.NewFold(3).Batch(nil, nil)}})
+	c.Step(c.Now, peermsg.LinkChange{Name: "n1", Up: true})
+	c.Step(c.Now, peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: relay.NewFold(3).Batch(nil, nil)}})
 	if a, dropped := ask(c, request.HandOver); a.Status != 200 || !dropped || c.leadership != nil {
 		t.Errorf("not handed over: %d %s", a.Status, a.Reason)
 	}
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -116,7 +116,7 @@
 		k.Put(r.Key, r.Value, r.Rev)
 	}
 	for _, s := range c.cfg.Seeds {
-		c.emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.LeaderlessJob, Term: c.confirmedTerm, Copy: &replica.Line{Term: c.confirmedTerm, Session: 1, Puts: []replica.Record{r}}}})
+		c.Emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.LeaderlessJob, Term: c.confirmedTerm, Copy: &replica.Line{Term: c.confirmedTerm, Session: 1, Puts: []replica.Record{r}}}})
 	}
 }
 
@@ -175,7 +175,7 @@
 }
 
 func (c *Core) sendReplicaLine(to string, line replica.Line) {
-	c.emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.Replica, Term: max(1, c.highestTerm), Copy: &line}})
+	c.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.Replica, Term: max(1, c.highestTerm), Copy: &line}})
 }
 
 // supplyReplicas has every controller in reach supplied with a copy: any of them may have
@@ -189,7 +189,7 @@
 		if l.followers[s.HostName] != nil || !c.links[s.HostName] {
 			continue // a link that is lost takes its holder with it
 		}
-		l.followers[s.HostName] = replica.NewSender(c.rng.Uint64()|1, c.replicas.own)
+		l.followers[s.HostName] = replica.NewSender(c.Rand.Uint64()|1, c.replicas.own)
 		if !l.sendingBase {
 			l.sendingBase = true
 			c.afterWhileLeading(0, c.sendBase)
@@ -242,13 +242,13 @@
 			return
 		}
 		h = &l.recovery.receiver
-		l.recovery.replicaDeadline = c.now.Add(replicaTimeout)
+		l.recovery.replicaDeadline = c.Now.Add(replicaTimeout)
 	} else if from != c.knownLeader || line.Term > c.highestTerm {
 		return // of nobody who leads
 	}
 	if err := h.Take(line, record.FinalPrefix, maxFinals(c.cfg)); err != nil {
-		c.note(slog.LevelWarn, "copy of the records is wanted anew", "from", from, "reason", err)
-		c.emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.ReplicaRestart, Term: max(1, line.Term), Ref: line.Session}})
+		c.Log(slog.LevelWarn, "copy of the records is wanted anew", "from", from, "reason", err)
+		c.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.ReplicaRestart, Term: max(1, line.Term), Ref: line.Session}})
 		return
 	}
 	c.dropOwnReplica()
@@ -324,7 +324,7 @@
 	if best == nil {
 		return
 	}
-	x := &transfer{replica.NewSender(c.rng.Uint64()|1, best), best}
+	x := &transfer{replica.NewSender(c.Rand.Uint64()|1, best), best}
 	c.replicas.transfers[name] = x
 	c.continueTransfer(name, x)
 }
@@ -339,5 +339,5 @@
 		return
 	}
 	c.sendReplicaLine(name, line)
-	c.schedule(replicaInterval/5, func() { c.continueTransfer(name, x) })
+	c.After(replicaInterval/5, func() { c.continueTransfer(name, x) })
 }
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -55,7 +55,7 @@
 				drain = 0
 			}
 			if r.stopSentAt.IsZero() {
-				r.stopSentAt = c.now
+				r.stopSentAt = c.Now
 			}
 			os = append(os, heartbeat.Order{Verb: heartbeat.Stop, Task: r.id, Try: r.number, Drain: drain})
 		}
@@ -116,10 +116,10 @@
 func (c *Core) sendReply(m *machine, os []heartbeat.Order) {
 	key := c.takeHeldReply(m)
 	if m.fencingToken != c.leadership.term && m.unacknowledgedSince.IsZero() {
-		m.unacknowledgedSince = c.now
+		m.unacknowledgedSince = c.Now
 	}
 	c.replyHeartbeat(key.link, heartbeat.Reply{Ref: key.ref, Status: 200, FencingToken: c.leadership.term, Orders: os})
-	m.lastReply = c.now
+	m.lastReply = c.Now
 }
 
 // dispatch looks again at machines whose replies are held: at those that have
@@ -135,15 +135,15 @@
 	if !l.dispatchAll {
 		return
 	}
-	if c.now.Before(l.nextDispatch) {
+	if c.Now.Before(l.nextDispatch) {
 		if !l.dispatchScheduled {
 			l.dispatchScheduled = true
-			c.afterWhileLeading(l.nextDispatch.Sub(c.now), func() { l.dispatchScheduled = false })
+			c.afterWhileLeading(l.nextDispatch.Sub(c.Now), func() { l.dispatchScheduled = false })
 		}
 		return
 	}
 	l.dispatchAll = false
-	l.nextDispatch = c.now.Add(dispatchInterval)
+	l.nextDispatch = c.Now.Add(dispatchInterval)
 	for _, m := range l.fleet {
 		if m.heldReply == nil || m.room().CPU <= 0 {
 			continue
@@ -188,7 +188,7 @@
 	}
 	size := float64(heartbeatBytes + heartbeatTaskBytes*len(m.attempts))
 	gap := min(timeline.Seconds(size/budget), maxPaceDelay)
-	return m.heldReply.since.Add(gap).Sub(c.now)
+	return m.heldReply.since.Add(gap).Sub(c.Now)
 }
 
 // flushHeldReplies answers all held reports.
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -35,7 +35,7 @@
 			c.leadership.reportBudget = x.budget
 			answeredAfter := func(rep heartbeat.Report) time.Duration {
 				rep.Counter = m.counter + 1
-				at := c.now
+				at := c.Now
 				outs := c.Step(at, heartbeat.Received{Ref: uint64(rep.Counter), Report: rep})
 				for d := time.Duration(0); d < 4*time.Second; d += 10 * time.Millisecond {
 					for _, o := range outs {
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -169,8 +169,8 @@
 func TestLeaderTellsAgain(t *testing.T) {
 	c := leaderOf(t, 0)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
-	c.Step(c.now, peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Ack, Term: 1}})
-	for _, o := range c.Step(c.now, peermsg.LinkChange{Name: "n1", Up: true}) {
+	c.Step(c.Now, peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Ack, Term: 1}})
+	for _, o := range c.Step(c.Now, peermsg.LinkChange{Name: "n1", Up: true}) {
 		if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Leader {
 			return
 		}
@@ -191,22 +191,22 @@
 	c.reserve(j)
 	now := reportOf(m)
 	now.FencingToken = 6
-	c.Step(c.now, heartbeat.Received{Ref: 1, Report: now})
+	c.Step(c.Now, heartbeat.Received{Ref: 1, Report: now})
 	if len(m.attempts) != 1 {
 		t.Fatalf("%d runs", len(m.attempts))
 	}
 	for _, late := range []heartbeat.Report{{Incarnation: 1, Counter: 88}, {Incarnation: 3, Counter: 1}} {
 		late.Host, late.InstanceType, late.Zone, late.FencingToken = m.host, m.typeName, m.zone, 5
-		c.Step(c.now.Add(time.Second), heartbeat.Received{Ref: 2, Report: late})
+		c.Step(c.Now.Add(time.Second), heartbeat.Received{Ref: 2, Report: late})
 		if len(m.attempts) != 1 || j.waiting != 0 {
 			t.Fatalf("tenure %d, counter %d, epoch 5: %d runs, %d wait", late.Incarnation, late.Counter, len(m.attempts), j.waiting)
 		}
 	}
 	// Not for ever: once the lease is over by our clock it is a machine like any other.
-	c.now = c.now.Add(withDrift(c.workerLease) + 2*time.Second)
-	l.expiresAt = c.now.Add(time.Hour)
+	c.Now = c.Now.Add(withDrift(c.workerLease) + 2*time.Second)
+	l.expiresAt = c.Now.Add(time.Hour)
 	c.reviewMachine(m, time.Hour, time.Hour, time.Hour, false)
-	if c.Step(c.now, heartbeat.Received{Ref: 3, Report: heartbeat.Report{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Incarnation: 2, Counter: 9}}); !m.reported || m.fencingToken != 0 {
+	if c.Step(c.Now, heartbeat.Received{Ref: 3, Report: heartbeat.Report{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Incarnation: 2, Counter: 9}}); !m.reported || m.fencingToken != 0 {
 		t.Error("the machine never counts again")
 	}
 }
@@ -219,7 +219,7 @@
 	m := c.leadership.fleet[0]
 	rep := reportOf(m)
 	send := func(f *relay.Fold, items ...relay.Item) {
-		c.Step(c.now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch(items, nil)}})
+		c.Step(c.Now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch(items, nil)}})
 	}
 	f := relay.NewFold(3)
 	send(f, f.Item(17, &rep))
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -38,9 +38,9 @@
 		tb.Fatal(err)
 	}
 	c := New(cfg, pol, calendar.NewSet(nil), 7)
-	c.now = t0
+	c.Now = t0
 	c.becomeLeader(1, 1, 1, t0, 0)
-	c.out = nil
+	c.Outputs = nil
 	l := c.leadership
 	l.loaded, l.margin, l.expiresAt = true, 0.15, t0.Add(1000*time.Hour)
 	for i, cpus := range []float64{4, 8, 32} {
@@ -61,7 +61,7 @@
 	if rng.IntN(2) == 0 {
 		spec.Class, spec.HasDeadline, spec.Deadline = "u", true, time.Duration(5+rng.IntN(200))*time.Second
 	}
-	j := c.addJob(&record.Job{Spec: spec, Submitted: c.now.Round(0)}, false)
+	j := c.addJob(&record.Job{Spec: spec, Submitted: c.Now.Round(0)}, false)
 	for i := range tasks {
 		j.pending.set(i)
 		j.waiting++
@@ -182,7 +182,7 @@
 		j.anyCompleted = true
 	}
 	for range m.room().CPU / 1000 {
-		r := &attempt{id: heartbeat.TaskID{Job: "wk-1", Index: len(j.attempts)}, number: uint64(len(j.attempts) + 1), machine: m, phase: heartbeat.TaskRuns, orderedAt: c.now, startedAt: c.now}
+		r := &attempt{id: heartbeat.TaskID{Job: "wk-1", Index: len(j.attempts)}, number: uint64(len(j.attempts) + 1), machine: m, phase: heartbeat.TaskRuns, orderedAt: c.Now, startedAt: c.Now}
 		m.attempts = append(m.attempts, r)
 		c.occupy(r, j)
 	}
@@ -226,7 +226,7 @@
 func BenchmarkHousekeep(b *testing.B) {
 	sizes(b, func(b *testing.B, c *Core, _ *rand.Rand) {
 		for range b.N {
-			c.out = c.out[:0]
+			c.Outputs = c.Outputs[:0]
 			c.tickFleet()
 		}
 	})
@@ -299,13 +299,13 @@
 			for i := range n {
 				scheduleOn(b, c, i, fmt.Sprintf("%02d:%02d", i%24, i%60))
 			}
-			c.out = nil
+			c.Outputs = nil
 			held := heap() - before
 			for b.Loop() {
 				c.tickFleet()
 				c.dueSchedules()
 				c.flushWrites()
-				c.out = c.out[:0]
+				c.Outputs = c.Outputs[:0]
 			}
 			b.ReportMetric(float64(held)/float64(max(n, 1)), "bytes/schedule")
 		})
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -118,8 +118,8 @@
 		}
 		job := s.definition.Template()
 		job.ID = schedule.RequestID(s.record.Number, q.Request)
-		if by := s.definition.Timing.DueAfter(c.timeOfDay()); !by.IsZero() {
-			job.Deadline, job.HasDeadline = by.Sub(c.timeOfDay()), true
+		if by := s.definition.Timing.DueAfter(c.TimeOfDay()); !by.IsZero() {
+			job.Deadline, job.HasDeadline = by.Sub(c.TimeOfDay()), true
 		}
 		if len(c.leadership.schedules.manualRuns) >= maxManualRuns { // refused ones, of which nobody has asked again
 			clear(c.leadership.schedules.manualRuns)
@@ -185,7 +185,7 @@
 		return
 	}
 	def, err := q.File.Compile(c.cal)
-	if err == nil && !def.Timing.Occurs(calendar.Wall(c.timeOfDay(), def.Timing.Zone())) {
+	if err == nil && !def.Timing.Occurs(calendar.Wall(c.TimeOfDay(), def.Timing.Zone())) {
 		err = &calendar.FieldError{Field: "rule", Reason: "never occurs from now on"}
 	}
 	if fe := (*calendar.FieldError)(nil); errors.As(err, &fe) {
@@ -212,7 +212,7 @@
 		return
 	}
 	if s != nil {
-		cursor, missed := def.Edited(s.definition, s.record.Cursor, c.timeOfDay())
+		cursor, missed := def.Edited(s.definition, s.record.Cursor, c.TimeOfDay())
 		s.requester = &call
 		c.writeSchedule(s, priorityUrgent, func(r *schedule.Record) {
 			r.File = file
@@ -221,7 +221,7 @@
 		}, nil, func() {
 			c.reportMissed(s, missed)
 			s.definition, s.problem, s.awaitingPrevious = def, "", false
-			c.note(slog.LevelInfo, "schedule edited", "schedule", s.name, "edition", s.record.Edition)
+			c.Log(slog.LevelInfo, "schedule edited", "schedule", s.name, "edition", s.record.Edition)
 			s.reply(c, c.scheduleView(s, 200))
 		}, nil)
 		return
@@ -238,7 +238,7 @@
 			s.reply(c, unavailable("the state service does not answer"))
 			return
 		}
-		rec.Number, rec.Cursor = n, def.From(c.timeOfDay())
+		rec.Number, rec.Cursor = n, def.From(c.TimeOfDay())
 		c.createSchedule(s, rec)
 	})
 }
@@ -253,7 +253,7 @@
 	}
 	ch := &change{size: rec.Size(), conditions: c.newSchedule(key), writes: []kv.Write{{Key: key, Value: rec}}}
 	ch.onCommit = func(rev uint64) {
-		c.note(slog.LevelInfo, "schedule created", "schedule", s.name, "number", rec.Number)
+		c.Log(slog.LevelInfo, "schedule created", "schedule", s.name, "number", rec.Number)
 		made(rec, rev)
 	}
 	ch.onConflict = func() { // a try of ours whose outcome was not known
@@ -318,7 +318,7 @@
 		if r.Outcome == rpc.OK {
 			rec, _ := r.Entries[0].Value.(*record.ScheduleNumber)
 			if rec == nil || rec.Number+numberBlock > schedule.MaxNumber {
-				c.note(slog.LevelError, "no numbers for schedules are left", "key", record.ScheduleNumberKey)
+				c.Log(slog.LevelError, "no numbers for schedules are left", "key", record.ScheduleNumberKey)
 				fail()
 				return
 			}
@@ -350,7 +350,7 @@
 	ch := &change{}
 	done := func() {
 		c.replicateDrop(key)
-		c.note(slog.LevelInfo, "schedule removed", "schedule", s.name)
+		c.Log(slog.LevelInfo, "schedule removed", "schedule", s.name)
 		s.reply(c, request.Response{Status: 200, Doc: map[string]string{"name": s.name, "status": "removed"}})
 		c.forgetSchedule(s)
 	}
@@ -388,7 +388,7 @@
 	cursor := s.record.Cursor
 	var missed []schedule.Passed
 	if !pause && s.definition != nil {
-		cursor, missed = s.definition.Resumed(cursor, c.timeOfDay())
+		cursor, missed = s.definition.Resumed(cursor, c.TimeOfDay())
 	}
 	s.requester = &call
 	c.writeSchedule(s, priorityUrgent, func(r *schedule.Record) {
--- a/internal/core/schedule_write.go
+++ b/internal/core/schedule_write.go
@@ -78,8 +78,8 @@
 	c.readBack(record.SchedulePrefix+s.name, func(e kv.Entry, found bool) {
 		rec, _ := e.Value.(*schedule.Record)
 		if found && rec == nil {
-			c.note(slog.LevelError, "record is unreadable", "key", e.Key)
-			c.afterWhileLeading(c.jitter(time.Second), func() { c.readSchedule(s, f) })
+			c.Log(slog.LevelError, "record is unreadable", "key", e.Key)
+			c.afterWhileLeading(c.Jitter(time.Second), func() { c.readSchedule(s, f) })
 			return
 		}
 		f(rec, e.Rev)
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -96,7 +96,7 @@
 func (c *Core) loadSchedules(from string) {
 	c.storeWhileLeading(kv.Request{Op: kv.List, Key: record.SchedulePrefix, From: from, Limit: schedulePage}, func(r kv.Response) {
 		if r.Outcome != rpc.OK {
-			c.afterWhileLeading(c.jitter(200*time.Millisecond), func() { c.loadSchedules(from) })
+			c.afterWhileLeading(c.Jitter(200*time.Millisecond), func() { c.loadSchedules(from) })
 			return
 		}
 		for _, e := range r.Entries {
@@ -109,7 +109,7 @@
 		c.leadership.schedules.loaded = true
 		c.restoreMissingSchedules()
 		if n := len(c.leadership.schedules.names); n > 0 {
-			c.note(slog.LevelInfo, "schedules read", "term", c.leadership.term, "schedules", n)
+			c.Log(slog.LevelInfo, "schedules read", "term", c.leadership.term, "schedules", n)
 			c.resolveNext()
 		}
 	})
@@ -118,7 +118,7 @@
 func (c *Core) loadSchedule(e kv.Entry) {
 	rec, _ := e.Value.(*schedule.Record)
 	if rec == nil {
-		c.note(slog.LevelError, "record is unreadable", "key", e.Key, "effect", "the schedule makes no jobs and is not served")
+		c.Log(slog.LevelError, "record is unreadable", "key", e.Key, "effect", "the schedule makes no jobs and is not served")
 		c.leadership.schedules.unreadable[strings.TrimPrefix(e.Key, record.SchedulePrefix)] = true
 		return
 	}
@@ -172,7 +172,7 @@
 	}
 	if err != nil {
 		s.problem = err.Error()
-		c.note(slog.LevelError, "schedule makes no jobs", "schedule", s.name, "reason", s.problem)
+		c.Log(slog.LevelError, "schedule makes no jobs", "schedule", s.name, "reason", s.problem)
 	}
 }
 
@@ -191,12 +191,12 @@
 		at = s.notBefore
 	}
 	sch := &c.leadership.schedules
-	if !at.After(c.timeOfDay()) {
+	if !at.After(c.TimeOfDay()) {
 		c.enqueueDue(s, o)
 		return
 	}
-	sch.upcoming.push(at, heapEntry{s, s.generation})
-	if d := at.Sub(c.timeOfDay()); d < tickEvery {
+	sch.upcoming.Push(at, heapEntry{s, s.generation})
+	if d := at.Sub(c.TimeOfDay()); d < tickEvery {
 		c.afterWhileLeading(d, c.dueSchedules)
 	}
 }
@@ -206,11 +206,11 @@
 func (c *Core) enqueueDue(s *recurringJob, o calendar.Occurrence) {
 	sch := &c.leadership.schedules
 	at := o.Due
-	if !at.After(c.timeOfDay()) {
+	if !at.After(c.TimeOfDay()) {
 		at = o.Start.Add(undatedDelay)
 	}
-	sch.ready.push(at, heapEntry{s, s.generation})
-	if sch.ready.len() == 1 {
+	sch.ready.Push(at, heapEntry{s, s.generation})
+	if sch.ready.Len() == 1 {
 		c.wakeBatcherSoon()
 	}
 }
@@ -219,11 +219,11 @@
 // anew, so a clock that is set back or forward only changes when.
 func (c *Core) dueSchedules() {
 	sch := &c.leadership.schedules
-	now := c.timeOfDay()
-	for n := 0; sch.upcoming.len() > 0; {
-		at, top := sch.upcoming.first()
+	now := c.TimeOfDay()
+	for n := 0; sch.upcoming.Len() > 0; {
+		at, top := sch.upcoming.First()
 		if top.gen != top.s.generation {
-			sch.upcoming.pop()
+			sch.upcoming.Pop()
 			continue
 		}
 		if d := at.Sub(now); d > 0 {
@@ -236,7 +236,7 @@
 			c.afterWhileLeading(10*time.Millisecond, c.dueSchedules)
 			return
 		}
-		sch.upcoming.pop()
+		sch.upcoming.Pop()
 		if o, ok := top.s.definition.Next(top.s.record.Cursor); ok {
 			c.enqueueDue(top.s, o)
 		}
@@ -248,15 +248,15 @@
 // what is known when it goes.
 func (c *Core) makeOccurrences() {
 	sch := &c.leadership.schedules
-	if sch.ready.len() == 0 || !c.leadership.autoscaler.catalogRead || !c.canAct() {
+	if sch.ready.Len() == 0 || !c.leadership.autoscaler.catalogRead || !c.canAct() {
 		return
 	}
 	room := c.cfg.Settings.State.TxnOps
 	for _, ch := range c.leadership.writes.queued[priorityOccurrence] {
 		room -= len(ch.writes)
 	}
-	for room >= 2 && sch.ready.len() > 0 {
-		o := sch.ready.pop()
+	for room >= 2 && sch.ready.Len() > 0 {
+		o := sch.ready.Pop()
 		if o.gen == o.s.generation {
 			c.decideOccurrence(o.s)
 			room -= 2
@@ -267,13 +267,13 @@
 // occurrencesWait reports whether some could be made if the allowance let them.
 func (c *Core) occurrencesWait() bool {
 	l := c.leadership
-	return len(l.writes.queued[priorityOccurrence]) > 0 || l.schedules.ready.len() > 0 && l.autoscaler.catalogRead
+	return len(l.writes.queued[priorityOccurrence]) > 0 || l.schedules.ready.Len() > 0 && l.autoscaler.catalogRead
 }
 
 // decideOccurrence decides on the next occurrences of a schedule, up to one that becomes a
 // job, and has the outcome written.
 func (c *Core) decideOccurrence(s *recurringJob) {
-	l, now := c.leadership, c.timeOfDay()
+	l, now := c.leadership, c.TimeOfDay()
 	s.generation++
 	if s.writing {
 		return // planned again when the write is over
@@ -319,7 +319,7 @@
 func (c *Core) reportMissed(s *recurringJob, gone []schedule.Passed) {
 	c.leadership.schedules.missed += int64(len(gone))
 	for _, p := range gone {
-		c.note(slog.LevelWarn, "occurrence missed", "schedule", s.name, "planned", p.Start, "job", schedule.JobID(s.record.Number, p.Nominal), "reason", p.Reason)
+		c.Log(slog.LevelWarn, "occurrence missed", "schedule", s.name, "planned", p.Start, "job", schedule.JobID(s.record.Number, p.Nominal), "reason", p.Reason)
 	}
 }
 
@@ -335,12 +335,12 @@
 	c.writeSchedule(s, priorityOccurrence, func(r *schedule.Record) {
 		r.Pass(past, gone)
 		r.LastJob = id
-		r.Add(schedule.Entry{Job: id, Planned: o.Start, Due: o.Due, Made: c.timeOfDay(), State: schedule.StateMade})
+		r.Add(schedule.Entry{Job: id, Planned: o.Start, Due: o.Due, Made: c.TimeOfDay(), State: schedule.StateMade})
 	}, job, func() {
 		c.reportMissed(s, gone)
 		c.leadership.schedules.made++
-		if late := c.timeOfDay().Sub(o.Start); late > schedule.OnTime {
-			c.note(slog.LevelWarn, "occurrence made late", "schedule", s.name, "planned", o.Start, "job", id, "late", late)
+		if late := c.TimeOfDay().Sub(o.Start); late > schedule.OnTime {
+			c.Log(slog.LevelWarn, "occurrence made late", "schedule", s.name, "planned", o.Start, "job", id, "late", late)
 		}
 		if c.leadership.jobs[id] == nil { // else its id was submitted at the same time, and taken on
 			c.newJob(job)
@@ -349,7 +349,7 @@
 		j.schedule = s
 		c.watchDeadline(s, j, o.Due)
 	}, func() {
-		c.note(slog.LevelError, "occurrence failed, its job id is taken", "schedule", s.name, "planned", o.Start, "job", id)
+		c.Log(slog.LevelError, "occurrence failed, its job id is taken", "schedule", s.name, "planned", o.Start, "job", id)
 		c.recordMissed(s, past, append(gone, schedule.Passed{Occurrence: o, State: schedule.StateFailed, Reason: "job id " + id + " is taken"}))
 	})
 }
@@ -361,7 +361,7 @@
 		return
 	}
 	id := j.spec.ID
-	c.afterWhileLeading(max(0, due.Sub(c.timeOfDay())), func() {
+	c.afterWhileLeading(max(0, due.Sub(c.TimeOfDay())), func() {
 		if c.leadership.jobs[id] != j || j.cancelled || s.removed {
 			return
 		}
@@ -377,7 +377,7 @@
 	if s.removed {
 		return
 	}
-	e := schedule.Entry{Job: j.spec.ID, Planned: c.timeOfDay(), Made: c.timeOfDay(), State: schedule.StateMade}
+	e := schedule.Entry{Job: j.spec.ID, Planned: c.TimeOfDay(), Made: c.TimeOfDay(), State: schedule.StateMade}
 	if j.spec.HasDeadline {
 		e.Due = e.Made.Add(j.spec.Deadline)
 	}
@@ -396,7 +396,7 @@
 		if j := c.leadership.jobs[e.Job]; j != nil {
 			c.watchDeadline(s, j, e.Due)
 		} else if f, ok := c.finals.Get(e.Job); ok { // over already
-			c.occurrenceOver(s, e.Job, f.State, c.timeOfDay())
+			c.occurrenceOver(s, e.Job, f.State, c.TimeOfDay())
 		}
 		c.flushSchedule(s)
 	}
@@ -409,7 +409,7 @@
 	s.record.Late++
 	c.flushSchedule(s)
 	c.leadership.schedules.late++
-	c.note(slog.LevelWarn, "occurrence late", "schedule", s.name, "planned", e.Planned, "due", e.Due, "job", e.Job)
+	c.Log(slog.LevelWarn, "occurrence late", "schedule", s.name, "planned", e.Planned, "due", e.Due, "job", e.Job)
 }
 
 // occurrenceStarted follows the first start of a task of an occurrence.
@@ -420,7 +420,7 @@
 	}
 	j.startNoted = true
 	if e, ok := s.record.Entry(j.spec.ID); ok && e.Started.IsZero() {
-		s.record.Update(j.spec.ID, func(e *schedule.Entry) { e.Started = c.timeOfDay() })
+		s.record.Update(j.spec.ID, func(e *schedule.Entry) { e.Started = c.TimeOfDay() })
 		c.flushSchedule(s)
 	}
 }
@@ -492,7 +492,7 @@
 		if ok {
 			sch.unresolved = slices.Delete(sch.unresolved, 0, 1)
 			if v != nil && (v.State == spec.Done || v.State == spec.Cancelled) {
-				at := c.timeOfDay()
+				at := c.TimeOfDay()
 				if e, ok := x.s.record.Entry(x.job); ok && !e.Due.IsZero() && !e.Late && at.After(e.Due) {
 					at = e.Due // nobody saw it late
 				}
--- a/internal/core/scrub.go
+++ b/internal/core/scrub.go
@@ -36,7 +36,7 @@
 	l := c.leadership
 	c.afterWhileLeading(scrubInterval, c.scrubRecords)
 	own := c.ownReplica()
-	if own == nil || !c.canAct() || len(l.restoring) > 0 || l.loss != nil && l.loss.pending > 0 || !c.readLimit.AllowN(c.now, 2) {
+	if own == nil || !c.canAct() || len(l.restoring) > 0 || l.loss != nil && l.loss.pending > 0 || !c.readLimit.AllowN(c.Now, 2) {
 		return
 	}
 	s := &l.scrub
--- a/internal/core/timer_heap.go
+++ b/internal/core/timer_heap.go
@@ -37,15 +37,15 @@
 	return x
 }
 
-func (b *timerHeap[T]) len() int { return len(b.heap) }
+func (b *timerHeap[T]) Len() int { return len(b.heap) }
 
-func (b *timerHeap[T]) push(at time.Time, what T) {
+func (b *timerHeap[T]) Push(at time.Time, what T) {
 	b.seq++
 	heap.Push(&b.heap, timerEntry[T]{at, b.seq, what})
 }
 
-// first returns the earliest; there must be one.
-func (b *timerHeap[T]) first() (time.Time, T) { return b.heap[0].at, b.heap[0].value }
+// First returns the earliest; there must be one.
+func (b *timerHeap[T]) First() (time.Time, T) { return b.heap[0].at, b.heap[0].value }
 
-// pop takes the earliest out.
-func (b *timerHeap[T]) pop() T { return heap.Pop(&b.heap).(timerEntry[T]).value }
+// Pop takes the earliest out.
+func (b *timerHeap[T]) Pop() T { return heap.Pop(&b.heap).(timerEntry[T]).value }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -29,8 +29,8 @@
 
 // ---- outputs
 
-// Note is a line for the operators' log.
-type Note struct {
+// LogEntry is a line for the operators' log.
+type LogEntry struct {
 	Level slog.Level
 	Text  string
 	Attrs []any
--- a/internal/core/write_batcher.go
+++ b/internal/core/write_batcher.go
@@ -98,7 +98,7 @@
 // flushWrites sends what may be sent.
 func (c *Core) flushWrites() {
 	p := &c.leadership.writes
-	if !c.canAct() || c.now.Before(p.pausedUntil) {
+	if !c.canAct() || c.Now.Before(p.pausedUntil) {
 		return
 	}
 	if len(p.queued[priorityConfig]) > 0 && p.inFlight[priorityConfig] == 0 {
@@ -116,7 +116,7 @@
 	c.restoreNext()
 	// The others leave room in the allowance for what users wait for.
 	for range 2 {
-		if len(p.queued[priorityUrgent]) > 0 || p.writes.TokensAt(c.now) < float64(p.writes.Burst())/2 {
+		if len(p.queued[priorityUrgent]) > 0 || p.writes.TokensAt(c.Now) < float64(p.writes.Burst())/2 {
 			break
 		}
 		p.bulkNext = !p.bulkNext
@@ -146,7 +146,7 @@
 		case rpc.NotFound:
 			f(kv.Entry{}, false)
 		default:
-			c.afterWhileLeading(c.jitter(500*time.Millisecond), func() { c.readBack(key, f) })
+			c.afterWhileLeading(c.Jitter(500*time.Millisecond), func() { c.readBack(key, f) })
 		}
 	})
 }
@@ -190,8 +190,8 @@
 
 func (c *Core) sendBatch(ln writePriority) bool {
 	p := &c.leadership.writes
-	ops := p.roomFor(ln, c.now, c.cfg.Settings.State.TxnOps)
-	if p.requests.TokensAt(c.now) < 1 || ops < minBatchRoom(ln) {
+	ops := p.roomFor(ln, c.Now, c.cfg.Settings.State.TxnOps)
+	if p.requests.TokensAt(c.Now) < 1 || ops < minBatchRoom(ln) {
 		c.wakeBatcherSoon()
 		return false
 	}
@@ -205,7 +205,7 @@
 		call.Conditions = append(call.Conditions, ch.conditions...)
 		call.Writes = append(call.Writes, ch.writes...)
 	}
-	p.spend(ln, c.now, len(call.Writes))
+	p.spend(ln, c.Now, len(call.Writes))
 	for _, w := range call.Writes {
 		p.keysInFlight[w.Key] = true
 	}
@@ -262,7 +262,7 @@
 	case rpc.Invalid:
 		// Ours to get right: log it loudly, and try the changes one by one so
 		// that a single bad one does not block the rest for ever.
-		c.note(slog.LevelError, "transaction rejected as malformed", "changes", len(batch), "key", batch[0].writes[0].Key)
+		c.Log(slog.LevelError, "transaction rejected as malformed", "changes", len(batch), "key", batch[0].writes[0].Key)
 		if len(batch) == 1 && batch[0].onReject != nil {
 			batch[0].onReject()
 			return
@@ -270,7 +270,7 @@
 		if len(batch) == 1 {
 			// The bad one, or one of them: behind all others, and later.
 			ch := batch[0]
-			c.afterWhileLeading(c.jitter(time.Second), func() { p.add(ch) })
+			c.afterWhileLeading(c.Jitter(time.Second), func() { p.add(ch) })
 			return
 		}
 		p.singly = max(p.singly, len(batch))
@@ -288,7 +288,7 @@
 func (c *Core) backOff() {
 	p := &c.leadership.writes
 	p.backoff = min(max(2*p.backoff, 100*time.Millisecond), 2*time.Second)
-	d := c.jitter(p.backoff)
-	p.pausedUntil = c.now.Add(d)
+	d := c.Jitter(p.backoff)
+	p.pausedUntil = c.Now.Add(d)
 	c.afterWhileLeading(d, func() {})
 }
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -38,7 +38,7 @@
 	l := c.leadership
 	quiet := c.silentAfter()
 	heard := func(m *machine) bool {
-		return m.reported && c.now.Sub(maxTime(m.lastHeartbeat, l.resumedAt)) <= quiet
+		return m.reported && c.Now.Sub(maxTime(m.lastHeartbeat, l.resumedAt)) <= quiet
 	}
 	sights := map[string]zones.Sight{}
 	for _, m := range l.fleet {
@@ -46,14 +46,14 @@
 			continue // on its way out, or not up yet
 		}
 		s := sights[m.zone]
-		if heard(m) || !m.reported && !m.leaseExpired && c.now.Sub(l.electedAt) <= min(quiet, unheardAfterElection) {
+		if heard(m) || !m.reported && !m.leaseExpired && c.Now.Sub(l.electedAt) <= min(quiet, unheardAfterElection) {
 			s.Heard++
 		} else {
 			s.Silent++
 		}
 		sights[m.zone] = s
 	}
-	changes := l.zones.Look(c.now, sights)
+	changes := l.zones.Look(c.Now, sights)
 	c.observeRegions()
 	for _, x := range changes {
 		z := x.Zone
@@ -61,7 +61,7 @@
 		if r := l.regions.Of(z.Name); r != nil && r.State != zones.Up {
 			level = slog.LevelDebug // the region's event says it
 		}
-		c.note(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.After, "heard", z.Sight.Heard, "silent", z.Sight.Silent)
+		c.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.After, "heard", z.Sight.Heard, "silent", z.Sight.Silent)
 		l.dispatchAll = true
 	}
 	for _, m := range l.fleet {
@@ -88,9 +88,9 @@
 // observeRegions tells of regions that are cut off as a whole, once.
 func (c *Core) observeRegions() {
 	l := c.leadership
-	for _, x := range l.regions.Look(c.now, l.zones.All()) {
+	for _, x := range l.regions.Look(c.Now, l.zones.All()) {
 		r := x.Region
-		c.note(eventLevel(x.To), "region "+x.To.String(), "region", r.Name, "before", x.From.String(), "after", x.After, "zones", r.Zones, "away", r.Away, "heard", r.Sight.Heard, "silent", r.Sight.Silent)
+		c.Log(eventLevel(x.To), "region "+x.To.String(), "region", r.Name, "before", x.From.String(), "after", x.After, "zones", r.Zones, "away", r.Away, "heard", r.Sight.Heard, "silent", r.Sight.Silent)
 	}
 }
 
@@ -99,11 +99,11 @@
 func (c *Core) releaseLostZones() {
 	l := c.leadership
 	for _, z := range l.zones.All() {
-		if z.Probe(c.now) {
-			c.note(slog.LevelInfo, "a machine is rented to see whether the zone is back", "zone", z.Name)
+		if z.Probe(c.Now) {
+			c.Log(slog.LevelInfo, "a machine is rented to see whether the zone is back", "zone", z.Name)
 			c.requestInstances(&spec.Job{Zone: z.Name, AllowSpot: true}, 0, true, true)
 		}
-		n := z.Sight.Silent - z.Kept(c.now)
+		n := z.Sight.Silent - z.Kept(c.Now)
 		if !z.Away() || n <= 0 {
 			continue
 		}
@@ -115,7 +115,7 @@
 		}
 		slices.SortStableFunc(silent, func(a, b *machine) int { return cmp.Compare(b.perCPU(), a.perCPU()) })
 		for _, m := range silent[:min(n, len(silent))] {
-			c.note(slog.LevelInfo, "machine of a lost zone, returning it", "machine", m.host, "zone", z.Name, "silent", c.now.Sub(m.lastHeartbeat))
+			c.Log(slog.LevelInfo, "machine of a lost zone, returning it", "machine", m.host, "zone", z.Name, "silent", c.Now.Sub(m.lastHeartbeat))
 			c.release(m)
 		}
 	}
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -24,11 +24,11 @@
 
 // silence lets time pass in which only machines of zone b report.
 func silence(c *Core, d time.Duration) {
-	for end := c.now.Add(d); c.now.Before(end); {
-		c.now = c.now.Add(500 * time.Millisecond)
+	for end := c.Now.Add(d); c.Now.Before(end); {
+		c.Now = c.Now.Add(500 * time.Millisecond)
 		for _, m := range c.leadership.fleet {
 			if m.zone == "b" {
-				m.lastHeartbeat = c.now
+				m.lastHeartbeat = c.Now
 			}
 		}
 		c.tickFleet()
@@ -36,7 +36,7 @@
 }
 
 func rentals(c *Core) (zs []string) {
-	for _, o := range c.out {
+	for _, o := range c.Outputs {
 		if x, ok := o.(provider.Request); ok && x.Op == provider.ScaleOut {
 			zs = append(zs, x.Zone)
 		}
@@ -64,7 +64,7 @@
 	if r := c.waitReason(pinned); !strings.Contains(r, "zone a is doubtful") {
 		t.Errorf("its user is told %q", r)
 	}
-	c.out = nil
+	c.Outputs = nil
 	other := newJob(c, 2, 20000, rng)
 	other.spec.Runtime, other.spec.HasDeadline = time.Hour, false
 	c.reserve(other)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -238,7 +238,7 @@
 		n.prober.Do(o)
 	case peermsg.Outgoing:
 		n.mesh.Send(o)
-	case core.Note:
+	case core.LogEntry:
 		slog.Log(context.Background(), o.Level, o.Text, o.Attrs...)
 	}
 }
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -477,7 +477,7 @@
 				})
 			}
 		}
-	case core.Note:
+	case core.LogEntry:
 		if o.Text == "the state service has lost data" && !n.lossy {
 			n.fail("misuse", "%s sees a loss of data where there was none: %v", n.name, o.Attrs)
 		}
