--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -57,7 +57,7 @@
 			x.stopRequested = true
 		}
 	}
-	if j == nil || j.done.has(t.Task.Index) || j.attempts[t.Task.Index] != nil {
+	if j == nil || j.done.Has(t.Task.Index) || j.attempts[t.Task.Index] != nil {
 		// Nobody waits for it: stop it.
 		r.stopRequested = true
 		if c.leadership.unreadableJobs[t.Task.Job] {
@@ -78,8 +78,8 @@
 	i := r.id.Index
 	r.job, r.need, r.occupies = j, j.need, true
 	j.attempts[i] = r
-	if j.pending.has(i) {
-		j.pending.clear(i)
+	if j.pending.Has(i) {
+		j.pending.Remove(i)
 		j.waiting--
 		c.dropExcessReservation(j)
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,6 +10,7 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
+	"yewpass/internal/engine"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/lease"
@@ -27,31 +28,21 @@
 const (
 	leaseTTL           = 2 * time.Second
 	leaseRenewInterval = 400 * time.Millisecond
-	storeTimeout       = 1500 * time.Millisecond
 )
 
 func withDrift(d time.Duration) time.Duration { return lease.WithDrift(d) }
 
 // Core is one controller.
 type Core struct {
-	cfg     *config.Config
-	pol     *policy.Policy
-	cal     *calendar.Set
-	reg     *zones.Regions
-	Rand    *rand.Rand
-	Now     time.Time
-	Outputs []any
+	*engine.Engine
 
-	clockOffset time.Duration
-	StartedAt   time.Time // the first input
+	cfg *config.Config
+	pol *policy.Policy
+	cal *calendar.Set
+	reg *zones.Regions
 
-	processID             uint64 // of this process: tells it from one of the same name that ended before
-	LastRef               uint64
-	pendingStore          map[uint64]func(kv.Response)
-	pendingCloud          map[uint64]func(provider.Response)
-	pendingProbes         map[uint64]func(heartbeat.ProbeReply)
+	processID             uint64                // of this process: tells it from one of the same name that ended before
 	forwardedRequests     map[uint64]*forwarded // users' requests at the leader's
-	timers                timerHeap[func()]     // alarms: a large fleet has one for nearly every machine
 	leadership            *leadership
 	knownLeader           string            // who leads, as far as we know
 	leaderVersion         uint64            // the version that it talks in
@@ -84,23 +75,33 @@
 
 // New returns a controller that has not begun; give it a Tick to begin.
 func New(cfg *config.Config, pol *policy.Policy, cal *calendar.Set, seed uint64) *Core {
-	final, _ := lru.New[string, record.Final](maxFinals(cfg)) // errs only for a size below 1
+	finals, _ := lru.New[string, record.Final](maxFinals(cfg)) // errs only for a size below 1
+	nodes := 1 + len(cfg.Seeds)
+	// A process may follow another of its name within a fraction of a second, and what
+	// the leader answers to a call of the former one reaches the new one's link. Were both
+	// to count from 1, a user would be told about somebody else's job.
+	identity := rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03))
+	processID := identity.Uint64()>>11 | 1 // what JSON readers of any kind take whole
+	firstRef := identity.Uint64N(1 << 48)
 	c := &Core{
-		cfg: cfg, pol: pol, cal: cal, Rand: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		pendingStore: map[uint64]func(kv.Response){}, pendingCloud: map[uint64]func(provider.Response){}, pendingProbes: map[uint64]func(heartbeat.ProbeReply){},
-		replicas: replicas{transfers: map[string]*transfer{}}, forwardedRequests: map[uint64]*forwarded{}, links: map[string]bool{}, finals: final, relay: newRelayState(), storeAvailable: true,
-		readLimit:         newReadLimit(cfg.Settings.State.RPS, 1+len(cfg.Seeds)),
+		Engine:            engine.New(rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), firstRef),
+		cfg:               cfg,
+		pol:               pol,
+		cal:               cal,
+		processID:         processID,
+		replicas:          replicas{transfers: map[string]*transfer{}},
+		forwardedRequests: map[uint64]*forwarded{},
+		links:             map[string]bool{},
+		finals:            finals,
+		relay:             newRelayState(),
+		storeAvailable:    true,
+		leaderlessLimit:   newLeaderlessLimit(cfg.Settings.State.WriteRPS, nodes),
+		readLimit:         newReadLimit(cfg.Settings.State.RPS, nodes),
 		heartbeatInterval: cfg.Settings.Workers.Report.Duration(),
 		workerLease:       cfg.Settings.Workers.Lease.Duration(),
 	}
-	c.leaderlessLimit = newLeaderlessLimit(cfg.Settings.State.WriteRPS, 1+len(cfg.Seeds))
-	// A process may follow another of its name within a fraction of a second, and what
-	// the leader answers to a call of the former one reaches the new one's link. Were both
-	// to count from 1, a user would be told about somebody else's job.
-	lives := rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03))
-	c.processID = lives.Uint64()>>11 | 1 // what JSON readers of any kind take whole
-	c.LastRef = lives.Uint64N(1 << 48)
 	c.leaseTiming = lease.Timing{LeaderLease: leaseTTL, WorkerLease: c.workerLease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
+	c.ObserveStore = c.observeStoreCall
 	return c
 }
 
@@ -110,23 +111,38 @@
 // Step takes one input and returns what follows from it. The slice is valid
 // until the next call.
 func (c *Core) Step(now time.Time, in any) []any {
-	first := c.Now.IsZero()
-	c.Now = now
-	c.Outputs = c.Outputs[:0]
-	if first {
-		c.StartedAt = now
-		if short := c.leaseTiming.Shortfall(); short != "" {
-			c.Log(slog.LevelWarn, "settings leave little room", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
-		}
-		c.watchLeader()
-		if len(c.cfg.Seeds) > 0 {
-			c.tickRelay()
-			// Not at once: a process that ends again and again would use up what calls
-			// the cloud allows to all of them.
-			c.After(c.Jitter(instanceTypesFirstRead), c.refreshInstanceTypes)
-		}
+	if c.Begin(now) {
+		c.start()
 	}
 	c.RunTimers()
+	c.handle(in)
+	if c.leadership != nil {
+		c.runLeader()
+		c.flushRelayReplies()
+	}
+	if c.leadership == nil {
+		c.runRelay()
+	}
+	return c.Outputs
+}
+
+// start begins the work of the process with its first step.
+func (c *Core) start() {
+	if short := c.leaseTiming.Shortfall(); short != "" {
+		c.Log(slog.LevelWarn, "settings leave little room", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
+	}
+	c.watchLeader()
+	if len(c.cfg.Seeds) == 0 {
+		return
+	}
+	c.tickRelay()
+	// Not at once: a process that ends again and again would use up what calls
+	// the cloud allows to all of them.
+	c.After(c.Jitter(instanceTypesFirstRead), c.refreshInstanceTypes)
+}
+
+// handle takes in one input.
+func (c *Core) handle(in any) {
 	switch in := in.(type) {
 	case Tick:
 	case request.Request:
@@ -137,11 +153,11 @@
 		c.dropHeartbeat(in.Ref)
 	case kv.Response:
 		c.noteStoreOutcome(in.Outcome)
-		settle(c.pendingStore, in.Ref, in)
+		c.HandleStore(in)
 	case provider.Response:
-		settle(c.pendingCloud, in.Ref, in)
+		c.HandleCloud(in)
 	case heartbeat.ProbeReply:
-		settle(c.pendingProbes, in.Ref, in)
+		c.HandleProbe(in)
 	case peermsg.Received:
 		c.peerIn(in)
 	case peermsg.LinkChange:
@@ -149,91 +165,13 @@
 	case Leave:
 		c.leave()
 	}
-	if c.leadership != nil {
-		c.runLeader()
-		c.flushRelayReplies()
-	}
-	if c.leadership == nil {
-		c.runRelay()
-	}
-	return c.Outputs
-}
-
-// SetClockOffset moves the time of day against the clock of Step's now, for drivers
-// whose times carry no separate steady reading. In a process now carries both,
-// and a time of day that is set back moves by itself.
-func (c *Core) SetClockOffset(d time.Duration) { c.clockOffset = d }
-
-// TimeOfDay is the time of day. Schedules go by it, and by nothing else.
-func (c *Core) TimeOfDay() time.Time { return c.Now.Round(0).Add(c.clockOffset) }
-
-// settle hands a reply to whoever waits for it.
-func settle[R any](waiting map[uint64]func(R), ref uint64, r R) {
-	if f := waiting[ref]; f != nil {
-		delete(waiting, ref)
-		f(r)
-	}
 }
 
-// NextWake returns when the core next wants a Tick.
-func (c *Core) NextWake() time.Time {
-	at := c.Now.Add(time.Second)
-	if c.timers.Len() > 0 {
-		if first, _ := c.timers.First(); first.Before(at) {
-			at = first
-		}
-	}
-	return at
-}
-
-// After has f called once d has passed.
-func (c *Core) After(d time.Duration, f func()) {
-	c.timers.Push(c.Now.Add(d), f)
-}
-
-func (c *Core) RunTimers() {
-	for c.timers.Len() > 0 {
-		if at, _ := c.timers.First(); at.After(c.Now) {
-			return
-		}
-		c.timers.Pop()()
-	}
-}
-
-func (c *Core) Emit(o any) { c.Outputs = append(c.Outputs, o) }
-
-func (c *Core) Log(level slog.Level, text string, attrs ...any) {
-	c.Emit(LogEntry{level, text, attrs})
-}
-
-func (c *Core) NextRef() uint64 {
-	c.LastRef++
-	return c.LastRef
-}
-
-func (c *Core) CallStore(call kv.Request, f func(kv.Response)) {
-	call.Ref = c.NextRef()
-	if call.Timeout == 0 {
-		call.Timeout = storeTimeout
-	}
-	seen, era := c.observed.Revision, c.observed.Era
-	c.pendingStore[call.Ref] = func(r kv.Response) {
-		c.observeRevision(r.Rev, seen, era)
-		f(r)
-	}
-	c.Emit(call)
-}
-
-func (c *Core) CallCloud(call provider.Request, f func(provider.Response)) {
-	call.Ref = c.NextRef()
-	call.Timeout = 4 * time.Second
-	c.pendingCloud[call.Ref] = f
-	c.Emit(call)
-}
-
-// Jitter returns between half of d and d and a half.
-func (c *Core) Jitter(d time.Duration) time.Duration {
-	return d/2 + time.Duration(c.Rand.Int64N(int64(d)+1))
+// observeStoreCall notes what had been seen of the store when a call was sent, and
+// returns what is to see its response.
+func (c *Core) observeStoreCall() func(kv.Response) {
+	revision, era := c.observed.Revision, c.observed.Era
+	return func(r kv.Response) { c.observeRevision(r.Rev, revision, era) }
 }
 
 // userReadShare is how much of the requests that the state service allows goes into reads for
@@ -302,11 +240,3 @@
 func (c *Core) HasAuthority(now time.Time) bool {
 	return c.leadership != nil && now.Before(c.leadership.expiresAt) && c.ClockSkew(now)-c.leadership.clockSkew < lease.MaxHiddenPause
 }
-
-// ClockSkew is how far the time of day has run ahead of the steady clock so far. A machine that
-// was put to sleep wakes with a steady clock that has stood still: by that it would still
-// lead, long after its grant. A time of day that is set costs no more than the time to the
-// next renewal.
-func (c *Core) ClockSkew(now time.Time) time.Duration {
-	return now.Round(0).Add(c.clockOffset).Sub(c.StartedAt.Round(0)) - now.Sub(c.StartedAt)
-}
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -208,7 +208,7 @@
 			}
 			era := found.Era
 			if c.dataLossReason != "" || era == 0 {
-				era = c.Rand.Uint64()>>11 | 1
+				era = c.RandomID()
 			}
 			term, rev := c.nextTerm(t)
 			if term > record.MaxTerm {
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/bitset"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
@@ -82,11 +83,11 @@
 			}
 			return
 		}
-		if chunk < 0 || chunk*chunkTasks >= j.spec.Tasks {
+		if chunk < 0 || chunk*bitset.ChunkSize >= j.spec.Tasks {
 			unreadable("none, the job has no such tasks")
 			return
 		}
-		if v, _ := e.Value.(*record.Progress); v == nil || !j.done.decodeChunk(chunk*chunkTasks, j.spec.Tasks, v.Ranges) {
+		if v, _ := e.Value.(*record.Progress); v == nil || !j.done.DecodeChunk(chunk*bitset.ChunkSize, j.spec.Tasks, v.Ranges) {
 			unreadable("its tasks run again")
 		}
 		j.chunkRevisions[chunk] = e.Rev
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/bitset"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
@@ -27,8 +28,8 @@
 	team            *team
 	startsAtOnce    bool // must start at once
 
-	done      bitset           // completed
-	pending   bitset           // neither done nor on a machine
+	done      bitset.Set       // completed
+	pending   bitset.Set       // neither done nor on a machine
 	waiting   int              // members of pending
 	remaining int              // tasks not done
 	attempts  map[int]*attempt // tasks on machines, or that may be
@@ -68,7 +69,7 @@
 	j := &job{
 		spec: s, need: s.Need(), record: rec, fromEarlierTerm: earlier, cancelled: rec.Cancelled,
 		submitted: c.Now.Add(rec.Submitted.Sub(c.Now.Round(0))),
-		done:      newBitset(s.Tasks), pending: newBitset(s.Tasks), remaining: s.Tasks,
+		done:      bitset.New(s.Tasks), pending: bitset.New(s.Tasks), remaining: s.Tasks,
 		attempts: map[int]*attempt{}, chunkRevisions: map[int]uint64{}, dirtyChunks: map[int]bool{}, failedOn: map[string]bool{},
 		team: c.leadership.teams[s.Owner], startsAtOnce: c.mustStartAtOnce(s.Class),
 	}
@@ -91,11 +92,11 @@
 // queueJob makes a job's tasks wait for machines, once its progress is known.
 func (c *Core) queueJob(j *job) {
 	for i := range j.spec.Tasks {
-		if j.done.has(i) {
+		if j.done.Has(i) {
 			j.remaining--
 			j.hasRun = true
 		} else if j.attempts[i] == nil {
-			j.pending.set(i)
+			j.pending.Add(i)
 			j.waiting++
 		}
 	}
@@ -129,16 +130,16 @@
 	if i >= j.spec.Tasks || j.spec.Service {
 		return
 	}
-	if j.done.has(i) {
+	if j.done.Has(i) {
 		c.recordProgressSoon(j, i) // a worker still has it: write again, so that it may forget
 		return
 	}
-	if j.pending.has(i) {
-		j.pending.clear(i)
+	if j.pending.Has(i) {
+		j.pending.Remove(i)
 		j.waiting--
 		c.dropExcessReservation(j)
 	}
-	j.done.set(i)
+	j.done.Add(i)
 	j.hasRun = true
 	j.remaining--
 	j.anyCompleted = true
@@ -155,7 +156,7 @@
 // a time and is filled in when it goes: however slow the writes, the news of
 // many seconds go in one. The final record makes most of them needless.
 func (c *Core) recordProgressSoon(j *job, i int) {
-	chunk := i / chunkTasks
+	chunk := i / bitset.ChunkSize
 	if j.dirtyChunks[chunk] {
 		return
 	}
@@ -165,10 +166,10 @@
 
 // requeue makes a task wait again.
 func (c *Core) requeue(j *job, i int) {
-	if j.halted() || i >= j.spec.Tasks || j.done.has(i) || j.pending.has(i) || j.attempts[i] != nil {
+	if j.halted() || i >= j.spec.Tasks || j.done.Has(i) || j.pending.Has(i) || j.attempts[i] != nil {
 		return
 	}
-	j.pending.set(i)
+	j.pending.Add(i)
 	j.waiting++
 	c.reserveSoon(j)
 }
@@ -189,9 +190,9 @@
 // recordProgress writes the progress of one chunk of a job.
 func (c *Core) recordProgress(j *job, chunk int) {
 	key := chunkKey(j.spec.ID, chunk)
-	var had bitset
+	var had bitset.Set
 	ch := &change{
-		priority: priorityBulk, size: 300 + 4*min(j.spec.Tasks, chunkTasks)/3/8,
+		priority: priorityBulk, size: 300 + 4*min(j.spec.Tasks, bitset.ChunkSize)/3/8,
 		writes: []kv.Write{{Key: key}},
 		onCommit: func(rev uint64) {
 			j.chunkRevisions[chunk] = rev
@@ -212,25 +213,19 @@
 			return false
 		}
 		delete(j.dirtyChunks, chunk)
-		had = j.done.clone(chunk)
+		had = j.done.CloneChunk(chunk)
 		ch.conditions = []kv.Condition{{Key: key, Rev: j.chunkRevisions[chunk]}}
-		ch.writes[0].Value = &record.Progress{Ranges: j.done.encodeChunk(chunk * chunkTasks)}
+		ch.writes[0].Value = &record.Progress{Ranges: j.done.EncodeChunk(chunk * bitset.ChunkSize)}
 		return true
 	}
 	c.leadership.writes.add(ch)
 }
 
-// clone copies one chunk's members.
-func (b bitset) clone(chunk int) bitset {
-	from := chunk * chunkTasks / 64
-	return append(bitset(nil), b[from:min(len(b), from+chunkTasks/64)]...)
-}
-
 // progressRecorded lets workers forget the tasks that the state service now knows
 // to be done. Until then their reports repeat it to any successor.
-func (c *Core) progressRecorded(j *job, chunk int, saved bitset) {
+func (c *Core) progressRecorded(j *job, chunk int, saved bitset.Set) {
 	j.completed = slices.DeleteFunc(j.completed, func(r *attempt) bool {
-		if r.id.Index/chunkTasks == chunk && saved.has(r.id.Index%chunkTasks) {
+		if r.id.Index/bitset.ChunkSize == chunk && saved.Has(r.id.Index%bitset.ChunkSize) {
 			r.forgettable = true
 		}
 		return r.forgettable
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -768,9 +768,9 @@
 func (c *Core) orderStart(b *reservation, m *machine) heartbeat.Order {
 	l := c.leadership
 	j := b.job
-	i := j.pending.first()
+	i := j.pending.First()
 	c.consumeReservation(b)
-	j.pending.clear(i)
+	j.pending.Remove(i)
 	j.waiting--
 	// Attempts rise across terms as well: the term comes first.
 	l.attempts++
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -74,7 +74,7 @@
 		return
 	}
 	l.probesInFlight++
-	c.CallWorker(m.address, l.term, tenure, func(r heartbeat.ProbeReply) {
+	c.probeWorker(m.address, l.term, tenure, func(r heartbeat.ProbeReply) {
 		if c.leadership != l {
 			return
 		}
@@ -99,9 +99,7 @@
 	})
 }
 
-// CallWorker sends a probe and has f called with its answer.
-func (c *Core) CallWorker(address string, epoch, tenure uint64, f func(heartbeat.ProbeReply)) {
-	ref := c.NextRef()
-	c.pendingProbes[ref] = f
-	c.Emit(heartbeat.Probe{Ref: ref, Address: address, FencingToken: epoch, Incarnation: tenure, Timeout: probeTimeout})
+// probeWorker shows a worker our fencing token and has f called with its answer.
+func (c *Core) probeWorker(address string, token, incarnation uint64, f func(heartbeat.ProbeReply)) {
+	c.CallWorker(heartbeat.Probe{Address: address, FencingToken: token, Incarnation: incarnation, Timeout: probeTimeout}, f)
 }
--- a/internal/core/recovery_merge.go
+++ b/internal/core/recovery_merge.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strings"
 
+	"yewpass/internal/bitset"
 	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/peermsg"
@@ -35,11 +36,11 @@
 	switch y := copied.(type) {
 	case *record.Progress:
 		x, _ := stored.(*record.Progress)
-		p, q := newBitset(chunkTasks), newBitset(chunkTasks)
-		if x == nil || !p.decodeChunk(0, chunkTasks, x.Ranges) {
+		p, q := bitset.New(bitset.ChunkSize), bitset.New(bitset.ChunkSize)
+		if x == nil || !p.DecodeChunk(0, bitset.ChunkSize, x.Ranges) {
 			return y, true
 		}
-		if !q.decodeChunk(0, chunkTasks, y.Ranges) {
+		if !q.DecodeChunk(0, bitset.ChunkSize, y.Ranges) {
 			return x, false
 		}
 		more := false // by members: the same ones may be written in more than one way
@@ -50,7 +51,7 @@
 		if !more {
 			return x, false
 		}
-		return &record.Progress{Ranges: p.encodeChunk(0)}, true
+		return &record.Progress{Ranges: p.EncodeChunk(0)}, true
 	case *record.Job:
 		x, _ := stored.(*record.Job)
 		if x == nil {
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/bitset"
 	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
@@ -89,7 +90,7 @@
 	if part, ok := strings.CutPrefix(r.Key, record.ProgressPrefix); ok {
 		// By the way that progress is always written.
 		if id, chunk := splitChunkKey(part); l.jobs[id] != nil && chunk >= 0 {
-			c.recordProgressSoon(l.jobs[id], chunk*chunkTasks)
+			c.recordProgressSoon(l.jobs[id], chunk*bitset.ChunkSize)
 		}
 		over(kv.Entry{})
 		return
--- a/internal/core/recovery_test.go
+++ b/internal/core/recovery_test.go
@@ -2,18 +2,19 @@
 
 import (
 	"testing"
+	"yewpass/internal/bitset"
 	"yewpass/internal/record"
 )
 
 // TestJoin: progress by either record counts, and the same progress is no loss, however it
 // is written: a chunk's length decides how.
 func TestJoin(t *testing.T) {
-	short, long := newBitset(200), newBitset(chunkTasks)
+	short, long := bitset.New(200), bitset.New(bitset.ChunkSize)
 	for i := 0; i < 200; i += 2 {
-		short.set(i)
-		long.set(i)
+		short.Add(i)
+		long.Add(i)
 	}
-	a, b := &record.Progress{Ranges: short.encodeChunk(0)}, &record.Progress{Ranges: long.encodeChunk(0)}
+	a, b := &record.Progress{Ranges: short.EncodeChunk(0)}, &record.Progress{Ranges: long.EncodeChunk(0)}
 	if a.Ranges == b.Ranges {
 		t.Fatal("both are written the same way")
 	}
--- a/internal/core/regions_test.go
+++ b/internal/core/regions_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"yewpass/internal/engine"
 	"yewpass/internal/zones"
 )
 
@@ -33,7 +34,7 @@
 	c.observeZones()
 	var warned []string
 	for _, o := range c.Outputs {
-		if n, ok := o.(LogEntry); ok && n.Level >= slog.LevelWarn {
+		if n, ok := o.(engine.LogEntry); ok && n.Level >= slog.LevelWarn {
 			warned = append(warned, n.Text)
 		}
 	}
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -308,7 +308,7 @@
 	r := &c.relay
 	term := r.probedTerm
 	r.probesInFlight++
-	c.CallWorker(k.address, term, tenure, func(p heartbeat.ProbeReply) {
+	c.probeWorker(k.address, term, tenure, func(p heartbeat.ProbeReply) {
 		if r.probedTerm != term {
 			return
 		}
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -46,7 +46,7 @@
 // and that has not been answered.
 func (n *relayNode) calls(key string) (call kv.Request) {
 	for _, o := range n.outs {
-		if s, ok := o.(kv.Request); ok && s.Key == key && n.pendingStore[s.Ref] != nil {
+		if s, ok := o.(kv.Request); ok && s.Key == key && n.AwaitsStore(s.Ref) {
 			call = s
 		}
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -63,7 +63,7 @@
 	}
 	j := c.addJob(&record.Job{Spec: spec, Submitted: c.Now.Round(0)}, false)
 	for i := range tasks {
-		j.pending.set(i)
+		j.pending.Add(i)
 		j.waiting++
 	}
 	return j
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -14,6 +14,7 @@
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
+	"yewpass/internal/timerheap"
 )
 
 // scheduler are the recurring work that a leader looks after. What a schedule
@@ -27,8 +28,8 @@
 	unreadable map[string]bool // whose records cannot be read
 	loaded     bool
 
-	upcoming timerHeap[heapEntry] // schedules by when their next occurrence is due
-	ready    timerHeap[heapEntry] // those that are due, by deadline
+	upcoming timerheap.Heap[heapEntry] // schedules by when their next occurrence is due
+	ready    timerheap.Heap[heapEntry] // those that are due, by deadline
 
 	manualRuns    map[string]*recurringJob  // whose job each request to run makes
 	numberWaiters []func(n uint64, ok bool) // who waits for a number
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -4,8 +4,6 @@
 package core
 
 import (
-	"log/slog"
-
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/record"
 )
@@ -29,11 +27,4 @@
 
 // ---- outputs
 
-// LogEntry is a line for the operators' log.
-type LogEntry struct {
-	Level slog.Level
-	Text  string
-	Attrs []any
-}
-
 // ---- records in the state service
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,6 +20,7 @@
 	"yewpass/internal/cloud"
 	"yewpass/internal/config"
 	"yewpass/internal/core"
+	"yewpass/internal/engine"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/kvclient"
@@ -238,7 +239,7 @@
 		n.prober.Do(o)
 	case peermsg.Outgoing:
 		n.mesh.Send(o)
-	case core.LogEntry:
+	case engine.LogEntry:
 		slog.Log(context.Background(), o.Level, o.Text, o.Attrs...)
 	}
 }
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -10,6 +10,7 @@
 	"yewpass/internal/cloud"
 	"yewpass/internal/config"
 	"yewpass/internal/core"
+	"yewpass/internal/engine"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/kvclient"
@@ -477,7 +478,7 @@
 				})
 			}
 		}
-	case core.LogEntry:
+	case engine.LogEntry:
 		if o.Text == "the state service has lost data" && !n.lossy {
 			n.fail("misuse", "%s sees a loss of data where there was none: %v", n.name, o.Attrs)
 		}
--- /dev/null
+++ b/internal/timerheap/doc.go
@@ -0,0 +1,2 @@
+// Package timerheap is a priority queue of values by time.
+package timerheap
--- /dev/null
+++ b/internal/timerheap/timerheap.go
@@ -0,0 +1,60 @@
+package timerheap
+
+import (
+	"container/heap"
+	"time"
+)
+
+// entry is a value and its time.
+type entry[T any] struct {
+	at    time.Time
+	seq   uint64 // order of insertion, which breaks ties
+	value T
+}
+
+// Heap is a priority queue of values by time, the earliest first. The zero value is empty.
+type Heap[T any] struct {
+	entries entries[T]
+	seq     uint64
+}
+
+type entries[T any] []entry[T]
+
+func (h entries[T]) Len() int { return len(h) }
+
+func (h entries[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h entries[T]) Less(i, j int) bool {
+	if x := h[i].at.Compare(h[j].at); x != 0 {
+		return x < 0
+	}
+	return h[i].seq < h[j].seq
+}
+
+// Push implements heap.Interface.
+func (h *entries[T]) Push(x any) { *h = append(*h, x.(entry[T])) }
+
+// Pop implements heap.Interface.
+func (h *entries[T]) Pop() any {
+	old := *h
+	x := old[len(old)-1]
+	old[len(old)-1] = entry[T]{}
+	*h = old[:len(old)-1]
+	return x
+}
+
+// Len returns the number of values.
+func (h *Heap[T]) Len() int { return len(h.entries) }
+
+// Push adds a value at a time. Values of the same time are popped in the order in
+// which they were pushed.
+func (h *Heap[T]) Push(at time.Time, value T) {
+	h.seq++
+	heap.Push(&h.entries, entry[T]{at, h.seq, value})
+}
+
+// First returns the earliest value and its time. The heap must not be empty.
+func (h *Heap[T]) First() (time.Time, T) { return h.entries[0].at, h.entries[0].value }
+
+// Pop removes and returns the earliest value. The heap must not be empty.
+func (h *Heap[T]) Pop() T { return heap.Pop(&h.entries).(entry[T]).value }
