--- a/internal/schedule/decide.go
+++ b/internal/schedule/decide.go
@@ -1,150 +1,124 @@
 package schedule
 
 import (
+	"fmt"
 	"time"
 
 	"yewpass/internal/calendar"
 )
 
-// Verdict is what is to become of the next occurrence.
+// Verdict is the decision on the next occurrence of a schedule.
 type Verdict int
 
 // The verdicts.
 const (
-	Never Verdict = iota // there is none any more
-	Later                // it is not due yet
-	Make                 // it becomes a job
-	Miss                 // it does not run
-	Hold                 // it waits for the job before
+	Never Verdict = iota // there are no further occurrences
+	Later                // the occurrence is not due yet
+	Make                 // the occurrence becomes a job
+	Miss                 // the occurrence does not run
+	Hold                 // the occurrence waits for the previous job to end
 )
 
-// Cursor is up to where a schedule's occurrences have been decided.
+var verdictNames = [...]string{"never", "later", "make", "miss", "hold"}
+
+// String returns the name of the verdict, for diagnostics.
+func (v Verdict) String() string {
+	if v < 0 || int(v) >= len(verdictNames) {
+		return fmt.Sprintf("Verdict(%d)", int(v))
+	}
+	return verdictNames[v]
+}
+
+// Cursor marks the position up to which the occurrences of a schedule have been
+// decided. Both fields are wall-clock times, see calendar.Occurrence.
 type Cursor struct {
-	Nominal time.Time // of the last that was
-	// Rule is the latest wall-clock time of the rule that has been, unmoved. A date
-	// that ran ahead of a holiday does not run again when the holiday is taken
-	// away, or when an edit lets it run on holidays.
+	// Nominal is the nominal time of the last decided occurrence.
+	Nominal time.Time
+	// Rule is the latest time of the recurrence rule that has been decided, before
+	// any move because of a holiday. An occurrence that ran ahead of a holiday must
+	// not run again if the holiday is removed or the schedule is edited to run on
+	// holidays.
 	Rule time.Time
 }
 
-// Past returns the cursor when an occurrence has been decided.
-func (c Cursor) Past(o calendar.Occurrence) Cursor {
-	c.Nominal = o.Nominal
-	if o.Rule.After(c.Rule) {
-		c.Rule = o.Rule
+// Past returns the cursor after the occurrence has been decided.
+func (c Cursor) Past(occurrence calendar.Occurrence) Cursor {
+	c.Nominal = occurrence.Nominal
+	if occurrence.Rule.After(c.Rule) {
+		c.Rule = occurrence.Rule
 	}
 	return c
 }
 
-// Next returns the first occurrence that has not been decided; false if there is
-// none.
-func (d *Def) Next(c Cursor) (calendar.Occurrence, bool) {
-	o, ok := d.Timing.Next(c.Nominal)
-	for ok && !o.Rule.After(c.Rule) {
-		o, ok = d.Timing.Next(o.Nominal)
+// Next returns the first undecided occurrence; false if there is none.
+func (d *Def) Next(cursor Cursor) (calendar.Occurrence, bool) {
+	occurrence, ok := d.Timing.Next(cursor.Nominal)
+	for ok && !occurrence.Rule.After(cursor.Rule) {
+		occurrence, ok = d.Timing.Next(occurrence.Nominal)
 	}
-	return o, ok
+	return occurrence, ok
 }
 
-// Before is what is known of the occurrence before.
+// nextDue returns the first undecided occurrence that starts at or before now;
+// false if there is none.
+func (d *Def) nextDue(cursor Cursor, now time.Time) (calendar.Occurrence, bool) {
+	occurrence, ok := d.Next(cursor)
+	return occurrence, ok && !occurrence.Start.After(now)
+}
+
+// Before describes the job of the previous occurrence.
 type Before struct {
-	Live  bool      // its job is not over
-	Ended time.Time // when it was over; zero: unknown, or there was none
+	Live  bool      // the job has not ended
+	Ended time.Time // when the job ended; zero: unknown, or there was no job
 }
 
-// Decide says what is to become of the first occurrence after the cursor, and why
-// if it is missed. now is the time of day.
-func (d *Def) Decide(cursor Cursor, now time.Time, before Before) (o calendar.Occurrence, v Verdict, reason string) {
-	o, ok := d.Next(cursor)
+// Decide decides on the first occurrence after the cursor. The reason is set if
+// the verdict is Miss.
+func (d *Def) Decide(cursor Cursor, now time.Time, before Before) (occurrence calendar.Occurrence, verdict Verdict, reason string) {
+	occurrence, ok := d.Next(cursor)
 	switch {
 	case !ok:
-		return o, Never, ""
-	case o.Start.After(now):
-		return o, Later, ""
+		return occurrence, Never, ""
+	case occurrence.Start.After(now):
+		return occurrence, Later, ""
 	}
-	since := o.Start
 	if before.Live {
 		switch d.Overlap {
 		case SkipOverlap:
-			return o, Miss, "the one before was not over"
+			return occurrence, Miss, "the one before was not over"
 		case WaitOverlap:
-			return o, Hold, ""
-		}
-	} else if d.Overlap == WaitOverlap && before.Ended.After(since) {
-		since = before.Ended // what waited on purpose is not late
-	}
-	late := now.Sub(since)
-	if late <= OnTime {
-		return o, Make, ""
-	}
-	switch {
-	case d.CatchUp == None:
-		return o, Miss, "could not be made in time"
-	case late > d.Within:
-		return o, Miss, "could not be made within catch_up_within_s"
-	case d.CatchUp == Latest:
-		if next, ok := d.Next(cursor.Past(o)); ok && !next.Start.After(now) {
-			return o, Miss, "a later one was due as well"
+			return occurrence, Hold, ""
 		}
 	}
-	return o, Make, ""
+	late := now.Sub(d.ready(occurrence, before))
+	verdict, reason = d.decideLate(cursor.Past(occurrence), now, late)
+	return occurrence, verdict, reason
 }
 
-// From returns the cursor of a schedule that begins now: no occurrence that
-// starts at or before now is owed.
-func (d *Def) From(now time.Time) Cursor {
-	cursor := calendar.Wall(now, d.Timing.Zone())
-	// Of the hour that autumn repeats only the first passing counts: on the second
-	// the clock shows times whose occurrence has been.
-	for o, ok := d.Timing.Next(cursor); ok && !o.Start.After(now); o, ok = d.Timing.Next(cursor) {
-		cursor = o.Nominal
+// ready returns the time from which the delay of an occurrence counts: its start
+// or, if it had to wait for the previous job, the end of that job.
+func (d *Def) ready(occurrence calendar.Occurrence, before Before) time.Time {
+	waited := d.Overlap == WaitOverlap && !before.Live && before.Ended.After(occurrence.Start)
+	if waited {
+		return before.Ended
 	}
-	return Cursor{Nominal: cursor}
+	return occurrence.Start
 }
 
-// Edited returns the cursor of a schedule that had the definition old. What was
-// made is not made again. What was due and not made yet is still made if the new
-// definition has it too; otherwise it is missed, and missed names it.
-func (d *Def) Edited(old *Def, cursor Cursor, now time.Time) (next Cursor, missed []Passed) {
-	if old == nil || d.Timing.Same(old.Timing) {
-		return cursor, nil
-	}
-	for c := cursor; len(missed) < maxOwed; {
-		o, ok := old.Next(c)
-		if !ok || o.Start.After(now) {
-			break
-		}
-		if d.Timing.Zone().String() == old.Timing.Zone().String() && d.Timing.Has(o.Nominal) {
-			// Not from the cursor: between it and this one the new definition may
-			// have what the old one never had, and that is not owed.
-			if before := o.Nominal.Add(-time.Second); before.After(c.Nominal) {
-				c.Nominal = before
-			}
-			return Cursor{c.Nominal, cursor.Rule}, missed
-		}
-		missed = append(missed, Passed{o, StateMissed, "the schedule was edited"})
-		c = c.Past(o)
-	}
-	next = Cursor{d.From(now).Nominal, cursor.Rule}
-	if cursor.Nominal.After(next.Nominal) {
-		next = cursor // a zone further west: its clocks have yet to show what was made
-	}
-	return next, missed
-}
-
-// maxOwed bounds what an edit or a pause looks through of what was owed.
-const maxOwed = 256
-
-// Resumed returns the cursor of a schedule that was paused until now, after
-// everything that is due, and the latest of what it passes over.
-func (d *Def) Resumed(cursor Cursor, now time.Time) (next Cursor, missed []Passed) {
-	for len(missed) < maxOwed {
-		o, ok := d.Next(cursor)
-		if !ok || o.Start.After(now) {
-			return cursor, missed
+// decideLate decides on a due occurrence by its delay. The cursor is the position
+// after the occurrence.
+func (d *Def) decideLate(after Cursor, now time.Time, late time.Duration) (verdict Verdict, reason string) {
+	switch {
+	case late <= OnTime:
+		return Make, ""
+	case d.CatchUp == None:
+		return Miss, "could not be made in time"
+	case late > d.Within:
+		return Miss, "could not be made within catch_up_within_s"
+	case d.CatchUp == Latest:
+		if _, due := d.nextDue(after, now); due {
+			return Miss, "a later one was due as well"
 		}
-		missed = append(missed, Passed{o, StateMissed, "the schedule was paused"})
-		cursor = cursor.Past(o)
 	}
-	return Cursor{d.From(now).Nominal, cursor.Rule}, missed
+	return Make, ""
 }
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -130,11 +130,13 @@
 	cursor := at("2027-02-01T04:30:00Z") // as a wall-clock time: the day before is decided
 	due := at("2027-02-02T01:30:00Z")
 	for _, c := range []struct {
-		name, overlap, catchUp string
-		late                   time.Duration
-		before                 Before
-		want                   Verdict
-		reason                 string
+		name    string
+		overlap OverlapPolicy
+		catchUp CatchUpPolicy
+		late    time.Duration
+		before  Before
+		want    Verdict
+		reason  string
 	}{
 		{"not yet", Allow, All, -time.Second, Before{}, Later, ""},
 		{"now", Allow, None, 0, Before{}, Make, ""},
@@ -149,7 +151,7 @@
 		{"has waited", WaitOverlap, None, 50 * time.Minute, Before{Ended: due.Add(49*time.Minute + 30*time.Second)}, Make, ""},
 		{"has waited, then nobody led", WaitOverlap, None, 50 * time.Minute, Before{Ended: due.Add(40 * time.Minute)}, Miss, "in time"},
 	} {
-		d, err := compile(t, `"skip"`, `"`+c.overlap+`"`, `"latest"`, `"`+c.catchUp+`"`)
+		d, err := compile(t, `"skip"`, `"`+string(c.overlap)+`"`, `"latest"`, `"`+string(c.catchUp)+`"`)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -249,7 +251,7 @@
 	if !ok || len(es) != HistoryLength || r.Made != HistoryLength+3 || r.Missed != 1 {
 		t.Fatal(len(es), ok, r.Made, r.Missed)
 	}
-	last.Reason = last.Reason[:maxReason]
+	last.Reason = last.Reason[:maxReasonBytes]
 	if es[HistoryLength-1] != last {
 		t.Errorf("%+v became %+v", last, es[HistoryLength-1])
 	}
