--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -1,9 +1,11 @@
-// Package calendar says when recurring work is due: named calendars of business
-// days, recurrence rules, and wall-clock times in zones whose clocks change. It
-// is pure: it reads no clock, no file and no network.
+// Package calendar computes when recurring jobs are due, from calendars of
+// business days, recurrence rules (RFC 5545), and wall-clock times in time zones
+// with daylight saving. It does no I/O and reads no clock.
 //
-// A civil date is a midnight in UTC, a wall-clock time is a time in UTC with the
-// same fields, and a time of day is a duration since midnight.
+// Three kinds of time have a representation of their own:
+//   - A civil date is midnight of that date in UTC.
+//   - A wall-clock time is a time in UTC with the same fields.
+//   - A time of day is a duration since midnight.
 package calendar
 
 import (
@@ -22,214 +24,188 @@
 	"github.com/rickar/cal/v2/us"
 )
 
-// countries are those whose public holidays are known, by ISO 3166 code. Each
-// costs start-up time and memory, so they are those that the docs name.
+// countries maps ISO 3166 codes to public holidays. Each country costs start-up
+// time and memory, so only those that the documentation names are included.
 var countries = map[string]*[]*cal.Holiday{
-	"BG": &bg.Holidays, "DE": &de.Holidays, "GB": &gb.Holidays, "GR": &gr.Holidays, "RO": &ro.Holidays, "US": &us.Holidays,
+	"BG": &bg.Holidays,
+	"DE": &de.Holidays,
+	"GB": &gb.Holidays,
+	"GR": &gr.Holidays,
+	"RO": &ro.Holidays,
+	"US": &us.Holidays,
 }
 
-// Countries returns the codes of the countries whose holidays are known.
+// Countries returns the ISO 3166 codes of the supported countries, sorted.
 func Countries() []string { return slices.Sorted(maps.Keys(countries)) }
 
-// FieldError says which field is wrong, and why.
+// FieldError reports an invalid field and the reason.
 type FieldError struct{ Field, Reason string }
 
+// Error returns the field and the reason on one line.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-func wrong(field, format string, args ...any) error {
+func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{field, fmt.Sprintf(format, args...)}
 }
 
-// Definition is what operators say of a calendar.
+// Definition describes a calendar as operators configure it.
 type Definition struct {
-	Country  string         // its public holidays, and the days they are observed on; empty: none
-	Holidays []time.Time    // further dates
-	Worked   []time.Time    // business days whatever else says
+	Country  string         // whose public holidays apply; empty: none
+	Holidays []time.Time    // additional holidays
+	Worked   []time.Time    // business days, whatever the other fields say
 	Weekend  []time.Weekday // nil: Saturday and Sunday
-	Events   []Event        // of iCalendar files
+	Events   []Event        // additional holidays from iCalendar files
 }
 
-// Calendar tells business days from others. It is not for concurrent use: it
-// keeps the years that it worked out.
+// Calendar distinguishes business days from other days. It is not safe for
+// concurrent use, because it caches the holidays of the years it was asked for.
 type Calendar struct {
-	weekend [7]bool
-	country []*cal.Holiday
-	dates   map[time.Time]string
-	worked  map[time.Time]bool
-	yearly  []Event // recurring ones
-	years   map[int]map[time.Time]string
+	weekend   [7]bool // indexed by time.Weekday
+	country   []*cal.Holiday
+	holidays  map[time.Time]string // names of holidays on fixed dates
+	worked    map[time.Time]bool
+	recurring []Event
+	years     map[int]map[time.Time]string // cache of holidaysIn
 }
 
-// searchDays bounds the search for a business day, and yearsKept the years whose
-// holidays are remembered.
 const (
-	searchDays = 400
-	yearsKept  = 16
+	// maxSearchDays limits the search for a business day.
+	maxSearchDays = 400
+	// maxCachedYears limits the years whose holidays a calendar caches.
+	maxCachedYears = 16
 )
 
-// New checks a definition. The error is a *FieldError.
-func New(def Definition) (*Calendar, error) {
-	c := &Calendar{dates: map[time.Time]string{}, worked: map[time.Time]bool{}, years: map[int]map[time.Time]string{}}
-	if def.Country != "" {
-		hs, ok := countries[strings.ToUpper(def.Country)]
-		if !ok {
-			return nil, wrong("country", "unknown country %q; known are %s", def.Country, strings.Join(Countries(), ", "))
-		}
-		c.country = *hs
-	}
-	if def.Weekend == nil {
-		def.Weekend = []time.Weekday{time.Saturday, time.Sunday}
+// defaultHolidayName names holidays that have no name of their own.
+const defaultHolidayName = "holiday"
+
+// New returns the calendar that a definition describes. The error is a
+// *FieldError.
+func New(definition Definition) (*Calendar, error) {
+	c := &Calendar{
+		holidays: map[time.Time]string{},
+		worked:   map[time.Time]bool{},
+		years:    map[int]map[time.Time]string{},
 	}
-	for _, d := range def.Weekend {
-		c.weekend[d] = true
+	if err := c.setCountry(definition.Country); err != nil {
+		return nil, err
 	}
-	if c.weekend == [7]bool{true, true, true, true, true, true, true} {
-		return nil, wrong("weekend", "leaves no business day")
+	if err := c.setWeekend(definition.Weekend); err != nil {
+		return nil, err
 	}
-	for _, d := range def.Holidays {
-		c.dates[d] = "holiday"
+	for _, date := range definition.Holidays {
+		c.holidays[date] = defaultHolidayName
 	}
-	for _, d := range def.Worked {
-		c.worked[d] = true
+	for _, date := range definition.Worked {
+		c.worked[date] = true
 	}
-	for _, e := range def.Events {
-		if e.Rule != nil {
-			c.yearly = append(c.yearly, e)
-			continue
-		}
-		e.mark(e.Date, c.dates)
-		for _, d := range e.Extra {
-			e.mark(d, c.dates)
-		}
+	for _, event := range definition.Events {
+		c.addEvent(event)
 	}
 	return c, nil
 }
 
-// Day reports whether d is a business day, and if not, why.
-func (c *Calendar) Day(d time.Time) (business bool, why string) {
-	if c.worked[d] {
+func (c *Calendar) setCountry(code string) error {
+	if code == "" {
+		return nil
+	}
+	holidays, ok := countries[strings.ToUpper(code)]
+	if !ok {
+		return fieldErrorf("country", "unknown country %q; known are %s", code, strings.Join(Countries(), ", "))
+	}
+	c.country = *holidays
+	return nil
+}
+
+func (c *Calendar) setWeekend(weekdays []time.Weekday) error {
+	if weekdays == nil {
+		weekdays = []time.Weekday{time.Saturday, time.Sunday}
+	}
+	for _, weekday := range weekdays {
+		c.weekend[weekday] = true
+	}
+	if !slices.Contains(c.weekend[:], false) {
+		return fieldErrorf("weekend", "leaves no business day")
+	}
+	return nil
+}
+
+func (c *Calendar) addEvent(event Event) {
+	if event.Rule != nil {
+		c.recurring = append(c.recurring, event)
+		return
+	}
+	event.mark(event.Date, c.holidays)
+	for _, date := range event.Extra {
+		event.mark(date, c.holidays)
+	}
+}
+
+// Day reports whether a date is a business day and, if it is not, why.
+func (c *Calendar) Day(date time.Time) (business bool, why string) {
+	if c.worked[date] {
 		return true, ""
 	}
-	if name, ok := c.dates[d]; ok {
+	if name, ok := c.holidays[date]; ok {
 		return false, name
 	}
-	if name, ok := c.year(d.Year())[d]; ok {
+	if name, ok := c.holidaysIn(date.Year())[date]; ok {
 		return false, name
 	}
-	if c.weekend[d.Weekday()] {
-		return false, d.Weekday().String()
+	if c.weekend[date.Weekday()] {
+		return false, date.Weekday().String()
 	}
 	return true, ""
 }
 
-// year returns the holidays of a year that are worked out.
-func (c *Calendar) year(y int) map[time.Time]string {
-	if days, ok := c.years[y]; ok {
-		return days
+// holidaysIn returns the public holidays and recurring events of a year.
+func (c *Calendar) holidaysIn(year int) map[time.Time]string {
+	if holidays, ok := c.years[year]; ok {
+		return holidays
 	}
-	days := map[time.Time]string{}
-	for _, h := range c.country {
-		if h.Type != cal.ObservancePublic && h.Type != cal.ObservanceBank {
-			continue
-		}
-		// A holiday may be observed in the year before or after its own.
-		for from := y - 1; from <= y+1; from++ {
-			actual, observed := h.Calc(from)
-			for _, d := range []time.Time{actual, observed} {
-				if !d.IsZero() && d.Year() == y {
-					days[DateOf(d)] = h.Name
-				}
-			}
+	holidays := map[time.Time]string{}
+	for _, holiday := range c.country {
+		if holiday.Type == cal.ObservancePublic || holiday.Type == cal.ObservanceBank {
+			markHoliday(holiday, year, holidays)
 		}
 	}
-	for _, e := range c.yearly {
-		first, last := Date(y, 1, 1), Date(y, 12, 31)
-		for d, ok := e.Rule.Next(first.AddDate(0, 0, -e.Days)); ok && !d.After(last); d, ok = e.Rule.Next(d.Add(Day)) {
-			if !slices.Contains(e.Except, d) {
-				e.mark(d, days)
-			}
-		}
-		for _, d := range e.Extra {
-			e.mark(d, days)
-		}
+	for _, event := range c.recurring {
+		event.markYear(year, holidays)
 	}
-	if len(c.years) >= yearsKept {
+	if len(c.years) >= maxCachedYears {
 		clear(c.years)
 	}
-	c.years[y] = days
-	return days
+	c.years[year] = holidays
+	return holidays
 }
 
-// onOrAfter returns the first business day from d on, onOrBefore the last one up
-// to d.
-func (c *Calendar) onOrAfter(d time.Time) (time.Time, bool)  { return c.search(d, Day) }
-func (c *Calendar) onOrBefore(d time.Time) (time.Time, bool) { return c.search(d, -Day) }
-
-func (c *Calendar) search(d time.Time, step time.Duration) (time.Time, bool) {
-	for range searchDays {
-		if ok, _ := c.Day(d); ok {
-			return d, true
+// markHoliday adds the dates of a public holiday that lie in the year: the actual
+// one and the one on which it is observed. The latter may belong to the holiday of
+// the year before or after.
+func markHoliday(holiday *cal.Holiday, year int, holidays map[time.Time]string) {
+	for holidayYear := year - 1; holidayYear <= year+1; holidayYear++ {
+		actual, observed := holiday.Calc(holidayYear)
+		for _, date := range []time.Time{actual, observed} {
+			if !date.IsZero() && date.Year() == year {
+				holidays[DateOf(date)] = holiday.Name
+			}
 		}
-		d = d.Add(step)
 	}
-	return time.Time{}, false
-}
-
-// Set holds the calendars that operators define, and shares what schedules have
-// in common. It is not for concurrent use.
-type Set struct {
-	calendars map[string]*Calendar
-	zones     map[string]*time.Location
-	rules     map[ruleKey]*Rule
-}
-
-type ruleKey struct {
-	text         string
-	starts, ends time.Time
-}
-
-// rulesKept bounds the rules that schedules share.
-const rulesKept = 4096
-
-// NewSet returns a set of these calendars.
-func NewSet(calendars map[string]*Calendar) *Set {
-	return &Set{calendars, map[string]*time.Location{}, map[ruleKey]*Rule{}}
 }
 
-// Names returns the calendars' names.
-func (s *Set) Names() []string { return slices.Sorted(maps.Keys(s.calendars)) }
+// onOrAfter returns the first business day on or after a date; false if there is
+// none within maxSearchDays.
+func (c *Calendar) onOrAfter(date time.Time) (time.Time, bool) { return c.search(date, Day) }
 
-// zone finds an IANA zone.
-func (s *Set) zone(name string) (*time.Location, error) {
-	if z := s.zones[name]; z != nil {
-		return z, nil
-	}
-	switch name {
-	case "":
-		return nil, wrong("zone", "missing")
-	case "Local": // would mean another zone on every machine
-		return nil, wrong("zone", "Local is no zone; give an IANA name such as Europe/Sofia")
-	}
-	z, err := time.LoadLocation(name)
-	if err != nil {
-		return nil, wrong("zone", "unknown zone %q; give an IANA name such as Europe/Sofia", name)
-	}
-	s.zones[name] = z
-	return z, nil
-}
+// onOrBefore returns the last business day on or before a date; false if there is
+// none within maxSearchDays.
+func (c *Calendar) onOrBefore(date time.Time) (time.Time, bool) { return c.search(date, -Day) }
 
-func (s *Set) rule(text string, starts, ends time.Time) (*Rule, error) {
-	k := ruleKey{text, starts, ends}
-	if r := s.rules[k]; r != nil {
-		return r, nil
-	}
-	r, err := ParseRule(text, starts, ends)
-	if err != nil {
-		return nil, wrong("rule", "%v", err)
-	}
-	if len(s.rules) >= rulesKept {
-		clear(s.rules)
+func (c *Calendar) search(date time.Time, step time.Duration) (time.Time, bool) {
+	for range maxSearchDays {
+		if business, _ := c.Day(date); business {
+			return date, true
+		}
+		date = date.Add(step)
 	}
-	s.rules[k] = r
-	return r, nil
+	return time.Time{}, false
 }
--- a/internal/calendar/ical.go
+++ b/internal/calendar/ical.go
@@ -2,142 +2,201 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
+	"slices"
 	"strings"
 	"time"
 
 	ics "github.com/arran4/golang-ical"
 )
 
-// Event is one entry of an iCalendar file: days that are no business days.
+// Event is an event of an iCalendar file. The days that it covers are no business
+// days.
 type Event struct {
 	Name   string
-	Date   time.Time // the first day
-	Days   int       // how many, at least 1
-	Rule   *Rule     // when it recurs; nil: once
-	Except []time.Time
-	Extra  []time.Time
+	Date   time.Time   // the first day
+	Days   int         // how many days it covers, at least 1
+	Rule   *Rule       // the recurrence; nil: none
+	Except []time.Time // dates on which it does not recur
+	Extra  []time.Time // first days of further occurrences
 }
 
-func (e *Event) mark(first time.Time, days map[time.Time]string) {
+// mark adds the days of the occurrence that begins on a date.
+func (e *Event) mark(first time.Time, holidays map[time.Time]string) {
 	for i := range e.Days {
-		days[first.AddDate(0, 0, i)] = e.Name
+		holidays[first.AddDate(0, 0, i)] = e.Name
+	}
+}
+
+// markYear adds the days of a recurring event's occurrences that touch the year.
+func (e *Event) markYear(year int, holidays map[time.Time]string) {
+	from := Date(year, time.January, 1).AddDate(0, 0, -e.Days)
+	last := Date(year, time.December, 31)
+	for date, ok := e.Rule.Next(from); ok && !date.After(last); date, ok = e.Rule.Next(date.Add(Day)) {
+		if !slices.Contains(e.Except, date) {
+			e.mark(date, holidays)
+		}
+	}
+	for _, date := range e.Extra {
+		e.mark(date, holidays)
 	}
 }
 
-// Bounds of an iCalendar file.
 const (
-	MaxICalendar = 1 << 20 // bytes
+	// MaxICalendar is the largest size of an iCalendar file, in bytes.
+	MaxICalendar = 1 << 20
+	// maxEventDays is the largest number of days that an event may cover.
 	maxEventDays = 366
 )
 
-// ParseICalendar reads the events of an iCalendar file (RFC 5545). Only dates
-// count: an event with times covers the days it touches. Cancelled events do not
-// count; RRULE, RDATE and EXDATE do. RECURRENCE-ID, which moves one date of
-// many, is refused rather than misread.
+// icalDateFormat is the form of DATE values.
+const icalDateFormat = "20060102"
+
+// propertyRecurrenceID has no constant in the library.
+const propertyRecurrenceID ics.ComponentProperty = "RECURRENCE-ID"
+
+// ParseICalendar returns the events of an iCalendar file (RFC 5545). Times of day
+// are ignored: an event covers every day that it touches. Cancelled events are
+// left out; RRULE, RDATE and EXDATE are supported. RECURRENCE-ID, which moves a
+// single occurrence, is an error rather than misinterpreted.
 func ParseICalendar(data []byte) (events []Event, err error) {
-	// The library is trusted with the file's form, not with its size, nor to
-	// survive whatever bytes come.
+	// The library limits neither its input nor its memory, and arbitrary input can
+	// make it panic.
 	defer func() {
-		if p := recover(); p != nil {
-			events, err = nil, fmt.Errorf("malformed iCalendar file")
+		if recover() != nil {
+			events, err = nil, errors.New("malformed iCalendar file")
 		}
 	}()
 	if len(data) > MaxICalendar {
 		return nil, fmt.Errorf("larger than %d bytes", MaxICalendar)
 	}
-	cal, err := ics.ParseCalendar(bytes.NewReader(data))
+	file, err := ics.ParseCalendar(bytes.NewReader(data))
 	if err != nil {
 		return nil, fmt.Errorf("malformed iCalendar file: %w", err)
 	}
-	for _, v := range cal.Events() {
-		e, err := event(v)
+	for _, component := range file.Events() {
+		if isCancelled(component) {
+			continue
+		}
+		event, err := parseEvent(component)
 		if err != nil {
 			return nil, err
 		}
-		if e != nil {
-			events = append(events, *e)
-		}
+		events = append(events, *event)
 	}
 	return events, nil
 }
 
-func event(v *ics.VEvent) (*Event, error) {
-	text := func(p ics.ComponentProperty) string {
-		if x := v.GetProperty(p); x != nil {
-			return x.Value
-		}
-		return ""
-	}
-	if strings.EqualFold(text(ics.ComponentPropertyStatus), "CANCELLED") {
-		return nil, nil
-	}
-	// Names end up in lines that are read by machines: no tabs or line ends.
-	e := &Event{Name: strings.Join(strings.Fields(ics.FromText(text(ics.ComponentPropertySummary))), " "), Days: 1}
-	if e.Name == "" {
-		e.Name = "holiday"
+func isCancelled(component *ics.VEvent) bool {
+	return strings.EqualFold(propertyValue(component, ics.ComponentPropertyStatus), "CANCELLED")
+}
+
+// propertyValue returns the value of a property, or "" if the event lacks it.
+func propertyValue(component *ics.VEvent, property ics.ComponentProperty) string {
+	if found := component.GetProperty(property); found != nil {
+		return found.Value
 	}
-	fail := func(part, format string, args ...any) (*Event, error) {
-		return nil, fmt.Errorf("event %q: %s: %s", e.Name, part, fmt.Sprintf(format, args...))
+	return ""
+}
+
+func parseEvent(component *ics.VEvent) (*Event, error) {
+	event := &Event{Name: eventName(component)}
+	fail := func(property, format string, args ...any) (*Event, error) {
+		return nil, fmt.Errorf("event %q: %s: %s", event.Name, property, fmt.Sprintf(format, args...))
 	}
-	if text("RECURRENCE-ID") != "" {
+	if propertyValue(component, propertyRecurrenceID) != "" {
 		return fail("RECURRENCE-ID", "is not supported; write the date as an event of its own")
 	}
 	var ok bool
-	if e.Date, _, ok = icalDate(text(ics.ComponentPropertyDtStart)); !ok {
+	if event.Date, _, ok = parseICalDate(propertyValue(component, ics.ComponentPropertyDtStart)); !ok {
 		return fail("DTSTART", "missing or no date")
 	}
-	if s := text(ics.ComponentPropertyDtEnd); s != "" {
-		end, timed, ok := icalDate(s)
-		if !ok {
-			return fail("DTEND", "no date")
-		}
-		e.Days = int(end.Sub(e.Date) / Day) // a date is the first that is free again
-		if timed || e.Days == 0 {
-			e.Days++
-		}
-	} else if s := text(ics.ComponentPropertyDuration); s != "" {
-		var n int
-		var unit byte
-		if k, _ := fmt.Sscanf(s, "P%d%c", &n, &unit); k == 2 && n <= maxEventDays && unit == 'D' {
-			e.Days = n
-		} else if k == 2 && n <= maxEventDays && unit == 'W' {
-			e.Days = 7 * n
-		}
+	if event.Days, ok = eventDays(component, event.Date); !ok {
+		return fail("DTEND", "no date")
 	}
-	if e.Days < 1 || e.Days > maxEventDays {
-		return fail("DTEND", "covers %d days, not 1 to %d", e.Days, maxEventDays)
-	}
-	list := func(p ics.ComponentProperty) (ds []time.Time, ok bool) {
-		for _, x := range v.GetProperties(p) {
-			for s := range strings.SplitSeq(x.Value, ",") {
-				d, _, ok := icalDate(s)
-				if !ok {
-					return nil, false
-				}
-				ds = append(ds, d)
-			}
-		}
-		return ds, true
+	if event.Days < 1 || event.Days > maxEventDays {
+		return fail("DTEND", "covers %d days, not 1 to %d", event.Days, maxEventDays)
 	}
-	if e.Except, ok = list(ics.ComponentPropertyExdate); !ok {
+	if event.Except, ok = propertyDates(component, ics.ComponentPropertyExdate); !ok {
 		return fail("EXDATE", "no date")
 	}
-	if e.Extra, ok = list(ics.ComponentPropertyRdate); !ok {
+	if event.Extra, ok = propertyDates(component, ics.ComponentPropertyRdate); !ok {
 		return fail("RDATE", "no date")
 	}
-	if s := text(ics.ComponentPropertyRrule); s != "" {
+	if text := propertyValue(component, ics.ComponentPropertyRrule); text != "" {
 		var err error
-		if e.Rule, err = ParseRule(s, e.Date, time.Time{}); err != nil {
+		if event.Rule, err = ParseRule(text, event.Date, time.Time{}); err != nil {
 			return fail("RRULE", "%v", err)
 		}
 	}
-	return e, nil
+	return event, nil
+}
+
+// eventName returns the summary with white space collapsed, because names appear
+// in output that programs split at tabs and line ends.
+func eventName(component *ics.VEvent) string {
+	summary := ics.FromText(propertyValue(component, ics.ComponentPropertySummary))
+	name := strings.Join(strings.Fields(summary), " ")
+	if name == "" {
+		return defaultHolidayName
+	}
+	return name
+}
+
+// eventDays returns how many days an event covers, from DTEND or DURATION. It
+// fails if DTEND is malformed; the number is not checked.
+func eventDays(component *ics.VEvent, start time.Time) (days int, ok bool) {
+	if text := propertyValue(component, ics.ComponentPropertyDtEnd); text != "" {
+		end, timed, ok := parseICalDate(text)
+		if !ok {
+			return 0, false
+		}
+		days = int(end.Sub(start) / Day) // a DATE is exclusive
+		if timed || days == 0 {
+			days++
+		}
+		return days, true
+	}
+	return durationDays(propertyValue(component, ics.ComponentPropertyDuration)), true
+}
+
+// durationDays returns the days of a DURATION such as P3D or P2W. Others, which
+// include times of day, count as one day.
+func durationDays(text string) int {
+	var count int
+	var unit byte
+	if parsed, _ := fmt.Sscanf(text, "P%d%c", &count, &unit); parsed < 2 || count > maxEventDays {
+		return 1
+	}
+	switch unit {
+	case 'D':
+		return count
+	case 'W':
+		return 7 * count
+	}
+	return 1
+}
+
+// propertyDates returns the dates of all properties with a name, each of which
+// may be a list.
+func propertyDates(component *ics.VEvent, property ics.ComponentProperty) (dates []time.Time, ok bool) {
+	for _, list := range component.GetProperties(property) {
+		for text := range strings.SplitSeq(list.Value, ",") {
+			date, _, ok := parseICalDate(text)
+			if !ok {
+				return nil, false
+			}
+			dates = append(dates, date)
+		}
+	}
+	return dates, true
 }
 
-// icalDate reads a DATE or the date of a DATE-TIME.
-func icalDate(s string) (d time.Time, timed, ok bool) {
-	date, _, timed := strings.Cut(s, "T")
-	d, err := time.Parse("20060102", date)
-	return d, timed, err == nil
+// parseICalDate parses a DATE, or the date of a DATE-TIME, in which case timed is
+// true.
+func parseICalDate(text string) (date time.Time, timed, ok bool) {
+	text, _, timed = strings.Cut(text, "T")
+	date, err := time.Parse(icalDateFormat, text)
+	return date, timed, err == nil
 }
--- a/internal/calendar/zone.go
+++ b/internal/calendar/zone.go
@@ -5,8 +5,8 @@
 	_ "time/tzdata" // controllers run on machines without zone files
 )
 
-// Day is the length of a civil day. Dates are midnights in UTC, so a day is
-// always this long; what a zone's clocks do is the business of Instant.
+// Day is the length of a civil date. Dates are midnights in UTC, so it is always
+// 24 hours; Instant and FirstAfter account for the changes of a zone's clocks.
 const Day = 24 * time.Hour
 
 // Date returns a civil date.
@@ -14,56 +14,64 @@
 	return time.Date(year, month, day, 0, 0, 0, 0, time.UTC)
 }
 
-// DateOf returns the civil date that t shows in its own location.
+// DateOf returns the civil date of t in its own location.
 func DateOf(t time.Time) time.Time { return Date(t.Date()) }
 
-// Wall returns what clocks in the zone show at an instant, as a time in UTC.
-func Wall(t time.Time, zone *time.Location) time.Time {
-	_, offset := t.In(zone).Zone()
-	return t.UTC().Add(time.Duration(offset) * time.Second)
+// Wall returns the wall-clock time in the zone at an instant.
+func Wall(instant time.Time, zone *time.Location) time.Time {
+	return instant.UTC().Add(offsetAt(instant, zone))
 }
 
-// passings returns the first and the last instant at which clocks in the zone
-// show the wall time; they differ in the hour that autumn repeats. In the gap of
-// spring there is none: ok is false, and first is the first instant after it.
+// offsetAt returns the zone's offset from UTC at an instant.
+func offsetAt(instant time.Time, zone *time.Location) time.Duration {
+	_, seconds := instant.In(zone).Zone()
+	return time.Duration(seconds) * time.Second
+}
+
+// instantsOf returns the first and the last instant at which clocks in the zone
+// show the wall-clock time. They differ only in an hour that is repeated because
+// clocks are set back. A time that is skipped because clocks are set forward has
+// no instant: exists is false, and both results are the first instant after the
+// gap.
 //
-// time.Date does not say which of two instants it returns, and what it makes of
-// a gap is an hour that nobody asked for. So both offsets around are tried.
-func passings(wall time.Time, zone *time.Location) (first, last time.Time, ok bool) {
-	_, before := wall.Add(-Day).In(zone).Zone()
-	_, after := wall.Add(Day).In(zone).Zone()
-	early := wall.Add(-time.Duration(max(before, after)) * time.Second)
-	late := wall.Add(-time.Duration(min(before, after)) * time.Second)
-	onEarly, onLate := Wall(early, zone).Equal(wall), Wall(late, zone).Equal(wall)
+// time.Date does not specify which of two instants it returns, nor what it makes
+// of a skipped time. Therefore the offsets before and after the change are tried.
+func instantsOf(wall time.Time, zone *time.Location) (first, last time.Time, exists bool) {
+	before := offsetAt(wall.Add(-Day), zone)
+	after := offsetAt(wall.Add(Day), zone)
+	early := wall.Add(-max(before, after))
+	late := wall.Add(-min(before, after))
+	earlyMatches := Wall(early, zone).Equal(wall)
+	lateMatches := Wall(late, zone).Equal(wall)
 	switch {
-	case onEarly && onLate:
+	case earlyMatches && lateMatches:
 		return early, late, true
-	case onEarly:
+	case earlyMatches:
 		return early, early, true
-	case onLate:
+	case lateMatches:
 		return late, late, true
 	}
-	start, _ := late.In(zone).ZoneBounds()
-	return start.UTC(), start.UTC(), false
+	gapEnd, _ := late.In(zone).ZoneBounds()
+	return gapEnd.UTC(), gapEnd.UTC(), false
 }
 
-// Instant returns when clocks in the zone first show the wall time (a time in
-// UTC). In the gap of spring, when they never do, it is the first instant after
-// the gap, and exists is false.
-func Instant(wall time.Time, zone *time.Location) (at time.Time, exists bool) {
-	at, _, exists = passings(wall, zone)
-	return at, exists
+// Instant returns the first instant at which clocks in the zone show a wall-clock
+// time. If clocks skip that time, exists is false, and the result is the first
+// instant after the gap.
+func Instant(wall time.Time, zone *time.Location) (instant time.Time, exists bool) {
+	instant, _, exists = instantsOf(wall, zone)
+	return instant, exists
 }
 
-// FirstAfter returns the first instant after t at which clocks in the zone show
-// the time of day. Where that falls into a gap it is the first instant after it.
-func FirstAfter(t time.Time, clock time.Duration, zone *time.Location) time.Time {
+// FirstAfter returns the first instant after t at which clocks in the zone show a
+// time of day. If clocks skip that time, it is the first instant after the gap.
+func FirstAfter(t time.Time, timeOfDay time.Duration, zone *time.Location) time.Time {
 	for date := DateOf(Wall(t, zone)).Add(-Day); ; date = date.Add(Day) {
-		first, last, _ := passings(date.Add(clock), zone)
+		first, last, _ := instantsOf(date.Add(timeOfDay), zone)
 		if first.After(t) {
 			return first
 		}
-		if last.After(t) { // the second passing of a repeated hour
+		if last.After(t) { // the time is repeated, and only its first pass is over
 			return last
 		}
 	}
