--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads the settings file that the platform hands to a node.
+// Package config reads the settings file that the platform provides to a node.
 package config
 
 import (
@@ -12,14 +12,15 @@
 	"yewpass/internal/tomltext"
 )
 
-// Seed is another controller.
+// Seed is the address of another controller.
 type Seed struct {
 	HostName string `toml:"host_name"`
 	Site     string `toml:"site"`
 	Endpoint string `toml:"endpoint"`
 }
 
-// Team has a guarantee and a limit; 0 means none.
+// Team holds the guaranteed and the maximum resources of a team; 0 means no
+// guarantee or no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -28,7 +29,8 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is an aim on starting or finishing the jobs of a class.
+// Objective is a service-level objective for starting or finishing the jobs of a
+// class.
 type Objective struct {
 	Kind   string  `toml:"kind"`
 	Class  string  `toml:"class"`
@@ -37,20 +39,21 @@
 	Times  float64 `toml:"times"`
 }
 
-// Seconds is a decimal number of seconds in the file.
+// Seconds is a duration in the file: a decimal number of seconds.
 type Seconds float64
 
 // Duration returns s as a duration.
 func (s Seconds) Duration() time.Duration { return timeline.Seconds(float64(s)) }
 
-// Workers holds the times of the worker protocol.
+// Workers holds the timing of the worker protocol.
 type Workers struct {
 	Report Seconds `toml:"report_s"`
 	Lease  Seconds `toml:"lease_s"`
 	Cancel Seconds `toml:"cancel_s"`
 }
 
-// State holds the limits of the state service.
+// State holds the limits of the state service: requests and writes per second, the
+// size of a value, and the operations of a transaction.
 type State struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -58,20 +61,21 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Cloud holds the limits of the cloud API.
+// Cloud holds the limits of the cloud API: requests per second, and how far its
+// list of machines may lag behind.
 type Cloud struct {
 	RPS     float64 `toml:"rps"`
 	ListLag Seconds `toml:"list_lag_s"`
 }
 
-// Limits are those of the machine that the node runs on.
+// Limits holds the limits of the machine that the node runs on.
 type Limits struct {
 	CPUShare       float64 `toml:"cpu_share"`
 	MemMB          float64 `toml:"mem_mb"`
 	MaxConnections int     `toml:"max_connections"`
 }
 
-// Config is the whole file. Fields it does not know are ignored.
+// Config is the settings file. Unknown fields in the file are ignored.
 type Config struct {
 	HostName     string `toml:"host_name"`
 	Site         string `toml:"site"`
@@ -102,95 +106,147 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := Parse(data)
+	config, err := Parse(data)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return c, nil
+	return config, nil
 }
 
-// Parse reads and checks settings.
+// Parse decodes and checks settings. The error is one line that names the field
+// and the reason.
 func Parse(data []byte) (*Config, error) {
-	var c Config
-	if err := tomltext.Decode(data, &c, false); err != nil {
+	var config Config
+	if err := tomltext.Decode(data, &config, false); err != nil {
 		return nil, err
 	}
-	return &c, c.check()
+	return &config, config.check()
 }
 
-// most bounds the numbers of the file. No deployment comes near it, and sums and
-// products of numbers below it fit.
-const most = 1e8
+// maxNumber is the largest number allowed in the file. No deployment comes near
+// it, and sums and products of numbers up to it do not overflow.
+const maxNumber = 1e8
 
+// isAmount reports whether value lies in [0, maxNumber]. NaN and infinity, which
+// TOML allows, do not: as a limit they would have no effect.
+func isAmount(value float64) bool { return value >= 0 && value <= maxNumber }
+
+// number is a numeric field of the file.
+type number struct {
+	field string
+	value float64
+}
+
+// check returns an error for the first invalid field.
 func (c *Config) check() error {
 	if c.HostName == "" {
 		return errors.New("host_name: missing")
 	}
-	addrs := []struct{ field, addr string }{
-		{"client_listen", c.ClientListen}, {"peer_bind", c.PeerBind},
-		{"external.cloud", c.External.Cloud}, {"external.state", c.External.State},
+	for _, check := range []func() error{
+		c.checkSeedNames,
+		c.checkAddresses,
+		c.checkTeams,
+		c.checkLimits,
+		c.checkObjectives,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
 	}
+	return nil
+}
+
+func (c *Config) checkSeedNames() error {
 	names := map[string]bool{c.HostName: true}
-	for i, s := range c.Seeds {
-		if s.HostName == "" {
+	for i, seed := range c.Seeds {
+		if seed.HostName == "" {
 			return fmt.Errorf("seeds[%d].host_name: missing", i)
 		}
-		if names[s.HostName] {
-			return fmt.Errorf("seeds[%d].host_name: %q is named twice", i, s.HostName)
+		if names[seed.HostName] {
+			return fmt.Errorf("seeds[%d].host_name: %q is named twice", i, seed.HostName)
 		}
-		names[s.HostName] = true
-		addrs = append(addrs, struct{ field, addr string }{fmt.Sprintf("seeds[%d].endpoint", i), s.Endpoint})
+		names[seed.HostName] = true
+	}
+	return nil
+}
+
+func (c *Config) checkAddresses() error {
+	type field struct{ name, address string }
+	fields := []field{
+		{"client_listen", c.ClientListen},
+		{"peer_bind", c.PeerBind},
+		{"external.cloud", c.External.Cloud},
+		{"external.state", c.External.State},
 	}
-	for _, a := range addrs {
-		if a.addr == "" {
-			return fmt.Errorf("%s: missing", a.field)
+	for i, seed := range c.Seeds {
+		fields = append(fields, field{fmt.Sprintf("seeds[%d].endpoint", i), seed.Endpoint})
+	}
+	for _, field := range fields {
+		if field.address == "" {
+			return fmt.Errorf("%s: missing", field.name)
 		}
-		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return fmt.Errorf("%s: %q is not host:port", a.field, a.addr)
+		if _, _, err := net.SplitHostPort(field.address); err != nil {
+			return fmt.Errorf("%s: %q is not host:port", field.name, field.address)
 		}
 	}
-	s := &c.Settings
-	// TOML has nan and inf. A limit that is no number would be none: quotas off.
-	amount := func(v float64) bool { return v >= 0 && v <= most }
-	teams := map[string]bool{}
-	for i, t := range s.Teams {
-		switch {
-		case t.Name == "":
+	return nil
+}
+
+func (c *Config) checkTeams() error {
+	names := map[string]bool{}
+	for i, team := range c.Settings.Teams {
+		if team.Name == "" {
 			return fmt.Errorf("settings.teams[%d].name: missing", i)
-		case teams[t.Name]:
-			return fmt.Errorf("settings.teams[%d].name: %q is named twice", i, t.Name)
 		}
-		teams[t.Name] = true
-		for _, p := range []struct {
-			field string
-			v     float64
-		}{{"cpus", t.CPUs}, {"cpus_max", t.CPUsMax}, {"gpus", t.GPUs}, {"gpus_max", t.GPUsMax}} {
-			if !amount(p.v) {
-				return fmt.Errorf("settings.teams[%d].%s: must be 0 to %g", i, p.field, most)
+		if names[team.Name] {
+			return fmt.Errorf("settings.teams[%d].name: %q is named twice", i, team.Name)
+		}
+		names[team.Name] = true
+		for _, amount := range []number{
+			{"cpus", team.CPUs},
+			{"cpus_max", team.CPUsMax},
+			{"gpus", team.GPUs},
+			{"gpus_max", team.GPUsMax},
+		} {
+			if !isAmount(amount.value) {
+				return fmt.Errorf("settings.teams[%d].%s: must be 0 to %g", i, amount.field, maxNumber)
 			}
 		}
 	}
-	for _, p := range []struct {
-		field string
-		v     float64
-	}{
-		{"workers.report_s", float64(s.Workers.Report)}, {"workers.lease_s", float64(s.Workers.Lease)},
-		{"workers.cancel_s", float64(s.Workers.Cancel)}, {"state.rps", s.State.RPS},
-		{"state.write_rps", s.State.WriteRPS}, {"state.value_kb", s.State.ValueKB},
-		{"state.txn_ops", float64(s.State.TxnOps)}, {"cloud.rps", s.Cloud.RPS},
-		{"machine_limits.cpu_share", s.Limits.CPUShare}, {"machine_limits.mem_mb", s.Limits.MemMB},
-		{"machine_limits.max_connections", float64(s.Limits.MaxConnections)},
+	return nil
+}
+
+// checkLimits checks the times and limits of the worker protocol, the state
+// service, the cloud API and the machine. All but one must be above 0.
+func (c *Config) checkLimits() error {
+	settings := &c.Settings
+	for _, limit := range []number{
+		{"workers.report_s", float64(settings.Workers.Report)},
+		{"workers.lease_s", float64(settings.Workers.Lease)},
+		{"workers.cancel_s", float64(settings.Workers.Cancel)},
+		{"state.rps", settings.State.RPS},
+		{"state.write_rps", settings.State.WriteRPS},
+		{"state.value_kb", settings.State.ValueKB},
+		{"state.txn_ops", float64(settings.State.TxnOps)},
+		{"cloud.rps", settings.Cloud.RPS},
+		{"machine_limits.cpu_share", settings.Limits.CPUShare},
+		{"machine_limits.mem_mb", settings.Limits.MemMB},
+		{"machine_limits.max_connections", float64(settings.Limits.MaxConnections)},
 	} {
-		if !(p.v > 0 && amount(p.v)) {
-			return fmt.Errorf("settings.%s: must be more than 0, at most %g", p.field, most)
+		if !isAmount(limit.value) || limit.value == 0 {
+			return fmt.Errorf("settings.%s: must be more than 0, at most %g", limit.field, maxNumber)
 		}
 	}
-	if !amount(float64(s.Cloud.ListLag)) {
-		return fmt.Errorf("settings.cloud.list_lag_s: must be 0 to %g", most)
+	if !isAmount(float64(settings.Cloud.ListLag)) {
+		return fmt.Errorf("settings.cloud.list_lag_s: must be 0 to %g", maxNumber)
 	}
-	for i, o := range s.Objectives {
-		if !amount(float64(o.Within)) || !amount(o.Times) || !amount(o.Share) {
-			return fmt.Errorf("settings.objectives[%d]: a number is not from 0 to %g", i, most)
+	return nil
+}
+
+func (c *Config) checkObjectives() error {
+	for i, objective := range c.Settings.Objectives {
+		if !isAmount(float64(objective.Within)) || !isAmount(objective.Times) || !isAmount(objective.Share) {
+			return fmt.Errorf("settings.objectives[%d]: a number is not from 0 to %g", i, maxNumber)
 		}
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-const good = `
+// validSettings is a valid settings file.
+const validSettings = `
 host_name = "hostbox-0"
 site = "north"
 client_listen = "10.0.0.1:8080"
@@ -41,14 +42,19 @@
 `
 
 func TestParse(t *testing.T) {
-	c, err := Parse([]byte(good))
+	c, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Settings.Workers.Lease.Duration().Seconds() != 20 || c.Settings.Teams[0].CPUs != 5 || c.Seeds[0].HostName != "hostbox-1" {
 		t.Errorf("%+v", c)
 	}
-	for _, x := range []struct{ from, to, field string }{
+}
+
+// TestInvalidFieldIsNamed checks that the error is one line that names the invalid
+// field, or the line if the syntax is wrong.
+func TestInvalidFieldIsNamed(t *testing.T) {
+	for _, test := range []struct{ old, new, field string }{
 		{`host_name = "hostbox-0"`, ``, "host_name"},
 		{`client_listen = "10.0.0.1:8080"`, `client_listen = "10.0.0.1"`, "client_listen"},
 		{`"hostbox-1"`, `"hostbox-0"`, "seeds[0].host_name"},
@@ -69,9 +75,11 @@
 		{`nodes = 2`, "nodes = 2\nnodes = 3", "line"},
 		{`nodes = 2`, "nodes = \"\xff\"", "line"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, x.from, x.to, 1)))
-		if err == nil || !strings.Contains(err.Error(), x.field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want one line that names %s", x.to, err, x.field)
-		}
+		t.Run(test.new, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(validSettings, test.old, test.new, 1)))
+			if err == nil || !strings.Contains(err.Error(), test.field) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line that names %s", err, test.field)
+			}
+		})
 	}
 }
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -31,7 +31,7 @@
 		{`[settings.workers]`, "[[settings.objectives]]\nkind = \"wait\"\nshare = nan\n[settings.workers]", `settings.objectives[0]: a number is not from 0 to 1e+08`},
 	} {
 		t.Run(test.new, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(good, test.old, test.new, 1)))
+			_, err := Parse([]byte(strings.Replace(validSettings, test.old, test.new, 1)))
 			if err == nil || err.Error() != test.want {
 				t.Errorf("got  %v\nwant %s", err, test.want)
 			}
@@ -44,7 +44,7 @@
 	if _, err := Load(path); !os.IsNotExist(err) {
 		t.Errorf("an absent file: %v", err)
 	}
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validSettings), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if c, err := Load(path); err != nil || c.HostName != "hostbox-0" {
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -7,12 +7,12 @@
 	"yewpass/internal/timeline"
 )
 
-// FuzzParse: a settings file is refused in one line, or every number in it is one
-// that a deployment can have.
+// FuzzParse checks that arbitrary input is rejected with an error of one line, or
+// yields numbers that the scheduler can use.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	for _, x := range [][2]string{{"20.0", "nan"}, {"5.0", "inf"}, {"48", "9223372036854775807"}, {"800", "-1"}, {"[settings]", "[[settings]]"}, {"nodes = 2", "nodes = 1e400"}} {
-		f.Add([]byte(strings.Replace(good, x[0], x[1], 1)))
+		f.Add([]byte(strings.Replace(validSettings, x[0], x[1], 1)))
 	}
 	f.Add([]byte(strings.Repeat("a = [", 5000)))
 	f.Add([]byte("\xff\xfe"))
@@ -25,12 +25,17 @@
 			return
 		}
 		s := c.Settings
-		if l := s.Workers.Lease.Duration(); l <= 0 && s.Workers.Lease > 1e-9 || l > timeline.Forever || !(s.State.RPS > 0 && s.State.RPS <= most) || s.State.TxnOps < 1 || s.Limits.MaxConnections < 1 {
+		lease := s.Workers.Lease.Duration()
+		if lease <= 0 && s.Workers.Lease > 1e-9 || lease > timeline.Forever {
+			t.Fatalf("lease %s: %+v", lease, s)
+		}
+		if !(s.State.RPS > 0 && s.State.RPS <= maxNumber) || s.State.TxnOps < 1 || s.Limits.MaxConnections < 1 {
 			t.Fatalf("%+v", s)
 		}
-		for _, x := range s.Teams {
-			if lim := timeline.Capacity(x.CPUsMax, x.GPUsMax, 0); lim.CPU < 0 || x.CPUsMax >= 0.001 && lim.CPU == 0 || !(x.GPUsMax >= 0) {
-				t.Fatalf("%+v", x)
+		for _, team := range s.Teams {
+			limit := timeline.Capacity(team.CPUsMax, team.GPUsMax, 0)
+			if limit.CPU < 0 || team.CPUsMax >= 0.001 && limit.CPU == 0 || !(team.GPUsMax >= 0) {
+				t.Fatalf("%+v", team)
 			}
 		}
 	})
