--- /dev/null
+++ b/internal/liveconfig/errors_test.go
@@ -0,0 +1,85 @@
+package liveconfig
+
+import (
+	"math"
+	"strconv"
+	"testing"
+)
+
+// TestCheckErrors pins the texts that operators see for an invalid change.
+func TestCheckErrors(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		change Change
+		want   string
+	}{
+		{"empty", Change{}, "teams: the change names none"},
+		{"too many", Change{Teams: teams(Team{Name: "a"}, Team{Name: "b"}, Team{Name: "c"})}, "teams: 3 in one change, at most 2 go into a transaction"},
+		{"name", Change{Teams: teams(Team{Name: "a b"})}, `teams[0].name: "a b" is not a name of letters, digits, dots, underscores and hyphens, at most 100 bytes`},
+		{"twice", Change{Teams: teams(Team{Name: "a"}, Team{Name: "a"})}, `teams[1].name: "a" is named twice`},
+		{"negative", Change{Teams: teams(Team{Name: "a", CPUs: -1})}, "teams[0].cpus: must be 0 to 1e+08"},
+		{"not a number", Change{Teams: teams(Team{Name: "a", GPUsMax: math.NaN()})}, "teams[0].gpusMax: must be 0 to 1e+08"},
+		{"guarantee above limit", Change{Teams: teams(Team{Name: "a", GPUs: 3, GPUsMax: 2})}, "teams[0].gpus: 3 is more than gpusMax, 2"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if err := test.change.Check(2); err == nil || err.Error() != test.want {
+				t.Errorf("got  %v\nwant %s", err, test.want)
+			}
+		})
+	}
+}
+
+// TestApplyErrors pins the texts that operators see for a change that does not fit
+// the present state.
+func TestApplyErrors(t *testing.T) {
+	ghost := Team{Name: "ghost", Retired: true}
+	full := base()
+	for i := range MaxTeams {
+		full.LoadTeam(TeamRecord{Team: Team{Name: "t" + strconv.Itoa(i)}, Revision: 1})
+	}
+	for _, test := range []struct {
+		name   string
+		state  *State
+		change Change
+		want   string
+		stale  bool
+	}{
+		{"revision", base(), Change{Teams: teams(Team{Name: "a"}), IfRevision: revision(4)}, "ifRevision: the configuration is at revision 0, not 4", true},
+		{"team's revision", base(), Change{Teams: []TeamChange{{Team: Team{Name: "a"}, IfRevision: revision(4)}}}, "team a.ifRevision: the team was changed last at revision 0, not 4", true},
+		{"unknown team", base(), Change{Teams: teams(ghost)}, "team ghost.retired: there is no such team", false},
+		{"too many", full, Change{Teams: teams(Team{Name: "a"})}, "teams: more than 2000 teams would have been changed", false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			before := test.state.Revision
+			_, err := test.state.Apply(&test.change)
+			if err == nil || err.Error() != test.want || err.(*Error).Stale != test.stale {
+				t.Errorf("got  %v\nwant %s", err, test.want)
+			}
+			if test.state.Revision != before {
+				t.Error("a rejected change has changed the revision")
+			}
+		})
+	}
+	if _, err := full.Apply(&Change{Teams: teams(Team{Name: "t0", CPUs: 1})}); err != nil {
+		t.Errorf("a team that has been changed before needs no further record: %v", err)
+	}
+}
+
+func TestValidName(t *testing.T) {
+	for name, want := range map[string]bool{"a": true, "A.b_c-1": true, "": false, "-a": false, "a b": false, "a/b": false, "ü": false} {
+		if got := ValidName(name); got != want {
+			t.Errorf("ValidName(%q) = %v, want %v", name, got, want)
+		}
+	}
+}
+
+func TestErrorPath(t *testing.T) {
+	for want, err := range map[string]Error{
+		"teams":        {Field: "teams"},
+		"teams[0].gpu": {Object: "teams[0]", Field: "gpu"},
+	} {
+		if got := err.Path(); got != want {
+			t.Errorf("got %s, want %s", got, want)
+		}
+	}
+}
