--- a/internal/liveconfig/batch.go
+++ b/internal/liveconfig/batch.go
@@ -5,64 +5,68 @@
 	"slices"
 )
 
-// Batch is what several changes that wait come to, written in one transaction.
+// Batch is the result of several changes that are written in one transaction.
 type Batch struct {
-	After *State // the state once the batch is on record
-	Taken int    // so many of the changes are decided: made, refused, or no change at all
-	Each  []Made // what became of each of these
-	names map[string]bool
+	After   *State // the state once the batch has been written
+	Taken   int    // how many changes, from the first on, have been decided
+	Each    []Made // the result of each of these
+	changed map[string]bool
 }
 
-// Made is what became of a change.
+// Made is the result of a change in a batch.
 type Made struct {
-	Revision uint64 // at which it is so: that of the whole with the change, or of before where it was so already
-	Err      error
+	// Revision is the revision that contains the change. If the state had everything
+	// that it requests before, it is an earlier one.
+	Revision uint64
+	Err      error // an *Error if the change was rejected
 }
 
-// NewBatch decides on waiting changes in their order, as many as fit into so many writes:
-// one for each object that changes, however often, and one for the head.
-func NewBatch(s *State, waiting []*Change, writes int) *Batch {
-	b := &Batch{After: s.Clone(), names: map[string]bool{}}
-	for _, c := range waiting {
-		if b.Taken > 0 && b.writesWith(c) > writes {
+// NewBatch applies waiting changes in their order, as many as fit into the given
+// number of writes: one for the head record, and one for each team that changes,
+// even if several changes change it. The first change is applied in any case.
+func NewBatch(state *State, waiting []*Change, writes int) *Batch {
+	batch := &Batch{After: state.Clone(), changed: map[string]bool{}}
+	for _, change := range waiting {
+		if batch.Taken > 0 && batch.writesWith(change) > writes {
 			break
 		}
-		b.take(c)
+		batch.take(change)
 	}
-	return b
+	return batch
 }
 
-// writesWith is how many writes the batch has with one more change.
-func (b *Batch) writesWith(c *Change) int {
-	n := len(b.names) + 1
-	for _, t := range c.Teams {
-		if !b.names[t.Name] {
-			n++
+// writesWith returns how many writes the batch would need with one more change.
+func (b *Batch) writesWith(change *Change) int {
+	writes := len(b.changed) + 1 // the head record
+	for _, team := range change.Teams {
+		if !b.changed[team.Name] {
+			writes++
 		}
 	}
-	return n
+	return writes
 }
 
-func (b *Batch) take(c *Change) {
+func (b *Batch) take(change *Change) {
 	b.Taken++
-	if b.After.Says(c) { // asked again, perhaps because the answer was lost
-		b.Each = append(b.Each, Made{Revision: b.After.since(c)})
+	if b.After.Says(change) { // a repeated request, perhaps because the reply was lost
+		b.Each = append(b.Each, Made{Revision: b.After.lastRevision(change)})
 		return
 	}
-	names, err := b.After.Apply(c)
+	names, err := b.After.Apply(change)
 	for _, name := range names {
-		b.names[name] = true
+		b.changed[name] = true
 	}
-	b.Each = append(b.Each, Made{b.After.Revision, err})
+	b.Each = append(b.Each, Made{Revision: b.After.Revision, Err: err})
 }
 
-// Records returns the team records to be written; none if the batch changes nothing.
+// Records returns the team records to write, sorted by name; none if the batch
+// changes nothing.
 func (b *Batch) Records() (records []TeamRecord) {
-	for _, name := range slices.Sorted(maps.Keys(b.names)) {
+	for _, name := range b.Names() {
 		records = append(records, b.After.changed[name])
 	}
 	return records
 }
 
-// Names returns the teams that change.
-func (b *Batch) Names() []string { return slices.Sorted(maps.Keys(b.names)) }
+// Names returns the names of the teams that the batch changes, sorted.
+func (b *Batch) Names() []string { return slices.Sorted(maps.Keys(b.changed)) }
--- a/internal/liveconfig/liveconfig_test.go
+++ b/internal/liveconfig/liveconfig_test.go
@@ -6,10 +6,12 @@
 	"testing"
 )
 
+// base returns a state with the teams a and b.
 func base() *State {
 	return New([]Team{{Name: "a", CPUs: 10, CPUsMax: 20}, {Name: "b"}})
 }
 
+// teams returns unconditional changes of teams.
 func teams(ts ...Team) (changes []TeamChange) {
 	for _, t := range ts {
 		changes = append(changes, TeamChange{Team: t})
@@ -29,38 +31,41 @@
 		"teams[0].gpus":    {Teams: teams(Team{Name: "a", GPUs: -1})},
 		"teams[0].gpusMax": {Teams: teams(Team{Name: "a", GPUsMax: math.Inf(1)})},
 	} {
-		var e *Error
-		if err := c.Check(3); !errors.As(err, &e) || e.Path() != path {
-			t.Errorf("%s: %v", path, err)
-		}
+		t.Run(path, func(t *testing.T) {
+			var invalid *Error
+			if err := c.Check(3); !errors.As(err, &invalid) || invalid.Path() != path {
+				t.Error(err)
+			}
+		})
 	}
 	many := Change{Teams: teams(Team{Name: "a"}, Team{Name: "b"}, Team{Name: "c"})}
 	if err := many.Check(3); err != nil {
 		t.Error(err)
 	}
 	if err := many.Check(2); err == nil {
-		t.Error("more teams than go into a transaction pass")
+		t.Error("more teams than fit into a transaction are accepted")
 	}
 }
 
-// TestApply: a refused change leaves no trace; what is made has the next revision.
+// TestApply checks that a rejected change has no effect, and that an applied one
+// has the next revision.
 func TestApply(t *testing.T) {
 	s := base()
 	if team, at, ok := s.Team("a"); !ok || at != 0 || team.CPUsMax != 20 {
 		t.Errorf("the base: %v %d %v", team, at, ok)
 	}
 	if _, err := s.Apply(&Change{Teams: teams(Team{Name: "a", CPUsMax: 5}, Team{Name: "ghost", Retired: true})}); err == nil || s.Revision != 0 {
-		t.Errorf("a team that never was is retired: %v, revision %d", err, s.Revision)
+		t.Errorf("an unknown team is retired: %v, revision %d", err, s.Revision)
 	}
 	if team, _, _ := s.Team("a"); team.CPUsMax != 20 {
-		t.Error("a refused change has changed something")
+		t.Error("a rejected change has an effect")
 	}
 	if _, err := s.Apply(&Change{Teams: teams(Team{Name: "a", CPUsMax: 5}, Team{Name: "c", CPUs: 1}), IfRevision: revision(0)}); err != nil {
 		t.Fatal(err)
 	}
 	var e *Error
 	if _, err := s.Apply(&Change{Teams: teams(Team{Name: "a", CPUsMax: 6}), IfRevision: revision(0)}); !errors.As(err, &e) || !e.Stale {
-		t.Errorf("a change that was made at an older revision: %v", err)
+		t.Errorf("a change based on an older revision: %v", err)
 	}
 	if team, at, _ := s.Team("a"); team.CPUsMax != 5 || at != 1 || s.Revision != 1 {
 		t.Errorf("%v at %d, whole %d", team, at, s.Revision)
@@ -70,8 +75,8 @@
 	}
 }
 
-// TestLoadOrder: whichever way records are read, the newer one of an object stands, and a
-// head that is missing does not set the revision back.
+// TestLoadOrder checks that the newest record of a team wins in whatever order
+// records are read, and that an old head record does not lower the revision.
 func TestLoadOrder(t *testing.T) {
 	s := base()
 	s.LoadTeam(TeamRecord{Team{Name: "a", CPUsMax: 7}, 9})
@@ -82,8 +87,9 @@
 	}
 }
 
-// TestBatch: waiting changes share a transaction in their order; one whose object is in it
-// already takes no more room; what is refused does not hold up what follows.
+// TestBatch checks that waiting changes share a transaction in their order, that a
+// team that changes twice is written once, and that a rejected change does not
+// block those after it.
 func TestBatch(t *testing.T) {
 	set := func(name string, most float64) *Change { return &Change{Teams: teams(Team{Name: name, CPUsMax: most})} }
 	stale := set("b", 3)
@@ -105,16 +111,16 @@
 	}
 	again := NewBatch(b.After, []*Change{set("a", 2)}, 4)
 	if len(again.Records()) != 0 || again.Each[0].Revision != 2 || again.Each[0].Err != nil {
-		t.Errorf("what is so already: %+v", again.Each)
+		t.Errorf("a repeated change: %+v", again.Each)
 	}
 	wide := &Change{Teams: teams(Team{Name: "e"}, Team{Name: "f"}, Team{Name: "g"})}
 	if b := NewBatch(s, []*Change{wide, set("a", 9)}, 2); b.Taken != 1 {
-		t.Errorf("the first of the changes must go however wide it is: %d taken", b.Taken)
+		t.Errorf("the first change must be applied whatever its size: %d taken", b.Taken)
 	}
 }
 
-// TestLateRequest: a request that is carried out once more, after a newer one, changes
-// nothing if it says at which revision its team was; asked again at once, it is answered.
+// TestLateRequest checks that a request with the revision of its team changes
+// nothing if it is repeated after a newer one, and succeeds if repeated before.
 func TestLateRequest(t *testing.T) {
 	s := base()
 	first := &Change{Teams: []TeamChange{{Team: Team{Name: "a", CPUsMax: 5}, IfRevision: revision(0)}}}
@@ -125,7 +131,7 @@
 	}
 	var e *Error
 	if !errors.As(b.Each[3].Err, &e) || !e.Stale {
-		t.Errorf("an older request goes above a newer one: %+v", b.Each[3])
+		t.Errorf("an older request replaces a newer one: %+v", b.Each[3])
 	}
 	if team, _, _ := b.After.Team("a"); team.CPUsMax != 9 {
 		t.Errorf("%+v", team)
