--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy holds the operators' own settings: typed, checked expressions
-// with embedded defaults.
+// Package policy evaluates the operators' policy: expressions that replace the
+// embedded defaults, checked when they are loaded.
 package policy
 
 import (
@@ -18,142 +18,208 @@
 //go:embed default.toml
 var defaults []byte
 
-// Env is what an expression may name.
+// Env holds the variables of expressions. Times are in seconds.
 type Env struct {
 	Class    string  `expr:"class"`
 	Owner    string  `expr:"owner"`
 	Urgency  string  `expr:"urgency"`
 	Dated    bool    `expr:"dated"`
-	LateS    float64 `expr:"late_s"`    // the best timeline's completion minus the deadline
-	BacklogS float64 `expr:"backlog_s"` // waiting work over the CPUs at hand
-	ReportS  float64 `expr:"report_s"`
-	LeaseS   float64 `expr:"lease_s"`
+	LateS    float64 `expr:"late_s"`    // estimated completion minus the deadline
+	BacklogS float64 `expr:"backlog_s"` // waiting work divided by the present CPUs
+	ReportS  float64 `expr:"report_s"`  // the interval of worker reports
+	LeaseS   float64 `expr:"lease_s"`   // the duration of worker leases
 }
 
-// Policy is a checked set of expressions. It is not for concurrent use.
+// setting identifies an expression. The order is that of the names, in which
+// errors are looked for.
+type setting int
+
+const (
+	beginWithin setting = iota
+	holdBusy
+	holdIdle
+	idleReturn
+	margin
+	ordinaryBacklog
+	refuse
+	rentBacklog
+	reportBytes
+	silentRelease
+	takeoverRelease
+	warm
+	zoneKeep
+	settingCount
+)
+
+// settingNames are the names of the settings in the operators' file.
+var settingNames = [settingCount]string{
+	beginWithin:     "begin_within_s",
+	holdBusy:        "hold_busy_s",
+	holdIdle:        "hold_idle_s",
+	idleReturn:      "idle_return_s",
+	margin:          "margin",
+	ordinaryBacklog: "ordinary_backlog_s",
+	refuse:          "refuse",
+	rentBacklog:     "rent_backlog_s",
+	reportBytes:     "report_bytes_s",
+	silentRelease:   "silent_release_s",
+	takeoverRelease: "takeover_release_s",
+	warm:            "warm",
+	zoneKeep:        "zone_keep_s",
+}
+
+// String returns the name of the setting in the operators' file.
+func (s setting) String() string { return settingNames[s] }
+
+// resultType returns the compiler option that enforces the type of the setting's
+// value.
+func (s setting) resultType() expr.Option {
+	if s == refuse {
+		return expr.AsBool()
+	}
+	return expr.AsFloat64()
+}
+
+// Policy is a checked set of expressions. It is not safe for concurrent use.
 type Policy struct {
-	never                                                                                        bool // refuse is plainly false
-	refuse                                                                                       *vm.Program
-	margin, warm, rent, ordinary, idle, silent, takeover, keep, begin, holdIdle, holdBusy, bytes *vm.Program
+	neverRefuses bool // the expression refuse is the literal false
+	programs     [settingCount]*vm.Program
 }
 
-// Parse returns the defaults, overridden by the settings in data.
+// Parse returns the policy with the expressions in data, which is TOML, in place of
+// defaults.
 func Parse(data []byte) (*Policy, error) {
-	over := map[string]string{}
-	if err := toml.Unmarshal(data, &over); err != nil {
+	overrides := map[string]string{}
+	if err := toml.Unmarshal(data, &overrides); err != nil {
 		return nil, err
 	}
-	return New(over)
+	return New(overrides)
 }
 
-// New returns the defaults, overridden by the expressions in over. The error
-// begins with the name of the expression that is wrong.
-func New(over map[string]string) (*Policy, error) {
-	text := map[string]string{}
-	if err := toml.Unmarshal(defaults, &text); err != nil {
+// New returns the policy with the given expressions, by name, in place of defaults.
+// The error is one line that begins with the name of the invalid expression.
+func New(overrides map[string]string) (*Policy, error) {
+	expressions := map[string]string{}
+	if err := toml.Unmarshal(defaults, &expressions); err != nil {
 		return nil, err
 	}
-	for _, k := range slices.Sorted(maps.Keys(over)) {
-		if _, ok := text[k]; !ok {
-			return nil, fmt.Errorf("%s: no such setting", k)
+	for _, name := range slices.Sorted(maps.Keys(overrides)) {
+		if _, ok := expressions[name]; !ok {
+			return nil, fmt.Errorf("%s: no such setting", name)
 		}
-		text[k] = over[k]
+		expressions[name] = overrides[name]
 	}
-	p := &Policy{never: strings.TrimSpace(text["refuse"]) == "false"}
-	progs := map[string]**vm.Program{
-		"refuse": &p.refuse, "margin": &p.margin, "warm": &p.warm, "rent_backlog_s": &p.rent, "ordinary_backlog_s": &p.ordinary, "idle_return_s": &p.idle,
-		"silent_release_s": &p.silent, "takeover_release_s": &p.takeover, "zone_keep_s": &p.keep, "begin_within_s": &p.begin, "hold_idle_s": &p.holdIdle, "hold_busy_s": &p.holdBusy, "report_bytes_s": &p.bytes,
+	p := &Policy{neverRefuses: strings.TrimSpace(expressions[refuse.String()]) == "false"}
+	if err := p.compile(expressions); err != nil {
+		return nil, err
 	}
-	names := make([]string, 0, len(progs))
-	for name := range progs {
-		names = append(names, name)
+	if err := p.tryAll(); err != nil {
+		return nil, err
 	}
-	slices.Sort(names)
-	for _, name := range names {
-		kind := expr.AsFloat64()
-		if name == "refuse" {
-			kind = expr.AsBool()
-		}
-		prog, err := expr.Compile(text[name], expr.Env(Env{}), kind)
+	return p, nil
+}
+
+func (p *Policy) compile(expressions map[string]string) error {
+	for s := range settingCount {
+		program, err := expr.Compile(expressions[s.String()], expr.Env(Env{}), s.resultType())
 		if err != nil {
-			first, _, _ := strings.Cut(err.Error(), "\n")
-			return nil, fmt.Errorf("%s: %s", name, first)
+			return settingError(s, err)
 		}
-		*progs[name] = prog
+		p.programs[s] = program
 	}
-	// What passes the checker can still fail when run (an index out of range,
-	// say): try each once, so that a bad policy ends the start, not a decision.
-	for _, name := range names {
-		if _, err := expr.Run(*progs[name], Env{}); err != nil {
-			first, _, _ := strings.Cut(err.Error(), "\n")
-			return nil, fmt.Errorf("%s: %s", name, first)
+	return nil
+}
+
+// tryAll evaluates each expression once. One that compiles can still fail, for
+// instance because an index is out of range; an invalid policy must be rejected
+// when it is loaded and not fail a decision later.
+func (p *Policy) tryAll() error {
+	for s := range settingCount {
+		if _, err := expr.Run(p.programs[s], Env{}); err != nil {
+			return settingError(s, err)
 		}
 	}
-	return p, nil
+	return nil
+}
+
+// settingError returns an error with the first line of the library's, which goes on
+// to print the expression.
+func settingError(s setting, err error) error {
+	firstLine, _, _ := strings.Cut(err.Error(), "\n")
+	return fmt.Errorf("%s: %s", s, firstLine)
 }
 
-// most bounds what an expression gives: one divided by nothing is infinite.
-const most = 1e8
+// maxValue is the largest value of an expression. A division by zero, for instance,
+// would otherwise yield infinity.
+const maxValue = 1e8
 
-func number(prog *vm.Program, e Env) float64 {
-	v, err := expr.Run(prog, e)
+// number evaluates a numeric setting. The result lies in [0, maxValue]; it is 0 if
+// the evaluation fails or yields NaN.
+func (p *Policy) number(s setting, env Env) float64 {
+	result, err := expr.Run(p.programs[s], env)
 	if err != nil {
 		return 0
 	}
-	f, _ := v.(float64)
-	if math.IsNaN(f) { // 0/0, say
+	value, _ := result.(float64)
+	if math.IsNaN(value) {
 		return 0
 	}
-	return min(max(f, 0), most)
+	return min(max(value, 0), maxValue)
 }
 
-// NeverRefuses reports whether Refuse says no to everything, so that nobody need find
-// out what it is to judge by.
-func (p *Policy) NeverRefuses() bool { return p.never }
+// NeverRefuses reports whether Refuse is false for every Env, so that callers need
+// not compute one.
+func (p *Policy) NeverRefuses() bool { return p.neverRefuses }
 
-// Refuse says whether to refuse a submission for now.
-func (p *Policy) Refuse(e Env) bool {
-	v, err := expr.Run(p.refuse, e)
-	b, _ := v.(bool)
-	return err == nil && b
+// Refuse reports whether to refuse a submission for now. It is false if the
+// evaluation fails.
+func (p *Policy) Refuse(env Env) bool {
+	result, err := expr.Run(p.programs[refuse], env)
+	refused, _ := result.(bool)
+	return err == nil && refused
 }
 
-// Margin is the part added to an estimate.
-func (p *Policy) Margin(e Env) float64 { return number(p.margin, e) }
+// Margin returns the part that is added to an estimated runtime.
+func (p *Policy) Margin(env Env) float64 { return p.number(margin, env) }
 
-// RentBacklog is the backlog in seconds above which machines are rented.
-func (p *Policy) RentBacklog(e Env) float64 { return number(p.rent, e) }
+// Warm returns how much capacity is kept free for jobs that must start at once, as
+// a multiple of what such a job usually takes.
+func (p *Policy) Warm(env Env) float64 { return p.number(warm, env) }
 
-// Warm is how much room is kept free for jobs that must start at once, as a
-// multiple of what such a job usually takes.
-func (p *Policy) Warm(e Env) float64 { return number(p.warm, e) }
+// RentBacklog returns the backlog in seconds above which machines are rented.
+func (p *Policy) RentBacklog(env Env) float64 { return p.number(rentBacklog, env) }
 
-// OrdinaryBacklog is the backlog in seconds above which ordinary machines are
-// rented when cheap ones cannot be had.
-func (p *Policy) OrdinaryBacklog(e Env) float64 { return number(p.ordinary, e) }
+// OrdinaryBacklog returns the backlog in seconds above which ordinary (on-demand)
+// machines are rented if cheap (spot) ones are not available.
+func (p *Policy) OrdinaryBacklog(env Env) float64 { return p.number(ordinaryBacklog, env) }
 
-// IdleReturn is the idle time in seconds after which a machine is returned.
-func (p *Policy) IdleReturn(e Env) float64 { return number(p.idle, e) }
+// IdleReturn returns the idle time in seconds after which a machine is returned to
+// the cloud.
+func (p *Policy) IdleReturn(env Env) float64 { return p.number(idleReturn, env) }
 
-// SilentRelease is the silence in seconds after which a machine is released.
-func (p *Policy) SilentRelease(e Env) float64 { return number(p.silent, e) }
+// SilentRelease returns for how many seconds a machine with tasks may fail to
+// report before it is released.
+func (p *Policy) SilentRelease(env Env) float64 { return p.number(silentRelease, env) }
 
-// TakeoverRelease is SilentRelease for a machine that a new leader has not heard
-// of while most others have reported to it.
-func (p *Policy) TakeoverRelease(e Env) float64 { return number(p.takeover, e) }
+// TakeoverRelease returns the same, in seconds since the change of leader, for a
+// machine that has not reported to the new leader while most others have.
+func (p *Policy) TakeoverRelease(env Env) float64 { return p.number(takeoverRelease, env) }
 
-// ZoneKeep is for how many seconds all machines of a zone that is cut off are kept.
-func (p *Policy) ZoneKeep(e Env) float64 { return number(p.keep, e) }
+// ZoneKeep returns for how many seconds the machines of an unreachable zone are all
+// kept.
+func (p *Policy) ZoneKeep(env Env) float64 { return p.number(zoneKeep, env) }
 
-// BeginWithin is for how many seconds a job may wait until its first task is started
-// ahead of its turn.
-func (p *Policy) BeginWithin(e Env) float64 { return number(p.begin, e) }
+// BeginWithin returns for how many seconds a job may wait before its first task is
+// started ahead of its turn.
+func (p *Policy) BeginWithin(env Env) float64 { return p.number(beginWithin, env) }
 
-// HoldIdle and HoldBusy are how long a report's reply is held, in seconds.
-func (p *Policy) HoldIdle(e Env) float64 { return number(p.holdIdle, e) }
+// HoldIdle returns for how many seconds the reply to a report is held while the
+// machine has free capacity.
+func (p *Policy) HoldIdle(env Env) float64 { return p.number(holdIdle, env) }
 
-// ReportBytes is how many bytes a second control may take of a worker's network; 0: no bound.
-func (p *Policy) ReportBytes(e Env) float64 { return number(p.bytes, e) }
+// HoldBusy returns the same for a machine that runs tasks.
+func (p *Policy) HoldBusy(env Env) float64 { return p.number(holdBusy, env) }
 
-// HoldBusy is HoldIdle for a machine that runs tasks.
-func (p *Policy) HoldBusy(e Env) float64 { return number(p.holdBusy, e) }
+// ReportBytes returns how many bytes per second reports and replies may take of a
+// worker's network; 0 means no limit.
+func (p *Policy) ReportBytes(env Env) float64 { return p.number(reportBytes, env) }
