--- a/internal/operators/fuzz_test.go
+++ b/internal/operators/fuzz_test.go
@@ -9,8 +9,8 @@
 	"yewpass/internal/policy"
 )
 
-// FuzzParse: an operators' file is refused in one line, or its expressions give
-// numbers that can be used, whatever they divide by.
+// FuzzParse checks that arbitrary input is rejected with an error of one line, or
+// its expressions yield numbers that the scheduler can use.
 func FuzzParse(f *testing.F) {
 	if data, err := os.ReadFile("../../deploy/operators.toml"); err == nil {
 		f.Add(data)
@@ -25,7 +25,7 @@
 	f.Add([]byte("\xff"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if strings.Contains(string(data), "icalendar") && strings.Contains(string(data), "/") {
-			return // of this machine's files none is to be read
+			return // the test must not read arbitrary files
 		}
 		x, err := Parse(data, t.TempDir())
 		if err != nil {
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -1,5 +1,5 @@
-// Package operators reads the operators' file: one section a subsystem. A
-// section that is absent leaves its subsystem off, or at its defaults.
+// Package operators reads the operators' file, which has one section per subsystem.
+// A subsystem whose section is absent is off or has its defaults.
 package operators
 
 import (
@@ -26,13 +26,15 @@
 	Regions   *zones.Regions
 }
 
+// sections is the file as it is decoded. Users see the names of this type and of
+// calendarTOML in errors about a value of the wrong type.
 type sections struct {
 	Policy    map[string]any          `toml:"policy"`
 	Calendars map[string]calendarTOML `toml:"calendars"`
 	Regions   map[string][]string     `toml:"regions"`
 }
 
-// calendarTOML is one [calendars.NAME].
+// calendarTOML is a table [calendars.NAME].
 type calendarTOML struct {
 	Country   string           `toml:"country"`
 	Holidays  []toml.LocalDate `toml:"holidays"`
@@ -41,8 +43,8 @@
 	ICalendar []string         `toml:"icalendar"`
 }
 
-// Load reads and checks the file at path; an empty path stands for an empty
-// file. The error is one line that names the file, the field and the reason.
+// Load reads and checks the file at path; an empty path means an empty file. The
+// error is one line that names the file, the field and the reason.
 func Load(path string) (*File, error) {
 	if path == "" {
 		return Parse(nil, "")
@@ -51,89 +53,139 @@
 	if err != nil {
 		return nil, err
 	}
-	f, err := Parse(data, filepath.Dir(path))
+	file, err := Parse(data, filepath.Dir(path))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return f, nil
+	return file, nil
 }
 
-// Parse reads and checks the text of a file. Files that it names are looked for
-// from dir.
+// Parse decodes and checks the text of a file. Relative paths in it refer to the
+// directory dir.
 func Parse(data []byte, dir string) (*File, error) {
 	var s sections
 	if err := tomltext.Decode(data, &s, true); err != nil {
 		return nil, err
 	}
-	over := map[string]string{}
-	for _, k := range slices.Sorted(maps.Keys(s.Policy)) {
-		text, ok := s.Policy[k].(string)
-		if !ok {
-			return nil, fmt.Errorf("policy.%s: an expression stands in quotes", k)
-		}
-		over[k] = text
-	}
-	pol, err := policy.New(over)
+	checkedPolicy, err := newPolicy(s.Policy)
 	if err != nil {
 		return nil, fmt.Errorf("policy.%w", err)
 	}
-	cals := map[string]*calendar.Calendar{}
-	for _, name := range slices.Sorted(maps.Keys(s.Calendars)) {
-		x := s.Calendars[name]
-		def, err := x.definition(dir)
-		if err == nil {
-			cals[name], err = calendar.New(def)
+	calendars, err := newCalendars(s.Calendars, dir)
+	if err != nil {
+		return nil, fmt.Errorf("calendars.%w", err)
+	}
+	regions, err := zones.NewRegions(s.Regions)
+	if err != nil {
+		return nil, fmt.Errorf("regions.%w", err)
+	}
+	return &File{Policy: checkedPolicy, Calendars: calendars, Regions: regions}, nil
+}
+
+// newPolicy checks the section [policy]. Its values are expressions, so a number
+// without quotes is an error.
+func newPolicy(section map[string]any) (*policy.Policy, error) {
+	expressions := map[string]string{}
+	for _, name := range slices.Sorted(maps.Keys(section)) {
+		expression, ok := section[name].(string)
+		if !ok {
+			return nil, fmt.Errorf("%s: an expression stands in quotes", name)
 		}
+		expressions[name] = expression
+	}
+	return policy.New(expressions)
+}
+
+func newCalendars(section map[string]calendarTOML, dir string) (*calendar.Set, error) {
+	calendars := map[string]*calendar.Calendar{}
+	for _, name := range slices.Sorted(maps.Keys(section)) {
+		table := section[name]
+		checked, err := table.calendar(dir)
 		if err != nil {
-			return nil, fmt.Errorf("calendars.%s.%w", name, err)
+			return nil, fmt.Errorf("%s.%w", name, err)
 		}
+		calendars[name] = checked
 	}
-	regions, err := zones.NewRegions(s.Regions)
+	return calendar.NewSet(calendars), nil
+}
+
+func (c *calendarTOML) calendar(dir string) (*calendar.Calendar, error) {
+	weekend, err := c.weekend()
 	if err != nil {
-		return nil, fmt.Errorf("regions.%w", err)
+		return nil, err
 	}
-	return &File{pol, calendar.NewSet(cals), regions}, nil
+	events, err := c.events(dir)
+	if err != nil {
+		return nil, err
+	}
+	return calendar.New(calendar.Definition{
+		Country:  c.Country,
+		Holidays: dates(c.Holidays),
+		Worked:   dates(c.Worked),
+		Weekend:  weekend,
+		Events:   events,
+	})
+}
+
+// weekend returns nil, which means the default, if the field is absent. An empty
+// list means that there is no weekend.
+func (c *calendarTOML) weekend() ([]time.Weekday, error) {
+	if c.Weekend == nil {
+		return nil, nil
+	}
+	weekend := []time.Weekday{}
+	for _, name := range *c.Weekend {
+		weekday, ok := parseWeekday(name)
+		if !ok {
+			return nil, &calendar.FieldError{Field: "weekend", Reason: fmt.Sprintf("%q is no day of the week such as saturday", name)}
+		}
+		weekend = append(weekend, weekday)
+	}
+	return weekend, nil
 }
 
-func (x *calendarTOML) definition(dir string) (calendar.Definition, error) {
-	def := calendar.Definition{Country: x.Country, Holidays: dates(x.Holidays), Worked: dates(x.Worked)}
-	if x.Weekend != nil {
-		def.Weekend = []time.Weekday{}
-		for _, name := range *x.Weekend {
-			d := time.Sunday
-			for d <= time.Saturday && !strings.EqualFold(name, d.String()) {
-				d++
-			}
-			if d > time.Saturday {
-				return def, &calendar.FieldError{Field: "weekend", Reason: fmt.Sprintf("%q is no day of the week such as saturday", name)}
-			}
-			def.Weekend = append(def.Weekend, d)
+// parseWeekday returns the weekday with an English name, in any case.
+func parseWeekday(name string) (weekday time.Weekday, ok bool) {
+	for weekday = time.Sunday; weekday <= time.Saturday; weekday++ {
+		if strings.EqualFold(name, weekday.String()) {
+			return weekday, true
 		}
 	}
-	for _, path := range x.ICalendar {
+	return 0, false
+}
+
+// events returns the events of all iCalendar files.
+func (c *calendarTOML) events(dir string) ([]calendar.Event, error) {
+	var events []calendar.Event
+	for _, path := range c.ICalendar {
 		if !filepath.IsAbs(path) {
 			path = filepath.Join(dir, path)
 		}
-		data, err := os.ReadFile(path)
-		if err == nil {
-			var events []calendar.Event
-			events, err = calendar.ParseICalendar(data)
-			def.Events = append(def.Events, events...)
-			if err != nil {
-				err = fmt.Errorf("%s: %w", path, err)
-			}
-		}
+		fileEvents, err := readICalendar(path)
 		if err != nil {
-			return def, &calendar.FieldError{Field: "icalendar", Reason: err.Error()}
+			return nil, &calendar.FieldError{Field: "icalendar", Reason: err.Error()}
 		}
+		events = append(events, fileEvents...)
+	}
+	return events, nil
+}
+
+func readICalendar(path string) ([]calendar.Event, error) {
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err // names the path
+	}
+	events, err := calendar.ParseICalendar(data)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return def, nil
+	return events, nil
 }
 
-func dates(ds []toml.LocalDate) []time.Time {
-	var out []time.Time
-	for _, d := range ds {
-		out = append(out, d.AsTime(time.UTC))
+func dates(localDates []toml.LocalDate) []time.Time {
+	var dates []time.Time
+	for _, date := range localDates {
+		dates = append(dates, date.AsTime(time.UTC))
 	}
-	return out
+	return dates
 }
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -23,36 +23,54 @@
 	if f.Policy == nil {
 		t.Error("no policy")
 	}
-	for text, want := range map[string]string{
-		"[polcy]\n": "polcy", "[policy]\nmargn = \"1\"\n": "policy.margn", "[policy]\nmargin = 1.0\n": "policy.margin", "[policy]\nmargin = \"1 +\"\n": "policy.margin",
-		"[calendars.x]\ncountri = \"BG\"\n": "calendars.x.countri", "[calendars.x]\ncountry = \"XX\"\n": "calendars.x.country",
-		"[calendars.x]\nweekend = [\"caturday\"]\n": "calendars.x.weekend", "[calendars.x]\nicalendar = [\"none.ics\"]\n": "calendars.x.icalendar",
-		"[calendars.x]\nholidays = [\"Easter\"]\n": "holidays", "x = [": "line 1",
-		"[regions]\nr1 = []\n": "regions.r1", "[regions]\nr1 = [\"a\"]\nr2 = [\"a\"]\n": "regions.r2",
+}
+
+// TestInvalidFieldIsNamed checks that the error is one line that names the invalid
+// field, or the line if the syntax is wrong.
+func TestInvalidFieldIsNamed(t *testing.T) {
+	dir := t.TempDir()
+	for _, test := range []struct{ text, want string }{
+		{"[polcy]\n", "polcy"},
+		{"[policy]\nmargn = \"1\"\n", "policy.margn"},
+		{"[policy]\nmargin = 1.0\n", "policy.margin"},
+		{"[policy]\nmargin = \"1 +\"\n", "policy.margin"},
+		{"[calendars.x]\ncountri = \"BG\"\n", "calendars.x.countri"},
+		{"[calendars.x]\ncountry = \"XX\"\n", "calendars.x.country"},
+		{"[calendars.x]\nweekend = [\"caturday\"]\n", "calendars.x.weekend"},
+		{"[calendars.x]\nicalendar = [\"none.ics\"]\n", "calendars.x.icalendar"},
+		{"[calendars.x]\nholidays = [\"Easter\"]\n", "holidays"},
+		{"x = [", "line 1"},
+		{"[regions]\nr1 = []\n", "regions.r1"},
+		{"[regions]\nr1 = [\"a\"]\nr2 = [\"a\"]\n", "regions.r2"},
 	} {
-		_, err := Parse([]byte(text), dir)
-		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want one line that names %s", text, err, want)
-		}
+		t.Run(test.text, func(t *testing.T) {
+			_, err := Parse([]byte(test.text), dir)
+			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line that names %s", err, test.want)
+			}
+		})
 	}
 }
 
-// TestExample: the commented example says nothing, and says it right: with its
-// comment signs taken away it is a file that is taken.
+// TestExample checks that the example file has no effect as it is, and is valid
+// once its examples are uncommented.
 func TestExample(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "operators.toml")
 	f, err := Load(path)
 	if err != nil || len(f.Calendars.Names()) > 0 {
 		t.Fatal(f, err)
 	}
-	data, _ := os.ReadFile(path)
-	var on []string
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var examples []string
 	for line := range strings.Lines(string(data)) {
-		if s, ok := strings.CutPrefix(line, "#:"); ok {
-			on = append(on, s)
+		if example, ok := strings.CutPrefix(line, "#:"); ok {
+			examples = append(examples, example)
 		}
 	}
-	f, err = Parse([]byte(strings.Join(on, "")), ".")
+	f, err = Parse([]byte(strings.Join(examples, "")), ".")
 	if err != nil || len(f.Calendars.Names()) < 2 {
 		t.Error(f, err)
 	}
--- a/internal/tomltext/tomltext.go
+++ b/internal/tomltext/tomltext.go
@@ -1,4 +1,4 @@
-// Package tomltext reads TOML and says in one line what is wrong with it.
+// Package tomltext decodes TOML with errors of one line, which users can be shown.
 package tomltext
 
 import (
@@ -10,28 +10,33 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads data into v. Fields that v lacks are errors if strict. An error
-// names the line and the field.
+// Decode decodes data into v. If strict, fields that v does not have are an error.
+// The error is one line that names the position and the field.
 func Decode(data []byte, v any, strict bool) error {
-	d := toml.NewDecoder(bytes.NewReader(data))
+	decoder := toml.NewDecoder(bytes.NewReader(data))
 	if strict {
-		d.DisallowUnknownFields()
+		decoder.DisallowUnknownFields()
 	}
-	err := d.Decode(v)
-	var missing *toml.StrictMissingError
-	if errors.As(err, &missing) && len(missing.Errors) > 0 {
-		e := missing.Errors[0]
-		row, _ := e.Position()
-		what := "no such field"
-		if len(e.Key()) == 1 {
-			what = "no such section or field"
-		}
-		return fmt.Errorf("line %d: %s: %s", row, strings.Join(e.Key(), "."), what)
+	err := decoder.Decode(v)
+	var unknown *toml.StrictMissingError
+	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
+		return unknownFieldError(&unknown.Errors[0])
 	}
-	var de *toml.DecodeError
-	if errors.As(err, &de) {
-		row, col := de.Position()
-		return fmt.Errorf("line %d column %d: %s: %s", row, col, strings.Join(de.Key(), "."), de.Error())
+	var invalid *toml.DecodeError
+	if errors.As(err, &invalid) {
+		row, column := invalid.Position()
+		return fmt.Errorf("line %d column %d: %s: %s", row, column, strings.Join(invalid.Key(), "."), invalid.Error())
 	}
 	return err
 }
+
+// unknownFieldError returns the error for a field that the destination does not
+// have. At the top level it may be a section.
+func unknownFieldError(unknown *toml.DecodeError) error {
+	row, _ := unknown.Position()
+	reason := "no such field"
+	if len(unknown.Key()) == 1 {
+		reason = "no such section or field"
+	}
+	return fmt.Errorf("line %d: %s: %s", row, strings.Join(unknown.Key(), "."), reason)
+}
