--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,8 +23,8 @@
 // guarantee or no limit.
 type Team struct {
 	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
+	CPUs    float64 `toml:"cpus"`     // guaranteed
+	CPUsMax float64 `toml:"cpus_max"` // the limit
 	GPUs    float64 `toml:"gpus"`
 	GPUsMax float64 `toml:"gpus_max"`
 }
@@ -32,11 +32,11 @@
 // Objective is a service-level objective for starting or finishing the jobs of a
 // class.
 type Objective struct {
-	Kind   string  `toml:"kind"`
-	Class  string  `toml:"class"`
-	Within Seconds `toml:"within_s"`
-	Share  float64 `toml:"share"`
-	Times  float64 `toml:"times"`
+	Kind   string  `toml:"kind"`     // wait, finished, deadline or guarantee
+	Class  string  `toml:"class"`    // the job class; empty: all
+	Within Seconds `toml:"within_s"` // after the submission
+	Share  float64 `toml:"share"`    // the part of the jobs that must meet it
+	Times  float64 `toml:"times"`    // kind deadline: the multiple of the time until the deadline
 }
 
 // Seconds is a duration in the file: a decimal number of seconds.
@@ -47,25 +47,23 @@
 
 // Workers holds the timing of the worker protocol.
 type Workers struct {
-	Report Seconds `toml:"report_s"`
-	Lease  Seconds `toml:"lease_s"`
-	Cancel Seconds `toml:"cancel_s"`
+	Report Seconds `toml:"report_s"` // the interval of reports
+	Lease  Seconds `toml:"lease_s"`  // the duration of a lease
+	Cancel Seconds `toml:"cancel_s"` // within which the tasks of a cancelled job must have ended
 }
 
-// State holds the limits of the state service: requests and writes per second, the
-// size of a value, and the operations of a transaction.
+// State holds the limits of the state service.
 type State struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+	RPS      float64 `toml:"rps"`       // requests per second
+	WriteRPS float64 `toml:"write_rps"` // writes per second
+	ValueKB  float64 `toml:"value_kb"`  // the size of a value
+	TxnOps   int     `toml:"txn_ops"`   // the operations of a transaction
 }
 
-// Cloud holds the limits of the cloud API: requests per second, and how far its
-// list of machines may lag behind.
+// Cloud holds the limits of the cloud API.
 type Cloud struct {
-	RPS     float64 `toml:"rps"`
-	ListLag Seconds `toml:"list_lag_s"`
+	RPS     float64 `toml:"rps"`        // requests per second
+	ListLag Seconds `toml:"list_lag_s"` // how far the list of machines may lag behind
 }
 
 // Limits holds the limits of the machine that the node runs on.
--- a/internal/schedule/record_test.go
+++ b/internal/schedule/record_test.go
@@ -6,8 +6,8 @@
 	"yewpass/internal/calendar"
 )
 
-// TestFollow: a changed record takes over what became known of its jobs while the
-// change was under way.
+// TestFollow checks that a changed record takes over what became known of its jobs
+// while the change was being written.
 func TestFollow(t *testing.T) {
 	changed := &Record{Number: 7}
 	changed.Add(Entry{Job: "wk-1", State: StateMade})
