--- a/internal/bitset/bitset.go
+++ b/internal/bitset/bitset.go
@@ -14,10 +14,13 @@
 // New returns an empty set of numbers below n, rounded up to a whole word.
 func New(n int) Set { return make(Set, (n+63)/64) }
 
+// Has reports whether i is in the set.
 func (b Set) Has(i int) bool { return b[i/64]&(1<<(i%64)) != 0 }
 
+// Add adds i.
 func (b Set) Add(i int) { b[i/64] |= 1 << (i % 64) }
 
+// Remove removes i.
 func (b Set) Remove(i int) { b[i/64] &^= 1 << (i % 64) }
 
 // First returns the lowest member, or -1.
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -240,8 +240,13 @@
 	dated bool
 }
 
-func (s *placementOffers) Len() int      { return len(s.list) }
+// Len implements heap.Interface.
+func (s *placementOffers) Len() int { return len(s.list) }
+
+// Swap implements heap.Interface.
 func (s *placementOffers) Swap(i, j int) { s.list[i], s.list[j] = s.list[j], s.list[i] }
+
+// Less implements heap.Interface: the best offer first.
 func (s *placementOffers) Less(i, j int) bool {
 	a, b := &s.list[i], &s.list[j]
 	if x := a.start.Compare(b.start); x != 0 {
@@ -252,7 +257,11 @@
 	}
 	return a.fleetIndex < b.fleetIndex
 }
+
+// Push implements heap.Interface.
 func (s *placementOffers) Push(x any) { s.list = append(s.list, x.(placementOffer)) }
+
+// Pop implements heap.Interface.
 func (s *placementOffers) Pop() any {
 	last := s.list[len(s.list)-1]
 	s.list = s.list[:len(s.list)-1]
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,3 +1,7 @@
+// Package kv holds the requests to the key-value store that keeps the cluster's durable
+// state, and its responses. The store is consensus-backed and not part of this program:
+// transactions compare revisions and set, keys may hang on a lease, prefixes can be watched.
+// Package kvclient maps them to the store's protocol.
 package kv
 
 import (
--- a/internal/peermsg/peermsg.go
+++ b/internal/peermsg/peermsg.go
@@ -1,3 +1,4 @@
+// Package peermsg holds the messages between controllers. Package peer puts them on the wire.
 package peermsg
 
 import (
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -1,3 +1,5 @@
+// Package provider holds the requests to the cloud that instances are rented from, and its
+// responses. Package cloud maps them to the cloud's protocol.
 package provider
 
 import (
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -2,17 +2,11 @@
 
 import "strings"
 
-const ConfigPrefix = LivePrefix + "config/"
-
-const ConfigHeadKey = ConfigPrefix + "head"
-
-const ConfigTeamPrefix = ConfigPrefix + "team/"
-
 // IsConfigKey reports whether a key is of the configuration.
 func IsConfigKey(key string) bool { return strings.HasPrefix(key, ConfigPrefix) }
 
 // Keys of the state service. Everything that a successor reads lies under
-// LivePrefix; how jobs ended lies apart, so that a take-over never reads it.
+// LivePrefix; how jobs ended lies apart, so that a failover never reads it.
 const (
 	Root             = "yewpass/"
 	LeaderKey        = Root + "leader"
@@ -24,9 +18,15 @@
 	FinalPrefix      = Root + "final/"
 	LeaderlessPrefix = Root + "alone/" // notes of jobs that were accepted without a leader
 
-	// Schedules lie apart: a take-over does not wait for them.
+	// Schedules lie apart: a failover does not wait for them.
 	SchedulePrefix    = Root + "schedule/"
 	ScheduleNumberKey = Root + "schedules" // the numbers given to schedules
+
+	// The configuration lies with the live records, so that no leader decides before it
+	// has read it.
+	ConfigPrefix     = LivePrefix + "config/"
+	ConfigHeadKey    = ConfigPrefix + "head"
+	ConfigTeamPrefix = ConfigPrefix + "team/"
 )
 
 // IsScheduleKey reports whether a record is one of those that schedules are read from.
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,3 +1,5 @@
+// Package record holds the records in the key-value store: their keys and their values.
+// Package kvclient has the form in which they are stored.
 package record
 
 import (
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,3 +1,5 @@
+// Package request holds what users and operators ask of a controller, and the answers.
+// Package api maps them to HTTP.
 package request
 
 import (
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,3 +1,4 @@
+// Package rpc holds what calls to all outside services have in common.
 package rpc
 
 // Outcome says what is known of a call to an outside service.
--- a/internal/timerheap/timerheap.go
+++ b/internal/timerheap/timerheap.go
@@ -20,10 +20,13 @@
 
 type entries[T any] []entry[T]
 
+// Len implements heap.Interface.
 func (h entries[T]) Len() int { return len(h) }
 
+// Swap implements heap.Interface.
 func (h entries[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
+// Less implements heap.Interface: the earlier entry first, then the one pushed first.
 func (h entries[T]) Less(i, j int) bool {
 	if x := h[i].at.Compare(h[j].at); x != 0 {
 		return x < 0
