--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -137,9 +137,7 @@
 	if runs {
 		r.job.running++
 		r.job.hasRun = true
-		if r.job.schedule != nil {
-			c.occurrenceStarted(r.job)
-		}
+		c.occurrenceStarted(r.job)
 	} else {
 		r.job.running--
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -53,14 +53,13 @@
 	reservations       []*reservation  // places in the queue, in order
 	queueTime          time.Time       // of the first, while queued
 	queued             bool
-	reservationPending bool          // to be booked soon
-	lastRereserved     time.Time     // when its bookings were last looked at again
-	imageLocalUntil    time.Time     // until then it starts only where its image is
-	running            int           // tasks that workers report as running or saving
-	completed          []*attempt    // completed, and not known to be on record
-	hasRun             bool          // a task of it has run, or is done
-	schedule           *recurringJob // whose occurrence it is, or nil
-	startNoted         bool          // and has been noted to have started
+	reservationPending bool       // to be booked soon
+	lastRereserved     time.Time  // when its bookings were last looked at again
+	imageLocalUntil    time.Time  // until then it starts only where its image is
+	running            int        // tasks that workers report as running or saving
+	completed          []*attempt // completed, and not known to be on record
+	hasRun             bool       // a task of it has run, or is done
+	startNoted         bool       // and has been noted to have started
 }
 
 // addJob takes a job into memory.
@@ -286,9 +285,10 @@
 		r.forgettable = true
 	}
 	j.completed = nil
-	j.answerCancelWaiters(c, request.Response{Status: 200, View: finalStatus(j.spec.ID, f)})
-	if j.schedule != nil {
-		c.occurrenceOver(j.schedule, j.spec.ID, f.State, c.TimeOfDay())
+	c.answerCancelWaiters(j, request.Response{Status: 200, View: finalStatus(j.spec.ID, f)})
+	if s := l.schedules.byJob[j]; s != nil {
+		delete(l.schedules.byJob, j)
+		c.occurrenceOver(s, j.spec.ID, f.State, c.TimeOfDay())
 	}
 	c.Log(slog.LevelDebug, "job over", "job", j.spec.ID, "state", f.State)
 }
@@ -298,7 +298,8 @@
 	return request.JobStatus{ID: id, State: f.State, Done: f.Done}
 }
 
-func (j *job) answerCancelWaiters(c *Core, a request.Response) {
+// answerCancelWaiters answers everybody who waits for the end of a job to be recorded.
+func (c *Core) answerCancelWaiters(j *job, a request.Response) {
 	for _, call := range j.cancelWaiters {
 		c.answer(call, a)
 	}
@@ -347,7 +348,7 @@
 		conditions: []kv.Condition{{Key: record.FinalPrefix + j.spec.ID, Rev: 0}},
 		writes:     []kv.Write{{Key: record.JobPrefix + j.spec.ID, Value: &rec}},
 		onConflict: func() {
-			j.answerCancelWaiters(c, unavailable("the job has just ended, try again"))
+			c.answerCancelWaiters(j, unavailable("the job has just ended, try again"))
 			c.readBack(record.FinalPrefix+j.spec.ID, func(e kv.Entry, _ bool) {
 				if f, _ := e.Value.(*record.Final); f != nil && c.leadership.jobs[j.spec.ID] == j {
 					c.jobFinished(j, *f)
@@ -358,7 +359,7 @@
 			j.cancelling, j.cancelled, j.record, j.endingChange = false, true, &rec, nil
 			c.dropReservations(j)
 			c.Log(slog.LevelDebug, "job cancelled", "job", j.spec.ID)
-			j.answerCancelWaiters(c, request.Response{Status: 200, View: j.view()})
+			c.answerCancelWaiters(j, request.Response{Status: 200, View: j.view()})
 			c.finishIfOver(j)
 		},
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -166,7 +166,7 @@
 		l.accept[id].answerAll(c, a)
 	}
 	for _, j := range l.sortedJobs() {
-		j.answerCancelWaiters(c, a)
+		c.answerCancelWaiters(j, a)
 	}
 	c.answerSchedules(l, a)
 	c.answerConfig(l, a)
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -24,8 +24,9 @@
 // that follows can neither make an occurrence twice nor pass one over.
 type scheduler struct {
 	byName     map[string]*recurringJob
-	names      []string        // sorted
-	unreadable map[string]bool // whose records cannot be read
+	byJob      map[*job]*recurringJob // by the jobs of their occurrences that are not over
+	names      []string               // sorted
+	unreadable map[string]bool        // whose records cannot be read
 	loaded     bool
 
 	upcoming timerheap.Heap[heapEntry] // schedules by when their next occurrence is due
@@ -42,7 +43,7 @@
 }
 
 func newSchedules() scheduler {
-	return scheduler{byName: map[string]*recurringJob{}, unreadable: map[string]bool{}, manualRuns: map[string]*recurringJob{}}
+	return scheduler{byName: map[string]*recurringJob{}, byJob: map[*job]*recurringJob{}, unreadable: map[string]bool{}, manualRuns: map[string]*recurringJob{}}
 }
 
 type occurrenceOf struct {
@@ -132,14 +133,14 @@
 			continue
 		}
 		if j := c.leadership.jobs[x.Job]; j != nil {
-			j.schedule = s
+			c.leadership.schedules.byJob[j] = s
 			c.watchDeadline(s, j, x.Due)
 		} else {
 			c.leadership.schedules.unresolved = append(c.leadership.schedules.unresolved, occurrenceOf{s, x.Job})
 		}
 	}
 	if j := c.leadership.jobs[rec.LastJob]; j != nil {
-		j.schedule = s
+		c.leadership.schedules.byJob[j] = s
 	}
 	c.planNext(s)
 }
@@ -347,7 +348,7 @@
 			c.newJob(job)
 		}
 		j := c.leadership.jobs[id]
-		j.schedule = s
+		c.leadership.schedules.byJob[j] = s
 		c.watchDeadline(s, j, o.Due)
 	}, func() {
 		c.Log(slog.LevelError, "occurrence failed, its job id is taken", "schedule", s.name, "planned", o.Start, "job", id)
@@ -382,7 +383,7 @@
 	if j.spec.HasDeadline {
 		e.Due = e.Made.Add(j.spec.Deadline)
 	}
-	j.schedule = s
+	c.leadership.schedules.byJob[j] = s
 	s.pendingEntries = append(s.pendingEntries, e)
 	if !s.writing {
 		c.applyPendingEntries(s)
@@ -415,8 +416,8 @@
 
 // occurrenceStarted follows the first start of a task of an occurrence.
 func (c *Core) occurrenceStarted(j *job) {
-	s := j.schedule
-	if j.startNoted || s.removed {
+	s := c.leadership.schedules.byJob[j]
+	if s == nil || j.startNoted || s.removed {
 		return
 	}
 	j.startNoted = true
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -1,4 +1,4 @@
-// Package report holds what workers say and what they are told, as the protocol of
+// Package heartbeat holds what workers say and what they are told, as the protocol of
 // workers has it. It decides nothing.
 package heartbeat
 
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -1,4 +1,4 @@
-// Package state speaks the protocol of the state service.
+// Package kvclient speaks the protocol of the key-value store.
 package kvclient
 
 import (
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,4 +1,4 @@
-// Package lapse reckons for how long what a leader has said goes on after it: when its
+// Package lease reckons for how long what a leader has said goes on after it: when its
 // authority, what it answers to workers beyond it, and the leases that it renewed are over,
 // and from when on a cancellation may therefore be confirmed. It decides nothing else and
 // knows no clock. docs/design/cancellation.md has the argument.
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,4 +1,4 @@
-// Package rebuild decides what follows when the state service may have lost data: whether
+// Package recovery decides what follows when the state service may have lost data: whether
 // it has (Known), whose copy of the records to go by (Best), and which records there are
 // after all (Merge).
 //
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,4 +1,4 @@
-// Package snapshot keeps a copy of what the state service holds: the leader's own, and
+// Package replica keeps a copy of what the state service holds: the leader's own, and
 // those that it passes on to other controllers, as one base and then changes.
 //
 // It knows neither sockets nor encodings: package peer puts lines on the wire, with a
