--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -232,8 +232,8 @@
 			c.cancelJob(j, call)
 			return
 		}
-		if j.cancelled || !c.waitForEnding(j, call) {
-			c.answer(call, request.Response{Status: 200, View: j.view(), Reason: c.waitReason(j)})
+		if j.Cancelled || !c.waitForEnding(j, call) {
+			c.answer(call, request.Response{Status: 200, View: j.View(), Reason: c.waitReason(j)})
 		}
 		return
 	}
@@ -312,10 +312,10 @@
 		c.loadRecord(e)
 	}
 	for _, m := range l.fleet {
-		for _, r := range m.attempts {
-			if r.orphaned && r.id.Job == id {
+		for _, r := range m.Attempts {
+			if r.Orphaned && r.ID.Job == id {
 				c.vacate(r)
-				if r.id.Index < j.spec.Tasks && j.attempts[r.id.Index] == nil {
+				if r.ID.Index < j.Spec.Tasks && j.Attempts[r.ID.Index] == nil {
 					c.occupy(r, j)
 				}
 			}
@@ -370,7 +370,7 @@
 			j := c.addJob(rec, false)
 			c.queueJob(j)
 			if a != nil { // what another node has accepted meanwhile: nobody else tells them
-				a.answerAll(c, request.Response{Status: 200, View: j.view()})
+				a.answerAll(c, request.Response{Status: 200, View: j.View()})
 			}
 		}
 		if c.leadership.jobs[id] == nil {
@@ -423,17 +423,17 @@
 	a := &admission{spec: s, waiters: []request.Request{call}}
 	l.accept[s.ID] = a
 	rec := &record.Job{Spec: *s, Submitted: c.Now.Round(0)}
-	l.writes.add(&change{
-		size:       recordSize(s),
-		conditions: noRecordOf(s.ID),
-		writes:     []kv.Write{{Key: record.JobPrefix + s.ID, Value: rec}},
-		onCommit: func(uint64) {
+	l.writes.Add(&change{
+		Size:       recordSize(s),
+		Conditions: noRecordOf(s.ID),
+		Writes:     []kv.Write{{Key: record.JobPrefix + s.ID, Value: rec}},
+		OnCommit: func(uint64) {
 			delete(l.accept, s.ID)
 			j := c.newJob(rec)
-			a.answerAll(c, request.Response{Status: 201, View: j.view()})
+			a.answerAll(c, request.Response{Status: 201, View: j.View()})
 		},
-		onConflict: func() { c.resolveAdmissionConflict(a) },
-		onReject: func() {
+		OnConflict: func() { c.resolveAdmissionConflict(a) },
+		OnReject: func() {
 			delete(l.accept, s.ID)
 			a.answerAll(c, unavailable("the state service rejects the record"))
 		},
@@ -471,7 +471,7 @@
 			c.adopt(id, func() {
 				delete(c.leadership.accept, id)
 				if j := c.leadership.jobs[id]; j != nil {
-					a.answerAll(c, request.Response{Status: 200, View: j.view()})
+					a.answerAll(c, request.Response{Status: 200, View: j.View()})
 				}
 			}, func() {
 				a.answerAll(c, unavailable("the state service does not answer"))
@@ -493,19 +493,19 @@
 
 // unschedulableOn is unschedulable for its team, nil if there is none of that name, and types.
 func unschedulableOn(s *spec.Job, t *team, flavors []provider.InstanceType) (field, reason string) {
-	if t == nil || !t.configured {
+	if t == nil || !t.Configured {
 		return "owner", "unknown team " + s.Owner
 	}
-	if t.retired {
+	if t.Retired {
 		return "owner", "team " + s.Owner + " is retired"
 	}
 	n := 1
 	if s.Service {
 		n = s.Tasks
 	}
-	if need := s.Need(); !t.fitsLimit(need, n) {
+	if need := s.Need(); !t.FitsLimit(need, n) {
 		field = "vcpus"
-		if t.limit.CPU == 0 || need.CPU*int64(n) <= t.limit.CPU {
+		if t.Limit.CPU == 0 || need.CPU*int64(n) <= t.Limit.CPU {
 			field = "gpus"
 		}
 		return field, "the job needs more than the limit of team " + s.Owner
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -225,7 +225,7 @@
 		},
 		"a start on a new machine": func(d *desk) func() bool {
 			m := d.c.leadership.fleet[0]
-			m.quarantined = true
+			m.Quarantined = true
 			d.user(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
 			d.finish()
 			n := uint64(0)
@@ -238,7 +238,7 @@
 			return func() bool {
 				d.c.After(0, d.c.sendReleases)
 				d.in(Tick{})
-				return j.waiting > 0
+				return j.Waiting > 0
 			}
 		},
 		"schedule stored": func(d *desk) func() bool {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -14,58 +14,58 @@
 // attempt is one attempt of a task on a machine: from the order to start it until
 // the worker has forgotten it.
 type attempt struct {
-	id             heartbeat.TaskID
-	number         uint64
-	machine        *machine
-	job            *job // nil: of no job that we know
-	need           timeline.Resources
-	phase          heartbeat.Phase
-	occupies       bool   // counts against machine, team and job
-	orderedCounter uint64 // the counter of the report whose reply carried the start
-	orderedAt      time.Time
-	startedAt      time.Time // first reported as running
-	foundRunning   bool      // it ran before that, nobody knows for how long
-	reservation    *timeline.Booking
-	forgettable    bool   // exited, and the worker may forget it
-	countedRunning bool   // among its job's running tasks
-	orphaned       bool   // of a job whose record cannot be read
-	lastListed     uint64 // number of the last report that listed it
-	stopRequested  bool   // to be stopped
-	drainTime      time.Duration
-	stopSentAt     time.Time // when the stop first went out
+	ID             heartbeat.TaskID
+	Number         uint64
+	Machine        *machine
+	Job            *job // nil: of no job that we know
+	Need           timeline.Resources
+	Phase          heartbeat.Phase
+	Occupies       bool   // counts against machine, team and job
+	OrderedCounter uint64 // the counter of the report whose reply carried the start
+	OrderedAt      time.Time
+	StartedAt      time.Time // first reported as running
+	FoundRunning   bool      // it ran before that, nobody knows for how long
+	Reservation    *timeline.Booking
+	Forgettable    bool   // exited, and the worker may forget it
+	CountedRunning bool   // among its job's running tasks
+	Orphaned       bool   // of a job whose record cannot be read
+	LastListed     uint64 // number of the last report that listed it
+	StopRequested  bool   // to be stopped
+	DrainTime      time.Duration
+	StopSentAt     time.Time // when the stop first went out
 }
 
 // adoptAttempt makes a task known that a worker lists and we did not start: of an
 // earlier term, or of a job that is over.
 func (c *Core) adoptAttempt(m *machine, t *heartbeat.Task) *attempt {
-	r := &attempt{id: t.Task, number: t.Try, machine: m, phase: Ordered, orderedAt: c.Now, orderedCounter: 0}
-	m.attempts = append(m.attempts, r)
+	r := &attempt{ID: t.Task, Number: t.Try, Machine: m, Phase: Ordered, OrderedAt: c.Now, OrderedCounter: 0}
+	m.Attempts = append(m.Attempts, r)
 	j := c.leadership.jobs[t.Task.Job]
-	if j != nil && t.Task.Index >= j.spec.Tasks {
+	if j != nil && t.Task.Index >= j.Spec.Tasks {
 		j = nil
 	}
 	if t.Phase == heartbeat.Exited {
-		r.job = j
+		r.Job = j
 		return r
 	}
-	r.foundRunning = t.Phase != heartbeat.Pulling
+	r.FoundRunning = t.Phase != heartbeat.Pulling
 	if j != nil {
 		// A later attempt was only ordered once the earlier one was surely gone: what told
 		// of that one was late, and the one that runs is this.
-		if x := j.attempts[t.Task.Index]; x != nil && x.machine != m && x.number < t.Try {
+		if x := j.Attempts[t.Task.Index]; x != nil && x.Machine != m && x.Number < t.Try {
 			c.vacate(x)
-			x.stopRequested = true
+			x.StopRequested = true
 		}
 	}
-	if j == nil || j.done.Has(t.Task.Index) || j.attempts[t.Task.Index] != nil {
+	if j == nil || j.Done.Has(t.Task.Index) || j.Attempts[t.Task.Index] != nil {
 		// Nobody waits for it: stop it.
-		r.stopRequested = true
+		r.StopRequested = true
 		if c.leadership.unreadableJobs[t.Task.Job] {
-			r.orphaned = true
+			r.Orphaned = true
 			c.leadership.orphanedTasks++
 		}
 		if j != nil {
-			c.Log(slog.LevelWarn, "task is listed twice or done, stopping it", "task", t.Task, "machine", m.host)
+			c.Log(slog.LevelWarn, "task is listed twice or done, stopping it", "task", t.Task, "machine", m.Host)
 		}
 		return r
 	}
@@ -75,150 +75,150 @@
 
 // occupy counts a run against its machine, team and job.
 func (c *Core) occupy(r *attempt, j *job) {
-	i := r.id.Index
-	r.job, r.need, r.occupies = j, j.need, true
-	j.attempts[i] = r
-	if j.pending.Has(i) {
-		j.pending.Remove(i)
-		j.waiting--
+	i := r.ID.Index
+	r.Job, r.Need, r.Occupies = j, j.Need, true
+	j.Attempts[i] = r
+	if j.Pending.Has(i) {
+		j.Pending.Remove(i)
+		j.Waiting--
 		c.dropExcessReservation(j)
 	}
-	if len(j.placement.Rules) > 0 {
-		c.leadership.tally.Add(j.spec.ID, r.machine.place, 1)
+	if len(j.Placement.Rules) > 0 {
+		c.leadership.tally.Add(j.Spec.ID, r.Machine.Place, 1)
 	}
-	r.machine.allocated = r.machine.allocated.Add(j.need, 1)
-	j.team.allocated = j.team.allocated.Add(j.need, 1)
-	r.reservation = &timeline.Booking{Start: c.Now, End: c.Now.Add(c.occupancy(j, r.machine)), Need: j.need, Count: 1}
-	r.machine.timeline.Add(r.reservation)
+	r.Machine.Allocated = r.Machine.Allocated.Add(j.Need, 1)
+	j.Team.Allocated = j.Team.Allocated.Add(j.Need, 1)
+	r.Reservation = &timeline.Booking{Start: c.Now, End: c.Now.Add(c.occupancy(j, r.Machine)), Need: j.Need, Count: 1}
+	r.Machine.Timeline.Add(r.Reservation)
 }
 
 // vacate is the reverse of occupy: the task is surely not on the machine.
 func (c *Core) vacate(r *attempt) {
-	if r.reservation != nil {
-		r.machine.timeline.Remove(r.reservation)
-		r.reservation = nil
+	if r.Reservation != nil {
+		r.Machine.Timeline.Remove(r.Reservation)
+		r.Reservation = nil
 	}
-	if r.orphaned {
-		r.orphaned = false
+	if r.Orphaned {
+		r.Orphaned = false
 		c.leadership.orphanedTasks--
 		c.leadership.dispatchAll = true
 	}
-	if !r.occupies {
+	if !r.Occupies {
 		return
 	}
-	r.occupies = false
-	j := r.job
+	r.Occupies = false
+	j := r.Job
 	c.countRunning(r, false)
-	if len(j.placement.Rules) > 0 {
-		c.leadership.tally.Add(j.spec.ID, r.machine.place, -1)
+	if len(j.Placement.Rules) > 0 {
+		c.leadership.tally.Add(j.Spec.ID, r.Machine.Place, -1)
 	}
-	r.machine.allocated = r.machine.allocated.Add(r.need, -1)
-	j.team.allocated = j.team.allocated.Add(r.need, -1)
-	if j.attempts[r.id.Index] == r {
-		delete(j.attempts, r.id.Index)
+	r.Machine.Allocated = r.Machine.Allocated.Add(r.Need, -1)
+	j.Team.Allocated = j.Team.Allocated.Add(r.Need, -1)
+	if j.Attempts[r.ID.Index] == r {
+		delete(j.Attempts, r.ID.Index)
 	}
-	if r.machine.allocated == (timeline.Resources{}) {
-		r.machine.idleSince = c.Now
+	if r.Machine.Allocated == (timeline.Resources{}) {
+		r.Machine.IdleSince = c.Now
 	}
 	// The machine's own reply looks for work for the room. Others can make use
 	// of what the team or the job has got back.
-	if j.team.limitReached || j.spec.SamePlace || j.spec.Apart || j.failures > 0 {
-		j.team.limitReached = false
+	if j.Team.LimitReached || j.Spec.SamePlace || j.Spec.Apart || j.Failures > 0 {
+		j.Team.LimitReached = false
 		c.leadership.dispatchAll = true
 	}
 }
 
 // countRunning keeps the number of a job's tasks that workers report as running.
 func (c *Core) countRunning(r *attempt, runs bool) {
-	if r.countedRunning == runs || r.job == nil {
+	if r.CountedRunning == runs || r.Job == nil {
 		return
 	}
-	r.countedRunning = runs
+	r.CountedRunning = runs
 	if runs {
-		r.job.running++
-		r.job.hasRun = true
-		c.occurrenceStarted(r.job)
+		r.Job.Running++
+		r.Job.HasRun = true
+		c.occurrenceStarted(r.Job)
 	} else {
-		r.job.running--
+		r.Job.Running--
 	}
 }
 
 // dropAttempt forgets a run that is surely gone and makes its task wait again.
 func (c *Core) dropAttempt(r *attempt) {
-	m := r.machine
-	if i := slices.Index(m.attempts, r); i >= 0 {
-		m.attempts = slices.Delete(m.attempts, i, i+1)
+	m := r.Machine
+	if i := slices.Index(m.Attempts, r); i >= 0 {
+		m.Attempts = slices.Delete(m.Attempts, i, i+1)
 	}
 	c.releaseAttempt(r)
 }
 
 // releaseAttempt is dropAttempt without the machine's list of runs.
 func (c *Core) releaseAttempt(r *attempt) {
-	held := r.occupies
+	held := r.Occupies
 	c.vacate(r)
 	if held {
-		c.requeue(r.job, r.id.Index)
-		if r.job.cancelled {
-			c.finishIfOver(r.job)
+		c.requeue(r.Job, r.ID.Index)
+		if r.Job.Cancelled {
+			c.finishIfOver(r.Job)
 		}
 	}
 }
 
 // updateAttempt takes in the state of one task.
 func (c *Core) updateAttempt(r *attempt, t *heartbeat.Task) {
-	if r.phase == heartbeat.Exited {
+	if r.Phase == heartbeat.Exited {
 		return
 	}
-	m, j := r.machine, r.job
-	if r.phase == Ordered && r.orderedCounter > 0 {
-		m.unlistedStarts = 0
+	m, j := r.Machine, r.Job
+	if r.Phase == Ordered && r.OrderedCounter > 0 {
+		m.UnlistedStarts = 0
 	}
 	if t.Phase != heartbeat.Exited {
-		if t.Phase == heartbeat.TaskRuns && r.phase != heartbeat.TaskRuns {
-			r.startedAt = c.Now
+		if t.Phase == heartbeat.TaskRuns && r.Phase != heartbeat.TaskRuns {
+			r.StartedAt = c.Now
 			if j != nil {
-				m.images.Add(j.spec.Image, struct{}{})
-				if r.reservation != nil {
-					r.reservation.End = c.Now.Add(c.occupancy(j, m))
-					m.timeline.Touch()
+				m.Images.Add(j.Spec.Image, struct{}{})
+				if r.Reservation != nil {
+					r.Reservation.End = c.Now.Add(c.occupancy(j, m))
+					m.Timeline.Touch()
 				}
 			}
 		}
-		r.phase = t.Phase
-		if r.occupies {
+		r.Phase = t.Phase
+		if r.Occupies {
 			c.countRunning(r, t.Phase == heartbeat.TaskRuns || t.Phase == heartbeat.Checkpointing)
 		}
 		return
 	}
-	was := r.phase
-	r.phase = heartbeat.Exited
-	held := r.occupies
+	was := r.Phase
+	r.Phase = heartbeat.Exited
+	held := r.Occupies
 	c.vacate(r)
-	i := r.id.Index
+	i := r.ID.Index
 	if t.Cause == heartbeat.CauseDone {
-		m.failureScore, m.onProbation = 0, false
-		r.forgettable = j == nil && !c.leadership.unreadableJobs[r.id.Job] || j != nil && c.leadership.jobs[r.id.Job] != j
-		if j != nil && !r.forgettable && j.finishing && !j.cancelled {
+		m.FailureScore, m.OnProbation = 0, false
+		r.Forgettable = j == nil && !c.leadership.unreadableJobs[r.ID.Job] || j != nil && c.leadership.jobs[r.ID.Job] != j
+		if j != nil && !r.Forgettable && j.Finishing && !j.Cancelled {
 			// Its final record is on its way: until that is known this exit may be
 			// all that tells a successor that the task is done.
-			j.completed = append(j.completed, r)
+			j.Completed = append(j.Completed, r)
 			return
 		}
-		if j != nil && !r.forgettable && !j.halted() {
-			if was == heartbeat.TaskRuns && !r.startedAt.IsZero() && !r.foundRunning {
-				c.recordRuntime(j, m, c.Now.Sub(r.startedAt))
+		if j != nil && !r.Forgettable && !j.Halted() {
+			if was == heartbeat.TaskRuns && !r.StartedAt.IsZero() && !r.FoundRunning {
+				c.recordRuntime(j, m, c.Now.Sub(r.StartedAt))
 			}
-			j.completed = append(j.completed, r)
+			j.Completed = append(j.Completed, r)
 			c.completeTask(j, i)
 			return
 		}
-		if j != nil && held && j.cancelled {
-			r.forgettable = true
+		if j != nil && held && j.Cancelled {
+			r.Forgettable = true
 			c.finishIfOver(j)
 		}
 		return
 	}
-	r.forgettable = true
+	r.Forgettable = true
 	if j == nil {
 		return
 	}
@@ -227,11 +227,11 @@
 		c.recordFailure(j, m)
 	case heartbeat.CauseNoRoom:
 		// The worker sees less room than we do; ask again a little later.
-		m.retryAt = c.Now.Add(time.Second)
+		m.RetryAt = c.Now.Add(time.Second)
 	case heartbeat.CauseNoSuch:
-		j.retryAt = c.Now.Add(2 * time.Second)
+		j.RetryAt = c.Now.Add(2 * time.Second)
 	}
-	if j.cancelled {
+	if j.Cancelled {
 		c.finishIfOver(j)
 	} else if held {
 		c.requeue(j, i)
@@ -240,10 +240,10 @@
 
 // extendOverruns moves the end of runs that take longer than booked.
 func (c *Core) extendOverruns(m *machine) {
-	for _, r := range m.attempts {
-		if r.reservation != nil && !r.reservation.End.After(c.Now) {
-			r.reservation.End = c.Now.Add(max(c.occupancy(r.job, m)/8, time.Second))
-			m.timeline.Touch()
+	for _, r := range m.Attempts {
+		if r.Reservation != nil && !r.Reservation.End.After(c.Now) {
+			r.Reservation.End = c.Now.Add(max(c.occupancy(r.Job, m)/8, time.Second))
+			m.Timeline.Touch()
 		}
 	}
 }
@@ -251,26 +251,26 @@
 // recordFailure weighs a failed task: the machine is faulty when jobs fail on it that
 // run elsewhere, the job when it fails wherever it goes.
 func (c *Core) recordFailure(j *job, m *machine) {
-	if len(j.failedOn) <= maxFailedMachines { // more would not change where it may go
-		j.failedOn[m.host] = true
+	if len(j.FailedOn) <= maxFailedMachines { // more would not change where it may go
+		j.FailedOn[m.Host] = true
 	}
-	j.failures++
-	m.onProbation = true
-	if j.anyCompleted {
-		m.failureScore += 2
+	j.Failures++
+	m.OnProbation = true
+	if j.AnyCompleted {
+		m.FailureScore += 2
 	} else {
-		m.failureScore++
+		m.FailureScore++
 	}
-	if !j.anyCompleted && len(j.failedOn) > 1 {
+	if !j.AnyCompleted && len(j.FailedOn) > 1 {
 		// Failed on several machines and never completed: more likely the job.
 		// It goes on one task at a time, less and less often.
-		wait := min(2*time.Second<<min(j.failures/2, 5), time.Minute)
-		j.retryAt = c.Now.Add(wait)
-		c.Log(slog.LevelDebug, "job keeps failing", "job", j.spec.ID, "failures", j.failures, "wait", wait)
+		wait := min(2*time.Second<<min(j.Failures/2, 5), time.Minute)
+		j.RetryAt = c.Now.Add(wait)
+		c.Log(slog.LevelDebug, "job keeps failing", "job", j.Spec.ID, "failures", j.Failures, "wait", wait)
 	}
-	if m.failureScore >= 4 && !m.quarantined {
-		m.quarantined = true
-		c.Log(slog.LevelWarn, "machine condemned", "machine", m.host, "type", m.typeName, "reason", "tasks fail on it that run elsewhere")
+	if m.FailureScore >= 4 && !m.Quarantined {
+		m.Quarantined = true
+		c.Log(slog.LevelWarn, "machine condemned", "machine", m.Host, "type", m.TypeName, "reason", "tasks fail on it that run elsewhere")
 		c.dropMachineReservations(m)
 	}
 }
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -113,11 +113,11 @@
 	l := c.leadership
 	l.autoscaler.instanceTypes, l.autoscaler.catalogRead = flavors, true
 	for _, m := range l.fleet {
-		if f := l.autoscaler.instanceType(m.typeName); m.instanceType == nil {
+		if f := l.autoscaler.instanceType(m.TypeName); m.InstanceType == nil {
 			c.setInstanceType(m)
 			l.dispatchAll = true
 		} else if f != nil {
-			m.instanceType = f
+			m.InstanceType = f
 		}
 	}
 }
@@ -153,19 +153,19 @@
 
 func (c *Core) handleListed(h provider.Instance) {
 	l := c.leadership
-	if l.released.has(h.Host) {
+	if l.released.Has(h.Host) {
 		return // the list lags
 	}
 	m := l.machines[h.Host]
 	if m == nil {
 		m = c.ensureMachine(h.Host, h.InstanceType, h.Zone, h.Spot)
-		m.rentedAt = c.Now.Add(-h.Age)
-		if m.instanceType != nil {
-			m.readyAt = m.rentedAt.Add(m.instanceType.BootTime)
+		m.RentedAt = c.Now.Add(-h.Age)
+		if m.InstanceType != nil {
+			m.ReadyAt = m.RentedAt.Add(m.InstanceType.BootTime)
 		}
 		l.dispatchAll = true
 	}
-	if h.Status == "failed" && !m.releasing {
+	if h.Status == "failed" && !m.Releasing {
 		c.Log(slog.LevelWarn, "machine failed", "machine", h.Host)
 		c.release(m)
 	}
@@ -174,11 +174,11 @@
 // release returns a machine. Once the cloud has confirmed it, the machine and
 // all that was on it are gone.
 func (c *Core) release(m *machine) {
-	if m.releasing {
+	if m.Releasing {
 		return
 	}
-	m.releasing = true
-	c.leadership.autoscaler.releases = append(c.leadership.autoscaler.releases, m.host)
+	m.Releasing = true
+	c.leadership.autoscaler.releases = append(c.leadership.autoscaler.releases, m.Host)
 	c.dropMachineReservations(m)
 }
 
@@ -210,14 +210,14 @@
 func (c *Core) confirmReleased(host string) {
 	l := c.leadership
 	m := l.machines[host]
-	l.released.add(host, c.Now)
+	l.released.Add(host, c.Now)
 	if m == nil {
 		return
 	}
-	for _, r := range slices.Clone(m.attempts) {
+	for _, r := range slices.Clone(m.Attempts) {
 		c.dropAttempt(r)
 	}
-	if m.heldReply != nil {
+	if m.HeldReply != nil {
 		c.refuseHeldReply(m)
 	}
 	l.clearReportsVia(m)
@@ -253,10 +253,10 @@
 	quiet, reporting := 0, 0
 	overdue := map[*relayLink]int{}
 	for _, m := range l.fleet {
-		if m.reported && !m.unreachable {
+		if m.Reported && !m.Unreachable {
 			reporting++
-			if m.reportsVia != nil && c.Now.Sub(m.lastHeartbeat) > overdueHeartbeat(c.heartbeatInterval) {
-				overdue[m.reportsVia]++
+			if m.ReportsVia != nil && c.Now.Sub(m.LastHeartbeat) > overdueHeartbeat(c.heartbeatInterval) {
+				overdue[m.ReportsVia]++
 			}
 			if c.Now.Sub(c.lastHeard(m)) > silent {
 				quiet++
@@ -293,78 +293,78 @@
 // reviewMachine looks after one machine.
 func (c *Core) reviewMachine(m *machine, silent, takeover, idle time.Duration, cutOff bool) {
 	l := c.leadership
-	if (len(m.attempts) > 0 || l.unaccounted[m.host]) && (m.reported || l.unaccounted[m.host]) {
+	if (len(m.Attempts) > 0 || l.unaccounted[m.Host]) && (m.Reported || l.unaccounted[m.Host]) {
 		if at, ok := c.leaseExpiry(m); ok && c.Now.After(at) {
 			c.expireLease(m)
 		}
 	}
-	if m.releasing {
+	if m.Releasing {
 		return
 	}
 	seen := c.lastHeard(m)
-	if l.unaccounted[m.host] && (!m.reported || seen != m.lastHeartbeat) && takeover < silent {
+	if l.unaccounted[m.Host] && (!m.Reported || seen != m.LastHeartbeat) && takeover < silent {
 		// Everything waits for it. When most others have found us, it is gone
 		// or cut off.
 		silent = takeover
-		if m.failedProbes >= maxProbeAttempts {
+		if m.FailedProbes >= maxProbeAttempts {
 			silent /= 2 // it does not answer us either
 		}
 	}
-	if !m.interruptionAt.IsZero() && c.Now.After(m.interruptionAt.Add(time.Second)) {
+	if !m.InterruptionAt.IsZero() && c.Now.After(m.InterruptionAt.Add(time.Second)) {
 		// Its notice has run out: a report that is a little overdue says enough.
 		silent = min(silent, c.heartbeatInterval*3/4)
 	}
 	// A zone that returns does so over a report interval, and so do those who have tried
 	// in vain while we had no authority.
-	last := maxTime(seen, maxTime(m.zoneState.Since, l.resumedAt))
-	if !m.reported {
-		last = maxTime(last, maxTime(m.knownSince, l.electedAt))
+	last := maxTime(seen, maxTime(m.ZoneState.Since, l.resumedAt))
+	if !m.Reported {
+		last = maxTime(last, maxTime(m.KnownSince, l.electedAt))
 	}
 	wait := c.silenceLimit(m, silent)
-	booting := m.lastHeartbeat.IsZero() && !l.unaccounted[m.host]
+	booting := m.LastHeartbeat.IsZero() && !l.unaccounted[m.Host]
 	if booting {
 		// Some machines take several times as long, a few never come up.
 		ready := 30 * time.Second
-		if m.instanceType != nil {
-			ready = m.instanceType.BootTime
+		if m.InstanceType != nil {
+			ready = m.InstanceType.BootTime
 		}
-		last, wait = m.rentedAt, max(3*ready, ready+30*time.Second)
-		if p := l.autoscaler.bootPatience[m.typeName]; p > 0 {
+		last, wait = m.RentedAt, max(3*ready, ready+30*time.Second)
+		if p := l.autoscaler.bootPatience[m.TypeName]; p > 0 {
 			wait = timeline.Seconds(wait.Seconds() * p)
 		}
-		if m.knownSince.Add(3 * silent).After(last.Add(wait)) {
-			last, wait = m.knownSince, 3*silent
+		if m.KnownSince.Add(3 * silent).After(last.Add(wait)) {
+			last, wait = m.KnownSince, 3*silent
 		}
 	}
 	switch {
-	case m.unreachable && !l.unaccounted[m.host] && (!booting || c.Now.Sub(last) <= 2*wait):
+	case m.Unreachable && !l.unaccounted[m.Host] && (!booting || c.Now.Sub(last) <= 2*wait):
 		// Its zone is cut off: see releaseLostZones.
 	case c.Now.Sub(last) > wait && (!cutOff || booting):
-		c.Log(slog.LevelWarn, "machine silent, releasing it", "machine", m.host, "type", m.typeName, "silent", c.Now.Sub(last), "tasks", len(m.attempts), "booted", !booting)
-		if booting && !m.unreachable {
+		c.Log(slog.LevelWarn, "machine silent, releasing it", "machine", m.Host, "type", m.TypeName, "silent", c.Now.Sub(last), "tasks", len(m.Attempts), "booted", !booting)
+		if booting && !m.Unreachable {
 			// When boots take longer than that for a while, giving up each time
 			// would never get a machine.
-			l.autoscaler.bootPatience[m.typeName] = min(max(l.autoscaler.bootPatience[m.typeName], 1)*1.25, 6)
+			l.autoscaler.bootPatience[m.TypeName] = min(max(l.autoscaler.bootPatience[m.TypeName], 1)*1.25, 6)
 		}
 		c.release(m)
 		return
-	case m.instanceType == nil && l.autoscaler.catalogRead:
+	case m.InstanceType == nil && l.autoscaler.catalogRead:
 		c.release(m) // of a type that the catalog does not have
 		return
 	}
-	if !m.reported {
+	if !m.Reported {
 		return
 	}
 	c.drainMachine(m)
-	if len(m.attempts) > 0 {
+	if len(m.Attempts) > 0 {
 		return
 	}
-	age := c.Now.Sub(m.rentedAt)
+	age := c.Now.Sub(m.RentedAt)
 	switch {
-	case m.quarantined, m.draining, !m.interruptionAt.IsZero():
+	case m.Quarantined, m.Draining, !m.InterruptionAt.IsZero():
 		c.release(m)
-	case c.Now.Sub(m.idleSince) > idle && age > 50*time.Second && !c.isWanted(m):
-		c.Log(slog.LevelInfo, "machine idle, returning it", "machine", m.host, "type", m.typeName)
+	case c.Now.Sub(m.IdleSince) > idle && age > 50*time.Second && !c.isWanted(m):
+		c.Log(slog.LevelInfo, "machine idle, returning it", "machine", m.Host, "type", m.TypeName)
 		c.release(m)
 	}
 }
@@ -379,41 +379,41 @@
 // isWanted reports whether waiting tasks could use the machine.
 func (c *Core) isWanted(m *machine) bool {
 	return slices.ContainsFunc(c.leadership.queue, func(j *job) bool {
-		return m.eligibleFor(j) && c.couldStart(j)
+		return m.EligibleFor(j) && c.couldStart(j)
 	})
 }
 
 // drainMachine empties a machine that the cloud takes away or that is condemned: tasks
 // that will not be over in time save and go, the others finish.
 func (c *Core) drainMachine(m *machine) {
-	if !m.quarantined && !m.draining && m.interruptionAt.IsZero() {
+	if !m.Quarantined && !m.Draining && m.InterruptionAt.IsZero() {
 		return
 	}
-	for _, r := range m.attempts {
-		if r.phase == heartbeat.Exited || r.stopRequested || r.job == nil {
+	for _, r := range m.Attempts {
+		if r.Phase == heartbeat.Exited || r.StopRequested || r.Job == nil {
 			continue
 		}
-		left := m.interruptionAt.Sub(c.Now)
+		left := m.InterruptionAt.Sub(c.Now)
 		switch {
-		case m.quarantined:
-		case m.interruptionAt.IsZero():
+		case m.Quarantined:
+		case m.InterruptionAt.IsZero():
 			// Only what saves is moved, and only when it has long to go.
-			s := &r.job.spec
-			if r.phase != heartbeat.TaskRuns || s.CheckpointInterval <= 0 || c.remaining(r) < 2*s.CheckpointTime+10*time.Second {
+			s := &r.Job.Spec
+			if r.Phase != heartbeat.TaskRuns || s.CheckpointInterval <= 0 || c.remaining(r) < 2*s.CheckpointTime+10*time.Second {
 				continue
 			}
-		case r.phase == heartbeat.TaskRuns && !r.job.spec.Service:
-			end := r.startedAt.Add(c.estimate(r.job))
-			if end.Before(m.interruptionAt) {
+		case r.Phase == heartbeat.TaskRuns && !r.Job.Spec.Service:
+			end := r.StartedAt.Add(c.estimate(r.Job))
+			if end.Before(m.InterruptionAt) {
 				continue
 			}
-			if s := r.job.spec.CheckpointTime; r.job.spec.CheckpointInterval > 0 && left > s+3*time.Second+c.heartbeatInterval {
+			if s := r.Job.Spec.CheckpointTime; r.Job.Spec.CheckpointInterval > 0 && left > s+3*time.Second+c.heartbeatInterval {
 				continue // saves a little later, as late as is safe
 			}
 		}
-		r.stopRequested, r.drainTime = true, 0
-		if s := r.job.spec.CheckpointTime; r.job.spec.CheckpointInterval > 0 && (m.interruptionAt.IsZero() || left > s) {
-			r.drainTime = s + time.Second
+		r.StopRequested, r.DrainTime = true, 0
+		if s := r.Job.Spec.CheckpointTime; r.Job.Spec.CheckpointInterval > 0 && (m.InterruptionAt.IsZero() || left > s) {
+			r.DrainTime = s + time.Second
 		}
 		c.requestDispatch(m)
 	}
@@ -421,10 +421,10 @@
 
 // remaining is how long a run still takes, as far as we know.
 func (c *Core) remaining(r *attempt) time.Duration {
-	if r.job.spec.Service {
+	if r.Job.Spec.Service {
 		return timeline.Forever
 	}
-	return r.startedAt.Add(c.estimate(r.job)).Sub(c.Now)
+	return r.StartedAt.Add(c.estimate(r.Job)).Sub(c.Now)
 }
 
 // arrivalMemory is how long arrivals count towards the work to be expected.
@@ -434,47 +434,47 @@
 func (c *Core) recordArrival(j *job) {
 	rent := &c.leadership.autoscaler
 	secs := arrivalMemory.Seconds()
-	if !j.spec.Service {
+	if !j.Spec.Service {
 		secs = c.estimate(j).Seconds()
 	}
-	if j.startsAtOnce {
-		cpus := float64(j.spec.Tasks) * float64(j.need.CPU) / 1000
+	if j.StartsAtOnce {
+		cpus := float64(j.Spec.Tasks) * float64(j.Need.CPU) / 1000
 		if rent.burstAt.IsZero() {
 			rent.burstCPUs = cpus
 		}
 		rent.burstCPUs += 0.15 * (cpus - rent.burstCPUs)
 		rent.burstAt = c.Now
 	}
-	t := j.team
-	t.load = t.expectedCPUs(c.Now) + float64(j.spec.Tasks)*float64(j.need.CPU)/1000*secs/arrivalMemory.Seconds()
-	t.loadAt = c.Now
+	t := j.Team
+	t.Load = t.ExpectedCPUs(c.Now) + float64(j.Spec.Tasks)*float64(j.Need.CPU)/1000*secs/arrivalMemory.Seconds()
+	t.LoadAt = c.Now
 }
 
-// expectedCPUs is how many CPUs the work of late arrivals keeps busy, as far as the
+// ExpectedCPUs is how many CPUs the work of late arrivals keeps busy, as far as the
 // teams' limits let it.
 func (c *Core) expectedCPUs() float64 {
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(c.leadership.teams)) {
 		t := c.leadership.teams[name]
-		x := t.expectedCPUs(c.Now)
-		if t.limit.CPU > 0 {
-			x = min(x, float64(t.limit.CPU)/1000)
+		x := t.ExpectedCPUs(c.Now)
+		if t.Limit.CPU > 0 {
+			x = min(x, float64(t.Limit.CPU)/1000)
 		}
 		sum += x
 	}
 	return sum
 }
 
-func (t *team) expectedCPUs(now time.Time) float64 {
-	return t.load * math.Exp(-now.Sub(t.loadAt).Seconds()/arrivalMemory.Seconds())
+func (t *team) ExpectedCPUs(now time.Time) float64 {
+	return t.Load * math.Exp(-now.Sub(t.LoadAt).Seconds()/arrivalMemory.Seconds())
 }
 
-// perCPU is what a CPU of the machine costs.
-func (m *machine) perCPU() float64 {
-	if m.spot {
-		return m.instanceType.SpotRate / m.instanceType.CPUs
+// PerCPU is what a CPU of the machine costs.
+func (m *machine) PerCPU() float64 {
+	if m.Spot {
+		return m.InstanceType.SpotRate / m.InstanceType.CPUs
 	}
-	return m.instanceType.OnDemandRate / m.instanceType.CPUs
+	return m.InstanceType.OnDemandRate / m.InstanceType.CPUs
 }
 
 // scaleIn empties the machines that are the dearest to keep when what runs
@@ -484,16 +484,16 @@
 	used, free, draining := 0.0, 0.0, 0
 	var spare []*machine
 	for _, m := range l.fleet {
-		if m.draining && !m.releasing {
+		if m.Draining && !m.Releasing {
 			draining++
 		}
-		if !m.usable() || !m.reported {
+		if !m.Usable() || !m.Reported {
 			continue
 		}
-		u := float64(m.allocated.CPU) / 1000
+		u := float64(m.Allocated.CPU) / 1000
 		used += u
-		free += float64(m.room().CPU) / 1000
-		if c.Now.Sub(m.rentedAt) < 50*time.Second {
+		free += float64(m.Room().CPU) / 1000
+		if c.Now.Sub(m.RentedAt) < 50*time.Second {
 			continue // it is paid for a minute anyway
 		}
 		spare = append(spare, m)
@@ -501,8 +501,8 @@
 	waits := len(l.queue) > 0 && l.autoscaler.backlog > time.Second
 	if waits {
 		for _, m := range l.fleet {
-			if m.draining && !m.releasing && l.autoscaler.backlog > 10*time.Second {
-				m.draining = false // needed after all
+			if m.Draining && !m.Releasing && l.autoscaler.backlog > 10*time.Second {
+				m.Draining = false // needed after all
 			}
 		}
 		return
@@ -511,12 +511,12 @@
 		return
 	}
 	// The dearest first, among those of about the same price the emptiest.
-	dear := func(m *machine) int { return int(math.Round(50 * math.Log(m.perCPU()+1e-9))) }
+	dear := func(m *machine) int { return int(math.Round(50 * math.Log(m.PerCPU()+1e-9))) }
 	slices.SortStableFunc(spare, func(a, b *machine) int {
 		if x := cmp.Compare(dear(b), dear(a)); x != 0 {
 			return x
 		}
-		return cmp.Compare(a.allocated.CPU*b.timeline.Capacity().CPU, b.allocated.CPU*a.timeline.Capacity().CPU)
+		return cmp.Compare(a.Allocated.CPU*b.Timeline.Capacity().CPU, b.Allocated.CPU*a.Timeline.Capacity().CPU)
 	})
 	reserve := max(c.expectedCPUs()-used, 0) + 0.1*used + 2
 	most := draining + 1 + len(l.fleet)/drainDivisor
@@ -524,13 +524,13 @@
 		if draining >= most || draining > len(l.fleet)/3 {
 			break
 		}
-		if free-m.instanceType.CPUs < reserve {
+		if free-m.InstanceType.CPUs < reserve {
 			continue // what the others have, less what would move to them
 		}
-		free -= m.instanceType.CPUs
+		free -= m.InstanceType.CPUs
 		draining++
-		m.draining = true
-		c.Log(slog.LevelInfo, "machine drained", "machine", m.host, "type", m.typeName, "cheap", m.spot, "tasks", len(m.attempts))
+		m.Draining = true
+		c.Log(slog.LevelInfo, "machine drained", "machine", m.Host, "type", m.TypeName, "cheap", m.Spot, "tasks", len(m.Attempts))
 		c.dropMachineReservations(m)
 	}
 }
@@ -542,14 +542,14 @@
 // supply is how many CPUs are at hand or on their way.
 func (c *Core) supply(ordinaryOnly bool) (total, free float64) {
 	for _, m := range c.leadership.fleet {
-		if !m.usable() || ordinaryOnly && m.spot {
+		if !m.Usable() || ordinaryOnly && m.Spot {
 			continue
 		}
-		if !m.reported && c.Now.Sub(m.rentedAt) > 2*m.instanceType.BootTime+10*time.Second {
+		if !m.Reported && c.Now.Sub(m.RentedAt) > 2*m.InstanceType.BootTime+10*time.Second {
 			continue // not to be counted on
 		}
-		total += m.instanceType.CPUs
-		free += float64(m.room().CPU) / 1000
+		total += m.InstanceType.CPUs
+		free += float64(m.Room().CPU) / 1000
 	}
 	for _, r := range c.leadership.autoscaler.pending {
 		if !ordinaryOnly || !r.spot {
@@ -565,25 +565,25 @@
 	l := c.leadership
 	room := map[*team]float64{}
 	for _, j := range l.queue {
-		if j.halted() || c.Now.Before(j.retryAt) || j.spec.Zone != "" && !l.zones.Zone(j.spec.Zone).Rents() {
+		if j.Halted() || c.Now.Before(j.RetryAt) || j.Spec.Zone != "" && !l.zones.Zone(j.Spec.Zone).Rents() {
 			continue // machines elsewhere would be rented for nothing
 		}
-		n := float64(j.waiting) * float64(j.need.CPU) / 1000
-		if t := j.team; t.limit.CPU > 0 {
+		n := float64(j.Waiting) * float64(j.Need.CPU) / 1000
+		if t := j.Team; t.Limit.CPU > 0 {
 			left, ok := room[t]
 			if !ok {
-				left = float64(t.limit.CPU-t.allocated.CPU) / 1000
+				left = float64(t.Limit.CPU-t.Allocated.CPU) / 1000
 			}
 			n = min(n, left)
 			room[t] = left - n
 		}
 		secs := 600.0
-		if !j.spec.Service {
+		if !j.Spec.Service {
 			secs = c.estimate(j).Seconds() + 1
 		}
 		cpus += n
 		work += n * secs
-		if !j.spec.AllowSpot {
+		if !j.Spec.AllowSpot {
 			ordinaryCPUs += n
 			ordinaryWork += n * secs
 		}
@@ -602,13 +602,13 @@
 	}
 	// A job that no machine at hand can take needs one of its own.
 	for _, j := range l.queue {
-		if j.reservations[0].machine != nil || j.halted() || slices.ContainsFunc(l.fleet, func(m *machine) bool { return m.eligibleFor(j) }) {
+		if j.Reservations[0].Machine != nil || j.Halted() || slices.ContainsFunc(l.fleet, func(m *machine) bool { return m.EligibleFor(j) }) {
 			continue
 		}
-		if j.spec.Zone != "" && !l.zones.Zone(j.spec.Zone).Rents() {
+		if j.Spec.Zone != "" && !l.zones.Zone(j.Spec.Zone).Rents() {
 			continue // it waits for its zone, and nobody else for it
 		}
-		if !c.requestInstances(&j.spec, float64(min(j.waiting, 8))*j.spec.CPUs, true, false) {
+		if !c.requestInstances(&j.Spec, float64(min(j.Waiting, 8))*j.Spec.CPUs, true, false) {
 			return
 		}
 		break
@@ -668,7 +668,7 @@
 	var cs []choice
 	have := map[instanceOffer]int{}
 	for _, m := range l.fleet {
-		have[instanceOffer{m.typeName, m.zone, m.spot}]++
+		have[instanceOffer{m.TypeName, m.Zone, m.Spot}]++
 	}
 	for i := range l.autoscaler.instanceTypes {
 		f := &l.autoscaler.instanceTypes[i]
@@ -733,13 +733,13 @@
 		case rpc.OK:
 			delete(l.autoscaler.pending, name)
 			for _, h := range r.Hosts {
-				if l.released.has(h) {
+				if l.released.Has(h) {
 					continue
 				}
 				m := c.ensureMachine(h, w.instanceType, w.zone, w.spot)
-				m.rentedAt = w.requestedAt
-				if m.instanceType != nil {
-					m.readyAt = w.requestedAt.Add(m.instanceType.BootTime)
+				m.RentedAt = w.requestedAt
+				if m.InstanceType != nil {
+					m.ReadyAt = w.requestedAt.Add(m.InstanceType.BootTime)
 				}
 			}
 			c.Log(slog.LevelInfo, "machines rented", "rental", name, "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.count, "got", len(r.Hosts))
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -81,7 +81,7 @@
 	if l != nil {
 		v.Leader, v.Term, v.LeadsS, v.Authority = c.cfg.HostName, l.term, c.Now.Sub(l.electedAt).Seconds(), c.hasAuthority()
 		v.TookOver, v.Machines, v.Unaccounted, v.MachineMost = l.loaded && l.allAccounted(), len(l.fleet), len(l.unaccounted), c.maxFleet()
-		own.Role, own.Workers = "leader", l.relay("").workers
+		own.Role, own.Workers = "leader", l.relay("").Workers
 		v.Regions = c.clusterRegions()
 		v.Zones, v.Records = c.clusterZones(), c.records()
 	} else if !c.hasLeaderLink() {
@@ -96,9 +96,9 @@
 		if l != nil {
 			n.Role = "away"
 			if p := l.relays[s.HostName]; p != nil {
-				n.Workers = p.workers
-				if !p.lastBatch.IsZero() {
-					n.LagS = c.Now.Sub(p.lastBatch).Seconds()
+				n.Workers = p.Workers
+				if !p.LastBatch.IsZero() {
+					n.LagS = c.Now.Sub(p.LastBatch).Seconds()
 				}
 				if c.takesWorkers(s.HostName, p) {
 					n.Role = "relay"
@@ -132,10 +132,10 @@
 	l := c.leadership
 	waiting := map[*zones.Zone]int{}
 	for _, m := range l.fleet {
-		if m.unreachable {
-			for _, r := range m.attempts {
-				if r.occupies {
-					waiting[m.zoneState]++
+		if m.Unreachable {
+			for _, r := range m.Attempts {
+				if r.Occupies {
+					waiting[m.ZoneState]++
 				}
 			}
 		}
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -84,7 +84,7 @@
 	return teams
 }
 
-// configWrites is the limiter of the part of the changes that configuration has.
+// ConfigWrites is the limiter of the part of the changes that configuration has.
 func configWrites(st config.State) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(st.WriteRPS*configWriteShare), max(2, st.TxnOps))
 }
@@ -136,13 +136,13 @@
 	l := c.leadership
 	now := teamOf(t)
 	if was := l.teams[t.Name]; was != nil {
-		was.configured, was.retired, was.guaranteed, was.limit = true, now.retired, now.guaranteed, now.limit
+		was.Configured, was.Retired, was.Guaranteed, was.Limit = true, now.Retired, now.Guaranteed, now.Limit
 	} else {
 		l.teams[t.Name] = now
 	}
 	l.guarantees = false
 	for _, t := range l.teams {
-		l.guarantees = l.guarantees || t.guaranteed.CPU > 0 || t.guaranteed.GPU > 0
+		l.guarantees = l.guarantees || t.Guaranteed.CPU > 0 || t.Guaranteed.GPU > 0
 	}
 	l.dispatchAll = true
 }
@@ -346,17 +346,17 @@
 	}
 	b := &configBatch{}
 	conf.batch = b
-	ch := &change{priority: priorityConfig, size: 1}
-	ch.prepare = func() bool {
+	ch := &change{Priority: priorityConfig, Size: 1}
+	ch.Prepare = func() bool {
 		if b.Batch == nil {
 			c.prepareConfigBatch(b, ch)
 		}
 		return !b.over
 	}
-	ch.onCommit = func(rev uint64) { c.configBatchCommitted(b, rev) }
-	ch.onConflict = func() { c.configBatchConflict(b, ch) }
-	ch.onReject = func() { c.configBatchRejected(b) }
-	c.leadership.writes.add(ch)
+	ch.OnCommit = func(rev uint64) { c.configBatchCommitted(b, rev) }
+	ch.OnConflict = func() { c.configBatchConflict(b, ch) }
+	ch.OnReject = func() { c.configBatchRejected(b) }
+	c.leadership.writes.Add(ch)
 }
 
 // configBatchDue reports whether the batch that waits may go: with what waits for it now, or
@@ -369,7 +369,7 @@
 		return true
 	}
 	ops := c.cfg.Settings.State.TxnOps
-	room := c.leadership.writes.roomFor(priorityConfig, c.Now, ops)
+	room := c.leadership.writes.RoomFor(priorityConfig, c.Now, ops)
 	least := len(conf.waiting[0].change.Teams) + 1 // with the head; it goes whole
 	if room < least {
 		return false
@@ -390,7 +390,7 @@
 	for i, w := range conf.waiting {
 		changes[i] = &w.change
 	}
-	b.Batch = liveconfig.NewBatch(conf.state, changes, c.leadership.writes.roomFor(priorityConfig, c.Now, c.cfg.Settings.State.TxnOps))
+	b.Batch = liveconfig.NewBatch(conf.state, changes, c.leadership.writes.RoomFor(priorityConfig, c.Now, c.cfg.Settings.State.TxnOps))
 	b.changes = slices.Clone(conf.waiting[:b.Taken])
 	conf.waiting = slices.Delete(conf.waiting, 0, b.Taken)
 	records := b.Records()
@@ -398,14 +398,14 @@
 		c.answerConfigBatch(b)
 		return
 	}
-	ch.size = 0
+	ch.Size = 0
 	for _, r := range records {
-		ch.writes = append(ch.writes, kv.Write{Key: record.ConfigTeamPrefix + r.Team.Name, Value: &r})
-		ch.size += 200 + 2*len(r.Team.Name)
+		ch.Writes = append(ch.Writes, kv.Write{Key: record.ConfigTeamPrefix + r.Team.Name, Value: &r})
+		ch.Size += 200 + 2*len(r.Team.Name)
 	}
-	ch.writes = append(ch.writes, kv.Write{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}})
-	ch.conditions = []kv.Condition{{Key: record.ConfigHeadKey, Rev: conf.headRev}}
-	ch.size += 200
+	ch.Writes = append(ch.Writes, kv.Write{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}})
+	ch.Conditions = []kv.Condition{{Key: record.ConfigHeadKey, Rev: conf.headRev}}
+	ch.Size += 200
 }
 
 // configBatchCommitted: the changes are on record. They are in force before anybody hears of it.
@@ -474,8 +474,8 @@
 			c.configBatchCommitted(b, e.Rev)
 		case conf.state.Revision:
 			conf.headRev = e.Rev
-			ch.conditions[0].Rev = e.Rev
-			c.leadership.writes.add(ch)
+			ch.Conditions[0].Rev = e.Rev
+			c.leadership.writes.Add(ch)
 		default:
 			c.failConfigBatch(b, unavailable("the configuration on record is being read"))
 			c.reconcileHead(found, e.Rev)
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -64,11 +64,11 @@
 	if a != nil || txn == nil {
 		t.Fatalf("all know of it: %+v", a)
 	}
-	if got := c.leadership.teams["t"].limit.CPU; got != 0 {
+	if got := c.leadership.teams["t"].Limit.CPU; got != 0 {
 		t.Errorf("in force before it is on record: %d", got)
 	}
 	outs := c.Step(c.Now, kv.Response{Ref: txn.Ref, Outcome: rpc.OK, Rev: 40})
-	if got := c.leadership.teams["t"].limit.CPU; got != 7000 {
+	if got := c.leadership.teams["t"].Limit.CPU; got != 7000 {
 		t.Errorf("not in force once it is on record: %d", got)
 	}
 	answered := false
@@ -115,7 +115,7 @@
 		}
 	}
 	count(c.Step(c.Now, kv.Response{Ref: read.Ref, Outcome: rpc.OK, Entries: []kv.Entry{{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
-	if !confirmed || c.leadership.config.state.Revision != 1 || c.leadership.config.headRev != 40 || c.leadership.teams["t"].limit.CPU != 7000 {
+	if !confirmed || c.leadership.config.state.Revision != 1 || c.leadership.config.headRev != 40 || c.leadership.teams["t"].Limit.CPU != 7000 {
 		t.Errorf("confirmed %v, revision %d, head %d", confirmed, c.leadership.config.state.Revision, c.leadership.config.headRev)
 	}
 	count(c.Step(c.Now, kv.Response{Ref: txn.Ref, Outcome: rpc.Unknown}))
@@ -135,23 +135,23 @@
 // TestConfigHasItsPart: a storm of submissions does not hold up a change of configuration,
 // and a storm of changes leaves the others their part.
 func TestConfigHasItsPart(t *testing.T) {
-	p := writeBatcher{writes: rate.NewLimiter(72, 64), requests: rate.NewLimiter(210, 175), configWrites: configWrites(config.State{WriteRPS: 80, TxnOps: 12}), keysInFlight: map[string]bool{}}
+	p := writeBatcher{Writes: rate.NewLimiter(72, 64), Requests: rate.NewLimiter(210, 175), ConfigWrites: configWrites(config.State{WriteRPS: 80, TxnOps: 12}), KeysInFlight: map[string]bool{}}
 	now := t0
-	p.spend(priorityUrgent, now, 64) // a storm has taken all there is
-	if room := p.roomFor(priorityUrgent, now, 12); room >= minBatchRoom(priorityUrgent) {
+	p.Spend(priorityUrgent, now, 64) // a storm has taken all there is
+	if room := p.RoomFor(priorityUrgent, now, 12); room >= minBatchRoom(priorityUrgent) {
 		t.Errorf("room for %d more submissions", room)
 	}
-	if room := p.roomFor(priorityConfig, now, 12); room < minBatchRoom(priorityConfig) {
+	if room := p.RoomFor(priorityConfig, now, 12); room < minBatchRoom(priorityConfig) {
 		t.Errorf("no room for a change of configuration: %d", room)
 	}
 	written, others := 0, 0
 	for end := now.Add(time.Minute); now.Before(end); now = now.Add(10 * time.Millisecond) {
-		if room := p.roomFor(priorityConfig, now, 12); room >= 12 { // as many changes as go
-			p.spend(priorityConfig, now, room)
+		if room := p.RoomFor(priorityConfig, now, 12); room >= 12 { // as many changes as go
+			p.Spend(priorityConfig, now, room)
 			written += room
 		}
-		if room := p.roomFor(priorityUrgent, now, 12); room > 0 {
-			p.spend(priorityUrgent, now, room)
+		if room := p.RoomFor(priorityUrgent, now, 12); room > 0 {
+			p.Spend(priorityUrgent, now, room)
 			others += room
 		}
 	}
@@ -243,7 +243,7 @@
 // allowance that configuration has holds all of it.
 func TestWideChangeWaitsForItsRoom(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.leadership.writes.spend(priorityConfig, c.Now, 10) // two of twelve are left
+	c.leadership.writes.Spend(priorityConfig, c.Now, 10) // two of twelve are left
 	var wide []liveconfig.TeamChange
 	for i := range c.cfg.Settings.State.TxnOps - 1 {
 		wide = append(wide, liveconfig.TeamChange{Team: liveconfig.Team{Name: fmt.Sprint("w", i)}})
@@ -262,7 +262,7 @@
 			if after := c.Now.Sub(began); after < time.Second || after > 1500*time.Millisecond {
 				t.Errorf("it goes after %s, ten changes come back in 1.1 s", after)
 			}
-			if room := c.leadership.writes.roomFor(priorityConfig, c.Now, 12); room > 0 {
+			if room := c.leadership.writes.RoomFor(priorityConfig, c.Now, 12); room > 0 {
 				t.Errorf("room for %d more", room)
 			}
 			return
@@ -279,7 +279,7 @@
 	c := leaderOf(t, 1)
 	st := c.cfg.Settings.State
 	rate := st.WriteRPS * configWriteShare
-	c.leadership.writes.spend(priorityConfig, c.Now, st.TxnOps)
+	c.leadership.writes.Spend(priorityConfig, c.Now, st.TxnOps)
 	const piled = 40
 	asked, made := 0, 0
 	ask := func() []any {
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -65,7 +65,7 @@
 	}
 	v.Damaged = conf.damaged["team/"+name]
 	if t := c.leadership.teams[name]; t != nil {
-		v.InUse.CPUs, v.InUse.GPUs = float64(t.allocated.CPU)/1000, float64(t.allocated.GPU)/1000
+		v.InUse.CPUs, v.InUse.GPUs = float64(t.Allocated.CPU)/1000, float64(t.Allocated.GPU)/1000
 	}
 	return v, true
 }
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -32,7 +32,7 @@
 	c := leaderOf(t, 1)
 	l := c.leadership
 	m := l.fleet[0]
-	m.heldReply, m.fencingToken = &heldReply{heartbeatKey: heartbeatKey{ref: 9}}, l.term
+	m.HeldReply, m.FencingToken = &heldReply{heartbeatKey: heartbeatKey{Ref: 9}}, l.term
 	j := newJob(c, 1, 3, testRand())
 	c.reserve(j)
 	l.attempts = maxAttempts
@@ -61,10 +61,10 @@
 func TestStrangeConflict(t *testing.T) {
 	c := leaderOf(t, 0)
 	p := &c.leadership.writes
-	ch := &change{writes: []kv.Write{{Key: "a", Value: &record.Term{Term: 1}}}}
+	ch := &change{Writes: []kv.Write{{Key: "a", Value: &record.Term{Term: 1}}}}
 	c.handleBatchReply([]*change{ch}, kv.Response{Outcome: rpc.Conflict, FailedKeys: []string{"something else"}})
-	if !p.pausedUntil.After(c.Now) || len(p.queued[priorityUrgent]) != 1 {
-		t.Errorf("pause until %v, %d wait", p.pausedUntil, len(p.queued[priorityUrgent]))
+	if !p.PausedUntil.After(c.Now) || len(p.Queued[priorityUrgent]) != 1 {
+		t.Errorf("pause until %v, %d wait", p.PausedUntil, len(p.Queued[priorityUrgent]))
 	}
 }
 
@@ -73,16 +73,16 @@
 func TestMalformedChange(t *testing.T) {
 	c := leaderOf(t, 0)
 	p := &c.leadership.writes
-	bad, good := &change{writes: []kv.Write{{Key: "a"}}}, &change{writes: []kv.Write{{Key: "b"}}}
+	bad, good := &change{Writes: []kv.Write{{Key: "a"}}}, &change{Writes: []kv.Write{{Key: "b"}}}
 	c.handleBatchReply([]*change{bad, good}, kv.Response{Outcome: rpc.Invalid})
-	p.take(&p.queued[priorityUrgent], 9)
+	p.Take(&p.Queued[priorityUrgent], 9)
 	c.handleBatchReply([]*change{bad}, kv.Response{Outcome: rpc.Invalid})
-	if w := p.queued[priorityUrgent]; len(w) != 1 || w[0] != good {
+	if w := p.Queued[priorityUrgent]; len(w) != 1 || w[0] != good {
 		t.Errorf("%d wait", len(w))
 	}
 	c.Now = c.Now.Add(2 * time.Second)
 	c.RunTimers()
-	if w := p.queued[priorityUrgent]; len(w) != 2 || w[1] != bad {
+	if w := p.Queued[priorityUrgent]; len(w) != 2 || w[1] != bad {
 		t.Errorf("%d wait: the malformed one is lost or goes first", len(w))
 	}
 }
@@ -241,7 +241,7 @@
 		now = now.Add(100 * time.Second) // silent by now, and returned
 		for range 6 {
 			for _, m := range stay {
-				m.lastHeartbeat, m.lastReply, m.idleSince, m.draining = now, now, now, false
+				m.LastHeartbeat, m.LastReply, m.IdleSince, m.Draining = now, now, now, false
 			}
 			now = now.Add(500 * time.Millisecond)
 			done(Tick{})
@@ -282,7 +282,7 @@
 		t.Fatal("does not lead")
 	}
 	c.SetClockOffset(time.Hour)
-	for _, o := range c.Step(t0.Add(time.Millisecond), heartbeat.Received{Ref: 5, Report: heartbeat.Report{Host: l.fleet[0].host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: 2, FencingToken: 1}}) {
+	for _, o := range c.Step(t0.Add(time.Millisecond), heartbeat.Received{Ref: 5, Report: heartbeat.Report{Host: l.fleet[0].Host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: 2, FencingToken: 1}}) {
 		if a, ok := o.(heartbeat.Reply); ok && len(a.Orders) > 0 {
 			t.Errorf("starts after an hour's sleep: %+v", a)
 		}
@@ -355,7 +355,7 @@
 	c := leaderOf(t, 1)
 	m := c.leadership.fleet[0]
 	status := func(counter uint64) int {
-		for _, o := range c.Step(c.Now.Add(time.Second), heartbeat.Received{Ref: counter, Report: heartbeat.Report{Host: m.host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 1}}) {
+		for _, o := range c.Step(c.Now.Add(time.Second), heartbeat.Received{Ref: counter, Report: heartbeat.Report{Host: m.Host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 1}}) {
 			if a, ok := o.(heartbeat.Reply); ok && a.Ref == counter {
 				return a.Status
 			}
--- a/internal/core/expiring_set.go
+++ b/internal/core/expiring_set.go
@@ -9,8 +9,8 @@
 // still. That breaks no rule: the machine then counts as holding what the report says
 // until it has been silent, and goes back, once more, to a cloud that does not know it.
 type expiringSet struct {
-	recent, previous map[string]bool
-	rotatedAt        time.Time
+	Recent, Previous map[string]bool
+	RotatedAt        time.Time
 }
 
 // releasedRetention is far longer than anything is held up on its way.
@@ -20,11 +20,11 @@
 	return expiringSet{map[string]bool{}, map[string]bool{}, now}
 }
 
-func (f *expiringSet) has(name string) bool { return f.recent[name] || f.previous[name] }
+func (f *expiringSet) Has(name string) bool { return f.Recent[name] || f.Previous[name] }
 
-func (f *expiringSet) add(name string, now time.Time) {
-	if now.Sub(f.rotatedAt) >= releasedRetention {
-		f.recent, f.previous, f.rotatedAt = map[string]bool{}, f.recent, now
+func (f *expiringSet) Add(name string, now time.Time) {
+	if now.Sub(f.RotatedAt) >= releasedRetention {
+		f.Recent, f.Previous, f.RotatedAt = map[string]bool{}, f.Recent, now
 	}
-	f.recent[name] = true
+	f.Recent[name] = true
 }
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -79,18 +79,18 @@
 		j := l.jobs[id]
 		if j == nil {
 			if !l.unreadableJobs[id] { // left over by a job that is over
-				l.writes.add(&change{writes: []kv.Write{{Key: e.Key}}, priority: priorityBulk})
+				l.writes.Add(&change{Writes: []kv.Write{{Key: e.Key}}, Priority: priorityBulk})
 			}
 			return
 		}
-		if chunk < 0 || chunk*bitset.ChunkSize >= j.spec.Tasks {
+		if chunk < 0 || chunk*bitset.ChunkSize >= j.Spec.Tasks {
 			unreadable("none, the job has no such tasks")
 			return
 		}
-		if v, _ := e.Value.(*record.Progress); v == nil || !j.done.DecodeChunk(chunk*bitset.ChunkSize, j.spec.Tasks, v.Ranges) {
+		if v, _ := e.Value.(*record.Progress); v == nil || !j.Done.DecodeChunk(chunk*bitset.ChunkSize, j.Spec.Tasks, v.Ranges) {
 			unreadable("its tasks run again")
 		}
-		j.chunkRevisions[chunk] = e.Rev
+		j.ChunkRevisions[chunk] = e.Rev
 	} else {
 		unreadable("none")
 	}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -87,8 +87,8 @@
 			}
 			for range next() % 3 { // what it was told to start
 				if m := c.leadership; m != nil && len(m.fleet) > 0 {
-					for _, x := range m.fleet[next()%len(m.fleet)].attempts {
-						r.Tasks = append(r.Tasks, heartbeat.Task{Task: x.id, Try: x.number, Phase: []heartbeat.Phase{heartbeat.TaskRuns, heartbeat.Exited}[next()%2], Cause: heartbeat.CauseDone})
+					for _, x := range m.fleet[next()%len(m.fleet)].Attempts {
+						r.Tasks = append(r.Tasks, heartbeat.Task{Task: x.ID, Try: x.Number, Phase: []heartbeat.Phase{heartbeat.TaskRuns, heartbeat.Exited}[next()%2], Cause: heartbeat.CauseDone})
 					}
 				}
 			}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -33,7 +33,7 @@
 		// cannot say.
 		refuse()
 		return
-	case l.released.has(rep.Host):
+	case l.released.Has(rep.Host):
 		// Released and proven gone: whatever arrives now was sent before.
 		c.staleHeartbeats++
 		refuse()
@@ -43,52 +43,52 @@
 		return
 	}
 	m := c.ensureMachine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
-	if m.record == unrecorded {
-		m.address = rep.Address // a machine keeps it
+	if m.Record == unrecorded {
+		m.Address = rep.Address // a machine keeps it
 	}
-	if m.probed && rep.Incarnation == m.incarnation && rep.Counter <= m.counter && c.hasAuthority() {
+	if m.Probed && rep.Incarnation == m.Incarnation && rep.Counter <= m.Counter && c.hasAuthority() {
 		// Overtaken by its own answer to our probe: nothing new, but a worker
 		// that waits for its reply.
 		c.replyHeartbeat(in.Relay, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
-		m.lastReply = c.Now
+		m.LastReply = c.Now
 		return
 	}
 	// A relay that has begun a new session tells again what waits there. What was
 	// answered in the session before has not reached the worker, and will not.
-	again := in.Relay.From != "" && m.reported && rep.Incarnation == m.incarnation && rep.Counter == m.counter
+	again := in.Relay.From != "" && m.Reported && rep.Incarnation == m.Incarnation && rep.Counter == m.Counter
 	// A worker never forgets an epoch it has seen, unless it has begun anew: then its
 	// counters may begin anew too, and what is newer by them may have been sent before it
 	// ended. Nothing of either is believed until the lease of what we know is over, which a
 	// machine that is not answered does not outlast.
-	forgets := m.reported && rep.FencingToken < m.fencingToken
-	if !again && m.reported && !rep.Newer(m.incarnation, m.counter) || rep.Incarnation <= m.expiredIncarnation || forgets {
+	forgets := m.Reported && rep.FencingToken < m.FencingToken
+	if !again && m.Reported && !rep.Newer(m.Incarnation, m.Counter) || rep.Incarnation <= m.ExpiredIncarnation || forgets {
 		// Delayed on the way: its task list is older than what we know.
 		c.staleHeartbeats++
 		refuse()
 		return
 	}
-	if m.heldReply != nil {
+	if m.HeldReply != nil {
 		// The worker has given up on it; this is its next report.
 		c.refuseHeldReply(m)
 	}
-	first := !m.reported && !l.unaccounted[m.host]
+	first := !m.Reported && !l.unaccounted[m.Host]
 	if !again {
-		m.probed = false
+		m.Probed = false
 		c.reconcile(m, rep)
 	}
 	l.setReportsVia(m, in.Relay.From)
-	if m.record == unrecorded && c.hasAuthority() && m.usable() {
+	if m.Record == unrecorded && c.hasAuthority() && m.Usable() {
 		c.recordNewMachine(m)
 	}
 	if to := c.redirectTarget(m, in.Relay.From, first); to != "" {
 		c.replyHeartbeat(in.Relay, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
 		return
 	}
-	m.heldReply = &heldReply{heartbeatKey: heartbeatKey{in.Relay, in.Ref}, since: c.Now}
+	m.HeldReply = &heldReply{heartbeatKey: heartbeatKey{in.Relay, in.Ref}, Since: c.Now}
 	if in.Relay.From == "" {
-		m.heldReply.report = *rep
+		m.HeldReply.Report = *rep
 	}
-	l.heldReplies[m.heldReply.heartbeatKey] = m
+	l.heldReplies[m.HeldReply.heartbeatKey] = m
 	c.reply(m, false)
 }
 
@@ -101,7 +101,7 @@
 			return
 		}
 		c.Log(slog.LevelWarn, "worker has seen an epoch that never was", "machine", host, "claimed", epoch, "term", c.leadership.term)
-		if c.leadership.loaded && !c.leadership.released.has(host) {
+		if c.leadership.loaded && !c.leadership.released.Has(host) {
 			useless()
 		}
 	})
@@ -128,59 +128,59 @@
 // reconcile takes in what a report says.
 func (c *Core) reconcile(m *machine, rep *heartbeat.Report) {
 	l := c.leadership
-	if !m.reported {
-		c.Log(slog.LevelDebug, "machine reports", "machine", m.host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
-		m.idleSince = c.Now
-		delete(l.autoscaler.bootPatience, m.typeName)
+	if !m.Reported {
+		c.Log(slog.LevelDebug, "machine reports", "machine", m.Host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
+		m.IdleSince = c.Now
+		delete(l.autoscaler.bootPatience, m.TypeName)
 	}
-	if m.reported && rep.Incarnation > m.incarnation {
+	if m.Reported && rep.Incarnation > m.Incarnation {
 		// Its lease ran out: the worker has killed all that it had.
-		for _, r := range slices.Clone(m.attempts) {
+		for _, r := range slices.Clone(m.Attempts) {
 			c.dropAttempt(r)
 		}
 	}
-	m.reported, m.incarnation, m.counter, m.fencingToken = true, rep.Incarnation, rep.Counter, rep.FencingToken
-	m.lastHeartbeat, m.leaseExpired, m.unreachable = c.Now, false, false
+	m.Reported, m.Incarnation, m.Counter, m.FencingToken = true, rep.Incarnation, rep.Counter, rep.FencingToken
+	m.LastHeartbeat, m.LeaseExpired, m.Unreachable = c.Now, false, false
 	if rep.HasNotice {
-		if m.interruptionAt.IsZero() {
-			c.Log(slog.LevelInfo, "machine will be taken", "machine", m.host, "notice", rep.Notice)
+		if m.InterruptionAt.IsZero() {
+			c.Log(slog.LevelInfo, "machine will be taken", "machine", m.Host, "notice", rep.Notice)
 		}
-		m.interruptionAt = c.Now.Add(rep.Notice)
+		m.InterruptionAt = c.Now.Add(rep.Notice)
 	}
 	if rep.FencingToken == l.term {
-		m.unacknowledgedSince = time.Time{}
+		m.UnacknowledgedSince = time.Time{}
 	}
 	l.heartbeatCount++
 	for i := range rep.Tasks {
 		t := &rep.Tasks[i]
-		r := m.findAttempt(t.Task, t.Try, i)
+		r := m.FindAttempt(t.Task, t.Try, i)
 		if r == nil {
 			r = c.adoptAttempt(m, t)
 		}
-		r.lastListed = l.heartbeatCount
+		r.LastListed = l.heartbeatCount
 		c.updateAttempt(r, t)
 	}
 	// A start that went out with the reply to an earlier report and is not
 	// listed now was never executed, and never will be: the worker takes
 	// replies in turn and drops late ones.
 	lost := false
-	m.attempts = slices.DeleteFunc(m.attempts, func(r *attempt) bool {
-		if r.lastListed == l.heartbeatCount || rep.Counter <= r.orderedCounter {
+	m.Attempts = slices.DeleteFunc(m.Attempts, func(r *attempt) bool {
+		if r.LastListed == l.heartbeatCount || rep.Counter <= r.OrderedCounter {
 			return false
 		}
-		lost = lost || r.phase == Ordered && r.orderedCounter > 0
+		lost = lost || r.Phase == Ordered && r.OrderedCounter > 0
 		c.releaseAttempt(r)
 		return true
 	})
 	if lost {
 		// Once may be chance or a relay that ended. A machine that does not hear us must
 		// not be what a task is tried on again and again while there is room elsewhere.
-		if m.unlistedStarts++; m.unlistedStarts > 1 {
-			m.retryAt = c.Now.Add(min(time.Second<<min(m.unlistedStarts-1, 10), c.workerLease))
+		if m.UnlistedStarts++; m.UnlistedStarts > 1 {
+			m.RetryAt = c.Now.Add(min(time.Second<<min(m.UnlistedStarts-1, 10), c.workerLease))
 		}
 	}
-	if rep.FencingToken == l.term && l.unaccounted[m.host] {
-		c.markAccounted(m.host)
+	if rep.FencingToken == l.term && l.unaccounted[m.Host] {
+		c.markAccounted(m.Host)
 	}
 	c.extendOverruns(m)
 }
@@ -195,7 +195,7 @@
 	if l.allAccounted() {
 		c.Log(slog.LevelInfo, "take-over complete", "term", l.term, "after", c.Now.Sub(l.electedAt))
 		for _, j := range l.sortedJobs() {
-			if j.cancelled {
+			if j.Cancelled {
 				c.finishIfOver(j)
 			}
 		}
@@ -207,15 +207,15 @@
 // One that was answered long ago and whose reports still show no word of ours does not hear:
 // everything that was accepted earlier would wait for it for as long as that lasts.
 func (c *Core) lastHeard(m *machine) time.Time {
-	if !m.unacknowledgedSince.IsZero() && c.Now.Sub(m.unacknowledgedSince) > c.heardAgainWithin() {
-		return m.unacknowledgedSince
+	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.heardAgainWithin() {
+		return m.UnacknowledgedSince
 	}
-	return m.lastHeartbeat
+	return m.LastHeartbeat
 }
 
 func (c *Core) dropHeartbeat(ref uint64) {
 	if c.leadership != nil {
-		c.abandonHeldReply(heartbeatKey{ref: ref})
+		c.abandonHeldReply(heartbeatKey{Ref: ref})
 	} else if p := c.relay.waiting[ref]; p != nil {
 		c.dropRelayed(p)
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -19,104 +19,104 @@
 
 // job is an accepted job that is not over.
 type job struct {
-	spec            spec.Job
-	need            timeline.Resources
-	submitted       time.Time // on the core's clock
-	record          *record.Job
-	fromEarlierTerm bool         // accepted in an earlier term: its tasks may be anywhere
-	placement       topology.Job // its rules on places
-	team            *team
-	startsAtOnce    bool // must start at once
+	Spec            spec.Job
+	Need            timeline.Resources
+	Submitted       time.Time // on the core's clock
+	Record          *record.Job
+	FromEarlierTerm bool         // accepted in an earlier term: its tasks may be anywhere
+	Placement       topology.Job // its rules on places
+	Team            *team
+	StartsAtOnce    bool // must start at once
 
-	done      bitset.Set       // completed
-	pending   bitset.Set       // neither done nor on a machine
-	waiting   int              // members of pending
-	remaining int              // tasks not done
-	attempts  map[int]*attempt // tasks on machines, or that may be
+	Done      bitset.Set       // completed
+	Pending   bitset.Set       // neither done nor on a machine
+	Waiting   int              // members of pending
+	Remaining int              // tasks not done
+	Attempts  map[int]*attempt // tasks on machines, or that may be
 
-	reserved       int // members of pending that have a place in the queue
-	chunkRevisions map[int]uint64
-	dirtyChunks    map[int]bool // chunks with news not yet on their way
+	Reserved       int // members of pending that have a place in the queue
+	ChunkRevisions map[int]uint64
+	DirtyChunks    map[int]bool // chunks with news not yet on their way
 
-	cancelling    bool              // a cancellation has been begun
-	cancelled     bool              // and has been committed
-	finishing     bool              // the final record is on its way
-	endingChange  *change           // whichever of the two is on its way
-	cancelWaiters []request.Request // who waits for it
+	Cancelling    bool              // a cancellation has been begun
+	Cancelled     bool              // and has been committed
+	Finishing     bool              // the final record is on its way
+	EndingChange  *change           // whichever of the two is on its way
+	CancelWaiters []request.Request // who waits for it
 
-	failedOn           map[string]bool // machines on which its tasks failed
-	failures           int             // since a task last completed
-	retryAt            time.Time       // not before this, after failures
-	anyCompleted       bool            // a task has completed
-	missedUntil        time.Time       // aims up to this are out of reach
-	runtime            runtimeAverage  // seconds that its tasks took
-	reservations       []*reservation  // places in the queue, in order
-	queueTime          time.Time       // of the first, while queued
-	queued             bool
-	reservationPending bool       // to be booked soon
-	lastRereserved     time.Time  // when its bookings were last looked at again
-	imageLocalUntil    time.Time  // until then it starts only where its image is
-	running            int        // tasks that workers report as running or saving
-	completed          []*attempt // completed, and not known to be on record
-	hasRun             bool       // a task of it has run, or is done
-	startNoted         bool       // and has been noted to have started
+	FailedOn           map[string]bool // machines on which its tasks failed
+	Failures           int             // since a task last completed
+	RetryAt            time.Time       // not before this, after failures
+	AnyCompleted       bool            // a task has completed
+	MissedUntil        time.Time       // aims up to this are out of reach
+	Runtime            runtimeAverage  // seconds that its tasks took
+	Reservations       []*reservation  // places in the queue, in order
+	QueueTime          time.Time       // of the first, while queued
+	Queued             bool
+	ReservationPending bool       // to be booked soon
+	LastRereserved     time.Time  // when its bookings were last looked at again
+	ImageLocalUntil    time.Time  // until then it starts only where its image is
+	Running            int        // tasks that workers report as running or saving
+	Completed          []*attempt // completed, and not known to be on record
+	HasRun             bool       // a task of it has run, or is done
+	StartNoted         bool       // and has been noted to have started
 }
 
 // addJob takes a job into memory.
 func (c *Core) addJob(rec *record.Job, earlier bool) *job {
 	s := rec.Spec
 	j := &job{
-		spec: s, need: s.Need(), record: rec, fromEarlierTerm: earlier, cancelled: rec.Cancelled,
-		submitted: c.Now.Add(rec.Submitted.Sub(c.Now.Round(0))),
-		done:      bitset.New(s.Tasks), pending: bitset.New(s.Tasks), remaining: s.Tasks,
-		attempts: map[int]*attempt{}, chunkRevisions: map[int]uint64{}, dirtyChunks: map[int]bool{}, failedOn: map[string]bool{},
-		team: c.leadership.teams[s.Owner], startsAtOnce: c.mustStartAtOnce(s.Class),
+		Spec: s, Need: s.Need(), Record: rec, FromEarlierTerm: earlier, Cancelled: rec.Cancelled,
+		Submitted: c.Now.Add(rec.Submitted.Sub(c.Now.Round(0))),
+		Done:      bitset.New(s.Tasks), Pending: bitset.New(s.Tasks), Remaining: s.Tasks,
+		Attempts: map[int]*attempt{}, ChunkRevisions: map[int]uint64{}, DirtyChunks: map[int]bool{}, FailedOn: map[string]bool{},
+		Team: c.leadership.teams[s.Owner], StartsAtOnce: c.mustStartAtOnce(s.Class),
 	}
-	j.placement = topology.Job{Key: s.ID, Tasks: s.Tasks}
+	j.Placement = topology.Job{Key: s.ID, Tasks: s.Tasks}
 	if s.SamePlace {
-		j.placement.Rules = append(j.placement.Rules, topology.SamePlace)
+		j.Placement.Rules = append(j.Placement.Rules, topology.SamePlace)
 	}
 	if s.Apart {
-		j.placement.Rules = append(j.placement.Rules, topology.Apart)
+		j.Placement.Rules = append(j.Placement.Rules, topology.Apart)
 	}
-	if j.team == nil { // the team has left the settings: its jobs still run
-		j.team = &team{}
-		c.leadership.teams[s.Owner] = j.team
+	if j.Team == nil { // the team has left the settings: its jobs still run
+		j.Team = &team{}
+		c.leadership.teams[s.Owner] = j.Team
 	}
 	c.leadership.jobs[s.ID] = j
-	j.team.jobCount++
+	j.Team.JobCount++
 	return j
 }
 
 // queueJob makes a job's tasks wait for machines, once its progress is known.
 func (c *Core) queueJob(j *job) {
-	for i := range j.spec.Tasks {
-		if j.done.Has(i) {
-			j.remaining--
-			j.hasRun = true
-		} else if j.attempts[i] == nil {
-			j.pending.Add(i)
-			j.waiting++
+	for i := range j.Spec.Tasks {
+		if j.Done.Has(i) {
+			j.Remaining--
+			j.HasRun = true
+		} else if j.Attempts[i] == nil {
+			j.Pending.Add(i)
+			j.Waiting++
 		}
 	}
-	if j.cancelled {
+	if j.Cancelled {
 		c.finishIfOver(j)
 		return
 	}
-	if j.remaining == 0 && !j.spec.Service {
+	if j.Remaining == 0 && !j.Spec.Service {
 		c.finishIfOver(j)
 		return
 	}
 	c.reserveSoon(j)
 }
 
-// halted reports whether no task of the job may start any more.
-func (j *job) halted() bool { return j.cancelled || j.cancelling || j.finishing }
+// Halted reports whether no task of the job may start any more.
+func (j *job) Halted() bool { return j.Cancelled || j.Cancelling || j.Finishing }
 
-func (j *job) view() request.JobStatus {
-	v := request.JobStatus{ID: j.spec.ID, State: spec.Queued, Done: j.spec.Tasks - j.remaining, Running: j.running}
+func (j *job) View() request.JobStatus {
+	v := request.JobStatus{ID: j.Spec.ID, State: spec.Queued, Done: j.Spec.Tasks - j.Remaining, Running: j.Running}
 	switch {
-	case j.cancelled:
+	case j.Cancelled:
 		v.State = spec.Cancelled
 	case v.Running > 0:
 		v.State = spec.Running
@@ -126,25 +126,25 @@
 
 // completeTask marks a task complete. It is not written yet: progress goes in bulk.
 func (c *Core) completeTask(j *job, i int) {
-	if i >= j.spec.Tasks || j.spec.Service {
+	if i >= j.Spec.Tasks || j.Spec.Service {
 		return
 	}
-	if j.done.Has(i) {
+	if j.Done.Has(i) {
 		c.recordProgressSoon(j, i) // a worker still has it: write again, so that it may forget
 		return
 	}
-	if j.pending.Has(i) {
-		j.pending.Remove(i)
-		j.waiting--
+	if j.Pending.Has(i) {
+		j.Pending.Remove(i)
+		j.Waiting--
 		c.dropExcessReservation(j)
 	}
-	j.done.Add(i)
-	j.hasRun = true
-	j.remaining--
-	j.anyCompleted = true
-	j.failures = 0
-	j.retryAt = time.Time{}
-	if j.remaining == 0 {
+	j.Done.Add(i)
+	j.HasRun = true
+	j.Remaining--
+	j.AnyCompleted = true
+	j.Failures = 0
+	j.RetryAt = time.Time{}
+	if j.Remaining == 0 {
 		c.finishIfOver(j)
 		return
 	}
@@ -156,20 +156,20 @@
 // many seconds go in one. The final record makes most of them needless.
 func (c *Core) recordProgressSoon(j *job, i int) {
 	chunk := i / bitset.ChunkSize
-	if j.dirtyChunks[chunk] {
+	if j.DirtyChunks[chunk] {
 		return
 	}
-	j.dirtyChunks[chunk] = true
+	j.DirtyChunks[chunk] = true
 	c.afterWhileLeading(time.Second, func() { c.recordProgress(j, chunk) })
 }
 
 // requeue makes a task wait again.
 func (c *Core) requeue(j *job, i int) {
-	if j.halted() || i >= j.spec.Tasks || j.done.Has(i) || j.pending.Has(i) || j.attempts[i] != nil {
+	if j.Halted() || i >= j.Spec.Tasks || j.Done.Has(i) || j.Pending.Has(i) || j.Attempts[i] != nil {
 		return
 	}
-	j.pending.Add(i)
-	j.waiting++
+	j.Pending.Add(i)
+	j.Waiting++
 	c.reserveSoon(j)
 }
 
@@ -188,46 +188,46 @@
 
 // recordProgress writes the progress of one chunk of a job.
 func (c *Core) recordProgress(j *job, chunk int) {
-	key := chunkKey(j.spec.ID, chunk)
+	key := chunkKey(j.Spec.ID, chunk)
 	var had bitset.Set
 	ch := &change{
-		priority: priorityBulk, size: 300 + 4*min(j.spec.Tasks, bitset.ChunkSize)/3/8,
-		writes: []kv.Write{{Key: key}},
-		onCommit: func(rev uint64) {
-			j.chunkRevisions[chunk] = rev
+		Priority: priorityBulk, Size: 300 + 4*min(j.Spec.Tasks, bitset.ChunkSize)/3/8,
+		Writes: []kv.Write{{Key: key}},
+		OnCommit: func(rev uint64) {
+			j.ChunkRevisions[chunk] = rev
 			c.progressRecorded(j, chunk, had)
 		},
-		onConflict: func() {
+		OnConflict: func() {
 			// A write of ours whose outcome was not known has been applied.
 			c.readBack(key, func(e kv.Entry, _ bool) {
-				j.chunkRevisions[chunk] = e.Rev // 0 if there is none
-				if c.leadership.jobs[j.spec.ID] == j && !j.halted() {
+				j.ChunkRevisions[chunk] = e.Rev // 0 if there is none
+				if c.leadership.jobs[j.Spec.ID] == j && !j.Halted() {
 					c.recordProgress(j, chunk)
 				}
 			})
 		},
 	}
-	ch.prepare = func() bool {
-		if j.halted() || j.remaining == 0 {
+	ch.Prepare = func() bool {
+		if j.Halted() || j.Remaining == 0 {
 			return false
 		}
-		delete(j.dirtyChunks, chunk)
-		had = j.done.CloneChunk(chunk)
-		ch.conditions = []kv.Condition{{Key: key, Rev: j.chunkRevisions[chunk]}}
-		ch.writes[0].Value = &record.Progress{Ranges: j.done.EncodeChunk(chunk * bitset.ChunkSize)}
+		delete(j.DirtyChunks, chunk)
+		had = j.Done.CloneChunk(chunk)
+		ch.Conditions = []kv.Condition{{Key: key, Rev: j.ChunkRevisions[chunk]}}
+		ch.Writes[0].Value = &record.Progress{Ranges: j.Done.EncodeChunk(chunk * bitset.ChunkSize)}
 		return true
 	}
-	c.leadership.writes.add(ch)
+	c.leadership.writes.Add(ch)
 }
 
 // progressRecorded lets workers forget the tasks that the state service now knows
 // to be done. Until then their reports repeat it to any successor.
 func (c *Core) progressRecorded(j *job, chunk int, saved bitset.Set) {
-	j.completed = slices.DeleteFunc(j.completed, func(r *attempt) bool {
-		if r.id.Index/bitset.ChunkSize == chunk && saved.Has(r.id.Index%bitset.ChunkSize) {
-			r.forgettable = true
+	j.Completed = slices.DeleteFunc(j.Completed, func(r *attempt) bool {
+		if r.ID.Index/bitset.ChunkSize == chunk && saved.Has(r.ID.Index%bitset.ChunkSize) {
+			r.Forgettable = true
 		}
-		return r.forgettable
+		return r.Forgettable
 	})
 }
 
@@ -236,61 +236,61 @@
 // tasks still count for its team.
 func (c *Core) finishIfOver(j *job) {
 	l := c.leadership
-	if j.finishing || j.cancelling {
+	if j.Finishing || j.Cancelling {
 		return
 	}
-	final := record.Final{State: spec.Done, Done: j.spec.Tasks}
+	final := record.Final{State: spec.Done, Done: j.Spec.Tasks}
 	switch {
-	case j.cancelled:
-		if len(j.attempts) > 0 || (j.fromEarlierTerm && !l.allAccounted()) {
+	case j.Cancelled:
+		if len(j.Attempts) > 0 || (j.FromEarlierTerm && !l.allAccounted()) {
 			return
 		}
-		final = record.Final{State: spec.Cancelled, Done: j.spec.Tasks - j.remaining}
-	case j.spec.Service || j.remaining > 0:
+		final = record.Final{State: spec.Cancelled, Done: j.Spec.Tasks - j.Remaining}
+	case j.Spec.Service || j.Remaining > 0:
 		return
 	}
-	j.finishing = true
+	j.Finishing = true
 	ch := &change{
-		writes:   []kv.Write{{Key: record.FinalPrefix + j.spec.ID, Value: &final}, {Key: record.JobPrefix + j.spec.ID}},
-		onCommit: func(uint64) { c.jobFinished(j, final) },
+		Writes:   []kv.Write{{Key: record.FinalPrefix + j.Spec.ID, Value: &final}, {Key: record.JobPrefix + j.Spec.ID}},
+		OnCommit: func(uint64) { c.jobFinished(j, final) },
 	}
-	j.endingChange = ch
+	j.EndingChange = ch
 	drops := make([]*change, 0, 1)
-	for _, chunk := range slices.Sorted(maps.Keys(j.chunkRevisions)) {
-		if j.chunkRevisions[chunk] == 0 {
+	for _, chunk := range slices.Sorted(maps.Keys(j.ChunkRevisions)) {
+		if j.ChunkRevisions[chunk] == 0 {
 			continue
 		}
-		w := kv.Write{Key: chunkKey(j.spec.ID, chunk)}
-		if len(ch.writes) < c.cfg.Settings.State.TxnOps {
-			ch.writes = append(ch.writes, w)
+		w := kv.Write{Key: chunkKey(j.Spec.ID, chunk)}
+		if len(ch.Writes) < c.cfg.Settings.State.TxnOps {
+			ch.Writes = append(ch.Writes, w)
 		} else {
-			drops = append(drops, &change{writes: []kv.Write{w}, priority: priorityBulk})
+			drops = append(drops, &change{Writes: []kv.Write{w}, Priority: priorityBulk})
 		}
 	}
-	l.writes.add(ch)
+	l.writes.Add(ch)
 	for _, d := range drops {
-		l.writes.add(d)
+		l.writes.Add(d)
 	}
 }
 
 // jobFinished follows the commit of a final record.
 func (c *Core) jobFinished(j *job, f record.Final) {
 	l := c.leadership
-	c.finals.Add(j.spec.ID, f)
-	c.replicateDrop(record.JobPrefix + j.spec.ID) // however we have learned that it is over
-	delete(l.jobs, j.spec.ID)
-	j.team.jobCount--
+	c.finals.Add(j.Spec.ID, f)
+	c.replicateDrop(record.JobPrefix + j.Spec.ID) // however we have learned that it is over
+	delete(l.jobs, j.Spec.ID)
+	j.Team.JobCount--
 	c.dropReservations(j)
-	for _, r := range j.completed {
-		r.forgettable = true
+	for _, r := range j.Completed {
+		r.Forgettable = true
 	}
-	j.completed = nil
-	c.answerCancelWaiters(j, request.Response{Status: 200, View: finalStatus(j.spec.ID, f)})
+	j.Completed = nil
+	c.answerCancelWaiters(j, request.Response{Status: 200, View: finalStatus(j.Spec.ID, f)})
 	if s := l.schedules.byJob[j]; s != nil {
 		delete(l.schedules.byJob, j)
-		c.occurrenceOver(s, j.spec.ID, f.State, c.TimeOfDay())
+		c.occurrenceOver(s, j.Spec.ID, f.State, c.TimeOfDay())
 	}
-	c.Log(slog.LevelDebug, "job over", "job", j.spec.ID, "state", f.State)
+	c.Log(slog.LevelDebug, "job over", "job", j.Spec.ID, "state", f.State)
 }
 
 // finalStatus is what a user is told of a job that has ended.
@@ -300,28 +300,28 @@
 
 // answerCancelWaiters answers everybody who waits for the end of a job to be recorded.
 func (c *Core) answerCancelWaiters(j *job, a request.Response) {
-	for _, call := range j.cancelWaiters {
+	for _, call := range j.CancelWaiters {
 		c.answer(call, a)
 	}
-	j.cancelWaiters = nil
+	j.CancelWaiters = nil
 }
 
 // cancelJob records a cancellation and answers once it is committed.
 func (c *Core) cancelJob(j *job, call request.Request) {
-	if j.cancelled {
-		c.answer(call, request.Response{Status: 200, View: j.view()})
+	if j.Cancelled {
+		c.answer(call, request.Response{Status: 200, View: j.View()})
 		return
 	}
-	j.cancelWaiters = append(j.cancelWaiters, call)
-	if j.cancelling || j.finishing {
+	j.CancelWaiters = append(j.CancelWaiters, call)
+	if j.Cancelling || j.Finishing {
 		return
 	}
-	j.cancelling = true
+	j.Cancelling = true
 	// Whatever becomes of the record, its user wants nothing of it any more. Others may read
 	// it and tell before we know that it is committed: what renews leases meanwhile, with
 	// authority or without, has to carry the stops.
-	for _, r := range j.attempts {
-		c.requestDispatch(r.machine)
+	for _, r := range j.Attempts {
+		c.requestDispatch(r.Machine)
 	}
 	c.recordCancelled(j, c.leaseTiming.CancelSafeAfter(c.Now, c.leadership.electedAt.Add(c.leadership.earlierLeaderLag)))
 }
@@ -330,41 +330,41 @@
 // on any machine: where the settings leave no room a lease may last longer than tasks of a
 // cancelled job may.
 func (c *Core) recordCancelled(j *job, from time.Time) {
-	if from.After(c.Now) && (len(j.attempts) > 0 || j.fromEarlierTerm && !c.leadership.allAccounted()) {
-		for _, call := range j.cancelWaiters { // once for each: who asks again is told again
+	if from.After(c.Now) && (len(j.Attempts) > 0 || j.FromEarlierTerm && !c.leadership.allAccounted()) {
+		for _, call := range j.CancelWaiters { // once for each: who asks again is told again
 			no := unavailable("the tasks are being stopped")
 			no.RetryAfter = from.Sub(c.Now)
 			c.answer(call, no)
 		}
-		j.cancelWaiters = nil
+		j.CancelWaiters = nil
 		c.afterWhileLeading(min(from.Sub(c.Now), tickEvery), func() { c.recordCancelled(j, from) })
 		return
 	}
-	rec := *j.record
+	rec := *j.Record
 	rec.Cancelled = true
 	ch := &change{
-		size: recordSize(&rec.Spec),
+		Size: recordSize(&rec.Spec),
 		// A try that is applied late must not bring back a job that is over.
-		conditions: []kv.Condition{{Key: record.FinalPrefix + j.spec.ID, Rev: 0}},
-		writes:     []kv.Write{{Key: record.JobPrefix + j.spec.ID, Value: &rec}},
-		onConflict: func() {
+		Conditions: []kv.Condition{{Key: record.FinalPrefix + j.Spec.ID, Rev: 0}},
+		Writes:     []kv.Write{{Key: record.JobPrefix + j.Spec.ID, Value: &rec}},
+		OnConflict: func() {
 			c.answerCancelWaiters(j, unavailable("the job has just ended, try again"))
-			c.readBack(record.FinalPrefix+j.spec.ID, func(e kv.Entry, _ bool) {
-				if f, _ := e.Value.(*record.Final); f != nil && c.leadership.jobs[j.spec.ID] == j {
+			c.readBack(record.FinalPrefix+j.Spec.ID, func(e kv.Entry, _ bool) {
+				if f, _ := e.Value.(*record.Final); f != nil && c.leadership.jobs[j.Spec.ID] == j {
 					c.jobFinished(j, *f)
 				}
 			})
 		},
-		onCommit: func(uint64) {
-			j.cancelling, j.cancelled, j.record, j.endingChange = false, true, &rec, nil
+		OnCommit: func(uint64) {
+			j.Cancelling, j.Cancelled, j.Record, j.EndingChange = false, true, &rec, nil
 			c.dropReservations(j)
-			c.Log(slog.LevelDebug, "job cancelled", "job", j.spec.ID)
-			c.answerCancelWaiters(j, request.Response{Status: 200, View: j.view()})
+			c.Log(slog.LevelDebug, "job cancelled", "job", j.Spec.ID)
+			c.answerCancelWaiters(j, request.Response{Status: 200, View: j.View()})
 			c.finishIfOver(j)
 		},
 	}
-	j.endingChange = ch
-	c.leadership.writes.add(ch)
+	j.EndingChange = ch
+	c.leadership.writes.Add(ch)
 }
 
 // endingTimeout is how long a question about a job waits for the record of its end: shorter
@@ -374,13 +374,13 @@
 // waitForEnding has a question about a job wait if its end may be on record without our knowing.
 // Whoever reads the record may have told the user, who must hear nothing older from us.
 func (c *Core) waitForEnding(j *job, call request.Request) bool {
-	if j.endingChange == nil || !j.endingChange.sent {
+	if j.EndingChange == nil || !j.EndingChange.Sent {
 		return false
 	}
-	j.cancelWaiters = append(j.cancelWaiters, call)
+	j.CancelWaiters = append(j.CancelWaiters, call)
 	c.afterWhileLeading(endingTimeout, func() {
-		if i := slices.IndexFunc(j.cancelWaiters, func(x request.Request) bool { return x.From == call.From && x.Ref == call.Ref }); i >= 0 {
-			j.cancelWaiters = slices.Delete(j.cancelWaiters, i, i+1)
+		if i := slices.IndexFunc(j.CancelWaiters, func(x request.Request) bool { return x.From == call.From && x.Ref == call.Ref }); i >= 0 {
+			j.CancelWaiters = slices.Delete(j.CancelWaiters, i, i+1)
 			c.answer(call, unavailable("its end is being recorded"))
 		}
 	})
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -149,8 +149,8 @@
 	// Workers that wait here need not look for the next leader: we pass on what they
 	// have said. Other relays do the same with theirs.
 	for _, m := range l.fleet {
-		if m.heldReply != nil && m.heldReply.link.From == "" {
-			c.relayHeartbeat(heartbeat.Received{Ref: m.heldReply.ref, Report: m.heldReply.report})
+		if m.HeldReply != nil && m.HeldReply.Link.From == "" {
+			c.relayHeartbeat(heartbeat.Received{Ref: m.HeldReply.Ref, Report: m.HeldReply.Report})
 		}
 	}
 	for _, r := range l.pendingHeartbeats {
--- a/internal/core/leaderless.go
+++ b/internal/core/leaderless.go
@@ -162,7 +162,7 @@
 func (c *Core) adoptLeaderless(key string) {
 	l := c.leadership
 	id := strings.TrimPrefix(key, record.LeaderlessPrefix)
-	drop := func() { l.writes.add(&change{priority: priorityBulk, writes: []kv.Write{{Key: key}}}) }
+	drop := func() { l.writes.Add(&change{Priority: priorityBulk, Writes: []kv.Write{{Key: key}}}) }
 	if l.jobs[id] != nil || l.unreadableJobs[id] {
 		drop()
 		return
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -151,9 +151,9 @@
 
 func newWriteBatcher(st config.State) writeBatcher {
 	return writeBatcher{
-		writes:       rate.NewLimiter(rate.Limit(st.WriteRPS*writeShare), max(st.TxnOps, int(st.WriteRPS*writeBurst))),
-		configWrites: configWrites(st),
-		requests:     rate.NewLimiter(rate.Limit(st.RPS*requestShare), max(1, int(st.RPS*requestBurst))),
-		keysInFlight: map[string]bool{},
+		Writes:       rate.NewLimiter(rate.Limit(st.WriteRPS*writeShare), max(st.TxnOps, int(st.WriteRPS*writeBurst))),
+		ConfigWrites: configWrites(st),
+		Requests:     rate.NewLimiter(rate.Limit(st.RPS*requestShare), max(1, int(st.RPS*requestBurst))),
+		KeysInFlight: map[string]bool{},
 	}
 }
--- a/internal/core/machine_records.go
+++ b/internal/core/machine_records.go
@@ -15,25 +15,25 @@
 // knows where to look. Machines come up by the dozen on a large fleet and leave
 // the same way; together they cost a write or two.
 type machineRecord struct {
-	key         string
-	revision    uint64 // of the record
-	machines    []*machine
-	size        int           // bytes, estimated
-	writeQueued bool          // a change of it waits
-	priority    writePriority // how pressing
-	writtenAt   time.Time
+	Key         string
+	Revision    uint64 // of the record
+	Machines    []*machine
+	Size        int           // bytes, estimated
+	WriteQueued bool          // a change of it waits
+	Priority    writePriority // how pressing
+	WrittenAt   time.Time
 }
 
 // machineRecordInterval is how often a record of machines is written at the most.
 const machineRecordInterval = 250 * time.Millisecond
 
-// recorded is how a record names the machine.
-func (m *machine) recorded() record.Machine {
-	return record.Machine{Host: m.host, Address: m.address, InstanceType: m.typeName, Zone: m.zone, Spot: m.spot}
+// Recorded is how a record names the machine.
+func (m *machine) Recorded() record.Machine {
+	return record.Machine{Host: m.Host, Address: m.Address, InstanceType: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
 func recordedSize(m *machine) int {
-	r := m.recorded()
+	r := m.Recorded()
 	return r.Size()
 }
 
@@ -41,28 +41,28 @@
 func (c *Core) recordNewMachine(m *machine) {
 	l := c.leadership
 	limit := int(c.cfg.Settings.State.ValueKB * 1024 * 3 / 4)
-	i := slices.IndexFunc(l.records, func(g *machineRecord) bool { return g.size+recordedSize(m) <= limit })
+	i := slices.IndexFunc(l.records, func(g *machineRecord) bool { return g.Size+recordedSize(m) <= limit })
 	if i < 0 {
 		l.recordCount++
-		l.records = append(l.records, &machineRecord{key: fmt.Sprintf("%s%d-%d", record.MachinePrefix, l.term, l.recordCount)})
+		l.records = append(l.records, &machineRecord{Key: fmt.Sprintf("%s%d-%d", record.MachinePrefix, l.term, l.recordCount)})
 		i = len(l.records) - 1
 	}
 	g := l.records[i]
-	m.record, m.recordedIn = recording, g
-	g.machines = append(g.machines, m)
-	g.size += recordedSize(m)
+	m.Record, m.RecordedIn = recording, g
+	g.Machines = append(g.Machines, m)
+	g.Size += recordedSize(m)
 	c.writeMachineRecord(g, priorityUrgent)
 }
 
 // removeFromRecord takes a machine that is gone out of its record.
 func (c *Core) removeFromRecord(m *machine) {
-	g := m.recordedIn
+	g := m.RecordedIn
 	if g == nil {
 		return
 	}
-	m.record, m.recordedIn = unrecorded, nil
-	g.machines = slices.DeleteFunc(g.machines, func(x *machine) bool { return x == m })
-	g.size -= recordedSize(m)
+	m.Record, m.RecordedIn = unrecorded, nil
+	g.Machines = slices.DeleteFunc(g.Machines, func(x *machine) bool { return x == m })
+	g.Size -= recordedSize(m)
 	c.writeMachineRecord(g, priorityBulk)
 }
 
@@ -73,74 +73,74 @@
 // after newer ones: it must not bring back a list that lacks machines, which a
 // successor would take for empty.
 func (c *Core) writeMachineRecord(g *machineRecord, ln writePriority) {
-	if g.writeQueued && ln >= g.priority {
+	if g.WriteQueued && ln >= g.Priority {
 		return
 	}
-	g.writeQueued, g.priority = true, ln
-	c.afterWhileLeading(max(0, g.writtenAt.Add(machineRecordInterval).Sub(c.Now)), func() {
+	g.WriteQueued, g.Priority = true, ln
+	c.afterWhileLeading(max(0, g.WrittenAt.Add(machineRecordInterval).Sub(c.Now)), func() {
 		var news []*machine
 		sent := false
-		ch := &change{priority: ln, writes: []kv.Write{{Key: g.key}}, size: int(c.cfg.Settings.State.ValueKB * 1024)}
-		ch.prepare = func() bool {
-			if !g.writeQueued && !sent {
+		ch := &change{Priority: ln, Writes: []kv.Write{{Key: g.Key}}, Size: int(c.cfg.Settings.State.ValueKB * 1024)}
+		ch.Prepare = func() bool {
+			if !g.WriteQueued && !sent {
 				return false // went along with a more pressing one
 			}
 			// What has been sent may not have been executed: it goes again.
-			g.writeQueued, g.writtenAt, sent = false, c.Now, true
-			ch.conditions = []kv.Condition{{Key: g.key, Rev: g.revision}}
+			g.WriteQueued, g.WrittenAt, sent = false, c.Now, true
+			ch.Conditions = []kv.Condition{{Key: g.Key, Rev: g.Revision}}
 			news = nil
-			ch.size = g.size
+			ch.Size = g.Size
 			rec := &record.Machines{}
-			for _, m := range g.machines {
-				rec.Machines = append(rec.Machines, m.recorded())
-				if m.record == recording {
+			for _, m := range g.Machines {
+				rec.Machines = append(rec.Machines, m.Recorded())
+				if m.Record == recording {
 					news = append(news, m)
 				}
 			}
-			ch.writes[0].Value = nil
+			ch.Writes[0].Value = nil
 			if len(rec.Machines) > 0 {
-				ch.writes[0].Value = rec
+				ch.Writes[0].Value = rec
 			}
 			return true
 		}
-		ch.onConflict = func() { // an earlier try of ours has been applied
-			dropped := ch.writes[0].Value == nil
-			c.readBack(g.key, func(e kv.Entry, found bool) {
+		ch.OnConflict = func() { // an earlier try of ours has been applied
+			dropped := ch.Writes[0].Value == nil
+			c.readBack(g.Key, func(e kv.Entry, found bool) {
 				if dropped && !found {
-					c.replicateDrop(g.key)
+					c.replicateDrop(g.Key)
 				}
-				g.revision = e.Rev // 0 if there is none
+				g.Revision = e.Rev // 0 if there is none
 				c.writeMachineRecord(g, ln)
 			})
 		}
-		ch.onCommit = func(rev uint64) {
-			if g.revision = rev; ch.writes[0].Value == nil {
-				g.revision = 0
+		ch.OnCommit = func(rev uint64) {
+			if g.Revision = rev; ch.Writes[0].Value == nil {
+				g.Revision = 0
 			}
 			for _, m := range news {
-				if m.record == recording && m.recordedIn == g {
-					m.record = recorded
+				if m.Record == recording && m.RecordedIn == g {
+					m.Record = recorded
 					c.requestDispatch(m)
 				}
 			}
 		}
-		c.leadership.writes.add(ch)
+		c.leadership.writes.Add(ch)
 	})
 }
 
 // loadMachineRecord takes in a record of an earlier term.
 func (c *Core) loadMachineRecord(key string, rec *record.Machines, rev uint64) {
 	l := c.leadership
-	g := &machineRecord{key: key, revision: rev}
+	g := &machineRecord{Key: key, Revision: rev}
 	for _, r := range rec.Machines {
 		m := c.ensureMachine(r.Host, r.InstanceType, r.Zone, r.Spot)
-		if m.recordedIn != nil {
+		if m.RecordedIn != nil {
 			continue
 		}
 		l.unaccounted[r.Host] = true
-		m.record, m.recordedIn, m.address = recorded, g, r.Address
-		g.machines = append(g.machines, m)
-		g.size += recordedSize(m)
+		m.Record, m.RecordedIn, m.Address = recorded, g, r.Address
+		g.Machines = append(g.Machines, m)
+		g.Size += recordedSize(m)
 	}
 	l.records = append(l.records, g)
 }
@@ -163,7 +163,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(l.unreadableMachineRecords)) {
 		c.Log(slog.LevelWarn, "unreadable record of machines is accounted for, dropping it", "key", key)
-		l.writes.add(&change{priority: priorityBulk, conditions: []kv.Condition{{Key: key, Rev: l.unreadableMachineRecords[key]}}, writes: []kv.Write{{Key: key}}})
+		l.writes.Add(&change{Priority: priorityBulk, Conditions: []kv.Condition{{Key: key, Rev: l.unreadableMachineRecords[key]}}, Writes: []kv.Write{{Key: key}}})
 		c.markAccounted(key)
 	}
 	clear(l.unreadableMachineRecords)
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -34,50 +34,50 @@
 
 // machine is a rented machine.
 type machine struct {
-	host, typeName, zone string
-	address              string
-	place                *topology.Place        // where it stands
-	zoneState            *zones.Zone            // and how that zone is
-	instanceType         *provider.InstanceType // nil while the catalog is unknown
-	spot                 bool
-	record               recordStatus   // a successor must know of it before it may hold tasks
-	recordedIn           *machineRecord // the record that names it
-
-	reported             bool // in this term
-	probed               bool // and that only in answer to a probe
-	failedProbes         int  // probes in vain
-	incarnation, counter uint64
-	fencingToken         uint64
-	expiredIncarnation   uint64    // its lease under tenures up to this one is surely over
-	lastHeartbeat        time.Time // last report
-	lastReply            time.Time // last answered report
-	knownSince           time.Time // known to us
-	rentedAt             time.Time
-	readyAt              time.Time // expected, while it boots
-	heldReply            *heldReply
-	unacknowledgedSince  time.Time  // first answered in this term, and has not shown that it heard
-	unlistedStarts       int        // in a row: starts that its next report did not list
-	reportsVia           *relayLink // by which it reports, among whose workers it counts
-	lastMoved            time.Time  // when it was last led to another node
-	dispatchPending      bool       // has orders that need not wait for its next report
-
-	timeline     *timeline.Timeline
-	attempts     []*attempt
-	reservations []*reservation // of tasks that wait
-	allocated    timeline.Resources
-	warmReserve  int64                            // CPUs, in thousandths, kept free for work that must start at once
-	images       *simplelru.LRU[string, struct{}] // that it has, as far as we know
-	idleSince    time.Time                        // since when nothing runs or is booked
-
-	releasing      bool
-	draining       bool // its work fits elsewhere: no new tasks, then it goes back
-	quarantined    bool
-	leaseExpired   bool      // its lease is over and it has not reported since
-	unreachable    bool      // silent, in a zone that seems to be cut off
-	interruptionAt time.Time // the cloud takes it away
-	retryAt        time.Time // after a refused start
-	failureScore   int
-	onProbation    bool // its last task failed: one task at a time until one completes
+	Host, TypeName, Zone string
+	Address              string
+	Place                *topology.Place        // where it stands
+	ZoneState            *zones.Zone            // and how that zone is
+	InstanceType         *provider.InstanceType // nil while the catalog is unknown
+	Spot                 bool
+	Record               recordStatus   // a successor must know of it before it may hold tasks
+	RecordedIn           *machineRecord // the record that names it
+
+	Reported             bool // in this term
+	Probed               bool // and that only in answer to a probe
+	FailedProbes         int  // probes in vain
+	Incarnation, Counter uint64
+	FencingToken         uint64
+	ExpiredIncarnation   uint64    // its lease under tenures up to this one is surely over
+	LastHeartbeat        time.Time // last report
+	LastReply            time.Time // last answered report
+	KnownSince           time.Time // known to us
+	RentedAt             time.Time
+	ReadyAt              time.Time // expected, while it boots
+	HeldReply            *heldReply
+	UnacknowledgedSince  time.Time  // first answered in this term, and has not shown that it heard
+	UnlistedStarts       int        // in a row: starts that its next report did not list
+	ReportsVia           *relayLink // by which it reports, among whose workers it counts
+	LastMoved            time.Time  // when it was last led to another node
+	DispatchPending      bool       // has orders that need not wait for its next report
+
+	Timeline     *timeline.Timeline
+	Attempts     []*attempt
+	Reservations []*reservation // of tasks that wait
+	Allocated    timeline.Resources
+	WarmReserve  int64                            // CPUs, in thousandths, kept free for work that must start at once
+	Images       *simplelru.LRU[string, struct{}] // that it has, as far as we know
+	IdleSince    time.Time                        // since when nothing runs or is booked
+
+	Releasing      bool
+	Draining       bool // its work fits elsewhere: no new tasks, then it goes back
+	Quarantined    bool
+	LeaseExpired   bool      // its lease is over and it has not reported since
+	Unreachable    bool      // silent, in a zone that seems to be cut off
+	InterruptionAt time.Time // the cloud takes it away
+	RetryAt        time.Time // after a refused start
+	FailureScore   int
+	OnProbation    bool // its last task failed: one task at a time until one completes
 }
 
 // ensureMachine returns the machine named host, made known if need be.
@@ -85,10 +85,10 @@
 	l := c.leadership
 	m := l.machines[host]
 	if m == nil {
-		m = &machine{host: host, typeName: flavor, zone: zone, spot: reclaimable,
-			knownSince: c.Now, rentedAt: c.Now, idleSince: c.Now, images: newImages(), timeline: timeline.New(timeline.Resources{})}
-		m.place, _ = l.places.Machine(host, "", zone)
-		m.zoneState = l.zones.Zone(zone)
+		m = &machine{Host: host, TypeName: flavor, Zone: zone, Spot: reclaimable,
+			KnownSince: c.Now, RentedAt: c.Now, IdleSince: c.Now, Images: newImages(), Timeline: timeline.New(timeline.Resources{})}
+		m.Place, _ = l.places.Machine(host, "", zone)
+		m.ZoneState = l.zones.Zone(zone)
 		l.machines[host] = m
 		l.fleet = slices.Insert(l.fleet, l.fleetIndex(host), m)
 		c.setInstanceType(m)
@@ -98,37 +98,37 @@
 
 // fleetIndex returns where the machine named host is in the fleet, or would be.
 func (l *leadership) fleetIndex(host string) int {
-	return sort.Search(len(l.fleet), func(i int) bool { return l.fleet[i].host >= host })
+	return sort.Search(len(l.fleet), func(i int) bool { return l.fleet[i].Host >= host })
 }
 
 func (c *Core) setInstanceType(m *machine) {
-	if f := c.leadership.autoscaler.instanceType(m.typeName); f != nil && m.instanceType == nil {
-		m.instanceType = f
+	if f := c.leadership.autoscaler.instanceType(m.TypeName); f != nil && m.InstanceType == nil {
+		m.InstanceType = f
 		tl := timeline.New(f.Capacity)
-		for _, r := range m.attempts {
-			if r.reservation != nil {
-				tl.Add(r.reservation)
+		for _, r := range m.Attempts {
+			if r.Reservation != nil {
+				tl.Add(r.Reservation)
 			}
 		}
-		m.timeline = tl
+		m.Timeline = tl
 	}
 }
 
-// usable reports whether new tasks may be booked on the machine.
-func (m *machine) usable() bool {
-	return m.instanceType != nil && !m.releasing && !m.draining && !m.quarantined && !m.leaseExpired && !m.unreachable && m.interruptionAt.IsZero()
+// Usable reports whether new tasks may be booked on the machine.
+func (m *machine) Usable() bool {
+	return m.InstanceType != nil && !m.Releasing && !m.Draining && !m.Quarantined && !m.LeaseExpired && !m.Unreachable && m.InterruptionAt.IsZero()
 }
 
-func (m *machine) room() timeline.Resources {
-	return m.timeline.Capacity().Add(m.allocated, -1)
+func (m *machine) Room() timeline.Resources {
+	return m.Timeline.Capacity().Add(m.Allocated, -1)
 }
 
-// findAttempt returns the run of an attempt. Workers list tasks in the order of their
+// FindAttempt returns the run of an attempt. Workers list tasks in the order of their
 // starts, as we do: the search begins where that has it.
-func (m *machine) findAttempt(id heartbeat.TaskID, try uint64, from int) *attempt {
-	n := len(m.attempts)
+func (m *machine) FindAttempt(id heartbeat.TaskID, try uint64, from int) *attempt {
+	n := len(m.Attempts)
 	for i := range n {
-		if r := m.attempts[(from+i)%n]; r.number == try && r.id == id {
+		if r := m.Attempts[(from+i)%n]; r.Number == try && r.ID == id {
 			return r
 		}
 	}
@@ -141,10 +141,10 @@
 		js = append(js, j)
 	}
 	slices.SortFunc(js, func(a, b *job) int {
-		if x := a.submitted.Compare(b.submitted); x != 0 {
+		if x := a.Submitted.Compare(b.Submitted); x != 0 {
 			return x
 		}
-		if a.spec.ID < b.spec.ID {
+		if a.Spec.ID < b.Spec.ID {
 			return -1
 		}
 		return 1
@@ -156,14 +156,14 @@
 // answered any more, and false while that cannot be told.
 func (c *Core) leaseExpiry(m *machine) (time.Time, bool) {
 	l := c.leadership
-	if !l.unaccounted[m.host] && !m.probed {
-		if m.lastReply.IsZero() {
+	if !l.unaccounted[m.Host] && !m.Probed {
+		if m.LastReply.IsZero() {
 			return time.Time{}, false
 		}
-		return m.lastReply.Add(withDrift(c.workerLease)), true
+		return m.LastReply.Add(withDrift(c.workerLease)), true
 	}
 	base := c.earlierLeaseExpiry()
-	if at := m.lastReply.Add(withDrift(c.workerLease)); at.After(base) {
+	if at := m.LastReply.Add(withDrift(c.workerLease)); at.After(base) {
 		base = at
 	}
 	return base, true
@@ -184,16 +184,16 @@
 
 // expireLease gives up on the tasks of a machine whose lease is surely over.
 func (c *Core) expireLease(m *machine) {
-	c.Log(slog.LevelWarn, "lease over", "machine", m.host, "tasks", len(m.attempts))
-	for _, r := range slices.Clone(m.attempts) {
+	c.Log(slog.LevelWarn, "lease over", "machine", m.Host, "tasks", len(m.Attempts))
+	for _, r := range slices.Clone(m.Attempts) {
 		c.dropAttempt(r)
 	}
-	if m.reported {
-		m.expiredIncarnation = m.incarnation
+	if m.Reported {
+		m.ExpiredIncarnation = m.Incarnation
 	}
-	m.reported, m.leaseExpired = false, true
+	m.Reported, m.LeaseExpired = false, true
 	c.leadership.clearReportsVia(m)
-	m.lastReply = time.Time{}
-	c.markAccounted(m.host)
+	m.LastReply = time.Time{}
+	c.markAccounted(m.Host)
 	c.dropMachineReservations(m)
 }
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -123,10 +123,10 @@
 	l := d.c.leadership
 	key := record.JobPrefix + "wk-1"
 	d.c.replicas.own = replica.New(1, l.term, record.FinalPrefix, 100)
-	d.c.replicas.own.Put(key, l.jobs["wk-1"].record, 0)
+	d.c.replicas.own.Put(key, l.jobs["wk-1"].Record, 0)
 	l.loss = &dataLoss{pending: 1}
 	d.calls = nil
-	d.c.restoreRecord(replica.Record{Key: key, Value: l.jobs["wk-1"].record})
+	d.c.restoreRecord(replica.Record{Key: key, Value: l.jobs["wk-1"].Record})
 	d.pass(time.Second)
 	for _, x := range d.calls {
 		call, ok := x.(kv.Request)
@@ -151,15 +151,15 @@
 	at := func(host string, try uint64) *attempt {
 		m := d.c.ensureMachine(host, "f2", "a", true)
 		d.c.reconcile(m, &heartbeat.Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []heartbeat.Task{{Task: heartbeat.TaskID{Job: "wk-1"}, Try: try, Phase: heartbeat.TaskRuns}}})
-		return m.attempts[0]
+		return m.Attempts[0]
 	}
 	old := at("host-x", 3)
 	now := at("host-y", 4)
-	if !old.stopRequested || now.stopRequested || j.attempts[0] != now || l.teams["t"].allocated.CPU != j.need.CPU {
-		t.Errorf("the earlier attempt stops %v, the later one %v", old.stopRequested, now.stopRequested)
+	if !old.StopRequested || now.StopRequested || j.Attempts[0] != now || l.teams["t"].Allocated.CPU != j.Need.CPU {
+		t.Errorf("the earlier attempt stops %v, the later one %v", old.StopRequested, now.StopRequested)
 	}
 	// The other way round the late word changes nothing.
-	if late := at("host-z", 2); !late.stopRequested || j.attempts[0] != now {
+	if late := at("host-z", 2); !late.StopRequested || j.Attempts[0] != now {
 		t.Error("a late word of an earlier attempt takes the place of the one that runs")
 	}
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -18,18 +18,18 @@
 // Without a machine it only keeps their place in the queue.
 type reservation struct {
 	timeline.Booking
-	job          *job
-	machine      *machine
-	yield        time.Duration // by how much it stands back in the queue
-	yieldPerTask time.Duration // by how much less for every task of the job that starts
+	Job          *job
+	Machine      *machine
+	Yield        time.Duration // by how much it stands back in the queue
+	YieldPerTask time.Duration // by how much less for every task of the job that starts
 }
 
 // lateQueueYield is by how much a booking that misses its deadline anyway stands
 // back in the queue; beyond that it takes its turn, so that it never starves.
 const lateQueueYield = 90 * time.Second
 
-// queueTime is the booking's place in the queue.
-func (b *reservation) queueTime() time.Time { return b.Start.Add(b.yield) }
+// QueueTime is the booking's place in the queue.
+func (b *reservation) QueueTime() time.Time { return b.Start.Add(b.Yield) }
 
 // jobQueue is the jobs that have bookings, each at the turn of its first one,
 // then by submission. Going through it while every job moves on to its next
@@ -37,32 +37,32 @@
 // the cost of the jobs alone.
 type jobQueue []*job
 
-func (j *job) before(o *job) bool {
-	if x := j.queueTime.Compare(o.queueTime); x != 0 {
+func (j *job) Before(o *job) bool {
+	if x := j.QueueTime.Compare(o.QueueTime); x != 0 {
 		return x < 0
 	}
-	if !j.submitted.Equal(o.submitted) {
-		return j.submitted.Before(o.submitted)
+	if !j.Submitted.Equal(o.Submitted) {
+		return j.Submitted.Before(o.Submitted)
 	}
-	return j.spec.ID < o.spec.ID
+	return j.Spec.ID < o.Spec.ID
 }
 
 // reposition puts the job where its first booking stands, or takes it out when it
 // has none.
 func (q *jobQueue) reposition(j *job) {
-	if j.queued {
-		if len(j.reservations) > 0 && j.reservations[0].queueTime().Equal(j.queueTime) {
+	if j.Queued {
+		if len(j.Reservations) > 0 && j.Reservations[0].QueueTime().Equal(j.QueueTime) {
 			return
 		}
-		i := sort.Search(len(*q), func(i int) bool { return !(*q)[i].before(j) })
+		i := sort.Search(len(*q), func(i int) bool { return !(*q)[i].Before(j) })
 		*q = slices.Delete(*q, i, i+1)
-		j.queued = false
+		j.Queued = false
 	}
-	if len(j.reservations) == 0 {
+	if len(j.Reservations) == 0 {
 		return
 	}
-	j.queueTime, j.queued = j.reservations[0].queueTime(), true
-	i := sort.Search(len(*q), func(i int) bool { return j.before((*q)[i]) })
+	j.QueueTime, j.Queued = j.Reservations[0].QueueTime(), true
+	i := sort.Search(len(*q), func(i int) bool { return j.Before((*q)[i]) })
 	*q = slices.Insert(*q, i, j)
 }
 
@@ -76,12 +76,12 @@
 
 func hasZone(f *provider.InstanceType, zone string) bool { return slices.Contains(f.Zones, zone) }
 
-// eligibleFor reports whether the job's tasks may run on the machine at all.
-func (m *machine) eligibleFor(j *job) bool {
-	s := &j.spec
-	return m.usable() && (!m.spot || s.AllowSpot) && allowsInstanceType(s, m.typeName) &&
-		(s.Zone == "" || s.Zone == m.zone) && j.need.Fits(m.timeline.Capacity()) &&
-		(len(j.failedOn) == 0 || !j.failedOn[m.host] || len(j.failedOn) > maxFailedMachines)
+// EligibleFor reports whether the job's tasks may run on the machine at all.
+func (m *machine) EligibleFor(j *job) bool {
+	s := &j.Spec
+	return m.Usable() && (!m.Spot || s.AllowSpot) && allowsInstanceType(s, m.TypeName) &&
+		(s.Zone == "" || s.Zone == m.Zone) && j.Need.Fits(m.Timeline.Capacity()) &&
+		(len(j.FailedOn) == 0 || !j.FailedOn[m.Host] || len(j.FailedOn) > maxFailedMachines)
 }
 
 // paddedEstimate is how long a task of the job is booked for, without its image.
@@ -95,11 +95,11 @@
 }
 
 func occupancyOn(j *job, m *machine, base time.Duration) time.Duration {
-	if j.spec.Service {
+	if j.Spec.Service {
 		return timeline.Forever
 	}
-	if !m.images.Contains(j.spec.Image) {
-		base += imageFetchTime(&j.spec, m.instanceType)
+	if !m.Images.Contains(j.Spec.Image) {
+		base += imageFetchTime(&j.Spec, m.InstanceType)
 	}
 	return base
 }
@@ -115,7 +115,7 @@
 // the most pressing that can still be reached. An objective on waiting counts
 // as a deadline one run time later. False: nothing is left to be reached.
 func (c *Core) nextObjective(j *job, length time.Duration) (best objective, ok bool) {
-	return c.nextObjectiveFrom(j, c.Now, j.missedUntil, length)
+	return c.nextObjectiveFrom(j, c.Now, j.MissedUntil, length)
 }
 
 // nextObjectiveFrom is aim at the time from, for aims after missed.
@@ -137,32 +137,32 @@
 
 // forEachObjective calls f with every aim of the job, whose tasks run for about length.
 func (c *Core) forEachObjective(j *job, length time.Duration, f func(objective)) {
-	if j.spec.Service {
+	if j.Spec.Service {
 		return
 	}
-	if j.spec.HasDeadline {
-		f(objective{j.submitted.Add(j.spec.Deadline), true})
+	if j.Spec.HasDeadline {
+		f(objective{j.Submitted.Add(j.Spec.Deadline), true})
 	}
 	for _, o := range c.cfg.Settings.Objectives {
-		if o.Class != "" && o.Class != j.spec.Class {
+		if o.Class != "" && o.Class != j.Spec.Class {
 			continue
 		}
 		within := o.Within.Duration()
 		switch o.Kind {
 		case "deadline":
-			if j.spec.HasDeadline && o.Times > 1 {
-				f(objective{j.submitted.Add(timeline.Seconds(j.spec.Deadline.Seconds() * o.Times)), true})
+			if j.Spec.HasDeadline && o.Times > 1 {
+				f(objective{j.Submitted.Add(timeline.Seconds(j.Spec.Deadline.Seconds() * o.Times)), true})
 			}
 		case "wait":
-			f(objective{j.submitted.Add(within + length), false})
+			f(objective{j.Submitted.Add(within + length), false})
 		case "finished":
-			if j.spec.Urgency > spec.Idle {
-				f(objective{j.submitted.Add(within * earlyObjectivePercent / 100), true})
+			if j.Spec.Urgency > spec.Idle {
+				f(objective{j.Submitted.Add(within * earlyObjectivePercent / 100), true})
 			}
-			f(objective{j.submitted.Add(within), true})
+			f(objective{j.Submitted.Add(within), true})
 		case "guarantee":
-			if j.team.guaranteed.CPU > 0 || j.team.guaranteed.GPU > 0 {
-				f(objective{j.submitted.Add(within + length), false})
+			if j.Team.Guaranteed.CPU > 0 || j.Team.Guaranteed.GPU > 0 {
+				f(objective{j.Submitted.Add(within + length), false})
 			}
 		}
 	}
@@ -187,8 +187,8 @@
 	}
 	var sizes []int64
 	for _, m := range l.fleet {
-		m.warmReserve = 0
-		if n := m.timeline.Capacity().CPU; !slices.Contains(sizes, n) {
+		m.WarmReserve = 0
+		if n := m.Timeline.Capacity().CPU; !slices.Contains(sizes, n) {
 			sizes = append(sizes, n) // as many as there are types
 		}
 	}
@@ -198,9 +198,9 @@
 			if left <= 0 {
 				return
 			}
-			if m.timeline.Capacity().CPU == n && m.usable() && m.reported {
-				m.warmReserve = min(left, n/4)
-				left -= m.warmReserve
+			if m.Timeline.Capacity().CPU == n && m.Usable() && m.Reported {
+				m.WarmReserve = min(left, n/4)
+				left -= m.WarmReserve
 			}
 		}
 	}
@@ -208,8 +208,8 @@
 
 // earliestStart is when tasks can start on the machine at the earliest.
 func (c *Core) earliestStart(m *machine) time.Time {
-	if !m.reported && m.readyAt.After(c.Now) {
-		return m.readyAt
+	if !m.Reported && m.ReadyAt.After(c.Now) {
+		return m.ReadyAt
 	}
 	return c.Now
 }
@@ -219,9 +219,9 @@
 func (c *Core) slot(j *job, m *machine, length time.Duration, by time.Time, dated bool) (time.Time, bool) {
 	from := c.earliestStart(m)
 	if dated {
-		return m.timeline.Latest(from, by, length, j.need)
+		return m.Timeline.Latest(from, by, length, j.Need)
 	}
-	return m.timeline.Earliest(from, length, j.need)
+	return m.Timeline.Earliest(from, length, j.Need)
 }
 
 // placementOffer is the slot that a machine offers for a task of a job.
@@ -252,7 +252,7 @@
 	if x := a.start.Compare(b.start); x != 0 {
 		return x > 0 == s.dated
 	}
-	if x, y := a.machine.room().CPU, b.machine.room().CPU; x != y {
+	if x, y := a.machine.Room().CPU, b.machine.Room().CPU; x != y {
 		return x > y
 	}
 	return a.fleetIndex < b.fleetIndex
@@ -274,7 +274,7 @@
 	l := c.leadership
 	s = &placementOffers{list: l.offerBuffer[:0], dated: dated}
 	for i, m := range l.fleet {
-		if !m.eligibleFor(j) {
+		if !m.EligibleFor(j) {
 			continue
 		}
 		anyMachine = true
@@ -295,20 +295,20 @@
 // takes the earliest fit.
 func (c *Core) reserve(j *job) {
 	l := c.leadership
-	n := min(j.waiting, reservationWindow) - j.reserved
-	if j.halted() || n <= 0 {
+	n := min(j.Waiting, reservationWindow) - j.Reserved
+	if j.Halted() || n <= 0 {
 		return
 	}
 	defer l.queue.reposition(j)
 	base := c.paddedEstimate(j)
 	a, dated := c.nextObjective(j, base)
 	offers, anyMachine := c.offers(j, base, a.deadline, dated)
-	for ; n > 0; n = min(j.waiting, reservationWindow) - j.reserved {
+	for ; n > 0; n = min(j.Waiting, reservationWindow) - j.Reserved {
 		if len(offers.list) == 0 {
 			if !dated || !anyMachine {
 				break
 			}
-			j.missedUntil = a.deadline
+			j.MissedUntil = a.deadline
 			if a.wholeJob {
 				c.dropReservations(j)
 			}
@@ -317,12 +317,12 @@
 			continue
 		}
 		o := &offers.list[0]
-		k := max(o.machine.timeline.Count(o.start, o.length, j.need, n), 1)
+		k := max(o.machine.Timeline.Count(o.start, o.length, j.Need, n), 1)
 		var back, each time.Duration
 		if !dated && (c.yieldsWhenLate(j, o.length) || c.hasNoObjective(j)) {
 			back, each = c.queueYield(j, o.start)
 		}
-		c.addReservation(&reservation{timeline.Booking{Start: o.start, End: o.start.Add(o.length), Need: j.need, Count: k}, j, o.machine, back, each})
+		c.addReservation(&reservation{timeline.Booking{Start: o.start, End: o.start.Add(o.length), Need: j.Need, Count: k}, j, o.machine, back, each})
 		if at, ok := c.slot(j, o.machine, o.length, a.deadline, dated); ok {
 			o.start = at
 			heap.Fix(offers, 0)
@@ -336,7 +336,7 @@
 		if dated {
 			at = a.deadline.Add(-base)
 		}
-		c.addReservation(&reservation{timeline.Booking{Start: at, End: at.Add(max(base, time.Second)), Need: j.need, Count: n}, j, nil, 0, 0})
+		c.addReservation(&reservation{timeline.Booking{Start: at, End: at.Add(max(base, time.Second)), Need: j.Need, Count: n}, j, nil, 0, 0})
 	}
 }
 
@@ -344,7 +344,7 @@
 // back. What was never going to be in time does not: its tasks are long, and
 // begun late they would keep machines up when all else is over.
 func (c *Core) yieldsWhenLate(j *job, length time.Duration) bool {
-	_, ok := c.nextObjectiveFrom(j, j.submitted, j.submitted.Add(length*11/10), length)
+	_, ok := c.nextObjectiveFrom(j, j.Submitted, j.Submitted.Add(length*11/10), length)
 	return ok
 }
 
@@ -367,16 +367,16 @@
 	if rent.backlog < scarceBacklog || rent.cpus <= 0 {
 		return lateQueueYield, 0
 	}
-	each = timeline.Seconds(scarceWeight * float64(j.need.CPU) / 1000 * c.estimate(j).Seconds() / rent.cpus)
-	return lateQueueYield + time.Duration(j.waiting)*each - start.Sub(c.Now), each
+	each = timeline.Seconds(scarceWeight * float64(j.Need.CPU) / 1000 * c.estimate(j).Seconds() / rent.cpus)
+	return lateQueueYield + time.Duration(j.Waiting)*each - start.Sub(c.Now), each
 }
 
 // advanceInQueue moves a job of which n more tasks have begun up in the queue, if it stands back by its length.
 func (c *Core) advanceInQueue(j *job, n int) {
 	moved := false
-	for _, b := range j.reservations {
-		if b.yieldPerTask > 0 {
-			b.yield -= time.Duration(n) * b.yieldPerTask
+	for _, b := range j.Reservations {
+		if b.YieldPerTask > 0 {
+			b.Yield -= time.Duration(n) * b.YieldPerTask
 			moved = true
 		}
 	}
@@ -390,7 +390,7 @@
 // go ahead of all that has missed an aim, and a guest's spare-time work would take the
 // room of the standing classes.
 func (c *Core) hasNoObjective(j *job) bool {
-	if j.spec.Urgency != spec.Idle || j.spec.Service {
+	if j.Spec.Urgency != spec.Idle || j.Spec.Service {
 		return false
 	}
 	none := true
@@ -401,21 +401,21 @@
 // addReservation adds a booking, in the order of the job's others; the job's place
 // in the queue is for the caller to see to.
 func (c *Core) addReservation(b *reservation) {
-	j := b.job
-	i := sort.Search(len(j.reservations), func(i int) bool { return b.queueTime().Before(j.reservations[i].queueTime()) })
-	j.reservations = slices.Insert(j.reservations, i, b)
-	j.reserved += b.Count
-	if b.machine != nil {
-		b.machine.timeline.Add(&b.Booking)
-		b.machine.reservations = append(b.machine.reservations, b)
+	j := b.Job
+	i := sort.Search(len(j.Reservations), func(i int) bool { return b.QueueTime().Before(j.Reservations[i].QueueTime()) })
+	j.Reservations = slices.Insert(j.Reservations, i, b)
+	j.Reserved += b.Count
+	if b.Machine != nil {
+		b.Machine.Timeline.Add(&b.Booking)
+		b.Machine.Reservations = append(b.Machine.Reservations, b)
 	}
 }
 
 // reserveSoon has the job's waiting tasks booked once the input at hand has been
 // taken in: a lost machine returns many tasks of a job at once.
 func (c *Core) reserveSoon(j *job) {
-	if !j.reservationPending {
-		j.reservationPending = true
+	if !j.ReservationPending {
+		j.ReservationPending = true
 		c.leadership.unscheduled = append(c.leadership.unscheduled, j)
 	}
 }
@@ -428,11 +428,11 @@
 	early := !l.allAccounted() && 10*len(l.unaccounted) > len(l.fleet) && c.Now.Sub(l.electedAt) < c.heartbeatInterval
 	visits, booked, left := 0, 0, l.unscheduled[:0]
 	for _, j := range l.unscheduled {
-		if early && j.fromEarlierTerm || visits >= maxVisitsPerStep {
+		if early && j.FromEarlierTerm || visits >= maxVisitsPerStep {
 			left = append(left, j)
 			continue
 		}
-		j.reservationPending = false
+		j.ReservationPending = false
 		c.reserve(j)
 		booked++
 		visits += 1 + len(l.fleet)
@@ -455,15 +455,15 @@
 
 // dropReservation takes a booking away whole.
 func (c *Core) dropReservation(b *reservation) {
-	j := b.job
-	j.reserved -= b.Count
-	if i := slices.Index(j.reservations, b); i >= 0 {
-		j.reservations = slices.Delete(j.reservations, i, i+1)
+	j := b.Job
+	j.Reserved -= b.Count
+	if i := slices.Index(j.Reservations, b); i >= 0 {
+		j.Reservations = slices.Delete(j.Reservations, i, i+1)
 	}
-	if b.machine != nil {
-		b.machine.timeline.Remove(&b.Booking)
-		if i := slices.Index(b.machine.reservations, b); i >= 0 {
-			b.machine.reservations = slices.Delete(b.machine.reservations, i, i+1)
+	if b.Machine != nil {
+		b.Machine.Timeline.Remove(&b.Booking)
+		if i := slices.Index(b.Machine.Reservations, b); i >= 0 {
+			b.Machine.Reservations = slices.Delete(b.Machine.Reservations, i, i+1)
 		}
 	}
 	b.Count = 0
@@ -477,32 +477,32 @@
 		return
 	}
 	b.Count--
-	b.job.reserved--
-	if b.machine != nil {
-		b.machine.timeline.Touch()
+	b.Job.Reserved--
+	if b.Machine != nil {
+		b.Machine.Timeline.Touch()
 	}
 }
 
 // dropReservations drops all bookings of a job.
 func (c *Core) dropReservations(j *job) {
-	for len(j.reservations) > 0 {
-		c.dropReservation(j.reservations[len(j.reservations)-1])
+	for len(j.Reservations) > 0 {
+		c.dropReservation(j.Reservations[len(j.Reservations)-1])
 	}
 }
 
 // dropExcessReservation drops the booking of a task that no longer waits.
 func (c *Core) dropExcessReservation(j *job) {
-	if j.reserved > j.waiting {
-		c.consumeReservation(j.reservations[len(j.reservations)-1])
+	if j.Reserved > j.Waiting {
+		c.consumeReservation(j.Reservations[len(j.Reservations)-1])
 	}
 }
 
 // dropMachineReservations books elsewhere what waits for the machine.
 func (c *Core) dropMachineReservations(m *machine) {
-	for len(m.reservations) > 0 {
-		b := m.reservations[len(m.reservations)-1]
+	for len(m.Reservations) > 0 {
+		b := m.Reservations[len(m.Reservations)-1]
 		c.dropReservation(b)
-		c.reserveSoon(b.job)
+		c.reserveSoon(b.Job)
 	}
 }
 
@@ -536,15 +536,15 @@
 		if len(due) >= limit {
 			break
 		}
-		if b := j.reservations[0]; (b.machine == nil || b.Start.Before(c.Now.Add(-300*time.Millisecond))) && c.Now.Sub(j.lastRereserved) > rereserveInterval {
-			j.lastRereserved = c.Now
+		if b := j.Reservations[0]; (b.Machine == nil || b.Start.Before(c.Now.Add(-300*time.Millisecond))) && c.Now.Sub(j.LastRereserved) > rereserveInterval {
+			j.LastRereserved = c.Now
 			due = append(due, j)
 		}
 	}
 	for _, j := range due {
-		if !j.halted() {
+		if !j.Halted() {
 			c.dropReservations(j)
-			j.missedUntil = time.Time{} // room may have come free: look at all aims again
+			j.MissedUntil = time.Time{} // room may have come free: look at all aims again
 			c.reserve(j)
 		}
 	}
@@ -553,21 +553,21 @@
 // topologyRoom says how many more tasks of the job may be on the machine now, given
 // where its others are, or may be.
 func (c *Core) topologyRoom(j *job, m *machine, n int) int {
-	if len(j.placement.Rules) == 0 {
+	if len(j.Placement.Rules) == 0 {
 		return n
 	}
-	return c.leadership.tally.Room(&j.placement, m.place, n)
+	return c.leadership.tally.Room(&j.Placement, m.Place, n)
 }
 
 // mayStart reports whether tasks of the job may start at all now.
 func (c *Core) mayStart(j *job) bool {
 	l := c.leadership
-	return !j.halted() && !c.Now.Before(j.retryAt) && (l.allAccounted() || !j.fromEarlierTerm && !j.team.limited()) && (l.orphanedTasks == 0 || !j.team.limited())
+	return !j.Halted() && !c.Now.Before(j.RetryAt) && (l.allAccounted() || !j.FromEarlierTerm && !j.Team.Limited()) && (l.orphanedTasks == 0 || !j.Team.Limited())
 }
 
 // couldStart reports whether a task of the job may start now wherever it fits.
 func (c *Core) couldStart(j *job) bool {
-	return c.mayStart(j) && j.team.tasksWithinLimit(j.need, 1) > 0
+	return c.mayStart(j) && j.Team.TasksWithinLimit(j.Need, 1) > 0
 }
 
 // maxOverdueJobs is how many jobs at a time have a first task started ahead of their turn.
@@ -579,11 +579,11 @@
 	l := c.leadership
 	l.overdue = l.overdue[:0]
 	for _, j := range l.queue {
-		if !j.hasRun && len(j.attempts) == 0 && c.Now.Sub(j.submitted) > within {
+		if !j.HasRun && len(j.Attempts) == 0 && c.Now.Sub(j.Submitted) > within {
 			l.overdue = append(l.overdue, j)
 		}
 	}
-	slices.SortStableFunc(l.overdue, func(a, b *job) int { return a.submitted.Compare(b.submitted) })
+	slices.SortStableFunc(l.overdue, func(a, b *job) int { return a.Submitted.Compare(b.Submitted) })
 	l.overdue = l.overdue[:min(len(l.overdue), maxOverdueJobs)]
 }
 
@@ -592,17 +592,17 @@
 func (c *Core) startOverdue(m *machine) (os []heartbeat.Order, blocked bool) {
 	l := c.leadership
 	for _, j := range l.overdue {
-		if len(j.reservations) == 0 || len(j.attempts) > 0 || !m.eligibleFor(j) || !c.mayStart(j) || j.team.tasksWithinLimit(j.need, 1) == 0 || c.topologyRoom(j, m, 1) == 0 ||
-			l.guarantees && j.team.guaranteedTasks(j.need, 1) == 0 || m.onProbation && len(m.attempts) > 0 {
+		if len(j.Reservations) == 0 || len(j.Attempts) > 0 || !m.EligibleFor(j) || !c.mayStart(j) || j.Team.TasksWithinLimit(j.Need, 1) == 0 || c.topologyRoom(j, m, 1) == 0 ||
+			l.guarantees && j.Team.GuaranteedTasks(j.Need, 1) == 0 || m.OnProbation && len(m.Attempts) > 0 {
 			continue
 		}
-		if !j.need.Fits(m.room()) {
-			blocked = blocked || m.hasReservationOf(j)
+		if !j.Need.Fits(m.Room()) {
+			blocked = blocked || m.HasReservationOf(j)
 			continue
 		}
-		b := j.reservations[0]
+		b := j.Reservations[0]
 		os = append(os, c.orderStart(b, m))
-		if b.yieldPerTask > 0 {
+		if b.YieldPerTask > 0 {
 			c.advanceInQueue(j, 1)
 		}
 	}
@@ -623,12 +623,12 @@
 // free room takes what waits for a busy one.
 func (c *Core) startTasksOn(m *machine) []heartbeat.Order {
 	l := c.leadership
-	room := m.room()
-	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.reported || m.record != recorded || !m.usable() || !m.zoneState.Takes() || c.Now.Before(m.retryAt) || l.unaccounted[m.host] || l.attempts > maxAttempts-maxStartsPerReply {
+	room := m.Room()
+	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.Reported || m.Record != recorded || !m.Usable() || !m.ZoneState.Takes() || c.Now.Before(m.RetryAt) || l.unaccounted[m.Host] || l.attempts > maxAttempts-maxStartsPerReply {
 		return nil
 	}
 	os, blocked := c.startOverdue(m)
-	room = m.room()
+	room = m.Room()
 	var barred []timeline.Booking // what has been found to stand in its way
 	// What lies within a team's guarantee goes first: borrowing is for what is
 	// left unused.
@@ -642,55 +642,55 @@
 		}
 		j := l.queue[i]
 		i++
-		if !borrowing && j.team.guaranteedTasks(j.need, 1) == 0 || !m.eligibleFor(j) || !c.mayStart(j) {
+		if !borrowing && j.Team.GuaranteedTasks(j.Need, 1) == 0 || !m.EligibleFor(j) || !c.mayStart(j) {
 			continue
 		}
-		if m.onProbation && len(m.attempts) > 0 {
+		if m.OnProbation && len(m.Attempts) > 0 {
 			break // one task at a time shows whether the machine works
 		}
 		have := room
-		if m.warmReserve > 0 && !j.startsAtOnce {
-			have.CPU -= m.warmReserve
+		if m.WarmReserve > 0 && !j.StartsAtOnce {
+			have.CPU -= m.WarmReserve
 		}
 		b := c.nextReservationFor(j, m)
 		if b == nil {
 			continue // better started elsewhere, where its image is
 		}
-		n := j.need.Times(have, b.Count)
+		n := j.Need.Times(have, b.Count)
 		if n == 0 {
-			blocked = blocked || m.hasReservationOf(j)
+			blocked = blocked || m.HasReservationOf(j)
 			continue
 		}
 		if blocked {
 			// Something larger waits here for its slot: start only what does
 			// not stand in its way.
 			d := c.occupancy(j, m)
-			if b.machine != m && slices.ContainsFunc(barred, func(x timeline.Booking) bool { return x.Need.Fits(j.need) && !x.End.After(c.Now.Add(d)) }) {
+			if b.Machine != m && slices.ContainsFunc(barred, func(x timeline.Booking) bool { return x.Need.Fits(j.Need) && !x.End.After(c.Now.Add(d)) }) {
 				continue // more, or for longer, than what did
 			}
-			if b.machine == m {
-				m.timeline.Remove(&b.Booking)
+			if b.Machine == m {
+				m.Timeline.Remove(&b.Booking)
 			}
-			n = m.timeline.Count(c.Now, d, j.need, n)
-			if b.machine == m {
-				m.timeline.Add(&b.Booking)
+			n = m.Timeline.Count(c.Now, d, j.Need, n)
+			if b.Machine == m {
+				m.Timeline.Add(&b.Booking)
 			}
 			if n == 0 {
-				if barred = append(barred, timeline.Booking{Need: j.need, End: c.Now.Add(d)}); len(barred) >= maxBlockedJobs {
+				if barred = append(barred, timeline.Booking{Need: j.Need, End: c.Now.Add(d)}); len(barred) >= maxBlockedJobs {
 					break
 				}
 				continue
 			}
 		}
-		if n = j.team.tasksWithinLimit(j.need, n); n == 0 {
-			j.team.limitReached = true
+		if n = j.Team.TasksWithinLimit(j.Need, n); n == 0 {
+			j.Team.LimitReached = true
 		}
 		if !borrowing {
-			n = j.team.guaranteedTasks(j.need, n)
+			n = j.Team.GuaranteedTasks(j.Need, n)
 		}
 		n = c.topologyRoom(j, m, n)
-		if m.onProbation || j.failures > 0 && !j.anyCompleted {
-			n = min(n, max(0, 1-len(j.attempts)))
+		if m.OnProbation || j.Failures > 0 && !j.AnyCompleted {
+			n = min(n, max(0, 1-len(j.Attempts)))
 		}
 		if n == 0 {
 			continue
@@ -699,17 +699,17 @@
 		for range n {
 			os = append(os, c.orderStart(b, m))
 		}
-		room = m.room()
+		room = m.Room()
 		if whole {
 			i-- // the job has moved on to its next booking, or left the queue
 		}
-		if b.yieldPerTask > 0 {
+		if b.YieldPerTask > 0 {
 			c.advanceInQueue(j, n)
 		}
-		if j.waiting > j.reserved && j.reserved < reservationWindow/2 {
+		if j.Waiting > j.Reserved && j.Reserved < reservationWindow/2 {
 			c.reserveSoon(j)
 		}
-		if m.onProbation {
+		if m.OnProbation {
 			break
 		}
 	}
@@ -720,14 +720,14 @@
 // that lacks the image leaves alone what is booked on one that has both the
 // image and the room, and at first what waits for any that has the image.
 func (c *Core) nextReservationFor(j *job, m *machine) *reservation {
-	if m.images.Contains(j.spec.Image) {
-		return j.reservations[0]
+	if m.Images.Contains(j.Spec.Image) {
+		return j.Reservations[0]
 	}
-	if c.Now.Before(j.imageLocalUntil) {
+	if c.Now.Before(j.ImageLocalUntil) {
 		return nil
 	}
-	for i, b := range j.reservations {
-		if b.machine == nil || b.machine == m || !b.machine.canStartNow(j) {
+	for i, b := range j.Reservations {
+		if b.Machine == nil || b.Machine == m || !b.Machine.CanStartNow(j) {
 			return b
 		}
 		if i >= 16 {
@@ -745,67 +745,67 @@
 // preferImageLocality has a new job wait for machines that have its image, if there
 // are enough of them.
 func (c *Core) preferImageLocality(j *job) {
-	if !j.startsAtOnce {
+	if !j.StartsAtOnce {
 		return
 	}
 	l := c.leadership
 	have := int64(0)
 	for _, m := range l.fleet {
-		if m.images.Contains(j.spec.Image) {
-			have += m.timeline.Capacity().CPU
+		if m.Images.Contains(j.Spec.Image) {
+			have += m.Timeline.Capacity().CPU
 		}
 	}
-	if have < 4*int64(j.spec.Tasks)*j.need.CPU {
+	if have < 4*int64(j.Spec.Tasks)*j.Need.CPU {
 		return
 	}
-	j.imageLocalUntil = c.Now.Add(imageLocalityWait)
+	j.ImageLocalUntil = c.Now.Add(imageLocalityWait)
 	c.afterWhileLeading(imageLocalityWait, func() { l.dispatchAll = true })
 }
 
-// hasReservationOf reports whether tasks of the job are booked on the machine.
-func (m *machine) hasReservationOf(j *job) bool {
-	return slices.ContainsFunc(m.reservations, func(b *reservation) bool { return b.job == j })
+// HasReservationOf reports whether tasks of the job are booked on the machine.
+func (m *machine) HasReservationOf(j *job) bool {
+	return slices.ContainsFunc(m.Reservations, func(b *reservation) bool { return b.Job == j })
 }
 
-// canStartNow reports whether the job's tasks could start on the machine right away.
-func (m *machine) canStartNow(j *job) bool {
-	return m.reported && m.usable() && m.images.Contains(j.spec.Image) && j.need.Fits(m.room())
+// CanStartNow reports whether the job's tasks could start on the machine right away.
+func (m *machine) CanStartNow(j *job) bool {
+	return m.Reported && m.Usable() && m.Images.Contains(j.Spec.Image) && j.Need.Fits(m.Room())
 }
 
 // orderStart orders one task of a booking to start on a machine. The order goes out
 // with the reply to the machine's last report.
 func (c *Core) orderStart(b *reservation, m *machine) heartbeat.Order {
 	l := c.leadership
-	j := b.job
-	i := j.pending.First()
+	j := b.Job
+	i := j.Pending.First()
 	c.consumeReservation(b)
-	j.pending.Remove(i)
-	j.waiting--
+	j.Pending.Remove(i)
+	j.Waiting--
 	// Attempts rise across terms as well: the term comes first.
 	l.attempts++
-	r := &attempt{id: heartbeat.TaskID{Job: j.spec.ID, Index: i}, number: l.term<<record.AttemptBits + l.attempts, machine: m, phase: Ordered, orderedCounter: m.counter, orderedAt: c.Now}
-	m.attempts = append(m.attempts, r)
+	r := &attempt{ID: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Number: l.term<<record.AttemptBits + l.attempts, Machine: m, Phase: Ordered, OrderedCounter: m.Counter, OrderedAt: c.Now}
+	m.Attempts = append(m.Attempts, r)
 	c.occupy(r, j)
-	return heartbeat.Order{Verb: heartbeat.Start, Task: r.id, Try: r.number}
+	return heartbeat.Order{Verb: heartbeat.Start, Task: r.ID, Try: r.Number}
 }
 
 // lateness is by how much the best timeline, of a machine at hand or of a type
 // that can be rented, would miss a dated job's deadline.
 func (c *Core) lateness(s *spec.Job) time.Duration {
 	l := c.leadership
-	j := &job{spec: *s, need: s.Need()}
+	j := &job{Spec: *s, Need: s.Need()}
 	run := timeline.Seconds(c.estimateSpec(s).Seconds() * (1 + l.margin))
 	best := time.Duration(1<<63 - 1)
 	for _, m := range l.fleet {
-		if m.eligibleFor(j) {
-			if t, ok := m.timeline.Earliest(c.earliestStart(m), run, j.need); ok {
+		if m.EligibleFor(j) {
+			if t, ok := m.Timeline.Earliest(c.earliestStart(m), run, j.Need); ok {
 				best = min(best, t.Add(run).Sub(c.Now))
 			}
 		}
 	}
 	for i := range l.autoscaler.instanceTypes {
 		f := &l.autoscaler.instanceTypes[i]
-		if allowsInstanceType(s, f.Name) && j.need.Fits(f.Capacity) && (s.Zone == "" || hasZone(f, s.Zone)) && l.autoscaler.mayHaveCapacity(f, s.AllowSpot, c.Now) {
+		if allowsInstanceType(s, f.Name) && j.Need.Fits(f.Capacity) && (s.Zone == "" || hasZone(f, s.Zone)) && l.autoscaler.mayHaveCapacity(f, s.AllowSpot, c.Now) {
 			best = min(best, f.BootTime+imageFetchTime(s, f)+run)
 		}
 	}
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -17,18 +17,18 @@
 	c := leaderOf(t, 1)
 	c.cfg.Settings.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1.5}, {Kind: "finished", Class: "c", Within: 200}}
 	j := newJob(c, 1, 1, rand.New(rand.NewPCG(1, 1)))
-	j.spec.Class, j.spec.HasDeadline, j.spec.Deadline = "c", true, 100*time.Second
+	j.Spec.Class, j.Spec.HasDeadline, j.Spec.Deadline = "c", true, 100*time.Second
 	for _, x := range []struct {
 		urgency spec.Urgency
 		want    []float64
 	}{{spec.Standard, []float64{100, 150, 120, 200}}, {spec.Idle, []float64{100, 150, 200}}} {
-		j.spec.Urgency = x.urgency
+		j.Spec.Urgency = x.urgency
 		var got []float64
 		c.forEachObjective(j, time.Second, func(a objective) {
 			if !a.wholeJob {
 				t.Error("takes all tasks")
 			}
-			got = append(got, a.deadline.Sub(j.submitted).Seconds())
+			got = append(got, a.deadline.Sub(j.Submitted).Seconds())
 		})
 		if len(got) != len(x.want) {
 			t.Fatalf("%v: %v, want %v", x.urgency, got, x.want)
@@ -39,8 +39,8 @@
 			}
 		}
 	}
-	j.spec.Urgency = spec.Standard
-	if a, ok := c.nextObjectiveFrom(j, t0, t0.Add(120*time.Second), time.Second); !ok || a.deadline != j.submitted.Add(150*time.Second) {
+	j.Spec.Urgency = spec.Standard
+	if a, ok := c.nextObjectiveFrom(j, t0, t0.Add(120*time.Second), time.Second); !ok || a.deadline != j.Submitted.Add(150*time.Second) {
 		t.Errorf("after 120 s: %v", a.deadline.Sub(t0))
 	}
 }
@@ -52,7 +52,7 @@
 	m := c.leadership.fleet[0]
 	submit := func(id int) *job {
 		j := newJob(c, id, 2, rand.New(rand.NewPCG(1, 1)))
-		j.startsAtOnce = true
+		j.StartsAtOnce = true
 		c.preferImageLocality(j)
 		c.reserve(j)
 		return j
@@ -63,7 +63,7 @@
 	}
 	for _, o := range c.leadership.fleet[1:] {
 		for _, image := range []string{"img0", "img1", "img2", "img3", "img4", "img5"} {
-			o.images.Add(image, struct{}{})
+			o.Images.Add(image, struct{}{})
 		}
 		c.fill(o) // no room for now
 	}
@@ -72,8 +72,8 @@
 		t.Errorf("started %v where the image is not", os)
 	}
 	c.Now = c.Now.Add(imageLocalityWait)
-	if c.startTasksOn(m); j.waiting != 0 {
-		t.Errorf("%d tasks still wait", j.waiting)
+	if c.startTasksOn(m); j.Waiting != 0 {
+		t.Errorf("%d tasks still wait", j.Waiting)
 	}
 }
 
@@ -85,19 +85,19 @@
 		c := leaderOf(t, 3)
 		m := c.leadership.fleet[2]
 		c.fill(m)
-		for _, r := range m.attempts[:4] {
+		for _, r := range m.Attempts[:4] {
 			c.vacate(r) // four CPUs are free, and the large job takes all
 		}
 		for _, x := range c.leadership.fleet[:2] {
-			x.quarantined = true
+			x.Quarantined = true
 		}
 		add := func(i int, cpus float64, submitted time.Duration) {
 			j := newJob(c, i, 1, rng)
-			j.spec.CPUs, j.spec.HasDeadline, j.spec.Class, j.spec.Image, j.spec.Runtime = cpus, false, "x", "img0", time.Hour
-			j.need, j.submitted, j.anyCompleted = j.spec.Need(), t0.Add(submitted), true
+			j.Spec.CPUs, j.Spec.HasDeadline, j.Spec.Class, j.Spec.Image, j.Spec.Runtime = cpus, false, "x", "img0", time.Hour
+			j.Need, j.Submitted, j.AnyCompleted = j.Spec.Need(), t0.Add(submitted), true
 			c.reserve(j)
 		}
-		m.images.Add("img0", struct{}{})
+		m.Images.Add("img0", struct{}{})
 		c.Now = t0
 		add(1, 32, -time.Minute)
 		for i := range small {
@@ -124,31 +124,31 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, phase := range []heartbeat.Phase{heartbeat.Pulling, heartbeat.TaskRuns} {
 		c := leaderOf(t, 1)
-		c.leadership.teams["u"] = &team{guaranteed: timeline.Capacity(100, 0, 0)}
-		c.leadership.teams["t"].guaranteed = timeline.Resources{}
+		c.leadership.teams["u"] = &team{Guaranteed: timeline.Capacity(100, 0, 0)}
+		c.leadership.teams["t"].Guaranteed = timeline.Resources{}
 		m := c.leadership.fleet[0]
 		long := newJob(c, 1, 1, rng)
-		long.spec.CPUs, long.spec.Runtime = 4, 10*time.Minute
-		long.need = long.spec.Need()
+		long.Spec.CPUs, long.Spec.Runtime = 4, 10*time.Minute
+		long.Need = long.Spec.Need()
 		rep := reportOf(m)
-		rep.Tasks = []heartbeat.Task{{Task: heartbeat.TaskID{Job: long.spec.ID}, Try: 1, Phase: phase}}
+		rep.Tasks = []heartbeat.Task{{Task: heartbeat.TaskID{Job: long.Spec.ID}, Try: 1, Phase: phase}}
 		c.reconcile(m, &rep)
 		rep.Counter++
-		rep.Tasks = []heartbeat.Task{{Task: heartbeat.TaskID{Job: long.spec.ID}, Try: 1, Phase: heartbeat.TaskRuns}}
+		rep.Tasks = []heartbeat.Task{{Task: heartbeat.TaskID{Job: long.Spec.ID}, Try: 1, Phase: heartbeat.TaskRuns}}
 		c.reconcile(m, &rep)
 		waits := newJob(c, 2, 1, rng)
-		waits.spec.Owner, waits.team = "u", c.leadership.teams["u"]
-		waits.submitted = t0.Add(-time.Minute)
+		waits.Spec.Owner, waits.Team = "u", c.leadership.teams["u"]
+		waits.Submitted = t0.Add(-time.Minute)
 		c.reserve(waits)
 		c.preemptBorrowers()
-		if stopped := m.attempts[0].stopRequested; stopped != (phase == heartbeat.Pulling) {
+		if stopped := m.Attempts[0].StopRequested; stopped != (phase == heartbeat.Pulling) {
 			t.Errorf("found %s: stopped %v", phase, stopped)
 		}
 		c.Now = c.Now.Add(3 * time.Second)
 		rep.Counter++
-		rep.Tasks[0] = heartbeat.Task{Task: heartbeat.TaskID{Job: long.spec.ID}, Try: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}
+		rep.Tasks[0] = heartbeat.Task{Task: heartbeat.TaskID{Job: long.Spec.ID}, Try: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}
 		c.reconcile(m, &rep)
-		if seen := c.leadership.runtimes.of(&long.spec) != nil; seen != (phase == heartbeat.Pulling) {
+		if seen := c.leadership.runtimes.Of(&long.Spec) != nil; seen != (phase == heartbeat.Pulling) {
 			t.Errorf("found %s: counts for estimates %v", phase, seen)
 		}
 	}
@@ -161,17 +161,17 @@
 	c.fill(c.leadership.fleet[0])
 	add := func(id int, class string, urgency spec.Urgency) *job {
 		j := newJob(c, id, 1, rng)
-		j.spec.Class, j.spec.HasDeadline, j.spec.Urgency = class, false, urgency
+		j.Spec.Class, j.Spec.HasDeadline, j.Spec.Urgency = class, false, urgency
 		c.reserve(j)
 		return j
 	}
 	guest, dear := add(1, "x", spec.Idle), add(2, "x", spec.Standard)
 	late := add(3, "c", spec.Idle)
-	late.missedUntil = t0.Add(time.Hour)
+	late.MissedUntil = t0.Add(time.Hour)
 	c.dropReservations(late)
 	c.reserve(late)
-	if guest.queueTime.Before(late.queueTime) || !dear.queueTime.Before(late.queueTime) {
-		t.Errorf("turns: aimless idle %v, aimless %v, late %v", guest.queueTime.Sub(t0), dear.queueTime.Sub(t0), late.queueTime.Sub(t0))
+	if guest.QueueTime.Before(late.QueueTime) || !dear.QueueTime.Before(late.QueueTime) {
+		t.Errorf("turns: aimless idle %v, aimless %v, late %v", guest.QueueTime.Sub(t0), dear.QueueTime.Sub(t0), late.QueueTime.Sub(t0))
 	}
 }
 
@@ -195,7 +195,7 @@
 	c.Now = c.Now.Add(time.Hour) // all is due
 	looked := func() (n int) {
 		for _, j := range c.leadership.jobs {
-			if j.lastRereserved.Equal(c.Now) {
+			if j.LastRereserved.Equal(c.Now) {
 				n++
 			}
 		}
@@ -207,13 +207,13 @@
 	}
 	first := map[*job]bool{}
 	for _, j := range c.leadership.jobs {
-		first[j] = j.lastRereserved.Equal(c.Now)
+		first[j] = j.LastRereserved.Equal(c.Now)
 	}
 	c.Now = c.Now.Add(tickEvery)
 	c.rereserve(10)
 	for j, was := range first {
-		if was && j.lastRereserved.Equal(c.Now) {
-			t.Errorf("job %s is looked at again at once", j.spec.ID)
+		if was && j.LastRereserved.Equal(c.Now) {
+			t.Errorf("job %s is looked at again at once", j.Spec.ID)
 		}
 	}
 }
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -23,30 +23,30 @@
 	short := int64(0)
 	seen := map[*team]int64{}
 	for _, j := range l.queue {
-		t := j.team
-		if t.guaranteed.CPU == 0 || !c.mayStart(j) || c.Now.Sub(j.submitted) < preemptAfter || t.allocated.CPU+j.need.CPU > t.guaranteed.CPU {
+		t := j.Team
+		if t.Guaranteed.CPU == 0 || !c.mayStart(j) || c.Now.Sub(j.Submitted) < preemptAfter || t.Allocated.CPU+j.Need.CPU > t.Guaranteed.CPU {
 			continue
 		}
 		left, ok := seen[t]
 		if !ok {
-			left = t.guaranteed.CPU - t.allocated.CPU
+			left = t.Guaranteed.CPU - t.Allocated.CPU
 		}
-		n := min(left, int64(j.reserved)*j.need.CPU)
+		n := min(left, int64(j.Reserved)*j.Need.CPU)
 		seen[t] = left - n
 		short += n
 	}
 	for _, m := range l.fleet {
-		if m.usable() && m.reported {
-			short -= m.room().CPU
+		if m.Usable() && m.Reported {
+			short -= m.Room().CPU
 		}
 	}
 	if short <= 0 {
 		return
 	}
 	for _, m := range l.fleet { // what is being stopped already
-		for _, r := range m.attempts {
-			if r.stopRequested && r.occupies {
-				short -= r.need.CPU
+		for _, r := range m.Attempts {
+			if r.StopRequested && r.Occupies {
+				short -= r.Need.CPU
 			}
 		}
 	}
@@ -60,26 +60,26 @@
 	var bs []borrower
 	lasts := map[*job]time.Duration{} // as estimated: a job's tasks are many
 	for _, m := range l.fleet {
-		if !m.usable() || !m.reported {
+		if !m.Usable() || !m.Reported {
 			continue
 		}
-		for _, r := range m.attempts {
-			if !r.occupies || r.stopRequested || r.phase != heartbeat.TaskRuns || r.job.team.allocated.CPU <= r.job.team.guaranteed.CPU {
+		for _, r := range m.Attempts {
+			if !r.Occupies || r.StopRequested || r.Phase != heartbeat.TaskRuns || r.Job.Team.Allocated.CPU <= r.Job.Team.Guaranteed.CPU {
 				continue
 			}
 			// What cannot save loses all: it is stopped only when it has hardly
 			// begun and would keep the room for long.
-			loss := r.job.spec.CheckpointTime
-			if r.job.spec.CheckpointInterval <= 0 {
-				if r.foundRunning {
+			loss := r.Job.Spec.CheckpointTime
+			if r.Job.Spec.CheckpointInterval <= 0 {
+				if r.FoundRunning {
 					continue // it may have run for long: to a new leader all look begun just now
 				}
-				loss = c.Now.Sub(r.startedAt)
-				if !r.job.spec.Service {
-					d, ok := lasts[r.job]
+				loss = c.Now.Sub(r.StartedAt)
+				if !r.Job.Spec.Service {
+					d, ok := lasts[r.Job]
 					if !ok {
-						d = c.estimate(r.job)
-						lasts[r.job] = d
+						d = c.estimate(r.Job)
+						lasts[r.Job] = d
 					}
 					if d-loss < 6*loss+time.Minute {
 						continue
@@ -93,19 +93,19 @@
 	over := map[*team]int64{}
 	stopped := 0
 	for _, b := range bs {
-		t := b.r.job.team
+		t := b.r.Job.Team
 		if _, ok := over[t]; !ok {
-			over[t] = t.allocated.CPU - t.guaranteed.CPU
+			over[t] = t.Allocated.CPU - t.Guaranteed.CPU
 		}
-		if short <= 0 || over[t] < b.r.need.CPU {
+		if short <= 0 || over[t] < b.r.Need.CPU {
 			continue
 		}
-		over[t] -= b.r.need.CPU
-		short -= b.r.need.CPU
-		b.r.stopRequested = true
-		c.requestDispatch(b.r.machine)
-		if b.r.job.spec.CheckpointInterval > 0 {
-			b.r.drainTime = b.r.job.spec.CheckpointTime + time.Second
+		over[t] -= b.r.Need.CPU
+		short -= b.r.Need.CPU
+		b.r.StopRequested = true
+		c.requestDispatch(b.r.Machine)
+		if b.r.Job.Spec.CheckpointInterval > 0 {
+			b.r.DrainTime = b.r.Job.Spec.CheckpointTime + time.Second
 		}
 		stopped++
 	}
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -29,16 +29,16 @@
 		c.probeMatching(func(*machine) bool { return true })
 		return
 	}
-	c.probeMatching(func(m *machine) bool { return own[m.host] != nil })
+	c.probeMatching(func(m *machine) bool { return own[m.Host] != nil })
 	c.afterWhileLeading(leaderProbeDelay, func() {
-		c.probeMatching(func(m *machine) bool { return own[m.host] == nil })
+		c.probeMatching(func(m *machine) bool { return own[m.Host] == nil })
 	})
 }
 
 func (c *Core) probeMatching(which func(*machine) bool) {
 	l := c.leadership
 	for _, m := range l.fleet {
-		if l.unaccounted[m.host] && m.address != "" && which(m) {
+		if l.unaccounted[m.Host] && m.Address != "" && which(m) {
 			l.probeQueue = append(l.probeQueue, m)
 		}
 	}
@@ -58,12 +58,12 @@
 // reported by itself. Then starts may be on their way to it, of which the answer need
 // not know.
 func (l *leadership) probeCounts(m *machine) bool {
-	return l.unaccounted[m.host] && !m.reported && !m.releasing
+	return l.unaccounted[m.Host] && !m.Reported && !m.Releasing
 }
 
 // reconcileProbe takes in an answer that counts, of a worker that has seen our term.
 func (c *Core) reconcileProbe(m *machine, rep *heartbeat.Report) {
-	m.probed = true
+	m.Probed = true
 	c.reconcile(m, rep)
 }
 
@@ -74,7 +74,7 @@
 		return
 	}
 	l.probesInFlight++
-	c.probeWorker(m.address, l.term, tenure, func(r heartbeat.ProbeReply) {
+	c.probeWorker(m.Address, l.term, tenure, func(r heartbeat.ProbeReply) {
 		if c.leadership != l {
 			return
 		}
@@ -83,15 +83,15 @@
 		switch {
 		case !l.probeCounts(m):
 		case r.Outcome != rpc.Unknown && rep.FencingToken > l.term:
-			c.handleNewerToken(m.host, rep.FencingToken, func() { c.release(m) })
-		case r.Outcome != rpc.Unknown && rep.Host != m.host:
+			c.handleNewerToken(m.Host, rep.FencingToken, func() { c.release(m) })
+		case r.Outcome != rpc.Unknown && rep.Host != m.Host:
 			// Another machine has the address now.
 		case r.Outcome == rpc.OK && rep.FencingToken == l.term:
 			c.reconcileProbe(m, rep)
 		case r.Outcome == rpc.Conflict && rep.Incarnation != tenure:
 			c.probe(m, rep.Incarnation)
 		default:
-			if m.failedProbes++; m.failedProbes < maxProbeAttempts {
+			if m.FailedProbes++; m.FailedProbes < maxProbeAttempts {
 				l.probeQueue = append(l.probeQueue, m)
 			}
 		}
--- a/internal/core/recovery_merge.go
+++ b/internal/core/recovery_merge.go
@@ -102,7 +102,7 @@
 			own.Put(key, r.Value, 0)
 		}
 		for _, key := range res.Drops {
-			l.writes.add(&change{priority: priorityBulk, writes: []kv.Write{{Key: key}}})
+			l.writes.Add(&change{Priority: priorityBulk, Writes: []kv.Write{{Key: key}}})
 		}
 		if g.lossReason == "" {
 			// Ended jobs and schedules of a copy are older news than the service's.
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -31,9 +31,9 @@
 		return false
 	})
 	for _, g := range l.records {
-		if lost[g.key] && len(g.machines) > 0 {
-			for _, m := range g.machines {
-				m.record = recording
+		if lost[g.Key] && len(g.Machines) > 0 {
+			for _, m := range g.Machines {
+				m.Record = recording
 			}
 			c.writeMachineRecord(g, priorityUrgent)
 		}
@@ -66,7 +66,7 @@
 func (c *Core) restoreNext() {
 	l := c.leadership
 	p := &l.writes
-	for len(l.restoring) > 0 && len(p.queued[priorityBulk]) < c.cfg.Settings.State.TxnOps {
+	for len(l.restoring) > 0 && len(p.Queued[priorityBulk]) < c.cfg.Settings.State.TxnOps {
 		r := l.restoring[0]
 		l.restoring = l.restoring[1:]
 		c.restoreRecord(r)
@@ -103,22 +103,22 @@
 // known, or nothing has to be written any more.
 func (c *Core) writeBack(r replica.Record, over func(on kv.Entry)) {
 	l := c.leadership
-	ch := &change{priority: priorityBulk, conditions: []kv.Condition{{Key: r.Key, Rev: r.Rev}}, writes: []kv.Write{{Key: r.Key}}, size: 400}
+	ch := &change{Priority: priorityBulk, Conditions: []kv.Condition{{Key: r.Key, Rev: r.Rev}}, Writes: []kv.Write{{Key: r.Key}}, Size: 400}
 	if rec, ok := r.Value.(*record.Job); ok {
 		// Applied late, once the job is over and its record gone again, it would bring the
 		// job back to the next leader.
-		ch.conditions = append(ch.conditions, kv.Condition{Key: record.FinalPrefix + rec.Spec.ID, Rev: 0})
-		ch.size = recordSize(&rec.Spec)
+		ch.Conditions = append(ch.Conditions, kv.Condition{Key: record.FinalPrefix + rec.Spec.ID, Rev: 0})
+		ch.Size = recordSize(&rec.Spec)
 	} else if rec, ok := r.Value.(*schedule.Record); ok {
-		ch.size, ch.priority = rec.Size(), priorityUrgent
+		ch.Size, ch.Priority = rec.Size(), priorityUrgent
 	} else if record.IsConfigKey(r.Key) || r.Key == record.ScheduleNumberKey {
-		ch.priority = priorityUrgent
+		ch.Priority = priorityUrgent
 	}
-	ch.prepare = func() bool {
+	ch.Prepare = func() bool {
 		now, ok := c.replicas.own.Get(r.Key)
 		if id, live := strings.CutPrefix(r.Key, record.JobPrefix); live {
 			j := l.jobs[id]
-			ok = ok && j != nil && !j.finishing
+			ok = ok && j != nil && !j.Finishing
 		} else if record.IsScheduleKey(r.Key) {
 			now, ok = r, true // they are read from record later
 		}
@@ -126,22 +126,22 @@
 			over(kv.Entry{})
 			return false
 		}
-		ch.writes[0].Value = now.Value
+		ch.Writes[0].Value = now.Value
 		if strings.HasPrefix(r.Key, record.SchedulePrefix) {
-			ch.conditions = []kv.Condition{{Key: r.Key, Rev: r.Rev}, {Key: record.ScheduleNumberKey, Rev: l.schedules.numberRev}} // see newSchedule
+			ch.Conditions = []kv.Condition{{Key: r.Key, Rev: r.Rev}, {Key: record.ScheduleNumberKey, Rev: l.schedules.numberRev}} // see newSchedule
 		}
 		return true
 	}
-	ch.onCommit = func(rev uint64) {
+	ch.OnCommit = func(rev uint64) {
 		switch r.Key {
 		case record.ScheduleNumberKey:
 			l.schedules.numberRev = rev
 		case record.ConfigHeadKey:
 			l.config.headRev = rev
 		}
-		over(kv.Entry{Key: r.Key, Value: ch.writes[0].Value, Rev: rev})
+		over(kv.Entry{Key: r.Key, Value: ch.Writes[0].Value, Rev: rev})
 	}
-	ch.onConflict = func() { // there is one by now, written after the loss or late, or older
+	ch.OnConflict = func() { // there is one by now, written after the loss or late, or older
 		if !record.IsScheduleKey(r.Key) {
 			over(kv.Entry{})
 			return
@@ -162,8 +162,8 @@
 			})
 		})
 	}
-	ch.onReject = func() { over(kv.Entry{}) }
-	l.writes.add(ch)
+	ch.OnReject = func() { over(kv.Entry{}) }
+	l.writes.Add(ch)
 }
 
 // loadSchedulesWhenRestored reads the schedules once they are on record.
--- a/internal/core/regions_test.go
+++ b/internal/core/regions_test.go
@@ -23,12 +23,12 @@
 	for zone := range 4 {
 		for i := range 3 {
 			m := c.ensureMachine(fmt.Sprintf("host-1%d%d", zone, i), "f0", fmt.Sprintf("r1-%d", zone), false)
-			m.reported, m.lastHeartbeat = true, t0
+			m.Reported, m.LastHeartbeat = true, t0
 		}
 	}
 	c.Now = t0.Add(20 * time.Second)
 	for _, m := range c.leadership.fleet[:12] {
-		m.lastHeartbeat = c.Now
+		m.LastHeartbeat = c.Now
 	}
 	c.Outputs = nil
 	c.observeZones()
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -331,18 +331,18 @@
 
 // relayLink is a relay as the leader sees it.
 type relayLink struct {
-	unfold     relay.Unfold
-	lastBatch  time.Time
-	lastSilent time.Time // when it was last found to say nothing
-	workers    int       // that report to it
-	replies    []relay.Reply
-	weight     int // of them
+	Unfold     relay.Unfold
+	LastBatch  time.Time
+	LastSilent time.Time // when it was last found to say nothing
+	Workers    int       // that report to it
+	Replies    []relay.Reply
+	Weight     int // of them
 }
 
 // heartbeatKey names a report whose reply is held: numbers are the relay's own.
 type heartbeatKey struct {
-	link heartbeat.Link
-	ref  uint64
+	Link heartbeat.Link
+	Ref  uint64
 }
 
 // handleRelayedHeartbeats takes in what a relay passes on.
@@ -352,23 +352,23 @@
 		return // it will hear of the newest term, and tell its leader again
 	}
 	p := l.relay(from)
-	former := p.unfold.Session()
-	reps, begun, err := p.unfold.Open(m.Reports)
+	former := p.Unfold.Session()
+	reps, begun, err := p.Unfold.Open(m.Reports)
 	if begun {
 		if former != 0 {
 			// Maybe another process, back so soon that its end went unnoticed. Those who
 			// reported to the one before look for another node first.
-			p.lastSilent = c.Now
+			p.LastSilent = c.Now
 		}
 		// All that waits there is told again. The numbers of the session before mean
 		// nothing any more.
 		for _, x := range l.fleet {
-			if x.heldReply != nil && x.heldReply.link.From == from {
+			if x.HeldReply != nil && x.HeldReply.Link.From == from {
 				c.takeHeldReply(x)
 			}
 		}
 		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Relay.From == from })
-		p.replies, p.weight = nil, 0
+		p.Replies, p.Weight = nil, 0
 	}
 	if err == relay.ErrOver {
 		return
@@ -380,7 +380,7 @@
 		c.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: l.term, Replies: &relay.Replies{Session: m.Reports.Session, Again: true}}})
 		return
 	}
-	p.lastBatch = c.Now
+	p.LastBatch = c.Now
 	by := heartbeat.Link{From: from, Session: m.Reports.Session}
 	for i := range reps {
 		if ref := m.Reports.Reports[i].Ref; ref != 0 {
@@ -416,26 +416,26 @@
 		return
 	}
 	p := c.leadership.relay(by.From)
-	if by.Session != p.unfold.Session() {
+	if by.Session != p.Unfold.Session() {
 		return // nobody waits for it there
 	}
 	x := relay.Reply{Ref: a.Ref, Upstream: a.Upstream, Orders: a.Orders}
 	if a.Status != 200 {
 		x.Status = a.Status
 	}
-	p.replies = append(p.replies, x)
-	p.weight += x.Weight()
-	if p.weight > maxLineWeight {
+	p.Replies = append(p.Replies, x)
+	p.Weight += x.Weight()
+	if p.Weight > maxLineWeight {
 		c.sendRelayReplies(by.From, p)
 	}
 }
 
 func (c *Core) sendRelayReplies(name string, p *relayLink) {
-	if len(p.replies) == 0 {
+	if len(p.Replies) == 0 {
 		return
 	}
-	c.Emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: c.leadership.term, Replies: &relay.Replies{Session: p.unfold.Session(), List: p.replies}}})
-	p.replies, p.weight = nil, 0
+	c.Emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: c.leadership.term, Replies: &relay.Replies{Session: p.Unfold.Session(), List: p.Replies}}})
+	p.Replies, p.Weight = nil, 0
 }
 
 // flushRelayReplies sends what was answered in this step to the relays.
@@ -451,18 +451,18 @@
 
 // setReportsVia notes by which node a machine reports.
 func (l *leadership) setReportsVia(m *machine, by string) {
-	if p := l.relay(by); m.reportsVia != p {
+	if p := l.relay(by); m.ReportsVia != p {
 		l.clearReportsVia(m)
-		m.reportsVia = p
-		p.workers++
+		m.ReportsVia = p
+		p.Workers++
 	}
 }
 
 // clearReportsVia notes that a machine reports by none.
 func (l *leadership) clearReportsVia(m *machine) {
-	if m.reportsVia != nil {
-		m.reportsVia.workers--
-		m.reportsVia = nil
+	if m.ReportsVia != nil {
+		m.ReportsVia.Workers--
+		m.ReportsVia = nil
 	}
 }
 
@@ -473,7 +473,7 @@
 	for _, s := range c.cfg.Seeds {
 		p := l.relays[s.HostName]
 		if c.takesWorkers(s.HostName, p) {
-			l.nodes = append(l.nodes, relay.Node{Name: s.HostName, Zone: s.Site, Workers: p.workers, Most: c.maxWorkersPerNode()})
+			l.nodes = append(l.nodes, relay.Node{Name: s.HostName, Zone: s.Site, Workers: p.Workers, Most: c.maxWorkersPerNode()})
 		}
 	}
 	return l.nodes
@@ -492,8 +492,8 @@
 // Returned before that it would have lost its tasks for nothing.
 func (c *Core) noteSilentRelays() {
 	for _, s := range c.cfg.Seeds {
-		if p := c.leadership.relays[s.HostName]; p != nil && c.Now.Sub(p.lastBatch) > 3*relayHeartbeat {
-			p.lastSilent = c.Now
+		if p := c.leadership.relays[s.HostName]; p != nil && c.Now.Sub(p.LastBatch) > 3*relayHeartbeat {
+			p.LastSilent = c.Now
 		}
 	}
 }
@@ -508,15 +508,15 @@
 // relay do.
 func (c *Core) noteIsolatedRelays(overdue map[*relayLink]int) {
 	for p, n := range overdue {
-		if n > 2 && 4*n > p.workers {
-			p.lastSilent = c.Now
+		if n > 2 && 4*n > p.Workers {
+			p.LastSilent = c.Now
 		}
 	}
 }
 
 // silenceLimit is how long the machine may be silent, given how long one may be.
 func (c *Core) silenceLimit(m *machine, silent time.Duration) time.Duration {
-	if m.reportsVia != nil && m.reportsVia.lastSilent.After(m.lastHeartbeat) {
+	if m.ReportsVia != nil && m.ReportsVia.LastSilent.After(m.LastHeartbeat) {
 		return max(silent, c.heardAgainWithin()+time.Second)
 	}
 	return silent
@@ -524,7 +524,7 @@
 
 // takesWorkers reports whether workers can report to us by a relay now.
 func (c *Core) takesWorkers(name string, p *relayLink) bool {
-	return p != nil && c.links[name] && p.unfold.Session() != 0 && c.Now.Sub(p.lastBatch) < relaySilence
+	return p != nil && c.links[name] && p.Unfold.Session() != 0 && c.Now.Sub(p.LastBatch) < relaySilence
 }
 
 // maxWorkersPerNode is how many workers a node takes: their part of the connections that it
@@ -548,21 +548,21 @@
 // lose. A machine that comes back had a reason: the other node is out of its reach.
 func (c *Core) redirectTarget(m *machine, by string, first bool) string {
 	l := c.leadership
-	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.allAccounted() || m.releasing || c.Now.Sub(m.lastMoved) < 3*c.workerLease {
+	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.allAccounted() || m.Releasing || c.Now.Sub(m.LastMoved) < 3*c.workerLease {
 		return ""
 	}
 	first = first && by == ""
-	if !first && (c.Now.Before(l.nextMoveAt) || m.fencingToken != l.term) {
+	if !first && (c.Now.Before(l.nextMoveAt) || m.FencingToken != l.term) {
 		return ""
 	}
 	nodes := c.relayNodes()
-	to := relay.Spread(nodes, m.zone)
-	if to == "" || to == by || by != "" && !relay.Uneven(nodes, by, to, m.zone) {
+	to := relay.Spread(nodes, m.Zone)
+	if to == "" || to == by || by != "" && !relay.Uneven(nodes, by, to, m.Zone) {
 		return ""
 	}
 	if !first {
 		l.nextMoveAt = c.Now.Add(time.Second / time.Duration(4+len(l.fleet)/50))
 	}
-	m.lastMoved = c.Now
+	m.LastMoved = c.Now
 	return to
 }
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -190,7 +190,7 @@
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
 	m := c.leadership.fleet[0]
 	j := newJob(c, 1, 1, testRand())
-	j.spec.Class, j.anyCompleted = "c", true
+	j.Spec.Class, j.AnyCompleted = "c", true
 	c.reserve(j)
 	rep := reportOf(m)
 	send := func(session, number, ref uint64, f *relay.Fold, r heartbeat.Report) (orders int, answered bool) {
@@ -213,12 +213,12 @@
 	// The link broke with the reply on it.
 	f := relay.NewFold(4)
 	send(4, 1, 17, f, rep)
-	if len(m.attempts) != 1 || j.waiting != 0 {
-		t.Fatalf("%d runs, %d wait", len(m.attempts), j.waiting)
+	if len(m.Attempts) != 1 || j.Waiting != 0 {
+		t.Fatalf("%d runs, %d wait", len(m.Attempts), j.Waiting)
 	}
 	rep.Counter++
-	if send(4, 2, 18, f, rep); len(m.attempts) != 0 || j.waiting != 1 {
-		t.Fatalf("%d runs, %d wait", len(m.attempts), j.waiting)
+	if send(4, 2, 18, f, rep); len(m.Attempts) != 0 || j.Waiting != 1 {
+		t.Fatalf("%d runs, %d wait", len(m.Attempts), j.Waiting)
 	}
 	rep.Counter++
 	if n, ok := send(4, 3, 19, f, rep); !ok || n != 1 {
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -159,7 +159,7 @@
 	var puts []replica.Record
 	var drops []string
 	for _, ch := range batch {
-		for _, w := range ch.writes {
+		for _, w := range ch.Writes {
 			switch {
 			case strings.HasPrefix(w.Key, record.LeaderlessPrefix):
 			case w.Value == nil:
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -9,31 +9,31 @@
 
 // Replies to reports: what they order, and how long they are held.
 
-// heldReply is a report whose reply waits for something to say.
+// HeldReply is a report whose reply waits for something to say.
 type heldReply struct {
 	heartbeatKey
-	since  time.Time
-	report heartbeat.Report // of our own socket: whoever leads next is told of it
+	Since  time.Time
+	Report heartbeat.Report // of our own socket: whoever leads next is told of it
 }
 
 // takeHeldReply takes away the report that a machine waits on and returns what names it.
 func (c *Core) takeHeldReply(m *machine) heartbeatKey {
-	key := m.heldReply.heartbeatKey
+	key := m.HeldReply.heartbeatKey
 	delete(c.leadership.heldReplies, key)
-	m.heldReply = nil
+	m.HeldReply = nil
 	return key
 }
 
 // refuseHeldReply answers the report that a machine waits on with a no.
 func (c *Core) refuseHeldReply(m *machine) {
 	key := c.takeHeldReply(m)
-	c.replyHeartbeat(key.link, heartbeat.Reply{Ref: key.ref, Status: 503})
+	c.replyHeartbeat(key.Link, heartbeat.Reply{Ref: key.Ref, Status: 503})
 }
 
 // requestDispatch has a held reply to the machine go out soon if there are orders for it.
 func (c *Core) requestDispatch(m *machine) {
-	if !m.dispatchPending {
-		m.dispatchPending = true
+	if !m.DispatchPending {
+		m.DispatchPending = true
 		c.leadership.pendingDispatch = append(c.leadership.pendingDispatch, m)
 	}
 }
@@ -41,23 +41,23 @@
 // orders collects what the machine has to do, other than to start tasks.
 func (c *Core) orders(m *machine) []heartbeat.Order {
 	var os []heartbeat.Order
-	for _, r := range m.attempts {
-		if r.phase == heartbeat.Exited {
-			if r.forgettable || r.job == nil && !c.leadership.unreadableJobs[r.id.Job] || r.job != nil && r.job.cancelled {
-				os = append(os, heartbeat.Order{Verb: heartbeat.Reap, Task: r.id, Try: r.number})
+	for _, r := range m.Attempts {
+		if r.Phase == heartbeat.Exited {
+			if r.Forgettable || r.Job == nil && !c.leadership.unreadableJobs[r.ID.Job] || r.Job != nil && r.Job.Cancelled {
+				os = append(os, heartbeat.Order{Verb: heartbeat.Reap, Task: r.ID, Try: r.Number})
 			}
 			continue
 		}
-		unwanted := r.job != nil && (r.job.cancelled || r.job.cancelling)
-		if r.stopRequested || unwanted {
-			drain := r.drainTime
-			if r.job == nil || unwanted {
+		unwanted := r.Job != nil && (r.Job.Cancelled || r.Job.Cancelling)
+		if r.StopRequested || unwanted {
+			drain := r.DrainTime
+			if r.Job == nil || unwanted {
 				drain = 0
 			}
-			if r.stopSentAt.IsZero() {
-				r.stopSentAt = c.Now
+			if r.StopSentAt.IsZero() {
+				r.StopSentAt = c.Now
 			}
-			os = append(os, heartbeat.Order{Verb: heartbeat.Stop, Task: r.id, Try: r.number, Drain: drain})
+			os = append(os, heartbeat.Order{Verb: heartbeat.Stop, Task: r.ID, Try: r.Number, Drain: drain})
 		}
 	}
 	return os
@@ -67,7 +67,7 @@
 // nothing to say and something may come.
 func (c *Core) reply(m *machine, due bool) {
 	l := c.leadership
-	h := m.heldReply
+	h := m.HeldReply
 	if h == nil {
 		return
 	}
@@ -82,23 +82,23 @@
 	}
 	if wait := c.paceDelay(m, os); wait > 0 {
 		c.afterWhileLeading(wait, func() {
-			if m.heldReply == h {
+			if m.HeldReply == h {
 				c.reply(m, due)
 			}
 		})
 		return
 	}
-	if m.fencingToken == l.term {
+	if m.FencingToken == l.term {
 		os = append(os, c.startTasksOn(m)...)
 	}
-	if len(os) > 0 || due || m.fencingToken != l.term || m.releasing {
+	if len(os) > 0 || due || m.FencingToken != l.term || m.Releasing {
 		c.sendReply(m, os)
 		return
 	}
 	hold := c.leadership.holdIdle
-	if len(m.attempts) > 0 && (m.warmReserve == 0 || m.room().CPU < m.warmReserve/2) {
+	if len(m.Attempts) > 0 && (m.WarmReserve == 0 || m.Room().CPU < m.WarmReserve/2) {
 		hold = c.leadership.holdBusy
-		if !m.usable() || m.room().CPU <= 0 {
+		if !m.Usable() || m.Room().CPU <= 0 {
 			hold = 0
 		}
 	}
@@ -107,7 +107,7 @@
 		return
 	}
 	c.afterWhileLeading(hold, func() {
-		if m.heldReply == h {
+		if m.HeldReply == h {
 			c.reply(m, true)
 		}
 	})
@@ -115,11 +115,11 @@
 
 func (c *Core) sendReply(m *machine, os []heartbeat.Order) {
 	key := c.takeHeldReply(m)
-	if m.fencingToken != c.leadership.term && m.unacknowledgedSince.IsZero() {
-		m.unacknowledgedSince = c.Now
+	if m.FencingToken != c.leadership.term && m.UnacknowledgedSince.IsZero() {
+		m.UnacknowledgedSince = c.Now
 	}
-	c.replyHeartbeat(key.link, heartbeat.Reply{Ref: key.ref, Status: 200, FencingToken: c.leadership.term, Orders: os})
-	m.lastReply = c.Now
+	c.replyHeartbeat(key.Link, heartbeat.Reply{Ref: key.Ref, Status: 200, FencingToken: c.leadership.term, Orders: os})
+	m.LastReply = c.Now
 }
 
 // dispatch looks again at machines whose replies are held: at those that have
@@ -128,7 +128,7 @@
 	l := c.leadership
 	for i := 0; i < len(l.pendingDispatch); i++ {
 		m := l.pendingDispatch[i]
-		m.dispatchPending = false
+		m.DispatchPending = false
 		c.replyIfOrders(m)
 	}
 	l.pendingDispatch = l.pendingDispatch[:0]
@@ -145,7 +145,7 @@
 	l.dispatchAll = false
 	l.nextDispatch = c.Now.Add(dispatchInterval)
 	for _, m := range l.fleet {
-		if m.heldReply == nil || m.room().CPU <= 0 {
+		if m.HeldReply == nil || m.Room().CPU <= 0 {
 			continue
 		}
 		if !slices.ContainsFunc(l.queue, c.couldStart) {
@@ -157,7 +157,7 @@
 
 // replyIfOrders answers a held report if there are orders for the machine.
 func (c *Core) replyIfOrders(m *machine) {
-	if m.heldReply == nil || m.fencingToken != c.leadership.term {
+	if m.HeldReply == nil || m.FencingToken != c.leadership.term {
 		return
 	}
 	os := c.orders(m)
@@ -183,18 +183,18 @@
 // the earliest, and one with many tasks has news all the time. Stops are never held back.
 func (c *Core) paceDelay(m *machine, os []heartbeat.Order) time.Duration {
 	budget := c.leadership.reportBudget
-	if budget <= 0 || m.fencingToken != c.leadership.term || m.releasing || slices.ContainsFunc(os, func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop }) {
+	if budget <= 0 || m.FencingToken != c.leadership.term || m.Releasing || slices.ContainsFunc(os, func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop }) {
 		return 0
 	}
-	size := float64(heartbeatBytes + heartbeatTaskBytes*len(m.attempts))
+	size := float64(heartbeatBytes + heartbeatTaskBytes*len(m.Attempts))
 	gap := min(timeline.Seconds(size/budget), maxPaceDelay)
-	return m.heldReply.since.Add(gap).Sub(c.Now)
+	return m.HeldReply.Since.Add(gap).Sub(c.Now)
 }
 
 // flushHeldReplies answers all held reports.
 func (c *Core) flushHeldReplies() {
 	for _, m := range c.leadership.fleet {
-		if m.heldReply != nil {
+		if m.HeldReply != nil {
 			c.reply(m, true)
 		}
 	}
@@ -208,7 +208,7 @@
 	}
 	// Reports that wait for the records to be read would pile up while that fails.
 	if len(l.pendingHeartbeats) > 0 {
-		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Ref == key.ref && r.Relay == key.link })
+		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Ref == key.Ref && r.Relay == key.Link })
 	}
 }
 
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -26,15 +26,15 @@
 			c := leaderOf(t, 3) // the third machine has 32 CPUs
 			m := c.leadership.fleet[2]
 			j := newJob(c, 1, x.tasks, testRand())
-			j.spec.CPUs, j.spec.Class, j.anyCompleted = 1, "c", true
-			j.need = j.spec.Need()
+			j.Spec.CPUs, j.Spec.Class, j.AnyCompleted = 1, "c", true
+			j.Need = j.Spec.Need()
 			rep := reportOf(m)
 			for i := range x.tasks {
-				rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: j.spec.ID, Index: i}, Try: uint64(i) + 1, Phase: heartbeat.TaskRuns})
+				rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Try: uint64(i) + 1, Phase: heartbeat.TaskRuns})
 			}
 			c.leadership.reportBudget = x.budget
 			answeredAfter := func(rep heartbeat.Report) time.Duration {
-				rep.Counter = m.counter + 1
+				rep.Counter = m.Counter + 1
 				at := c.Now
 				outs := c.Step(at, heartbeat.Received{Ref: uint64(rep.Counter), Report: rep})
 				for d := time.Duration(0); d < 4*time.Second; d += 10 * time.Millisecond {
@@ -50,7 +50,7 @@
 			}
 			answeredAfter(rep)
 			if x.stop {
-				m.attempts[0].stopRequested = true
+				m.Attempts[0].StopRequested = true
 			}
 			rep.Tasks[1].Phase, rep.Tasks[1].Cause = heartbeat.Exited, heartbeat.CauseError // news that asks for orders
 			if got := answeredAfter(rep); got < x.not || got > x.within {
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -184,29 +184,29 @@
 	c := leaderOf(t, 1)
 	l := c.leadership
 	m := l.fleet[0]
-	l.term, m.fencingToken = 6, 6 // known in this term by the counters it has now
-	m.incarnation, m.counter = 1, 2
+	l.term, m.FencingToken = 6, 6 // known in this term by the counters it has now
+	m.Incarnation, m.Counter = 1, 2
 	j := newJob(c, 1, 1, testRand())
-	j.spec.Class, j.anyCompleted = "c", true
+	j.Spec.Class, j.AnyCompleted = "c", true
 	c.reserve(j)
 	now := reportOf(m)
 	now.FencingToken = 6
 	c.Step(c.Now, heartbeat.Received{Ref: 1, Report: now})
-	if len(m.attempts) != 1 {
-		t.Fatalf("%d runs", len(m.attempts))
+	if len(m.Attempts) != 1 {
+		t.Fatalf("%d runs", len(m.Attempts))
 	}
 	for _, late := range []heartbeat.Report{{Incarnation: 1, Counter: 88}, {Incarnation: 3, Counter: 1}} {
-		late.Host, late.InstanceType, late.Zone, late.FencingToken = m.host, m.typeName, m.zone, 5
+		late.Host, late.InstanceType, late.Zone, late.FencingToken = m.Host, m.TypeName, m.Zone, 5
 		c.Step(c.Now.Add(time.Second), heartbeat.Received{Ref: 2, Report: late})
-		if len(m.attempts) != 1 || j.waiting != 0 {
-			t.Fatalf("tenure %d, counter %d, epoch 5: %d runs, %d wait", late.Incarnation, late.Counter, len(m.attempts), j.waiting)
+		if len(m.Attempts) != 1 || j.Waiting != 0 {
+			t.Fatalf("tenure %d, counter %d, epoch 5: %d runs, %d wait", late.Incarnation, late.Counter, len(m.Attempts), j.Waiting)
 		}
 	}
 	// Not for ever: once the lease is over by our clock it is a machine like any other.
 	c.Now = c.Now.Add(withDrift(c.workerLease) + 2*time.Second)
 	l.expiresAt = c.Now.Add(time.Hour)
 	c.reviewMachine(m, time.Hour, time.Hour, time.Hour, false)
-	if c.Step(c.Now, heartbeat.Received{Ref: 3, Report: heartbeat.Report{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Incarnation: 2, Counter: 9}}); !m.reported || m.fencingToken != 0 {
+	if c.Step(c.Now, heartbeat.Received{Ref: 3, Report: heartbeat.Report{Host: m.Host, InstanceType: m.TypeName, Zone: m.Zone, Incarnation: 2, Counter: 9}}); !m.Reported || m.FencingToken != 0 {
 		t.Error("the machine never counts again")
 	}
 }
--- a/internal/core/runtime_estimates.go
+++ b/internal/core/runtime_estimates.go
@@ -25,53 +25,53 @@
 	return runtimeEstimates{kept}
 }
 
-func (e runtimeEstimates) of(s *spec.Job) *runtimeAverage {
+func (e runtimeEstimates) Of(s *spec.Job) *runtimeAverage {
 	o, _ := e.Get(s.Class + "/" + s.Owner)
 	return o
 }
 
 type runtimeAverage struct {
-	n    int
-	mean float64 // class: actual over estimate; job: seconds
+	N    int
+	Mean float64 // class: actual over estimate; job: seconds
 }
 
-func (o *runtimeAverage) add(x float64) {
-	o.n++
-	w := max(1/float64(o.n), 0.08)
-	o.mean += w * (x - o.mean)
+func (o *runtimeAverage) Add(x float64) {
+	o.N++
+	w := max(1/float64(o.N), 0.08)
+	o.Mean += w * (x - o.Mean)
 }
 
 // recordRuntime takes in how long a task ran.
 func (c *Core) recordRuntime(j *job, m *machine, took time.Duration) {
-	if j.spec.Runtime <= 0 {
+	if j.Spec.Runtime <= 0 {
 		return
 	}
-	j.runtime.add(took.Seconds())
-	o := c.leadership.runtimes.of(&j.spec)
+	j.Runtime.Add(took.Seconds())
+	o := c.leadership.runtimes.Of(&j.Spec)
 	if o == nil {
 		o = &runtimeAverage{}
-		c.leadership.runtimes.Add(j.spec.Class+"/"+j.spec.Owner, o)
+		c.leadership.runtimes.Add(j.Spec.Class+"/"+j.Spec.Owner, o)
 	}
-	if j.runtime.n <= 8 { // a large array must not outweigh all other jobs
-		o.add(took.Seconds() / j.spec.Runtime.Seconds())
+	if j.Runtime.N <= 8 { // a large array must not outweigh all other jobs
+		o.Add(took.Seconds() / j.Spec.Runtime.Seconds())
 	}
 }
 
 // estimate returns how long a task of the job runs, without its image.
 func (c *Core) estimate(j *job) time.Duration {
-	if j.spec.Service {
+	if j.Spec.Service {
 		return 0
 	}
-	if j.runtime.n > 0 {
-		return timeline.Seconds(j.runtime.mean)
+	if j.Runtime.N > 0 {
+		return timeline.Seconds(j.Runtime.Mean)
 	}
-	return c.estimateSpec(&j.spec)
+	return c.estimateSpec(&j.Spec)
 }
 
 func (c *Core) estimateSpec(s *spec.Job) time.Duration {
 	d := s.Runtime
-	if o := c.leadership.runtimes.of(s); o != nil && o.n >= 5 {
-		d = timeline.Seconds(d.Seconds() * min(max(o.mean, 0.3), 3))
+	if o := c.leadership.runtimes.Of(s); o != nil && o.N >= 5 {
+		d = timeline.Seconds(d.Seconds() * min(max(o.Mean, 0.3), 3))
 	}
 	return max(d, 100*time.Millisecond)
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -49,7 +49,7 @@
 	l.autoscaler.catalogRead = true
 	for i := range n {
 		m := c.ensureMachine(fmt.Sprintf("host-%06d", i), fmt.Sprint("f", i%3), "a", true)
-		m.reported, m.record, m.incarnation, m.fencingToken, m.lastHeartbeat = true, recorded, 1, 1, t0
+		m.Reported, m.Record, m.Incarnation, m.FencingToken, m.LastHeartbeat = true, recorded, 1, 1, t0
 	}
 	return c
 }
@@ -63,8 +63,8 @@
 	}
 	j := c.addJob(&record.Job{Spec: spec, Submitted: c.Now.Round(0)}, false)
 	for i := range tasks {
-		j.pending.Add(i)
-		j.waiting++
+		j.Pending.Add(i)
+		j.Waiting++
 	}
 	return j
 }
@@ -74,23 +74,23 @@
 func (c *Core) plainBook(j *job) {
 	base := c.paddedEstimate(j)
 	a, dated := c.nextObjective(j, base)
-	for n := min(j.waiting, reservationWindow) - j.reserved; n > 0; n = min(j.waiting, reservationWindow) - j.reserved {
+	for n := min(j.Waiting, reservationWindow) - j.Reserved; n > 0; n = min(j.Waiting, reservationWindow) - j.Reserved {
 		var back, each time.Duration
 		var best *machine
 		var start time.Time
 		var length time.Duration
 		for _, m := range c.leadership.fleet {
-			if !m.eligibleFor(j) {
+			if !m.EligibleFor(j) {
 				continue
 			}
 			d := c.occupancy(j, m)
 			s, ok := c.slot(j, m, d, a.deadline, dated)
-			if ok && (best == nil || s.Equal(start) && best.room().CPU < m.room().CPU || !s.Equal(start) && s.After(start) == dated) {
+			if ok && (best == nil || s.Equal(start) && best.Room().CPU < m.Room().CPU || !s.Equal(start) && s.After(start) == dated) {
 				best, start, length = m, s, d
 			}
 		}
 		if best == nil && dated {
-			j.missedUntil = a.deadline
+			j.MissedUntil = a.deadline
 			if a.wholeJob {
 				c.dropReservations(j)
 			}
@@ -100,11 +100,11 @@
 		if best == nil {
 			return
 		}
-		k := max(best.timeline.Count(start, length, j.need, n), 1)
+		k := max(best.Timeline.Count(start, length, j.Need, n), 1)
 		if !dated && (c.yieldsWhenLate(j, length) || c.hasNoObjective(j)) {
 			back, each = c.queueYield(j, start)
 		}
-		c.addReservation(&reservation{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.need, Count: k}, job: j, machine: best, yield: back, yieldPerTask: each})
+		c.addReservation(&reservation{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.Need, Count: k}, Job: j, Machine: best, Yield: back, YieldPerTask: each})
 		c.leadership.queue.reposition(j)
 	}
 }
@@ -123,10 +123,10 @@
 		}{{fast, rng}, {plain, twin}} {
 			for _, m := range x.c.leadership.fleet {
 				if x.r.IntN(2) == 0 {
-					m.images.Add(fmt.Sprint("img", x.r.IntN(6)), struct{}{})
+					m.Images.Add(fmt.Sprint("img", x.r.IntN(6)), struct{}{})
 				}
 				if x.r.IntN(3) == 0 {
-					m.reported, m.readyAt = false, t0.Add(time.Duration(x.r.IntN(40))*time.Second)
+					m.Reported, m.ReadyAt = false, t0.Add(time.Duration(x.r.IntN(40))*time.Second)
 				}
 			}
 		}
@@ -139,14 +139,14 @@
 			a, b := newJob(fast, i, tasks, rng), newJob(plain, i, tasks, twin)
 			fast.reserve(a)
 			plain.plainBook(b)
-			if len(a.reservations) != len(b.reservations) {
-				t.Fatalf("seed %d, job %d: %d bookings, plain search has %d", seed, i, len(a.reservations), len(b.reservations))
+			if len(a.Reservations) != len(b.Reservations) {
+				t.Fatalf("seed %d, job %d: %d bookings, plain search has %d", seed, i, len(a.Reservations), len(b.Reservations))
 			}
-			for k := range a.reservations {
-				x, y := a.reservations[k], b.reservations[k]
-				if x.machine.host != y.machine.host || !x.Start.Equal(y.Start) || x.Count != y.Count {
+			for k := range a.Reservations {
+				x, y := a.Reservations[k], b.Reservations[k]
+				if x.Machine.Host != y.Machine.Host || !x.Start.Equal(y.Start) || x.Count != y.Count {
 					t.Fatalf("seed %d, job %d, booking %d: %s at %v for %d, plain search has %s at %v for %d", seed, i, k,
-						x.machine.host, x.Start.Sub(t0), x.Count, y.machine.host, y.Start.Sub(t0), y.Count)
+						x.Machine.Host, x.Start.Sub(t0), x.Count, y.Machine.Host, y.Start.Sub(t0), y.Count)
 				}
 			}
 		}
@@ -179,19 +179,19 @@
 	j := c.leadership.jobs["wk-1"]
 	if j == nil {
 		j = c.addJob(&record.Job{Spec: spec.Job{ID: "wk-1", Class: "r", Owner: "t", Tasks: spec.MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute}, Submitted: t0}, false)
-		j.anyCompleted = true
+		j.AnyCompleted = true
 	}
-	for range m.room().CPU / 1000 {
-		r := &attempt{id: heartbeat.TaskID{Job: "wk-1", Index: len(j.attempts)}, number: uint64(len(j.attempts) + 1), machine: m, phase: heartbeat.TaskRuns, orderedAt: c.Now, startedAt: c.Now}
-		m.attempts = append(m.attempts, r)
+	for range m.Room().CPU / 1000 {
+		r := &attempt{ID: heartbeat.TaskID{Job: "wk-1", Index: len(j.Attempts)}, Number: uint64(len(j.Attempts) + 1), Machine: m, Phase: heartbeat.TaskRuns, OrderedAt: c.Now, StartedAt: c.Now}
+		m.Attempts = append(m.Attempts, r)
 		c.occupy(r, j)
 	}
 }
 
 func reportOf(m *machine) heartbeat.Report {
-	r := heartbeat.Report{Host: m.host, Address: m.address, InstanceType: m.typeName, Zone: m.zone, Spot: true, Incarnation: m.incarnation, Counter: m.counter + 1, FencingToken: 1}
-	for _, x := range m.attempts {
-		r.Tasks = append(r.Tasks, heartbeat.Task{Task: x.id, Try: x.number, Phase: x.phase})
+	r := heartbeat.Report{Host: m.Host, Address: m.Address, InstanceType: m.TypeName, Zone: m.Zone, Spot: true, Incarnation: m.Incarnation, Counter: m.Counter + 1, FencingToken: 1}
+	for _, x := range m.Attempts {
+		r.Tasks = append(r.Tasks, heartbeat.Task{Task: x.ID, Try: x.Number, Phase: x.Phase})
 	}
 	return r
 }
@@ -242,12 +242,12 @@
 			var entries []kv.Entry
 			for i := range 200 {
 				j := newJob(old, i, 100, rng)
-				entries = append(entries, kv.Entry{Key: record.JobPrefix + j.spec.ID, Value: j.record, Rev: 1})
+				entries = append(entries, kv.Entry{Key: record.JobPrefix + j.Spec.ID, Value: j.Record, Rev: 1})
 			}
 			rec := &record.Machines{}
 			for _, m := range old.leadership.fleet {
 				old.fill(m)
-				rec.Machines = append(rec.Machines, record.Machine{Host: m.host, InstanceType: m.typeName, Zone: m.zone, Spot: true})
+				rec.Machines = append(rec.Machines, record.Machine{Host: m.Host, InstanceType: m.TypeName, Zone: m.Zone, Spot: true})
 			}
 			entries = append(entries, kv.Entry{Key: record.MachinePrefix + "1-1", Value: rec, Rev: 1})
 			b.ReportAllocs()
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -251,29 +251,29 @@
 		c.addSchedule(s)
 		c.writeFinished(s, func() { s.reply(c, c.scheduleView(s, 201)) })
 	}
-	ch := &change{size: rec.Size(), conditions: c.newSchedule(key), writes: []kv.Write{{Key: key, Value: rec}}}
-	ch.onCommit = func(rev uint64) {
+	ch := &change{Size: rec.Size(), Conditions: c.newSchedule(key), Writes: []kv.Write{{Key: key, Value: rec}}}
+	ch.OnCommit = func(rev uint64) {
 		c.Log(slog.LevelInfo, "schedule created", "schedule", s.name, "number", rec.Number)
 		made(rec, rev)
 	}
-	ch.onConflict = func() { // a try of ours whose outcome was not known
+	ch.OnConflict = func() { // a try of ours whose outcome was not known
 		c.readSchedule(s, func(found *schedule.Record, rev uint64) {
 			if found == nil { // another schedule was removed meanwhile
 				c.readBack(record.ScheduleNumberKey, func(e kv.Entry, _ bool) {
 					c.leadership.schedules.numberRev = e.Rev
-					ch.conditions = c.newSchedule(key)
-					c.leadership.writes.add(ch)
+					ch.Conditions = c.newSchedule(key)
+					c.leadership.writes.Add(ch)
 				})
 				return
 			}
 			made(found, rev)
 		})
 	}
-	ch.onReject = func() {
+	ch.OnReject = func() {
 		delete(c.leadership.schedules.byName, s.name)
 		s.reply(c, request.Response{Status: 400, Field: "name", Reason: "the state service rejects the record"})
 	}
-	c.leadership.writes.add(ch)
+	c.leadership.writes.Add(ch)
 }
 
 // newSchedule is the condition on which the first record of a schedule is written. A try
@@ -327,18 +327,18 @@
 			fail()
 			return
 		}
-		c.leadership.writes.add(&change{
-			conditions: []kv.Condition{{Key: record.ScheduleNumberKey, Rev: rev}}, writes: []kv.Write{{Key: record.ScheduleNumberKey, Value: &record.ScheduleNumber{Number: from + numberBlock}}},
-			onCommit: func(rev uint64) {
+		c.leadership.writes.Add(&change{
+			Conditions: []kv.Condition{{Key: record.ScheduleNumberKey, Rev: rev}}, Writes: []kv.Write{{Key: record.ScheduleNumberKey, Value: &record.ScheduleNumber{Number: from + numberBlock}}},
+			OnCommit: func(rev uint64) {
 				sch.numberRev = rev
 				sch.next, sch.last, sch.takingNumbers = from, from+numberBlock, false
 				c.handOutNumbers()
 			},
-			onConflict: func() { // a try of ours was applied: take the next block
+			OnConflict: func() { // a try of ours was applied: take the next block
 				sch.takingNumbers = false
 				c.handOutNumbers()
 			},
-			onReject: fail,
+			OnReject: fail,
 		})
 	})
 }
@@ -356,16 +356,16 @@
 	}
 	remove := func(rev uint64) {
 		c.readBack(record.ScheduleNumberKey, func(e kv.Entry, found bool) {
-			ch.conditions = []kv.Condition{{Key: key, Rev: rev}, {Key: record.ScheduleNumberKey, Rev: e.Rev}}
-			ch.writes = []kv.Write{{Key: key}}
+			ch.Conditions = []kv.Condition{{Key: key, Rev: rev}, {Key: record.ScheduleNumberKey, Rev: e.Rev}}
+			ch.Writes = []kv.Write{{Key: key}}
 			if found && e.Value != nil { // see newSchedule
-				ch.writes = append(ch.writes, kv.Write{Key: record.ScheduleNumberKey, Value: e.Value})
+				ch.Writes = append(ch.Writes, kv.Write{Key: record.ScheduleNumberKey, Value: e.Value})
 			}
-			c.leadership.writes.add(ch)
+			c.leadership.writes.Add(ch)
 		})
 	}
-	ch.onCommit = func(uint64) { done() }
-	ch.onConflict = func() {
+	ch.OnCommit = func(uint64) { done() }
+	ch.OnConflict = func() {
 		c.readSchedule(s, func(found *schedule.Record, rev uint64) {
 			if found == nil {
 				done()
--- a/internal/core/schedule_write.go
+++ b/internal/core/schedule_write.go
@@ -16,9 +16,9 @@
 func (c *Core) writeSchedule(s *recurringJob, ln writePriority, apply func(r *schedule.Record), job *record.Job, done, taken func()) {
 	s.writing = true
 	s.generation++
-	ch := &change{priority: ln}
+	ch := &change{Priority: ln}
 	c.prepareWrite(s, ch, apply, job, done, taken)
-	c.leadership.writes.add(ch)
+	c.leadership.writes.Add(ch)
 }
 
 // prepareWrite fills in a change of a schedule's record.
@@ -28,16 +28,16 @@
 	rec := s.record.Clone()
 	apply(rec)
 	rec.Seq++
-	ch.size = rec.Size()
-	ch.conditions = []kv.Condition{{Key: key, Rev: s.revision}}
-	ch.writes = []kv.Write{{Key: key, Value: rec}}
+	ch.Size = rec.Size()
+	ch.Conditions = []kv.Condition{{Key: key, Rev: s.revision}}
+	ch.Writes = []kv.Write{{Key: key, Value: rec}}
 	if job != nil {
 		id := job.Spec.ID
-		ch.size += recordSize(&job.Spec)
-		ch.conditions = append(ch.conditions, noRecordOf(id)...)
-		ch.writes = append(ch.writes, kv.Write{Key: record.JobPrefix + id, Value: job})
+		ch.Size += recordSize(&job.Spec)
+		ch.Conditions = append(ch.Conditions, noRecordOf(id)...)
+		ch.Writes = append(ch.Writes, kv.Write{Key: record.JobPrefix + id, Value: job})
 	}
-	ch.onCommit = func(rev uint64) {
+	ch.OnCommit = func(rev uint64) {
 		// News of jobs that came meanwhile are in memory only, and go next. The
 		// record that was written stays as it is.
 		rec := rec.Clone()
@@ -45,7 +45,7 @@
 		s.record, s.revision = rec, rev
 		c.writeFinished(s, done)
 	}
-	ch.onConflict = func() {
+	ch.OnConflict = func() {
 		// A condition did not hold. Ours to write: either an earlier try of this
 		// very change has been applied, or a job has the id.
 		c.readSchedule(s, func(found *schedule.Record, rev uint64) {
@@ -54,19 +54,19 @@
 				s.reply(c, noSchedule(s.name))
 				c.forgetSchedule(s)
 			case found.Seq == rec.Seq:
-				ch.onCommit(rev)
+				ch.OnCommit(rev)
 			case rev != s.revision:
 				s.revision = rev
-				ch.conditions[0].Rev = rev
-				c.leadership.writes.add(ch)
+				ch.Conditions[0].Rev = rev
+				c.leadership.writes.Add(ch)
 			case taken != nil:
 				c.writeFinished(s, taken)
 			default:
-				c.leadership.writes.add(ch)
+				c.leadership.writes.Add(ch)
 			}
 		})
 	}
-	ch.onReject = func() {
+	ch.OnReject = func() {
 		s.definition, s.problem = nil, "the state service rejects its record"
 		s.reply(c, unavailable(s.problem))
 		c.writeFinished(s, func() {})
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -254,8 +254,8 @@
 		return
 	}
 	room := c.cfg.Settings.State.TxnOps
-	for _, ch := range c.leadership.writes.queued[priorityOccurrence] {
-		room -= len(ch.writes)
+	for _, ch := range c.leadership.writes.Queued[priorityOccurrence] {
+		room -= len(ch.Writes)
 	}
 	for room >= 2 && sch.ready.Len() > 0 {
 		o := sch.ready.Pop()
@@ -269,7 +269,7 @@
 // occurrencesWait reports whether some could be made if the allowance let them.
 func (c *Core) occurrencesWait() bool {
 	l := c.leadership
-	return len(l.writes.queued[priorityOccurrence]) > 0 || l.schedules.ready.Len() > 0 && l.autoscaler.catalogRead
+	return len(l.writes.Queued[priorityOccurrence]) > 0 || l.schedules.ready.Len() > 0 && l.autoscaler.catalogRead
 }
 
 // decideOccurrence decides on the next occurrences of a schedule, up to one that becomes a
@@ -362,9 +362,9 @@
 	if due.IsZero() {
 		return
 	}
-	id := j.spec.ID
+	id := j.Spec.ID
 	c.afterWhileLeading(max(0, due.Sub(c.TimeOfDay())), func() {
-		if c.leadership.jobs[id] != j || j.cancelled || s.removed {
+		if c.leadership.jobs[id] != j || j.Cancelled || s.removed {
 			return
 		}
 		if e, ok := s.record.Entry(id); ok && !e.Late {
@@ -375,13 +375,13 @@
 
 // noteManualRun puts a job that was asked for into its schedule's history.
 func (c *Core) noteManualRun(s *recurringJob, j *job) {
-	delete(c.leadership.schedules.manualRuns, j.spec.ID)
+	delete(c.leadership.schedules.manualRuns, j.Spec.ID)
 	if s.removed {
 		return
 	}
-	e := schedule.Entry{Job: j.spec.ID, Planned: c.TimeOfDay(), Made: c.TimeOfDay(), State: schedule.StateMade}
-	if j.spec.HasDeadline {
-		e.Due = e.Made.Add(j.spec.Deadline)
+	e := schedule.Entry{Job: j.Spec.ID, Planned: c.TimeOfDay(), Made: c.TimeOfDay(), State: schedule.StateMade}
+	if j.Spec.HasDeadline {
+		e.Due = e.Made.Add(j.Spec.Deadline)
 	}
 	c.leadership.schedules.byJob[j] = s
 	s.pendingEntries = append(s.pendingEntries, e)
@@ -417,12 +417,12 @@
 // occurrenceStarted follows the first start of a task of an occurrence.
 func (c *Core) occurrenceStarted(j *job) {
 	s := c.leadership.schedules.byJob[j]
-	if s == nil || j.startNoted || s.removed {
+	if s == nil || j.StartNoted || s.removed {
 		return
 	}
-	j.startNoted = true
-	if e, ok := s.record.Entry(j.spec.ID); ok && e.Started.IsZero() {
-		s.record.Update(j.spec.ID, func(e *schedule.Entry) { e.Started = c.TimeOfDay() })
+	j.StartNoted = true
+	if e, ok := s.record.Entry(j.Spec.ID); ok && e.Started.IsZero() {
+		s.record.Update(j.Spec.ID, func(e *schedule.Entry) { e.Started = c.TimeOfDay() })
 		c.flushSchedule(s)
 	}
 }
@@ -459,9 +459,9 @@
 	}
 	s.flushing = true
 	c.afterWhileLeading(historyDelay, func() {
-		ch := &change{priority: priorityBulk, writes: []kv.Write{{Key: record.SchedulePrefix + s.name}}, size: s.record.Size()}
+		ch := &change{Priority: priorityBulk, Writes: []kv.Write{{Key: record.SchedulePrefix + s.name}}, Size: s.record.Size()}
 		sent := false
-		ch.prepare = func() bool {
+		ch.Prepare = func() bool {
 			if sent {
 				return true // it may not have been executed: the same goes again
 			}
@@ -474,7 +474,7 @@
 			c.prepareWrite(s, ch, func(*schedule.Record) {}, nil, func() {}, nil)
 			return true
 		}
-		c.leadership.writes.add(ch)
+		c.leadership.writes.Add(ch)
 	})
 }
 
--- a/internal/core/scrub.go
+++ b/internal/core/scrub.go
@@ -69,12 +69,12 @@
 // our knowing what became of it.
 func (c *Core) hasUncommittedChange(key string) bool {
 	p := &c.leadership.writes
-	if p.keysInFlight[key] {
+	if p.KeysInFlight[key] {
 		return true
 	}
-	for _, list := range p.queued {
+	for _, list := range p.Queued {
 		for _, ch := range list {
-			if ch.sent && slices.ContainsFunc(ch.writes, func(w kv.Write) bool { return w.Key == key }) {
+			if ch.Sent && slices.ContainsFunc(ch.Writes, func(w kv.Write) bool { return w.Key == key }) {
 				return true
 			}
 		}
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -39,7 +39,7 @@
 	s.ConfigSpread, s.ConfigChanges, s.ConfigDamaged = l.config.spread.Seconds(), l.config.changes, len(l.config.damaged)
 	s.Leads, s.Authority = true, c.hasAuthority()
 	s.Jobs, s.Machines, s.Unaccounted, s.BacklogSeconds = len(l.jobs), len(l.fleet), len(l.unaccounted), l.autoscaler.backlog.Seconds()
-	s.Direct, s.Relays, s.Full = l.relay("").workers, len(c.relayNodes()), l.autoscaler.fleetFull
+	s.Direct, s.Relays, s.Full = l.relay("").Workers, len(c.relayNodes()), l.autoscaler.fleetFull
 	s.Schedules = len(l.schedules.names)
 	s.Unreadable = len(l.unreadableJobs)
 	if l.loss != nil {
@@ -48,8 +48,8 @@
 	s.Copies = len(c.completeReplicas())
 	s.OccurrencesMade, s.OccurrencesMissed, s.OccurrencesLate = l.schedules.made, l.schedules.missed, l.schedules.late
 	for _, j := range l.jobs {
-		s.Waiting += j.waiting
-		s.Running += len(j.attempts)
+		s.Waiting += j.Waiting
+		s.Running += len(j.Attempts)
 	}
 	for _, r := range l.regions.All() {
 		if r.IsAway() {
@@ -62,13 +62,13 @@
 		}
 	}
 	for _, m := range l.fleet {
-		if m.unreachable {
+		if m.Unreachable {
 			s.MachinesAway++
 		}
-		if m.reported {
+		if m.Reported {
 			s.Reporting++
-			s.CPUs += float64(m.timeline.Capacity().CPU) / 1000
-			s.CPUsUsed += float64(m.allocated.CPU) / 1000
+			s.CPUs += float64(m.Timeline.Capacity().CPU) / 1000
+			s.CPUsUsed += float64(m.Allocated.CPU) / 1000
 		}
 	}
 	return s
--- a/internal/core/write_batcher.go
+++ b/internal/core/write_batcher.go
@@ -24,17 +24,17 @@
 
 // change is a set of writes that go together, with the conditions of its own.
 type change struct {
-	conditions []kv.Condition
-	writes     []kv.Write
-	size       int // estimated bytes
-	priority   writePriority
-	prepare    func() bool // called when it is about to go, to set what it writes; false: nothing any more
-	onCommit   func(rev uint64)
-	onConflict func() // a condition of its own did not hold
+	Conditions []kv.Condition
+	Writes     []kv.Write
+	Size       int // estimated bytes
+	Priority   writePriority
+	Prepare    func() bool // called when it is about to go, to set what it writes; false: nothing any more
+	OnCommit   func(rev uint64)
+	OnConflict func() // a condition of its own did not hold
 
-	onReject func() // malformed in the state service's eyes, on its own
+	OnReject func() // malformed in the state service's eyes, on its own
 
-	sent bool // at least once: it may be on record
+	Sent bool // at least once: it may be on record
 }
 
 // writeBatcher batches changes into transactions within the state service's limits.
@@ -42,73 +42,73 @@
 // left, so that an acceptance is never delayed behind them; they take turns.
 // Changes of the same key never overlap.
 type writeBatcher struct {
-	writes, requests *rate.Limiter
-	configWrites     *rate.Limiter // the part of writes that configuration has
-	queued           [priorities][]*change
-	inFlight         [priorities]int
-	bulkNext         bool
-	keysInFlight     map[string]bool // keys of transactions on their way
-	pausedUntil      time.Time
-	backoff          time.Duration
-	wakeScheduled    bool
-	singly           int // so many changes go one by one, to find a malformed one
+	Writes, Requests *rate.Limiter
+	ConfigWrites     *rate.Limiter // the part of writes that configuration has
+	Queued           [priorities][]*change
+	InFlight         [priorities]int
+	BulkNext         bool
+	KeysInFlight     map[string]bool // keys of transactions on their way
+	PausedUntil      time.Time
+	Backoff          time.Duration
+	WakeScheduled    bool
+	Singly           int // so many changes go one by one, to find a malformed one
 }
 
-func (p *writeBatcher) add(ch *change) {
-	if ch.size == 0 {
-		ch.size = 120 * (len(ch.writes) + len(ch.conditions))
+func (p *writeBatcher) Add(ch *change) {
+	if ch.Size == 0 {
+		ch.Size = 120 * (len(ch.Writes) + len(ch.Conditions))
 	}
-	p.queued[ch.priority] = append(p.queued[ch.priority], ch)
+	p.Queued[ch.Priority] = append(p.Queued[ch.Priority], ch)
 }
 
 // maxTxnBytes keeps a transaction below the protocol's 64 KiB.
 const maxTxnBytes = 48 << 10
 
-// take removes a batch from list.
-func (p *writeBatcher) take(list *[]*change, ops int) []*change {
+// Take removes a batch from list.
+func (p *writeBatcher) Take(list *[]*change, ops int) []*change {
 	var batch []*change
 	n, conds, size := 0, 1, 0
 	keys := map[string]bool{}
 	rest := (*list)[:0:0]
 	for i, ch := range *list {
-		clash := slices.ContainsFunc(ch.writes, func(w kv.Write) bool { return p.keysInFlight[w.Key] || keys[w.Key] })
-		full := p.singly > 0 || n+len(ch.writes) > ops || conds+len(ch.conditions) > 4*ops || size+ch.size > maxTxnBytes
+		clash := slices.ContainsFunc(ch.Writes, func(w kv.Write) bool { return p.KeysInFlight[w.Key] || keys[w.Key] })
+		full := p.Singly > 0 || n+len(ch.Writes) > ops || conds+len(ch.Conditions) > 4*ops || size+ch.Size > maxTxnBytes
 		if full && len(batch) > 0 {
 			rest = append(rest, (*list)[i:]...)
 			break
 		}
-		for _, w := range ch.writes {
+		for _, w := range ch.Writes {
 			keys[w.Key] = true // also when it must wait: what comes later waits behind it
 		}
 		if clash {
 			rest = append(rest, ch)
 			continue
 		}
-		if ch.prepare != nil && !ch.prepare() {
+		if ch.Prepare != nil && !ch.Prepare() {
 			continue
 		}
 		batch = append(batch, ch)
-		n, conds, size = n+len(ch.writes), conds+len(ch.conditions), size+ch.size
+		n, conds, size = n+len(ch.Writes), conds+len(ch.Conditions), size+ch.Size
 	}
 	*list = rest
-	p.singly = max(0, p.singly-len(batch))
+	p.Singly = max(0, p.Singly-len(batch))
 	return batch
 }
 
 // flushWrites sends what may be sent.
 func (c *Core) flushWrites() {
 	p := &c.leadership.writes
-	if !c.canAct() || c.Now.Before(p.pausedUntil) {
+	if !c.canAct() || c.Now.Before(p.PausedUntil) {
 		return
 	}
-	if len(p.queued[priorityConfig]) > 0 && p.inFlight[priorityConfig] == 0 {
+	if len(p.Queued[priorityConfig]) > 0 && p.InFlight[priorityConfig] == 0 {
 		if c.configBatchDue() {
 			c.sendBatch(priorityConfig)
 		} else {
 			c.wakeBatcherSoon()
 		}
 	}
-	for len(p.queued[priorityUrgent]) > 0 && p.inFlight[priorityUrgent] < 3 {
+	for len(p.Queued[priorityUrgent]) > 0 && p.InFlight[priorityUrgent] < 3 {
 		if !c.sendBatch(priorityUrgent) {
 			return
 		}
@@ -116,21 +116,21 @@
 	c.restoreNext()
 	// The others leave room in the allowance for what users wait for.
 	for range 2 {
-		if len(p.queued[priorityUrgent]) > 0 || p.writes.TokensAt(c.Now) < float64(p.writes.Burst())/2 {
+		if len(p.Queued[priorityUrgent]) > 0 || p.Writes.TokensAt(c.Now) < float64(p.Writes.Burst())/2 {
 			break
 		}
-		p.bulkNext = !p.bulkNext
-		if p.bulkNext && len(p.queued[priorityBulk]) > 0 && p.inFlight[priorityBulk] == 0 {
+		p.BulkNext = !p.BulkNext
+		if p.BulkNext && len(p.Queued[priorityBulk]) > 0 && p.InFlight[priorityBulk] == 0 {
 			c.sendBatch(priorityBulk)
-		} else if !p.bulkNext && p.inFlight[priorityOccurrence] < 2 {
+		} else if !p.BulkNext && p.InFlight[priorityOccurrence] < 2 {
 			c.makeOccurrences()
-			if len(p.queued[priorityOccurrence]) > 0 {
+			if len(p.Queued[priorityOccurrence]) > 0 {
 				c.sendBatch(priorityOccurrence)
 			}
 		}
 	}
 	// What waits for the allowance is seen to when it has come back.
-	if p.inFlight[priorityOccurrence] == 0 && c.occurrencesWait() {
+	if p.InFlight[priorityOccurrence] == 0 && c.occurrencesWait() {
 		c.wakeBatcherSoon()
 	}
 }
@@ -154,9 +154,9 @@
 // wakeBatcherSoon has the pump run again soon.
 func (c *Core) wakeBatcherSoon() {
 	p := &c.leadership.writes
-	if !p.wakeScheduled {
-		p.wakeScheduled = true
-		c.afterWhileLeading(20*time.Millisecond, func() { p.wakeScheduled = false })
+	if !p.WakeScheduled {
+		p.WakeScheduled = true
+		c.afterWhileLeading(20*time.Millisecond, func() { p.WakeScheduled = false })
 	}
 }
 
@@ -169,51 +169,51 @@
 	return 1
 }
 
-// roomFor is how many changes may go in a transaction of a lane now.
-func (p *writeBatcher) roomFor(ln writePriority, now time.Time, ops int) int {
-	limiter := p.writes
+// RoomFor is how many changes may go in a transaction of a lane now.
+func (p *writeBatcher) RoomFor(ln writePriority, now time.Time, ops int) int {
+	limiter := p.Writes
 	if ln == priorityConfig {
-		limiter = p.configWrites
+		limiter = p.ConfigWrites
 	}
 	return min(ops, int(limiter.TokensAt(now)))
 }
 
-// spend takes changes out of the allowance. What configuration takes goes out of the whole
+// Spend takes changes out of the allowance. What configuration takes goes out of the whole
 // too, also ahead of time: together they stay below what the state service takes.
-func (p *writeBatcher) spend(ln writePriority, now time.Time, writes int) {
-	p.requests.AllowN(now, 1)
+func (p *writeBatcher) Spend(ln writePriority, now time.Time, writes int) {
+	p.Requests.AllowN(now, 1)
 	if ln == priorityConfig {
-		p.configWrites.ReserveN(now, min(writes, p.configWrites.Burst()))
+		p.ConfigWrites.ReserveN(now, min(writes, p.ConfigWrites.Burst()))
 	}
-	p.writes.ReserveN(now, min(writes, p.writes.Burst()))
+	p.Writes.ReserveN(now, min(writes, p.Writes.Burst()))
 }
 
 func (c *Core) sendBatch(ln writePriority) bool {
 	p := &c.leadership.writes
-	ops := p.roomFor(ln, c.Now, c.cfg.Settings.State.TxnOps)
-	if p.requests.TokensAt(c.Now) < 1 || ops < minBatchRoom(ln) {
+	ops := p.RoomFor(ln, c.Now, c.cfg.Settings.State.TxnOps)
+	if p.Requests.TokensAt(c.Now) < 1 || ops < minBatchRoom(ln) {
 		c.wakeBatcherSoon()
 		return false
 	}
-	batch := p.take(&p.queued[ln], ops)
+	batch := p.Take(&p.Queued[ln], ops)
 	if len(batch) == 0 {
 		return false
 	}
 	call := kv.Request{Op: kv.Txn, Conditions: []kv.Condition{{Key: record.TermKey, Rev: c.leadership.termRevision}}}
 	for _, ch := range batch {
-		ch.sent = true
-		call.Conditions = append(call.Conditions, ch.conditions...)
-		call.Writes = append(call.Writes, ch.writes...)
+		ch.Sent = true
+		call.Conditions = append(call.Conditions, ch.Conditions...)
+		call.Writes = append(call.Writes, ch.Writes...)
 	}
-	p.spend(ln, c.Now, len(call.Writes))
+	p.Spend(ln, c.Now, len(call.Writes))
 	for _, w := range call.Writes {
-		p.keysInFlight[w.Key] = true
+		p.KeysInFlight[w.Key] = true
 	}
-	p.inFlight[ln]++
+	p.InFlight[ln]++
 	c.storeWhileLeading(call, func(r kv.Response) {
-		p.inFlight[ln]--
+		p.InFlight[ln]--
 		for _, w := range call.Writes {
-			delete(p.keysInFlight, w.Key)
+			delete(p.KeysInFlight, w.Key)
 		}
 		c.handleBatchReply(batch, r)
 	})
@@ -224,16 +224,16 @@
 	p := &c.leadership.writes
 	again := func(chs []*change) {
 		for _, ch := range slices.Backward(chs) {
-			p.queued[ch.priority] = slices.Insert(p.queued[ch.priority], 0, ch)
+			p.Queued[ch.Priority] = slices.Insert(p.Queued[ch.Priority], 0, ch)
 		}
 	}
 	switch r.Outcome {
 	case rpc.OK:
-		p.backoff = 0
+		p.Backoff = 0
 		c.replicateBatch(batch, r.Rev)
 		for _, ch := range batch {
-			if ch.onCommit != nil {
-				ch.onCommit(r.Rev)
+			if ch.OnCommit != nil {
+				ch.OnCommit(r.Rev)
 			}
 		}
 	case rpc.Conflict:
@@ -243,10 +243,10 @@
 		}
 		var rest []*change
 		for _, ch := range batch {
-			own := slices.ContainsFunc(ch.conditions, func(w kv.Condition) bool { return slices.Contains(r.FailedKeys, w.Key) })
+			own := slices.ContainsFunc(ch.Conditions, func(w kv.Condition) bool { return slices.Contains(r.FailedKeys, w.Key) })
 			switch {
-			case own && ch.onConflict != nil:
-				ch.onConflict()
+			case own && ch.OnConflict != nil:
+				ch.OnConflict()
 			case own:
 			default:
 				rest = append(rest, ch)
@@ -256,24 +256,24 @@
 			// It names none of ours: nothing would be different the next time.
 			c.backOff()
 		} else {
-			p.backoff = 0
+			p.Backoff = 0
 		}
 		again(rest)
 	case rpc.Invalid:
 		// Ours to get right: log it loudly, and try the changes one by one so
 		// that a single bad one does not block the rest for ever.
-		c.Log(slog.LevelError, "transaction rejected as malformed", "changes", len(batch), "key", batch[0].writes[0].Key)
-		if len(batch) == 1 && batch[0].onReject != nil {
-			batch[0].onReject()
+		c.Log(slog.LevelError, "transaction rejected as malformed", "changes", len(batch), "key", batch[0].Writes[0].Key)
+		if len(batch) == 1 && batch[0].OnReject != nil {
+			batch[0].OnReject()
 			return
 		}
 		if len(batch) == 1 {
 			// The bad one, or one of them: behind all others, and later.
 			ch := batch[0]
-			c.afterWhileLeading(c.Jitter(time.Second), func() { p.add(ch) })
+			c.afterWhileLeading(c.Jitter(time.Second), func() { p.Add(ch) })
 			return
 		}
-		p.singly = max(p.singly, len(batch))
+		p.Singly = max(p.Singly, len(batch))
 		again(batch)
 	default:
 		// Known not to have been executed, or not known: both are sent again.
@@ -287,8 +287,8 @@
 // backOff has the pipeline wait a little, longer each time in a row.
 func (c *Core) backOff() {
 	p := &c.leadership.writes
-	p.backoff = min(max(2*p.backoff, 100*time.Millisecond), 2*time.Second)
-	d := c.Jitter(p.backoff)
-	p.pausedUntil = c.Now.Add(d)
+	p.Backoff = min(max(2*p.Backoff, 100*time.Millisecond), 2*time.Second)
+	d := c.Jitter(p.Backoff)
+	p.PausedUntil = c.Now.Add(d)
 	c.afterWhileLeading(d, func() {})
 }
