--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -38,20 +38,20 @@
 	l := c.leadership
 	quiet := c.silentAfter()
 	heard := func(m *machine) bool {
-		return m.reported && c.Now.Sub(maxTime(m.lastHeartbeat, l.resumedAt)) <= quiet
+		return m.Reported && c.Now.Sub(maxTime(m.LastHeartbeat, l.resumedAt)) <= quiet
 	}
 	sights := map[string]zones.Sight{}
 	for _, m := range l.fleet {
-		if m.releasing || !m.interruptionAt.IsZero() || !m.reported && !m.leaseExpired && !l.unaccounted[m.host] {
+		if m.Releasing || !m.InterruptionAt.IsZero() || !m.Reported && !m.LeaseExpired && !l.unaccounted[m.Host] {
 			continue // on its way out, or not up yet
 		}
-		s := sights[m.zone]
-		if heard(m) || !m.reported && !m.leaseExpired && c.Now.Sub(l.electedAt) <= min(quiet, unheardAfterElection) {
+		s := sights[m.Zone]
+		if heard(m) || !m.Reported && !m.LeaseExpired && c.Now.Sub(l.electedAt) <= min(quiet, unheardAfterElection) {
 			s.Heard++
 		} else {
 			s.Silent++
 		}
-		sights[m.zone] = s
+		sights[m.Zone] = s
 	}
 	changes := l.zones.Look(c.Now, sights)
 	c.observeRegions()
@@ -66,11 +66,11 @@
 	}
 	for _, m := range l.fleet {
 		switch {
-		case !m.zoneState.Away():
-			m.unreachable = false
-		case m.unreachable || m.releasing || heard(m):
+		case !m.ZoneState.Away():
+			m.Unreachable = false
+		case m.Unreachable || m.Releasing || heard(m):
 		default:
-			m.unreachable = true
+			m.Unreachable = true
 			c.dropMachineReservations(m)
 		}
 	}
@@ -109,13 +109,13 @@
 		}
 		var silent []*machine
 		for _, m := range l.fleet {
-			if m.zoneState == z && m.unreachable && !m.releasing && !m.lastHeartbeat.IsZero() && m.instanceType != nil {
+			if m.ZoneState == z && m.Unreachable && !m.Releasing && !m.LastHeartbeat.IsZero() && m.InstanceType != nil {
 				silent = append(silent, m)
 			}
 		}
-		slices.SortStableFunc(silent, func(a, b *machine) int { return cmp.Compare(b.perCPU(), a.perCPU()) })
+		slices.SortStableFunc(silent, func(a, b *machine) int { return cmp.Compare(b.PerCPU(), a.PerCPU()) })
 		for _, m := range silent[:min(n, len(silent))] {
-			c.Log(slog.LevelInfo, "machine of a lost zone, returning it", "machine", m.host, "zone", z.Name, "silent", c.Now.Sub(m.lastHeartbeat))
+			c.Log(slog.LevelInfo, "machine of a lost zone, returning it", "machine", m.Host, "zone", z.Name, "silent", c.Now.Sub(m.LastHeartbeat))
 			c.release(m)
 		}
 	}
@@ -123,10 +123,10 @@
 
 // waitReason says what keeps a job's tasks waiting that may run in one zone only, or "".
 func (c *Core) waitReason(j *job) string {
-	if j.spec.Zone == "" || j.waiting == 0 {
+	if j.Spec.Zone == "" || j.Waiting == 0 {
 		return ""
 	}
-	if z := c.leadership.zones.Zone(j.spec.Zone); z.Away() {
+	if z := c.leadership.zones.Zone(j.Spec.Zone); z.Away() {
 		return "zone " + z.Name + " is " + z.State.String() + ", tasks wait for it"
 	}
 	return ""
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -17,7 +17,7 @@
 	c.leadership.autoscaler.instanceTypes[0].Zones = []string{"a", "b"}
 	for i := range n {
 		m := c.ensureMachine(fmt.Sprintf("host-1%05d", i), "f0", "b", true)
-		m.reported, m.record, m.incarnation, m.fencingToken, m.lastHeartbeat = true, recorded, 1, 1, t0
+		m.Reported, m.Record, m.Incarnation, m.FencingToken, m.LastHeartbeat = true, recorded, 1, 1, t0
 	}
 	return c
 }
@@ -27,8 +27,8 @@
 	for end := c.Now.Add(d); c.Now.Before(end); {
 		c.Now = c.Now.Add(500 * time.Millisecond)
 		for _, m := range c.leadership.fleet {
-			if m.zone == "b" {
-				m.lastHeartbeat = c.Now
+			if m.Zone == "b" {
+				m.LastHeartbeat = c.Now
 			}
 		}
 		c.tickFleet()
@@ -50,15 +50,15 @@
 	c := twoZones(t, 12)
 	rng := rand.New(rand.NewPCG(1, 2))
 	pinned := newJob(c, 1, 50, rng)
-	pinned.spec.Zone = "a"
+	pinned.Spec.Zone = "a"
 	c.reserve(pinned)
 	silence(c, 15*time.Second)
 	if z := c.leadership.zones.Zone("a"); z.State != zones.Doubtful {
 		t.Fatal("the zone is", z.State)
 	}
 	for _, m := range c.leadership.fleet {
-		if m.zone == "a" && (m.releasing || m.usable() || len(m.reservations) > 0) {
-			t.Fatalf("%s: released %v, usable %v, %d bookings", m.host, m.releasing, m.usable(), len(m.reservations))
+		if m.Zone == "a" && (m.Releasing || m.Usable() || len(m.Reservations) > 0) {
+			t.Fatalf("%s: released %v, usable %v, %d bookings", m.Host, m.Releasing, m.Usable(), len(m.Reservations))
 		}
 	}
 	if r := c.waitReason(pinned); !strings.Contains(r, "zone a is doubtful") {
@@ -66,7 +66,7 @@
 	}
 	c.Outputs = nil
 	other := newJob(c, 2, 20000, rng)
-	other.spec.Runtime, other.spec.HasDeadline = time.Hour, false
+	other.Spec.Runtime, other.Spec.HasDeadline = time.Hour, false
 	c.reserve(other)
 	silence(c, 30*time.Second)
 	if zs := rentals(c); len(zs) == 0 {
@@ -87,16 +87,16 @@
 	c := twoZones(t, 12)
 	p := c.leadership.relay("n1")
 	m := c.leadership.fleet[0]
-	m.reportsVia, p.lastBatch = p, t0
+	m.ReportsVia, p.LastBatch = p, t0
 	silent := 10 * time.Second
 	if d := c.silenceLimit(m, silent); d != silent {
 		t.Errorf("%v with a relay in order", d)
 	}
-	p.lastSilent = t0.Add(time.Second)
+	p.LastSilent = t0.Add(time.Second)
 	if d := c.silenceLimit(m, silent); d < c.heartbeatInterval*5/4+5*time.Second {
 		t.Errorf("%v with a quiet one", d)
 	}
-	m.lastHeartbeat = t0.Add(2 * time.Second)
+	m.LastHeartbeat = t0.Add(2 * time.Second)
 	if d := c.silenceLimit(m, silent); d != silent {
 		t.Errorf("%v once it has found another way", d)
 	}
