--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -11,10 +11,12 @@
 	"yewpass/internal/peermsg"
 	"yewpass/internal/policy"
 	"yewpass/internal/provider"
+	"yewpass/internal/quota"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
+	"yewpass/internal/writebatch"
 )
 
 // admission is a submission whose record is on its way to the state service.
@@ -423,7 +425,7 @@
 	a := &admission{spec: s, waiters: []request.Request{call}}
 	l.accept[s.ID] = a
 	rec := &record.Job{Spec: *s, Submitted: c.Now.Round(0)}
-	l.writes.Add(&change{
+	l.writes.Add(&writebatch.Change{
 		Size:       recordSize(s),
 		Conditions: noRecordOf(s.ID),
 		Writes:     []kv.Write{{Key: record.JobPrefix + s.ID, Value: rec}},
@@ -492,7 +494,7 @@
 }
 
 // unschedulableOn is unschedulable for its team, nil if there is none of that name, and types.
-func unschedulableOn(s *spec.Job, t *team, flavors []provider.InstanceType) (field, reason string) {
+func unschedulableOn(s *spec.Job, t *quota.Account, flavors []provider.InstanceType) (field, reason string) {
 	if t == nil || !t.Configured {
 		return "owner", "unknown team " + s.Owner
 	}
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -14,6 +14,7 @@
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/provider"
+	"yewpass/internal/quota"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
@@ -427,13 +428,10 @@
 	return r.StartedAt.Add(c.estimate(r.Job)).Sub(c.Now)
 }
 
-// arrivalMemory is how long arrivals count towards the work to be expected.
-const arrivalMemory = 60 * time.Second
-
 // recordArrival takes note of a new job's work.
 func (c *Core) recordArrival(j *job) {
 	rent := &c.leadership.autoscaler
-	secs := arrivalMemory.Seconds()
+	secs := quota.ArrivalMemory.Seconds()
 	if !j.Spec.Service {
 		secs = c.estimate(j).Seconds()
 	}
@@ -446,7 +444,7 @@
 		rent.burstAt = c.Now
 	}
 	t := j.Team
-	t.Load = t.ExpectedCPUs(c.Now) + float64(j.Spec.Tasks)*float64(j.Need.CPU)/1000*secs/arrivalMemory.Seconds()
+	t.Load = t.ExpectedCPUs(c.Now) + float64(j.Spec.Tasks)*float64(j.Need.CPU)/1000*secs/quota.ArrivalMemory.Seconds()
 	t.LoadAt = c.Now
 }
 
@@ -465,10 +463,6 @@
 	return sum
 }
 
-func (t *team) ExpectedCPUs(now time.Time) float64 {
-	return t.Load * math.Exp(-now.Sub(t.LoadAt).Seconds()/arrivalMemory.Seconds())
-}
-
 // PerCPU is what a CPU of the machine costs.
 func (m *machine) PerCPU() float64 {
 	if m.Spot {
@@ -563,7 +557,7 @@
 // demand sums up what waits: CPUs and CPU seconds.
 func (c *Core) demand() (cpus, work, ordinaryCPUs, ordinaryWork float64) {
 	l := c.leadership
-	room := map[*team]float64{}
+	room := map[*quota.Account]float64{}
 	for _, j := range l.queue {
 		if j.Halted() || c.Now.Before(j.RetryAt) || j.Spec.Zone != "" && !l.zones.Zone(j.Spec.Zone).Rents() {
 			continue // machines elsewhere would be rented for nothing
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -7,15 +7,15 @@
 	"strings"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"yewpass/internal/config"
 	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
+	"yewpass/internal/quota"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
+	"yewpass/internal/writebatch"
 )
 
 // Configuration that changes while the service runs. Its records lie with those that a
@@ -26,9 +26,6 @@
 // conditional on the head. docs/design/configuration.md has the argument.
 const (
 
-	// configWriteShare of the changes that the state service allows is kept for configuration:
-	// neither a storm of submissions nor one of changes holds up the other.
-	configWriteShare = 0.15
 	// maxConfigWaiting bounds the changes that wait to be written.
 	maxConfigWaiting = 2000
 	// configBroadcastInterval is how often the leader tells the others which revision is in force.
@@ -84,11 +81,6 @@
 	return teams
 }
 
-// ConfigWrites is the limiter of the part of the changes that configuration has.
-func configWrites(st config.State) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(st.WriteRPS*configWriteShare), max(2, st.TxnOps))
-}
-
 // ---- reading
 
 // loadConfig takes in a record of the configuration. One that cannot be read leaves what is
@@ -134,7 +126,7 @@
 // go on, and count; nothing more starts until there is room under a lower limit.
 func (c *Core) applyTeam(t liveconfig.Team) {
 	l := c.leadership
-	now := teamOf(t)
+	now := quota.New(t)
 	if was := l.teams[t.Name]; was != nil {
 		was.Configured, was.Retired, was.Guaranteed, was.Limit = true, now.Retired, now.Guaranteed, now.Limit
 	} else {
@@ -149,15 +141,15 @@
 
 // teamFromReplica returns a team as the copy of the last leader has it, or as the settings do; nil
 // if there is none. The caller's decision has to be conditional on configHeadCond.
-func (c *Core) teamFromReplica(k *replica.Copy, name string) *team {
+func (c *Core) teamFromReplica(k *replica.Copy, name string) *quota.Account {
 	if r, ok := k.Get(record.ConfigTeamPrefix + name); ok {
 		if rec, _ := r.Value.(*liveconfig.TeamRecord); rec != nil {
-			return teamOf(rec.Team)
+			return quota.New(rec.Team)
 		}
 	}
 	for _, t := range c.cfg.Settings.Teams {
 		if t.Name == name {
-			return newTeam(t)
+			return quota.FromSettings(t)
 		}
 	}
 	return nil
@@ -346,7 +338,7 @@
 	}
 	b := &configBatch{}
 	conf.batch = b
-	ch := &change{Priority: priorityConfig, Size: 1}
+	ch := &writebatch.Change{Priority: writebatch.Config, Size: 1}
 	ch.Prepare = func() bool {
 		if b.Batch == nil {
 			c.prepareConfigBatch(b, ch)
@@ -369,7 +361,7 @@
 		return true
 	}
 	ops := c.cfg.Settings.State.TxnOps
-	room := c.leadership.writes.RoomFor(priorityConfig, c.Now, ops)
+	room := c.leadership.writes.RoomFor(writebatch.Config, c.Now, ops)
 	least := len(conf.waiting[0].change.Teams) + 1 // with the head; it goes whole
 	if room < least {
 		return false
@@ -383,14 +375,14 @@
 const configBatchInterval = 700 * time.Millisecond
 
 // prepareConfigBatch decides what goes, now that something can.
-func (c *Core) prepareConfigBatch(b *configBatch, ch *change) {
+func (c *Core) prepareConfigBatch(b *configBatch, ch *writebatch.Change) {
 	conf := &c.leadership.config
 	conf.filled = c.Now
 	changes := make([]*liveconfig.Change, len(conf.waiting))
 	for i, w := range conf.waiting {
 		changes[i] = &w.change
 	}
-	b.Batch = liveconfig.NewBatch(conf.state, changes, c.leadership.writes.RoomFor(priorityConfig, c.Now, c.cfg.Settings.State.TxnOps))
+	b.Batch = liveconfig.NewBatch(conf.state, changes, c.leadership.writes.RoomFor(writebatch.Config, c.Now, c.cfg.Settings.State.TxnOps))
 	b.changes = slices.Clone(conf.waiting[:b.Taken])
 	conf.waiting = slices.Delete(conf.waiting, 0, b.Taken)
 	records := b.Records()
@@ -459,7 +451,7 @@
 
 // configBatchConflict: the head is not what it was. Either an earlier try of this very batch has
 // been carried out, or the head was written back after a loss.
-func (c *Core) configBatchConflict(b *configBatch, ch *change) {
+func (c *Core) configBatchConflict(b *configBatch, ch *writebatch.Change) {
 	c.readBack(record.ConfigHeadKey, func(e kv.Entry, _ bool) {
 		if b.over {
 			return
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -15,6 +15,7 @@
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
+	"yewpass/internal/writebatch"
 )
 
 // configLeader is a leader with two other controllers in reach.
@@ -135,23 +136,23 @@
 // TestConfigHasItsPart: a storm of submissions does not hold up a change of configuration,
 // and a storm of changes leaves the others their part.
 func TestConfigHasItsPart(t *testing.T) {
-	p := writeBatcher{Writes: rate.NewLimiter(72, 64), Requests: rate.NewLimiter(210, 175), ConfigWrites: configWrites(config.State{WriteRPS: 80, TxnOps: 12}), KeysInFlight: map[string]bool{}}
+	p := writebatch.Batcher{Writes: rate.NewLimiter(72, 64), Requests: rate.NewLimiter(210, 175), ConfigWrites: writebatch.NewConfigLimiter(config.State{WriteRPS: 80, TxnOps: 12}), KeysInFlight: map[string]bool{}}
 	now := t0
-	p.Spend(priorityUrgent, now, 64) // a storm has taken all there is
-	if room := p.RoomFor(priorityUrgent, now, 12); room >= minBatchRoom(priorityUrgent) {
+	p.Spend(writebatch.Urgent, now, 64) // a storm has taken all there is
+	if room := p.RoomFor(writebatch.Urgent, now, 12); room >= writebatch.MinRoom(writebatch.Urgent) {
 		t.Errorf("room for %d more submissions", room)
 	}
-	if room := p.RoomFor(priorityConfig, now, 12); room < minBatchRoom(priorityConfig) {
+	if room := p.RoomFor(writebatch.Config, now, 12); room < writebatch.MinRoom(writebatch.Config) {
 		t.Errorf("no room for a change of configuration: %d", room)
 	}
 	written, others := 0, 0
 	for end := now.Add(time.Minute); now.Before(end); now = now.Add(10 * time.Millisecond) {
-		if room := p.RoomFor(priorityConfig, now, 12); room >= 12 { // as many changes as go
-			p.Spend(priorityConfig, now, room)
+		if room := p.RoomFor(writebatch.Config, now, 12); room >= 12 { // as many changes as go
+			p.Spend(writebatch.Config, now, room)
 			written += room
 		}
-		if room := p.RoomFor(priorityUrgent, now, 12); room > 0 {
-			p.Spend(priorityUrgent, now, room)
+		if room := p.RoomFor(writebatch.Urgent, now, 12); room > 0 {
+			p.Spend(writebatch.Urgent, now, room)
 			others += room
 		}
 	}
@@ -243,7 +244,7 @@
 // allowance that configuration has holds all of it.
 func TestWideChangeWaitsForItsRoom(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.leadership.writes.Spend(priorityConfig, c.Now, 10) // two of twelve are left
+	c.leadership.writes.Spend(writebatch.Config, c.Now, 10) // two of twelve are left
 	var wide []liveconfig.TeamChange
 	for i := range c.cfg.Settings.State.TxnOps - 1 {
 		wide = append(wide, liveconfig.TeamChange{Team: liveconfig.Team{Name: fmt.Sprint("w", i)}})
@@ -262,7 +263,7 @@
 			if after := c.Now.Sub(began); after < time.Second || after > 1500*time.Millisecond {
 				t.Errorf("it goes after %s, ten changes come back in 1.1 s", after)
 			}
-			if room := c.leadership.writes.RoomFor(priorityConfig, c.Now, 12); room > 0 {
+			if room := c.leadership.writes.RoomFor(writebatch.Config, c.Now, 12); room > 0 {
 				t.Errorf("room for %d more", room)
 			}
 			return
@@ -278,8 +279,8 @@
 func TestBacklogOfChangesIsWorkedOff(t *testing.T) {
 	c := leaderOf(t, 1)
 	st := c.cfg.Settings.State
-	rate := st.WriteRPS * configWriteShare
-	c.leadership.writes.Spend(priorityConfig, c.Now, st.TxnOps)
+	rate := st.WriteRPS * writebatch.ConfigShare
+	c.leadership.writes.Spend(writebatch.Config, c.Now, st.TxnOps)
 	const piled = 40
 	asked, made := 0, 0
 	ask := func() []any {
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -17,6 +17,7 @@
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
+	"yewpass/internal/writebatch"
 )
 
 // TestAttemptsOfATerm: attempts rise within a term and into the next one, and a term
@@ -61,10 +62,10 @@
 func TestStrangeConflict(t *testing.T) {
 	c := leaderOf(t, 0)
 	p := &c.leadership.writes
-	ch := &change{Writes: []kv.Write{{Key: "a", Value: &record.Term{Term: 1}}}}
-	c.handleBatchReply([]*change{ch}, kv.Response{Outcome: rpc.Conflict, FailedKeys: []string{"something else"}})
-	if !p.PausedUntil.After(c.Now) || len(p.Queued[priorityUrgent]) != 1 {
-		t.Errorf("pause until %v, %d wait", p.PausedUntil, len(p.Queued[priorityUrgent]))
+	ch := &writebatch.Change{Writes: []kv.Write{{Key: "a", Value: &record.Term{Term: 1}}}}
+	c.handleBatchReply([]*writebatch.Change{ch}, kv.Response{Outcome: rpc.Conflict, FailedKeys: []string{"something else"}})
+	if !p.PausedUntil.After(c.Now) || len(p.Queued[writebatch.Urgent]) != 1 {
+		t.Errorf("pause until %v, %d wait", p.PausedUntil, len(p.Queued[writebatch.Urgent]))
 	}
 }
 
@@ -73,16 +74,16 @@
 func TestMalformedChange(t *testing.T) {
 	c := leaderOf(t, 0)
 	p := &c.leadership.writes
-	bad, good := &change{Writes: []kv.Write{{Key: "a"}}}, &change{Writes: []kv.Write{{Key: "b"}}}
-	c.handleBatchReply([]*change{bad, good}, kv.Response{Outcome: rpc.Invalid})
-	p.Take(&p.Queued[priorityUrgent], 9)
-	c.handleBatchReply([]*change{bad}, kv.Response{Outcome: rpc.Invalid})
-	if w := p.Queued[priorityUrgent]; len(w) != 1 || w[0] != good {
+	bad, good := &writebatch.Change{Writes: []kv.Write{{Key: "a"}}}, &writebatch.Change{Writes: []kv.Write{{Key: "b"}}}
+	c.handleBatchReply([]*writebatch.Change{bad, good}, kv.Response{Outcome: rpc.Invalid})
+	p.Take(&p.Queued[writebatch.Urgent], 9)
+	c.handleBatchReply([]*writebatch.Change{bad}, kv.Response{Outcome: rpc.Invalid})
+	if w := p.Queued[writebatch.Urgent]; len(w) != 1 || w[0] != good {
 		t.Errorf("%d wait", len(w))
 	}
 	c.Now = c.Now.Add(2 * time.Second)
 	c.RunTimers()
-	if w := p.Queued[priorityUrgent]; len(w) != 2 || w[1] != bad {
+	if w := p.Queued[writebatch.Urgent]; len(w) != 2 || w[1] != bad {
 		t.Errorf("%d wait: the malformed one is lost or goes first", len(w))
 	}
 }
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -12,6 +12,7 @@
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/rpc"
+	"yewpass/internal/writebatch"
 )
 
 // How a new leader reads the records of earlier terms and begins its work.
@@ -79,7 +80,7 @@
 		j := l.jobs[id]
 		if j == nil {
 			if !l.unreadableJobs[id] { // left over by a job that is over
-				l.writes.Add(&change{Writes: []kv.Write{{Key: e.Key}}, Priority: priorityBulk})
+				l.writes.Add(&writebatch.Change{Writes: []kv.Write{{Key: e.Key}}, Priority: writebatch.Bulk})
 			}
 			return
 		}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -9,12 +9,15 @@
 	"time"
 
 	"yewpass/internal/bitset"
+	"yewpass/internal/estimate"
 	"yewpass/internal/kv"
+	"yewpass/internal/quota"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 	"yewpass/internal/topology"
+	"yewpass/internal/writebatch"
 )
 
 // job is an accepted job that is not over.
@@ -25,7 +28,7 @@
 	Record          *record.Job
 	FromEarlierTerm bool         // accepted in an earlier term: its tasks may be anywhere
 	Placement       topology.Job // its rules on places
-	Team            *team
+	Team            *quota.Account
 	StartsAtOnce    bool // must start at once
 
 	Done      bitset.Set       // completed
@@ -38,20 +41,20 @@
 	ChunkRevisions map[int]uint64
 	DirtyChunks    map[int]bool // chunks with news not yet on their way
 
-	Cancelling    bool              // a cancellation has been begun
-	Cancelled     bool              // and has been committed
-	Finishing     bool              // the final record is on its way
-	EndingChange  *change           // whichever of the two is on its way
-	CancelWaiters []request.Request // who waits for it
+	Cancelling    bool               // a cancellation has been begun
+	Cancelled     bool               // and has been committed
+	Finishing     bool               // the final record is on its way
+	EndingChange  *writebatch.Change // whichever of the two is on its way
+	CancelWaiters []request.Request  // who waits for it
 
-	FailedOn           map[string]bool // machines on which its tasks failed
-	Failures           int             // since a task last completed
-	RetryAt            time.Time       // not before this, after failures
-	AnyCompleted       bool            // a task has completed
-	MissedUntil        time.Time       // aims up to this are out of reach
-	Runtime            runtimeAverage  // seconds that its tasks took
-	Reservations       []*reservation  // places in the queue, in order
-	QueueTime          time.Time       // of the first, while queued
+	FailedOn           map[string]bool  // machines on which its tasks failed
+	Failures           int              // since a task last completed
+	RetryAt            time.Time        // not before this, after failures
+	AnyCompleted       bool             // a task has completed
+	MissedUntil        time.Time        // aims up to this are out of reach
+	Runtime            estimate.Average // seconds that its tasks took
+	Reservations       []*reservation   // places in the queue, in order
+	QueueTime          time.Time        // of the first, while queued
 	Queued             bool
 	ReservationPending bool       // to be booked soon
 	LastRereserved     time.Time  // when its bookings were last looked at again
@@ -80,7 +83,7 @@
 		j.Placement.Rules = append(j.Placement.Rules, topology.Apart)
 	}
 	if j.Team == nil { // the team has left the settings: its jobs still run
-		j.Team = &team{}
+		j.Team = &quota.Account{}
 		c.leadership.teams[s.Owner] = j.Team
 	}
 	c.leadership.jobs[s.ID] = j
@@ -190,8 +193,8 @@
 func (c *Core) recordProgress(j *job, chunk int) {
 	key := chunkKey(j.Spec.ID, chunk)
 	var had bitset.Set
-	ch := &change{
-		Priority: priorityBulk, Size: 300 + 4*min(j.Spec.Tasks, bitset.ChunkSize)/3/8,
+	ch := &writebatch.Change{
+		Priority: writebatch.Bulk, Size: 300 + 4*min(j.Spec.Tasks, bitset.ChunkSize)/3/8,
 		Writes: []kv.Write{{Key: key}},
 		OnCommit: func(rev uint64) {
 			j.ChunkRevisions[chunk] = rev
@@ -250,12 +253,12 @@
 		return
 	}
 	j.Finishing = true
-	ch := &change{
+	ch := &writebatch.Change{
 		Writes:   []kv.Write{{Key: record.FinalPrefix + j.Spec.ID, Value: &final}, {Key: record.JobPrefix + j.Spec.ID}},
 		OnCommit: func(uint64) { c.jobFinished(j, final) },
 	}
 	j.EndingChange = ch
-	drops := make([]*change, 0, 1)
+	drops := make([]*writebatch.Change, 0, 1)
 	for _, chunk := range slices.Sorted(maps.Keys(j.ChunkRevisions)) {
 		if j.ChunkRevisions[chunk] == 0 {
 			continue
@@ -264,7 +267,7 @@
 		if len(ch.Writes) < c.cfg.Settings.State.TxnOps {
 			ch.Writes = append(ch.Writes, w)
 		} else {
-			drops = append(drops, &change{Writes: []kv.Write{w}, Priority: priorityBulk})
+			drops = append(drops, &writebatch.Change{Writes: []kv.Write{w}, Priority: writebatch.Bulk})
 		}
 	}
 	l.writes.Add(ch)
@@ -342,7 +345,7 @@
 	}
 	rec := *j.Record
 	rec.Cancelled = true
-	ch := &change{
+	ch := &writebatch.Change{
 		Size: recordSize(&rec.Spec),
 		// A try that is applied late must not bring back a job that is over.
 		Conditions: []kv.Condition{{Key: record.FinalPrefix + j.Spec.ID, Rev: 0}},
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -8,6 +8,7 @@
 
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/quota"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
@@ -36,7 +37,7 @@
 	c.leadership.regions = zones.NewRegionWatch(c.reg)
 	c.leadership.places, _ = topology.New(topology.Definition{}) // zones alone: cannot fail
 	for _, t := range c.cfg.Settings.Teams {
-		c.leadership.teams[t.Name] = newTeam(t)
+		c.leadership.teams[t.Name] = quota.FromSettings(t)
 		c.leadership.guarantees = c.leadership.guarantees || t.CPUs > 0 || t.GPUs > 0
 	}
 	c.Log(slog.LevelInfo, "leadership won", "term", term)
--- a/internal/core/leaderless.go
+++ b/internal/core/leaderless.go
@@ -14,6 +14,7 @@
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
+	"yewpass/internal/writebatch"
 )
 
 // A submission needs a durable record, not a leader. While a node knows of none, or the
@@ -162,7 +163,7 @@
 func (c *Core) adoptLeaderless(key string) {
 	l := c.leadership
 	id := strings.TrimPrefix(key, record.LeaderlessPrefix)
-	drop := func() { l.writes.Add(&change{Priority: priorityBulk, Writes: []kv.Write{{Key: key}}}) }
+	drop := func() { l.writes.Add(&writebatch.Change{Priority: writebatch.Bulk, Writes: []kv.Write{{Key: key}}}) }
 	if l.jobs[id] != nil || l.unreadableJobs[id] {
 		drop()
 		return
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -3,13 +3,15 @@
 import (
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"yewpass/internal/config"
+	"yewpass/internal/estimate"
+	"yewpass/internal/expiringset"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/quota"
 	"yewpass/internal/relay"
 	"yewpass/internal/replica"
 	"yewpass/internal/topology"
+	"yewpass/internal/writebatch"
 	"yewpass/internal/zones"
 )
 
@@ -26,7 +28,7 @@
 	regions    *zones.RegionWatch
 	places     *topology.Tree
 	tally      *topology.Tally // tasks of jobs with rules on places
-	writes     writeBatcher
+	writes     writebatch.Batcher
 	schedules  scheduler
 	config     liveConfig
 	autoscaler autoscaler
@@ -82,11 +84,11 @@
 type workload struct {
 	jobs                map[string]*job
 	accept              map[string]*admission
-	teams               map[string]*team
+	teams               map[string]*quota.Account
 	guarantees          bool // some team has one
 	queue               jobQueue
 	overdue             []*job // of which nothing has run for too long
-	runtimes            runtimeEstimates
+	runtimes            estimate.Runtimes
 	unscheduled         []*job           // see reserveSoon
 	schedulingContinues bool             // there are more of them than go in one step
 	offerBuffer         []placementOffer // scratch space
@@ -96,7 +98,7 @@
 type inventory struct {
 	machines       map[string]*machine
 	fleet          []*machine                // the same, by name
-	released       expiringSet               // released, proven gone: their late reports count for nothing
+	released       expiringset.Set           // released, proven gone: their late reports count for nothing
 	recordCount    uint64                    // records of machines begun in this term
 	records        []*machineRecord          // the records of the machines
 	relays         map[string]*relayLink     // "" for our own socket
@@ -125,35 +127,18 @@
 	scrub          scrubber
 }
 
-// Parts of the state service's allowance that the leader's pipeline takes.
-const (
-	writeShare   = 0.9 // of the changes a second
-	writeBurst   = 0.8 // of a second's changes at once
-	requestShare = 0.6 // of the requests a second
-	requestBurst = 0.5 // of a second's requests at once
-)
-
 func newLeadership(cfg *config.Config, now time.Time) *leadership {
 	return &leadership{
 		authority:   authority{acknowledged: map[string]bool{}},
 		failover:    failover{unaccounted: map[string]bool{}, unreadableJobs: map[string]bool{}, unreadableMachineRecords: map[string]uint64{}, newerTokens: map[string]uint64{}},
-		workload:    workload{jobs: map[string]*job{}, accept: map[string]*admission{}, teams: map[string]*team{}, runtimes: newRuntimeEstimates()},
-		inventory:   inventory{released: newExpiringSet(now), machines: map[string]*machine{}, relays: map[string]*relayLink{}},
+		workload:    workload{jobs: map[string]*job{}, accept: map[string]*admission{}, teams: map[string]*quota.Account{}, runtimes: estimate.NewRuntimes()},
+		inventory:   inventory{released: expiringset.New(now), machines: map[string]*machine{}, relays: map[string]*relayLink{}},
 		dispatching: dispatching{heldReplies: map[heartbeatKey]*machine{}},
 		replication: replication{followers: map[string]*replica.Sender{}},
-		writes:      newWriteBatcher(cfg.Settings.State),
+		writes:      writebatch.New(cfg.Settings.State),
 		autoscaler:  newAutoscaler(cfg),
 		tally:       topology.NewTally(),
 		schedules:   newSchedules(),
 		config:      newConfiguring(cfg),
 	}
 }
-
-func newWriteBatcher(st config.State) writeBatcher {
-	return writeBatcher{
-		Writes:       rate.NewLimiter(rate.Limit(st.WriteRPS*writeShare), max(st.TxnOps, int(st.WriteRPS*writeBurst))),
-		ConfigWrites: configWrites(st),
-		Requests:     rate.NewLimiter(rate.Limit(st.RPS*requestShare), max(1, int(st.RPS*requestBurst))),
-		KeysInFlight: map[string]bool{},
-	}
-}
--- a/internal/core/machine_records.go
+++ b/internal/core/machine_records.go
@@ -8,6 +8,7 @@
 	"time"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
+	"yewpass/internal/writebatch"
 )
 
 // machineRecord is a record that names machines which may hold tasks. Only once it is
@@ -18,9 +19,9 @@
 	Key         string
 	Revision    uint64 // of the record
 	Machines    []*machine
-	Size        int           // bytes, estimated
-	WriteQueued bool          // a change of it waits
-	Priority    writePriority // how pressing
+	Size        int                 // bytes, estimated
+	WriteQueued bool                // a change of it waits
+	Priority    writebatch.Priority // how pressing
 	WrittenAt   time.Time
 }
 
@@ -51,7 +52,7 @@
 	m.Record, m.RecordedIn = recording, g
 	g.Machines = append(g.Machines, m)
 	g.Size += recordedSize(m)
-	c.writeMachineRecord(g, priorityUrgent)
+	c.writeMachineRecord(g, writebatch.Urgent)
 }
 
 // removeFromRecord takes a machine that is gone out of its record.
@@ -63,7 +64,7 @@
 	m.Record, m.RecordedIn = unrecorded, nil
 	g.Machines = slices.DeleteFunc(g.Machines, func(x *machine) bool { return x == m })
 	g.Size -= recordedSize(m)
-	c.writeMachineRecord(g, priorityBulk)
+	c.writeMachineRecord(g, writebatch.Bulk)
 }
 
 // writeMachineRecord writes a record of machines. What changes until then goes along.
@@ -72,7 +73,7 @@
 // is sent again and may be applied late all the same, under this very leader and
 // after newer ones: it must not bring back a list that lacks machines, which a
 // successor would take for empty.
-func (c *Core) writeMachineRecord(g *machineRecord, ln writePriority) {
+func (c *Core) writeMachineRecord(g *machineRecord, ln writebatch.Priority) {
 	if g.WriteQueued && ln >= g.Priority {
 		return
 	}
@@ -80,7 +81,7 @@
 	c.afterWhileLeading(max(0, g.WrittenAt.Add(machineRecordInterval).Sub(c.Now)), func() {
 		var news []*machine
 		sent := false
-		ch := &change{Priority: ln, Writes: []kv.Write{{Key: g.Key}}, Size: int(c.cfg.Settings.State.ValueKB * 1024)}
+		ch := &writebatch.Change{Priority: ln, Writes: []kv.Write{{Key: g.Key}}, Size: int(c.cfg.Settings.State.ValueKB * 1024)}
 		ch.Prepare = func() bool {
 			if !g.WriteQueued && !sent {
 				return false // went along with a more pressing one
@@ -163,7 +164,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(l.unreadableMachineRecords)) {
 		c.Log(slog.LevelWarn, "unreadable record of machines is accounted for, dropping it", "key", key)
-		l.writes.Add(&change{Priority: priorityBulk, Conditions: []kv.Condition{{Key: key, Rev: l.unreadableMachineRecords[key]}}, Writes: []kv.Write{{Key: key}}})
+		l.writes.Add(&writebatch.Change{Priority: writebatch.Bulk, Conditions: []kv.Condition{{Key: key, Rev: l.unreadableMachineRecords[key]}}, Writes: []kv.Write{{Key: key}}})
 		c.markAccounted(key)
 	}
 	clear(l.unreadableMachineRecords)
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -7,8 +7,10 @@
 	"time"
 
 	"yewpass/internal/config"
+	"yewpass/internal/estimate"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/provider"
+	"yewpass/internal/quota"
 	"yewpass/internal/record"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
@@ -99,7 +101,7 @@
 		return timeline.Forever
 	}
 	if !m.Images.Contains(j.Spec.Image) {
-		base += imageFetchTime(&j.Spec, m.InstanceType)
+		base += estimate.ImageFetch(&j.Spec, m.InstanceType)
 	}
 	return base
 }
@@ -182,7 +184,7 @@
 func (c *Core) reserveWarmRoom(part float64) {
 	l := c.leadership
 	left := int64(l.autoscaler.burstCPUs * part * 1000)
-	if c.Now.Sub(l.autoscaler.burstAt) > arrivalMemory {
+	if c.Now.Sub(l.autoscaler.burstAt) > quota.ArrivalMemory {
 		left = 0
 	}
 	var sizes []int64
@@ -806,7 +808,7 @@
 	for i := range l.autoscaler.instanceTypes {
 		f := &l.autoscaler.instanceTypes[i]
 		if allowsInstanceType(s, f.Name) && j.Need.Fits(f.Capacity) && (s.Zone == "" || hasZone(f, s.Zone)) && l.autoscaler.mayHaveCapacity(f, s.AllowSpot, c.Now) {
-			best = min(best, f.BootTime+imageFetchTime(s, f)+run)
+			best = min(best, f.BootTime+estimate.ImageFetch(s, f)+run)
 		}
 	}
 	return best - s.Deadline
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -7,6 +7,7 @@
 
 	"yewpass/internal/config"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/quota"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
@@ -124,7 +125,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, phase := range []heartbeat.Phase{heartbeat.Pulling, heartbeat.TaskRuns} {
 		c := leaderOf(t, 1)
-		c.leadership.teams["u"] = &team{Guaranteed: timeline.Capacity(100, 0, 0)}
+		c.leadership.teams["u"] = &quota.Account{Guaranteed: timeline.Capacity(100, 0, 0)}
 		c.leadership.teams["t"].Guaranteed = timeline.Resources{}
 		m := c.leadership.fleet[0]
 		long := newJob(c, 1, 1, rng)
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/quota"
 )
 
 // preemptAfter is how long work within a guarantee waits before borrowers have to
@@ -21,7 +22,7 @@
 		return
 	}
 	short := int64(0)
-	seen := map[*team]int64{}
+	seen := map[*quota.Account]int64{}
 	for _, j := range l.queue {
 		t := j.Team
 		if t.Guaranteed.CPU == 0 || !c.mayStart(j) || c.Now.Sub(j.Submitted) < preemptAfter || t.Allocated.CPU+j.Need.CPU > t.Guaranteed.CPU {
@@ -90,7 +91,7 @@
 		}
 	}
 	slices.SortStableFunc(bs, func(a, b borrower) int { return cmp.Compare(a.loss, b.loss) })
-	over := map[*team]int64{}
+	over := map[*quota.Account]int64{}
 	stopped := 0
 	for _, b := range bs {
 		t := b.r.Job.Team
--- a/internal/core/recovery_merge.go
+++ b/internal/core/recovery_merge.go
@@ -13,6 +13,7 @@
 	"yewpass/internal/recovery"
 	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
+	"yewpass/internal/writebatch"
 )
 
 // How a new leader makes one set of records of what the state service and a copy have.
@@ -102,7 +103,7 @@
 			own.Put(key, r.Value, 0)
 		}
 		for _, key := range res.Drops {
-			l.writes.Add(&change{Priority: priorityBulk, Writes: []kv.Write{{Key: key}}})
+			l.writes.Add(&writebatch.Change{Priority: writebatch.Bulk, Writes: []kv.Write{{Key: key}}})
 		}
 		if g.lossReason == "" {
 			// Ended jobs and schedules of a copy are older news than the service's.
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -13,6 +13,7 @@
 	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
+	"yewpass/internal/writebatch"
 )
 
 // How records that were lost are written back.
@@ -35,7 +36,7 @@
 			for _, m := range g.Machines {
 				m.Record = recording
 			}
-			c.writeMachineRecord(g, priorityUrgent)
+			c.writeMachineRecord(g, writebatch.Urgent)
 		}
 	}
 	// Schedules first, which nothing is made of until they are there, then jobs, the
@@ -66,7 +67,7 @@
 func (c *Core) restoreNext() {
 	l := c.leadership
 	p := &l.writes
-	for len(l.restoring) > 0 && len(p.Queued[priorityBulk]) < c.cfg.Settings.State.TxnOps {
+	for len(l.restoring) > 0 && len(p.Queued[writebatch.Bulk]) < c.cfg.Settings.State.TxnOps {
 		r := l.restoring[0]
 		l.restoring = l.restoring[1:]
 		c.restoreRecord(r)
@@ -103,16 +104,16 @@
 // known, or nothing has to be written any more.
 func (c *Core) writeBack(r replica.Record, over func(on kv.Entry)) {
 	l := c.leadership
-	ch := &change{Priority: priorityBulk, Conditions: []kv.Condition{{Key: r.Key, Rev: r.Rev}}, Writes: []kv.Write{{Key: r.Key}}, Size: 400}
+	ch := &writebatch.Change{Priority: writebatch.Bulk, Conditions: []kv.Condition{{Key: r.Key, Rev: r.Rev}}, Writes: []kv.Write{{Key: r.Key}}, Size: 400}
 	if rec, ok := r.Value.(*record.Job); ok {
 		// Applied late, once the job is over and its record gone again, it would bring the
 		// job back to the next leader.
 		ch.Conditions = append(ch.Conditions, kv.Condition{Key: record.FinalPrefix + rec.Spec.ID, Rev: 0})
 		ch.Size = recordSize(&rec.Spec)
 	} else if rec, ok := r.Value.(*schedule.Record); ok {
-		ch.Size, ch.Priority = rec.Size(), priorityUrgent
+		ch.Size, ch.Priority = rec.Size(), writebatch.Urgent
 	} else if record.IsConfigKey(r.Key) || r.Key == record.ScheduleNumberKey {
-		ch.Priority = priorityUrgent
+		ch.Priority = writebatch.Urgent
 	}
 	ch.Prepare = func() bool {
 		now, ok := c.replicas.own.Get(r.Key)
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -11,6 +11,7 @@
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
 	"yewpass/internal/schedule"
+	"yewpass/internal/writebatch"
 )
 
 // Copies of the records: the leader's own, those that it passes on, and those that it is
@@ -152,7 +153,7 @@
 
 // replicateBatch takes a committed transaction into the leader's copy, and tells its holders. It
 // goes out before whoever waits for the commit is answered.
-func (c *Core) replicateBatch(batch []*change, rev uint64) {
+func (c *Core) replicateBatch(batch []*writebatch.Change, rev uint64) {
 	if c.ownReplica() == nil {
 		return
 	}
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -14,6 +14,7 @@
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/schedule"
+	"yewpass/internal/writebatch"
 )
 
 // reply answers whoever waits for the write on its way.
@@ -214,7 +215,7 @@
 	if s != nil {
 		cursor, missed := def.Edited(s.definition, s.record.Cursor, c.TimeOfDay())
 		s.requester = &call
-		c.writeSchedule(s, priorityUrgent, func(r *schedule.Record) {
+		c.writeSchedule(s, writebatch.Urgent, func(r *schedule.Record) {
 			r.File = file
 			r.Edition++
 			r.Pass(cursor, missed)
@@ -251,7 +252,7 @@
 		c.addSchedule(s)
 		c.writeFinished(s, func() { s.reply(c, c.scheduleView(s, 201)) })
 	}
-	ch := &change{Size: rec.Size(), Conditions: c.newSchedule(key), Writes: []kv.Write{{Key: key, Value: rec}}}
+	ch := &writebatch.Change{Size: rec.Size(), Conditions: c.newSchedule(key), Writes: []kv.Write{{Key: key, Value: rec}}}
 	ch.OnCommit = func(rev uint64) {
 		c.Log(slog.LevelInfo, "schedule created", "schedule", s.name, "number", rec.Number)
 		made(rec, rev)
@@ -327,7 +328,7 @@
 			fail()
 			return
 		}
-		c.leadership.writes.Add(&change{
+		c.leadership.writes.Add(&writebatch.Change{
 			Conditions: []kv.Condition{{Key: record.ScheduleNumberKey, Rev: rev}}, Writes: []kv.Write{{Key: record.ScheduleNumberKey, Value: &record.ScheduleNumber{Number: from + numberBlock}}},
 			OnCommit: func(rev uint64) {
 				sch.numberRev = rev
@@ -347,7 +348,7 @@
 	s.writing, s.requester = true, &call
 	s.generation++
 	key := record.SchedulePrefix + s.name
-	ch := &change{}
+	ch := &writebatch.Change{}
 	done := func() {
 		c.replicateDrop(key)
 		c.Log(slog.LevelInfo, "schedule removed", "schedule", s.name)
@@ -391,7 +392,7 @@
 		cursor, missed = s.definition.Resumed(cursor, c.TimeOfDay())
 	}
 	s.requester = &call
-	c.writeSchedule(s, priorityUrgent, func(r *schedule.Record) {
+	c.writeSchedule(s, writebatch.Urgent, func(r *schedule.Record) {
 		r.Paused = pause
 		r.Edition++
 		r.Pass(cursor, missed)
--- a/internal/core/schedule_write.go
+++ b/internal/core/schedule_write.go
@@ -8,21 +8,22 @@
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/schedule"
+	"yewpass/internal/writebatch"
 )
 
 // writeSchedule writes a record as apply changes it, with the job of an
 // occurrence if there is one. taken is called when the job's id has a record
 // already.
-func (c *Core) writeSchedule(s *recurringJob, ln writePriority, apply func(r *schedule.Record), job *record.Job, done, taken func()) {
+func (c *Core) writeSchedule(s *recurringJob, ln writebatch.Priority, apply func(r *schedule.Record), job *record.Job, done, taken func()) {
 	s.writing = true
 	s.generation++
-	ch := &change{Priority: ln}
+	ch := &writebatch.Change{Priority: ln}
 	c.prepareWrite(s, ch, apply, job, done, taken)
 	c.leadership.writes.Add(ch)
 }
 
 // prepareWrite fills in a change of a schedule's record.
-func (c *Core) prepareWrite(s *recurringJob, ch *change, apply func(r *schedule.Record), job *record.Job, done, taken func()) {
+func (c *Core) prepareWrite(s *recurringJob, ch *writebatch.Change, apply func(r *schedule.Record), job *record.Job, done, taken func()) {
 	key := record.SchedulePrefix + s.name
 	// Times are fixed here: what is applied to memory is what was written.
 	rec := s.record.Clone()
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -15,6 +15,7 @@
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
 	"yewpass/internal/timerheap"
+	"yewpass/internal/writebatch"
 )
 
 // scheduler are the recurring work that a leader looks after. What a schedule
@@ -254,7 +255,7 @@
 		return
 	}
 	room := c.cfg.Settings.State.TxnOps
-	for _, ch := range c.leadership.writes.Queued[priorityOccurrence] {
+	for _, ch := range c.leadership.writes.Queued[writebatch.Occurrence] {
 		room -= len(ch.Writes)
 	}
 	for room >= 2 && sch.ready.Len() > 0 {
@@ -269,7 +270,7 @@
 // occurrencesWait reports whether some could be made if the allowance let them.
 func (c *Core) occurrencesWait() bool {
 	l := c.leadership
-	return len(l.writes.Queued[priorityOccurrence]) > 0 || l.schedules.ready.Len() > 0 && l.autoscaler.catalogRead
+	return len(l.writes.Queued[writebatch.Occurrence]) > 0 || l.schedules.ready.Len() > 0 && l.autoscaler.catalogRead
 }
 
 // decideOccurrence decides on the next occurrences of a schedule, up to one that becomes a
@@ -327,14 +328,14 @@
 
 // recordMissed has it written that occurrences do not run.
 func (c *Core) recordMissed(s *recurringJob, cursor schedule.Cursor, gone []schedule.Passed) {
-	c.writeSchedule(s, priorityOccurrence, func(r *schedule.Record) { r.Pass(cursor, gone) }, nil, func() { c.reportMissed(s, gone) }, nil)
+	c.writeSchedule(s, writebatch.Occurrence, func(r *schedule.Record) { r.Pass(cursor, gone) }, nil, func() { c.reportMissed(s, gone) }, nil)
 }
 
 // makeJob makes an occurrence a job; past is the cursor behind it.
 func (c *Core) makeJob(s *recurringJob, past schedule.Cursor, o calendar.Occurrence, job *record.Job, gone []schedule.Passed) {
 	id := job.Spec.ID
 	s.notBefore = time.Time{}
-	c.writeSchedule(s, priorityOccurrence, func(r *schedule.Record) {
+	c.writeSchedule(s, writebatch.Occurrence, func(r *schedule.Record) {
 		r.Pass(past, gone)
 		r.LastJob = id
 		r.Add(schedule.Entry{Job: id, Planned: o.Start, Due: o.Due, Made: c.TimeOfDay(), State: schedule.StateMade})
@@ -459,7 +460,7 @@
 	}
 	s.flushing = true
 	c.afterWhileLeading(historyDelay, func() {
-		ch := &change{Priority: priorityBulk, Writes: []kv.Write{{Key: record.SchedulePrefix + s.name}}, Size: s.record.Size()}
+		ch := &writebatch.Change{Priority: writebatch.Bulk, Writes: []kv.Write{{Key: record.SchedulePrefix + s.name}}, Size: s.record.Size()}
 		sent := false
 		ch.Prepare = func() bool {
 			if sent {
