--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/fleet"
 	"yewpass/internal/kv"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/policy"
@@ -443,7 +444,7 @@
 }
 
 // newJob takes on a job whose record has just been committed.
-func (c *Core) newJob(rec *record.Job) *job {
+func (c *Core) newJob(rec *record.Job) *fleet.Job {
 	j := c.addJob(rec, false)
 	if s := c.leadership.schedules.manualRuns[rec.Spec.ID]; s != nil {
 		c.noteManualRun(s, j)
@@ -517,8 +518,8 @@
 	for i := range flavors {
 		f := &flavors[i]
 		switch {
-		case !allowsInstanceType(s, f.Name):
-		case s.Zone != "" && !hasZone(f, s.Zone):
+		case !fleet.AllowsInstanceType(s, f.Name):
+		case s.Zone != "" && !fleet.OfferedIn(f, s.Zone):
 			if field == "flavors" {
 				field = "hall"
 			}
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -5,40 +5,17 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/timeline"
 )
 
 // Attempts of tasks on machines, and what reports make of them.
 
-// attempt is one attempt of a task on a machine: from the order to start it until
-// the worker has forgotten it.
-type attempt struct {
-	ID             heartbeat.TaskID
-	Number         uint64
-	Machine        *machine
-	Job            *job // nil: of no job that we know
-	Need           timeline.Resources
-	Phase          heartbeat.Phase
-	Occupies       bool   // counts against machine, team and job
-	OrderedCounter uint64 // the counter of the report whose reply carried the start
-	OrderedAt      time.Time
-	StartedAt      time.Time // first reported as running
-	FoundRunning   bool      // it ran before that, nobody knows for how long
-	Reservation    *timeline.Booking
-	Forgettable    bool   // exited, and the worker may forget it
-	CountedRunning bool   // among its job's running tasks
-	Orphaned       bool   // of a job whose record cannot be read
-	LastListed     uint64 // number of the last report that listed it
-	StopRequested  bool   // to be stopped
-	DrainTime      time.Duration
-	StopSentAt     time.Time // when the stop first went out
-}
-
 // adoptAttempt makes a task known that a worker lists and we did not start: of an
 // earlier term, or of a job that is over.
-func (c *Core) adoptAttempt(m *machine, t *heartbeat.Task) *attempt {
-	r := &attempt{ID: t.Task, Number: t.Try, Machine: m, Phase: Ordered, OrderedAt: c.Now, OrderedCounter: 0}
+func (c *Core) adoptAttempt(m *fleet.Machine, t *heartbeat.Task) *fleet.Attempt {
+	r := &fleet.Attempt{ID: t.Task, Number: t.Try, Machine: m, Phase: fleet.Ordered, OrderedAt: c.Now, OrderedCounter: 0}
 	m.Attempts = append(m.Attempts, r)
 	j := c.leadership.jobs[t.Task.Job]
 	if j != nil && t.Task.Index >= j.Spec.Tasks {
@@ -74,7 +51,7 @@
 }
 
 // occupy counts a run against its machine, team and job.
-func (c *Core) occupy(r *attempt, j *job) {
+func (c *Core) occupy(r *fleet.Attempt, j *fleet.Job) {
 	i := r.ID.Index
 	r.Job, r.Need, r.Occupies = j, j.Need, true
 	j.Attempts[i] = r
@@ -93,7 +70,7 @@
 }
 
 // vacate is the reverse of occupy: the task is surely not on the machine.
-func (c *Core) vacate(r *attempt) {
+func (c *Core) vacate(r *fleet.Attempt) {
 	if r.Reservation != nil {
 		r.Machine.Timeline.Remove(r.Reservation)
 		r.Reservation = nil
@@ -129,7 +106,7 @@
 }
 
 // countRunning keeps the number of a job's tasks that workers report as running.
-func (c *Core) countRunning(r *attempt, runs bool) {
+func (c *Core) countRunning(r *fleet.Attempt, runs bool) {
 	if r.CountedRunning == runs || r.Job == nil {
 		return
 	}
@@ -144,7 +121,7 @@
 }
 
 // dropAttempt forgets a run that is surely gone and makes its task wait again.
-func (c *Core) dropAttempt(r *attempt) {
+func (c *Core) dropAttempt(r *fleet.Attempt) {
 	m := r.Machine
 	if i := slices.Index(m.Attempts, r); i >= 0 {
 		m.Attempts = slices.Delete(m.Attempts, i, i+1)
@@ -153,7 +130,7 @@
 }
 
 // releaseAttempt is dropAttempt without the machine's list of runs.
-func (c *Core) releaseAttempt(r *attempt) {
+func (c *Core) releaseAttempt(r *fleet.Attempt) {
 	held := r.Occupies
 	c.vacate(r)
 	if held {
@@ -165,12 +142,12 @@
 }
 
 // updateAttempt takes in the state of one task.
-func (c *Core) updateAttempt(r *attempt, t *heartbeat.Task) {
+func (c *Core) updateAttempt(r *fleet.Attempt, t *heartbeat.Task) {
 	if r.Phase == heartbeat.Exited {
 		return
 	}
 	m, j := r.Machine, r.Job
-	if r.Phase == Ordered && r.OrderedCounter > 0 {
+	if r.Phase == fleet.Ordered && r.OrderedCounter > 0 {
 		m.UnlistedStarts = 0
 	}
 	if t.Phase != heartbeat.Exited {
@@ -239,7 +216,7 @@
 }
 
 // extendOverruns moves the end of runs that take longer than booked.
-func (c *Core) extendOverruns(m *machine) {
+func (c *Core) extendOverruns(m *fleet.Machine) {
 	for _, r := range m.Attempts {
 		if r.Reservation != nil && !r.Reservation.End.After(c.Now) {
 			r.Reservation.End = c.Now.Add(max(c.occupancy(r.Job, m)/8, time.Second))
@@ -250,8 +227,8 @@
 
 // recordFailure weighs a failed task: the machine is faulty when jobs fail on it that
 // run elsewhere, the job when it fails wherever it goes.
-func (c *Core) recordFailure(j *job, m *machine) {
-	if len(j.FailedOn) <= maxFailedMachines { // more would not change where it may go
+func (c *Core) recordFailure(j *fleet.Job, m *fleet.Machine) {
+	if len(j.FailedOn) <= fleet.MaxFailedMachines { // more would not change where it may go
 		j.FailedOn[m.Host] = true
 	}
 	j.Failures++
@@ -274,7 +251,3 @@
 		c.dropMachineReservations(m)
 	}
 }
-
-// maxFailedMachines is on how many machines a job's tasks must have failed for it to be
-// tried on them again: then it is the job.
-const maxFailedMachines = 2
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -12,6 +12,7 @@
 	"golang.org/x/time/rate"
 
 	"yewpass/internal/config"
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/provider"
 	"yewpass/internal/quota"
@@ -174,7 +175,7 @@
 
 // release returns a machine. Once the cloud has confirmed it, the machine and
 // all that was on it are gone.
-func (c *Core) release(m *machine) {
+func (c *Core) release(m *fleet.Machine) {
 	if m.Releasing {
 		return
 	}
@@ -252,7 +253,7 @@
 	c.observeZones()
 	// When most machines fall silent at once, it is rather we who are cut off.
 	quiet, reporting := 0, 0
-	overdue := map[*relayLink]int{}
+	overdue := map[*fleet.RelayLink]int{}
 	for _, m := range l.fleet {
 		if m.Reported && !m.Unreachable {
 			reporting++
@@ -292,7 +293,7 @@
 }
 
 // reviewMachine looks after one machine.
-func (c *Core) reviewMachine(m *machine, silent, takeover, idle time.Duration, cutOff bool) {
+func (c *Core) reviewMachine(m *fleet.Machine, silent, takeover, idle time.Duration, cutOff bool) {
 	l := c.leadership
 	if (len(m.Attempts) > 0 || l.unaccounted[m.Host]) && (m.Reported || l.unaccounted[m.Host]) {
 		if at, ok := c.leaseExpiry(m); ok && c.Now.After(at) {
@@ -378,15 +379,15 @@
 }
 
 // isWanted reports whether waiting tasks could use the machine.
-func (c *Core) isWanted(m *machine) bool {
-	return slices.ContainsFunc(c.leadership.queue, func(j *job) bool {
+func (c *Core) isWanted(m *fleet.Machine) bool {
+	return slices.ContainsFunc(c.leadership.queue, func(j *fleet.Job) bool {
 		return m.EligibleFor(j) && c.couldStart(j)
 	})
 }
 
 // drainMachine empties a machine that the cloud takes away or that is condemned: tasks
 // that will not be over in time save and go, the others finish.
-func (c *Core) drainMachine(m *machine) {
+func (c *Core) drainMachine(m *fleet.Machine) {
 	if !m.Quarantined && !m.Draining && m.InterruptionAt.IsZero() {
 		return
 	}
@@ -421,7 +422,7 @@
 }
 
 // remaining is how long a run still takes, as far as we know.
-func (c *Core) remaining(r *attempt) time.Duration {
+func (c *Core) remaining(r *fleet.Attempt) time.Duration {
 	if r.Job.Spec.Service {
 		return timeline.Forever
 	}
@@ -429,7 +430,7 @@
 }
 
 // recordArrival takes note of a new job's work.
-func (c *Core) recordArrival(j *job) {
+func (c *Core) recordArrival(j *fleet.Job) {
 	rent := &c.leadership.autoscaler
 	secs := quota.ArrivalMemory.Seconds()
 	if !j.Spec.Service {
@@ -463,20 +464,12 @@
 	return sum
 }
 
-// PerCPU is what a CPU of the machine costs.
-func (m *machine) PerCPU() float64 {
-	if m.Spot {
-		return m.InstanceType.SpotRate / m.InstanceType.CPUs
-	}
-	return m.InstanceType.OnDemandRate / m.InstanceType.CPUs
-}
-
 // scaleIn empties the machines that are the dearest to keep when what runs
 // on them fits on the others, with some room for what is to be expected.
 func (c *Core) scaleIn() {
 	l := c.leadership
 	used, free, draining := 0.0, 0.0, 0
-	var spare []*machine
+	var spare []*fleet.Machine
 	for _, m := range l.fleet {
 		if m.Draining && !m.Releasing {
 			draining++
@@ -505,8 +498,8 @@
 		return
 	}
 	// The dearest first, among those of about the same price the emptiest.
-	dear := func(m *machine) int { return int(math.Round(50 * math.Log(m.PerCPU()+1e-9))) }
-	slices.SortStableFunc(spare, func(a, b *machine) int {
+	dear := func(m *fleet.Machine) int { return int(math.Round(50 * math.Log(m.PerCPU()+1e-9))) }
+	slices.SortStableFunc(spare, func(a, b *fleet.Machine) int {
 		if x := cmp.Compare(dear(b), dear(a)); x != 0 {
 			return x
 		}
@@ -596,7 +589,7 @@
 	}
 	// A job that no machine at hand can take needs one of its own.
 	for _, j := range l.queue {
-		if j.Reservations[0].Machine != nil || j.Halted() || slices.ContainsFunc(l.fleet, func(m *machine) bool { return m.EligibleFor(j) }) {
+		if j.Reservations[0].Machine != nil || j.Halted() || slices.ContainsFunc(l.fleet, func(m *fleet.Machine) bool { return m.EligibleFor(j) }) {
 			continue
 		}
 		if j.Spec.Zone != "" && !l.zones.Zone(j.Spec.Zone).Rents() {
@@ -666,7 +659,7 @@
 	}
 	for i := range l.autoscaler.instanceTypes {
 		f := &l.autoscaler.instanceTypes[i]
-		if !allowsInstanceType(s, f.Name) || !(s.Need() == timeline.Resources{} || s.Need().Fits(f.Capacity)) || f.CPUs <= 0 {
+		if !fleet.AllowsInstanceType(s, f.Name) || !(s.Need() == timeline.Resources{} || s.Need().Fits(f.Capacity)) || f.CPUs <= 0 {
 			continue
 		}
 		for _, z := range f.Zones {
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/provider"
@@ -33,7 +34,7 @@
 	c := leaderOf(t, 1)
 	l := c.leadership
 	m := l.fleet[0]
-	m.HeldReply, m.FencingToken = &heldReply{heartbeatKey: heartbeatKey{Ref: 9}}, l.term
+	m.HeldReply, m.FencingToken = &fleet.HeldReply{HeartbeatKey: fleet.HeartbeatKey{Ref: 9}}, l.term
 	j := newJob(c, 1, 3, testRand())
 	c.reserve(j)
 	l.attempts = maxAttempts
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 	"time"
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 )
 
@@ -43,7 +44,7 @@
 		return
 	}
 	m := c.ensureMachine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
-	if m.Record == unrecorded {
+	if m.Record == fleet.Unrecorded {
 		m.Address = rep.Address // a machine keeps it
 	}
 	if m.Probed && rep.Incarnation == m.Incarnation && rep.Counter <= m.Counter && c.hasAuthority() {
@@ -77,18 +78,18 @@
 		c.reconcile(m, rep)
 	}
 	l.setReportsVia(m, in.Relay.From)
-	if m.Record == unrecorded && c.hasAuthority() && m.Usable() {
+	if m.Record == fleet.Unrecorded && c.hasAuthority() && m.Usable() {
 		c.recordNewMachine(m)
 	}
 	if to := c.redirectTarget(m, in.Relay.From, first); to != "" {
 		c.replyHeartbeat(in.Relay, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
 		return
 	}
-	m.HeldReply = &heldReply{heartbeatKey: heartbeatKey{in.Relay, in.Ref}, Since: c.Now}
+	m.HeldReply = &fleet.HeldReply{HeartbeatKey: fleet.HeartbeatKey{Link: in.Relay, Ref: in.Ref}, Since: c.Now}
 	if in.Relay.From == "" {
 		m.HeldReply.Report = *rep
 	}
-	l.heldReplies[m.HeldReply.heartbeatKey] = m
+	l.heldReplies[m.HeldReply.HeartbeatKey] = m
 	c.reply(m, false)
 }
 
@@ -126,7 +127,7 @@
 }
 
 // reconcile takes in what a report says.
-func (c *Core) reconcile(m *machine, rep *heartbeat.Report) {
+func (c *Core) reconcile(m *fleet.Machine, rep *heartbeat.Report) {
 	l := c.leadership
 	if !m.Reported {
 		c.Log(slog.LevelDebug, "machine reports", "machine", m.Host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
@@ -164,11 +165,11 @@
 	// listed now was never executed, and never will be: the worker takes
 	// replies in turn and drops late ones.
 	lost := false
-	m.Attempts = slices.DeleteFunc(m.Attempts, func(r *attempt) bool {
+	m.Attempts = slices.DeleteFunc(m.Attempts, func(r *fleet.Attempt) bool {
 		if r.LastListed == l.heartbeatCount || rep.Counter <= r.OrderedCounter {
 			return false
 		}
-		lost = lost || r.Phase == Ordered && r.OrderedCounter > 0
+		lost = lost || r.Phase == fleet.Ordered && r.OrderedCounter > 0
 		c.releaseAttempt(r)
 		return true
 	})
@@ -206,7 +207,7 @@
 // lastHeard is when the machine was last heard in a way that shows more than that it can speak.
 // One that was answered long ago and whose reports still show no word of ours does not hear:
 // everything that was accepted earlier would wait for it for as long as that lasts.
-func (c *Core) lastHeard(m *machine) time.Time {
+func (c *Core) lastHeard(m *fleet.Machine) time.Time {
 	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.heardAgainWithin() {
 		return m.UnacknowledgedSince
 	}
@@ -215,7 +216,7 @@
 
 func (c *Core) dropHeartbeat(ref uint64) {
 	if c.leadership != nil {
-		c.abandonHeldReply(heartbeatKey{Ref: ref})
+		c.abandonHeldReply(fleet.HeartbeatKey{Ref: ref})
 	} else if p := c.relay.waiting[ref]; p != nil {
 		c.dropRelayed(p)
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -9,70 +9,24 @@
 	"time"
 
 	"yewpass/internal/bitset"
-	"yewpass/internal/estimate"
+	"yewpass/internal/fleet"
 	"yewpass/internal/kv"
 	"yewpass/internal/quota"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
 	"yewpass/internal/spec"
-	"yewpass/internal/timeline"
 	"yewpass/internal/topology"
 	"yewpass/internal/writebatch"
 )
 
-// job is an accepted job that is not over.
-type job struct {
-	Spec            spec.Job
-	Need            timeline.Resources
-	Submitted       time.Time // on the core's clock
-	Record          *record.Job
-	FromEarlierTerm bool         // accepted in an earlier term: its tasks may be anywhere
-	Placement       topology.Job // its rules on places
-	Team            *quota.Account
-	StartsAtOnce    bool // must start at once
-
-	Done      bitset.Set       // completed
-	Pending   bitset.Set       // neither done nor on a machine
-	Waiting   int              // members of pending
-	Remaining int              // tasks not done
-	Attempts  map[int]*attempt // tasks on machines, or that may be
-
-	Reserved       int // members of pending that have a place in the queue
-	ChunkRevisions map[int]uint64
-	DirtyChunks    map[int]bool // chunks with news not yet on their way
-
-	Cancelling    bool               // a cancellation has been begun
-	Cancelled     bool               // and has been committed
-	Finishing     bool               // the final record is on its way
-	EndingChange  *writebatch.Change // whichever of the two is on its way
-	CancelWaiters []request.Request  // who waits for it
-
-	FailedOn           map[string]bool  // machines on which its tasks failed
-	Failures           int              // since a task last completed
-	RetryAt            time.Time        // not before this, after failures
-	AnyCompleted       bool             // a task has completed
-	MissedUntil        time.Time        // aims up to this are out of reach
-	Runtime            estimate.Average // seconds that its tasks took
-	Reservations       []*reservation   // places in the queue, in order
-	QueueTime          time.Time        // of the first, while queued
-	Queued             bool
-	ReservationPending bool       // to be booked soon
-	LastRereserved     time.Time  // when its bookings were last looked at again
-	ImageLocalUntil    time.Time  // until then it starts only where its image is
-	Running            int        // tasks that workers report as running or saving
-	Completed          []*attempt // completed, and not known to be on record
-	HasRun             bool       // a task of it has run, or is done
-	StartNoted         bool       // and has been noted to have started
-}
-
 // addJob takes a job into memory.
-func (c *Core) addJob(rec *record.Job, earlier bool) *job {
+func (c *Core) addJob(rec *record.Job, earlier bool) *fleet.Job {
 	s := rec.Spec
-	j := &job{
+	j := &fleet.Job{
 		Spec: s, Need: s.Need(), Record: rec, FromEarlierTerm: earlier, Cancelled: rec.Cancelled,
 		Submitted: c.Now.Add(rec.Submitted.Sub(c.Now.Round(0))),
 		Done:      bitset.New(s.Tasks), Pending: bitset.New(s.Tasks), Remaining: s.Tasks,
-		Attempts: map[int]*attempt{}, ChunkRevisions: map[int]uint64{}, DirtyChunks: map[int]bool{}, FailedOn: map[string]bool{},
+		Attempts: map[int]*fleet.Attempt{}, ChunkRevisions: map[int]uint64{}, DirtyChunks: map[int]bool{}, FailedOn: map[string]bool{},
 		Team: c.leadership.teams[s.Owner], StartsAtOnce: c.mustStartAtOnce(s.Class),
 	}
 	j.Placement = topology.Job{Key: s.ID, Tasks: s.Tasks}
@@ -92,7 +46,7 @@
 }
 
 // queueJob makes a job's tasks wait for machines, once its progress is known.
-func (c *Core) queueJob(j *job) {
+func (c *Core) queueJob(j *fleet.Job) {
 	for i := range j.Spec.Tasks {
 		if j.Done.Has(i) {
 			j.Remaining--
@@ -113,22 +67,8 @@
 	c.reserveSoon(j)
 }
 
-// Halted reports whether no task of the job may start any more.
-func (j *job) Halted() bool { return j.Cancelled || j.Cancelling || j.Finishing }
-
-func (j *job) View() request.JobStatus {
-	v := request.JobStatus{ID: j.Spec.ID, State: spec.Queued, Done: j.Spec.Tasks - j.Remaining, Running: j.Running}
-	switch {
-	case j.Cancelled:
-		v.State = spec.Cancelled
-	case v.Running > 0:
-		v.State = spec.Running
-	}
-	return v
-}
-
 // completeTask marks a task complete. It is not written yet: progress goes in bulk.
-func (c *Core) completeTask(j *job, i int) {
+func (c *Core) completeTask(j *fleet.Job, i int) {
 	if i >= j.Spec.Tasks || j.Spec.Service {
 		return
 	}
@@ -157,7 +97,7 @@
 // recordProgressSoon has the progress around task i written. One change a chunk waits at
 // a time and is filled in when it goes: however slow the writes, the news of
 // many seconds go in one. The final record makes most of them needless.
-func (c *Core) recordProgressSoon(j *job, i int) {
+func (c *Core) recordProgressSoon(j *fleet.Job, i int) {
 	chunk := i / bitset.ChunkSize
 	if j.DirtyChunks[chunk] {
 		return
@@ -167,7 +107,7 @@
 }
 
 // requeue makes a task wait again.
-func (c *Core) requeue(j *job, i int) {
+func (c *Core) requeue(j *fleet.Job, i int) {
 	if j.Halted() || i >= j.Spec.Tasks || j.Done.Has(i) || j.Pending.Has(i) || j.Attempts[i] != nil {
 		return
 	}
@@ -190,7 +130,7 @@
 }
 
 // recordProgress writes the progress of one chunk of a job.
-func (c *Core) recordProgress(j *job, chunk int) {
+func (c *Core) recordProgress(j *fleet.Job, chunk int) {
 	key := chunkKey(j.Spec.ID, chunk)
 	var had bitset.Set
 	ch := &writebatch.Change{
@@ -225,8 +165,8 @@
 
 // progressRecorded lets workers forget the tasks that the state service now knows
 // to be done. Until then their reports repeat it to any successor.
-func (c *Core) progressRecorded(j *job, chunk int, saved bitset.Set) {
-	j.Completed = slices.DeleteFunc(j.Completed, func(r *attempt) bool {
+func (c *Core) progressRecorded(j *fleet.Job, chunk int, saved bitset.Set) {
+	j.Completed = slices.DeleteFunc(j.Completed, func(r *fleet.Attempt) bool {
 		if r.ID.Index/bitset.ChunkSize == chunk && saved.Has(r.ID.Index%bitset.ChunkSize) {
 			r.Forgettable = true
 		}
@@ -237,7 +177,7 @@
 // finishIfOver writes the final record of a job that is over. A cancelled job
 // stays on record until none of its tasks can be on any machine, because its
 // tasks still count for its team.
-func (c *Core) finishIfOver(j *job) {
+func (c *Core) finishIfOver(j *fleet.Job) {
 	l := c.leadership
 	if j.Finishing || j.Cancelling {
 		return
@@ -277,7 +217,7 @@
 }
 
 // jobFinished follows the commit of a final record.
-func (c *Core) jobFinished(j *job, f record.Final) {
+func (c *Core) jobFinished(j *fleet.Job, f record.Final) {
 	l := c.leadership
 	c.finals.Add(j.Spec.ID, f)
 	c.replicateDrop(record.JobPrefix + j.Spec.ID) // however we have learned that it is over
@@ -302,7 +242,7 @@
 }
 
 // answerCancelWaiters answers everybody who waits for the end of a job to be recorded.
-func (c *Core) answerCancelWaiters(j *job, a request.Response) {
+func (c *Core) answerCancelWaiters(j *fleet.Job, a request.Response) {
 	for _, call := range j.CancelWaiters {
 		c.answer(call, a)
 	}
@@ -310,7 +250,7 @@
 }
 
 // cancelJob records a cancellation and answers once it is committed.
-func (c *Core) cancelJob(j *job, call request.Request) {
+func (c *Core) cancelJob(j *fleet.Job, call request.Request) {
 	if j.Cancelled {
 		c.answer(call, request.Response{Status: 200, View: j.View()})
 		return
@@ -332,7 +272,7 @@
 // recordCancelled writes a cancellation, not before a time unless nothing of the job can be
 // on any machine: where the settings leave no room a lease may last longer than tasks of a
 // cancelled job may.
-func (c *Core) recordCancelled(j *job, from time.Time) {
+func (c *Core) recordCancelled(j *fleet.Job, from time.Time) {
 	if from.After(c.Now) && (len(j.Attempts) > 0 || j.FromEarlierTerm && !c.leadership.allAccounted()) {
 		for _, call := range j.CancelWaiters { // once for each: who asks again is told again
 			no := unavailable("the tasks are being stopped")
@@ -376,7 +316,7 @@
 
 // waitForEnding has a question about a job wait if its end may be on record without our knowing.
 // Whoever reads the record may have told the user, who must hear nothing older from us.
-func (c *Core) waitForEnding(j *job, call request.Request) bool {
+func (c *Core) waitForEnding(j *fleet.Job, call request.Request) bool {
 	if j.EndingChange == nil || !j.EndingChange.Sent {
 		return false
 	}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -6,6 +6,7 @@
 	"yewpass/internal/config"
 	"yewpass/internal/estimate"
 	"yewpass/internal/expiringset"
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/quota"
 	"yewpass/internal/relay"
@@ -76,45 +77,45 @@
 	noEarlierTerm            bool                 // no term was on record before ours
 	newerTokens              map[string]uint64    // epochs above our term that workers have seen, by machine
 	earlierLeaderLag         time.Duration        // for so long into our term an earlier leader may have led
-	probeQueue               []*machine           // see probeUnaccounted
+	probeQueue               []*fleet.Machine     // see probeUnaccounted
 	probesInFlight           int                  // probes on their way
 }
 
 // workload is the jobs, their teams and their places in the queue.
 type workload struct {
-	jobs                map[string]*job
+	jobs                map[string]*fleet.Job
 	accept              map[string]*admission
 	teams               map[string]*quota.Account
 	guarantees          bool // some team has one
-	queue               jobQueue
-	overdue             []*job // of which nothing has run for too long
+	queue               fleet.Queue
+	overdue             []*fleet.Job // of which nothing has run for too long
 	runtimes            estimate.Runtimes
-	unscheduled         []*job           // see reserveSoon
+	unscheduled         []*fleet.Job     // see reserveSoon
 	schedulingContinues bool             // there are more of them than go in one step
 	offerBuffer         []placementOffer // scratch space
 }
 
 // inventory is the machines, the records that name them, and by which controllers they report.
 type inventory struct {
-	machines       map[string]*machine
-	fleet          []*machine                // the same, by name
-	released       expiringset.Set           // released, proven gone: their late reports count for nothing
-	recordCount    uint64                    // records of machines begun in this term
-	records        []*machineRecord          // the records of the machines
-	relays         map[string]*relayLink     // "" for our own socket
-	nodes          []relay.Node              // scratch space
-	knownReporters map[string]*relayedWorker // workers that reported to us before
-	nextMoveAt     time.Time                 // not before this is a worker led to another node
-	heartbeatCount uint64                    // reports taken in
+	machines       map[string]*fleet.Machine
+	fleet          []*fleet.Machine            // the same, by name
+	released       expiringset.Set             // released, proven gone: their late reports count for nothing
+	recordCount    uint64                      // records of machines begun in this term
+	records        []*fleet.Record             // the records of the machines
+	relays         map[string]*fleet.RelayLink // "" for our own socket
+	nodes          []relay.Node                // scratch space
+	knownReporters map[string]*relayedWorker   // workers that reported to us before
+	nextMoveAt     time.Time                   // not before this is a worker led to another node
+	heartbeatCount uint64                      // reports taken in
 }
 
 // dispatching is the replies that are held, and when they are looked at again.
 type dispatching struct {
-	heldReplies       map[heartbeatKey]*machine // whose replies are held
-	pendingDispatch   []*machine                // see poke
-	dispatchAll       bool                      // machines whose replies are held may have something to start
-	nextDispatch      time.Time                 // not before this again
-	dispatchScheduled bool                      // and then it is seen to
+	heldReplies       map[fleet.HeartbeatKey]*fleet.Machine // whose replies are held
+	pendingDispatch   []*fleet.Machine                      // see poke
+	dispatchAll       bool                                  // machines whose replies are held may have something to start
+	nextDispatch      time.Time                             // not before this again
+	dispatchScheduled bool                                  // and then it is seen to
 }
 
 // replication is the copies of the records at the other controllers, and what is learned
@@ -131,9 +132,9 @@
 	return &leadership{
 		authority:   authority{acknowledged: map[string]bool{}},
 		failover:    failover{unaccounted: map[string]bool{}, unreadableJobs: map[string]bool{}, unreadableMachineRecords: map[string]uint64{}, newerTokens: map[string]uint64{}},
-		workload:    workload{jobs: map[string]*job{}, accept: map[string]*admission{}, teams: map[string]*quota.Account{}, runtimes: estimate.NewRuntimes()},
-		inventory:   inventory{released: expiringset.New(now), machines: map[string]*machine{}, relays: map[string]*relayLink{}},
-		dispatching: dispatching{heldReplies: map[heartbeatKey]*machine{}},
+		workload:    workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: map[string]*quota.Account{}, runtimes: estimate.NewRuntimes()},
+		inventory:   inventory{released: expiringset.New(now), machines: map[string]*fleet.Machine{}, relays: map[string]*fleet.RelayLink{}},
+		dispatching: dispatching{heldReplies: map[fleet.HeartbeatKey]*fleet.Machine{}},
 		replication: replication{followers: map[string]*replica.Sender{}},
 		writes:      writebatch.New(cfg.Settings.State),
 		autoscaler:  newAutoscaler(cfg),
--- a/internal/core/machine_records.go
+++ b/internal/core/machine_records.go
@@ -6,64 +6,41 @@
 	"maps"
 	"slices"
 	"time"
+	"yewpass/internal/fleet"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/writebatch"
 )
 
-// machineRecord is a record that names machines which may hold tasks. Only once it is
-// committed do tasks start on a machine, so a successor that reads the records
-// knows where to look. Machines come up by the dozen on a large fleet and leave
-// the same way; together they cost a write or two.
-type machineRecord struct {
-	Key         string
-	Revision    uint64 // of the record
-	Machines    []*machine
-	Size        int                 // bytes, estimated
-	WriteQueued bool                // a change of it waits
-	Priority    writebatch.Priority // how pressing
-	WrittenAt   time.Time
-}
-
 // machineRecordInterval is how often a record of machines is written at the most.
 const machineRecordInterval = 250 * time.Millisecond
 
-// Recorded is how a record names the machine.
-func (m *machine) Recorded() record.Machine {
-	return record.Machine{Host: m.Host, Address: m.Address, InstanceType: m.TypeName, Zone: m.Zone, Spot: m.Spot}
-}
-
-func recordedSize(m *machine) int {
-	r := m.Recorded()
-	return r.Size()
-}
-
 // recordNewMachine has it written that the machine may hold tasks.
-func (c *Core) recordNewMachine(m *machine) {
+func (c *Core) recordNewMachine(m *fleet.Machine) {
 	l := c.leadership
 	limit := int(c.cfg.Settings.State.ValueKB * 1024 * 3 / 4)
-	i := slices.IndexFunc(l.records, func(g *machineRecord) bool { return g.Size+recordedSize(m) <= limit })
+	i := slices.IndexFunc(l.records, func(g *fleet.Record) bool { return g.Size+fleet.RecordedSize(m) <= limit })
 	if i < 0 {
 		l.recordCount++
-		l.records = append(l.records, &machineRecord{Key: fmt.Sprintf("%s%d-%d", record.MachinePrefix, l.term, l.recordCount)})
+		l.records = append(l.records, &fleet.Record{Key: fmt.Sprintf("%s%d-%d", record.MachinePrefix, l.term, l.recordCount)})
 		i = len(l.records) - 1
 	}
 	g := l.records[i]
-	m.Record, m.RecordedIn = recording, g
+	m.Record, m.RecordedIn = fleet.Recording, g
 	g.Machines = append(g.Machines, m)
-	g.Size += recordedSize(m)
+	g.Size += fleet.RecordedSize(m)
 	c.writeMachineRecord(g, writebatch.Urgent)
 }
 
 // removeFromRecord takes a machine that is gone out of its record.
-func (c *Core) removeFromRecord(m *machine) {
+func (c *Core) removeFromRecord(m *fleet.Machine) {
 	g := m.RecordedIn
 	if g == nil {
 		return
 	}
-	m.Record, m.RecordedIn = unrecorded, nil
-	g.Machines = slices.DeleteFunc(g.Machines, func(x *machine) bool { return x == m })
-	g.Size -= recordedSize(m)
+	m.Record, m.RecordedIn = fleet.Unrecorded, nil
+	g.Machines = slices.DeleteFunc(g.Machines, func(x *fleet.Machine) bool { return x == m })
+	g.Size -= fleet.RecordedSize(m)
 	c.writeMachineRecord(g, writebatch.Bulk)
 }
 
@@ -73,13 +50,13 @@
 // is sent again and may be applied late all the same, under this very leader and
 // after newer ones: it must not bring back a list that lacks machines, which a
 // successor would take for empty.
-func (c *Core) writeMachineRecord(g *machineRecord, ln writebatch.Priority) {
+func (c *Core) writeMachineRecord(g *fleet.Record, ln writebatch.Priority) {
 	if g.WriteQueued && ln >= g.Priority {
 		return
 	}
 	g.WriteQueued, g.Priority = true, ln
 	c.afterWhileLeading(max(0, g.WrittenAt.Add(machineRecordInterval).Sub(c.Now)), func() {
-		var news []*machine
+		var news []*fleet.Machine
 		sent := false
 		ch := &writebatch.Change{Priority: ln, Writes: []kv.Write{{Key: g.Key}}, Size: int(c.cfg.Settings.State.ValueKB * 1024)}
 		ch.Prepare = func() bool {
@@ -94,7 +71,7 @@
 			rec := &record.Machines{}
 			for _, m := range g.Machines {
 				rec.Machines = append(rec.Machines, m.Recorded())
-				if m.Record == recording {
+				if m.Record == fleet.Recording {
 					news = append(news, m)
 				}
 			}
@@ -119,8 +96,8 @@
 				g.Revision = 0
 			}
 			for _, m := range news {
-				if m.Record == recording && m.RecordedIn == g {
-					m.Record = recorded
+				if m.Record == fleet.Recording && m.RecordedIn == g {
+					m.Record = fleet.Recorded
 					c.requestDispatch(m)
 				}
 			}
@@ -132,16 +109,16 @@
 // loadMachineRecord takes in a record of an earlier term.
 func (c *Core) loadMachineRecord(key string, rec *record.Machines, rev uint64) {
 	l := c.leadership
-	g := &machineRecord{Key: key, Revision: rev}
+	g := &fleet.Record{Key: key, Revision: rev}
 	for _, r := range rec.Machines {
 		m := c.ensureMachine(r.Host, r.InstanceType, r.Zone, r.Spot)
 		if m.RecordedIn != nil {
 			continue
 		}
 		l.unaccounted[r.Host] = true
-		m.Record, m.RecordedIn, m.Address = recorded, g, r.Address
+		m.Record, m.RecordedIn, m.Address = fleet.Recorded, g, r.Address
 		g.Machines = append(g.Machines, m)
-		g.Size += recordedSize(m)
+		g.Size += fleet.RecordedSize(m)
 	}
 	l.records = append(l.records, g)
 }
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
@@ -148,7 +149,7 @@
 	l := d.c.leadership
 	j := d.c.addJob(&record.Job{Spec: *plainJob("wk-1", 1), Submitted: t0}, true)
 	d.c.queueJob(j)
-	at := func(host string, try uint64) *attempt {
+	at := func(host string, try uint64) *fleet.Attempt {
 		m := d.c.ensureMachine(host, "f2", "a", true)
 		d.c.reconcile(m, &heartbeat.Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []heartbeat.Task{{Task: heartbeat.TaskID{Job: "wk-1"}, Try: try, Phase: heartbeat.TaskRuns}}})
 		return m.Attempts[0]
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -8,102 +8,30 @@
 
 	"yewpass/internal/config"
 	"yewpass/internal/estimate"
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
-	"yewpass/internal/provider"
 	"yewpass/internal/quota"
 	"yewpass/internal/record"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
 
-// reservation reserves room for waiting tasks of one job on one machine's timeline.
-// Without a machine it only keeps their place in the queue.
-type reservation struct {
-	timeline.Booking
-	Job          *job
-	Machine      *machine
-	Yield        time.Duration // by how much it stands back in the queue
-	YieldPerTask time.Duration // by how much less for every task of the job that starts
-}
-
 // lateQueueYield is by how much a booking that misses its deadline anyway stands
 // back in the queue; beyond that it takes its turn, so that it never starves.
 const lateQueueYield = 90 * time.Second
 
-// QueueTime is the booking's place in the queue.
-func (b *reservation) QueueTime() time.Time { return b.Start.Add(b.Yield) }
-
-// jobQueue is the jobs that have bookings, each at the turn of its first one,
-// then by submission. Going through it while every job moves on to its next
-// booking as it is served is going through all bookings in timeline order, at
-// the cost of the jobs alone.
-type jobQueue []*job
-
-func (j *job) Before(o *job) bool {
-	if x := j.QueueTime.Compare(o.QueueTime); x != 0 {
-		return x < 0
-	}
-	if !j.Submitted.Equal(o.Submitted) {
-		return j.Submitted.Before(o.Submitted)
-	}
-	return j.Spec.ID < o.Spec.ID
-}
-
-// reposition puts the job where its first booking stands, or takes it out when it
-// has none.
-func (q *jobQueue) reposition(j *job) {
-	if j.Queued {
-		if len(j.Reservations) > 0 && j.Reservations[0].QueueTime().Equal(j.QueueTime) {
-			return
-		}
-		i := sort.Search(len(*q), func(i int) bool { return !(*q)[i].Before(j) })
-		*q = slices.Delete(*q, i, i+1)
-		j.Queued = false
-	}
-	if len(j.Reservations) == 0 {
-		return
-	}
-	j.QueueTime, j.Queued = j.Reservations[0].QueueTime(), true
-	i := sort.Search(len(*q), func(i int) bool { return j.Before((*q)[i]) })
-	*q = slices.Insert(*q, i, j)
-}
-
 // reservationWindow bounds how many waiting tasks of a job are booked at a time, so that
 // an array of 100,000 tasks costs no more than a large one.
 const reservationWindow = 256
 
-func allowsInstanceType(s *spec.Job, name string) bool {
-	return len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, name)
-}
-
-func hasZone(f *provider.InstanceType, zone string) bool { return slices.Contains(f.Zones, zone) }
-
-// EligibleFor reports whether the job's tasks may run on the machine at all.
-func (m *machine) EligibleFor(j *job) bool {
-	s := &j.Spec
-	return m.Usable() && (!m.Spot || s.AllowSpot) && allowsInstanceType(s, m.TypeName) &&
-		(s.Zone == "" || s.Zone == m.Zone) && j.Need.Fits(m.Timeline.Capacity()) &&
-		(len(j.FailedOn) == 0 || !j.FailedOn[m.Host] || len(j.FailedOn) > maxFailedMachines)
-}
-
 // paddedEstimate is how long a task of the job is booked for, without its image.
-func (c *Core) paddedEstimate(j *job) time.Duration {
+func (c *Core) paddedEstimate(j *fleet.Job) time.Duration {
 	return timeline.Seconds(c.estimate(j).Seconds() * (1 + c.leadership.margin))
 }
 
 // occupancy is how long a booking of a task on the machine lasts.
-func (c *Core) occupancy(j *job, m *machine) time.Duration {
-	return occupancyOn(j, m, c.paddedEstimate(j))
-}
-
-func occupancyOn(j *job, m *machine, base time.Duration) time.Duration {
-	if j.Spec.Service {
-		return timeline.Forever
-	}
-	if !m.Images.Contains(j.Spec.Image) {
-		base += estimate.ImageFetch(&j.Spec, m.InstanceType)
-	}
-	return base
+func (c *Core) occupancy(j *fleet.Job, m *fleet.Machine) time.Duration {
+	return fleet.Occupancy(j, m, c.paddedEstimate(j))
 }
 
 // objective is something that a job's tasks should be in time for.
@@ -116,12 +44,12 @@
 // over: by the user's deadline and by the operators' objectives, whichever is
 // the most pressing that can still be reached. An objective on waiting counts
 // as a deadline one run time later. False: nothing is left to be reached.
-func (c *Core) nextObjective(j *job, length time.Duration) (best objective, ok bool) {
+func (c *Core) nextObjective(j *fleet.Job, length time.Duration) (best objective, ok bool) {
 	return c.nextObjectiveFrom(j, c.Now, j.MissedUntil, length)
 }
 
 // nextObjectiveFrom is aim at the time from, for aims after missed.
-func (c *Core) nextObjectiveFrom(j *job, from, missed time.Time, length time.Duration) (best objective, ok bool) {
+func (c *Core) nextObjectiveFrom(j *fleet.Job, from, missed time.Time, length time.Duration) (best objective, ok bool) {
 	earliest := from.Add(length)
 	c.forEachObjective(j, length, func(a objective) {
 		if !a.deadline.Before(earliest) && a.deadline.After(missed) && (!ok || a.deadline.Before(best.deadline)) {
@@ -138,7 +66,7 @@
 const earlyObjectivePercent = 60
 
 // forEachObjective calls f with every aim of the job, whose tasks run for about length.
-func (c *Core) forEachObjective(j *job, length time.Duration, f func(objective)) {
+func (c *Core) forEachObjective(j *fleet.Job, length time.Duration, f func(objective)) {
 	if j.Spec.Service {
 		return
 	}
@@ -209,7 +137,7 @@
 }
 
 // earliestStart is when tasks can start on the machine at the earliest.
-func (c *Core) earliestStart(m *machine) time.Time {
+func (c *Core) earliestStart(m *fleet.Machine) time.Time {
 	if !m.Reported && m.ReadyAt.After(c.Now) {
 		return m.ReadyAt
 	}
@@ -218,7 +146,7 @@
 
 // slot offers the latest start on the machine that meets the deadline, or the
 // earliest fit for a job that has none to meet.
-func (c *Core) slot(j *job, m *machine, length time.Duration, by time.Time, dated bool) (time.Time, bool) {
+func (c *Core) slot(j *fleet.Job, m *fleet.Machine, length time.Duration, by time.Time, dated bool) (time.Time, bool) {
 	from := c.earliestStart(m)
 	if dated {
 		return m.Timeline.Latest(from, by, length, j.Need)
@@ -228,7 +156,7 @@
 
 // placementOffer is the slot that a machine offers for a task of a job.
 type placementOffer struct {
-	machine    *machine
+	machine    *fleet.Machine
 	start      time.Time
 	length     time.Duration
 	fleetIndex int // the machine's place in the fleet
@@ -272,7 +200,7 @@
 
 // offers asks every machine once. Booking a task changes the offer of its own
 // machine only, so the rest of an array costs no further search.
-func (c *Core) offers(j *job, base time.Duration, by time.Time, dated bool) (s *placementOffers, anyMachine bool) {
+func (c *Core) offers(j *fleet.Job, base time.Duration, by time.Time, dated bool) (s *placementOffers, anyMachine bool) {
 	l := c.leadership
 	s = &placementOffers{list: l.offerBuffer[:0], dated: dated}
 	for i, m := range l.fleet {
@@ -280,7 +208,7 @@
 			continue
 		}
 		anyMachine = true
-		d := occupancyOn(j, m, base)
+		d := fleet.Occupancy(j, m, base)
 		if at, ok := c.slot(j, m, d, by, dated); ok {
 			s.list = append(s.list, placementOffer{m, at, d, i})
 		}
@@ -295,13 +223,13 @@
 // now. When an aim that takes all tasks is out of reach for one of them, the
 // others give their slots back and the next aim is tried; a job with none left
 // takes the earliest fit.
-func (c *Core) reserve(j *job) {
+func (c *Core) reserve(j *fleet.Job) {
 	l := c.leadership
 	n := min(j.Waiting, reservationWindow) - j.Reserved
 	if j.Halted() || n <= 0 {
 		return
 	}
-	defer l.queue.reposition(j)
+	defer l.queue.Reposition(j)
 	base := c.paddedEstimate(j)
 	a, dated := c.nextObjective(j, base)
 	offers, anyMachine := c.offers(j, base, a.deadline, dated)
@@ -324,7 +252,7 @@
 		if !dated && (c.yieldsWhenLate(j, o.length) || c.hasNoObjective(j)) {
 			back, each = c.queueYield(j, o.start)
 		}
-		c.addReservation(&reservation{timeline.Booking{Start: o.start, End: o.start.Add(o.length), Need: j.Need, Count: k}, j, o.machine, back, each})
+		c.addReservation(&fleet.Reservation{Booking: timeline.Booking{Start: o.start, End: o.start.Add(o.length), Need: j.Need, Count: k}, Job: j, Machine: o.machine, Yield: back, YieldPerTask: each})
 		if at, ok := c.slot(j, o.machine, o.length, a.deadline, dated); ok {
 			o.start = at
 			heap.Fix(offers, 0)
@@ -338,14 +266,14 @@
 		if dated {
 			at = a.deadline.Add(-base)
 		}
-		c.addReservation(&reservation{timeline.Booking{Start: at, End: at.Add(max(base, time.Second)), Need: j.Need, Count: n}, j, nil, 0, 0})
+		c.addReservation(&fleet.Reservation{Booking: timeline.Booking{Start: at, End: at.Add(max(base, time.Second)), Need: j.Need, Count: n}, Job: j, Machine: nil, Yield: 0, YieldPerTask: 0})
 	}
 }
 
 // yieldsWhenLate reports whether a task that takes so long and has no aim left stands
 // back. What was never going to be in time does not: its tasks are long, and
 // begun late they would keep machines up when all else is over.
-func (c *Core) yieldsWhenLate(j *job, length time.Duration) bool {
+func (c *Core) yieldsWhenLate(j *fleet.Job, length time.Duration) bool {
 	_, ok := c.nextObjectiveFrom(j, j.Submitted, j.Submitted.Add(length*11/10), length)
 	return ok
 }
@@ -364,7 +292,7 @@
 // need the least: most of them are then served, and what is begun is finished before more
 // is. Each going on a little, hardly any would end. Whatever has an aim to meet goes
 // before them all, and a job's turn comes nearer as it waits, so that none starves.
-func (c *Core) queueYield(j *job, start time.Time) (back, each time.Duration) {
+func (c *Core) queueYield(j *fleet.Job, start time.Time) (back, each time.Duration) {
 	rent := &c.leadership.autoscaler
 	if rent.backlog < scarceBacklog || rent.cpus <= 0 {
 		return lateQueueYield, 0
@@ -374,7 +302,7 @@
 }
 
 // advanceInQueue moves a job of which n more tasks have begun up in the queue, if it stands back by its length.
-func (c *Core) advanceInQueue(j *job, n int) {
+func (c *Core) advanceInQueue(j *fleet.Job, n int) {
 	moved := false
 	for _, b := range j.Reservations {
 		if b.YieldPerTask > 0 {
@@ -383,7 +311,7 @@
 		}
 	}
 	if moved {
-		c.leadership.queue.reposition(j)
+		c.leadership.queue.Reposition(j)
 	}
 }
 
@@ -391,7 +319,7 @@
 // objective of the operators. It stands back like one that is late. Otherwise it would
 // go ahead of all that has missed an aim, and a guest's spare-time work would take the
 // room of the standing classes.
-func (c *Core) hasNoObjective(j *job) bool {
+func (c *Core) hasNoObjective(j *fleet.Job) bool {
 	if j.Spec.Urgency != spec.Idle || j.Spec.Service {
 		return false
 	}
@@ -402,7 +330,7 @@
 
 // addReservation adds a booking, in the order of the job's others; the job's place
 // in the queue is for the caller to see to.
-func (c *Core) addReservation(b *reservation) {
+func (c *Core) addReservation(b *fleet.Reservation) {
 	j := b.Job
 	i := sort.Search(len(j.Reservations), func(i int) bool { return b.QueueTime().Before(j.Reservations[i].QueueTime()) })
 	j.Reservations = slices.Insert(j.Reservations, i, b)
@@ -415,7 +343,7 @@
 
 // reserveSoon has the job's waiting tasks booked once the input at hand has been
 // taken in: a lost machine returns many tasks of a job at once.
-func (c *Core) reserveSoon(j *job) {
+func (c *Core) reserveSoon(j *fleet.Job) {
 	if !j.ReservationPending {
 		j.ReservationPending = true
 		c.leadership.unscheduled = append(c.leadership.unscheduled, j)
@@ -456,7 +384,7 @@
 const maxVisitsPerStep = 1 << 14
 
 // dropReservation takes a booking away whole.
-func (c *Core) dropReservation(b *reservation) {
+func (c *Core) dropReservation(b *fleet.Reservation) {
 	j := b.Job
 	j.Reserved -= b.Count
 	if i := slices.Index(j.Reservations, b); i >= 0 {
@@ -469,11 +397,11 @@
 		}
 	}
 	b.Count = 0
-	c.leadership.queue.reposition(j)
+	c.leadership.queue.Reposition(j)
 }
 
 // consumeReservation takes one task off a booking.
-func (c *Core) consumeReservation(b *reservation) {
+func (c *Core) consumeReservation(b *fleet.Reservation) {
 	if b.Count == 1 {
 		c.dropReservation(b)
 		return
@@ -486,21 +414,21 @@
 }
 
 // dropReservations drops all bookings of a job.
-func (c *Core) dropReservations(j *job) {
+func (c *Core) dropReservations(j *fleet.Job) {
 	for len(j.Reservations) > 0 {
 		c.dropReservation(j.Reservations[len(j.Reservations)-1])
 	}
 }
 
 // dropExcessReservation drops the booking of a task that no longer waits.
-func (c *Core) dropExcessReservation(j *job) {
+func (c *Core) dropExcessReservation(j *fleet.Job) {
 	if j.Reserved > j.Waiting {
 		c.consumeReservation(j.Reservations[len(j.Reservations)-1])
 	}
 }
 
 // dropMachineReservations books elsewhere what waits for the machine.
-func (c *Core) dropMachineReservations(m *machine) {
+func (c *Core) dropMachineReservations(m *fleet.Machine) {
 	for len(m.Reservations) > 0 {
 		b := m.Reservations[len(m.Reservations)-1]
 		c.dropReservation(b)
@@ -533,7 +461,7 @@
 // rereserve finds new slots for jobs that have bookings whose time has come without
 // room, or none on a machine. A few at a time: it is the costliest thing we do.
 func (c *Core) rereserve(limit int) {
-	var due []*job
+	var due []*fleet.Job
 	for _, j := range c.leadership.queue {
 		if len(due) >= limit {
 			break
@@ -554,7 +482,7 @@
 
 // topologyRoom says how many more tasks of the job may be on the machine now, given
 // where its others are, or may be.
-func (c *Core) topologyRoom(j *job, m *machine, n int) int {
+func (c *Core) topologyRoom(j *fleet.Job, m *fleet.Machine, n int) int {
 	if len(j.Placement.Rules) == 0 {
 		return n
 	}
@@ -562,13 +490,13 @@
 }
 
 // mayStart reports whether tasks of the job may start at all now.
-func (c *Core) mayStart(j *job) bool {
+func (c *Core) mayStart(j *fleet.Job) bool {
 	l := c.leadership
 	return !j.Halted() && !c.Now.Before(j.RetryAt) && (l.allAccounted() || !j.FromEarlierTerm && !j.Team.Limited()) && (l.orphanedTasks == 0 || !j.Team.Limited())
 }
 
 // couldStart reports whether a task of the job may start now wherever it fits.
-func (c *Core) couldStart(j *job) bool {
+func (c *Core) couldStart(j *fleet.Job) bool {
 	return c.mayStart(j) && j.Team.TasksWithinLimit(j.Need, 1) > 0
 }
 
@@ -585,13 +513,13 @@
 			l.overdue = append(l.overdue, j)
 		}
 	}
-	slices.SortStableFunc(l.overdue, func(a, b *job) int { return a.Submitted.Compare(b.Submitted) })
+	slices.SortStableFunc(l.overdue, func(a, b *fleet.Job) int { return a.Submitted.Compare(b.Submitted) })
 	l.overdue = l.overdue[:min(len(l.overdue), maxOverdueJobs)]
 }
 
 // startOverdue starts a first task of jobs that have waited for long, one each, as far as
 // guarantees and limits let it; blocked reports whether one waits here for more room.
-func (c *Core) startOverdue(m *machine) (os []heartbeat.Order, blocked bool) {
+func (c *Core) startOverdue(m *fleet.Machine) (os []heartbeat.Order, blocked bool) {
 	l := c.leadership
 	for _, j := range l.overdue {
 		if len(j.Reservations) == 0 || len(j.Attempts) > 0 || !m.EligibleFor(j) || !c.mayStart(j) || j.Team.TasksWithinLimit(j.Need, 1) == 0 || c.topologyRoom(j, m, 1) == 0 ||
@@ -623,10 +551,10 @@
 // startTasksOn starts booked tasks on the machine in timeline order while they fit,
 // ahead of their time if need be, wherever they were booked: a machine with
 // free room takes what waits for a busy one.
-func (c *Core) startTasksOn(m *machine) []heartbeat.Order {
+func (c *Core) startTasksOn(m *fleet.Machine) []heartbeat.Order {
 	l := c.leadership
 	room := m.Room()
-	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.Reported || m.Record != recorded || !m.Usable() || !m.ZoneState.Takes() || c.Now.Before(m.RetryAt) || l.unaccounted[m.Host] || l.attempts > maxAttempts-maxStartsPerReply {
+	if room.CPU <= 0 || len(l.queue) == 0 || !c.canAct() || !m.Reported || m.Record != fleet.Recorded || !m.Usable() || !m.ZoneState.Takes() || c.Now.Before(m.RetryAt) || l.unaccounted[m.Host] || l.attempts > maxAttempts-maxStartsPerReply {
 		return nil
 	}
 	os, blocked := c.startOverdue(m)
@@ -721,7 +649,7 @@
 // nextReservationFor returns the job's first booking that the machine may serve. A machine
 // that lacks the image leaves alone what is booked on one that has both the
 // image and the room, and at first what waits for any that has the image.
-func (c *Core) nextReservationFor(j *job, m *machine) *reservation {
+func (c *Core) nextReservationFor(j *fleet.Job, m *fleet.Machine) *fleet.Reservation {
 	if m.Images.Contains(j.Spec.Image) {
 		return j.Reservations[0]
 	}
@@ -746,7 +674,7 @@
 
 // preferImageLocality has a new job wait for machines that have its image, if there
 // are enough of them.
-func (c *Core) preferImageLocality(j *job) {
+func (c *Core) preferImageLocality(j *fleet.Job) {
 	if !j.StartsAtOnce {
 		return
 	}
@@ -764,19 +692,9 @@
 	c.afterWhileLeading(imageLocalityWait, func() { l.dispatchAll = true })
 }
 
-// HasReservationOf reports whether tasks of the job are booked on the machine.
-func (m *machine) HasReservationOf(j *job) bool {
-	return slices.ContainsFunc(m.Reservations, func(b *reservation) bool { return b.Job == j })
-}
-
-// CanStartNow reports whether the job's tasks could start on the machine right away.
-func (m *machine) CanStartNow(j *job) bool {
-	return m.Reported && m.Usable() && m.Images.Contains(j.Spec.Image) && j.Need.Fits(m.Room())
-}
-
 // orderStart orders one task of a booking to start on a machine. The order goes out
 // with the reply to the machine's last report.
-func (c *Core) orderStart(b *reservation, m *machine) heartbeat.Order {
+func (c *Core) orderStart(b *fleet.Reservation, m *fleet.Machine) heartbeat.Order {
 	l := c.leadership
 	j := b.Job
 	i := j.Pending.First()
@@ -785,7 +703,7 @@
 	j.Waiting--
 	// Attempts rise across terms as well: the term comes first.
 	l.attempts++
-	r := &attempt{ID: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Number: l.term<<record.AttemptBits + l.attempts, Machine: m, Phase: Ordered, OrderedCounter: m.Counter, OrderedAt: c.Now}
+	r := &fleet.Attempt{ID: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Number: l.term<<record.AttemptBits + l.attempts, Machine: m, Phase: fleet.Ordered, OrderedCounter: m.Counter, OrderedAt: c.Now}
 	m.Attempts = append(m.Attempts, r)
 	c.occupy(r, j)
 	return heartbeat.Order{Verb: heartbeat.Start, Task: r.ID, Try: r.Number}
@@ -795,7 +713,7 @@
 // that can be rented, would miss a dated job's deadline.
 func (c *Core) lateness(s *spec.Job) time.Duration {
 	l := c.leadership
-	j := &job{Spec: *s, Need: s.Need()}
+	j := &fleet.Job{Spec: *s, Need: s.Need()}
 	run := timeline.Seconds(c.estimateSpec(s).Seconds() * (1 + l.margin))
 	best := time.Duration(1<<63 - 1)
 	for _, m := range l.fleet {
@@ -807,7 +725,7 @@
 	}
 	for i := range l.autoscaler.instanceTypes {
 		f := &l.autoscaler.instanceTypes[i]
-		if allowsInstanceType(s, f.Name) && j.Need.Fits(f.Capacity) && (s.Zone == "" || hasZone(f, s.Zone)) && l.autoscaler.mayHaveCapacity(f, s.AllowSpot, c.Now) {
+		if fleet.AllowsInstanceType(s, f.Name) && j.Need.Fits(f.Capacity) && (s.Zone == "" || fleet.OfferedIn(f, s.Zone)) && l.autoscaler.mayHaveCapacity(f, s.AllowSpot, c.Now) {
 			best = min(best, f.BootTime+estimate.ImageFetch(s, f)+run)
 		}
 	}
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"yewpass/internal/config"
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/quota"
 	"yewpass/internal/spec"
@@ -51,7 +52,7 @@
 func TestLocalFirst(t *testing.T) {
 	c := leaderOf(t, 12)
 	m := c.leadership.fleet[0]
-	submit := func(id int) *job {
+	submit := func(id int) *fleet.Job {
 		j := newJob(c, id, 2, rand.New(rand.NewPCG(1, 1)))
 		j.StartsAtOnce = true
 		c.preferImageLocality(j)
@@ -160,7 +161,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	c := leaderOf(t, 1)
 	c.fill(c.leadership.fleet[0])
-	add := func(id int, class string, urgency spec.Urgency) *job {
+	add := func(id int, class string, urgency spec.Urgency) *fleet.Job {
 		j := newJob(c, id, 1, rng)
 		j.Spec.Class, j.Spec.HasDeadline, j.Spec.Urgency = class, false, urgency
 		c.reserve(j)
@@ -182,7 +183,7 @@
 	for machines, want := range map[int]int{100: maxRereserve, 700: 14, 1300: 7, 2600: 3, 20000: 2} {
 		c := leaderOf(t, 1)
 		c.cfg.Settings.Limits.CPUShare = 0.168
-		c.leadership.fleet = make([]*machine, machines)
+		c.leadership.fleet = make([]*fleet.Machine, machines)
 		if n := c.rereserveLimit(); n != want {
 			t.Errorf("%d machines: %d jobs at a time, not %d", machines, n, want)
 		}
@@ -206,7 +207,7 @@
 	if n := looked(); n != 10 {
 		t.Fatalf("%d jobs are looked at", n)
 	}
-	first := map[*job]bool{}
+	first := map[*fleet.Job]bool{}
 	for _, j := range c.leadership.jobs {
 		first[j] = j.LastRereserved.Equal(c.Now)
 	}
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"slices"
 	"time"
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/quota"
 )
@@ -55,11 +56,11 @@
 		return
 	}
 	type borrower struct {
-		r    *attempt
+		r    *fleet.Attempt
 		loss time.Duration
 	}
 	var bs []borrower
-	lasts := map[*job]time.Duration{} // as estimated: a job's tasks are many
+	lasts := map[*fleet.Job]time.Duration{} // as estimated: a job's tasks are many
 	for _, m := range l.fleet {
 		if !m.Usable() || !m.Reported {
 			continue
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -2,6 +2,7 @@
 
 import (
 	"time"
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/rpc"
 )
@@ -26,16 +27,16 @@
 func (c *Core) probeUnaccounted() {
 	own := c.leadership.knownReporters
 	if !c.hasAnyLink() {
-		c.probeMatching(func(*machine) bool { return true })
+		c.probeMatching(func(*fleet.Machine) bool { return true })
 		return
 	}
-	c.probeMatching(func(m *machine) bool { return own[m.Host] != nil })
+	c.probeMatching(func(m *fleet.Machine) bool { return own[m.Host] != nil })
 	c.afterWhileLeading(leaderProbeDelay, func() {
-		c.probeMatching(func(m *machine) bool { return own[m.Host] == nil })
+		c.probeMatching(func(m *fleet.Machine) bool { return own[m.Host] == nil })
 	})
 }
 
-func (c *Core) probeMatching(which func(*machine) bool) {
+func (c *Core) probeMatching(which func(*fleet.Machine) bool) {
 	l := c.leadership
 	for _, m := range l.fleet {
 		if l.unaccounted[m.Host] && m.Address != "" && which(m) {
@@ -57,18 +58,18 @@
 // probeCounts reports whether a machine's answer to a probe counts: not once it has
 // reported by itself. Then starts may be on their way to it, of which the answer need
 // not know.
-func (l *leadership) probeCounts(m *machine) bool {
+func (l *leadership) probeCounts(m *fleet.Machine) bool {
 	return l.unaccounted[m.Host] && !m.Reported && !m.Releasing
 }
 
 // reconcileProbe takes in an answer that counts, of a worker that has seen our term.
-func (c *Core) reconcileProbe(m *machine, rep *heartbeat.Report) {
+func (c *Core) reconcileProbe(m *fleet.Machine, rep *heartbeat.Report) {
 	m.Probed = true
 	c.reconcile(m, rep)
 }
 
 // probe probes a machine whose answer would count.
-func (c *Core) probe(m *machine, tenure uint64) {
+func (c *Core) probe(m *fleet.Machine, tenure uint64) {
 	l := c.leadership
 	if !l.probeCounts(m) {
 		return
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"yewpass/internal/bitset"
+	"yewpass/internal/fleet"
 	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
@@ -34,7 +35,7 @@
 	for _, g := range l.records {
 		if lost[g.Key] && len(g.Machines) > 0 {
 			for _, m := range g.Machines {
-				m.Record = recording
+				m.Record = fleet.Recording
 			}
 			c.writeMachineRecord(g, writebatch.Urgent)
 		}
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/relay"
@@ -329,22 +330,6 @@
 
 // ---- the leader's end
 
-// relayLink is a relay as the leader sees it.
-type relayLink struct {
-	Unfold     relay.Unfold
-	LastBatch  time.Time
-	LastSilent time.Time // when it was last found to say nothing
-	Workers    int       // that report to it
-	Replies    []relay.Reply
-	Weight     int // of them
-}
-
-// heartbeatKey names a report whose reply is held: numbers are the relay's own.
-type heartbeatKey struct {
-	Link heartbeat.Link
-	Ref  uint64
-}
-
 // handleRelayedHeartbeats takes in what a relay passes on.
 func (c *Core) handleRelayedHeartbeats(from string, m peermsg.Message) {
 	l := c.leadership
@@ -393,14 +378,14 @@
 		}
 	}
 	for _, ref := range m.Reports.Gone {
-		c.abandonHeldReply(heartbeatKey{by, ref})
+		c.abandonHeldReply(fleet.HeartbeatKey{Link: by, Ref: ref})
 	}
 }
 
-func (l *leadership) relay(name string) *relayLink {
+func (l *leadership) relay(name string) *fleet.RelayLink {
 	p := l.relays[name]
 	if p == nil {
-		p = &relayLink{}
+		p = &fleet.RelayLink{}
 		l.relays[name] = p
 	}
 	return p
@@ -430,7 +415,7 @@
 	}
 }
 
-func (c *Core) sendRelayReplies(name string, p *relayLink) {
+func (c *Core) sendRelayReplies(name string, p *fleet.RelayLink) {
 	if len(p.Replies) == 0 {
 		return
 	}
@@ -450,7 +435,7 @@
 }
 
 // setReportsVia notes by which node a machine reports.
-func (l *leadership) setReportsVia(m *machine, by string) {
+func (l *leadership) setReportsVia(m *fleet.Machine, by string) {
 	if p := l.relay(by); m.ReportsVia != p {
 		l.clearReportsVia(m)
 		m.ReportsVia = p
@@ -459,7 +444,7 @@
 }
 
 // clearReportsVia notes that a machine reports by none.
-func (l *leadership) clearReportsVia(m *machine) {
+func (l *leadership) clearReportsVia(m *fleet.Machine) {
 	if m.ReportsVia != nil {
 		m.ReportsVia.Workers--
 		m.ReportsVia = nil
@@ -506,7 +491,7 @@
 // how many of theirs are overdue. One machine of many is rather gone itself; a quarter of a
 // node's falling silent together have lost that node, and find out as those of a quiet
 // relay do.
-func (c *Core) noteIsolatedRelays(overdue map[*relayLink]int) {
+func (c *Core) noteIsolatedRelays(overdue map[*fleet.RelayLink]int) {
 	for p, n := range overdue {
 		if n > 2 && 4*n > p.Workers {
 			p.LastSilent = c.Now
@@ -515,7 +500,7 @@
 }
 
 // silenceLimit is how long the machine may be silent, given how long one may be.
-func (c *Core) silenceLimit(m *machine, silent time.Duration) time.Duration {
+func (c *Core) silenceLimit(m *fleet.Machine, silent time.Duration) time.Duration {
 	if m.ReportsVia != nil && m.ReportsVia.LastSilent.After(m.LastHeartbeat) {
 		return max(silent, c.heardAgainWithin()+time.Second)
 	}
@@ -523,7 +508,7 @@
 }
 
 // takesWorkers reports whether workers can report to us by a relay now.
-func (c *Core) takesWorkers(name string, p *relayLink) bool {
+func (c *Core) takesWorkers(name string, p *fleet.RelayLink) bool {
 	return p != nil && c.links[name] && p.Unfold.Session() != 0 && c.Now.Sub(p.LastBatch) < relaySilence
 }
 
@@ -546,7 +531,7 @@
 // or "" while it stays. Workers are led away one at a time, so that no storm comes of
 // it; only one that nobody has heard of before goes at once, for it has nothing to
 // lose. A machine that comes back had a reason: the other node is out of its reach.
-func (c *Core) redirectTarget(m *machine, by string, first bool) string {
+func (c *Core) redirectTarget(m *fleet.Machine, by string, first bool) string {
 	l := c.leadership
 	if len(c.cfg.Seeds) == 0 || !c.hasAuthority() || !l.allAccounted() || m.Releasing || c.Now.Sub(m.LastMoved) < 3*c.workerLease {
 		return ""
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -3,35 +3,29 @@
 import (
 	"slices"
 	"time"
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/timeline"
 )
 
 // Replies to reports: what they order, and how long they are held.
 
-// HeldReply is a report whose reply waits for something to say.
-type heldReply struct {
-	heartbeatKey
-	Since  time.Time
-	Report heartbeat.Report // of our own socket: whoever leads next is told of it
-}
-
 // takeHeldReply takes away the report that a machine waits on and returns what names it.
-func (c *Core) takeHeldReply(m *machine) heartbeatKey {
-	key := m.HeldReply.heartbeatKey
+func (c *Core) takeHeldReply(m *fleet.Machine) fleet.HeartbeatKey {
+	key := m.HeldReply.HeartbeatKey
 	delete(c.leadership.heldReplies, key)
 	m.HeldReply = nil
 	return key
 }
 
 // refuseHeldReply answers the report that a machine waits on with a no.
-func (c *Core) refuseHeldReply(m *machine) {
+func (c *Core) refuseHeldReply(m *fleet.Machine) {
 	key := c.takeHeldReply(m)
 	c.replyHeartbeat(key.Link, heartbeat.Reply{Ref: key.Ref, Status: 503})
 }
 
 // requestDispatch has a held reply to the machine go out soon if there are orders for it.
-func (c *Core) requestDispatch(m *machine) {
+func (c *Core) requestDispatch(m *fleet.Machine) {
 	if !m.DispatchPending {
 		m.DispatchPending = true
 		c.leadership.pendingDispatch = append(c.leadership.pendingDispatch, m)
@@ -39,7 +33,7 @@
 }
 
 // orders collects what the machine has to do, other than to start tasks.
-func (c *Core) orders(m *machine) []heartbeat.Order {
+func (c *Core) orders(m *fleet.Machine) []heartbeat.Order {
 	var os []heartbeat.Order
 	for _, r := range m.Attempts {
 		if r.Phase == heartbeat.Exited {
@@ -65,7 +59,7 @@
 
 // reply answers a machine's report, or keeps it waiting a little while there is
 // nothing to say and something may come.
-func (c *Core) reply(m *machine, due bool) {
+func (c *Core) reply(m *fleet.Machine, due bool) {
 	l := c.leadership
 	h := m.HeldReply
 	if h == nil {
@@ -113,7 +107,7 @@
 	})
 }
 
-func (c *Core) sendReply(m *machine, os []heartbeat.Order) {
+func (c *Core) sendReply(m *fleet.Machine, os []heartbeat.Order) {
 	key := c.takeHeldReply(m)
 	if m.FencingToken != c.leadership.term && m.UnacknowledgedSince.IsZero() {
 		m.UnacknowledgedSince = c.Now
@@ -156,7 +150,7 @@
 }
 
 // replyIfOrders answers a held report if there are orders for the machine.
-func (c *Core) replyIfOrders(m *machine) {
+func (c *Core) replyIfOrders(m *fleet.Machine) {
 	if m.HeldReply == nil || m.FencingToken != c.leadership.term {
 		return
 	}
@@ -181,7 +175,7 @@
 // paceDelay is for how long a reply to the machine is still held so that its worker keeps to
 // the bytes a second that operators allow: a worker sends its next report after the reply at
 // the earliest, and one with many tasks has news all the time. Stops are never held back.
-func (c *Core) paceDelay(m *machine, os []heartbeat.Order) time.Duration {
+func (c *Core) paceDelay(m *fleet.Machine, os []heartbeat.Order) time.Duration {
 	budget := c.leadership.reportBudget
 	if budget <= 0 || m.FencingToken != c.leadership.term || m.Releasing || slices.ContainsFunc(os, func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop }) {
 		return 0
@@ -201,7 +195,7 @@
 }
 
 // abandonHeldReply: nobody waits for the reply to a report any more.
-func (c *Core) abandonHeldReply(key heartbeatKey) {
+func (c *Core) abandonHeldReply(key fleet.HeartbeatKey) {
 	l := c.leadership
 	if m := l.heldReplies[key]; m != nil {
 		c.takeHeldReply(m)
--- a/internal/core/runtime_estimates.go
+++ b/internal/core/runtime_estimates.go
@@ -4,12 +4,13 @@
 	"time"
 
 	"yewpass/internal/estimate"
+	"yewpass/internal/fleet"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 )
 
 // recordRuntime takes in how long a task ran.
-func (c *Core) recordRuntime(j *job, m *machine, took time.Duration) {
+func (c *Core) recordRuntime(j *fleet.Job, m *fleet.Machine, took time.Duration) {
 	if j.Spec.Runtime <= 0 {
 		return
 	}
@@ -25,7 +26,7 @@
 }
 
 // estimate returns how long a task of the job runs, without its image.
-func (c *Core) estimate(j *job) time.Duration {
+func (c *Core) estimate(j *fleet.Job) time.Duration {
 	if j.Spec.Service {
 		return 0
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -9,6 +9,7 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
+	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/policy"
@@ -49,13 +50,13 @@
 	l.autoscaler.catalogRead = true
 	for i := range n {
 		m := c.ensureMachine(fmt.Sprintf("host-%06d", i), fmt.Sprint("f", i%3), "a", true)
-		m.Reported, m.Record, m.Incarnation, m.FencingToken, m.LastHeartbeat = true, recorded, 1, 1, t0
+		m.Reported, m.Record, m.Incarnation, m.FencingToken, m.LastHeartbeat = true, fleet.Recorded, 1, 1, t0
 	}
 	return c
 }
 
 // newJob takes on a job without booking it.
-func newJob(c *Core, id int, tasks int, rng *rand.Rand) *job {
+func newJob(c *Core, id int, tasks int, rng *rand.Rand) *fleet.Job {
 	spec := spec.Job{ID: fmt.Sprintf("wk-%06d", id), Class: "c", Owner: "t", Urgency: spec.Standard, Tasks: tasks, CPUs: float64(1 + rng.IntN(4)), MemGB: 1,
 		Image: fmt.Sprint("img", rng.IntN(6)), ImageGB: 1, AllowSpot: true, Runtime: time.Duration(10+rng.IntN(60)) * time.Second}
 	if rng.IntN(2) == 0 {
@@ -71,12 +72,12 @@
 
 // plainBook is book as the paper writes it: every machine is asked for every
 // booking.
-func (c *Core) plainBook(j *job) {
+func (c *Core) plainBook(j *fleet.Job) {
 	base := c.paddedEstimate(j)
 	a, dated := c.nextObjective(j, base)
 	for n := min(j.Waiting, reservationWindow) - j.Reserved; n > 0; n = min(j.Waiting, reservationWindow) - j.Reserved {
 		var back, each time.Duration
-		var best *machine
+		var best *fleet.Machine
 		var start time.Time
 		var length time.Duration
 		for _, m := range c.leadership.fleet {
@@ -104,8 +105,8 @@
 		if !dated && (c.yieldsWhenLate(j, length) || c.hasNoObjective(j)) {
 			back, each = c.queueYield(j, start)
 		}
-		c.addReservation(&reservation{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.Need, Count: k}, Job: j, Machine: best, Yield: back, YieldPerTask: each})
-		c.leadership.queue.reposition(j)
+		c.addReservation(&fleet.Reservation{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.Need, Count: k}, Job: j, Machine: best, Yield: back, YieldPerTask: each})
+		c.leadership.queue.Reposition(j)
 	}
 }
 
@@ -175,20 +176,20 @@
 }
 
 // fill has tasks run on all of a machine.
-func (c *Core) fill(m *machine) {
+func (c *Core) fill(m *fleet.Machine) {
 	j := c.leadership.jobs["wk-1"]
 	if j == nil {
 		j = c.addJob(&record.Job{Spec: spec.Job{ID: "wk-1", Class: "r", Owner: "t", Tasks: spec.MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute}, Submitted: t0}, false)
 		j.AnyCompleted = true
 	}
 	for range m.Room().CPU / 1000 {
-		r := &attempt{ID: heartbeat.TaskID{Job: "wk-1", Index: len(j.Attempts)}, Number: uint64(len(j.Attempts) + 1), Machine: m, Phase: heartbeat.TaskRuns, OrderedAt: c.Now, StartedAt: c.Now}
+		r := &fleet.Attempt{ID: heartbeat.TaskID{Job: "wk-1", Index: len(j.Attempts)}, Number: uint64(len(j.Attempts) + 1), Machine: m, Phase: heartbeat.TaskRuns, OrderedAt: c.Now, StartedAt: c.Now}
 		m.Attempts = append(m.Attempts, r)
 		c.occupy(r, j)
 	}
 }
 
-func reportOf(m *machine) heartbeat.Report {
+func reportOf(m *fleet.Machine) heartbeat.Report {
 	r := heartbeat.Report{Host: m.Host, Address: m.Address, InstanceType: m.TypeName, Zone: m.Zone, Spot: true, Incarnation: m.Incarnation, Counter: m.Counter + 1, FencingToken: 1}
 	for _, x := range m.Attempts {
 		r.Tasks = append(r.Tasks, heartbeat.Task{Task: x.ID, Try: x.Number, Phase: x.Phase})
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"yewpass/internal/calendar"
+	"yewpass/internal/fleet"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
@@ -25,9 +26,9 @@
 // that follows can neither make an occurrence twice nor pass one over.
 type scheduler struct {
 	byName     map[string]*recurringJob
-	byJob      map[*job]*recurringJob // by the jobs of their occurrences that are not over
-	names      []string               // sorted
-	unreadable map[string]bool        // whose records cannot be read
+	byJob      map[*fleet.Job]*recurringJob // by the jobs of their occurrences that are not over
+	names      []string                     // sorted
+	unreadable map[string]bool              // whose records cannot be read
 	loaded     bool
 
 	upcoming timerheap.Heap[heapEntry] // schedules by when their next occurrence is due
@@ -44,7 +45,7 @@
 }
 
 func newSchedules() scheduler {
-	return scheduler{byName: map[string]*recurringJob{}, byJob: map[*job]*recurringJob{}, unreadable: map[string]bool{}, manualRuns: map[string]*recurringJob{}}
+	return scheduler{byName: map[string]*recurringJob{}, byJob: map[*fleet.Job]*recurringJob{}, unreadable: map[string]bool{}, manualRuns: map[string]*recurringJob{}}
 }
 
 type occurrenceOf struct {
@@ -359,7 +360,7 @@
 
 // watchDeadline notes when an occurrence's deadline passes before its job is
 // over.
-func (c *Core) watchDeadline(s *recurringJob, j *job, due time.Time) {
+func (c *Core) watchDeadline(s *recurringJob, j *fleet.Job, due time.Time) {
 	if due.IsZero() {
 		return
 	}
@@ -375,7 +376,7 @@
 }
 
 // noteManualRun puts a job that was asked for into its schedule's history.
-func (c *Core) noteManualRun(s *recurringJob, j *job) {
+func (c *Core) noteManualRun(s *recurringJob, j *fleet.Job) {
 	delete(c.leadership.schedules.manualRuns, j.Spec.ID)
 	if s.removed {
 		return
@@ -416,7 +417,7 @@
 }
 
 // occurrenceStarted follows the first start of a task of an occurrence.
-func (c *Core) occurrenceStarted(j *job) {
+func (c *Core) occurrenceStarted(j *fleet.Job) {
 	s := c.leadership.schedules.byJob[j]
 	if s == nil || j.StartNoted || s.removed {
 		return
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -4,7 +4,6 @@
 package core
 
 import (
-	"yewpass/internal/heartbeat"
 	"yewpass/internal/record"
 )
 
@@ -15,11 +14,6 @@
 	spareAttempts = 1 << 20
 )
 
-// The phases that workers report.
-const (
-	Ordered = heartbeat.Phase("ordered") // a start is in a reply that is not yet answered for
-)
-
 // ---- inputs
 
 // Tick lets the core act on the passing of time.
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/fleet"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 	"yewpass/internal/zones"
@@ -37,7 +38,7 @@
 func (c *Core) observeZones() {
 	l := c.leadership
 	quiet := c.silentAfter()
-	heard := func(m *machine) bool {
+	heard := func(m *fleet.Machine) bool {
 		return m.Reported && c.Now.Sub(maxTime(m.LastHeartbeat, l.resumedAt)) <= quiet
 	}
 	sights := map[string]zones.Sight{}
@@ -107,13 +108,13 @@
 		if !z.Away() || n <= 0 {
 			continue
 		}
-		var silent []*machine
+		var silent []*fleet.Machine
 		for _, m := range l.fleet {
 			if m.ZoneState == z && m.Unreachable && !m.Releasing && !m.LastHeartbeat.IsZero() && m.InstanceType != nil {
 				silent = append(silent, m)
 			}
 		}
-		slices.SortStableFunc(silent, func(a, b *machine) int { return cmp.Compare(b.PerCPU(), a.PerCPU()) })
+		slices.SortStableFunc(silent, func(a, b *fleet.Machine) int { return cmp.Compare(b.PerCPU(), a.PerCPU()) })
 		for _, m := range silent[:min(n, len(silent))] {
 			c.Log(slog.LevelInfo, "machine of a lost zone, returning it", "machine", m.Host, "zone", z.Name, "silent", c.Now.Sub(m.LastHeartbeat))
 			c.release(m)
@@ -122,7 +123,7 @@
 }
 
 // waitReason says what keeps a job's tasks waiting that may run in one zone only, or "".
-func (c *Core) waitReason(j *job) string {
+func (c *Core) waitReason(j *fleet.Job) string {
 	if j.Spec.Zone == "" || j.Waiting == 0 {
 		return ""
 	}
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"yewpass/internal/fleet"
 	"yewpass/internal/provider"
 	"yewpass/internal/zones"
 )
@@ -17,7 +18,7 @@
 	c.leadership.autoscaler.instanceTypes[0].Zones = []string{"a", "b"}
 	for i := range n {
 		m := c.ensureMachine(fmt.Sprintf("host-1%05d", i), "f0", "b", true)
-		m.Reported, m.Record, m.Incarnation, m.FencingToken, m.LastHeartbeat = true, recorded, 1, 1, t0
+		m.Reported, m.Record, m.Incarnation, m.FencingToken, m.LastHeartbeat = true, fleet.Recorded, 1, 1, t0
 	}
 	return c
 }
--- /dev/null
+++ b/internal/fleet/attempt.go
@@ -0,0 +1,36 @@
+package fleet
+
+import (
+	"time"
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/timeline"
+)
+
+// Attempt is one attempt of a task on a machine: from the order to start it until
+// the worker has forgotten it.
+type Attempt struct {
+	ID             heartbeat.TaskID
+	Number         uint64
+	Machine        *Machine
+	Job            *Job // nil: of no job that we know
+	Need           timeline.Resources
+	Phase          heartbeat.Phase
+	Occupies       bool   // counts against machine, team and job
+	OrderedCounter uint64 // the counter of the report whose reply carried the start
+	OrderedAt      time.Time
+	StartedAt      time.Time // first reported as running
+	FoundRunning   bool      // it ran before that, nobody knows for how long
+	Reservation    *timeline.Booking
+	Forgettable    bool   // exited, and the worker may forget it
+	CountedRunning bool   // among its job's running tasks
+	Orphaned       bool   // of a job whose record cannot be read
+	LastListed     uint64 // number of the last report that listed it
+	StopRequested  bool   // to be stopped
+	DrainTime      time.Duration
+	StopSentAt     time.Time // when the stop first went out
+}
+
+// The phases that workers report.
+const (
+	Ordered = heartbeat.Phase("ordered") // a start is in a reply that is not yet answered for
+)
--- /dev/null
+++ b/internal/fleet/heldreply.go
@@ -0,0 +1,30 @@
+package fleet
+
+import (
+	"time"
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/relay"
+)
+
+// RelayLink is a relay as the leader sees it.
+type RelayLink struct {
+	Unfold     relay.Unfold
+	LastBatch  time.Time
+	LastSilent time.Time // when it was last found to say nothing
+	Workers    int       // that report to it
+	Replies    []relay.Reply
+	Weight     int // of them
+}
+
+// HeartbeatKey names a report whose reply is held: numbers are the relay's own.
+type HeartbeatKey struct {
+	Link heartbeat.Link
+	Ref  uint64
+}
+
+// HeldReply is a report whose reply waits for something to say.
+type HeldReply struct {
+	HeartbeatKey
+	Since  time.Time
+	Report heartbeat.Report // of our own socket: whoever leads next is told of it
+}
