--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -308,7 +308,7 @@
 	if j == nil {
 		return false
 	}
-	c.Log(slog.LevelInfo, "record can be read again", "key", rec.Key)
+	c.Log(slog.LevelInfo, "record readable again", "key", rec.Key)
 	c.replicate(rec)
 	for _, e := range progress {
 		c.replicate(e)
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -42,7 +42,7 @@
 			c.leadership.orphanedTasks++
 		}
 		if j != nil {
-			c.Log(slog.LevelWarn, "task is listed twice or done, stopping it", "task", t.Task, "machine", m.Host)
+			c.Log(slog.LevelWarn, "stopping duplicate task", "task", t.Task, "machine", m.Host)
 		}
 		return r
 	}
@@ -243,11 +243,11 @@
 		// It goes on one task at a time, less and less often.
 		wait := min(2*time.Second<<min(j.Failures/2, 5), time.Minute)
 		j.RetryAt = c.Now.Add(wait)
-		c.Log(slog.LevelDebug, "job keeps failing", "job", j.Spec.ID, "failures", j.Failures, "wait", wait)
+		c.Log(slog.LevelDebug, "job fails repeatedly, backing off", "job", j.Spec.ID, "failures", j.Failures, "wait", wait)
 	}
 	if m.FailureScore >= 4 && !m.Quarantined {
 		m.Quarantined = true
-		c.Log(slog.LevelWarn, "machine condemned", "machine", m.Host, "type", m.TypeName, "reason", "tasks fail on it that run elsewhere")
+		c.Log(slog.LevelWarn, "machine quarantined", "machine", m.Host, "type", m.TypeName, "reason", "tasks fail on it that run elsewhere")
 		c.dropMachineReservations(m)
 	}
 }
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -99,7 +99,7 @@
 		if r.Outcome != rpc.OK || len(r.InstanceTypes) == 0 {
 			if !l.autoscaler.catalogUnreadable {
 				l.autoscaler.catalogUnreadable = true
-				c.Log(slog.LevelWarn, "machine types cannot be read", "known", len(l.autoscaler.instanceTypes))
+				c.Log(slog.LevelWarn, "instance types cannot be read", "known", len(l.autoscaler.instanceTypes))
 			}
 			c.afterWhileLeading(c.Jitter(time.Second), c.refreshCatalog)
 			return
@@ -342,7 +342,7 @@
 	case m.Unreachable && !l.unaccounted[m.Host] && (!booting || c.Now.Sub(last) <= 2*wait):
 		// Its zone is cut off: see releaseLostZones.
 	case c.Now.Sub(last) > wait && (!cutOff || booting):
-		c.Log(slog.LevelWarn, "machine silent, releasing it", "machine", m.Host, "type", m.TypeName, "silent", c.Now.Sub(last), "tasks", len(m.Attempts), "booted", !booting)
+		c.Log(slog.LevelWarn, "releasing silent machine", "machine", m.Host, "type", m.TypeName, "silent", c.Now.Sub(last), "tasks", len(m.Attempts), "booted", !booting)
 		if booting && !m.Unreachable {
 			// When boots take longer than that for a while, giving up each time
 			// would never get a machine.
@@ -366,7 +366,7 @@
 	case m.Quarantined, m.Draining, !m.InterruptionAt.IsZero():
 		c.release(m)
 	case c.Now.Sub(m.IdleSince) > idle && age > 50*time.Second && !c.isWanted(m):
-		c.Log(slog.LevelInfo, "machine idle, returning it", "machine", m.Host, "type", m.TypeName)
+		c.Log(slog.LevelInfo, "releasing idle machine", "machine", m.Host, "type", m.TypeName)
 		c.release(m)
 	}
 }
@@ -517,7 +517,7 @@
 		free -= m.InstanceType.CPUs
 		draining++
 		m.Draining = true
-		c.Log(slog.LevelInfo, "machine drained", "machine", m.Host, "type", m.TypeName, "cheap", m.Spot, "tasks", len(m.Attempts))
+		c.Log(slog.LevelInfo, "draining machine", "machine", m.Host, "type", m.TypeName, "spot", m.Spot, "tasks", len(m.Attempts))
 		c.dropMachineReservations(m)
 	}
 }
@@ -637,9 +637,9 @@
 		// More machines than the controllers have connections for would serve nobody:
 		// they would crowd out each other, and users.
 		if l.autoscaler.fleetFull = room <= 0; l.autoscaler.fleetFull {
-			c.Log(slog.LevelWarn, "no more machines are rented", "machines", len(l.fleet), "most", c.maxFleet(), "reason", "the controllers cannot serve more")
+			c.Log(slog.LevelWarn, "not scaling out, controllers are at capacity", "machines", len(l.fleet), "most", c.maxFleet(), "reason", "the controllers cannot serve more")
 		} else {
-			c.Log(slog.LevelInfo, "machines are rented again", "machines", len(l.fleet), "most", c.maxFleet())
+			c.Log(slog.LevelInfo, "scaling out again", "machines", len(l.fleet), "most", c.maxFleet())
 		}
 	}
 	if room <= 0 {
@@ -729,7 +729,7 @@
 					m.ReadyAt = w.requestedAt.Add(m.InstanceType.BootTime)
 				}
 			}
-			c.Log(slog.LevelInfo, "machines rented", "rental", name, "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.count, "got", len(r.Hosts))
+			c.Log(slog.LevelInfo, "instances started", "rental", name, "type", w.instanceType, "zone", w.zone, "spot", w.spot, "wanted", w.count, "got", len(r.Hosts))
 			if len(r.Hosts) < w.count {
 				l.autoscaler.noCapacityUntil[w.instanceOffer] = c.Now.Add(c.Jitter(10 * time.Second))
 			}
@@ -738,11 +738,11 @@
 			delete(l.autoscaler.pending, name)
 			l.zones.Zone(w.zone).Refused(c.Now)
 			l.autoscaler.noCapacityUntil[w.instanceOffer] = c.Now.Add(c.Jitter(10 * time.Second))
-			c.Log(slog.LevelInfo, "rental refused", "type", w.instanceType, "zone", w.zone, "cheap", w.spot, "wanted", w.count)
+			c.Log(slog.LevelInfo, "instance request refused, no capacity", "type", w.instanceType, "zone", w.zone, "spot", w.spot, "wanted", w.count)
 		case rpc.Invalid:
 			delete(l.autoscaler.pending, name)
 			l.autoscaler.noCapacityUntil[w.instanceOffer] = c.Now.Add(time.Minute)
-			c.Log(slog.LevelError, "rental rejected as malformed", "type", w.instanceType, "zone", w.zone)
+			c.Log(slog.LevelError, "instance request rejected as malformed", "type", w.instanceType, "zone", w.zone)
 		default:
 			c.afterWhileLeading(c.Jitter(2*time.Second), func() {
 				if l.autoscaler.pending[name] != nil {
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -190,7 +190,7 @@
 
 func (c *Core) leave() {
 	if reason := c.cannotHandOver(); reason != "" {
-		c.Log(slog.LevelInfo, "nothing is handed over", "reason", reason)
+		c.Log(slog.LevelInfo, "leadership not handed over", "reason", reason)
 		return
 	}
 	c.handOver("the process ends")
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -117,7 +117,7 @@
 	}
 	conf.since = c.Now
 	if conf.state.Revision > 0 {
-		c.Log(slog.LevelInfo, "configuration read", "term", c.leadership.term, "revision", conf.state.Revision)
+		c.Log(slog.LevelInfo, "configuration loaded", "term", c.leadership.term, "revision", conf.state.Revision)
 	}
 	c.broadcastConfig()
 }
@@ -224,7 +224,7 @@
 	case revision == conf.state.Revision:
 		conf.headRev = rev // written back after a loss
 	default:
-		c.Log(slog.LevelError, "configuration on record is not the one known, it is read anew", "revision", revision, "known", conf.state.Revision)
+		c.Log(slog.LevelError, "stored configuration differs, reloading it", "revision", revision, "known", conf.state.Revision)
 		c.reloadConfig(revision, rev)
 	}
 }
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -235,7 +235,7 @@
 	}
 	conf.spreading, conf.spread = false, c.Now.Sub(conf.since)
 	if conf.spread > configSpreadTarget {
-		c.Log(slog.LevelWarn, "a change of configuration was long in coming to all controllers", "revision", conf.state.Revision, "after", conf.spread)
+		c.Log(slog.LevelWarn, "configuration change propagated slowly", "revision", conf.state.Revision, "after", conf.spread)
 	}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -129,7 +129,7 @@
 // start begins the work of the process with its first step.
 func (c *Core) start() {
 	if short := c.leaseTiming.Shortfall(); short != "" {
-		c.Log(slog.LevelWarn, "settings leave little room", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
+		c.Log(slog.LevelWarn, "settings leave little margin", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
 	}
 	c.watchLeader()
 	if len(c.cfg.Seeds) == 0 {
@@ -200,9 +200,9 @@
 	}
 	c.storeAvailable = up
 	if up {
-		c.Log(slog.LevelInfo, "state service answers again")
+		c.Log(slog.LevelInfo, "state service available again")
 	} else {
-		c.Log(slog.LevelWarn, "state service does not serve us")
+		c.Log(slog.LevelWarn, "state service unavailable")
 	}
 }
 
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -17,6 +17,10 @@
 // merge.go and restore.go are what the controllers do about it. docs/design/rebuild.md has the
 // argument.
 
+// DataLossDetected is the log line of a controller that has found a loss of the state
+// service's data. The scenarios look for it where there was none.
+const DataLossDetected = "data loss detected in the state service"
+
 // unknownJobGrace is how long after a loss a job that nobody knows is not called unknown.
 const unknownJobGrace = 30 * time.Second
 
@@ -43,7 +47,7 @@
 		return
 	}
 	c.dataLossReason = why
-	c.Log(slog.LevelError, "the state service has lost data", "reason", why, "era", c.observed.Era, "term", c.observed.Term, "revision", c.observed.Revision)
+	c.Log(slog.LevelError, DataLossDetected, "reason", why, "era", c.observed.Era, "term", c.observed.Term, "revision", c.observed.Revision)
 	if l := c.leadership; l != nil {
 		c.resignThen(why, then)
 	}
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -69,7 +69,7 @@
 		switch {
 		case c.leadership != nil:
 		case still && r.Entries[0].LeaseID == 0:
-			c.Log(slog.LevelError, "leader's key has no grant, it is taken over", "key", e.Key)
+			c.Log(slog.LevelError, "leader key has no lease, campaigning for it", "key", e.Key)
 			c.After(c.Jitter(40*time.Millisecond), func() { c.campaign(e.Rev) })
 		case own && still:
 			c.revokeFormerLease(r.Entries[0], rec, from)
@@ -92,11 +92,11 @@
 // transaction that came late, or a second process of this name; it runs out by itself.
 func (c *Core) revokeFormerLease(e kv.Entry, rec *record.Leader, from uint64) {
 	if rec.Life != c.processID && e.Rev > c.firstStoreRevision {
-		c.Log(slog.LevelError, "another process leads under this node's name, or a late transaction says so", "key", e.Key, "term", rec.Term)
+		c.Log(slog.LevelError, "another process holds leadership under this node's name", "key", e.Key, "term", rec.Term)
 		c.watchLeaderKey(from)
 		return
 	}
-	c.Log(slog.LevelInfo, "the grant of a former process is given back", "term", rec.Term)
+	c.Log(slog.LevelInfo, "revoking lease of former process", "term", rec.Term)
 	c.CallStore(kv.Request{Op: kv.RevokeLease, LeaseID: e.LeaseID}, func(d kv.Response) {
 		if d.Outcome == rpc.OK || d.Outcome == rpc.NotFound {
 			c.watchLeader()
@@ -139,7 +139,7 @@
 		if rec.Term < c.observed.Term && rec.Era == c.observed.Era {
 			c.reportDataLoss("the term on record is older than one that was")
 		}
-		c.Log(slog.LevelWarn, "a term that was claimed never was", "claimed", c.highestTerm, "term", rec.Term)
+		c.Log(slog.LevelWarn, "claimed term does not exist", "claimed", c.highestTerm, "term", rec.Term)
 		c.highestTerm = rec.Term
 	}
 	c.noteLeader(rec.Node, rec.Term)
@@ -153,7 +153,7 @@
 		return
 	}
 	if term > c.highestTerm || c.knownLeader != node {
-		c.Log(slog.LevelInfo, "leader known", "leader", node, "term", term)
+		c.Log(slog.LevelInfo, "leader discovered", "leader", node, "term", term)
 	}
 	if c.knownLeader != node {
 		c.leaderLinkLostAt, c.leaderVersion = c.Now, 0
@@ -212,7 +212,7 @@
 			}
 			term, rev := c.nextTerm(t)
 			if term > record.MaxTerm {
-				c.Log(slog.LevelError, "terms are used up", "key", record.TermKey, "term", term)
+				c.Log(slog.LevelError, "terms exhausted", "key", record.TermKey, "term", term)
 				drop()
 				return
 			}
@@ -248,7 +248,7 @@
 func (c *Core) nextTerm(t kv.Response) (term, rev uint64) {
 	if t.Outcome == rpc.NotFound {
 		if term = max(t.Rev, c.confirmedTerm, c.observed.Term) + 1; t.Rev > 0 {
-			c.Log(slog.LevelWarn, "no term is on record, going on above the state service's revision", "key", record.TermKey, "term", term)
+			c.Log(slog.LevelWarn, "no term on record, continuing above the store's revision", "key", record.TermKey, "term", term)
 		}
 		return term, 0
 	}
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -105,7 +105,7 @@
 	for _, j := range l.sortedJobs() {
 		c.queueJob(j)
 	}
-	c.Log(slog.LevelInfo, "records read", "term", l.term, "jobs", len(l.jobs), "machines", len(l.unaccounted))
+	c.Log(slog.LevelInfo, "records loaded", "term", l.term, "jobs", len(l.jobs), "machines", len(l.unaccounted))
 	if c.takePendingHeartbeats(); c.leadership != l {
 		return // one of them has seen a newer epoch, and we were out of authority
 	}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -101,7 +101,7 @@
 		if c.termsBeganAgain(host, epoch) {
 			return
 		}
-		c.Log(slog.LevelWarn, "worker has seen an epoch that never was", "machine", host, "claimed", epoch, "term", c.leadership.term)
+		c.Log(slog.LevelWarn, "worker reports an unknown fencing token", "machine", host, "claimed", epoch, "term", c.leadership.term)
 		if c.leadership.loaded && !c.leadership.released.Has(host) {
 			useless()
 		}
@@ -130,7 +130,7 @@
 func (c *Core) reconcile(m *fleet.Machine, rep *heartbeat.Report) {
 	l := c.leadership
 	if !m.Reported {
-		c.Log(slog.LevelDebug, "machine reports", "machine", m.Host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
+		c.Log(slog.LevelDebug, "first heartbeat of machine", "machine", m.Host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
 		m.IdleSince = c.Now
 		delete(l.autoscaler.bootPatience, m.TypeName)
 	}
@@ -144,7 +144,7 @@
 	m.LastHeartbeat, m.LeaseExpired, m.Unreachable = c.Now, false, false
 	if rep.HasNotice {
 		if m.InterruptionAt.IsZero() {
-			c.Log(slog.LevelInfo, "machine will be taken", "machine", m.Host, "notice", rep.Notice)
+			c.Log(slog.LevelInfo, "interruption notice received", "machine", m.Host, "notice", rep.Notice)
 		}
 		m.InterruptionAt = c.Now.Add(rep.Notice)
 	}
@@ -194,7 +194,7 @@
 	}
 	delete(l.unaccounted, host)
 	if l.allAccounted() {
-		c.Log(slog.LevelInfo, "take-over complete", "term", l.term, "after", c.Now.Sub(l.electedAt))
+		c.Log(slog.LevelInfo, "failover complete", "term", l.term, "after", c.Now.Sub(l.electedAt))
 		for _, j := range l.sortedJobs() {
 			if j.Cancelled {
 				c.finishIfOver(j)
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -233,7 +233,7 @@
 		delete(l.schedules.byJob, j)
 		c.occurrenceOver(s, j.Spec.ID, f.State, c.TimeOfDay())
 	}
-	c.Log(slog.LevelDebug, "job over", "job", j.Spec.ID, "state", f.State)
+	c.Log(slog.LevelDebug, "job finished", "job", j.Spec.ID, "state", f.State)
 }
 
 // finalStatus is what a user is told of a job that has ended.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -40,7 +40,7 @@
 		c.leadership.teams[t.Name] = quota.FromSettings(t)
 		c.leadership.guarantees = c.leadership.guarantees || t.CPUs > 0 || t.GPUs > 0
 	}
-	c.Log(slog.LevelInfo, "leadership won", "term", term)
+	c.Log(slog.LevelInfo, "elected leader", "term", term)
 	c.announceTerm()
 	if len(c.cfg.Seeds) == 0 {
 		c.leadership.allAcknowledgedAt = c.Now
@@ -106,7 +106,7 @@
 		if l.suspended && c.hasAuthority() {
 			l.suspended, l.resumedAt = false, c.Now
 			l.dispatchAll = true
-			c.Log(slog.LevelInfo, "authority regained", "term", l.term)
+			c.Log(slog.LevelInfo, "leader lease renewed, authority regained", "term", l.term)
 		}
 	}
 	var confirm func()
@@ -206,7 +206,7 @@
 	if !c.hasAuthority() {
 		if !l.suspended {
 			l.suspended = true
-			c.Log(slog.LevelWarn, "authority lapsed, holding the workers", "term", l.term, "hold", c.leaseTiming.GracePeriod())
+			c.Log(slog.LevelWarn, "leader lease expired, holding workers through the grace period", "term", l.term, "hold", c.leaseTiming.GracePeriod())
 			// Whoever waits for a write hears at once that it is not known.
 			c.answerWaiting(l, unavailable("the state service does not answer"))
 			c.flushHeldReplies()
--- a/internal/core/machine_records.go
+++ b/internal/core/machine_records.go
@@ -140,7 +140,7 @@
 		return
 	}
 	for _, key := range slices.Sorted(maps.Keys(l.unreadableMachineRecords)) {
-		c.Log(slog.LevelWarn, "unreadable record of machines is accounted for, dropping it", "key", key)
+		c.Log(slog.LevelWarn, "dropping unreadable machine record, all its leases have expired", "key", key)
 		l.writes.Add(&writebatch.Change{Priority: writebatch.Bulk, Conditions: []kv.Condition{{Key: key, Rev: l.unreadableMachineRecords[key]}}, Writes: []kv.Write{{Key: key}}})
 		c.markAccounted(key)
 	}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -93,7 +93,7 @@
 
 // expireLease gives up on the tasks of a machine whose lease is surely over.
 func (c *Core) expireLease(m *fleet.Machine) {
-	c.Log(slog.LevelWarn, "lease over", "machine", m.Host, "tasks", len(m.Attempts))
+	c.Log(slog.LevelWarn, "worker lease expired", "machine", m.Host, "tasks", len(m.Attempts))
 	for _, r := range slices.Clone(m.Attempts) {
 		c.dropAttempt(r)
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -103,12 +103,12 @@
 	switch l := c.leadership; {
 	case term < c.highestTerm:
 	case l != nil && term == l.term:
-		c.Log(slog.LevelError, "a peer claims the term that this node leads", "peer", from, "term", term)
+		c.Log(slog.LevelError, "peer claims the term that this node leads", "peer", from, "term", term)
 	case l != nil && c.hasAuthority():
 		// In authority our grant lives, and nobody else can have begun a term, as
 		// far as our clock goes; the state service knows.
 		c.verifyTerm("a newer term is known", func() {
-			c.Log(slog.LevelWarn, "a term that was claimed never was", "peer", from, "claimed", term, "term", l.term)
+			c.Log(slog.LevelWarn, "claimed term does not exist", "peer", from, "claimed", term, "term", l.term)
 		})
 	case l != nil:
 		c.stepDown("a newer term is known")
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -112,6 +112,6 @@
 		stopped++
 	}
 	if stopped > 0 {
-		c.Log(slog.LevelInfo, "borrowers give back", "tasks", stopped)
+		c.Log(slog.LevelInfo, "preempting tasks over quota", "tasks", stopped)
 	}
 }
--- a/internal/core/recovery_merge.go
+++ b/internal/core/recovery_merge.go
@@ -128,9 +128,9 @@
 			from = c.cfg.HostName
 		}
 		l.loss = &dataLoss{restored: len(l.restoring), pending: len(l.restoring), since: c.Now, reason: g.lossReason, source: from}
-		c.Log(slog.LevelError, "rebuilding after a loss of data", "term", l.term, "era", c.observed.Era, "reason", g.lossReason, "copy of", from, "records", len(records), "restored", len(l.restoring))
+		c.Log(slog.LevelError, "recovering from data loss", "term", l.term, "era", c.observed.Era, "reason", g.lossReason, "copy of", from, "records", len(records), "restored", len(l.restoring))
 		if g.replica == nil {
-			c.Log(slog.LevelError, "no copy of the records is left: what the state service has lost is lost", "term", l.term)
+			c.Log(slog.LevelError, "no replica left, data lost by the state service cannot be restored", "term", l.term)
 		}
 	}
 	c.dataLossReason = ""
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -86,7 +86,7 @@
 			l.config.restoring--
 		}
 		if l.loss.pending--; l.loss.pending == 0 {
-			c.Log(slog.LevelInfo, "the records are whole again", "term", l.term, "restored", l.loss.restored, "after", c.Now.Sub(l.loss.since))
+			c.Log(slog.LevelInfo, "all records restored", "term", l.term, "restored", l.loss.restored, "after", c.Now.Sub(l.loss.since))
 		}
 	}
 	if part, ok := strings.CutPrefix(r.Key, record.ProgressPrefix); ok {
@@ -203,7 +203,7 @@
 		c.leadership.schedules.numberRev = e.Rev
 		for _, key := range keys {
 			r, _ := own.Get(key)
-			c.Log(slog.LevelError, "a schedule is missing that a copy has, it is written back", "key", key)
+			c.Log(slog.LevelError, "restoring missing schedule from replica", "key", key)
 			c.writeBack(r, func(on kv.Entry) {
 				if on.Value != nil && c.leadership.schedules.byName[strings.TrimPrefix(key, record.SchedulePrefix)] == nil {
 					c.loadSchedule(on)
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -360,7 +360,7 @@
 	}
 	if err != nil {
 		if err != relay.ErrBroken {
-			c.Log(slog.LevelWarn, "relay's reports cannot be read", "relay", from, "reason", err)
+			c.Log(slog.LevelWarn, "malformed heartbeats from relay", "relay", from, "reason", err)
 		}
 		c.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: l.term, Replies: &relay.Replies{Session: m.Reports.Session, Again: true}}})
 		return
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -248,7 +248,7 @@
 		return // of nobody who leads
 	}
 	if err := h.Take(line, record.FinalPrefix, maxFinals(c.cfg)); err != nil {
-		c.Log(slog.LevelWarn, "copy of the records is wanted anew", "from", from, "reason", err)
+		c.Log(slog.LevelWarn, "replica out of sequence, requesting it again", "from", from, "reason", err)
 		c.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.ReplicaRestart, Term: max(1, line.Term), Ref: line.Session}})
 		return
 	}
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -319,7 +319,7 @@
 		if r.Outcome == rpc.OK {
 			rec, _ := r.Entries[0].Value.(*record.ScheduleNumber)
 			if rec == nil || rec.Number+numberBlock > schedule.MaxNumber {
-				c.Log(slog.LevelError, "no numbers for schedules are left", "key", record.ScheduleNumberKey)
+				c.Log(slog.LevelError, "schedule numbers exhausted", "key", record.ScheduleNumberKey)
 				fail()
 				return
 			}
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -113,7 +113,7 @@
 		c.leadership.schedules.loaded = true
 		c.restoreMissingSchedules()
 		if n := len(c.leadership.schedules.names); n > 0 {
-			c.Log(slog.LevelInfo, "schedules read", "term", c.leadership.term, "schedules", n)
+			c.Log(slog.LevelInfo, "schedules loaded", "term", c.leadership.term, "schedules", n)
 			c.resolveNext()
 		}
 	})
@@ -176,7 +176,7 @@
 	}
 	if err != nil {
 		s.problem = err.Error()
-		c.Log(slog.LevelError, "schedule makes no jobs", "schedule", s.name, "reason", s.problem)
+		c.Log(slog.LevelError, "schedule disabled", "schedule", s.name, "reason", s.problem)
 	}
 }
 
@@ -323,7 +323,7 @@
 func (c *Core) reportMissed(s *recurringJob, gone []schedule.Passed) {
 	c.leadership.schedules.missed += int64(len(gone))
 	for _, p := range gone {
-		c.Log(slog.LevelWarn, "occurrence missed", "schedule", s.name, "planned", p.Start, "job", schedule.JobID(s.record.Number, p.Nominal), "reason", p.Reason)
+		c.Log(slog.LevelWarn, "occurrence skipped", "schedule", s.name, "planned", p.Start, "job", schedule.JobID(s.record.Number, p.Nominal), "reason", p.Reason)
 	}
 }
 
@@ -344,7 +344,7 @@
 		c.reportMissed(s, gone)
 		c.leadership.schedules.made++
 		if late := c.TimeOfDay().Sub(o.Start); late > schedule.OnTime {
-			c.Log(slog.LevelWarn, "occurrence made late", "schedule", s.name, "planned", o.Start, "job", id, "late", late)
+			c.Log(slog.LevelWarn, "occurrence submitted late", "schedule", s.name, "planned", o.Start, "job", id, "late", late)
 		}
 		if c.leadership.jobs[id] == nil { // else its id was submitted at the same time, and taken on
 			c.newJob(job)
@@ -353,7 +353,7 @@
 		c.leadership.schedules.byJob[j] = s
 		c.watchDeadline(s, j, o.Due)
 	}, func() {
-		c.Log(slog.LevelError, "occurrence failed, its job id is taken", "schedule", s.name, "planned", o.Start, "job", id)
+		c.Log(slog.LevelError, "occurrence failed, job id already in use", "schedule", s.name, "planned", o.Start, "job", id)
 		c.recordMissed(s, past, append(gone, schedule.Passed{Occurrence: o, State: schedule.StateFailed, Reason: "job id " + id + " is taken"}))
 	})
 }
@@ -413,7 +413,7 @@
 	s.record.Late++
 	c.flushSchedule(s)
 	c.leadership.schedules.late++
-	c.Log(slog.LevelWarn, "occurrence late", "schedule", s.name, "planned", e.Planned, "due", e.Due, "job", e.Job)
+	c.Log(slog.LevelWarn, "occurrence missed its deadline", "schedule", s.name, "planned", e.Planned, "due", e.Due, "job", e.Job)
 }
 
 // occurrenceStarted follows the first start of a task of an occurrence.
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -101,7 +101,7 @@
 	l := c.leadership
 	for _, z := range l.zones.All() {
 		if z.Probe(c.Now) {
-			c.Log(slog.LevelInfo, "a machine is rented to see whether the zone is back", "zone", z.Name)
+			c.Log(slog.LevelInfo, "probing lost zone with one instance", "zone", z.Name)
 			c.requestInstances(&spec.Job{Zone: z.Name, AllowSpot: true}, 0, true, true)
 		}
 		n := z.Sight.Silent - z.Kept(c.Now)
@@ -116,7 +116,7 @@
 		}
 		slices.SortStableFunc(silent, func(a, b *fleet.Machine) int { return cmp.Compare(b.PerCPU(), a.PerCPU()) })
 		for _, m := range silent[:min(n, len(silent))] {
-			c.Log(slog.LevelInfo, "machine of a lost zone, returning it", "machine", m.Host, "zone", z.Name, "silent", c.Now.Sub(m.LastHeartbeat))
+			c.Log(slog.LevelInfo, "releasing machine of lost zone", "machine", m.Host, "zone", z.Name, "silent", c.Now.Sub(m.LastHeartbeat))
 			c.release(m)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -122,7 +122,7 @@
 				if left != nil {
 					return nil
 				}
-				slog.Info("node ends", "signal", s.String())
+				slog.Info("node stopping", "signal", s.String())
 				left, in = time.After(leaveWithin), core.Leave{}
 			case <-left:
 				return nil
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -258,13 +258,13 @@
 		conn.SetReadDeadline(time.Now().Add(deadAfter))
 		if !sc.Scan() {
 			if err := sc.Err(); err == bufio.ErrTooLong {
-				slog.Warn("garbage on the peer port, connection closed", "remote", conn.RemoteAddr().String(), "reason", err)
+				slog.Warn("malformed message on the peer port, connection closed", "remote", conn.RemoteAddr().String(), "reason", err)
 			}
 			return
 		}
 		in, ping, reason := parse(sc.Bytes(), known)
 		if reason != "" {
-			slog.Warn("garbage on the peer port, connection closed", "remote", conn.RemoteAddr().String(), "reason", reason)
+			slog.Warn("malformed message on the peer port, connection closed", "remote", conn.RemoteAddr().String(), "reason", reason)
 			return
 		}
 		if ping {
--- a/internal/scenario/cost_test.go
+++ b/internal/scenario/cost_test.go
@@ -151,7 +151,7 @@
 		t.Fatal(err)
 	}
 	s.trace = func(x string) {
-		if strings.Contains(x, "lost data") || strings.Contains(x, "rebuilding after") || strings.Contains(x, "leadership won") || strings.Contains(x, "whole again") || strings.Contains(x, "take-over complete") {
+		if strings.Contains(x, "data loss detected") || strings.Contains(x, "recovering from data loss") || strings.Contains(x, "elected leader") || strings.Contains(x, "all records restored") || strings.Contains(x, "failover complete") {
 			t.Log(x)
 		}
 	}
--- a/internal/scenario/drill_test.go
+++ b/internal/scenario/drill_test.go
@@ -169,7 +169,7 @@
 	}
 	lost("wk-2", func() {})
 	f.running(ps)
-	f.until("an alert", func() bool { return saidAny(ps, "rebuilding after a loss of data") })
+	f.until("an alert", func() bool { return saidAny(ps, "recovering from data loss") })
 	f.until("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
 	l := f.leader()
 	lost("wk-3", l.kill)
@@ -219,7 +219,7 @@
 		l.cmd.Process.Signal(syscall.SIGSTOP)
 		f.until("another leads", func() bool {
 			for _, p := range ps {
-				if p != l && p.said("leadership won") && p.healthy {
+				if p != l && p.said("elected leader") && p.healthy {
 					return true
 				}
 			}
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -479,7 +479,7 @@
 			}
 		}
 	case engine.LogEntry:
-		if o.Text == "the state service has lost data" && !n.lossy {
+		if o.Text == core.DataLossDetected && !n.lossy {
 			n.fail("misuse", "%s sees a loss of data where there was none: %v", n.name, o.Attrs)
 		}
 		if n.trace != nil {
