--- /dev/null
+++ b/internal/peer/compatibility_test.go
@@ -0,0 +1,430 @@
+package peer
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"io"
+	"net"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"yewpass/internal/config"
+	"yewpass/internal/core"
+	"yewpass/internal/liveconfig"
+	"yewpass/internal/rebuild"
+	"yewpass/internal/relay"
+	"yewpass/internal/schedule"
+	"yewpass/internal/snapshot"
+	"yewpass/internal/spec"
+)
+
+// goldenLines was written by version 5990396, by the controller "a". It is never written
+// anew: a version that cannot read these lines, or writes other bytes, cannot run beside
+// that version.
+const goldenLines = "testdata/lines-5990396.jsonl"
+
+// goldenLine is a line between controllers.
+type goldenLine struct {
+	Name string          `json:"name"`
+	Line json.RawMessage `json:"line"`
+}
+
+func readGoldenLines(t *testing.T) []goldenLine {
+	t.Helper()
+	data, err := os.ReadFile(goldenLines)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var all []goldenLine
+	for line := range bytes.Lines(data) {
+		var one goldenLine
+		if err := json.Unmarshal(line, &one); err != nil {
+			t.Fatalf("%s: %v", line, err)
+		}
+		all = append(all, one)
+	}
+	return all
+}
+
+// sender is the controller "a", whose only peer is the test.
+type sender struct {
+	mesh  *Mesh
+	lines *bufio.Scanner
+}
+
+// newSender starts the controller "a" and returns it with the first line that it sends.
+func newSender(t *testing.T) (s *sender, first string) {
+	t.Helper()
+	peer := listen(t)
+	seeds := []config.Seed{{HostName: "b", Endpoint: peer.Addr().String()}}
+	s = &sender{mesh: New("a", seeds, listen(t), make(chan any, 64))}
+	conn, err := peer.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	go func() {
+		for { // shows the sender that the peer is there
+			if _, err := io.WriteString(conn, "\n"); err != nil {
+				return
+			}
+			time.Sleep(pingEvery)
+		}
+	}()
+	conn.SetReadDeadline(time.Now().Add(time.Minute))
+	s.lines = bufio.NewScanner(conn)
+	s.lines.Buffer(nil, maxLine)
+	return s, s.next(t)
+}
+
+func (s *sender) next(t *testing.T) string {
+	t.Helper()
+	if !s.lines.Scan() {
+		t.Fatal("no line: ", s.lines.Err())
+	}
+	return s.lines.Text()
+}
+
+// write returns the line that a message becomes.
+func (s *sender) write(t *testing.T, message core.PeerMsg) string {
+	t.Helper()
+	s.mesh.Send(core.PeerSend{To: "b", Msg: message})
+	for {
+		if line := s.next(t); line != pingLine {
+			return line
+		}
+	}
+}
+
+// pingLine keeps a link alive while there is nothing to say.
+const pingLine = `{"from":"a","kind":"ping"}`
+
+// receiver is the controller "b", whose only peer, "a", is the test.
+type receiver struct {
+	conn  net.Conn
+	inbox chan any
+}
+
+func newReceiver(t *testing.T) *receiver {
+	t.Helper()
+	own, peer := listen(t), listen(t)
+	r := &receiver{inbox: make(chan any, 64)}
+	New("b", []config.Seed{{HostName: "a", Endpoint: peer.Addr().String()}}, own, r.inbox)
+	var err error
+	if r.conn, err = net.Dial("tcp", own.Addr().String()); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { r.conn.Close() })
+	return r
+}
+
+// read returns the message that a line is read as.
+func (r *receiver) read(t *testing.T, line []byte) core.PeerMsg {
+	t.Helper()
+	if _, err := r.conn.Write(append(bytes.Clone(line), '\n')); err != nil {
+		t.Fatal(err)
+	}
+	in := next(t, r.inbox)
+	if in.From != "a" {
+		t.Errorf("from %q, want a", in.From)
+	}
+	return in.Msg
+}
+
+func pointer[T any](v T) *T { return &v }
+
+// messages are the messages of the golden lines, by name.
+func messages() map[string]core.PeerMsg {
+	all := map[string]core.PeerMsg{
+		"leader":              {Kind: core.PeerLeader, Term: 41, Speaks: 1},
+		"leader: no version":  {Kind: core.PeerLeader, Term: core.MaxTerm},
+		"ack":                 {Kind: core.PeerAck, Term: 41, Speaks: 1},
+		"ack: asks again":     {Kind: core.PeerAck, Term: 41, Ref: 1, Speaks: 1},
+		"again":               {Kind: core.PeerAgain, Term: 41, Ref: 9_000_000_000_000_000_003},
+		"ask":                 {Kind: core.PeerAsk, Term: 41},
+		"want":                {Kind: core.PeerWant, Term: 41},
+		"configuration: tell": {Kind: core.PeerConfig, Term: 41, Ref: 12},
+		"tell": {Kind: core.PeerTell, Term: 41, Know: &core.Knowledge{
+			Known:    rebuild.Known{Era: 9_000_000_000_000_000_002, Term: 40, Life: 18_000_000_000_000_000_001, Rev: 777, Old: 39},
+			CopyEra:  9_000_000_000_000_000_004,
+			CopyTerm: 38,
+			CopySeq:  1234,
+			Live:     snapshot.Digest{Count: 3, Hash: 17_000_000_000_000_000_005},
+		}},
+		"tell: nothing known": {Kind: core.PeerTell, Term: 41, Know: &core.Knowledge{}},
+		"alone": {Kind: core.PeerAlone, Copy: &snapshot.Line{Term: 41, Session: 7, Puts: []snapshot.Record{
+			{Key: "yewpass/live/job/wk-7", Value: jobRecord(), Rev: 90},
+		}}},
+		"copy: every field":     {Kind: core.PeerCopy, Copy: wholeCopy()},
+		"copy: least":           {Kind: core.PeerCopy, Copy: &snapshot.Line{Term: 41, Session: 7, Number: 1}},
+		"reports: every field":  {Kind: core.PeerReports, Term: 41, Reports: wholeBatch()},
+		"reports: nothing":      {Kind: core.PeerReports, Term: 41, Reports: &relay.Batch{Session: 6, Number: 2}},
+		"replies: every field":  {Kind: core.PeerReplies, Term: 41, Replies: wholeReplies()},
+		"replies: begin again":  {Kind: core.PeerReplies, Term: 41, Replies: &relay.Replies{Session: 6, Again: true}},
+		"answer: every field":   {Kind: core.PeerAnswer, Ref: 5, Answer: wholeAnswer()},
+		"answer: status alone":  {Kind: core.PeerAnswer, Ref: 5, Answer: &core.AnswerUser{Status: 204}},
+		"call: submit":          {Kind: core.PeerCall, Ref: 5, Op: core.OpSubmit, ID: "wk-000412", Spec: wholeSpec()},
+		"call: get":             {Kind: core.PeerCall, Ref: 5, Op: core.OpGet, ID: "wk-7"},
+		"call: cancel":          {Kind: core.PeerCall, Ref: 5, Op: core.OpCancel, ID: "wk-7"},
+		"call: cluster":         {Kind: core.PeerCall, Ref: 5, Op: core.OpCluster},
+		"call: hand over":       {Kind: core.PeerCall, Ref: 5, Op: core.OpHandOver},
+		"call: set teams":       {Kind: core.PeerCall, Ref: 5, Op: core.OpConfigSet, Config: wholeChange()},
+		"call: get team":        {Kind: core.PeerCall, Ref: 5, Op: core.OpConfigGet, Config: &core.ConfigCall{Name: "vision"}},
+		"call: list teams":      {Kind: core.PeerCall, Ref: 5, Op: core.OpConfigList, Config: &core.ConfigCall{After: "tools", Count: 20}},
+		"call: config status":   {Kind: core.PeerCall, Ref: 5, Op: core.OpConfigStatus, Config: &core.ConfigCall{}},
+		"call: put schedule":    {Kind: core.PeerCall, Ref: 5, Op: core.OpSchedulePut, Schedule: &core.ScheduleCall{Name: "nightly", File: wholeFile(), IfMatch: `"7-4"`}},
+		"call: put new":         {Kind: core.PeerCall, Ref: 5, Op: core.OpSchedulePut, Schedule: &core.ScheduleCall{Name: "n", File: leastFile(), IfMatch: core.NewOnly}},
+		"call: get schedule":    {Kind: core.PeerCall, Ref: 5, Op: core.OpScheduleGet, Schedule: &core.ScheduleCall{Name: "nightly"}},
+		"call: list schedules":  {Kind: core.PeerCall, Ref: 5, Op: core.OpScheduleList, Schedule: &core.ScheduleCall{After: "n", Count: 20}},
+		"call: delete schedule": {Kind: core.PeerCall, Ref: 5, Op: core.OpScheduleDelete, Schedule: &core.ScheduleCall{Name: "nightly", IfMatch: `"7-4"`}},
+		"call: pause schedule":  {Kind: core.PeerCall, Ref: 5, Op: core.OpSchedulePause, Schedule: &core.ScheduleCall{Name: "nightly"}},
+		"call: resume schedule": {Kind: core.PeerCall, Ref: 5, Op: core.OpScheduleResume, Schedule: &core.ScheduleCall{Name: "nightly"}},
+		"call: run schedule":    {Kind: core.PeerCall, Ref: 5, Op: core.OpScheduleRun, Schedule: &core.ScheduleCall{Name: "nightly", Request: "r-1"}},
+		"call: upcoming":        {Kind: core.PeerCall, Ref: 5, Op: core.OpScheduleUpcoming, Schedule: &core.ScheduleCall{Name: "nightly", Count: 3}},
+		"call: history":         {Kind: core.PeerCall, Ref: 5, Op: core.OpScheduleHistory, Schedule: &core.ScheduleCall{Name: "nightly"}},
+	}
+	return all
+}
+
+func wholeSpec() *core.JobSpec {
+	return &core.JobSpec{
+		ID:            "wk-000412",
+		Class:         "train <a&b>",
+		Owner:         "vision",
+		Service:       true,
+		Urgency:       core.Production,
+		Tasks:         16,
+		CPUs:          8.25,
+		GPUs:          0.5,
+		MemGB:         64.125,
+		Image:         "img-07",
+		ImageGB:       6.2,
+		Flavors:       []string{"g8", "g4"},
+		Zone:          "hall-a",
+		SamePlace:     true,
+		Apart:         true,
+		Reclaimable:   true,
+		Runtime:       240 * time.Second,
+		SnapshotEvery: 30 * time.Second,
+		Snapshot:      4 * time.Second,
+		Due:           900 * time.Second,
+		Dated:         true,
+	}
+}
+
+func jobRecord() *core.JobRecord {
+	return &core.JobRecord{Spec: core.JobSpec{ID: "wk-7", Class: "build", Owner: "tools", Tasks: 1}, Submitted: time.UnixMilli(1_801_386_061_234)}
+}
+
+// wholeCopy is a line of a copy with a record of each kind.
+func wholeCopy() *snapshot.Line {
+	nominal := time.UnixMilli(60_000).UTC()
+	return &snapshot.Line{
+		Era:     9_000_000_000_000_000_002,
+		Term:    41,
+		Session: 9_000_000_000_000_000_003,
+		Number:  12,
+		Seq:     345,
+		Whole:   true,
+		Puts: []snapshot.Record{
+			{Key: "yewpass/live/job/wk-7", Value: jobRecord(), Rev: 90},
+			{Key: "yewpass/final/wk-8", Value: &core.FinalRecord{State: core.Done, Done: 3}},
+			{Key: "yewpass/live/progress/wk-7/0", Value: &core.ProgressRecord{Ranges: "0-5,9"}, Rev: 91},
+			{Key: "yewpass/live/machine/41-1", Value: &core.MachineRecord{Machines: []core.RecordedMachine{{Host: "host-1", Flavor: "g8", Zone: "hall-a"}}}, Rev: 92},
+			{Key: "yewpass/leader", Value: &core.LeaderRecord{Node: "a", Term: 41, Life: 6, Era: 8}, Rev: 93},
+			{Key: "yewpass/term", Value: &core.TermRecord{Term: 41, Era: 8}, Rev: 94},
+			{Key: "yewpass/schedules", Value: &core.NumberRecord{Number: 99}, Rev: 95},
+			{Key: "yewpass/schedule/n", Value: &schedule.Record{Number: 1, Seq: 1, Edition: 1, File: json.RawMessage(`{"name":"n"}`), Cursor: schedule.Cursor{Nominal: nominal}}, Rev: 96},
+			{Key: "yewpass/live/config/head", Value: &liveconfig.HeadRecord{Revision: 12}, Rev: 97},
+			{Key: "yewpass/live/config/team/vision", Value: &liveconfig.TeamRecord{Team: liveconfig.Team{Name: "vision", CPUs: 10.5}, Revision: 12}, Rev: 98},
+		},
+		Drops: []string{"yewpass/live/job/wk-8", "yewpass/live/progress/wk-8/0"},
+	}
+}
+
+func wholeBatch() *relay.Batch {
+	return &relay.Batch{
+		Session: 6,
+		Number:  2,
+		Reports: []relay.Item{
+			{
+				Ref:     77,
+				Handle:  3,
+				Machine: &relay.Who{Host: "host-000231", Address: "10.1.0.232:9000", Flavor: "g8", Zone: "hall-a", Reclaimable: true},
+				Tenure:  1_801_386_061_234,
+				Counter: 88,
+				Epoch:   41,
+				Notice:  pointer(int64(0)),
+				Added: relay.Tasks{
+					{Task: core.TaskID{Job: "wk-7", Index: 3}, Try: 18_000_000_000_000_000_001, Phase: core.Pulling},
+					{Task: core.TaskID{Job: "odd, name/50%", Index: 99_999}, Try: 1, Phase: core.TaskRuns},
+					{Task: core.TaskID{Job: "wk-8"}, Try: 2, Phase: core.Saving},
+					{Task: core.TaskID{Job: "wk-9"}, Try: 2, Phase: core.Exited, Cause: core.CauseNoRoom},
+				},
+			},
+			{Handle: 4, Machine: &relay.Who{Host: "host-2"}, Tenure: 1, Counter: 2},
+			{
+				Handle:  5,
+				Tenure:  1,
+				Counter: 3,
+				Notice:  pointer(int64(119_500)),
+				Dropped: []int{0, 2},
+				Changed: []relay.Change{{At: 1, Phase: core.Exited, Cause: core.CauseDone}, {At: 2, Phase: core.TaskRuns}},
+			},
+		},
+		Gone: []uint64{70, 71},
+		Left: []uint64{1, 2},
+	}
+}
+
+func wholeReplies() *relay.Replies {
+	return &relay.Replies{
+		Session: 6,
+		List: []relay.Reply{
+			{Ref: 77, Orders: relay.Orders{
+				{Verb: core.Start, Task: core.TaskID{Job: "wk-7", Index: 3}, Try: 18_000_000_000_000_000_001},
+				{Verb: core.Stop, Task: core.TaskID{Job: "odd, name/50%"}, Try: 1, Drain: 10500 * time.Millisecond},
+				{Verb: core.Reap, Task: core.TaskID{Job: "wk-9"}, Try: 2},
+			}},
+			{Ref: 78, Status: 421, Upstream: "n3"},
+			{Ref: 79, Status: 503},
+			{Ref: 80},
+		},
+	}
+}
+
+func wholeAnswer() *core.AnswerUser {
+	return &core.AnswerUser{
+		Status:     429,
+		RetryAfter: 1500 * time.Millisecond,
+		View:       core.JobView{ID: "wk-7", State: core.Running, Done: 3, Running: 13},
+		Field:      "owner",
+		Reason:     "the team's <limit>",
+		Doc:        json.RawMessage(`{"schedules":[],"truncated":true}`),
+		ETag:       `"7-4"`,
+	}
+}
+
+func wholeChange() *core.ConfigCall {
+	return &core.ConfigCall{
+		Teams: []liveconfig.TeamChange{
+			{Team: liveconfig.Team{Name: "vision", CPUs: 10.5, CPUsMax: 20, GPUs: 4, GPUsMax: 8.25, Retired: true}, IfRevision: pointer(uint64(0))},
+			{Team: liveconfig.Team{Name: "tools"}},
+		},
+		IfRevision: pointer(uint64(12)),
+	}
+}
+
+func wholeFile() *schedule.File {
+	return &schedule.File{
+		Name:           "nightly",
+		Zone:           "Europe/Berlin",
+		Rule:           "FREQ=DAILY",
+		At:             []string{"01:00", "13:30"},
+		Calendar:       "de",
+		OnHoliday:      "next",
+		Starts:         &toml.LocalDate{Year: 2027, Month: 1, Day: 31},
+		Ends:           &toml.LocalDate{Year: 2028, Month: 12, Day: 1},
+		DueAt:          "06:00",
+		Overlap:        schedule.WaitOverlap,
+		CatchUp:        schedule.Latest,
+		CatchUpWithinS: pointer(3600.5),
+		Job: spec.Submission{
+			ID:             pointer("wk-1"),
+			JobClass:       pointer("train"),
+			Owner:          pointer("vision"),
+			Shape:          pointer("array"),
+			Urgency:        pointer("urgent"),
+			Shards:         pointer(16),
+			VCPUs:          pointer(8.25),
+			GPUs:           pointer(0.0),
+			MemGB:          pointer(64.0),
+			Bundle:         pointer("img-07"),
+			SizeGB:         pointer(6.2),
+			Flavors:        &[]string{"g8", "g4"},
+			Hall:           pointer("hall-a"),
+			SamePlace:      pointer(true),
+			Apart:          pointer(false),
+			Reclaimable:    pointer(true),
+			RuntimeS:       pointer(240.0),
+			SnapshotEveryS: pointer(30.0),
+			SnapshotS:      pointer(4.0),
+			DueS:           pointer(900.0),
+		},
+	}
+}
+
+func leastFile() *schedule.File {
+	return &schedule.File{Name: "n", Zone: "UTC", Rule: "FREQ=DAILY"}
+}
+
+// TestLinesOf5990396 guards the lines between controllers: those written by version
+// 5990396 must stay readable, and the reverse.
+func TestLinesOf5990396(t *testing.T) {
+	sender, first := newSender(t)
+	if first != pingLine {
+		t.Errorf("the first line is %s, want %s", first, pingLine)
+	}
+	receiver := newReceiver(t)
+	wants := messages()
+	golden := readGoldenLines(t)
+	if len(golden) != len(wants) {
+		t.Errorf("%d golden lines, %d messages", len(golden), len(wants))
+	}
+	for _, g := range golden {
+		t.Run(g.Name, func(t *testing.T) {
+			want := wants[g.Name]
+			got := receiver.read(t, g.Line)
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("read\n%+v, want\n%+v", got, want)
+			}
+			if line := sender.write(t, got); line != string(g.Line) {
+				t.Errorf("written again\n%s, want\n%s", line, g.Line)
+			}
+			if line := sender.write(t, want); line != string(g.Line) {
+				t.Errorf("written\n%s, want\n%s", line, g.Line)
+			}
+		})
+	}
+}
+
+// TestLinesCoverEveryKind: no kind of message is missing among the golden lines.
+func TestLinesCoverEveryKind(t *testing.T) {
+	seen := map[core.PeerKind]bool{}
+	for _, m := range messages() {
+		seen[m.Kind] = true
+	}
+	for _, kind := range []core.PeerKind{
+		core.PeerLeader, core.PeerAck, core.PeerCall, core.PeerAnswer, core.PeerCopy, core.PeerAlone, core.PeerAgain,
+		core.PeerAsk, core.PeerTell, core.PeerWant, core.PeerConfig, core.PeerReports, core.PeerReplies,
+	} {
+		if !seen[kind] {
+			t.Errorf("no line of the kind %q", kind)
+		}
+	}
+}
+
+// TestDamagedCopyIsRefused: a copy's line whose records are not those that its checksum
+// was made of, as version 5990396 makes it, is no line.
+func TestDamagedCopyIsRefused(t *testing.T) {
+	for _, g := range readGoldenLines(t) {
+		if g.Name != "copy: every field" {
+			continue
+		}
+		damaged := strings.Replace(string(g.Line), `"ranges":"0-5,9"`, `"ranges":"0-5,8"`, 1)
+		if damaged == string(g.Line) {
+			t.Fatal("nothing is damaged")
+		}
+		if _, _, reason := parse([]byte(damaged), map[string]bool{"a": true}); reason == "" {
+			t.Error("a damaged line is taken")
+		}
+		return
+	}
+	t.Fatal("no line of a copy")
+}
