--- /dev/null
+++ b/internal/cloud/compatibility_test.go
@@ -0,0 +1,105 @@
+package cloud
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+	"time"
+
+	"yewpass/internal/core"
+	"yewpass/internal/timeline"
+)
+
+// goldenCalls holds the requests that version 5990396 sends and answers that it reads. It
+// is never written anew: the cloud speaks to that version and to this one alike.
+const goldenCalls = "testdata/calls-5990396.jsonl"
+
+// goldenCall is a request to the cloud and its answer.
+type goldenCall struct {
+	Name   string          `json:"name"`
+	Method string          `json:"method"`
+	Path   string          `json:"path"`
+	Body   json.RawMessage `json:"body,omitempty"`
+	Status int             `json:"status"`
+	Answer json.RawMessage `json:"answer"`
+}
+
+func readGoldenCalls(t *testing.T) []goldenCall {
+	t.Helper()
+	data, err := os.ReadFile(goldenCalls)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var all []goldenCall
+	for line := range bytes.Lines(data) {
+		var one goldenCall
+		if err := json.Unmarshal(line, &one); err != nil {
+			t.Fatalf("%s: %v", line, err)
+		}
+		all = append(all, one)
+	}
+	return all
+}
+
+// answeredCall is what is asked of the cloud, and what the golden answer to it says.
+type answeredCall struct {
+	call  core.CloudCall
+	reply core.CloudReply
+}
+
+func answeredCalls() map[string]answeredCall {
+	rent := core.CloudCall{Op: core.CloudRent, Rental: "r-41-7", Flavor: "g8", Zone: "hall-a", Reclaimable: true, Count: 2}
+	return map[string]answeredCall{
+		"catalog": {
+			core.CloudCall{Op: core.CloudCatalog},
+			core.CloudReply{Flavors: []core.Flavor{{
+				Name:      "g8",
+				Capacity:  timeline.Capacity(96, 8, 768),
+				CPUs:      96,
+				LocalGB:   3000,
+				FetchGBps: 1.5,
+				Rate:      24.5,
+				LowRate:   8.25,
+				Ready:     90500 * time.Millisecond,
+				Zones:     []string{"hall-a", "hall-b"},
+			}}},
+		},
+		"rent":              {rent, core.CloudReply{Hosts: []string{"host-1", "host-2"}}},
+		"rent: no capacity": {rent, core.CloudReply{Outcome: core.Refused}},
+		"release":           {core.CloudCall{Op: core.CloudRelease, Hosts: []string{"host-1", "host-2"}}, core.CloudReply{}},
+		"list": {
+			core.CloudCall{Op: core.CloudList},
+			core.CloudReply{More: true, Listed: []core.Listed{
+				{Host: "host-1", Flavor: "g8", Zone: "hall-a", Status: "ready", Reclaimable: true, Age: 12250 * time.Millisecond},
+			}},
+		},
+		"list: a next page": {core.CloudCall{Op: core.CloudList, After: "host-1"}, core.CloudReply{}},
+	}
+}
+
+// TestCallsOf5990396 guards the requests to the cloud and the reading of its answers,
+// which must stay what they were with version 5990396.
+func TestCallsOf5990396(t *testing.T) {
+	calls := answeredCalls()
+	golden := readGoldenCalls(t)
+	if len(golden) != len(calls) {
+		t.Errorf("%d golden calls, %d calls", len(golden), len(calls))
+	}
+	for _, g := range golden {
+		t.Run(g.Name, func(t *testing.T) {
+			want := calls[g.Name]
+			method, path, body := Request(want.call)
+			if method != g.Method || path != g.Path {
+				t.Errorf("%s %s, want %s %s", method, path, g.Method, g.Path)
+			}
+			if string(body) != string(g.Body) {
+				t.Errorf("body\n%s, want\n%s", body, g.Body)
+			}
+			if got := Decode(want.call, g.Status, g.Answer); !reflect.DeepEqual(got, want.reply) {
+				t.Errorf("read\n%+v, want\n%+v", got, want.reply)
+			}
+		})
+	}
+}
