--- /dev/null
+++ b/internal/relay/compatibility_test.go
@@ -0,0 +1,100 @@
+package relay
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+	"time"
+
+	"yewpass/internal/report"
+)
+
+// goldenBatches was written by the relay of version 5990396, one batch a line, for the
+// reports of foldedReports. It is never written anew.
+const goldenBatches = "testdata/batches-5990396.jsonl"
+
+// foldedReports are the reports that went into each golden batch.
+func foldedReports() [][]report.Report {
+	task := func(index int, phase report.Phase, cause string) report.Task {
+		return report.Task{Task: report.TaskID{Job: "wk-7", Index: index}, Try: 5, Phase: phase, Cause: cause}
+	}
+	machine := func(counter uint64, tasks ...report.Task) report.Report {
+		return report.Report{
+			Host: "host-1", Address: "10.1.0.1:9000", Flavor: "g8", Zone: "hall-a", Reclaimable: true,
+			Tenure: 3, Counter: counter, Epoch: 41, Tasks: tasks,
+		}
+	}
+	warned := machine(4, task(1, report.Exited, "done"), task(4, report.Pulling, ""))
+	warned.HasNotice, warned.Notice = true, 119500*time.Millisecond
+	other := report.Report{Host: "host-2", Flavor: "c4", Zone: "hall-b", Tenure: 1, Counter: 1}
+	return [][]report.Report{
+		{machine(1, task(0, report.Pulling, ""), task(1, report.TaskRuns, ""), task(2, report.Saving, "")), other},
+		{machine(2, task(0, report.TaskRuns, ""), task(1, report.TaskRuns, ""), task(2, report.Exited, "stopped"))},
+		{machine(3, task(0, report.TaskRuns, ""), task(1, report.TaskRuns, ""), task(2, report.Exited, "stopped"))},
+		{warned},
+		{}, // host-2 has left
+	}
+}
+
+// foldAll folds the reports as a relay does.
+func foldAll(all [][]report.Report) (batches []*Batch) {
+	fold := NewFold(6)
+	var ref uint64
+	for i, reports := range all {
+		if i == len(all)-1 {
+			fold.Forget("host-2")
+		}
+		var items []Item
+		for _, r := range reports {
+			ref++
+			items = append(items, fold.Item(ref, &r))
+		}
+		batches = append(batches, fold.Batch(items, nil))
+	}
+	return batches
+}
+
+func goldenLines(t *testing.T) (lines [][]byte) {
+	t.Helper()
+	data, err := os.ReadFile(goldenBatches)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for line := range bytes.Lines(data) {
+		lines = append(lines, bytes.TrimSpace(line))
+	}
+	return lines
+}
+
+// TestBatchesOf5990396 guards the stream of reports from a relay to the leader: batches of
+// version 5990396 must become the reports again, and the reverse.
+func TestBatchesOf5990396(t *testing.T) {
+	all := foldedReports()
+	golden := goldenLines(t)
+	if len(golden) != len(all) {
+		t.Fatalf("%d golden batches, want %d", len(golden), len(all))
+	}
+	var unfold Unfold
+	for i, batch := range foldAll(all) {
+		data, err := json.Marshal(batch)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if string(data) != string(golden[i]) {
+			t.Errorf("batch %d written\n%s, want\n%s", i+1, data, golden[i])
+		}
+		var read Batch
+		if err := json.Unmarshal(golden[i], &read); err != nil {
+			t.Fatal(err)
+		}
+		got, _, err := unfold.Open(&read)
+		if err != nil {
+			t.Fatalf("batch %d: %v", i+1, err)
+		}
+		if !reflect.DeepEqual(got, all[i]) {
+			t.Errorf("batch %d read\n%+v, want\n%+v", i+1, got, all[i])
+		}
+	}
+}
