--- /dev/null
+++ b/internal/api/compatibility_test.go
@@ -0,0 +1,367 @@
+package api
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"net/http"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"yewpass/internal/core"
+	"yewpass/internal/liveconfig"
+	"yewpass/internal/schedule"
+	"yewpass/internal/spec"
+)
+
+// goldenExchanges holds requests of users and workers, and what version 5990396 answers to
+// them. It is never written anew: users and workers speak to that version and to this one
+// alike.
+const goldenExchanges = "testdata/exchanges-5990396.jsonl"
+
+// goldenExchange is a request and its answer.
+type goldenExchange struct {
+	Name       string          `json:"name"`
+	Method     string          `json:"method"`
+	Path       string          `json:"path"`
+	IfMatch    string          `json:"ifMatch,omitempty"`
+	Body       json.RawMessage `json:"body,omitempty"`
+	Status     int             `json:"status"`
+	ETag       string          `json:"etag,omitempty"`
+	RetryAfter string          `json:"retryAfter,omitempty"`
+	Answer     json.RawMessage `json:"answer"`
+}
+
+func readGoldenExchanges(t *testing.T) []goldenExchange {
+	t.Helper()
+	data, err := os.ReadFile(goldenExchanges)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var all []goldenExchange
+	for line := range bytes.Lines(data) {
+		var one goldenExchange
+		if err := json.Unmarshal(line, &one); err != nil {
+			t.Fatalf("%s: %v", line, err)
+		}
+		all = append(all, one)
+	}
+	return all
+}
+
+// exchange is what the core is asked by a request, and how it answers.
+type exchange struct {
+	input  any
+	output any
+}
+
+func pointer[T any](v T) *T { return &v }
+
+// exchanges are those of the golden file, by name.
+func exchanges() map[string]exchange {
+	scheduled := func(op core.UserOp, call core.ScheduleCall, doc any) exchange {
+		return exchange{core.UserCall{Op: op, Schedule: &call}, core.AnswerUser{Status: 200, Doc: doc}}
+	}
+	configured := func(op core.UserOp, call core.ConfigCall, doc any) exchange {
+		return exchange{core.UserCall{Op: op, Config: &call}, core.AnswerUser{Status: 200, Doc: doc}}
+	}
+	nightly := core.ScheduleCall{Name: "nightly"}
+	based := core.ScheduleCall{Name: "nightly", IfMatch: `"7-4"`}
+	put := based
+	put.File = wholeFile()
+	all := map[string]exchange{
+		"submit": {
+			core.UserCall{Op: core.OpSubmit, ID: "wk-000412", Spec: wholeSpec()},
+			core.AnswerUser{Status: 201, View: core.JobView{State: core.Queued}},
+		},
+		"get job": {
+			core.UserCall{Op: core.OpGet, ID: "wk-7"},
+			core.AnswerUser{Status: 200, View: core.JobView{State: core.Running, Done: 3, Running: 13}, Reason: "room on g8"},
+		},
+		"cancel job": {
+			core.UserCall{Op: core.OpCancel, ID: "wk-7"},
+			core.AnswerUser{Status: 429, RetryAfter: 1500 * time.Millisecond, Field: "id", Reason: "later"},
+		},
+		"cluster": {
+			core.UserCall{Op: core.OpCluster},
+			core.AnswerUser{Status: 200, Doc: wholeCluster()},
+		},
+		"hand over": {
+			core.UserCall{Op: core.OpHandOver},
+			core.AnswerUser{Status: 200, Doc: &core.Cluster{Node: "n2"}},
+		},
+		"schedule: put":      scheduled(core.OpSchedulePut, put, wholeScheduleView()),
+		"schedule: get":      scheduled(core.OpScheduleGet, nightly, schedule.View{Schedule: json.RawMessage(`{"name":"nightly"}`)}),
+		"schedule: delete":   scheduled(core.OpScheduleDelete, based, map[string]string{"name": "nightly", "status": "removed"}),
+		"schedule: pause":    scheduled(core.OpSchedulePause, based, schedule.View{Schedule: json.RawMessage(`{"name":"nightly"}`), Paused: true}),
+		"schedule: resume":   scheduled(core.OpScheduleResume, nightly, schedule.View{Schedule: json.RawMessage(`{"name":"nightly"}`)}),
+		"schedule: list":     scheduled(core.OpScheduleList, core.ScheduleCall{After: "n", Count: 5}, wholeSchedulePage()),
+		"schedule: upcoming": scheduled(core.OpScheduleUpcoming, core.ScheduleCall{Name: "nightly", Count: 3}, schedule.Coming{Upcoming: []schedule.Upcoming{wholeUpcoming()}}),
+		"schedule: history":  scheduled(core.OpScheduleHistory, nightly, wholeHistory()),
+		"schedule: run": {
+			core.UserCall{Op: core.OpScheduleRun, Schedule: &core.ScheduleCall{Name: "nightly", Request: "r-1"}},
+			core.AnswerUser{Status: 201, View: core.JobView{ID: "wk-9", State: core.Queued}},
+		},
+		"configuration: status": configured(core.OpConfigStatus, core.ConfigCall{}, wholeConfigStatus()),
+		"configuration: here":   configured(core.OpConfigHere, core.ConfigCall{}, core.ConfigHere{Revision: 12, AgeS: 0.5}),
+		"configuration: change": configured(core.OpConfigSet, wholeChange(), core.ConfigMade{Revision: 13}),
+		"configuration: teams":  configured(core.OpConfigList, core.ConfigCall{After: "tools", Count: 5}, wholeTeamPage()),
+		"configuration: team":   configured(core.OpConfigGet, core.ConfigCall{Name: "vision"}, wholeTeamView()),
+		"configuration: change one team": configured(core.OpConfigSet, core.ConfigCall{
+			Teams: []liveconfig.TeamChange{{Team: wholeTeam(), IfRevision: pointer(uint64(3))}},
+		}, core.ConfigMade{Revision: 13}),
+		"worker: report": {
+			core.ReportIn{Report: wholeReport()},
+			core.AnswerReport{Status: 200, Epoch: 41, Orders: []core.Order{
+				{Verb: core.Start, Task: core.TaskID{Job: "wk-7", Index: 3}, Try: 18_000_000_000_000_000_001},
+				{Verb: core.Stop, Task: core.TaskID{Job: "wk-8"}, Try: 1, Drain: 10500 * time.Millisecond},
+				{Verb: core.Reap, Task: core.TaskID{Job: "wk-9"}, Try: 2},
+			}},
+		},
+		"worker: nothing to do": {core.ReportIn{Report: leastReport()}, core.AnswerReport{Status: 200, Epoch: 41}},
+		"worker: report elsewhere": {
+			core.ReportIn{Report: leastReport()},
+			core.AnswerReport{Status: 421, Upstream: "n3"},
+		},
+		"worker: no leader": {core.ReportIn{Report: leastReport()}, core.AnswerReport{Status: 503}},
+	}
+	withETag := all["schedule: put"]
+	withETag.output = core.AnswerUser{Status: 201, Doc: wholeScheduleView(), ETag: `"7-5"`}
+	all["schedule: put"] = withETag
+	return all
+}
+
+func wholeSpec() *core.JobSpec {
+	return &core.JobSpec{
+		ID:            "wk-000412",
+		Class:         "train",
+		Owner:         "vision",
+		Service:       true,
+		Urgency:       core.Production,
+		Tasks:         16,
+		CPUs:          8.25,
+		GPUs:          0.5,
+		MemGB:         64.125,
+		Image:         "img-07",
+		ImageGB:       6.2,
+		Flavors:       []string{"g8", "g4"},
+		Zone:          "hall-a",
+		SamePlace:     true,
+		Apart:         true,
+		Reclaimable:   true,
+		Runtime:       240500 * time.Millisecond,
+		SnapshotEvery: 30 * time.Second,
+		Snapshot:      4 * time.Second,
+		Due:           900 * time.Second,
+		Dated:         true,
+	}
+}
+
+func wholeFile() *schedule.File {
+	return &schedule.File{
+		Name:           "nightly",
+		Zone:           "Europe/Berlin",
+		Rule:           "FREQ=DAILY",
+		At:             []string{"01:00", "13:30"},
+		Calendar:       "de",
+		OnHoliday:      "next",
+		Starts:         &toml.LocalDate{Year: 2027, Month: 1, Day: 31},
+		Ends:           &toml.LocalDate{Year: 2028, Month: 12, Day: 1},
+		DueAt:          "06:00",
+		Overlap:        schedule.WaitOverlap,
+		CatchUp:        schedule.Latest,
+		CatchUpWithinS: pointer(3600.5),
+		Job:            spec.Submission{JobClass: pointer("train"), Shards: pointer(16)},
+	}
+}
+
+func wholeUpcoming() schedule.Upcoming {
+	start := time.Date(2027, time.January, 31, 1, 0, 0, 0, time.UTC)
+	return schedule.Upcoming{ID: "wk-00000007202701310100", Start: start, Due: pointer(start.Add(5 * time.Hour)), Remark: "moved"}
+}
+
+func wholeScheduleView() schedule.View {
+	return schedule.View{
+		Schedule: json.RawMessage(`{"name":"nightly"}`),
+		Number:   7,
+		ETag:     `"7-5"`,
+		Paused:   true,
+		Problem:  "no such calendar",
+		Next:     pointer(wholeUpcoming()),
+		Made:     4,
+		Missed:   2,
+		Late:     1,
+	}
+}
+
+func wholeSchedulePage() schedule.Page {
+	brief := schedule.Brief{
+		Name:     "nightly",
+		Zone:     "Europe/Berlin",
+		Rule:     "FREQ=DAILY",
+		Calendar: "de",
+		Paused:   true,
+		Problem:  "no such calendar",
+		Next:     pointer(wholeUpcoming()),
+		Made:     4,
+		Missed:   2,
+		Late:     1,
+	}
+	return schedule.Page{Schedules: []schedule.Brief{brief, {Name: "weekly"}}, Truncated: true}
+}
+
+func wholeHistory() schedule.History {
+	at := func(hour int) *time.Time {
+		return pointer(time.Date(2027, time.January, 31, hour, 0, 0, 0, time.UTC))
+	}
+	return schedule.History{History: []schedule.Past{
+		{ID: "wk-1", Planned: at(1), Due: at(2), Made: at(3), Started: at(4), Done: at(5), State: schedule.StateDone, Late: true},
+		{ID: "wk-2", State: schedule.StateMissed, Reason: "late"},
+	}}
+}
+
+func wholeTeam() liveconfig.Team {
+	return liveconfig.Team{Name: "vision", CPUs: 10.5, CPUsMax: 20, GPUs: 4, GPUsMax: 8.25, Retired: true}
+}
+
+func wholeTeamView() core.TeamView {
+	v := core.TeamView{Team: wholeTeam(), Revision: 12, Damaged: true}
+	v.InUse.CPUs, v.InUse.GPUs = 3.5, 2
+	return v
+}
+
+func wholeTeamPage() core.TeamPage {
+	return core.TeamPage{Revision: 12, Teams: []core.TeamView{wholeTeamView(), {}}, Truncated: true}
+}
+
+func wholeConfigStatus() core.ConfigStatus {
+	return core.ConfigStatus{
+		Revision: 12,
+		Changes:  5,
+		Waiting:  1,
+		SpreadS:  0.25,
+		Damaged:  []string{"team/tools"},
+		Refuses:  "restoring",
+		Nodes:    []core.ConfigNodeStatus{{Name: "n1", Revision: 12, AgeS: 0.5, Knows: true}, {Name: "n2", AgeS: -1}},
+	}
+}
+
+func wholeChange() core.ConfigCall {
+	return core.ConfigCall{
+		Teams:      []liveconfig.TeamChange{{Team: wholeTeam(), IfRevision: pointer(uint64(3))}, {Team: liveconfig.Team{Name: "tools"}}},
+		IfRevision: pointer(uint64(12)),
+	}
+}
+
+func wholeCluster() *core.Cluster {
+	return &core.Cluster{
+		Node:        "n1",
+		Leader:      "n2",
+		Term:        41,
+		LeadsS:      12.5,
+		Authority:   true,
+		TookOver:    true,
+		Machines:    100,
+		Unaccounted: 3,
+		MachineMost: 5000,
+		Nodes:       []core.ClusterNode{{Name: "n1", Zone: "hall-a", Role: "relay", Link: true, Workers: 40, LagS: 0.5}},
+		Zones:       []core.ClusterZone{{Name: "hall-a", State: "doubtful", SinceS: 3.5, Heard: 60, Silent: 40, Unknown: 7}},
+		Regions:     []core.ClusterRegion{{Name: "north", State: "up", SinceS: 4.5, Zones: 3, Away: 1, Heard: 60, Silent: 40}},
+		Records: &core.Records{
+			Era:      9,
+			Lost:     "the state service's revision has fallen",
+			From:     "n2",
+			SinceS:   5.5,
+			Restored: 12,
+			Left:     3,
+			Unread:   []string{"wk-7"},
+			Copies:   []string{"n2", "n3"},
+		},
+	}
+}
+
+func wholeReport() core.Report {
+	return core.Report{
+		Host:        "host-000231",
+		Address:     "10.1.0.232:9000",
+		Flavor:      "g8",
+		Zone:        "hall-a",
+		Reclaimable: true,
+		Tenure:      1_801_386_061_234,
+		Counter:     88,
+		Epoch:       41,
+		Notice:      119500 * time.Millisecond,
+		HasNotice:   true,
+		Tasks: []core.TaskReport{
+			{Task: core.TaskID{Job: "wk-7", Index: 3}, Try: 18_000_000_000_000_000_001, Phase: core.TaskRuns},
+			{Task: core.TaskID{Job: "wk-8"}, Try: 1, Phase: core.Exited, Cause: core.CauseDone},
+			{Task: core.TaskID{Job: "wk-9"}, Try: 2, Phase: core.Pulling},
+			{Task: core.TaskID{Job: "wk-9", Index: 1}, Try: 2, Phase: core.Saving},
+		},
+	}
+}
+
+func leastReport() core.Report {
+	return core.Report{Host: "host-1", Flavor: "g8", Zone: "hall-a", Tenure: 1, Tasks: []core.TaskReport{}}
+}
+
+// TestExchangesOf5990396 guards the interface to users and workers: what they send to
+// version 5990396 must mean the same to this one, and be answered with the same bytes.
+func TestExchangesOf5990396(t *testing.T) {
+	wants := exchanges()
+	golden := readGoldenExchanges(t)
+	if len(golden) != len(wants) {
+		t.Errorf("%d golden exchanges, want %d", len(golden), len(wants))
+	}
+	for _, g := range golden {
+		t.Run(g.Name, func(t *testing.T) {
+			want := wants[g.Name]
+			inputs := make(chan any, 1)
+			url := serve(t, func(input any) any {
+				inputs <- input
+				return want.output
+			})
+			answer := perform(t, url, g)
+			select {
+			case got := <-inputs:
+				if !reflect.DeepEqual(got, want.input) {
+					t.Errorf("read\n%+v, want\n%+v", got, want.input)
+				}
+			default:
+				t.Error("the request does not come to the core")
+			}
+			if !reflect.DeepEqual(answer, g) {
+				t.Errorf("answered\n%+v %s, want\n%+v %s", answer, answer.Answer, g, g.Answer)
+			}
+		})
+	}
+}
+
+// perform makes the request of a golden exchange and returns it with the answer.
+func perform(t *testing.T, url string, g goldenExchange) goldenExchange {
+	t.Helper()
+	request, err := http.NewRequest(g.Method, url+g.Path, strings.NewReader(string(g.Body)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if g.IfMatch != "" {
+		request.Header.Set("If-Match", g.IfMatch)
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	g.Status = response.StatusCode
+	g.ETag = response.Header.Get("ETag")
+	g.RetryAfter = response.Header.Get("Retry-After")
+	if g.Answer, err = io.ReadAll(response.Body); err != nil {
+		t.Fatal(err)
+	}
+	return g
+}
