--- /dev/null
+++ b/internal/core/compatibility_test.go
@@ -0,0 +1,85 @@
+package core
+
+import "testing"
+
+// TestKeysOf5990396 guards where records lie in the state service: those that version
+// 5990396 has written must be found, and the reverse.
+func TestKeysOf5990396(t *testing.T) {
+	for _, c := range []struct{ name, got, want string }{
+		{"leader", leaderKey, "yewpass/leader"},
+		{"term", termKey, "yewpass/term"},
+		{"live records", liveKeys, "yewpass/live/"},
+		{"jobs", jobKeys, "yewpass/live/job/"},
+		{"machines", machineKeys, "yewpass/live/machine/"},
+		{"progress", doneKeys, "yewpass/live/progress/"},
+		{"progress of a chunk", chunkKey("wk-7", 1), "yewpass/live/progress/wk-7/1"},
+		{"ends of jobs", finalKeys, "yewpass/final/"},
+		{"notes of jobs accepted without a leader", aloneKeys, "yewpass/alone/"},
+		{"schedules", scheduleKeys, "yewpass/schedule/"},
+		{"numbers of schedules", numberKey, "yewpass/schedules"},
+		{"configuration", configKeys, "yewpass/live/config/"},
+		{"head of the configuration", configHeadKey, "yewpass/live/config/head"},
+		{"teams", configTeamKeys, "yewpass/live/config/team/"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if c.got != c.want {
+				t.Errorf("%q, want %q", c.got, c.want)
+			}
+		})
+	}
+}
+
+// TestProgressOf5990396 guards the text of finished tasks in records of progress: what
+// version 5990396 has written must stay readable, and the reverse.
+func TestProgressOf5990396(t *testing.T) {
+	const from, tasks = 16384, 16384 + 130 // the second chunk of a job
+	for _, c := range []struct {
+		name, text string
+		done       func(i int) bool
+	}{
+		{"nothing", "", func(int) bool { return false }},
+		{"ranges", "0-5,9,129", func(i int) bool { return i <= 5 || i == 9 || i == 129 }},
+		{"bitmap", "=VVVVVVVVVVVVVVVVVVVVVQEAAAAAAAAA", func(i int) bool { return i%2 == 0 }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			written, read := newBitset(tasks), newBitset(tasks)
+			for i := range tasks - from {
+				if c.done(i) {
+					written.set(from + i)
+				}
+			}
+			if got := written.encodeChunk(from); got != c.text {
+				t.Errorf("written %q, want %q", got, c.text)
+			}
+			if !read.decodeChunk(from, tasks, c.text) {
+				t.Fatalf("%q is not read", c.text)
+			}
+			for i := range tasks {
+				if read.has(i) != written.has(i) {
+					t.Errorf("task %d: read %v", i, read.has(i))
+				}
+			}
+		})
+	}
+}
+
+// TestNumbersOf5990396 guards numbers that controllers and workers of two versions have to
+// agree on.
+func TestNumbersOf5990396(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		got, want uint64
+	}{
+		{"tasks of a progress record", chunkTasks, 16384},
+		{"bits of an attempt that count the starts of a term", tryBits, 28},
+		{"highest term", MaxTerm, 1<<36 - 1},
+		{"version of the talk between controllers", peerVersion, 1},
+		{"reference that asks for the leader's version", tellVersion, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if c.got != c.want {
+				t.Errorf("%d, want %d", c.got, c.want)
+			}
+		})
+	}
+}
