--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -107,20 +107,25 @@
 
 // receiver is the controller "b", whose only peer, "a", is the test.
 type receiver struct {
-	conn  net.Conn
-	inbox chan any
+	conn   net.Conn
+	inbox  chan any
+	closed chan struct{} // by the controller, which ends a connection with a line that is none
 }
 
 func newReceiver(t *testing.T) *receiver {
 	t.Helper()
 	own, peer := listen(t), listen(t)
-	r := &receiver{inbox: make(chan any, 64)}
+	r := &receiver{inbox: make(chan any, 64), closed: make(chan struct{})}
 	New("b", []config.Seed{{HostName: "a", Endpoint: peer.Addr().String()}}, own, r.inbox)
 	var err error
 	if r.conn, err = net.Dial("tcp", own.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { r.conn.Close() })
+	go func() {
+		io.Copy(io.Discard, r.conn)
+		close(r.closed)
+	}()
 	return r
 }
 
@@ -130,11 +135,23 @@
 	if _, err := r.conn.Write(append(bytes.Clone(line), '\n')); err != nil {
 		t.Fatal(err)
 	}
-	in := next(t, r.inbox)
-	if in.From != "a" {
-		t.Errorf("from %q, want a", in.From)
+	for {
+		select {
+		case input := <-r.inbox:
+			in, ok := input.(core.PeerIn)
+			if !ok {
+				continue // about a link
+			}
+			if in.From != "a" {
+				t.Errorf("from %q, want a", in.From)
+			}
+			return in.Msg
+		case <-r.closed:
+			t.Fatal("the line is refused")
+		case <-time.After(5 * time.Second):
+			t.Fatal("no message")
+		}
 	}
-	return in.Msg
 }
 
 func pointer[T any](v T) *T { return &v }
@@ -371,7 +388,6 @@
 	if first != pingLine {
 		t.Errorf("the first line is %s, want %s", first, pingLine)
 	}
-	receiver := newReceiver(t)
 	wants := messages()
 	golden := readGoldenLines(t)
 	if len(golden) != len(wants) {
@@ -380,7 +396,7 @@
 	for _, g := range golden {
 		t.Run(g.Name, func(t *testing.T) {
 			want := wants[g.Name]
-			got := receiver.read(t, g.Line)
+			got := newReceiver(t).read(t, g.Line)
 			if !reflect.DeepEqual(got, want) {
 				t.Errorf("read\n%+v, want\n%+v", got, want)
 			}
