--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,3 +1,5 @@
+// Package estimate estimates how long tasks run, from their owners' estimates and from what
+// has been observed.
 package estimate
 
 import (
@@ -19,21 +21,26 @@
 
 const maxKept = 4096
 
+// NewRuntimes returns estimates without observations.
 func NewRuntimes() Runtimes {
 	kept, _ := lru.New[string, *Average](maxKept) // errs only for a size below 1
 	return Runtimes{kept}
 }
 
+// Of returns the observed ratio of actual to estimated run times of the job's class and
+// owner, or nil.
 func (e Runtimes) Of(s *spec.Job) *Average {
 	o, _ := e.Get(s.Class + "/" + s.Owner)
 	return o
 }
 
+// Average is a running average that favours recent values.
 type Average struct {
 	N    int
 	Mean float64 // class: actual over estimate; job: seconds
 }
 
+// Add takes in a value.
 func (o *Average) Add(x float64) {
 	o.N++
 	w := max(1/float64(o.N), 0.08)
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -1,3 +1,5 @@
+// Package fleet holds what the leader knows of machines, jobs, attempts of tasks and
+// reservations. It decides nothing.
 package fleet
 
 import (
--- a/internal/fleet/job.go
+++ b/internal/fleet/job.go
@@ -67,6 +67,7 @@
 // Halted reports whether no task of the job may start any more.
 func (j *Job) Halted() bool { return j.Cancelled || j.Cancelling || j.Finishing }
 
+// View returns what users are told of the job.
 func (j *Job) View() request.JobStatus {
 	v := request.JobStatus{ID: j.Spec.ID, State: spec.Queued, Done: j.Spec.Tasks - j.Remaining, Running: j.Running}
 	switch {
@@ -78,6 +79,7 @@
 	return v
 }
 
+// Before reports whether the job stands before another in the queue.
 func (j *Job) Before(o *Job) bool {
 	if x := j.QueueTime.Compare(o.QueueTime); x != 0 {
 		return x < 0
@@ -88,8 +90,10 @@
 	return j.Spec.ID < o.Spec.ID
 }
 
+// AllowsInstanceType reports whether a job may run on instances of a type.
 func AllowsInstanceType(s *spec.Job, name string) bool {
 	return len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, name)
 }
 
+// OfferedIn reports whether an instance type is offered in a zone.
 func OfferedIn(f *provider.InstanceType, zone string) bool { return slices.Contains(f.Zones, zone) }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -30,13 +30,16 @@
 // it keeps them itself. Their names are the users' own words.
 const maxKnownImages = 128
 
+// NewImages returns an empty cache of image names.
 func NewImages() *simplelru.LRU[string, struct{}] {
 	images, _ := simplelru.NewLRU[string, struct{}](maxKnownImages, nil) // errs only for a size below 1
 	return images
 }
 
+// RecordStatus says whether a machine is named by a stored record.
 type RecordStatus int
 
+// The states of a machine's record. Tasks start on recorded machines only.
 const (
 	Unrecorded RecordStatus = iota
 	Recording
@@ -96,6 +99,7 @@
 	return m.InstanceType != nil && !m.Releasing && !m.Draining && !m.Quarantined && !m.LeaseExpired && !m.Unreachable && m.InterruptionAt.IsZero()
 }
 
+// Room returns what is neither taken nor about to be.
 func (m *Machine) Room() timeline.Resources {
 	return m.Timeline.Capacity().Add(m.Allocated, -1)
 }
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -19,6 +19,7 @@
 	WrittenAt   time.Time
 }
 
+// RecordedSize estimates the bytes of a machine in its record.
 func RecordedSize(m *Machine) int {
 	r := m.Recorded()
 	return r.Size()
--- a/internal/fleet/reservation.go
+++ b/internal/fleet/reservation.go
@@ -19,6 +19,8 @@
 // QueueTime is the booking's place in the queue.
 func (b *Reservation) QueueTime() time.Time { return b.Start.Add(b.Yield) }
 
+// Occupancy returns how long a task of a job occupies a machine, with the time to fetch its
+// image where the machine lacks it; base is the padded estimate of its run time.
 func Occupancy(j *Job, m *Machine, base time.Duration) time.Duration {
 	if j.Spec.Service {
 		return timeline.Forever
--- a/internal/writebatch/writebatch.go
+++ b/internal/writebatch/writebatch.go
@@ -1,3 +1,5 @@
+// Package writebatch batches changes of stored records into transactions within the limits of
+// the key-value store.
 package writebatch
 
 import (
@@ -26,6 +28,7 @@
 	requestBurst = 0.5 // of a second's requests at once
 )
 
+// New returns an empty batcher for a store with the given limits.
 func New(st config.State) Batcher {
 	return Batcher{
 		Writes:       rate.NewLimiter(rate.Limit(st.WriteRPS*writeShare), max(st.TxnOps, int(st.WriteRPS*writeBurst))),
@@ -78,6 +81,7 @@
 	Singly           int // so many changes go one by one, to find a malformed one
 }
 
+// Add queues a change.
 func (p *Batcher) Add(ch *Change) {
 	if ch.Size == 0 {
 		ch.Size = 120 * (len(ch.Writes) + len(ch.Conditions))
