--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -23,11 +23,10 @@
 func (c *Core) addJob(rec *record.Job, earlier bool) *fleet.Job {
 	s := rec.Spec
 	j := &fleet.Job{
-		Spec: s, Need: s.Need(), Record: rec, FromEarlierTerm: earlier, Cancelled: rec.Cancelled,
+		Spec: s, Need: s.Need(), Record: rec, FromEarlierTerm: earlier,
 		Submitted: c.Now.Add(rec.Submitted.Sub(c.Now.Round(0))),
-		Done:      bitset.New(s.Tasks), Pending: bitset.New(s.Tasks), Remaining: s.Tasks,
-		Attempts: map[int]*fleet.Attempt{}, ChunkRevisions: map[int]uint64{}, DirtyChunks: map[int]bool{}, FailedOn: map[string]bool{},
-		Team: c.leadership.teams[s.Owner], StartsAtOnce: c.mustStartAtOnce(s.Class),
+		Team:      c.leadership.teams[s.Owner], StartsAtOnce: c.mustStartAtOnce(s.Class),
+		Progress: fleet.NewProgress(s.Tasks), FailureHistory: fleet.FailureHistory{FailedOn: map[string]bool{}}, Ending: fleet.Ending{Cancelled: rec.Cancelled},
 	}
 	j.Placement = topology.Job{Key: s.ID, Tasks: s.Tasks}
 	if s.SamePlace {
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -15,8 +15,7 @@
 	l := c.leadership
 	m := l.machines[host]
 	if m == nil {
-		m = &fleet.Machine{Host: host, TypeName: flavor, Zone: zone, Spot: reclaimable,
-			KnownSince: c.Now, RentedAt: c.Now, IdleSince: c.Now, Images: fleet.NewImages(), Timeline: timeline.New(timeline.Resources{})}
+		m = fleet.NewMachine(fleet.Identity{Host: host, TypeName: flavor, Zone: zone, Spot: reclaimable}, c.Now)
 		m.Place, _ = l.places.Machine(host, "", zone)
 		m.ZoneState = l.zones.Zone(zone)
 		l.machines[host] = m
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -30,7 +30,6 @@
 	StopSentAt     time.Time // when the stop first went out
 }
 
-// The phases that workers report.
-const (
-	Ordered = heartbeat.Phase("ordered") // a start is in a reply that is not yet answered for
-)
+// Ordered is the phase of an attempt whose start is in a reply that no later report has
+// confirmed yet. Workers report the phases after it.
+const Ordered = heartbeat.Phase("ordered")
--- a/internal/fleet/heldreply.go
+++ b/internal/fleet/heldreply.go
@@ -16,7 +16,7 @@
 	Weight     int // of them
 }
 
-// HeartbeatKey names a report whose reply is held: numbers are the relay's own.
+// HeartbeatKey identifies a report whose reply is held. Ref is unique per link only.
 type HeartbeatKey struct {
 	Link heartbeat.Link
 	Ref  uint64
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -13,7 +13,7 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// PerCPU is what a CPU of the machine costs.
+// PerCPU returns the price of one CPU of the machine.
 func (m *Machine) PerCPU() float64 {
 	if m.Spot {
 		return m.InstanceType.SpotRate / m.InstanceType.CPUs
@@ -21,87 +21,128 @@
 	return m.InstanceType.OnDemandRate / m.InstanceType.CPUs
 }
 
-// Recorded is how a record names the machine.
+// Recorded returns the machine as a record names it.
 func (m *Machine) Recorded() record.Machine {
 	return record.Machine{Host: m.Host, Address: m.Address, InstanceType: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
-// maxKnownImages is how many images a machine is taken to have: the latest used ones, as
-// it keeps them itself. Their names are the users' own words.
+// maxKnownImages is how many images a machine is taken to have: the most recently used,
+// as its own cache keeps them. Image names are chosen by users, so the set needs a bound.
 const maxKnownImages = 128
 
+// NewImages returns an empty set of images that a machine has.
 func NewImages() *simplelru.LRU[string, struct{}] {
 	images, _ := simplelru.NewLRU[string, struct{}](maxKnownImages, nil) // errs only for a size below 1
 	return images
 }
 
+// RecordStatus says whether a machine is on record.
 type RecordStatus int
 
+// The states of a machine's record.
 const (
 	Unrecorded RecordStatus = iota
-	Recording
+	Recording               // the write that names it is on its way
 	Recorded
 )
 
 // Machine is a rented machine.
 type Machine struct {
+	Identity
+	RecordState
+	Heartbeats
+	Lifecycle
+	Load
+	Health
+}
+
+// Identity is what a machine is and where it stands.
+type Identity struct {
 	Host, TypeName, Zone string
 	Address              string
 	Place                *topology.Place        // where it stands
 	ZoneState            *zones.Zone            // and how that zone is
 	InstanceType         *provider.InstanceType // nil while the catalog is unknown
 	Spot                 bool
-	Record               RecordStatus // a successor must know of it before it may hold tasks
-	RecordedIn           *Record      // the record that names it
+}
+
+// RecordState is how far a machine is on record: a successor must know of it before it
+// may hold tasks.
+type RecordState struct {
+	Record     RecordStatus
+	RecordedIn *Record // the record that names it
+}
 
+// Heartbeats is what a machine has reported and been told.
+type Heartbeats struct {
 	Reported             bool // in this term
 	Probed               bool // and that only in answer to a probe
 	FailedProbes         int  // probes in vain
 	Incarnation, Counter uint64
 	FencingToken         uint64
-	ExpiredIncarnation   uint64    // its lease under tenures up to this one is surely over
+	ExpiredIncarnation   uint64    // its lease under incarnations up to this one is surely over
 	LastHeartbeat        time.Time // last report
 	LastReply            time.Time // last answered report
-	KnownSince           time.Time // known to us
-	RentedAt             time.Time
-	ReadyAt              time.Time // expected, while it boots
 	HeldReply            *HeldReply
 	UnacknowledgedSince  time.Time  // first answered in this term, and has not shown that it heard
 	UnlistedStarts       int        // in a row: starts that its next report did not list
 	ReportsVia           *RelayLink // by which it reports, among whose workers it counts
-	LastMoved            time.Time  // when it was last led to another node
+	LastMoved            time.Time  // when it was last redirected to another node
 	DispatchPending      bool       // has orders that need not wait for its next report
+}
+
+// Lifecycle is when a machine came and why it is to go.
+type Lifecycle struct {
+	KnownSince     time.Time // known to us
+	RentedAt       time.Time
+	ReadyAt        time.Time // expected, while it boots
+	IdleSince      time.Time // since when nothing runs or is reserved
+	Releasing      bool
+	Draining       bool      // its work fits elsewhere: no new tasks, then it is released
+	InterruptionAt time.Time // the cloud takes it away
+}
 
+// Load is what runs on a machine and what is reserved there.
+type Load struct {
 	Timeline     *timeline.Timeline
 	Attempts     []*Attempt
 	Reservations []*Reservation // of tasks that wait
 	Allocated    timeline.Resources
 	WarmReserve  int64                            // CPUs, in thousandths, kept free for work that must start at once
 	Images       *simplelru.LRU[string, struct{}] // that it has, as far as we know
-	IdleSince    time.Time                        // since when nothing runs or is booked
+}
 
-	Releasing      bool
-	Draining       bool // its work fits elsewhere: no new tasks, then it goes back
-	Quarantined    bool
-	LeaseExpired   bool      // its lease is over and it has not reported since
-	Unreachable    bool      // silent, in a zone that seems to be cut off
-	InterruptionAt time.Time // the cloud takes it away
-	RetryAt        time.Time // after a refused start
-	FailureScore   int
-	OnProbation    bool // its last task failed: one task at a time until one completes
+// Health is what keeps tasks off a machine.
+type Health struct {
+	Quarantined  bool
+	LeaseExpired bool      // its lease is over and it has not reported since
+	Unreachable  bool      // silent, in a zone that seems to be cut off
+	RetryAt      time.Time // after a refused start
+	FailureScore int
+	OnProbation  bool // its last task failed: one task at a time until one completes
+}
+
+// NewMachine returns a machine that has just become known. Its capacity is not known yet.
+func NewMachine(id Identity, now time.Time) *Machine {
+	return &Machine{
+		Identity:  id,
+		Lifecycle: Lifecycle{KnownSince: now, RentedAt: now, IdleSince: now},
+		Load:      Load{Images: NewImages(), Timeline: timeline.New(timeline.Resources{})},
+	}
 }
 
-// Usable reports whether new tasks may be booked on the machine.
+// Usable reports whether room may be reserved on the machine for new tasks.
 func (m *Machine) Usable() bool {
 	return m.InstanceType != nil && !m.Releasing && !m.Draining && !m.Quarantined && !m.LeaseExpired && !m.Unreachable && m.InterruptionAt.IsZero()
 }
 
+// Room returns the resources that no attempt occupies.
 func (m *Machine) Room() timeline.Resources {
 	return m.Timeline.Capacity().Add(m.Allocated, -1)
 }
 
-// FindAttempt returns the run of an attempt. Workers list tasks in the order of their
-// starts, as we do: the search begins where that has it.
+// FindAttempt returns the attempt of a task, or nil. Workers list tasks in the order in
+// which they were started, as Attempts does, so the search begins at that index.
 func (m *Machine) FindAttempt(id heartbeat.TaskID, try uint64, from int) *Attempt {
 	n := len(m.Attempts)
 	for i := range n {
@@ -120,7 +161,7 @@
 		(len(j.FailedOn) == 0 || !j.FailedOn[m.Host] || len(j.FailedOn) > MaxFailedMachines)
 }
 
-// HasReservationOf reports whether tasks of the job are booked on the machine.
+// HasReservationOf reports whether room is reserved on the machine for tasks of the job.
 func (m *Machine) HasReservationOf(j *Job) bool {
 	return slices.ContainsFunc(m.Reservations, func(b *Reservation) bool { return b.Job == j })
 }
--- a/internal/fleet/queue.go
+++ b/internal/fleet/queue.go
@@ -5,13 +5,12 @@
 	"sort"
 )
 
-// Queue is the jobs that have bookings, each at the turn of its first one,
-// then by submission. Going through it while every job moves on to its next
-// booking as it is served is going through all bookings in timeline order, at
-// the cost of the jobs alone.
+// Queue is the jobs that have reservations, ordered by the time of their first one and then
+// by submission. Walking it, with every job moving on to its next reservation as it is
+// served, visits all reservations in order of time at the cost of the jobs alone.
 type Queue []*Job
 
-// Reposition puts the job where its first booking stands, or takes it out when it
+// Reposition moves the job to the place of its first reservation, or removes it when it
 // has none.
 func (q *Queue) Reposition(j *Job) {
 	if j.Queued {
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -19,6 +19,7 @@
 	WrittenAt   time.Time
 }
 
+// RecordedSize returns about how many bytes of a record the machine takes.
 func RecordedSize(m *Machine) int {
 	r := m.Recorded()
 	return r.Size()
--- a/internal/fleet/reservation.go
+++ b/internal/fleet/reservation.go
@@ -12,13 +12,15 @@
 	timeline.Booking
 	Job          *Job
 	Machine      *Machine
-	Yield        time.Duration // by how much it stands back in the queue
+	Yield        time.Duration // by how much it is put back in the queue
 	YieldPerTask time.Duration // by how much less for every task of the job that starts
 }
 
-// QueueTime is the booking's place in the queue.
+// QueueTime returns the time that decides the reservation's place in the queue.
 func (b *Reservation) QueueTime() time.Time { return b.Start.Add(b.Yield) }
 
+// Occupancy returns for how long a task of the job is reserved on the machine if it runs for
+// base, with the time to fetch its image if the machine lacks it.
 func Occupancy(j *Job, m *Machine, base time.Duration) time.Duration {
 	if j.Spec.Service {
 		return timeline.Forever
