--- a/cmd/yewpass/cluster.go
+++ b/cmd/yewpass/cluster.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"yewpass/internal/core"
+	"yewpass/internal/view"
 )
 
 // clusterCommand shows the controllers and hands the leadership over.
@@ -27,7 +27,7 @@
 		if *asJSON {
 			return call(cmd, method, *node, path, nil)
 		}
-		var v core.Cluster
+		var v view.Cluster
 		if err := exchange(method, *node, path, nil, nil, &v); err != nil {
 			return err
 		}
@@ -45,7 +45,7 @@
 	return cmd
 }
 
-func printCluster(cmd *cobra.Command, v *core.Cluster) {
+func printCluster(cmd *cobra.Command, v *view.Cluster) {
 	out := cmd.OutOrStdout()
 	if v.Leader == "" {
 		fmt.Fprintf(out, "no leader is known to %s\n", v.Node)
--- a/cmd/yewpass/config.go
+++ b/cmd/yewpass/config.go
@@ -12,10 +12,10 @@
 
 	"github.com/spf13/cobra"
 
-	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/request"
 	"yewpass/internal/tomltext"
+	"yewpass/internal/view"
 )
 
 func configCommand() *cobra.Command {
@@ -36,11 +36,11 @@
 	cmd := &cobra.Command{Use: "get TEAM", Short: "Show a team's configuration", Args: cobra.ExactArgs(1)}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		var v core.TeamView
+		var v view.Team
 		if err := exchange(http.MethodGet, *node, teamsPath+"/"+url.PathEscape(args[0]), nil, nil, &v); err != nil {
 			return err
 		}
-		return show(cmd, *asJSON, v, func(w io.Writer) { teamsText(w, []core.TeamView{v}) })
+		return show(cmd, *asJSON, v, func(w io.Writer) { teamsText(w, []view.Team{v}) })
 	}
 	return cmd
 }
@@ -62,10 +62,10 @@
 }
 
 // allTeams reads the list page by page.
-func allTeams(node string) (all core.TeamPage, err error) {
+func allTeams(node string) (all view.TeamPage, err error) {
 	query := url.Values{"limit": {strconv.Itoa(request.MaxCount)}}
 	for {
-		var page core.TeamPage
+		var page view.TeamPage
 		if err := exchange(http.MethodGet, node, teamsPath+"?"+query.Encode(), nil, nil, &page); err != nil {
 			return all, err
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-func teamsText(out io.Writer, teams []core.TeamView) {
+func teamsText(out io.Writer, teams []view.Team) {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "TEAM\tCPUS\tCPUS MAX\tGPUS\tGPUS MAX\tIN USE\tREVISION\tREMARK")
 	for _, t := range teams {
@@ -137,7 +137,7 @@
 		if err != nil {
 			return err
 		}
-		var made core.ConfigMade
+		var made view.ConfigChanged
 		if err := exchange(http.MethodPost, *node, "/v2/config", body, nil, &made); err != nil {
 			return err
 		}
@@ -168,7 +168,7 @@
 	cmd := &cobra.Command{Use: "status", Short: "Show which revision each controller has", Args: cobra.NoArgs}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		var v core.ConfigStatus
+		var v view.ConfigStatus
 		if err := exchange(http.MethodGet, *node, "/v2/config", nil, nil, &v); err != nil {
 			return err
 		}
@@ -177,7 +177,7 @@
 	return cmd
 }
 
-func configStatusText(out io.Writer, v *core.ConfigStatus) {
+func configStatusText(out io.Writer, v *view.ConfigStatus) {
 	fmt.Fprintf(out, "revision %d, %d changes under this leader, %d waiting, the last one known everywhere after %s\n",
 		v.Revision, v.Changes, v.Waiting, time.Duration(v.SpreadS*float64(time.Second)).Round(time.Millisecond))
 	if v.Refuses != "" {
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -58,7 +58,7 @@
 
 func (c *Core) userCall(call request.Request) {
 	if call.Op == request.ConfigHere {
-		c.answer(call, request.Response{Status: 200, Doc: c.ConfigHere()})
+		c.answer(call, request.Response{Status: 200, Doc: c.LocalConfig()})
 		return
 	}
 	if c.canAct() {
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -7,43 +7,14 @@
 	"time"
 
 	"yewpass/internal/request"
+	"yewpass/internal/view"
 	"yewpass/internal/zones"
 )
 
-// Cluster is what a node knows of the controllers. Numbers of machines are the
-// leader's own; a node that cannot ask it tells what it knows itself.
-type Cluster struct {
-	Node        string          `json:"node"`                // that tells
-	Leader      string          `json:"leader"`              // "" while none is known
-	Term        uint64          `json:"term"`                //
-	LeadsS      float64         `json:"leadsSeconds"`        // since it was elected; 0 where the leader does not tell
-	Authority   bool            `json:"authority"`           // the leader's grant lives
-	TookOver    bool            `json:"takeOverComplete"`    // every machine of earlier terms is accounted for
-	Machines    int             `json:"machines"`            //
-	Unaccounted int             `json:"machinesUnaccounted"` //
-	MachineMost int             `json:"machinesMost"`        // that the controllers can serve
-	Nodes       []ClusterNode   `json:"nodes"`
-	Zones       []ClusterZone   `json:"zones,omitempty"`   // told by the leader alone
-	Regions     []ClusterRegion `json:"regions,omitempty"` // likewise
-	Records     *Records        `json:"records,omitempty"` // likewise
-}
-
-// Records tells how whole the records in the state service are.
-type Records struct {
-	Era      uint64   `json:"era"`                  // drawn anew after each loss of data
-	Lost     string   `json:"lost,omitempty"`       // what showed the last loss, under this leader
-	From     string   `json:"from,omitempty"`       // whose copy was gone by; "" where there was none
-	SinceS   float64  `json:"sinceSeconds"`         // since it was found
-	Restored int      `json:"restored"`             // records that were lost or older
-	Left     int      `json:"left"`                 // of them, not on record yet
-	Unread   []string `json:"unreadable,omitempty"` // jobs whose records cannot be read, ten at the most
-	Copies   []string `json:"copies,omitempty"`     // controllers that have a whole copy, this one aside
-}
-
 // records tells how whole the records are, as the leader knows.
-func (c *Core) records() *Records {
+func (c *Core) records() *view.Records {
 	l := c.leadership
-	r := &Records{Era: c.observed.Era}
+	r := &view.Records{Era: c.observed.Era}
 	if b := l.loss; b != nil {
 		r.Lost, r.From, r.SinceS, r.Restored, r.Left = b.reason, b.source, c.Now.Sub(b.since).Seconds(), b.restored, b.pending
 	}
@@ -53,30 +24,10 @@
 	return r
 }
 
-// ClusterZone is a zone of machines.
-type ClusterZone struct {
-	Name    string  `json:"name"`
-	State   string  `json:"state"`        // up, doubtful, lost, returning
-	SinceS  float64 `json:"stateSeconds"` // how long it has been in it
-	Heard   int     `json:"machinesHeard"`
-	Silent  int     `json:"machinesSilent"`
-	Unknown int     `json:"tasksAwaitingProof"` // on its silent machines, until they are proven over
-}
-
-// ClusterNode is one controller.
-type ClusterNode struct {
-	Name    string  `json:"name"`
-	Zone    string  `json:"zone"`
-	Role    string  `json:"role"`       // leader, relay, or away: it takes no workers for the leader
-	Link    bool    `json:"link"`       // from the node that tells
-	Workers int     `json:"workers"`    // that report by it
-	LagS    float64 `json:"lagSeconds"` // since its last line; 0 for the leader
-}
-
 // cluster returns what is known here.
-func (c *Core) cluster() *Cluster {
-	v := &Cluster{Node: c.cfg.HostName, Leader: c.knownLeader, Term: c.highestTerm}
-	own := ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: "relay", Link: true, Workers: len(c.relay.reporters)}
+func (c *Core) cluster() *view.Cluster {
+	v := &view.Cluster{Node: c.cfg.HostName, Leader: c.knownLeader, Term: c.highestTerm}
+	own := view.ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: "relay", Link: true, Workers: len(c.relay.reporters)}
 	l := c.leadership
 	if l != nil {
 		v.Leader, v.Term, v.LeadsS, v.Authority = c.cfg.HostName, l.term, c.Now.Sub(l.electedAt).Seconds(), c.hasAuthority()
@@ -89,7 +40,7 @@
 	}
 	v.Nodes = append(v.Nodes, own)
 	for _, s := range c.cfg.Seeds {
-		n := ClusterNode{Name: s.HostName, Zone: s.Site, Link: c.links[s.HostName]}
+		n := view.ClusterNode{Name: s.HostName, Zone: s.Site, Link: c.links[s.HostName]}
 		if s.HostName == c.knownLeader {
 			n.Role = "leader"
 		}
@@ -110,25 +61,14 @@
 	return v
 }
 
-// ClusterRegion is a region of zones.
-type ClusterRegion struct {
-	Name   string  `json:"name"`
-	State  string  `json:"state"`        // up, doubtful, lost, returning
-	SinceS float64 `json:"stateSeconds"` // how long it has been in it
-	Zones  int     `json:"zones"`        // that have machines
-	Away   int     `json:"zonesAway"`    // of them, doubtful or lost
-	Heard  int     `json:"machinesHeard"`
-	Silent int     `json:"machinesSilent"`
-}
-
-func (c *Core) clusterRegions() (rs []ClusterRegion) {
+func (c *Core) clusterRegions() (rs []view.ClusterRegion) {
 	for _, r := range c.leadership.regions.All() {
-		rs = append(rs, ClusterRegion{Name: r.Name, State: r.State.String(), SinceS: c.Now.Sub(r.Since).Seconds(), Zones: r.Zones, Away: r.Away, Heard: r.Sight.Heard, Silent: r.Sight.Silent})
+		rs = append(rs, view.ClusterRegion{Name: r.Name, State: r.State.String(), SinceS: c.Now.Sub(r.Since).Seconds(), Zones: r.Zones, Away: r.Away, Heard: r.Sight.Heard, Silent: r.Sight.Silent})
 	}
 	return rs
 }
 
-func (c *Core) clusterZones() []ClusterZone {
+func (c *Core) clusterZones() []view.ClusterZone {
 	l := c.leadership
 	waiting := map[*zones.Zone]int{}
 	for _, m := range l.fleet {
@@ -140,9 +80,9 @@
 			}
 		}
 	}
-	var zs []ClusterZone
+	var zs []view.ClusterZone
 	for _, z := range l.zones.All() {
-		zs = append(zs, ClusterZone{Name: z.Name, State: z.State.String(), SinceS: c.Now.Sub(z.Since).Seconds(),
+		zs = append(zs, view.ClusterZone{Name: z.Name, State: z.State.String(), SinceS: c.Now.Sub(z.Since).Seconds(),
 			Heard: z.Sight.Heard, Silent: z.Sight.Silent, Unknown: waiting[z]})
 	}
 	return zs
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -15,6 +15,7 @@
 	"yewpass/internal/replica"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
+	"yewpass/internal/view"
 	"yewpass/internal/writebatch"
 )
 
@@ -441,7 +442,7 @@
 		if made := b.Each[i]; made.Err != nil {
 			c.answer(w.call, configError(made.Err))
 		} else {
-			c.answer(w.call, request.Response{Status: 200, Doc: ConfigMade{Revision: made.Revision}})
+			c.answer(w.call, request.Response{Status: 200, Doc: view.ConfigChanged{Revision: made.Revision}})
 		}
 	}
 	b.changes = nil
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -15,6 +15,7 @@
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
+	"yewpass/internal/view"
 	"yewpass/internal/writebatch"
 )
 
@@ -75,7 +76,7 @@
 	answered := false
 	for _, o := range outs {
 		if a, ok := o.(request.Response); ok && a.Ref == 3 {
-			answered = a.Status == 200 && a.Doc == ConfigMade{1}
+			answered = a.Status == 200 && a.Doc == view.ConfigChanged{Revision: 1}
 		}
 	}
 	if !answered || c.leadership.config.headRev != 40 {
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -10,55 +10,14 @@
 	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
+	"yewpass/internal/view"
 )
 
 // peerVersion is the version of the talk between controllers. Those of before it was told
 // say nothing, which counts as 0.
 const peerVersion = 1
 
-// ConfigMade answers a change.
-type ConfigMade struct {
-	Revision uint64 `json:"revision"` // at which it is so: that of the whole with the change, or of before if it was so already
-}
-
-// TeamView is a team's configuration as users see it.
-type TeamView struct {
-	liveconfig.Team
-	Revision uint64 `json:"revision"`          // at which it was changed last; 0: as the settings have it
-	Damaged  bool   `json:"damaged,omitempty"` // its record cannot be read, this is what was known before
-	InUse    struct {
-		CPUs float64 `json:"cpus"`
-		GPUs float64 `json:"gpus"`
-	} `json:"inUse"`
-}
-
-// TeamPage lists teams.
-type TeamPage struct {
-	Revision  uint64     `json:"revision"` // of the whole
-	Teams     []TeamView `json:"teams"`
-	Truncated bool       `json:"truncated,omitempty"`
-}
-
-// ConfigStatus says which revision is in force where.
-type ConfigStatus struct {
-	Revision uint64             `json:"revision"`
-	Changes  int64              `json:"changes"`                  // made under this leader
-	Waiting  int                `json:"waiting"`                  // changes that are being written
-	SpreadS  float64            `json:"lastInForceSeconds"`       // until the last revision was known to all controllers in reach
-	Damaged  []string           `json:"damaged,omitempty"`        // objects whose records cannot be read
-	Refuses  string             `json:"refusesChanges,omitempty"` // why no change is taken at present
-	Nodes    []ConfigNodeStatus `json:"nodes"`
-}
-
-// ConfigNodeStatus is one controller's.
-type ConfigNodeStatus struct {
-	Name     string  `json:"name"`
-	Revision uint64  `json:"revision"`
-	AgeS     float64 `json:"ageSeconds"` // since it was last known to be the newest there; -1: never heard
-	Knows    bool    `json:"knowsLiveConfiguration"`
-}
-
-func (c *Core) viewTeam(name string) (v TeamView, ok bool) {
+func (c *Core) viewTeam(name string) (v view.Team, ok bool) {
 	conf := &c.leadership.config
 	if v.Team, v.Revision, ok = conf.state.Team(name); !ok {
 		return v, false
@@ -70,8 +29,8 @@
 	return v, true
 }
 
-func (c *Core) listTeams(q *request.ConfigParams) TeamPage {
-	page := TeamPage{Revision: c.leadership.config.state.Revision, Teams: []TeamView{}}
+func (c *Core) listTeams(q *request.ConfigParams) view.TeamPage {
+	page := view.TeamPage{Revision: c.leadership.config.state.Revision, Teams: []view.Team{}}
 	names := c.leadership.config.state.Names()
 	i, found := slices.BinarySearch(names, q.After)
 	if found {
@@ -89,17 +48,17 @@
 }
 
 // configStatus tells which revision is in force where, as the leader knows.
-func (c *Core) configStatus() ConfigStatus {
+func (c *Core) configStatus() view.ConfigStatus {
 	l := c.leadership
 	conf := &l.config
-	v := ConfigStatus{Revision: conf.state.Revision, Changes: conf.changes, Waiting: len(conf.waiting), SpreadS: conf.spread.Seconds(),
+	v := view.ConfigStatus{Revision: conf.state.Revision, Changes: conf.changes, Waiting: len(conf.waiting), SpreadS: conf.spread.Seconds(),
 		Damaged: slices.Sorted(maps.Keys(conf.damaged)), Refuses: c.configRefusal()}
 	if conf.batch != nil {
 		v.Waiting += len(conf.batch.changes)
 	}
-	v.Nodes = append(v.Nodes, ConfigNodeStatus{c.cfg.HostName, conf.state.Revision, c.confirmedAgo().Seconds(), true})
+	v.Nodes = append(v.Nodes, view.ConfigNodeStatus{Name: c.cfg.HostName, Revision: conf.state.Revision, AgeS: c.confirmedAgo().Seconds(), Knows: true})
 	for _, s := range c.cfg.Seeds {
-		n := ConfigNodeStatus{Name: s.HostName, AgeS: -1}
+		n := view.ConfigNodeStatus{Name: s.HostName, AgeS: -1}
 		if x := conf.nodes[s.HostName]; x != nil {
 			n.Revision, n.Knows = x.revision, x.version >= peerVersion
 			if !x.at.IsZero() {
@@ -117,22 +76,16 @@
 	return max(0, c.leaseTiming.Authority()-c.leadership.expiresAt.Sub(c.Now))
 }
 
-// ConfigHere is the configuration that this node has, whoever leads.
-type ConfigHere struct {
-	Revision uint64  `json:"revision"`
-	AgeS     float64 `json:"ageSeconds"` // since it was last known to be the newest
-}
-
-// ConfigHere returns what this node has.
-func (c *Core) ConfigHere() ConfigHere {
+// LocalConfig returns what this node has.
+func (c *Core) LocalConfig() view.LocalConfig {
 	if l := c.leadership; l != nil && l.loaded {
-		return ConfigHere{l.config.state.Revision, c.confirmedAgo().Seconds()}
+		return view.LocalConfig{Revision: l.config.state.Revision, AgeS: c.confirmedAgo().Seconds()}
 	}
 	since := c.configConfirmedAt
 	if since.IsZero() {
 		since = c.StartedAt
 	}
-	return ConfigHere{c.replicatedRevision(), c.Now.Sub(since).Seconds()}
+	return view.LocalConfig{Revision: c.replicatedRevision(), AgeS: c.Now.Sub(since).Seconds()}
 }
 
 // replicatedRevision is that of the last leader's copy.
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -14,6 +14,7 @@
 	"yewpass/internal/relay"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
+	"yewpass/internal/view"
 )
 
 // relayNode is a controller that does not lead, with a clock and what it has said.
@@ -244,13 +245,13 @@
 	n.worker(1, 1)
 	n.in(peermsg.LinkChange{Name: "n1"})
 	a, _ := ask(n.Core, request.Cluster)
-	if v, _ := a.Doc.(*Cluster); v == nil || v.Leader != "n1" || v.Term != 5 || v.Nodes[0].Workers != 1 || v.Nodes[0].Role != "away" {
+	if v, _ := a.Doc.(*view.Cluster); v == nil || v.Leader != "n1" || v.Term != 5 || v.Nodes[0].Workers != 1 || v.Nodes[0].Role != "away" {
 		t.Errorf("%+v", a.Doc)
 	}
 	c := leaderOf(t, 2)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1", Site: "b"}}
 	a, _ = ask(c, request.Cluster)
-	if v, _ := a.Doc.(*Cluster); v == nil || v.Leader != "n0" || !v.Authority || v.Machines != 2 || len(v.Nodes) != 2 || v.Nodes[1].Role != "away" {
+	if v, _ := a.Doc.(*view.Cluster); v == nil || v.Leader != "n0" || !v.Authority || v.Machines != 2 || len(v.Nodes) != 2 || v.Nodes[1].Role != "away" {
 		t.Errorf("%+v", a.Doc)
 	}
 	if a, dropped := ask(c, request.HandOver); a.Status != 409 || dropped || c.leadership == nil {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -5,54 +5,54 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"yewpass/internal/core"
+	"yewpass/internal/view"
 )
 
 // gauges shows the core's figures on the metrics page.
-type gauges struct{ now atomic.Pointer[core.Stats] }
+type gauges struct{ now atomic.Pointer[view.Stats] }
 
 func newGauges() *gauges {
 	g := &gauges{}
-	g.now.Store(&core.Stats{})
+	g.now.Store(&view.Stats{})
 	flag := func(b bool) float64 {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	for name, f := range map[string]func(s *core.Stats) float64{
-		"yewpass_leader":                  func(s *core.Stats) float64 { return flag(s.Leads) },
-		"yewpass_authority":               func(s *core.Stats) float64 { return flag(s.Authority) },
-		"yewpass_term":                    func(s *core.Stats) float64 { return float64(s.Term) },
-		"yewpass_jobs":                    func(s *core.Stats) float64 { return float64(s.Jobs) },
-		"yewpass_tasks_waiting":           func(s *core.Stats) float64 { return float64(s.Waiting) },
-		"yewpass_tasks_on_machines":       func(s *core.Stats) float64 { return float64(s.Running) },
-		"yewpass_machines":                func(s *core.Stats) float64 { return float64(s.Machines) },
-		"yewpass_machines_reporting":      func(s *core.Stats) float64 { return float64(s.Reporting) },
-		"yewpass_machines_unaccounted":    func(s *core.Stats) float64 { return float64(s.Unaccounted) },
-		"yewpass_cpus":                    func(s *core.Stats) float64 { return s.CPUs },
-		"yewpass_cpus_used":               func(s *core.Stats) float64 { return s.CPUsUsed },
-		"yewpass_backlog_seconds":         func(s *core.Stats) float64 { return s.BacklogSeconds },
-		"yewpass_workers_direct":          func(s *core.Stats) float64 { return float64(s.Direct) },
-		"yewpass_workers_passed_on":       func(s *core.Stats) float64 { return float64(s.Relayed) },
-		"yewpass_relays":                  func(s *core.Stats) float64 { return float64(s.Relays) },
-		"yewpass_regions_away":            func(s *core.Stats) float64 { return float64(s.RegionsAway) },
-		"yewpass_zones_away":              func(s *core.Stats) float64 { return float64(s.ZonesAway) },
-		"yewpass_machines_away":           func(s *core.Stats) float64 { return float64(s.MachinesAway) },
-		"yewpass_reports_late_total":      func(s *core.Stats) float64 { return float64(s.StaleHeartbeats) },
-		"yewpass_records_to_restore":      func(s *core.Stats) float64 { return float64(s.RecordsLeft) },
-		"yewpass_jobs_unreadable":         func(s *core.Stats) float64 { return float64(s.Unreadable) },
-		"yewpass_copies":                  func(s *core.Stats) float64 { return float64(s.Copies) },
-		"yewpass_fleet_full":              func(s *core.Stats) float64 { return flag(s.Full) },
-		"yewpass_config_revision":         func(s *core.Stats) float64 { return float64(s.ConfigRevision) },
-		"yewpass_config_age_seconds":      func(s *core.Stats) float64 { return s.ConfigAge },
-		"yewpass_config_in_force_seconds": func(s *core.Stats) float64 { return s.ConfigSpread },
-		"yewpass_config_changes_total":    func(s *core.Stats) float64 { return float64(s.ConfigChanges) },
-		"yewpass_config_damaged":          func(s *core.Stats) float64 { return float64(s.ConfigDamaged) },
-		"yewpass_schedules":               func(s *core.Stats) float64 { return float64(s.Schedules) },
-		"yewpass_occurrences_made":        func(s *core.Stats) float64 { return float64(s.OccurrencesMade) },
-		"yewpass_occurrences_missed":      func(s *core.Stats) float64 { return float64(s.OccurrencesMissed) },
-		"yewpass_occurrences_late":        func(s *core.Stats) float64 { return float64(s.OccurrencesLate) },
+	for name, f := range map[string]func(s *view.Stats) float64{
+		"yewpass_leader":                  func(s *view.Stats) float64 { return flag(s.Leads) },
+		"yewpass_authority":               func(s *view.Stats) float64 { return flag(s.Authority) },
+		"yewpass_term":                    func(s *view.Stats) float64 { return float64(s.Term) },
+		"yewpass_jobs":                    func(s *view.Stats) float64 { return float64(s.Jobs) },
+		"yewpass_tasks_waiting":           func(s *view.Stats) float64 { return float64(s.Waiting) },
+		"yewpass_tasks_on_machines":       func(s *view.Stats) float64 { return float64(s.Running) },
+		"yewpass_machines":                func(s *view.Stats) float64 { return float64(s.Machines) },
+		"yewpass_machines_reporting":      func(s *view.Stats) float64 { return float64(s.Reporting) },
+		"yewpass_machines_unaccounted":    func(s *view.Stats) float64 { return float64(s.Unaccounted) },
+		"yewpass_cpus":                    func(s *view.Stats) float64 { return s.CPUs },
+		"yewpass_cpus_used":               func(s *view.Stats) float64 { return s.CPUsUsed },
+		"yewpass_backlog_seconds":         func(s *view.Stats) float64 { return s.BacklogSeconds },
+		"yewpass_workers_direct":          func(s *view.Stats) float64 { return float64(s.Direct) },
+		"yewpass_workers_passed_on":       func(s *view.Stats) float64 { return float64(s.Relayed) },
+		"yewpass_relays":                  func(s *view.Stats) float64 { return float64(s.Relays) },
+		"yewpass_regions_away":            func(s *view.Stats) float64 { return float64(s.RegionsAway) },
+		"yewpass_zones_away":              func(s *view.Stats) float64 { return float64(s.ZonesAway) },
+		"yewpass_machines_away":           func(s *view.Stats) float64 { return float64(s.MachinesAway) },
+		"yewpass_reports_late_total":      func(s *view.Stats) float64 { return float64(s.StaleHeartbeats) },
+		"yewpass_records_to_restore":      func(s *view.Stats) float64 { return float64(s.RecordsLeft) },
+		"yewpass_jobs_unreadable":         func(s *view.Stats) float64 { return float64(s.Unreadable) },
+		"yewpass_copies":                  func(s *view.Stats) float64 { return float64(s.Copies) },
+		"yewpass_fleet_full":              func(s *view.Stats) float64 { return flag(s.Full) },
+		"yewpass_config_revision":         func(s *view.Stats) float64 { return float64(s.ConfigRevision) },
+		"yewpass_config_age_seconds":      func(s *view.Stats) float64 { return s.ConfigAge },
+		"yewpass_config_in_force_seconds": func(s *view.Stats) float64 { return s.ConfigSpread },
+		"yewpass_config_changes_total":    func(s *view.Stats) float64 { return float64(s.ConfigChanges) },
+		"yewpass_config_damaged":          func(s *view.Stats) float64 { return float64(s.ConfigDamaged) },
+		"yewpass_schedules":               func(s *view.Stats) float64 { return float64(s.Schedules) },
+		"yewpass_occurrences_made":        func(s *view.Stats) float64 { return float64(s.OccurrencesMade) },
+		"yewpass_occurrences_missed":      func(s *view.Stats) float64 { return float64(s.OccurrencesMissed) },
+		"yewpass_occurrences_late":        func(s *view.Stats) float64 { return float64(s.OccurrencesLate) },
 	} {
 		metrics.NewGauge(name, func() float64 { return f(g.now.Load()) })
 	}
--- a/internal/scenario/configure.go
+++ b/internal/scenario/configure.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/request"
+	"yewpass/internal/view"
 )
 
 // configWithin is within what time a change that its user was told of is in force.
@@ -84,8 +84,8 @@
 }
 
 // madeOf reads the answer to a change, which a process gives as JSON.
-func madeOf(ans request.Response) (core.ConfigMade, bool) {
-	made, ok := ans.Doc.(core.ConfigMade)
+func madeOf(ans request.Response) (view.ConfigChanged, bool) {
+	made, ok := ans.Doc.(view.ConfigChanged)
 	return made, ok
 }
 
@@ -209,7 +209,7 @@
 		if n.core == nil || !n.alive || w.now.Before(n.asleep) || !n.core.HasAuthority(n.local()) {
 			continue
 		}
-		if here := n.core.ConfigHere(); n.core.Ready() && here.Revision < revision {
+		if here := n.core.LocalConfig(); n.core.Ready() && here.Revision < revision {
 			w.fail("stale_config", "%s leads by revision %d, %d was told of %s ago", n.name, here.Revision, revision, configWithin)
 		}
 	}
@@ -222,7 +222,7 @@
 		return false
 	}
 	for _, n := range w.nodes {
-		if n.core != nil && n.alive && n.core.ConfigHere().Revision < w.admin.highest {
+		if n.core != nil && n.alive && n.core.LocalConfig().Revision < w.admin.highest {
 			return false
 		}
 	}
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -18,10 +18,10 @@
 	"syscall"
 	"time"
 
-	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/request"
 	"yewpass/internal/spec"
+	"yewpass/internal/view"
 )
 
 // process is a controller that runs as a process of the real program.
@@ -350,8 +350,8 @@
 
 // configDoc reads an answer about the configuration; nil if it is none.
 func configDoc(op request.Operation, data []byte) any {
-	var made core.ConfigMade
-	var here core.ConfigHere
+	var made view.ConfigChanged
+	var here view.LocalConfig
 	if op == request.ConfigSet && json.Unmarshal(data, &made) == nil {
 		return made
 	}
--- a/internal/scenario/scale_config.go
+++ b/internal/scenario/scale_config.go
@@ -4,9 +4,9 @@
 	"math"
 	"time"
 
-	"yewpass/internal/core"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/request"
+	"yewpass/internal/view"
 )
 
 // configure begins the plan's changes of configuration.
@@ -57,7 +57,7 @@
 func (r *scaleRun) awaitRevision(n *node, revision uint64, then func()) {
 	call := request.Request{Op: request.ConfigHere, Config: &request.ConfigParams{}}
 	r.callAt(n, call, time.Second, func(status int, a request.Response) {
-		here, _ := a.Doc.(core.ConfigHere)
+		here, _ := a.Doc.(view.LocalConfig)
 		if status == 200 && here.Revision >= revision || !n.alive || !r.net.open(n.name, outsider) {
 			then()
 			return
