--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,3 +1,4 @@
+// Package estimate corrects users' estimates of run times by those that were observed.
 package estimate
 
 import (
@@ -19,21 +20,25 @@
 
 const maxKept = 4096
 
+// NewRuntimes returns a Runtimes that has observed nothing.
 func NewRuntimes() Runtimes {
 	kept, _ := lru.New[string, *Average](maxKept) // errs only for a size below 1
 	return Runtimes{kept}
 }
 
+// Of returns what was observed of jobs of the same class and owner, nil if nothing.
 func (e Runtimes) Of(s *spec.Job) *Average {
 	o, _ := e.Get(s.Class + "/" + s.Owner)
 	return o
 }
 
+// Average is a mean of observations in which recent ones count more than old ones.
 type Average struct {
 	N    int
 	Mean float64 // class: actual over estimate; job: seconds
 }
 
+// Add adds an observation.
 func (o *Average) Add(x float64) {
 	o.N++
 	w := max(1/float64(o.N), 0.08)
--- a/internal/expiringset/expiringset.go
+++ b/internal/expiringset/expiringset.go
@@ -1,3 +1,4 @@
+// Package expiringset implements sets of names that forget their members after a while.
 package expiringset
 
 import "time"
@@ -16,12 +17,15 @@
 // Retention is far longer than anything is held up on its way.
 const Retention = time.Hour
 
+// New returns an empty set.
 func New(now time.Time) Set {
 	return Set{map[string]bool{}, map[string]bool{}, now}
 }
 
+// Has reports whether the set contains the name.
 func (f *Set) Has(name string) bool { return f.Recent[name] || f.Previous[name] }
 
+// Add adds a name to the set.
 func (f *Set) Add(name string, now time.Time) {
 	if now.Sub(f.RotatedAt) >= Retention {
 		f.Recent, f.Previous, f.RotatedAt = map[string]bool{}, f.Recent, now
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,3 +1,5 @@
+// Package quota implements the accounts of teams: their guarantees, their limits, and
+// what their tasks use.
 package quota
 
 import (
@@ -11,6 +13,7 @@
 // ArrivalMemory is how long arrivals count towards the work to be expected.
 const ArrivalMemory = 60 * time.Second
 
+// ExpectedCPUs returns how many CPUs the team's recent arrivals keep busy.
 func (t *Account) ExpectedCPUs(now time.Time) float64 {
 	return t.Load * math.Exp(-now.Sub(t.LoadAt).Seconds()/ArrivalMemory.Seconds())
 }
@@ -43,6 +46,7 @@
 	}
 }
 
+// Limited reports whether the team has a limit.
 func (t *Account) Limited() bool { return t.Limit.CPU > 0 || t.Limit.GPU > 0 }
 
 // FitsLimit reports whether n tasks fit into the team's limit on their own.
--- a/internal/writebatch/writebatch.go
+++ b/internal/writebatch/writebatch.go
@@ -1,3 +1,5 @@
+// Package writebatch batches changes of records into transactions within the limits of
+// the key-value store.
 package writebatch
 
 import (
@@ -13,7 +15,7 @@
 // neither a storm of submissions nor one of changes holds up the other.
 const ConfigShare = 0.15
 
-// ConfigWrites is the limiter of the part of the changes that configuration has.
+// NewConfigLimiter returns the limiter of the part of the changes that configuration has.
 func NewConfigLimiter(st config.State) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(st.WriteRPS*ConfigShare), max(2, st.TxnOps))
 }
@@ -26,6 +28,7 @@
 	requestBurst = 0.5 // of a second's requests at once
 )
 
+// New returns a batcher that keeps to the given limits.
 func New(st config.State) Batcher {
 	return Batcher{
 		Writes:       rate.NewLimiter(rate.Limit(st.WriteRPS*writeShare), max(st.TxnOps, int(st.WriteRPS*writeBurst))),
@@ -78,6 +81,7 @@
 	Singly           int // so many changes go one by one, to find a malformed one
 }
 
+// Add queues a change behind those of its priority.
 func (p *Batcher) Add(ch *Change) {
 	if ch.Size == 0 {
 		ch.Size = 120 * (len(ch.Writes) + len(ch.Conditions))
