--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -13,7 +13,6 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"yewpass/internal/core"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/request"
@@ -95,7 +94,7 @@
 		},
 		"hand over": {
 			request.Request{Op: request.HandOver},
-			request.Response{Status: 200, Doc: &core.Cluster{Node: "n2"}},
+			request.Response{Status: 200, Doc: &view.Cluster{Node: "n2"}},
 		},
 		"schedule: put":      scheduled(request.SchedulePut, put, wholeScheduleView()),
 		"schedule: get":      scheduled(request.ScheduleGet, nightly, schedule.View{Schedule: json.RawMessage(`{"name":"nightly"}`)}),
@@ -110,13 +109,13 @@
 			request.Response{Status: 201, View: request.JobStatus{ID: "wk-9", State: spec.Queued}},
 		},
 		"configuration: status": configured(request.ConfigStatus, request.ConfigParams{}, wholeConfigStatus()),
-		"configuration: here":   configured(request.ConfigHere, request.ConfigParams{}, core.ConfigHere{Revision: 12, AgeS: 0.5}),
-		"configuration: change": configured(request.ConfigSet, wholeChange(), core.ConfigMade{Revision: 13}),
+		"configuration: here":   configured(request.ConfigHere, request.ConfigParams{}, view.ConfigHere{Revision: 12, AgeS: 0.5}),
+		"configuration: change": configured(request.ConfigSet, wholeChange(), view.ConfigMade{Revision: 13}),
 		"configuration: teams":  configured(request.ConfigList, request.ConfigParams{After: "tools", Count: 5}, wholeTeamPage()),
 		"configuration: team":   configured(request.ConfigGet, request.ConfigParams{Name: "vision"}, wholeTeamView()),
 		"configuration: change one team": configured(request.ConfigSet, request.ConfigParams{
 			Teams: []liveconfig.TeamChange{{Team: wholeTeam(), IfRevision: pointer(uint64(3))}},
-		}, core.ConfigMade{Revision: 13}),
+		}, view.ConfigMade{Revision: 13}),
 		"worker: report": {
 			heartbeat.Received{Report: wholeReport()},
 			heartbeat.Reply{Status: 200, FencingToken: 41, Orders: []heartbeat.Order{
@@ -231,25 +230,25 @@
 	return liveconfig.Team{Name: "vision", CPUs: 10.5, CPUsMax: 20, GPUs: 4, GPUsMax: 8.25, Retired: true}
 }
 
-func wholeTeamView() core.TeamView {
-	v := core.TeamView{Team: wholeTeam(), Revision: 12, Damaged: true}
+func wholeTeamView() view.TeamView {
+	v := view.TeamView{Team: wholeTeam(), Revision: 12, Damaged: true}
 	v.InUse.CPUs, v.InUse.GPUs = 3.5, 2
 	return v
 }
 
-func wholeTeamPage() core.TeamPage {
-	return core.TeamPage{Revision: 12, Teams: []core.TeamView{wholeTeamView(), {}}, Truncated: true}
+func wholeTeamPage() view.TeamPage {
+	return view.TeamPage{Revision: 12, Teams: []view.TeamView{wholeTeamView(), {}}, Truncated: true}
 }
 
-func wholeConfigStatus() core.ConfigStatus {
-	return core.ConfigStatus{
+func wholeConfigStatus() view.ConfigStatus {
+	return view.ConfigStatus{
 		Revision: 12,
 		Changes:  5,
 		Waiting:  1,
 		SpreadS:  0.25,
 		Damaged:  []string{"team/tools"},
 		Refuses:  "restoring",
-		Nodes:    []core.ConfigNodeStatus{{Name: "n1", Revision: 12, AgeS: 0.5, Knows: true}, {Name: "n2", AgeS: -1}},
+		Nodes:    []view.ConfigNodeStatus{{Name: "n1", Revision: 12, AgeS: 0.5, Knows: true}, {Name: "n2", AgeS: -1}},
 	}
 }
 
@@ -260,8 +259,8 @@
 	}
 }
 
-func wholeCluster() *core.Cluster {
-	return &core.Cluster{
+func wholeCluster() *view.Cluster {
+	return &view.Cluster{
 		Node:        "n1",
 		Leader:      "n2",
 		Term:        41,
@@ -271,10 +270,10 @@
 		Machines:    100,
 		Unaccounted: 3,
 		MachineMost: 5000,
-		Nodes:       []core.ClusterNode{{Name: "n1", Zone: "hall-a", Role: "relay", Link: true, Workers: 40, LagS: 0.5}},
-		Zones:       []core.ClusterZone{{Name: "hall-a", State: "doubtful", SinceS: 3.5, Heard: 60, Silent: 40, Unknown: 7}},
-		Regions:     []core.ClusterRegion{{Name: "north", State: "up", SinceS: 4.5, Zones: 3, Away: 1, Heard: 60, Silent: 40}},
-		Records: &core.Records{
+		Nodes:       []view.ClusterNode{{Name: "n1", Zone: "hall-a", Role: "relay", Link: true, Workers: 40, LagS: 0.5}},
+		Zones:       []view.ClusterZone{{Name: "hall-a", State: "doubtful", SinceS: 3.5, Heard: 60, Silent: 40, Unknown: 7}},
+		Regions:     []view.ClusterRegion{{Name: "north", State: "up", SinceS: 4.5, Zones: 3, Away: 1, Heard: 60, Silent: 40}},
+		Records: &view.Records{
 			Era:      9,
 			Lost:     "the state service's revision has fallen",
 			From:     "n2",
--- a/internal/expiringset/expiringset.go
+++ b/internal/expiringset/expiringset.go
@@ -1,4 +1,4 @@
-// Package expiringset holds sets of names that drop each name some time after it was added.
+// Package expiringset implements sets of names that forget their members after a while.
 package expiringset
 
 import "time"
@@ -22,10 +22,10 @@
 	return Set{map[string]bool{}, map[string]bool{}, now}
 }
 
-// Has reports whether a name was added and has not expired.
+// Has reports whether the set contains the name.
 func (f *Set) Has(name string) bool { return f.Recent[name] || f.Previous[name] }
 
-// Add adds a name.
+// Add adds a name to the set.
 func (f *Set) Add(name string, now time.Time) {
 	if now.Sub(f.RotatedAt) >= Retention {
 		f.Recent, f.Previous, f.RotatedAt = map[string]bool{}, f.Recent, now
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -19,7 +19,7 @@
 	WrittenAt   time.Time
 }
 
-// RecordedSize estimates the bytes of a machine in its record.
+// RecordedSize returns about how many bytes of a record the machine takes.
 func RecordedSize(m *Machine) int {
 	r := m.Recorded()
 	return r.Size()
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,5 +1,5 @@
-// Package quota keeps teams' accounts: what they are guaranteed, what they may use at most,
-// and what their tasks use.
+// Package quota implements the accounts of teams: their guarantees, their limits, and
+// what their tasks use.
 package quota
 
 import (
