--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -18,6 +18,7 @@
 	"yewpass/internal/request"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
+	"yewpass/internal/view"
 )
 
 // goldenExchanges holds requests of users and workers, and what version 5990396 answers to
