--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -142,7 +142,7 @@
 
 // teamFromReplica returns a team as the copy of the last leader has it, or as the settings do; nil
 // if there is none. The caller's decision has to be conditional on configHeadCond.
-func (c *Core) teamFromReplica(k *replica.Copy, name string) *quota.Account {
+func (c *Core) teamFromReplica(k *replica.Replica, name string) *quota.Account {
 	if r, ok := k.Get(record.ConfigTeamPrefix + name); ok {
 		if rec, _ := r.Value.(*liveconfig.TeamRecord); rec != nil {
 			return quota.New(rec.Team)
@@ -157,7 +157,7 @@
 }
 
 // configHeadCond is the condition that the configuration is as a copy has it.
-func configHeadCond(k *replica.Copy) kv.Condition {
+func configHeadCond(k *replica.Replica) kv.Condition {
 	r, _ := k.Get(record.ConfigHeadKey)
 	return kv.Condition{Key: record.ConfigHeadKey, Rev: r.Rev}
 }
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -65,7 +65,7 @@
 func (c *Core) knowledge() *peermsg.Knowledge {
 	k := &peermsg.Knowledge{Observed: c.observed}
 	if best := c.newestReplica(); best != nil {
-		k.CopyEra, k.CopyTerm, k.CopySeq, k.Live = best.Era, best.Term, best.Seq, best.Digest(record.LivePrefix)
+		k.ReplicaEra, k.ReplicaTerm, k.ReplicaSeq, k.LiveDigest = best.Era, best.Term, best.Seq, best.Digest(record.LivePrefix)
 	}
 	return k
 }
--- a/internal/core/leaderless.go
+++ b/internal/core/leaderless.go
@@ -121,7 +121,7 @@
 
 // rejectLeaderless refuses a submission for good without a leader: only if the records have the
 // last word that nobody ever accepted it, and the last leader's copy says the same.
-func (c *Core) rejectLeaderless(call request.Request, k *replica.Copy, refusal request.Response) {
+func (c *Core) rejectLeaderless(call request.Request, k *replica.Replica, refusal request.Response) {
 	id, no := call.Spec.ID, unavailable("no leader at present")
 	if _, live := k.Get(record.JobPrefix + id); live || !c.readLimit.AllowN(c.Now, 1) {
 		c.answer(call, no)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -67,18 +67,18 @@
 	case peermsg.Response:
 		c.peerAnswer(p.From, p.Msg)
 	case peermsg.Replica:
-		c.handleReplicaLine(p.From, p.Msg.Copy)
+		c.handleReplicaLine(p.From, p.Msg.Replica)
 	case peermsg.LeaderlessJob:
-		c.handleLeaderlessJob(p.Msg.Copy)
+		c.handleLeaderlessJob(p.Msg.Replica)
 	case peermsg.ReplicaRestart:
 		c.restartReplica(p.From, p.Msg.Ref)
 	case peermsg.AskKnowledge:
 		if c.leadership == nil {
-			c.Emit(peermsg.Outgoing{To: p.From, Msg: peermsg.Message{Kind: peermsg.TellKnowledge, Term: p.Msg.Term, Know: c.knowledge()}})
+			c.Emit(peermsg.Outgoing{To: p.From, Msg: peermsg.Message{Kind: peermsg.TellKnowledge, Term: p.Msg.Term, Knowledge: c.knowledge()}})
 		}
 	case peermsg.TellKnowledge:
 		if l := c.leadership; l != nil && p.Msg.Term == l.term {
-			c.handleKnowledge(p.From, p.Msg.Know)
+			c.handleKnowledge(p.From, p.Msg.Knowledge)
 		}
 	case peermsg.WantReplica:
 		if c.leadership == nil {
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -35,8 +35,8 @@
 	stored          []replica.Record
 	complete        bool // all of it
 	peerKnowledge   map[string]*peermsg.Knowledge
-	replica         *replica.Copy // to go by
-	replicaSource   string        // whose copy is on its way
+	replica         *replica.Replica // to go by
+	replicaSource   string           // whose copy is on its way
 	receiver        replica.Receiver
 	failedSources   map[string]bool
 	replicaDeadline time.Time // the copy is waited for
@@ -81,7 +81,7 @@
 func (c *Core) handleKnowledge(from string, k *peermsg.Knowledge) {
 	l := c.leadership
 	if g := l.recovery; g != nil {
-		if g.peerKnowledge[from] == nil && k.CopyTerm == 0 {
+		if g.peerKnowledge[from] == nil && k.ReplicaTerm == 0 {
 			c.startTransfer(from)
 		}
 		g.peerKnowledge[from] = k
@@ -118,7 +118,7 @@
 		// A process that has just begun: the others may have copies, and the links to it
 		// come up.
 		for _, k := range g.peerKnowledge {
-			if k.CopyTerm+1 >= g.termRead.Term {
+			if k.ReplicaTerm+1 >= g.termRead.Term {
 				return false
 			}
 		}
@@ -151,15 +151,15 @@
 	if !g.termRead.Missing {
 		last = max(last, g.termRead.Term)
 	}
-	offers, names := []replica.Age{}, []string{}
+	offers, names := []replica.Version{}, []string{}
 	floor := uint64(0)
-	offer := func(name string, age replica.Age) {
+	offer := func(name string, age replica.Version) {
 		if !g.failedSources[name] {
 			offers, names = append(offers, age), append(names, name)
 		}
 	}
 	if own := c.newestReplica(); own != nil && own.Term < l.term {
-		offer("", own.Age)
+		offer("", own.Version)
 	}
 	for _, s := range c.cfg.Seeds {
 		if k := g.peerKnowledge[s.HostName]; k != nil {
@@ -171,7 +171,7 @@
 			} else if g.lossReason == "" && g.termRead.Missing && k.HighestPastTerm > 0 {
 				g.lossReason = "no term is on record, and one was"
 			}
-			offer(s.HostName, replica.Age{Term: k.CopyTerm, Seq: k.CopySeq})
+			offer(s.HostName, replica.Version{Term: k.ReplicaTerm, Seq: k.ReplicaSeq})
 		}
 	}
 	if floor >= l.term {
@@ -182,21 +182,21 @@
 	if g.lossReason == "" {
 		g.lossReason = known.LossReason(g.termRead)
 	}
-	best := recovery.NewestOffer(offers)
+	best := recovery.NewestOf(offers)
 	if best >= 0 && g.replica == nil {
 		name := names[best]
 		switch {
 		case name == "":
 			g.replica = c.newestReplica()
-		case g.receiver.Copy() != nil && g.replicaSource == name:
-			if came := g.receiver.Copy(); offers[best].After(came.Age) {
+		case g.receiver.Replica() != nil && g.replicaSource == name:
+			if came := g.receiver.Replica(); offers[best].After(came.Version) {
 				// Not the one that was offered. Another may be newer by now.
-				g.peerKnowledge[name].CopyTerm, g.peerKnowledge[name].CopySeq = came.Term, came.Seq
+				g.peerKnowledge[name].ReplicaTerm, g.peerKnowledge[name].ReplicaSeq = came.Term, came.Seq
 				c.advanceRecovery()
 				return
 			}
-			g.replica = g.receiver.Copy()
-		case g.lossReason == "" && g.peerKnowledge[name].Live == digestRecords(g.stored) && g.peerKnowledge[name].CopyEra == g.termRead.Era:
+			g.replica = g.receiver.Replica()
+		case g.lossReason == "" && g.peerKnowledge[name].LiveDigest == digestRecords(g.stored) && g.peerKnowledge[name].ReplicaEra == g.termRead.Era:
 			// Nothing is missing, as far as its keys tell; but for how jobs have ended,
 			// which is learned beside the work.
 			l.finalsSource = name
--- a/internal/core/recovery_merge.go
+++ b/internal/core/recovery_merge.go
@@ -19,7 +19,7 @@
 // How a new leader makes one set of records of what the state service and a copy have.
 
 // recordKinds tells package rebuild what our keys are of.
-var recordKinds = recovery.Kinds{
+var recordKinds = recovery.Schema{
 	Job:      func(key string) (string, bool) { return strings.CutPrefix(key, record.JobPrefix) },
 	Final:    func(key string) (string, bool) { return strings.CutPrefix(key, record.FinalPrefix) },
 	Machines: func(key string) bool { return strings.HasPrefix(key, record.MachinePrefix) },
@@ -84,7 +84,7 @@
 	own := replica.New(c.observed.Era, l.term, record.FinalPrefix, maxFinals(c.cfg))
 	best := c.newestReplica()
 	if g.replica != nil {
-		g.replica.Inherit(best)
+		g.replica.InheritBounded(best)
 		res := recovery.Merge(g.stored, g.replica, g.lossReason != "", recordKinds)
 		other := func(r replica.Record) bool { return !strings.HasPrefix(r.Key, record.LivePrefix) }
 		records = slices.DeleteFunc(res.Records, other)
@@ -134,7 +134,7 @@
 		}
 	}
 	c.dataLossReason = ""
-	own.Inherit(best)
+	own.InheritBounded(best)
 	c.replicas.own = own
 	l.noEarlierTerm = g.termRead.Missing
 	c.loadRecords(records)
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -27,7 +27,7 @@
 
 // replicas is what a controller keeps of the records.
 type replicas struct {
-	own       *replica.Copy        // as we lead, or led last
+	own       *replica.Replica     // as we lead, or led last
 	received  replica.Receiver     // what a leader passes on to us
 	transfers map[string]*transfer // to whom we are sending what we have
 }
@@ -35,7 +35,7 @@
 // transfer is a copy on its way to somebody who has asked for it, or has none.
 type transfer struct {
 	sender *replica.Sender
-	source *replica.Copy
+	source *replica.Replica
 }
 
 // maxFinals is of how many jobs it is remembered how they have ended.
@@ -62,9 +62,9 @@
 }
 
 // newestReplica returns the newest copy that this process has, or nil.
-func (c *Core) newestReplica() *replica.Copy {
+func (c *Core) newestReplica() *replica.Replica {
 	best := c.replicas.own
-	if h := c.replicas.received.Copy(); h.Newer(best) {
+	if h := c.replicas.received.Replica(); h.NewerThan(best) {
 		best = h
 	}
 	return best
@@ -72,7 +72,7 @@
 
 // lastLeaderReplica returns the copy of the last leader that we know of, or nil without one, and
 // when the service is known to have lost data since.
-func (c *Core) lastLeaderReplica() *replica.Copy {
+func (c *Core) lastLeaderReplica() *replica.Replica {
 	if k := c.newestReplica(); k != nil && k.Term == c.confirmedTerm && c.dataLossReason == "" {
 		return k
 	}
@@ -80,7 +80,7 @@
 }
 
 // ownReplica returns the copy of the term that we lead, or nil.
-func (c *Core) ownReplica() *replica.Copy {
+func (c *Core) ownReplica() *replica.Replica {
 	if own := c.replicas.own; own != nil && c.leadership != nil && own.Term == c.leadership.term {
 		return own
 	}
@@ -117,7 +117,7 @@
 		k.Put(r.Key, r.Value, r.Rev)
 	}
 	for _, s := range c.cfg.Seeds {
-		c.Emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.LeaderlessJob, Term: c.confirmedTerm, Copy: &replica.Line{Term: c.confirmedTerm, Session: 1, Puts: []replica.Record{r}}}})
+		c.Emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.LeaderlessJob, Term: c.confirmedTerm, Replica: &replica.Line{Term: c.confirmedTerm, Session: 1, Puts: []replica.Record{r}}}})
 	}
 }
 
@@ -146,7 +146,7 @@
 	own.Seq++
 	for _, s := range c.cfg.Seeds {
 		if h := c.leadership.followers[s.HostName]; h != nil {
-			c.sendReplicaLine(s.HostName, h.Change(own, puts, drops))
+			c.sendReplicaLine(s.HostName, h.ChangeLine(own, puts, drops))
 		}
 	}
 }
@@ -176,7 +176,7 @@
 }
 
 func (c *Core) sendReplicaLine(to string, line replica.Line) {
-	c.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.Replica, Term: max(1, c.highestTerm), Copy: &line}})
+	c.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.Replica, Term: max(1, c.highestTerm), Replica: &line}})
 }
 
 // supplyReplicas has every controller in reach supplied with a copy: any of them may have
@@ -220,7 +220,7 @@
 	}
 	for _, s := range c.cfg.Seeds {
 		if h := l.followers[s.HostName]; h != nil {
-			if line, more := h.Base(c.replicas.own, max(1, replicaRecordsPerLine/max(1, lacking)), replicaLineBytes, replicaRecordSize); more {
+			if line, more := h.NextSnapshotLine(c.replicas.own, max(1, replicaRecordsPerLine/max(1, lacking)), replicaLineBytes, replicaRecordSize); more {
 				c.sendReplicaLine(s.HostName, line)
 				l.sendingBase = true
 			}
@@ -247,7 +247,7 @@
 	} else if from != c.knownLeader || line.Term > c.highestTerm {
 		return // of nobody who leads
 	}
-	if err := h.Take(line, record.FinalPrefix, maxFinals(c.cfg)); err != nil {
+	if err := h.Receive(line, record.FinalPrefix, maxFinals(c.cfg)); err != nil {
 		c.Log(slog.LevelWarn, "replica out of sequence, requesting it again", "from", from, "reason", err)
 		c.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.ReplicaRestart, Term: max(1, line.Term), Ref: line.Session}})
 		return
@@ -256,7 +256,7 @@
 	for i := range line.Puts {
 		c.observed.Revision = max(c.observed.Revision, line.Puts[i].Rev)
 	}
-	if c.leadership != nil && h.Copy() != nil {
+	if c.leadership != nil && h.Replica() != nil {
 		c.advanceRecovery()
 	}
 }
@@ -265,7 +265,7 @@
 // Not sooner, however far the terms have gone on: after a loss they go on far above the last
 // one, and what we have is then the newest that there is.
 func (c *Core) dropOwnReplica() {
-	if own, held := c.replicas.own, c.replicas.received.Copy(); c.leadership == nil && own != nil && held != nil && held.Term > own.Term {
+	if own, held := c.replicas.own, c.replicas.received.Replica(); c.leadership == nil && own != nil && held != nil && held.Term > own.Term {
 		c.replicas.own = nil
 	}
 }
@@ -275,11 +275,11 @@
 func (c *Core) receiveFinals(line *replica.Line) {
 	l := c.leadership
 	own := c.ownReplica()
-	if own == nil || line.Term >= l.term || l.finalsReceiver.Take(line, record.FinalPrefix, maxFinals(c.cfg)) != nil {
+	if own == nil || line.Term >= l.term || l.finalsReceiver.Receive(line, record.FinalPrefix, maxFinals(c.cfg)) != nil {
 		return // it can do without
 	}
-	if k := l.finalsReceiver.Copy(); k != nil {
-		own.Inherit(k)
+	if k := l.finalsReceiver.Replica(); k != nil {
+		own.InheritBounded(k)
 		c.rememberFinals(k)
 		l.finalsSource = ""
 		// Nor does what it has of schedules show that none is lost: they lie apart.
@@ -296,7 +296,7 @@
 }
 
 // rememberFinals takes in how the jobs of a copy have ended.
-func (c *Core) rememberFinals(k *replica.Copy) {
+func (c *Core) rememberFinals(k *replica.Replica) {
 	for _, key := range k.Keys(record.FinalPrefix) {
 		r, _ := k.Get(key)
 		if f, _ := r.Value.(*record.Final); f != nil {
@@ -334,7 +334,7 @@
 	if c.replicas.transfers[name] != x {
 		return
 	}
-	line, more := x.sender.Base(x.source, replicaRecordsPerLine, replicaLineBytes, replicaRecordSize)
+	line, more := x.sender.NextSnapshotLine(x.source, replicaRecordsPerLine, replicaLineBytes, replicaRecordSize)
 	if !more || c.leadership != nil && c.leadership.recovery == nil {
 		delete(c.replicas.transfers, name)
 		return
--- a/internal/core/scrub.go
+++ b/internal/core/scrub.go
@@ -45,7 +45,7 @@
 		if r.Outcome != rpc.OK || c.ownReplica() != own {
 			return
 		}
-		p := recovery.Page{Prefix: prefix, From: s.from, AskedRevision: asked}
+		p := recovery.ListPage{Prefix: prefix, From: s.from, AskedRevision: asked}
 		for _, e := range r.Entries {
 			p.Listed = append(p.Listed, replica.Record{Key: e.Key, Rev: e.Rev})
 		}
@@ -55,11 +55,11 @@
 			s.place = (s.place + 1) % len(scrubbedPrefixes)
 		}
 		s.from = p.To
-		if keys := recovery.Missing(own, p, c.hasUncommittedChange); len(keys) > 0 {
+		if keys := recovery.MissingKeys(own, p, c.hasUncommittedChange); len(keys) > 0 {
 			c.verifyMissing(own, keys[0])
 		}
 	})
-	if keys := own.Latest(); len(keys) > 0 {
+	if keys := own.BoundedKeys(); len(keys) > 0 {
 		s.final = (s.final + 1) % len(keys)
 		c.verifyMissing(own, keys[s.final])
 	}
@@ -84,7 +84,7 @@
 
 // verifyMissing asks for a record that seems to be missing or old. That it is shows that data was
 // lost, if nothing of ours has changed it since.
-func (c *Core) verifyMissing(own *replica.Copy, key string) {
+func (c *Core) verifyMissing(own *replica.Replica, key string) {
 	was, ok := own.Get(key)
 	if !ok || was.Rev == 0 || c.hasUncommittedChange(key) {
 		return
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -147,9 +147,9 @@
 	if ch == nil {
 		return
 	}
-	j := messageJSON{From: m.self, Kind: p.Msg.Kind, Term: p.Msg.Term, Ref: p.Msg.Ref, Op: p.Msg.Op, ID: p.Msg.ID, Speaks: p.Msg.Version, Schedule: p.Msg.Schedule, Config: p.Msg.Config, Reports: p.Msg.Reports, Replies: p.Msg.Replies, Know: p.Msg.Know}
-	if p.Msg.Copy != nil {
-		j.Copy = encodeLine(p.Msg.Copy)
+	j := messageJSON{From: m.self, Kind: p.Msg.Kind, Term: p.Msg.Term, Ref: p.Msg.Ref, Op: p.Msg.Op, ID: p.Msg.ID, Speaks: p.Msg.Version, Schedule: p.Msg.Schedule, Config: p.Msg.Config, Reports: p.Msg.Reports, Replies: p.Msg.Replies, Know: p.Msg.Knowledge}
+	if p.Msg.Replica != nil {
+		j.Copy = encodeLine(p.Msg.Replica)
 	}
 	if p.Msg.Spec != nil {
 		s := kvclient.EncodeSpec(p.Msg.Spec)
@@ -289,7 +289,7 @@
 	if !known[j.From] {
 		return in, false, "from: not one of the seeds"
 	}
-	in = peermsg.Received{From: j.From, Msg: peermsg.Message{Kind: j.Kind, Term: j.Term, Ref: j.Ref, Op: j.Op, ID: j.ID, Version: j.Speaks, Schedule: j.Schedule, Config: j.Config, Reports: j.Reports, Replies: j.Replies, Know: j.Know}}
+	in = peermsg.Received{From: j.From, Msg: peermsg.Message{Kind: j.Kind, Term: j.Term, Ref: j.Ref, Op: j.Op, ID: j.ID, Version: j.Speaks, Schedule: j.Schedule, Config: j.Config, Reports: j.Reports, Replies: j.Replies, Knowledge: j.Know}}
 	switch j.Kind {
 	case kindPing:
 		return in, true, ""
@@ -301,9 +301,9 @@
 		if !ok {
 			return in, false, "copy: damaged"
 		}
-		in.Msg.Copy = line
+		in.Msg.Replica = line
 	case peermsg.TellKnowledge:
-		if k := j.Know; k == nil || j.Term == 0 || j.Term > record.MaxTerm || k.Term > record.MaxTerm || k.CopyTerm > record.MaxTerm {
+		if k := j.Know; k == nil || j.Term == 0 || j.Term > record.MaxTerm || k.Term > record.MaxTerm || k.ReplicaTerm > record.MaxTerm {
 			return in, false, "tell: out of range"
 		}
 	case peermsg.Leader, peermsg.Ack, peermsg.AskKnowledge, peermsg.WantReplica, peermsg.ReplicaRestart, peermsg.ConfigRevision:
--- a/internal/peermsg/peermsg.go
+++ b/internal/peermsg/peermsg.go
@@ -58,21 +58,21 @@
 
 	Version uint64 // of leader and ack: the version that the sender talks in
 
-	Schedule *request.ScheduleParams
-	Config   *request.ConfigParams
-	Reports  *relay.Batch
-	Replies  *relay.Replies
-	Copy     *replica.Line
-	Know     *Knowledge
+	Schedule  *request.ScheduleParams
+	Config    *request.ConfigParams
+	Reports   *relay.Batch
+	Replies   *relay.Replies
+	Replica   *replica.Line
+	Knowledge *Knowledge
 }
 
 // Knowledge is what a controller tells a new leader of the state service's past.
 type Knowledge struct {
 	recovery.Observed
-	CopyEra  uint64         `json:"copyEra,omitempty"` // of the copy that it has
-	CopyTerm uint64         `json:"copyTerm,omitempty"`
-	CopySeq  uint64         `json:"copySeq,omitempty"`
-	Live     replica.Digest `json:"live"` // of its records under LivePrefix
+	ReplicaEra  uint64         `json:"copyEra,omitempty"` // of the copy that it has
+	ReplicaTerm uint64         `json:"copyTerm,omitempty"`
+	ReplicaSeq  uint64         `json:"copySeq,omitempty"`
+	LiveDigest  replica.Digest `json:"live"` // of its records under LivePrefix
 }
 
 // Sound reports whether a call of a peer carries what its operation asks for, as the
--- a/internal/recovery/missing.go
+++ b/internal/recovery/missing.go
@@ -2,8 +2,8 @@
 
 import "yewpass/internal/replica"
 
-// Page is a part of a list of records under a prefix.
-type Page struct {
+// ListPage is a part of a list of records under a prefix.
+type ListPage struct {
 	Prefix        string
 	From          string // after this key
 	To            string // up to this one; "" for the last part
@@ -11,10 +11,10 @@
 	AskedRevision uint64 // the service's revision that was known when the part was asked for
 }
 
-// Missing returns the keys whose records a copy has and a list lacks, or has from before:
+// MissingKeys returns the keys whose records a copy has and a list lacks, or has from before:
 // those that the service was known to have when it was asked. busy tells of keys whose change
 // is on its way, or may have been made without our knowing.
-func Missing(c *replica.Copy, p Page, busy func(key string) bool) (keys []string) {
+func MissingKeys(c *replica.Replica, p ListPage, busy func(key string) bool) (keys []string) {
 	listed := make(map[string]uint64, len(p.Listed))
 	for _, r := range p.Listed {
 		listed[r.Key] = r.Rev
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -79,11 +79,11 @@
 	return Observed{Era: k.Era, Term: max(k.Term, o.Term), ProcessID: k.ProcessID, Revision: max(k.Revision, o.Revision), HighestPastTerm: max(k.HighestPastTerm, o.HighestPastTerm)}
 }
 
-// NewestOffer returns the place of the copy to go by, by how new those are that are offered, or -1:
+// NewestOf returns the place of the copy to go by, by how new those are that are offered, or -1:
 // the newest. An offer of term 0 is none. It may be of a term well
 // before the last one, whose leader has not come to pass a copy on; what has ended since is
 // asked of the service before anything in it is believed to be live.
-func NewestOffer(offers []replica.Age) int {
+func NewestOf(offers []replica.Version) int {
 	best := -1
 	for i, o := range offers {
 		if o.Term != 0 && (best < 0 || o.After(offers[best])) {
@@ -93,8 +93,8 @@
 	return best
 }
 
-// Kinds tells what a key is of. Other keys count for themselves.
-type Kinds struct {
+// Schema tells what a key is of. Other keys count for themselves.
+type Schema struct {
 	Job, Final func(key string) (id string, ok bool)  // a job while it is not over, and how it ended
 	Progress   func(key string) (job string, ok bool) // progress of a job
 	Machines   func(key string) bool                  // machines that may hold tasks
@@ -104,8 +104,8 @@
 	Join func(stored, copied any, older bool) (joined any, differ bool)
 }
 
-// Result is what there is after all.
-type Result struct {
+// MergeResult is what there is after all.
+type MergeResult struct {
 	Records []replica.Record // in the order of their keys
 	Writes  []replica.Record // of them, what the service does not have so; Rev is what it has, 0 for none
 	Drops   []string         // on record, and long over
@@ -117,7 +117,7 @@
 //
 // A job that has ended by either is over: jobs never come back. Machines and progress of
 // both count, since neither can be wrong about what has been.
-func Merge(stored []replica.Record, c *replica.Copy, older bool, k Kinds) Result {
+func Merge(stored []replica.Record, c *replica.Replica, older bool, k Schema) MergeResult {
 	over := map[string]bool{}
 	have := make(map[string]replica.Record, len(stored))
 	for _, r := range stored {
@@ -139,7 +139,7 @@
 		}
 		return ok && over[id]
 	}
-	var res Result
+	var res MergeResult
 	put := func(key string, value any, rev uint64) {
 		have[key] = replica.Record{Key: key, Value: value, Rev: rev}
 		res.Writes = append(res.Writes, have[key])
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -39,7 +39,7 @@
 
 // TestMerge: a job that is over by either side is over; the rest is what the newer has.
 func TestMerge(t *testing.T) {
-	kinds := Kinds{
+	kinds := Schema{
 		Job:      func(k string) (string, bool) { return strings.CutPrefix(k, "j/") },
 		Final:    func(k string) (string, bool) { return strings.CutPrefix(k, "f/") },
 		Progress: func(k string) (string, bool) { return strings.CutPrefix(k, "p/") },
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -20,19 +20,19 @@
 	Rev   uint64 // at which the service has it; 0: it is not known to have it
 }
 
-// Age tells how new a copy is.
-type Age struct {
+// Version tells how new a copy is.
+type Version struct {
 	Term uint64 // whose leader it is of
 	Seq  uint64 // changes since that term began
 }
 
 // After reports whether a copy of this age is newer than one of another.
-func (a Age) After(b Age) bool { return a.Term > b.Term || a.Term == b.Term && a.Seq > b.Seq }
+func (a Version) After(b Version) bool { return a.Term > b.Term || a.Term == b.Term && a.Seq > b.Seq }
 
-// Copy is a copy of the records, as the leader of a term has left them.
-type Copy struct {
+// Replica is a copy of the records, as the leader of a term has left them.
+type Replica struct {
 	Era uint64 // of the state service's data, see package rebuild
-	Age
+	Version
 
 	records       map[string]*Record
 	boundedPrefix string   // prefix of records of which only the latest are kept
@@ -42,12 +42,12 @@
 
 // New returns an empty copy, in which at most so many records with the prefix spare are
 // kept: the latest.
-func New(era, term uint64, spare string, most int) *Copy {
-	return &Copy{Era: era, Age: Age{Term: term}, records: map[string]*Record{}, boundedPrefix: spare, boundedMax: most}
+func New(era, term uint64, spare string, most int) *Replica {
+	return &Replica{Era: era, Version: Version{Term: term}, records: map[string]*Record{}, boundedPrefix: spare, boundedMax: most}
 }
 
 // Put takes in a record.
-func (c *Copy) Put(key string, value any, rev uint64) {
+func (c *Replica) Put(key string, value any, rev uint64) {
 	if r := c.records[key]; r != nil {
 		r.Value, r.Rev = value, rev
 		return
@@ -64,7 +64,7 @@
 }
 
 // Drop takes a record out.
-func (c *Copy) Drop(key string) {
+func (c *Replica) Drop(key string) {
 	if c.records[key] == nil {
 		return
 	}
@@ -74,9 +74,9 @@
 	}
 }
 
-// Inherit takes over the spare records of a copy before this one, as the oldest: what has
+// InheritBounded takes over the spare records of a copy before this one, as the oldest: what has
 // ended never changes, and a leader that began with little memory knows of less of it.
-func (c *Copy) Inherit(before *Copy) {
+func (c *Replica) InheritBounded(before *Replica) {
 	if before == nil || before == c {
 		return
 	}
@@ -95,7 +95,7 @@
 }
 
 // Get returns the record of a key.
-func (c *Copy) Get(key string) (Record, bool) {
+func (c *Replica) Get(key string) (Record, bool) {
 	if r := c.records[key]; r != nil {
 		return *r, true
 	}
@@ -103,7 +103,7 @@
 }
 
 // Keys returns the keys with a prefix in their order.
-func (c *Copy) Keys(prefix string) []string {
+func (c *Replica) Keys(prefix string) []string {
 	ks := make([]string, 0, len(c.records))
 	for k := range c.records {
 		if strings.HasPrefix(k, prefix) {
@@ -114,8 +114,8 @@
 	return ks
 }
 
-// Latest returns the keys of the spare records, the oldest first; not to be changed.
-func (c *Copy) Latest() []string { return c.order }
+// BoundedKeys returns the keys of the spare records, the oldest first; not to be changed.
+func (c *Replica) BoundedKeys() []string { return c.order }
 
 // Digest tells sets of keys apart: two copies whose digests are equal have the same keys.
 type Digest struct {
@@ -132,7 +132,7 @@
 }
 
 // Digest returns the digest of the keys with a prefix.
-func (c *Copy) Digest(prefix string) (d Digest) {
+func (c *Replica) Digest(prefix string) (d Digest) {
 	for k := range c.records {
 		if strings.HasPrefix(k, prefix) {
 			d.Add(k)
@@ -141,9 +141,9 @@
 	return d
 }
 
-// Newer reports whether c is to be preferred to another copy, which may be nil.
-func (c *Copy) Newer(than *Copy) bool {
-	return c != nil && (than == nil || c.After(than.Age))
+// NewerThan reports whether c is to be preferred to another copy, which may be nil.
+func (c *Replica) NewerThan(than *Replica) bool {
+	return c != nil && (than == nil || c.After(than.Version))
 }
 
 // Line is a part of a copy on its way to who holds one.
@@ -166,7 +166,7 @@
 }
 
 // NewSender begins a stream, whose number must not have been used before.
-func NewSender(session uint64, c *Copy) *Sender {
+func NewSender(session uint64, c *Replica) *Sender {
 	return &Sender{session: session, keys: c.Keys("")}
 }
 
@@ -176,9 +176,9 @@
 // Complete reports whether the whole base has gone out.
 func (s *Sender) Complete() bool { return s.complete }
 
-// Base returns the next part of the base, until there is none: at most so many records, of
+// NextSnapshotLine returns the next part of the base, until there is none: at most so many records, of
 // at most so many bytes together by what size says of each, but one at the least.
-func (s *Sender) Base(c *Copy, most, bytes int, size func(Record) int) (l Line, more bool) {
+func (s *Sender) NextSnapshotLine(c *Replica, most, bytes int, size func(Record) int) (l Line, more bool) {
 	if s.complete {
 		return Line{}, false
 	}
@@ -198,12 +198,12 @@
 	return s.next(c, l), true
 }
 
-// Change returns the line that tells of a change the copy has just taken in.
-func (s *Sender) Change(c *Copy, puts []Record, drops []string) Line {
+// ChangeLine returns the line that tells of a change the copy has just taken in.
+func (s *Sender) ChangeLine(c *Replica, puts []Record, drops []string) Line {
 	return s.next(c, Line{Puts: puts, Drops: drops})
 }
 
-func (s *Sender) next(c *Copy, l Line) Line {
+func (s *Sender) next(c *Replica, l Line) Line {
 	s.number++
 	l.Era, l.Term, l.Session, l.Number, l.Seq, l.Complete = c.Era, c.Term, s.session, s.number, c.Seq, s.complete
 	return l
@@ -212,19 +212,19 @@
 // Receiver is the other end: it keeps the last copy that was whole until the next one is.
 type Receiver struct {
 	session, number uint64
-	incoming        *Copy
-	complete        *Copy
+	incoming        *Replica
+	complete        *Replica
 }
 
-// ErrMissingLines says that a line does not follow the one before: the copy is not whole, and
+// ErrGap says that a line does not follow the one before: the copy is not whole, and
 // has to be sent anew.
-var ErrMissingLines = errors.New("lines of the copy are missing")
+var ErrGap = errors.New("lines of the copy are missing")
 
-// Copy returns the last whole copy, or nil.
-func (h *Receiver) Copy() *Copy { return h.complete }
+// Replica returns the last whole copy, or nil.
+func (h *Receiver) Replica() *Replica { return h.complete }
 
-// Take takes in a line; spare and most are as for New.
-func (h *Receiver) Take(l *Line, spare string, most int) error {
+// Receive takes in a line; spare and most are as for New.
+func (h *Receiver) Receive(l *Line, spare string, most int) error {
 	if l.Number == 1 && l.Session != 0 && l.Session != h.session {
 		if h.complete != nil && l.Term < h.complete.Term {
 			return nil // of a leader before the one whose copy this is
@@ -240,7 +240,7 @@
 		if h.complete != nil && l.Session == h.session {
 			h.session = 0 // what is whole stays as it is
 		}
-		return ErrMissingLines
+		return ErrGap
 	}
 	h.number, c.Seq = l.Number, l.Seq
 	for _, r := range l.Puts {
@@ -250,7 +250,7 @@
 		c.Drop(k)
 	}
 	if l.Complete && h.complete != c {
-		c.Inherit(h.complete)
+		c.InheritBounded(h.complete)
 		h.complete = c
 	}
 	return nil
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -8,7 +8,7 @@
 )
 
 // same reports whether two copies hold the same records.
-func same(a, b *Copy) bool {
+func same(a, b *Replica) bool {
 	if a == nil || b == nil || !slices.Equal(a.Keys(""), b.Keys("")) {
 		return false
 	}
@@ -53,29 +53,29 @@
 		var late *Line
 		for step := range 200 {
 			var l Line
-			if part, more := s.Base(c, 1+rng.IntN(5), 100, ten); more && rng.IntN(2) == 0 {
+			if part, more := s.NextSnapshotLine(c, 1+rng.IntN(5), 100, ten); more && rng.IntN(2) == 0 {
 				l = part
 			} else if more {
 				// The part is lost on the way.
 				again = true
-				l = s.Change(c, nil, nil)
+				l = s.ChangeLine(c, nil, nil)
 			} else {
 				puts, drops := change()
-				l = s.Change(c, puts, drops)
+				l = s.ChangeLine(c, puts, drops)
 			}
 			damaged := rng.IntN(9) == 0 && step < 150
 			switch {
 			case damaged && rng.IntN(2) == 0: // lost
 				late = &l
 			case damaged: // twice
-				h.Take(&l, "f/", 1000)
+				h.Receive(&l, "f/", 1000)
 				fallthrough
 			default:
 				if late != nil && rng.IntN(3) == 0 {
-					h.Take(late, "f/", 1000)
+					h.Receive(late, "f/", 1000)
 					late = nil
 				}
-				again = h.Take(&l, "f/", 1000) != nil || again
+				again = h.Receive(&l, "f/", 1000) != nil || again
 			}
 			if again {
 				session++
@@ -83,22 +83,22 @@
 			}
 		}
 		for {
-			l, more := s.Base(c, 50, 100, ten)
+			l, more := s.NextSnapshotLine(c, 50, 100, ten)
 			if !more {
 				break
 			}
-			h.Take(&l, "f/", 1000)
+			h.Receive(&l, "f/", 1000)
 		}
 		puts, drops := change()
-		l := s.Change(c, puts, drops)
-		if h.Take(&l, "f/", 1000) != nil {
+		l := s.ChangeLine(c, puts, drops)
+		if h.Receive(&l, "f/", 1000) != nil {
 			s = NewSender(session+1, c)
-			l, _ = s.Base(c, 1000, 1<<20, ten)
-			if err := h.Take(&l, "f/", 1000); err != nil {
+			l, _ = s.NextSnapshotLine(c, 1000, 1<<20, ten)
+			if err := h.Receive(&l, "f/", 1000); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
-		if !same(h.Copy(), c) {
+		if !same(h.Replica(), c) {
 			t.Fatalf("seed %d: the copies differ", seed)
 		}
 	}
@@ -111,17 +111,17 @@
 		a.Put(fmt.Sprint("f/", i), i, 1)
 	}
 	b.Put("f/9", 9, 1)
-	b.Inherit(a)
+	b.InheritBounded(a)
 	if got := b.Keys(""); !slices.Equal(got, []string{"f/3", "f/4", "f/9"}) {
 		t.Errorf("%q", got)
 	}
 	old, next := New(1, 1, "f/", 3), Receiver{}
 	s := NewSender(5, b)
-	l, _ := s.Base(b, 9, 100, ten)
-	next.Take(&l, "f/", 3)
+	l, _ := s.NextSnapshotLine(b, 9, 100, ten)
+	next.Receive(&l, "f/", 3)
 	s = NewSender(6, old)
-	l, _ = s.Base(old, 9, 100, ten)
-	if next.Take(&l, "f/", 3); next.Copy().Term != 2 {
+	l, _ = s.NextSnapshotLine(old, 9, 100, ten)
+	if next.Receive(&l, "f/", 3); next.Replica().Term != 2 {
 		t.Error("an older copy takes the place of a newer one")
 	}
 }
@@ -135,7 +135,7 @@
 	}
 	s, n := NewSender(5, c), 0
 	for {
-		l, more := s.Base(c, 20, 64, func(r Record) int { return r.Value.(int) })
+		l, more := s.NextSnapshotLine(c, 20, 64, func(r Record) int { return r.Value.(int) })
 		if !more {
 			break
 		}
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -439,12 +439,12 @@
 // withoutCopies is an output that passes on no copies of some records.
 func withoutCopies(out any, gone func(value any) bool) any {
 	p, ok := out.(peermsg.Outgoing)
-	if !ok || p.Msg.Copy == nil {
+	if !ok || p.Msg.Replica == nil {
 		return out
 	}
-	line := *p.Msg.Copy
+	line := *p.Msg.Replica
 	line.Puts = slices.DeleteFunc(slices.Clone(line.Puts), func(r replica.Record) bool { return gone(r.Value) })
-	p.Msg.Copy = &line
+	p.Msg.Replica = &line
 	return p
 }
 
