--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,129 +1,130 @@
-// Package replica keeps a copy of what the state service holds: the leader's own, and
-// those that it passes on to other controllers, as one base and then changes.
+// Package replica keeps replicas of the records in the key-value store. The leader keeps
+// one of what it has read and committed, and streams it to the other controllers: first a
+// snapshot, then each change. After a data loss the newest replica restores the store.
 //
-// It knows neither sockets nor encodings: package peer puts lines on the wire, with a
-// checksum each. What must never happen here: that a copy counts as whole which lacks a
-// line, has one twice, or has lines of two streams.
+// The package does no I/O: package peer puts lines on the wire, each with a checksum. The
+// invariant: a replica never counts as complete that lacks a line, has applied one twice,
+// or mixes the lines of two streams.
 package replica
 
 import (
-	"errors"
 	"hash/fnv"
 	"slices"
 	"strings"
 )
 
-// Record is a key of the state service with its value, which must not be changed.
+// Record is a key of the store with its value, which must not be modified.
 type Record struct {
 	Key   string
 	Value any
-	Rev   uint64 // at which the service has it; 0: it is not known to have it
+	Rev   uint64 // the revision at which the store has it; 0 if it is not known to have it
 }
 
-// Version tells how new a copy is.
+// Version orders replicas by how new they are.
 type Version struct {
-	Term uint64 // whose leader it is of
+	Term uint64 // of the leader that wrote it
 	Seq  uint64 // changes since that term began
 }
 
-// After reports whether a copy of this age is newer than one of another.
-func (a Version) After(b Version) bool { return a.Term > b.Term || a.Term == b.Term && a.Seq > b.Seq }
+// After reports whether v is newer than o.
+func (v Version) After(o Version) bool { return v.Term > o.Term || v.Term == o.Term && v.Seq > o.Seq }
 
-// Replica is a copy of the records, as the leader of a term has left them.
+// Replica holds the records as the leader of a term has left them. Of the records under
+// one prefix, the bounded ones, it keeps only the latest.
 type Replica struct {
-	Era uint64 // of the state service's data, see package rebuild
+	Era uint64 // of the store's data, see package recovery
 	Version
 
 	records       map[string]*Record
-	boundedPrefix string   // prefix of records of which only the latest are kept
-	boundedMax    int      // so many
-	order         []string // theirs, the oldest first
+	boundedPrefix string
+	boundedMax    int
+	boundedKeys   []string // the oldest first
 }
 
-// New returns an empty copy, in which at most so many records with the prefix spare are
-// kept: the latest.
-func New(era, term uint64, spare string, most int) *Replica {
-	return &Replica{Era: era, Version: Version{Term: term}, records: map[string]*Record{}, boundedPrefix: spare, boundedMax: most}
+// New returns an empty replica that keeps at most boundedMax records whose keys begin with
+// boundedPrefix.
+func New(era, term uint64, boundedPrefix string, boundedMax int) *Replica {
+	return &Replica{Era: era, Version: Version{Term: term}, records: map[string]*Record{}, boundedPrefix: boundedPrefix, boundedMax: boundedMax}
 }
 
-// Put takes in a record.
-func (c *Replica) Put(key string, value any, rev uint64) {
-	if r := c.records[key]; r != nil {
-		r.Value, r.Rev = value, rev
+// Put sets a record.
+func (r *Replica) Put(key string, value any, rev uint64) {
+	if old := r.records[key]; old != nil {
+		old.Value, old.Rev = value, rev
 		return
 	}
-	c.records[key] = &Record{key, value, rev}
-	if !strings.HasPrefix(key, c.boundedPrefix) {
+	r.records[key] = &Record{Key: key, Value: value, Rev: rev}
+	if !strings.HasPrefix(key, r.boundedPrefix) {
 		return
 	}
-	c.order = append(c.order, key)
-	for len(c.order) > c.boundedMax {
-		delete(c.records, c.order[0])
-		c.order = c.order[1:]
+	r.boundedKeys = append(r.boundedKeys, key)
+	for len(r.boundedKeys) > r.boundedMax {
+		delete(r.records, r.boundedKeys[0])
+		r.boundedKeys = r.boundedKeys[1:]
 	}
 }
 
-// Drop takes a record out.
-func (c *Replica) Drop(key string) {
-	if c.records[key] == nil {
+// Drop removes a record.
+func (r *Replica) Drop(key string) {
+	if r.records[key] == nil {
 		return
 	}
-	delete(c.records, key)
-	if strings.HasPrefix(key, c.boundedPrefix) {
-		c.order = slices.DeleteFunc(c.order, func(k string) bool { return k == key })
+	delete(r.records, key)
+	if strings.HasPrefix(key, r.boundedPrefix) {
+		r.boundedKeys = slices.DeleteFunc(r.boundedKeys, func(k string) bool { return k == key })
 	}
 }
 
-// InheritBounded takes over the spare records of a copy before this one, as the oldest: what has
-// ended never changes, and a leader that began with little memory knows of less of it.
-func (c *Replica) InheritBounded(before *Replica) {
-	if before == nil || before == c {
+// InheritBounded adds the bounded records of an earlier replica, as the oldest. They never
+// change, and a leader that began with few of them would otherwise lose the rest.
+func (r *Replica) InheritBounded(earlier *Replica) {
+	if earlier == nil || earlier == r {
 		return
 	}
-	var older []string
-	for _, k := range before.order {
-		if c.records[k] == nil {
-			older = append(older, k)
+	var inherited []string
+	for _, key := range earlier.boundedKeys {
+		if r.records[key] == nil {
+			inherited = append(inherited, key)
 		}
 	}
-	older = older[max(0, len(older)+len(c.order)-c.boundedMax):]
-	for _, k := range older {
-		r := before.records[k]
-		c.records[k] = &Record{k, r.Value, 0}
+	inherited = inherited[max(0, len(inherited)+len(r.boundedKeys)-r.boundedMax):]
+	for _, key := range inherited {
+		r.records[key] = &Record{Key: key, Value: earlier.records[key].Value}
 	}
-	c.order = append(older, c.order...)
+	r.boundedKeys = append(inherited, r.boundedKeys...)
 }
 
 // Get returns the record of a key.
-func (c *Replica) Get(key string) (Record, bool) {
-	if r := c.records[key]; r != nil {
-		return *r, true
+func (r *Replica) Get(key string) (Record, bool) {
+	if rec := r.records[key]; rec != nil {
+		return *rec, true
 	}
 	return Record{}, false
 }
 
-// Keys returns the keys with a prefix in their order.
-func (c *Replica) Keys(prefix string) []string {
-	ks := make([]string, 0, len(c.records))
-	for k := range c.records {
-		if strings.HasPrefix(k, prefix) {
-			ks = append(ks, k)
+// Keys returns the keys with a prefix, sorted.
+func (r *Replica) Keys(prefix string) []string {
+	keys := make([]string, 0, len(r.records))
+	for key := range r.records {
+		if strings.HasPrefix(key, prefix) {
+			keys = append(keys, key)
 		}
 	}
-	slices.Sort(ks)
-	return ks
+	slices.Sort(keys)
+	return keys
 }
 
-// BoundedKeys returns the keys of the spare records, the oldest first; not to be changed.
-func (c *Replica) BoundedKeys() []string { return c.order }
+// BoundedKeys returns the keys of the bounded records, the oldest first. The slice must not
+// be modified.
+func (r *Replica) BoundedKeys() []string { return r.boundedKeys }
 
-// Digest tells sets of keys apart: two copies whose digests are equal have the same keys.
+// Digest identifies a set of keys: replicas with equal digests have the same keys.
 type Digest struct {
 	Count int    `json:"c"`
 	Hash  uint64 `json:"h"`
 }
 
-// Add takes a key into a digest, in any order.
+// Add adds a key, in any order.
 func (d *Digest) Add(key string) {
 	h := fnv.New64a()
 	h.Write([]byte(key))
@@ -132,126 +133,24 @@
 }
 
 // Digest returns the digest of the keys with a prefix.
-func (c *Replica) Digest(prefix string) (d Digest) {
-	for k := range c.records {
-		if strings.HasPrefix(k, prefix) {
-			d.Add(k)
+func (r *Replica) Digest(prefix string) (d Digest) {
+	for key := range r.records {
+		if strings.HasPrefix(key, prefix) {
+			d.Add(key)
 		}
 	}
 	return d
 }
 
-// NewerThan reports whether c is to be preferred to another copy, which may be nil.
-func (c *Replica) NewerThan(than *Replica) bool {
-	return c != nil && (than == nil || c.After(than.Version))
-}
-
-// Line is a part of a copy on its way to who holds one.
-type Line struct {
-	Era      uint64   // of the copy
-	Term     uint64   // of the copy
-	Session  uint64   // one stream of lines; never 0
-	Number   uint64   // 1, 2, 3… within it; the first begins a copy anew
-	Seq      uint64   // of the copy, with this line
-	Complete bool     // with this line, or one before it, the base is complete
-	Puts     []Record // a record's Rev goes along
-	Drops    []string
-}
-
-// Sender is the leader's end of a stream to one holder.
-type Sender struct {
-	session, number uint64
-	keys            []string // of the base, that have not gone
-	complete        bool
-}
-
-// NewSender begins a stream, whose number must not have been used before.
-func NewSender(session uint64, c *Replica) *Sender {
-	return &Sender{session: session, keys: c.Keys("")}
-}
-
-// Session returns the number of the stream.
-func (s *Sender) Session() uint64 { return s.session }
-
-// Complete reports whether the whole base has gone out.
-func (s *Sender) Complete() bool { return s.complete }
-
-// NextSnapshotLine returns the next part of the base, until there is none: at most so many records, of
-// at most so many bytes together by what size says of each, but one at the least.
-func (s *Sender) NextSnapshotLine(c *Replica, most, bytes int, size func(Record) int) (l Line, more bool) {
-	if s.complete {
-		return Line{}, false
+// DigestOf returns the digest of the keys of a list of records.
+func DigestOf(records []Record) (d Digest) {
+	for _, rec := range records {
+		d.Add(rec.Key)
 	}
-	n := 0
-	for ; n < min(most, len(s.keys)); n++ {
-		r, ok := c.Get(s.keys[n])
-		if !ok {
-			continue // dropped meanwhile; what is there goes as it is now
-		}
-		if bytes -= size(r); bytes < 0 && len(l.Puts) > 0 {
-			break
-		}
-		l.Puts = append(l.Puts, r)
-	}
-	s.keys = s.keys[n:]
-	s.complete = len(s.keys) == 0
-	return s.next(c, l), true
-}
-
-// ChangeLine returns the line that tells of a change the copy has just taken in.
-func (s *Sender) ChangeLine(c *Replica, puts []Record, drops []string) Line {
-	return s.next(c, Line{Puts: puts, Drops: drops})
-}
-
-func (s *Sender) next(c *Replica, l Line) Line {
-	s.number++
-	l.Era, l.Term, l.Session, l.Number, l.Seq, l.Complete = c.Era, c.Term, s.session, s.number, c.Seq, s.complete
-	return l
-}
-
-// Receiver is the other end: it keeps the last copy that was whole until the next one is.
-type Receiver struct {
-	session, number uint64
-	incoming        *Replica
-	complete        *Replica
+	return d
 }
 
-// ErrGap says that a line does not follow the one before: the copy is not whole, and
-// has to be sent anew.
-var ErrGap = errors.New("lines of the copy are missing")
-
-// Replica returns the last whole copy, or nil.
-func (h *Receiver) Replica() *Replica { return h.complete }
-
-// Receive takes in a line; spare and most are as for New.
-func (h *Receiver) Receive(l *Line, spare string, most int) error {
-	if l.Number == 1 && l.Session != 0 && l.Session != h.session {
-		if h.complete != nil && l.Term < h.complete.Term {
-			return nil // of a leader before the one whose copy this is
-		}
-		h.session, h.number, h.incoming = l.Session, 0, New(l.Era, l.Term, spare, most)
-	}
-	c := h.incoming
-	if c == nil || l.Session != h.session || l.Number != h.number+1 || l.Term != c.Term || l.Era != c.Era || l.Seq < c.Seq {
-		if l.Session == h.session && l.Number <= h.number || h.complete != nil && l.Term < h.complete.Term {
-			return nil // once more, or older than what there is
-		}
-		h.incoming = nil
-		if h.complete != nil && l.Session == h.session {
-			h.session = 0 // what is whole stays as it is
-		}
-		return ErrGap
-	}
-	h.number, c.Seq = l.Number, l.Seq
-	for _, r := range l.Puts {
-		c.Put(r.Key, r.Value, r.Rev)
-	}
-	for _, k := range l.Drops {
-		c.Drop(k)
-	}
-	if l.Complete && h.complete != c {
-		c.InheritBounded(h.complete)
-		h.complete = c
-	}
-	return nil
+// NewerThan reports whether r is to be preferred to o. Either may be nil.
+func (r *Replica) NewerThan(o *Replica) bool {
+	return r != nil && (o == nil || r.After(o.Version))
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// same reports whether two copies hold the same records.
+// same reports whether two replicas hold the same records.
 func same(a, b *Replica) bool {
 	if a == nil || b == nil || !slices.Equal(a.Keys(""), b.Keys("")) {
 		return false
@@ -24,15 +24,15 @@
 
 func ten(Record) int { return 10 }
 
-// TestStream: whatever changes while a base goes out, and whichever lines are lost, doubled
-// or swapped, a holder's copy is whole and the same, or it is the last one that was.
+// TestStream: whatever changes while a snapshot is sent, and whichever lines are lost, repeated
+// or swapped, the receiver has an equal replica, or the last complete one.
 func TestStream(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		c := New(1, 7, "f/", 1000)
 		change := func() (puts []Record, drops []string) {
 			k := fmt.Sprintf("%c/%d", "jf"[rng.IntN(2)], rng.IntN(30))
-			if _, ok := c.Get(k); ok && k[0] == 'j' && rng.IntN(2) == 0 { // spare ones are never dropped
+			if _, ok := c.Get(k); ok && k[0] == 'j' && rng.IntN(2) == 0 { // bounded ones are never dropped
 				c.Drop(k)
 				drops = []string{k}
 			} else {
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestSpare: of spare records the latest are kept, and they pass on to the next copy.
-func TestSpare(t *testing.T) {
+// TestBoundedRecords: of the bounded records the latest are kept and inherited by the next replica.
+func TestBoundedRecords(t *testing.T) {
 	a, b := New(1, 1, "f/", 3), New(1, 2, "f/", 3)
 	for i := range 5 {
 		a.Put(fmt.Sprint("f/", i), i, 1)
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestPart: no line is larger than asked for, however large the records, and none is empty
+// TestSnapshotLineSize: no line is larger than asked for, however large the records, and none is empty
 // while there is more.
-func TestPart(t *testing.T) {
+func TestSnapshotLineSize(t *testing.T) {
 	c := New(1, 1, "f/", 3)
 	for i := range 50 {
 		c.Put(fmt.Sprintf("m/%02d", i), 1+i*7%40, 1)
