--- a/internal/recovery/missing.go
+++ b/internal/recovery/missing.go
@@ -2,29 +2,29 @@
 
 import "yewpass/internal/replica"
 
-// ListPage is a part of a list of records under a prefix.
+// ListPage is one page of a listing of the records under a prefix.
 type ListPage struct {
 	Prefix        string
-	From          string // after this key
-	To            string // up to this one; "" for the last part
+	From          string // keys after this one
+	To            string // up to this one; "" for the last page
 	Listed        []replica.Record
-	AskedRevision uint64 // the service's revision that was known when the part was asked for
+	AskedRevision uint64 // the store's highest known revision when the page was requested
 }
 
-// MissingKeys returns the keys whose records a copy has and a list lacks, or has from before:
-// those that the service was known to have when it was asked. busy tells of keys whose change
-// is on its way, or may have been made without our knowing.
-func MissingKeys(c *replica.Replica, p ListPage, busy func(key string) bool) (keys []string) {
-	listed := make(map[string]uint64, len(p.Listed))
-	for _, r := range p.Listed {
-		listed[r.Key] = r.Rev
+// MissingKeys returns the keys of records that the replica has and the page lacks or has at
+// an older revision. It leaves out records newer than the request for the page, and keys for
+// which uncommitted reports that a change is in flight or may have been applied unnoticed.
+func MissingKeys(r *replica.Replica, page ListPage, uncommitted func(key string) bool) (keys []string) {
+	listed := make(map[string]uint64, len(page.Listed))
+	for _, rec := range page.Listed {
+		listed[rec.Key] = rec.Rev
 	}
-	for _, key := range c.Keys(p.Prefix) {
-		r, _ := c.Get(key)
-		if key <= p.From || p.To != "" && key > p.To || r.Rev == 0 || r.Rev > p.AskedRevision || busy(key) {
+	for _, key := range r.Keys(page.Prefix) {
+		rec, _ := r.Get(key)
+		if key <= page.From || page.To != "" && key > page.To || rec.Rev == 0 || rec.Rev > page.AskedRevision || uncommitted(key) {
 			continue
 		}
-		if rev, ok := listed[key]; !ok || rev < r.Rev {
+		if rev, ok := listed[key]; !ok || rev < rec.Rev {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/recovery/missing_test.go
+++ b/internal/recovery/missing_test.go
@@ -7,9 +7,9 @@
 	"yewpass/internal/replica"
 )
 
-// TestMissing: only what the service was known to have, in the part that was listed, and
+// TestMissingKeys: only what the service was known to have, in the part that was listed, and
 // what nothing of ours may have changed, is missed.
-func TestMissing(t *testing.T) {
+func TestMissingKeys(t *testing.T) {
 	c := replica.New(1, 1, "f/", 10)
 	for key, rev := range map[string]uint64{"a/1": 5, "a/2": 6, "a/3": 0, "a/4": 20, "a/5": 7, "a/6": 8, "a/7": 9, "b/1": 3} {
 		c.Put(key, nil, rev)
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -8,8 +8,8 @@
 	"yewpass/internal/replica"
 )
 
-// TestLost: each sign of a loss is one, and none is seen where nothing was lost.
-func TestLost(t *testing.T) {
+// TestLossReason: each sign of a loss is one, and none is seen where nothing was lost.
+func TestLossReason(t *testing.T) {
 	k := Observed{Era: 5, Term: 7, Revision: 100}
 	for _, x := range []struct {
 		found TermRead
@@ -24,12 +24,12 @@
 		{TermRead{Era: 4, Term: 7, StoreRevision: 100}, true},
 		{TermRead{}, false}, // unreadable
 	} {
-		if why := k.LossReason(x.found); (why != "") != x.lost {
-			t.Errorf("%+v: %q", x.found, why)
+		if reason := k.LossReason(x.found); (reason != "") != x.lost {
+			t.Errorf("%+v: %q", x.found, reason)
 		}
 	}
-	if why := (Observed{}).LossReason(TermRead{Missing: true}); why != "" {
-		t.Errorf("a first start: %q", why)
+	if reason := (Observed{}).LossReason(TermRead{Missing: true}); reason != "" {
+		t.Errorf("a first start: %q", reason)
 	}
 	next := k.AdvanceTo(6, 3, 1)
 	if next.Revision != 0 || next.HighestPastTerm != 7 || !next.HasHigherTerm(6, 3, 1) || k.AdvanceTo(5, 8, 1).HasHigherTerm(5, 8, 1) || !k.AdvanceTo(5, 8, 1).HasHigherTerm(5, 8, 2) {
