--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -400,7 +400,7 @@
 		return
 	}
 	s := call.Spec
-	if !c.fitsValue(recordSize(s)) {
+	if !c.fitsValue(record.JobSize(s)) {
 		// Its record would not fit into a value, now or on any retry.
 		c.answer(call, tooLong)
 		return
@@ -427,7 +427,7 @@
 	l.accept[s.ID] = a
 	rec := &record.Job{Spec: *s, Submitted: c.Now.Round(0)}
 	l.writes.Add(&writebatch.Change{
-		Size:       recordSize(s),
+		Size:       record.JobSize(s),
 		Conditions: noRecordOf(s.ID),
 		Writes:     []kv.Write{{Key: record.JobPrefix + s.ID, Value: rec}},
 		OnCommit: func(uint64) {
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -76,7 +76,7 @@
 		}
 	} else if name, ok := strings.CutPrefix(e.Key, record.ProgressPrefix); ok {
 		// Progress comes after jobs in key order, so the job is known by now.
-		id, chunk := splitChunkKey(name)
+		id, chunk := record.SplitProgressKey(name)
 		j := l.jobs[id]
 		if j == nil {
 			if !l.unreadableJobs[id] { // left over by a job that is over
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -4,8 +4,6 @@
 	"log/slog"
 	"maps"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"yewpass/internal/bitset"
@@ -115,22 +113,9 @@
 	c.reserveSoon(j)
 }
 
-func chunkKey(id string, chunk int) string {
-	return record.ProgressPrefix + id + "/" + strconv.Itoa(chunk)
-}
-
-func splitChunkKey(s string) (string, int) {
-	id, num, _ := strings.Cut(s, "/")
-	n, err := strconv.Atoi(num)
-	if err != nil {
-		n = -1
-	}
-	return id, n
-}
-
 // recordProgress writes the progress of one chunk of a job.
 func (c *Core) recordProgress(j *fleet.Job, chunk int) {
-	key := chunkKey(j.Spec.ID, chunk)
+	key := record.ProgressKey(j.Spec.ID, chunk)
 	var had bitset.Set
 	ch := &writebatch.Change{
 		Priority: writebatch.Bulk, Size: 300 + 4*min(j.Spec.Tasks, bitset.ChunkSize)/3/8,
@@ -202,7 +187,7 @@
 		if j.ChunkRevisions[chunk] == 0 {
 			continue
 		}
-		w := kv.Write{Key: chunkKey(j.Spec.ID, chunk)}
+		w := kv.Write{Key: record.ProgressKey(j.Spec.ID, chunk)}
 		if len(ch.Writes) < c.cfg.Settings.State.TxnOps {
 			ch.Writes = append(ch.Writes, w)
 		} else {
@@ -285,7 +270,7 @@
 	rec := *j.Record
 	rec.Cancelled = true
 	ch := &writebatch.Change{
-		Size: recordSize(&rec.Spec),
+		Size: record.JobSize(&rec.Spec),
 		// A try that is applied late must not bring back a job that is over.
 		Conditions: []kv.Condition{{Key: record.FinalPrefix + j.Spec.ID, Rev: 0}},
 		Writes:     []kv.Write{{Key: record.JobPrefix + j.Spec.ID, Value: &rec}},
@@ -334,12 +319,3 @@
 func (c *Core) fitsValue(size int) bool {
 	return float64(size) <= c.cfg.Settings.State.ValueKB*1024
 }
-
-// recordSize estimates the bytes of a job's record, with room to spare.
-func recordSize(s *spec.Job) int {
-	n := 700 + 6*(len(s.Class)+len(s.Owner)+len(s.Image)+len(s.Zone))
-	for _, f := range s.InstanceTypes {
-		n += 6*len(f) + 4
-	}
-	return n
-}
--- a/internal/core/leaderless.go
+++ b/internal/core/leaderless.go
@@ -69,7 +69,7 @@
 	case c.leadership != nil || call.From != "" || len(c.cfg.Seeds) == 0 || len(c.instanceTypes) == 0 || !c.pol.NeverRefuses():
 		c.answer(call, no)
 		return
-	case !c.fitsValue(recordSize(s)):
+	case !c.fitsValue(record.JobSize(s)):
 		c.answer(call, tooLong)
 		return
 	}
--- a/internal/core/recovery_merge.go
+++ b/internal/core/recovery_merge.go
@@ -25,7 +25,7 @@
 	Machines: func(key string) bool { return strings.HasPrefix(key, record.MachinePrefix) },
 	Progress: func(key string) (string, bool) {
 		name, ok := strings.CutPrefix(key, record.ProgressPrefix)
-		id, _ := splitChunkKey(name)
+		id, _ := record.SplitProgressKey(name)
 		return id, ok
 	},
 	Join: joinRecords,
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -91,7 +91,7 @@
 	}
 	if part, ok := strings.CutPrefix(r.Key, record.ProgressPrefix); ok {
 		// By the way that progress is always written.
-		if id, chunk := splitChunkKey(part); l.jobs[id] != nil && chunk >= 0 {
+		if id, chunk := record.SplitProgressKey(part); l.jobs[id] != nil && chunk >= 0 {
 			c.recordProgressSoon(l.jobs[id], chunk*bitset.ChunkSize)
 		}
 		over(kv.Entry{})
@@ -110,7 +110,7 @@
 		// Applied late, once the job is over and its record gone again, it would bring the
 		// job back to the next leader.
 		ch.Conditions = append(ch.Conditions, kv.Condition{Key: record.FinalPrefix + rec.Spec.ID, Rev: 0})
-		ch.Size = recordSize(&rec.Spec)
+		ch.Size = record.JobSize(&rec.Spec)
 	} else if rec, ok := r.Value.(*schedule.Record); ok {
 		ch.Size, ch.Priority = rec.Size(), writebatch.Urgent
 	} else if record.IsConfigKey(r.Key) || r.Key == record.ScheduleNumberKey {
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -48,7 +48,7 @@
 	n := 100 + len(r.Key)
 	switch v := r.Value.(type) {
 	case *record.Job:
-		n += recordSize(&v.Spec)
+		n += record.JobSize(&v.Spec)
 	case *record.Machines:
 		for i := range v.Machines {
 			n += v.Machines[i].Size()
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -208,7 +208,7 @@
 		c.answer(call, request.Response{Status: 422, Field: "job." + field, Reason: "job." + field + ": " + reason})
 		return
 	}
-	if !c.fitsValue(recordSize(&job)) {
+	if !c.fitsValue(record.JobSize(&job)) {
 		c.answer(call, request.Response{Status: 400, Field: "job.flavors", Reason: "job.flavors: the description is too long"})
 		return
 	}
--- a/internal/core/schedule_write.go
+++ b/internal/core/schedule_write.go
@@ -34,7 +34,7 @@
 	ch.Writes = []kv.Write{{Key: key, Value: rec}}
 	if job != nil {
 		id := job.Spec.ID
-		ch.Size += recordSize(&job.Spec)
+		ch.Size += record.JobSize(&job.Spec)
 		ch.Conditions = append(ch.Conditions, noRecordOf(id)...)
 		ch.Writes = append(ch.Writes, kv.Write{Key: record.JobPrefix + id, Value: job})
 	}
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -1,6 +1,9 @@
 package record
 
-import "strings"
+import (
+	"strconv"
+	"strings"
+)
 
 // IsConfigKey reports whether a key is of the configuration.
 func IsConfigKey(key string) bool { return strings.HasPrefix(key, ConfigPrefix) }
@@ -33,3 +36,19 @@
 func IsScheduleKey(key string) bool {
 	return strings.HasPrefix(key, SchedulePrefix) || key == ScheduleNumberKey
 }
+
+// ProgressKey returns the key of the progress of one chunk of a job.
+func ProgressKey(id string, chunk int) string {
+	return ProgressPrefix + id + "/" + strconv.Itoa(chunk)
+}
+
+// SplitProgressKey returns the job and the chunk that a key names, without ProgressPrefix. The
+// chunk is -1 if the key has none.
+func SplitProgressKey(name string) (id string, chunk int) {
+	id, number, _ := strings.Cut(name, "/")
+	chunk, err := strconv.Atoi(number)
+	if err != nil {
+		chunk = -1
+	}
+	return id, chunk
+}
