--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -317,9 +317,9 @@
 	for _, m := range l.fleet {
 		for _, r := range m.Attempts {
 			if r.Orphaned && r.ID.Job == id {
-				c.vacate(r)
+				c.leadership.placement.Vacate(r)
 				if r.ID.Index < j.Spec.Tasks && j.Attempts[r.ID.Index] == nil {
-					c.occupy(r, j)
+					c.leadership.placement.Occupy(r, j)
 				}
 			}
 		}
@@ -450,7 +450,7 @@
 		c.noteManualRun(s, j)
 	}
 	c.recordArrival(j)
-	c.preferImageLocality(j)
+	c.leadership.placement.PreferImageLocality(j)
 	c.queueJob(j)
 	return j
 }
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -7,7 +7,6 @@
 
 	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
-	"yewpass/internal/timeline"
 )
 
 // Attempts of tasks on machines, and what reports make of them.
@@ -30,7 +29,7 @@
 		// A later attempt was only ordered once the earlier one was surely gone: what told
 		// of that one was late, and the one that runs is this.
 		if x := j.Attempts[t.Task.Index]; x != nil && x.Machine != m && x.Number < t.Try {
-			c.vacate(x)
+			c.leadership.placement.Vacate(x)
 			x.StopRequested = true
 		}
 	}
@@ -39,84 +38,21 @@
 		r.StopRequested = true
 		if c.leadership.unreadableJobs[t.Task.Job] {
 			r.Orphaned = true
-			c.leadership.orphanedTasks++
+			c.leadership.placement.OrphanedTasks++
 		}
 		if j != nil {
 			c.Log(slog.LevelWarn, "stopping duplicate task", "task", t.Task, "machine", m.Host)
 		}
 		return r
 	}
-	c.occupy(r, j)
+	c.leadership.placement.Occupy(r, j)
 	return r
 }
 
-// occupy counts a run against its machine, team and job.
-func (c *Core) occupy(r *fleet.Attempt, j *fleet.Job) {
-	i := r.ID.Index
-	r.Job, r.Need, r.Occupies = j, j.Need, true
-	j.Attempts[i] = r
-	if j.Pending.Has(i) {
-		j.Pending.Remove(i)
-		j.Waiting--
-		c.dropExcessReservation(j)
-	}
-	if len(j.Placement.Rules) > 0 {
-		c.leadership.tally.Add(j.Spec.ID, r.Machine.Place, 1)
-	}
-	r.Machine.Allocated = r.Machine.Allocated.Add(j.Need, 1)
-	j.Team.Allocated = j.Team.Allocated.Add(j.Need, 1)
-	r.Reservation = &timeline.Booking{Start: c.Now, End: c.Now.Add(c.occupancy(j, r.Machine)), Need: j.Need, Count: 1}
-	r.Machine.Timeline.Add(r.Reservation)
-}
-
-// vacate is the reverse of occupy: the task is surely not on the machine.
-func (c *Core) vacate(r *fleet.Attempt) {
-	if r.Reservation != nil {
-		r.Machine.Timeline.Remove(r.Reservation)
-		r.Reservation = nil
-	}
-	if r.Orphaned {
-		r.Orphaned = false
-		c.leadership.orphanedTasks--
-		c.leadership.dispatchAll = true
-	}
-	if !r.Occupies {
-		return
-	}
-	r.Occupies = false
-	j := r.Job
-	c.countRunning(r, false)
-	if len(j.Placement.Rules) > 0 {
-		c.leadership.tally.Add(j.Spec.ID, r.Machine.Place, -1)
-	}
-	r.Machine.Allocated = r.Machine.Allocated.Add(r.Need, -1)
-	j.Team.Allocated = j.Team.Allocated.Add(r.Need, -1)
-	if j.Attempts[r.ID.Index] == r {
-		delete(j.Attempts, r.ID.Index)
-	}
-	if r.Machine.Allocated == (timeline.Resources{}) {
-		r.Machine.IdleSince = c.Now
-	}
-	// The machine's own reply looks for work for the room. Others can make use
-	// of what the team or the job has got back.
-	if j.Team.LimitReached || j.Spec.SamePlace || j.Spec.Apart || j.Failures > 0 {
-		j.Team.LimitReached = false
-		c.leadership.dispatchAll = true
-	}
-}
-
 // countRunning keeps the number of a job's tasks that workers report as running.
 func (c *Core) countRunning(r *fleet.Attempt, runs bool) {
-	if r.CountedRunning == runs || r.Job == nil {
-		return
-	}
-	r.CountedRunning = runs
-	if runs {
-		r.Job.Running++
-		r.Job.HasRun = true
+	if r.CountRunning(runs) && runs {
 		c.occurrenceStarted(r.Job)
-	} else {
-		r.Job.Running--
 	}
 }
 
@@ -132,7 +68,7 @@
 // releaseAttempt is dropAttempt without the machine's list of runs.
 func (c *Core) releaseAttempt(r *fleet.Attempt) {
 	held := r.Occupies
-	c.vacate(r)
+	c.leadership.placement.Vacate(r)
 	if held {
 		c.requeue(r.Job, r.ID.Index)
 		if r.Job.Cancelled {
@@ -155,10 +91,7 @@
 			r.StartedAt = c.Now
 			if j != nil {
 				m.Images.Add(j.Spec.Image, struct{}{})
-				if r.Reservation != nil {
-					r.Reservation.End = c.Now.Add(c.occupancy(j, m))
-					m.Timeline.Touch()
-				}
+				c.leadership.placement.Renew(r)
 			}
 		}
 		r.Phase = t.Phase
@@ -170,7 +103,7 @@
 	was := r.Phase
 	r.Phase = heartbeat.Exited
 	held := r.Occupies
-	c.vacate(r)
+	c.leadership.placement.Vacate(r)
 	i := r.ID.Index
 	if t.Cause == heartbeat.CauseDone {
 		m.FailureScore, m.OnProbation = 0, false
@@ -183,7 +116,7 @@
 		}
 		if j != nil && !r.Forgettable && !j.Halted() {
 			if was == heartbeat.TaskRuns && !r.StartedAt.IsZero() && !r.FoundRunning {
-				c.recordRuntime(j, m, c.Now.Sub(r.StartedAt))
+				c.leadership.placement.RecordRuntime(j, c.Now.Sub(r.StartedAt))
 			}
 			j.Completed = append(j.Completed, r)
 			c.completeTask(j, i)
@@ -215,16 +148,6 @@
 	}
 }
 
-// extendOverruns moves the end of runs that take longer than booked.
-func (c *Core) extendOverruns(m *fleet.Machine) {
-	for _, r := range m.Attempts {
-		if r.Reservation != nil && !r.Reservation.End.After(c.Now) {
-			r.Reservation.End = c.Now.Add(max(c.occupancy(r.Job, m)/8, time.Second))
-			m.Timeline.Touch()
-		}
-	}
-}
-
 // recordFailure weighs a failed task: the machine is faulty when jobs fail on it that
 // run elsewhere, the job when it fails wherever it goes.
 func (c *Core) recordFailure(j *fleet.Job, m *fleet.Machine) {
@@ -248,6 +171,6 @@
 	if m.FailureScore >= 4 && !m.Quarantined {
 		m.Quarantined = true
 		c.Log(slog.LevelWarn, "machine quarantined", "machine", m.Host, "type", m.TypeName, "reason", "tasks fail on it that run elsewhere")
-		c.dropMachineReservations(m)
+		c.leadership.placement.DropMachineReservations(m)
 	}
 }
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -181,7 +181,7 @@
 	}
 	m.Releasing = true
 	c.leadership.autoscaler.releases = append(c.leadership.autoscaler.releases, m.Host)
-	c.dropMachineReservations(m)
+	c.leadership.placement.DropMachineReservations(m)
 }
 
 func (c *Core) sendReleases() {
@@ -243,8 +243,8 @@
 	e := c.policyEnv()
 	secs := timeline.Seconds
 	l.holdIdle, l.holdBusy = secs(c.pol.HoldIdle(e)), secs(c.pol.HoldBusy(e))
-	l.margin, l.reportBudget = c.pol.Margin(e), c.pol.ReportBytes(e)
-	c.findOverdue(secs(c.pol.BeginWithin(e)))
+	l.placement.Margin, l.reportBudget = c.pol.Margin(e), c.pol.ReportBytes(e)
+	c.leadership.placement.FindOverdue(secs(c.pol.BeginWithin(e)))
 	silent, idle := secs(c.pol.SilentRelease(e)), secs(c.pol.IdleReturn(e))
 	if !c.canAct() {
 		return
@@ -285,7 +285,7 @@
 	c.reserveWarmRoom(c.pol.Warm(e))
 	c.preemptBorrowers()
 	c.scaleIn()
-	c.rereserve(c.rereserveLimit())
+	l.placement.RereserveOverdue(tickEvery)
 	// Releases go first: a take-over may wait for one, and rentals use up what
 	// calls the cloud allows for as long as there is a backlog.
 	c.sendReleases()
@@ -380,8 +380,8 @@
 
 // isWanted reports whether waiting tasks could use the machine.
 func (c *Core) isWanted(m *fleet.Machine) bool {
-	return slices.ContainsFunc(c.leadership.queue, func(j *fleet.Job) bool {
-		return m.EligibleFor(j) && c.couldStart(j)
+	return slices.ContainsFunc(c.leadership.placement.Queue, func(j *fleet.Job) bool {
+		return m.EligibleFor(j) && c.leadership.placement.CouldStart(j)
 	})
 }
 
@@ -405,7 +405,7 @@
 				continue
 			}
 		case r.Phase == heartbeat.TaskRuns && !r.Job.Spec.Service:
-			end := r.StartedAt.Add(c.estimate(r.Job))
+			end := r.StartedAt.Add(c.leadership.placement.Estimate(r.Job))
 			if end.Before(m.InterruptionAt) {
 				continue
 			}
@@ -426,7 +426,7 @@
 	if r.Job.Spec.Service {
 		return timeline.Forever
 	}
-	return r.StartedAt.Add(c.estimate(r.Job)).Sub(c.Now)
+	return r.StartedAt.Add(c.leadership.placement.Estimate(r.Job)).Sub(c.Now)
 }
 
 // recordArrival takes note of a new job's work.
@@ -434,7 +434,7 @@
 	rent := &c.leadership.autoscaler
 	secs := quota.ArrivalMemory.Seconds()
 	if !j.Spec.Service {
-		secs = c.estimate(j).Seconds()
+		secs = c.leadership.placement.Estimate(j).Seconds()
 	}
 	if j.StartsAtOnce {
 		cpus := float64(j.Spec.Tasks) * float64(j.Need.CPU) / 1000
@@ -485,7 +485,7 @@
 		}
 		spare = append(spare, m)
 	}
-	waits := len(l.queue) > 0 && l.autoscaler.backlog > time.Second
+	waits := len(l.placement.Queue) > 0 && l.autoscaler.backlog > time.Second
 	if waits {
 		for _, m := range l.fleet {
 			if m.Draining && !m.Releasing && l.autoscaler.backlog > 10*time.Second {
@@ -518,7 +518,7 @@
 		draining++
 		m.Draining = true
 		c.Log(slog.LevelInfo, "draining machine", "machine", m.Host, "type", m.TypeName, "spot", m.Spot, "tasks", len(m.Attempts))
-		c.dropMachineReservations(m)
+		c.leadership.placement.DropMachineReservations(m)
 	}
 }
 
@@ -551,7 +551,7 @@
 func (c *Core) demand() (cpus, work, ordinaryCPUs, ordinaryWork float64) {
 	l := c.leadership
 	room := map[*quota.Account]float64{}
-	for _, j := range l.queue {
+	for _, j := range l.placement.Queue {
 		if j.Halted() || c.Now.Before(j.RetryAt) || j.Spec.Zone != "" && !l.zones.Zone(j.Spec.Zone).Rents() {
 			continue // machines elsewhere would be rented for nothing
 		}
@@ -566,7 +566,7 @@
 		}
 		secs := 600.0
 		if !j.Spec.Service {
-			secs = c.estimate(j).Seconds() + 1
+			secs = c.leadership.placement.Estimate(j).Seconds() + 1
 		}
 		cpus += n
 		work += n * secs
@@ -588,7 +588,7 @@
 		return
 	}
 	// A job that no machine at hand can take needs one of its own.
-	for _, j := range l.queue {
+	for _, j := range l.placement.Queue {
 		if j.Reservations[0].Machine != nil || j.Halted() || slices.ContainsFunc(l.fleet, func(m *fleet.Machine) bool { return m.EligibleFor(j) }) {
 			continue
 		}
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -133,9 +133,9 @@
 	} else {
 		l.teams[t.Name] = now
 	}
-	l.guarantees = false
+	l.placement.Guarantees = false
 	for _, t := range l.teams {
-		l.guarantees = l.guarantees || t.Guaranteed.CPU > 0 || t.Guaranteed.GPU > 0
+		l.placement.Guarantees = l.placement.Guarantees || t.Guaranteed.CPU > 0 || t.Guaranteed.GPU > 0
 	}
 	l.dispatchAll = true
 }
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -183,7 +183,7 @@
 	if rep.FencingToken == l.term && l.unaccounted[m.Host] {
 		c.markAccounted(m.Host)
 	}
-	c.extendOverruns(m)
+	c.leadership.placement.ExtendOverruns(m)
 }
 
 // markAccounted: nothing of an earlier term can be on the machine unknown to us.
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -23,7 +23,7 @@
 	j := &fleet.Job{
 		Spec: s, Need: s.Need(), Record: rec, FromEarlierTerm: earlier,
 		Submitted: c.Now.Add(rec.Submitted.Sub(c.Now.Round(0))),
-		Team:      c.leadership.teams[s.Owner], StartsAtOnce: c.mustStartAtOnce(s.Class),
+		Team:      c.leadership.teams[s.Owner], StartsAtOnce: c.leadership.placement.MustStartAtOnce(s.Class),
 		Progress: fleet.NewProgress(s.Tasks), FailureHistory: fleet.FailureHistory{FailedOn: map[string]bool{}}, Ending: fleet.Ending{Cancelled: rec.Cancelled},
 	}
 	j.Placement = topology.Job{Key: s.ID, Tasks: s.Tasks}
@@ -61,7 +61,7 @@
 		c.finishIfOver(j)
 		return
 	}
-	c.reserveSoon(j)
+	c.leadership.placement.ReserveSoon(j)
 }
 
 // completeTask marks a task complete. It is not written yet: progress goes in bulk.
@@ -76,7 +76,7 @@
 	if j.Pending.Has(i) {
 		j.Pending.Remove(i)
 		j.Waiting--
-		c.dropExcessReservation(j)
+		c.leadership.placement.DropExcessReservation(j)
 	}
 	j.Done.Add(i)
 	j.HasRun = true
@@ -110,7 +110,7 @@
 	}
 	j.Pending.Add(i)
 	j.Waiting++
-	c.reserveSoon(j)
+	c.leadership.placement.ReserveSoon(j)
 }
 
 // recordProgress writes the progress of one chunk of a job.
@@ -207,7 +207,7 @@
 	c.replicateDrop(record.JobPrefix + j.Spec.ID) // however we have learned that it is over
 	delete(l.jobs, j.Spec.ID)
 	j.Team.JobCount--
-	c.dropReservations(j)
+	c.leadership.placement.DropReservations(j)
 	for _, r := range j.Completed {
 		r.Forgettable = true
 	}
@@ -284,7 +284,7 @@
 		},
 		OnCommit: func(uint64) {
 			j.Cancelling, j.Cancelled, j.Record, j.EndingChange = false, true, &rec, nil
-			c.dropReservations(j)
+			c.leadership.placement.DropReservations(j)
 			c.Log(slog.LevelDebug, "job cancelled", "job", j.Spec.ID)
 			c.answerCancelWaiters(j, request.Response{Status: 200, View: j.View()})
 			c.finishIfOver(j)
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -8,6 +8,7 @@
 
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/placement"
 	"yewpass/internal/quota"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
@@ -28,6 +29,8 @@
 	c.highestTerm, c.confirmedTerm, c.knownLeader, c.lastLedTerm = term, term, "", term
 	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1)
 	c.leadership = newLeadership(c.cfg, c.Now)
+	c.leadership.scope = c.NewScope()
+	c.leadership.placement = placement.New(c.Engine, c.leadership.scope, c.cfg, placementLeader{c, c.leadership}, term)
 	c.leadership.authority.start(term, rev, grant, c.authorityUntil(sent), c.Now, ahead)
 	// What this node has read of the catalog lately serves until it can be read anew. Without,
 	// a leader that begins while the cloud is out would start nothing and accept nothing, with
@@ -38,7 +41,7 @@
 	c.leadership.places, _ = topology.New(topology.Definition{}) // zones alone: cannot fail
 	for _, t := range c.cfg.Settings.Teams {
 		c.leadership.teams[t.Name] = quota.FromSettings(t)
-		c.leadership.guarantees = c.leadership.guarantees || t.CPUs > 0 || t.GPUs > 0
+		c.leadership.placement.Guarantees = c.leadership.placement.Guarantees || t.CPUs > 0 || t.GPUs > 0
 	}
 	c.Log(slog.LevelInfo, "elected leader", "term", term)
 	c.announceTerm()
@@ -143,6 +146,7 @@
 	}
 	c.Log(slog.LevelWarn, "leadership lost", "term", l.term, "reason", why)
 	c.leadership = nil
+	l.scope.Close()
 	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1+len(c.cfg.Seeds))
 	if len(l.autoscaler.instanceTypes) > 0 {
 		c.instanceTypes = l.autoscaler.instanceTypes
@@ -178,7 +182,7 @@
 
 // tickLeader does the leader's regular work.
 func (c *Core) tickLeader() {
-	if c.leadership.attempts > maxAttempts-spareAttempts {
+	if c.leadership.placement.Attempts > placement.MaxAttempts-spareAttempts {
 		// Beyond that an attempt would look like one of the next term's.
 		c.resign("the attempts of the term are used up")
 		return
@@ -217,10 +221,10 @@
 		return
 	}
 	c.flushWrites()
-	c.reserveUnscheduled()
+	c.leadership.placement.ReservePending()
 	if l.dispatchAll || len(l.pendingDispatch) > 0 {
 		c.dispatch()
-		c.reserveUnscheduled()
+		c.leadership.placement.ReservePending()
 		c.flushWrites()
 	}
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -4,10 +4,11 @@
 	"time"
 
 	"yewpass/internal/config"
-	"yewpass/internal/estimate"
+	"yewpass/internal/engine"
 	"yewpass/internal/expiringset"
 	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/placement"
 	"yewpass/internal/quota"
 	"yewpass/internal/relay"
 	"yewpass/internal/replica"
@@ -18,6 +19,8 @@
 
 // leadership is everything that only a leader has, in parts. Stepping down drops it whole.
 type leadership struct {
+	scope *engine.Scope // bounds the timers and calls of the leadership's parts
+
 	authority
 	failover
 	workload
@@ -25,17 +28,16 @@
 	dispatching
 	replication
 
+	placement  *placement.Scheduler
 	zones      *zones.Watch
 	regions    *zones.RegionWatch
 	places     *topology.Tree
-	tally      *topology.Tally // tasks of jobs with rules on places
 	writes     writebatch.Batcher
 	schedules  scheduler
 	config     liveConfig
 	autoscaler autoscaler
 
 	holdIdle, holdBusy time.Duration
-	margin             float64
 	reportBudget       float64 // bytes a second that control may take of a worker's network; 0: no bound
 }
 
@@ -53,7 +55,6 @@
 	lastMostlyHeardAt time.Time // before this, most machines were heard
 	resumedAt         time.Time // when authority last came back
 	verifying         bool      // whether the term is still ours is being looked into
-	attempts          uint64    // attempts of the term that have been given
 }
 
 func (a *authority) start(term, rev, grant uint64, until, now time.Time, ahead time.Duration) {
@@ -72,7 +73,6 @@
 	takingPending            bool                 // there are more of them than go in one step
 	unaccounted              map[string]bool      // recorded machines that may hold an earlier term's tasks
 	unreadableJobs           map[string]bool      // jobs whose records cannot be read
-	orphanedTasks            int                  // tasks of theirs on machines, which may count for any team
 	unreadableMachineRecords map[string]uint64    // records of machines that cannot be read, by key; owed as well
 	noEarlierTerm            bool                 // no term was on record before ours
 	newerTokens              map[string]uint64    // epochs above our term that workers have seen, by machine
@@ -81,18 +81,11 @@
 	probesInFlight           int                  // probes on their way
 }
 
-// workload is the jobs, their teams and their places in the queue.
+// workload is the jobs and their teams.
 type workload struct {
-	jobs                map[string]*fleet.Job
-	accept              map[string]*admission
-	teams               map[string]*quota.Account
-	guarantees          bool // some team has one
-	queue               fleet.Queue
-	overdue             []*fleet.Job // of which nothing has run for too long
-	runtimes            estimate.Runtimes
-	unscheduled         []*fleet.Job     // see reserveSoon
-	schedulingContinues bool             // there are more of them than go in one step
-	offerBuffer         []placementOffer // scratch space
+	jobs   map[string]*fleet.Job
+	accept map[string]*admission
+	teams  map[string]*quota.Account
 }
 
 // inventory is the machines, the records that name them, and by which controllers they report.
@@ -132,13 +125,12 @@
 	return &leadership{
 		authority:   authority{acknowledged: map[string]bool{}},
 		failover:    failover{unaccounted: map[string]bool{}, unreadableJobs: map[string]bool{}, unreadableMachineRecords: map[string]uint64{}, newerTokens: map[string]uint64{}},
-		workload:    workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: map[string]*quota.Account{}, runtimes: estimate.NewRuntimes()},
+		workload:    workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: map[string]*quota.Account{}},
 		inventory:   inventory{released: expiringset.New(now), machines: map[string]*fleet.Machine{}, relays: map[string]*fleet.RelayLink{}},
 		dispatching: dispatching{heldReplies: map[fleet.HeartbeatKey]*fleet.Machine{}},
 		replication: replication{followers: map[string]*replica.Sender{}},
 		writes:      writebatch.New(cfg.Settings.State),
 		autoscaler:  newAutoscaler(cfg),
-		tally:       topology.NewTally(),
 		schedules:   newSchedules(),
 		config:      newConfiguring(cfg),
 	}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -103,5 +103,5 @@
 	c.leadership.clearReportsVia(m)
 	m.LastReply = time.Time{}
 	c.markAccounted(m.Host)
-	c.dropMachineReservations(m)
+	c.leadership.placement.DropMachineReservations(m)
 }
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -24,9 +24,9 @@
 	}
 	short := int64(0)
 	seen := map[*quota.Account]int64{}
-	for _, j := range l.queue {
+	for _, j := range l.placement.Queue {
 		t := j.Team
-		if t.Guaranteed.CPU == 0 || !c.mayStart(j) || c.Now.Sub(j.Submitted) < preemptAfter || t.Allocated.CPU+j.Need.CPU > t.Guaranteed.CPU {
+		if t.Guaranteed.CPU == 0 || !c.leadership.placement.MayStart(j) || c.Now.Sub(j.Submitted) < preemptAfter || t.Allocated.CPU+j.Need.CPU > t.Guaranteed.CPU {
 			continue
 		}
 		left, ok := seen[t]
@@ -80,7 +80,7 @@
 				if !r.Job.Spec.Service {
 					d, ok := lasts[r.Job]
 					if !ok {
-						d = c.estimate(r.Job)
+						d = c.leadership.placement.Estimate(r.Job)
 						lasts[r.Job] = d
 					}
 					if d-loss < 6*loss+time.Minute {
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -83,7 +83,7 @@
 		return
 	}
 	if m.FencingToken == l.term {
-		os = append(os, c.startTasksOn(m)...)
+		os = append(os, c.leadership.placement.StartTasksOn(m)...)
 	}
 	if len(os) > 0 || due || m.FencingToken != l.term || m.Releasing {
 		c.sendReply(m, os)
@@ -142,7 +142,7 @@
 		if m.HeldReply == nil || m.Room().CPU <= 0 {
 			continue
 		}
-		if !slices.ContainsFunc(l.queue, c.couldStart) {
+		if !slices.ContainsFunc(l.placement.Queue, c.leadership.placement.CouldStart) {
 			break
 		}
 		c.replyIfOrders(m)
@@ -158,7 +158,7 @@
 	if c.paceDelay(m, os) > 0 {
 		return // it is seen to when the time has come
 	}
-	if os = append(os, c.startTasksOn(m)...); len(os) > 0 {
+	if os = append(os, c.leadership.placement.StartTasksOn(m)...); len(os) > 0 {
 		c.sendReply(m, os)
 	}
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -3,16 +3,9 @@
 // no clock and draws no randomness but from the seed it was given.
 package core
 
-import (
-	"yewpass/internal/record"
-)
-
-// A term has so many attempts, and ends while there are some left: more than can go
-// out between two ticks.
-const (
-	maxAttempts   = 1<<record.AttemptBits - 1
-	spareAttempts = 1 << 20
-)
+// spareAttempts is how many attempt numbers a term ends with: more than tasks can start
+// between two ticks.
+const spareAttempts = 1 << 20
 
 // ---- inputs
 
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -72,7 +72,7 @@
 		case m.Unreachable || m.Releasing || heard(m):
 		default:
 			m.Unreachable = true
-			c.dropMachineReservations(m)
+			c.leadership.placement.DropMachineReservations(m)
 		}
 	}
 	c.releaseLostZones()
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -33,3 +33,19 @@
 // Ordered is the phase of an attempt whose start is in a reply that no later report has
 // confirmed yet. Workers report the phases after it.
 const Ordered = heartbeat.Phase("ordered")
+
+// CountRunning counts the attempt among its job's running tasks, or no longer. It reports
+// whether that is a change.
+func (a *Attempt) CountRunning(runs bool) bool {
+	if a.CountedRunning == runs || a.Job == nil {
+		return false
+	}
+	a.CountedRunning = runs
+	if runs {
+		a.Job.Running++
+		a.Job.HasRun = true
+	} else {
+		a.Job.Running--
+	}
+	return true
+}
--- /dev/null
+++ b/internal/placement/objectives_test.go
@@ -0,0 +1,65 @@
+package placement
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+	"yewpass/internal/config"
+	"yewpass/internal/fleet"
+	"yewpass/internal/spec"
+)
+
+// TestObjectives: a deadline counts again at the times that an objective names, and a
+// finishing objective is tried early, but not for idle jobs.
+func TestObjectives(t *testing.T) {
+	c := newCluster(1)
+	c.cfg.Settings.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1.5}, {Kind: "finished", Class: "c", Within: 200}}
+	j := c.newJob(1, 1, rand.New(rand.NewPCG(1, 1)))
+	j.Spec.Class, j.Spec.HasDeadline, j.Spec.Deadline = "c", true, 100*time.Second
+	for _, x := range []struct {
+		urgency spec.Urgency
+		want    []float64
+	}{{spec.Standard, []float64{100, 150, 120, 200}}, {spec.Idle, []float64{100, 150, 200}}} {
+		j.Spec.Urgency = x.urgency
+		var got []float64
+		c.forEachObjective(j, time.Second, func(a objective) {
+			if !a.wholeJob {
+				t.Error("takes all tasks")
+			}
+			got = append(got, a.deadline.Sub(j.Submitted).Seconds())
+		})
+		if len(got) != len(x.want) {
+			t.Fatalf("%v: %v, want %v", x.urgency, got, x.want)
+		}
+		for i := range got {
+			if got[i] != x.want[i] {
+				t.Errorf("%v: %v, want %v", x.urgency, got, x.want)
+			}
+		}
+	}
+	j.Spec.Urgency = spec.Standard
+	if a, ok := c.nextObjectiveFrom(j, t0, t0.Add(120*time.Second), time.Second); !ok || a.deadline != j.Submitted.Add(150*time.Second) {
+		t.Errorf("after 120 s: %v", a.deadline.Sub(t0))
+	}
+}
+
+// TestNoObjective: idle work of which nobody expects anything stands behind what is late in the queue.
+func TestNoObjective(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	c := newCluster(1)
+	c.fill(c.machines[0])
+	add := func(id int, class string, urgency spec.Urgency) *fleet.Job {
+		j := c.newJob(id, 1, rng)
+		j.Spec.Class, j.Spec.HasDeadline, j.Spec.Urgency = class, false, urgency
+		c.Reserve(j)
+		return j
+	}
+	guest, regular := add(1, "x", spec.Idle), add(2, "x", spec.Standard)
+	late := add(3, "c", spec.Idle)
+	late.MissedUntil = t0.Add(time.Hour)
+	c.DropReservations(late)
+	c.Reserve(late)
+	if guest.QueueTime.Before(late.QueueTime) || !regular.QueueTime.Before(late.QueueTime) {
+		t.Errorf("turns: idle without objective %v, without objective %v, late %v", guest.QueueTime.Sub(t0), regular.QueueTime.Sub(t0), late.QueueTime.Sub(t0))
+	}
+}
--- /dev/null
+++ b/internal/placement/offers.go
@@ -0,0 +1,88 @@
+package placement
+
+import (
+	"container/heap"
+	"time"
+
+	"yewpass/internal/fleet"
+)
+
+// offer is the slot that a machine offers for a task of a job.
+type offer struct {
+	machine    *fleet.Machine
+	start      time.Time
+	length     time.Duration
+	fleetIndex int // the machine's place in the fleet
+}
+
+// offerHeap is the offers for one job, the best first: the latest start, or the earliest for
+// a job that has no deadline to meet; among equals the machine with the most free room now.
+type offerHeap struct {
+	list  []offer
+	dated bool // there is a deadline to meet
+}
+
+// Len implements heap.Interface.
+func (h *offerHeap) Len() int { return len(h.list) }
+
+// Swap implements heap.Interface.
+func (h *offerHeap) Swap(i, j int) { h.list[i], h.list[j] = h.list[j], h.list[i] }
+
+// Less implements heap.Interface: the best offer first.
+func (h *offerHeap) Less(i, j int) bool {
+	a, b := &h.list[i], &h.list[j]
+	if x := a.start.Compare(b.start); x != 0 {
+		return x > 0 == h.dated
+	}
+	if x, y := a.machine.Room().CPU, b.machine.Room().CPU; x != y {
+		return x > y
+	}
+	return a.fleetIndex < b.fleetIndex
+}
+
+// Push implements heap.Interface.
+func (h *offerHeap) Push(x any) { h.list = append(h.list, x.(offer)) }
+
+// Pop implements heap.Interface.
+func (h *offerHeap) Pop() any {
+	last := h.list[len(h.list)-1]
+	h.list = h.list[:len(h.list)-1]
+	return last
+}
+
+// offers asks every machine once. A reservation changes the offer of its own machine only,
+// so the rest of an array costs no further search.
+func (s *Scheduler) offers(j *fleet.Job, base time.Duration, deadline time.Time, dated bool) (h *offerHeap, anyMachine bool) {
+	h = &offerHeap{list: s.offerBuffer[:0], dated: dated}
+	for i, m := range s.leader.Machines() {
+		if !m.EligibleFor(j) {
+			continue
+		}
+		anyMachine = true
+		d := fleet.Occupancy(j, m, base)
+		if start, ok := s.slot(j, m, d, deadline, dated); ok {
+			h.list = append(h.list, offer{m, start, d, i})
+		}
+	}
+	s.offerBuffer = h.list
+	heap.Init(h)
+	return h, anyMachine
+}
+
+// earliestStart returns when tasks can start on the machine at the earliest.
+func (s *Scheduler) earliestStart(m *fleet.Machine) time.Time {
+	if !m.Reported && m.ReadyAt.After(s.now()) {
+		return m.ReadyAt
+	}
+	return s.now()
+}
+
+// slot returns the latest start on the machine that meets the deadline, or the earliest fit
+// for a job that has none to meet.
+func (s *Scheduler) slot(j *fleet.Job, m *fleet.Machine, length time.Duration, deadline time.Time, dated bool) (time.Time, bool) {
+	from := s.earliestStart(m)
+	if dated {
+		return m.Timeline.Latest(from, deadline, length, j.Need)
+	}
+	return m.Timeline.Earliest(from, length, j.Need)
+}
--- /dev/null
+++ b/internal/placement/reservations_test.go
@@ -0,0 +1,94 @@
+package placement
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+	"yewpass/internal/fleet"
+	"yewpass/internal/timeline"
+)
+
+// plainReserve is Reserve as the paper writes it: every machine is asked for every
+// reservation.
+func (c *cluster) plainReserve(j *fleet.Job) {
+	base := c.paddedEstimate(j)
+	target, dated := c.nextObjective(j, base)
+	for n := min(j.Waiting, reservationWindow) - j.Reserved; n > 0; n = min(j.Waiting, reservationWindow) - j.Reserved {
+		var yield, perTask time.Duration
+		var best *fleet.Machine
+		var start time.Time
+		var length time.Duration
+		for _, m := range c.machines {
+			if !m.EligibleFor(j) {
+				continue
+			}
+			d := c.Occupancy(j, m)
+			s, ok := c.slot(j, m, d, target.deadline, dated)
+			if ok && (best == nil || s.Equal(start) && best.Room().CPU < m.Room().CPU || !s.Equal(start) && s.After(start) == dated) {
+				best, start, length = m, s, d
+			}
+		}
+		if best == nil && dated {
+			j.MissedUntil = target.deadline
+			if target.wholeJob {
+				c.DropReservations(j)
+			}
+			target, dated = c.nextObjective(j, base)
+			continue
+		}
+		if best == nil {
+			return
+		}
+		k := max(best.Timeline.Count(start, length, j.Need, n), 1)
+		if !dated && (c.yieldsWhenLate(j, length) || c.hasNoObjective(j)) {
+			yield, perTask = c.queueYield(j, start)
+		}
+		c.addReservation(&fleet.Reservation{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.Need, Count: k}, Job: j, Machine: best, Yield: yield, YieldPerTask: perTask})
+		c.Queue.Reposition(j)
+	}
+}
+
+// TestReserveMatchesPlainSearch compares the search that asks each machine once with the plain
+// one, on random fleets and queues.
+func TestReserveMatchesPlainSearch(t *testing.T) {
+	for seed := range uint64(60) {
+		rng, twin := rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 1))
+		n := 1 + rng.IntN(60)
+		twin.IntN(60)
+		fast, plain := newCluster(n), newCluster(n)
+		for _, x := range []struct {
+			c *cluster
+			r *rand.Rand
+		}{{fast, rng}, {plain, twin}} {
+			for _, m := range x.c.machines {
+				if x.r.IntN(2) == 0 {
+					m.Images.Add(fmt.Sprint("img", x.r.IntN(6)), struct{}{})
+				}
+				if x.r.IntN(3) == 0 {
+					m.Reported, m.ReadyAt = false, t0.Add(time.Duration(x.r.IntN(40))*time.Second)
+				}
+			}
+		}
+		for i := range 1 + rng.IntN(25) {
+			if i == 0 {
+				twin.IntN(25)
+			}
+			tasks := 1 + rng.IntN(300)
+			twin.IntN(300)
+			a, b := fast.newJob(i, tasks, rng), plain.newJob(i, tasks, twin)
+			fast.Reserve(a)
+			plain.plainReserve(b)
+			if len(a.Reservations) != len(b.Reservations) {
+				t.Fatalf("seed %d, job %d: %d reservations, plain search has %d", seed, i, len(a.Reservations), len(b.Reservations))
+			}
+			for k := range a.Reservations {
+				x, y := a.Reservations[k], b.Reservations[k]
+				if x.Machine.Host != y.Machine.Host || !x.Start.Equal(y.Start) || x.Count != y.Count {
+					t.Fatalf("seed %d, job %d, reservation %d: %s at %v for %d, plain search has %s at %v for %d", seed, i, k,
+						x.Machine.Host, x.Start.Sub(t0), x.Count, y.Machine.Host, y.Start.Sub(t0), y.Count)
+				}
+			}
+		}
+	}
+}
