--- a/cmd/yewpass/cluster.go
+++ b/cmd/yewpass/cluster.go
@@ -51,9 +51,9 @@
 		fmt.Fprintf(out, "no leader is known to %s\n", v.Node)
 	} else {
 		fmt.Fprintf(out, "leader %s, term %d", v.Leader, v.Term)
-		if v.LeadsS > 0 {
+		if v.LeadsSeconds > 0 {
 			fmt.Fprintf(out, ", for %s, authority %v, take-over complete %v, %d machines of at most %d, %d unaccounted",
-				(time.Duration(v.LeadsS * float64(time.Second))).Round(time.Second), v.Authority, v.TookOver, v.Machines, v.MachineMost, v.Unaccounted)
+				(time.Duration(v.LeadsSeconds * float64(time.Second))).Round(time.Second), v.Authority, v.FailoverComplete, v.Machines, v.MaxMachines, v.Unaccounted)
 		}
 		fmt.Fprintf(out, ", told by %s\n", v.Node)
 	}
@@ -61,8 +61,8 @@
 	fmt.Fprintln(w, "NODE\tZONE\tROLE\tLINK\tWORKERS\tLAG")
 	for _, n := range v.Nodes {
 		lag := "-"
-		if n.LagS > 0 {
-			lag = time.Duration(n.LagS * float64(time.Second)).Round(time.Millisecond).String()
+		if n.LagSeconds > 0 {
+			lag = time.Duration(n.LagSeconds * float64(time.Second)).Round(time.Millisecond).String()
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%s\n", n.Name, n.Zone, n.Role, n.Link, n.Workers, lag)
 	}
@@ -70,25 +70,25 @@
 		fmt.Fprintln(w, "\nREGION\tSTATE\tFOR\tZONES AWAY\tHEARD\tSILENT")
 	}
 	for _, r := range v.Regions {
-		since := time.Duration(r.SinceS * float64(time.Second)).Round(time.Second)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d of %d\t%d\t%d\n", r.Name, r.State, since, r.Away, r.Zones, r.Heard, r.Silent)
+		since := time.Duration(r.StateSeconds * float64(time.Second)).Round(time.Second)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d of %d\t%d\t%d\n", r.Name, r.State, since, r.ZonesAway, r.Zones, r.Heard, r.Silent)
 	}
 	if len(v.Zones) > 0 {
 		fmt.Fprintln(w, "\nZONE\tSTATE\tFOR\tHEARD\tSILENT\tTASKS AWAITING PROOF")
 	}
 	for _, z := range v.Zones {
-		since := time.Duration(z.SinceS * float64(time.Second)).Round(time.Second)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\n", z.Name, z.State, since, z.Heard, z.Silent, z.Unknown)
+		since := time.Duration(z.StateSeconds * float64(time.Second)).Round(time.Second)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\n", z.Name, z.State, since, z.Heard, z.Silent, z.UnconfirmedTasks)
 	}
 	w.Flush()
 	if r := v.Records; r != nil {
-		fmt.Fprintf(out, "\nrecords: era %d, whole copies at %s", r.Era, cmp.Or(strings.Join(r.Copies, ", "), "no other node"))
-		if r.Lost != "" {
+		fmt.Fprintf(out, "\nrecords: era %d, whole copies at %s", r.Era, cmp.Or(strings.Join(r.Replicas, ", "), "no other node"))
+		if r.LossReason != "" {
 			fmt.Fprintf(out, "; data was lost %s ago (%s), %d restored from %s, %d not on record yet",
-				time.Duration(r.SinceS*float64(time.Second)).Round(time.Second), r.Lost, r.Restored, cmp.Or(r.From, "no copy"), r.Left)
+				time.Duration(r.SinceSeconds*float64(time.Second)).Round(time.Second), r.LossReason, r.Restored, cmp.Or(r.Source, "no copy"), r.Pending)
 		}
-		if len(r.Unread) > 0 {
-			fmt.Fprintf(out, "; cannot be read: %s", strings.Join(r.Unread, ", "))
+		if len(r.UnreadableJobs) > 0 {
+			fmt.Fprintf(out, "; cannot be read: %s", strings.Join(r.UnreadableJobs, ", "))
 		}
 		fmt.Fprintln(out)
 	}
--- a/cmd/yewpass/config.go
+++ b/cmd/yewpass/config.go
@@ -179,9 +179,9 @@
 
 func configStatusText(out io.Writer, v *view.ConfigStatus) {
 	fmt.Fprintf(out, "revision %d, %d changes under this leader, %d waiting, the last one known everywhere after %s\n",
-		v.Revision, v.Changes, v.Waiting, time.Duration(v.SpreadS*float64(time.Second)).Round(time.Millisecond))
-	if v.Refuses != "" {
-		fmt.Fprintf(out, "no change is taken: %s\n", v.Refuses)
+		v.Revision, v.Changes, v.Waiting, time.Duration(v.PropagationSeconds*float64(time.Second)).Round(time.Millisecond))
+	if v.Refusal != "" {
+		fmt.Fprintf(out, "no change is taken: %s\n", v.Refusal)
 	}
 	for _, name := range v.Damaged {
 		fmt.Fprintf(out, "record unreadable: %s\n", name)
@@ -190,10 +190,10 @@
 	fmt.Fprintln(w, "NODE\tREVISION\tCONFIRMED\tLIVE CONFIGURATION")
 	for _, n := range v.Nodes {
 		confirmed := "never"
-		if n.AgeS >= 0 {
-			confirmed = time.Duration(n.AgeS*float64(time.Second)).Round(time.Millisecond).String() + " ago"
+		if n.AgeSeconds >= 0 {
+			confirmed = time.Duration(n.AgeSeconds*float64(time.Second)).Round(time.Millisecond).String() + " ago"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%v\n", n.Name, n.Revision, confirmed, n.Knows)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%v\n", n.Name, n.Revision, confirmed, n.SupportsLiveConfig)
 	}
 	w.Flush()
 }
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -16,11 +16,11 @@
 	l := c.leadership
 	r := &view.Records{Era: c.observed.Era}
 	if b := l.loss; b != nil {
-		r.Lost, r.From, r.SinceS, r.Restored, r.Left = b.reason, b.source, c.Now.Sub(b.since).Seconds(), b.restored, b.pending
+		r.LossReason, r.Source, r.SinceSeconds, r.Restored, r.Pending = b.reason, b.source, c.Now.Sub(b.since).Seconds(), b.restored, b.pending
 	}
-	r.Unread = slices.Sorted(maps.Keys(l.unreadableJobs))
-	r.Unread = r.Unread[:min(len(r.Unread), 10)]
-	r.Copies = c.completeReplicas()
+	r.UnreadableJobs = slices.Sorted(maps.Keys(l.unreadableJobs))
+	r.UnreadableJobs = r.UnreadableJobs[:min(len(r.UnreadableJobs), 10)]
+	r.Replicas = c.completeReplicas()
 	return r
 }
 
@@ -30,8 +30,8 @@
 	own := view.ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: "relay", Link: true, Workers: len(c.relay.reporters)}
 	l := c.leadership
 	if l != nil {
-		v.Leader, v.Term, v.LeadsS, v.Authority = c.cfg.HostName, l.term, c.Now.Sub(l.electedAt).Seconds(), c.hasAuthority()
-		v.TookOver, v.Machines, v.Unaccounted, v.MachineMost = l.loaded && l.allAccounted(), len(l.fleet), len(l.unaccounted), c.maxFleet()
+		v.Leader, v.Term, v.LeadsSeconds, v.Authority = c.cfg.HostName, l.term, c.Now.Sub(l.electedAt).Seconds(), c.hasAuthority()
+		v.FailoverComplete, v.Machines, v.Unaccounted, v.MaxMachines = l.loaded && l.allAccounted(), len(l.fleet), len(l.unaccounted), c.maxFleet()
 		own.Role, own.Workers = "leader", l.relay("").Workers
 		v.Regions = c.clusterRegions()
 		v.Zones, v.Records = c.clusterZones(), c.records()
@@ -49,7 +49,7 @@
 			if p := l.relays[s.HostName]; p != nil {
 				n.Workers = p.Workers
 				if !p.LastBatch.IsZero() {
-					n.LagS = c.Now.Sub(p.LastBatch).Seconds()
+					n.LagSeconds = c.Now.Sub(p.LastBatch).Seconds()
 				}
 				if c.takesWorkers(s.HostName, p) {
 					n.Role = "relay"
@@ -63,7 +63,7 @@
 
 func (c *Core) clusterRegions() (rs []view.ClusterRegion) {
 	for _, r := range c.leadership.regions.All() {
-		rs = append(rs, view.ClusterRegion{Name: r.Name, State: r.State.String(), SinceS: c.Now.Sub(r.Since).Seconds(), Zones: r.Zones, Away: r.Away, Heard: r.Sight.Heard, Silent: r.Sight.Silent})
+		rs = append(rs, view.ClusterRegion{Name: r.Name, State: r.State.String(), StateSeconds: c.Now.Sub(r.Since).Seconds(), Zones: r.Zones, ZonesAway: r.Away, Heard: r.Sight.Heard, Silent: r.Sight.Silent})
 	}
 	return rs
 }
@@ -82,8 +82,8 @@
 	}
 	var zs []view.ClusterZone
 	for _, z := range l.zones.All() {
-		zs = append(zs, view.ClusterZone{Name: z.Name, State: z.State.String(), SinceS: c.Now.Sub(z.Since).Seconds(),
-			Heard: z.Sight.Heard, Silent: z.Sight.Silent, Unknown: waiting[z]})
+		zs = append(zs, view.ClusterZone{Name: z.Name, State: z.State.String(), StateSeconds: c.Now.Sub(z.Since).Seconds(),
+			Heard: z.Sight.Heard, Silent: z.Sight.Silent, UnconfirmedTasks: waiting[z]})
 	}
 	return zs
 }
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -51,18 +51,18 @@
 func (c *Core) configStatus() view.ConfigStatus {
 	l := c.leadership
 	conf := &l.config
-	v := view.ConfigStatus{Revision: conf.state.Revision, Changes: conf.changes, Waiting: len(conf.waiting), SpreadS: conf.spread.Seconds(),
-		Damaged: slices.Sorted(maps.Keys(conf.damaged)), Refuses: c.configRefusal()}
+	v := view.ConfigStatus{Revision: conf.state.Revision, Changes: conf.changes, Waiting: len(conf.waiting), PropagationSeconds: conf.spread.Seconds(),
+		Damaged: slices.Sorted(maps.Keys(conf.damaged)), Refusal: c.configRefusal()}
 	if conf.batch != nil {
 		v.Waiting += len(conf.batch.changes)
 	}
-	v.Nodes = append(v.Nodes, view.ConfigNodeStatus{Name: c.cfg.HostName, Revision: conf.state.Revision, AgeS: c.confirmedAgo().Seconds(), Knows: true})
+	v.Nodes = append(v.Nodes, view.ConfigNodeStatus{Name: c.cfg.HostName, Revision: conf.state.Revision, AgeSeconds: c.confirmedAgo().Seconds(), SupportsLiveConfig: true})
 	for _, s := range c.cfg.Seeds {
-		n := view.ConfigNodeStatus{Name: s.HostName, AgeS: -1}
+		n := view.ConfigNodeStatus{Name: s.HostName, AgeSeconds: -1}
 		if x := conf.nodes[s.HostName]; x != nil {
-			n.Revision, n.Knows = x.revision, x.version >= peerVersion
+			n.Revision, n.SupportsLiveConfig = x.revision, x.version >= peerVersion
 			if !x.at.IsZero() {
-				n.AgeS = c.Now.Sub(x.at).Seconds()
+				n.AgeSeconds = c.Now.Sub(x.at).Seconds()
 			}
 		}
 		v.Nodes = append(v.Nodes, n)
@@ -79,13 +79,13 @@
 // LocalConfig returns what this node has.
 func (c *Core) LocalConfig() view.LocalConfig {
 	if l := c.leadership; l != nil && l.loaded {
-		return view.LocalConfig{Revision: l.config.state.Revision, AgeS: c.confirmedAgo().Seconds()}
+		return view.LocalConfig{Revision: l.config.state.Revision, AgeSeconds: c.confirmedAgo().Seconds()}
 	}
 	since := c.configConfirmedAt
 	if since.IsZero() {
 		since = c.StartedAt
 	}
-	return view.LocalConfig{Revision: c.replicatedRevision(), AgeS: c.Now.Sub(since).Seconds()}
+	return view.LocalConfig{Revision: c.replicatedRevision(), AgeSeconds: c.Now.Sub(since).Seconds()}
 }
 
 // replicatedRevision is that of the last leader's copy.
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -2,29 +2,46 @@
 
 import "yewpass/internal/view"
 
-// Stats returns the figures of now.
+// Stats returns the present figures.
 func (c *Core) Stats() view.Stats {
 	s := view.Stats{Term: c.highestTerm, Relayed: len(c.relay.reporters), StaleHeartbeats: c.staleHeartbeats}
-	here := c.LocalConfig()
-	s.ConfigRevision, s.ConfigAge = here.Revision, here.AgeS
+	local := c.LocalConfig()
+	s.ConfigRevision, s.ConfigAge = local.Revision, local.AgeSeconds
 	l := c.leadership
 	if l == nil {
 		return s
 	}
-	s.ConfigSpread, s.ConfigChanges, s.ConfigDamaged = l.config.spread.Seconds(), l.config.changes, len(l.config.damaged)
 	s.Leads, s.Authority = true, c.hasAuthority()
-	s.Jobs, s.Machines, s.Unaccounted, s.BacklogSeconds = len(l.jobs), len(l.fleet), len(l.unaccounted), l.autoscaler.backlog.Seconds()
-	s.Direct, s.Relays, s.Full = l.relay("").Workers, len(c.relayNodes()), l.autoscaler.fleetFull
-	s.Schedules = len(l.schedules.names)
-	s.Unreadable = len(l.unreadableJobs)
-	if l.loss != nil {
-		s.RecordsLeft = l.loss.pending
+	s.WorkStats = l.workStats()
+	s.FleetStats = c.fleetStats()
+	s.RecordStats = c.recordStats()
+	s.ConfigPropagation, s.ConfigChanges, s.ConfigDamaged = l.config.spread.Seconds(), l.config.changes, len(l.config.damaged)
+	s.ScheduleStats = view.ScheduleStats{
+		Schedules:          len(l.schedules.names),
+		OccurrencesCreated: l.schedules.made,
+		OccurrencesMissed:  l.schedules.missed,
+		OccurrencesLate:    l.schedules.late,
 	}
-	s.Copies = len(c.completeReplicas())
-	s.OccurrencesMade, s.OccurrencesMissed, s.OccurrencesLate = l.schedules.made, l.schedules.missed, l.schedules.late
+	return s
+}
+
+func (l *leadership) workStats() view.WorkStats {
+	s := view.WorkStats{Jobs: len(l.jobs), BacklogSeconds: l.autoscaler.backlog.Seconds()}
 	for _, j := range l.jobs {
-		s.Waiting += j.Waiting
-		s.Running += len(j.Attempts)
+		s.WaitingTasks += j.Waiting
+		s.TasksOnMachines += len(j.Attempts)
+	}
+	return s
+}
+
+func (c *Core) fleetStats() view.FleetStats {
+	l := c.leadership
+	s := view.FleetStats{
+		Machines:    len(l.fleet),
+		Unaccounted: len(l.unaccounted),
+		Direct:      l.relay("").Workers,
+		Relays:      len(c.relayNodes()),
+		FleetFull:   l.autoscaler.fleetFull,
 	}
 	for _, r := range l.regions.All() {
 		if r.IsAway() {
@@ -48,3 +65,12 @@
 	}
 	return s
 }
+
+func (c *Core) recordStats() view.RecordStats {
+	l := c.leadership
+	s := view.RecordStats{UnreadableJobs: len(l.unreadableJobs), Replicas: len(c.completeReplicas())}
+	if l.loss != nil {
+		s.RecordsPending = l.loss.pending
+	}
+	return s
+}
--- a/internal/scenario/schedule_scale_test.go
+++ b/internal/scenario/schedule_scale_test.go
@@ -140,7 +140,7 @@
 		for w.step(w.start.Add(3 * time.Minute)) {
 			if took == 0 && w.elapsed() > time.Minute {
 				for _, n := range w.nodes {
-					if n.core.Stats().OccurrencesMade == 1000 {
+					if n.core.Stats().OccurrencesCreated == 1000 {
 						took = w.elapsed() - time.Minute
 						requests, puts = w.store.requests-requests, w.store.puts-puts
 					}
