--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -317,9 +317,9 @@
 	for _, m := range l.fleet {
 		for _, r := range m.Attempts {
 			if r.Orphaned && r.ID.Job == id {
-				c.vacate(r)
+				c.leadership.placement.Vacate(r)
 				if r.ID.Index < j.Spec.Tasks && j.Attempts[r.ID.Index] == nil {
-					c.occupy(r, j)
+					c.leadership.placement.Occupy(r, j)
 				}
 			}
 		}
@@ -400,7 +400,7 @@
 		return
 	}
 	s := call.Spec
-	if !c.fitsValue(recordSize(s)) {
+	if !c.fitsValue(record.JobSize(s)) {
 		// Its record would not fit into a value, now or on any retry.
 		c.answer(call, tooLong)
 		return
@@ -427,7 +427,7 @@
 	l.accept[s.ID] = a
 	rec := &record.Job{Spec: *s, Submitted: c.Now.Round(0)}
 	l.writes.Add(&writebatch.Change{
-		Size:       recordSize(s),
+		Size:       record.JobSize(s),
 		Conditions: noRecordOf(s.ID),
 		Writes:     []kv.Write{{Key: record.JobPrefix + s.ID, Value: rec}},
 		OnCommit: func(uint64) {
@@ -450,7 +450,7 @@
 		c.noteManualRun(s, j)
 	}
 	c.recordArrival(j)
-	c.preferImageLocality(j)
+	c.leadership.placement.PreferImageLocality(j)
 	c.queueJob(j)
 	return j
 }
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -4,8 +4,6 @@
 	"log/slog"
 	"maps"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"yewpass/internal/bitset"
@@ -25,7 +23,7 @@
 	j := &fleet.Job{
 		Spec: s, Need: s.Need(), Record: rec, FromEarlierTerm: earlier,
 		Submitted: c.Now.Add(rec.Submitted.Sub(c.Now.Round(0))),
-		Team:      c.leadership.teams[s.Owner], StartsAtOnce: c.mustStartAtOnce(s.Class),
+		Team:      c.leadership.teams[s.Owner], StartsAtOnce: c.leadership.placement.MustStartAtOnce(s.Class),
 		Progress: fleet.NewProgress(s.Tasks), FailureHistory: fleet.FailureHistory{FailedOn: map[string]bool{}}, Ending: fleet.Ending{Cancelled: rec.Cancelled},
 	}
 	j.Placement = topology.Job{Key: s.ID, Tasks: s.Tasks}
@@ -63,7 +61,7 @@
 		c.finishIfOver(j)
 		return
 	}
-	c.reserveSoon(j)
+	c.leadership.placement.ReserveSoon(j)
 }
 
 // completeTask marks a task complete. It is not written yet: progress goes in bulk.
@@ -78,7 +76,7 @@
 	if j.Pending.Has(i) {
 		j.Pending.Remove(i)
 		j.Waiting--
-		c.dropExcessReservation(j)
+		c.leadership.placement.DropExcessReservation(j)
 	}
 	j.Done.Add(i)
 	j.HasRun = true
@@ -112,25 +110,12 @@
 	}
 	j.Pending.Add(i)
 	j.Waiting++
-	c.reserveSoon(j)
-}
-
-func chunkKey(id string, chunk int) string {
-	return record.ProgressPrefix + id + "/" + strconv.Itoa(chunk)
-}
-
-func splitChunkKey(s string) (string, int) {
-	id, num, _ := strings.Cut(s, "/")
-	n, err := strconv.Atoi(num)
-	if err != nil {
-		n = -1
-	}
-	return id, n
+	c.leadership.placement.ReserveSoon(j)
 }
 
 // recordProgress writes the progress of one chunk of a job.
 func (c *Core) recordProgress(j *fleet.Job, chunk int) {
-	key := chunkKey(j.Spec.ID, chunk)
+	key := record.ProgressKey(j.Spec.ID, chunk)
 	var had bitset.Set
 	ch := &writebatch.Change{
 		Priority: writebatch.Bulk, Size: 300 + 4*min(j.Spec.Tasks, bitset.ChunkSize)/3/8,
@@ -202,7 +187,7 @@
 		if j.ChunkRevisions[chunk] == 0 {
 			continue
 		}
-		w := kv.Write{Key: chunkKey(j.Spec.ID, chunk)}
+		w := kv.Write{Key: record.ProgressKey(j.Spec.ID, chunk)}
 		if len(ch.Writes) < c.cfg.Settings.State.TxnOps {
 			ch.Writes = append(ch.Writes, w)
 		} else {
@@ -222,7 +207,7 @@
 	c.replicateDrop(record.JobPrefix + j.Spec.ID) // however we have learned that it is over
 	delete(l.jobs, j.Spec.ID)
 	j.Team.JobCount--
-	c.dropReservations(j)
+	c.leadership.placement.DropReservations(j)
 	for _, r := range j.Completed {
 		r.Forgettable = true
 	}
@@ -285,7 +270,7 @@
 	rec := *j.Record
 	rec.Cancelled = true
 	ch := &writebatch.Change{
-		Size: recordSize(&rec.Spec),
+		Size: record.JobSize(&rec.Spec),
 		// A try that is applied late must not bring back a job that is over.
 		Conditions: []kv.Condition{{Key: record.FinalPrefix + j.Spec.ID, Rev: 0}},
 		Writes:     []kv.Write{{Key: record.JobPrefix + j.Spec.ID, Value: &rec}},
@@ -299,7 +284,7 @@
 		},
 		OnCommit: func(uint64) {
 			j.Cancelling, j.Cancelled, j.Record, j.EndingChange = false, true, &rec, nil
-			c.dropReservations(j)
+			c.leadership.placement.DropReservations(j)
 			c.Log(slog.LevelDebug, "job cancelled", "job", j.Spec.ID)
 			c.answerCancelWaiters(j, request.Response{Status: 200, View: j.View()})
 			c.finishIfOver(j)
@@ -334,12 +319,3 @@
 func (c *Core) fitsValue(size int) bool {
 	return float64(size) <= c.cfg.Settings.State.ValueKB*1024
 }
-
-// recordSize estimates the bytes of a job's record, with room to spare.
-func recordSize(s *spec.Job) int {
-	n := 700 + 6*(len(s.Class)+len(s.Owner)+len(s.Image)+len(s.Zone))
-	for _, f := range s.InstanceTypes {
-		n += 6*len(f) + 4
-	}
-	return n
-}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// same reports whether two copies hold the same records.
-func same(a, b *Copy) bool {
+// same reports whether two replicas hold the same records.
+func same(a, b *Replica) bool {
 	if a == nil || b == nil || !slices.Equal(a.Keys(""), b.Keys("")) {
 		return false
 	}
@@ -24,15 +24,15 @@
 
 func ten(Record) int { return 10 }
 
-// TestStream: whatever changes while a base goes out, and whichever lines are lost, doubled
-// or swapped, a holder's copy is whole and the same, or it is the last one that was.
+// TestStream: whatever changes while a snapshot is sent, and whichever lines are lost, repeated
+// or swapped, the receiver has an equal replica, or the last complete one.
 func TestStream(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		c := New(1, 7, "f/", 1000)
 		change := func() (puts []Record, drops []string) {
 			k := fmt.Sprintf("%c/%d", "jf"[rng.IntN(2)], rng.IntN(30))
-			if _, ok := c.Get(k); ok && k[0] == 'j' && rng.IntN(2) == 0 { // spare ones are never dropped
+			if _, ok := c.Get(k); ok && k[0] == 'j' && rng.IntN(2) == 0 { // bounded ones are never dropped
 				c.Drop(k)
 				drops = []string{k}
 			} else {
@@ -53,29 +53,29 @@
 		var late *Line
 		for step := range 200 {
 			var l Line
-			if part, more := s.Base(c, 1+rng.IntN(5), 100, ten); more && rng.IntN(2) == 0 {
+			if part, more := s.NextSnapshotLine(c, 1+rng.IntN(5), 100, ten); more && rng.IntN(2) == 0 {
 				l = part
 			} else if more {
 				// The part is lost on the way.
 				again = true
-				l = s.Change(c, nil, nil)
+				l = s.ChangeLine(c, nil, nil)
 			} else {
 				puts, drops := change()
-				l = s.Change(c, puts, drops)
+				l = s.ChangeLine(c, puts, drops)
 			}
 			damaged := rng.IntN(9) == 0 && step < 150
 			switch {
 			case damaged && rng.IntN(2) == 0: // lost
 				late = &l
 			case damaged: // twice
-				h.Take(&l, "f/", 1000)
+				h.Receive(&l, "f/", 1000)
 				fallthrough
 			default:
 				if late != nil && rng.IntN(3) == 0 {
-					h.Take(late, "f/", 1000)
+					h.Receive(late, "f/", 1000)
 					late = nil
 				}
-				again = h.Take(&l, "f/", 1000) != nil || again
+				again = h.Receive(&l, "f/", 1000) != nil || again
 			}
 			if again {
 				session++
@@ -83,59 +83,59 @@
 			}
 		}
 		for {
-			l, more := s.Base(c, 50, 100, ten)
+			l, more := s.NextSnapshotLine(c, 50, 100, ten)
 			if !more {
 				break
 			}
-			h.Take(&l, "f/", 1000)
+			h.Receive(&l, "f/", 1000)
 		}
 		puts, drops := change()
-		l := s.Change(c, puts, drops)
-		if h.Take(&l, "f/", 1000) != nil {
+		l := s.ChangeLine(c, puts, drops)
+		if h.Receive(&l, "f/", 1000) != nil {
 			s = NewSender(session+1, c)
-			l, _ = s.Base(c, 1000, 1<<20, ten)
-			if err := h.Take(&l, "f/", 1000); err != nil {
+			l, _ = s.NextSnapshotLine(c, 1000, 1<<20, ten)
+			if err := h.Receive(&l, "f/", 1000); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
-		if !same(h.Copy(), c) {
+		if !same(h.Replica(), c) {
 			t.Fatalf("seed %d: the copies differ", seed)
 		}
 	}
 }
 
-// TestSpare: of spare records the latest are kept, and they pass on to the next copy.
-func TestSpare(t *testing.T) {
+// TestBoundedRecords: of the bounded records the latest are kept and inherited by the next replica.
+func TestBoundedRecords(t *testing.T) {
 	a, b := New(1, 1, "f/", 3), New(1, 2, "f/", 3)
 	for i := range 5 {
 		a.Put(fmt.Sprint("f/", i), i, 1)
 	}
 	b.Put("f/9", 9, 1)
-	b.Inherit(a)
+	b.InheritBounded(a)
 	if got := b.Keys(""); !slices.Equal(got, []string{"f/3", "f/4", "f/9"}) {
 		t.Errorf("%q", got)
 	}
 	old, next := New(1, 1, "f/", 3), Receiver{}
 	s := NewSender(5, b)
-	l, _ := s.Base(b, 9, 100, ten)
-	next.Take(&l, "f/", 3)
+	l, _ := s.NextSnapshotLine(b, 9, 100, ten)
+	next.Receive(&l, "f/", 3)
 	s = NewSender(6, old)
-	l, _ = s.Base(old, 9, 100, ten)
-	if next.Take(&l, "f/", 3); next.Copy().Term != 2 {
+	l, _ = s.NextSnapshotLine(old, 9, 100, ten)
+	if next.Receive(&l, "f/", 3); next.Replica().Term != 2 {
 		t.Error("an older copy takes the place of a newer one")
 	}
 }
 
-// TestPart: no line is larger than asked for, however large the records, and none is empty
+// TestSnapshotLineSize: no line is larger than asked for, however large the records, and none is empty
 // while there is more.
-func TestPart(t *testing.T) {
+func TestSnapshotLineSize(t *testing.T) {
 	c := New(1, 1, "f/", 3)
 	for i := range 50 {
 		c.Put(fmt.Sprintf("m/%02d", i), 1+i*7%40, 1)
 	}
 	s, n := NewSender(5, c), 0
 	for {
-		l, more := s.Base(c, 20, 64, func(r Record) int { return r.Value.(int) })
+		l, more := s.NextSnapshotLine(c, 20, 64, func(r Record) int { return r.Value.(int) })
 		if !more {
 			break
 		}
