--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -138,7 +138,7 @@
 	case heartbeat.CauseNoRoom:
 		// The worker sees less room than we do; ask again a little later.
 		m.RetryAt = c.Now.Add(time.Second)
-	case heartbeat.CauseNoSuch:
+	case heartbeat.CauseUnknownTask:
 		j.RetryAt = c.Now.Add(2 * time.Second)
 	}
 	if j.Cancelled {
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -147,16 +147,16 @@
 				step(heartbeat.Abandoned{Ref: ref - uint64(next())})
 				switch rep := report(); next() % 4 {
 				case 0: // a relay that is in order
-					fold := relay.NewFold(uint64(next()) + 1)
+					fold := relay.NewEncoder(uint64(next()) + 1)
 					for range 1 + next()%3 {
-						step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.highestTerm), Reports: fold.Batch([]relay.Item{fold.Item(uint64(next()%3), &rep)}, []uint64{uint64(next() % 3)})}})
+						step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.highestTerm), Reports: fold.Batch([]relay.Delta{fold.Encode(uint64(next()%3), &rep)}, []uint64{uint64(next() % 3)})}})
 						rep.Counter++
 					}
 				case 1: // one that is not
-					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.highestTerm), Reports: &relay.Batch{Session: num(), Number: num(), Left: []uint64{num()},
-						Reports: []relay.Item{{Ref: num(), Handle: num(), Incarnation: num(), Counter: num(), FencingToken: num(), Dropped: []int{next() - 9}}}}}})
+					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.highestTerm), Reports: &relay.Batch{Session: num(), Number: num(), Released: []uint64{num()},
+						Reports: []relay.Delta{{Ref: num(), Handle: num(), Incarnation: num(), Counter: num(), FencingToken: num(), Dropped: []int{next() - 9}}}}}})
 				case 2: // a leader's replies
-					rs := &relay.Replies{Session: num(), Again: next()%4 == 0, List: []relay.Reply{{Ref: ref - uint64(next()%9)}, {Ref: ref, Status: 421, Upstream: "n2"}}}
+					rs := &relay.Replies{Session: num(), Resync: next()%4 == 0, List: []relay.Reply{{Ref: ref - uint64(next()%9)}, {Ref: ref, Status: 421, Upstream: "n2"}}}
 					if c.relay.fold != nil && next()%2 == 0 {
 						rs.Session = c.relay.fold.Session()
 					}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -14,7 +14,7 @@
 func (c *Core) handleHeartbeat(in heartbeat.Received) {
 	l := c.leadership
 	rep := &in.Report
-	refuse := func() { c.replyHeartbeat(in.Relay, heartbeat.Reply{Ref: in.Ref, Status: 503}) }
+	refuse := func() { c.replyHeartbeat(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 503}) }
 	if l != nil && rep.FencingToken > l.term && !c.hasAuthority() {
 		c.stepDown("a worker has seen a newer epoch")
 		l = nil
@@ -50,13 +50,13 @@
 	if m.Probed && rep.Incarnation == m.Incarnation && rep.Counter <= m.Counter && c.hasAuthority() {
 		// Overtaken by its own answer to our probe: nothing new, but a worker
 		// that waits for its reply.
-		c.replyHeartbeat(in.Relay, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
+		c.replyHeartbeat(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
 		m.LastReply = c.Now
 		return
 	}
 	// A relay that has begun a new session tells again what waits there. What was
 	// answered in the session before has not reached the worker, and will not.
-	again := in.Relay.From != "" && m.Reported && rep.Incarnation == m.Incarnation && rep.Counter == m.Counter
+	again := in.Via.Relay != "" && m.Reported && rep.Incarnation == m.Incarnation && rep.Counter == m.Counter
 	// A worker never forgets an epoch it has seen, unless it has begun anew: then its
 	// counters may begin anew too, and what is newer by them may have been sent before it
 	// ended. Nothing of either is believed until the lease of what we know is over, which a
@@ -77,16 +77,16 @@
 		m.Probed = false
 		c.reconcile(m, rep)
 	}
-	l.setReportsVia(m, in.Relay.From)
+	l.setReportsVia(m, in.Via.Relay)
 	if m.Record == fleet.Unrecorded && c.hasAuthority() && m.Usable() {
 		c.recordNewMachine(m)
 	}
-	if to := c.redirectTarget(m, in.Relay.From, first); to != "" {
-		c.replyHeartbeat(in.Relay, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
+	if to := c.redirectTarget(m, in.Via.Relay, first); to != "" {
+		c.replyHeartbeat(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
 		return
 	}
-	m.HeldReply = &fleet.HeldReply{HeartbeatKey: fleet.HeartbeatKey{Link: in.Relay, Ref: in.Ref}, Since: c.Now}
-	if in.Relay.From == "" {
+	m.HeldReply = &fleet.HeldReply{HeartbeatKey: fleet.HeartbeatKey{Via: in.Via, Ref: in.Ref}, Since: c.Now}
+	if in.Via.Relay == "" {
 		m.HeldReply.Report = *rep
 	}
 	l.heldReplies[m.HeldReply.HeartbeatKey] = m
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -154,7 +154,7 @@
 	// Workers that wait here need not look for the next leader: we pass on what they
 	// have said. Other relays do the same with theirs.
 	for _, m := range l.fleet {
-		if m.HeldReply != nil && m.HeldReply.Link.From == "" {
+		if m.HeldReply != nil && m.HeldReply.Via.Relay == "" {
 			c.relayHeartbeat(heartbeat.Received{Ref: m.HeldReply.Ref, Report: m.HeldReply.Report})
 		}
 	}
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -46,11 +46,11 @@
 	reporters map[string]*relayedWorker
 	prunedAt  time.Time
 
-	fold      *relay.Fold // the link to the leader; nil without one
+	fold      *relay.Encoder // the link to the leader; nil without one
 	leader    string
 	term      uint64
-	items     []relay.Item // that have not gone out
-	weight    int          // of them
+	items     []relay.Delta // that have not gone out
+	weight    int           // of them
 	abandoned []uint64
 	flushedAt time.Time
 	flushing  bool
@@ -81,7 +81,7 @@
 // relayHeartbeat takes a worker's report for the leader, whoever that is or will be.
 func (c *Core) relayHeartbeat(in heartbeat.Received) {
 	r, rep := &c.relay, &in.Report
-	if in.Relay.From != "" {
+	if in.Via.Relay != "" {
 		return // meant for a leader: its relay will hear who that is
 	}
 	if p := r.byHost[rep.Host]; p != nil {
@@ -126,7 +126,7 @@
 }
 
 func (r *relayState) add(ref uint64, rep *heartbeat.Report) {
-	it := r.fold.Item(ref, rep)
+	it := r.fold.Encode(ref, rep)
 	r.items = append(r.items, it)
 	r.weight += it.Weight()
 }
@@ -219,7 +219,7 @@
 func (c *Core) openRelaySession() {
 	r := &c.relay
 	r.leader, r.term = c.knownLeader, c.highestTerm
-	r.fold = relay.NewFold(c.Rand.Uint64() | 1) // never 0
+	r.fold = relay.NewEncoder(c.Rand.Uint64() | 1) // never 0
 	r.items, r.abandoned, r.weight = nil, nil, 0
 	for _, ref := range r.refs() {
 		r.add(ref, &r.waiting[ref].report)
@@ -254,7 +254,7 @@
 	if c.leadership != nil || r.fold == nil || from != r.leader || from != c.knownLeader || m.Term != r.term || m.Term != c.highestTerm || m.Replies.Session != r.fold.Session() {
 		return
 	}
-	if m.Replies.Again {
+	if m.Replies.Resync {
 		c.openRelaySession()
 		return
 	}
@@ -337,8 +337,8 @@
 		return // it will hear of the newest term, and tell its leader again
 	}
 	p := l.relay(from)
-	former := p.Unfold.Session()
-	reps, begun, err := p.Unfold.Open(m.Reports)
+	former := p.Decoder.Session()
+	reps, begun, err := p.Decoder.Decode(m.Reports)
 	if begun {
 		if former != 0 {
 			// Maybe another process, back so soon that its end went unnoticed. Those who
@@ -348,28 +348,28 @@
 		// All that waits there is told again. The numbers of the session before mean
 		// nothing any more.
 		for _, x := range l.fleet {
-			if x.HeldReply != nil && x.HeldReply.Link.From == from {
+			if x.HeldReply != nil && x.HeldReply.Via.Relay == from {
 				c.takeHeldReply(x)
 			}
 		}
-		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Relay.From == from })
+		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Via.Relay == from })
 		p.Replies, p.Weight = nil, 0
 	}
-	if err == relay.ErrOver {
+	if err == relay.ErrStaleSession {
 		return
 	}
 	if err != nil {
-		if err != relay.ErrBroken {
+		if err != relay.ErrSequenceGap {
 			c.Log(slog.LevelWarn, "malformed heartbeats from relay", "relay", from, "reason", err)
 		}
-		c.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: l.term, Replies: &relay.Replies{Session: m.Reports.Session, Again: true}}})
+		c.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: l.term, Replies: &relay.Replies{Session: m.Reports.Session, Resync: true}}})
 		return
 	}
 	p.LastBatch = c.Now
-	by := heartbeat.Link{From: from, Session: m.Reports.Session}
+	by := heartbeat.RelaySession{Relay: from, Session: m.Reports.Session}
 	for i := range reps {
 		if ref := m.Reports.Reports[i].Ref; ref != 0 {
-			c.handleHeartbeat(heartbeat.Received{Ref: ref, Relay: by, Report: reps[i]})
+			c.handleHeartbeat(heartbeat.Received{Ref: ref, Via: by, Report: reps[i]})
 		} else if x := l.machines[reps[i].Host]; x != nil && l.loaded && l.probeCounts(x) && reps[i].FencingToken == l.term {
 			c.reconcileProbe(x, &reps[i])
 		}
@@ -377,8 +377,8 @@
 			return
 		}
 	}
-	for _, ref := range m.Reports.Gone {
-		c.abandonHeldReply(fleet.HeartbeatKey{Link: by, Ref: ref})
+	for _, ref := range m.Reports.Abandoned {
+		c.abandonHeldReply(fleet.HeartbeatKey{Via: by, Ref: ref})
 	}
 }
 
@@ -392,16 +392,16 @@
 }
 
 // replyHeartbeat answers a report the way it came.
-func (c *Core) replyHeartbeat(by heartbeat.Link, a heartbeat.Reply) {
-	if by.From == "" {
+func (c *Core) replyHeartbeat(by heartbeat.RelaySession, a heartbeat.Reply) {
+	if by.Relay == "" {
 		c.Emit(a)
 		return
 	}
 	if c.leadership == nil {
 		return
 	}
-	p := c.leadership.relay(by.From)
-	if by.Session != p.Unfold.Session() {
+	p := c.leadership.relay(by.Relay)
+	if by.Session != p.Decoder.Session() {
 		return // nobody waits for it there
 	}
 	x := relay.Reply{Ref: a.Ref, Upstream: a.Upstream, Orders: a.Orders}
@@ -411,7 +411,7 @@
 	p.Replies = append(p.Replies, x)
 	p.Weight += x.Weight()
 	if p.Weight > maxLineWeight {
-		c.sendRelayReplies(by.From, p)
+		c.sendRelayReplies(by.Relay, p)
 	}
 }
 
@@ -419,7 +419,7 @@
 	if len(p.Replies) == 0 {
 		return
 	}
-	c.Emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: c.leadership.term, Replies: &relay.Replies{Session: p.Unfold.Session(), List: p.Replies}}})
+	c.Emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: c.leadership.term, Replies: &relay.Replies{Session: p.Decoder.Session(), List: p.Replies}}})
 	p.Replies, p.Weight = nil, 0
 }
 
@@ -458,7 +458,7 @@
 	for _, s := range c.cfg.Seeds {
 		p := l.relays[s.HostName]
 		if c.takesWorkers(s.HostName, p) {
-			l.nodes = append(l.nodes, relay.Node{Name: s.HostName, Zone: s.Site, Workers: p.Workers, Most: c.maxWorkersPerNode()})
+			l.nodes = append(l.nodes, relay.Node{Name: s.HostName, Zone: s.Site, Workers: p.Workers, Capacity: c.maxWorkersPerNode()})
 		}
 	}
 	return l.nodes
@@ -509,14 +509,14 @@
 
 // takesWorkers reports whether workers can report to us by a relay now.
 func (c *Core) takesWorkers(name string, p *fleet.RelayLink) bool {
-	return p != nil && c.links[name] && p.Unfold.Session() != 0 && c.Now.Sub(p.LastBatch) < relaySilence
+	return p != nil && c.links[name] && p.Decoder.Session() != 0 && c.Now.Sub(p.LastBatch) < relaySilence
 }
 
 // maxWorkersPerNode is how many workers a node takes: their part of the connections that it
 // lets in. The rest is for users.
 func (c *Core) maxWorkersPerNode() int {
 	if n := c.cfg.Settings.Limits.MaxConnections; n > 0 {
-		return max(4, relay.Clients(n)*5/6)
+		return max(4, relay.MaxClientConnections(n)*5/6)
 	}
 	return 1 << 30
 }
@@ -541,8 +541,8 @@
 		return ""
 	}
 	nodes := c.relayNodes()
-	to := relay.Spread(nodes, m.Zone)
-	if to == "" || to == by || by != "" && !relay.Uneven(nodes, by, to, m.Zone) {
+	to := relay.LeastLoaded(nodes, m.Zone)
+	if to == "" || to == by || by != "" && !relay.Imbalanced(nodes, by, to, m.Zone) {
 		return ""
 	}
 	if !first {
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -119,7 +119,7 @@
 	n := newRelayNode(t)
 	n.worker(1, 1)
 	bs := n.sent("n1")
-	if len(bs) != 2 || len(bs[1].Reports) != 1 || bs[0].Session != bs[1].Session || bs[1].Reports[0].Machine == nil {
+	if len(bs) != 2 || len(bs[1].Reports) != 1 || bs[0].Session != bs[1].Session || bs[1].Reports[0].Identity == nil {
 		t.Fatalf("%d batches", len(bs))
 	}
 	first := bs[0].Session
@@ -142,13 +142,13 @@
 	n.expect("of the term before", 2)
 	n.pass(50 * time.Millisecond)
 	bs = n.sent("n2")
-	if len(bs) == 0 || len(bs[0].Reports) != 1 || bs[0].Reports[0].Machine == nil || bs[0].Session == first {
+	if len(bs) == 0 || len(bs[0].Reports) != 1 || bs[0].Reports[0].Identity == nil || bs[0].Session == first {
 		t.Fatalf("the new leader is not told: %+v", bs)
 	}
 	second := bs[0].Session
 
 	// Lines were lost: all that waits is told again, in a session of its own.
-	n.in(peermsg.Received{From: "n2", Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: 6, Replies: &relay.Replies{Session: second, Again: true}}})
+	n.in(peermsg.Received{From: "n2", Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: 6, Replies: &relay.Replies{Session: second, Resync: true}}})
 	bs = n.sent("n2")
 	if len(bs) != 1 || len(bs[0].Reports) != 1 || bs[0].Session == second || bs[0].Number != 1 {
 		t.Fatalf("not told again: %+v", bs)
@@ -168,7 +168,7 @@
 	n.pass(50 * time.Millisecond)
 	var gone []uint64
 	for _, b := range n.sent("n2") {
-		gone = append(gone, b.Gone...)
+		gone = append(gone, b.Abandoned...)
 	}
 	if len(gone) != 2 {
 		t.Errorf("the leader is told that %v are gone", gone)
@@ -194,8 +194,8 @@
 	j.Spec.Class, j.AnyCompleted = "c", true
 	c.leadership.placement.Reserve(j)
 	rep := reportOf(m)
-	send := func(session, number, ref uint64, f *relay.Fold, r heartbeat.Report) (orders int, answered bool) {
-		for _, o := range c.Step(c.Now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch([]relay.Item{f.Item(ref, &r)}, nil)}}) {
+	send := func(session, number, ref uint64, f *relay.Encoder, r heartbeat.Report) (orders int, answered bool) {
+		for _, o := range c.Step(c.Now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch([]relay.Delta{f.Encode(ref, &r)}, nil)}}) {
 			p, ok := o.(peermsg.Outgoing)
 			if !ok || p.Msg.Kind != peermsg.HeartbeatReplies || len(p.Msg.Replies.List) == 0 {
 				continue
@@ -208,11 +208,11 @@
 		}
 		return 0, false
 	}
-	if n, ok := send(3, 1, 17, relay.NewFold(3), rep); !ok || n != 1 {
+	if n, ok := send(3, 1, 17, relay.NewEncoder(3), rep); !ok || n != 1 {
 		t.Fatalf("%d orders, answered %v", n, ok)
 	}
 	// The link broke with the reply on it.
-	f := relay.NewFold(4)
+	f := relay.NewEncoder(4)
 	send(4, 1, 17, f, rep)
 	if len(m.Attempts) != 1 || j.Waiting != 0 {
 		t.Fatalf("%d runs, %d wait", len(m.Attempts), j.Waiting)
@@ -258,7 +258,7 @@
 		t.Errorf("handed over to nobody: %d %s", a.Status, a.Reason)
 	}
 	c.Step(c.Now, peermsg.LinkChange{Name: "n1", Up: true})
-	c.Step(c.Now, peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: relay.NewFold(3).Batch(nil, nil)}})
+	c.Step(c.Now, peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: relay.NewEncoder(3).Batch(nil, nil)}})
 	if a, dropped := ask(c, request.HandOver); a.Status != 200 || !dropped || c.leadership != nil {
 		t.Errorf("not handed over: %d %s", a.Status, a.Reason)
 	}
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -218,15 +218,15 @@
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
 	m := c.leadership.fleet[0]
 	rep := reportOf(m)
-	send := func(f *relay.Fold, items ...relay.Item) {
+	send := func(f *relay.Encoder, items ...relay.Delta) {
 		c.Step(c.Now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch(items, nil)}})
 	}
-	f := relay.NewFold(3)
-	send(f, f.Item(17, &rep))
+	f := relay.NewEncoder(3)
+	send(f, f.Encode(17, &rep))
 	if p := c.silenceLimit(m, 10*time.Second); p != 10*time.Second {
 		t.Fatalf("patience of %v while the relay goes on", p)
 	}
-	send(relay.NewFold(4))
+	send(relay.NewEncoder(4))
 	if p := c.silenceLimit(m, 10*time.Second); p <= c.heartbeatInterval*5/4+workerRetryTimeout {
 		t.Errorf("patience of %v", p)
 	}
--- a/internal/fleet/heldreply.go
+++ b/internal/fleet/heldreply.go
@@ -8,7 +8,7 @@
 
 // RelayLink is a relay as the leader sees it.
 type RelayLink struct {
-	Unfold     relay.Unfold
+	Decoder    relay.Decoder
 	LastBatch  time.Time
 	LastSilent time.Time // when it was last found to say nothing
 	Workers    int       // that report to it
@@ -18,8 +18,8 @@
 
 // HeartbeatKey identifies a report whose reply is held. Ref is unique per link only.
 type HeartbeatKey struct {
-	Link heartbeat.Link
-	Ref  uint64
+	Via heartbeat.RelaySession
+	Ref uint64
 }
 
 // HeldReply is a report whose reply waits for something to say.
--- a/internal/heartbeat/exchange.go
+++ b/internal/heartbeat/exchange.go
@@ -2,28 +2,29 @@
 
 import (
 	"time"
+
 	"yewpass/internal/rpc"
 )
 
-// Causes of an exit.
+// Causes of a task's exit.
 const (
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CauseError   = "error"
-	CauseNoRoom  = "no_room"
-	CauseBusy    = "busy"
-	CauseNoSuch  = "no_such"
+	CauseDone        = "done"
+	CauseStopped     = "stopped"
+	CauseError       = "error"
+	CauseNoRoom      = "no_room"
+	CauseBusy        = "busy"
+	CauseUnknownTask = "no_such"
 )
 
-// Received is a worker's report waiting for its reply, from this node's own socket or
-// handed on by a relay.
+// Received is a worker's report that waits for its reply. It came in on this
+// controller's own socket or was forwarded by a relay.
 type Received struct {
 	Ref    uint64
-	Relay  Link // which it came by; zero: our own socket
+	Via    RelaySession // zero: this controller's own socket
 	Report Report
 }
 
-// Abandoned says that the worker gave up on a report: its reply goes nowhere.
+// Abandoned says that a worker no longer waits for the reply to its report.
 type Abandoned struct{ Ref uint64 }
 
 // Reply answers a Received.
@@ -32,10 +33,11 @@
 	Status       int
 	FencingToken uint64
 	Orders       []Order
-	Upstream     string
+	Upstream     string // with status 421, the controller to report to; "" for any other
 }
 
-// Probe shows a worker our epoch, with no orders, and asks for its report.
+// Probe shows a worker a leader's fencing token, without orders, and asks for its
+// report.
 type Probe struct {
 	Ref                       uint64
 	Address                   string
@@ -43,19 +45,19 @@
 	Timeout                   time.Duration
 }
 
-// ProbeReply answers a Probe: OK when the worker has taken note of the
-// epoch, Conflict when the tenure is another or it knows a newer epoch.
+// ProbeReply answers a Probe: OK when the worker has accepted the fencing token,
+// Conflict when its incarnation is another or it has seen a newer fencing token.
 type ProbeReply struct {
 	Ref     uint64
 	Outcome rpc.Outcome
 	Report  Report
 }
 
-// Link is one uninterrupted stream of batches from a relay to a leader. A relay draws
-// a new session for every leader, every term and every time the stream breaks, so
-// that what was meant for an earlier stream, or an earlier life of the relay, is told
-// from what is meant for this one.
-type Link struct {
-	From    string // the relay
+// RelaySession is one uninterrupted stream of batches from a relay to a leader. A relay
+// draws a new number for every leader, every term and every interruption, so that what
+// was meant for an earlier stream, or an earlier process of the relay, is told from what
+// is meant for this one.
+type RelaySession struct {
+	Relay   string // the relay's name
 	Session uint64
 }
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -1,5 +1,5 @@
-// Package heartbeat holds what workers say and what they are told, as the protocol of
-// workers has it. It decides nothing.
+// Package heartbeat defines the messages between workers and controllers: reports,
+// replies and probes. It holds no logic beyond reading and comparing them.
 package heartbeat
 
 import (
@@ -10,20 +10,20 @@
 	"yewpass/internal/spec"
 )
 
-// TaskID names a task: job and number.
+// TaskID identifies a task by its job and its index.
 type TaskID struct {
 	Job   string
 	Index int
 }
 
-// String is the form that ParseTaskID reads: the job, a slash and the number.
+// String returns the form that ParseTaskID parses: JOB/INDEX.
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID reads a task's name.
+// ParseTaskID parses JOB/INDEX.
 func ParseTaskID(s string) (TaskID, bool) {
 	job, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
-	return TaskID{job, n}, ok && err == nil && n >= 0 && n < spec.MaxTasks && job != ""
+	return TaskID{Job: job, Index: n}, ok && err == nil && n >= 0 && n < spec.MaxTasks && job != ""
 }
 
 // Phase is the state of a task on a machine.
@@ -42,31 +42,31 @@
 	return p == Pulling || p == TaskRuns || p == Checkpointing || p == Exited
 }
 
-// Task is one task in a report.
+// Task is one attempt of a task in a report.
 type Task struct {
 	Task  TaskID
-	Try   uint64
+	Try   uint64 // number of the attempt
 	Phase Phase
-	Cause string
+	Cause string // of its exit
 }
 
-// Report is a worker's report.
+// Report is the state of a worker and its tasks, as it sends it with each heartbeat.
 type Report struct {
 	Host, Address, InstanceType, Zone  string
 	Spot                               bool
 	Incarnation, Counter, FencingToken uint64
-	Notice                             time.Duration // until the cloud takes the machine away
+	Notice                             time.Duration // until the cloud interrupts the machine
 	HasNotice                          bool
 	Tasks                              []Task
 }
 
-// Newer reports whether r was made after the report of the same machine with the
-// given tenure and counter.
-func (r *Report) Newer(tenure, counter uint64) bool {
-	return r.Incarnation > tenure || r.Incarnation == tenure && r.Counter > counter
+// Newer reports whether r was made after the report of the same machine with the given
+// incarnation and counter.
+func (r *Report) Newer(incarnation, counter uint64) bool {
+	return r.Incarnation > incarnation || r.Incarnation == incarnation && r.Counter > counter
 }
 
-// Verb is what an order asks of a worker.
+// Verb is what an order tells a worker to do.
 type Verb string
 
 // The verbs of the worker protocol.
@@ -84,5 +84,5 @@
 	Verb  Verb
 	Task  TaskID
 	Try   uint64
-	Drain time.Duration // of a stop
+	Drain time.Duration // with Stop: how long the task may take to save its checkpoint
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -72,7 +72,7 @@
 	n.core.SetRegions(ops.Regions)
 	failed := make(chan error, 1)
 	go func() {
-		failed <- api.Serve(clients, relay.Clients(sockets(cfg)), inbox, n.isReady)
+		failed <- api.Serve(clients, relay.MaxClientConnections(sockets(cfg)), inbox, n.isReady)
 	}()
 	slog.Info("node started", "node", cfg.HostName, "zone", cfg.Site)
 	return n.loop(urgent, inbox, failed, leaving)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -336,7 +336,7 @@
 			return in, false, "reports: none of a term"
 		}
 	case peermsg.HeartbeatReplies:
-		if j.Replies == nil || j.Term == 0 || j.Term > record.MaxTerm || !j.Replies.Sound() {
+		if j.Replies == nil || j.Term == 0 || j.Term > record.MaxTerm || !j.Replies.Valid() {
 			return in, false, "replies: not what a leader says"
 		}
 	default:
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,52 +1,56 @@
-// Package relay decides how workers' reports travel between controllers: what a
-// controller that does not lead passes on to the one that does (Fold), how that
-// becomes the reports again (Unfold), and which controller should take a worker
-// (Spread).
+// Package relay defines how workers' heartbeats travel between controllers. A
+// controller that does not lead encodes the heartbeats that it receives as differences
+// from the previous ones (Encoder) and sends them to the leader, which restores them
+// (Decoder). The package also decides which controller a worker should report to
+// (LeastLoaded, Imbalanced).
 //
-// It knows neither sockets nor clocks, and nothing of what is in a report beyond its
-// list of tasks. The state machine of package core calls it; package peer puts its
-// types on the wire. What must never happen here: that Unfold returns a report which
-// differs from the one that Fold was given, or one out of the order of its link.
+// It does no I/O, reads no clock, and knows nothing of a heartbeat beyond its list of
+// tasks. The invariant: Decoder returns exactly the reports that Encoder was given, in
+// the order of their session, or an error.
 package relay
 
 import "yewpass/internal/heartbeat"
 
-// Batch is what a relay passes on in one line.
+// Batch is the heartbeats that a relay sends to the leader in one message.
 type Batch struct {
-	Session uint64   `json:"s"`
-	Number  uint64   `json:"n"`           // 1, 2, 3… within the session
-	Reports []Item   `json:"r,omitempty"` // in the order in which they came
-	Gone    []uint64 `json:"g,omitempty"` // numbers of reports whose workers wait no more
-	Left    []uint64 `json:"l,omitempty"` // handles that are not used any more
+	Session   uint64   `json:"s"`
+	Number    uint64   `json:"n"`           // 1, 2, 3… within the session
+	Reports   []Delta  `json:"r,omitempty"` // in the order in which they were received
+	Abandoned []uint64 `json:"g,omitempty"` // refs of heartbeats whose workers no longer wait
+	Released  []uint64 `json:"l,omitempty"` // handles that are no longer used
 }
 
-// Item is a worker's report, told by what has changed since the one before it on the
-// same link.
-type Item struct {
-	Ref          uint64 `json:"i,omitempty"` // the relay's number of the report; 0: nobody waits for a reply
-	Handle       uint64 `json:"h"`           // stands for the machine
-	Machine      *Who   `json:"w,omitempty"` // with its first report, and when it changes; then all tasks are listed
-	Incarnation  uint64 `json:"t"`
-	Counter      uint64 `json:"c"`
-	FencingToken uint64 `json:"e,omitempty"`
-	Notice       *int64 `json:"v,omitempty"` // milliseconds until the cloud takes the machine away
+// Delta is a heartbeat as its difference from the previous one of the same machine in
+// the same session.
+type Delta struct {
+	Ref          uint64    `json:"i,omitempty"` // the relay's number of the heartbeat; 0: no reply is expected
+	Handle       uint64    `json:"h"`           // stands for the machine within the session
+	Identity     *Identity `json:"w,omitempty"` // with the first heartbeat, and when it changes; all tasks are then listed as added
+	Incarnation  uint64    `json:"t"`
+	Counter      uint64    `json:"c"`
+	FencingToken uint64    `json:"e,omitempty"`
+	Notice       *int64    `json:"v,omitempty"` // milliseconds until the cloud interrupts the machine
 
-	Dropped []int    `json:"d,omitempty"` // places in the list of the report before, rising
-	Changed []Change `json:"p,omitempty"` // by place in what is left of it
-	Added   Tasks    `json:"a,omitempty"` // at the end
+	Dropped []int        `json:"d,omitempty"` // indexes into the previous list, ascending
+	Changed []TaskChange `json:"p,omitempty"` // by index into what remains of it
+	Added   Tasks        `json:"a,omitempty"` // at the end
 }
 
-// headWeight is what a report or a reply weighs beside the tasks or orders in it.
-const headWeight = 4
+// MaxMessageWeight is about how much goes into one message between controllers, as
+// measured by Delta.Weight and Reply.Weight.
+const MaxMessageWeight = 400
 
-// Weight is about how much an item takes of a line, a task counting as 1.
-func (it *Item) Weight() int { return headWeight + len(it.Added) + len(it.Changed) + len(it.Dropped) }
+// baseWeight is the weight of a heartbeat or a reply without its tasks or orders.
+const baseWeight = 4
 
-// Weight is about how much a reply takes of a line, an order counting as 1.
-func (r *Reply) Weight() int { return headWeight + len(r.Orders) }
+// Weight returns the approximate size of the delta, in units of one task.
+func (d *Delta) Weight() int { return baseWeight + len(d.Added) + len(d.Changed) + len(d.Dropped) }
 
-// Who is what a machine is.
-type Who struct {
+// Weight returns the approximate size of the reply, in units of one order.
+func (r *Reply) Weight() int { return baseWeight + len(r.Orders) }
+
+// Identity is what a worker reports about its machine.
+type Identity struct {
 	Host         string `json:"host"`
 	Address      string `json:"address,omitempty"`
 	InstanceType string `json:"flavor,omitempty"`
@@ -54,30 +58,30 @@
 	Spot         bool   `json:"low,omitempty"`
 }
 
-// Change is a task whose state has changed.
-type Change struct {
-	At    int             `json:"k"`
+// TaskChange is a task whose phase or cause of exit has changed.
+type TaskChange struct {
+	At    int             `json:"k"` // index in the list
 	Phase heartbeat.Phase `json:"p"`
 	Cause string          `json:"c,omitempty"`
 }
 
-// Replies is what a leader has a relay tell its workers, in one line.
+// Replies is the replies that the leader sends to a relay's workers in one message.
 type Replies struct {
-	Session uint64  `json:"s"` // the relay's, which it answers
+	Session uint64  `json:"s"` // the relay's session that they answer
 	List    []Reply `json:"r,omitempty"`
-	Again   bool    `json:"a,omitempty"` // something is missing: begin a new session and tell all that waits
+	Resync  bool    `json:"a,omitempty"` // a batch is missing: the relay must open a new session and send all that waits
 }
 
-// Reply answers a report.
+// Reply answers one heartbeat.
 type Reply struct {
 	Ref      uint64 `json:"i"`
-	Status   int    `json:"s,omitempty"` // of HTTP; 0 is 200
-	Upstream string `json:"u,omitempty"`
+	Status   int    `json:"s,omitempty"` // of HTTP; 0 stands for 200
+	Upstream string `json:"u,omitempty"` // with status 421, the controller to report to
 	Orders   Orders `json:"o,omitempty"`
 }
 
-// Sound reports whether replies are ones that a leader gives.
-func (r *Replies) Sound() bool {
+// Valid reports whether the replies are ones that a leader may send.
+func (r *Replies) Valid() bool {
 	for i := range r.List {
 		x := &r.List[i]
 		if x.Status != 0 && (x.Status < 400 || x.Status > 599) || x.Status != 0 && len(x.Orders) > 0 {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -54,16 +54,16 @@
 		for i := range 1 + rng.IntN(5) {
 			ws = append(ws, &worker{heartbeat.Report{Host: fmt.Sprint("host-", i), Address: "10.0.0.1:9000", InstanceType: "f", Zone: "a", Incarnation: 1}})
 		}
-		var u Unfold
+		var u Decoder
 		session := uint64(1)
-		f := NewFold(session)
+		f := NewEncoder(session)
 		for range 60 {
-			var items []Item
+			var items []Delta
 			var want []heartbeat.Report
 			for range rng.IntN(4) {
 				w := ws[rng.IntN(len(ws))]
 				r := w.next(rng, seed%3 == 0)
-				items = append(items, f.Item(7, &r))
+				items = append(items, f.Encode(7, &r))
 				want = append(want, r)
 			}
 			if rng.IntN(5) == 0 {
@@ -82,14 +82,14 @@
 				if b.Number > 2 && rng.IntN(2) == 0 {
 					b.Number, b.Session = b.Number-1, b.Session+1
 				}
-				if _, _, err := u.Open(&b); err == nil {
+				if _, _, err := u.Decode(&b); err == nil {
 					t.Fatalf("seed %d: a line that does not follow is taken", seed)
 				}
 				session += 2
-				f = NewFold(session)
+				f = NewEncoder(session)
 				continue
 			}
-			got, _, err := u.Open(&b)
+			got, _, err := u.Decode(&b)
 			if err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
@@ -138,26 +138,26 @@
 // TestUnsound: lines that no relay sends are errors, and nothing after them counts
 // until the next session.
 func TestUnsound(t *testing.T) {
-	who := &Who{Host: "h"}
-	for name, it := range map[string]Item{
+	who := &Identity{Host: "h"}
+	for name, it := range map[string]Delta{
 		"unknown machine": {Handle: 2},
 		"dropped":         {Handle: 1, Dropped: []int{0}},
-		"dropped below":   {Handle: 1, Machine: who, Dropped: []int{-1}},
-		"changed":         {Handle: 1, Changed: []Change{{At: 0, Phase: heartbeat.Exited}}},
+		"dropped below":   {Handle: 1, Identity: who, Dropped: []int{-1}},
+		"changed":         {Handle: 1, Changed: []TaskChange{{At: 0, Phase: heartbeat.Exited}}},
 		"no phase":        {Handle: 1, Added: Tasks{{Task: heartbeat.TaskID{Job: "wk-1"}, Phase: "?"}}},
 		"no job":          {Handle: 1, Added: Tasks{{Phase: heartbeat.Exited}}},
 	} {
-		var u Unfold
-		if _, _, err := u.Open(&Batch{Session: 5, Number: 1, Reports: []Item{{Ref: 1, Handle: 1, Machine: who}}}); err != nil {
+		var u Decoder
+		if _, _, err := u.Decode(&Batch{Session: 5, Number: 1, Reports: []Delta{{Ref: 1, Handle: 1, Identity: who}}}); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := u.Open(&Batch{Session: 5, Number: 2, Reports: []Item{it}}); err == nil {
+		if _, _, err := u.Decode(&Batch{Session: 5, Number: 2, Reports: []Delta{it}}); err == nil {
 			t.Errorf("%s: taken", name)
 		}
-		if _, _, err := u.Open(&Batch{Session: 5, Number: 3}); err == nil {
+		if _, _, err := u.Decode(&Batch{Session: 5, Number: 3}); err == nil {
 			t.Errorf("%s: the session goes on", name)
 		}
-		if _, begun, err := u.Open(&Batch{Session: 6, Number: 1}); err != nil || !begun {
+		if _, begun, err := u.Decode(&Batch{Session: 6, Number: 1}); err != nil || !begun {
 			t.Errorf("%s: no new session: %v", name, err)
 		}
 	}
@@ -165,18 +165,18 @@
 		{List: []Reply{{Status: 200}}}, {List: []Reply{{Status: 99}}}, {List: []Reply{{Status: 421, Orders: Orders{{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-1"}}}}}},
 		{List: []Reply{{Orders: Orders{{Verb: "sing", Task: heartbeat.TaskID{Job: "wk-1"}}}}}}, {List: []Reply{{Orders: Orders{{Verb: heartbeat.Start}}}}},
 	} {
-		if r.Sound() {
+		if r.Valid() {
 			t.Errorf("replies %d pass", i)
 		}
 	}
 }
 
-// TestSpread: a fleet that is spread one by one fills nodes evenly, its own zone's
+// TestLeastLoaded: a fleet that is spread one by one fills nodes evenly, its own zone's
 // first, never above what they take; and no worker moves for a small difference.
-func TestSpread(t *testing.T) {
+func TestLeastLoaded(t *testing.T) {
 	nodes := []Node{{"a1", "a", 0, 300}, {"a2", "a", 0, 300}, {"b1", "b", 0, 300}}
 	for range 400 {
-		to := Spread(nodes, "a")
+		to := LeastLoaded(nodes, "a")
 		for i := range nodes {
 			if nodes[i].Name == to {
 				nodes[i].Workers++
@@ -187,7 +187,7 @@
 		t.Errorf("%d %d %d", a, b, c)
 	}
 	for range 600 {
-		to := Spread(nodes, "a")
+		to := LeastLoaded(nodes, "a")
 		if to == "" {
 			break
 		}
@@ -198,11 +198,11 @@
 		}
 	}
 	for _, n := range nodes {
-		if n.Workers != n.Most {
+		if n.Workers != n.Capacity {
 			t.Errorf("%+v", n)
 		}
 	}
-	if Spread(nodes, "a") != "" || Spread(nil, "a") != "" {
+	if LeastLoaded(nodes, "a") != "" || LeastLoaded(nil, "a") != "" {
 		t.Error("room where there is none")
 	}
 	for _, x := range []struct {
@@ -214,7 +214,7 @@
 		if x.zone == "b" {
 			two[0].Zone = "b" // it would leave its own zone
 		}
-		if got := Uneven(two, "a1", "a2", x.zone); got != x.want {
+		if got := Imbalanced(two, "a1", "a2", x.zone); got != x.want {
 			t.Errorf("%+v: %v", x, got)
 		}
 	}
@@ -239,11 +239,11 @@
 			for _, end := range []string{"relay", "leader"} {
 				b.Run(fmt.Sprintf("machines=%d/changes=%v/at=%s", n, changes, end), func(b *testing.B) {
 					rs := benchmarkReports(n)
-					f := NewFold(1)
-					var u Unfold
+					f := NewEncoder(1)
+					var u Decoder
 					bytes := 0
 					for i := range rs {
-						u.Open(f.Batch([]Item{f.Item(1, &rs[i])}, nil))
+						u.Decode(f.Batch([]Delta{f.Encode(1, &rs[i])}, nil))
 					}
 					b.ReportAllocs()
 					i := 0
@@ -260,7 +260,7 @@
 						if end == "leader" {
 							b.StopTimer()
 						}
-						line, _ := json.Marshal(f.Batch([]Item{f.Item(uint64(i), r)}, nil))
+						line, _ := json.Marshal(f.Batch([]Delta{f.Encode(uint64(i), r)}, nil))
 						bytes += len(line)
 						if end == "leader" {
 							b.StartTimer()
@@ -269,7 +269,7 @@
 						}
 						var x Batch
 						json.Unmarshal(line, &x)
-						if _, _, err := u.Open(&x); err != nil {
+						if _, _, err := u.Decode(&x); err != nil {
 							b.Fatal(err)
 						}
 						b.StartTimer()
@@ -284,12 +284,12 @@
 // TestFormerSession: what was held on the way since a session that is over ends none.
 func TestFormerSession(t *testing.T) {
 	r := heartbeat.Report{Host: "host-1", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: 1}
-	first, next := NewFold(1), NewFold(2)
-	held := first.Batch([]Item{first.Item(1, &r)}, nil)
-	var u Unfold
-	for i, b := range []*Batch{held, next.Batch(nil, nil), held, next.Batch([]Item{next.Item(1, &r)}, nil)} {
-		_, _, err := u.Open(b)
-		if want := i == 2; (err == ErrOver) != want || !want && err != nil {
+	first, next := NewEncoder(1), NewEncoder(2)
+	held := first.Batch([]Delta{first.Encode(1, &r)}, nil)
+	var u Decoder
+	for i, b := range []*Batch{held, next.Batch(nil, nil), held, next.Batch([]Delta{next.Encode(1, &r)}, nil)} {
+		_, _, err := u.Decode(b)
+		if want := i == 2; (err == ErrStaleSession) != want || !want && err != nil {
 			t.Errorf("line %d: %v", i, err)
 		}
 	}
--- a/internal/relay/text.go
+++ b/internal/relay/text.go
@@ -10,19 +10,19 @@
 	"yewpass/internal/heartbeat"
 )
 
-// Tasks and orders are most of what goes over a link, a hundred thousand of them when a
-// large fleet changes its leader. As objects of JSON each costs the leader more than all
-// that it then does with it, so a list is one string: fields parted by spaces, tasks by
-// commas, and in names all but letters, digits and -_.~ written as in a URL's query.
+// Tasks and orders are most of the traffic between controllers, a hundred thousand of
+// them when a large fleet changes its leader. As JSON objects each costs the leader more
+// to decode than to process, so a list is one string: fields separated by spaces, list
+// members by commas, and names escaped as in a URL's query.
 
-var errText = errors.New("a list of tasks that no controller writes")
+var errMalformedList = errors.New("a list of tasks that no controller writes")
 
 // Tasks is a list of tasks on the wire: "JOB INDEX TRY PHASE CAUSE,…".
 type Tasks []heartbeat.Task
 
 // MarshalText implements encoding.TextMarshaler.
 func (ts Tasks) MarshalText() ([]byte, error) {
-	return write(ts, func(b []byte, t *heartbeat.Task) []byte {
+	return encodeList(ts, func(b []byte, t *heartbeat.Task) []byte {
 		b = appendTask(b, t.Task, t.Try)
 		b = append(b, ' ')
 		b = append(b, url.QueryEscape(string(t.Phase))...)
@@ -31,24 +31,24 @@
 	}), nil
 }
 
-// write writes a list, each of its members by one.
-func write[T any](list []T, one func(b []byte, x *T) []byte) []byte {
+// encodeList encodes a list, each of its members with appendMember.
+func encodeList[T any](list []T, appendMember func(b []byte, x *T) []byte) []byte {
 	b := make([]byte, 0, 40*len(list))
 	for i := range list {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = one(b, &list[i])
+		b = appendMember(b, &list[i])
 	}
 	return b
 }
 
-// read reads a list, each of its members by one.
-func read[T any](text []byte, one func(f *fields) T) ([]T, error) {
+// decodeList decodes a list, each of its members with readMember.
+func decodeList[T any](text []byte, readMember func(f *fields) T) ([]T, error) {
 	f := fields{rest: string(text)}
 	list := make([]T, 0, 1+strings.Count(f.rest, ","))
 	for f.more() {
-		list = append(list, one(&f))
+		list = append(list, readMember(&f))
 	}
 	return list, f.err
 }
@@ -61,10 +61,10 @@
 	return strconv.AppendUint(b, try, 10)
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. What it takes is a task by its
-// form; whether a phase is one is for whoever reads it.
+// UnmarshalText implements encoding.TextUnmarshaler. It checks the syntax only; whether
+// a phase is one of the protocol is for the caller to check.
 func (ts *Tasks) UnmarshalText(text []byte) (err error) {
-	*ts, err = read(text, func(f *fields) heartbeat.Task {
+	*ts, err = decodeList(text, func(f *fields) heartbeat.Task {
 		t := heartbeat.Task{Task: heartbeat.TaskID{Job: f.name(' '), Index: f.index(' ')}, Try: f.number(' ')}
 		t.Phase = heartbeat.Phase(f.name(' '))
 		t.Cause = f.name(',')
@@ -79,7 +79,7 @@
 
 // MarshalText implements encoding.TextMarshaler.
 func (os Orders) MarshalText() ([]byte, error) {
-	return write(os, func(b []byte, o *heartbeat.Order) []byte {
+	return encodeList(os, func(b []byte, o *heartbeat.Order) []byte {
 		b = append(b, url.QueryEscape(string(o.Verb))...)
 		b = append(b, ' ')
 		b = appendTask(b, o.Task, o.Try)
@@ -90,11 +90,11 @@
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (os *Orders) UnmarshalText(text []byte) (err error) {
-	*os, err = read(text, func(f *fields) heartbeat.Order {
+	*os, err = decodeList(text, func(f *fields) heartbeat.Order {
 		o := heartbeat.Order{Verb: heartbeat.Verb(f.name(' ')), Task: heartbeat.TaskID{Job: f.name(' '), Index: f.index(' ')}, Try: f.number(' ')}
 		ms := f.number(',')
-		if ms > uint64(drainMost.Milliseconds()) {
-			f.err = errText
+		if ms > uint64(maxDrain.Milliseconds()) {
+			f.err = errMalformedList
 		}
 		o.Drain = time.Duration(ms) * time.Millisecond
 		return o
@@ -102,10 +102,10 @@
 	return err
 }
 
-// drainMost is far above any time that a task is given to save.
-const drainMost = 30 * 24 * time.Hour
+// maxDrain is far above any time that a task is given to save its checkpoint.
+const maxDrain = 30 * 24 * time.Hour
 
-// fields reads fields off a text, one after the other; after an error there are none.
+// fields reads the fields of a text one by one. After an error more reports false.
 type fields struct {
 	rest string
 	err  error
@@ -116,8 +116,8 @@
 func (f *fields) next(sep byte) string {
 	i := strings.IndexByte(f.rest, sep)
 	if i < 0 {
-		if sep != ',' { // only the last field of the last task ends with the text
-			f.err = errText
+		if sep != ',' { // only the last field of the last member ends with the text
+			f.err = errMalformedList
 		}
 		s := f.rest
 		f.rest = ""
@@ -125,7 +125,7 @@
 	}
 	s := f.rest[:i]
 	if f.rest = f.rest[i+1:]; sep == ',' && f.rest == "" {
-		f.err = errText // something had to follow
+		f.err = errMalformedList // something had to follow
 	}
 	return s
 }
@@ -137,7 +137,7 @@
 	}
 	u, err := url.QueryUnescape(s)
 	if err != nil {
-		f.err = errText
+		f.err = errMalformedList
 	}
 	return u
 }
@@ -145,7 +145,7 @@
 func (f *fields) number(sep byte) uint64 {
 	n, err := strconv.ParseUint(f.next(sep), 10, 64)
 	if err != nil {
-		f.err = errText
+		f.err = errMalformedList
 	}
 	return n
 }
@@ -153,7 +153,7 @@
 func (f *fields) index(sep byte) int {
 	n, err := strconv.ParseUint(f.next(sep), 10, 31)
 	if err != nil {
-		f.err = errText
+		f.err = errMalformedList
 	}
 	return int(n)
 }
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -231,7 +231,7 @@
 				case peermsg.Received:
 					if in.Msg.Reports != nil {
 						b := *in.Msg.Reports
-						b.Reports = slices.DeleteFunc(slices.Clone(b.Reports), func(x relay.Item) bool { return x.Ref == 0 })
+						b.Reports = slices.DeleteFunc(slices.Clone(b.Reports), func(x relay.Delta) bool { return x.Ref == 0 })
 						in.Msg.Reports = &b
 					}
 					return in
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -476,7 +476,7 @@
 	}
 	m.tasks = append(m.tasks, t)
 	if t.job == nil || t.id.Index >= t.job.spec.Tasks {
-		t.phase, t.cause = heartbeat.Exited, heartbeat.CauseNoSuch
+		t.phase, t.cause = heartbeat.Exited, heartbeat.CauseUnknownTask
 		return
 	}
 	s := &t.job.spec
