--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -27,7 +27,7 @@
 // cluster returns what is known here.
 func (c *Core) cluster() *view.Cluster {
 	v := &view.Cluster{Node: c.cfg.HostName, Leader: c.knownLeader, Term: c.highestTerm}
-	own := view.ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: "relay", Link: true, Workers: len(c.relay.reporters)}
+	own := view.ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: "relay", Link: true, Workers: c.forwarder.Workers()}
 	l := c.leadership
 	if l != nil {
 		v.Leader, v.Term, v.LeadsSeconds, v.Authority = c.cfg.HostName, l.term, c.Now.Sub(l.electedAt).Seconds(), c.hasAuthority()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,6 +11,7 @@
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
 	"yewpass/internal/engine"
+	"yewpass/internal/forwarder"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/lease"
@@ -60,7 +61,7 @@
 	links                 map[string]bool
 	leaderLinkLostAt      time.Time                        // since when we have no link to the leader that we know
 	finals                *lru.Cache[string, record.Final] // how recent jobs ended
-	relay                 relayState
+	forwarder             *forwarder.Forwarder
 	handedOverAt          time.Time               // when we last handed over
 	instanceTypes         []provider.InstanceType // as read while not leading
 	leaderlessLimit       *rate.Limiter
@@ -93,13 +94,13 @@
 		forwardedRequests: map[uint64]*forwarded{},
 		links:             map[string]bool{},
 		finals:            finals,
-		relay:             newRelayState(),
 		storeAvailable:    true,
 		leaderlessLimit:   newLeaderlessLimit(cfg.Settings.State.WriteRPS, nodes),
 		readLimit:         newReadLimit(cfg.Settings.State.RPS, nodes),
 		heartbeatInterval: cfg.Settings.Workers.Report.Duration(),
 		workerLease:       cfg.Settings.Workers.Lease.Duration(),
 	}
+	c.forwarder = forwarder.New(c.Engine, forwarderView{c}, cfg)
 	c.leaseTiming = lease.Timing{LeaderLease: leaseTTL, WorkerLease: c.workerLease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
 	c.ObserveStore = c.observeStoreCall
 	return c
@@ -121,7 +122,7 @@
 		c.flushRelayReplies()
 	}
 	if c.leadership == nil {
-		c.runRelay()
+		c.forwarder.Run()
 	}
 	return c.Outputs
 }
@@ -135,7 +136,7 @@
 	if len(c.cfg.Seeds) == 0 {
 		return
 	}
-	c.tickRelay()
+	c.forwarder.Tick()
 	// Not at once: a process that ends again and again would use up what calls
 	// the cloud allows to all of them.
 	c.After(c.Jitter(instanceTypesFirstRead), c.refreshInstanceTypes)
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -21,7 +21,7 @@
 	}
 	switch {
 	case l == nil:
-		c.relayHeartbeat(in)
+		c.forwarder.Receive(in)
 		return
 	case rep.FencingToken > l.term:
 		refuse()
@@ -217,8 +217,8 @@
 func (c *Core) dropHeartbeat(ref uint64) {
 	if c.leadership != nil {
 		c.abandonHeldReply(fleet.HeartbeatKey{Ref: ref})
-	} else if p := c.relay.waiting[ref]; p != nil {
-		c.dropRelayed(p)
+	} else {
+		c.forwarder.Abandon(ref)
 	}
 }
 
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -49,11 +49,7 @@
 		c.leadership.allAcknowledgedAt = c.Now
 	}
 	// What waited here for a leader waits for us now.
-	for _, ref := range c.relay.refs() {
-		c.leadership.pendingHeartbeats = append(c.leadership.pendingHeartbeats, heartbeat.Received{Ref: ref, Report: c.relay.waiting[ref].report})
-	}
-	c.leadership.knownReporters = c.relay.reporters
-	c.relay = newRelayState()
+	c.leadership.pendingHeartbeats, c.leadership.knownReporters = c.forwarder.TakeOver()
 	c.renewLease()
 	c.refreshCatalog()
 }
@@ -155,11 +151,11 @@
 	// have said. Other relays do the same with theirs.
 	for _, m := range l.fleet {
 		if m.HeldReply != nil && m.HeldReply.Via.Relay == "" {
-			c.relayHeartbeat(heartbeat.Received{Ref: m.HeldReply.Ref, Report: m.HeldReply.Report})
+			c.forwarder.Receive(heartbeat.Received{Ref: m.HeldReply.Ref, Report: m.HeldReply.Report})
 		}
 	}
 	for _, r := range l.pendingHeartbeats {
-		c.relayHeartbeat(r)
+		c.forwarder.Receive(r)
 	}
 	c.answerWaiting(l, unavailable("leadership was lost, try again"))
 	c.After(c.Jitter(100*time.Millisecond), c.watchLeader)
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -7,6 +7,7 @@
 	"yewpass/internal/engine"
 	"yewpass/internal/expiringset"
 	"yewpass/internal/fleet"
+	"yewpass/internal/forwarder"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/placement"
 	"yewpass/internal/quota"
@@ -91,15 +92,15 @@
 // inventory is the machines, the records that name them, and by which controllers they report.
 type inventory struct {
 	machines       map[string]*fleet.Machine
-	fleet          []*fleet.Machine            // the same, by name
-	released       expiringset.Set             // released, proven gone: their late reports count for nothing
-	recordCount    uint64                      // records of machines begun in this term
-	records        []*fleet.Record             // the records of the machines
-	relays         map[string]*fleet.RelayLink // "" for our own socket
-	nodes          []relay.Node                // scratch space
-	knownReporters map[string]*relayedWorker   // workers that reported to us before
-	nextMoveAt     time.Time                   // not before this is a worker led to another node
-	heartbeatCount uint64                      // reports taken in
+	fleet          []*fleet.Machine             // the same, by name
+	released       expiringset.Set              // released, proven gone: their late reports count for nothing
+	recordCount    uint64                       // records of machines begun in this term
+	records        []*fleet.Record              // the records of the machines
+	relays         map[string]*fleet.RelayLink  // "" for our own socket
+	nodes          []relay.Node                 // scratch space
+	knownReporters map[string]*forwarder.Worker // workers that reported to us before
+	nextMoveAt     time.Time                    // not before this is a worker led to another node
+	heartbeatCount uint64                       // reports taken in
 }
 
 // dispatching is the replies that are held, and when they are looked at again.
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -87,7 +87,7 @@
 	case peermsg.Heartbeats:
 		c.handleRelayedHeartbeats(p.From, p.Msg)
 	case peermsg.HeartbeatReplies:
-		c.handleRelayedReplies(p.From, p.Msg)
+		c.forwarder.HandleReplies(p.From, p.Msg.Term, p.Msg.Replies)
 	}
 }
 
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -4,19 +4,12 @@
 	"time"
 	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/probe"
 	"yewpass/internal/rpc"
 )
 
-// Probes speed up a take-over: tasks accepted earlier wait until every machine
-// that may hold one is accounted for, and left to themselves workers find the
-// new leader over a whole report interval and the time to be sent on. A probe is
-// a command without orders: its answer is a report by a worker that has seen our
-// epoch and so drops whatever an earlier leader still sends.
-const (
-	maxProbesInFlight = 24 // at a time: each takes a socket
-	probeTimeout      = 1200 * time.Millisecond
-	maxProbeAttempts  = 2 // in vain, and the machine counts as out of reach
-)
+// maxProbeAttempts is after how many probes in vain a machine counts as out of reach.
+const maxProbeAttempts = 2
 
 // leaderProbeDelay is how long the relays are left to tell of their workers, and to probe
 // those that have nothing to tell, before the leader probes the rest.
@@ -48,7 +41,7 @@
 
 func (c *Core) probeNext() {
 	l := c.leadership
-	for l.probesInFlight < maxProbesInFlight && len(l.probeQueue) > 0 && c.canAct() {
+	for l.probesInFlight < probe.MaxInFlight && len(l.probeQueue) > 0 && c.canAct() {
 		m := l.probeQueue[0]
 		l.probeQueue = l.probeQueue[1:]
 		c.probe(m, 1) // most machines are in their first session
@@ -75,7 +68,7 @@
 		return
 	}
 	l.probesInFlight++
-	c.probeWorker(m.Address, l.term, tenure, func(r heartbeat.ProbeReply) {
+	probe.Send(c.Engine, m.Address, l.term, tenure, func(r heartbeat.ProbeReply) {
 		if c.leadership != l {
 			return
 		}
@@ -99,8 +92,3 @@
 		c.probeNext()
 	})
 }
-
-// probeWorker shows a worker our fencing token and has f called with its answer.
-func (c *Core) probeWorker(address string, token, incarnation uint64, f func(heartbeat.ProbeReply)) {
-	c.CallWorker(heartbeat.Probe{Address: address, FencingToken: token, Incarnation: incarnation, Timeout: probeTimeout}, f)
-}
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -2,330 +2,29 @@
 
 import (
 	"log/slog"
-	"maps"
 	"slices"
 	"time"
 
 	"yewpass/internal/fleet"
+	"yewpass/internal/forwarder"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/relay"
-	"yewpass/internal/rpc"
 )
 
-// A controller that does not lead takes workers' reports and passes them on to the
-// one that does, whose replies go back the same way. To everybody else it is part of
-// the way: a reply is the leader's word on one report, and counts or not by the
-// report's tenure and counter and by its term, however it has travelled.
-const (
-	// relayInterval is how often a relay sends at the most, and by how much less often for
-	// each of its workers: what comes in between goes in one line. Each line costs the
-	// leader a few calls to its system, whatever is in it.
-	relayInterval          = 10 * time.Millisecond
-	relayIntervalPerWorker = 25 * time.Microsecond
-	maxRelayInterval       = 40 * time.Millisecond
-	// relayHeartbeat is how often a relay looks after what waits, and says that it is there.
-	relayHeartbeat = 400 * time.Millisecond
-	// relayReplyTimeout is how long a report waits for the leader's reply, or for a leader.
-	// Workers give up after 4 s.
-	relayReplyTimeout = 3300 * time.Millisecond
-	// relayLinkTimeout is for how long a relay without a link to its leader keeps its
-	// workers: a change of leader is over sooner.
-	relayLinkTimeout = 2500 * time.Millisecond
-	// relaySilence is after which time without a line the leader leads nobody to a relay.
-	relaySilence = 3 * time.Second
-	// maxLineWeight is about how much goes in one line, as items and replies weigh.
-	maxLineWeight = 400
-)
-
-// relayState is what a controller keeps of the workers that report to it while it does
-// not lead.
-type relayState struct {
-	waiting   map[uint64]*relayedHeartbeat // reports that wait for their replies, by our number
-	byHost    map[string]*relayedHeartbeat
-	reporters map[string]*relayedWorker
-	prunedAt  time.Time
-
-	fold      *relay.Encoder // the link to the leader; nil without one
-	leader    string
-	term      uint64
-	items     []relay.Delta // that have not gone out
-	weight    int           // of them
-	abandoned []uint64
-	flushedAt time.Time
-	flushing  bool
-
-	probedTerm     uint64   // the newest term whose leader we have helped to probe
-	probeQueue     []string // machines
-	probesInFlight int
-}
-
-// relayedHeartbeat is a report that waits here.
-type relayedHeartbeat struct {
-	ref        uint64
-	report     heartbeat.Report
-	receivedAt time.Time
-}
-
-// relayedWorker is a worker that reports to us.
-type relayedWorker struct {
-	address                   string
-	incarnation, fencingToken uint64
-	lastHeartbeat             time.Time
-}
-
-func newRelayState() relayState {
-	return relayState{waiting: map[uint64]*relayedHeartbeat{}, byHost: map[string]*relayedHeartbeat{}, reporters: map[string]*relayedWorker{}}
-}
-
-// relayHeartbeat takes a worker's report for the leader, whoever that is or will be.
-func (c *Core) relayHeartbeat(in heartbeat.Received) {
-	r, rep := &c.relay, &in.Report
-	if in.Via.Relay != "" {
-		return // meant for a leader: its relay will hear who that is
-	}
-	if p := r.byHost[rep.Host]; p != nil {
-		if !rep.Newer(p.report.Incarnation, p.report.Counter) {
-			c.staleHeartbeats++
-			c.Emit(heartbeat.Reply{Ref: in.Ref, Status: 503}) // delayed on the way
-			return
-		}
-		c.dropRelayed(p) // the worker has given up on it
-		c.Emit(heartbeat.Reply{Ref: p.ref, Status: 503})
-	}
-	if len(c.cfg.Seeds) == 0 || c.leaderOutOfReach() {
-		c.Emit(heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: c.knownLeader})
-		return
-	}
-	k := r.reporters[rep.Host]
-	if k == nil {
-		k = &relayedWorker{}
-		r.reporters[rep.Host] = k
-	}
-	*k = relayedWorker{rep.Address, rep.Incarnation, rep.FencingToken, c.Now}
-	p := &relayedHeartbeat{in.Ref, *rep, c.Now}
-	r.waiting[p.ref], r.byHost[rep.Host] = p, p
-	if r.fold != nil {
-		r.add(p.ref, &p.report)
-	}
-}
-
-// canRelay reports whether reports can be passed on to the leader that we know.
-//
-// A process that the state service has not answered yet knows of no term for sure. The one
-// before it may have taken note of a newer one than that of the leader it hears, and a
-// successor counts on that: it takes the leases to be over that the older leader could have
-// renewed by us.
-func (c *Core) canRelay() bool { return c.hasLeaderLink() && c.confirmedTerm != 0 }
-
-// leaderOutOfReach reports whether the leader has been known and without a link to us, or not
-// known for sure, for longer than a change of leader takes. Its workers are then better
-// off with it.
-func (c *Core) leaderOutOfReach() bool {
-	return c.knownLeader != "" && !c.canRelay() && c.Now.Sub(c.leaderLinkLostAt) > relayLinkTimeout
-}
-
-func (r *relayState) add(ref uint64, rep *heartbeat.Report) {
-	it := r.fold.Encode(ref, rep)
-	r.items = append(r.items, it)
-	r.weight += it.Weight()
-}
-
-// remove takes a report out of those that wait.
-func (r *relayState) remove(p *relayedHeartbeat) {
-	delete(r.waiting, p.ref)
-	if r.byHost[p.report.Host] == p {
-		delete(r.byHost, p.report.Host)
-	}
-}
-
-// dropRelayed takes a report out: nobody waits for its reply any more.
-func (c *Core) dropRelayed(p *relayedHeartbeat) {
-	r := &c.relay
-	r.remove(p)
-	if r.fold != nil {
-		r.abandoned = append(r.abandoned, p.ref)
-	}
-}
-
-// refs returns the numbers of the waiting reports in the order in which they came.
-func (r *relayState) refs() []uint64 { return slices.Sorted(maps.Keys(r.waiting)) }
-
-// tickRelay looks after what waits here, now and every while.
-func (c *Core) tickRelay() {
-	c.After(relayHeartbeat, c.tickRelay)
-	if c.leadership != nil {
-		return
-	}
-	r := &c.relay
-	away := c.leaderOutOfReach()
-	for _, ref := range r.refs() {
-		p := r.waiting[ref]
-		if !away && c.Now.Sub(p.receivedAt) < relayReplyTimeout {
-			continue
-		}
-		a := heartbeat.Reply{Ref: ref, Status: 421}
-		if c.knownLeader != "" && !c.canRelay() {
-			a.Upstream = c.knownLeader
-		}
-		c.dropRelayed(p)
-		c.Emit(a)
-	}
-	if c.Now.Sub(r.prunedAt) > c.workerLease {
-		r.prunedAt = c.Now
-		for _, host := range slices.Sorted(maps.Keys(r.reporters)) {
-			if c.Now.Sub(r.reporters[host].lastHeartbeat) > c.workerLease {
-				delete(r.reporters, host)
-				if r.fold != nil {
-					r.fold.Forget(host)
-				}
-			}
-		}
-	}
-	if r.fold != nil && c.Now.Sub(r.flushedAt) > relayHeartbeat {
-		c.flushRelay()
-	}
-}
-
-// runRelay runs after each input while we do not lead.
-func (c *Core) runRelay() {
-	r := &c.relay
-	if !c.canRelay() {
-		r.fold, r.items, r.abandoned, r.weight = nil, nil, nil, 0
-		return
-	}
-	if r.fold == nil || r.leader != c.knownLeader || r.term != c.highestTerm {
-		c.openRelaySession()
-	}
-	if c.confirmedTerm == r.term && r.probedTerm != r.term {
-		c.startRelayProbes()
-	}
-	if len(r.items) == 0 && len(r.abandoned) == 0 {
-		return
-	}
-	every := min(relayInterval+time.Duration(len(r.reporters))*relayIntervalPerWorker, maxRelayInterval)
-	if wait := r.flushedAt.Add(every).Sub(c.Now); wait > 0 && r.weight < maxLineWeight {
-		if !r.flushing {
-			r.flushing = true
-			c.After(wait, func() { c.relay.flushing = false }) // and the pump after it
-		}
-		return
-	}
-	c.flushRelay()
-}
-
-// openRelaySession begins a session with the leader that we know, and tells it all that
-// waits here.
-func (c *Core) openRelaySession() {
-	r := &c.relay
-	r.leader, r.term = c.knownLeader, c.highestTerm
-	r.fold = relay.NewEncoder(c.Rand.Uint64() | 1) // never 0
-	r.items, r.abandoned, r.weight = nil, nil, 0
-	for _, ref := range r.refs() {
-		r.add(ref, &r.waiting[ref].report)
-	}
-	c.flushRelay()
-}
-
-// flushRelay sends what there is, or else that we are there.
-func (c *Core) flushRelay() {
-	r := &c.relay
-	for first := true; first || len(r.items) > 0; first = false {
-		n := 0
-		for weight := 0; n < len(r.items) && weight < maxLineWeight; n++ {
-			weight += r.items[n].Weight()
-		}
-		var gone []uint64
-		if n == len(r.items) {
-			gone, r.abandoned = r.abandoned, nil
-		}
-		c.Emit(peermsg.Outgoing{To: r.leader, Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: r.term, Reports: r.fold.Batch(r.items[:n:n], gone)}})
-		r.items = r.items[n:]
-	}
-	r.items, r.weight, r.flushedAt = nil, 0, c.Now
-}
+// relaySilence is after which time without a line the leader leads nobody to a relay.
+const relaySilence = 3 * time.Second
 
-// handleRelayedReplies passes the leader's replies on to workers. Only those of the newest
-// term that we know, and of the session at hand: from when a node has taken note of a
-// term it lets no word of an older one out, and no word meant for an earlier life of
-// it, whose numbers stood for other reports.
-func (c *Core) handleRelayedReplies(from string, m peermsg.Message) {
-	r := &c.relay
-	if c.leadership != nil || r.fold == nil || from != r.leader || from != c.knownLeader || m.Term != r.term || m.Term != c.highestTerm || m.Replies.Session != r.fold.Session() {
-		return
-	}
-	if m.Replies.Resync {
-		c.openRelaySession()
-		return
-	}
-	for i := range m.Replies.List {
-		x := &m.Replies.List[i]
-		p := r.waiting[x.Ref]
-		if p == nil {
-			continue
-		}
-		r.remove(p)
-		a := heartbeat.Reply{Ref: x.Ref, Status: 200, FencingToken: m.Term, Orders: x.Orders, Upstream: x.Upstream}
-		if x.Status != 0 {
-			a.Status = x.Status
-		}
-		if a.Status == 421 { // it goes elsewhere
-			delete(r.reporters, p.report.Host)
-			r.fold.Forget(p.report.Host)
-		}
-		c.Emit(a)
-	}
-}
+// forwarderView is the controller as its forwarder sees it.
+type forwarderView struct{ c *Core }
 
-// startRelayProbes shows the new leader's epoch to our workers, as the leader itself would
-// (see probeUnaccounted), for it has many times as many. Only once the state service has
-// named it: a worker that has seen an epoch that never was is of no use any more.
-func (c *Core) startRelayProbes() {
-	r := &c.relay
-	r.probedTerm, r.probeQueue, r.probesInFlight = r.term, nil, 0
-	for _, host := range slices.Sorted(maps.Keys(r.reporters)) {
-		if k := r.reporters[host]; k.fencingToken < r.term && k.address != "" && c.Now.Sub(k.lastHeartbeat) < 2*c.heartbeatInterval {
-			r.probeQueue = append(r.probeQueue, host)
-		}
-	}
-	// Those heard of last are the likeliest to be there still. A machine that was
-	// returned answers nothing, and each such probe keeps others waiting.
-	slices.SortStableFunc(r.probeQueue, func(a, b string) int { return r.reporters[b].lastHeartbeat.Compare(r.reporters[a].lastHeartbeat) })
-	c.relayProbeNext()
-}
-
-func (c *Core) relayProbeNext() {
-	r := &c.relay
-	for r.probesInFlight < maxProbesInFlight && len(r.probeQueue) > 0 && c.leadership == nil {
-		host := r.probeQueue[0]
-		r.probeQueue = r.probeQueue[1:]
-		if k := r.reporters[host]; k != nil && k.fencingToken < r.probedTerm && r.byHost[host] == nil {
-			c.relayProbe(host, k, k.incarnation)
-		}
-	}
-}
+// Leads implements forwarder.Controller.
+func (v forwarderView) Leads() bool { return v.c.leadership != nil }
 
-func (c *Core) relayProbe(host string, k *relayedWorker, tenure uint64) {
-	r := &c.relay
-	term := r.probedTerm
-	r.probesInFlight++
-	c.probeWorker(k.address, term, tenure, func(p heartbeat.ProbeReply) {
-		if r.probedTerm != term {
-			return
-		}
-		r.probesInFlight--
-		rep := &p.Report
-		switch {
-		case c.leadership != nil || p.Outcome == rpc.Unknown || rep.Host != host:
-		case p.Outcome == rpc.Conflict && rep.Incarnation != tenure && rep.Incarnation != k.incarnation:
-			k.incarnation = rep.Incarnation
-			c.relayProbe(host, k, rep.Incarnation)
-		case p.Outcome == rpc.OK && rep.FencingToken == term && r.fold != nil && r.term == term:
-			k.fencingToken = term
-			r.add(0, rep)
-		}
-		c.relayProbeNext()
-	})
+// Upstream implements forwarder.Controller.
+func (v forwarderView) Upstream() forwarder.Upstream {
+	c := v.c
+	return forwarder.Upstream{Leader: c.knownLeader, Linked: c.hasLeaderLink(), LinkLostAt: c.leaderLinkLostAt, Term: c.highestTerm, ConfirmedTerm: c.confirmedTerm}
 }
 
 // ---- the leader's end
@@ -410,7 +109,7 @@
 	}
 	p.Replies = append(p.Replies, x)
 	p.Weight += x.Weight()
-	if p.Weight > maxLineWeight {
+	if p.Weight > relay.MaxMessageWeight {
 		c.sendRelayReplies(by.Relay, p)
 	}
 }
@@ -477,7 +176,7 @@
 // Returned before that it would have lost its tasks for nothing.
 func (c *Core) noteSilentRelays() {
 	for _, s := range c.cfg.Seeds {
-		if p := c.leadership.relays[s.HostName]; p != nil && c.Now.Sub(p.LastBatch) > 3*relayHeartbeat {
+		if p := c.leadership.relays[s.HostName]; p != nil && c.Now.Sub(p.LastBatch) > 3*forwarder.KeepAliveInterval {
 			p.LastSilent = c.Now
 		}
 	}
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -6,6 +6,7 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
+	"yewpass/internal/forwarder"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/peermsg"
@@ -74,7 +75,7 @@
 	}
 	n.expect("of a leader that only says so itself", 1)
 	// It does not keep the worker waiting for long: the leader itself can show what it is.
-	n.pass(relayLinkTimeout + relayHeartbeat)
+	n.pass(forwarder.LinkTimeout + forwarder.KeepAliveInterval)
 	n.expect("led to who may be the leader", 1, 421)
 	// The state service knows better.
 	n.in(peermsg.LinkChange{Name: "n2", Up: true})
