--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -6,6 +6,7 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
+	"yewpass/internal/forwarder"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/peermsg"
@@ -74,7 +75,7 @@
 	}
 	n.expect("of a leader that only says so itself", 1)
 	// It does not keep the worker waiting for long: the leader itself can show what it is.
-	n.pass(relayLinkTimeout + relayHeartbeat)
+	n.pass(forwarder.LinkTimeout + forwarder.KeepAliveInterval)
 	n.expect("led to who may be the leader", 1, 421)
 	// The state service knows better.
 	n.in(peermsg.LinkChange{Name: "n2", Up: true})
@@ -218,15 +219,15 @@
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
 	m := c.leadership.fleet[0]
 	rep := reportOf(m)
-	send := func(f *relay.Fold, items ...relay.Item) {
+	send := func(f *relay.Encoder, items ...relay.Delta) {
 		c.Step(c.Now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch(items, nil)}})
 	}
-	f := relay.NewFold(3)
-	send(f, f.Item(17, &rep))
+	f := relay.NewEncoder(3)
+	send(f, f.Encode(17, &rep))
 	if p := c.silenceLimit(m, 10*time.Second); p != 10*time.Second {
 		t.Fatalf("patience of %v while the relay goes on", p)
 	}
-	send(relay.NewFold(4))
+	send(relay.NewEncoder(4))
 	if p := c.silenceLimit(m, 10*time.Second); p <= c.heartbeatInterval*5/4+workerRetryTimeout {
 		t.Errorf("patience of %v", p)
 	}
