--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -110,13 +110,13 @@
 			request.Response{Status: 201, View: request.JobStatus{ID: "wk-9", State: spec.Queued}},
 		},
 		"configuration: status": configured(request.ConfigStatus, request.ConfigParams{}, wholeConfigStatus()),
-		"configuration: here":   configured(request.ConfigHere, request.ConfigParams{}, view.ConfigHere{Revision: 12, AgeS: 0.5}),
-		"configuration: change": configured(request.ConfigSet, wholeChange(), view.ConfigMade{Revision: 13}),
+		"configuration: here":   configured(request.ConfigHere, request.ConfigParams{}, view.LocalConfig{Revision: 12, AgeSeconds: 0.5}),
+		"configuration: change": configured(request.ConfigSet, wholeChange(), view.ConfigChanged{Revision: 13}),
 		"configuration: teams":  configured(request.ConfigList, request.ConfigParams{After: "tools", Count: 5}, wholeTeamPage()),
 		"configuration: team":   configured(request.ConfigGet, request.ConfigParams{Name: "vision"}, wholeTeamView()),
 		"configuration: change one team": configured(request.ConfigSet, request.ConfigParams{
 			Teams: []liveconfig.TeamChange{{Team: wholeTeam(), IfRevision: pointer(uint64(3))}},
-		}, view.ConfigMade{Revision: 13}),
+		}, view.ConfigChanged{Revision: 13}),
 		"worker: report": {
 			heartbeat.Received{Report: wholeReport()},
 			heartbeat.Reply{Status: 200, FencingToken: 41, Orders: []heartbeat.Order{
@@ -231,25 +231,25 @@
 	return liveconfig.Team{Name: "vision", CPUs: 10.5, CPUsMax: 20, GPUs: 4, GPUsMax: 8.25, Retired: true}
 }
 
-func wholeTeamView() view.TeamView {
-	v := view.TeamView{Team: wholeTeam(), Revision: 12, Damaged: true}
+func wholeTeamView() view.Team {
+	v := view.Team{Team: wholeTeam(), Revision: 12, Damaged: true}
 	v.InUse.CPUs, v.InUse.GPUs = 3.5, 2
 	return v
 }
 
 func wholeTeamPage() view.TeamPage {
-	return view.TeamPage{Revision: 12, Teams: []view.TeamView{wholeTeamView(), {}}, Truncated: true}
+	return view.TeamPage{Revision: 12, Teams: []view.Team{wholeTeamView(), {}}, Truncated: true}
 }
 
 func wholeConfigStatus() view.ConfigStatus {
 	return view.ConfigStatus{
-		Revision: 12,
-		Changes:  5,
-		Waiting:  1,
-		SpreadS:  0.25,
-		Damaged:  []string{"team/tools"},
-		Refuses:  "restoring",
-		Nodes:    []view.ConfigNodeStatus{{Name: "n1", Revision: 12, AgeS: 0.5, Knows: true}, {Name: "n2", AgeS: -1}},
+		Revision:           12,
+		Changes:            5,
+		Waiting:            1,
+		PropagationSeconds: 0.25,
+		Damaged:            []string{"team/tools"},
+		Refusal:            "restoring",
+		Nodes:              []view.ConfigNodeStatus{{Name: "n1", Revision: 12, AgeSeconds: 0.5, SupportsLiveConfig: true}, {Name: "n2", AgeSeconds: -1}},
 	}
 }
 
@@ -262,27 +262,27 @@
 
 func wholeCluster() *view.Cluster {
 	return &view.Cluster{
-		Node:        "n1",
-		Leader:      "n2",
-		Term:        41,
-		LeadsS:      12.5,
-		Authority:   true,
-		TookOver:    true,
-		Machines:    100,
-		Unaccounted: 3,
-		MachineMost: 5000,
-		Nodes:       []view.ClusterNode{{Name: "n1", Zone: "hall-a", Role: "relay", Link: true, Workers: 40, LagS: 0.5}},
-		Zones:       []view.ClusterZone{{Name: "hall-a", State: "doubtful", SinceS: 3.5, Heard: 60, Silent: 40, Unknown: 7}},
-		Regions:     []view.ClusterRegion{{Name: "north", State: "up", SinceS: 4.5, Zones: 3, Away: 1, Heard: 60, Silent: 40}},
+		Node:             "n1",
+		Leader:           "n2",
+		Term:             41,
+		LeadsSeconds:     12.5,
+		Authority:        true,
+		FailoverComplete: true,
+		Machines:         100,
+		Unaccounted:      3,
+		MaxMachines:      5000,
+		Nodes:            []view.ClusterNode{{Name: "n1", Zone: "hall-a", Role: "relay", Link: true, Workers: 40, LagSeconds: 0.5}},
+		Zones:            []view.ClusterZone{{Name: "hall-a", State: "doubtful", StateSeconds: 3.5, Heard: 60, Silent: 40, UnconfirmedTasks: 7}},
+		Regions:          []view.ClusterRegion{{Name: "north", State: "up", StateSeconds: 4.5, Zones: 3, ZonesAway: 1, Heard: 60, Silent: 40}},
 		Records: &view.Records{
-			Era:      9,
-			Lost:     "the state service's revision has fallen",
-			From:     "n2",
-			SinceS:   5.5,
-			Restored: 12,
-			Left:     3,
-			Unread:   []string{"wk-7"},
-			Copies:   []string{"n2", "n3"},
+			Era:            9,
+			LossReason:     "the state service's revision has fallen",
+			Source:         "n2",
+			SinceSeconds:   5.5,
+			Restored:       12,
+			Pending:        3,
+			UnreadableJobs: []string{"wk-7"},
+			Replicas:       []string{"n2", "n3"},
 		},
 	}
 }
--- a/internal/core/compatibility_test.go
+++ b/internal/core/compatibility_test.go
@@ -16,7 +16,7 @@
 		{"jobs", record.JobPrefix, "yewpass/live/job/"},
 		{"machines", record.MachinePrefix, "yewpass/live/machine/"},
 		{"progress", record.ProgressPrefix, "yewpass/live/progress/"},
-		{"progress of a chunk", chunkKey("wk-7", 1), "yewpass/live/progress/wk-7/1"},
+		{"progress of a chunk", record.ProgressKey("wk-7", 1), "yewpass/live/progress/wk-7/1"},
 		{"ends of jobs", record.FinalPrefix, "yewpass/final/"},
 		{"notes of jobs accepted without a leader", record.LeaderlessPrefix, "yewpass/alone/"},
 		{"schedules", record.SchedulePrefix, "yewpass/schedule/"},
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -170,23 +170,23 @@
 		"ask":                 {Kind: peermsg.AskKnowledge, Term: 41},
 		"want":                {Kind: peermsg.WantReplica, Term: 41},
 		"configuration: tell": {Kind: peermsg.ConfigRevision, Term: 41, Ref: 12},
-		"tell": {Kind: peermsg.TellKnowledge, Term: 41, Know: &peermsg.Knowledge{
-			Observed: recovery.Observed{Era: 9_000_000_000_000_000_002, Term: 40, ProcessID: 18_000_000_000_000_000_001, Revision: 777, HighestPastTerm: 39},
-			CopyEra:  9_000_000_000_000_000_004,
-			CopyTerm: 38,
-			CopySeq:  1234,
-			Live:     replica.Digest{Count: 3, Hash: 17_000_000_000_000_000_005},
+		"tell": {Kind: peermsg.TellKnowledge, Term: 41, Knowledge: &peermsg.Knowledge{
+			Observed:    recovery.Observed{Era: 9_000_000_000_000_000_002, Term: 40, ProcessID: 18_000_000_000_000_000_001, Revision: 777, HighestPastTerm: 39},
+			ReplicaEra:  9_000_000_000_000_000_004,
+			ReplicaTerm: 38,
+			ReplicaSeq:  1234,
+			LiveDigest:  replica.Digest{Count: 3, Hash: 17_000_000_000_000_000_005},
 		}},
-		"tell: nothing known": {Kind: peermsg.TellKnowledge, Term: 41, Know: &peermsg.Knowledge{}},
-		"alone": {Kind: peermsg.LeaderlessJob, Copy: &replica.Line{Term: 41, Session: 7, Puts: []replica.Record{
+		"tell: nothing known": {Kind: peermsg.TellKnowledge, Term: 41, Knowledge: &peermsg.Knowledge{}},
+		"alone": {Kind: peermsg.LeaderlessJob, Replica: &replica.Line{Term: 41, Session: 7, Puts: []replica.Record{
 			{Key: "yewpass/live/job/wk-7", Value: jobRecord(), Rev: 90},
 		}}},
-		"copy: every field":     {Kind: peermsg.Replica, Copy: wholeCopy()},
-		"copy: least":           {Kind: peermsg.Replica, Copy: &replica.Line{Term: 41, Session: 7, Number: 1}},
+		"copy: every field":     {Kind: peermsg.Replica, Replica: wholeCopy()},
+		"copy: least":           {Kind: peermsg.Replica, Replica: &replica.Line{Term: 41, Session: 7, Number: 1}},
 		"reports: every field":  {Kind: peermsg.Heartbeats, Term: 41, Reports: wholeBatch()},
 		"reports: nothing":      {Kind: peermsg.Heartbeats, Term: 41, Reports: &relay.Batch{Session: 6, Number: 2}},
 		"replies: every field":  {Kind: peermsg.HeartbeatReplies, Term: 41, Replies: wholeReplies()},
-		"replies: begin again":  {Kind: peermsg.HeartbeatReplies, Term: 41, Replies: &relay.Replies{Session: 6, Again: true}},
+		"replies: begin again":  {Kind: peermsg.HeartbeatReplies, Term: 41, Replies: &relay.Replies{Session: 6, Resync: true}},
 		"answer: every field":   {Kind: peermsg.Response, Ref: 5, Answer: wholeAnswer()},
 		"answer: status alone":  {Kind: peermsg.Response, Ref: 5, Answer: &request.Response{Status: 204}},
 		"call: submit":          {Kind: peermsg.Request, Ref: 5, Op: request.Submit, ID: "wk-000412", Spec: wholeSpec()},
@@ -272,11 +272,11 @@
 	return &relay.Batch{
 		Session: 6,
 		Number:  2,
-		Reports: []relay.Item{
+		Reports: []relay.Delta{
 			{
 				Ref:          77,
 				Handle:       3,
-				Machine:      &relay.Who{Host: "host-000231", Address: "10.1.0.232:9000", InstanceType: "g8", Zone: "hall-a", Spot: true},
+				Identity:     &relay.Identity{Host: "host-000231", Address: "10.1.0.232:9000", InstanceType: "g8", Zone: "hall-a", Spot: true},
 				Incarnation:  1_801_386_061_234,
 				Counter:      88,
 				FencingToken: 41,
@@ -288,18 +288,18 @@
 					{Task: heartbeat.TaskID{Job: "wk-9"}, Try: 2, Phase: heartbeat.Exited, Cause: heartbeat.CauseNoRoom},
 				},
 			},
-			{Handle: 4, Machine: &relay.Who{Host: "host-2"}, Incarnation: 1, Counter: 2},
+			{Handle: 4, Identity: &relay.Identity{Host: "host-2"}, Incarnation: 1, Counter: 2},
 			{
 				Handle:      5,
 				Incarnation: 1,
 				Counter:     3,
 				Notice:      pointer(int64(119_500)),
 				Dropped:     []int{0, 2},
-				Changed:     []relay.Change{{At: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}, {At: 2, Phase: heartbeat.TaskRuns}},
+				Changed:     []relay.TaskChange{{At: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}, {At: 2, Phase: heartbeat.TaskRuns}},
 			},
 		},
-		Gone: []uint64{70, 71},
-		Left: []uint64{1, 2},
+		Abandoned: []uint64{70, 71},
+		Released:  []uint64{1, 2},
 	}
 }
 
--- a/internal/relay/compatibility_test.go
+++ b/internal/relay/compatibility_test.go
@@ -12,11 +12,11 @@
 )
 
 // goldenBatches was written by the relay of version 5990396, one batch a line, for the
-// reports of foldedReports. It is never written anew.
+// reports of relayedReports. It is never written anew.
 const goldenBatches = "testdata/batches-5990396.jsonl"
 
-// foldedReports are the reports that went into each golden batch.
-func foldedReports() [][]heartbeat.Report {
+// relayedReports are the reports that went into each golden batch.
+func relayedReports() [][]heartbeat.Report {
 	task := func(index int, phase heartbeat.Phase, cause string) heartbeat.Task {
 		return heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-7", Index: index}, Try: 5, Phase: phase, Cause: cause}
 	}
@@ -38,20 +38,20 @@
 	}
 }
 
-// foldAll folds the reports as a relay does.
-func foldAll(all [][]heartbeat.Report) (batches []*Batch) {
-	fold := NewFold(6)
+// encodeAll encodes the reports as a relay does.
+func encodeAll(all [][]heartbeat.Report) (batches []*Batch) {
+	encoder := NewEncoder(6)
 	var ref uint64
 	for i, reports := range all {
 		if i == len(all)-1 {
-			fold.Forget("host-2")
+			encoder.Forget("host-2")
 		}
-		var items []Item
+		var items []Delta
 		for _, r := range reports {
 			ref++
-			items = append(items, fold.Item(ref, &r))
+			items = append(items, encoder.Encode(ref, &r))
 		}
-		batches = append(batches, fold.Batch(items, nil))
+		batches = append(batches, encoder.Batch(items, nil))
 	}
 	return batches
 }
@@ -71,13 +71,13 @@
 // TestBatchesOf5990396 guards the stream of reports from a relay to the leader: batches of
 // version 5990396 must become the reports again, and the reverse.
 func TestBatchesOf5990396(t *testing.T) {
-	all := foldedReports()
+	all := relayedReports()
 	golden := goldenLines(t)
 	if len(golden) != len(all) {
 		t.Fatalf("%d golden batches, want %d", len(golden), len(all))
 	}
-	var unfold Unfold
-	for i, batch := range foldAll(all) {
+	var decoder Decoder
+	for i, batch := range encodeAll(all) {
 		data, err := json.Marshal(batch)
 		if err != nil {
 			t.Fatal(err)
@@ -89,7 +89,7 @@
 		if err := json.Unmarshal(golden[i], &read); err != nil {
 			t.Fatal(err)
 		}
-		got, _, err := unfold.Open(&read)
+		got, _, err := decoder.Decode(&read)
 		if err != nil {
 			t.Fatalf("batch %d: %v", i+1, err)
 		}
