--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -283,7 +283,7 @@
 	}
 	c.dropExpiredMachineRecords()
 	c.reserveWarmRoom(c.pol.Warm(e))
-	c.preemptBorrowers()
+	c.preemptForGuarantees()
 	c.scaleIn()
 	l.placement.RereserveOverdue(tickEvery)
 	// Releases go first: a take-over may wait for one, and rentals use up what
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -31,7 +31,7 @@
 		waits.Spec.Owner, waits.Team = "u", c.leadership.teams["u"]
 		waits.Submitted = t0.Add(-time.Minute)
 		c.leadership.placement.Reserve(waits)
-		c.preemptBorrowers()
+		c.preemptForGuarantees()
 		if stopped := m.Attempts[0].StopRequested; stopped != (phase == heartbeat.Pulling) {
 			t.Errorf("found %s: stopped %v", phase, stopped)
 		}
