--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -395,7 +395,7 @@
 // submit decides on a new job and answers once its record is committed.
 func (c *Core) submit(call request.Request) {
 	l := c.leadership
-	if len(l.autoscaler.instanceTypes) == 0 {
+	if len(l.autoscaler.InstanceTypes) == 0 {
 		c.answer(call, unavailable("the machine types are not known yet"))
 		return
 	}
@@ -408,7 +408,7 @@
 	// A refusal must never meet a job that was accepted once, so the records
 	// have the last word before it.
 	if field, reason := c.unschedulable(s); reason != "" {
-		if !l.autoscaler.catalogRead {
+		if !l.autoscaler.Loaded {
 			c.answer(call, unavailable("the machine types are not known yet"))
 			return
 		}
@@ -449,7 +449,7 @@
 	if s := c.leadership.schedules.manualRuns[rec.Spec.ID]; s != nil {
 		c.noteManualRun(s, j)
 	}
-	c.recordArrival(j)
+	c.leadership.autoscaler.RecordArrival(j)
 	c.leadership.placement.PreferImageLocality(j)
 	c.queueJob(j)
 	return j
@@ -491,7 +491,7 @@
 
 // unschedulable says why a job can never run, and by which of its fields, or "".
 func (c *Core) unschedulable(s *spec.Job) (field, reason string) {
-	return unschedulableOn(s, c.leadership.teams[s.Owner], c.leadership.autoscaler.instanceTypes)
+	return unschedulableOn(s, c.leadership.teams[s.Owner], c.leadership.autoscaler.InstanceTypes)
 }
 
 // unschedulableOn is unschedulable for its team, nil if there is none of that name, and types.
@@ -553,7 +553,7 @@
 func (c *Core) policyEnv() policy.Env {
 	e := policy.Env{ReportS: c.heartbeatInterval.Seconds(), LeaseS: c.workerLease.Seconds()}
 	if c.leadership != nil {
-		e.BacklogS = c.leadership.autoscaler.backlog.Seconds()
+		e.BacklogS = c.leadership.autoscaler.Backlog().Seconds()
 	}
 	return e
 }
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -233,10 +233,10 @@
 		},
 		"a release": func(d *desk) func() bool {
 			d.running("wk-1", 1)
-			d.c.release(d.c.leadership.fleet[0])
+			d.c.leadership.autoscaler.Release(d.c.leadership.fleet[0])
 			j := d.c.leadership.jobs["wk-1"]
 			return func() bool {
-				d.c.After(0, d.c.sendReleases)
+				d.c.After(0, d.c.leadership.autoscaler.SendReleases)
 				d.in(Tick{})
 				return j.Waiting > 0
 			}
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -183,7 +183,7 @@
 				if o.Op == provider.ScaleOut {
 					r.Outcome = rpc.Refused
 				} else if o.Op == provider.Catalog {
-					r.InstanceTypes = l.autoscaler.instanceTypes
+					r.InstanceTypes = l.autoscaler.InstanceTypes
 				}
 				done(r)
 			case heartbeat.Reply:
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -109,7 +109,7 @@
 	if c.takePendingHeartbeats(); c.leadership != l {
 		return // one of them has seen a newer epoch, and we were out of authority
 	}
-	c.listInstances("", nil)
+	c.leadership.autoscaler.ListInstances()
 	c.probeUnaccounted()
 	if len(c.cfg.Seeds) > 0 {
 		c.watchLeaderlessNotes()
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -54,7 +54,7 @@
 			Endpoint string `toml:"endpoint"`
 		}{HostName: "n1"})
 		c.leadership.schedules.loaded = true
-		flavors := c.leadership.autoscaler.instanceTypes
+		flavors := c.leadership.autoscaler.InstanceTypes
 		c.tickLeader()
 		counter := uint64(10)
 		hosts := []string{"host-000000", "host-000001", "host-000002", "host-x", "a"}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -26,7 +26,7 @@
 	case rep.FencingToken > l.term:
 		refuse()
 		c.handleNewerToken(rep.Host, rep.FencingToken, func() {
-			c.release(c.ensureMachine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot))
+			c.leadership.autoscaler.Release(c.ensureMachine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot))
 		})
 		return
 	case !c.hasAuthority() && (c.leaseTiming.GraceOver(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew) || c.Now.Before(l.expiresAt)):
@@ -132,7 +132,7 @@
 	if !m.Reported {
 		c.Log(slog.LevelDebug, "first heartbeat of machine", "machine", m.Host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
 		m.IdleSince = c.Now
-		delete(l.autoscaler.bootPatience, m.TypeName)
+		l.autoscaler.Booted(m.TypeName)
 	}
 	if m.Reported && rep.Incarnation > m.Incarnation {
 		// Its lease ran out: the worker has killed all that it had.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -32,10 +32,7 @@
 	c.leadership.scope = c.NewScope()
 	c.leadership.placement = placement.New(c.Engine, c.leadership.scope, c.cfg, placementLeader{c, c.leadership}, term)
 	c.leadership.authority.start(term, rev, grant, c.authorityUntil(sent), c.Now, ahead)
-	// What this node has read of the catalog lately serves until it can be read anew. Without,
-	// a leader that begins while the cloud is out would start nothing and accept nothing, with
-	// machines at hand.
-	c.leadership.autoscaler.instanceTypes = slices.Clone(c.instanceTypes)
+	c.leadership.autoscaler = c.newAutoscaler()
 	c.leadership.zones = zones.New(c.zoneSettings())
 	c.leadership.regions = zones.NewRegionWatch(c.reg)
 	c.leadership.places, _ = topology.New(topology.Definition{}) // zones alone: cannot fail
@@ -51,7 +48,7 @@
 	// What waited here for a leader waits for us now.
 	c.leadership.pendingHeartbeats, c.leadership.knownReporters = c.forwarder.TakeOver()
 	c.renewLease()
-	c.refreshCatalog()
+	c.leadership.autoscaler.RefreshCatalog()
 }
 
 // afterWhileLeading runs f after d if this very leadership still holds.
@@ -144,8 +141,8 @@
 	c.leadership = nil
 	l.scope.Close()
 	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1+len(c.cfg.Seeds))
-	if len(l.autoscaler.instanceTypes) > 0 {
-		c.instanceTypes = l.autoscaler.instanceTypes
+	if len(l.autoscaler.InstanceTypes) > 0 {
+		c.instanceTypes = l.autoscaler.InstanceTypes
 	}
 	// Workers that wait here need not look for the next leader: we pass on what they
 	// have said. Other relays do the same with theirs.
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"yewpass/internal/autoscaler"
 	"yewpass/internal/config"
 	"yewpass/internal/engine"
 	"yewpass/internal/expiringset"
@@ -36,7 +37,7 @@
 	writes     writebatch.Batcher
 	schedules  scheduler
 	config     liveConfig
-	autoscaler autoscaler
+	autoscaler *autoscaler.Autoscaler
 
 	holdIdle, holdBusy time.Duration
 	reportBudget       float64 // bytes a second that control may take of a worker's network; 0: no bound
@@ -131,7 +132,6 @@
 		dispatching: dispatching{heldReplies: map[fleet.HeartbeatKey]*fleet.Machine{}},
 		replication: replication{followers: map[string]*replica.Sender{}},
 		writes:      writebatch.New(cfg.Settings.State),
-		autoscaler:  newAutoscaler(cfg),
 		schedules:   newSchedules(),
 		config:      newConfiguring(cfg),
 	}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -31,7 +31,7 @@
 }
 
 func (c *Core) setInstanceType(m *fleet.Machine) {
-	if f := c.leadership.autoscaler.instanceType(m.TypeName); f != nil && m.InstanceType == nil {
+	if f := c.leadership.autoscaler.InstanceType(m.TypeName); f != nil && m.InstanceType == nil {
 		m.InstanceType = f
 		tl := timeline.New(f.Capacity)
 		for _, r := range m.Attempts {
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -5,7 +5,6 @@
 
 	"yewpass/internal/estimate"
 	"yewpass/internal/fleet"
-	"yewpass/internal/quota"
 	"yewpass/internal/spec"
 )
 
@@ -32,18 +31,14 @@
 
 // Backlog implements placement.Leader.
 func (p placementLeader) Backlog() (work time.Duration, cpus float64) {
-	return p.leadership.autoscaler.backlog, p.leadership.autoscaler.cpus
+	return p.leadership.autoscaler.Backlog(), p.leadership.autoscaler.CPUs()
 }
 
 // reserveWarmRoom keeps room free for jobs that must start at once: the given part of what
 // such a job usually takes, as long as some came lately.
 func (c *Core) reserveWarmRoom(part float64) {
 	l := c.leadership
-	cpus := int64(l.autoscaler.burstCPUs * part * 1000)
-	if c.Now.Sub(l.autoscaler.burstAt) > quota.ArrivalMemory {
-		cpus = 0
-	}
-	l.placement.ReserveWarmRoom(cpus)
+	l.placement.ReserveWarmRoom(l.autoscaler.BurstRoom(part))
 }
 
 // lateness returns by how much a job with a deadline would miss it on the best machine at
@@ -52,9 +47,9 @@
 	l := c.leadership
 	best := l.placement.EarliestFinish(s)
 	run := l.placement.PaddedSpecEstimate(s)
-	for i := range l.autoscaler.instanceTypes {
-		f := &l.autoscaler.instanceTypes[i]
-		if fleet.AllowsInstanceType(s, f.Name) && s.Need().Fits(f.Capacity) && (s.Zone == "" || fleet.OfferedIn(f, s.Zone)) && l.autoscaler.mayHaveCapacity(f, s.AllowSpot, c.Now) {
+	for i := range l.autoscaler.InstanceTypes {
+		f := &l.autoscaler.InstanceTypes[i]
+		if fleet.AllowsInstanceType(s, f.Name) && s.Need().Fits(f.Capacity) && (s.Zone == "" || fleet.OfferedIn(f, s.Zone)) && l.autoscaler.MayHaveCapacity(f, s.AllowSpot) {
 			best = min(best, f.BootTime+estimate.ImageFetch(s, f)+run)
 		}
 	}
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -77,7 +77,7 @@
 		switch {
 		case !l.probeCounts(m):
 		case r.Outcome != rpc.Unknown && rep.FencingToken > l.term:
-			c.handleNewerToken(m.Host, rep.FencingToken, func() { c.release(m) })
+			c.handleNewerToken(m.Host, rep.FencingToken, func() { c.leadership.autoscaler.Release(m) })
 		case r.Outcome != rpc.Unknown && rep.Host != m.Host:
 			// Another machine has the address now.
 		case r.Outcome == rpc.OK && rep.FencingToken == l.term:
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -45,9 +45,9 @@
 	l := c.leadership
 	l.loaded, l.placement.Margin, l.expiresAt = true, 0.15, t0.Add(1000*time.Hour)
 	for i, cpus := range []float64{4, 8, 32} {
-		l.autoscaler.instanceTypes = append(l.autoscaler.instanceTypes, provider.InstanceType{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, ImageGBps: 0.4, OnDemandRate: cpus, SpotRate: cpus / 3, BootTime: 20 * time.Second, Zones: []string{"a"}})
+		l.autoscaler.InstanceTypes = append(l.autoscaler.InstanceTypes, provider.InstanceType{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, ImageGBps: 0.4, OnDemandRate: cpus, SpotRate: cpus / 3, BootTime: 20 * time.Second, Zones: []string{"a"}})
 	}
-	l.autoscaler.catalogRead = true
+	l.autoscaler.Loaded = true
 	for i := range n {
 		m := c.ensureMachine(fmt.Sprintf("host-%06d", i), fmt.Sprint("f", i%3), "a", true)
 		m.Reported, m.Record, m.Incarnation, m.FencingToken, m.LastHeartbeat = true, fleet.Recorded, 1, 1, t0
--- a/internal/core/schedule_users.go
+++ b/internal/core/schedule_users.go
@@ -199,7 +199,7 @@
 		c.answer(call, request.Response{Status: 400, Field: "at", Reason: "at, rule or job: the description is too long"})
 		return
 	}
-	if !l.autoscaler.catalogRead {
+	if !l.autoscaler.Loaded {
 		c.answer(call, unavailable("the machine types are not known yet"))
 		return
 	}
--- a/internal/core/schedules.go
+++ b/internal/core/schedules.go
@@ -252,7 +252,7 @@
 // what is known when it goes.
 func (c *Core) makeOccurrences() {
 	sch := &c.leadership.schedules
-	if sch.ready.Len() == 0 || !c.leadership.autoscaler.catalogRead || !c.canAct() {
+	if sch.ready.Len() == 0 || !c.leadership.autoscaler.Loaded || !c.canAct() {
 		return
 	}
 	room := c.cfg.Settings.State.TxnOps
@@ -271,7 +271,7 @@
 // occurrencesWait reports whether some could be made if the allowance let them.
 func (c *Core) occurrencesWait() bool {
 	l := c.leadership
-	return len(l.writes.Queued[writebatch.Occurrence]) > 0 || l.schedules.ready.Len() > 0 && l.autoscaler.catalogRead
+	return len(l.writes.Queued[writebatch.Occurrence]) > 0 || l.schedules.ready.Len() > 0 && l.autoscaler.Loaded
 }
 
 // decideOccurrence decides on the next occurrences of a schedule, up to one that becomes a
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -26,7 +26,7 @@
 }
 
 func (l *leadership) workStats() view.WorkStats {
-	s := view.WorkStats{Jobs: len(l.jobs), BacklogSeconds: l.autoscaler.backlog.Seconds()}
+	s := view.WorkStats{Jobs: len(l.jobs), BacklogSeconds: l.autoscaler.Backlog().Seconds()}
 	for _, j := range l.jobs {
 		s.WaitingTasks += j.Waiting
 		s.TasksOnMachines += len(j.Attempts)
@@ -41,7 +41,7 @@
 		Unaccounted: len(l.unaccounted),
 		Direct:      l.relay("").Workers,
 		Relays:      len(c.relayNodes()),
-		FleetFull:   l.autoscaler.fleetFull,
+		FleetFull:   l.autoscaler.AtCapacity(),
 	}
 	for _, r := range l.regions.All() {
 		if r.IsAway() {
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"yewpass/internal/fleet"
-	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
 	"yewpass/internal/zones"
 )
@@ -102,7 +101,7 @@
 	for _, z := range l.zones.All() {
 		if z.Probe(c.Now) {
 			c.Log(slog.LevelInfo, "probing lost zone with one instance", "zone", z.Name)
-			c.requestInstances(&spec.Job{Zone: z.Name, AllowSpot: true}, 0, true, true)
+			l.autoscaler.RequestProbe(z.Name)
 		}
 		n := z.Sight.Silent - z.Kept(c.Now)
 		if !z.Away() || n <= 0 {
@@ -117,7 +116,7 @@
 		slices.SortStableFunc(silent, func(a, b *fleet.Machine) int { return cmp.Compare(b.PerCPU(), a.PerCPU()) })
 		for _, m := range silent[:min(n, len(silent))] {
 			c.Log(slog.LevelInfo, "releasing machine of lost zone", "machine", m.Host, "zone", z.Name, "silent", c.Now.Sub(m.LastHeartbeat))
-			c.release(m)
+			c.leadership.autoscaler.Release(m)
 		}
 	}
 }
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -15,7 +15,7 @@
 // twoZones returns a leader with n machines in each of zones a and b.
 func twoZones(t *testing.T, n int) *Core {
 	c := leaderOf(t, n)
-	c.leadership.autoscaler.instanceTypes[0].Zones = []string{"a", "b"}
+	c.leadership.autoscaler.InstanceTypes[0].Zones = []string{"a", "b"}
 	for i := range n {
 		m := c.ensureMachine(fmt.Sprintf("host-1%05d", i), "f0", "b", true)
 		m.Reported, m.Record, m.Incarnation, m.FencingToken, m.LastHeartbeat = true, fleet.Recorded, 1, 1, t0
