--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -71,15 +71,7 @@
 }
 
 func newConfiguring(cfg *config.Config) liveConfig {
-	return liveConfig{state: liveconfig.New(baseTeams(cfg)), damaged: map[string]bool{}, nodes: map[string]*configNode{}}
-}
-
-// baseTeams are the teams of the platform's settings.
-func baseTeams(cfg *config.Config) (teams []liveconfig.Team) {
-	for _, t := range cfg.Settings.Teams {
-		teams = append(teams, liveconfig.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
-	}
-	return teams
+	return liveConfig{state: liveconfig.New(liveconfig.BaseTeams(cfg.Settings.Teams)), damaged: map[string]bool{}, nodes: map[string]*configNode{}}
 }
 
 // ---- reading
@@ -113,9 +105,11 @@
 // applyLoadedConfig puts what was read into force.
 func (c *Core) applyLoadedConfig() {
 	conf := &c.leadership.config
+	var teams []liveconfig.Team
 	for _, r := range conf.state.Changed() {
-		c.applyTeam(r.Team)
+		teams = append(teams, r.Team)
 	}
+	c.applyTeams(teams)
 	conf.since = c.Now
 	if conf.state.Revision > 0 {
 		c.Log(slog.LevelInfo, "configuration loaded", "term", c.leadership.term, "revision", conf.state.Revision)
@@ -123,20 +117,17 @@
 	c.broadcastConfig()
 }
 
-// applyTeam has the leader decide by a team's configuration from now on. Tasks that run
-// go on, and count; nothing more starts until there is room under a lower limit.
-func (c *Core) applyTeam(t liveconfig.Team) {
-	l := c.leadership
-	now := quota.New(t)
-	if was := l.teams[t.Name]; was != nil {
-		was.Configured, was.Retired, was.Guaranteed, was.Limit = true, now.Retired, now.Guaranteed, now.Limit
-	} else {
-		l.teams[t.Name] = now
+// applyTeams puts the configuration of teams into force. Running tasks go on, and count;
+// under a lowered limit nothing more starts until there is room.
+func (c *Core) applyTeams(teams []liveconfig.Team) {
+	if len(teams) == 0 {
+		return
 	}
-	l.placement.Guarantees = false
-	for _, t := range l.teams {
-		l.placement.Guarantees = l.placement.Guarantees || t.Guaranteed.CPU > 0 || t.Guaranteed.GPU > 0
+	l := c.leadership
+	for _, t := range teams {
+		l.teams.Configure(t)
 	}
+	l.placement.Guarantees = l.teams.AnyGuarantee()
 	l.dispatchAll = true
 }
 
@@ -148,10 +139,8 @@
 			return quota.New(rec.Team)
 		}
 	}
-	for _, t := range c.cfg.Settings.Teams {
-		if t.Name == name {
-			return quota.FromSettings(t)
-		}
+	if t, _, ok := liveconfig.New(liveconfig.BaseTeams(c.cfg.Settings.Teams)).Team(name); ok {
+		return quota.New(t)
 	}
 	return nil
 }
@@ -233,7 +222,7 @@
 // reloadConfig reads all records of the configuration again.
 func (c *Core) reloadConfig(revision, rev uint64) {
 	conf := &c.leadership.config
-	state := liveconfig.New(baseTeams(c.cfg))
+	state := liveconfig.New(liveconfig.BaseTeams(c.cfg.Settings.Teams))
 	var page func(from string)
 	page = func(from string) {
 		c.storeWhileLeading(kv.Request{Op: kv.List, Key: record.ConfigPrefix, From: from, Limit: 400}, func(r kv.Response) {
@@ -253,10 +242,7 @@
 			}
 			state.LoadHead(liveconfig.HeadRecord{Revision: revision})
 			conf.state, conf.headRev = state, rev
-			for _, t := range state.Names() {
-				now, _, _ := state.Team(t)
-				c.applyTeam(now)
-			}
+			c.applyTeams(state.Teams(state.Names()))
 		})
 	}
 	page("")
@@ -411,9 +397,8 @@
 	conf.changes += int64(len(b.Each))
 	c.replicateConfigBatch(b, rev)
 	conf.spreading = len(c.cfg.Seeds) > 0
+	c.applyTeams(conf.state.Teams(b.Names()))
 	for _, name := range b.Names() {
-		t, _, _ := conf.state.Team(name)
-		c.applyTeam(t)
 		delete(conf.damaged, strings.TrimPrefix(record.ConfigTeamPrefix, record.ConfigPrefix)+name)
 	}
 	delete(conf.damaged, strings.TrimPrefix(record.ConfigHeadKey, record.ConfigPrefix))
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -182,12 +182,12 @@
 // TestRetiredTeam: new jobs are refused by the name of the team, and tasks that run count.
 func TestRetiredTeam(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.applyTeam(liveconfig.Team{Name: "t", CPUs: 5, Retired: true})
+	c.applyTeams([]liveconfig.Team{{Name: "t", CPUs: 5, Retired: true}})
 	spec := &spec.Job{ID: "wk-1", Owner: "t", Tasks: 1, CPUs: 1}
 	if field, reason := c.unschedulable(spec); field != "owner" || reason == "" {
 		t.Errorf("%q %q", field, reason)
 	}
-	c.applyTeam(liveconfig.Team{Name: "t", CPUs: 5})
+	c.applyTeams([]liveconfig.Team{{Name: "t", CPUs: 5}})
 	if field, reason := c.unschedulable(spec); reason != "" {
 		t.Errorf("back again: %q %q", field, reason)
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -8,8 +8,8 @@
 
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
+	"yewpass/internal/liveconfig"
 	"yewpass/internal/placement"
-	"yewpass/internal/quota"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
@@ -36,8 +36,8 @@
 	c.leadership.zones = zones.New(c.zoneSettings())
 	c.leadership.regions = zones.NewRegionWatch(c.reg)
 	c.leadership.places, _ = topology.New(topology.Definition{}) // zones alone: cannot fail
-	for _, t := range c.cfg.Settings.Teams {
-		c.leadership.teams[t.Name] = quota.FromSettings(t)
+	for _, t := range liveconfig.BaseTeams(c.cfg.Settings.Teams) {
+		c.leadership.teams.Configure(t)
 		c.leadership.placement.Guarantees = c.leadership.placement.Guarantees || t.CPUs > 0 || t.GPUs > 0
 	}
 	c.Log(slog.LevelInfo, "elected leader", "term", term)
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -87,7 +87,7 @@
 type workload struct {
 	jobs   map[string]*fleet.Job
 	accept map[string]*admission
-	teams  map[string]*quota.Account
+	teams  quota.Accounts
 }
 
 // inventory is the machines, the records that name them, and by which controllers they report.
@@ -127,7 +127,7 @@
 	return &leadership{
 		authority:   authority{acknowledged: map[string]bool{}},
 		failover:    failover{unaccounted: map[string]bool{}, unreadableJobs: map[string]bool{}, unreadableMachineRecords: map[string]uint64{}, newerTokens: map[string]uint64{}},
-		workload:    workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: map[string]*quota.Account{}},
+		workload:    workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: quota.Accounts{}},
 		inventory:   inventory{released: expiringset.New(now), machines: map[string]*fleet.Machine{}, relays: map[string]*fleet.RelayLink{}},
 		dispatching: dispatching{heldReplies: map[fleet.HeartbeatKey]*fleet.Machine{}},
 		replication: replication{followers: map[string]*replica.Sender{}},
--- a/internal/liveconfig/state.go
+++ b/internal/liveconfig/state.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"maps"
 	"slices"
+	"yewpass/internal/config"
 )
 
 // TeamRecord is the stored record of a team that has been changed.
@@ -25,6 +26,14 @@
 	changed  map[string]TeamRecord
 }
 
+// BaseTeams returns the teams of the settings, on which a State is based.
+func BaseTeams(settings []config.Team) (teams []Team) {
+	for _, t := range settings {
+		teams = append(teams, Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
+	}
+	return teams
+}
+
 // New returns the state before any change, with the teams of the settings.
 func New(base []Team) *State {
 	s := &State{base: map[string]Team{}, changed: map[string]TeamRecord{}}
@@ -64,6 +73,15 @@
 	return team, 0, ok
 }
 
+// Teams returns the present configuration of the named teams, which must exist.
+func (s *State) Teams(names []string) (teams []Team) {
+	for _, name := range names {
+		team, _, _ := s.Team(name)
+		teams = append(teams, team)
+	}
+	return teams
+}
+
 // Names returns the names of all teams, sorted.
 func (s *State) Names() []string {
 	names := map[string]bool{}
--- a/internal/placement/cluster_test.go
+++ b/internal/placement/cluster_test.go
@@ -9,6 +9,7 @@
 	"yewpass/internal/engine"
 	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/liveconfig"
 	"yewpass/internal/provider"
 	"yewpass/internal/quota"
 	"yewpass/internal/spec"
@@ -44,8 +45,7 @@
 	e := engine.New(testRand(), 1)
 	e.Now = t0
 	c := &cluster{engine: e, cfg: cfg, jobs: map[string]*fleet.Job{}, teams: map[string]*quota.Account{}}
-	team := config.Team{Name: "t", CPUs: 100}
-	c.teams["t"] = quota.FromSettings(team)
+	c.teams["t"] = quota.New(liveconfig.Team{Name: "t", CPUs: 100})
 	c.Scheduler = New(e, e.NewScope(), cfg, c, 1)
 	c.Margin, c.Guarantees = 0.15, true
 	var types []*provider.InstanceType
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -5,77 +5,100 @@
 import (
 	"math"
 	"time"
-	"yewpass/internal/config"
+
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/timeline"
 )
 
-// ArrivalMemory is how long arrivals count towards the work to be expected.
+// ArrivalMemory is the time constant by which arrivals stop counting towards the work
+// to be expected.
 const ArrivalMemory = 60 * time.Second
 
-// ExpectedCPUs returns how many CPUs the team's recent arrivals keep busy.
-func (t *Account) ExpectedCPUs(now time.Time) float64 {
-	return t.Load * math.Exp(-now.Sub(t.LoadAt).Seconds()/ArrivalMemory.Seconds())
-}
-
-// Account is a team's account. What its tasks use is counted from the order to
-// start until they are surely gone.
+// Account is the account of a team. A task counts as allocated from the order to start
+// it until it is known to be gone.
 type Account struct {
-	Configured        bool
-	Retired           bool               // takes no new jobs; those that it has go on
+	Configured        bool               // in the settings or by an operator; other teams just submit jobs
+	Retired           bool               // accepts no new jobs; existing ones go on
 	Guaranteed, Limit timeline.Resources // 0: none
 	Allocated         timeline.Resources
 	JobCount          int
 	Load              float64 // CPUs that its arrivals keep busy, as of LoadAt
 	LoadAt            time.Time
-	LimitReached      bool // its limit has kept a task from a machine that had room
+	LimitReached      bool // its limit has kept a task off a machine that had room
 }
 
-// FromSettings is the account of a team as the settings have it.
-func FromSettings(t config.Team) *Account {
-	return New(liveconfig.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
+// New returns an empty account of a team with this configuration.
+func New(team liveconfig.Team) *Account {
+	a := &Account{}
+	a.configure(team)
+	return a
 }
 
-// New is the account of a team of that configuration.
-func New(t liveconfig.Team) *Account {
-	return &Account{
-		Configured: true,
-		Retired:    t.Retired,
-		Guaranteed: timeline.Capacity(t.CPUs, t.GPUs, 0),
-		Limit:      timeline.Capacity(t.CPUsMax, t.GPUsMax, 0),
-	}
+func (a *Account) configure(team liveconfig.Team) {
+	a.Configured, a.Retired = true, team.Retired
+	a.Guaranteed = timeline.Capacity(team.CPUs, team.GPUs, 0)
+	a.Limit = timeline.Capacity(team.CPUsMax, team.GPUsMax, 0)
+}
+
+// ExpectedCPUs returns how many CPUs the team's arrivals are expected to keep busy.
+func (a *Account) ExpectedCPUs(now time.Time) float64 {
+	return a.Load * math.Exp(-now.Sub(a.LoadAt).Seconds()/ArrivalMemory.Seconds())
 }
 
 // Limited reports whether the team has a limit.
-func (t *Account) Limited() bool { return t.Limit.CPU > 0 || t.Limit.GPU > 0 }
+func (a *Account) Limited() bool { return a.Limit.CPU > 0 || a.Limit.GPU > 0 }
+
+// HasGuarantee reports whether the team has a guarantee.
+func (a *Account) HasGuarantee() bool { return a.Guaranteed.CPU > 0 || a.Guaranteed.GPU > 0 }
 
 // FitsLimit reports whether n tasks fit into the team's limit on their own.
-func (t *Account) FitsLimit(need timeline.Resources, n int) bool {
-	return (t.Limit.CPU == 0 || need.CPU*int64(n) <= t.Limit.CPU) &&
-		(t.Limit.GPU == 0 || need.GPU*int64(n) <= t.Limit.GPU)
+func (a *Account) FitsLimit(need timeline.Resources, n int) bool {
+	return (a.Limit.CPU == 0 || need.CPU*int64(n) <= a.Limit.CPU) &&
+		(a.Limit.GPU == 0 || need.GPU*int64(n) <= a.Limit.GPU)
 }
 
-// TasksWithinLimit says how many more tasks the team's limit allows, at most n.
-func (t *Account) TasksWithinLimit(need timeline.Resources, n int) int {
-	if t.Limit.CPU > 0 && need.CPU > 0 {
-		n = min(n, int((t.Limit.CPU-t.Allocated.CPU)/need.CPU))
+// TasksWithinLimit returns how many more tasks the team's limit allows, at most n.
+func (a *Account) TasksWithinLimit(need timeline.Resources, n int) int {
+	if a.Limit.CPU > 0 && need.CPU > 0 {
+		n = min(n, int((a.Limit.CPU-a.Allocated.CPU)/need.CPU))
 	}
-	if t.Limit.GPU > 0 && need.GPU > 0 {
-		n = min(n, int((t.Limit.GPU-t.Allocated.GPU)/need.GPU))
+	if a.Limit.GPU > 0 && need.GPU > 0 {
+		n = min(n, int((a.Limit.GPU-a.Allocated.GPU)/need.GPU))
 	}
 	return max(n, 0)
 }
 
-// GuaranteedTasks says how many more tasks lie within the team's guarantee, at most n.
-func (t *Account) GuaranteedTasks(need timeline.Resources, n int) int {
-	if t.Guaranteed.CPU == 0 && t.Guaranteed.GPU == 0 {
+// GuaranteedTasks returns how many more tasks lie within the team's guarantee, at most n.
+func (a *Account) GuaranteedTasks(need timeline.Resources, n int) int {
+	if !a.HasGuarantee() {
 		return 0
 	}
 	if need.CPU > 0 {
-		n = min(n, int((t.Guaranteed.CPU-t.Allocated.CPU)/need.CPU))
+		n = min(n, int((a.Guaranteed.CPU-a.Allocated.CPU)/need.CPU))
 	}
 	if need.GPU > 0 {
-		n = min(n, int((t.Guaranteed.GPU-t.Allocated.GPU)/need.GPU))
+		n = min(n, int((a.Guaranteed.GPU-a.Allocated.GPU)/need.GPU))
 	}
 	return max(n, 0)
 }
+
+// Accounts holds the accounts of teams by name.
+type Accounts map[string]*Account
+
+// Configure puts the configuration of a team into force. What the team uses stays.
+func (as Accounts) Configure(team liveconfig.Team) {
+	if as[team.Name] == nil {
+		as[team.Name] = &Account{}
+	}
+	as[team.Name].configure(team)
+}
+
+// AnyGuarantee reports whether any team has a guarantee.
+func (as Accounts) AnyGuarantee() bool {
+	for _, a := range as {
+		if a.HasGuarantee() {
+			return true
+		}
+	}
+	return false
+}
