--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -91,7 +91,7 @@
 // was written under our name after this process had begun to read is neither, but a
 // transaction that came late, or a second process of this name; it runs out by itself.
 func (c *Core) revokeFormerLease(e kv.Entry, rec *record.Leader, from uint64) {
-	if rec.Life != c.processID && e.Rev > c.firstStoreRevision {
+	if rec.ProcessID != c.processID && e.Rev > c.firstStoreRevision {
 		c.Log(slog.LevelError, "another process holds leadership under this node's name", "key", e.Key, "term", rec.Term)
 		c.watchLeaderKey(from)
 		return
@@ -144,7 +144,7 @@
 	}
 	c.noteLeader(rec.Node, rec.Term)
 	c.confirmedTerm, c.confirmedTermRevision = rec.Term, rev
-	c.observeTerm(rec.Era, rec.Term, rec.Life)
+	c.observeTerm(rec.Era, rec.Term, rec.ProcessID)
 }
 
 // noteLeader takes note of a leader.
@@ -218,7 +218,7 @@
 			}
 			c.CallStore(kv.Request{Op: kv.Txn,
 				Conditions: []kv.Condition{{Key: record.LeaderKey, Rev: keyRev}, {Key: record.TermKey, Rev: rev}},
-				Writes:     []kv.Write{{Key: record.LeaderKey, Value: &record.Leader{Node: c.cfg.HostName, Term: term, Life: c.processID, Era: era}, LeaseID: g.LeaseID}, {Key: record.TermKey, Value: &record.Term{Term: term, Era: era}, LeaseID: 0}},
+				Writes:     []kv.Write{{Key: record.LeaderKey, Value: &record.Leader{Node: c.cfg.HostName, Term: term, ProcessID: c.processID, Era: era}, LeaseID: g.LeaseID}, {Key: record.TermKey, Value: &record.Term{Term: term, Era: era}, LeaseID: 0}},
 			}, func(r kv.Response) {
 				// What was heard of terms does not count here, only the record: a
 				// peer may say anything. An answer that comes this late finds the
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -22,7 +22,7 @@
 // something that then cannot be told from the former one's by these.
 
 func leaderKeyOf(node string, term, rev, life uint64) kv.Entry {
-	return kv.Entry{Key: record.LeaderKey, Value: &record.Leader{Node: node, Term: term, Life: life}, Rev: rev, LeaseID: 3}
+	return kv.Entry{Key: record.LeaderKey, Value: &record.Leader{Node: node, Term: term, ProcessID: life}, Rev: rev, LeaseID: 3}
 }
 
 // TestAnswerOfFormerProcess: what a leader answers to a call of the process before this
--- a/internal/kvclient/client_test.go
+++ b/internal/kvclient/client_test.go
@@ -1,17 +1,10 @@
 package kvclient
 
 import (
-	"bytes"
-	"encoding/json"
-	"reflect"
 	"testing"
-	"time"
 
 	"yewpass/internal/kv"
-	"yewpass/internal/record"
 	"yewpass/internal/rpc"
-	"yewpass/internal/schedule"
-	"yewpass/internal/spec"
 )
 
 // TestDecode: what is malformed or unexpected is an unknown outcome, never a
@@ -60,33 +53,3 @@
 		}
 	}
 }
-
-// TestRecords: what is written is read back; what is not a record is none.
-func TestRecords(t *testing.T) {
-	in := &record.Job{Spec: spec.Job{ID: "wk-1", Class: "c", Owner: "o", Tasks: 5, CPUs: 1.5, Urgency: spec.Urgent, Image: "i",
-		InstanceTypes: []string{"f"}, Runtime: 90 * time.Second, Deadline: time.Minute, HasDeadline: true}, Submitted: time.UnixMilli(1234567), Cancelled: true}
-	data, err := json.Marshal(encodeValue(in))
-	if err != nil {
-		t.Fatal(err)
-	}
-	out, ok := decodeEntry(entryJSON{K: "live/job/wk-1", V: data, KeyRev: 3}).Value.(*record.Job)
-	if !ok || out.Spec.Runtime != in.Spec.Runtime || out.Spec.InstanceTypes[0] != "f" || !out.Cancelled || !out.Submitted.Equal(in.Submitted) || !out.Spec.HasDeadline {
-		t.Errorf("%+v", out)
-	}
-	rec := &schedule.Record{Number: 7, Seq: 3, Edition: 2, File: json.RawMessage(`{"name":"n"}`), Paused: true, Cursor: schedule.Cursor{Nominal: time.UnixMilli(60000).UTC(), Rule: time.UnixMilli(90000).UTC()}, LastJob: "wk-2"}
-	rec.Add(schedule.Entry{Job: "wk-2", Planned: time.UnixMilli(5000).UTC(), State: schedule.StateMade})
-	if data, err = json.Marshal(encodeValue(rec)); err != nil {
-		t.Fatal(err)
-	}
-	for _, data := range [][]byte{data, bytes.Replace(data, []byte(`"schedule",`), []byte(`"schedule" ,`), 1)} { // written by us, and as a store may write it
-		if got, _ := decodeEntry(entryJSON{K: "schedule/n", V: data, KeyRev: 3}).Value.(*schedule.Record); got == nil || !reflect.DeepEqual(got, rec) {
-			t.Errorf("%+v became %+v", rec, got)
-		}
-	}
-	for _, bad := range []string{`{}`, `{"type":"schedule"}`, `{"type":"schedule","number":1,"file":{},"past":"x"}`, `{"type":"schedule","number":0,"file":{}}`, `[]`, `{"type":"job"}`, `{"type":"job","spec":{"id":"wk-1","tasks":0}}`, `{"type":"job","spec":{"id":"wk-2","tasks":1}}`,
-		`{"type":"final","state":"queued"}`, `{"type":"leader"}`} {
-		if e := decodeEntry(entryJSON{K: "live/job/wk-1", V: []byte(bad)}); e.Value != nil {
-			t.Errorf("%s is taken for a record", bad)
-		}
-	}
-}
--- a/internal/kvclient/compatibility_test.go
+++ b/internal/kvclient/compatibility_test.go
@@ -9,10 +9,8 @@
 	"time"
 
 	"yewpass/internal/kv"
-	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
 	"yewpass/internal/rpc"
-	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
 )
 
@@ -20,7 +18,6 @@
 // a version that cannot read them, or writes other bytes, cannot run beside that version
 // or on the data that it left.
 const (
-	goldenRecords  = "testdata/records-5990396.jsonl"
 	goldenRequests = "testdata/requests-5990396.jsonl"
 	goldenAnswers  = "testdata/answers-5990396.jsonl"
 )
@@ -43,136 +40,11 @@
 	return all
 }
 
-// goldenRecord is a record as the state service has it.
-type goldenRecord struct {
-	Name  string          `json:"name"`
-	Key   string          `json:"key"`
-	Value json.RawMessage `json:"value"`
-}
-
-// wholeSpec is a job's description in which every field is set.
-func wholeSpec() spec.Job {
-	return spec.Job{
-		ID:                 "wk-000412",
-		Class:              "train <a&b>",
-		Owner:              "vision",
-		Service:            true,
-		Urgency:            spec.Production,
-		Tasks:              16,
-		CPUs:               8.25,
-		GPUs:               0.5,
-		MemGB:              64.125,
-		Image:              "img-07",
-		ImageGB:            6.2,
-		InstanceTypes:      []string{"g8", "g4"},
-		Zone:               "hall-a",
-		SamePlace:          true,
-		Apart:              true,
-		AllowSpot:          true,
-		Runtime:            240 * time.Second,
-		CheckpointInterval: 30 * time.Second,
-		CheckpointTime:     4 * time.Second,
-		Deadline:           900 * time.Second,
-		HasDeadline:        true,
-	}
-}
-
 // leastSpec is the shortest description of a job.
 func leastSpec() spec.Job {
 	return spec.Job{ID: "wk-7", Class: "build", Owner: "tools", Tasks: 1}
 }
 
-// wholeSchedule is a schedule in which every field is set, with a history of every state.
-func wholeSchedule() *schedule.Record {
-	at := func(minute int) time.Time {
-		return time.Date(2027, time.January, 31, 9, minute, 0, 0, time.UTC)
-	}
-	r := &schedule.Record{
-		Number:  7,
-		Seq:     31,
-		Edition: 4,
-		File:    json.RawMessage(`{"name":"nightly","zone":"Europe/Berlin","rule":"FREQ=DAILY","at":["01:00"],"job":{"shards":2}}`),
-		Paused:  true,
-		Cursor:  schedule.Cursor{Nominal: at(1), Rule: at(2)},
-		LastJob: "wk-00000007202701310901",
-		Late:    2,
-	}
-	r.Add(schedule.Entry{Job: "wk-1", Planned: at(3), Due: at(4), Made: at(5), Started: at(6), Ended: at(7), State: schedule.StateDone, Late: true})
-	r.Add(schedule.Entry{Job: "wk-2", Planned: at(8), State: schedule.StateMissed, Reason: "late, by 5;00 & more"})
-	r.Add(schedule.Entry{Job: "wk-3", Made: at(9), State: schedule.StateMade})
-	r.Add(schedule.Entry{Job: "wk-4", State: schedule.StateCancelled})
-	r.Add(schedule.Entry{Job: "wk-5", State: schedule.StateFailed, Reason: "taken"})
-	return r
-}
-
-// recordValues are the values of the golden records, by name.
-func recordValues() map[string]any {
-	submitted := time.UnixMilli(1_801_386_061_234)
-	array := wholeSpec()
-	array.Service = false
-	return map[string]any{
-		"job: service, every field, cancelled": &record.Job{Spec: wholeSpec(), Submitted: submitted, Cancelled: true},
-		"job: array, every field":              &record.Job{Spec: array, Submitted: submitted},
-		"job: no optional field":               &record.Job{Spec: leastSpec(), Submitted: submitted},
-		"job: due at once":                     &record.Job{Spec: spec.Job{ID: "wk-8", Urgency: spec.Urgent, Tasks: 100_000, HasDeadline: true}, Submitted: submitted},
-		"final: done":                          &record.Final{State: spec.Done, Done: 16},
-		"final: cancelled":                     &record.Final{State: spec.Cancelled},
-		"progress: ranges":                     &record.Progress{Ranges: "0-5,9"},
-		"progress: bitmap":                     &record.Progress{Ranges: "=VVVVVVVVVVU"},
-		"progress: nothing":                    &record.Progress{},
-		"machines": &record.Machines{Machines: []record.Machine{
-			{Host: "host-000231", Address: "10.1.0.232:9000", InstanceType: "g8", Zone: "hall-a", Spot: true},
-			{Host: "host-000232", InstanceType: "c4", Zone: "hall-b"},
-		}},
-		"leader": &record.Leader{Node: "n1", Term: 41, Life: 18_000_000_000_000_000_001, Era: 9_000_000_000_000_000_002},
-		"leader: of a version without life and era": &record.Leader{Node: "n1", Term: 41},
-		"note of a job accepted without a leader":   &record.Leader{Node: "n2", Term: 41},
-		"term":                             &record.Term{Term: record.MaxTerm, Era: 9_000_000_000_000_000_002},
-		"term: of a version without era":   &record.Term{Term: 41},
-		"number":                           &record.ScheduleNumber{Number: 99},
-		"schedule: every field":            wholeSchedule(),
-		"schedule: no optional field":      &schedule.Record{Number: 1, Seq: 1, Edition: 1, File: json.RawMessage(`{"name":"n"}`), Cursor: schedule.Cursor{Nominal: time.UnixMilli(60_000).UTC()}},
-		"configuration: head":              &liveconfig.HeadRecord{Revision: 12},
-		"configuration: team, every field": &liveconfig.TeamRecord{Team: liveconfig.Team{Name: "vision", CPUs: 10.5, CPUsMax: 20, GPUs: 4, GPUsMax: 8.25, Retired: true}, Revision: 12},
-		"configuration: team without optional settings": &liveconfig.TeamRecord{Team: liveconfig.Team{Name: "tools"}, Revision: 3},
-	}
-}
-
-// TestRecordsOf5990396 guards the records in the state service: those written by version
-// 5990396 must stay readable, and the reverse.
-func TestRecordsOf5990396(t *testing.T) {
-	values := recordValues()
-	golden := readGolden[goldenRecord](t, goldenRecords)
-	if len(golden) != len(values) {
-		t.Errorf("%d golden records, %d values", len(golden), len(values))
-	}
-	for _, g := range golden {
-		t.Run(g.Name, func(t *testing.T) {
-			want := values[g.Name]
-			got := DecodeRecord(g.Key, g.Value)
-			if got == nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("read\n%+v, want\n%+v", got, want)
-			}
-			if data := EncodeRecord(got); string(data) != string(g.Value) {
-				t.Errorf("written again\n%s, want\n%s", data, g.Value)
-			}
-			if data := EncodeRecord(want); string(data) != string(g.Value) {
-				t.Errorf("written\n%s, want\n%s", data, g.Value)
-			}
-		})
-	}
-}
-
-// TestMachineRecordOfFirstVersion: the first version named one machine in a record, by its
-// key. Such a record must stay readable; it is written as a list of one.
-func TestMachineRecordOfFirstVersion(t *testing.T) {
-	got := DecodeRecord("yewpass/live/machine/host-000231", json.RawMessage(`{"type":"machine","flavor":"g8","zone":"hall-a","reclaimable":true}`))
-	want := &record.Machines{Machines: []record.Machine{{Host: "host-000231", InstanceType: "g8", Zone: "hall-a", Spot: true}}}
-	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, want %+v", got, want)
-	}
-}
-
 // goldenRequest is a request to the state service.
 type goldenRequest struct {
 	Name   string          `json:"name"`
@@ -197,7 +69,7 @@
 		"transaction": {Op: kv.Txn,
 			Conditions: []kv.Condition{{Key: "yewpass/leader", Rev: 40}, {Key: "yewpass/live/job/wk-7"}},
 			Writes: []kv.Write{
-				{Key: "yewpass/leader", Value: &record.Leader{Node: "n1", Term: 41, Life: 6, Era: 8}, LeaseID: 5},
+				{Key: "yewpass/leader", Value: &record.Leader{Node: "n1", Term: 41, ProcessID: 6, Era: 8}, LeaseID: 5},
 				{Key: "yewpass/live/job/wk-7", Value: &record.Job{Spec: leastSpec(), Submitted: time.UnixMilli(1_801_386_061_234)}},
 				{Key: "yewpass/live/job/wk-8"},
 			}},
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -257,7 +257,7 @@
 			{Key: "yewpass/final/wk-8", Value: &record.Final{State: spec.Done, Done: 3}},
 			{Key: "yewpass/live/progress/wk-7/0", Value: &record.Progress{Ranges: "0-5,9"}, Rev: 91},
 			{Key: "yewpass/live/machine/41-1", Value: &record.Machines{Machines: []record.Machine{{Host: "host-1", InstanceType: "g8", Zone: "hall-a"}}}, Rev: 92},
-			{Key: "yewpass/leader", Value: &record.Leader{Node: "a", Term: 41, Life: 6, Era: 8}, Rev: 93},
+			{Key: "yewpass/leader", Value: &record.Leader{Node: "a", Term: 41, ProcessID: 6, Era: 8}, Rev: 93},
 			{Key: "yewpass/term", Value: &record.Term{Term: 41, Era: 8}, Rev: 94},
 			{Key: "yewpass/schedules", Value: &record.ScheduleNumber{Number: 99}, Rev: 95},
 			{Key: "yewpass/schedule/n", Value: &schedule.Record{Number: 1, Seq: 1, Edition: 1, File: json.RawMessage(`{"name":"n"}`), Cursor: schedule.Cursor{Nominal: nominal}}, Rev: 96},
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"yewpass/internal/config"
-	"yewpass/internal/kvclient"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
+	"yewpass/internal/recordcodec"
 	"yewpass/internal/relay"
 	"yewpass/internal/replica"
 	"yewpass/internal/request"
@@ -23,14 +23,14 @@
 )
 
 type messageJSON struct {
-	From   string               `json:"from"`
-	Kind   peermsg.Kind         `json:"kind"`
-	Term   uint64               `json:"term,omitempty"`
-	Ref    uint64               `json:"ref,omitempty"`
-	Op     request.Operation    `json:"op,omitempty"`
-	ID     string               `json:"id,omitempty"`
-	Spec   *kvclient.SpecRecord `json:"spec,omitempty"`
-	Answer *answerJSON          `json:"answer,omitempty"`
+	From   string            `json:"from"`
+	Kind   peermsg.Kind      `json:"kind"`
+	Term   uint64            `json:"term,omitempty"`
+	Ref    uint64            `json:"ref,omitempty"`
+	Op     request.Operation `json:"op,omitempty"`
+	ID     string            `json:"id,omitempty"`
+	Spec   *recordcodec.Spec `json:"spec,omitempty"`
+	Answer *answerJSON       `json:"answer,omitempty"`
 
 	Speaks uint64 `json:"speaks,omitempty"`
 
@@ -91,7 +91,7 @@
 func encodeLine(l *replica.Line) *lineJSON {
 	j := &lineJSON{Era: l.Era, Term: l.Term, Session: l.Session, Number: l.Number, Seq: l.Seq, Whole: l.Complete, Drops: l.Drops}
 	for _, r := range l.Puts {
-		j.Puts = append(j.Puts, recordJSON{r.Key, kvclient.EncodeRecord(r.Value), r.Rev})
+		j.Puts = append(j.Puts, recordJSON{r.Key, recordcodec.Encode(r.Value), r.Rev})
 	}
 	j.Sum = j.sum()
 	return j
@@ -103,7 +103,7 @@
 	}
 	out := &replica.Line{Era: l.Era, Term: l.Term, Session: l.Session, Number: l.Number, Seq: l.Seq, Complete: l.Whole, Drops: l.Drops}
 	for _, r := range l.Puts {
-		v := kvclient.DecodeRecord(r.K, r.V)
+		v := recordcodec.Decode(r.K, r.V)
 		if v == nil {
 			return nil, false
 		}
@@ -152,7 +152,7 @@
 		j.Copy = encodeLine(p.Msg.Replica)
 	}
 	if p.Msg.Spec != nil {
-		s := kvclient.EncodeSpec(p.Msg.Spec)
+		s := recordcodec.EncodeSpec(p.Msg.Spec)
 		j.Spec = &s
 	}
 	if a := p.Msg.Answer; a != nil {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -52,10 +52,10 @@
 
 // Leader names the leader, under its grant.
 type Leader struct {
-	Node string
-	Term uint64
-	Life uint64 // of the node's process; 0 in records of versions that had none
-	Era  uint64 // see Term
+	Node      string
+	Term      uint64
+	ProcessID uint64 // of the node's process; 0 in records of versions that had none
+	Era       uint64 // see Term
 }
 
 // ScheduleNumber says up to which number schedules may have been numbered.
--- /dev/null
+++ b/internal/recordcodec/schedule.go
@@ -0,0 +1,108 @@
+package recordcodec
+
+import (
+	"encoding/json"
+	"time"
+
+	"yewpass/internal/record"
+	"yewpass/internal/schedule"
+)
+
+// scheduleJSON is a schedule. Times are in milliseconds, 0 where unknown.
+type scheduleJSON struct {
+	Type    string          `json:"type"` // typeSchedule
+	Number  uint64          `json:"number"`
+	Seq     uint64          `json:"seq"`
+	Edition uint64          `json:"edition"`
+	File    json.RawMessage `json:"file"`
+	Paused  bool            `json:"paused,omitempty"`
+	Cursor  int64           `json:"cursorMs"`
+	Rule    int64           `json:"ruleMs,omitempty"`
+	LastJob string          `json:"lastJob,omitempty"`
+	Made    int64           `json:"made,omitempty"`
+	Missed  int64           `json:"missed,omitempty"`
+	Late    int64           `json:"late,omitempty"`
+	Past    string          `json:"past,omitempty"`
+}
+
+// scheduleNumberJSON is the highest number that may have been given to a schedule.
+type scheduleNumberJSON struct {
+	Type   string `json:"type"` // typeScheduleNumber
+	Number uint64 `json:"number"`
+}
+
+// maxTimeMS is in the year 2500: no schedule was ever written with a later time.
+const maxTimeMS = 16_725_225_600_000
+
+func toMS(t time.Time) int64 {
+	if t.IsZero() {
+		return 0
+	}
+	return t.UnixMilli()
+}
+
+func fromMS(ms int64) time.Time {
+	if ms == 0 {
+		return time.Time{}
+	}
+	return time.UnixMilli(ms).UTC()
+}
+
+func encodeSchedule(r *schedule.Record) scheduleJSON {
+	return scheduleJSON{
+		Type:    typeSchedule,
+		Number:  r.Number,
+		Seq:     r.Seq,
+		Edition: r.Edition,
+		File:    r.File,
+		Paused:  r.Paused,
+		Cursor:  toMS(r.Cursor.Nominal),
+		Rule:    toMS(r.Cursor.Rule),
+		LastJob: r.LastJob,
+		Made:    r.Made,
+		Missed:  r.Missed,
+		Late:    r.Late,
+		Past:    r.Past,
+	}
+}
+
+func decodeSchedule(_ string, data []byte) any {
+	var j scheduleJSON
+	if json.Unmarshal(data, &j) != nil {
+		return nil
+	}
+	r := &schedule.Record{
+		Number:  j.Number,
+		Seq:     j.Seq,
+		Edition: j.Edition,
+		File:    j.File,
+		Paused:  j.Paused,
+		Cursor:  schedule.Cursor{Nominal: fromMS(j.Cursor), Rule: fromMS(j.Rule)},
+		LastJob: j.LastJob,
+		Made:    j.Made,
+		Missed:  j.Missed,
+		Late:    j.Late,
+		Past:    j.Past,
+	}
+	if !j.valid() {
+		return nil
+	}
+	if _, ok := r.Entries(); !ok {
+		return nil
+	}
+	return r
+}
+
+// valid reports whether the numbers of a schedule are such as were ever written.
+func (j *scheduleJSON) valid() bool {
+	validTime := func(ms int64) bool { return ms >= 0 && ms < maxTimeMS }
+	return validTime(j.Cursor) && validTime(j.Rule) && j.Number > 0 && j.Number <= schedule.MaxNumber && len(j.File) > 0
+}
+
+func decodeScheduleNumber(_ string, data []byte) any {
+	var n scheduleNumberJSON
+	if json.Unmarshal(data, &n) != nil {
+		return nil
+	}
+	return &record.ScheduleNumber{Number: n.Number}
+}
