--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -20,7 +20,7 @@
 	}
 	r.UnreadableJobs = slices.Sorted(maps.Keys(l.unreadableJobs))
 	r.UnreadableJobs = r.UnreadableJobs[:min(len(r.UnreadableJobs), 10)]
-	r.Replicas = c.completeReplicas()
+	r.Replicas = l.publisher.CompleteFollowers()
 	return r
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -20,6 +20,7 @@
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/recovery"
+	"yewpass/internal/replication"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/zones"
@@ -55,7 +56,7 @@
 	observed              recovery.Observed // what we have seen of the state service
 	dataLossReason        string            // why it must have lost data, until somebody leads who knows
 	lastLedTerm           uint64            // the last term that we led
-	replicas              replicas
+	replicas              *replication.Replicas
 	confirmedTerm         uint64 // the newest that the state service has told us of
 	confirmedTermRevision uint64 // at which it is on record
 	links                 map[string]bool
@@ -76,7 +77,7 @@
 
 // New returns a controller that has not begun; give it a Tick to begin.
 func New(cfg *config.Config, pol *policy.Policy, cal *calendar.Set, seed uint64) *Core {
-	finals, _ := lru.New[string, record.Final](maxFinals(cfg)) // errs only for a size below 1
+	finals, _ := lru.New[string, record.Final](replication.FinalsLimit(cfg)) // errs only for a size below 1
 	nodes := 1 + len(cfg.Seeds)
 	// A process may follow another of its name within a fraction of a second, and what
 	// the leader answers to a call of the former one reaches the new one's link. Were both
@@ -90,7 +91,6 @@
 		pol:               pol,
 		cal:               cal,
 		processID:         processID,
-		replicas:          replicas{transfers: map[string]*transfer{}},
 		forwardedRequests: map[uint64]*forwarded{},
 		links:             map[string]bool{},
 		finals:            finals,
@@ -102,6 +102,7 @@
 	}
 	c.forwarder = forwarder.New(c.Engine, forwarderView{c}, cfg)
 	c.leaseTiming = lease.Timing{LeaderLease: leaseTTL, WorkerLease: c.workerLease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
+	c.replicas = replication.New(c.Engine, cfg, replicationHost{c})
 	c.ObserveStore = c.observeStoreCall
 	return c
 }
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -11,6 +11,7 @@
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/replica"
+	"yewpass/internal/replication"
 	"yewpass/internal/rpc"
 	"yewpass/internal/writebatch"
 )
@@ -115,7 +116,7 @@
 		c.watchLeaderlessNotes()
 	}
 	c.loadSchedulesWhenRestored()
-	c.afterWhileLeading(c.Jitter(scrubInterval), c.scrubRecords)
+	c.afterWhileLeading(c.Jitter(replication.ScrubInterval), l.scrubber.Run)
 	c.tickLeader()
 }
 
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -32,6 +32,7 @@
 	c.leadership.scope = c.NewScope()
 	c.leadership.placement = placement.New(c.Engine, c.leadership.scope, c.cfg, placementLeader{c, c.leadership}, term)
 	c.leadership.authority.start(term, rev, grant, c.authorityUntil(sent), c.Now, ahead)
+	c.startReplication(c.leadership)
 	c.leadership.autoscaler = c.newAutoscaler()
 	c.leadership.zones = zones.New(c.zoneSettings())
 	c.leadership.regions = zones.NewRegionWatch(c.reg)
@@ -181,7 +182,7 @@
 		return
 	}
 	c.tickFleet()
-	c.supplyReplicas()
+	c.leadership.publisher.SupplyFollowers()
 	c.dueSchedules()
 	c.afterWhileLeading(tickEvery, c.tickLeader)
 }
--- a/internal/core/leaderless.go
+++ b/internal/core/leaderless.go
@@ -102,7 +102,7 @@
 		switch r.Outcome {
 		case rpc.OK:
 			c.Log(slog.LevelInfo, "job accepted without a leader", "job", s.ID)
-			c.replicateLeaderless(rec, r.Rev)
+			c.replicas.SendLeaderlessJob(rec, r.Rev)
 			c.answer(call, request.Response{Status: 201, View: request.JobStatus{ID: s.ID, State: spec.Queued}})
 		case rpc.Conflict, rpc.Unknown:
 			// It has a record, maybe this one.
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -14,6 +14,7 @@
 	"yewpass/internal/quota"
 	"yewpass/internal/relay"
 	"yewpass/internal/replica"
+	"yewpass/internal/replication"
 	"yewpass/internal/topology"
 	"yewpass/internal/writebatch"
 	"yewpass/internal/zones"
@@ -28,7 +29,7 @@
 	workload
 	inventory
 	dispatching
-	replication
+	replicating
 
 	placement  *placement.Scheduler
 	zones      *zones.Watch
@@ -113,14 +114,11 @@
 	dispatchScheduled bool                                  // and then it is seen to
 }
 
-// replication is the copies of the records at the other controllers, and what is learned
-// from theirs.
-type replication struct {
-	followers      map[string]*replica.Sender // controllers that have a copy
-	sendingBase    bool
-	finalsSource   string // who tells us how jobs have ended
-	finalsReceiver replica.Receiver
-	scrub          scrubber
+// replicating keeps the followers' replicas up to date, and learns from theirs.
+type replicating struct {
+	publisher *replication.Publisher
+	scrubber  *replication.Scrubber
+	finals    replication.FinalsFetch
 }
 
 func newLeadership(cfg *config.Config, now time.Time) *leadership {
@@ -130,7 +128,6 @@
 		workload:    workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: quota.Accounts{}},
 		inventory:   inventory{released: expiringset.New(now), machines: map[string]*fleet.Machine{}, relays: map[string]*fleet.RelayLink{}},
 		dispatching: dispatching{heldReplies: map[fleet.HeartbeatKey]*fleet.Machine{}},
-		replication: replication{followers: map[string]*replica.Sender{}},
 		writes:      writebatch.New(cfg.Settings.State),
 		schedules:   newSchedules(),
 		config:      newConfiguring(cfg),
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -123,8 +123,8 @@
 	d.running("wk-1", 1)
 	l := d.c.leadership
 	key := record.JobPrefix + "wk-1"
-	d.c.replicas.own = replica.New(1, l.term, record.FinalPrefix, 100)
-	d.c.replicas.own.Put(key, l.jobs["wk-1"].Record, 0)
+	d.c.replicas.SetOwn(replica.New(1, l.term, record.FinalPrefix, 100))
+	d.c.replicas.Own().Put(key, l.jobs["wk-1"].Record, 0)
 	l.loss = &dataLoss{pending: 1}
 	d.calls = nil
 	d.c.restoreRecord(replica.Record{Key: key, Value: l.jobs["wk-1"].Record})
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if !p.Up && c.leadership != nil {
-		delete(c.leadership.followers, p.Name) // it begins anew with the next link
+		c.leadership.publisher.DropFollower(p.Name)
 	}
 	if !p.Up {
 		c.answerForwardedTo(p.Name)
@@ -82,7 +82,7 @@
 		}
 	case peermsg.WantReplica:
 		if c.leadership == nil {
-			c.startTransfer(p.From)
+			c.replicas.StartTransfer(p.From)
 		}
 	case peermsg.Heartbeats:
 		c.handleRelayedHeartbeats(p.From, p.Msg)
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -82,7 +82,7 @@
 	l := c.leadership
 	if g := l.recovery; g != nil {
 		if g.peerKnowledge[from] == nil && k.ReplicaTerm == 0 {
-			c.startTransfer(from)
+			c.replicas.StartTransfer(from)
 		}
 		g.peerKnowledge[from] = k
 		c.advanceRecovery()
@@ -199,7 +199,7 @@
 		case g.lossReason == "" && g.peerKnowledge[name].LiveDigest == digestRecords(g.stored) && g.peerKnowledge[name].ReplicaEra == g.termRead.Era:
 			// Nothing is missing, as far as its keys tell; but for how jobs have ended,
 			// which is learned beside the work.
-			l.finalsSource = name
+			l.finals.SetSource(name)
 		case g.replicaSource != name:
 			g.replicaSource, g.replicaDeadline, g.receiver = name, c.Now.Add(replicaTimeout), replica.Receiver{}
 			c.Emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
--- a/internal/core/recovery_merge.go
+++ b/internal/core/recovery_merge.go
@@ -81,7 +81,7 @@
 	g := l.recovery
 	g.merged = true
 	records := g.stored
-	own := replica.New(c.observed.Era, l.term, record.FinalPrefix, maxFinals(c.cfg))
+	own := c.replicas.NewReplica(c.observed.Era, l.term)
 	best := c.newestReplica()
 	if g.replica != nil {
 		g.replica.InheritBounded(best)
@@ -96,7 +96,7 @@
 			}
 			own.Put(key, r.Value, r.Rev)
 		}
-		for _, key := range g.replica.Keys(record.Root + "schedule") {
+		for _, key := range g.replica.Keys(record.SchedulesPrefix) {
 			// Until they have been read: a copy that is passed on without them would be
 			// newer than one that has them.
 			r, _ := g.replica.Get(key)
@@ -135,7 +135,7 @@
 	}
 	c.dataLossReason = ""
 	own.InheritBounded(best)
-	c.replicas.own = own
+	c.replicas.SetOwn(own)
 	l.noEarlierTerm = g.termRead.Missing
 	c.loadRecords(records)
 }
@@ -155,8 +155,8 @@
 	l := c.leadership
 	l.recovery = nil
 	c.prepareRestore()
-	if l.finalsSource != "" {
-		c.Emit(peermsg.Outgoing{To: l.finalsSource, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
+	if source := l.finals.Source(); source != "" {
+		c.Emit(peermsg.Outgoing{To: source, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
 	}
 	c.startWork()
 }
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -19,6 +19,9 @@
 
 // How records that were lost are written back.
 
+// restorePollInterval is how often it is looked again whether schedules are restored.
+const restorePollInterval = 100 * time.Millisecond
+
 // prepareRestore has the machines written back at once that were lost from record. Until
 // they are, nothing starts on them.
 func (c *Core) prepareRestore() {
@@ -117,7 +120,7 @@
 		ch.Priority = writebatch.Urgent
 	}
 	ch.Prepare = func() bool {
-		now, ok := c.replicas.own.Get(r.Key)
+		now, ok := c.replicas.Own().Get(r.Key)
 		if id, live := strings.CutPrefix(r.Key, record.JobPrefix); live {
 			j := l.jobs[id]
 			ok = ok && j != nil && !j.Finishing
@@ -174,7 +177,7 @@
 		c.loadSchedules("")
 		return
 	}
-	c.afterWhileLeading(replicaInterval, c.loadSchedulesWhenRestored)
+	c.afterWhileLeading(restorePollInterval, c.loadSchedulesWhenRestored)
 }
 
 // restoreMissingSchedules has schedules written back that the copy we have gone by has, and the
@@ -197,7 +200,7 @@
 	c.readBack(record.ScheduleNumberKey, func(e kv.Entry, found bool) {
 		if n, ok := own.Get(record.ScheduleNumberKey); ok && !found {
 			n.Rev = 0
-			c.writeBack(n, func(kv.Entry) { c.afterWhileLeading(replicaInterval, c.restoreMissingSchedules) })
+			c.writeBack(n, func(kv.Entry) { c.afterWhileLeading(restorePollInterval, c.restoreMissingSchedules) })
 			return
 		}
 		c.leadership.schedules.numberRev = e.Rev
--- a/internal/core/replication_test.go
+++ b/internal/core/replication_test.go
@@ -7,13 +7,13 @@
 	"yewpass/internal/replica"
 )
 
-// TestOwnCopyOutlivesAJumpOfTerms: after a loss terms go on far above the last one. The copy
+// TestOwnReplicaOutlivesAJumpOfTerms: after a loss terms go on far above the last one. The replica
 // of whoever led last is then the newest that there is, and is kept until a whole copy of a
 // later term has come. (It was dropped by the distance of the terms, and an older one lent.)
-func TestOwnCopyOutlivesAJumpOfTerms(t *testing.T) {
+func TestOwnReplicaOutlivesAJumpOfTerms(t *testing.T) {
 	c := leaderOf(t, 1)
 	c.leadership, c.cfg.HostName = nil, "n1"
-	c.replicas.own = replica.New(5, 2, record.FinalPrefix, 10)
+	c.replicas.SetOwn(replica.New(5, 2, record.FinalPrefix, 10))
 	c.observeTerm(9, 188, 1)
 	if k := c.newestReplica(); k == nil || k.Term != 2 {
 		t.Fatal("the copy is gone")
@@ -24,7 +24,7 @@
 		t.Fatal("the copy is gone before the next one is whole")
 	}
 	c.handleReplicaLine("n0", &replica.Line{Era: 9, Term: 188, Session: 1, Number: 2, Complete: true})
-	if k := c.newestReplica(); k.Term != 188 || c.replicas.own != nil {
+	if k := c.newestReplica(); k.Term != 188 || c.replicas.Own() != nil {
 		t.Error("the older copy is still there")
 	}
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -68,7 +68,7 @@
 
 func (c *Core) recordStats() view.RecordStats {
 	l := c.leadership
-	s := view.RecordStats{UnreadableJobs: len(l.unreadableJobs), Replicas: len(c.completeReplicas())}
+	s := view.RecordStats{UnreadableJobs: len(l.unreadableJobs), Replicas: len(l.publisher.CompleteFollowers())}
 	if l.loss != nil {
 		s.RecordsPending = l.loss.pending
 	}
--- a/internal/core/write_batcher.go
+++ b/internal/core/write_batcher.go
@@ -117,7 +117,7 @@
 	switch r.Outcome {
 	case rpc.OK:
 		p.Backoff = 0
-		c.replicateBatch(batch, r.Rev)
+		c.leadership.publisher.PutCommitted(batch, r.Rev)
 		for _, ch := range batch {
 			if ch.OnCommit != nil {
 				ch.OnCommit(r.Rev)
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -22,6 +22,7 @@
 	LeaderlessPrefix = Root + "alone/" // notes of jobs that were accepted without a leader
 
 	// Schedules lie apart: a failover does not wait for them.
+	SchedulesPrefix   = Root + "schedule" // of everything below
 	SchedulePrefix    = Root + "schedule/"
 	ScheduleNumberKey = Root + "schedules" // the numbers given to schedules
 
--- a/internal/writebatch/writebatch.go
+++ b/internal/writebatch/writebatch.go
@@ -150,3 +150,19 @@
 	}
 	p.Writes.ReserveN(now, min(writes, p.Writes.Burst()))
 }
+
+// HasUncommitted reports whether a change of the key is in flight, or was sent and may have
+// been applied without our knowing.
+func (p *Batcher) HasUncommitted(key string) bool {
+	if p.KeysInFlight[key] {
+		return true
+	}
+	for _, changes := range p.Queued {
+		for _, ch := range changes {
+			if ch.Sent && slices.ContainsFunc(ch.Writes, func(w kv.Write) bool { return w.Key == key }) {
+				return true
+			}
+		}
+	}
+	return false
+}
