--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -8,6 +8,7 @@
 	"yewpass/internal/autoscaler"
 	"yewpass/internal/fleet"
 	"yewpass/internal/provider"
+	"yewpass/internal/relaylinks"
 	"yewpass/internal/zones"
 )
 
@@ -48,7 +49,7 @@
 func (s autoscalerState) CanAct() bool { return s.c.canAct() }
 
 // MaxMachines implements autoscaler.State.
-func (s autoscalerState) MaxMachines() int { return s.c.maxFleet() }
+func (s autoscalerState) MaxMachines() int { return relaylinks.MaxFleet(s.c.cfg) }
 
 // Term implements autoscaler.State.
 func (s autoscalerState) Term() (term, era uint64) { return s.c.leadership.term, s.c.observed.Era }
@@ -117,7 +118,7 @@
 	if m.HeldReply != nil {
 		c.refuseHeldReply(m)
 	}
-	l.clearReportsVia(m)
+	relaylinks.Detach(m)
 	delete(l.machines, host)
 	l.places.Forget(host)
 	if i := l.fleetIndex(host); i < len(l.fleet) && l.fleet[i] == m {
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"yewpass/internal/relaylinks"
 	"yewpass/internal/request"
 	"yewpass/internal/view"
 	"yewpass/internal/zones"
@@ -31,8 +32,8 @@
 	l := c.leadership
 	if l != nil {
 		v.Leader, v.Term, v.LeadsSeconds, v.Authority = c.cfg.HostName, l.term, c.Now.Sub(l.electedAt).Seconds(), c.hasAuthority()
-		v.FailoverComplete, v.Machines, v.Unaccounted, v.MaxMachines = l.loaded && l.allAccounted(), len(l.fleet), len(l.unaccounted), c.maxFleet()
-		own.Role, own.Workers = "leader", l.relay("").Workers
+		v.FailoverComplete, v.Machines, v.Unaccounted, v.MaxMachines = l.loaded && l.allAccounted(), len(l.fleet), len(l.unaccounted), relaylinks.MaxFleet(c.cfg)
+		own.Role, own.Workers = "leader", l.relays.Direct()
 		v.Regions = c.clusterRegions()
 		v.Zones, v.Records = c.clusterZones(), c.records()
 	} else if !c.hasLeaderLink() {
@@ -46,12 +47,12 @@
 		}
 		if l != nil {
 			n.Role = "away"
-			if p := l.relays[s.HostName]; p != nil {
+			if p := l.relays.Lookup(s.HostName); p != nil {
 				n.Workers = p.Workers
 				if !p.LastBatch.IsZero() {
 					n.LagSeconds = c.Now.Sub(p.LastBatch).Seconds()
 				}
-				if c.takesWorkers(s.HostName, p) {
+				if l.relays.TakesWorkers(s.HostName) {
 					n.Role = "relay"
 				}
 			}
@@ -109,7 +110,7 @@
 		return "this node does not lead"
 	case !l.allAccounted():
 		return "the take-over is not complete"
-	case len(c.relayNodes()) == 0:
+	case len(l.relays.Nodes()) == 0:
 		return "no other controller is in reach"
 	}
 	return ""
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -119,10 +119,11 @@
 	c.RunTimers()
 	c.handle(in)
 	if c.leadership != nil {
-		c.runLeader()
-		c.flushRelayReplies()
+		c.runLeader() // which may end the leadership
 	}
-	if c.leadership == nil {
+	if l := c.leadership; l != nil {
+		l.relays.Flush()
+	} else {
 		c.forwarder.Run()
 	}
 	return c.Outputs
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -23,7 +23,7 @@
 	if !c.canAct() {
 		return
 	}
-	c.noteSilentRelays()
+	l.relays.NoteSilent()
 	c.observeZones()
 	// When most machines fall silent at once, it is rather we who are cut off.
 	quiet, reporting := 0, 0
@@ -31,7 +31,7 @@
 	for _, m := range l.fleet {
 		if m.Reported && !m.Unreachable {
 			reporting++
-			if m.ReportsVia != nil && c.Now.Sub(m.LastHeartbeat) > overdueHeartbeat(c.heartbeatInterval) {
+			if m.ReportsVia != nil && l.relays.Overdue(m) {
 				overdue[m.ReportsVia]++
 			}
 			if c.Now.Sub(c.lastHeard(m)) > silent {
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	c.noteIsolatedRelays(overdue)
+	l.relays.NoteIsolated(overdue)
 	takeover := silent
 	if 2*len(l.unaccounted) < reporting {
 		takeover = secs(c.pol.TakeoverRelease(e))
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -14,7 +14,7 @@
 func (c *Core) handleHeartbeat(in heartbeat.Received) {
 	l := c.leadership
 	rep := &in.Report
-	refuse := func() { c.replyHeartbeat(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 503}) }
+	refuse := func() { l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 503}) }
 	if l != nil && rep.FencingToken > l.term && !c.hasAuthority() {
 		c.stepDown("a worker has seen a newer epoch")
 		l = nil
@@ -50,7 +50,7 @@
 	if m.Probed && rep.Incarnation == m.Incarnation && rep.Counter <= m.Counter && c.hasAuthority() {
 		// Overtaken by its own answer to our probe: nothing new, but a worker
 		// that waits for its reply.
-		c.replyHeartbeat(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
+		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
 		m.LastReply = c.Now
 		return
 	}
@@ -77,12 +77,12 @@
 		m.Probed = false
 		c.reconcile(m, rep)
 	}
-	l.setReportsVia(m, in.Via.Relay)
+	l.relays.Attach(m, in.Via.Relay)
 	if m.Record == fleet.Unrecorded && c.hasAuthority() && m.Usable() {
 		c.recordNewMachine(m)
 	}
-	if to := c.redirectTarget(m, in.Via.Relay, first); to != "" {
-		c.replyHeartbeat(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
+	if to := l.relays.RedirectTarget(m, in.Via.Relay, first); to != "" {
+		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
 		return
 	}
 	m.HeldReply = &fleet.HeldReply{HeartbeatKey: fleet.HeartbeatKey{Via: in.Via, Ref: in.Ref}, Since: c.Now}
@@ -208,7 +208,7 @@
 // One that was answered long ago and whose reports still show no word of ours does not hear:
 // everything that was accepted earlier would wait for it for as long as that lasts.
 func (c *Core) lastHeard(m *fleet.Machine) time.Time {
-	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.heardAgainWithin() {
+	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.leadership.relays.RecoveryTime() {
 		return m.UnacknowledgedSince
 	}
 	return m.LastHeartbeat
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -11,6 +11,7 @@
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/placement"
 	"yewpass/internal/record"
+	"yewpass/internal/relaylinks"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/topology"
@@ -30,6 +31,7 @@
 	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1)
 	c.leadership = newLeadership(c.cfg, c.Now)
 	c.leadership.scope = c.NewScope()
+	c.leadership.relays = relaylinks.New(c.Engine, c.cfg, linksLeader{c, c.leadership}, term)
 	c.leadership.placement = placement.New(c.Engine, c.leadership.scope, c.cfg, placementLeader{c, c.leadership}, term)
 	c.leadership.authority.start(term, rev, grant, c.authorityUntil(sent), c.Now, ahead)
 	c.startReplication(c.leadership)
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -12,7 +12,7 @@
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/placement"
 	"yewpass/internal/quota"
-	"yewpass/internal/relay"
+	"yewpass/internal/relaylinks"
 	"yewpass/internal/replica"
 	"yewpass/internal/replication"
 	"yewpass/internal/topology"
@@ -32,6 +32,7 @@
 	replicating
 
 	placement  *placement.Scheduler
+	relays     *relaylinks.Links
 	zones      *zones.Watch
 	regions    *zones.RegionWatch
 	places     *topology.Tree
@@ -98,10 +99,7 @@
 	released       expiringset.Set              // released, proven gone: their late reports count for nothing
 	recordCount    uint64                       // records of machines begun in this term
 	records        []*fleet.Record              // the records of the machines
-	relays         map[string]*fleet.RelayLink  // "" for our own socket
-	nodes          []relay.Node                 // scratch space
 	knownReporters map[string]*forwarder.Worker // workers that reported to us before
-	nextMoveAt     time.Time                    // not before this is a worker led to another node
 	heartbeatCount uint64                       // reports taken in
 }
 
@@ -126,7 +124,7 @@
 		authority:   authority{acknowledged: map[string]bool{}},
 		failover:    failover{unaccounted: map[string]bool{}, unreadableJobs: map[string]bool{}, unreadableMachineRecords: map[string]uint64{}, newerTokens: map[string]uint64{}},
 		workload:    workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: quota.Accounts{}},
-		inventory:   inventory{released: expiringset.New(now), machines: map[string]*fleet.Machine{}, relays: map[string]*fleet.RelayLink{}},
+		inventory:   inventory{released: expiringset.New(now), machines: map[string]*fleet.Machine{}},
 		dispatching: dispatching{heldReplies: map[fleet.HeartbeatKey]*fleet.Machine{}},
 		writes:      writebatch.New(cfg.Settings.State),
 		schedules:   newSchedules(),
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -39,7 +39,7 @@
 	if !m.Reported {
 		last = maxTime(last, maxTime(m.KnownSince, l.electedAt))
 	}
-	wait := c.silenceLimit(m, silent)
+	wait := c.leadership.relays.SilenceLimit(m, silent)
 	booting := m.LastHeartbeat.IsZero() && !l.unaccounted[m.Host]
 	if booting {
 		last, wait = m.RentedAt, l.autoscaler.BootTimeout(m)
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"yewpass/internal/fleet"
+	"yewpass/internal/relaylinks"
 	"yewpass/internal/timeline"
 )
 
@@ -100,7 +101,7 @@
 		m.ExpiredIncarnation = m.Incarnation
 	}
 	m.Reported, m.LeaseExpired = false, true
-	c.leadership.clearReportsVia(m)
+	relaylinks.Detach(m)
 	m.LastReply = time.Time{}
 	c.markAccounted(m.Host)
 	c.leadership.placement.DropMachineReservations(m)
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -21,7 +21,7 @@
 // refuseHeldReply answers the report that a machine waits on with a no.
 func (c *Core) refuseHeldReply(m *fleet.Machine) {
 	key := c.takeHeldReply(m)
-	c.replyHeartbeat(key.Via, heartbeat.Reply{Ref: key.Ref, Status: 503})
+	c.leadership.relays.Reply(key.Via, heartbeat.Reply{Ref: key.Ref, Status: 503})
 }
 
 // requestDispatch has a held reply to the machine go out soon if there are orders for it.
@@ -112,7 +112,7 @@
 	if m.FencingToken != c.leadership.term && m.UnacknowledgedSince.IsZero() {
 		m.UnacknowledgedSince = c.Now
 	}
-	c.replyHeartbeat(key.Via, heartbeat.Reply{Ref: key.Ref, Status: 200, FencingToken: c.leadership.term, Orders: os})
+	c.leadership.relays.Reply(key.Via, heartbeat.Reply{Ref: key.Ref, Status: 200, FencingToken: c.leadership.term, Orders: os})
 	m.LastReply = c.Now
 }
 
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -12,6 +12,7 @@
 	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/relay"
+	"yewpass/internal/relaylinks"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
@@ -224,11 +225,11 @@
 	}
 	f := relay.NewEncoder(3)
 	send(f, f.Encode(17, &rep))
-	if p := c.silenceLimit(m, 10*time.Second); p != 10*time.Second {
+	if p := c.leadership.relays.SilenceLimit(m, 10*time.Second); p != 10*time.Second {
 		t.Fatalf("patience of %v while the relay goes on", p)
 	}
 	send(relay.NewEncoder(4))
-	if p := c.silenceLimit(m, 10*time.Second); p <= c.heartbeatInterval*5/4+workerRetryTimeout {
+	if p := c.leadership.relays.SilenceLimit(m, 10*time.Second); p <= c.heartbeatInterval*5/4+relaylinks.WorkerRetryTimeout {
 		t.Errorf("patience of %v", p)
 	}
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -39,8 +39,8 @@
 	s := view.FleetStats{
 		Machines:    len(l.fleet),
 		Unaccounted: len(l.unaccounted),
-		Direct:      l.relay("").Workers,
-		Relays:      len(c.relayNodes()),
+		Direct:      l.relays.Direct(),
+		Relays:      len(l.relays.Nodes()),
 		FleetFull:   l.autoscaler.AtCapacity(),
 	}
 	for _, r := range l.regions.All() {
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -86,19 +86,19 @@
 // without an answer, before it can be heard by another.
 func TestQuietRelay(t *testing.T) {
 	c := twoZones(t, 12)
-	p := c.leadership.relay("n1")
+	p := c.leadership.relays.Link("n1")
 	m := c.leadership.fleet[0]
 	m.ReportsVia, p.LastBatch = p, t0
 	silent := 10 * time.Second
-	if d := c.silenceLimit(m, silent); d != silent {
+	if d := c.leadership.relays.SilenceLimit(m, silent); d != silent {
 		t.Errorf("%v with a relay in order", d)
 	}
 	p.LastSilent = t0.Add(time.Second)
-	if d := c.silenceLimit(m, silent); d < c.heartbeatInterval*5/4+5*time.Second {
+	if d := c.leadership.relays.SilenceLimit(m, silent); d < c.heartbeatInterval*5/4+5*time.Second {
 		t.Errorf("%v with a quiet one", d)
 	}
 	m.LastHeartbeat = t0.Add(2 * time.Second)
-	if d := c.silenceLimit(m, silent); d != silent {
+	if d := c.leadership.relays.SilenceLimit(m, silent); d != silent {
 		t.Errorf("%v once it has found another way", d)
 	}
 }
