--- /dev/null
+++ b/internal/cloud/response.go
@@ -0,0 +1,166 @@
+package cloud
+
+import (
+	"encoding/json"
+	"net/http"
+	"slices"
+	"strings"
+
+	"yewpass/internal/provider"
+	"yewpass/internal/rpc"
+	"yewpass/internal/timeline"
+)
+
+// Bounds of the amounts that an instance type can have.
+const (
+	minCPUs   = 0.001
+	maxAmount = 1e6
+	maxLarge  = 1e7 // of memory, prices and boot times
+)
+
+// noCapacity is what the cloud says when it has no instance of the kind that was asked for.
+const noCapacity = "capacity"
+
+type instanceTypeJSON struct {
+	Name         string   `json:"name"`
+	CPUs         float64  `json:"vcpus"`
+	GPUs         float64  `json:"gpus"`
+	MemGB        float64  `json:"memGb"`
+	LocalGB      float64  `json:"localGb"`
+	ImageGBps    float64  `json:"fetchGbPerS"`
+	OnDemandRate float64  `json:"rate"`
+	SpotRate     float64  `json:"lowPrice"`
+	BootSeconds  float64  `json:"readyS"`
+	Zones        []string `json:"halls"`
+}
+
+type instanceJSON struct {
+	Host         string  `json:"id"`
+	InstanceType string  `json:"flavor"`
+	Zone         string  `json:"hall"`
+	Spot         bool    `json:"reclaimable"`
+	Status       string  `json:"status"`
+	AgeSeconds   float64 `json:"ageS"`
+}
+
+type catalogJSON struct {
+	InstanceTypes []instanceTypeJSON `json:"flavors"`
+}
+
+type listJSON struct {
+	Instances []instanceJSON `json:"hosts"`
+	Truncated bool           `json:"truncated"`
+}
+
+type errorJSON struct {
+	Error string `json:"error"`
+}
+
+var unknown = provider.Response{Outcome: rpc.Unknown}
+
+// Decode reads a response. Whatever is not what the protocol promises is an unknown
+// outcome.
+func Decode(call provider.Request, status int, data []byte) provider.Response {
+	switch status {
+	case http.StatusOK:
+		return decodeSuccess(call, data)
+	case http.StatusServiceUnavailable:
+		var body errorJSON
+		if json.Unmarshal(data, &body) == nil && strings.Contains(body.Error, noCapacity) {
+			return provider.Response{Outcome: rpc.Refused}
+		}
+		return unknown // an outage: the same request is sent again
+	case http.StatusBadRequest:
+		return provider.Response{Outcome: rpc.Invalid}
+	}
+	return unknown
+}
+
+// decodeSuccess reads a response with status 200.
+func decodeSuccess(call provider.Request, data []byte) provider.Response {
+	switch call.Op {
+	case provider.Catalog:
+		return decodeCatalog(data)
+	case provider.ScaleOut:
+		return decodeScaleOut(call, data)
+	case provider.List:
+		return decodeList(call, data)
+	}
+	return provider.Response{Outcome: rpc.OK}
+}
+
+func decodeCatalog(data []byte) provider.Response {
+	var body catalogJSON
+	if json.Unmarshal(data, &body) != nil {
+		return unknown
+	}
+	response := provider.Response{Outcome: rpc.OK}
+	for i := range body.InstanceTypes {
+		t := &body.InstanceTypes[i]
+		if !t.valid() {
+			return unknown
+		}
+		response.InstanceTypes = append(response.InstanceTypes, t.decode())
+	}
+	return response
+}
+
+func decodeScaleOut(call provider.Request, data []byte) provider.Response {
+	var body hostsJSON
+	if json.Unmarshal(data, &body) != nil || len(body.Hosts) > call.Count {
+		return unknown
+	}
+	return provider.Response{Outcome: rpc.OK, Hosts: body.Hosts}
+}
+
+// decodeList reads a page of the list of machines. Its hosts are in order and behind the
+// one that was asked for, or the list might never end.
+func decodeList(call provider.Request, data []byte) provider.Response {
+	var body listJSON
+	if json.Unmarshal(data, &body) != nil {
+		return unknown
+	}
+	response := provider.Response{Outcome: rpc.OK, More: body.Truncated && len(body.Instances) > 0}
+	previous := call.After
+	for _, instance := range body.Instances {
+		if instance.Host <= previous {
+			return unknown
+		}
+		previous = instance.Host
+		response.Instances = append(response.Instances, provider.Instance{
+			Host:         instance.Host,
+			InstanceType: instance.InstanceType,
+			Zone:         instance.Zone,
+			Status:       instance.Status,
+			Spot:         instance.Spot,
+			Age:          timeline.Seconds(instance.AgeSeconds),
+		})
+	}
+	return response
+}
+
+func (t *instanceTypeJSON) decode() provider.InstanceType {
+	return provider.InstanceType{
+		Name:         t.Name,
+		Capacity:     timeline.Capacity(t.CPUs, t.GPUs, t.MemGB),
+		CPUs:         t.CPUs,
+		LocalGB:      t.LocalGB,
+		ImageGBps:    t.ImageGBps,
+		OnDemandRate: t.OnDemandRate,
+		SpotRate:     t.SpotRate,
+		BootTime:     timeline.Seconds(t.BootSeconds),
+		Zones:        t.Zones,
+	}
+}
+
+// valid reports whether an instance type has amounts that a machine can have.
+func (t *instanceTypeJSON) valid() bool {
+	return t.Name != "" && t.CPUs >= minCPUs &&
+		allWithin(maxAmount, t.CPUs, t.GPUs, t.ImageGBps, t.LocalGB) &&
+		allWithin(maxLarge, t.MemGB, t.BootSeconds, t.OnDemandRate, t.SpotRate)
+}
+
+// allWithin reports whether all amounts are numbers between 0 and a limit.
+func allWithin(limit float64, amounts ...float64) bool {
+	return !slices.ContainsFunc(amounts, func(amount float64) bool { return !(amount >= 0 && amount <= limit) })
+}
