--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -28,7 +28,7 @@
 	go Serve(ln, 16, inbox, ready.Load)
 	go func() {
 		for in := range inbox {
-			if c, ok := in.(Call); ok {
+			if c, ok := in.(Exchange); ok {
 				c.Reply <- f(c.Input)
 			}
 		}
--- a/internal/api/config.go
+++ b/internal/api/config.go
@@ -30,7 +30,7 @@
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		q := &request.ConfigParams{}
 		if read == nil || read(w, r, p, q) {
-			s.user(w, r, request.Request{Op: op, Config: q})
+			s.answerUser(w, r, request.Request{Op: op, Config: q})
 		}
 	}
 }
@@ -38,7 +38,7 @@
 func teamName(w http.ResponseWriter, _ *http.Request, p httprouter.Params, q *request.ConfigParams) bool {
 	q.Name = p.ByName("name")
 	if !liveconfig.ValidName(q.Name) {
-		fail(w, http.StatusNotFound, "name", "no such team", 0)
+		writeError(w, http.StatusNotFound, "name", "no such team", 0)
 		return false
 	}
 	return true
@@ -52,7 +52,7 @@
 
 func readChange(w http.ResponseWriter, r *http.Request, _ httprouter.Params, q *request.ConfigParams) bool {
 	var c changeJSON
-	if !body(w, r, &c) {
+	if !readJSON(w, r, &c) {
 		return false
 	}
 	q.Teams, q.IfRevision = c.Teams, c.IfRevision
@@ -62,11 +62,11 @@
 // readTeam reads a change of one team, which the path names.
 func readTeam(w http.ResponseWriter, r *http.Request, p httprouter.Params, q *request.ConfigParams) bool {
 	var c liveconfig.TeamChange
-	if !teamName(w, r, p, q) || !body(w, r, &c) {
+	if !teamName(w, r, p, q) || !readJSON(w, r, &c) {
 		return false
 	}
 	if c.Name != "" && c.Name != q.Name {
-		fail(w, http.StatusBadRequest, "name", "name: not the one in the path", 0)
+		writeError(w, http.StatusBadRequest, "name", "name: not the one in the path", 0)
 		return false
 	}
 	c.Name = q.Name
--- a/internal/api/conns.go
+++ b/internal/api/connection_limiter.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// connections bounds how many connections of users and workers are open. All of them
+// connectionLimiter bounds how many connections of users and workers are open. All of them
 // come in by one port, and until it has sent a request nothing tells a worker whose
 // lease runs out from a client that sends a byte a minute. So a new connection is
 // always let in, and when there are too many the one goes that is worth the least:
 // never one on which a worker has reported or a request is being answered.
-type connections struct {
+type connectionLimiter struct {
 	mu   sync.Mutex
-	most int
+	max  int
 	open map[net.Conn]*connection
 }
 
@@ -29,22 +29,22 @@
 
 type connectionKey struct{}
 
-func newConnections(most int) *connections {
-	return &connections{most: most, open: map[net.Conn]*connection{}}
+func newConnectionLimiter(most int) *connectionLimiter {
+	return &connectionLimiter{max: most, open: map[net.Conn]*connection{}}
 }
 
 // watch has the server tell of its connections.
-func (cs *connections) watch(srv *http.Server) {
-	srv.ConnState = cs.changed
+func (cs *connectionLimiter) watch(srv *http.Server) {
+	srv.ConnState = cs.stateChanged
 	srv.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
-		return context.WithValue(ctx, connectionKey{}, cs.admit(c))
+		return context.WithValue(ctx, connectionKey{}, cs.accept(c))
 	}
 }
 
-func (cs *connections) admit(c net.Conn) *connection {
+func (cs *connectionLimiter) accept(c net.Conn) *connection {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	if len(cs.open) >= cs.most && !cs.evict() {
+	if len(cs.open) >= cs.max && !cs.evict() {
 		c.Close() // all are in use by those who need them
 		return nil
 	}
@@ -53,7 +53,7 @@
 	return x
 }
 
-func (cs *connections) changed(c net.Conn, state http.ConnState) {
+func (cs *connectionLimiter) stateChanged(c net.Conn, state http.ConnState) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	switch state {
@@ -68,7 +68,7 @@
 
 // evict closes the connection that has been between requests for longest, or else
 // the one that has been sending its request for longest.
-func (cs *connections) evict() bool {
+func (cs *connectionLimiter) evict() bool {
 	var worst net.Conn
 	for c, x := range cs.open {
 		if x.worker || x.busy {
@@ -87,7 +87,7 @@
 }
 
 // hasRequest notes that a whole request has come on the connection that r came by.
-func (cs *connections) hasRequest(r *http.Request, worker bool) {
+func (cs *connectionLimiter) hasRequest(r *http.Request, worker bool) {
 	if x, _ := r.Context().Value(connectionKey{}).(*connection); x != nil {
 		cs.mu.Lock()
 		defer cs.mu.Unlock()
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -23,9 +23,9 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var r reportJSON
+		var r heartbeatJSON
 		if json.Unmarshal(data, &r) == nil {
-			if rep, bad := r.report(); bad == "" {
+			if rep, bad := r.decode(); bad == "" {
 				if rep.Host == "" || rep.InstanceType == "" || rep.Incarnation == 0 || rep.Notice > 200*365*24*time.Hour || rep.Notice < -200*365*24*time.Hour {
 					t.Fatalf("%+v", rep)
 				}
--- a/internal/api/schedules.go
+++ b/internal/api/schedules.go
@@ -42,11 +42,11 @@
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		q := &request.ScheduleParams{Name: p.ByName("name")}
 		if !schedule.ValidName(q.Name) {
-			fail(w, http.StatusNotFound, "name", "no such schedule", 0)
+			writeError(w, http.StatusNotFound, "name", "no such schedule", 0)
 			return
 		}
 		if more == nil || more(w, r, q) {
-			s.user(w, r, request.Request{Op: op, Schedule: q})
+			s.answerUser(w, r, request.Request{Op: op, Schedule: q})
 		}
 	}
 }
@@ -64,11 +64,11 @@
 	var v struct {
 		Request string `json:"request"`
 	}
-	if !body(w, r, &v) {
+	if !readJSON(w, r, &v) {
 		return false
 	}
 	if v.Request == "" || len(v.Request) > maxRequest {
-		fail(w, http.StatusBadRequest, "request", "request: missing, empty or longer than "+strconv.Itoa(maxRequest)+" bytes", 0)
+		writeError(w, http.StatusBadRequest, "request", "request: missing, empty or longer than "+strconv.Itoa(maxRequest)+" bytes", 0)
 		return false
 	}
 	q.Request = v.Request
@@ -80,7 +80,7 @@
 	if text := r.URL.Query().Get(name); text != "" {
 		k, err := strconv.Atoi(text)
 		if err != nil || k < 1 || k > most {
-			fail(w, http.StatusBadRequest, name, name+": not a number from 1 to "+strconv.Itoa(most), 0)
+			writeError(w, http.StatusBadRequest, name, name+": not a number from 1 to "+strconv.Itoa(most), 0)
 			return false
 		}
 		*n = k
@@ -91,12 +91,12 @@
 func (s *Server) listSchedules(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	q := &request.ScheduleParams{After: r.URL.Query().Get("after")}
 	if count(w, r, "limit", maxListed, &q.Count) {
-		s.user(w, r, request.Request{Op: request.ScheduleList, Schedule: q})
+		s.answerUser(w, r, request.Request{Op: request.ScheduleList, Schedule: q})
 	}
 }
 
 func (s *Server) putSchedule(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	data, ok := raw(w, r)
+	data, ok := readBody(w, r)
 	if !ok {
 		return
 	}
@@ -106,7 +106,7 @@
 		if fe.Field != "" {
 			reason = fe.Error()
 		}
-		fail(w, http.StatusBadRequest, fe.Field, reason, 0)
+		writeError(w, http.StatusBadRequest, fe.Field, reason, 0)
 		return
 	}
 	q := &request.ScheduleParams{Name: p.ByName("name"), File: f}
@@ -114,12 +114,12 @@
 		f.Name = q.Name
 	}
 	if f.Name != q.Name || !schedule.ValidName(q.Name) {
-		fail(w, http.StatusBadRequest, "name", "name: not the one in the path, or not of lower-case letters, digits, dots, underscores and hyphens", 0)
+		writeError(w, http.StatusBadRequest, "name", "name: not the one in the path, or not of lower-case letters, digits, dots, underscores and hyphens", 0)
 		return
 	}
 	ifMatch(w, r, q)
 	if r.Header.Get("If-None-Match") == "*" {
 		q.IfMatch = request.NewOnly
 	}
-	s.user(w, r, request.Request{Op: request.SchedulePut, Schedule: q})
+	s.answerUser(w, r, request.Request{Op: request.SchedulePut, Schedule: q})
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -5,9 +5,9 @@
 import (
 	"time"
 
+	"yewpass/internal/httpjson"
 	"yewpass/internal/provider"
 	"yewpass/internal/rpc"
-	"yewpass/internal/wire"
 )
 
 const (
@@ -18,13 +18,13 @@
 
 // Client is the actor that calls the cloud; its responses go to the inbox.
 type Client struct {
-	caller *wire.Caller
+	caller *httpjson.Caller
 	inbox  chan<- any
 }
 
 // New returns a client of the cloud at an address that delivers to inbox.
 func New(address string, inbox chan<- any) *Client {
-	return &Client{wire.NewCaller(address, dialTimeout, maxIdleConnections, maxResponseBytes), inbox}
+	return &Client{httpjson.NewCaller(address, dialTimeout, maxIdleConnections, maxResponseBytes), inbox}
 }
 
 // Do makes the call and delivers its response.
--- a/internal/wire/wire.go
+++ b/internal/httpjson/httpjson.go
@@ -1,5 +1,5 @@
-// Package wire makes JSON calls to an outside service over HTTP.
-package wire
+// Package httpjson makes JSON calls to an outside service over HTTP.
+package httpjson
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 
 // Caller calls one service.
 type Caller struct {
-	base string
-	http *http.Client
-	most int64 // bytes read of an answer
+	base        string
+	http        *http.Client
+	maxResponse int64 // bytes read of an answer
 }
 
 // NewCaller returns a caller of the service at addr (empty: paths begin with an
@@ -27,7 +27,7 @@
 			DialContext:         (&net.Dialer{Timeout: dial}).DialContext,
 			MaxIdleConnsPerHost: idle, IdleConnTimeout: time.Minute, DisableCompression: true,
 		}},
-		most: most,
+		maxResponse: most,
 	}
 }
 
@@ -45,8 +45,8 @@
 		return 0, nil, false
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, c.most+1))
-	if err != nil || int64(len(data)) > c.most {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, c.maxResponse+1))
+	if err != nil || int64(len(data)) > c.maxResponse {
 		return 0, nil, false
 	}
 	return resp.StatusCode, data, true
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -5,9 +5,9 @@
 import (
 	"time"
 
+	"yewpass/internal/httpjson"
 	"yewpass/internal/kv"
 	"yewpass/internal/rpc"
-	"yewpass/internal/wire"
 )
 
 const (
@@ -21,13 +21,13 @@
 // Client is the actor that calls the store: each call runs in its own goroutine and its
 // response goes to the inbox. The caller bounds how many are on their way.
 type Client struct {
-	caller *wire.Caller
+	caller *httpjson.Caller
 	inbox  chan<- any
 }
 
 // New returns a client of the store at an address that delivers to inbox.
 func New(address string, inbox chan<- any) *Client {
-	return &Client{wire.NewCaller(address, dialTimeout, maxIdleConnections, maxResponseBytes), inbox}
+	return &Client{httpjson.NewCaller(address, dialTimeout, maxIdleConnections, maxResponseBytes), inbox}
 }
 
 // Do makes the call and delivers its response.
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -28,10 +28,10 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(newLogWriter(os.Stderr), &slog.HandlerOptions{Level: level})))
 }
 
-// logLines is how many lines wait for standard error at the most.
-const logLines = 512
+// maxQueuedLines is how many lines wait for standard error at the most.
+const maxQueuedLines = 512
 
-var linesLost = metrics.NewCounter(`yewpass_log_lines_lost_total`)
+var droppedLines = metrics.NewCounter(`yewpass_log_lines_lost_total`)
 
 // logWriter is the actor that writes the log. Standard error may be a pipe that
 // nobody reads: what logs must not wait for it, least of all the core, which would
@@ -42,7 +42,7 @@
 }
 
 func newLogWriter(to io.Writer) *logWriter {
-	w := &logWriter{lines: make(chan []byte, logLines)}
+	w := &logWriter{lines: make(chan []byte, maxQueuedLines)}
 	go func() {
 		for line := range w.lines {
 			if n := w.lost.Swap(0); n > 0 {
@@ -60,7 +60,7 @@
 	case w.lines <- bytes.Clone(line):
 	default:
 		w.lost.Add(1)
-		linesLost.Inc()
+		droppedLines.Inc()
 	}
 	return len(line), nil
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,9 +32,9 @@
 	"yewpass/internal/request"
 )
 
-// limits makes the runtime keep to the machine. The collector runs rarely while
+// limitRuntime makes the runtime keep to the machine. The collector runs rarely while
 // the heap is small, and as often as it must near the limit.
-func limits(cfg *config.Config) {
+func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(cfg.Settings.Limits.MemMB * 0.65 * (1 << 20)))
 	debug.SetGCPercent(400)
@@ -42,7 +42,7 @@
 
 // Run runs a node until it fails.
 func Run(cfg *config.Config, ops *operators.File) error {
-	limits(cfg)
+	limitRuntime(cfg)
 	clients, err := net.Listen("tcp", cfg.ClientListen)
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
@@ -59,40 +59,40 @@
 	leaving := make(chan os.Signal, 1)
 	signal.Notify(leaving, syscall.SIGTERM, syscall.SIGINT)
 	n := &node{
-		core:    core.New(cfg, ops.Policy, ops.Calendars, binary.LittleEndian.Uint64(seed[:])),
-		state:   kvclient.New(cfg.External.State, urgent),
-		cloud:   cloud.New(cfg.External.Cloud, inbox),
-		prober:  api.NewProber(inbox),
-		mesh:    peer.New(cfg.HostName, cfg.Seeds, peers, inbox),
-		waiting: map[uint64]chan<- any{},
-		refs:    map[chan<- any]uint64{},
-		gauges:  newGauges(),
-		began:   time.Now(),
+		core:      core.New(cfg, ops.Policy, ops.Calendars, binary.LittleEndian.Uint64(seed[:])),
+		store:     kvclient.New(cfg.External.State, urgent),
+		cloud:     cloud.New(cfg.External.Cloud, inbox),
+		prober:    api.NewProber(inbox),
+		mesh:      peer.New(cfg.HostName, cfg.Seeds, peers, inbox),
+		replies:   map[uint64]chan<- any{},
+		refs:      map[chan<- any]uint64{},
+		gauges:    newGauges(),
+		startedAt: time.Now(),
 	}
 	n.core.SetRegions(ops.Regions)
 	failed := make(chan error, 1)
 	go func() {
-		failed <- api.Serve(clients, relay.MaxClientConnections(sockets(cfg)), inbox, n.isReady)
+		failed <- api.Serve(clients, relay.MaxClientConnections(maxSockets(cfg)), inbox, n.isReady)
 	}()
 	slog.Info("node started", "node", cfg.HostName, "zone", cfg.Site)
 	return n.loop(urgent, inbox, failed, leaving)
 }
 
 type node struct {
-	core    *core.Core
-	state   *kvclient.Client
-	cloud   *cloud.Client
-	prober  *api.Prober
-	mesh    *peer.Mesh
-	ref     uint64
-	waiting map[uint64]chan<- any // whom to answer
-	refs    map[chan<- any]uint64
-	ready   atomic.Bool
-	beat    atomic.Int64 // when the core last took an input, since began
-	began   time.Time
-	gauges  *gauges
-	shown   time.Time // when the gauges were last set
-	later   later
+	core        *core.Core
+	store       *kvclient.Client
+	cloud       *cloud.Client
+	prober      *api.Prober
+	mesh        *peer.Mesh
+	lastRef     uint64
+	replies     map[uint64]chan<- any // whom to answer
+	refs        map[chan<- any]uint64
+	ready       atomic.Bool
+	lastStep    atomic.Int64 // when the core last took an input, since began
+	startedAt   time.Time
+	gauges      *gauges
+	gaugesSetAt time.Time // when the gauges were last set
+	userQueue   userQueue
 }
 
 func (n *node) loop(urgent, inbox <-chan any, failed <-chan error, leaving <-chan os.Signal) error {
@@ -106,7 +106,7 @@
 		select {
 		case in = <-urgent:
 		default:
-			in = n.later.due(len(inbox) == 0)
+			in = n.userQueue.next(len(inbox) == 0)
 		}
 		if in == nil {
 			select {
@@ -117,39 +117,39 @@
 			case err := <-failed:
 				return err
 			case s := <-leaving:
-				// What is on its way has leaveWithin to go out; a second signal does
+				// What is on its way has shutdownGrace to go out; a second signal does
 				// not wait for that.
 				if left != nil {
 					return nil
 				}
 				slog.Info("node stopping", "signal", s.String())
-				left, in = time.After(leaveWithin), core.Leave{}
+				left, in = time.After(shutdownGrace), core.Leave{}
 			case <-left:
 				return nil
 			}
-			if userCall(in) {
-				if !n.later.add(in) {
-					n.sendAway(in)
+			if isUserRequest(in) {
+				if !n.userQueue.add(in) {
+					n.rejectOverload(in)
 				}
 				continue
 			}
 		}
 		switch x := in.(type) {
-		case api.Call:
-			in = n.admit(x)
-		case api.Gone:
+		case api.Exchange:
+			in = n.register(x)
+		case api.Abandoned:
 			ref := n.refs[x.Reply]
 			n.forget(ref)
 			in = heartbeat.Abandoned{Ref: ref}
 		}
 		now := time.Now()
 		for _, o := range n.core.Step(now, in) {
-			n.do(o)
+			n.perform(o)
 		}
 		n.ready.Store(n.core.Ready())
-		n.beat.Store(int64(now.Sub(n.began)))
-		if now.Sub(n.shown) >= time.Second {
-			n.shown = now
+		n.lastStep.Store(int64(now.Sub(n.startedAt)))
+		if now.Sub(n.gaugesSetAt) >= time.Second {
+			n.gaugesSetAt = now
 			s := n.core.Stats()
 			n.gauges.now.Store(&s)
 		}
@@ -157,23 +157,23 @@
 	}
 }
 
-// leaveWithin is how long a node that was told to end goes on, to give its leadership
+// shutdownGrace is how long a node that was told to end goes on, to give its leadership
 // back and to answer who waits.
-const leaveWithin = 400 * time.Millisecond
+const shutdownGrace = 400 * time.Millisecond
 
-// stuckAfter is how long the core may stand still and the node still counts as
+// stallThreshold is how long the core may stand still and the node still counts as
 // ready. It takes an input every second at the least.
-const stuckAfter = 4 * time.Second
+const stallThreshold = 4 * time.Second
 
 // isReady is what the load balancer is told. It is asked beside the core, which
 // must not be said to be ready when it has not said so itself for a while.
 func (n *node) isReady() bool {
-	return n.ready.Load() && time.Since(n.began)-time.Duration(n.beat.Load()) < stuckAfter
+	return n.ready.Load() && time.Since(n.startedAt)-time.Duration(n.lastStep.Load()) < stallThreshold
 }
 
-// sockets is how many sockets the node may have: what its settings say, or less
+// maxSockets is how many sockets the node may have: what its settings say, or less
 // where the system lets a process open fewer files.
-func sockets(cfg *config.Config) int {
+func maxSockets(cfg *config.Config) int {
 	most := cfg.Settings.Limits.MaxConnections
 	var files syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files) != nil || files.Cur >= uint64(most) {
@@ -183,56 +183,56 @@
 	return int(files.Cur)
 }
 
-// sendAway tells a user at once to come back: more calls wait than can be taken
+// rejectOverload tells a user at once to come back: more calls wait than can be taken
 // in time.
-func (n *node) sendAway(in any) {
+func (n *node) rejectOverload(in any) {
 	busy := request.Response{Status: 503, RetryAfter: 2 * time.Second, Reason: "the service is behind"}
 	switch x := in.(type) {
-	case api.Call:
+	case api.Exchange:
 		x.Reply <- busy // has room for its one answer
 	case peermsg.Received:
 		n.mesh.Send(peermsg.Outgoing{To: x.From, Msg: peermsg.Message{Kind: peermsg.Response, Ref: x.Msg.Ref, Answer: &busy}})
 	}
 }
 
-// admit gives a request its number.
-func (n *node) admit(c api.Call) any {
-	n.ref++
-	n.waiting[n.ref] = c.Reply
-	n.refs[c.Reply] = n.ref
+// register gives a request its number.
+func (n *node) register(c api.Exchange) any {
+	n.lastRef++
+	n.replies[n.lastRef] = c.Reply
+	n.refs[c.Reply] = n.lastRef
 	switch in := c.Input.(type) {
 	case request.Request:
-		in.Ref = n.ref
+		in.Ref = n.lastRef
 		return in
 	case heartbeat.Received:
-		in.Ref = n.ref
+		in.Ref = n.lastRef
 		return in
 	}
 	return core.Tick{}
 }
 
 func (n *node) forget(ref uint64) {
-	if ch := n.waiting[ref]; ch != nil {
+	if ch := n.replies[ref]; ch != nil {
 		delete(n.refs, ch)
-		delete(n.waiting, ref)
+		delete(n.replies, ref)
 	}
 }
 
 func (n *node) answer(ref uint64, a any) {
-	if ch := n.waiting[ref]; ch != nil {
+	if ch := n.replies[ref]; ch != nil {
 		n.forget(ref)
 		ch <- a // has room for its one answer
 	}
 }
 
-func (n *node) do(o any) {
+func (n *node) perform(o any) {
 	switch o := o.(type) {
 	case request.Response:
 		n.answer(o.Ref, o)
 	case heartbeat.Reply:
 		n.answer(o.Ref, o)
 	case kv.Request:
-		n.state.Do(o)
+		n.store.Do(o)
 	case provider.Request:
 		n.cloud.Do(o)
 	case heartbeat.Probe:
--- a/internal/node/later_test.go
+++ b/internal/node/user_queue_test.go
@@ -14,40 +14,40 @@
 // not without bound.
 func TestLater(t *testing.T) {
 	for in, want := range map[any]bool{
-		api.Call{Input: heartbeat.Received{}.Ref}:                      false,
+		api.Exchange{Input: heartbeat.Received{}.Ref}:                  false,
 		peermsg.Received{Msg: peermsg.Message{Kind: peermsg.Request}}:  true,
 		peermsg.Received{Msg: peermsg.Message{Kind: peermsg.Ack}}:      false,
 		peermsg.Received{Msg: peermsg.Message{Kind: peermsg.Response}}: false,
 		core.Tick{}: false,
 	} {
-		if userCall(in) != want {
+		if isUserRequest(in) != want {
 			t.Errorf("%T %v: not %v", in, in, want)
 		}
 	}
-	if !userCall(api.Call{Input: request.Request{Op: request.Get}}) {
+	if !isUserRequest(api.Exchange{Input: request.Request{Op: request.Get}}) {
 		t.Error("a poll is no user's call")
 	}
-	var l later
-	if l.due(true) != nil {
+	var l userQueue
+	if l.next(true) != nil {
 		t.Error("due before anything waits")
 	}
-	for i := range laterMost {
+	for i := range maxQueuedRequests {
 		if !l.add(i) {
 			t.Fatal("turned away at", i)
 		}
 	}
-	if l.add(laterMost) {
+	if l.add(maxQueuedRequests) {
 		t.Error("no bound")
 	}
-	if got := l.due(true); got != 0 {
+	if got := l.next(true); got != 0 {
 		t.Error("first", got)
 	}
-	for i := range laterEvery {
-		if got := l.due(false); got != nil {
+	for i := range inputsPerRequest {
+		if got := l.next(false); got != nil {
 			t.Errorf("%v goes before input %d", got, i)
 		}
 	}
-	if got := l.due(false); got != 1 {
+	if got := l.next(false); got != 1 {
 		t.Error("starved:", got)
 	}
 	if !l.add(0) {
