--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -314,7 +314,7 @@
 		c.replicate(e)
 		c.loadRecord(e)
 	}
-	for _, m := range l.fleet {
+	for _, m := range l.inventory.Machines() {
 		for _, r := range m.Attempts {
 			if r.Orphaned && r.ID.Job == id {
 				c.leadership.placement.Vacate(r)
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -224,7 +224,7 @@
 			return func() bool { n++; return len(verbs(d.report("host-000000", n, ts...), heartbeat.Reap)) > 0 }
 		},
 		"a start on a new machine": func(d *desk) func() bool {
-			m := d.c.leadership.fleet[0]
+			m := d.c.leadership.inventory.Machines()[0]
 			m.Quarantined = true
 			d.user(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
 			d.finish()
@@ -233,7 +233,7 @@
 		},
 		"a release": func(d *desk) func() bool {
 			d.running("wk-1", 1)
-			d.c.leadership.autoscaler.Release(d.c.leadership.fleet[0])
+			d.c.leadership.autoscaler.Release(d.c.leadership.inventory.Machines()[0])
 			j := d.c.leadership.jobs["wk-1"]
 			return func() bool {
 				d.c.After(0, d.c.leadership.autoscaler.SendReleases)
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -32,7 +32,7 @@
 type autoscalerState struct{ c *Core }
 
 // Machines implements autoscaler.State.
-func (s autoscalerState) Machines() []*fleet.Machine { return s.c.leadership.fleet }
+func (s autoscalerState) Machines() []*fleet.Machine { return s.c.leadership.inventory.Machines() }
 
 // Queue implements autoscaler.State.
 func (s autoscalerState) Queue() fleet.Queue { return s.c.leadership.placement.Queue }
@@ -60,9 +60,9 @@
 // InstanceTypesChanged implements autoscaler.Inventory: prices change, and types are added.
 func (i autoscalerInventory) InstanceTypesChanged() {
 	c, l := i.c, i.c.leadership
-	for _, m := range l.fleet {
+	for _, m := range l.inventory.Machines() {
 		if t := l.autoscaler.InstanceType(m.TypeName); m.InstanceType == nil {
-			c.setInstanceType(m)
+			c.leadership.inventory.SetInstanceType(m)
 			l.dispatchAll = true
 		} else if t != nil {
 			m.InstanceType = t
@@ -72,21 +72,21 @@
 
 // InstanceStarted implements autoscaler.Inventory.
 func (i autoscalerInventory) InstanceStarted(host string, o autoscaler.Offer, requestedAt time.Time) {
-	if i.c.leadership.released.Has(host) {
+	if i.c.leadership.inventory.Released(host) {
 		return
 	}
-	setRentedAt(i.c.ensureMachine(host, o.InstanceType, o.Zone, o.Spot), requestedAt)
+	setRentedAt(i.c.leadership.inventory.Ensure(host, o.InstanceType, o.Zone, o.Spot), requestedAt)
 }
 
 // InstanceListed implements autoscaler.Inventory.
 func (i autoscalerInventory) InstanceListed(x provider.Instance) {
 	c, l := i.c, i.c.leadership
-	if l.released.Has(x.Host) {
+	if l.inventory.Released(x.Host) {
 		return // the list lags behind
 	}
-	m := l.machines[x.Host]
+	m := l.inventory.Find(x.Host)
 	if m == nil {
-		m = c.ensureMachine(x.Host, x.InstanceType, x.Zone, x.Spot)
+		m = c.leadership.inventory.Ensure(x.Host, x.InstanceType, x.Zone, x.Spot)
 		setRentedAt(m, c.Now.Add(-x.Age))
 		l.dispatchAll = true
 	}
@@ -107,8 +107,8 @@
 // InstanceReleased implements autoscaler.Inventory: the machine is proven gone.
 func (i autoscalerInventory) InstanceReleased(host string) {
 	c, l := i.c, i.c.leadership
-	m := l.machines[host]
-	l.released.Add(host, c.Now)
+	m := l.inventory.Find(host)
+	l.inventory.MarkReleased(host)
 	if m == nil {
 		return
 	}
@@ -119,13 +119,9 @@
 		c.refuseHeldReply(m)
 	}
 	relaylinks.Detach(m)
-	delete(l.machines, host)
-	l.places.Forget(host)
-	if i := l.fleetIndex(host); i < len(l.fleet) && l.fleet[i] == m {
-		l.fleet = slices.Delete(l.fleet, i, i+1)
-	}
+	l.inventory.Remove(m)
 	c.markAccounted(host)
-	c.removeFromRecord(m)
+	c.leadership.machineRecords.Remove(m)
 }
 
 // DropReservations implements autoscaler.Inventory.
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -32,7 +32,7 @@
 	l := c.leadership
 	if l != nil {
 		v.Leader, v.Term, v.LeadsSeconds, v.Authority = c.cfg.HostName, l.term, c.Now.Sub(l.electedAt).Seconds(), c.hasAuthority()
-		v.FailoverComplete, v.Machines, v.Unaccounted, v.MaxMachines = l.loaded && l.allAccounted(), len(l.fleet), len(l.unaccounted), relaylinks.MaxFleet(c.cfg)
+		v.FailoverComplete, v.Machines, v.Unaccounted, v.MaxMachines = l.loaded && l.allAccounted(), len(l.inventory.Machines()), l.inventory.UnaccountedCount(), relaylinks.MaxFleet(c.cfg)
 		own.Role, own.Workers = "leader", l.relays.Direct()
 		v.Regions = c.clusterRegions()
 		v.Zones, v.Records = c.clusterZones(), c.records()
@@ -72,7 +72,7 @@
 func (c *Core) clusterZones() []view.ClusterZone {
 	l := c.leadership
 	waiting := map[*zones.Zone]int{}
-	for _, m := range l.fleet {
+	for _, m := range l.inventory.Machines() {
 		if m.Unreachable {
 			for _, r := range m.Attempts {
 				if r.Occupies {
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -34,7 +34,7 @@
 	}
 	c := leaderOf(t, 1)
 	l := c.leadership
-	m := l.fleet[0]
+	m := l.inventory.Machines()[0]
 	m.HeldReply, m.FencingToken = &fleet.HeldReply{HeartbeatKey: fleet.HeartbeatKey{Ref: 9}}, l.term
 	j := newJob(c, 1, 3, testRand())
 	c.leadership.placement.Reserve(j)
@@ -205,7 +205,7 @@
 		}
 		return statuses[ref]
 	}
-	stay := slices.Clone(l.fleet)
+	stay := slices.Clone(l.inventory.Machines())
 	c.tickLeader()
 	c.Outputs = nil
 	const day, days = 720, 60
@@ -253,7 +253,7 @@
 			t.Fatal("leadership lost")
 		}
 		r.Counter++
-		if got := say(r); got != 503 || l.machines[host] != nil {
+		if got := say(r); got != 503 || l.inventory.Find(host) != nil {
 			t.Fatalf("a late report of a released machine gets %d", got)
 		}
 		if i == 10*day {
@@ -285,7 +285,7 @@
 		t.Fatal("does not lead")
 	}
 	c.SetClockOffset(time.Hour)
-	for _, o := range c.Step(t0.Add(time.Millisecond), heartbeat.Received{Ref: 5, Report: heartbeat.Report{Host: l.fleet[0].Host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: 2, FencingToken: 1}}) {
+	for _, o := range c.Step(t0.Add(time.Millisecond), heartbeat.Received{Ref: 5, Report: heartbeat.Report{Host: l.inventory.Machines()[0].Host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: 2, FencingToken: 1}}) {
 		if a, ok := o.(heartbeat.Reply); ok && len(a.Orders) > 0 {
 			t.Errorf("starts after an hour's sleep: %+v", a)
 		}
@@ -356,7 +356,7 @@
 // asserts that this is so; should reports carry a proof one day it turns red.
 func TestReportsCarryNoProof(t *testing.T) {
 	c := leaderOf(t, 1)
-	m := c.leadership.fleet[0]
+	m := c.leadership.inventory.Machines()[0]
 	status := func(counter uint64) int {
 		for _, o := range c.Step(c.Now.Add(time.Second), heartbeat.Received{Ref: counter, Report: heartbeat.Report{Host: m.Host, InstanceType: "f0", Zone: "a", Incarnation: 1, Counter: counter, FencingToken: 1}}) {
 			if a, ok := o.(heartbeat.Reply); ok && a.Ref == counter {
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -55,7 +55,7 @@
 				delete(l.jobs, id)
 				l.unreadableJobs[id] = true
 			} else if strings.HasPrefix(e.Key, record.MachinePrefix) {
-				c.loadUnreadableMachines(e.Key, e.Rev)
+				c.leadership.machineRecords.LoadUnreadable(e.Key, e.Rev)
 			}
 		}
 	}()
@@ -71,9 +71,9 @@
 	} else if strings.HasPrefix(e.Key, record.MachinePrefix) {
 		if v, _ := e.Value.(*record.Machines); v == nil {
 			unreadable("the take-over waits until every lease of an earlier term is over")
-			c.loadUnreadableMachines(e.Key, e.Rev)
+			c.leadership.machineRecords.LoadUnreadable(e.Key, e.Rev)
 		} else {
-			c.loadMachineRecord(e.Key, v, e.Rev)
+			c.leadership.machineRecords.Load(e.Key, v, e.Rev)
 		}
 	} else if name, ok := strings.CutPrefix(e.Key, record.ProgressPrefix); ok {
 		// Progress comes after jobs in key order, so the job is known by now.
@@ -106,7 +106,7 @@
 	for _, j := range l.sortedJobs() {
 		c.queueJob(j)
 	}
-	c.Log(slog.LevelInfo, "records loaded", "term", l.term, "jobs", len(l.jobs), "machines", len(l.unaccounted))
+	c.Log(slog.LevelInfo, "records loaded", "term", l.term, "jobs", len(l.jobs), "machines", l.inventory.UnaccountedCount())
 	if c.takePendingHeartbeats(); c.leadership != l {
 		return // one of them has seen a newer epoch, and we were out of authority
 	}
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -28,7 +28,7 @@
 	// When most machines fall silent at once, it is rather we who are cut off.
 	quiet, reporting := 0, 0
 	overdue := map[*fleet.RelayLink]int{}
-	for _, m := range l.fleet {
+	for _, m := range l.inventory.Machines() {
 		if m.Reported && !m.Unreachable {
 			reporting++
 			if m.ReportsVia != nil && l.relays.Overdue(m) {
@@ -41,7 +41,7 @@
 	}
 	l.relays.NoteIsolated(overdue)
 	takeover := silent
-	if 2*len(l.unaccounted) < reporting {
+	if 2*l.inventory.UnaccountedCount() < reporting {
 		takeover = secs(c.pol.TakeoverRelease(e))
 	}
 	cutOff := quiet > 2 && 2*quiet > reporting
@@ -52,10 +52,10 @@
 		// the way of all others for ever: they count as room, and nothing is rented.
 		cutOff = false
 	}
-	for _, m := range slices.Clone(l.fleet) {
+	for _, m := range slices.Clone(l.inventory.Machines()) {
 		c.reviewMachine(m, silent, takeover, idle, cutOff)
 	}
-	c.dropExpiredMachineRecords()
+	l.machineRecords.DropExpired(c.earlierLeaseExpiry())
 	c.reserveWarmRoom(c.pol.Warm(e))
 	c.preemptForGuarantees()
 	l.autoscaler.ScaleIn(l.allAccounted())
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -86,8 +86,8 @@
 				r.Tasks = append(r.Tasks, heartbeat.Task{Task: task(), Try: num(), Phase: []heartbeat.Phase{heartbeat.Pulling, heartbeat.TaskRuns, heartbeat.Checkpointing, heartbeat.Exited}[next()%4], Cause: pick(heartbeat.CauseDone, heartbeat.CauseError, heartbeat.CauseNoRoom, heartbeat.CauseStopped, "?", "")})
 			}
 			for range next() % 3 { // what it was told to start
-				if m := c.leadership; m != nil && len(m.fleet) > 0 {
-					for _, x := range m.fleet[next()%len(m.fleet)].Attempts {
+				if m := c.leadership; m != nil && len(m.inventory.Machines()) > 0 {
+					for _, x := range m.inventory.Machines()[next()%len(m.inventory.Machines())].Attempts {
 						r.Tasks = append(r.Tasks, heartbeat.Task{Task: x.ID, Try: x.Number, Phase: []heartbeat.Phase{heartbeat.TaskRuns, heartbeat.Exited}[next()%2], Cause: heartbeat.CauseDone})
 					}
 				}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -26,7 +26,7 @@
 	case rep.FencingToken > l.term:
 		refuse()
 		c.handleNewerToken(rep.Host, rep.FencingToken, func() {
-			c.leadership.autoscaler.Release(c.ensureMachine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot))
+			c.leadership.autoscaler.Release(c.leadership.inventory.Ensure(rep.Host, rep.InstanceType, rep.Zone, rep.Spot))
 		})
 		return
 	case !c.hasAuthority() && (c.leaseTiming.GraceOver(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew) || c.Now.Before(l.expiresAt)):
@@ -34,7 +34,7 @@
 		// cannot say.
 		refuse()
 		return
-	case l.released.Has(rep.Host):
+	case l.inventory.Released(rep.Host):
 		// Released and proven gone: whatever arrives now was sent before.
 		c.staleHeartbeats++
 		refuse()
@@ -43,7 +43,7 @@
 		l.pendingHeartbeats = append(l.pendingHeartbeats, in)
 		return
 	}
-	m := c.ensureMachine(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
+	m := c.leadership.inventory.Ensure(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
 	if m.Record == fleet.Unrecorded {
 		m.Address = rep.Address // a machine keeps it
 	}
@@ -72,14 +72,14 @@
 		// The worker has given up on it; this is its next report.
 		c.refuseHeldReply(m)
 	}
-	first := !m.Reported && !l.unaccounted[m.Host]
+	first := !m.Reported && !l.inventory.Unaccounted(m.Host)
 	if !again {
 		m.Probed = false
 		c.reconcile(m, rep)
 	}
 	l.relays.Attach(m, in.Via.Relay)
 	if m.Record == fleet.Unrecorded && c.hasAuthority() && m.Usable() {
-		c.recordNewMachine(m)
+		c.leadership.machineRecords.Add(m)
 	}
 	if to := l.relays.RedirectTarget(m, in.Via.Relay, first); to != "" {
 		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
@@ -102,7 +102,7 @@
 			return
 		}
 		c.Log(slog.LevelWarn, "worker reports an unknown fencing token", "machine", host, "claimed", epoch, "term", c.leadership.term)
-		if c.leadership.loaded && !c.leadership.released.Has(host) {
+		if c.leadership.loaded && !c.leadership.inventory.Released(host) {
 			useless()
 		}
 	})
@@ -180,7 +180,7 @@
 			m.RetryAt = c.Now.Add(min(time.Second<<min(m.UnlistedStarts-1, 10), c.workerLease))
 		}
 	}
-	if rep.FencingToken == l.term && l.unaccounted[m.Host] {
+	if rep.FencingToken == l.term && l.inventory.Unaccounted(m.Host) {
 		c.markAccounted(m.Host)
 	}
 	c.leadership.placement.ExtendOverruns(m)
@@ -189,10 +189,9 @@
 // markAccounted: nothing of an earlier term can be on the machine unknown to us.
 func (c *Core) markAccounted(host string) {
 	l := c.leadership
-	if !l.unaccounted[host] {
+	if !l.inventory.MarkAccounted(host) {
 		return
 	}
-	delete(l.unaccounted, host)
 	if l.allAccounted() {
 		c.Log(slog.LevelInfo, "failover complete", "term", l.term, "after", c.Now.Sub(l.electedAt))
 		for _, j := range l.sortedJobs() {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -14,7 +14,6 @@
 	"yewpass/internal/relaylinks"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
-	"yewpass/internal/topology"
 	"yewpass/internal/zones"
 )
 
@@ -29,16 +28,15 @@
 func (c *Core) becomeLeader(term, rev, grant uint64, sent time.Time, ahead time.Duration) {
 	c.highestTerm, c.confirmedTerm, c.knownLeader, c.lastLedTerm = term, term, "", term
 	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1)
-	c.leadership = newLeadership(c.cfg, c.Now)
+	c.leadership = newLeadership(c.cfg)
 	c.leadership.scope = c.NewScope()
 	c.leadership.relays = relaylinks.New(c.Engine, c.cfg, linksLeader{c, c.leadership}, term)
-	c.leadership.placement = placement.New(c.Engine, c.leadership.scope, c.cfg, placementLeader{c, c.leadership}, term)
 	c.leadership.authority.start(term, rev, grant, c.authorityUntil(sent), c.Now, ahead)
 	c.startReplication(c.leadership)
 	c.leadership.autoscaler = c.newAutoscaler()
 	c.leadership.zones = zones.New(c.zoneSettings())
 	c.leadership.regions = zones.NewRegionWatch(c.reg)
-	c.leadership.places, _ = topology.New(topology.Definition{}) // zones alone: cannot fail
+	c.leadership.startParts(c)
 	for _, t := range liveconfig.BaseTeams(c.cfg.Settings.Teams) {
 		c.leadership.teams.Configure(t)
 		c.leadership.placement.Guarantees = c.leadership.placement.Guarantees || t.CPUs > 0 || t.GPUs > 0
@@ -149,7 +147,7 @@
 	}
 	// Workers that wait here need not look for the next leader: we pass on what they
 	// have said. Other relays do the same with theirs.
-	for _, m := range l.fleet {
+	for _, m := range l.inventory.Machines() {
 		if m.HeldReply != nil && m.HeldReply.Via.Relay == "" {
 			c.forwarder.Receive(heartbeat.Received{Ref: m.HeldReply.Ref, Report: m.HeldReply.Report})
 		}
@@ -227,4 +225,4 @@
 
 // allAccounted reports whether every machine that may hold a task of an earlier term
 // is accounted for.
-func (l *leadership) allAccounted() bool { return len(l.unaccounted) == 0 }
+func (l *leadership) allAccounted() bool { return l.inventory.AllAccounted() }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -6,16 +6,15 @@
 	"yewpass/internal/autoscaler"
 	"yewpass/internal/config"
 	"yewpass/internal/engine"
-	"yewpass/internal/expiringset"
 	"yewpass/internal/fleet"
 	"yewpass/internal/forwarder"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/inventory"
 	"yewpass/internal/placement"
 	"yewpass/internal/quota"
 	"yewpass/internal/relaylinks"
 	"yewpass/internal/replica"
 	"yewpass/internal/replication"
-	"yewpass/internal/topology"
 	"yewpass/internal/writebatch"
 	"yewpass/internal/zones"
 )
@@ -27,19 +26,20 @@
 	authority
 	failover
 	workload
-	inventory
+	reporting
 	dispatching
 	replicating
 
-	placement  *placement.Scheduler
-	relays     *relaylinks.Links
-	zones      *zones.Watch
-	regions    *zones.RegionWatch
-	places     *topology.Tree
-	writes     writebatch.Batcher
-	schedules  scheduler
-	config     liveConfig
-	autoscaler *autoscaler.Autoscaler
+	inventory      *inventory.Inventory
+	machineRecords *inventory.Records
+	placement      *placement.Scheduler
+	relays         *relaylinks.Links
+	zones          *zones.Watch
+	regions        *zones.RegionWatch
+	writes         writebatch.Batcher
+	schedules      scheduler
+	config         liveConfig
+	autoscaler     *autoscaler.Autoscaler
 
 	holdIdle, holdBusy time.Duration
 	reportBudget       float64 // bytes a second that control may take of a worker's network; 0: no bound
@@ -68,21 +68,19 @@
 // failover is what is left of earlier terms: records to be read, written back or missing, and
 // machines that are not accounted for.
 type failover struct {
-	loaded                   bool                 // the records have been read
-	recovery                 *recoveryState       // while the records are looked for
-	loss                     *dataLoss            // after a loss
-	restoring                []replica.Record     // still to be written back
-	schedulesRestoring       int                  // of them, those that schedules are read from
-	pendingHeartbeats        []heartbeat.Received // reports that came while loading
-	takingPending            bool                 // there are more of them than go in one step
-	unaccounted              map[string]bool      // recorded machines that may hold an earlier term's tasks
-	unreadableJobs           map[string]bool      // jobs whose records cannot be read
-	unreadableMachineRecords map[string]uint64    // records of machines that cannot be read, by key; owed as well
-	noEarlierTerm            bool                 // no term was on record before ours
-	newerTokens              map[string]uint64    // epochs above our term that workers have seen, by machine
-	earlierLeaderLag         time.Duration        // for so long into our term an earlier leader may have led
-	probeQueue               []*fleet.Machine     // see probeUnaccounted
-	probesInFlight           int                  // probes on their way
+	loaded             bool                 // the records have been read
+	recovery           *recoveryState       // while the records are looked for
+	loss               *dataLoss            // after a loss
+	restoring          []replica.Record     // still to be written back
+	schedulesRestoring int                  // of them, those that schedules are read from
+	pendingHeartbeats  []heartbeat.Received // reports that came while loading
+	takingPending      bool                 // there are more of them than go in one step
+	unreadableJobs     map[string]bool      // jobs whose records cannot be read
+	noEarlierTerm      bool                 // no term was on record before ours
+	newerTokens        map[string]uint64    // epochs above our term that workers have seen, by machine
+	earlierLeaderLag   time.Duration        // for so long into our term an earlier leader may have led
+	probeQueue         []*fleet.Machine     // see probeUnaccounted
+	probesInFlight     int                  // probes on their way
 }
 
 // workload is the jobs and their teams.
@@ -92,13 +90,8 @@
 	teams  quota.Accounts
 }
 
-// inventory is the machines, the records that name them, and by which controllers they report.
-type inventory struct {
-	machines       map[string]*fleet.Machine
-	fleet          []*fleet.Machine             // the same, by name
-	released       expiringset.Set              // released, proven gone: their late reports count for nothing
-	recordCount    uint64                       // records of machines begun in this term
-	records        []*fleet.Record              // the records of the machines
+// reporting is what the machines have reported.
+type reporting struct {
 	knownReporters map[string]*forwarder.Worker // workers that reported to us before
 	heartbeatCount uint64                       // reports taken in
 }
@@ -119,12 +112,19 @@
 	finals    replication.FinalsFetch
 }
 
-func newLeadership(cfg *config.Config, now time.Time) *leadership {
+// startParts makes the parts of a leadership that are packages of their own. Its zones and
+// its autoscaler have to be there.
+func (l *leadership) startParts(c *Core) {
+	l.inventory = inventory.New(c.Engine, l.zones, c.workerLease, l.autoscaler.InstanceType)
+	l.machineRecords = inventory.NewRecords(c.Engine, l.scope, c.cfg.Settings.State, l.inventory, recordsLeader{c, l}, l.term)
+	l.placement = placement.New(c.Engine, l.scope, c.cfg, placementLeader{l.inventory, c, l}, l.term)
+}
+
+func newLeadership(cfg *config.Config) *leadership {
 	return &leadership{
 		authority:   authority{acknowledged: map[string]bool{}},
-		failover:    failover{unaccounted: map[string]bool{}, unreadableJobs: map[string]bool{}, unreadableMachineRecords: map[string]uint64{}, newerTokens: map[string]uint64{}},
+		failover:    failover{unreadableJobs: map[string]bool{}, newerTokens: map[string]uint64{}},
 		workload:    workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: quota.Accounts{}},
-		inventory:   inventory{released: expiringset.New(now), machines: map[string]*fleet.Machine{}},
 		dispatching: dispatching{heldReplies: map[fleet.HeartbeatKey]*fleet.Machine{}},
 		writes:      writebatch.New(cfg.Settings.State),
 		schedules:   newSchedules(),
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -12,8 +12,8 @@
 // reviewMachine looks after one machine.
 func (c *Core) reviewMachine(m *fleet.Machine, silent, takeover, idle time.Duration, cutOff bool) {
 	l := c.leadership
-	if (len(m.Attempts) > 0 || l.unaccounted[m.Host]) && (m.Reported || l.unaccounted[m.Host]) {
-		if at, ok := c.leaseExpiry(m); ok && c.Now.After(at) {
+	if (len(m.Attempts) > 0 || l.inventory.Unaccounted(m.Host)) && (m.Reported || l.inventory.Unaccounted(m.Host)) {
+		if at, ok := l.inventory.LeaseExpiry(m, c.earlierLeaseExpiry()); ok && c.Now.After(at) {
 			c.expireLease(m)
 		}
 	}
@@ -21,7 +21,7 @@
 		return
 	}
 	seen := c.lastHeard(m)
-	if l.unaccounted[m.Host] && (!m.Reported || seen != m.LastHeartbeat) && takeover < silent {
+	if l.inventory.Unaccounted(m.Host) && (!m.Reported || seen != m.LastHeartbeat) && takeover < silent {
 		// Everything waits for it. When most others have found us, it is gone
 		// or cut off.
 		silent = takeover
@@ -40,7 +40,7 @@
 		last = maxTime(last, maxTime(m.KnownSince, l.electedAt))
 	}
 	wait := c.leadership.relays.SilenceLimit(m, silent)
-	booting := m.LastHeartbeat.IsZero() && !l.unaccounted[m.Host]
+	booting := m.LastHeartbeat.IsZero() && !l.inventory.Unaccounted(m.Host)
 	if booting {
 		last, wait = m.RentedAt, l.autoscaler.BootTimeout(m)
 		if m.KnownSince.Add(3 * silent).After(last.Add(wait)) {
@@ -48,7 +48,7 @@
 		}
 	}
 	switch {
-	case m.Unreachable && !l.unaccounted[m.Host] && (!booting || c.Now.Sub(last) <= 2*wait):
+	case m.Unreachable && !l.inventory.Unaccounted(m.Host) && (!booting || c.Now.Sub(last) <= 2*wait):
 		// Its zone is cut off: see releaseLostZones.
 	case c.Now.Sub(last) > wait && (!cutOff || booting):
 		c.Log(slog.LevelWarn, "releasing silent machine", "machine", m.Host, "type", m.TypeName, "silent", c.Now.Sub(last), "tasks", len(m.Attempts), "booted", !booting)
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -3,47 +3,36 @@
 import (
 	"log/slog"
 	"slices"
-	"sort"
 	"time"
 
 	"yewpass/internal/fleet"
+	"yewpass/internal/kv"
 	"yewpass/internal/relaylinks"
-	"yewpass/internal/timeline"
+	"yewpass/internal/writebatch"
 )
 
-// ensureMachine returns the machine named host, made known if need be.
-func (c *Core) ensureMachine(host, flavor, zone string, reclaimable bool) *fleet.Machine {
-	l := c.leadership
-	m := l.machines[host]
-	if m == nil {
-		m = fleet.NewMachine(fleet.Identity{Host: host, TypeName: flavor, Zone: zone, Spot: reclaimable}, c.Now)
-		m.Place, _ = l.places.Machine(host, "", zone)
-		m.ZoneState = l.zones.Zone(zone)
-		l.machines[host] = m
-		l.fleet = slices.Insert(l.fleet, l.fleetIndex(host), m)
-		c.setInstanceType(m)
-	}
-	return m
+// recordsLeader is a leadership as its records of machines see it.
+type recordsLeader struct {
+	core       *Core
+	leadership *leadership
 }
 
-// fleetIndex returns where the machine named host is in the fleet, or would be.
-func (l *leadership) fleetIndex(host string) int {
-	return sort.Search(len(l.fleet), func(i int) bool { return l.fleet[i].Host >= host })
-}
+// Write implements inventory.Leader.
+func (r recordsLeader) Write(change *writebatch.Change) { r.leadership.writes.Add(change) }
 
-func (c *Core) setInstanceType(m *fleet.Machine) {
-	if f := c.leadership.autoscaler.InstanceType(m.TypeName); f != nil && m.InstanceType == nil {
-		m.InstanceType = f
-		tl := timeline.New(f.Capacity)
-		for _, r := range m.Attempts {
-			if r.Reservation != nil {
-				tl.Add(r.Reservation)
-			}
-		}
-		m.Timeline = tl
-	}
-}
+// ReadBack implements inventory.Leader.
+func (r recordsLeader) ReadBack(key string, f func(e kv.Entry, found bool)) { r.core.readBack(key, f) }
+
+// ReplicateDrop implements inventory.Leader.
+func (r recordsLeader) ReplicateDrop(key string) { r.core.replicateDrop(key) }
+
+// RequestDispatch implements inventory.Leader.
+func (r recordsLeader) RequestDispatch(m *fleet.Machine) { r.core.requestDispatch(m) }
 
+// MarkAccounted implements inventory.Leader.
+func (r recordsLeader) MarkAccounted(host string) { r.core.markAccounted(host) }
+
+// sortedJobs returns the jobs by the time of their submission.
 func (l *leadership) sortedJobs() []*fleet.Job {
 	js := make([]*fleet.Job, 0, len(l.jobs))
 	for _, j := range l.jobs {
@@ -61,23 +50,6 @@
 	return js
 }
 
-// leaseExpiry returns when the machine's lease has surely ended if it is not
-// answered any more, and false while that cannot be told.
-func (c *Core) leaseExpiry(m *fleet.Machine) (time.Time, bool) {
-	l := c.leadership
-	if !l.unaccounted[m.Host] && !m.Probed {
-		if m.LastReply.IsZero() {
-			return time.Time{}, false
-		}
-		return m.LastReply.Add(withDrift(c.workerLease)), true
-	}
-	base := c.earlierLeaseExpiry()
-	if at := m.LastReply.Add(withDrift(c.workerLease)); at.After(base) {
-		base = at
-	}
-	return base, true
-}
-
 // earlierLeaseExpiry is when a lease is surely over that only earlier leaders renewed: one
 // may have gone on answering until its peers told it of our term or its hold ran out.
 func (c *Core) earlierLeaseExpiry() time.Time {
@@ -97,12 +69,8 @@
 	for _, r := range slices.Clone(m.Attempts) {
 		c.dropAttempt(r)
 	}
-	if m.Reported {
-		m.ExpiredIncarnation = m.Incarnation
-	}
-	m.Reported, m.LeaseExpired = false, true
+	m.ExpireLease()
 	relaylinks.Detach(m)
-	m.LastReply = time.Time{}
 	c.markAccounted(m.Host)
 	c.leadership.placement.DropMachineReservations(m)
 }
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -150,7 +150,7 @@
 	j := d.c.addJob(&record.Job{Spec: *plainJob("wk-1", 1), Submitted: t0}, true)
 	d.c.queueJob(j)
 	at := func(host string, try uint64) *fleet.Attempt {
-		m := d.c.ensureMachine(host, "f2", "a", true)
+		m := d.c.leadership.inventory.Ensure(host, "f2", "a", true)
 		d.c.reconcile(m, &heartbeat.Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []heartbeat.Task{{Task: heartbeat.TaskID{Job: "wk-1"}, Try: try, Phase: heartbeat.TaskRuns}}})
 		return m.Attempts[0]
 	}
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -5,11 +5,13 @@
 
 	"yewpass/internal/estimate"
 	"yewpass/internal/fleet"
+	"yewpass/internal/inventory"
 	"yewpass/internal/spec"
 )
 
 // placementLeader is a leadership as the placement of its tasks sees it.
 type placementLeader struct {
+	*inventory.Inventory
 	core       *Core
 	leadership *leadership
 }
@@ -17,15 +19,6 @@
 // CanAct implements placement.Leader.
 func (p placementLeader) CanAct() bool { return p.core.canAct() }
 
-// Machines implements placement.Leader.
-func (p placementLeader) Machines() []*fleet.Machine { return p.leadership.fleet }
-
-// Unaccounted implements placement.Leader.
-func (p placementLeader) Unaccounted(host string) bool { return p.leadership.unaccounted[host] }
-
-// UnaccountedCount implements placement.Leader.
-func (p placementLeader) UnaccountedCount() int { return len(p.leadership.unaccounted) }
-
 // DispatchAll implements placement.Leader.
 func (p placementLeader) DispatchAll() { p.leadership.dispatchAll = true }
 
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -17,7 +17,7 @@
 		c := leaderOf(t, 1)
 		c.leadership.teams["u"] = &quota.Account{Guaranteed: timeline.Capacity(100, 0, 0)}
 		c.leadership.teams["t"].Guaranteed = timeline.Resources{}
-		m := c.leadership.fleet[0]
+		m := c.leadership.inventory.Machines()[0]
 		long := newJob(c, 1, 1, rng)
 		long.Spec.CPUs, long.Spec.Runtime = 4, 10*time.Minute
 		long.Need = long.Spec.Need()
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -31,8 +31,8 @@
 
 func (c *Core) probeMatching(which func(*fleet.Machine) bool) {
 	l := c.leadership
-	for _, m := range l.fleet {
-		if l.unaccounted[m.Host] && m.Address != "" && which(m) {
+	for _, m := range l.inventory.Machines() {
+		if l.inventory.Unaccounted(m.Host) && m.Address != "" && which(m) {
 			l.probeQueue = append(l.probeQueue, m)
 		}
 	}
@@ -52,7 +52,7 @@
 // reported by itself. Then starts may be on their way to it, of which the answer need
 // not know.
 func (l *leadership) probeCounts(m *fleet.Machine) bool {
-	return l.unaccounted[m.Host] && !m.Reported && !m.Releasing
+	return l.inventory.Unaccounted(m.Host) && !m.Reported && !m.Releasing
 }
 
 // reconcileProbe takes in an answer that counts, of a worker that has seen our term.
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"yewpass/internal/bitset"
-	"yewpass/internal/fleet"
 	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
@@ -35,14 +34,7 @@
 		}
 		return false
 	})
-	for _, g := range l.records {
-		if lost[g.Key] && len(g.Machines) > 0 {
-			for _, m := range g.Machines {
-				m.Record = fleet.Recording
-			}
-			c.writeMachineRecord(g, writebatch.Urgent)
-		}
-	}
+	l.machineRecords.Restore(lost)
 	// Schedules first, which nothing is made of until they are there, then jobs, the
 	// most pressing and oldest first, then their progress, then how jobs have ended.
 	rank := func(r *replica.Record) (int, time.Time) {
--- a/internal/core/regions_test.go
+++ b/internal/core/regions_test.go
@@ -22,12 +22,12 @@
 	c.leadership.regions = zones.NewRegionWatch(set)
 	for zone := range 4 {
 		for i := range 3 {
-			m := c.ensureMachine(fmt.Sprintf("host-1%d%d", zone, i), "f0", fmt.Sprintf("r1-%d", zone), false)
+			m := c.leadership.inventory.Ensure(fmt.Sprintf("host-1%d%d", zone, i), "f0", fmt.Sprintf("r1-%d", zone), false)
 			m.Reported, m.LastHeartbeat = true, t0
 		}
 	}
 	c.Now = t0.Add(20 * time.Second)
-	for _, m := range c.leadership.fleet[:12] {
+	for _, m := range c.leadership.inventory.Machines()[:12] {
 		m.LastHeartbeat = c.Now
 	}
 	c.Outputs = nil
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -34,7 +34,7 @@
 func (v linksLeader) MayRedirect() bool { return v.core.hasAuthority() && v.leadership.allAccounted() }
 
 // FleetSize implements relaylinks.Leader.
-func (v linksLeader) FleetSize() int { return len(v.leadership.fleet) }
+func (v linksLeader) FleetSize() int { return len(v.leadership.inventory.Machines()) }
 
 // handleRelayedHeartbeats takes in what a relay forwards.
 func (c *Core) handleRelayedHeartbeats(from string, m peermsg.Message) {
@@ -53,7 +53,7 @@
 	for i := range reports {
 		if ref := m.Reports.Reports[i].Ref; ref != 0 {
 			c.handleHeartbeat(heartbeat.Received{Ref: ref, Via: via, Report: reports[i]})
-		} else if x := l.machines[reports[i].Host]; x != nil && l.loaded && l.probeCounts(x) && reports[i].FencingToken == l.term {
+		} else if x := l.inventory.Find(reports[i].Host); x != nil && l.loaded && l.probeCounts(x) && reports[i].FencingToken == l.term {
 			c.reconcileProbe(x, &reports[i])
 		}
 		if c.leadership != l {
@@ -68,7 +68,7 @@
 // forgetHeldFrom forgets the heartbeats of a relay that wait for replies.
 func (c *Core) forgetHeldFrom(relay string) {
 	l := c.leadership
-	for _, x := range l.fleet {
+	for _, x := range l.inventory.Machines() {
 		if x.HeldReply != nil && x.HeldReply.Via.Relay == relay {
 			c.takeHeldReply(x)
 		}
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -189,7 +189,7 @@
 func TestRelayToldAgain(t *testing.T) {
 	c := leaderOf(t, 1)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
-	m := c.leadership.fleet[0]
+	m := c.leadership.inventory.Machines()[0]
 	j := newJob(c, 1, 1, testRand())
 	j.Spec.Class, j.AnyCompleted = "c", true
 	c.leadership.placement.Reserve(j)
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -138,7 +138,7 @@
 	}
 	l.dispatchAll = false
 	l.nextDispatch = c.Now.Add(dispatchInterval)
-	for _, m := range l.fleet {
+	for _, m := range l.inventory.Machines() {
 		if m.HeldReply == nil || m.Room().CPU <= 0 {
 			continue
 		}
@@ -187,7 +187,7 @@
 
 // flushHeldReplies answers all held reports.
 func (c *Core) flushHeldReplies() {
-	for _, m := range c.leadership.fleet {
+	for _, m := range c.leadership.inventory.Machines() {
 		if m.HeldReply != nil {
 			c.reply(m, true)
 		}
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(fmt.Sprint(x), func(t *testing.T) {
 			c := leaderOf(t, 3) // the third machine has 32 CPUs
-			m := c.leadership.fleet[2]
+			m := c.leadership.inventory.Machines()[2]
 			j := newJob(c, 1, x.tasks, testRand())
 			j.Spec.CPUs, j.Spec.Class, j.AnyCompleted = 1, "c", true
 			j.Need = j.Spec.Need()
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -185,7 +185,7 @@
 func TestWorkerAnew(t *testing.T) {
 	c := leaderOf(t, 1)
 	l := c.leadership
-	m := l.fleet[0]
+	m := l.inventory.Machines()[0]
 	l.term, m.FencingToken = 6, 6 // known in this term by the counters it has now
 	m.Incarnation, m.Counter = 1, 2
 	j := newJob(c, 1, 1, testRand())
@@ -218,7 +218,7 @@
 func TestRelayBackUnnoticed(t *testing.T) {
 	c := leaderOf(t, 1)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
-	m := c.leadership.fleet[0]
+	m := c.leadership.inventory.Machines()[0]
 	rep := reportOf(m)
 	send := func(f *relay.Encoder, items ...relay.Delta) {
 		c.Step(c.Now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch(items, nil)}})
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -49,7 +49,7 @@
 	}
 	l.autoscaler.Loaded = true
 	for i := range n {
-		m := c.ensureMachine(fmt.Sprintf("host-%06d", i), fmt.Sprint("f", i%3), "a", true)
+		m := c.leadership.inventory.Ensure(fmt.Sprintf("host-%06d", i), fmt.Sprint("f", i%3), "a", true)
 		m.Reported, m.Record, m.Incarnation, m.FencingToken, m.LastHeartbeat = true, fleet.Recorded, 1, 1, t0
 	}
 	return c
@@ -77,7 +77,7 @@
 			b.Run(fmt.Sprintf("machines=%d/jobs=%d", machines, jobs), func(b *testing.B) {
 				rng := rand.New(rand.NewPCG(1, 2))
 				c := leaderOf(b, machines)
-				for _, m := range c.leadership.fleet { // all busy
+				for _, m := range c.leadership.inventory.Machines() { // all busy
 					c.fill(m)
 				}
 				for i := range jobs {
@@ -116,7 +116,7 @@
 func BenchmarkReport(b *testing.B) {
 	sizes(b, func(b *testing.B, c *Core, _ *rand.Rand) {
 		for i := range b.N {
-			m := c.leadership.fleet[i%len(c.leadership.fleet)]
+			m := c.leadership.inventory.Machines()[i%len(c.leadership.inventory.Machines())]
 			c.Step(t0.Add(time.Duration(i)*time.Microsecond), heartbeat.Received{Ref: uint64(i), Report: reportOf(m)})
 		}
 	})
@@ -162,7 +162,7 @@
 				entries = append(entries, kv.Entry{Key: record.JobPrefix + j.Spec.ID, Value: j.Record, Rev: 1})
 			}
 			rec := &record.Machines{}
-			for _, m := range old.leadership.fleet {
+			for _, m := range old.leadership.inventory.Machines() {
 				old.fill(m)
 				rec.Machines = append(rec.Machines, record.Machine{Host: m.Host, InstanceType: m.TypeName, Zone: m.Zone, Spot: true})
 			}
@@ -175,7 +175,7 @@
 					c.loadRecord(e)
 				}
 				c.startWork()
-				for i, m := range old.leadership.fleet {
+				for i, m := range old.leadership.inventory.Machines() {
 					c.Step(t0, heartbeat.Received{Ref: uint64(i), Report: reportOf(m)})
 				}
 			}
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -37,8 +37,8 @@
 func (c *Core) fleetStats() view.FleetStats {
 	l := c.leadership
 	s := view.FleetStats{
-		Machines:    len(l.fleet),
-		Unaccounted: len(l.unaccounted),
+		Machines:    len(l.inventory.Machines()),
+		Unaccounted: l.inventory.UnaccountedCount(),
 		Direct:      l.relays.Direct(),
 		Relays:      len(l.relays.Nodes()),
 		FleetFull:   l.autoscaler.AtCapacity(),
@@ -53,7 +53,7 @@
 			s.ZonesAway++
 		}
 	}
-	for _, m := range l.fleet {
+	for _, m := range l.inventory.Machines() {
 		if m.Unreachable {
 			s.MachinesAway++
 		}
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -41,8 +41,8 @@
 		return m.Reported && c.Now.Sub(maxTime(m.LastHeartbeat, l.resumedAt)) <= quiet
 	}
 	sights := map[string]zones.Sight{}
-	for _, m := range l.fleet {
-		if m.Releasing || !m.InterruptionAt.IsZero() || !m.Reported && !m.LeaseExpired && !l.unaccounted[m.Host] {
+	for _, m := range l.inventory.Machines() {
+		if m.Releasing || !m.InterruptionAt.IsZero() || !m.Reported && !m.LeaseExpired && !l.inventory.Unaccounted(m.Host) {
 			continue // on its way out, or not up yet
 		}
 		s := sights[m.Zone]
@@ -64,7 +64,7 @@
 		c.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.After, "heard", z.Sight.Heard, "silent", z.Sight.Silent)
 		l.dispatchAll = true
 	}
-	for _, m := range l.fleet {
+	for _, m := range l.inventory.Machines() {
 		switch {
 		case !m.ZoneState.Away():
 			m.Unreachable = false
@@ -108,7 +108,7 @@
 			continue
 		}
 		var silent []*fleet.Machine
-		for _, m := range l.fleet {
+		for _, m := range l.inventory.Machines() {
 			if m.ZoneState == z && m.Unreachable && !m.Releasing && !m.LastHeartbeat.IsZero() && m.InstanceType != nil {
 				silent = append(silent, m)
 			}
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -17,7 +17,7 @@
 	c := leaderOf(t, n)
 	c.leadership.autoscaler.InstanceTypes[0].Zones = []string{"a", "b"}
 	for i := range n {
-		m := c.ensureMachine(fmt.Sprintf("host-1%05d", i), "f0", "b", true)
+		m := c.leadership.inventory.Ensure(fmt.Sprintf("host-1%05d", i), "f0", "b", true)
 		m.Reported, m.Record, m.Incarnation, m.FencingToken, m.LastHeartbeat = true, fleet.Recorded, 1, 1, t0
 	}
 	return c
@@ -27,7 +27,7 @@
 func silence(c *Core, d time.Duration) {
 	for end := c.Now.Add(d); c.Now.Before(end); {
 		c.Now = c.Now.Add(500 * time.Millisecond)
-		for _, m := range c.leadership.fleet {
+		for _, m := range c.leadership.inventory.Machines() {
 			if m.Zone == "b" {
 				m.LastHeartbeat = c.Now
 			}
@@ -57,7 +57,7 @@
 	if z := c.leadership.zones.Zone("a"); z.State != zones.Doubtful {
 		t.Fatal("the zone is", z.State)
 	}
-	for _, m := range c.leadership.fleet {
+	for _, m := range c.leadership.inventory.Machines() {
 		if m.Zone == "a" && (m.Releasing || m.Usable() || len(m.Reservations) > 0) {
 			t.Fatalf("%s: released %v, usable %v, %d bookings", m.Host, m.Releasing, m.Usable(), len(m.Reservations))
 		}
@@ -87,7 +87,7 @@
 func TestQuietRelay(t *testing.T) {
 	c := twoZones(t, 12)
 	p := c.leadership.relays.Link("n1")
-	m := c.leadership.fleet[0]
+	m := c.leadership.inventory.Machines()[0]
 	m.ReportsVia, p.LastBatch = p, t0
 	silent := 10 * time.Second
 	if d := c.leadership.relays.SilenceLimit(m, silent); d != silent {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -131,6 +131,16 @@
 	}
 }
 
+// ExpireLease notes that the machine's lease is over: until it reports under a later
+// incarnation nothing of it counts.
+func (m *Machine) ExpireLease() {
+	if m.Reported {
+		m.ExpiredIncarnation = m.Incarnation
+	}
+	m.Reported, m.LeaseExpired = false, true
+	m.LastReply = time.Time{}
+}
+
 // Usable reports whether room may be reserved on the machine for new tasks.
 func (m *Machine) Usable() bool {
 	return m.InstanceType != nil && !m.Releasing && !m.Draining && !m.Quarantined && !m.LeaseExpired && !m.Unreachable && m.InterruptionAt.IsZero()
