--- /dev/null
+++ b/internal/scenario/script_expectations.go
@@ -0,0 +1,315 @@
+package scenario
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// expectationWords are the words of "expect" lines, each with what checks it.
+var expectationWords = map[string]func(s *script, e []string) bool{
+	"done":         (*script).holdsDone,
+	"cancelled":    (*script).holdsDone,
+	"over":         (*script).holdsOver,
+	"finished":     (*script).holdsFinished,
+	"submitted":    (*script).holdsSubmitted,
+	"rejected":     (*script).holdsRejected,
+	"accepted":     (*script).holdsAccepted,
+	"pending":      (*script).holdsPending,
+	"rule":         (*script).holdsRule,
+	"configured":   (*script).holdsConfigured,
+	"running":      (*script).holdsRunning,
+	"on":           (*script).holdsRunning,
+	"late-refused": (*script).holdsLateRefused,
+	"met":          (*script).holdsMet,
+	"largest":      (*script).holdsLargest,
+	"machines":     (*script).holdsMachines,
+	"rented":       (*script).holdsRented,
+	"served":       (*script).holdsServed,
+	"refused":      (*script).holdsRefused,
+	"terms":        (*script).holdsTerms,
+	"started":      (*script).holdsStarted,
+	"moved":        (*script).holdsMoved,
+	"killed":       (*script).holdsKilled,
+	"requests":     (*script).holdsRequests,
+	"made":         (*script).holdsMade,
+	"removed":      (*script).holdsMade,
+	"missed":       (*script).holdsMade,
+	"late":         (*script).holdsMade,
+	"whole":        (*script).holdsMade,
+	"history":      (*script).holdsMade,
+	"leaders":      (*script).holdsLeaders,
+}
+
+// holds reports whether an expectation holds now.
+func (s *script) holds(e []string) bool {
+	check := expectationWords[e[0]]
+	if check == nil {
+		panic("unknown expectation " + e[0])
+	}
+	return check(s, e)
+}
+
+// holdsDone checks the word done or cancelled.
+func (s *script) holdsDone(e []string) bool {
+	for _, j := range s.order {
+		if (e[1] == "all" && j.accepted && !j.wants && !j.spec.Service && !j.faulty || e[1] == j.spec.ID) && string(j.told) != e[0] {
+			return false
+		}
+	}
+	return e[1] == "all" || s.jobs[e[1]] != nil
+}
+
+// holdsOver checks: every accepted job, one way or the other.
+func (s *script) holdsOver(e []string) bool {
+	return !slices.ContainsFunc(s.order, func(j *userJob) bool { return j.accepted && j.told == "" })
+}
+
+// holdsFinished checks: the tasks are done, whether or not the user has asked.
+func (s *script) holdsFinished(e []string) bool {
+	j := s.jobs[e[1]]
+	return j != nil && !j.finished.IsZero()
+}
+
+// holdsSubmitted checks: submitted N: percent of the submissions that were accepted within a second.
+func (s *script) holdsSubmitted(e []string) bool {
+	n, in := 0, 0
+	for _, j := range s.order {
+		if n++; j.accepted && j.since.Sub(j.first) <= time.Second {
+			in++
+		}
+	}
+	return compare(100*in/max(1, n), e[1])
+}
+
+// holdsRejected checks the word rejected.
+func (s *script) holdsRejected(e []string) bool {
+	return s.jobs[e[1]] != nil && strconv.Itoa(s.jobs[e[1]].status) == e[2]
+}
+
+// holdsAccepted checks the word accepted.
+func (s *script) holdsAccepted(e []string) bool {
+	return s.jobs[e[1]] != nil && s.jobs[e[1]].accepted
+}
+
+// holdsPending checks: a submission without a final answer.
+func (s *script) holdsPending(e []string) bool {
+	return s.jobs[e[1]] != nil && !s.jobs[e[1]].accepted && s.jobs[e[1]].status == 0
+}
+
+// holdsRule checks the word rule.
+func (s *script) holdsRule(e []string) bool {
+	return s.broken[e[1]]
+}
+
+// holdsConfigured checks: all changes of configuration were told of, and are known everywhere.
+func (s *script) holdsConfigured(e []string) bool {
+	return s.world.configured()
+}
+
+// holdsRunning checks: number of tasks of a job on machines, or of machines in use.
+func (s *script) holdsRunning(e []string) bool {
+	return compare(s.tasksOn(e[1]), e[2])
+}
+
+// holdsLateRefused checks: reports that were told to be older than what is known.
+func (s *script) holdsLateRefused(e []string) bool {
+	n := 0
+	for _, x := range s.nodes {
+		n += int(x.core.Stats().StaleHeartbeats)
+	}
+	return compare(n, e[1])
+}
+
+// holdsMet checks: met WORD N: how often a meeting came about.
+func (s *script) holdsMet(e []string) bool {
+	return compare(s.met[e[1]], e[2])
+}
+
+// holdsLargest checks: seconds until the last of each class's largest jobs has begun.
+func (s *script) holdsLargest(e []string) bool {
+	worst := time.Duration(0)
+	for _, j := range s.order {
+		if begun := j.begun; s.asked(j) && s.largest(j) {
+			if begun.IsZero() {
+				begun = s.now
+			}
+			worst = max(worst, begun.Sub(j.first))
+		}
+	}
+	return compare(int(worst.Seconds()), e[1])
+}
+
+// holdsMachines checks the word machines.
+func (s *script) holdsMachines(e []string) bool {
+	n := 0
+	for _, m := range s.cloud.machines {
+		if m.gone.IsZero() && (len(e) < 3 || m.flavor.name == e[2]) {
+			n++
+		}
+	}
+	return compare(n, e[1])
+}
+
+// holdsRented checks: rented N [ZONE]: machines ever, in a zone.
+func (s *script) holdsRented(e []string) bool {
+	n := 0
+	for _, m := range s.cloud.machines {
+		if len(e) < 3 || m.zone == e[2] {
+			n++
+		}
+	}
+	return compare(n, e[1])
+}
+
+// holdsServed checks: served CLASS N, served team=NAME N, served largest=CLASS N, served all N (the worst of them).
+func (s *script) holdsServed(e []string) bool {
+	worst := -1
+	for of, percent := range s.served() {
+		if of == e[1] || e[1] == "all" && (worst < 0 || percent < worst) {
+			worst = percent
+		}
+	}
+	return worst >= 0 && compare(worst, e[2])
+}
+
+// holdsRefused checks: requests to the state service that were above the allowance.
+func (s *script) holdsRefused(e []string) bool {
+	return compare(s.store.refused, e[1])
+}
+
+// holdsTerms checks: the newest that any node leads or knows.
+func (s *script) holdsTerms(e []string) bool {
+	return compare(int(s.newestTerm()), e[1])
+}
+
+// holdsStarted checks the word started.
+func (s *script) holdsStarted(e []string) bool {
+	return compare(s.started, e[1])
+}
+
+// holdsMoved checks the word moved.
+func (s *script) holdsMoved(e []string) bool {
+	return compare(s.moves, e[1])
+}
+
+// holdsKilled checks: with their leases.
+func (s *script) holdsKilled(e []string) bool {
+	return compare(s.killed, e[1])
+}
+
+// holdsRequests checks: to the state service.
+func (s *script) holdsRequests(e []string) bool {
+	return compare(s.store.requests, e[1])
+}
+
+// holdsMade checks the word made or removed or missed or late or whole or history.
+func (s *script) holdsMade(e []string) bool {
+	return s.clerks[e[1]].holds(e)
+}
+
+// holdsLeaders checks the word leaders.
+func (s *script) holdsLeaders(e []string) bool {
+	n := 0
+	for _, x := range s.nodes {
+		if x.alive && x.core.HasAuthority(x.local()) {
+			n++
+		}
+	}
+	return compare(n, e[1])
+}
+
+// tasksOn is how many tasks of a job are on machines.
+func (w *world) tasksOn(id string) (n int) {
+	for _, m := range w.cloud.machines {
+		for _, t := range m.tasks {
+			if t.on() && t.id.Job == id {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// newestTerm is the newest that any node leads or knows.
+func (w *world) newestTerm() (n uint64) {
+	for _, x := range w.nodes {
+		if x.core != nil { // a process of its own has none here
+			n = max(n, x.core.Stats().Term)
+		}
+	}
+	return n
+}
+
+// asked reports whether a job is one that must be served: not one that its user cancelled
+// or that fails everywhere, and no service.
+func (s *script) asked(j *userJob) bool {
+	return j.accepted && !j.wants && !j.faulty && !j.spec.Service
+}
+
+// largest reports whether a job is among its class's largest: it takes no fewer CPUs, all
+// tasks together, than nine tenths of the class's jobs.
+func (s *script) largest(j *userJob) bool {
+	size := func(j *userJob) float64 { return float64(j.spec.Tasks) * j.spec.CPUs }
+	smaller, of := 0, 0
+	for _, x := range s.order {
+		if x.spec.Class == j.spec.Class && s.asked(x) {
+			of++
+			if size(x) <= size(j) {
+				smaller++
+			}
+		}
+	}
+	return 10*smaller >= 9*of
+}
+
+// served returns, for each class, its largest jobs and each team, what percent of the jobs
+// are done or of their tasks, whichever is less.
+func (s *script) served() map[string]int {
+	type tally struct{ jobs, jobsOf, tasks, tasksOf int }
+	of := map[string]*tally{}
+	for _, j := range s.order {
+		if !s.asked(j) {
+			continue
+		}
+		keys := []string{j.spec.Class, "team=" + j.spec.Owner}
+		if s.largest(j) {
+			keys = append(keys, "largest="+j.spec.Class)
+		}
+		for _, k := range keys {
+			t := of[k]
+			if t == nil {
+				t = &tally{}
+				of[k] = t
+			}
+			t.jobsOf++
+			t.tasksOf += j.spec.Tasks
+			t.tasks += len(j.done)
+			if !j.finished.IsZero() {
+				t.jobs++
+			}
+		}
+	}
+	percent := map[string]int{}
+	for k, t := range of {
+		percent[k] = min(100*t.jobs/t.jobsOf, 100*t.tasks/t.tasksOf)
+	}
+	return percent
+}
+
+// compare reads =3, <3, >3 or 3.
+func compare(n int, s string) bool {
+	op, num := s[0], strings.TrimLeft(s, "<>=")
+	x, err := strconv.Atoi(num)
+	if err != nil {
+		panic(s + " is no number")
+	}
+	switch op {
+	case '<':
+		return n < x
+	case '>':
+		return n > x
+	}
+	return n == x
+}
--- /dev/null
+++ b/internal/scenario/script_plants.go
@@ -0,0 +1,66 @@
+package scenario
+
+import (
+	"time"
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/request"
+	"yewpass/internal/spec"
+)
+
+// plant breaks a rule on purpose, past the controllers, so that the test sees
+// the checker catch it.
+func (s *script) plant(rule string) {
+	w := s.world
+	ms := s.busiest(len(w.cloud.machines))
+	j := w.order[0]
+	force := func(m *worker, id heartbeat.TaskID) {
+		t := &task{id: id, try: 1, job: w.jobs[id.Job], phase: heartbeat.Pulling}
+		m.tasks = append(m.tasks, t)
+		w.ledger.hold(m, t)
+		w.dirty = true
+		m.begin(t)
+	}
+	switch rule {
+	case "ran_twice":
+		for _, t := range ms[0].tasks {
+			if t.on() {
+				force(ms[1], t.id)
+				return
+			}
+		}
+	case "quota":
+		for i := range 40 {
+			force(ms[i%len(ms)], heartbeat.TaskID{Job: j.spec.ID, Index: i % j.spec.Tasks})
+		}
+	case "wrong_place":
+		j.spec.Zone = "elsewhere"
+		force(ms[0], heartbeat.TaskID{Job: j.spec.ID})
+	case "ran_cancelled":
+		j.told, j.toldAt = spec.Cancelled, w.now.Add(-w.cancelWithin-time.Second)
+		w.calledOff = append(w.calledOff, j)
+		w.dirty = true
+	case "forgotten":
+		w.given = w.now
+		w.submitted(j, 422, request.Response{})
+	case "invented":
+		k := map[string]*userJob{}
+		w.jobs = k // its user knows nothing of it any more
+		w.request(request.Get, nil, j.spec.ID, 2*time.Second, func(status int, a request.Response) {
+			if status == 200 && w.jobs[j.spec.ID] == nil {
+				w.fail("invented", "%s gets 200", j.spec.ID)
+			}
+		})
+		w.after(3*time.Second, func() { w.jobs[j.spec.ID] = j })
+	case "not_done":
+		w.given = w.now
+		w.hear(j, request.JobStatus{ID: j.spec.ID, State: spec.Done})
+	case "went_back":
+		w.given = w.now
+		w.hear(j, request.JobStatus{ID: j.spec.ID, State: spec.Cancelled})
+	case "nothing_ran":
+		w.started = 0
+		w.at(w.start.Add(s.end), func() { w.started = 0 })
+	default:
+		panic("no such rule " + rule)
+	}
+}
