--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -42,9 +42,7 @@
 // notLeader is what a node says to one that took it for the leader.
 const notLeader = "not the leader"
 
-func unavailable(reason string) request.Response {
-	return request.Response{Status: 503, RetryAfter: time.Second, Reason: reason}
-}
+func unavailable(reason string) request.Response { return request.Unavailable(reason) }
 
 // answer sends an answer to where the request came from.
 func (c *Core) answer(call request.Request, a request.Response) {
@@ -388,9 +386,7 @@
 var tooLong = request.Response{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
 
 // noRecordOf is the condition that a job has neither a live nor a final record.
-func noRecordOf(id string) []kv.Condition {
-	return []kv.Condition{{Key: record.JobPrefix + id, Rev: 0}, {Key: record.FinalPrefix + id, Rev: 0}}
-}
+func noRecordOf(id string) []kv.Condition { return record.NoJob(id) }
 
 // submit decides on a new job and answers once its record is committed.
 func (c *Core) submit(call request.Request) {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -4,6 +4,7 @@
 
 import (
 	"time"
+	"yewpass/internal/kv"
 	"yewpass/internal/spec"
 )
 
@@ -68,3 +69,8 @@
 	Term uint64
 	Era  uint64 // drawn anew whenever data was found to be lost; 0 in records of versions that had none
 }
+
+// NoJob returns the conditions that a job has neither a live nor a final record.
+func NoJob(id string) []kv.Condition {
+	return []kv.Condition{{Key: JobPrefix + id, Rev: 0}, {Key: FinalPrefix + id, Rev: 0}}
+}
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -105,3 +105,9 @@
 	Doc        any    // a document in JSON instead of the view
 	ETag       string // of the document
 }
+
+// Unavailable returns the response to a request that cannot be served for now and may be
+// tried again.
+func Unavailable(reason string) Response {
+	return Response{Status: 503, RetryAfter: time.Second, Reason: reason}
+}
