--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -213,7 +213,7 @@
 func (c *Core) serve(call request.Request) {
 	l := c.leadership
 	if call.Schedule != nil {
-		c.serveSchedule(call)
+		l.recurring.Serve(call)
 		return
 	}
 	if call.Config != nil {
@@ -442,9 +442,7 @@
 // newJob takes on a job whose record has just been committed.
 func (c *Core) newJob(rec *record.Job) *fleet.Job {
 	j := c.addJob(rec, false)
-	if s := c.leadership.schedules.manualRuns[rec.Spec.ID]; s != nil {
-		c.noteManualRun(s, j)
-	}
+	c.leadership.recurring.JobAdded(j)
 	c.leadership.autoscaler.RecordArrival(j)
 	c.leadership.placement.PreferImageLocality(j)
 	c.queueJob(j)
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -27,7 +27,7 @@
 
 func newDesk(t *testing.T) *desk {
 	d := &desk{T: t, c: leaderOf(t, 1), ref: 1e6}
-	d.c.leadership.schedules.loaded = true
+	readSchedules(t, d.c)
 	d.c.StartedAt = t0
 	d.c.leadership.suspended = false
 	return d
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -52,7 +52,7 @@
 // countRunning keeps the number of a job's tasks that workers report as running.
 func (c *Core) countRunning(r *fleet.Attempt, runs bool) {
 	if r.CountRunning(runs) && runs {
-		c.occurrenceStarted(r.Job)
+		c.leadership.recurring.JobStarted(r.Job)
 	}
 }
 
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -53,7 +53,7 @@
 			Site     string `toml:"site"`
 			Endpoint string `toml:"endpoint"`
 		}{HostName: "n1"})
-		c.leadership.schedules.loaded = true
+		readSchedules(t, c)
 		flavors := c.leadership.autoscaler.InstanceTypes
 		c.tickLeader()
 		counter := uint64(10)
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -213,10 +213,7 @@
 	}
 	j.Completed = nil
 	c.answerCancelWaiters(j, request.Response{Status: 200, View: finalStatus(j.Spec.ID, f)})
-	if s := l.schedules.byJob[j]; s != nil {
-		delete(l.schedules.byJob, j)
-		c.occurrenceOver(s, j.Spec.ID, f.State, c.TimeOfDay())
-	}
+	l.recurring.JobFinished(j, f.State)
 	c.Log(slog.LevelDebug, "job finished", "job", j.Spec.ID, "state", f.State)
 }
 
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -167,7 +167,7 @@
 	for _, j := range l.sortedJobs() {
 		c.answerCancelWaiters(j, a)
 	}
-	c.answerSchedules(l, a)
+	l.recurring.AnswerWaiting(a)
 	c.answerConfig(l, a)
 }
 
@@ -183,7 +183,7 @@
 	}
 	c.tickFleet()
 	c.leadership.publisher.SupplyFollowers()
-	c.dueSchedules()
+	c.leadership.recurring.Tick()
 	c.afterWhileLeading(tickEvery, c.tickLeader)
 }
 
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -12,6 +12,7 @@
 	"yewpass/internal/inventory"
 	"yewpass/internal/placement"
 	"yewpass/internal/quota"
+	"yewpass/internal/recurring"
 	"yewpass/internal/relaylinks"
 	"yewpass/internal/replica"
 	"yewpass/internal/replication"
@@ -37,7 +38,7 @@
 	zones          *zones.Watch
 	regions        *zones.RegionWatch
 	writes         writebatch.Batcher
-	schedules      scheduler
+	recurring      *recurring.Scheduler
 	config         liveConfig
 	autoscaler     *autoscaler.Autoscaler
 
@@ -118,6 +119,7 @@
 	l.inventory = inventory.New(c.Engine, l.zones, c.workerLease, l.autoscaler.InstanceType)
 	l.machineRecords = inventory.NewRecords(c.Engine, l.scope, c.cfg.Settings.State, l.inventory, recordsLeader{c, l}, l.term)
 	l.placement = placement.New(c.Engine, l.scope, c.cfg, placementLeader{l.inventory, c, l}, l.term)
+	l.recurring = c.newScheduler(l)
 }
 
 func newLeadership(cfg *config.Config) *leadership {
@@ -127,7 +129,6 @@
 		workload:    workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: quota.Accounts{}},
 		dispatching: dispatching{heldReplies: map[fleet.HeartbeatKey]*fleet.Machine{}},
 		writes:      writebatch.New(cfg.Settings.State),
-		schedules:   newSchedules(),
 		config:      newConfiguring(cfg),
 	}
 }
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -125,14 +125,14 @@
 		}
 		ch.Writes[0].Value = now.Value
 		if strings.HasPrefix(r.Key, record.SchedulePrefix) {
-			ch.Conditions = []kv.Condition{{Key: r.Key, Rev: r.Rev}, {Key: record.ScheduleNumberKey, Rev: l.schedules.numberRev}} // see newSchedule
+			ch.Conditions = []kv.Condition{{Key: r.Key, Rev: r.Rev}, {Key: record.ScheduleNumberKey, Rev: l.recurring.NumberRevision()}} // see newSchedule
 		}
 		return true
 	}
 	ch.OnCommit = func(rev uint64) {
 		switch r.Key {
 		case record.ScheduleNumberKey:
-			l.schedules.numberRev = rev
+			l.recurring.SetNumberRevision(rev)
 		case record.ConfigHeadKey:
 			l.config.headRev = rev
 		}
@@ -154,7 +154,7 @@
 				return
 			}
 			c.readBack(record.ScheduleNumberKey, func(n kv.Entry, _ bool) {
-				l.schedules.numberRev = n.Rev
+				l.recurring.SetNumberRevision(n.Rev)
 				c.writeBack(r, over)
 			})
 		})
@@ -166,7 +166,7 @@
 // loadSchedulesWhenRestored reads the schedules once they are on record.
 func (c *Core) loadSchedulesWhenRestored() {
 	if c.leadership.schedulesRestoring == 0 {
-		c.loadSchedules("")
+		c.leadership.recurring.Load(c.restoreMissingSchedules)
 		return
 	}
 	c.afterWhileLeading(restorePollInterval, c.loadSchedulesWhenRestored)
@@ -182,7 +182,7 @@
 	var keys []string
 	for _, key := range own.Keys(record.SchedulePrefix) {
 		r, _ := own.Get(key)
-		if rec, _ := r.Value.(*schedule.Record); r.Rev == 0 && rec != nil && c.leadership.schedules.byName[strings.TrimPrefix(key, record.SchedulePrefix)] == nil {
+		if rec, _ := r.Value.(*schedule.Record); r.Rev == 0 && rec != nil && !c.leadership.recurring.Has(strings.TrimPrefix(key, record.SchedulePrefix)) {
 			keys = append(keys, key)
 		}
 	}
@@ -195,13 +195,13 @@
 			c.writeBack(n, func(kv.Entry) { c.afterWhileLeading(restorePollInterval, c.restoreMissingSchedules) })
 			return
 		}
-		c.leadership.schedules.numberRev = e.Rev
+		c.leadership.recurring.SetNumberRevision(e.Rev)
 		for _, key := range keys {
 			r, _ := own.Get(key)
 			c.Log(slog.LevelError, "restoring missing schedule from replica", "key", key)
 			c.writeBack(r, func(on kv.Entry) {
-				if on.Value != nil && c.leadership.schedules.byName[strings.TrimPrefix(key, record.SchedulePrefix)] == nil {
-					c.loadSchedule(on)
+				if on.Value != nil && !c.leadership.recurring.Has(strings.TrimPrefix(key, record.SchedulePrefix)) {
+					c.leadership.recurring.LoadRecord(on)
 				}
 			})
 		}
--- /dev/null
+++ b/internal/core/recurring_test.go
@@ -0,0 +1,19 @@
+package core
+
+import (
+	"testing"
+
+	"yewpass/internal/kv"
+	"yewpass/internal/rpc"
+)
+
+// readSchedules has a leader read the schedules of a store that has none.
+func readSchedules(tb testing.TB, c *Core) {
+	tb.Helper()
+	c.leadership.recurring.Load(c.restoreMissingSchedules)
+	c.HandleStore(kv.Response{Ref: c.LastRef, Outcome: rpc.OK})
+	c.Outputs = nil
+	if !c.leadership.recurring.Loaded() {
+		tb.Fatal("the schedules are not read")
+	}
+}
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -124,7 +124,7 @@
 	if fetched := l.finals.Receive(line, replication.FinalsLimit(c.cfg)); fetched != nil {
 		l.publisher.Adopt(fetched)
 		c.rememberFinals(fetched)
-		if l.schedules.loaded {
+		if l.recurring.Loaded() {
 			c.restoreMissingSchedules()
 		}
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -9,6 +9,7 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
+	"yewpass/internal/engine"
 	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
@@ -194,9 +195,16 @@
 	for range schedule.HistoryLength {
 		rec.Add(schedule.Entry{Job: schedule.JobID(rec.Number, t0), Planned: t0, Due: t0, Made: t0, Started: t0, Ended: t0, State: schedule.StateDone})
 	}
-	c.loadSchedule(kv.Entry{Key: record.SchedulePrefix + fmt.Sprintf("s%05d", i), Value: rec, Rev: 1})
-	if s := c.leadership.schedules.byName[fmt.Sprintf("s%05d", i)]; s.definition == nil {
-		tb.Fatal(s.problem)
+	name := fmt.Sprintf("s%05d", i)
+	outputs := len(c.Outputs)
+	c.leadership.recurring.LoadRecord(kv.Entry{Key: record.SchedulePrefix + name, Value: rec, Rev: 1})
+	if !c.leadership.recurring.Has(name) {
+		tb.Fatal("the schedule is not known")
+	}
+	for _, output := range c.Outputs[outputs:] {
+		if entry, ok := output.(engine.LogEntry); ok && entry.Text == "schedule disabled" {
+			tb.Fatal(entry.Attrs...)
+		}
 	}
 }
 
@@ -220,7 +228,7 @@
 			held := heap() - before
 			for b.Loop() {
 				c.tickFleet()
-				c.dueSchedules()
+				c.leadership.recurring.Tick()
 				c.flushWrites()
 				c.Outputs = c.Outputs[:0]
 			}
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -16,12 +16,7 @@
 	s.FleetStats = c.fleetStats()
 	s.RecordStats = c.recordStats()
 	s.ConfigPropagation, s.ConfigChanges, s.ConfigDamaged = l.config.spread.Seconds(), l.config.changes, len(l.config.damaged)
-	s.ScheduleStats = view.ScheduleStats{
-		Schedules:          len(l.schedules.names),
-		OccurrencesCreated: l.schedules.made,
-		OccurrencesMissed:  l.schedules.missed,
-		OccurrencesLate:    l.schedules.late,
-	}
+	s.ScheduleStats = l.recurring.Stats()
 	return s
 }
 
