--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -63,7 +63,7 @@
 	for _, m := range l.inventory.Machines() {
 		if t := l.autoscaler.InstanceType(m.TypeName); m.InstanceType == nil {
 			c.leadership.inventory.SetInstanceType(m)
-			l.dispatchAll = true
+			l.dispatcher.RequestAll()
 		} else if t != nil {
 			m.InstanceType = t
 		}
@@ -88,7 +88,7 @@
 	if m == nil {
 		m = c.leadership.inventory.Ensure(x.Host, x.InstanceType, x.Zone, x.Spot)
 		setRentedAt(m, c.Now.Add(-x.Age))
-		l.dispatchAll = true
+		l.dispatcher.RequestAll()
 	}
 	if x.Status == "failed" && !m.Releasing {
 		c.Log(slog.LevelWarn, "machine failed", "machine", x.Host)
@@ -115,9 +115,7 @@
 	for _, r := range slices.Clone(m.Attempts) {
 		c.dropAttempt(r)
 	}
-	if m.HeldReply != nil {
-		c.refuseHeldReply(m)
-	}
+	l.dispatcher.Refuse(m)
 	relaylinks.Detach(m)
 	l.inventory.Remove(m)
 	c.markAccounted(host)
@@ -130,4 +128,4 @@
 }
 
 // Dispatch implements autoscaler.Inventory.
-func (i autoscalerInventory) Dispatch() { i.c.leadership.dispatchAll = true }
+func (i autoscalerInventory) Dispatch() { i.c.leadership.dispatcher.RequestAll() }
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -128,7 +128,7 @@
 		l.teams.Configure(t)
 	}
 	l.placement.Guarantees = l.teams.AnyGuarantee()
-	l.dispatchAll = true
+	l.dispatcher.RequestAll()
 }
 
 // teamFromReplica returns a team as the copy of the last leader has it, or as the settings do; nil
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"yewpass/internal/dispatch"
 	"yewpass/internal/fleet"
 	"yewpass/internal/timeline"
 )
@@ -16,8 +17,8 @@
 	c.leadership.autoscaler.UpdateLoad()
 	e := c.policyEnv()
 	secs := timeline.Seconds
-	l.holdIdle, l.holdBusy = secs(c.pol.HoldIdle(e)), secs(c.pol.HoldBusy(e))
-	l.placement.Margin, l.reportBudget = c.pol.Margin(e), c.pol.ReportBytes(e)
+	l.dispatcher.Pacing = dispatch.Pacing{HoldIdle: secs(c.pol.HoldIdle(e)), HoldBusy: secs(c.pol.HoldBusy(e)), BytesPerSecond: c.pol.ReportBytes(e)}
+	l.placement.Margin = c.pol.Margin(e)
 	l.placement.FindOverdue(secs(c.pol.BeginWithin(e)))
 	silent, idle := secs(c.pol.SilentRelease(e)), secs(c.pol.IdleReturn(e))
 	if !c.canAct() {
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -68,10 +68,7 @@
 		refuse()
 		return
 	}
-	if m.HeldReply != nil {
-		// The worker has given up on it; this is its next report.
-		c.refuseHeldReply(m)
-	}
+	l.dispatcher.Refuse(m) // the worker has given up on it; this is its next report
 	first := !m.Reported && !l.inventory.Unaccounted(m.Host)
 	if !again {
 		m.Probed = false
@@ -85,12 +82,7 @@
 		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
 		return
 	}
-	m.HeldReply = &fleet.HeldReply{HeartbeatKey: fleet.HeartbeatKey{Via: in.Via, Ref: in.Ref}, Since: c.Now}
-	if in.Via.Relay == "" {
-		m.HeldReply.Report = *rep
-	}
-	l.heldReplies[m.HeldReply.HeartbeatKey] = m
-	c.reply(m, false)
+	l.dispatcher.Answer(m, in)
 }
 
 // handleNewerToken: a worker says that it has seen a newer epoch than ours. If there was
@@ -199,7 +191,7 @@
 				c.finishIfOver(j)
 			}
 		}
-		l.dispatchAll = true
+		l.dispatcher.RequestAll()
 	}
 }
 
@@ -215,12 +207,37 @@
 
 func (c *Core) dropHeartbeat(ref uint64) {
 	if c.leadership != nil {
-		c.abandonHeldReply(fleet.HeartbeatKey{Ref: ref})
+		c.abandonHeartbeat(fleet.HeartbeatKey{Ref: ref})
 	} else {
 		c.forwarder.Abandon(ref)
 	}
 }
 
+// abandonHeartbeat forgets a heartbeat for whose reply nobody waits any more.
+func (c *Core) abandonHeartbeat(key fleet.HeartbeatKey) {
+	l := c.leadership
+	l.dispatcher.Abandon(key)
+	// Those that wait for the records to be read would pile up while that fails.
+	if len(l.pendingHeartbeats) > 0 {
+		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Ref == key.Ref && r.Via == key.Via })
+	}
+}
+
+// dispatchLeader is a leadership as its dispatcher sees it.
+type dispatchLeader struct {
+	core       *Core
+	leadership *leadership
+}
+
+// HasAuthority implements dispatch.Leader.
+func (v dispatchLeader) HasAuthority() bool { return v.core.hasAuthority() }
+
+// Machines implements dispatch.Leader.
+func (v dispatchLeader) Machines() []*fleet.Machine { return v.leadership.inventory.Machines() }
+
+// Unreadable implements dispatch.Leader.
+func (v dispatchLeader) Unreadable(job string) bool { return v.leadership.unreadableJobs[job] }
+
 const (
 	// minNewerTokenWitnesses is how many workers must have seen an epoch above ours for it to be our
 	// terms that have begun again: one alone is rather faulty itself.
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -245,7 +245,7 @@
 	// it and tell before we know that it is committed: what renews leases meanwhile, with
 	// authority or without, has to carry the stops.
 	for _, r := range j.Attempts {
-		c.requestDispatch(r.Machine)
+		c.leadership.dispatcher.Request(r.Machine)
 	}
 	c.recordCancelled(j, c.leaseTiming.CancelSafeAfter(c.Now, c.leadership.electedAt.Add(c.leadership.earlierLeaderLag)))
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -102,7 +102,7 @@
 		}
 		if l.suspended && c.hasAuthority() {
 			l.suspended, l.resumedAt = false, c.Now
-			l.dispatchAll = true
+			l.dispatcher.RequestAll()
 			c.Log(slog.LevelInfo, "leader lease renewed, authority regained", "term", l.term)
 		}
 	}
@@ -207,7 +207,7 @@
 			c.Log(slog.LevelWarn, "leader lease expired, holding workers through the grace period", "term", l.term, "hold", c.leaseTiming.GracePeriod())
 			// Whoever waits for a write hears at once that it is not known.
 			c.answerWaiting(l, unavailable("the state service does not answer"))
-			c.flushHeldReplies()
+			l.dispatcher.Flush()
 		}
 		return
 	}
@@ -216,8 +216,8 @@
 	}
 	c.flushWrites()
 	c.leadership.placement.ReservePending()
-	if l.dispatchAll || len(l.pendingDispatch) > 0 {
-		c.dispatch()
+	if l.dispatcher.Pending() {
+		l.dispatcher.Run()
 		c.leadership.placement.ReservePending()
 		c.flushWrites()
 	}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -5,6 +5,7 @@
 
 	"yewpass/internal/autoscaler"
 	"yewpass/internal/config"
+	"yewpass/internal/dispatch"
 	"yewpass/internal/engine"
 	"yewpass/internal/fleet"
 	"yewpass/internal/forwarder"
@@ -28,22 +29,19 @@
 	failover
 	workload
 	reporting
-	dispatching
 	replicating
 
 	inventory      *inventory.Inventory
 	machineRecords *inventory.Records
 	placement      *placement.Scheduler
 	relays         *relaylinks.Links
+	dispatcher     *dispatch.Dispatcher
 	zones          *zones.Watch
 	regions        *zones.RegionWatch
 	writes         writebatch.Batcher
 	recurring      *recurring.Scheduler
 	config         liveConfig
 	autoscaler     *autoscaler.Autoscaler
-
-	holdIdle, holdBusy time.Duration
-	reportBudget       float64 // bytes a second that control may take of a worker's network; 0: no bound
 }
 
 // authority is the term, its grant, and for how long the leader may act by it.
@@ -97,15 +95,6 @@
 	heartbeatCount uint64                       // reports taken in
 }
 
-// dispatching is the replies that are held, and when they are looked at again.
-type dispatching struct {
-	heldReplies       map[fleet.HeartbeatKey]*fleet.Machine // whose replies are held
-	pendingDispatch   []*fleet.Machine                      // see poke
-	dispatchAll       bool                                  // machines whose replies are held may have something to start
-	nextDispatch      time.Time                             // not before this again
-	dispatchScheduled bool                                  // and then it is seen to
-}
-
 // replicating keeps the followers' replicas up to date, and learns from theirs.
 type replicating struct {
 	publisher *replication.Publisher
@@ -120,15 +109,15 @@
 	l.machineRecords = inventory.NewRecords(c.Engine, l.scope, c.cfg.Settings.State, l.inventory, recordsLeader{c, l}, l.term)
 	l.placement = placement.New(c.Engine, l.scope, c.cfg, placementLeader{l.inventory, c, l}, l.term)
 	l.recurring = c.newScheduler(l)
+	l.dispatcher = dispatch.New(c.Engine, l.scope, dispatchLeader{c, l}, l.relays, l.placement, l.term)
 }
 
 func newLeadership(cfg *config.Config) *leadership {
 	return &leadership{
-		authority:   authority{acknowledged: map[string]bool{}},
-		failover:    failover{unreadableJobs: map[string]bool{}, newerTokens: map[string]uint64{}},
-		workload:    workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: quota.Accounts{}},
-		dispatching: dispatching{heldReplies: map[fleet.HeartbeatKey]*fleet.Machine{}},
-		writes:      writebatch.New(cfg.Settings.State),
-		config:      newConfiguring(cfg),
+		authority: authority{acknowledged: map[string]bool{}},
+		failover:  failover{unreadableJobs: map[string]bool{}, newerTokens: map[string]uint64{}},
+		workload:  workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: quota.Accounts{}},
+		writes:    writebatch.New(cfg.Settings.State),
+		config:    newConfiguring(cfg),
 	}
 }
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -124,7 +124,7 @@
 		if s := r.Job.Spec.CheckpointTime; r.Job.Spec.CheckpointInterval > 0 && (m.InterruptionAt.IsZero() || left > s) {
 			r.DrainTime = s + time.Second
 		}
-		c.requestDispatch(m)
+		c.leadership.dispatcher.Request(m)
 	}
 }
 
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -61,17 +61,13 @@
 		}
 	}
 	for _, ref := range m.Reports.Abandoned {
-		c.abandonHeldReply(fleet.HeartbeatKey{Via: via, Ref: ref})
+		c.abandonHeartbeat(fleet.HeartbeatKey{Via: via, Ref: ref})
 	}
 }
 
 // forgetHeldFrom forgets the heartbeats of a relay that wait for replies.
 func (c *Core) forgetHeldFrom(relay string) {
 	l := c.leadership
-	for _, x := range l.inventory.Machines() {
-		if x.HeldReply != nil && x.HeldReply.Via.Relay == relay {
-			c.takeHeldReply(x)
-		}
-	}
+	l.dispatcher.AbandonRelay(relay)
 	l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Via.Relay == relay })
 }
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 	"time"
+	"yewpass/internal/dispatch"
 	"yewpass/internal/heartbeat"
 )
 
@@ -20,7 +21,7 @@
 		{0, 30, false, 10 * time.Millisecond, 0},
 		{4096, 30, false, 900 * time.Millisecond, 700 * time.Millisecond},
 		{4096, 30, true, 10 * time.Millisecond, 0},
-		{500, 30, false, maxPaceDelay + 50*time.Millisecond, maxPaceDelay - 50*time.Millisecond},
+		{500, 30, false, dispatch.MaxPaceDelay + 50*time.Millisecond, dispatch.MaxPaceDelay - 50*time.Millisecond},
 	} {
 		t.Run(fmt.Sprint(x), func(t *testing.T) {
 			c := leaderOf(t, 3) // the third machine has 32 CPUs
@@ -32,7 +33,7 @@
 			for i := range x.tasks {
 				rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Try: uint64(i) + 1, Phase: heartbeat.TaskRuns})
 			}
-			c.leadership.reportBudget = x.budget
+			c.leadership.dispatcher.Pacing.BytesPerSecond = x.budget
 			answeredAfter := func(rep heartbeat.Report) time.Duration {
 				rep.Counter = m.Counter + 1
 				at := c.Now
@@ -44,7 +45,7 @@
 						}
 					}
 					outs = c.Step(at.Add(d), Tick{})
-					c.leadership.reportBudget = x.budget // housekeeping reads it from the policy
+					c.leadership.dispatcher.Pacing.BytesPerSecond = x.budget // housekeeping reads it from the policy
 				}
 				return -1
 			}
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -183,10 +183,10 @@
 // TestWorkerAnew: a worker that has begun anew may count from 1. What it had sent before
 // and comes late is newer by its counters; it says nothing about what was started since.
 func TestWorkerAnew(t *testing.T) {
-	c := leaderOf(t, 1)
+	c := leaderInTerm(t, 1, 6)
 	l := c.leadership
 	m := l.inventory.Machines()[0]
-	l.term, m.FencingToken = 6, 6 // known in this term by the counters it has now
+	m.FencingToken = 6 // known in this term by the counters it has now
 	m.Incarnation, m.Counter = 1, 2
 	j := newJob(c, 1, 1, testRand())
 	j.Spec.Class, j.AnyCompleted = "c", true
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -27,6 +27,12 @@
 // leaderOf returns a leader that knows n machines of three types, all of them
 // reporting.
 func leaderOf(tb testing.TB, n int) *Core {
+	tb.Helper()
+	return leaderInTerm(tb, n, 1)
+}
+
+// leaderInTerm is leaderOf in a given term.
+func leaderInTerm(tb testing.TB, n int, term uint64) *Core {
 	tb.Helper()
 	cfg := &config.Config{HostName: "n0"}
 	s := &cfg.Settings
@@ -41,7 +47,7 @@
 	}
 	c := New(cfg, pol, calendar.NewSet(nil), 7)
 	c.Now = t0
-	c.becomeLeader(1, 1, 1, t0, 0)
+	c.becomeLeader(term, 1, 1, t0, 0)
 	c.Outputs = nil
 	l := c.leadership
 	l.loaded, l.placement.Margin, l.expiresAt = true, 0.15, t0.Add(1000*time.Hour)
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -62,7 +62,7 @@
 			level = slog.LevelDebug // the region's event says it
 		}
 		c.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.After, "heard", z.Sight.Heard, "silent", z.Sight.Silent)
-		l.dispatchAll = true
+		l.dispatcher.RequestAll()
 	}
 	for _, m := range l.inventory.Machines() {
 		switch {
