--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -5,8 +5,6 @@
 	"testing"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"yewpass/internal/config"
 	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
@@ -134,37 +132,6 @@
 	}
 }
 
-// TestConfigHasItsPart: a storm of submissions does not hold up a change of configuration,
-// and a storm of changes leaves the others their part.
-func TestConfigHasItsPart(t *testing.T) {
-	p := writebatch.Batcher{Writes: rate.NewLimiter(72, 64), Requests: rate.NewLimiter(210, 175), ConfigWrites: writebatch.NewConfigLimiter(config.State{WriteRPS: 80, TxnOps: 12}), KeysInFlight: map[string]bool{}}
-	now := t0
-	p.Spend(writebatch.Urgent, now, 64) // a storm has taken all there is
-	if room := p.RoomFor(writebatch.Urgent, now, 12); room >= writebatch.MinRoom(writebatch.Urgent) {
-		t.Errorf("room for %d more submissions", room)
-	}
-	if room := p.RoomFor(writebatch.Config, now, 12); room < writebatch.MinRoom(writebatch.Config) {
-		t.Errorf("no room for a change of configuration: %d", room)
-	}
-	written, others := 0, 0
-	for end := now.Add(time.Minute); now.Before(end); now = now.Add(10 * time.Millisecond) {
-		if room := p.RoomFor(writebatch.Config, now, 12); room >= 12 { // as many changes as go
-			p.Spend(writebatch.Config, now, room)
-			written += room
-		}
-		if room := p.RoomFor(writebatch.Urgent, now, 12); room > 0 {
-			p.Spend(writebatch.Urgent, now, room)
-			others += room
-		}
-	}
-	if part := float64(written) / 60; part < 10 || part > 13 {
-		t.Errorf("%.1f changes of configuration a second", part)
-	}
-	if rest := float64(others) / 60; rest < 58 || rest > 63 {
-		t.Errorf("%.1f others a second", rest)
-	}
-}
-
 // TestDamagedTeamKeepsWhatWasKnown: a record that cannot be read leaves the settings, or
 // what a copy has, in force, and is told of.
 func TestDamagedTeamKeepsWhatWasKnown(t *testing.T) {
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -19,7 +19,6 @@
 	"yewpass/internal/rpc"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
-	"yewpass/internal/writebatch"
 )
 
 // TestAttemptsOfATerm: attempts rise within a term and into the next one, and a term
@@ -59,37 +58,6 @@
 	t.Error("the grant is kept, and nobody can lead meanwhile")
 }
 
-// TestStrangeConflict: an answer that names no condition of ours is not tried again
-// at once, for ever.
-func TestStrangeConflict(t *testing.T) {
-	c := leaderOf(t, 0)
-	p := &c.leadership.writes
-	ch := &writebatch.Change{Writes: []kv.Write{{Key: "a", Value: &record.Term{Term: 1}}}}
-	c.handleBatchReply([]*writebatch.Change{ch}, kv.Response{Outcome: rpc.Conflict, FailedKeys: []string{"something else"}})
-	if !p.PausedUntil.After(c.Now) || len(p.Queued[writebatch.Urgent]) != 1 {
-		t.Errorf("pause until %v, %d wait", p.PausedUntil, len(p.Queued[writebatch.Urgent]))
-	}
-}
-
-// TestMalformedChange: a change that the state service calls malformed stands back
-// behind the others.
-func TestMalformedChange(t *testing.T) {
-	c := leaderOf(t, 0)
-	p := &c.leadership.writes
-	bad, good := &writebatch.Change{Writes: []kv.Write{{Key: "a"}}}, &writebatch.Change{Writes: []kv.Write{{Key: "b"}}}
-	c.handleBatchReply([]*writebatch.Change{bad, good}, kv.Response{Outcome: rpc.Invalid})
-	p.Take(&p.Queued[writebatch.Urgent], 9)
-	c.handleBatchReply([]*writebatch.Change{bad}, kv.Response{Outcome: rpc.Invalid})
-	if w := p.Queued[writebatch.Urgent]; len(w) != 1 || w[0] != good {
-		t.Errorf("%d wait", len(w))
-	}
-	c.Now = c.Now.Add(2 * time.Second)
-	c.RunTimers()
-	if w := p.Queued[writebatch.Urgent]; len(w) != 2 || w[1] != bad {
-		t.Errorf("%d wait: the malformed one is lost or goes first", len(w))
-	}
-}
-
 // TestAmounts: what no machine has and no file should say turns round nowhere.
 func TestAmounts(t *testing.T) {
 	for _, x := range []float64{0, 1e-9, 1, 1e6, 1e300, -1e300, math.Inf(1), math.Inf(-1), math.NaN(), math.MaxInt64} {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -30,6 +30,7 @@
 	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1)
 	c.leadership = newLeadership(c.cfg)
 	c.leadership.scope = c.NewScope()
+	c.leadership.writes = c.newBatcher(c.leadership.scope, rev)
 	c.leadership.relays = relaylinks.New(c.Engine, c.cfg, linksLeader{c, c.leadership}, term)
 	c.leadership.authority.start(term, rev, grant, c.authorityUntil(sent), c.Now, ahead)
 	c.startReplication(c.leadership)
@@ -214,12 +215,12 @@
 	if !l.loaded {
 		return
 	}
-	c.flushWrites()
+	l.writes.Flush()
 	c.leadership.placement.ReservePending()
 	if l.dispatcher.Pending() {
 		l.dispatcher.Run()
 		c.leadership.placement.ReservePending()
-		c.flushWrites()
+		l.writes.Flush()
 	}
 }
 
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -38,7 +38,7 @@
 	dispatcher     *dispatch.Dispatcher
 	zones          *zones.Watch
 	regions        *zones.RegionWatch
-	writes         writebatch.Batcher
+	writes         *writebatch.Batcher
 	recurring      *recurring.Scheduler
 	config         liveConfig
 	autoscaler     *autoscaler.Autoscaler
@@ -117,7 +117,6 @@
 		authority: authority{acknowledged: map[string]bool{}},
 		failover:  failover{unreadableJobs: map[string]bool{}, newerTokens: map[string]uint64{}},
 		workload:  workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: quota.Accounts{}},
-		writes:    writebatch.New(cfg.Settings.State),
 		config:    newConfiguring(cfg),
 	}
 }
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -62,8 +62,7 @@
 // first, and so does the news of the day.
 func (c *Core) restoreNext() {
 	l := c.leadership
-	p := &l.writes
-	for len(l.restoring) > 0 && len(p.Queued[writebatch.Bulk]) < c.cfg.Settings.State.TxnOps {
+	for len(l.restoring) > 0 && len(l.writes.Queued(writebatch.Bulk)) < c.cfg.Settings.State.TxnOps {
 		r := l.restoring[0]
 		l.restoring = l.restoring[1:]
 		c.restoreRecord(r)
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -26,7 +26,7 @@
 		return
 	}
 	room := c.cfg.Settings.State.TxnOps
-	for _, ch := range l.writes.Queued[writebatch.Occurrence] {
+	for _, ch := range l.writes.Queued(writebatch.Occurrence) {
 		room -= len(ch.Writes)
 	}
 	l.recurring.MakeOccurrences(room)
@@ -35,7 +35,7 @@
 // occurrencesWait reports whether some could be made if the allowance let them.
 func (c *Core) occurrencesWait() bool {
 	l := c.leadership
-	return len(l.writes.Queued[writebatch.Occurrence]) > 0 || l.recurring.Due() && l.autoscaler.Loaded
+	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.Due() && l.autoscaler.Loaded
 }
 
 // recurringLeader is the leader as the scheduler of recurring jobs sees it.
@@ -80,7 +80,7 @@
 func (r recurringLeader) Write(change *writebatch.Change) { r.core.leadership.writes.Add(change) }
 
 // WakeWriter implements recurring.Leader.
-func (r recurringLeader) WakeWriter() { r.core.wakeBatcherSoon() }
+func (r recurringLeader) WakeWriter() { r.core.leadership.writes.WakeSoon() }
 
 // ReadBack implements recurring.Leader.
 func (r recurringLeader) ReadBack(key string, f func(entry kv.Entry, found bool)) {
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -40,7 +40,7 @@
 // startReplication sets up the replication of a new term.
 func (c *Core) startReplication(l *leadership) {
 	l.publisher = replication.NewPublisher(c.replicas, l.scope, l.term)
-	l.scrubber = replication.NewScrubber(l.publisher, &l.writes, replicationHost{c})
+	l.scrubber = replication.NewScrubber(l.publisher, l.writes, replicationHost{c})
 }
 
 // newestReplica returns the newest replica that this process has, or nil.
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -235,7 +235,7 @@
 			for b.Loop() {
 				c.tickFleet()
 				c.leadership.recurring.Tick()
-				c.flushWrites()
+				c.leadership.writes.Flush()
 				c.Outputs = c.Outputs[:0]
 			}
 			b.ReportMetric(float64(held)/float64(max(n, 1)), "bytes/schedule")
--- a/internal/writebatch/writebatch.go
+++ b/internal/writebatch/writebatch.go
@@ -1,46 +1,22 @@
-// Package writebatch batches changes of records into transactions within the limits of
-// the key-value store.
+// Package writebatch batches the leader's changes into transactions of the key-value
+// store, within the rates that the store allows, and sends them until they are committed
+// or turn out to be in conflict with what is stored.
 package writebatch
 
 import (
 	"slices"
 	"time"
+
 	"yewpass/internal/config"
+	"yewpass/internal/engine"
 	"yewpass/internal/kv"
-
-	"golang.org/x/time/rate"
-)
-
-// ConfigShare of the changes that the state service allows is kept for configuration:
-// neither a storm of submissions nor one of changes holds up the other.
-const ConfigShare = 0.15
-
-// NewConfigLimiter returns the limiter of the part of the changes that configuration has.
-func NewConfigLimiter(st config.State) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(st.WriteRPS*ConfigShare), max(2, st.TxnOps))
-}
-
-// Parts of the state service's allowance that the leader's pipeline takes.
-const (
-	writeShare   = 0.9 // of the changes a second
-	writeBurst   = 0.8 // of a second's changes at once
-	requestShare = 0.6 // of the requests a second
-	requestBurst = 0.5 // of a second's requests at once
+	"yewpass/internal/rpc"
 )
 
-// New returns a batcher that keeps to the given limits.
-func New(st config.State) Batcher {
-	return Batcher{
-		Writes:       rate.NewLimiter(rate.Limit(st.WriteRPS*writeShare), max(st.TxnOps, int(st.WriteRPS*writeBurst))),
-		ConfigWrites: NewConfigLimiter(st),
-		Requests:     rate.NewLimiter(rate.Limit(st.RPS*requestShare), max(1, int(st.RPS*requestBurst))),
-		KeysInFlight: map[string]bool{},
-	}
-}
-
 // Priority says how pressing a change is.
 type Priority int
 
+// The priorities, the most pressing first.
 const (
 	Urgent     Priority = iota // users or machines wait for it
 	Config                     // changes of configuration, which have a part of the allowance of their own
@@ -58,111 +34,107 @@
 	Prepare    func() bool // called when it is about to go, to set what it writes; false: nothing any more
 	OnCommit   func(rev uint64)
 	OnConflict func() // a condition of its own did not hold
+	OnReject   func() // malformed by the store's judgement, on its own
 
-	OnReject func() // malformed in the state service's eyes, on its own
-
-	Sent bool // at least once: it may be on record
+	Sent bool // at least once: it may have been applied
 }
 
-// Batcher batches changes into transactions within the state service's limits.
-// The other lanes only go when nothing urgent waits and half of the allowance is
-// left, so that an acceptance is never delayed behind them; they take turns.
-// Changes of the same key never overlap.
-type Batcher struct {
-	Writes, Requests *rate.Limiter
-	ConfigWrites     *rate.Limiter // the part of writes that configuration has
-	Queued           [priorities][]*Change
-	InFlight         [priorities]int
-	BulkNext         bool
-	KeysInFlight     map[string]bool // keys of transactions on their way
-	PausedUntil      time.Time
-	Backoff          time.Duration
-	WakeScheduled    bool
-	Singly           int // so many changes go one by one, to find a malformed one
+func (ch *Change) writesTo(key string) bool {
+	return slices.ContainsFunc(ch.Writes, func(w kv.Write) bool { return w.Key == key })
 }
 
-// Add queues a change behind those of its priority.
-func (p *Batcher) Add(ch *Change) {
-	if ch.Size == 0 {
-		ch.Size = 120 * (len(ch.Writes) + len(ch.Conditions))
-	}
-	p.Queued[ch.Priority] = append(p.Queued[ch.Priority], ch)
+// Leader is what a Batcher asks of the leadership whose changes it writes.
+type Leader interface {
+	// CanAct reports whether the leader has authority and has loaded the records.
+	CanAct() bool
+	// ConfigBatchDue reports whether the queued batch of configuration changes is to go now.
+	ConfigBatchDue() bool
+	// RestoreRecords queues lost records to be written back, as many as there is room for.
+	RestoreRecords()
+	// MakeOccurrences queues due occurrences of schedules, as many as a transaction takes.
+	MakeOccurrences()
+	// OccurrencesWait reports whether occurrences would be written if the allowance let them.
+	OccurrencesWait() bool
+	// ReplicateBatch passes a committed batch on to the replicas.
+	ReplicateBatch(batch []*Change, rev uint64)
+	// ReplicateEntry passes an entry that was read on to the replicas.
+	ReplicateEntry(e kv.Entry)
+	// StepDown ends the leadership.
+	StepDown(why string)
 }
 
-// maxTxnBytes keeps a transaction below the protocol's 64 KiB.
-const maxTxnBytes = 48 << 10
-
-// Take removes a batch from list.
-func (p *Batcher) Take(list *[]*Change, ops int) []*Change {
-	var batch []*Change
-	n, conds, size := 0, 1, 0
-	keys := map[string]bool{}
-	rest := (*list)[:0:0]
-	for i, ch := range *list {
-		clash := slices.ContainsFunc(ch.Writes, func(w kv.Write) bool { return p.KeysInFlight[w.Key] || keys[w.Key] })
-		full := p.Singly > 0 || n+len(ch.Writes) > ops || conds+len(ch.Conditions) > 4*ops || size+ch.Size > maxTxnBytes
-		if full && len(batch) > 0 {
-			rest = append(rest, (*list)[i:]...)
-			break
-		}
-		for _, w := range ch.Writes {
-			keys[w.Key] = true // also when it must wait: what comes later waits behind it
-		}
-		if clash {
-			rest = append(rest, ch)
-			continue
-		}
-		if ch.Prepare != nil && !ch.Prepare() {
-			continue
-		}
-		batch = append(batch, ch)
-		n, conds, size = n+len(ch.Writes), conds+len(ch.Conditions), size+ch.Size
-	}
-	*list = rest
-	p.Singly = max(0, p.Singly-len(batch))
-	return batch
+// Batcher batches changes into transactions within the store's limits. The priorities
+// below Urgent only go when nothing urgent waits and half of the allowance is left, so
+// that an acceptance is never delayed behind them; they take turns. Changes of the same
+// key never overlap.
+type Batcher struct {
+	limits
+	queue
+	engine *engine.Engine
+	scope  *engine.Scope
+	leader Leader
+	term   kv.Condition // of every transaction: it fails once a successor has begun a term
+	maxOps int          // writes in a transaction
+
+	bulkNext      bool // bulk changes are next in turn, not occurrences
+	pausedUntil   time.Time
+	backoff       time.Duration
+	wakeScheduled bool
 }
 
-// MinRoom is how many changes a transaction of a lane has at the least: one of
-// configuration has an object and the head.
-func MinRoom(ln Priority) int {
-	if ln == Config {
-		return 2
+// New returns a Batcher for the leadership of a scope. The condition term holds as long
+// as its term is the newest.
+func New(eng *engine.Engine, scope *engine.Scope, st config.State, term kv.Condition, leader Leader) *Batcher {
+	return &Batcher{
+		limits: newLimits(st),
+		queue:  queue{keysInFlight: map[string]bool{}},
+		engine: eng,
+		scope:  scope,
+		leader: leader,
+		term:   term,
+		maxOps: st.TxnOps,
 	}
-	return 1
 }
 
-// RoomFor is how many changes may go in a transaction of a lane now.
-func (p *Batcher) RoomFor(ln Priority, now time.Time, ops int) int {
-	limiter := p.Writes
-	if ln == Config {
-		limiter = p.ConfigWrites
+// Add queues a change.
+func (b *Batcher) Add(ch *Change) {
+	if ch.Size == 0 {
+		ch.Size = 120 * (len(ch.Writes) + len(ch.Conditions))
 	}
-	return min(ops, int(limiter.TokensAt(now)))
+	b.queued[ch.Priority] = append(b.queued[ch.Priority], ch)
 }
 
-// Spend takes changes out of the allowance. What configuration takes goes out of the whole
-// too, also ahead of time: together they stay below what the state service takes.
-func (p *Batcher) Spend(ln Priority, now time.Time, writes int) {
-	p.Requests.AllowN(now, 1)
-	if ln == Config {
-		p.ConfigWrites.ReserveN(now, min(writes, p.ConfigWrites.Burst()))
-	}
-	p.Writes.ReserveN(now, min(writes, p.Writes.Burst()))
-}
+// Queued returns the changes of a priority that wait, in their order.
+func (b *Batcher) Queued(p Priority) []*Change { return b.queued[p] }
 
-// HasUncommitted reports whether a change of the key is in flight, or was sent and may have
-// been applied without our knowing.
-func (p *Batcher) HasUncommitted(key string) bool {
-	if p.KeysInFlight[key] {
+// HasUncommitted reports whether a change of the key is on its way, or has been sent with
+// an unknown outcome.
+func (b *Batcher) HasUncommitted(key string) bool {
+	if b.keysInFlight[key] {
 		return true
 	}
-	for _, changes := range p.Queued {
-		for _, ch := range changes {
-			if ch.Sent && slices.ContainsFunc(ch.Writes, func(w kv.Write) bool { return w.Key == key }) {
-				return true
-			}
+	for _, list := range b.queued {
+		if slices.ContainsFunc(list, func(ch *Change) bool { return ch.Sent && ch.writesTo(key) }) {
+			return true
 		}
 	}
 	return false
 }
+
+// ReadBack reads an entry whose write met a condition that does not hold, until the store
+// answers; found is false if there is none.
+func (b *Batcher) ReadBack(key string, f func(e kv.Entry, found bool)) {
+	b.scope.CallStore(kv.Request{Op: kv.Get, Key: key}, func(r kv.Response) {
+		switch r.Outcome {
+		case rpc.OK:
+			b.leader.ReplicateEntry(r.Entries[0])
+			f(r.Entries[0], true)
+		case rpc.NotFound:
+			f(kv.Entry{}, false)
+		default:
+			b.scope.After(b.engine.Jitter(readBackRetryDelay), func() { b.ReadBack(key, f) })
+		}
+	})
+}
+
+const readBackRetryDelay = 500 * time.Millisecond
