--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -112,9 +112,7 @@
 	if m == nil {
 		return
 	}
-	for _, r := range slices.Clone(m.Attempts) {
-		c.dropAttempt(r)
-	}
+	l.attempts.DropAll(m)
 	l.dispatcher.Refuse(m)
 	relaylinks.Detach(m)
 	l.inventory.Remove(m)
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -128,9 +128,7 @@
 	}
 	if m.Reported && rep.Incarnation > m.Incarnation {
 		// Its lease ran out: the worker has killed all that it had.
-		for _, r := range slices.Clone(m.Attempts) {
-			c.dropAttempt(r)
-		}
+		l.attempts.DropAll(m)
 	}
 	m.Reported, m.Incarnation, m.Counter, m.FencingToken = true, rep.Incarnation, rep.Counter, rep.FencingToken
 	m.LastHeartbeat, m.LeaseExpired, m.Unreachable = c.Now, false, false
@@ -148,10 +146,10 @@
 		t := &rep.Tasks[i]
 		r := m.FindAttempt(t.Task, t.Try, i)
 		if r == nil {
-			r = c.adoptAttempt(m, t)
+			r = l.attempts.Adopt(m, t)
 		}
 		r.LastListed = l.heartbeatCount
-		c.updateAttempt(r, t)
+		l.attempts.Update(r, t)
 	}
 	// A start that went out with the reply to an earlier report and is not
 	// listed now was never executed, and never will be: the worker takes
@@ -162,7 +160,7 @@
 			return false
 		}
 		lost = lost || r.Phase == fleet.Ordered && r.OrderedCounter > 0
-		c.releaseAttempt(r)
+		l.attempts.Release(r)
 		return true
 	})
 	if lost {
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"yewpass/internal/attempts"
 	"yewpass/internal/autoscaler"
 	"yewpass/internal/config"
 	"yewpass/internal/dispatch"
@@ -34,6 +35,7 @@
 	inventory      *inventory.Inventory
 	machineRecords *inventory.Records
 	placement      *placement.Scheduler
+	attempts       *attempts.Tracker
 	relays         *relaylinks.Links
 	dispatcher     *dispatch.Dispatcher
 	zones          *zones.Watch
@@ -109,6 +111,7 @@
 	l.machineRecords = inventory.NewRecords(c.Engine, l.scope, c.cfg.Settings.State, l.inventory, recordsLeader{c, l}, l.term)
 	l.placement = placement.New(c.Engine, l.scope, c.cfg, placementLeader{l.inventory, c, l}, l.term)
 	l.recurring = c.newScheduler(l)
+	l.attempts = attempts.New(c.Engine, l.placement, attemptJobs{c, l})
 	l.dispatcher = dispatch.New(c.Engine, l.scope, dispatchLeader{c, l}, l.relays, l.placement, l.term)
 }
 
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -66,9 +66,7 @@
 // expireLease gives up on the tasks of a machine whose lease is surely over.
 func (c *Core) expireLease(m *fleet.Machine) {
 	c.Log(slog.LevelWarn, "worker lease expired", "machine", m.Host, "tasks", len(m.Attempts))
-	for _, r := range slices.Clone(m.Attempts) {
-		c.dropAttempt(r)
-	}
+	c.leadership.attempts.DropAll(m)
 	m.ExpireLease()
 	relaylinks.Detach(m)
 	c.markAccounted(m.Host)
