--- /dev/null
+++ b/cmd/yewpass/preview.go
@@ -0,0 +1,138 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"time"
+	"yewpass/internal/calendar"
+	"yewpass/internal/operators"
+	"yewpass/internal/schedule"
+
+	"github.com/spf13/cobra"
+)
+
+func previewCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "preview FILE", Short: "Show when a schedule file would run, without a server", Args: cobra.ExactArgs(1),
+		Long: "One line an occurrence: start, due (or -), job id and a remark, separated by tabs. Of the id the part that the server gives is shown as ?.",
+		Example: "  yewpass schedule preview nightly.toml --operators deploy/operators.toml --from 2027-01-01T00:00:00Z --count 12\n" +
+			"  yewpass schedule preview nightly.toml --all"}
+	var p preview
+	cmd.Flags().StringVar(&p.operators, "operators", "", "operators' file with the calendars")
+	cmd.Flags().StringVar(&p.from, "from", "", "show what starts at or after this time (RFC 3339); now by default")
+	cmd.Flags().IntVar(&p.count, "count", 10, "how many occurrences")
+	cmd.Flags().BoolVar(&p.all, "all", false, "show what is skipped as well")
+	asJSON := jsonFlag(cmd)
+	cmd.RunE = func(cmd *cobra.Command, args []string) error {
+		lines, err := p.run(cmd, args[0])
+		if err != nil {
+			return err
+		}
+		if *asJSON {
+			return show(cmd, true, lines, nil)
+		}
+		for _, l := range lines {
+			fmt.Fprintf(cmd.OutOrStdout(), "%s\t%s\t%s\t%s\n", l.Start.Format(time.RFC3339), stamp(l.Due), l.ID, l.Remark)
+		}
+		return nil
+	}
+	return cmd
+}
+
+// preview is what the command was asked for.
+type preview struct {
+	operators string
+	from      string
+	count     int
+	all       bool
+}
+
+// previewLine is an occurrence of a preview.
+type previewLine struct {
+	schedule.Upcoming
+	Skipped bool `json:"skipped,omitempty"`
+}
+
+// run returns the occurrences of a schedule file.
+func (p *preview) run(cmd *cobra.Command, path string) ([]previewLine, error) {
+	file, err := operators.Load(p.operators)
+	if err != nil {
+		return nil, err
+	}
+	f, err := scheduleFile(cmd, path)
+	if err != nil {
+		return nil, err
+	}
+	def, err := f.Compile(file.Calendars)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	at, err := p.start()
+	if err != nil {
+		return nil, err
+	}
+	if p.count < 1 {
+		return nil, errors.New("--count: must be at least 1")
+	}
+	if !def.Timing.Occurs(calendar.Wall(at, def.Timing.Zone())) {
+		return nil, fmt.Errorf("%s: rule: never occurs from %s on", path, at.Format(time.RFC3339))
+	}
+	if p.all {
+		return p.withSkipped(def, at), nil
+	}
+	return p.occurring(def, at), nil
+}
+
+// start returns the time that the preview starts at.
+func (p *preview) start() (time.Time, error) {
+	if p.from == "" {
+		return time.Now(), nil
+	}
+	at, err := time.Parse(time.RFC3339, p.from)
+	if err != nil {
+		return at, fmt.Errorf("--from: %q is not a time such as 2027-01-01T00:00:00Z", p.from)
+	}
+	return at, nil
+}
+
+// occurring returns the occurrences that would run.
+func (p *preview) occurring(def *schedule.Def, at time.Time) (lines []previewLine) {
+	cursor := def.From(at.Add(-time.Nanosecond))
+	for range p.count {
+		o, ok := def.Next(cursor)
+		if !ok {
+			break
+		}
+		lines = append(lines, previewed(def, o))
+		cursor = cursor.Past(o)
+	}
+	return lines
+}
+
+// maxMoveDays is how far a holiday can move an occurrence, with room to spare.
+const maxMoveDays = 31
+
+// withSkipped returns the occurrences that would run and those that are skipped between them.
+func (p *preview) withSkipped(def *schedule.Def, at time.Time) (lines []previewLine) {
+	first := calendar.DateOf(calendar.Wall(at, def.Timing.Zone())).AddDate(0, 0, -maxMoveDays)
+	running := 0
+	for o := range def.Timing.All(first) {
+		if o.Start.Before(at) {
+			continue
+		}
+		if running == p.count {
+			break
+		}
+		if !o.Skipped {
+			running++
+		}
+		lines = append(lines, previewed(def, o))
+	}
+	return lines
+}
+
+// previewed returns an occurrence with the id that its job would have, as far as it is known.
+func previewed(def *schedule.Def, o calendar.Occurrence) previewLine {
+	u := *def.Tell(0, o)
+	u.ID = schedule.UnknownID(o.Nominal)
+	return previewLine{u, o.Skipped}
+}
--- a/cmd/yewpass/schedule.go
+++ b/cmd/yewpass/schedule.go
@@ -14,8 +14,6 @@
 
 	"github.com/spf13/cobra"
 
-	"yewpass/internal/calendar"
-	"yewpass/internal/operators"
 	"yewpass/internal/schedule"
 )
 
@@ -273,85 +271,3 @@
 	}
 	return cmd
 }
-
-func previewCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "preview FILE", Short: "Show when a schedule file would run, without a server", Args: cobra.ExactArgs(1),
-		Long: "One line an occurrence: start, due (or -), job id and a remark, separated by tabs. Of the id the part that the server gives is shown as ?.",
-		Example: "  yewpass schedule preview nightly.toml --operators deploy/operators.toml --from 2027-01-01T00:00:00Z --count 12\n" +
-			"  yewpass schedule preview nightly.toml --all"}
-	ops := cmd.Flags().String("operators", "", "operators' file with the calendars")
-	from := cmd.Flags().String("from", "", "show what starts at or after this time (RFC 3339); now by default")
-	count := cmd.Flags().Int("count", 10, "how many occurrences")
-	all := cmd.Flags().Bool("all", false, "show what is skipped as well")
-	asJSON := jsonFlag(cmd)
-	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		file, err := operators.Load(*ops)
-		if err != nil {
-			return err
-		}
-		f, err := scheduleFile(cmd, args[0])
-		if err != nil {
-			return err
-		}
-		def, err := f.Compile(file.Calendars)
-		if err != nil {
-			return fmt.Errorf("%s: %w", args[0], err)
-		}
-		at := time.Now()
-		if *from != "" {
-			if at, err = time.Parse(time.RFC3339, *from); err != nil {
-				return fmt.Errorf("--from: %q is not a time such as 2027-01-01T00:00:00Z", *from)
-			}
-		}
-		if *count < 1 {
-			return fmt.Errorf("--count: must be at least 1")
-		}
-		if !def.Timing.Occurs(calendar.Wall(at, def.Timing.Zone())) {
-			return fmt.Errorf("%s: rule: never occurs from %s on", args[0], at.Format(time.RFC3339))
-		}
-		type line struct {
-			schedule.Upcoming
-			Skipped bool `json:"skipped,omitempty"`
-		}
-		var lines []line
-		add := func(o calendar.Occurrence) {
-			u := *def.Tell(0, o)
-			u.ID = schedule.UnknownID(o.Nominal)
-			lines = append(lines, line{u, o.Skipped})
-		}
-		if *all {
-			// A date may have been moved here from some days before.
-			n := 0
-			for o := range def.Timing.All(calendar.DateOf(calendar.Wall(at, def.Timing.Zone())).AddDate(0, 0, -31)) {
-				if o.Start.Before(at) {
-					continue
-				}
-				if n == *count {
-					break
-				}
-				if !o.Skipped {
-					n++
-				}
-				add(o)
-			}
-		} else {
-			cursor := def.From(at.Add(-time.Nanosecond))
-			for range *count {
-				o, ok := def.Next(cursor)
-				if !ok {
-					break
-				}
-				add(o)
-				cursor = cursor.Past(o)
-			}
-		}
-		if *asJSON {
-			return show(cmd, true, lines, nil)
-		}
-		for _, l := range lines {
-			fmt.Fprintf(cmd.OutOrStdout(), "%s\t%s\t%s\t%s\n", l.Start.Format(time.RFC3339), stamp(l.Due), l.ID, l.Remark)
-		}
-		return nil
-	}
-	return cmd
-}
--- /dev/null
+++ b/internal/scenario/new_world.go
@@ -0,0 +1,60 @@
+package scenario
+
+import (
+	"time"
+
+	"yewpass/internal/calendar"
+	"yewpass/internal/config"
+	"yewpass/internal/heartbeat"
+)
+
+// newWorld returns a world with the settings that scenarios have unless they say otherwise.
+func newWorld() *world {
+	w := &world{
+		clock:   newClock(1),
+		workers: map[string]*worker{},
+		jobs:    map[string]*userJob{},
+		cals:    map[string]calendar.Definition{},
+		clerks:  map[string]*clerk{},
+		checker: checker{
+			broken:  map[string]bool{},
+			ledger:  ledger{},
+			history: map[string][]call{},
+			tries:   map[heartbeat.TaskID]uint64{},
+		},
+		figures: figures{met: map[string]int{}},
+		hooks:   hooks{address: func(host string) string { return host + workerPort }},
+	}
+	w.admin = newAdmin(w)
+	w.net = &network{clock: w.clock, latency: time.Millisecond, last: map[[2]string]time.Time{}}
+	w.store = newStore(w.clock, w.met)
+	w.cloud = &cloudSim{clock: w.clock, w: w, capacity: map[kindKey]int{}, requests: map[string][]string{}, asked: map[string]string{}, lag: 3 * time.Second}
+	w.cloud.boots = func() (time.Duration, bool) { return time.Duration(60 + w.rng.IntN(90)), true }
+	setDefaults(&w.cfg)
+	return w
+}
+
+func newStore(c *clock, met map[string]int) *store {
+	return &store{
+		clock:    c,
+		keys:     map[string]*storedKey{},
+		grants:   map[uint64]*storedGrant{},
+		keeps:    10000,
+		putsOf:   map[string]int{},
+		denied:   map[string]time.Time{},
+		muted:    map[string]mute{},
+		unheard:  map[string]unheard{},
+		refilled: c.now,
+		met:      met,
+	}
+}
+
+// setDefaults sets what a scenario's text may change.
+func setDefaults(c *config.Config) {
+	s := &c.Settings
+	s.Nodes, s.Zones = 3, []string{"a", "b"}
+	s.Workers = config.Workers{Report: 3, Lease: 20, Cancel: 40}
+	s.State = config.State{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 48}
+	s.Cloud = config.Cloud{RPS: 6, ListLag: 3}
+	s.Limits = config.Limits{CPUShare: 0.1, MemMB: 100, MaxConnections: 800}
+}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -8,9 +8,6 @@
 	"strings"
 	"time"
 
-	"yewpass/internal/calendar"
-	"yewpass/internal/config"
-	"yewpass/internal/heartbeat"
 	"yewpass/internal/spec"
 )
 
@@ -72,23 +69,6 @@
 	seen bool
 }
 
-func newWorld() *world {
-	w := &world{clock: newClock(1), workers: map[string]*worker{}, jobs: map[string]*userJob{}, cals: map[string]calendar.Definition{}, clerks: map[string]*clerk{}, history: map[string][]call{}, broken: map[string]bool{}, met: map[string]int{}, tries: map[heartbeat.TaskID]uint64{}, ledger: ledger{}}
-	w.admin = newAdmin(w)
-	w.net = &network{clock: w.clock, latency: time.Millisecond, last: map[[2]string]time.Time{}}
-	w.store = &store{clock: w.clock, putsOf: map[string]int{}, keeps: 10000, keys: map[string]*storedKey{}, grants: map[uint64]*storedGrant{}, denied: map[string]time.Time{}, muted: map[string]mute{}, unheard: map[string]unheard{}, refilled: w.now, met: w.met}
-	w.cloud = &cloudSim{clock: w.clock, w: w, capacity: map[kindKey]int{}, requests: map[string][]string{}, asked: map[string]string{}, lag: 3 * time.Second}
-	w.address = func(host string) string { return host + workerPort }
-	w.cloud.boots = func() (time.Duration, bool) { return time.Duration(60 + w.rng.IntN(90)), true }
-	s := &w.cfg.Settings
-	s.Nodes, s.Zones = 3, []string{"a", "b"}
-	s.Workers = config.Workers{Report: 3, Lease: 20, Cancel: 40}
-	s.State = config.State{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 48}
-	s.Cloud = config.Cloud{RPS: 6, ListLag: 3}
-	s.Limits = config.Limits{CPUShare: 0.1, MemMB: 100, MaxConnections: 800}
-	return w
-}
-
 func (s *script) play() (res Result, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -36,41 +36,63 @@
 	rules   []byte // policy
 	cals    map[string]calendar.Definition
 	clerks  map[string]*clerk
+	admin   *admin
 
 	reportEvery, lease, cancelWithin time.Duration
 
-	saved              func()             // puts back what the state service had
-	met                map[string]int     // how often the meetings that a scenario is about came about
-	troubled           time.Time          // the last trouble is over by then
-	reports            lateness           // that share of reports arrives a second time, late
-	kept               []heartbeat.Report // copies for the next leader
-	atEnd              lateness           // that share of the jobs that end is called off just then
-	looks              time.Time          // until then users look closely
-	history            map[string][]call
-	oddID              int
-	careless           func(*spec.Job) *spec.Job // a planted error of the reader of submissions
-	repair             func()                    // puts right what was damaged last
-	lossy              bool                      // the state service has lost something
-	dirty              bool
-	ledger             ledger
-	admin              *admin
-	begun              func(*task) // told of each start, unless it is nil
-	calledOff          []*userJob  // told cancelled, until nothing of them is held beyond the time allowed
-	violations         []string
-	broken             map[string]bool
-	started, refusals  int
-	moves              int // workers that went from a node that had served them to another
-	killed             int // tasks that ended with their lease
-	polls              int
-	tries              map[heartbeat.TaskID]uint64 // the latest attempt that a worker was told to start
-	lie                func(n *node, o any) any    // what a planted error makes of an output
-	hears              func(n *node, in any) any   // and of an input
-	address            func(host string) string    // where a worker takes commands
-	given              time.Time                   // when the answer at hand was given
-	answered, failures []time.Time
-	trace              func(string)
-	measure            func(n *node, in any) []any // has the core take an input, in place of input
-	blind              bool                        // rules are not looked at: only the cost counts
+	faults
+	checker
+	figures
+	hooks
+}
+
+// faults are those that are under way.
+type faults struct {
+	troubled time.Time          // the last trouble is over by then
+	reports  lateness           // that share of reports arrives a second time, late
+	kept     []heartbeat.Report // copies for the next leader
+	atEnd    lateness           // that share of the jobs that end is called off just then
+	looks    time.Time          // until then users look closely
+	oddID    int                // the last id of a submission that is odd
+	lossy    bool               // the state service has lost something
+	saved    func()             // puts back what the state service had
+	repair   func()             // puts right what was damaged last
+}
+
+// checker is what the rules are checked by.
+type checker struct {
+	violations []string
+	broken     map[string]bool
+	blind      bool // rules are not looked at: only the cost counts
+	dirty      bool
+	ledger     ledger
+	history    map[string][]call
+	calledOff  []*userJob                  // told cancelled, until nothing of them is held beyond the time allowed
+	tries      map[heartbeat.TaskID]uint64 // the latest attempt that a worker was told to start
+	given      time.Time                   // when the answer at hand was given
+	answered   []time.Time
+	failures   []time.Time
+}
+
+// figures are counted for expectations.
+type figures struct {
+	met      map[string]int // how often the meetings that a scenario is about came about
+	started  int
+	refusals int
+	moves    int // workers that went from a node that had served them to another
+	killed   int // tasks that ended with their lease
+	polls    int
+}
+
+// hooks let tests and load tools look on, or plant an error.
+type hooks struct {
+	careless func(*spec.Job) *spec.Job // a planted error of the reader of submissions
+	lie      func(n *node, o any) any  // what a planted error makes of an output
+	hears    func(n *node, in any) any // and of an input
+	begun    func(*task)               // told of each start, unless it is nil
+	address  func(host string) string  // where a worker takes commands
+	trace    func(string)
+	measure  func(n *node, in any) []any // has the core take an input, in place of input
 }
 
 func (w *world) fail(rule, format string, args ...any) {
@@ -426,64 +448,93 @@
 		o.Orders = slices.Clone(o.Orders)
 		n.answer(o.Ref, o)
 	case kv.Request:
-		method, path, body := kvclient.Request(o)
-		kind := "state"
-		if o.Op == kv.Txn && len(o.Writes) > 0 {
-			kind = "txn"
-		}
-		n.exchange(kind, "state", o.Timeout, func(answer func(int, []byte)) {
-			n.store.serve(n.name, method, path, body, answer)
-		}, func(status int, data []byte) any {
-			r := kv.Response{Outcome: rpc.Unknown}
-			if status != 0 {
-				r = kvclient.Decode(o, status, data)
-			}
-			r.Ref = o.Ref
-			return r
-		})
+		n.callStore(o)
 	case provider.Request:
-		method, path, body := cloud.Request(o)
-		kind := "cloud"
-		if o.Op == provider.Release {
-			kind = "release"
-		}
-		n.exchange(kind, "cloud", o.Timeout, func(answer func(int, []byte)) {
-			n.cloud.serve(method, path, body, answer)
-		}, func(status int, data []byte) any {
-			r := provider.Response{Outcome: rpc.Unknown}
-			if status != 0 {
-				r = cloud.Decode(o, status, data)
-			}
-			r.Ref = o.Ref
-			return r
-		})
+		n.callCloud(o)
 	case heartbeat.Probe:
-		host := strings.TrimSuffix(o.Address, workerPort)
-		n.roundTrip("probe", host, o.Timeout, func(answer func(any)) {
-			if m := n.workers[host]; m != nil && !n.now.Before(m.deaf) {
-				m.do(func() {
-					outcome, rep := m.command(o.FencingToken, o.Incarnation)
-					answer(heartbeat.ProbeReply{Ref: o.Ref, Outcome: outcome, Report: rep})
-				})
-			}
-		}, heartbeat.ProbeReply{Ref: o.Ref, Outcome: rpc.Unknown})
+		n.callWorker(o)
 	case peermsg.Outgoing:
-		for _, p := range n.nodes {
-			if l := n.links[p.name]; p.name == o.To && l.up {
-				msg, life := o.Msg, l.life
-				n.net.send("peer", n.name, p.name, func() {
-					if p.alive && p.life == life { // else the connection has gone with it
-						p.input(peermsg.Received{From: n.name, Msg: msg})
-					}
-				})
-			}
-		}
+		n.sendPeer(o)
 	case engine.LogEntry:
-		if o.Text == core.DataLossDetected && !n.lossy {
-			n.fail("misuse", "%s sees a loss of data where there was none: %v", n.name, o.Attrs)
+		n.logged(o)
+	}
+}
+
+// callStore sends a call to the state service over the network.
+func (n *node) callStore(call kv.Request) {
+	method, path, body := kvclient.Request(call)
+	kind := "state"
+	if call.Op == kv.Txn && len(call.Writes) > 0 {
+		kind = "txn"
+	}
+	n.exchange(kind, "state", call.Timeout, func(answer func(int, []byte)) {
+		n.store.serve(n.name, method, path, body, answer)
+	}, func(status int, data []byte) any {
+		r := kv.Response{Outcome: rpc.Unknown}
+		if status != 0 {
+			r = kvclient.Decode(call, status, data)
+		}
+		r.Ref = call.Ref
+		return r
+	})
+}
+
+// callCloud sends a call to the cloud over the network.
+func (n *node) callCloud(call provider.Request) {
+	method, path, body := cloud.Request(call)
+	kind := "cloud"
+	if call.Op == provider.Release {
+		kind = "release"
+	}
+	n.exchange(kind, "cloud", call.Timeout, func(answer func(int, []byte)) {
+		n.cloud.serve(method, path, body, answer)
+	}, func(status int, data []byte) any {
+		r := provider.Response{Outcome: rpc.Unknown}
+		if status != 0 {
+			r = cloud.Decode(call, status, data)
+		}
+		r.Ref = call.Ref
+		return r
+	})
+}
+
+// callWorker sends a command to a worker over the network.
+func (n *node) callWorker(call heartbeat.Probe) {
+	host := strings.TrimSuffix(call.Address, workerPort)
+	n.roundTrip("probe", host, call.Timeout, func(answer func(any)) {
+		m := n.workers[host]
+		if m == nil || n.now.Before(m.deaf) {
+			return
 		}
-		if n.trace != nil {
-			n.trace(fmt.Sprintf("%8.3f %s %s %s %v", n.elapsed().Seconds(), n.name, o.Level, o.Text, o.Attrs))
+		m.do(func() {
+			outcome, report := m.command(call.FencingToken, call.Incarnation)
+			answer(heartbeat.ProbeReply{Ref: call.Ref, Outcome: outcome, Report: report})
+		})
+	}, heartbeat.ProbeReply{Ref: call.Ref, Outcome: rpc.Unknown})
+}
+
+// sendPeer sends a message to another controller if there is a link to it.
+func (n *node) sendPeer(out peermsg.Outgoing) {
+	for _, p := range n.nodes {
+		l := n.links[p.name]
+		if p.name != out.To || !l.up {
+			continue
 		}
+		msg, life := out.Msg, l.life
+		n.net.send("peer", n.name, p.name, func() {
+			if p.alive && p.life == life { // else the connection has gone with it
+				p.input(peermsg.Received{From: n.name, Msg: msg})
+			}
+		})
+	}
+}
+
+// logged checks and traces a line of the controller's log.
+func (n *node) logged(entry engine.LogEntry) {
+	if entry.Text == core.DataLossDetected && !n.lossy {
+		n.fail("misuse", "%s sees a loss of data where there was none: %v", n.name, entry.Attrs)
+	}
+	if n.trace != nil {
+		n.trace(fmt.Sprintf("%8.3f %s %s %s %v", n.elapsed().Seconds(), n.name, entry.Level, entry.Text, entry.Attrs))
 	}
 }
