--- a/internal/scenario/ledger.go
+++ b/internal/scenario/allocations.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// ledger keeps what the tasks that machines hold take of each team's limit, and which
+// allocations keeps what the tasks that machines hold take of each team's limit, and which
 // tasks of each job those are. The rules are looked at after every event, and a look at
 // all tasks of all machines would cost more than everything else.
-type ledger map[string]*usage
+type allocations map[string]*usage
 
 // usage is what a team's tasks take.
 type usage struct{ cpus, gpus float64 }
 
 // hold takes in a task that a machine has accepted.
-func (l ledger) hold(m *worker, t *task) {
+func (l allocations) hold(m *worker, t *task) {
 	t.machine = m
 	t.job.held = append(t.job.held, t)
 	s := &t.job.spec
@@ -25,7 +25,7 @@
 }
 
 // release takes out a task that has exited or is gone with its session.
-func (l ledger) release(t *task) {
+func (l allocations) release(t *task) {
 	if t.machine == nil {
 		return
 	}
@@ -43,7 +43,7 @@
 }
 
 // used is what a team's tasks take now.
-func (l ledger) used(team string) usage {
+func (l allocations) used(team string) usage {
 	if u := l[team]; u != nil {
 		return *u
 	}
@@ -53,7 +53,7 @@
 // forgetTasks drops every task of a machine, whatever its state.
 func (m *worker) forgetTasks() {
 	for _, t := range m.tasks {
-		m.ledger.release(t)
+		m.allocations.release(t)
 	}
 	m.tasks = nil
 	m.dirty = true
--- a/internal/scenario/cloud.go
+++ b/internal/scenario/cloud.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// flavorDef is a machine type of a scenario.
-type flavorDef struct {
+// instanceType is a machine type of a scenario.
+type instanceType struct {
 	name      string
 	cpus, mem float64
 	gpus      float64
@@ -19,30 +19,30 @@
 	zones     []string
 }
 
-type kindKey struct {
+type offerKey struct {
 	flavor, zone string
-	reclaimable  bool
+	spot         bool
 }
 
 // cloudSim is the stand-in of the cloud API. It speaks the protocol's JSON.
 type cloudSim struct {
 	*clock
-	w        *world
-	flavors  []*flavorDef
-	capacity map[kindKey]int
-	made     int
-	requests map[string][]string // what a request name returned
-	asked    map[string]string   // and what it asked for
-	machines []*worker           // all there ever were, in order
-	lag      time.Duration
-	down     time.Time
-	deaf     time.Time                    // until then it answers releases and carries none out
-	boots    func() (time.Duration, bool) // factor of the boot time in percent; false: never
-	calls    int
+	w             *world
+	instanceTypes []*instanceType
+	capacity      map[offerKey]int
+	made          int
+	requests      map[string][]string // what a request name returned
+	asked         map[string]string   // and what it asked for
+	machines      []*worker           // all there ever were, in order
+	lag           time.Duration
+	down          time.Time
+	deaf          time.Time                    // until then it answers releases and carries none out
+	boots         func() (time.Duration, bool) // factor of the boot time in percent; false: never
+	calls         int
 }
 
-func (c *cloudSim) flavor(name string) *flavorDef {
-	for _, f := range c.flavors {
+func (c *cloudSim) instanceType(name string) *instanceType {
+	for _, f := range c.instanceTypes {
 		if f.name == name {
 			return f
 		}
@@ -50,9 +50,9 @@
 	return nil
 }
 
-func (c *cloudSim) create(k kindKey, ready time.Duration) *worker {
-	f := c.flavor(k.flavor)
-	m := &worker{world: c.w, host: fmt.Sprintf("host-%06d", c.made), flavor: f, zone: k.zone, reclaimable: k.reclaimable,
+func (c *cloudSim) create(k offerKey, ready time.Duration) *worker {
+	f := c.instanceType(k.flavor)
+	m := &worker{world: c.w, host: fmt.Sprintf("host-%06d", c.made), instanceType: f, zone: k.zone, spot: k.spot,
 		created: c.now, speed: 1, tenure: 0, images: map[string]time.Time{}, node: c.made}
 	c.made++
 	c.machines = append(c.machines, m)
@@ -64,10 +64,10 @@
 	return m
 }
 
-func (c *cloudSim) live(k kindKey) int {
+func (c *cloudSim) live(k offerKey) int {
 	n := 0
 	for _, m := range c.machines {
-		if m.gone.IsZero() && m.flavor.name == k.flavor && m.zone == k.zone && m.reclaimable == k.reclaimable {
+		if m.gone.IsZero() && m.instanceType.name == k.flavor && m.zone == k.zone && m.spot == k.spot {
 			n++
 		}
 	}
@@ -84,7 +84,7 @@
 	switch {
 	case u.Path == "/catalog":
 		var fs []any
-		for _, f := range c.flavors {
+		for _, f := range c.instanceTypes {
 			fs = append(fs, object{"name": f.name, "vcpus": f.cpus, "gpus": f.gpus, "memGb": f.mem, "localGb": 50, "fetchGbPerS": f.fetch,
 				"rate": f.rate, "lowPrice": f.low, "readyS": f.ready.Seconds(), "halls": f.zones})
 		}
@@ -114,8 +114,8 @@
 			if !m.up.IsZero() && m.up.Before(seen) {
 				status = "running"
 			}
-			hosts = append(hosts, object{"id": m.host, "address": "10.1.0.1:9000", "flavor": m.flavor.name, "hall": m.zone,
-				"reclaimable": m.reclaimable, "status": status, "ageS": seen.Sub(m.created).Seconds()})
+			hosts = append(hosts, object{"id": m.host, "address": "10.1.0.1:9000", "flavor": m.instanceType.name, "hall": m.zone,
+				"reclaimable": m.spot, "status": status, "ageS": seen.Sub(m.created).Seconds()})
 		}
 		answer(200, encode(object{"hosts": hosts, "truncated": false}))
 	default:
@@ -129,8 +129,8 @@
 		Reclaimable          bool
 		HowMany              int
 	}
-	if json.Unmarshal(body, &r) != nil || r.HowMany < 1 || r.HowMany > 50 || c.flavor(r.Flavor) == nil ||
-		!strings.Contains(","+strings.Join(c.flavor(r.Flavor).zones, ",")+",", ","+r.Hall+",") {
+	if json.Unmarshal(body, &r) != nil || r.HowMany < 1 || r.HowMany > 50 || c.instanceType(r.Flavor) == nil ||
+		!strings.Contains(","+strings.Join(c.instanceType(r.Flavor).zones, ",")+",", ","+r.Hall+",") {
 		c.w.fail("misuse", "malformed rental request: %s", body)
 		answer(400, nil)
 		return
@@ -143,7 +143,7 @@
 		answer(200, encode(object{"hosts": got}))
 		return
 	}
-	k := kindKey{r.Flavor, r.Hall, r.Reclaimable}
+	k := offerKey{r.Flavor, r.Hall, r.Reclaimable}
 	n := min(r.HowMany, c.capacity[k]-c.live(k))
 	if n <= 0 {
 		answer(503, encode(object{"error": "no capacity"}))
@@ -153,7 +153,7 @@
 	for range n {
 		ready := time.Duration(-1)
 		if part, ok := c.boots(); ok {
-			ready = c.flavor(r.Flavor).ready * part / 100
+			ready = c.instanceType(r.Flavor).ready * part / 100
 		}
 		hosts = append(hosts, c.create(k, ready).host)
 	}
--- a/internal/scenario/configure.go
+++ b/internal/scenario/configure.go
@@ -29,8 +29,8 @@
 	return !c.told.IsZero() && now.Sub(c.told) >= configWithin
 }
 
-// admin changes teams as operators do, and knows what may be in force.
-type admin struct {
+// configAdmin changes teams as operators do, and knows what may be in force.
+type configAdmin struct {
 	w       *world
 	changes map[string][]*teamChange
 	waiting map[string][]liveconfig.Team // behind the change that is on its way
@@ -38,12 +38,12 @@
 	onTold  func(*teamChange)            // called when a change is told of, unless it is nil
 }
 
-func newAdmin(w *world) *admin {
-	return &admin{w: w, changes: map[string][]*teamChange{}, waiting: map[string][]liveconfig.Team{}}
+func newConfigAdmin(w *world) *configAdmin {
+	return &configAdmin{w: w, changes: map[string][]*teamChange{}, waiting: map[string][]liveconfig.Team{}}
 }
 
 // set has a team changed, after what is on its way for it.
-func (a *admin) set(t liveconfig.Team) {
+func (a *configAdmin) set(t liveconfig.Team) {
 	last := a.latest(t.Name)
 	if last != nil && last.told.IsZero() {
 		a.waiting[t.Name] = append(a.waiting[t.Name], t)
@@ -57,7 +57,7 @@
 	a.send(c)
 }
 
-func (a *admin) latest(team string) *teamChange {
+func (a *configAdmin) latest(team string) *teamChange {
 	cs := a.changes[team]
 	if len(cs) == 0 {
 		return nil
@@ -66,16 +66,16 @@
 }
 
 // send asks until the change is on record.
-func (a *admin) send(c *teamChange) {
+func (a *configAdmin) send(c *teamChange) {
 	w := a.w
 	call := request.Request{Op: request.ConfigSet, Config: &request.ConfigParams{Teams: []liveconfig.TeamChange{{Team: c.team, IfRevision: &c.before}}}}
 	w.call(call, 5*time.Second, func(status int, ans request.Response) {
 		made, ok := madeOf(ans)
 		switch {
 		case status == 200 && ok:
-			a.told(c, made.Revision)
+			a.changeApplied(c, made.Revision)
 		case status == 0 || status == 503:
-			w.met["config-again"]++
+			w.occurrences["config-again"]++
 			w.after(again(ans), func() { a.send(c) })
 		default:
 			w.fail("misuse", "a change of team %s gets %d %s", c.team.Name, status, ans.Reason)
@@ -89,14 +89,14 @@
 	return made, ok
 }
 
-func (a *admin) told(c *teamChange, revision uint64) {
+func (a *configAdmin) changeApplied(c *teamChange, revision uint64) {
 	w := a.w
 	if revision == 0 && !slices.Contains(w.baseTeam(c.team.Name), c.team) { // which alone is so without a change
 		w.fail("went_back", "a change of team %s is on record at no revision", c.team.Name)
 	}
 	c.told, c.revision = w.now, revision
 	a.highest = max(a.highest, revision)
-	w.met["config-told"]++
+	w.occurrences["config-told"]++
 	w.after(configWithin, func() { w.checkLeads(revision) })
 	if a.onTold != nil {
 		a.onTold(c)
@@ -108,7 +108,7 @@
 }
 
 // settled reports whether every change was told of.
-func (a *admin) settled() bool {
+func (a *configAdmin) settled() bool {
 	for _, cs := range a.changes {
 		if slices.ContainsFunc(cs, func(c *teamChange) bool { return c.told.IsZero() }) {
 			return false
@@ -122,9 +122,9 @@
 	return true
 }
 
-// may returns what of a team may be in force for a decision that was made at a time or
+// possibleTeams returns what of a team may be in force for a decision that was made at a time or
 // later: from the latest change that surely was on.
-func (a *admin) may(name string, at time.Time) []liveconfig.Team {
+func (a *configAdmin) possibleTeams(name string, at time.Time) []liveconfig.Team {
 	cs := a.changes[name]
 	from := -1
 	for i, c := range cs {
@@ -161,12 +161,12 @@
 // not older than the report that it answers.
 func (w *world) checkLiveLimit(t *task, reported time.Time) {
 	name := t.job.spec.Owner
-	if w.blind || !w.changedLive(name) {
+	if w.unchecked || !w.changedLive(name) {
 		return
 	}
 	most := func(amount func(liveconfig.Team) float64) float64 {
 		largest := 0.0
-		for _, team := range w.admin.may(name, reported) {
+		for _, team := range w.admin.possibleTeams(name, reported) {
 			if v := amount(team); v == 0 {
 				return math.Inf(1)
 			} else {
@@ -176,7 +176,7 @@
 		return largest
 	}
 	const eps = 1e-6
-	u := w.ledger.used(name)
+	u := w.allocations.used(name)
 	cpus, gpus := most(func(t liveconfig.Team) float64 { return t.CPUsMax }), most(func(t liveconfig.Team) float64 { return t.GPUsMax })
 	if t.job.spec.CPUs > 0 && u.cpus > cpus+eps || t.job.spec.GPUs > 0 && u.gpus > gpus+eps {
 		w.fail("stale_config", "%s starts with team %s at %.1f CPUs of %.1f", t.id, name, u.cpus, cpus)
@@ -192,13 +192,13 @@
 	}
 	retired := func(t liveconfig.Team) bool { return t.Retired }
 	if accepted {
-		if teams := w.admin.may(name, j.first); len(teams) > 0 && !slices.ContainsFunc(teams, func(t liveconfig.Team) bool { return !t.Retired }) {
+		if teams := w.admin.possibleTeams(name, j.first); len(teams) > 0 && !slices.ContainsFunc(teams, func(t liveconfig.Team) bool { return !t.Retired }) {
 			w.fail("stale_config", "%s is accepted for team %s, which is retired", j.spec.ID, name)
 		}
 		return
 	}
 	unknown := len(w.baseTeam(name)) == 0 && !slices.ContainsFunc(w.admin.changes[name], func(c *teamChange) bool { return c.inForce(j.asking) })
-	if !unknown && !slices.ContainsFunc(w.admin.may(name, j.asking), retired) {
+	if !unknown && !slices.ContainsFunc(w.admin.possibleTeams(name, j.asking), retired) {
 		w.fail("stale_config", "%s is refused for team %s, which is there", j.spec.ID, name)
 	}
 }
--- a/internal/scenario/configure_test.go
+++ b/internal/scenario/configure_test.go
@@ -83,17 +83,17 @@
 		plant func(s *script)
 	}{
 		"the next leader does not learn of it": {lowered, func(s *script) {
-			s.lie = func(_ *node, out any) any { return withoutTeams(out) }
+			s.alterOutput = func(_ *node, out any) any { return withoutTeams(out) }
 		}},
 		"told before it is on record": {strings.Replace(lowered, "at 10s config", "at 9900ms deny leader 12s\nat 10s config", 1), func(s *script) {
 			changes := map[uint64]bool{}
-			s.lie = func(_ *node, out any) any {
+			s.alterOutput = func(_ *node, out any) any {
 				if call, ok := out.(kv.Request); ok && slices.ContainsFunc(call.Writes, func(w kv.Write) bool { return strings.HasSuffix(w.Key, "config/head") }) {
 					changes[call.Ref] = true
 				}
 				return withoutTeams(out)
 			}
-			s.hears = func(_ *node, in any) any { // a change that was refused counts
+			s.alterInput = func(_ *node, in any) any { // a change that was refused counts
 				if r, ok := in.(kv.Response); ok && changes[r.Ref] {
 					r.Outcome = rpc.OK
 					return r
@@ -111,7 +111,7 @@
 at 12600ms burst 60 gap=40ms owner=u tasks=2 run=5s
 expect configured
 run 120s`, func(s *script) {
-			s.lie = func(_ *node, out any) any {
+			s.alterOutput = func(_ *node, out any) any {
 				call, ok := out.(kv.Request)
 				if !ok || !slices.ContainsFunc(call.Writes, func(w kv.Write) bool { return strings.HasPrefix(w.Key, "yewpass/alone/") }) {
 					return out
--- a/internal/scenario/cost_test.go
+++ b/internal/scenario/cost_test.go
@@ -106,7 +106,7 @@
 		}
 	}
 	k := &costs{at: s.start.Add(20 * time.Second), spent: map[[2]string]time.Duration{}, count: map[[2]string]int{}, bytes: map[string]int{}}
-	s.measure, s.blind = k.step, true
+	s.measure, s.unchecked = k.step, true
 	s.begin()
 	for s.step(s.start.Add(s.end)) {
 	}
@@ -155,7 +155,7 @@
 			t.Log(x)
 		}
 	}
-	s.blind = true
+	s.unchecked = true
 	s.begin()
 	puts, requests := 0, 0
 	for s.step(s.start.Add(s.end)) {
--- a/internal/scenario/drill_test.go
+++ b/internal/scenario/drill_test.go
@@ -363,7 +363,7 @@
 		func() { f.corrupt("yewpass/term", `{"type":"term","term":1}`) }, // from an old copy
 		func() { f.corrupt("yewpass/leader", `7`) },
 		func() {
-			f.with(func() { f.store.keys["yewpass/leader"].grant = 0 })
+			f.with(func() { f.store.keys["yewpass/leader"].lease = 0 })
 			f.corrupt("yewpass/leader", `{"type":"leader","node":"n7","term":3}`)
 		},
 	} {
--- a/internal/scenario/loss_test.go
+++ b/internal/scenario/loss_test.go
@@ -94,7 +94,7 @@
 						t.Logf("%d moments", n-3)
 						return
 					}
-					s.lossy = true
+					s.dataLost = true
 					s.store.wipe(under, false)
 					if lost != "" {
 						s.act(strings.Fields(lost))
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -130,7 +130,7 @@
 expect met late-write >0
 expect started =1
 run 120s`, "started =1", func(s *script) {
-			s.lie = func(n *node, out any) any { // changes without conditions but the term
+			s.alterOutput = func(n *node, out any) any { // changes without conditions but the term
 				if call, ok := out.(kv.Request); ok && call.Op == kv.Txn && len(call.Writes) > 0 {
 					call.Conditions = slices.DeleteFunc(slices.Clone(call.Conditions), func(w kv.Condition) bool { return strings.Contains(w.Key, "wk-") })
 					return call
@@ -146,7 +146,7 @@
 expect done all
 run 200s`, "ran_twice", func(s *script) {
 			last := uint64(1000)
-			s.hears = func(n *node, in any) any { // whatever comes later is newer
+			s.alterInput = func(n *node, in any) any { // whatever comes later is newer
 				if r, ok := in.(heartbeat.Received); ok {
 					last++
 					r.Report.Counter = last
@@ -165,13 +165,13 @@
 expect done all
 run 250s`, "ran_twice", func(s *script) {
 			releases := map[uint64]bool{}
-			s.lie = func(n *node, out any) any {
+			s.alterOutput = func(n *node, out any) any {
 				if call, ok := out.(provider.Request); ok && call.Op == provider.Release {
 					releases[call.Ref] = true
 				}
 				return out
 			}
-			s.hears = func(n *node, in any) any { // a release that was refused counts
+			s.alterInput = func(n *node, in any) any { // a release that was refused counts
 				if r, ok := in.(provider.Response); ok && releases[r.Ref] {
 					r.Outcome = rpc.OK
 					return r
@@ -187,7 +187,7 @@
 expect met write-unanswered >5
 expect over
 run 250s`, "no order", func(s *script) {
-			s.lie = func(n *node, out any) any { // a poll does not wait for a record that may be there
+			s.alterOutput = func(n *node, out any) any { // a poll does not wait for a record that may be there
 				if a, ok := out.(request.Response); ok && a.Reason == "its end is being recorded" {
 					a.Status, a.View = 200, request.JobStatus{State: spec.Running}
 					return a
@@ -205,7 +205,7 @@
 expect met report-for-next >5
 expect done all
 run 250s`, "ran_twice", func(s *script) {
-			s.hears = func(n *node, in any) any { // every report counts as one of the term at hand
+			s.alterInput = func(n *node, in any) any { // every report counts as one of the term at hand
 				if r, ok := in.(heartbeat.Received); ok && n.core.HasAuthority(n.local()) {
 					r.Report.FencingToken = n.core.Stats().Term
 					return r
@@ -223,7 +223,7 @@
 expect met mute-command >0
 expect done all
 run 250s`, "ran_twice", func(s *script) {
-			s.hears = func(n *node, in any) any { // what a command's answer lists is not looked at
+			s.alterInput = func(n *node, in any) any { // what a command's answer lists is not looked at
 				switch in := in.(type) {
 				case heartbeat.ProbeReply:
 					in.Report.Tasks = nil
@@ -247,7 +247,7 @@
 expect met cancel-now-hung >1
 expect met cancelled-on >0
 run 120s`, "ran_cancelled", func(s *script) {
-			s.lie = func(n *node, out any) any { // a machine that has hung is told nothing of it
+			s.alterOutput = func(n *node, out any) any { // a machine that has hung is told nothing of it
 				if a, ok := out.(heartbeat.Reply); ok {
 					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop })
 					return a
@@ -262,8 +262,8 @@
 expect met cancel-at-end >8
 expect over
 run 150s`, "went_back", func(s *script) {
-			s.lie = func(n *node, out any) any { // whoever called it off is told that it is cancelled
-				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && s.jobs[a.View.ID].wants && s.jobs[a.View.ID].told == "" {
+			s.alterOutput = func(n *node, out any) any { // whoever called it off is told that it is cancelled
+				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && s.jobs[a.View.ID].wantsCancel && s.jobs[a.View.ID].told == "" {
 					a.View.State = spec.Cancelled
 					return a
 				}
@@ -278,7 +278,7 @@
 expect met odd-lacks >5
 expect done all
 run 100s`, "unfit", func(s *script) {
-			s.lie = func(n *node, out any) any {
+			s.alterOutput = func(n *node, out any) any {
 				if a, ok := out.(request.Response); ok && a.Status == 422 {
 					a.Status = 201
 					return a
@@ -293,7 +293,7 @@
 expect met odd-lacks >5
 expect done all
 run 100s`, "unfit", func(s *script) {
-			s.careless = func(*spec.Job) *spec.Job { return &spec.Job{} }
+			s.alterSubmission = func(*spec.Job) *spec.Job { return &spec.Job{} }
 		}},
 		"close_looks": {few(3, 3) + `
 team t
@@ -303,7 +303,7 @@
 expect over
 run 150s`, "no order", func(s *script) {
 			first := map[string]request.JobStatus{}
-			s.lie = func(n *node, out any) any { // a node tells for a second what it has told before
+			s.alterOutput = func(n *node, out any) any { // a node tells for a second what it has told before
 				a, ok := out.(request.Response)
 				if !ok || a.Status != 200 && a.Status != 201 || a.View.ID == "" {
 					return out
@@ -322,7 +322,7 @@
 at 5s burst 6 gap=1s run=3s
 expect done all
 run 160s`, "waits", func(s *script) {
-			s.lie = func(n *node, out any) any {
+			s.alterOutput = func(n *node, out any) any {
 				if a, ok := out.(heartbeat.Reply); ok {
 					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Task.Job == "wk-100003" })
 					return a
@@ -337,7 +337,7 @@
 expect cancelled wk-1
 expect met start-after-cancel =0
 run 60s`, "start-after-cancel", func(s *script) {
-			s.lie = func(n *node, out any) any {
+			s.alterOutput = func(n *node, out any) any {
 				if a, ok := out.(heartbeat.Reply); ok {
 					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop })
 					return a
--- a/internal/scenario/looks.go
+++ b/internal/scenario/observations.go
@@ -25,7 +25,7 @@
 
 // recordCall notes a call and returns what notes its answer.
 func (w *world) recordCall(u request.Request) func(status int, a request.Response) {
-	if w.blind || u.Schedule != nil || u.Op != request.Submit && u.Op != request.Get && u.Op != request.Cancel {
+	if w.unchecked || u.Schedule != nil || u.Op != request.Submit && u.Op != request.Get && u.Op != request.Cancel {
 		return func(int, request.Response) {}
 	}
 	id := u.ID
@@ -37,30 +37,30 @@
 	}
 }
 
-// ended: the last task of a job has just completed.
-func (w *world) ended(j *userJob) {
-	if !w.blind {
+// jobEnded: the last task of a job has just completed.
+func (w *world) jobEnded(j *userJob) {
+	if !w.unchecked {
 		w.history[j.spec.ID] = append(w.history[j.spec.ID], call{invoked: w.now})
 	}
-	if j.accepted && !j.wants && w.atEnd.hits(w.clock) {
+	if j.accepted && !j.wantsCancel && w.cancelAtEnd.hits(w.clock) {
 		w.after([]time.Duration{0, time.Millisecond, 20 * time.Millisecond, 200 * time.Millisecond, time.Second}[w.rng.IntN(5)], func() {
-			w.met["cancel-at-end"]++
+			w.occurrences["cancel-at-end"]++
 			w.cancel(j)
 		})
 	}
-	w.look(j, true)
+	w.observeJob(j, true)
 }
 
 // lookTimes is when users look again.
 var lookTimes = []time.Duration{0, time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond}
 
-// look has a job's user ask every node at once and again within milliseconds, and repeat
+// observeJob has a job's user ask every node at once and again within milliseconds, and repeat
 // the submission; some also call the job off. During, as close_looks has it: only while that lasts.
-func (w *world) look(j *userJob, during bool) {
-	if during && !w.now.Before(w.looks) || w.blind || len(w.nodes) == 0 || w.nodes[0].process != nil {
+func (w *world) observeJob(j *userJob, during bool) {
+	if during && !w.now.Before(w.observeUntil) || w.unchecked || len(w.nodes) == 0 || w.nodes[0].process != nil {
 		return
 	}
-	w.met["look"]++
+	w.occurrences["look"]++
 	for _, d := range lookTimes {
 		for _, n := range w.nodes {
 			w.after(d, func() {
@@ -70,19 +70,19 @@
 			})
 		}
 		w.after(d, func() {
-			w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) { w.repeated(j, status, a) })
+			w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) { w.repeatSubmission(j, status, a) })
 		})
 	}
-	if during && !j.wants && w.rng.IntN(8) == 0 {
+	if during && !j.wantsCancel && w.rng.IntN(8) == 0 {
 		w.after(lookTimes[w.rng.IntN(len(lookTimes))], func() {
-			w.met["look-cancel"]++
+			w.occurrences["look-cancel"]++
 			w.cancel(j)
 		})
 	}
 }
 
-// repeated takes the answer to a repeated submission of an accepted job.
-func (w *world) repeated(j *userJob, status int, a request.Response) {
+// repeatSubmission takes the answer to a repeated submission of an accepted job.
+func (w *world) repeatSubmission(j *userJob, status int, a request.Response) {
 	switch status {
 	case 200, 201:
 		w.hear(j, a.View)
@@ -94,9 +94,9 @@
 // hungMost is on how many machines a cancel_now falls that hang.
 const hungMost = 8
 
-// cancelNow has users call off the jobs that run and have the longest to go, within a fifth
+// cancelRunning has users call off the jobs that run and have the longest to go, within a fifth
 // of a second; up to eight of their machines hang.
-func (w *world) cancelNow(n int, hang time.Duration) {
+func (w *world) cancelRunning(n int, hang time.Duration) {
 	left := func(j *userJob) (d time.Duration) {
 		for _, m := range w.cloud.machines {
 			for _, t := range m.tasks {
@@ -112,38 +112,38 @@
 	}
 	var js []*userJob
 	for _, j := range w.order {
-		if j.accepted && !j.wants && j.told == "" && left(j) > 0 {
+		if j.accepted && !j.wantsCancel && j.told == "" && left(j) > 0 {
 			js = append(js, j)
 		}
 	}
 	for _, t := range w.cfg.Settings.Teams {
 		if cpus, gpus := w.uses(t.Name); t.CPUsMax > 0 && cpus+1 > t.CPUsMax || t.GPUsMax > 0 && gpus+1 > t.GPUsMax {
-			w.met["cancel-at-limit"]++
+			w.occurrences["cancel-at-limit"]++
 		}
 	}
 	slices.SortStableFunc(js, func(a, b *userJob) int { return int(max(-1, min(1, left(b)-left(a)))) })
 	js = js[:min(n, len(js))]
 	hung := 0
 	for _, j := range js {
-		w.met["cancel-now"]++
+		w.occurrences["cancel-now"]++
 		w.after(time.Duration(w.rng.IntN(200))*time.Millisecond, func() { w.cancel(j) })
 		for _, m := range w.cloud.machines {
 			on := slices.ContainsFunc(m.tasks, func(t *task) bool { return t.job == j && t.on() })
 			if hang > 0 && on && !w.now.Before(m.hung) && hung < hungMost {
 				hung++
-				w.met["cancel-now-hung"]++
+				w.occurrences["cancel-now-hung"]++
 				m.hung = w.now.Add(hang)
 			}
 		}
 	}
 }
 
-// odd has users make requests that are none of the ordinary, four a second.
-func (w *world) odd(end time.Time) {
+// sendOddRequests has users make requests that are none of the ordinary, four a second.
+func (w *world) sendOddRequests(end time.Time) {
 	if !w.now.Before(end) {
 		return
 	}
-	w.after(250*time.Millisecond, func() { w.odd(end) })
+	w.after(250*time.Millisecond, func() { w.sendOddRequests(end) })
 	var going, over []*userJob
 	for _, j := range w.order {
 		switch {
@@ -153,11 +153,11 @@
 			over = append(over, j)
 		}
 	}
-	w.met["odd"]++
+	w.occurrences["odd"]++
 	switch k := w.rng.IntN(4); {
 	case k == 0 && len(going) > 0:
 		j := going[w.rng.IntN(len(going))]
-		w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) { w.repeated(j, status, a) })
+		w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) { w.repeatSubmission(j, status, a) })
 	case k == 1 && len(over) > 0:
 		j := over[w.rng.IntN(len(over))]
 		w.request(request.Cancel, nil, j.spec.ID, 5*time.Second, func(status int, a request.Response) {
@@ -169,14 +169,14 @@
 			}
 		})
 	case k == 2:
-		w.unfit()
+		w.submitUnfit()
 	default:
-		w.lacking()
+		w.submitIncomplete()
 	}
 }
 
-// unfit submits a job that can never run.
-func (w *world) unfit() {
+// submitUnfit submits a job that can never run.
+func (w *world) submitUnfit() {
 	w.oddID++
 	s := spec.Job{ID: fmt.Sprintf("wk-8%07d", w.oddID), Class: "c", Owner: w.cfg.Settings.Teams[0].Name, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", AllowSpot: true}
 	switch w.rng.IntN(4) {
@@ -194,13 +194,13 @@
 		case 200, 201:
 			w.fail("unfit", "%s is accepted though it can never run", s.ID)
 		case 422:
-			w.met["odd-unfit"]++
+			w.occurrences["odd-unfit"]++
 		}
 	})
 }
 
-// lacking submits a job without one of the fields that it must have, as its JSON is read.
-func (w *world) lacking() {
+// submitIncomplete submits a job without one of the fields that it must have, as its JSON is read.
+func (w *world) submitIncomplete() {
 	w.oddID++
 	id, text, zero, shards, no := fmt.Sprintf("wk-8%07d", w.oddID), "x", 1.0, 1, false
 	shape, urgency := "array", "standard"
@@ -216,14 +216,14 @@
 	i := there[w.rng.IntN(len(there))]
 	v.Field(i).SetZero()
 	job, field, _ := sub.Job()
-	if w.careless != nil {
-		job = w.careless(job)
+	if w.alterSubmission != nil {
+		job = w.alterSubmission(job)
 	}
 	if job != nil || field == "" {
 		w.fail("unfit", "a job without %s is taken", v.Type().Field(i).Name)
 		return
 	}
-	w.met["odd-lacks"]++
+	w.occurrences["odd-lacks"]++
 }
 
 // waitsMost is for how long a job may wait once the troubles are over.
@@ -235,12 +235,12 @@
 // checkWaiting holds what the operators ask for once the troubles are over: no job waits for
 // long while a machine that fits has room and its team is under its limit.
 func (w *world) checkWaiting() {
-	if w.blind || !w.now.After(w.troubled) {
+	if w.unchecked || !w.now.After(w.faultsOverAt) {
 		return
 	}
 	for _, j := range w.order {
 		m := (*worker)(nil)
-		if j.accepted && !j.wants && j.told == "" && !j.faulty && !j.spec.Service {
+		if j.accepted && !j.wantsCancel && j.told == "" && !j.faulty && !j.spec.Service {
 			m = w.hasRoom(j)
 		}
 		switch {
@@ -251,7 +251,7 @@
 				j.waits = w.now // between one task and the next: no room to speak of
 			}
 			j.roomOn, j.roomFrom = m, w.now
-		case w.now.Sub(later(j.waits, w.troubled)) > waitsMost: // what was before a new trouble does not count
+		case w.now.Sub(later(j.waits, w.faultsOverAt)) > waitsMost: // what was before a new trouble does not count
 			w.fail("waits", "%s waits for 90 s while %s has room", j.spec.ID, m.host)
 		}
 	}
@@ -259,7 +259,7 @@
 
 // uses is what a team's tasks take.
 func (w *world) uses(team string) (cpus, gpus float64) {
-	u := w.ledger.used(team)
+	u := w.allocations.used(team)
 	return u.cpus, u.gpus
 }
 
@@ -280,20 +280,20 @@
 	if !waits {
 		return nil
 	}
-	for _, t := range w.admin.may(s.Owner, w.now) { // whichever of them is in force, it has to leave room
+	for _, t := range w.admin.possibleTeams(s.Owner, w.now) { // whichever of them is in force, it has to leave room
 		if t.CPUsMax > 0 && cpus+s.CPUs > t.CPUsMax || t.GPUsMax > 0 && gpus+s.GPUs > t.GPUsMax {
 			return nil
 		}
 	}
 	fits := func(m *worker) bool {
 		if !m.gone.IsZero() || m.up.IsZero() || !m.served || m.sick || !m.leaves.IsZero() || w.now.Before(m.hung) || w.now.Before(m.deaf) || w.now.Before(m.mute) ||
-			len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.flavor.name) || s.Zone != "" && s.Zone != m.zone || m.reclaimable && !s.AllowSpot {
+			len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.instanceType.name) || s.Zone != "" && s.Zone != m.zone || m.spot && !s.AllowSpot {
 			return false
 		}
 		if s.SamePlace && len(zones) > 0 && zones[m.zone] == 0 || s.Apart && zones[m.zone] >= (s.Tasks+1)/2 {
 			return false
 		}
-		have := [3]float64{m.flavor.cpus, m.flavor.gpus, m.flavor.mem}
+		have := [3]float64{m.instanceType.cpus, m.instanceType.gpus, m.instanceType.mem}
 		for _, t := range m.tasks {
 			if t.job != nil && t.phase != heartbeat.Exited {
 				have = [3]float64{have[0] - t.job.spec.CPUs, have[1] - t.job.spec.GPUs, have[2] - t.job.spec.MemGB}
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -290,7 +290,7 @@
 	if err != nil {
 		panic(err)
 	}
-	s.lie, s.hears = lie, hears
+	s.alterOutput, s.alterInput = lie, hears
 	s.begin()
 	r := &racing{script: s, o: o}
 	s.net.take = r.takes
@@ -522,7 +522,7 @@
 		{"a cancellation at the end of the last task", "went_back", func() func(n *node, out any) any {
 			told := false
 			return func(n *node, out any) any { // whoever asks first after the end is told that it is cancelled
-				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && n.jobs["wk-1"].wants && !told {
+				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && n.jobs["wk-1"].wantsCancel && !told {
 					told, a.View.State = true, spec.Cancelled
 					return a
 				}
--- a/internal/scenario/scale_measures.go
+++ b/internal/scenario/scale_measures.go
@@ -115,7 +115,7 @@
 	for _, p := range r.processes {
 		m.nodes[p.n.name] = &nodeUsage{}
 	}
-	r.with(func() { r.world.begun = r.started })
+	r.with(func() { r.world.onStart = r.started })
 }
 
 func (m *measures) holdBegins(r *scaleRun) {
@@ -133,7 +133,7 @@
 func (m *measures) count(r *scaleRun) counters {
 	c := counters{running: r.running(), bytes: map[string]int64{}, reports: map[string]int64{}, traffic: r.traffic.byKind()}
 	r.with(func() {
-		c.at, c.started, c.killed = r.now, r.world.started, r.killed
+		c.at, c.started, c.killed = r.now, r.world.started, r.expiredTasks
 		c.requests, c.puts, c.refused = r.store.requests, r.store.puts, r.store.refused
 		c.records, c.changed = r.store.byKind(), maps.Clone(r.store.putsOf)
 	})
--- a/internal/scenario/schedule_scale_test.go
+++ b/internal/scenario/schedule_scale_test.go
@@ -26,14 +26,14 @@
 	w.cfg.Settings.Teams = []config.Team{{Name: "t"}}
 	w.cfg.Settings.State = limits
 	w.cals["bg"] = definition(map[string]string{"country": "BG"})
-	w.cloud.flavors = append(w.cloud.flavors, &flavorDef{name: "s", cpus: 8, mem: 64, rate: 1, ready: time.Minute, fetch: 1, zones: []string{"a"}})
+	w.cloud.instanceTypes = append(w.cloud.instanceTypes, &instanceType{name: "s", cpus: 8, mem: 64, rate: 1, ready: time.Minute, fetch: 1, zones: []string{"a"}})
 	w.adoptSettings(nil)
 	s := &script{world: w}
 	for i := range n {
 		name := fmt.Sprintf("s%05d", i)
 		s.putSchedule(name, args([]string{"tz=Europe/Sofia", "at=" + at(i), "calendar=bg", "on=next", "catch=all", "by=06:00"}))
 		w.queue = nil // nobody is up: the record is written here
-		c := s.clerks[name]
+		c := s.scheduleClients[name]
 		c.number = uint64(i + 1)
 		file, err := json.Marshal(c.file)
 		if err != nil {
@@ -113,7 +113,7 @@
 			}
 		}
 	}
-	c := &clerk{s: &script{world: w}, number: n}
+	c := &scheduleClient{s: &script{world: w}, number: n}
 	if made := c.jobsMade(); len(made) != 1 {
 		t.Error("the occurrence due after a minute has not been made:", made)
 	}
@@ -160,7 +160,7 @@
 func BenchmarkLoadSchedules(b *testing.B) {
 	w := scheduledWorld(b, 100, small, func(i int) string { return fmt.Sprintf("%02d:30", i%24) })
 	var page []byte
-	w.store.reqs = 1
+	w.store.requestAllowance = 1
 	w.store.serve("n0", "GET", "/store?under=yewpass/schedule/&limit=100", nil, func(_ int, data []byte) { page = data })
 	set := w.calendars()
 	if n := len(kvclient.Decode(kv.Request{Op: kv.List}, 200, page).Entries); n != 100 {
--- a/internal/scenario/schedules.go
+++ b/internal/scenario/schedules.go
@@ -15,9 +15,9 @@
 	"yewpass/internal/spec"
 )
 
-// clerk is the owner of a schedule: asks for it, reads its history, and has the
+// scheduleClient is the owner of a schedule: asks for it, reads its history, and has the
 // jobs described under the ids to come.
-type clerk struct {
+type scheduleClient struct {
 	s       *script
 	file    schedule.File
 	args    map[string]string
@@ -50,10 +50,10 @@
 // putSchedule creates or edits a schedule. The words are those of the file, and
 // those of submit for the job.
 func (s *script) putSchedule(name string, a map[string]string) {
-	c := s.clerks[name]
+	c := s.scheduleClients[name]
 	if c == nil {
-		c = &clerk{s: s, args: map[string]string{"rule": "FREQ=DAILY", "tz": "UTC"}}
-		s.clerks[name] = c
+		c = &scheduleClient{s: s, args: map[string]string{"rule": "FREQ=DAILY", "tz": "UTC"}}
+		s.scheduleClients[name] = c
 	}
 	for k, v := range a {
 		c.args[k] = v
@@ -73,7 +73,7 @@
 }
 
 // ask repeats a call until it is answered for good.
-func (c *clerk) ask(op request.Operation, a map[string]string) {
+func (c *scheduleClient) ask(op request.Operation, a map[string]string) {
 	w := c.s.world
 	q := &request.ScheduleParams{Name: c.file.Name, Request: a["request"]}
 	if op == request.SchedulePut {
@@ -113,7 +113,7 @@
 }
 
 // readHistory polls for occurrences that have become jobs, and polls those.
-func (c *clerk) readHistory() {
+func (c *scheduleClient) readHistory() {
 	w := c.s.world
 	w.call(request.Request{Op: request.ScheduleHistory, Schedule: &request.ScheduleParams{Name: c.file.Name}}, 2*time.Second, func(status int, ans request.Response) {
 		if status == 200 {
@@ -138,7 +138,7 @@
 	if j := w.jobs[id]; j != nil {
 		return j
 	}
-	for _, c := range w.clerks {
+	for _, c := range w.scheduleClients {
 		if c.number == 0 || !strings.HasPrefix(id, fmt.Sprintf("%s%08d", spec.IDPrefix, c.number)) {
 			continue
 		}
@@ -153,7 +153,7 @@
 }
 
 // kept is what the state service has of the schedule.
-func (c *clerk) kept() (*schedule.Record, bool) {
+func (c *scheduleClient) kept() (*schedule.Record, bool) {
 	key := "yewpass/schedule/" + c.file.Name
 	k := c.s.store.keys[key]
 	if k == nil {
@@ -166,7 +166,7 @@
 // holds reports on: made NAME N, missed NAME N, late NAME N, history NAME STATE N,
 // and whole NAME: every occurrence of a plain enumeration has become one job or
 // is counted as missed, and there are no others.
-func (c *clerk) holds(e []string) bool {
+func (c *scheduleClient) holds(e []string) bool {
 	r, ok := c.kept()
 	switch e[0] {
 	case "removed": // and is not on record
@@ -213,7 +213,7 @@
 }
 
 // jobsMade lists the occurrences that have a record as a job.
-func (c *clerk) jobsMade() (ids []string) {
+func (c *scheduleClient) jobsMade() (ids []string) {
 	for _, under := range []string{"yewpass/live/job/", "yewpass/final/"} {
 		for _, k := range c.s.store.sorted(under + fmt.Sprintf("%s%08d", spec.IDPrefix, c.number)) {
 			if id := strings.TrimPrefix(k, under); len(id) == len(schedule.UnknownID(time.Time{})) {
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -124,7 +124,7 @@
 		rule := s.expects[i].what[1]
 		w.violations = slices.DeleteFunc(w.violations, func(v string) bool { return strings.Contains(v, " "+rule+":") })
 	}
-	res.Violations, res.Started, res.Requests, res.Met, res.History = w.violations, w.started, w.store.requests, w.met, w.history
+	res.Violations, res.Started, res.Requests, res.Met, res.History = w.violations, w.started, w.store.requests, w.occurrences, w.history
 	return res
 }
 
@@ -213,13 +213,13 @@
 	return ms[:min(n, len(ms))]
 }
 
-// troubles are the actions that are none of ordinary use.
-var troubles = strings.Fields("crash flap restart leave roll outage wipe restore deaf deny mute cut stall storm hang sick take boots damage wander late_writes late_reports machine_deaf machine_mute cancel_now slow_state")
+// faultWords are the actions that are none of ordinary use.
+var faultWords = strings.Fields("crash flap restart leave roll outage wipe restore deaf deny mute cut stall storm hang sick take boots damage wander late_writes late_reports machine_deaf machine_mute cancel_now slow_state")
 
-// noteTrouble takes note of when a trouble is surely over: after all its times together, and
+// noteFault takes note of when a trouble is surely over: after all its times together, and
 // half a minute in which processes and machines come back.
-func (w *world) noteTrouble(f []string) {
-	if !slices.Contains(troubles, f[0]) {
+func (w *world) noteFault(f []string) {
+	if !slices.Contains(faultWords, f[0]) {
 		return
 	}
 	over := 30 * time.Second
@@ -234,5 +234,5 @@
 	if f[0] == "roll" {
 		over += time.Duration(len(w.nodes)) * span(f[1])
 	}
-	w.troubled = later(w.troubled, w.now.Add(over))
+	w.faultsOverAt = later(w.faultsOverAt, w.now.Add(over))
 }
--- a/internal/scenario/script_actions.go
+++ b/internal/scenario/script_actions.go
@@ -69,7 +69,7 @@
 
 // act carries out an action.
 func (s *script) act(f []string) {
-	s.noteTrouble(f)
+	s.noteFault(f)
 	carryOut := actionWords[f[0]]
 	if carryOut == nil {
 		panic("unknown action " + f[0])
@@ -81,7 +81,7 @@
 func (s *script) actMachines(f []string) {
 	a := args(f[3:])
 	for range int(num(a, "n", 1)) {
-		s.cloud.create(kindKey{f[1], f[2], a["spot"] != ""}, 0)
+		s.cloud.create(offerKey{f[1], f[2], a["spot"] != ""}, 0)
 	}
 }
 
@@ -120,7 +120,7 @@
 	if f[1] == "first" {
 		n, _ := strconv.Atoi(f[2])
 		for _, j := range s.order[:min(n, len(s.order))] {
-			if !j.wants {
+			if !j.wantsCancel {
 				w.cancel(j)
 			}
 		}
@@ -192,7 +192,7 @@
 // actWipe carries out: wipe [under=PREFIX] [rev]: the state service loses keys; rev: and begins again.
 func (s *script) actWipe(f []string) {
 	w := s.world
-	w.lossy = true
+	w.dataLost = true
 	w.store.wipe(args(f[1:])["under"], args(f[1:])["rev"] != "")
 }
 
@@ -205,7 +205,7 @@
 // actRestore carries out the word restore.
 func (s *script) actRestore(f []string) {
 	w := s.world
-	w.lossy = true
+	w.dataLost = true
 	w.saved()
 }
 
@@ -227,7 +227,7 @@
 func (s *script) actMute(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
-		w.store.muted[n.name] = mute{w.now.Add(span(f[2])), dur(args(f[3:]), "late", 0)}
+		w.store.unanswered[n.name] = unansweredWrites{w.now.Add(span(f[2])), dur(args(f[3:]), "late", 0)}
 	}
 }
 
@@ -235,14 +235,14 @@
 func (s *script) actLateWrites(f []string) {
 	w := s.world
 	a := args(f[2:])
-	w.store.late = lateness{until: w.now.Add(span(f[1])), share: num(a, "share", 0.3), atOnce: a["at_once"] == "true"}
+	w.store.late = delayedShare{until: w.now.Add(span(f[1])), share: num(a, "share", 0.3), atOnce: a["at_once"] == "true"}
 }
 
 // actLateReports carries out: late_reports D share=S [for_next=true]: copies that arrive from 2 s to two leases later.
 func (s *script) actLateReports(f []string) {
 	w := s.world
 	a := args(f[2:])
-	w.reports = lateness{until: w.now.Add(span(f[1])), share: num(a, "share", 0.3), next: a["for_next"] == "true"}
+	w.lateReports = delayedShare{until: w.now.Add(span(f[1])), share: num(a, "share", 0.3), next: a["for_next"] == "true"}
 }
 
 // actSlowState carries out: slow_state D by=D: what is asked is carried out and answered late.
@@ -271,25 +271,25 @@
 func (s *script) actCancelNow(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
-	w.cancelNow(n, dur(args(f[2:]), "hang", 0))
+	w.cancelRunning(n, dur(args(f[2:]), "hang", 0))
 }
 
 // actCancelAtEnd carries out: cancel_at_end D share=S: that share of the jobs that end is called off just then.
 func (s *script) actCancelAtEnd(f []string) {
 	w := s.world
-	w.atEnd = lateness{until: w.now.Add(span(f[1])), share: num(args(f[2:]), "share", 0.3)}
+	w.cancelAtEnd = delayedShare{until: w.now.Add(span(f[1])), share: num(args(f[2:]), "share", 0.3)}
 }
 
 // actOddRequests carries out: odd_requests D: repeats, cancellations of what is done, jobs that cannot run.
 func (s *script) actOddRequests(f []string) {
 	w := s.world
-	w.odd(w.now.Add(span(f[1])))
+	w.sendOddRequests(w.now.Add(span(f[1])))
 }
 
 // actCloseLooks carries out: close_looks D: users ask at all nodes right after a job is accepted, ended or cancelled.
 func (s *script) actCloseLooks(f []string) {
 	w := s.world
-	w.looks = w.now.Add(span(f[1]))
+	w.observeUntil = w.now.Add(span(f[1]))
 }
 
 // actLatency carries out: latency D: messages take so long from now on.
@@ -301,7 +301,7 @@
 // actLook carries out: look ID: one such look.
 func (s *script) actLook(f []string) {
 	w := s.world
-	w.look(w.jobs[f[1]], false)
+	w.observeJob(w.jobs[f[1]], false)
 }
 
 // actCut carries out: cut WHO D hold|reset [only=HOSTS]: leader, peers (all nodes), workers, state, user, names.
@@ -418,7 +418,7 @@
 	n, _ := strconv.Atoi(f[1])
 	notice := dur(args(f[2:]), "notice", 0)
 	for _, m := range s.busiest(len(w.cloud.machines)) {
-		if n > 0 && m.reclaimable {
+		if n > 0 && m.spot {
 			n--
 			if notice > 0 {
 				m.leaves = w.now.Add(notice)
@@ -453,13 +453,13 @@
 // actPause carries out the word pause or resume or remove or start.
 func (s *script) actPause(f []string) {
 	w := s.world
-	w.clerks[f[1]].ask(map[string]request.Operation{"pause": request.SchedulePause, "resume": request.ScheduleResume, "remove": request.ScheduleDelete, "start": request.ScheduleRun}[f[0]], args(f[2:]))
+	w.scheduleClients[f[1]].ask(map[string]request.Operation{"pause": request.SchedulePause, "resume": request.ScheduleResume, "remove": request.ScheduleDelete, "start": request.ScheduleRun}[f[0]], args(f[2:]))
 }
 
 // actDamage carries out: damage PREFIX VALUE: what the first key below the prefix holds.
 func (s *script) actDamage(f []string) {
 	w := s.world
-	w.lossy = true
+	w.dataLost = true
 	for _, k := range w.store.sorted(f[1])[:1] {
 		e := w.store.keys[k]
 		was := e.value
--- a/internal/scenario/script_expectations.go
+++ b/internal/scenario/script_expectations.go
@@ -54,7 +54,7 @@
 // holdsDone checks the word done or cancelled.
 func (s *script) holdsDone(e []string) bool {
 	for _, j := range s.order {
-		if (e[1] == "all" && j.accepted && !j.wants && !j.spec.Service && !j.faulty || e[1] == j.spec.ID) && string(j.told) != e[0] {
+		if (e[1] == "all" && j.accepted && !j.wantsCancel && !j.spec.Service && !j.faulty || e[1] == j.spec.ID) && string(j.told) != e[0] {
 			return false
 		}
 	}
@@ -124,7 +124,7 @@
 
 // holdsMet checks: met WORD N: how often a meeting came about.
 func (s *script) holdsMet(e []string) bool {
-	return compare(s.met[e[1]], e[2])
+	return compare(s.occurrences[e[1]], e[2])
 }
 
 // holdsLargest checks: seconds until the last of each class's largest jobs has begun.
@@ -145,7 +145,7 @@
 func (s *script) holdsMachines(e []string) bool {
 	n := 0
 	for _, m := range s.cloud.machines {
-		if m.gone.IsZero() && (len(e) < 3 || m.flavor.name == e[2]) {
+		if m.gone.IsZero() && (len(e) < 3 || m.instanceType.name == e[2]) {
 			n++
 		}
 	}
@@ -191,12 +191,12 @@
 
 // holdsMoved checks the word moved.
 func (s *script) holdsMoved(e []string) bool {
-	return compare(s.moves, e[1])
+	return compare(s.workerMoves, e[1])
 }
 
 // holdsKilled checks: with their leases.
 func (s *script) holdsKilled(e []string) bool {
-	return compare(s.killed, e[1])
+	return compare(s.expiredTasks, e[1])
 }
 
 // holdsRequests checks: to the state service.
@@ -206,7 +206,7 @@
 
 // holdsMade checks the word made or removed or missed or late or whole or history.
 func (s *script) holdsMade(e []string) bool {
-	return s.clerks[e[1]].holds(e)
+	return s.scheduleClients[e[1]].holds(e)
 }
 
 // holdsLeaders checks the word leaders.
@@ -245,7 +245,7 @@
 // asked reports whether a job is one that must be served: not one that its user cancelled
 // or that fails everywhere, and no service.
 func (s *script) asked(j *userJob) bool {
-	return j.accepted && !j.wants && !j.faulty && !j.spec.Service
+	return j.accepted && !j.wantsCancel && !j.faulty && !j.spec.Service
 }
 
 // largest reports whether a job is among its class's largest: it takes no fewer CPUs, all
--- a/internal/scenario/script_lines.go
+++ b/internal/scenario/script_lines.go
@@ -84,7 +84,7 @@
 	a := args(f[1:])
 	cs := &s.cfg.Settings
 	cs.State = config.State{RPS: num(a, "rps", 250), WriteRPS: num(a, "write_rps", 100), ValueKB: num(a, "value_kb", 16), TxnOps: int(num(a, "txn_ops", 48))}
-	s.store.keeps = uint64(num(a, "keeps", 10000))
+	s.store.historyLength = uint64(num(a, "keeps", 10000))
 	return nil
 }
 
@@ -115,7 +115,7 @@
 // setType reads a line "type".
 func (s *script) setType(f []string) error {
 	a := args(f[1:])
-	s.cloud.flavors = append(s.cloud.flavors, &flavorDef{name: f[1], cpus: num(a, "cpus", 8), gpus: num(a, "gpus", 0), mem: num(a, "mem", 64),
+	s.cloud.instanceTypes = append(s.cloud.instanceTypes, &instanceType{name: f[1], cpus: num(a, "cpus", 8), gpus: num(a, "gpus", 0), mem: num(a, "mem", 64),
 		rate: num(a, "rate", 1), low: num(a, "low", 0.3), ready: dur(a, "ready", 20*time.Second), fetch: num(a, "fetch", 0.5)})
 	return nil
 }
@@ -123,11 +123,11 @@
 // setCapacity reads a line "capacity".
 func (s *script) setCapacity(f []string) error {
 	a := args(f[1:])
-	k := kindKey{f[1], f[2], false}
+	k := offerKey{f[1], f[2], false}
 	s.cloud.capacity[k] = int(num(a, "n", 0))
-	k.reclaimable = true
+	k.spot = true
 	s.cloud.capacity[k] = int(num(a, "spot", 0))
-	if fl := s.cloud.flavor(f[1]); !slices.Contains(fl.zones, f[2]) {
+	if fl := s.cloud.instanceType(f[1]); !slices.Contains(fl.zones, f[2]) {
 		fl.zones = append(fl.zones, f[2])
 	}
 	return nil
--- a/internal/scenario/script_plants.go
+++ b/internal/scenario/script_plants.go
@@ -16,7 +16,7 @@
 	force := func(m *worker, id heartbeat.TaskID) {
 		t := &task{id: id, try: 1, job: w.jobs[id.Job], phase: heartbeat.Pulling}
 		m.tasks = append(m.tasks, t)
-		w.ledger.hold(m, t)
+		w.allocations.hold(m, t)
 		w.dirty = true
 		m.begin(t)
 	}
@@ -37,10 +37,10 @@
 		force(ms[0], heartbeat.TaskID{Job: j.spec.ID})
 	case "ran_cancelled":
 		j.told, j.toldAt = spec.Cancelled, w.now.Add(-w.cancelWithin-time.Second)
-		w.calledOff = append(w.calledOff, j)
+		w.cancelledJobs = append(w.cancelledJobs, j)
 		w.dirty = true
 	case "forgotten":
-		w.given = w.now
+		w.answeredAt = w.now
 		w.submitted(j, 422, request.Response{})
 	case "invented":
 		k := map[string]*userJob{}
@@ -52,10 +52,10 @@
 		})
 		w.after(3*time.Second, func() { w.jobs[j.spec.ID] = j })
 	case "not_done":
-		w.given = w.now
+		w.answeredAt = w.now
 		w.hear(j, request.JobStatus{ID: j.spec.ID, State: spec.Done})
 	case "went_back":
-		w.given = w.now
+		w.answeredAt = w.now
 		w.hear(j, request.JobStatus{ID: j.spec.ID, State: spec.Cancelled})
 	case "nothing_ran":
 		w.started = 0
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -14,43 +14,43 @@
 // store is the stand-in of the state service. It speaks the protocol's JSON.
 type store struct {
 	*clock
-	keys   map[string]*storedKey
-	rev    uint64
-	grants map[uint64]*storedGrant
-	next   uint64
-	follow []*follower
-	log    []logged             // the latest changes
-	keeps  uint64               // how many revisions back one can follow from
-	down   time.Time            // an outage lasts until then
-	denied map[string]time.Time // nodes that get 503 until then
-	muted  map[string]mute      // nodes whose transactions are applied and not answered
-	late   lateness             // that share of transactions is applied late and not answered
-	slow   time.Time            // until then answers come late
-	slowBy time.Duration
-	met    map[string]int // see world
+	keys          map[string]*storedKey
+	rev           uint64
+	leases        map[uint64]*storedLease
+	next          uint64
+	watchers      []*watcher
+	log           []logged                    // the latest changes
+	historyLength uint64                      // how many revisions back one can follow from
+	down          time.Time                   // an outage lasts until then
+	denied        map[string]time.Time        // nodes that get 503 until then
+	unanswered    map[string]unansweredWrites // nodes whose transactions are applied and not answered
+	late          delayedShare                // that share of transactions is applied late and not answered
+	slow          time.Time                   // until then answers come late
+	slowBy        time.Duration
+	met           map[string]int // see world
 	// Keys that a node has changed without hearing of it, until it may know.
-	unheard map[string]unheard
+	unansweredChanges map[string]unansweredChange
 
-	rps, writeRPS  float64
-	valueKB        float64
-	txnOps         int
-	reqs, writes   float64 // what the allowances have left
-	refilled       time.Time
-	misuse         string // a request beyond the protocol's limits
-	requests, puts int
-	putsOf         map[string]int // puts, by the kind of their keys
-	refused        int
+	rps, writeRPS                    float64
+	valueKB                          float64
+	txnOps                           int
+	requestAllowance, writeAllowance float64 // what the allowances have left
+	refilled                         time.Time
+	misuse                           string // a request beyond the protocol's limits
+	requests, puts                   int
+	putsOf                           map[string]int // puts, by the kind of their keys
+	refused                          int
 }
 
-// mute loses the answers to a node's transactions until a time; they are applied
+// unansweredWrites loses the answers to a node's transactions until a time; they are applied
 // at once or late.
-type mute struct {
+type unansweredWrites struct {
 	until time.Time
 	late  time.Duration
 }
 
-// lateness is a share of messages that are delayed, until a time.
-type lateness struct {
+// delayedShare is a share of messages that are delayed, until a time.
+type delayedShare struct {
 	until  time.Time
 	share  float64
 	atOnce bool // of transactions: they are carried out at once, and only the answer is lost
@@ -58,22 +58,22 @@
 }
 
 // hits reports whether this one is delayed.
-func (l *lateness) hits(c *clock) bool {
+func (l *delayedShare) hits(c *clock) bool {
 	return c.now.Before(l.until) && c.rng.Float64() < l.share
 }
 
-// unheard is a change whose writer has not been answered.
-type unheard struct {
+// unansweredChange is a change whose writer has not been answered.
+type unansweredChange struct {
 	writer string
 	at     time.Time
 }
 
-// unheardFor is for how long a writer does not know: core gives a call up after that.
-const unheardFor = 1500 * time.Millisecond
+// unansweredFor is for how long a writer does not know: core gives a call up after that.
+const unansweredFor = 1500 * time.Millisecond
 
 // readMeanwhile counts reads of what another node has written and does not know of yet.
 func (s *store) readMeanwhile(node, key string) {
-	if u, ok := s.unheard[key]; ok && u.writer != node && s.now.Sub(u.at) < unheardFor {
+	if u, ok := s.unansweredChanges[key]; ok && u.writer != node && s.now.Sub(u.at) < unansweredFor {
 		s.met["read-unanswered"]++
 	}
 }
@@ -81,15 +81,15 @@
 type storedKey struct {
 	value json.RawMessage
 	rev   uint64
-	grant uint64
+	lease uint64
 }
 
-type storedGrant struct {
+type storedLease struct {
 	until time.Time
 	ttl   time.Duration
 }
 
-type follower struct {
+type watcher struct {
 	prefix string
 	from   uint64
 	answer func(int, []byte)
@@ -115,29 +115,29 @@
 func (s *store) outage(d time.Duration) {
 	s.down = s.now.Add(d)
 	s.after(d, func() {
-		for _, g := range s.grants {
+		for _, g := range s.leases {
 			g.until = s.now.Add(g.ttl)
 		}
-		for _, id := range slices.Sorted(maps.Keys(s.grants)) {
-			s.watchGrant(id)
+		for _, id := range slices.Sorted(maps.Keys(s.leases)) {
+			s.expireLease(id)
 		}
 		s.notify()
 	})
 }
 
-func (s *store) watchGrant(id uint64) {
-	g := s.grants[id]
+func (s *store) expireLease(id uint64) {
+	g := s.leases[id]
 	s.at(g.until, func() {
-		if s.grants[id] == g && !s.now.Before(g.until) && !s.now.Before(s.down) {
-			s.dropGrant(id)
+		if s.leases[id] == g && !s.now.Before(g.until) && !s.now.Before(s.down) {
+			s.revokeLease(id)
 		}
 	})
 }
 
-func (s *store) dropGrant(id uint64) {
-	delete(s.grants, id)
+func (s *store) revokeLease(id uint64) {
+	delete(s.leases, id)
 	for _, k := range s.sorted("") {
-		if s.keys[k].grant == id {
+		if s.keys[k].lease == id {
 			s.rev++
 			delete(s.keys, k)
 			s.note(k)
@@ -160,8 +160,8 @@
 // note logs a change; what is too old is forgotten.
 func (s *store) note(key string) {
 	s.log = append(s.log, logged{key, s.rev})
-	if n := len(s.log) - 2*int(s.keeps); n > 0 {
-		s.log = append(s.log[:0], s.log[n+int(s.keeps):]...)
+	if n := len(s.log) - 2*int(s.historyLength); n > 0 {
+		s.log = append(s.log[:0], s.log[n+int(s.historyLength):]...)
 	}
 }
 
@@ -180,13 +180,13 @@
 	if s.now.Before(s.down) {
 		return
 	}
-	fs := s.follow
-	s.follow = nil
+	fs := s.watchers
+	s.watchers = nil
 	for _, f := range fs {
 		if s.changed(f.prefix, f.from) {
 			f.answer(200, encode(object{"storeRev": s.rev, "log": []any{}}))
 		} else {
-			s.follow = append(s.follow, f)
+			s.watchers = append(s.watchers, f)
 		}
 	}
 }
@@ -194,13 +194,13 @@
 func (s *store) allow(writes int) bool {
 	dt := s.now.Sub(s.refilled).Seconds()
 	s.refilled = s.now
-	s.reqs = min(s.rps, s.reqs+dt*s.rps)
-	s.writes = min(s.writeRPS, s.writes+dt*s.writeRPS)
-	if s.reqs < 1 || s.writes < float64(writes) {
+	s.requestAllowance = min(s.rps, s.requestAllowance+dt*s.rps)
+	s.writeAllowance = min(s.writeRPS, s.writeAllowance+dt*s.writeRPS)
+	if s.requestAllowance < 1 || s.writeAllowance < float64(writes) {
 		return false
 	}
-	s.reqs--
-	s.writes -= float64(writes)
+	s.requestAllowance--
+	s.writeAllowance -= float64(writes)
 	return true
 }
 
@@ -221,13 +221,13 @@
 	s.requests++
 	if s.now.Before(s.slow) && !strings.HasPrefix(path, "/follow") {
 		// Whatever is asked is looked at late, and the answer is as old as it is.
-		s.after(s.spread(s.slowBy, 0.3), func() { s.served(node, method, path, body, answer) })
+		s.after(s.spread(s.slowBy, 0.3), func() { s.handle(node, method, path, body, answer) })
 		return
 	}
-	s.served(node, method, path, body, answer)
+	s.handle(node, method, path, body, answer)
 }
 
-func (s *store) served(node, method, path string, body []byte, answer func(int, []byte)) {
+func (s *store) handle(node, method, path string, body []byte, answer func(int, []byte)) {
 	if s.now.Before(s.down) || s.now.Before(s.denied[node]) {
 		if strings.HasPrefix(path, "/follow") {
 			return // open watches just wait
@@ -280,8 +280,8 @@
 		return
 	}
 	switch {
-	case len(t.Then) > 0 && s.now.Before(s.muted[node].until):
-		s.after(s.muted[node].late, func() { s.multi(&t, func(int, []byte) {}) })
+	case len(t.Then) > 0 && s.now.Before(s.unanswered[node].until):
+		s.after(s.unanswered[node].late, func() { s.multi(&t, func(int, []byte) {}) })
 	case len(t.Then) > 0 && s.late.hits(s.clock):
 		s.loseAnswer(node, &t)
 	default:
@@ -298,7 +298,7 @@
 			}
 			s.met["write-unanswered"]++
 			for _, w := range t.Then {
-				s.unheard[w.Write+w.Drop] = unheard{node, s.now}
+				s.unansweredChanges[w.Write+w.Drop] = unansweredChange{node, s.now}
 			}
 		})
 		return
@@ -335,7 +335,7 @@
 func (s *store) serveGet(node, key string, answer func(int, []byte)) {
 	s.readMeanwhile(node, key)
 	if e := s.keys[key]; e != nil {
-		answer(200, encode(object{"k": key, "v": e.value, "keyRev": e.rev, "grant": e.grant}))
+		answer(200, encode(object{"k": key, "v": e.value, "keyRev": e.rev, "grant": e.lease}))
 	} else {
 		answer(404, encode(object{"storeRev": s.rev}))
 	}
@@ -346,20 +346,20 @@
 func (s *store) serveWatch(query url.Values, answer func(int, []byte)) {
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
 	block, _ := strconv.Atoi(query.Get("blockMs"))
-	if from+s.keeps < s.rev {
+	if from+s.historyLength < s.rev {
 		answer(410, encode(object{"storeRev": s.rev}))
 		return
 	}
-	f := &follower{query.Get("under"), from, answer}
+	f := &watcher{query.Get("under"), from, answer}
 	if s.changed(f.prefix, f.from) {
 		answer(200, encode(object{"storeRev": s.rev, "log": []any{}}))
 		return
 	}
-	s.follow = append(s.follow, f)
+	s.watchers = append(s.watchers, f)
 	s.after(time.Duration(block)*time.Millisecond, func() {
-		for i, x := range s.follow {
+		for i, x := range s.watchers {
 			if x == f {
-				s.follow = append(s.follow[:i:i], s.follow[i+1:]...)
+				s.watchers = append(s.watchers[:i:i], s.watchers[i+1:]...)
 				answer(200, encode(object{"storeRev": s.rev, "log": []any{}}))
 				return
 			}
@@ -373,23 +373,23 @@
 	json.Unmarshal(body, &g)
 	s.next++
 	ttl := time.Duration(g.TTLMS) * time.Millisecond
-	s.grants[s.next] = &storedGrant{s.now.Add(ttl), ttl}
-	s.watchGrant(s.next)
+	s.leases[s.next] = &storedLease{s.now.Add(ttl), ttl}
+	s.expireLease(s.next)
 	answer(200, encode(object{"grant": s.next}))
 }
 
 // serveLease renews or revokes a lease.
 func (s *store) serveLease(method string, id uint64, answer func(int, []byte)) {
-	g := s.grants[id]
+	g := s.leases[id]
 	switch {
 	case g == nil:
 		answer(404, nil)
 	case method == "DELETE":
-		s.dropGrant(id)
+		s.revokeLease(id)
 		answer(200, nil)
 	default:
-		s.grants[id] = &storedGrant{s.now.Add(g.ttl), g.ttl}
-		s.watchGrant(id)
+		s.leases[id] = &storedLease{s.now.Add(g.ttl), g.ttl}
+		s.expireLease(id)
 		answer(200, encode(object{"grant": id}))
 	}
 }
@@ -430,7 +430,7 @@
 	}
 	if rev {
 		s.rev, s.log = 0, nil
-		clear(s.grants)
+		clear(s.leases)
 	}
 }
 
@@ -446,7 +446,7 @@
 		for k, e := range keys {
 			s.keys[k] = &e
 		}
-		clear(s.grants)
+		clear(s.leases)
 	}
 }
 
@@ -461,7 +461,7 @@
 
 func (s *store) multi(t *txn, answer func(int, []byte)) {
 	for _, w := range t.Then {
-		if w.Grant != 0 && s.grants[w.Grant] == nil {
+		if w.Grant != 0 && s.leases[w.Grant] == nil {
 			answer(400, encode(object{"error": "no such lease"}))
 			return
 		}
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -10,29 +10,29 @@
 
 // userJob is a job and what its user knows of it.
 type userJob struct {
-	spec     spec.Job
-	runs     time.Duration // how long a task really takes
-	varies   float64       // give or take this part of it, each task for itself
-	faulty   bool          // every task fails
-	first    time.Time     // first attempt to submit
-	status   int           // the answer that ended the submission
-	accepted bool
-	since    time.Time     // when its user first heard that it is accepted
-	toldOn   time.Time     // when its user was told the state in told
-	told     spec.JobState // the last state of consequence: "", done or cancelled
-	wants    bool          // its user asked to cancel it
-	toldAt   time.Time     // when it was told cancelled
-	done     map[int]bool
-	begun    time.Time // its first task has started
-	finished time.Time
-	progress map[int]time.Duration
-	reached  time.Time // last answered poll
-	failing  int
-	asked    bool      // a repeated submission has been made
-	waits    time.Time // since when a task of it could run on a machine that is there
-	roomOn   *worker   // which has room for it
-	roomFrom time.Time // and since when
-	held     []*task   // that machines hold: fetching, running or saving
+	spec        spec.Job
+	runs        time.Duration // how long a task really takes
+	varies      float64       // give or take this part of it, each task for itself
+	faulty      bool          // every task fails
+	first       time.Time     // first attempt to submit
+	status      int           // the answer that ended the submission
+	accepted    bool
+	since       time.Time     // when its user first heard that it is accepted
+	toldOn      time.Time     // when its user was told the state in told
+	told        spec.JobState // the last state of consequence: "", done or cancelled
+	wantsCancel bool          // its user asked to cancel it
+	toldAt      time.Time     // when it was told cancelled
+	done        map[int]bool
+	begun       time.Time // its first task has started
+	finished    time.Time
+	progress    map[int]time.Duration
+	reached     time.Time // last answered poll
+	failing     int
+	asked       bool      // a repeated submission has been made
+	waits       time.Time // since when a task of it could run on a machine that is there
+	roomOn      *worker   // which has room for it
+	roomFrom    time.Time // and since when
+	held        []*task   // that machines hold: fetching, running or saving
 
 	asking time.Time // when its user made the submission at hand
 
@@ -85,7 +85,7 @@
 			a := v.(request.Response)
 			given := w.now
 			w.net.send("answer", n.name, "user", func() {
-				w.given = given
+				w.answeredAt = given
 				answer(a.Status, a)
 			})
 		})
@@ -145,7 +145,7 @@
 func (w *world) refused(j *userJob, status int) {
 	switch status {
 	case 400, 404, 422, 429:
-		if j.accepted && w.given.After(j.since) {
+		if j.accepted && w.answeredAt.After(j.since) {
 			w.fail("forgotten", "repeated submission of %s gets %d", j.spec.ID, status)
 		}
 	}
@@ -163,10 +163,10 @@
 func (w *world) hear(j *userJob, v request.JobStatus) {
 	if !j.accepted {
 		j.accepted, j.since = true, w.now
-		w.look(j, true)
+		w.observeJob(j, true)
 	}
 	if j.told != "" && v.State != j.told {
-		if !w.given.After(j.toldOn) {
+		if !w.answeredAt.After(j.toldOn) {
 			return // given before, and overtaken on the way
 		}
 		w.fail("went_back", "%s was called %s, then %s", j.spec.ID, j.told, v.State)
@@ -177,18 +177,18 @@
 			w.fail("not_done", "%s is called done with %d of %d tasks", j.spec.ID, len(j.done), j.spec.Tasks)
 		}
 		if j.told == "" {
-			defer w.look(j, true)
+			defer w.observeJob(j, true)
 		}
 		j.told, j.toldOn = v.State, w.now
 	case spec.Cancelled:
-		if !j.wants {
+		if !j.wantsCancel {
 			w.fail("went_back", "%s is called cancelled, its user did not cancel it", j.spec.ID)
 		}
 		if j.told == "" {
 			j.toldAt, j.toldOn = w.now, w.now
-			w.calledOff = append(w.calledOff, j)
-			defer w.look(j, true)
-			w.met["cancelled-on"] += w.tasksOn(j.spec.ID)
+			w.cancelledJobs = append(w.cancelledJobs, j)
+			defer w.observeJob(j, true)
+			w.occurrences["cancelled-on"] += w.tasksOn(j.spec.ID)
 		}
 		j.told = v.State
 	}
@@ -237,10 +237,10 @@
 		switch status {
 		case 200:
 			j.reached, j.failing = w.now, 0
-			w.answered = append(w.answered, w.now)
+			w.answerTimes = append(w.answerTimes, w.now)
 			w.hear(j, a.View)
 		case 404:
-			if j.accepted && w.given.After(j.since) {
+			if j.accepted && w.answeredAt.After(j.since) {
 				w.fail("forgotten", "accepted job %s gets 404", j.spec.ID)
 			}
 		default:
@@ -249,10 +249,10 @@
 			}
 			j.failing++
 			w.failures = append(w.failures, w.now)
-			if w.now.Sub(j.reached) > 90*time.Second && j.failing > 10 && w.since(w.answered) > w.since(w.failures) {
+			if w.now.Sub(j.reached) > 90*time.Second && j.failing > 10 && w.since(w.answerTimes) > w.since(w.failures) {
 				w.fail("forgotten", "no poll of %s is answered for 90 s", j.spec.ID)
 			}
-			if since := later(j.reached, w.troubled); w.now.Sub(since) > unansweredMost {
+			if since := later(j.reached, w.faultsOverAt); w.now.Sub(since) > unansweredMost {
 				w.fail("forgotten", "no poll of %s is answered for 75 s after the last trouble", j.spec.ID)
 			}
 		}
@@ -280,17 +280,17 @@
 }
 
 func (w *world) cancel(j *userJob) {
-	j.wants = true
+	j.wantsCancel = true
 	w.request(request.Cancel, nil, j.spec.ID, 5*time.Second, func(status int, a request.Response) {
 		switch status {
 		case 200:
 			w.hear(j, a.View)
 		case 404:
-			if j.accepted && w.given.After(j.since) {
+			if j.accepted && w.answeredAt.After(j.since) {
 				w.fail("forgotten", "cancellation of accepted job %s gets 404", j.spec.ID)
 			}
 		default:
-			w.met["cancel-again"]++
+			w.occurrences["cancel-again"]++
 			w.after(again(a), func() { w.cancel(j) })
 		}
 	})
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -14,9 +14,9 @@
 type worker struct {
 	*world
 	host              string
-	flavor            *flavorDef
+	instanceType      *instanceType
 	zone              string
-	reclaimable       bool
+	spot              bool
 	created, up, gone time.Time
 	speed             float64 // above 1: slower
 	sick              bool
@@ -84,8 +84,8 @@
 	m.answered = m.now
 	for _, x := range m.tasks {
 		if x.phase != heartbeat.Exited {
-			m.killed++
-			m.met["killed"]++
+			m.expiredTasks++
+			m.occurrences["killed"]++
 		}
 	}
 	m.forgetTasks()
@@ -172,7 +172,7 @@
 	m.plan++
 	id, tenure, sent := m.flight, m.tenure, m.now
 	if m.now.Before(m.mute) {
-		m.met["mute-report"]++
+		m.occurrences["mute-report"]++
 		m.after(500*time.Millisecond, func() { m.do(func() { m.failed(id) }) })
 		return
 	}
@@ -185,28 +185,28 @@
 			return
 		}
 		if m.now.Sub(sent) > 4*time.Second && n.process == nil && n.core.HasAuthority(n.local()) {
-			m.met["held-report"]++
+			m.occurrences["held-report"]++
 		}
 		n.ask(func(ref uint64) any { return heartbeat.Received{Ref: ref, Report: rep} }, func(a any) {
 			ans := a.(heartbeat.Reply)
 			ans.Orders = slices.Clone(ans.Orders)
 			back(func() {
 				if m.now.Before(m.deaf) {
-					m.met["deaf-answer"]++
-					m.met["deaf-start"] += len(slices.DeleteFunc(ans.Orders, func(o heartbeat.Order) bool { return o.Verb != heartbeat.Start }))
+					m.occurrences["deaf-answer"]++
+					m.occurrences["deaf-start"] += len(slices.DeleteFunc(ans.Orders, func(o heartbeat.Order) bool { return o.Verb != heartbeat.Start }))
 					return
 				}
 				m.reply(id, tenure, sent, ans)
 			})
 		})
 	})
-	if m.reports.next && m.reports.hits(m.clock) {
+	if m.lateReports.next && m.lateReports.hits(m.clock) {
 		m.keepReport(rep)
-	} else if m.reports.hits(m.clock) {
+	} else if m.lateReports.hits(m.clock) {
 		// What the network has kept arrives a second time; nobody waits for its answer.
 		m.after(m.spread(m.lease+2*time.Second, 1-4/(m.lease.Seconds()+2)), func() {
 			if n.alive {
-				m.met["late-report"]++
+				m.occurrences["late-report"]++
 				n.ask(func(ref uint64) any { return heartbeat.Received{Ref: ref, Report: rep} }, func(any) {})
 			}
 		})
@@ -220,30 +220,30 @@
 // keepReport keeps a copy for the next leader.
 func (w *world) keepReport(rep heartbeat.Report) {
 	n := 0
-	for i := range w.kept {
-		if w.kept[i].Host == rep.Host {
+	for i := range w.keptReports {
+		if w.keptReports[i].Host == rep.Host {
 			n++
 		}
 	}
 	if n < keptMost {
-		w.kept = append(w.kept, rep)
+		w.keptReports = append(w.keptReports, rep)
 	}
 }
 
 // tellKept has every controller get the reports that were kept, as a leader begins: before
 // it has read the records, meanwhile and after.
 func (w *world) tellKept() {
-	kept := w.kept
-	w.kept = nil
+	kept := w.keptReports
+	w.keptReports = nil
 	for _, rep := range kept {
 		for _, n := range w.nodes {
 			arrive := func() {
 				if !n.alive {
 					return
 				}
-				w.met["report-for-next"]++
+				w.occurrences["report-for-next"]++
 				if m := w.workers[rep.Host]; !m.gone.IsZero() {
-					w.met["report-of-gone"]++
+					w.occurrences["report-of-gone"]++
 				}
 				n.ask(func(ref uint64) any { return heartbeat.Received{Ref: ref, Report: rep} }, func(any) {})
 			}
@@ -256,7 +256,7 @@
 
 // countUnrecorded counts the machines that are up as a leader begins and that no record names.
 func (w *world) countUnrecorded() {
-	if w.blind || w.elapsed() < 2*time.Second {
+	if w.unchecked || w.elapsed() < 2*time.Second {
 		return // the first leader finds all machines so
 	}
 	named := ""
@@ -265,14 +265,14 @@
 	}
 	for _, m := range w.cloud.machines {
 		if m.gone.IsZero() && !m.up.IsZero() && !strings.Contains(named, `"`+m.host+`"`) {
-			w.met["unrecorded"]++
+			w.occurrences["unrecorded"]++
 		}
 	}
 }
 
 // describe is what the worker says of itself.
 func (m *worker) describe() heartbeat.Report {
-	rep := heartbeat.Report{Host: m.host, Address: m.address(m.host), InstanceType: m.flavor.name, Zone: m.zone, Spot: m.reclaimable,
+	rep := heartbeat.Report{Host: m.host, Address: m.address(m.host), InstanceType: m.instanceType.name, Zone: m.zone, Spot: m.spot,
 		Incarnation: m.tenure, Counter: m.counter, FencingToken: m.epoch}
 	if !m.leaves.IsZero() {
 		rep.HasNotice, rep.Notice = true, m.leaves.Sub(m.now)
@@ -289,7 +289,7 @@
 // command is a direct command without orders.
 func (m *worker) command(epoch, tenure uint64) (rpc.Outcome, heartbeat.Report) {
 	if m.now.Before(m.mute) {
-		m.met["mute-command"]++
+		m.occurrences["mute-command"]++
 	}
 	m.counter++
 	if epoch < m.epoch || tenure != m.tenure {
@@ -326,7 +326,7 @@
 // leave has the worker report to another node from now on.
 func (m *worker) leave(node int) {
 	if m.served {
-		m.moves++
+		m.workerMoves++
 		m.served = false
 	}
 	m.node = node
@@ -382,7 +382,7 @@
 			continue
 		}
 		t.outran = true
-		m.met["outrun-cancel"]++
+		m.occurrences["outrun-cancel"]++
 	}
 }
 
@@ -403,10 +403,10 @@
 	switch o.Verb {
 	case heartbeat.Start:
 		if t == nil {
-			if o.Try <= m.tries[o.Task] {
-				m.fail("misuse", "%s starts as attempt %d after %d", o.Task, o.Try, m.tries[o.Task])
+			if o.Try <= m.lastAttempts[o.Task] {
+				m.fail("misuse", "%s starts as attempt %d after %d", o.Task, o.Try, m.lastAttempts[o.Task])
 			}
-			m.tries[o.Task] = o.Try
+			m.lastAttempts[o.Task] = o.Try
 			m.start(o, reported)
 		}
 	case heartbeat.Stop:
@@ -449,12 +449,12 @@
 func (m *worker) exit(t *task, cause string) {
 	t.change++
 	t.phase, t.cause = heartbeat.Exited, cause
-	m.ledger.release(t)
+	m.allocations.release(t)
 	if cause == heartbeat.CauseDone {
 		t.job.done[t.id.Index] = true
 		if len(t.job.done) == t.job.spec.Tasks && t.job.finished.IsZero() {
 			t.job.finished = m.now
-			m.ended(t.job)
+			m.jobEnded(t.job)
 		}
 	}
 	m.changed()
@@ -481,7 +481,7 @@
 	}
 	s := &t.job.spec
 	const eps = 1e-6
-	if refuse == "" && (cpus+s.CPUs > m.flavor.cpus+eps || mem+s.MemGB > m.flavor.mem+eps || gpus+s.GPUs > m.flavor.gpus+eps) {
+	if refuse == "" && (cpus+s.CPUs > m.instanceType.cpus+eps || mem+s.MemGB > m.instanceType.mem+eps || gpus+s.GPUs > m.instanceType.gpus+eps) {
 		refuse = heartbeat.CauseNoRoom
 	}
 	if refuse != "" {
@@ -491,10 +491,10 @@
 	}
 	ready, ok := m.images[s.Image]
 	if !ok {
-		ready = m.now.Add(time.Duration(s.ImageGB / m.flavor.fetch * float64(time.Second)))
+		ready = m.now.Add(time.Duration(s.ImageGB / m.instanceType.fetch * float64(time.Second)))
 		m.images[s.Image] = ready
 	}
-	m.ledger.hold(m, t)
+	m.allocations.hold(m, t)
 	m.checkLiveLimit(t, reported)
 	m.later(t, max(0, ready.Sub(m.now)), func() { m.begin(t) })
 }
@@ -507,8 +507,8 @@
 		t.job.begun = m.now
 	}
 	m.started++
-	if m.begun != nil {
-		m.begun(t)
+	if m.onStart != nil {
+		m.onStart(t)
 	}
 	m.changed()
 	switch {
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -25,18 +25,18 @@
 // world is everything that a scenario plays with.
 type world struct {
 	*clock
-	net     *network
-	store   *store
-	cloud   *cloudSim
-	nodes   []*node
-	workers map[string]*worker
-	jobs    map[string]*userJob
-	order   []*userJob
-	cfg     config.Config
-	rules   []byte // policy
-	cals    map[string]calendar.Definition
-	clerks  map[string]*clerk
-	admin   *admin
+	net             *network
+	store           *store
+	cloud           *cloudSim
+	nodes           []*node
+	workers         map[string]*worker
+	jobs            map[string]*userJob
+	order           []*userJob
+	cfg             config.Config
+	rules           []byte // policy
+	cals            map[string]calendar.Definition
+	scheduleClients map[string]*scheduleClient
+	admin           *configAdmin
 
 	reportEvery, lease, cancelWithin time.Duration
 
@@ -48,51 +48,51 @@
 
 // faults are those that are under way.
 type faults struct {
-	troubled time.Time          // the last trouble is over by then
-	reports  lateness           // that share of reports arrives a second time, late
-	kept     []heartbeat.Report // copies for the next leader
-	atEnd    lateness           // that share of the jobs that end is called off just then
-	looks    time.Time          // until then users look closely
-	oddID    int                // the last id of a submission that is odd
-	lossy    bool               // the state service has lost something
-	saved    func()             // puts back what the state service had
-	repair   func()             // puts right what was damaged last
+	faultsOverAt time.Time          // the last trouble is over by then
+	lateReports  delayedShare       // that share of reports arrives a second time, late
+	keptReports  []heartbeat.Report // copies for the next leader
+	cancelAtEnd  delayedShare       // that share of the jobs that end is called off just then
+	observeUntil time.Time          // until then users look closely
+	oddID        int                // the last id of a submission that is odd
+	dataLost     bool               // the state service has lost something
+	saved        func()             // puts back what the state service had
+	repair       func()             // puts right what was damaged last
 }
 
 // checker is what the rules are checked by.
 type checker struct {
-	violations []string
-	broken     map[string]bool
-	blind      bool // rules are not looked at: only the cost counts
-	dirty      bool
-	ledger     ledger
-	history    map[string][]call
-	calledOff  []*userJob                  // told cancelled, until nothing of them is held beyond the time allowed
-	tries      map[heartbeat.TaskID]uint64 // the latest attempt that a worker was told to start
-	given      time.Time                   // when the answer at hand was given
-	answered   []time.Time
-	failures   []time.Time
+	violations    []string
+	broken        map[string]bool
+	unchecked     bool // rules are not looked at: only the cost counts
+	dirty         bool
+	allocations   allocations
+	history       map[string][]call
+	cancelledJobs []*userJob                  // told cancelled, until nothing of them is held beyond the time allowed
+	lastAttempts  map[heartbeat.TaskID]uint64 // the latest attempt that a worker was told to start
+	answeredAt    time.Time                   // when the answer at hand was given
+	answerTimes   []time.Time
+	failures      []time.Time
 }
 
 // figures are counted for expectations.
 type figures struct {
-	met      map[string]int // how often the meetings that a scenario is about came about
-	started  int
-	refusals int
-	moves    int // workers that went from a node that had served them to another
-	killed   int // tasks that ended with their lease
-	polls    int
+	occurrences  map[string]int // how often the meetings that a scenario is about came about
+	started      int
+	refusals     int
+	workerMoves  int // workers that went from a node that had served them to another
+	expiredTasks int // tasks that ended with their lease
+	polls        int
 }
 
 // hooks let tests and load tools look on, or plant an error.
 type hooks struct {
-	careless func(*spec.Job) *spec.Job // a planted error of the reader of submissions
-	lie      func(n *node, o any) any  // what a planted error makes of an output
-	hears    func(n *node, in any) any // and of an input
-	begun    func(*task)               // told of each start, unless it is nil
-	address  func(host string) string  // where a worker takes commands
-	trace    func(string)
-	measure  func(n *node, in any) []any // has the core take an input, in place of input
+	alterSubmission func(*spec.Job) *spec.Job // a planted error of the reader of submissions
+	alterOutput     func(n *node, o any) any  // what a planted error makes of an output
+	alterInput      func(n *node, in any) any // and of an input
+	onStart         func(*task)               // told of each start, unless it is nil
+	address         func(host string) string  // where a worker takes commands
+	trace           func(string)
+	measure         func(n *node, in any) []any // has the core take an input, in place of input
 }
 
 func (w *world) fail(rule, format string, args ...any) {
@@ -105,12 +105,12 @@
 
 // checkStart holds the rules that speak of the moment a task starts.
 func (w *world) checkStart(m *worker, t *task) {
-	if w.blind {
+	if w.unchecked {
 		return
 	}
 	s := &t.job.spec
-	if len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.flavor.name) || s.Zone != "" && s.Zone != m.zone || m.reclaimable && !s.AllowSpot {
-		w.fail("wrong_place", "%s starts on %s (%s in %s)", t.id, m.host, m.flavor.name, m.zone)
+	if len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.instanceType.name) || s.Zone != "" && s.Zone != m.zone || m.spot && !s.AllowSpot {
+		w.fail("wrong_place", "%s starts on %s (%s in %s)", t.id, m.host, m.instanceType.name, m.zone)
 	}
 	here, elsewhere := 1, 0
 	for _, x := range t.job.held {
@@ -134,7 +134,7 @@
 		w.fail("wrong_place", "%d of %d tasks of %s are in %s", here, s.Tasks, s.ID, m.zone)
 	}
 	if t.job.told == spec.Cancelled {
-		w.met["start-after-cancel"]++ // its command was on its way, or it waited for its image
+		w.occurrences["start-after-cancel"]++ // its command was on its way, or it waited for its image
 		if w.now.Sub(t.job.toldAt) > w.cancelWithin {
 			w.fail("ran_cancelled", "%s starts", t.id)
 		}
@@ -149,7 +149,7 @@
 		if w.changedLive(t.Name) {
 			continue // see checkLiveLimit
 		}
-		u := w.ledger.used(t.Name)
+		u := w.allocations.used(t.Name)
 		if t.CPUsMax > 0 && u.cpus > t.CPUsMax+eps || t.GPUsMax > 0 && u.gpus > t.GPUsMax+eps {
 			w.fail("quota", "team %s uses %.1f CPUs and %.1f GPUs", t.Name, u.cpus, u.gpus)
 		}
@@ -162,7 +162,7 @@
 // checkCancelled holds that nothing of a job is on a machine for longer than allowed after
 // its user was told that it is cancelled. Starts after that are looked at by checkStart.
 func (w *world) checkCancelled() {
-	w.calledOff = slices.DeleteFunc(w.calledOff, func(j *userJob) bool {
+	w.cancelledJobs = slices.DeleteFunc(w.cancelledJobs, func(j *userJob) bool {
 		if w.now.Sub(j.toldAt) <= w.cancelWithin {
 			return false
 		}
@@ -178,7 +178,7 @@
 // run plays until end and checks after every event.
 func (w *world) run(end time.Duration) {
 	w.runTo(end)
-	if w.started == 0 && slices.ContainsFunc(w.order, func(j *userJob) bool { return j.accepted && !j.wants }) {
+	if w.started == 0 && slices.ContainsFunc(w.order, func(j *userJob) bool { return j.accepted && !j.wantsCancel }) {
 		w.fail("nothing_ran", "no task was started")
 	}
 }
@@ -378,8 +378,8 @@
 		}
 		return
 	}
-	if n.hears != nil {
-		in = n.hears(n, in)
+	if n.alterInput != nil {
+		in = n.alterInput(n, in)
 	}
 	var outs []any
 	if n.measure != nil {
@@ -438,8 +438,8 @@
 }
 
 func (n *node) do(o any) {
-	if n.lie != nil {
-		o = n.lie(n, o)
+	if n.alterOutput != nil {
+		o = n.alterOutput(n, o)
 	}
 	switch o := o.(type) {
 	case request.Response:
@@ -531,7 +531,7 @@
 
 // logged checks and traces a line of the controller's log.
 func (n *node) logged(entry engine.LogEntry) {
-	if entry.Text == core.DataLossDetected && !n.lossy {
+	if entry.Text == core.DataLossDetected && !n.dataLost {
 		n.fail("misuse", "%s sees a loss of data where there was none: %v", n.name, entry.Attrs)
 	}
 	if n.trace != nil {
--- a/internal/scenario/new_world.go
+++ b/internal/scenario/world_new.go
@@ -11,24 +11,24 @@
 // newWorld returns a world with the settings that scenarios have unless they say otherwise.
 func newWorld() *world {
 	w := &world{
-		clock:   newClock(1),
-		workers: map[string]*worker{},
-		jobs:    map[string]*userJob{},
-		cals:    map[string]calendar.Definition{},
-		clerks:  map[string]*clerk{},
+		clock:           newClock(1),
+		workers:         map[string]*worker{},
+		jobs:            map[string]*userJob{},
+		cals:            map[string]calendar.Definition{},
+		scheduleClients: map[string]*scheduleClient{},
 		checker: checker{
-			broken:  map[string]bool{},
-			ledger:  ledger{},
-			history: map[string][]call{},
-			tries:   map[heartbeat.TaskID]uint64{},
+			broken:       map[string]bool{},
+			allocations:  allocations{},
+			history:      map[string][]call{},
+			lastAttempts: map[heartbeat.TaskID]uint64{},
 		},
-		figures: figures{met: map[string]int{}},
+		figures: figures{occurrences: map[string]int{}},
 		hooks:   hooks{address: func(host string) string { return host + workerPort }},
 	}
-	w.admin = newAdmin(w)
+	w.admin = newConfigAdmin(w)
 	w.net = &network{clock: w.clock, latency: time.Millisecond, last: map[[2]string]time.Time{}}
-	w.store = newStore(w.clock, w.met)
-	w.cloud = &cloudSim{clock: w.clock, w: w, capacity: map[kindKey]int{}, requests: map[string][]string{}, asked: map[string]string{}, lag: 3 * time.Second}
+	w.store = newStore(w.clock, w.occurrences)
+	w.cloud = &cloudSim{clock: w.clock, w: w, capacity: map[offerKey]int{}, requests: map[string][]string{}, asked: map[string]string{}, lag: 3 * time.Second}
 	w.cloud.boots = func() (time.Duration, bool) { return time.Duration(60 + w.rng.IntN(90)), true }
 	setDefaults(&w.cfg)
 	return w
@@ -36,16 +36,16 @@
 
 func newStore(c *clock, met map[string]int) *store {
 	return &store{
-		clock:    c,
-		keys:     map[string]*storedKey{},
-		grants:   map[uint64]*storedGrant{},
-		keeps:    10000,
-		putsOf:   map[string]int{},
-		denied:   map[string]time.Time{},
-		muted:    map[string]mute{},
-		unheard:  map[string]unheard{},
-		refilled: c.now,
-		met:      met,
+		clock:             c,
+		keys:              map[string]*storedKey{},
+		leases:            map[uint64]*storedLease{},
+		historyLength:     10000,
+		putsOf:            map[string]int{},
+		denied:            map[string]time.Time{},
+		unanswered:        map[string]unansweredWrites{},
+		unansweredChanges: map[string]unansweredChange{},
+		refilled:          c.now,
+		met:               met,
 	}
 }
 
--- a/internal/scenario/year_test.go
+++ b/internal/scenario/year_test.go
@@ -64,7 +64,7 @@
 	w.clock.start, w.clock.now, w.store.refilled = begin, begin, begin
 	w.clock.rng = rand.New(rand.NewPCG(7, 7))
 	w.cfg.Settings.Teams = []config.Team{{Name: "t"}}
-	w.cloud.flavors = append(w.cloud.flavors, &flavorDef{name: "s", cpus: 8, mem: 64, rate: 1, ready: time.Minute, fetch: 1, zones: []string{"a"}})
+	w.cloud.instanceTypes = append(w.cloud.instanceTypes, &instanceType{name: "s", cpus: 8, mem: 64, rate: 1, ready: time.Minute, fetch: 1, zones: []string{"a"}})
 	for name, def := range map[string]string{"bg": "country=BG", "us": "country=US", "shut": "weekend=none holidays=2027-02-28,2027-03-28,2027-10-31,2027-11-30,2027-12-31"} {
 		w.cals[name] = definition(args(strings.Fields(def)))
 	}
@@ -90,9 +90,9 @@
 			n.alive = false
 			n.life++
 		}
-		w.clock.queue, w.store.follow = nil, nil
-		for id := range w.store.grants {
-			w.store.dropGrant(id)
+		w.clock.queue, w.store.watchers = nil, nil
+		for id := range w.store.leases {
+			w.store.revokeLease(id)
 		}
 		for _, k := range w.store.sorted("yewpass/live/job/") {
 			id := strings.TrimPrefix(k, "yewpass/live/job/")
@@ -172,7 +172,7 @@
 		}
 	}
 	until(begin.Add(30 * time.Second))
-	for name, c := range s.clerks {
+	for name, c := range s.scheduleClients {
 		if never := len(wanted[name]) == 0; never != (c.refused == 400) || never != (c.number == 0) {
 			t.Fatal(name, "was answered", c.refused, "though it has occurrences:", len(wanted[name]))
 		}
@@ -221,7 +221,7 @@
 	down(end)
 
 	total := 0
-	for name, c := range s.clerks {
+	for name, c := range s.scheduleClients {
 		if c.number == 0 {
 			continue // never occurs, and was refused
 		}
@@ -261,5 +261,5 @@
 	if total < 15000 || changes < 50 || late < 50 {
 		t.Error("too little happened")
 	}
-	t.Logf("%d occurrences of %d schedules; %d leaders lost at a due time, %d times all down across one; %d requests", total, len(s.clerks), changes, late, w.store.requests)
+	t.Logf("%d occurrences of %d schedules; %d leaders lost at a due time, %d times all down across one; %d requests", total, len(s.scheduleClients), changes, late, w.store.requests)
 }
