--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"slices"
 	"time"
+	"yewpass/internal/failover"
 	"yewpass/internal/kv"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
@@ -72,7 +73,7 @@
 
 // mayHaveLostJobs reports whether a job that nobody knows may be one that was lost.
 func (l *leadership) mayHaveLostJobs(now time.Time) bool {
-	return l.loss != nil && now.Sub(l.loss.since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*peerAnswerTimeoutUnknown
+	return l.loss != nil && now.Sub(l.loss.since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*failover.UnknownPastTimeout
 }
 
 // correctByReplica corrects what was read of a job without a leader by the copy of the last one:
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"yewpass/internal/kv"
-	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/rpc"
@@ -229,11 +228,9 @@
 				}
 				ours := c.lastLedTerm != 0 && c.lastLedTerm == before.Term
 				c.becomeLeader(term, r.Rev, g.LeaseID, sent, ahead)
-				c.leadership.recovery = &recoveryState{ledLastTerm: ours, observed: before, termRead: found, lossReason: c.dataLossReason, peerKnowledge: map[string]*peermsg.Knowledge{}, failedSources: map[string]bool{}}
 				c.observed = c.observed.AdvanceTo(era, term, c.processID)
 				c.observed.Revision = max(c.observed.Revision, r.Rev)
-				c.startRecovery()
-				c.readRecords("")
+				c.startRecovery(before, found, ours)
 			})
 		})
 	})
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -5,39 +5,16 @@
 	"log/slog"
 	"slices"
 	"strings"
-	"time"
 
 	"yewpass/internal/bitset"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
-	"yewpass/internal/replica"
 	"yewpass/internal/replication"
-	"yewpass/internal/rpc"
 	"yewpass/internal/writebatch"
 )
 
 // How a new leader reads the records of earlier terms and begins its work.
 
-// readRecords reads the records of the earlier terms, page by page.
-func (c *Core) readRecords(from string) {
-	c.storeWhileLeading(kv.Request{Op: kv.List, Key: record.LivePrefix, From: from, Limit: 400}, func(r kv.Response) {
-		if r.Outcome != rpc.OK {
-			c.afterWhileLeading(c.Jitter(200*time.Millisecond), func() { c.readRecords(from) })
-			return
-		}
-		g := c.leadership.recovery
-		for _, e := range r.Entries {
-			g.stored = append(g.stored, replica.Record{Key: e.Key, Value: e.Value, Rev: e.Rev})
-		}
-		if r.More && len(r.Entries) > 0 {
-			c.readRecords(r.Entries[len(r.Entries)-1].Key)
-			return
-		}
-		g.complete = true
-		c.advanceRecovery()
-	})
-}
-
 // loadRecord takes in a record of an earlier term. Its key says what must be in it;
 // anything else there cannot be read, whatever it is, and is left as it is.
 //
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -8,6 +8,7 @@
 	"yewpass/internal/config"
 	"yewpass/internal/dispatch"
 	"yewpass/internal/engine"
+	"yewpass/internal/failover"
 	"yewpass/internal/fleet"
 	"yewpass/internal/forwarder"
 	"yewpass/internal/heartbeat"
@@ -27,7 +28,7 @@
 	scope *engine.Scope // bounds the timers and calls of the leadership's parts
 
 	authority
-	failover
+	inherited
 	workload
 	reporting
 	replicating
@@ -66,11 +67,11 @@
 	a.term, a.termRevision, a.leaseID, a.expiresAt, a.electedAt, a.clockSkew = term, rev, grant, until, now, ahead
 }
 
-// failover is what is left of earlier terms: records to be read, written back or missing, and
+// inherited is what is left of earlier terms: records to be read, written back or missing, and
 // machines that are not accounted for.
-type failover struct {
+type inherited struct {
 	loaded             bool                 // the records have been read
-	recovery           *recoveryState       // while the records are looked for
+	recovery           *failover.Recovery   // while the records are looked for
 	loss               *dataLoss            // after a loss
 	restoring          []replica.Record     // still to be written back
 	schedulesRestoring int                  // of them, those that schedules are read from
@@ -118,7 +119,7 @@
 func newLeadership(cfg *config.Config) *leadership {
 	return &leadership{
 		authority: authority{acknowledged: map[string]bool{}},
-		failover:  failover{unreadableJobs: map[string]bool{}, newerTokens: map[string]uint64{}},
+		inherited: inherited{unreadableJobs: map[string]bool{}, newerTokens: map[string]uint64{}},
 		workload:  workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: quota.Accounts{}},
 		config:    newConfiguring(cfg),
 	}
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"yewpass/internal/bitset"
+	"yewpass/internal/failover"
 	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
@@ -143,7 +144,7 @@
 			return
 		}
 		c.readBack(r.Key, func(e kv.Entry, found bool) {
-			if _, differ := joinRecords(e.Value, r.Value, true); found && !differ {
+			if _, differ := failover.Join(e.Value, r.Value, true); found && !differ {
 				over(e)
 				return
 			}
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -96,12 +96,11 @@
 			return
 		}
 		c.replicas.DropOutdatedOwn()
-	case l.recovery != nil && l.recovery.replicaSource == from && line.Term < l.term:
-		l.recovery.replicaDeadline = c.Now.Add(replicaTimeout)
-		if !c.replicas.Receive(&l.recovery.receiver, from, line) {
+	case l.recovery != nil:
+		if !l.recovery.ReceiveReplica(from, line) {
 			return
 		}
-	case l.recovery == nil && l.finals.Source() == from && from != "":
+	case l.finals.Source() == from && from != "":
 		c.receiveFinals(line)
 		return
 	default:
@@ -110,8 +109,8 @@
 	for i := range line.Puts {
 		c.observed.Revision = max(c.observed.Revision, line.Puts[i].Rev)
 	}
-	if l != nil && l.recovery.receiver.Replica() != nil {
-		c.advanceRecovery()
+	if l != nil {
+		l.recovery.AdvanceIfFetched()
 	}
 }
 
--- /dev/null
+++ b/internal/failover/missing_jobs.go
@@ -0,0 +1,89 @@
+package failover
+
+import (
+	"strings"
+
+	"yewpass/internal/kv"
+	"yewpass/internal/record"
+	"yewpass/internal/rpc"
+)
+
+const (
+	// maxFinalReads is how many final records are read one by one. For more jobs all final
+	// records in between are listed.
+	maxFinalReads = 50
+	finalsPage    = 1000 // final records of a page
+)
+
+// resolveMissingJobs looks up how the jobs ended that the replica has and the store has not:
+// they ended after the replica's last change, or are lost. What is found goes into the
+// replica.
+func (r *Recovery) resolveMissingJobs() {
+	finals := r.missingFinals()
+	switch {
+	case len(finals) == 0:
+		r.merge()
+	case len(finals) > maxFinalReads:
+		r.listFinals(finals[0], finals[len(finals)-1])
+	default:
+		left := len(finals)
+		for _, key := range finals {
+			r.readFinal(key, func() {
+				if left--; left == 0 {
+					r.merge()
+				}
+			})
+		}
+	}
+}
+
+// missingFinals returns the keys of the final records that the missing jobs may have, sorted.
+func (r *Recovery) missingFinals() (finals []string) {
+	stored := map[string]bool{}
+	for _, rec := range r.stored {
+		stored[rec.Key] = true
+	}
+	for _, key := range r.replica.Keys(record.JobPrefix) {
+		final := record.FinalPrefix + strings.TrimPrefix(key, record.JobPrefix)
+		if _, known := r.replica.Get(final); !stored[key] && !known {
+			finals = append(finals, final)
+		}
+	}
+	return finals
+}
+
+// readFinal reads a final record until the store answers, and then calls done.
+func (r *Recovery) readFinal(key string, done func()) {
+	r.scope.CallStore(kv.Request{Op: kv.Get, Key: key}, func(got kv.Response) {
+		switch got.Outcome {
+		case rpc.OK:
+			r.replica.Put(key, got.Entries[0].Value, got.Entries[0].Rev)
+		case rpc.NotFound:
+		default:
+			r.scope.After(r.engine.Jitter(retryDelay), func() { r.readFinal(key, done) })
+			return
+		}
+		done()
+	})
+}
+
+// listFinals lists all final records from one key to another.
+func (r *Recovery) listFinals(from, to string) {
+	r.scope.CallStore(kv.Request{Op: kv.List, Key: record.FinalPrefix, From: from[:len(from)-1], Limit: finalsPage}, func(page kv.Response) {
+		if page.Outcome != rpc.OK {
+			r.scope.After(r.engine.Jitter(retryDelay), func() { r.listFinals(from, to) })
+			return
+		}
+		for _, e := range page.Entries {
+			id := strings.TrimPrefix(e.Key, record.FinalPrefix)
+			if _, live := r.replica.Get(record.JobPrefix + id); live && e.Value != nil {
+				r.replica.Put(e.Key, e.Value, e.Rev)
+			}
+		}
+		if n := len(page.Entries); page.More && n > 0 && page.Entries[n-1].Key < to {
+			r.listFinals(page.Entries[n-1].Key+"0", to)
+			return
+		}
+		r.merge()
+	})
+}
--- a/internal/core/recovery_test.go
+++ b/internal/failover/schema_test.go
@@ -1,4 +1,4 @@
-package core
+package failover
 
 import (
 	"testing"
@@ -18,20 +18,20 @@
 	if a.Ranges == b.Ranges {
 		t.Fatal("both are written the same way")
 	}
-	if _, differ := joinRecords(a, b, true); differ {
+	if _, differ := Join(a, b, true); differ {
 		t.Error("the same progress counts as lost")
 	}
-	if v, differ := joinRecords(&record.Progress{Ranges: "0-3"}, &record.Progress{Ranges: "2-9"}, false); !differ || v.(*record.Progress).Ranges != "0-9" {
+	if v, differ := Join(&record.Progress{Ranges: "0-3"}, &record.Progress{Ranges: "2-9"}, false); !differ || v.(*record.Progress).Ranges != "0-9" {
 		t.Errorf("%+v, %v", v, differ)
 	}
-	if v, differ := joinRecords(&record.Progress{Ranges: "0-9"}, &record.Progress{Ranges: "2-3"}, true); differ || v.(*record.Progress).Ranges != "0-9" {
+	if v, differ := Join(&record.Progress{Ranges: "0-9"}, &record.Progress{Ranges: "2-3"}, true); differ || v.(*record.Progress).Ranges != "0-9" {
 		t.Errorf("%+v, %v", v, differ)
 	}
 	live, over := &record.Job{}, &record.Job{Cancelled: true}
-	if v, differ := joinRecords(live, over, false); !differ || !v.(*record.Job).Cancelled {
+	if v, differ := Join(live, over, false); !differ || !v.(*record.Job).Cancelled {
 		t.Error("a cancellation is taken back")
 	}
-	if _, differ := joinRecords(over, live, true); differ {
+	if _, differ := Join(over, live, true); differ {
 		t.Error("a cancellation on record is taken back")
 	}
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -79,16 +79,21 @@
 	return o
 }
 
-// NewestOf returns the index of the newest of the offered replicas, or -1. Term 0 stands for
-// no replica. The newest may be of a term well before the last one, whose leader did not get
-// to replicate; the jobs that have ended since are looked up in the store before the
-// replica's records of them count as live.
-func NewestOf(offers []replica.Version) int {
-	best := -1
-	for i, v := range offers {
-		if v.Term != 0 && (best < 0 || v.After(offers[best])) {
-			best = i
+// Offer is a replica that the store may be restored from.
+type Offer struct {
+	Source string // the controller that has it; "" for this one
+	replica.Version
+}
+
+// NewestOf returns the newest of the offered replicas. Term 0 stands for no replica; found is
+// false if there is none. The newest may be of a term well before the last one, whose leader
+// did not get to replicate; the jobs that have ended since are looked up in the store before
+// the replica's records of them count as live.
+func NewestOf(offers []Offer) (newest Offer, found bool) {
+	for _, o := range offers {
+		if o.Term != 0 && (!found || o.After(newest.Version)) {
+			newest, found = o, true
 		}
 	}
-	return best
+	return newest, found
 }
