--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -10,9 +10,10 @@
 	"yewpass/internal/fleet"
 )
 
+// MinRentalTime is how long a machine is kept at least: a minute is paid for anyway.
+const MinRentalTime = 50 * time.Second
+
 const (
-	// minRentalTime is how long a machine is kept at least: a minute is paid for anyway.
-	minRentalTime = 50 * time.Second
 	// drainDivisor bounds how many machines begin to drain at a time: one, and one more for
 	// so many that there are.
 	drainDivisor = 20
@@ -89,7 +90,7 @@
 		}
 		u.used += float64(m.Allocated.CPU) / 1000
 		u.free += float64(m.Room().CPU) / 1000
-		if a.Now.Sub(m.RentedAt) >= minRentalTime {
+		if a.Now.Sub(m.RentedAt) >= MinRentalTime {
 			u.candidates = append(u.candidates, m)
 		}
 	}
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -38,7 +38,7 @@
 	l := c.leadership
 	quiet := c.silentAfter()
 	heard := func(m *fleet.Machine) bool {
-		return m.Reported && c.Now.Sub(maxTime(m.LastHeartbeat, l.resumedAt)) <= quiet
+		return m.Reported && c.Now.Sub(latest(m.LastHeartbeat, l.resumedAt)) <= quiet
 	}
 	sights := map[string]zones.Sight{}
 	for _, m := range l.inventory.Machines() {
