--- /dev/null
+++ b/internal/admission/unschedulable.go
@@ -0,0 +1,76 @@
+// Package admission decides which submitted jobs the leader accepts, and takes accepted
+// jobs into their records.
+package admission
+
+import (
+	"yewpass/internal/fleet"
+	"yewpass/internal/provider"
+	"yewpass/internal/quota"
+	"yewpass/internal/request"
+	"yewpass/internal/spec"
+)
+
+// Refusal is why a job can never be scheduled.
+type Refusal struct {
+	Field  string // of the job's description, by its wire name
+	Reason string
+}
+
+// Response returns the answer to the user whose job is refused.
+func (r *Refusal) Response() request.Response { return request.Unprocessable(r.Field, r.Reason) }
+
+// CheckSchedulable returns why a job can never be scheduled, or nil. The team is that of
+// the job's owner, nil if there is none; the types are those that the cloud offers.
+func CheckSchedulable(job *spec.Job, team *quota.Account, types []provider.InstanceType) *Refusal {
+	if refusal := checkTeam(job, team); refusal != nil {
+		return refusal
+	}
+	return checkInstanceTypes(job, types)
+}
+
+func checkTeam(job *spec.Job, team *quota.Account) *Refusal {
+	if team == nil || !team.Configured {
+		return &Refusal{"owner", "unknown team " + job.Owner}
+	}
+	if team.Retired {
+		return &Refusal{"owner", "team " + job.Owner + " is retired"}
+	}
+	atOnce := 1
+	if job.Service {
+		atOnce = job.Tasks
+	}
+	need := job.Need()
+	if team.FitsLimit(need, atOnce) {
+		return nil
+	}
+	field := "vcpus"
+	if team.Limit.CPU == 0 || need.CPU*int64(atOnce) <= team.Limit.CPU {
+		field = "gpus"
+	}
+	return &Refusal{field, "the job needs more than the limit of team " + job.Owner}
+}
+
+// checkInstanceTypes looks for a type that a task of the job fits. Without one it blames
+// the field that rules out the last of the allowed types in the job's zone.
+func checkInstanceTypes(job *spec.Job, types []provider.InstanceType) *Refusal {
+	need, field := job.Need(), "flavors"
+	for i := range types {
+		t := &types[i]
+		switch {
+		case !fleet.AllowsInstanceType(job, t.Name):
+		case job.Zone != "" && !fleet.OfferedIn(t, job.Zone):
+			if field == "flavors" {
+				field = "hall"
+			}
+		case need.Fits(t.Capacity):
+			return nil
+		case need.CPU > t.Capacity.CPU:
+			field = "vcpus"
+		case need.GPU > t.Capacity.GPU:
+			field = "gpus"
+		default:
+			field = "memGb"
+		}
+	}
+	return &Refusal{field, "a task fits no allowed machine type"}
+}
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -7,12 +7,12 @@
 	"strings"
 	"time"
 
+	"yewpass/internal/admission"
 	"yewpass/internal/fleet"
+	"yewpass/internal/jobstore"
 	"yewpass/internal/kv"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/policy"
-	"yewpass/internal/provider"
-	"yewpass/internal/quota"
 	"yewpass/internal/record"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
@@ -20,13 +20,13 @@
 	"yewpass/internal/writebatch"
 )
 
-// admission is a submission whose record is on its way to the state service.
-type admission struct {
+// submission is a submission whose record is on its way to the state service.
+type submission struct {
 	spec    *spec.Job
 	waiters []request.Request
 }
 
-func (a *admission) answerAll(c *Core, ans request.Response) {
+func (a *submission) answerAll(c *Core, ans request.Response) {
 	for _, w := range a.waiters {
 		c.answer(w, ans)
 	}
@@ -42,8 +42,6 @@
 // notLeader is what a node says to one that took it for the leader.
 const notLeader = "not the leader"
 
-func unavailable(reason string) request.Response { return request.Unavailable(reason) }
-
 // answer sends an answer to where the request came from.
 func (c *Core) answer(call request.Request, a request.Response) {
 	a.Ref = call.Ref
@@ -64,17 +62,17 @@
 		return
 	}
 	if call.From != "" {
-		c.answer(call, unavailable(notLeader))
+		c.answer(call, request.Unavailable(notLeader))
 		return
 	}
 	if f, ok := c.finals.Get(call.ID); ok {
-		c.answer(call, request.Response{Status: 200, View: finalStatus(call.ID, f)}) // final states never change
+		c.answer(call, request.Response{Status: 200, View: jobstore.FinalStatus(call.ID, f)}) // final states never change
 		return
 	}
 	if c.leadership == nil && c.hasLeaderLink() {
 		if call.Config != nil && c.leaderVersion < peerVersion {
 			c.askLeaderVersion()
-			c.answer(call, unavailable("the leader has not said that it knows live configuration"))
+			c.answer(call, request.Unavailable("the leader has not said that it knows live configuration"))
 			return
 		}
 		c.forward(call)
@@ -145,7 +143,7 @@
 		c.answer(call, request.Response{Status: 200, Doc: c.cluster()})
 		return
 	default:
-		c.answer(call, unavailable("no leader at present"))
+		c.answer(call, request.Unavailable("no leader at present"))
 		return
 	}
 	c.readJob(call.ID, func(v *request.JobStatus, known bool) {
@@ -154,10 +152,10 @@
 		}
 		switch {
 		case !known:
-			c.answer(call, unavailable("the state service does not answer"))
+			c.answer(call, request.Unavailable("the state service does not answer"))
 		case v == nil:
 			// That there is none only a leader can say, who knows what was lost.
-			c.answer(call, unavailable("no leader at present"))
+			c.answer(call, request.Unavailable("no leader at present"))
 		default:
 			c.answer(call, request.Response{Status: 200, View: *v})
 		}
@@ -195,7 +193,7 @@
 						return
 					}
 					c.finals.Add(id, *rec)
-					v := finalStatus(id, *rec)
+					v := jobstore.FinalStatus(id, *rec)
 					f(&v, true)
 				case rpc.NotFound:
 					f(nil, true)
@@ -239,14 +237,14 @@
 		return
 	}
 	if f, ok := c.finals.Get(call.ID); ok {
-		c.answer(call, request.Response{Status: 200, View: finalStatus(call.ID, f)})
+		c.answer(call, request.Response{Status: 200, View: jobstore.FinalStatus(call.ID, f)})
 		return
 	}
 	if a := l.accept[call.ID]; a != nil {
 		if call.Op == request.Submit {
 			a.waiters = append(a.waiters, call)
 		} else {
-			c.answer(call, unavailable("the submission is being recorded"))
+			c.answer(call, request.Unavailable("the submission is being recorded"))
 		}
 		return
 	}
@@ -261,7 +259,7 @@
 // right, or dropped.
 func (c *Core) rereadUnreadable(call request.Request) {
 	l, id := c.leadership, call.ID
-	no := func() { c.answer(call, unavailable("the job's record cannot be read")) }
+	no := func() { c.answer(call, request.Unavailable("the job's record cannot be read")) }
 	if !c.readLimit.AllowN(c.Now, 2) {
 		no()
 		return
@@ -334,24 +332,24 @@
 	c.readJob(call.ID, func(v *request.JobStatus, known bool) {
 		switch {
 		case c.leadership != l || !c.canAct() || !known:
-			c.answer(call, unavailable("the state service does not answer"))
+			c.answer(call, request.Unavailable("the state service does not answer"))
 		case l.jobs[call.ID] != nil || l.accept[call.ID] != nil:
 			c.serve(call) // accepted since the read began, which saw nothing of it
 		case v == nil && l.mayHaveLostJobs(c.Now):
-			c.answer(call, unavailable("data was lost, and what there is is being looked for"))
+			c.answer(call, request.Unavailable("data was lost, and what there is is being looked for"))
 		case v == nil:
-			c.confirmTerm(noRecordOf(call.ID), func(r kv.Response) {
+			c.confirmTerm(record.NoJob(call.ID), func(r kv.Response) {
 				if r.Outcome == rpc.OK && c.canAct() {
 					missing()
 				} else {
-					c.answer(call, unavailable("the state service does not answer"))
+					c.answer(call, request.Unavailable("the state service does not answer"))
 				}
 			})
 		case v.State == spec.Done || v.State == spec.Cancelled:
 			c.answer(call, request.Response{Status: 200, View: *v})
 		default:
 			c.adopt(call.ID, func() { c.serve(call) }, func() {
-				c.answer(call, unavailable("the state service does not answer"))
+				c.answer(call, request.Unavailable("the state service does not answer"))
 			})
 		}
 	})
@@ -385,14 +383,11 @@
 // tooLong answers a submission whose record would not fit into a value.
 var tooLong = request.Response{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
 
-// noRecordOf is the condition that a job has neither a live nor a final record.
-func noRecordOf(id string) []kv.Condition { return record.NoJob(id) }
-
 // submit decides on a new job and answers once its record is committed.
 func (c *Core) submit(call request.Request) {
 	l := c.leadership
 	if len(l.autoscaler.InstanceTypes) == 0 {
-		c.answer(call, unavailable("the machine types are not known yet"))
+		c.answer(call, request.Unavailable("the machine types are not known yet"))
 		return
 	}
 	s := call.Spec
@@ -403,12 +398,12 @@
 	}
 	// A refusal must never meet a job that was accepted once, so the records
 	// have the last word before it.
-	if field, reason := c.unschedulable(s); reason != "" {
+	if refusal := c.checkSchedulable(s); refusal != nil {
 		if !l.autoscaler.Loaded {
-			c.answer(call, unavailable("the machine types are not known yet"))
+			c.answer(call, request.Unavailable("the machine types are not known yet"))
 			return
 		}
-		c.answerFromRecords(call, func() { c.answer(call, unprocessable(field, reason)) })
+		c.answerFromRecords(call, func() { c.answer(call, refusal.Response()) })
 		return
 	}
 	if late, refused := c.admissionRefused(s); refused {
@@ -419,12 +414,12 @@
 		})
 		return
 	}
-	a := &admission{spec: s, waiters: []request.Request{call}}
+	a := &submission{spec: s, waiters: []request.Request{call}}
 	l.accept[s.ID] = a
 	rec := &record.Job{Spec: *s, Submitted: c.Now.Round(0)}
 	l.writes.Add(&writebatch.Change{
 		Size:       record.JobSize(s),
-		Conditions: noRecordOf(s.ID),
+		Conditions: record.NoJob(s.ID),
 		Writes:     []kv.Write{{Key: record.JobPrefix + s.ID, Value: rec}},
 		OnCommit: func(uint64) {
 			delete(l.accept, s.ID)
@@ -434,7 +429,7 @@
 		OnConflict: func() { c.resolveAdmissionConflict(a) },
 		OnReject: func() {
 			delete(l.accept, s.ID)
-			a.answerAll(c, unavailable("the state service rejects the record"))
+			a.answerAll(c, request.Unavailable("the state service rejects the record"))
 		},
 	})
 }
@@ -451,7 +446,7 @@
 
 // resolveAdmissionConflict: the job has a record already, maybe from a try of ours whose
 // outcome was not known.
-func (c *Core) resolveAdmissionConflict(a *admission) {
+func (c *Core) resolveAdmissionConflict(a *submission) {
 	id := a.spec.ID
 	c.readJob(id, func(v *request.JobStatus, known bool) {
 		if c.leadership == nil || c.leadership.accept[id] != a {
@@ -459,7 +454,7 @@
 		}
 		switch {
 		case !known || v == nil:
-			a.answerAll(c, unavailable("the state service does not answer"))
+			a.answerAll(c, request.Unavailable("the state service does not answer"))
 			c.afterWhileLeading(time.Second, func() { c.resolveAdmissionConflict(a) })
 		case v.State == spec.Done || v.State == spec.Cancelled:
 			delete(c.leadership.accept, id)
@@ -471,65 +466,16 @@
 					a.answerAll(c, request.Response{Status: 200, View: j.View()})
 				}
 			}, func() {
-				a.answerAll(c, unavailable("the state service does not answer"))
+				a.answerAll(c, request.Unavailable("the state service does not answer"))
 				c.afterWhileLeading(time.Second, func() { c.resolveAdmissionConflict(a) })
 			})
 		}
 	})
 }
 
-// unprocessable refuses a job for good.
-func unprocessable(field, reason string) request.Response {
-	return request.Response{Status: 422, Field: field, Reason: field + ": " + reason}
-}
-
-// unschedulable says why a job can never run, and by which of its fields, or "".
-func (c *Core) unschedulable(s *spec.Job) (field, reason string) {
-	return unschedulableOn(s, c.leadership.teams[s.Owner], c.leadership.autoscaler.InstanceTypes)
-}
-
-// unschedulableOn is unschedulable for its team, nil if there is none of that name, and types.
-func unschedulableOn(s *spec.Job, t *quota.Account, flavors []provider.InstanceType) (field, reason string) {
-	if t == nil || !t.Configured {
-		return "owner", "unknown team " + s.Owner
-	}
-	if t.Retired {
-		return "owner", "team " + s.Owner + " is retired"
-	}
-	n := 1
-	if s.Service {
-		n = s.Tasks
-	}
-	if need := s.Need(); !t.FitsLimit(need, n) {
-		field = "vcpus"
-		if t.Limit.CPU == 0 || need.CPU*int64(n) <= t.Limit.CPU {
-			field = "gpus"
-		}
-		return field, "the job needs more than the limit of team " + s.Owner
-	}
-	// The field that is to blame is the one that the best type fails by.
-	field = "flavors"
-	for i := range flavors {
-		f := &flavors[i]
-		switch {
-		case !fleet.AllowsInstanceType(s, f.Name):
-		case s.Zone != "" && !fleet.OfferedIn(f, s.Zone):
-			if field == "flavors" {
-				field = "hall"
-			}
-		case s.Need().Fits(f.Capacity):
-			return "", ""
-		default:
-			field = "vcpus"
-			if need := s.Need(); need.CPU <= f.Capacity.CPU {
-				field = "memGb"
-				if need.GPU > f.Capacity.GPU {
-					field = "gpus"
-				}
-			}
-		}
-	}
-	return field, "a task fits no allowed machine type"
+// checkSchedulable returns why a job can never be scheduled, or nil.
+func (c *Core) checkSchedulable(s *spec.Job) *admission.Refusal {
+	return admission.CheckSchedulable(s, c.leadership.teams[s.Owner], c.leadership.autoscaler.InstanceTypes)
 }
 
 // admissionRefused judges a dated job against the timelines of the machines at hand and
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -274,7 +274,7 @@
 		}
 		if reason := c.configRefusal(); reason != "" {
 			c.askPeerVersions()
-			c.answer(call, unavailable(reason))
+			c.answer(call, request.Unavailable(reason))
 			return
 		}
 		conf.waiting = append(conf.waiting, &configChange{call, change})
@@ -455,7 +455,7 @@
 			ch.Conditions[0].Rev = e.Rev
 			c.leadership.writes.Add(ch)
 		default:
-			c.failConfigBatch(b, unavailable("the configuration on record is being read"))
+			c.failConfigBatch(b, request.Unavailable("the configuration on record is being read"))
 			c.reconcileHead(found, e.Rev)
 		}
 	})
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -151,12 +151,12 @@
 	c := leaderOf(t, 1)
 	c.applyTeams([]liveconfig.Team{{Name: "t", CPUs: 5, Retired: true}})
 	spec := &spec.Job{ID: "wk-1", Owner: "t", Tasks: 1, CPUs: 1}
-	if field, reason := c.unschedulable(spec); field != "owner" || reason == "" {
-		t.Errorf("%q %q", field, reason)
+	if refusal := c.checkSchedulable(spec); refusal == nil || refusal.Field != "owner" || refusal.Reason == "" {
+		t.Errorf("%+v", refusal)
 	}
 	c.applyTeams([]liveconfig.Team{{Name: "t", CPUs: 5}})
-	if field, reason := c.unschedulable(spec); reason != "" {
-		t.Errorf("back again: %q %q", field, reason)
+	if refusal := c.checkSchedulable(spec); refusal != nil {
+		t.Errorf("back again: %+v", refusal)
 	}
 }
 
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 	"yewpass/internal/failover"
+	"yewpass/internal/jobstore"
 	"yewpass/internal/kv"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
@@ -85,7 +86,7 @@
 	}
 	if r, ok := k.Get(record.FinalPrefix + id); ok {
 		if f, _ := r.Value.(*record.Final); f != nil {
-			view := finalStatus(id, *f)
+			view := jobstore.FinalStatus(id, *f)
 			return &view, true
 		}
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -8,6 +8,7 @@
 
 	"yewpass/internal/bitset"
 	"yewpass/internal/fleet"
+	"yewpass/internal/jobstore"
 	"yewpass/internal/kv"
 	"yewpass/internal/quota"
 	"yewpass/internal/record"
@@ -212,16 +213,11 @@
 		r.Forgettable = true
 	}
 	j.Completed = nil
-	c.answerCancelWaiters(j, request.Response{Status: 200, View: finalStatus(j.Spec.ID, f)})
+	c.answerCancelWaiters(j, request.Response{Status: 200, View: jobstore.FinalStatus(j.Spec.ID, f)})
 	l.recurring.JobFinished(j, f.State)
 	c.Log(slog.LevelDebug, "job finished", "job", j.Spec.ID, "state", f.State)
 }
 
-// finalStatus is what a user is told of a job that has ended.
-func finalStatus(id string, f record.Final) request.JobStatus {
-	return request.JobStatus{ID: id, State: f.State, Done: f.Done}
-}
-
 // answerCancelWaiters answers everybody who waits for the end of a job to be recorded.
 func (c *Core) answerCancelWaiters(j *fleet.Job, a request.Response) {
 	for _, call := range j.CancelWaiters {
@@ -256,7 +252,7 @@
 func (c *Core) recordCancelled(j *fleet.Job, from time.Time) {
 	if from.After(c.Now) && (len(j.Attempts) > 0 || j.FromEarlierTerm && !c.leadership.allAccounted()) {
 		for _, call := range j.CancelWaiters { // once for each: who asks again is told again
-			no := unavailable("the tasks are being stopped")
+			no := request.Unavailable("the tasks are being stopped")
 			no.RetryAfter = from.Sub(c.Now)
 			c.answer(call, no)
 		}
@@ -272,7 +268,7 @@
 		Conditions: []kv.Condition{{Key: record.FinalPrefix + j.Spec.ID, Rev: 0}},
 		Writes:     []kv.Write{{Key: record.JobPrefix + j.Spec.ID, Value: &rec}},
 		OnConflict: func() {
-			c.answerCancelWaiters(j, unavailable("the job has just ended, try again"))
+			c.answerCancelWaiters(j, request.Unavailable("the job has just ended, try again"))
 			c.readBack(record.FinalPrefix+j.Spec.ID, func(e kv.Entry, _ bool) {
 				if f, _ := e.Value.(*record.Final); f != nil && c.leadership.jobs[j.Spec.ID] == j {
 					c.jobFinished(j, *f)
@@ -305,7 +301,7 @@
 	c.afterWhileLeading(endingTimeout, func() {
 		if i := slices.IndexFunc(j.CancelWaiters, func(x request.Request) bool { return x.From == call.From && x.Ref == call.Ref }); i >= 0 {
 			j.CancelWaiters = slices.Delete(j.CancelWaiters, i, i+1)
-			c.answer(call, unavailable("its end is being recorded"))
+			c.answer(call, request.Unavailable("its end is being recorded"))
 		}
 	})
 	return true
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -156,7 +156,7 @@
 	for _, r := range l.pendingHeartbeats {
 		c.forwarder.Receive(r)
 	}
-	c.answerWaiting(l, unavailable("leadership was lost, try again"))
+	c.answerWaiting(l, request.Unavailable("leadership was lost, try again"))
 	c.After(c.Jitter(100*time.Millisecond), c.watchLeader)
 }
 
@@ -207,7 +207,7 @@
 			l.suspended = true
 			c.Log(slog.LevelWarn, "leader lease expired, holding workers through the grace period", "term", l.term, "hold", c.leaseTiming.GracePeriod())
 			// Whoever waits for a write hears at once that it is not known.
-			c.answerWaiting(l, unavailable("the state service does not answer"))
+			c.answerWaiting(l, request.Unavailable("the state service does not answer"))
 			l.dispatcher.Flush()
 		}
 		return
--- a/internal/core/leaderless.go
+++ b/internal/core/leaderless.go
@@ -7,6 +7,7 @@
 
 	"golang.org/x/time/rate"
 
+	"yewpass/internal/admission"
 	"yewpass/internal/kv"
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
@@ -64,7 +65,7 @@
 // admitLeaderless records a submission without a leader.
 func (c *Core) admitLeaderless(call request.Request) {
 	s := call.Spec
-	no := unavailable("no leader at present")
+	no := request.Unavailable("no leader at present")
 	switch {
 	case c.leadership != nil || call.From != "" || len(c.cfg.Seeds) == 0 || len(c.instanceTypes) == 0 || !c.pol.NeverRefuses():
 		c.answer(call, no)
@@ -84,8 +85,8 @@
 		c.answer(call, no)
 		return
 	}
-	if field, reason := unschedulableOn(s, c.teamFromReplica(k, s.Owner), c.instanceTypes); reason != "" {
-		c.rejectLeaderless(call, k, unprocessable(field, reason))
+	if refusal := admission.CheckSchedulable(s, c.teamFromReplica(k, s.Owner), c.instanceTypes); refusal != nil {
+		c.rejectLeaderless(call, k, refusal.Response())
 		return
 	}
 	if !c.leaderlessLimit.AllowN(c.Now, 2) || !c.readLimit.AllowN(c.Now, 1) {
@@ -96,7 +97,7 @@
 	c.CallStore(kv.Request{Op: kv.Txn,
 		// The term that we know must be on record: a service that has lost its data knows of
 		// no job, not even of those that are over. Nor must the configuration have changed.
-		Conditions: append(noRecordOf(s.ID), kv.Condition{Key: record.TermKey, Rev: c.confirmedTermRevision}, configHeadCond(k)),
+		Conditions: append(record.NoJob(s.ID), kv.Condition{Key: record.TermKey, Rev: c.confirmedTermRevision}, configHeadCond(k)),
 		Writes:     []kv.Write{{Key: record.JobPrefix + s.ID, Value: rec}, {Key: record.LeaderlessPrefix + s.ID, Value: &record.Leader{Node: c.cfg.HostName, Term: max(1, c.highestTerm)}}},
 	}, func(r kv.Response) {
 		switch r.Outcome {
@@ -122,12 +123,12 @@
 // rejectLeaderless refuses a submission for good without a leader: only if the records have the
 // last word that nobody ever accepted it, and the last leader's copy says the same.
 func (c *Core) rejectLeaderless(call request.Request, k *replica.Replica, refusal request.Response) {
-	id, no := call.Spec.ID, unavailable("no leader at present")
+	id, no := call.Spec.ID, request.Unavailable("no leader at present")
 	if _, live := k.Get(record.JobPrefix + id); live || !c.readLimit.AllowN(c.Now, 1) {
 		c.answer(call, no)
 		return
 	}
-	c.CallStore(kv.Request{Op: kv.Txn, Conditions: append(noRecordOf(id), kv.Condition{Key: record.TermKey, Rev: c.confirmedTermRevision}, configHeadCond(k))}, func(r kv.Response) {
+	c.CallStore(kv.Request{Op: kv.Txn, Conditions: append(record.NoJob(id), kv.Condition{Key: record.TermKey, Rev: c.confirmedTermRevision}, configHeadCond(k))}, func(r kv.Response) {
 		if r.Outcome == rpc.OK {
 			c.answer(call, refusal)
 		} else {
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -88,7 +88,7 @@
 // workload is the jobs and their teams.
 type workload struct {
 	jobs   map[string]*fleet.Job
-	accept map[string]*admission
+	accept map[string]*submission
 	teams  quota.Accounts
 }
 
@@ -120,7 +120,7 @@
 	return &leadership{
 		authority: authority{acknowledged: map[string]bool{}},
 		inherited: inherited{unreadableJobs: map[string]bool{}, newerTokens: map[string]uint64{}},
-		workload:  workload{jobs: map[string]*fleet.Job{}, accept: map[string]*admission{}, teams: quota.Accounts{}},
+		workload:  workload{jobs: map[string]*fleet.Job{}, accept: map[string]*submission{}, teams: quota.Accounts{}},
 		config:    newConfiguring(cfg),
 	}
 }
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -65,7 +65,10 @@
 
 // Unschedulable implements recurring.Leader.
 func (r recurringLeader) Unschedulable(job *spec.Job) (field, reason string) {
-	return r.core.unschedulable(job)
+	if refusal := r.core.checkSchedulable(job); refusal != nil {
+		return refusal.Field, refusal.Reason
+	}
+	return "", ""
 }
 
 // AdmissionRefused implements recurring.Leader.
