--- a/internal/admission/unschedulable.go
+++ b/internal/admission/unschedulable.go
@@ -19,6 +19,10 @@
 // Response returns the answer to the user whose job is refused.
 func (r *Refusal) Response() request.Response { return request.Unprocessable(r.Field, r.Reason) }
 
+// TooLong is the answer to a submission whose record would not fit into a value of the
+// key-value store, now or at any later time.
+var TooLong = request.Response{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
+
 // CheckSchedulable returns why a job can never be scheduled, or nil. The team is that of
 // the job's owner, nil if there is none; the types are those that the cloud offers.
 func CheckSchedulable(job *spec.Job, team *quota.Account, types []provider.InstanceType) *Refusal {
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -2,8 +2,6 @@
 
 import (
 	"log/slog"
-	"maps"
-	"slices"
 	"strings"
 	"time"
 
@@ -33,178 +31,19 @@
 	a.waiters = nil
 }
 
-// forwarded is a request that the leader answers for us.
-type forwarded struct {
-	call   request.Request
-	leader string
-}
-
-// notLeader is what a node says to one that took it for the leader.
-const notLeader = "not the leader"
-
 // answer sends an answer to where the request came from.
-func (c *Core) answer(call request.Request, a request.Response) {
-	a.Ref = call.Ref
-	if call.From == "" {
-		c.Emit(a)
-		return
-	}
-	c.Emit(peermsg.Outgoing{To: call.From, Msg: peermsg.Message{Kind: peermsg.Response, Ref: call.Ref, Answer: &a}})
-}
+func (c *Core) answer(call request.Request, a request.Response) { c.Emit(peermsg.Reply(call, a)) }
 
+// userCall serves a request of a user, or one that another controller has forwarded.
 func (c *Core) userCall(call request.Request) {
-	if call.Op == request.ConfigHere {
+	switch {
+	case call.Op == request.ConfigHere:
 		c.answer(call, request.Response{Status: 200, Doc: c.LocalConfig()})
-		return
-	}
-	if c.canAct() {
+	case c.canAct():
 		c.serve(call)
-		return
-	}
-	if call.From != "" {
-		c.answer(call, request.Unavailable(notLeader))
-		return
-	}
-	if f, ok := c.finals.Get(call.ID); ok {
-		c.answer(call, request.Response{Status: 200, View: jobstore.FinalStatus(call.ID, f)}) // final states never change
-		return
-	}
-	if c.leadership == nil && c.hasLeaderLink() {
-		if call.Config != nil && c.leaderVersion < peerVersion {
-			c.askLeaderVersion()
-			c.answer(call, request.Unavailable("the leader has not said that it knows live configuration"))
-			return
-		}
-		c.forward(call)
-		return
-	}
-	c.serveWithoutLeader(call)
-}
-
-// forward passes a request on to the leader.
-func (c *Core) forward(call request.Request) {
-	ref := c.NextRef()
-	c.forwardedRequests[ref] = &forwarded{call, c.knownLeader}
-	c.Emit(peermsg.Outgoing{To: c.knownLeader, Msg: peermsg.Message{Kind: peermsg.Request, Ref: ref, Op: call.Op, ID: call.ID, Spec: call.Spec, Schedule: call.Schedule, Config: call.Config}})
-	wait := 2500 * time.Millisecond
-	switch call.Op {
-	case request.Get:
-		wait = 800 * time.Millisecond // a poll is given up after 2 s
-	case request.Submit:
-		wait = forwardedSubmitTimeout
-	}
-	c.After(wait, func() {
-		if c.forwardedRequests[ref] != nil {
-			delete(c.forwardedRequests, ref)
-			c.serveWithoutLeader(call)
-		}
-	})
-}
-
-func (c *Core) peerAnswer(from string, m peermsg.Message) {
-	f := c.forwardedRequests[m.Ref]
-	if f == nil || f.leader != from || m.Answer == nil {
-		return
-	}
-	if v := m.Answer.View.ID; v != "" && v != f.call.ID && f.call.IsJob() {
-		return // about another job: meant for somebody else
-	}
-	delete(c.forwardedRequests, m.Ref)
-	if m.Answer.Status == 503 && (f.call.Op == request.Get || f.call.Op == request.Submit && m.Answer.Reason == notLeader) {
-		c.serveWithoutLeader(f.call)
-		return
-	}
-	if s := m.Answer.View.State; m.Answer.Status == 200 && (s == spec.Done || s == spec.Cancelled) && f.call.Op == request.Get {
-		// Only a final answer to a poll: a job that is cancelled may still be
-		// on record as such, which is final as well.
-		c.finals.Add(f.call.ID, record.Final{State: s, Done: m.Answer.View.Done})
-	}
-	c.answer(f.call, *m.Answer)
-}
-
-// answerForwardedTo answers what was forwarded over a lost link.
-func (c *Core) answerForwardedTo(name string) {
-	for _, ref := range slices.Sorted(maps.Keys(c.forwardedRequests)) {
-		if f := c.forwardedRequests[ref]; f.leader == name {
-			delete(c.forwardedRequests, ref)
-			c.serveWithoutLeader(f.call)
-		}
-	}
-}
-
-// serveWithoutLeader serves what the state service alone can answer.
-func (c *Core) serveWithoutLeader(call request.Request) {
-	switch call.Op {
-	case request.Get:
-	case request.Submit:
-		c.admitLeaderless(call)
-		return
-	case request.Cluster:
-		c.answer(call, request.Response{Status: 200, Doc: c.cluster()})
-		return
 	default:
-		c.answer(call, request.Unavailable("no leader at present"))
-		return
-	}
-	c.readJob(call.ID, func(v *request.JobStatus, known bool) {
-		if known {
-			v, known = c.correctByReplica(call.ID, v)
-		}
-		switch {
-		case !known:
-			c.answer(call, request.Unavailable("the state service does not answer"))
-		case v == nil:
-			// That there is none only a leader can say, who knows what was lost.
-			c.answer(call, request.Unavailable("no leader at present"))
-		default:
-			c.answer(call, request.Response{Status: 200, View: *v})
-		}
-	})
-}
-
-// readJob reads a job's state from the state service: first the live record,
-// then the final one, because a job moves from the first to the second in one
-// transaction. v is nil for a job that does not exist.
-func (c *Core) readJob(id string, f func(v *request.JobStatus, known bool)) {
-	if !c.readLimit.AllowN(c.Now, 3) { // with what makes sure that there is none
-		f(nil, false)
-		return
+		c.gateway.Serve(call)
 	}
-	c.CallStore(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, func(r kv.Response) {
-		switch r.Outcome {
-		case rpc.OK:
-			rec, _ := r.Entries[0].Value.(*record.Job)
-			if rec == nil {
-				f(nil, false)
-				return
-			}
-			v := request.JobStatus{ID: id, State: spec.Queued}
-			if rec.Cancelled {
-				v.State = spec.Cancelled
-			}
-			f(&v, true)
-		case rpc.NotFound:
-			c.CallStore(kv.Request{Op: kv.Get, Key: record.FinalPrefix + id}, func(r kv.Response) {
-				switch r.Outcome {
-				case rpc.OK:
-					rec, _ := r.Entries[0].Value.(*record.Final)
-					if rec == nil {
-						f(nil, false)
-						return
-					}
-					c.finals.Add(id, *rec)
-					v := jobstore.FinalStatus(id, *rec)
-					f(&v, true)
-				case rpc.NotFound:
-					f(nil, true)
-				default:
-					f(nil, false)
-				}
-			})
-		default:
-			f(nil, false)
-		}
-	})
 }
 
 // serve answers as the leader.
@@ -236,7 +75,7 @@
 		}
 		return
 	}
-	if f, ok := c.finals.Get(call.ID); ok {
+	if f, ok := c.jobs.Final(call.ID); ok {
 		c.answer(call, request.Response{Status: 200, View: jobstore.FinalStatus(call.ID, f)})
 		return
 	}
@@ -260,7 +99,7 @@
 func (c *Core) rereadUnreadable(call request.Request) {
 	l, id := c.leadership, call.ID
 	no := func() { c.answer(call, request.Unavailable("the job's record cannot be read")) }
-	if !c.readLimit.AllowN(c.Now, 2) {
+	if !c.jobs.Allow(2) {
 		no()
 		return
 	}
@@ -329,7 +168,7 @@
 // after it had been given up: the job is taken on.
 func (c *Core) answerFromRecords(call request.Request, missing func()) {
 	l := c.leadership
-	c.readJob(call.ID, func(v *request.JobStatus, known bool) {
+	c.jobs.Read(call.ID, func(v *request.JobStatus, known bool) {
 		switch {
 		case c.leadership != l || !c.canAct() || !known:
 			c.answer(call, request.Unavailable("the state service does not answer"))
@@ -380,9 +219,6 @@
 	})
 }
 
-// tooLong answers a submission whose record would not fit into a value.
-var tooLong = request.Response{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
-
 // submit decides on a new job and answers once its record is committed.
 func (c *Core) submit(call request.Request) {
 	l := c.leadership
@@ -393,7 +229,7 @@
 	s := call.Spec
 	if !c.fitsValue(record.JobSize(s)) {
 		// Its record would not fit into a value, now or on any retry.
-		c.answer(call, tooLong)
+		c.answer(call, admission.TooLong)
 		return
 	}
 	// A refusal must never meet a job that was accepted once, so the records
@@ -448,7 +284,7 @@
 // outcome was not known.
 func (c *Core) resolveAdmissionConflict(a *submission) {
 	id := a.spec.ID
-	c.readJob(id, func(v *request.JobStatus, known bool) {
+	c.jobs.Read(id, func(v *request.JobStatus, known bool) {
 		if c.leadership == nil || c.leadership.accept[id] != a {
 			return
 		}
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -23,7 +23,7 @@
 		State:         autoscalerState{c},
 		Inventory:     autoscalerInventory{c},
 		Teams:         c.leadership.teams,
-		InstanceTypes: slices.Clone(c.instanceTypes),
+		InstanceTypes: slices.Clone(c.gateway.InstanceTypes()),
 		CloudRPS:      c.cfg.Settings.Cloud.RPS,
 	})
 }
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -132,7 +132,8 @@
 }
 
 // teamFromReplica returns a team as the copy of the last leader has it, or as the settings do; nil
-// if there is none. The caller's decision has to be conditional on configHeadCond.
+// if there is none. The caller's decision has to be conditional on the
+// head of the configuration that the copy has.
 func (c *Core) teamFromReplica(k *replica.Replica, name string) *quota.Account {
 	if r, ok := k.Get(record.ConfigTeamPrefix + name); ok {
 		if rec, _ := r.Value.(*liveconfig.TeamRecord); rec != nil {
@@ -145,12 +146,6 @@
 	return nil
 }
 
-// configHeadCond is the condition that the configuration is as a copy has it.
-func configHeadCond(k *replica.Replica) kv.Condition {
-	r, _ := k.Get(record.ConfigHeadKey)
-	return kv.Condition{Key: record.ConfigHeadKey, Rev: r.Rev}
-}
-
 // ---- the renewal
 
 // configConds are the conditions on which a renewal shows that the leader's configuration
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -5,20 +5,18 @@
 	"math/rand/v2"
 	"time"
 
-	lru "github.com/hashicorp/golang-lru/v2"
-	"golang.org/x/time/rate"
-
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
 	"yewpass/internal/engine"
 	"yewpass/internal/forwarder"
+	"yewpass/internal/gateway"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/jobstore"
 	"yewpass/internal/kv"
 	"yewpass/internal/lease"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/policy"
 	"yewpass/internal/provider"
-	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/replication"
 	"yewpass/internal/request"
@@ -43,8 +41,7 @@
 	cal *calendar.Set
 	reg *zones.Regions
 
-	processID             uint64                // of this process: tells it from one of the same name that ended before
-	forwardedRequests     map[uint64]*forwarded // users' requests at the leader's
+	processID             uint64 // of this process: tells it from one of the same name that ended before
 	leadership            *leadership
 	knownLeader           string            // who leads, as far as we know
 	leaderVersion         uint64            // the version that it talks in
@@ -60,13 +57,11 @@
 	confirmedTerm         uint64 // the newest that the state service has told us of
 	confirmedTermRevision uint64 // at which it is on record
 	links                 map[string]bool
-	leaderLinkLostAt      time.Time                        // since when we have no link to the leader that we know
-	finals                *lru.Cache[string, record.Final] // how recent jobs ended
+	leaderLinkLostAt      time.Time // since when we have no link to the leader that we know
+	jobs                  *jobstore.Reader
+	gateway               *gateway.Gateway
 	forwarder             *forwarder.Forwarder
-	handedOverAt          time.Time               // when we last handed over
-	instanceTypes         []provider.InstanceType // as read while not leading
-	leaderlessLimit       *rate.Limiter
-	readLimit             *rate.Limiter
+	handedOverAt          time.Time // when we last handed over
 	storeAvailable        bool
 	storeServedAt         time.Time // when the state service last served us
 	staleHeartbeats       int64     // reports that were older than what was known
@@ -77,8 +72,6 @@
 
 // New returns a controller that has not begun; give it a Tick to begin.
 func New(cfg *config.Config, pol *policy.Policy, cal *calendar.Set, seed uint64) *Core {
-	finals, _ := lru.New[string, record.Final](replication.FinalsLimit(cfg)) // errs only for a size below 1
-	nodes := 1 + len(cfg.Seeds)
 	// A process may follow another of its name within a fraction of a second, and what
 	// the leader answers to a call of the former one reaches the new one's link. Were both
 	// to count from 1, a user would be told about somebody else's job.
@@ -91,18 +84,16 @@
 		pol:               pol,
 		cal:               cal,
 		processID:         processID,
-		forwardedRequests: map[uint64]*forwarded{},
 		links:             map[string]bool{},
-		finals:            finals,
 		storeAvailable:    true,
-		leaderlessLimit:   newLeaderlessLimit(cfg.Settings.State.WriteRPS, nodes),
-		readLimit:         newReadLimit(cfg.Settings.State.RPS, nodes),
 		heartbeatInterval: cfg.Settings.Workers.Report.Duration(),
 		workerLease:       cfg.Settings.Workers.Lease.Duration(),
 	}
 	c.forwarder = forwarder.New(c.Engine, forwarderView{c}, cfg)
 	c.leaseTiming = lease.Timing{LeaderLease: leaseTTL, WorkerLease: c.workerLease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
 	c.replicas = replication.New(c.Engine, cfg, replicationHost{c})
+	c.jobs = jobstore.NewReader(c.Engine, cfg.Settings.State.RPS, 1+len(cfg.Seeds), replication.FinalsLimit(cfg))
+	c.gateway = gateway.New(c.Engine, gatewayController{c}, cfg, pol, c.jobs, c.replicas)
 	c.ObserveStore = c.observeStoreCall
 	return c
 }
@@ -139,9 +130,7 @@
 		return
 	}
 	c.forwarder.Tick()
-	// Not at once: a process that ends again and again would use up what calls
-	// the cloud allows to all of them.
-	c.After(c.Jitter(instanceTypesFirstRead), c.refreshInstanceTypes)
+	c.gateway.Start()
 }
 
 // handle takes in one input.
@@ -177,17 +166,6 @@
 	return func(r kv.Response) { c.observeRevision(r.Rev, revision, era) }
 }
 
-// userReadShare is how much of the requests that the state service allows goes into reads for
-// users' calls: so much at the leader, and so much at all other nodes together. Each node
-// for itself may not take what all of them share: when users ask about unknown and
-// forgotten jobs many times as often, renewals of the grant would be refused with them.
-const userReadShare = 0.25
-
-func newReadLimit(rps float64, nodes int) *rate.Limiter {
-	each := rps * userReadShare / float64(nodes)
-	return rate.NewLimiter(rate.Limit(each), max(2, int(each))) // a poll may take two
-}
-
 // storeOutageThreshold is for how long calls must go unserved for it to be worth a word: a few are
 // refused now and then when more come at once than the allowance has room for.
 const storeOutageThreshold = 500 * time.Millisecond
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -5,13 +5,10 @@
 	"slices"
 	"time"
 	"yewpass/internal/failover"
-	"yewpass/internal/jobstore"
 	"yewpass/internal/kv"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
-	"yewpass/internal/request"
 	"yewpass/internal/rpc"
-	"yewpass/internal/spec"
 )
 
 // The state service may lose data: all of it, some of it, or go back to an older copy of
@@ -77,30 +74,6 @@
 	return l.loss != nil && now.Sub(l.loss.since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*failover.UnknownPastTimeout
 }
 
-// correctByReplica corrects what was read of a job without a leader by the copy of the last one:
-// the service may have lost data since, or gone back. known is false without such a copy.
-func (c *Core) correctByReplica(id string, v *request.JobStatus) (_ *request.JobStatus, known bool) {
-	k := c.lastLeaderReplica()
-	if k == nil {
-		return nil, false
-	}
-	if r, ok := k.Get(record.FinalPrefix + id); ok {
-		if f, _ := r.Value.(*record.Final); f != nil {
-			view := jobstore.FinalStatus(id, *f)
-			return &view, true
-		}
-	}
-	if r, ok := k.Get(record.JobPrefix + id); ok && (v == nil || v.State == spec.Queued) {
-		if rec, _ := r.Value.(*record.Job); rec != nil {
-			v = &request.JobStatus{ID: id, State: spec.Queued}
-			if rec.Cancelled {
-				v.State = spec.Cancelled
-			}
-		}
-	}
-	return v, true
-}
-
 // confirmTerm asks the state service whether our term is on record with its leader, as whatever
 // a leader says rests on it, and whether more holds at the same time.
 func (c *Core) confirmTerm(more []kv.Condition, f func(r kv.Response)) {
--- /dev/null
+++ b/internal/core/gateway.go
@@ -0,0 +1,40 @@
+package core
+
+import (
+	"yewpass/internal/gateway"
+	"yewpass/internal/quota"
+	"yewpass/internal/replica"
+	"yewpass/internal/view"
+)
+
+// gatewayController is a controller as its gateway sees it.
+type gatewayController struct{ core *Core }
+
+// Leads implements gateway.Controller.
+func (g gatewayController) Leads() bool { return g.core.leadership != nil }
+
+// Upstream implements gateway.Controller.
+func (g gatewayController) Upstream() gateway.Upstream {
+	c := g.core
+	return gateway.Upstream{
+		Leader:       c.knownLeader,
+		Linked:       c.hasLeaderLink(),
+		KnowsConfig:  c.leaderVersion >= peerVersion,
+		Term:         c.highestTerm,
+		TermRevision: c.confirmedTermRevision,
+	}
+}
+
+// AskLeaderVersion implements gateway.Controller.
+func (g gatewayController) AskLeaderVersion() { g.core.askLeaderVersion() }
+
+// Cluster implements gateway.Controller.
+func (g gatewayController) Cluster() *view.Cluster { return g.core.cluster() }
+
+// LastLeaderReplica implements gateway.Controller.
+func (g gatewayController) LastLeaderReplica() *replica.Replica { return g.core.lastLeaderReplica() }
+
+// Team implements gateway.Controller.
+func (g gatewayController) Team(k *replica.Replica, name string) *quota.Account {
+	return g.core.teamFromReplica(k, name)
+}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -204,7 +204,7 @@
 // jobFinished follows the commit of a final record.
 func (c *Core) jobFinished(j *fleet.Job, f record.Final) {
 	l := c.leadership
-	c.finals.Add(j.Spec.ID, f)
+	c.jobs.Remember(j.Spec.ID, f)
 	c.replicateDrop(record.JobPrefix + j.Spec.ID) // however we have learned that it is over
 	delete(l.jobs, j.Spec.ID)
 	j.Team.JobCount--
@@ -310,5 +310,5 @@
 // fitsValue reports whether a record of so many bytes fits into a value of the state
 // service.
 func (c *Core) fitsValue(size int) bool {
-	return float64(size) <= c.cfg.Settings.State.ValueKB*1024
+	return jobstore.FitsValue(size, c.cfg.Settings.State)
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -27,7 +27,7 @@
 // becomeLeader begins a term.
 func (c *Core) becomeLeader(term, rev, grant uint64, sent time.Time, ahead time.Duration) {
 	c.highestTerm, c.confirmedTerm, c.knownLeader, c.lastLedTerm = term, term, "", term
-	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1)
+	c.jobs.ShareAmong(1)
 	c.leadership = newLeadership(c.cfg)
 	c.leadership.scope = c.NewScope()
 	c.leadership.writes = c.newBatcher(c.leadership.scope, rev)
@@ -142,9 +142,9 @@
 	c.Log(slog.LevelWarn, "leadership lost", "term", l.term, "reason", why)
 	c.leadership = nil
 	l.scope.Close()
-	c.readLimit = newReadLimit(c.cfg.Settings.State.RPS, 1+len(c.cfg.Seeds))
+	c.jobs.ShareAmong(1 + len(c.cfg.Seeds))
 	if len(l.autoscaler.InstanceTypes) > 0 {
-		c.instanceTypes = l.autoscaler.InstanceTypes
+		c.gateway.SetInstanceTypes(l.autoscaler.InstanceTypes)
 	}
 	// Workers that wait here need not look for the next leader: we pass on what they
 	// have said. Other relays do the same with theirs.
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -36,7 +36,7 @@
 		c.leadership.publisher.DropFollower(p.Name)
 	}
 	if !p.Up {
-		c.answerForwardedTo(p.Name)
+		c.gateway.HandleLinkLost(p.Name)
 	}
 }
 
@@ -65,7 +65,7 @@
 	case peermsg.Request:
 		c.userCall(request.Request{Ref: p.Msg.Ref, From: p.From, Op: p.Msg.Op, ID: p.Msg.ID, Spec: p.Msg.Spec, Schedule: p.Msg.Schedule, Config: p.Msg.Config})
 	case peermsg.Response:
-		c.peerAnswer(p.From, p.Msg)
+		c.gateway.HandleResponse(p.From, p.Msg)
 	case peermsg.Replica:
 		c.handleReplicaLine(p.From, p.Msg.Replica)
 	case peermsg.LeaderlessJob:
@@ -126,7 +126,7 @@
 // something says that it is not. If it is, unfounded is called.
 func (c *Core) verifyTerm(because string, unfounded func()) {
 	l := c.leadership
-	if l.verifying || !c.readLimit.AllowN(c.Now, 1) {
+	if l.verifying || !c.jobs.Allow(1) {
 		return // whoever insists will say so again
 	}
 	l.verifying = true
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -48,13 +48,13 @@
 
 // FinalState implements recurring.Leader.
 func (r recurringLeader) FinalState(id string) (spec.JobState, bool) {
-	final, ok := r.core.finals.Get(id)
+	final, ok := r.core.jobs.Final(id)
 	return final.State, ok
 }
 
 // ReadJob implements recurring.Leader.
 func (r recurringLeader) ReadJob(id string, f func(status *request.JobStatus, known bool)) {
-	r.core.readJob(id, f)
+	r.core.jobs.Read(id, f)
 }
 
 // AddJob implements recurring.Leader.
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -28,7 +28,7 @@
 func (h replicationHost) AdmitScrub() bool {
 	c, l := h.c, h.c.leadership
 	restoring := len(l.restoring) > 0 || l.loss != nil && l.loss.pending > 0
-	return c.canAct() && !restoring && c.readLimit.AllowN(c.Now, 2)
+	return c.canAct() && !restoring && c.jobs.Allow(2)
 }
 
 // StoreRevision returns the highest revision of the store that was observed.
@@ -132,7 +132,7 @@
 // rememberFinals takes in how the jobs of a replica have ended.
 func (c *Core) rememberFinals(r *replica.Replica) {
 	for id, final := range replication.Finals(r) {
-		c.finals.Add(id, final)
+		c.jobs.Remember(id, final)
 	}
 }
 
