--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -67,10 +67,10 @@
 	}
 	if j := l.jobs[call.ID]; j != nil {
 		if call.Op == request.Cancel {
-			c.cancelJob(j, call)
+			c.leadership.lifecycle.Cancel(j, call)
 			return
 		}
-		if j.Cancelled || !c.waitForEnding(j, call) {
+		if j.Cancelled || !c.leadership.lifecycle.WaitForEnding(j, call) {
 			c.answer(call, request.Response{Status: 200, View: j.View(), Reason: c.waitReason(j)})
 		}
 		return
@@ -159,7 +159,7 @@
 			}
 		}
 	}
-	c.queueJob(j)
+	c.leadership.lifecycle.Queue(j)
 	return true
 }
 
@@ -205,8 +205,8 @@
 		if rec, _ := r.Entries[0].Value.(*record.Job); rec != nil && c.leadership.jobs[id] == nil {
 			a := c.leadership.accept[id]
 			delete(c.leadership.accept, id)
-			j := c.addJob(rec, false)
-			c.queueJob(j)
+			j := c.leadership.lifecycle.Add(rec, false)
+			c.leadership.lifecycle.Queue(j)
 			if a != nil { // what another node has accepted meanwhile: nobody else tells them
 				a.answerAll(c, request.Response{Status: 200, View: j.View()})
 			}
@@ -272,11 +272,11 @@
 
 // newJob takes on a job whose record has just been committed.
 func (c *Core) newJob(rec *record.Job) *fleet.Job {
-	j := c.addJob(rec, false)
+	j := c.leadership.lifecycle.Add(rec, false)
 	c.leadership.recurring.JobAdded(j)
 	c.leadership.autoscaler.RecordArrival(j)
 	c.leadership.placement.PreferImageLocality(j)
-	c.queueJob(j)
+	c.leadership.lifecycle.Queue(j)
 	return j
 }
 
@@ -333,3 +333,7 @@
 	}
 	return e
 }
+
+// fitsValue reports whether a record of so many bytes fits into a value of the key-value
+// store.
+func (c *Core) fitsValue(size int) bool { return jobstore.FitsValue(size, c.cfg.Settings.State) }
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -18,10 +18,12 @@
 func (a attemptJobs) TaskStarted(j *fleet.Job) { a.leadership.recurring.JobStarted(j) }
 
 // CompleteTask implements attempts.Jobs.
-func (a attemptJobs) CompleteTask(j *fleet.Job, index int) { a.core.completeTask(j, index) }
+func (a attemptJobs) CompleteTask(j *fleet.Job, index int) {
+	a.core.leadership.lifecycle.CompleteTask(j, index)
+}
 
 // Requeue implements attempts.Jobs.
-func (a attemptJobs) Requeue(j *fleet.Job, index int) { a.core.requeue(j, index) }
+func (a attemptJobs) Requeue(j *fleet.Job, index int) { a.core.leadership.lifecycle.Requeue(j, index) }
 
 // FinishIfOver implements attempts.Jobs.
-func (a attemptJobs) FinishIfOver(j *fleet.Job) { a.core.finishIfOver(j) }
+func (a attemptJobs) FinishIfOver(j *fleet.Job) { a.core.leadership.lifecycle.FinishIfOver(j) }
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -41,7 +41,7 @@
 			l.unreadableJobs[id] = true
 			unreadable("the job is not served")
 		} else if l.jobs[id] == nil {
-			c.addJob(v, true)
+			c.leadership.lifecycle.Add(v, true)
 		}
 	} else if record.IsConfigKey(e.Key) {
 		c.loadConfig(e)
@@ -81,7 +81,7 @@
 	l.loaded = true
 	c.applyLoadedConfig()
 	for _, j := range l.sortedJobs() {
-		c.queueJob(j)
+		c.leadership.lifecycle.Queue(j)
 	}
 	c.Log(slog.LevelInfo, "records loaded", "term", l.term, "jobs", len(l.jobs), "machines", l.inventory.UnaccountedCount())
 	if c.takePendingHeartbeats(); c.leadership != l {
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -186,7 +186,7 @@
 		c.Log(slog.LevelInfo, "failover complete", "term", l.term, "after", c.Now.Sub(l.electedAt))
 		for _, j := range l.sortedJobs() {
 			if j.Cancelled {
-				c.finishIfOver(j)
+				c.leadership.lifecycle.FinishIfOver(j)
 			}
 		}
 		l.dispatcher.RequestAll()
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -166,7 +166,7 @@
 		l.accept[id].answerAll(c, a)
 	}
 	for _, j := range l.sortedJobs() {
-		c.answerCancelWaiters(j, a)
+		l.lifecycle.AnswerWaiters(j, a)
 	}
 	l.recurring.AnswerWaiting(a)
 	c.answerConfig(l, a)
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -13,6 +13,7 @@
 	"yewpass/internal/forwarder"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/inventory"
+	"yewpass/internal/lifecycle"
 	"yewpass/internal/placement"
 	"yewpass/internal/quota"
 	"yewpass/internal/recurring"
@@ -87,9 +88,10 @@
 
 // workload is the jobs and their teams.
 type workload struct {
-	jobs   map[string]*fleet.Job
-	accept map[string]*submission
-	teams  quota.Accounts
+	lifecycle *lifecycle.Manager
+	jobs      map[string]*fleet.Job
+	accept    map[string]*submission
+	teams     quota.Accounts
 }
 
 // reporting is what the machines have reported.
@@ -111,6 +113,7 @@
 	l.inventory = inventory.New(c.Engine, l.zones, c.workerLease, l.autoscaler.InstanceType)
 	l.machineRecords = inventory.NewRecords(c.Engine, l.scope, c.cfg.Settings.State, l.inventory, recordsLeader{c, l}, l.term)
 	l.placement = placement.New(c.Engine, l.scope, c.cfg, placementLeader{l.inventory, c, l}, l.term)
+	l.lifecycle = c.newLifecycle()
 	l.recurring = c.newScheduler(l)
 	l.attempts = attempts.New(c.Engine, l.placement, attemptJobs{c, l})
 	l.dispatcher = dispatch.New(c.Engine, l.scope, dispatchLeader{c, l}, l.relays, l.placement, l.term)
--- /dev/null
+++ b/internal/core/lifecycle.go
@@ -0,0 +1,49 @@
+package core
+
+import (
+	"time"
+
+	"yewpass/internal/fleet"
+	"yewpass/internal/kv"
+	"yewpass/internal/lifecycle"
+	"yewpass/internal/spec"
+	"yewpass/internal/writebatch"
+)
+
+// newLifecycle returns the manager of the jobs of the leadership that begins.
+func (c *Core) newLifecycle() *lifecycle.Manager {
+	l := c.leadership
+	state := lifecycle.State{Jobs: l.jobs, Teams: l.teams, Placement: l.placement, Store: c.jobs}
+	return lifecycle.New(c.Engine, l.scope, c.cfg.Settings.State, state, lifecycleLeader{c})
+}
+
+// lifecycleLeader is the leader as the manager of its jobs sees it.
+type lifecycleLeader struct{ core *Core }
+
+// AllAccounted implements lifecycle.Leader.
+func (a lifecycleLeader) AllAccounted() bool { return a.core.leadership.allAccounted() }
+
+// CancelSafeAt implements lifecycle.Leader.
+func (a lifecycleLeader) CancelSafeAt() time.Time {
+	l := a.core.leadership
+	return a.core.leaseTiming.CancelSafeAfter(a.core.Now, l.electedAt.Add(l.earlierLeaderLag))
+}
+
+// RequestDispatch implements lifecycle.Leader.
+func (a lifecycleLeader) RequestDispatch(m *fleet.Machine) { a.core.leadership.dispatcher.Request(m) }
+
+// JobFinished implements lifecycle.Leader.
+func (a lifecycleLeader) JobFinished(j *fleet.Job, state spec.JobState) {
+	a.core.leadership.recurring.JobFinished(j, state)
+}
+
+// Write implements lifecycle.Leader.
+func (a lifecycleLeader) Write(change *writebatch.Change) { a.core.leadership.writes.Add(change) }
+
+// ReadBack implements lifecycle.Leader.
+func (a lifecycleLeader) ReadBack(key string, f func(entry kv.Entry, found bool)) {
+	a.core.readBack(key, f)
+}
+
+// DropReplica implements lifecycle.Leader.
+func (a lifecycleLeader) DropReplica(key string) { a.core.replicateDrop(key) }
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -147,8 +147,8 @@
 func TestLaterAttemptStays(t *testing.T) {
 	d := newDesk(t)
 	l := d.c.leadership
-	j := d.c.addJob(&record.Job{Spec: *plainJob("wk-1", 1), Submitted: t0}, true)
-	d.c.queueJob(j)
+	j := d.c.leadership.lifecycle.Add(&record.Job{Spec: *plainJob("wk-1", 1), Submitted: t0}, true)
+	d.c.leadership.lifecycle.Queue(j)
 	at := func(host string, try uint64) *fleet.Attempt {
 		m := d.c.leadership.inventory.Ensure(host, "f2", "a", true)
 		d.c.reconcile(m, &heartbeat.Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []heartbeat.Task{{Task: heartbeat.TaskID{Job: "wk-1"}, Try: try, Phase: heartbeat.TaskRuns}}})
--- a/internal/core/recovery_restore.go
+++ b/internal/core/recovery_restore.go
@@ -87,7 +87,7 @@
 	if part, ok := strings.CutPrefix(r.Key, record.ProgressPrefix); ok {
 		// By the way that progress is always written.
 		if id, chunk := record.SplitProgressKey(part); l.jobs[id] != nil && chunk >= 0 {
-			c.recordProgressSoon(l.jobs[id], chunk*bitset.ChunkSize)
+			c.leadership.lifecycle.RecordProgressSoon(l.jobs[id], chunk*bitset.ChunkSize)
 		}
 		over(kv.Entry{})
 		return
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -69,7 +69,7 @@
 	if rng.IntN(2) == 0 {
 		spec.Class, spec.HasDeadline, spec.Deadline = "u", true, time.Duration(5+rng.IntN(200))*time.Second
 	}
-	j := c.addJob(&record.Job{Spec: spec, Submitted: c.Now.Round(0)}, false)
+	j := c.leadership.lifecycle.Add(&record.Job{Spec: spec, Submitted: c.Now.Round(0)}, false)
 	for i := range tasks {
 		j.Pending.Add(i)
 		j.Waiting++
@@ -102,7 +102,7 @@
 func (c *Core) fill(m *fleet.Machine) {
 	j := c.leadership.jobs["wk-1"]
 	if j == nil {
-		j = c.addJob(&record.Job{Spec: spec.Job{ID: "wk-1", Class: "r", Owner: "t", Tasks: spec.MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute}, Submitted: t0}, false)
+		j = c.leadership.lifecycle.Add(&record.Job{Spec: spec.Job{ID: "wk-1", Class: "r", Owner: "t", Tasks: spec.MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute}, Submitted: t0}, false)
 		j.AnyCompleted = true
 	}
 	for range m.Room().CPU / 1000 {
