--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -307,7 +307,7 @@
 	d := newDesk(t)
 	ref := d.user(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
 	d.calls = nil // its write is on its way
-	d.c.afterWhileLeading(0, func() { d.c.adoptLeaderless(record.LeaderlessPrefix + "wk-1") })
+	d.c.afterWhileLeading(0, func() { d.c.leadership.admitter.AdoptLeaderless(record.LeaderlessPrefix + "wk-1") })
 	d.in(Tick{})
 	for _, x := range d.calls {
 		if call, ok := x.(kv.Request); ok && call.Op == kv.Get && call.Key == record.JobPrefix+"wk-1" {
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -151,11 +151,11 @@
 	c := leaderOf(t, 1)
 	c.applyTeams([]liveconfig.Team{{Name: "t", CPUs: 5, Retired: true}})
 	spec := &spec.Job{ID: "wk-1", Owner: "t", Tasks: 1, CPUs: 1}
-	if refusal := c.checkSchedulable(spec); refusal == nil || refusal.Field != "owner" || refusal.Reason == "" {
+	if refusal := c.leadership.admitter.CheckSchedulable(spec); refusal == nil || refusal.Field != "owner" || refusal.Reason == "" {
 		t.Errorf("%+v", refusal)
 	}
 	c.applyTeams([]liveconfig.Team{{Name: "t", CPUs: 5}})
-	if refusal := c.checkSchedulable(spec); refusal != nil {
+	if refusal := c.leadership.admitter.CheckSchedulable(spec); refusal != nil {
 		t.Errorf("back again: %+v", refusal)
 	}
 }
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -105,17 +105,12 @@
 	})
 }
 
-// watchCall waits until a key below the prefix has changed after a revision, or for long.
-func watchCall(prefix string, from uint64) kv.Request {
-	return kv.Request{Op: kv.Watch, Key: prefix, FromRev: from, Block: 20 * time.Second, Timeout: 25 * time.Second}
-}
-
 // leaderWatchTimeout is for how long the leader's key is followed before it is read anew: what
 // is lost from record is gone without a word.
 const leaderWatchTimeout = 4 * time.Second
 
 func (c *Core) watchLeaderKey(from uint64) {
-	call := watchCall(record.LeaderKey, from)
+	call := kv.WatchPrefix(record.LeaderKey, from)
 	call.Block = leaderWatchTimeout
 	c.CallStore(call, func(r kv.Response) {
 		if r.Outcome == rpc.OK {
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -90,7 +90,7 @@
 	c.leadership.autoscaler.ListInstances()
 	c.probeUnaccounted()
 	if len(c.cfg.Seeds) > 0 {
-		c.watchLeaderlessNotes()
+		c.leadership.admitter.WatchLeaderless()
 	}
 	c.loadSchedulesWhenRestored()
 	c.afterWhileLeading(c.Jitter(replication.ScrubInterval), l.scrubber.Run)
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -2,7 +2,6 @@
 
 import (
 	"log/slog"
-	"maps"
 	"slices"
 	"time"
 
@@ -162,9 +161,7 @@
 
 // answerWaiting answers everybody who waits for a write.
 func (c *Core) answerWaiting(l *leadership, a request.Response) {
-	for _, id := range slices.Sorted(maps.Keys(l.accept)) {
-		l.accept[id].answerAll(c, a)
-	}
+	l.admitter.AnswerWaiting(a)
 	for _, j := range l.sortedJobs() {
 		l.lifecycle.AnswerWaiters(j, a)
 	}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"yewpass/internal/admission"
 	"yewpass/internal/attempts"
 	"yewpass/internal/autoscaler"
 	"yewpass/internal/config"
@@ -90,7 +91,7 @@
 type workload struct {
 	lifecycle *lifecycle.Manager
 	jobs      map[string]*fleet.Job
-	accept    map[string]*submission
+	admitter  *admission.Admitter
 	teams     quota.Accounts
 }
 
@@ -114,6 +115,7 @@
 	l.machineRecords = inventory.NewRecords(c.Engine, l.scope, c.cfg.Settings.State, l.inventory, recordsLeader{c, l}, l.term)
 	l.placement = placement.New(c.Engine, l.scope, c.cfg, placementLeader{l.inventory, c, l}, l.term)
 	l.lifecycle = c.newLifecycle()
+	l.admitter = c.newAdmitter()
 	l.recurring = c.newScheduler(l)
 	l.attempts = attempts.New(c.Engine, l.placement, attemptJobs{c, l})
 	l.dispatcher = dispatch.New(c.Engine, l.scope, dispatchLeader{c, l}, l.relays, l.placement, l.term)
@@ -123,7 +125,7 @@
 	return &leadership{
 		authority: authority{acknowledged: map[string]bool{}},
 		inherited: inherited{unreadableJobs: map[string]bool{}, newerTokens: map[string]uint64{}},
-		workload:  workload{jobs: map[string]*fleet.Job{}, accept: map[string]*submission{}, teams: quota.Accounts{}},
+		workload:  workload{jobs: map[string]*fleet.Job{}, teams: quota.Accounts{}},
 		config:    newConfiguring(cfg),
 	}
 }
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -4,16 +4,21 @@
 	"time"
 
 	"yewpass/internal/fleet"
-	"yewpass/internal/kv"
 	"yewpass/internal/lifecycle"
 	"yewpass/internal/spec"
-	"yewpass/internal/writebatch"
 )
 
 // newLifecycle returns the manager of the jobs of the leadership that begins.
 func (c *Core) newLifecycle() *lifecycle.Manager {
 	l := c.leadership
-	state := lifecycle.State{Jobs: l.jobs, Teams: l.teams, Placement: l.placement, Store: c.jobs}
+	state := lifecycle.State{
+		Jobs:      l.jobs,
+		Teams:     l.teams,
+		Placement: l.placement,
+		Writes:    l.writes,
+		Replicas:  l.publisher,
+		Store:     c.jobs,
+	}
 	return lifecycle.New(c.Engine, l.scope, c.cfg.Settings.State, state, lifecycleLeader{c})
 }
 
@@ -36,14 +41,3 @@
 func (a lifecycleLeader) JobFinished(j *fleet.Job, state spec.JobState) {
 	a.core.leadership.recurring.JobFinished(j, state)
 }
-
-// Write implements lifecycle.Leader.
-func (a lifecycleLeader) Write(change *writebatch.Change) { a.core.leadership.writes.Add(change) }
-
-// ReadBack implements lifecycle.Leader.
-func (a lifecycleLeader) ReadBack(key string, f func(entry kv.Entry, found bool)) {
-	a.core.readBack(key, f)
-}
-
-// DropReplica implements lifecycle.Leader.
-func (a lifecycleLeader) DropReplica(key string) { a.core.replicateDrop(key) }
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"yewpass/internal/fleet"
+	"yewpass/internal/jobstore"
 	"yewpass/internal/kv"
 	"yewpass/internal/record"
 	"yewpass/internal/recurring"
@@ -58,14 +59,14 @@
 }
 
 // AddJob implements recurring.Leader.
-func (r recurringLeader) AddJob(rec *record.Job) { r.core.newJob(rec) }
+func (r recurringLeader) AddJob(rec *record.Job) { r.core.leadership.admitter.AddCommitted(rec) }
 
 // CatalogRead implements recurring.Leader.
 func (r recurringLeader) CatalogRead() bool { return r.core.leadership.autoscaler.Loaded }
 
 // Unschedulable implements recurring.Leader.
 func (r recurringLeader) Unschedulable(job *spec.Job) (field, reason string) {
-	if refusal := r.core.checkSchedulable(job); refusal != nil {
+	if refusal := r.core.leadership.admitter.CheckSchedulable(job); refusal != nil {
 		return refusal.Field, refusal.Reason
 	}
 	return "", ""
@@ -73,11 +74,13 @@
 
 // AdmissionRefused implements recurring.Leader.
 func (r recurringLeader) AdmissionRefused(job *spec.Job) (lateness time.Duration, refused bool) {
-	return r.core.admissionRefused(job)
+	return r.core.leadership.admitter.RefusedForNow(job)
 }
 
 // FitsValue implements recurring.Leader.
-func (r recurringLeader) FitsValue(size int) bool { return r.core.fitsValue(size) }
+func (r recurringLeader) FitsValue(size int) bool {
+	return jobstore.FitsValue(size, r.core.cfg.Settings.State)
+}
 
 // Write implements recurring.Leader.
 func (r recurringLeader) Write(change *writebatch.Change) { r.core.leadership.writes.Add(change) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -167,7 +167,7 @@
 		g.serveWithoutLeader(f.request)
 		return
 	}
-	if answer.Status == 200 && op == request.Get && isFinal(answer.View.State) {
+	if answer.Status == 200 && op == request.Get && answer.View.State.Final() {
 		// Only a final answer to a poll: the answer to a cancellation may tell of a job
 		// that is cancelled and still on record, with tasks that are not yet stopped.
 		g.jobs.Remember(f.request.ID, record.Final{State: answer.View.State, Done: answer.View.Done})
@@ -175,8 +175,6 @@
 	g.answer(f.request, *answer)
 }
 
-func isFinal(s spec.JobState) bool { return s == spec.Done || s == spec.Cancelled }
-
 // HandleLinkLost serves what was forwarded over a link that is lost.
 func (g *Gateway) HandleLinkLost(name string) {
 	for _, ref := range slices.Sorted(maps.Keys(g.forwarded)) {
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -70,3 +70,9 @@
 	Writes     []Write
 	Timeout    time.Duration // give up after this
 }
+
+// WatchPrefix returns the request that waits until a key below the prefix has changed after
+// a revision, or for long.
+func WatchPrefix(prefix string, after uint64) Request {
+	return Request{Op: Watch, Key: prefix, FromRev: after, Block: 20 * time.Second, Timeout: 25 * time.Second}
+}
--- a/internal/lifecycle/cancel.go
+++ b/internal/lifecycle/cancel.go
@@ -63,7 +63,7 @@
 		OnCommit:   func(uint64) { m.cancelled(j, &cancelled) },
 	}
 	j.EndingChange = change
-	m.leader.Write(change)
+	m.Writes.Add(change)
 }
 
 // cancelled follows the commit of a cancellation.
@@ -79,7 +79,7 @@
 // cancelled.
 func (m *Manager) finishRecorded(j *fleet.Job) {
 	m.AnswerWaiters(j, request.Unavailable("the job has just ended, try again"))
-	m.leader.ReadBack(record.FinalPrefix+j.Spec.ID, func(e kv.Entry, _ bool) {
+	m.Writes.ReadBack(record.FinalPrefix+j.Spec.ID, func(e kv.Entry, _ bool) {
 		if final, _ := e.Value.(*record.Final); final != nil && m.Jobs[j.Spec.ID] == j {
 			m.finished(j, *final)
 		}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -10,11 +10,11 @@
 	"yewpass/internal/engine"
 	"yewpass/internal/fleet"
 	"yewpass/internal/jobstore"
-	"yewpass/internal/kv"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/placement"
 	"yewpass/internal/quota"
 	"yewpass/internal/record"
+	"yewpass/internal/replication"
 	"yewpass/internal/request"
 	"yewpass/internal/spec"
 	"yewpass/internal/topology"
@@ -33,12 +33,6 @@
 	RequestDispatch(m *fleet.Machine)
 	// JobFinished is called when a job is over, on record and in memory.
 	JobFinished(j *fleet.Job, state spec.JobState)
-	// Write queues a change of records.
-	Write(change *writebatch.Change)
-	// ReadBack reads a record until the store answers; found is false if there is none.
-	ReadBack(key string, f func(entry kv.Entry, found bool))
-	// DropReplica takes a record that was deleted out of the replicas.
-	DropReplica(key string)
 }
 
 // State is the leader's state that a Manager works on.
@@ -46,6 +40,8 @@
 	Jobs      map[string]*fleet.Job // that are not over
 	Teams     quota.Accounts
 	Placement *placement.Scheduler
+	Writes    *writebatch.Batcher
+	Replicas  *replication.Publisher
 	Store     *jobstore.Reader
 }
 
@@ -165,7 +161,7 @@
 func (m *Manager) finished(j *fleet.Job, final record.Final) {
 	id := j.Spec.ID
 	m.Store.Remember(id, final)
-	m.leader.DropReplica(record.JobPrefix + id) // however we have learned that it is over
+	m.Replicas.Drop(record.JobPrefix + id) // however we have learned that it is over
 	delete(m.Jobs, id)
 	j.Team.JobCount--
 	m.Placement.DropReservations(j)
--- a/internal/lifecycle/records.go
+++ b/internal/lifecycle/records.go
@@ -42,7 +42,7 @@
 		},
 		OnConflict: func() {
 			// A write of ours whose outcome was not known has been applied.
-			m.leader.ReadBack(key, func(e kv.Entry, _ bool) {
+			m.Writes.ReadBack(key, func(e kv.Entry, _ bool) {
 				j.ChunkRevisions[chunk] = e.Rev // 0 if there is none
 				if m.Jobs[j.Spec.ID] == j && !j.Halted() {
 					m.recordProgress(j, chunk)
@@ -60,7 +60,7 @@
 		change.Writes[0].Value = &record.Progress{Ranges: j.Done.EncodeChunk(chunk * bitset.ChunkSize)}
 		return true
 	}
-	m.leader.Write(change)
+	m.Writes.Add(change)
 }
 
 // forgetRecorded lets workers forget the tasks of a chunk that the key-value store now
@@ -102,9 +102,9 @@
 			drops = append(drops, &writebatch.Change{Writes: []kv.Write{w}, Priority: writebatch.Bulk})
 		}
 	}
-	m.leader.Write(change)
+	m.Writes.Add(change)
 	for _, drop := range drops {
-		m.leader.Write(drop)
+		m.Writes.Add(drop)
 	}
 }
 
--- a/internal/spec/state.go
+++ b/internal/spec/state.go
@@ -15,3 +15,6 @@
 func (s JobState) Known() bool {
 	return s == "" || s == Queued || s == Running || s == Done || s == Cancelled
 }
+
+// Final reports whether a job in this state has ended.
+func (s JobState) Final() bool { return s == Done || s == Cancelled }
