--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -30,7 +30,7 @@
 	for _, ch := range l.writes.Queued(writebatch.Occurrence) {
 		room -= len(ch.Writes)
 	}
-	l.recurring.MakeOccurrences(room)
+	l.recurring.CreateDue(room)
 }
 
 // occurrencesWait reports whether some could be made if the allowance let them.
--- a/internal/recurring/write.go
+++ b/internal/recurring/write.go
@@ -12,109 +12,108 @@
 	"yewpass/internal/writebatch"
 )
 
-// writeSchedule writes a record as apply changes it, with the job of an
-// occurrence if there is one. taken is called when the job's id has a record
-// already.
-func (s *Scheduler) writeSchedule(rj *recurringJob, ln writebatch.Priority, apply func(r *schedule.Record), job *record.Job, done, taken func()) {
-	rj.writing = true
-	rj.generation++
-	ch := &writebatch.Change{Priority: ln}
-	s.prepareWrite(rj, ch, apply, job, done, taken)
-	s.leader.Write(ch)
+// unreadableRetryDelay is how long a record that cannot be read is left alone.
+const unreadableRetryDelay = time.Second
+
+// recordChange is a change of a schedule's record.
+type recordChange struct {
+	priority writebatch.Priority
+	apply    func(r *schedule.Record)
+	job      *record.Job // written with it, or nil
+	done     func()      // called once it is committed
+	idTaken  func()      // called if the ID of job has a record already; nil without a job
+}
+
+// write queues a change of a schedule's record.
+func (s *Scheduler) write(job *recurringJob, rc recordChange) {
+	job.writing = true
+	job.generation++
+	change := &writebatch.Change{Priority: rc.priority}
+	s.prepare(job, change, rc)
+	s.leader.Write(change)
 }
 
-// prepareWrite fills in a change of a schedule's record.
-func (s *Scheduler) prepareWrite(rj *recurringJob, ch *writebatch.Change, apply func(r *schedule.Record), job *record.Job, done, taken func()) {
-	key := record.SchedulePrefix + rj.name
-	// Times are fixed here: what is applied to memory is what was written.
-	rec := rj.record.Clone()
-	apply(rec)
+// prepare fills in a change. The record is built here, so that memory takes on what was
+// written, times included.
+func (s *Scheduler) prepare(job *recurringJob, change *writebatch.Change, rc recordChange) {
+	rec := job.record.Clone()
+	rc.apply(rec)
 	rec.Seq++
-	ch.Size = rec.Size()
-	ch.Conditions = []kv.Condition{{Key: key, Rev: rj.revision}}
-	ch.Writes = []kv.Write{{Key: key, Value: rec}}
-	if job != nil {
-		id := job.Spec.ID
-		ch.Size += record.JobSize(&job.Spec)
-		ch.Conditions = append(ch.Conditions, record.NoJob(id)...)
-		ch.Writes = append(ch.Writes, kv.Write{Key: record.JobPrefix + id, Value: job})
+	change.Size = rec.Size()
+	change.Conditions = []kv.Condition{{Key: job.key(), Rev: job.revision}}
+	change.Writes = []kv.Write{{Key: job.key(), Value: rec}}
+	if rc.job != nil {
+		id := rc.job.Spec.ID
+		change.Size += record.JobSize(&rc.job.Spec)
+		change.Conditions = append(change.Conditions, record.NoJob(id)...)
+		change.Writes = append(change.Writes, kv.Write{Key: record.JobPrefix + id, Value: rc.job})
 	}
-	ch.OnCommit = func(rev uint64) {
-		// News of jobs that came meanwhile are in memory only, and go next. The
-		// record that was written stays as it is.
+	change.OnCommit = func(revision uint64) {
+		// News of jobs that came meanwhile are in memory only and go with the next write.
+		// The value that was written must not change.
 		rec := rec.Clone()
-		rec.Follow(rj.record)
-		rj.record, rj.revision = rec, rev
-		s.writeFinished(rj, done)
+		rec.Follow(job.record)
+		job.record, job.revision = rec, revision
+		s.finishWrite(job, rc.done)
 	}
-	ch.OnConflict = func() {
-		// A condition did not hold. Ours to write: either an earlier try of this
-		// very change has been applied, or a job has the id.
-		s.readSchedule(rj, func(found *schedule.Record, rev uint64) {
-			switch {
-			case found == nil:
-				rj.reply(s, noSchedule(rj.name))
-				s.forgetSchedule(rj)
-			case found.Seq == rec.Seq:
-				ch.OnCommit(rev)
-			case rev != rj.revision:
-				rj.revision = rev
-				ch.Conditions[0].Rev = rev
-				s.leader.Write(ch)
-			case taken != nil:
-				s.writeFinished(rj, taken)
-			default:
-				s.leader.Write(ch)
-			}
-		})
-	}
-	ch.OnReject = func() {
-		rj.definition, rj.problem = nil, "the state service rejects its record"
-		rj.reply(s, request.Unavailable(rj.problem))
-		s.writeFinished(rj, func() {})
+	change.OnConflict = func() { s.resolveConflict(job, change, rec.Seq, rc.idTaken) }
+	change.OnReject = func() {
+		job.definition, job.problem = nil, "the state service rejects its record"
+		s.reply(job, request.Unavailable(job.problem))
+		s.finishWrite(job, func() {})
 	}
 }
 
-// readSchedule reads a record back; found is nil if there is none.
-func (s *Scheduler) readSchedule(rj *recurringJob, f func(found *schedule.Record, rev uint64)) {
-	s.leader.ReadBack(record.SchedulePrefix+rj.name, func(e kv.Entry, found bool) {
-		rec, _ := e.Value.(*schedule.Record)
+// resolveConflict follows a condition that did not hold. The leader alone writes the
+// record: either an earlier try of this change has been applied, or the job's ID is taken.
+func (s *Scheduler) resolveConflict(job *recurringJob, change *writebatch.Change, seq uint64, idTaken func()) {
+	s.readRecord(job, func(found *schedule.Record, revision uint64) {
+		switch {
+		case found == nil:
+			s.reply(job, noSchedule(job.name))
+			s.forget(job)
+		case found.Seq == seq:
+			change.OnCommit(revision)
+		case revision != job.revision:
+			job.revision = revision
+			change.Conditions[0].Rev = revision
+			s.leader.Write(change)
+		case idTaken != nil:
+			s.finishWrite(job, idTaken)
+		default:
+			s.leader.Write(change)
+		}
+	})
+}
+
+// readRecord reads a schedule's record back; found is nil if there is none.
+func (s *Scheduler) readRecord(job *recurringJob, f func(found *schedule.Record, revision uint64)) {
+	s.leader.ReadBack(job.key(), func(entry kv.Entry, found bool) {
+		rec, _ := entry.Value.(*schedule.Record)
 		if found && rec == nil {
-			s.engine.Log(slog.LevelError, "record is unreadable", "key", e.Key)
-			s.scope.After(s.engine.Jitter(time.Second), func() { s.readSchedule(rj, f) })
+			s.engine.Log(slog.LevelError, "record is unreadable", "key", entry.Key)
+			s.scope.After(s.engine.Jitter(unreadableRetryDelay), func() { s.readRecord(job, f) })
 			return
 		}
-		f(rec, e.Rev)
+		f(rec, entry.Rev)
 	})
 }
 
-// writeFinished follows a write: what waited for it goes on.
-func (s *Scheduler) writeFinished(rj *recurringJob, then func()) {
-	rj.writing = false
+// finishWrite follows a write: what waited for it goes on.
+func (s *Scheduler) finishWrite(job *recurringJob, then func()) {
+	job.writing = false
 	then()
-	for !rj.writing && len(rj.waiting) > 0 {
-		call := rj.waiting[0]
-		rj.waiting = slices.Delete(rj.waiting, 0, 1)
+	for !job.writing && len(job.waiting) > 0 {
+		call := job.waiting[0]
+		job.waiting = slices.Delete(job.waiting, 0, 1)
 		s.Serve(call)
 	}
-	if rj.writing || rj.removed {
+	if job.writing || job.removed {
 		return
 	}
-	s.applyPendingEntries(rj)
-	if rj.historyDirty {
-		s.flushSchedule(rj)
-	}
-	s.planNext(rj)
-}
-
-func (s *Scheduler) forgetSchedule(rj *recurringJob) {
-	rj.removed = true
-	rj.generation++
-	if s.byName[rj.name] == rj {
-		delete(s.byName, rj.name)
-		if i, found := slices.BinarySearch(s.names, rj.name); found {
-			s.names = slices.Delete(s.names, i, i+1)
-		}
+	s.applyPendingEntries(job)
+	if job.historyDirty {
+		s.flushHistory(job)
 	}
-	s.writeFinished(rj, func() {})
+	s.planNext(job)
 }
