--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -5,10 +5,7 @@
 	"strings"
 )
 
-// IsConfigKey reports whether a key is of the configuration.
-func IsConfigKey(key string) bool { return strings.HasPrefix(key, ConfigPrefix) }
-
-// Keys of the state service. Everything that a successor reads lies under
+// The keys and prefixes of the records. Everything that a new leader reads lies under
 // LivePrefix; how jobs ended lies apart, so that a failover never reads it.
 const (
 	Root             = "yewpass/"
@@ -33,7 +30,10 @@
 	ConfigTeamPrefix = ConfigPrefix + "team/"
 )
 
-// IsScheduleKey reports whether a record is one of those that schedules are read from.
+// IsConfigKey reports whether a key belongs to the live configuration.
+func IsConfigKey(key string) bool { return strings.HasPrefix(key, ConfigPrefix) }
+
+// IsScheduleKey reports whether a key belongs to the schedules.
 func IsScheduleKey(key string) bool {
 	return strings.HasPrefix(key, SchedulePrefix) || key == ScheduleNumberKey
 }
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,47 +1,42 @@
 // Package request holds what users and operators ask of a controller, and the answers.
-// Package api maps them to HTTP.
+// Package api maps them to HTTP, package peer to lines between controllers.
 package request
 
 import (
 	"time"
+
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/schedule"
 	"yewpass/internal/spec"
 )
 
-// IsCluster reports whether an operation is about the controllers and not about jobs.
-func IsCluster(op Operation) bool { return op == Cluster || op == HandOver }
-
-// ConfigParams is what a user asks of the configuration, next to the operation.
-type ConfigParams struct {
-	Name       string                  `json:"name,omitempty"`       // of get
-	Teams      []liveconfig.TeamChange `json:"teams,omitempty"`      // of set
-	IfRevision *uint64                 `json:"ifRevision,omitempty"` // of set
-	After      string                  `json:"after,omitempty"`      // of list: the name before
-	Count      int                     `json:"count,omitempty"`      // of list: how many at the most
-}
-
-// NewOnly as an ETag stands for a schedule that is not there yet.
-const NewOnly = "new"
-
-// Operation is what a user asks for.
+// Operation is what a request asks for. The texts are those of lines between controllers.
 type Operation string
 
-// The operations of the user interface.
+// The operations on jobs.
 const (
 	Submit Operation = "submit"
 	Get    Operation = "get"
 	Cancel Operation = "cancel"
+)
 
+// The operations on the controllers themselves.
+const (
 	Cluster  Operation = "cluster"
 	HandOver Operation = "hand over"
+)
 
+// The operations on the live configuration.
+const (
 	ConfigSet    Operation = "config set"
 	ConfigGet    Operation = "config get"
 	ConfigList   Operation = "config list"
 	ConfigStatus Operation = "config status"
-	ConfigHere   Operation = "config here" // what the node has that is asked, whoever leads
+	ConfigHere   Operation = "config here" // what the node that is asked has, whoever leads
+)
 
+// The operations on schedules.
+const (
 	SchedulePut      Operation = "schedule put"
 	ScheduleGet      Operation = "schedule get"
 	ScheduleList     Operation = "schedule list"
@@ -53,61 +48,81 @@
 	ScheduleHistory  Operation = "schedule history"
 )
 
-// ScheduleParams is what a user asks of a schedule, next to the operation.
-type ScheduleParams struct {
-	Name    string         `json:"name,omitempty"`
-	File    *schedule.File `json:"file,omitempty"`    // of put
-	IfMatch string         `json:"ifMatch,omitempty"` // the ETag it is based on; "" any, "new" none
-	After   string         `json:"after,omitempty"`   // of list: the name before
-	Count   int            `json:"count,omitempty"`   // of list and upcoming: how many at the most
-	Request string         `json:"request,omitempty"` // of run: the caller's name for it
+// IsCluster reports whether an operation is about the controllers and not about jobs.
+func IsCluster(op Operation) bool { return op == Cluster || op == HandOver }
+
+// IsConfig reports whether an operation is about the configuration and served by the leader.
+func IsConfig(op Operation) bool {
+	return op == ConfigSet || op == ConfigGet || op == ConfigList || op == ConfigStatus
 }
 
-// Request is a user's request, from this node's own socket or forwarded by a
-// peer.
+// MaxCount bounds how many items one answer lists.
+const MaxCount = 200
+
+// NewOnly stands in ScheduleParams.IfMatch for a schedule that does not exist yet.
+const NewOnly = "new"
+
+// Request is a user's request, from this node's own socket or forwarded by a peer.
 type Request struct {
 	Ref  uint64
-	From string // the peer that forwarded it, empty for our own user
+	From string // the peer that forwarded it; empty for our own user
 	Op   Operation
-	ID   string
-	Spec *spec.Job
+	ID   string    // of the job
+	Spec *spec.Job // of Submit
 
-	Schedule *ScheduleParams
-	Config   *ConfigParams
+	Schedule *ScheduleParams // of operations on schedules
+	Config   *ConfigParams   // of operations on the configuration
 }
 
-// IsJob reports whether the call is about one job.
-func (u *Request) IsJob() bool { return u.Schedule == nil && u.Config == nil && !IsCluster(u.Op) }
+// IsJob reports whether the request is about one job.
+func (r *Request) IsJob() bool { return r.Schedule == nil && r.Config == nil && !IsCluster(r.Op) }
 
-// IsConfig reports whether an operation is about the configuration.
-func IsConfig(op Operation) bool {
-	return op == ConfigSet || op == ConfigGet || op == ConfigList || op == ConfigStatus
+// ScheduleParams are the parameters of an operation on schedules.
+type ScheduleParams struct {
+	Name    string         `json:"name,omitempty"`
+	File    *schedule.File `json:"file,omitempty"`    // of put
+	IfMatch string         `json:"ifMatch,omitempty"` // the ETag that the request is based on, NewOnly, or empty for any
+	After   string         `json:"after,omitempty"`   // of list: the last name of the page before
+	Count   int            `json:"count,omitempty"`   // of list and upcoming: how many at most
+	Request string         `json:"request,omitempty"` // of run: the caller's name for it, which makes it idempotent
 }
 
-// MaxCount bounds what one answer lists.
-const MaxCount = 200
-
-// JobStatus is what a user is told of a job.
-type JobStatus struct {
-	ID            string
-	State         spec.JobState
-	Done, Running int
+// ConfigParams are the parameters of an operation on the configuration.
+type ConfigParams struct {
+	Name       string                  `json:"name,omitempty"`       // of get
+	Teams      []liveconfig.TeamChange `json:"teams,omitempty"`      // of set
+	IfRevision *uint64                 `json:"ifRevision,omitempty"` // of set: the revision that it is based on
+	After      string                  `json:"after,omitempty"`      // of list: the last name of the page before
+	Count      int                     `json:"count,omitempty"`      // of list: how many at most
 }
 
-// Response answers a Request.
+// Response is the answer to a Request.
 type Response struct {
 	Ref        uint64
-	Status     int
-	RetryAfter time.Duration
+	Status     int           // of HTTP
+	RetryAfter time.Duration // with 503 and 429
 	View       JobStatus
-	Field      string
+	Field      string // that is wrong
 	Reason     string
-	Doc        any    // a document in JSON instead of the view
+	Doc        any    // a document in JSON in place of View
 	ETag       string // of the document
 }
 
-// Unavailable returns the response to a request that cannot be served for now and may be
-// tried again.
+// JobStatus is what a user is told of a job.
+type JobStatus struct {
+	ID      string
+	State   spec.JobState
+	Done    int // tasks
+	Running int // tasks
+}
+
+// statusUnavailable is the status 503 of HTTP; this package does not depend on HTTP.
+const statusUnavailable = 503
+
+// retryAfter is when a request that cannot be served for now may be tried again.
+const retryAfter = time.Second
+
+// Unavailable returns the response to a request that cannot be served for now.
 func Unavailable(reason string) Response {
-	return Response{Status: 503, RetryAfter: time.Second, Reason: reason}
+	return Response{Status: statusUnavailable, RetryAfter: retryAfter, Reason: reason}
 }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -15,43 +15,47 @@
 	CPU, GPU, Mem int64
 }
 
-// most bounds an amount, in thousandths: above anything that input checks let through,
-// and far below where sums over all tasks of a job turn round.
-const most = 1 << 40
-
-// Thousandths turns a decimal amount into thousandths, rounded up for what a
-// task takes and down for what a machine has, so that rounding never overbooks. What
-// is no amount counts as more than any machine has, or as nothing.
-func Thousandths(x float64, up bool) int64 {
-	y := x * 1000
+// maxAmount bounds an amount, in thousandths: above anything that input checks let through,
+// and far below where sums over all tasks of a job would overflow.
+const maxAmount = 1 << 40
+
+// roundingTolerance is how far from a whole number of thousandths, relative to the amount,
+// a decimal amount may be through its binary form alone.
+const roundingTolerance = 1e-6
+
+// Thousandths returns a decimal amount in thousandths, rounded up for what a task takes and
+// down for what a machine has, so that rounding never overbooks. NaN counts as more than any
+// machine has when rounded up, and as nothing when rounded down.
+func Thousandths(amount float64, roundUp bool) int64 {
+	scaled := amount * 1000
 	switch {
-	case math.IsNaN(y) && up, y > most:
-		return most
-	case math.IsNaN(y), y < -most:
+	case math.IsNaN(scaled) && roundUp, scaled > maxAmount:
+		return maxAmount
+	case math.IsNaN(scaled), scaled < -maxAmount:
 		return 0
 	}
-	if r := math.Round(y); math.Abs(y-r) < 1e-6*math.Max(1, math.Abs(y)) {
-		return int64(r)
+	rounded := math.Round(scaled)
+	if math.Abs(scaled-rounded) < roundingTolerance*math.Max(1, math.Abs(scaled)) {
+		return int64(rounded)
 	}
-	if up {
-		return int64(math.Ceil(y))
+	if roundUp {
+		return int64(math.Ceil(scaled))
 	}
-	return int64(math.Floor(y))
+	return int64(math.Floor(scaled))
 }
 
-// Seconds turns a decimal number of seconds into a duration, Forever at the most:
-// beyond what a duration holds the conversion itself would give anything. What is no
-// number counts as 0.
-func Seconds(s float64) time.Duration {
+// Seconds returns a decimal number of seconds as a duration, Forever at most: the conversion
+// of what a duration cannot hold is undefined. NaN counts as 0.
+func Seconds(seconds float64) time.Duration {
 	switch limit := Forever.Seconds(); {
-	case math.IsNaN(s):
+	case math.IsNaN(seconds):
 		return 0
-	case s > limit:
+	case seconds > limit:
 		return Forever
-	case s < -limit:
+	case seconds < -limit:
 		return -Forever
 	}
-	return time.Duration(s * float64(time.Second))
+	return time.Duration(seconds * float64(time.Second))
 }
 
 // Need returns what a task takes.
@@ -74,17 +78,23 @@
 	return r.CPU <= room.CPU && r.GPU <= room.GPU && r.Mem <= room.Mem
 }
 
-// Times says how often r fits into room, at most limit.
+// Times returns how often r fits into room, at most limit.
 func (r Resources) Times(room Resources, limit int) int {
 	n := int64(limit)
-	for _, p := range [...][2]int64{{r.CPU, room.CPU}, {r.GPU, room.GPU}, {r.Mem, room.Mem}} {
-		if p[0] > 0 {
-			n = min(n, p[1]/p[0])
-		}
-	}
+	n = atMost(n, r.CPU, room.CPU)
+	n = atMost(n, r.GPU, room.GPU)
+	n = atMost(n, r.Mem, room.Mem)
 	return int(max(n, 0))
 }
 
+// atMost returns n, or how often need fits into room if that is less.
+func atMost(n, need, room int64) int64 {
+	if need <= 0 {
+		return n
+	}
+	return min(n, room/need)
+}
+
 // Forever ends the booking of a service, which runs until it is cancelled.
 const Forever = 20 * 365 * 24 * time.Hour
 
@@ -95,16 +105,17 @@
 	Count      int
 }
 
+// point is a time at which what is booked changes.
 type point struct {
 	at   time.Time
-	used Resources
+	used Resources // from then on, until the next point
 }
 
 // Timeline is the bookings of one machine. The zero value has no room.
 type Timeline struct {
 	capacity Resources
 	bookings []*Booking
-	profile  []point // use from each point to the next, rebuilt when stale
+	profile  []point // in order of time; valid unless stale
 	stale    bool
 }
 
@@ -132,32 +143,37 @@
 // Touch tells the timeline that a booking on it has changed.
 func (t *Timeline) Touch() { t.stale = true }
 
+// points returns the profile of what is booked, rebuilt if a booking has changed.
 func (t *Timeline) points() []point {
 	if !t.stale {
 		return t.profile
 	}
 	t.stale = false
-	ps := t.profile[:0]
+	changes := t.profile[:0]
 	for _, b := range t.bookings {
-		if b.Count > 0 && b.Start.Before(b.End) {
-			ps = append(ps, point{b.Start, Resources{}.Add(b.Need, b.Count)}, point{b.End, Resources{}.Add(b.Need, -b.Count)})
+		if b.Count <= 0 || !b.Start.Before(b.End) {
+			continue
 		}
+		changes = append(changes,
+			point{b.Start, Resources{}.Add(b.Need, b.Count)},
+			point{b.End, Resources{}.Add(b.Need, -b.Count)})
 	}
-	slices.SortFunc(ps, func(a, b point) int { return a.at.Compare(b.at) })
-	out := ps[:0]
-	var use Resources
-	for _, p := range ps {
-		use = use.Add(p.used, 1)
-		if n := len(out); n > 0 && out[n-1].at.Equal(p.at) {
-			out[n-1].used = use
+	slices.SortFunc(changes, func(a, b point) int { return a.at.Compare(b.at) })
+	profile := changes[:0] // never ahead of what is read
+	var used Resources
+	for _, change := range changes {
+		used = used.Add(change.used, 1)
+		if n := len(profile); n > 0 && profile[n-1].at.Equal(change.at) {
+			profile[n-1].used = used
 		} else {
-			out = append(out, point{p.at, use})
+			profile = append(profile, point{change.at, used})
 		}
 	}
-	t.profile = out
-	return out
+	t.profile = profile
+	return profile
 }
 
+// room returns what is left of the machine beside what is used.
 func (t *Timeline) room(used Resources) Resources { return t.capacity.Add(used, -1) }
 
 // Latest returns the latest start, not before from, at which need fits for
@@ -169,20 +185,20 @@
 	if !need.Fits(t.capacity) || from.Add(length).After(deadline) {
 		return time.Time{}, false
 	}
-	ps := t.points()
+	points := t.points()
 	end := deadline
-	for i := len(ps) - 1; i >= 0; i-- {
-		if !ps[i].at.Before(end) || need.Fits(t.room(ps[i].used)) {
+	for i := len(points) - 1; i >= 0; i-- {
+		if !points[i].at.Before(end) || need.Fits(t.room(points[i].used)) {
 			continue
 		}
-		segEnd := end // the last point has no use after it, so i+1 exists here
-		if i+1 < len(ps) {
-			segEnd = ps[i+1].at
+		gapStart := end // nothing is used after the last point, so i+1 exists here
+		if i+1 < len(points) {
+			gapStart = points[i+1].at
 		}
-		if start := end.Add(-length); !start.Before(segEnd) && !start.Before(from) {
+		if start := end.Add(-length); !start.Before(gapStart) && !start.Before(from) {
 			return start, true
 		}
-		end = ps[i].at
+		end = points[i].at
 		if from.Add(length).After(end) {
 			return time.Time{}, false
 		}
@@ -197,33 +213,33 @@
 	if !need.Fits(t.capacity) {
 		return time.Time{}, false
 	}
-	ps := t.points()
+	points := t.points()
 	start := from
-	for i, p := range ps {
+	for i, p := range points {
 		if !p.at.Before(start.Add(length)) {
 			break
 		}
 		if need.Fits(t.room(p.used)) {
 			continue
 		}
-		if i+1 < len(ps) && ps[i+1].at.After(start) {
-			start = ps[i+1].at
+		if i+1 < len(points) && points[i+1].at.After(start) {
+			start = points[i+1].at
 		}
 	}
 	return start, true
 }
 
-// Count says how many tasks of the given need fit from start for length, at
+// Count returns how many tasks of the given need fit from start for length, at
 // most limit.
 func (t *Timeline) Count(start time.Time, length time.Duration, need Resources, limit int) int {
 	n := need.Times(t.capacity, limit)
 	end := start.Add(length)
-	ps := t.points()
-	for i, p := range ps {
+	points := t.points()
+	for i, p := range points {
 		if !p.at.Before(end) {
 			break
 		}
-		if i+1 < len(ps) && !ps[i+1].at.After(start) {
+		if i+1 < len(points) && !points[i+1].at.After(start) {
 			continue
 		}
 		n = min(n, need.Times(t.room(p.used), limit))
