--- a/internal/core/quota.go
+++ /dev/null
@@ -1,1 +0,0 @@
-package core
