--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -2,81 +2,139 @@
 
 import (
 	"log/slog"
-	"maps"
 	"slices"
 	"time"
 	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 )
 
-// Reports of workers: which are believed, and what is learned from them.
+// verdict is what is made of a worker's heartbeat.
+type verdict int
 
+const (
+	accepted     verdict = iota
+	resent               // by a relay in a new session, and accepted before
+	overtaken            // by the worker's own answer to a probe
+	stale                // delayed on the way: what it says is older than what is known
+	deferred             // until the records have been read
+	refused              // we have no authority to answer it
+	unknownToken         // the worker has seen a fencing token newer than ours
+)
+
+// handleHeartbeat takes in a worker's heartbeat from our own socket or a relay.
 func (c *Core) handleHeartbeat(in heartbeat.Received) {
-	l := c.leadership
-	rep := &in.Report
-	refuse := func() { l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 503}) }
-	if l != nil && rep.FencingToken > l.term && !c.hasAuthority() {
+	if l := c.leadership; l != nil && in.Report.FencingToken > l.term && !c.hasAuthority() {
 		c.stepDown("a worker has seen a newer epoch")
-		l = nil
 	}
-	switch {
-	case l == nil:
+	l := c.leadership
+	if l == nil {
 		c.forwarder.Receive(in)
 		return
-	case rep.FencingToken > l.term:
-		refuse()
+	}
+	rep := &in.Report
+	var m *fleet.Machine
+	v := c.screenHeartbeat(rep)
+	if v == accepted {
+		m = l.inventory.Ensure(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
+		if m.Record == fleet.Unrecorded {
+			m.Address = rep.Address // a machine keeps it
+		}
+		v = c.compareHeartbeat(m, in)
+	}
+	switch v {
+	case accepted, resent:
+		c.acceptHeartbeat(m, in, v == resent)
+	case overtaken:
+		// Nothing new, but a worker that waits for its reply.
+		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
+		m.LastReply = c.Now
+	case deferred:
+		l.pendingHeartbeats = append(l.pendingHeartbeats, in)
+	case stale:
+		c.staleHeartbeats++
+		c.refuseHeartbeat(in)
+	case refused:
+		c.refuseHeartbeat(in)
+	case unknownToken:
+		c.refuseHeartbeat(in)
 		c.handleNewerToken(rep.Host, rep.FencingToken, func() {
 			c.leadership.autoscaler.Release(c.leadership.inventory.Ensure(rep.Host, rep.InstanceType, rep.Zone, rep.Spot))
 		})
-		return
-	case !c.hasAuthority() && (c.leaseTiming.GraceOver(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew) || c.Now.Before(l.expiresAt)):
-		// The hold is over by one of our clocks, or the steady one has stood still and
-		// cannot say.
-		refuse()
-		return
+	}
+}
+
+func (c *Core) refuseHeartbeat(in heartbeat.Received) {
+	c.leadership.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 503})
+}
+
+// screenHeartbeat judges a heartbeat by the state of the leadership alone.
+func (c *Core) screenHeartbeat(rep *heartbeat.Report) verdict {
+	l := c.leadership
+	switch {
+	case rep.FencingToken > l.term:
+		return unknownToken
+	case !c.hasAuthority() && !c.inGracePeriod():
+		return refused
 	case l.inventory.Released(rep.Host):
-		// Released and proven gone: whatever arrives now was sent before.
-		c.staleHeartbeats++
-		refuse()
-		return
+		return stale // the machine is proven gone: whatever arrives now was sent before
 	case !l.loaded:
-		l.pendingHeartbeats = append(l.pendingHeartbeats, in)
-		return
+		return deferred
+	}
+	return accepted
+}
+
+// inGracePeriod reports whether a leader without authority may still answer workers: not
+// once the grace period is over by one of our clocks, nor if the steady one has stood
+// still and cannot say.
+func (c *Core) inGracePeriod() bool {
+	l := c.leadership
+	over := c.leaseTiming.GraceOver(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew)
+	return !over && !c.Now.Before(l.expiresAt)
+}
+
+// compareHeartbeat judges a heartbeat by what is known of its machine.
+func (c *Core) compareHeartbeat(m *fleet.Machine, in heartbeat.Received) verdict {
+	rep := &in.Report
+	same := rep.Incarnation == m.Incarnation
+	if m.Probed && same && rep.Counter <= m.Counter && c.hasAuthority() {
+		return overtaken
 	}
-	m := c.leadership.inventory.Ensure(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
-	if m.Record == fleet.Unrecorded {
-		m.Address = rep.Address // a machine keeps it
+	if rep.Incarnation <= m.ExpiredIncarnation {
+		return stale
 	}
-	if m.Probed && rep.Incarnation == m.Incarnation && rep.Counter <= m.Counter && c.hasAuthority() {
-		// Overtaken by its own answer to our probe: nothing new, but a worker
-		// that waits for its reply.
-		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
-		m.LastReply = c.Now
-		return
+	if !m.Reported {
+		return accepted
 	}
-	// A relay that has begun a new session tells again what waits there. What was
-	// answered in the session before has not reached the worker, and will not.
-	again := in.Via.Relay != "" && m.Reported && rep.Incarnation == m.Incarnation && rep.Counter == m.Counter
-	// A worker never forgets an epoch it has seen, unless it has begun anew: then its
-	// counters may begin anew too, and what is newer by them may have been sent before it
-	// ended. Nothing of either is believed until the lease of what we know is over, which a
-	// machine that is not answered does not outlast.
-	forgets := m.Reported && rep.FencingToken < m.FencingToken
-	if !again && m.Reported && !rep.Newer(m.Incarnation, m.Counter) || rep.Incarnation <= m.ExpiredIncarnation || forgets {
-		// Delayed on the way: its task list is older than what we know.
-		c.staleHeartbeats++
-		refuse()
-		return
+	// A worker never forgets a fencing token that it has seen, unless its process has
+	// begun anew: then its counters may begin anew too, and what is newer by them may have
+	// been sent before the earlier process ended. Nothing of either is believed until the
+	// lease of what we know is over, which a machine that is not answered does not outlast.
+	if rep.FencingToken < m.FencingToken {
+		return stale
+	}
+	// A relay that has begun a new session sends again what waits there. What was answered
+	// in the session before has not reached the worker, and will not.
+	if in.Via.Relay != "" && same && rep.Counter == m.Counter {
+		return resent
+	}
+	if !rep.Newer(m.Incarnation, m.Counter) {
+		return stale
 	}
-	l.dispatcher.Refuse(m) // the worker has given up on it; this is its next report
+	return accepted
+}
+
+// acceptHeartbeat takes in a heartbeat that is believed, and answers it.
+func (c *Core) acceptHeartbeat(m *fleet.Machine, in heartbeat.Received, resent bool) {
+	l := c.leadership
+	l.dispatcher.Refuse(m) // the worker has given up on an earlier one whose reply is held
 	first := !m.Reported && !l.inventory.Unaccounted(m.Host)
-	if !again {
+	if !resent {
 		m.Probed = false
-		c.reconcile(m, rep)
+		c.reconcile(m, &in.Report)
 	}
 	l.relays.Attach(m, in.Via.Relay)
 	if m.Record == fleet.Unrecorded && c.hasAuthority() && m.Usable() {
-		c.leadership.machineRecords.Add(m)
+		l.machineRecords.Add(m)
 	}
 	if to := l.relays.RedirectTarget(m, in.Via.Relay, first); to != "" {
 		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
@@ -85,41 +143,22 @@
 	l.dispatcher.Answer(m, in)
 }
 
-// handleNewerToken: a worker says that it has seen a newer epoch than ours. If there was
-// none, it drops all that we say to it, for ever: it is of no use, and its word must
-// not end the term for all the others.
-func (c *Core) handleNewerToken(host string, epoch uint64, useless func()) {
-	c.verifyTerm("a worker has seen a newer epoch", func() {
-		if c.termsBeganAgain(host, epoch) {
-			return
-		}
-		c.Log(slog.LevelWarn, "worker reports an unknown fencing token", "machine", host, "claimed", epoch, "term", c.leadership.term)
-		if c.leadership.loaded && !c.leadership.inventory.Released(host) {
-			useless()
-		}
-	})
-}
-
-// termsBeganAgain reports whether a worker's newer epoch may show that terms have begun again. When
-// the state service and every controller's memory are lost together, nobody else is left to
-// tell: the workers would drop all that we say, and the whole fleet be returned for it. As
-// soon as several say so, the terms go on above theirs.
-func (c *Core) termsBeganAgain(host string, epoch uint64) bool {
+// reconcile brings what is known of a machine and its tasks in line with its report.
+func (c *Core) reconcile(m *fleet.Machine, rep *heartbeat.Report) {
 	l := c.leadership
-	if !l.noEarlierTerm || epoch > maxFencingToken || c.Now.Sub(l.electedAt) > 2*c.workerLease {
-		return false
+	c.reconcileMachine(m, rep)
+	c.reconcileTasks(m, rep)
+	if c.dropUnlisted(m, rep) {
+		c.noteLostStart(m)
 	}
-	l.newerTokens[host] = epoch
-	if len(l.newerTokens) >= minNewerTokenWitnesses {
-		c.observed.Term = slices.Max(slices.Collect(maps.Values(l.newerTokens))) + termGapAfterTotalLoss
-		// Who knows of it stands at once: the others would go by what is on record.
-		c.reportDataLossThen("workers have seen newer terms than were on record", func() { c.campaign(0) })
+	if rep.FencingToken == l.term && l.inventory.Unaccounted(m.Host) {
+		c.markAccounted(m.Host)
 	}
-	return true
+	l.placement.ExtendOverruns(m)
 }
 
-// reconcile takes in what a report says.
-func (c *Core) reconcile(m *fleet.Machine, rep *heartbeat.Report) {
+// reconcileMachine takes in what a report says of the machine itself.
+func (c *Core) reconcileMachine(m *fleet.Machine, rep *heartbeat.Report) {
 	l := c.leadership
 	if !m.Reported {
 		c.Log(slog.LevelDebug, "first heartbeat of machine", "machine", m.Host, "type", rep.InstanceType, "zone", rep.Zone, "tasks", len(rep.Tasks))
@@ -127,7 +166,7 @@
 		l.autoscaler.Booted(m.TypeName)
 	}
 	if m.Reported && rep.Incarnation > m.Incarnation {
-		// Its lease ran out: the worker has killed all that it had.
+		// Its lease has expired: the worker has killed all that it had.
 		l.attempts.DropAll(m)
 	}
 	m.Reported, m.Incarnation, m.Counter, m.FencingToken = true, rep.Incarnation, rep.Counter, rep.FencingToken
@@ -141,6 +180,11 @@
 	if rep.FencingToken == l.term {
 		m.UnacknowledgedSince = time.Time{}
 	}
+}
+
+// reconcileTasks takes in the tasks that a report lists.
+func (c *Core) reconcileTasks(m *fleet.Machine, rep *heartbeat.Report) {
+	l := c.leadership
 	l.heartbeatCount++
 	for i := range rep.Tasks {
 		t := &rep.Tasks[i]
@@ -151,32 +195,35 @@
 		r.LastListed = l.heartbeatCount
 		l.attempts.Update(r, t)
 	}
-	// A start that went out with the reply to an earlier report and is not
-	// listed now was never executed, and never will be: the worker takes
-	// replies in turn and drops late ones.
-	lost := false
+}
+
+// dropUnlisted drops the attempts that a report should list and does not, and reports
+// whether a start was lost. A start that went out with the reply to an earlier report and
+// is not listed now was never executed, and never will be: the worker takes replies in
+// turn and drops late ones.
+func (c *Core) dropUnlisted(m *fleet.Machine, rep *heartbeat.Report) (lostStart bool) {
+	l := c.leadership
 	m.Attempts = slices.DeleteFunc(m.Attempts, func(r *fleet.Attempt) bool {
 		if r.LastListed == l.heartbeatCount || rep.Counter <= r.OrderedCounter {
 			return false
 		}
-		lost = lost || r.Phase == fleet.Ordered && r.OrderedCounter > 0
+		lostStart = lostStart || r.Phase == fleet.Ordered && r.OrderedCounter > 0
 		l.attempts.Release(r)
 		return true
 	})
-	if lost {
-		// Once may be chance or a relay that ended. A machine that does not hear us must
-		// not be what a task is tried on again and again while there is room elsewhere.
-		if m.UnlistedStarts++; m.UnlistedStarts > 1 {
-			m.RetryAt = c.Now.Add(min(time.Second<<min(m.UnlistedStarts-1, 10), c.workerLease))
-		}
-	}
-	if rep.FencingToken == l.term && l.inventory.Unaccounted(m.Host) {
-		c.markAccounted(m.Host)
+	return lostStart
+}
+
+// noteLostStart notes that a machine has not executed a start. Once may be chance, or a
+// relay that ended. A machine that does not hear us must not be what a task is tried on
+// again and again while there is room elsewhere.
+func (c *Core) noteLostStart(m *fleet.Machine) {
+	if m.UnlistedStarts++; m.UnlistedStarts > 1 {
+		m.RetryAt = c.Now.Add(min(time.Second<<min(m.UnlistedStarts-1, 10), c.workerLease))
 	}
-	c.leadership.placement.ExtendOverruns(m)
 }
 
-// markAccounted: nothing of an earlier term can be on the machine unknown to us.
+// markAccounted notes that no unknown task of an earlier term can be on the machine.
 func (c *Core) markAccounted(host string) {
 	l := c.leadership
 	if !l.inventory.MarkAccounted(host) {
@@ -193,9 +240,9 @@
 	}
 }
 
-// lastHeard is when the machine was last heard in a way that shows more than that it can speak.
-// One that was answered long ago and whose reports still show no word of ours does not hear:
-// everything that was accepted earlier would wait for it for as long as that lasts.
+// lastHeard returns when the machine was last heard in a way that shows that it hears us
+// as well. One that was answered long ago and whose reports still do not show it does not
+// hear: everything accepted in earlier terms would wait for it for as long as that lasts.
 func (c *Core) lastHeard(m *fleet.Machine) time.Time {
 	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.leadership.relays.RecoveryTime() {
 		return m.UnacknowledgedSince
@@ -203,6 +250,8 @@
 	return m.LastHeartbeat
 }
 
+// dropHeartbeat forgets a heartbeat from our own socket for whose reply nobody waits any
+// more.
 func (c *Core) dropHeartbeat(ref uint64) {
 	if c.leadership != nil {
 		c.abandonHeartbeat(fleet.HeartbeatKey{Ref: ref})
@@ -235,15 +284,3 @@
 
 // Unreadable implements dispatch.Leader.
 func (v dispatchLeader) Unreadable(job string) bool { return v.leadership.unreadableJobs[job] }
-
-const (
-	// minNewerTokenWitnesses is how many workers must have seen an epoch above ours for it to be our
-	// terms that have begun again: one alone is rather faulty itself.
-	minNewerTokenWitnesses = 2
-	// maxFencingToken is the largest epoch that is believed. Terms are counted one by one, and far
-	// above this there would soon be none left.
-	maxFencingToken = 1 << 32
-	// termGapAfterTotalLoss is how far above the newest epoch that was heard of the terms go on: those who
-	// say so first need not have seen the last ones, and others may.
-	termGapAfterTotalLoss = 1 << 10
-)
