--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -38,7 +38,9 @@
 func (s autoscalerState) Queue() fleet.Queue { return s.c.leadership.placement.Queue }
 
 // Zone implements autoscaler.State.
-func (s autoscalerState) Zone(name string) *zones.Zone { return s.c.leadership.zones.Zone(name) }
+func (s autoscalerState) Zone(name string) *zones.Zone {
+	return s.c.leadership.outages.Zones.Zone(name)
+}
 
 // Estimate implements autoscaler.State.
 func (s autoscalerState) Estimate(j *fleet.Job) time.Duration {
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -63,7 +63,7 @@
 }
 
 func (c *Core) clusterRegions() (rs []view.ClusterRegion) {
-	for _, r := range c.leadership.regions.All() {
+	for _, r := range c.leadership.outages.Regions.All() {
 		rs = append(rs, view.ClusterRegion{Name: r.Name, State: r.State.String(), StateSeconds: c.Now.Sub(r.Since).Seconds(), Zones: r.Zones, ZonesAway: r.Away, Heard: r.Sight.Heard, Silent: r.Sight.Silent})
 	}
 	return rs
@@ -82,7 +82,7 @@
 		}
 	}
 	var zs []view.ClusterZone
-	for _, z := range l.zones.All() {
+	for _, z := range l.outages.Zones.All() {
 		zs = append(zs, view.ClusterZone{Name: z.Name, State: z.State.String(), StateSeconds: c.Now.Sub(z.Since).Seconds(),
 			Heard: z.Sight.Heard, Silent: z.Sight.Silent, UnconfirmedTasks: waiting[z]})
 	}
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -20,7 +20,7 @@
 		return
 	}
 	l.relays.NoteSilent()
-	c.observeZones()
+	l.outages.Observe()
 	c.reviewMachines(e)
 	l.machineRecords.DropExpired(c.earlierLeaseExpiry())
 	c.reserveWarmRoom(c.pol.Warm(e))
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -13,7 +13,6 @@
 	"yewpass/internal/relaylinks"
 	"yewpass/internal/request"
 	"yewpass/internal/rpc"
-	"yewpass/internal/zones"
 )
 
 func (c *Core) hasAuthority() bool { return c.HasAuthority(c.Now) }
@@ -34,8 +33,7 @@
 	c.leadership.authority.start(term, rev, grant, c.authorityUntil(sent), c.Now, ahead)
 	c.startReplication(c.leadership)
 	c.leadership.autoscaler = c.newAutoscaler()
-	c.leadership.zones = zones.New(c.zoneSettings())
-	c.leadership.regions = zones.NewRegionWatch(c.reg)
+	c.leadership.outages = c.newOutageMonitor()
 	c.leadership.startParts(c)
 	for _, t := range liveconfig.BaseTeams(c.cfg.Settings.Teams) {
 		c.leadership.teams.Configure(t)
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -15,6 +15,7 @@
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/inventory"
 	"yewpass/internal/lifecycle"
+	"yewpass/internal/outage"
 	"yewpass/internal/placement"
 	"yewpass/internal/quota"
 	"yewpass/internal/recurring"
@@ -22,7 +23,6 @@
 	"yewpass/internal/replica"
 	"yewpass/internal/replication"
 	"yewpass/internal/writebatch"
-	"yewpass/internal/zones"
 )
 
 // leadership is everything that only a leader has, in parts. Stepping down drops it whole.
@@ -41,8 +41,7 @@
 	attempts       *attempts.Tracker
 	relays         *relaylinks.Links
 	dispatcher     *dispatch.Dispatcher
-	zones          *zones.Watch
-	regions        *zones.RegionWatch
+	outages        *outage.Monitor
 	writes         *writebatch.Batcher
 	recurring      *recurring.Scheduler
 	config         liveConfig
@@ -111,7 +110,7 @@
 // startParts makes the parts of a leadership that are packages of their own. Its zones and
 // its autoscaler have to be there.
 func (l *leadership) startParts(c *Core) {
-	l.inventory = inventory.New(c.Engine, l.zones, c.workerLease, l.autoscaler.InstanceType)
+	l.inventory = inventory.New(c.Engine, l.outages.Zones, c.workerLease, l.autoscaler.InstanceType)
 	l.machineRecords = inventory.NewRecords(c.Engine, l.scope, c.cfg.Settings.State, l.inventory, recordsLeader{c, l}, l.term)
 	l.placement = placement.New(c.Engine, l.scope, c.cfg, placementLeader{l.inventory, c, l}, l.term)
 	l.lifecycle = c.newLifecycle()
--- a/internal/core/regions_test.go
+++ b/internal/core/regions_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.leadership.regions = zones.NewRegionWatch(set)
+	c.leadership.outages.Regions = zones.NewRegionWatch(set)
 	for zone := range 4 {
 		for i := range 3 {
 			m := c.leadership.inventory.Ensure(fmt.Sprintf("host-1%d%d", zone, i), "f0", fmt.Sprintf("r1-%d", zone), false)
@@ -31,7 +31,7 @@
 		m.LastHeartbeat = c.Now
 	}
 	c.Outputs = nil
-	c.observeZones()
+	c.leadership.outages.Observe()
 	var warned []string
 	for _, o := range c.Outputs {
 		if n, ok := o.(engine.LogEntry); ok && n.Level >= slog.LevelWarn {
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -46,7 +46,7 @@
 			return
 		}
 		if j.Cancelled || !c.leadership.lifecycle.WaitForEnding(j, call) {
-			c.answer(call, request.Response{Status: 200, View: j.View(), Reason: c.waitReason(j)})
+			c.answer(call, request.Response{Status: 200, View: j.View(), Reason: c.leadership.outages.WaitReason(j)})
 		}
 		return
 	}
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -38,12 +38,12 @@
 		Relays:      len(l.relays.Nodes()),
 		FleetFull:   l.autoscaler.AtCapacity(),
 	}
-	for _, r := range l.regions.All() {
+	for _, r := range l.outages.Regions.All() {
 		if r.IsAway() {
 			s.RegionsAway++
 		}
 	}
-	for _, z := range l.zones.All() {
+	for _, z := range l.outages.Zones.All() {
 		if z.Away() {
 			s.ZonesAway++
 		}
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -54,7 +54,7 @@
 	pinned.Spec.Zone = "a"
 	c.leadership.placement.Reserve(pinned)
 	silence(c, 15*time.Second)
-	if z := c.leadership.zones.Zone("a"); z.State != zones.Doubtful {
+	if z := c.leadership.outages.Zones.Zone("a"); z.State != zones.Doubtful {
 		t.Fatal("the zone is", z.State)
 	}
 	for _, m := range c.leadership.inventory.Machines() {
@@ -62,7 +62,7 @@
 			t.Fatalf("%s: released %v, usable %v, %d bookings", m.Host, m.Releasing, m.Usable(), len(m.Reservations))
 		}
 	}
-	if r := c.waitReason(pinned); !strings.Contains(r, "zone a is doubtful") {
+	if r := c.leadership.outages.WaitReason(pinned); !strings.Contains(r, "zone a is doubtful") {
 		t.Errorf("its user is told %q", r)
 	}
 	c.Outputs = nil
--- /dev/null
+++ b/internal/outage/outage.go
@@ -0,0 +1,177 @@
+// Package outage watches which zones and regions are cut off, as the heartbeats of their
+// machines show, and acts on it: nothing is placed on the machines of such a zone, and they
+// are not released for being silent. Machines of a lost zone are released bit by bit, and an
+// instance is requested there now and then to see whether it is back.
+package outage
+
+import (
+	"cmp"
+	"log/slog"
+	"slices"
+	"time"
+
+	"yewpass/internal/engine"
+	"yewpass/internal/fleet"
+	"yewpass/internal/zones"
+)
+
+// Leader is what a Monitor reads of the leader's state, and has it do.
+type Leader interface {
+	// Machines returns all machines, by name.
+	Machines() []*fleet.Machine
+	// Unaccounted reports whether a machine may hold unknown tasks of an earlier term.
+	Unaccounted(host string) bool
+	// LedSince returns when the term began and when the leader last regained its authority.
+	LedSince() (electedAt, resumedAt time.Time)
+	// DropReservations has the tasks that wait for a machine placed elsewhere.
+	DropReservations(m *fleet.Machine)
+	// DispatchAll has waiting tasks started on what machines there are.
+	DispatchAll()
+	// Release returns a machine to the cloud.
+	Release(m *fleet.Machine)
+	// RequestProbe requests one instance in a lost zone.
+	RequestProbe(zone string)
+}
+
+// unheardAfterElection is after how long in a term a machine of an earlier one counts as
+// silent: its relay, or a probe, would have shown it by then.
+const unheardAfterElection = 2500 * time.Millisecond
+
+// Monitor watches the zones and regions of one leadership.
+type Monitor struct {
+	Zones   *zones.Watch
+	Regions *zones.RegionWatch
+
+	engine      *engine.Engine
+	leader      Leader
+	silentAfter time.Duration // for how long a machine that is well may fail to report
+}
+
+// New returns a Monitor to which all zones are up. A machine whose last heartbeat is longer ago
+// than silentAfter counts as silent.
+func New(e *engine.Engine, leader Leader, s zones.Settings, regions *zones.Regions, silentAfter time.Duration) *Monitor {
+	return &Monitor{Zones: zones.New(s), Regions: zones.NewRegionWatch(regions), engine: e, leader: leader, silentAfter: silentAfter}
+}
+
+// Observe looks at all machines and acts on what that says of their zones.
+func (o *Monitor) Observe() {
+	changes := o.Zones.Look(o.engine.Now, o.sights())
+	o.observeRegions()
+	for _, x := range changes {
+		o.logZone(x)
+		o.leader.DispatchAll()
+	}
+	o.markUnreachable()
+	o.releaseLostZones()
+}
+
+// sights returns how many machines are heard and silent in each zone.
+func (o *Monitor) sights() map[string]zones.Sight {
+	sights := map[string]zones.Sight{}
+	electedAt, _ := o.leader.LedSince()
+	justElected := o.engine.Now.Sub(electedAt) <= min(o.silentAfter, unheardAfterElection)
+	for _, m := range o.leader.Machines() {
+		if m.Releasing || !m.InterruptionAt.IsZero() || !m.Reported && !m.LeaseExpired && !o.leader.Unaccounted(m.Host) {
+			continue // on its way out, or not up yet
+		}
+		s := sights[m.Zone]
+		if o.isHeard(m) || !m.Reported && !m.LeaseExpired && justElected {
+			s.Heard++
+		} else {
+			s.Silent++
+		}
+		sights[m.Zone] = s
+	}
+	return sights
+}
+
+// isHeard reports whether a machine reports in time.
+func (o *Monitor) isHeard(m *fleet.Machine) bool {
+	since := m.LastHeartbeat
+	if _, resumedAt := o.leader.LedSince(); resumedAt.After(since) {
+		since = resumedAt
+	}
+	return m.Reported && o.engine.Now.Sub(since) <= o.silentAfter
+}
+
+// logZone logs that a zone has changed its state.
+func (o *Monitor) logZone(x zones.Change) {
+	z, level := x.Zone, logLevel(x.To)
+	if r := o.Regions.Of(z.Name); r != nil && r.State != zones.Up {
+		level = slog.LevelDebug // the line of the region says it
+	}
+	o.engine.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.After, "heard", z.Sight.Heard, "silent", z.Sight.Silent)
+}
+
+// observeRegions derives the states of the regions from those of their zones and logs changes.
+func (o *Monitor) observeRegions() {
+	for _, x := range o.Regions.Look(o.engine.Now, o.Zones.All()) {
+		r := x.Region
+		o.engine.Log(logLevel(x.To), "region "+x.To.String(), "region", r.Name, "before", x.From.String(), "after", x.After, "zones", r.Zones, "away", r.Away, "heard", r.Sight.Heard, "silent", r.Sight.Silent)
+	}
+}
+
+// logLevel returns at which level operators are told that a zone or region has come to a state.
+func logLevel(to zones.State) slog.Level {
+	if to == zones.Up || to == zones.Returning {
+		return slog.LevelInfo
+	}
+	return slog.LevelWarn
+}
+
+// markUnreachable marks the silent machines of zones that are cut off, and no others.
+func (o *Monitor) markUnreachable() {
+	for _, m := range o.leader.Machines() {
+		switch {
+		case !m.ZoneState.Away():
+			m.Unreachable = false
+		case m.Unreachable || m.Releasing || o.isHeard(m):
+		default:
+			m.Unreachable = true
+			o.leader.DropReservations(m)
+		}
+	}
+}
+
+// releaseLostZones probes lost zones and releases those of their machines that are not to be
+// kept any longer, the most expensive first.
+func (o *Monitor) releaseLostZones() {
+	for _, z := range o.Zones.All() {
+		if z.Probe(o.engine.Now) {
+			o.engine.Log(slog.LevelInfo, "probing lost zone with one instance", "zone", z.Name)
+			o.leader.RequestProbe(z.Name)
+		}
+		excess := z.Sight.Silent - z.Kept(o.engine.Now)
+		if !z.Away() || excess <= 0 {
+			continue
+		}
+		silent := o.silentMachines(z)
+		for _, m := range silent[:min(excess, len(silent))] {
+			o.engine.Log(slog.LevelInfo, "releasing machine of lost zone", "machine", m.Host, "zone", z.Name, "silent", o.engine.Now.Sub(m.LastHeartbeat))
+			o.leader.Release(m)
+		}
+	}
+}
+
+// silentMachines returns the machines of a zone that may be released with it, the most
+// expensive first.
+func (o *Monitor) silentMachines(z *zones.Zone) (list []*fleet.Machine) {
+	for _, m := range o.leader.Machines() {
+		if m.ZoneState == z && m.Unreachable && !m.Releasing && !m.LastHeartbeat.IsZero() && m.InstanceType != nil {
+			list = append(list, m)
+		}
+	}
+	slices.SortStableFunc(list, func(a, b *fleet.Machine) int { return cmp.Compare(b.PerCPU(), a.PerCPU()) })
+	return list
+}
+
+// WaitReason returns what keeps the tasks of a job waiting that may run in one zone only, or "".
+func (o *Monitor) WaitReason(j *fleet.Job) string {
+	if j.Spec.Zone == "" || j.Waiting == 0 {
+		return ""
+	}
+	if z := o.Zones.Zone(j.Spec.Zone); z.Away() {
+		return "zone " + z.Name + " is " + z.State.String() + ", tasks wait for it"
+	}
+	return ""
+}
