--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -16,8 +16,8 @@
 func (c *Core) records() *view.Records {
 	l := c.leadership
 	r := &view.Records{Era: c.observed.Era}
-	if b := l.loss; b != nil {
-		r.LossReason, r.Source, r.SinceSeconds, r.Restored, r.Pending = b.reason, b.source, c.Now.Sub(b.since).Seconds(), b.restored, b.pending
+	if loss := l.restorer.Loss(); loss != nil {
+		r.LossReason, r.Source, r.SinceSeconds, r.Restored, r.Pending = loss.Reason, loss.Source, c.Now.Sub(loss.Since).Seconds(), loss.Restored, loss.Pending
 	}
 	r.UnreadableJobs = slices.Sorted(maps.Keys(l.unreadableJobs))
 	r.UnreadableJobs = r.UnreadableJobs[:min(len(r.UnreadableJobs), 10)]
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -38,7 +38,6 @@
 	state     *liveconfig.State
 	headRev   uint64          // of the head's record in the state service, 0: there is none
 	damaged   map[string]bool // objects whose records cannot be read
-	restoring int             // records still to be written back after a loss
 	waiting   []*configChange // not decided yet
 	batch     *configBatch    // on its way
 	filled    time.Time       // when it was filled, or the one before
@@ -294,7 +293,7 @@
 func (c *Core) configRefusal() string {
 	conf := &c.leadership.config
 	switch {
-	case conf.restoring > 0:
+	case c.leadership.restorer.ConfigIsPending():
 		return "the configuration is being written back after a loss of data"
 	case len(conf.waiting) >= maxConfigWaiting:
 		return "too many changes wait"
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -71,7 +71,8 @@
 
 // mayHaveLostJobs reports whether a job that nobody knows may be one that was lost.
 func (l *leadership) mayHaveLostJobs(now time.Time) bool {
-	return l.loss != nil && now.Sub(l.loss.since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*failover.UnknownPastTimeout
+	loss := l.restorer.Loss()
+	return loss != nil && now.Sub(loss.Since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*failover.UnknownPastTimeout
 }
 
 // confirmTerm asks the state service whether our term is on record with its leader, as whatever
--- a/internal/core/failover.go
+++ b/internal/core/failover.go
@@ -92,7 +92,7 @@
 	if len(c.cfg.Seeds) > 0 {
 		c.leadership.admitter.WatchLeaderless()
 	}
-	c.loadSchedulesWhenRestored()
+	l.restorer.WhenSchedulesRestored(func() { l.recurring.Load(l.restorer.RestoreMissingSchedules) })
 	c.afterWhileLeading(c.Jitter(replication.ScrubInterval), l.scrubber.Run)
 	c.tickLeader()
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -20,8 +20,8 @@
 	"yewpass/internal/quota"
 	"yewpass/internal/recurring"
 	"yewpass/internal/relaylinks"
-	"yewpass/internal/replica"
 	"yewpass/internal/replication"
+	"yewpass/internal/restore"
 	"yewpass/internal/writebatch"
 )
 
@@ -71,19 +71,17 @@
 // inherited is what is left of earlier terms: records to be read, written back or missing, and
 // machines that are not accounted for.
 type inherited struct {
-	loaded             bool                 // the records have been read
-	recovery           *failover.Recovery   // while the records are looked for
-	loss               *dataLoss            // after a loss
-	restoring          []replica.Record     // still to be written back
-	schedulesRestoring int                  // of them, those that schedules are read from
-	pendingHeartbeats  []heartbeat.Received // reports that came while loading
-	takingPending      bool                 // there are more of them than go in one step
-	unreadableJobs     map[string]bool      // jobs whose records cannot be read
-	noEarlierTerm      bool                 // no term was on record before ours
-	newerTokens        map[string]uint64    // epochs above our term that workers have seen, by machine
-	earlierLeaderLag   time.Duration        // for so long into our term an earlier leader may have led
-	probeQueue         []*fleet.Machine     // see probeUnaccounted
-	probesInFlight     int                  // probes on their way
+	loaded            bool                 // the records have been read
+	recovery          *failover.Recovery   // while the records are looked for
+	restorer          *restore.Restorer    // of records that were lost
+	pendingHeartbeats []heartbeat.Received // reports that came while loading
+	takingPending     bool                 // there are more of them than go in one step
+	unreadableJobs    map[string]bool      // jobs whose records cannot be read
+	noEarlierTerm     bool                 // no term was on record before ours
+	newerTokens       map[string]uint64    // epochs above our term that workers have seen, by machine
+	earlierLeaderLag  time.Duration        // for so long into our term an earlier leader may have led
+	probeQueue        []*fleet.Machine     // see probeUnaccounted
+	probesInFlight    int                  // probes on their way
 }
 
 // workload is the jobs and their teams.
@@ -116,6 +114,7 @@
 	l.lifecycle = c.newLifecycle()
 	l.admitter = c.newAdmitter()
 	l.recurring = c.newScheduler(l)
+	l.restorer = c.newRestorer(l)
 	l.attempts = attempts.New(c.Engine, l.placement, attemptJobs{c, l})
 	l.dispatcher = dispatch.New(c.Engine, l.scope, dispatchLeader{c, l}, l.relays, l.placement, l.term)
 }
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -125,9 +125,9 @@
 	key := record.JobPrefix + "wk-1"
 	d.c.replicas.SetOwn(replica.New(1, l.term, record.FinalPrefix, 100))
 	d.c.replicas.Own().Put(key, l.jobs["wk-1"].Record, 0)
-	l.loss = &dataLoss{pending: 1}
 	d.calls = nil
-	d.c.restoreRecord(replica.Record{Key: key, Value: l.jobs["wk-1"].Record})
+	l.restorer.Begin([]replica.Record{{Key: key, Value: l.jobs["wk-1"].Record}}, "", "")
+	l.restorer.QueueNext()
 	d.pass(time.Second)
 	for _, x := range d.calls {
 		call, ok := x.(kv.Request)
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -4,12 +4,13 @@
 	"log/slog"
 	"time"
 
+	"yewpass/internal/bitset"
 	"yewpass/internal/failover"
 	"yewpass/internal/kv"
 	"yewpass/internal/peermsg"
-	"yewpass/internal/record"
 	"yewpass/internal/recovery"
 	"yewpass/internal/replica"
+	"yewpass/internal/restore"
 	"yewpass/internal/writebatch"
 )
 
@@ -20,15 +21,6 @@
 // recordsPerLoadStep is how many records are loaded in one step.
 const recordsPerLoadStep = 400
 
-// dataLoss is what is known of a loss under the leader that has found it.
-type dataLoss struct {
-	restored int // records that were lost or older
-	pending  int // of them, not on record yet
-	since    time.Time
-	reason   string // what showed the loss
-	source   string // whose replica was merged
-}
-
 // recoveryLeader is what package failover sees of the new leader.
 type recoveryLeader struct{ c *Core }
 
@@ -94,18 +86,9 @@
 	for _, key := range o.Drops {
 		l.writes.Add(&writebatch.Change{Priority: writebatch.Bulk, Writes: []kv.Write{{Key: key}}})
 	}
-	l.restoring = o.Restore
-	for _, r := range l.restoring {
-		if record.IsScheduleKey(r.Key) {
-			l.schedulesRestoring++
-		}
-		if record.IsConfigKey(r.Key) {
-			l.config.restoring++
-		}
-	}
 	if o.LossReason != "" {
-		l.loss = &dataLoss{restored: len(l.restoring), pending: len(l.restoring), since: c.Now, reason: o.LossReason, source: o.Source}
-		c.Log(slog.LevelError, "recovering from data loss", "term", l.term, "era", c.observed.Era, "reason", o.LossReason, "copy of", o.Source, "records", len(o.Records), "restored", len(l.restoring))
+		l.restorer.Begin(o.Restore, o.LossReason, o.Source)
+		c.Log(slog.LevelError, "recovering from data loss", "term", l.term, "era", c.observed.Era, "reason", o.LossReason, "copy of", o.Source, "records", len(o.Records), "restored", len(o.Restore))
 		if o.Restored == nil {
 			c.Log(slog.LevelError, "no replica left, data lost by the state service cannot be restored", "term", l.term)
 		}
@@ -131,9 +114,44 @@
 	}
 	l := c.leadership
 	l.recovery = nil
-	c.prepareRestore()
+	l.machineRecords.Restore(l.restorer.Prepare())
 	if source := l.finals.Source(); source != "" {
 		c.Emit(peermsg.Outgoing{To: source, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
 	}
 	c.startWork()
 }
+
+// restoreLeader is what package restore sees of the leader.
+type restoreLeader struct {
+	c *Core
+	l *leadership
+}
+
+// IsUnfinished reports whether a job is known whose final record is not on its way.
+func (h restoreLeader) IsUnfinished(job string) bool {
+	j := h.l.jobs[job]
+	return j != nil && !j.Finishing
+}
+
+// RecordProgress has the progress of one chunk of a job written, if the job is known.
+func (h restoreLeader) RecordProgress(job string, chunk int) {
+	if j := h.l.jobs[job]; j != nil {
+		h.l.lifecycle.RecordProgressSoon(j, chunk*bitset.ChunkSize)
+	}
+}
+
+// NoteConfigHead is told the revision at which the head of the configuration was written.
+func (h restoreLeader) NoteConfigHead(rev uint64) { h.l.config.headRev = rev }
+
+// newRestorer returns the restorer of a new leadership.
+func (c *Core) newRestorer(l *leadership) *restore.Restorer {
+	return restore.New(c.Engine, l.scope, restore.Config{
+		Writes:    l.writes,
+		Publisher: l.publisher,
+		Replicas:  c.replicas,
+		Leader:    restoreLeader{c, l},
+		Schedules: l.recurring,
+		Term:      l.term,
+		MaxQueued: c.cfg.Settings.State.TxnOps,
+	})
+}
--- a/internal/core/recurring_test.go
+++ b/internal/core/recurring_test.go
@@ -10,7 +10,7 @@
 // readSchedules has a leader read the schedules of a store that has none.
 func readSchedules(tb testing.TB, c *Core) {
 	tb.Helper()
-	c.leadership.recurring.Load(c.restoreMissingSchedules)
+	c.leadership.recurring.Load(c.leadership.restorer.RestoreMissingSchedules)
 	c.HandleStore(kv.Response{Ref: c.LastRef, Outcome: rpc.OK})
 	c.Outputs = nil
 	if !c.leadership.recurring.Loaded() {
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -26,9 +26,8 @@
 
 // AdmitScrub reports whether the scrubber may read, and takes two reads from the allowance.
 func (h replicationHost) AdmitScrub() bool {
-	c, l := h.c, h.c.leadership
-	restoring := len(l.restoring) > 0 || l.loss != nil && l.loss.pending > 0
-	return c.canAct() && !restoring && c.jobs.Allow(2)
+	c := h.c
+	return c.canAct() && c.leadership.restorer.IsDone() && c.jobs.Allow(2)
 }
 
 // StoreRevision returns the highest revision of the store that was observed.
@@ -124,7 +123,7 @@
 		l.publisher.Adopt(fetched)
 		c.rememberFinals(fetched)
 		if l.recurring.Loaded() {
-			c.restoreMissingSchedules()
+			l.restorer.RestoreMissingSchedules()
 		}
 	}
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -64,8 +64,8 @@
 func (c *Core) recordStats() view.RecordStats {
 	l := c.leadership
 	s := view.RecordStats{UnreadableJobs: len(l.unreadableJobs), Replicas: len(l.publisher.CompleteFollowers())}
-	if l.loss != nil {
-		s.RecordsPending = l.loss.pending
+	if loss := l.restorer.Loss(); loss != nil {
+		s.RecordsPending = loss.Pending
 	}
 	return s
 }
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -18,7 +18,7 @@
 func (b batchLeader) ConfigBatchDue() bool { return b.c.configBatchDue() }
 
 // RestoreRecords queues lost records to be written back.
-func (b batchLeader) RestoreRecords() { b.c.restoreNext() }
+func (b batchLeader) RestoreRecords() { b.c.leadership.restorer.QueueNext() }
 
 // MakeOccurrences queues due occurrences of schedules.
 func (b batchLeader) MakeOccurrences() { b.c.makeOccurrences() }
--- /dev/null
+++ b/internal/restore/write.go
@@ -0,0 +1,150 @@
+package restore
+
+import (
+	"log/slog"
+	"strings"
+
+	"yewpass/internal/failover"
+	"yewpass/internal/kv"
+	"yewpass/internal/record"
+	"yewpass/internal/replica"
+	"yewpass/internal/schedule"
+	"yewpass/internal/writebatch"
+)
+
+// defaultSize is the estimated size of a change whose record has no estimate of its own.
+const defaultSize = 400
+
+// writeBack writes a lost record back, on the condition that the store still has what rec.Rev
+// says. Then done is called with what the store has by then: without a value if that is not
+// known, or if nothing has to be written any more.
+func (r *Restorer) writeBack(rec replica.Record, done func(stored kv.Entry)) {
+	change := newChange(rec)
+	change.Prepare = func() bool {
+		value, ok := r.currentValue(rec)
+		if !ok {
+			done(kv.Entry{})
+			return false
+		}
+		change.Writes[0].Value = value
+		if strings.HasPrefix(rec.Key, record.SchedulePrefix) {
+			// Each removal of a schedule writes the numbers' record as well, so that this write
+			// fails if it is applied late, after a removal.
+			change.Conditions = []kv.Condition{{Key: rec.Key, Rev: rec.Rev}, {Key: record.ScheduleNumberKey, Rev: r.schedules.NumberRevision()}}
+		}
+		return true
+	}
+	change.OnCommit = func(rev uint64) {
+		switch rec.Key {
+		case record.ScheduleNumberKey:
+			r.schedules.SetNumberRevision(rev)
+		case record.ConfigHeadKey:
+			r.leader.NoteConfigHead(rev)
+		}
+		done(kv.Entry{Key: rec.Key, Value: change.Writes[0].Value, Rev: rev})
+	}
+	change.OnConflict = func() { r.resolveConflict(rec, done) }
+	change.OnReject = func() { done(kv.Entry{}) }
+	r.writes.Add(change)
+}
+
+// newChange returns the change that writes a record, without its value.
+func newChange(rec replica.Record) *writebatch.Change {
+	change := &writebatch.Change{
+		Priority:   writebatch.Bulk,
+		Conditions: []kv.Condition{{Key: rec.Key, Rev: rec.Rev}},
+		Writes:     []kv.Write{{Key: rec.Key}},
+		Size:       defaultSize,
+	}
+	if job, ok := rec.Value.(*record.Job); ok {
+		// Applied late, when the job is over and its record gone again, it would bring the job
+		// back to the next leader.
+		change.Conditions = append(change.Conditions, kv.Condition{Key: record.FinalPrefix + job.Spec.ID, Rev: 0})
+		change.Size = record.JobSize(&job.Spec)
+	} else if sched, ok := rec.Value.(*schedule.Record); ok {
+		change.Size, change.Priority = sched.Size(), writebatch.Urgent
+	} else if record.IsConfigKey(rec.Key) || rec.Key == record.ScheduleNumberKey {
+		change.Priority = writebatch.Urgent
+	}
+	return change
+}
+
+// currentValue returns what a lost record is by now, and false if it is not to be written.
+func (r *Restorer) currentValue(rec replica.Record) (value any, ok bool) {
+	if record.IsScheduleKey(rec.Key) {
+		return rec.Value, true // the leader reads schedules only once they are restored
+	}
+	now, ok := r.replicas.Own().Get(rec.Key)
+	if job, live := strings.CutPrefix(rec.Key, record.JobPrefix); live {
+		ok = ok && r.leader.IsUnfinished(job)
+	}
+	return now.Value, ok
+}
+
+// resolveConflict goes on after the store turned out to have the record: written after the
+// loss, or late, or an older one.
+func (r *Restorer) resolveConflict(rec replica.Record, done func(stored kv.Entry)) {
+	if !record.IsScheduleKey(rec.Key) {
+		done(kv.Entry{})
+		return
+	}
+	r.writes.ReadBack(rec.Key, func(stored kv.Entry, found bool) {
+		if _, differs := failover.Join(stored.Value, rec.Value, true); found && !differs {
+			done(stored)
+			return
+		}
+		rec.Rev = stored.Rev
+		if rec.Key == record.ScheduleNumberKey {
+			r.writeBack(rec, done)
+			return
+		}
+		r.writes.ReadBack(record.ScheduleNumberKey, func(numbers kv.Entry, _ bool) {
+			r.schedules.SetNumberRevision(numbers.Rev)
+			r.writeBack(rec, done)
+		})
+	})
+}
+
+// RestoreMissingSchedules writes schedules back that the leader's replica has and the store
+// has not; first the numbers' record, if that is lost as well.
+func (r *Restorer) RestoreMissingSchedules() {
+	own := r.publisher.Replica()
+	if own == nil {
+		return
+	}
+	missing := r.missingSchedules(own)
+	if len(missing) == 0 {
+		return
+	}
+	r.writes.ReadBack(record.ScheduleNumberKey, func(numbers kv.Entry, found bool) {
+		if rec, ok := own.Get(record.ScheduleNumberKey); ok && !found {
+			rec.Rev = 0
+			r.writeBack(rec, func(kv.Entry) { r.scope.After(pollInterval, r.RestoreMissingSchedules) })
+			return
+		}
+		r.schedules.SetNumberRevision(numbers.Rev)
+		for _, key := range missing {
+			rec, _ := own.Get(key)
+			r.engine.Log(slog.LevelError, "restoring missing schedule from replica", "key", key)
+			r.writeBack(rec, func(stored kv.Entry) {
+				if stored.Value != nil && !r.schedules.Has(scheduleName(key)) {
+					r.schedules.LoadRecord(stored)
+				}
+			})
+		}
+	})
+}
+
+// missingSchedules returns the keys of the schedules that the replica has and the leader has
+// not read from the store.
+func (r *Restorer) missingSchedules(own *replica.Replica) (missing []string) {
+	for _, key := range own.Keys(record.SchedulePrefix) {
+		rec, _ := own.Get(key)
+		if sched, _ := rec.Value.(*schedule.Record); rec.Rev == 0 && sched != nil && !r.schedules.Has(scheduleName(key)) {
+			missing = append(missing, key)
+		}
+	}
+	return missing
+}
+
+func scheduleName(key string) string { return strings.TrimPrefix(key, record.SchedulePrefix) }
