--- a/internal/placement/queue_test.go
+++ b/internal/placement/queue_test.go
@@ -51,3 +51,24 @@
 		}
 	}
 }
+
+// TestRereserveInterval: a job that stays without a machine is due all the time, and has its
+// turn once in an interval.
+func TestRereserveInterval(t *testing.T) {
+	c := newCluster(1)
+	c.machines[0].Quarantined = true
+	j := c.newJob(1, 5, testRand())
+	c.Reserve(j)
+	if len(j.Reservations) != 1 || j.Reservations[0].Machine != nil {
+		t.Fatalf("%d reservations, and there is no machine", len(j.Reservations))
+	}
+	for _, step := range []struct {
+		after  time.Duration
+		looked bool
+	}{{time.Hour, true}, {tick, false}, {rereserveInterval - tick, false}, {1, true}} {
+		c.engine.Now = c.engine.Now.Add(step.after)
+		if c.rereserve(10); j.LastRereserved.Equal(c.engine.Now) != step.looked {
+			t.Errorf("%v later: looked at %v, want %v", step.after, !step.looked, step.looked)
+		}
+	}
+}
