--- a/internal/autoscaler/load.go
+++ b/internal/autoscaler/load.go
@@ -70,7 +70,9 @@
 
 // zoneRents reports whether machines may be rented for a job that is bound to a zone, or to
 // none ("").
-func (a *Autoscaler) zoneRents(zone string) bool { return zone == "" || a.state.Zone(zone).Rents() }
+func (a *Autoscaler) zoneRents(zone string) bool {
+	return zone == "" || a.state.Zone(zone).AllowsRental()
+}
 
 // supply returns how many CPUs are at hand or on their way, and how many of them are free.
 func (a *Autoscaler) supply(onDemandOnly bool) (total, free float64) {
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		for _, z := range t.Zones {
-			if s.Zone != "" && s.Zone != z || !want.probe && !a.state.Zone(z).Rents() {
+			if s.Zone != "" && s.Zone != z || !want.probe && !a.state.Zone(z).AllowsRental() {
 				continue
 			}
 			for _, spot := range []bool{true, false} {
@@ -216,7 +216,7 @@
 		a.inventory.Dispatch()
 	case rpc.Refused:
 		delete(a.pending, name)
-		a.state.Zone(p.Zone).Refused(a.Now)
+		a.state.Zone(p.Zone).ProbeRefused(a.Now)
 		a.noCapacityUntil[p.Offer] = a.Now.Add(a.Jitter(noCapacityPause))
 		a.Log(slog.LevelInfo, "instance request refused, no capacity", "type", p.InstanceType, "zone", p.Zone, "spot", p.Spot, "wanted", p.count)
 	case rpc.Invalid:
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -64,7 +64,7 @@
 
 func (c *Core) clusterRegions() (rs []view.ClusterRegion) {
 	for _, r := range c.leadership.outages.Regions.All() {
-		rs = append(rs, view.ClusterRegion{Name: r.Name, State: r.State.String(), StateSeconds: c.Now.Sub(r.Since).Seconds(), Zones: r.Zones, ZonesAway: r.Away, Heard: r.Sight.Heard, Silent: r.Sight.Silent})
+		rs = append(rs, view.ClusterRegion{Name: r.Name, State: r.State.String(), StateSeconds: c.Now.Sub(r.Since).Seconds(), Zones: r.Zones, ZonesAway: r.UnreachableZones, Heard: r.Seen.Heard, Silent: r.Seen.Silent})
 	}
 	return rs
 }
@@ -84,7 +84,7 @@
 	var zs []view.ClusterZone
 	for _, z := range l.outages.Zones.All() {
 		zs = append(zs, view.ClusterZone{Name: z.Name, State: z.State.String(), StateSeconds: c.Now.Sub(z.Since).Seconds(),
-			Heard: z.Sight.Heard, Silent: z.Sight.Silent, UnconfirmedTasks: waiting[z]})
+			Heard: z.Seen.Heard, Silent: z.Seen.Silent, UnconfirmedTasks: waiting[z]})
 	}
 	return zs
 }
--- a/internal/core/outages.go
+++ b/internal/core/outages.go
@@ -15,10 +15,10 @@
 // newOutageMonitor returns the monitor of the zones and regions for the leadership that begins.
 func (c *Core) newOutageMonitor() *outage.Monitor {
 	return outage.New(c.Engine, outageLeader{c}, zones.Settings{
-		LostAfter: withDrift(c.workerLease), // what ran in the zone is over then, whatever happens inside
-		Steady:    2 * c.heartbeatInterval,
-		Probe:     zoneProbeInterval,
-		Keep:      timeline.Seconds(c.pol.ZoneKeep(c.policyEnv())),
+		LostAfter:     withDrift(c.workerLease), // what ran in the zone is over then, whatever happens inside
+		StableFor:     2 * c.heartbeatInterval,
+		ProbeInterval: zoneProbeInterval,
+		KeepFor:       timeline.Seconds(c.pol.ZoneKeep(c.policyEnv())),
 	}, c.reg, c.heartbeatInterval*3/2)
 }
 
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -39,12 +39,12 @@
 		FleetFull:   l.autoscaler.AtCapacity(),
 	}
 	for _, r := range l.outages.Regions.All() {
-		if r.IsAway() {
+		if r.Unreachable() {
 			s.RegionsAway++
 		}
 	}
 	for _, z := range l.outages.Zones.All() {
-		if z.Away() {
+		if z.Unreachable() {
 			s.ZonesAway++
 		}
 	}
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -55,7 +55,7 @@
 
 // Observe looks at all machines and acts on what that says of their zones.
 func (o *Monitor) Observe() {
-	changes := o.Zones.Look(o.engine.Now, o.sights())
+	changes := o.Zones.Observe(o.engine.Now, o.sights())
 	o.observeRegions()
 	for _, x := range changes {
 		o.logZone(x)
@@ -66,8 +66,8 @@
 }
 
 // sights returns how many machines are heard and silent in each zone.
-func (o *Monitor) sights() map[string]zones.Sight {
-	sights := map[string]zones.Sight{}
+func (o *Monitor) sights() map[string]zones.Observation {
+	sights := map[string]zones.Observation{}
 	electedAt, _ := o.leader.LedSince()
 	justElected := o.engine.Now.Sub(electedAt) <= min(o.silentAfter, unheardAfterElection)
 	for _, m := range o.leader.Machines() {
@@ -100,14 +100,14 @@
 	if r := o.Regions.Of(z.Name); r != nil && r.State != zones.Up {
 		level = slog.LevelDebug // the line of the region says it
 	}
-	o.engine.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.After, "heard", z.Sight.Heard, "silent", z.Sight.Silent)
+	o.engine.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.After, "heard", z.Seen.Heard, "silent", z.Seen.Silent)
 }
 
 // observeRegions derives the states of the regions from those of their zones and logs changes.
 func (o *Monitor) observeRegions() {
-	for _, x := range o.Regions.Look(o.engine.Now, o.Zones.All()) {
+	for _, x := range o.Regions.Observe(o.engine.Now, o.Zones.All()) {
 		r := x.Region
-		o.engine.Log(logLevel(x.To), "region "+x.To.String(), "region", r.Name, "before", x.From.String(), "after", x.After, "zones", r.Zones, "away", r.Away, "heard", r.Sight.Heard, "silent", r.Sight.Silent)
+		o.engine.Log(logLevel(x.To), "region "+x.To.String(), "region", r.Name, "before", x.From.String(), "after", x.After, "zones", r.Zones, "away", r.UnreachableZones, "heard", r.Seen.Heard, "silent", r.Seen.Silent)
 	}
 }
 
@@ -123,7 +123,7 @@
 func (o *Monitor) markUnreachable() {
 	for _, m := range o.leader.Machines() {
 		switch {
-		case !m.ZoneState.Away():
+		case !m.ZoneState.Unreachable():
 			m.Unreachable = false
 		case m.Unreachable || m.Releasing || o.isHeard(m):
 		default:
@@ -137,12 +137,12 @@
 // kept any longer, the most expensive first.
 func (o *Monitor) releaseLostZones() {
 	for _, z := range o.Zones.All() {
-		if z.Probe(o.engine.Now) {
+		if z.TakeProbe(o.engine.Now) {
 			o.engine.Log(slog.LevelInfo, "probing lost zone with one instance", "zone", z.Name)
 			o.leader.RequestProbe(z.Name)
 		}
-		excess := z.Sight.Silent - z.Kept(o.engine.Now)
-		if !z.Away() || excess <= 0 {
+		excess := z.Seen.Silent - z.KeepCount(o.engine.Now)
+		if !z.Unreachable() || excess <= 0 {
 			continue
 		}
 		silent := o.silentMachines(z)
@@ -170,7 +170,7 @@
 	if j.Spec.Zone == "" || j.Waiting == 0 {
 		return ""
 	}
-	if z := o.Zones.Zone(j.Spec.Zone); z.Away() {
+	if z := o.Zones.Zone(j.Spec.Zone); z.Unreachable() {
 		return "zone " + z.Name + " is " + z.State.String() + ", tasks wait for it"
 	}
 	return ""
--- a/internal/zones/regions.go
+++ b/internal/zones/regions.go
@@ -44,12 +44,12 @@
 
 // Region is one region's verdict, which follows from those on its zones.
 type Region struct {
-	Name  string
-	State State
-	Since time.Time // of the state
-	Sight Sight     // of all its zones
-	Zones int       // that have machines
-	Away  int       // of them, doubtful or lost
+	Name             string
+	State            State
+	Since            time.Time   // of the state
+	Seen             Observation // of all its zones
+	Zones            int         // that have machines
+	UnreachableZones int         // of them, doubtful or lost
 }
 
 // RegionChange is a region that goes from one state to another.
@@ -61,13 +61,13 @@
 
 // RegionWatch keeps the regions.
 type RegionWatch struct {
-	set     *Regions
-	regions map[string]*Region
+	regionOf *Regions
+	regions  map[string]*Region
 }
 
 // NewRegionWatch returns a watch of regions, of none if set is nil.
 func NewRegionWatch(set *Regions) *RegionWatch {
-	w := &RegionWatch{set: set, regions: map[string]*Region{}}
+	w := &RegionWatch{regionOf: set, regions: map[string]*Region{}}
 	if set != nil {
 		for _, name := range set.names {
 			w.regions[name] = &Region{Name: name}
@@ -85,30 +85,30 @@
 }
 
 // Of returns the region of a zone, or nil.
-func (w *RegionWatch) Of(zone string) *Region { return w.regions[w.set.Of(zone)] }
+func (w *RegionWatch) Of(zone string) *Region { return w.regions[w.regionOf.Of(zone)] }
 
-// Look goes by the verdicts on the zones and returns what changed: a region is away when
+// Observe goes by the verdicts on the zones and returns what changed: a region is away when
 // all its zones that have machines are, and there is more than one; a single zone is a
 // zone's own trouble.
-func (w *RegionWatch) Look(now time.Time, zones []*Zone) (changes []RegionChange) {
+func (w *RegionWatch) Observe(now time.Time, zones []*Zone) (changes []RegionChange) {
 	lost := map[string]int{}
 	returning := map[string]int{}
 	for _, r := range w.regions {
-		r.Zones, r.Away, r.Sight = 0, 0, Sight{}
+		r.Zones, r.UnreachableZones, r.Seen = 0, 0, Observation{}
 	}
 	for _, z := range zones {
 		r := w.Of(z.Name)
-		if r == nil || z.State == Up && z.Sight.Heard+z.Sight.Silent == 0 {
+		if r == nil || z.State == Up && z.Seen.Heard+z.Seen.Silent == 0 {
 			continue
 		}
 		r.Zones++
-		r.Sight.Heard += z.Sight.Heard
-		r.Sight.Silent += z.Sight.Silent
+		r.Seen.Heard += z.Seen.Heard
+		r.Seen.Silent += z.Seen.Silent
 		switch z.State {
 		case Doubtful:
-			r.Away++
+			r.UnreachableZones++
 		case Lost:
-			r.Away++
+			r.UnreachableZones++
 			lost[r.Name]++
 		case Returning:
 			returning[r.Name]++
@@ -131,13 +131,13 @@
 	switch {
 	case r.Zones > 1 && lost == r.Zones:
 		return Lost
-	case r.Zones > 1 && r.Away == r.Zones:
+	case r.Zones > 1 && r.UnreachableZones == r.Zones:
 		return Doubtful
-	case r.State != Up && (r.Away > 0 || returning > 0):
+	case r.State != Up && (r.UnreachableZones > 0 || returning > 0):
 		return Returning // until the last of its zones is up
 	}
 	return Up
 }
 
-// IsAway reports whether all of the region is taken to be cut off.
-func (r *Region) IsAway() bool { return r.State == Doubtful || r.State == Lost }
+// Unreachable reports whether all of the region is taken to be cut off.
+func (r *Region) Unreachable() bool { return r.State == Doubtful || r.State == Lost }
--- a/internal/zones/regions_test.go
+++ b/internal/zones/regions_test.go
@@ -35,10 +35,10 @@
 	zone := map[string]*Zone{}
 	var all []*Zone
 	for _, name := range []string{"other", "r1-a", "r1-b", "r1-empty", "r2-a"} {
-		zone[name] = &Zone{Name: name, Sight: Sight{Heard: 5}}
+		zone[name] = &Zone{Name: name, Seen: Observation{Heard: 5}}
 		all = append(all, zone[name])
 	}
-	zone["r1-empty"].Sight = Sight{}
+	zone["r1-empty"].Seen = Observation{}
 	var told []string
 	for _, step := range []string{"", "r1-a doubtful", "r1-b doubtful", "r1-a lost", "r1-b lost", "r1-a returning", "r1-b returning", "r1-a up", "r1-b up", "r2-a lost"} {
 		if name, state, ok := strings.Cut(step, " "); ok {
@@ -49,7 +49,7 @@
 			}
 		}
 		now = now.Add(time.Second)
-		for _, c := range w.Look(now, all) {
+		for _, c := range w.Observe(now, all) {
 			told = append(told, fmt.Sprint(step, ": ", c.Region.Name, " ", c.To, " after ", c.After))
 		}
 	}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -30,23 +30,23 @@
 
 // Settings are the times that the verdicts rest on.
 type Settings struct {
-	LostAfter time.Duration // a doubtful zone is lost after this: what ran there is over by then
-	Steady    time.Duration // a zone that returns is up after this; longer, the more often it came and went
-	Keep      time.Duration // machines of a lost zone are all kept for this, counted from the doubt
-	Probe     time.Duration // how often one machine is rented in a lost zone that has none left
+	LostAfter     time.Duration // a doubtful zone is lost after this: what ran there is over by then
+	StableFor     time.Duration // a zone that returns is up after this; longer, the more often it came and went
+	KeepFor       time.Duration // machines of a lost zone are all kept for this, counted from the doubt
+	ProbeInterval time.Duration // how often one machine is rented in a lost zone that has none left
 }
 
-// Sight is what is seen of a zone at one look.
-type Sight struct {
+// Observation is what is seen of a zone at one look.
+type Observation struct {
 	Heard  int // machines that have reported lately
 	Silent int // machines that have reported before, or may hold tasks, and have not lately
 }
 
 const (
-	// fewest is how many machines must be silent for it to be about their zone.
-	fewest = 3
-	// relapsesMost bounds how far Steady grows, by doubling.
-	relapsesMost = 4
+	// minSilent is how many machines must be silent for it to be about their zone.
+	minSilent = 3
+	// maxRelapses bounds how far Steady grows, by doubling.
+	maxRelapses = 4
 	// calmAfter is how long a zone must have been up for its relapses to be forgotten.
 	calmAfter = 5 * time.Minute
 	// Witnesses is how many silent machines are kept of a lost zone however long it takes:
@@ -56,33 +56,33 @@
 
 // Zone is one zone's verdict.
 type Zone struct {
-	Name     string
-	State    State
-	Since    time.Time // of the state
-	Sight    Sight     // as last seen
-	Struck   time.Time // when the doubt began that the state comes of
-	struckOf int       // how many were silent at the most since then
-	relapses int
-	spared   time.Time // no doubt before this: part of a zone was silent for long
-	probed   time.Time
-	set      *Settings
+	Name        string
+	State       State
+	Since       time.Time   // of the state
+	Seen        Observation // as last seen
+	OutageSince time.Time   // when the doubt began that the state comes of
+	maxSilent   int         // how many were silent at the most since then
+	relapses    int
+	ignoreUntil time.Time // no doubt before this: part of a zone was silent for long
+	probedAt    time.Time
+	settings    *Settings
 }
 
 // Watch keeps the zones.
 type Watch struct {
-	set   Settings
-	zones map[string]*Zone
-	names []string // sorted
+	settings Settings
+	zones    map[string]*Zone
+	names    []string // sorted
 }
 
 // New returns a watch that has seen nothing.
-func New(s Settings) *Watch { return &Watch{set: s, zones: map[string]*Zone{}} }
+func New(s Settings) *Watch { return &Watch{settings: s, zones: map[string]*Zone{}} }
 
 // Zone returns the zone of a name, up if it is new.
 func (w *Watch) Zone(name string) *Zone {
 	z := w.zones[name]
 	if z == nil {
-		z = &Zone{Name: name, set: &w.set}
+		z = &Zone{Name: name, settings: &w.settings}
 		w.zones[name] = z
 		i, _ := slices.BinarySearch(w.names, name)
 		w.names = slices.Insert(w.names, i, name)
@@ -106,13 +106,13 @@
 	After    time.Duration // how long the former state lasted
 }
 
-// Look takes in what is seen of all zones now, and returns what changed.
-func (w *Watch) Look(now time.Time, sights map[string]Sight) []Change {
+// Observe takes in what is seen of all zones now, and returns what changed.
+func (w *Watch) Observe(now time.Time, sights map[string]Observation) []Change {
 	for name := range sights {
 		w.Zone(name)
 	}
 	for _, n := range w.names {
-		w.zones[n].Sight = sights[n]
+		w.zones[n].Seen = sights[n]
 	}
 	var cs []Change
 	for _, n := range w.names {
@@ -121,7 +121,7 @@
 			z.Since = now
 		}
 		from, since := z.State, z.Since
-		z.look(now, w.heardElsewhere(z))
+		z.observe(now, w.heardElsewhere(z))
 		if z.State != from {
 			cs = append(cs, Change{z, from, z.State, now.Sub(since)})
 		}
@@ -135,8 +135,8 @@
 	heard, silent := 0, 0
 	for _, n := range w.names {
 		if o := w.zones[n]; o != z && o.State != Doubtful && o.State != Lost {
-			heard += o.Sight.Heard
-			silent += o.Sight.Silent
+			heard += o.Seen.Heard
+			silent += o.Seen.Silent
 		}
 	}
 	return heard > silent
@@ -144,103 +144,103 @@
 
 func (z *Zone) enter(s State, now time.Time) { z.State, z.Since = s, now }
 
-func (z *Zone) look(now time.Time, elsewhere bool) {
-	heard, silent := z.Sight.Heard, z.Sight.Silent
-	doubt := silent >= fewest && 2*silent >= heard && elsewhere
+func (z *Zone) observe(now time.Time, elsewhere bool) {
+	heard, silent := z.Seen.Heard, z.Seen.Silent
+	doubt := silent >= minSilent && 2*silent >= heard && elsewhere
 	if z.State == Returning {
 		doubt = doubt && heard == 0 // it comes back over a report interval
 	}
 	switch z.State {
 	case Up, Returning:
 		switch {
-		case doubt && !now.Before(z.spared):
-			if z.State == Returning || now.Sub(z.Since) < calmAfter && !z.Struck.IsZero() {
-				z.relapses = min(z.relapses+1, relapsesMost)
+		case doubt && !now.Before(z.ignoreUntil):
+			if z.State == Returning || now.Sub(z.Since) < calmAfter && !z.OutageSince.IsZero() {
+				z.relapses = min(z.relapses+1, maxRelapses)
 			} else {
 				z.relapses = 0
 			}
-			z.Struck, z.struckOf = now, silent
+			z.OutageSince, z.maxSilent = now, silent
 			z.enter(Doubtful, now)
-		case z.State == Returning && now.Sub(z.Since) >= z.steady():
-			if silent >= fewest && 2*silent >= heard {
-				z.spare(now) // who has not come back by now is a case of its own
+		case z.State == Returning && now.Sub(z.Since) >= z.stableFor():
+			if silent >= minSilent && 2*silent >= heard {
+				z.ignoreSilence(now) // who has not come back by now is a case of its own
 			}
 			z.enter(Up, now)
 		}
 	case Doubtful:
-		z.struckOf = max(z.struckOf, silent)
-		over := now.Sub(z.Since) >= z.set.LostAfter
+		z.maxSilent = max(z.maxSilent, silent)
+		over := now.Sub(z.Since) >= z.settings.LostAfter
 		switch {
 		case heard > 0 && silent == 0:
 			z.enter(Returning, now)
 		case over && heard > 0:
 			// Part of it has been there all the time, so it is not the zone.
-			z.spare(now)
+			z.ignoreSilence(now)
 			z.enter(Up, now)
 		case over:
-			z.probed = time.Time{} // at once, if nobody there is left to tell
+			z.probedAt = time.Time{} // at once, if nobody there is left to tell
 			z.enter(Lost, now)
 		}
 	case Lost:
-		z.struckOf = max(z.struckOf, silent)
+		z.maxSilent = max(z.maxSilent, silent)
 		if heard > 0 { // whoever can be heard from there is not cut off
 			z.enter(Returning, now)
 		}
 	}
 }
 
-// spare has the zone's silent machines looked at one by one for a while.
-func (z *Zone) spare(now time.Time) { z.spared = now.Add(z.set.LostAfter) }
+// ignoreSilence has the zone's silent machines looked at one by one for a while.
+func (z *Zone) ignoreSilence(now time.Time) { z.ignoreUntil = now.Add(z.settings.LostAfter) }
 
-func (z *Zone) steady() time.Duration { return z.set.Steady << z.relapses }
+func (z *Zone) stableFor() time.Duration { return z.settings.StableFor << z.relapses }
 
-// Away reports whether silent machines of the zone are taken to be cut off, not gone.
-func (z *Zone) Away() bool { return z.State == Doubtful || z.State == Lost }
+// Unreachable reports whether silent machines of the zone are taken to be cut off, not gone.
+func (z *Zone) Unreachable() bool { return z.State == Doubtful || z.State == Lost }
 
-// Rents reports whether machines may be rented in the zone: not while it is away, nor
+// AllowsRental reports whether machines may be rented in the zone: not while it is away, nor
 // while it returns and its own machines are still to report, one after the other.
-func (z *Zone) Rents() bool {
-	return z.State == Up || z.State == Returning && z.Sight.Silent == 0
+func (z *Zone) AllowsRental() bool {
+	return z.State == Up || z.State == Returning && z.Seen.Silent == 0
 }
 
-// Takes reports whether machines of the zone that report may start tasks. One that came
+// StartsTasks reports whether machines of the zone that report may start tasks. One that came
 // back and went again has to stay for a while first, or its tasks are lost each time.
-func (z *Zone) Takes() bool { return z.State != Returning || z.relapses == 0 }
+func (z *Zone) StartsTasks() bool { return z.State != Returning || z.relapses == 0 }
 
-// Kept says how many of its silent machines to keep by now. While a short cut is the
+// KeepCount says how many of its silent machines to keep by now. While a short cut is the
 // likelier case all of them: they would come back with their images, at once, where new
 // ones take a boot and a fetch. The longer it lasts, the longer it will; so they go one
 // after the other, and at three times Keep there are only the witnesses.
-func (z *Zone) Kept(now time.Time) int {
-	if !z.Away() {
+func (z *Zone) KeepCount(now time.Time) int {
+	if !z.Unreachable() {
 		return 0
 	}
-	over := now.Sub(z.Struck) - z.set.Keep
+	over := now.Sub(z.OutageSince) - z.settings.KeepFor
 	if over <= 0 {
-		return z.struckOf
+		return z.maxSilent
 	}
-	left := 1 - float64(over)/float64(2*z.set.Keep)
-	return max(Witnesses, int(left*float64(z.struckOf)))
+	left := 1 - float64(over)/float64(2*z.settings.KeepFor)
+	return max(Witnesses, int(left*float64(z.maxSilent)))
 }
 
-// Probe reports whether one machine is to be rented in the zone now, to see whether it is
+// TakeProbe reports whether one machine is to be rented in the zone now, to see whether it is
 // back: it is lost, and no machine there could tell.
-func (z *Zone) Probe(now time.Time) bool {
-	if z.State != Lost || z.Sight.Heard+z.Sight.Silent > 0 || now.Sub(z.probed) < z.set.Probe {
+func (z *Zone) TakeProbe(now time.Time) bool {
+	if z.State != Lost || z.Seen.Heard+z.Seen.Silent > 0 || now.Sub(z.probedAt) < z.settings.ProbeInterval {
 		return false
 	}
-	z.probed = now
+	z.probedAt = now
 	return true
 }
 
-// probeAgain is how long after a refusal the next probe comes.
-const probeAgain = 2 * time.Second
+// probeRetryDelay is how long after a refusal the next probe comes.
+const probeRetryDelay = 2 * time.Second
 
-// Refused notes that the cloud had no such machine in the zone. If that was a probe it has
+// ProbeRefused notes that the cloud had no such machine in the zone. If that was a probe it has
 // shown nothing, and another kind may be had: a zone without any of the kind that is tried
 // first would never be found to be back.
-func (z *Zone) Refused(now time.Time) {
+func (z *Zone) ProbeRefused(now time.Time) {
 	if z.State == Lost {
-		z.probed = now.Add(probeAgain - z.set.Probe)
+		z.probedAt = now.Add(probeRetryDelay - z.settings.ProbeInterval)
 	}
 }
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -9,7 +9,7 @@
 
 var t0 = time.Unix(1_900_000_000, 0)
 
-var set = Settings{LostAfter: 20 * time.Second, Steady: 8 * time.Second, Keep: 60 * time.Second, Probe: time.Minute}
+var set = Settings{LostAfter: 20 * time.Second, StableFor: 8 * time.Second, KeepFor: 60 * time.Second, ProbeInterval: time.Minute}
 
 // day plays what is seen of zone a beside zone b, a look a second, and returns the states
 // that a went through, with their seconds. A step is "until heard/silent heard/silent".
@@ -22,7 +22,7 @@
 			panic(s)
 		}
 		for ; at < until; at++ {
-			for _, c := range w.Look(t0.Add(time.Duration(at)*time.Second), map[string]Sight{"a": {ha, sa}, "b": {hb, sb}}) {
+			for _, c := range w.Observe(t0.Add(time.Duration(at)*time.Second), map[string]Observation{"a": {ha, sa}, "b": {hb, sb}}) {
 				if c.Zone.Name == "a" {
 					out = append(out, fmt.Sprintf("%s %d", c.To, at))
 				}
@@ -66,24 +66,24 @@
 		t.Errorf("%s, want %s", got, want)
 	}
 	z := w.Zone("a")
-	look := func(at int, s Sight) {
-		w.Look(t0.Add(time.Duration(at)*time.Second), map[string]Sight{"a": s, "b": {Heard: 40}})
+	look := func(at int, s Observation) {
+		w.Observe(t0.Add(time.Duration(at)*time.Second), map[string]Observation{"a": s, "b": {Heard: 40}})
 	}
-	look(70, Sight{Heard: 40})
-	if z.State != Returning || z.Takes() {
-		t.Errorf("third return: %v, takes work %v", z.State, z.Takes())
+	look(70, Observation{Heard: 40})
+	if z.State != Returning || z.StartsTasks() {
+		t.Errorf("third return: %v, takes work %v", z.State, z.StartsTasks())
 	}
-	look(70+31, Sight{Heard: 40})
+	look(70+31, Observation{Heard: 40})
 	if z.State != Returning {
 		t.Error("up after", 31*time.Second)
 	}
-	look(70+32, Sight{Heard: 40})
-	if z.State != Up || !z.Takes() {
-		t.Errorf("%v after 32 s, takes work %v", z.State, z.Takes())
+	look(70+32, Observation{Heard: 40})
+	if z.State != Up || !z.StartsTasks() {
+		t.Errorf("%v after 32 s, takes work %v", z.State, z.StartsTasks())
 	}
-	look(500, Sight{Silent: 40})
-	look(510, Sight{Heard: 40})
-	if !z.Takes() {
+	look(500, Observation{Silent: 40})
+	look(510, Observation{Heard: 40})
+	if !z.StartsTasks() {
 		t.Error("relapses are not forgotten")
 	}
 }
@@ -94,7 +94,7 @@
 	day(w, "10 40/0 40/0", "11 0/40 40/0")
 	z := w.Zone("a")
 	for _, x := range []struct{ after, want int }{{0, 40}, {60, 40}, {90, 30}, {120, 20}, {179, 2}, {1000, 2}} {
-		if got := z.Kept(t0.Add(time.Duration(10+x.after) * time.Second)); got != x.want {
+		if got := z.KeepCount(t0.Add(time.Duration(10+x.after) * time.Second)); got != x.want {
 			t.Errorf("%d s: %d are kept, want %d", x.after, got, x.want)
 		}
 	}
@@ -106,21 +106,21 @@
 	w := New(set)
 	day(w, "10 40/0 40/0", "40 0/40 40/0")
 	z := w.Zone("a")
-	if z.Probe(t0.Add(300 * time.Second)) {
+	if z.TakeProbe(t0.Add(300 * time.Second)) {
 		t.Error("probed with machines that could tell")
 	}
 	day(w, "41 0/0 40/0")
 	n := 0
 	for at := range 600 {
-		if z.Probe(t0.Add(time.Duration(at) * time.Second)) {
+		if z.TakeProbe(t0.Add(time.Duration(at) * time.Second)) {
 			n++
 		}
 	}
 	if n < 9 || n > 11 {
 		t.Errorf("%d probes in ten minutes", n)
 	}
-	w.Look(t0.Add(700*time.Second), map[string]Sight{"a": {Heard: 1}, "b": {Heard: 40}})
-	if z.State != Returning || !z.Rents() {
+	w.Observe(t0.Add(700*time.Second), map[string]Observation{"a": {Heard: 1}, "b": {Heard: 40}})
+	if z.State != Returning || !z.AllowsRental() {
 		t.Errorf("%v once the probe reports", z.State)
 	}
 }
@@ -129,7 +129,7 @@
 // kind of machine; one that was not is left its time.
 func TestRefusedProbe(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	z := &Zone{set: &Settings{Probe: time.Minute}, State: Lost}
+	z := &Zone{settings: &Settings{ProbeInterval: time.Minute}, State: Lost}
 	at := func(s int) time.Time { return now.Add(time.Duration(s) * time.Second) }
 	for _, x := range []struct {
 		at      int
@@ -137,9 +137,9 @@
 		due     bool
 	}{{0, false, true}, {30, false, false}, {60, false, true}, {61, true, false}, {62, false, false}, {63, false, true}, {100, false, false}, {123, false, true}} {
 		if x.refused {
-			z.Refused(at(x.at))
+			z.ProbeRefused(at(x.at))
 		}
-		if got := z.Probe(at(x.at)); got != x.due {
+		if got := z.TakeProbe(at(x.at)); got != x.due {
 			t.Errorf("at %d s: %v", x.at, got)
 		}
 	}
