--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -3,6 +3,7 @@
 
 import (
 	"time"
+
 	"yewpass/internal/provider"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
@@ -10,19 +11,18 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// Runtimes corrects the owners' estimates by observed run times: by job once a
-// task of it has completed, by class and owner before.
-//
-// Classes are the users' own words, so only the latest used ones are kept.
+// Runtimes holds observed run times by class and owner, relative to the users' estimates.
+// Users name classes as they like, so only the most recently used ones are kept.
 type Runtimes struct {
 	*lru.Cache[string, *Average]
 }
 
-const maxKept = 4096
+// maxClasses is how many classes are kept.
+const maxClasses = 4096
 
 // NewRuntimes returns a Runtimes that has observed nothing.
 func NewRuntimes() Runtimes {
-	kept, _ := lru.New[string, *Average](maxKept) // errs only for a size below 1
+	kept, _ := lru.New[string, *Average](maxClasses) // errs only for a size below 1
 	return Runtimes{kept}
 }
 
@@ -38,17 +38,20 @@
 	Mean float64 // class: actual over estimate; job: seconds
 }
 
+// minWeight is the least weight of a new observation.
+const minWeight = 0.08
+
 // Add adds an observation.
 func (o *Average) Add(x float64) {
 	o.N++
-	w := max(1/float64(o.N), 0.08)
+	w := max(1/float64(o.N), minWeight)
 	o.Mean += w * (x - o.Mean)
 }
 
-// ImageFetch returns how long the machine needs to fetch the image.
-func ImageFetch(s *spec.Job, f *provider.InstanceType) time.Duration {
-	if f == nil || f.ImageGBps <= 0 {
+// ImageFetch returns how long a machine of the type needs to fetch the image of the job.
+func ImageFetch(s *spec.Job, t *provider.InstanceType) time.Duration {
+	if t == nil || t.ImageGBps <= 0 {
 		return 0
 	}
-	return timeline.Seconds(s.ImageGB / f.ImageGBps)
+	return timeline.Seconds(s.ImageGB / t.ImageGBps)
 }
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -55,7 +55,7 @@
 
 // Observe looks at all machines and acts on what that says of their zones.
 func (o *Monitor) Observe() {
-	changes := o.Zones.Observe(o.engine.Now, o.sights())
+	changes := o.Zones.Observe(o.engine.Now, o.observations())
 	o.observeRegions()
 	for _, x := range changes {
 		o.logZone(x)
@@ -65,24 +65,24 @@
 	o.releaseLostZones()
 }
 
-// sights returns how many machines are heard and silent in each zone.
-func (o *Monitor) sights() map[string]zones.Observation {
-	sights := map[string]zones.Observation{}
+// observations returns how many machines are heard and silent in each zone.
+func (o *Monitor) observations() map[string]zones.Observation {
+	observations := map[string]zones.Observation{}
 	electedAt, _ := o.leader.LedSince()
 	justElected := o.engine.Now.Sub(electedAt) <= min(o.silentAfter, unheardAfterElection)
 	for _, m := range o.leader.Machines() {
 		if m.Releasing || !m.InterruptionAt.IsZero() || !m.Reported && !m.LeaseExpired && !o.leader.Unaccounted(m.Host) {
 			continue // on its way out, or not up yet
 		}
-		s := sights[m.Zone]
+		s := observations[m.Zone]
 		if o.isHeard(m) || !m.Reported && !m.LeaseExpired && justElected {
 			s.Heard++
 		} else {
 			s.Silent++
 		}
-		sights[m.Zone] = s
+		observations[m.Zone] = s
 	}
-	return sights
+	return observations
 }
 
 // isHeard reports whether a machine reports in time.
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -1,5 +1,5 @@
-// Package provider holds the requests to the cloud that instances are rented from, and its
-// responses. Package cloud maps them to the cloud's protocol.
+// Package provider defines the requests to the cloud provider that instances are rented from,
+// and its responses. Package cloud maps them to the provider's protocol.
 package provider
 
 import (
@@ -8,20 +8,20 @@
 	"yewpass/internal/timeline"
 )
 
-// InstanceType is a machine type of the catalog.
+// InstanceType is an instance type of the catalog.
 type InstanceType struct {
 	Name         string
 	Capacity     timeline.Resources
 	CPUs         float64
-	LocalGB      float64
-	ImageGBps    float64
-	OnDemandRate float64 // per hour
-	SpotRate     float64 // per hour, reclaimable
+	LocalGB      float64 // of local storage
+	ImageGBps    float64 // at which images are fetched
+	OnDemandRate float64 // per hour, of an on-demand instance
+	SpotRate     float64 // per hour, of a spot instance
 	BootTime     time.Duration
 	Zones        []string
 }
 
-// Instance is a machine in the cloud's list.
+// Instance is an instance in the provider's list.
 type Instance struct {
 	Host, InstanceType, Zone, Status string
 	Spot                             bool
@@ -38,27 +38,27 @@
 	More          bool
 }
 
-// Op is a kind of call to the cloud.
+// Op is a kind of request.
 type Op int
 
-// The calls to the cloud.
+// The kinds of requests.
 const (
-	Catalog Op = iota
-	ScaleOut
-	Release
-	List
+	Catalog  Op = iota // read the instance types
+	ScaleOut           // start instances
+	Release            // return instances
+	List               // list the instances
 )
 
-// Request asks the cloud for something.
+// Request is a request to the provider. Which fields it uses depends on Op.
 type Request struct {
 	Ref          uint64
 	Op           Op
-	RequestName  string
+	RequestName  string // of a ScaleOut: a repeated name gets the instances of the first time
 	InstanceType string
 	Zone         string
 	Spot         bool
 	Count        int
 	Hosts        []string
-	After        string
+	After        string // List begins after this host
 	Timeout      time.Duration
 }
--- a/internal/zones/regions.go
+++ b/internal/zones/regions.go
@@ -42,14 +42,14 @@
 	return r.of[zone]
 }
 
-// Region is one region's verdict, which follows from those on its zones.
+// Region is what is known of one region, derived from its zones.
 type Region struct {
 	Name             string
 	State            State
 	Since            time.Time   // of the state
-	Seen             Observation // of all its zones
-	Zones            int         // that have machines
-	UnreachableZones int         // of them, doubtful or lost
+	Seen             Observation // sum of its zones
+	Zones            int         // number of zones that have machines
+	UnreachableZones int         // of them, those that are doubtful or lost
 }
 
 // RegionChange is a region that goes from one state to another.
@@ -59,13 +59,13 @@
 	After    time.Duration // how long the former state lasted
 }
 
-// RegionWatch keeps the regions.
+// RegionWatch observes the regions.
 type RegionWatch struct {
 	regionOf *Regions
 	regions  map[string]*Region
 }
 
-// NewRegionWatch returns a watch of regions, of none if set is nil.
+// NewRegionWatch returns a RegionWatch of the regions, of none if set is nil.
 func NewRegionWatch(set *Regions) *RegionWatch {
 	w := &RegionWatch{regionOf: set, regions: map[string]*Region{}}
 	if set != nil {
@@ -76,7 +76,7 @@
 	return w
 }
 
-// All returns the regions in the order of their names.
+// All returns the regions by name.
 func (w *RegionWatch) All() (rs []*Region) {
 	for _, name := range slices.Sorted(maps.Keys(w.regions)) {
 		rs = append(rs, w.regions[name])
@@ -87,9 +87,9 @@
 // Of returns the region of a zone, or nil.
 func (w *RegionWatch) Of(zone string) *Region { return w.regions[w.regionOf.Of(zone)] }
 
-// Observe goes by the verdicts on the zones and returns what changed: a region is away when
-// all its zones that have machines are, and there is more than one; a single zone is a
-// zone's own trouble.
+// Observe derives the states of the regions from those of the zones and returns the changes. A
+// region is unreachable when all its zones that have machines are, and there is more than
+// one; the outage of a single zone is not that of a region.
 func (w *RegionWatch) Observe(now time.Time, zones []*Zone) (changes []RegionChange) {
 	lost := map[string]int{}
 	returning := map[string]int{}
@@ -119,7 +119,7 @@
 			r.Since = now
 		}
 		if to := r.verdict(lost[r.Name], returning[r.Name]); to != r.State {
-			changes = append(changes, RegionChange{r, r.State, to, now.Sub(r.Since)})
+			changes = append(changes, RegionChange{Region: r, From: r.State, To: to, After: now.Sub(r.Since)})
 			r.State, r.Since = to, now
 		}
 	}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,10 +1,10 @@
-// Package zones tells a zone that is lost from machines that are. It is handed what is
-// heard of each zone's machines and says in which state the zone is; it knows no machine,
-// does no I/O and reads no clock.
+// Package zones distinguishes a zone that is cut off from single machines that are gone. It
+// derives the state of each zone from how many of its machines are heard. It knows no
+// machines, does no I/O and reads no clock.
 //
-// Hundreds of machines that fall silent at one instant are one trouble, not hundreds: the
-// machines are most likely well, and back within a minute or two, whereas new ones in the
-// same zone would be out of reach as they are.
+// Hundreds of machines that fall silent at the same time are one outage, not hundreds of
+// failures: the machines are most likely well and back within a minute or two, and new ones
+// in the same zone would be just as unreachable.
 package zones
 
 import (
@@ -12,73 +12,73 @@
 	"time"
 )
 
-// State is how a zone stands.
+// State is the state of a zone or region.
 type State int
 
-// The states of a zone.
+// The states of a zone or region.
 const (
 	Up        State = iota
 	Doubtful        // so many of its machines are silent at once that it may be cut off
 	Lost            // and has been for longer than a worker's lease
-	Returning       // heard again, not yet for long
+	Returning       // reporting again, but not for long yet
 )
 
-// String is the name of the state in lower case.
+// String returns the name of the state in lower case.
 func (s State) String() string {
 	return [...]string{"up", "doubtful", "lost", "returning"}[s]
 }
 
-// Settings are the times that the verdicts rest on.
+// Settings are the times that decide about the states.
 type Settings struct {
 	LostAfter     time.Duration // a doubtful zone is lost after this: what ran there is over by then
-	StableFor     time.Duration // a zone that returns is up after this; longer, the more often it came and went
-	KeepFor       time.Duration // machines of a lost zone are all kept for this, counted from the doubt
+	StableFor     time.Duration // a returning zone is up after this; doubled for each relapse
+	KeepFor       time.Duration // all machines of a lost zone are kept for this, counted from the beginning of the outage
 	ProbeInterval time.Duration // how often one machine is rented in a lost zone that has none left
 }
 
-// Observation is what is seen of a zone at one look.
+// Observation is how many machines of a zone are heard and silent at one time.
 type Observation struct {
-	Heard  int // machines that have reported lately
-	Silent int // machines that have reported before, or may hold tasks, and have not lately
+	Heard  int // machines that have reported recently
+	Silent int // machines that have reported before, or may hold tasks, but have not reported recently
 }
 
 const (
-	// minSilent is how many machines must be silent for it to be about their zone.
+	// minSilent is how many machines must be silent for their zone to be suspected.
 	minSilent = 3
-	// maxRelapses bounds how far Steady grows, by doubling.
+	// maxRelapses bounds how often StableFor is doubled.
 	maxRelapses = 4
 	// calmAfter is how long a zone must have been up for its relapses to be forgotten.
 	calmAfter = 5 * time.Minute
-	// Witnesses is how many silent machines are kept of a lost zone however long it takes:
-	// they report when it is back.
+	// Witnesses is how many silent machines of a lost zone are kept for good: they report when
+	// it is back.
 	Witnesses = 2
 )
 
-// Zone is one zone's verdict.
+// Zone is what is known of one zone.
 type Zone struct {
 	Name        string
 	State       State
 	Since       time.Time   // of the state
-	Seen        Observation // as last seen
-	OutageSince time.Time   // when the doubt began that the state comes of
-	maxSilent   int         // how many were silent at the most since then
+	Seen        Observation // latest
+	OutageSince time.Time   // when the outage began that led to the state
+	maxSilent   int         // the most that were silent at a time since then
 	relapses    int
-	ignoreUntil time.Time // no doubt before this: part of a zone was silent for long
+	ignoreUntil time.Time // no outage is suspected before this: part of the zone was silent for long
 	probedAt    time.Time
 	settings    *Settings
 }
 
-// Watch keeps the zones.
+// Watch observes the zones.
 type Watch struct {
 	settings Settings
 	zones    map[string]*Zone
 	names    []string // sorted
 }
 
-// New returns a watch that has seen nothing.
+// New returns a Watch that has observed nothing.
 func New(s Settings) *Watch { return &Watch{settings: s, zones: map[string]*Zone{}} }
 
-// Zone returns the zone of a name, up if it is new.
+// Zone returns the zone of a name. A new one is up.
 func (w *Watch) Zone(name string) *Zone {
 	z := w.zones[name]
 	if z == nil {
@@ -90,7 +90,7 @@
 	return z
 }
 
-// All returns the zones in the order of their names.
+// All returns the zones by name.
 func (w *Watch) All() []*Zone {
 	zs := make([]*Zone, 0, len(w.names))
 	for _, n := range w.names {
@@ -106,13 +106,13 @@
 	After    time.Duration // how long the former state lasted
 }
 
-// Observe takes in what is seen of all zones now, and returns what changed.
-func (w *Watch) Observe(now time.Time, sights map[string]Observation) []Change {
-	for name := range sights {
+// Observe takes in an observation of each zone and returns the changes of state.
+func (w *Watch) Observe(now time.Time, observations map[string]Observation) []Change {
+	for name := range observations {
 		w.Zone(name)
 	}
 	for _, n := range w.names {
-		w.zones[n].Seen = sights[n]
+		w.zones[n].Seen = observations[n]
 	}
 	var cs []Change
 	for _, n := range w.names {
@@ -123,14 +123,15 @@
 		from, since := z.State, z.Since
 		z.observe(now, w.heardElsewhere(z))
 		if z.State != from {
-			cs = append(cs, Change{z, from, z.State, now.Sub(since)})
+			cs = append(cs, Change{Zone: z, From: from, To: z.State, After: now.Sub(since)})
 		}
 	}
 	return cs
 }
 
-// heardElsewhere reports whether most machines are heard in the zones that are not lost
-// themselves. When they are not, or there are none, it is rather we who are cut off.
+// heardElsewhere reports whether most machines are heard in the other zones, without those
+// that are cut off. If not, or if there are none, it is more likely the observer that is cut
+// off.
 func (w *Watch) heardElsewhere(z *Zone) bool {
 	heard, silent := 0, 0
 	for _, n := range w.names {
@@ -148,7 +149,7 @@
 	heard, silent := z.Seen.Heard, z.Seen.Silent
 	doubt := silent >= minSilent && 2*silent >= heard && elsewhere
 	if z.State == Returning {
-		doubt = doubt && heard == 0 // it comes back over a report interval
+		doubt = doubt && heard == 0 // its machines report one after the other over a heartbeat interval
 	}
 	switch z.State {
 	case Up, Returning:
@@ -163,7 +164,7 @@
 			z.enter(Doubtful, now)
 		case z.State == Returning && now.Sub(z.Since) >= z.stableFor():
 			if silent >= minSilent && 2*silent >= heard {
-				z.ignoreSilence(now) // who has not come back by now is a case of its own
+				z.ignoreSilence(now) // machines that are not back by now are judged one by one
 			}
 			z.enter(Up, now)
 		}
@@ -174,43 +175,45 @@
 		case heard > 0 && silent == 0:
 			z.enter(Returning, now)
 		case over && heard > 0:
-			// Part of it has been there all the time, so it is not the zone.
+			// Part of the zone has been reachable all the time, so it is not cut off.
 			z.ignoreSilence(now)
 			z.enter(Up, now)
 		case over:
-			z.probedAt = time.Time{} // at once, if nobody there is left to tell
+			z.probedAt = time.Time{} // a probe is due at once if no machine is left there
 			z.enter(Lost, now)
 		}
 	case Lost:
 		z.maxSilent = max(z.maxSilent, silent)
-		if heard > 0 { // whoever can be heard from there is not cut off
+		if heard > 0 { // a zone from which any machine is heard is not cut off
 			z.enter(Returning, now)
 		}
 	}
 }
 
-// ignoreSilence has the zone's silent machines looked at one by one for a while.
+// ignoreSilence suspects no outage for a while, so that silent machines are judged one by one.
 func (z *Zone) ignoreSilence(now time.Time) { z.ignoreUntil = now.Add(z.settings.LostAfter) }
 
+// stableFor returns for how long the zone must have returned to be up.
 func (z *Zone) stableFor() time.Duration { return z.settings.StableFor << z.relapses }
 
 // Unreachable reports whether silent machines of the zone are taken to be cut off, not gone.
 func (z *Zone) Unreachable() bool { return z.State == Doubtful || z.State == Lost }
 
-// AllowsRental reports whether machines may be rented in the zone: not while it is away, nor
-// while it returns and its own machines are still to report, one after the other.
+// AllowsRental reports whether machines may be rented in the zone: not while it is cut off,
+// and not while it returns and some of its machines have not reported yet.
 func (z *Zone) AllowsRental() bool {
 	return z.State == Up || z.State == Returning && z.Seen.Silent == 0
 }
 
-// StartsTasks reports whether machines of the zone that report may start tasks. One that came
-// back and went again has to stay for a while first, or its tasks are lost each time.
+// StartsTasks reports whether machines of the zone that report may start tasks. A zone that
+// relapsed has to be stable for a while first, or its tasks would be lost each time.
 func (z *Zone) StartsTasks() bool { return z.State != Returning || z.relapses == 0 }
 
-// KeepCount says how many of its silent machines to keep by now. While a short cut is the
-// likelier case all of them: they would come back with their images, at once, where new
-// ones take a boot and a fetch. The longer it lasts, the longer it will; so they go one
-// after the other, and at three times Keep there are only the witnesses.
+// KeepCount returns how many of the zone's silent machines to keep at present. At first that
+// is all of them: most outages are short, and the machines come back at once and with their
+// images, where new ones have to boot and fetch them. The longer an outage has lasted, the
+// longer it is likely to last; so from KeepFor on the number falls, and at three times KeepFor
+// only the witnesses are left.
 func (z *Zone) KeepCount(now time.Time) int {
 	if !z.Unreachable() {
 		return 0
@@ -223,8 +226,9 @@
 	return max(Witnesses, int(left*float64(z.maxSilent)))
 }
 
-// TakeProbe reports whether one machine is to be rented in the zone now, to see whether it is
-// back: it is lost, and no machine there could tell.
+// TakeProbe reports whether one machine is to be rented in the zone now to see whether it is
+// back, because it is lost and has no machine that would show it. The next probe is due after
+// the probe interval.
 func (z *Zone) TakeProbe(now time.Time) bool {
 	if z.State != Lost || z.Seen.Heard+z.Seen.Silent > 0 || now.Sub(z.probedAt) < z.settings.ProbeInterval {
 		return false
@@ -233,12 +237,12 @@
 	return true
 }
 
-// probeRetryDelay is how long after a refusal the next probe comes.
+// probeRetryDelay is how long after a refusal the next probe is due.
 const probeRetryDelay = 2 * time.Second
 
-// ProbeRefused notes that the cloud had no such machine in the zone. If that was a probe it has
-// shown nothing, and another kind may be had: a zone without any of the kind that is tried
-// first would never be found to be back.
+// ProbeRefused notes that the cloud had no machine of a type in the zone. A refused probe shows
+// nothing, so the next one is due soon and may be of another type: otherwise a zone without
+// capacity for the type that is tried first would never be found to be back.
 func (z *Zone) ProbeRefused(now time.Time) {
 	if z.State == Lost {
 		z.probedAt = now.Add(probeRetryDelay - z.settings.ProbeInterval)
