--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -4,7 +4,6 @@
 	"log/slog"
 	"maps"
 	"slices"
-	"time"
 
 	"yewpass/internal/relaylinks"
 	"yewpass/internal/request"
@@ -27,7 +26,7 @@
 
 // cluster returns what is known here.
 func (c *Core) cluster() *view.Cluster {
-	v := &view.Cluster{Node: c.cfg.HostName, Leader: c.knownLeader, Term: c.highestTerm}
+	v := &view.Cluster{Node: c.cfg.HostName, Leader: c.election.Leader(), Term: c.election.HighestTerm()}
 	own := view.ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: "relay", Link: true, Workers: c.forwarder.Workers()}
 	l := c.leadership
 	if l != nil {
@@ -36,13 +35,13 @@
 		own.Role, own.Workers = "leader", l.relays.Direct()
 		v.Regions = c.clusterRegions()
 		v.Zones, v.Records = c.clusterZones(), c.records()
-	} else if !c.hasLeaderLink() {
+	} else if !c.election.IsLinkedToLeader() {
 		own.Role = "away"
 	}
 	v.Nodes = append(v.Nodes, own)
 	for _, s := range c.cfg.Seeds {
-		n := view.ClusterNode{Name: s.HostName, Zone: s.Site, Link: c.links[s.HostName]}
-		if s.HostName == c.knownLeader {
+		n := view.ClusterNode{Name: s.HostName, Zone: s.Site, Link: c.election.IsLinked(s.HostName)}
+		if s.HostName == c.election.Leader() {
 			n.Role = "leader"
 		}
 		if l != nil {
@@ -118,14 +117,10 @@
 
 // handOver gives the leadership to whoever of the others takes it first.
 func (c *Core) handOver(why string) {
-	c.handedOverAt = c.Now
+	c.election.NoteHandOver()
 	c.resign(why)
 }
 
-// handOverCooldown is for how long a node that has handed over does not stand again: the
-// others have long begun by then, unless none of them is able to.
-const handOverCooldown = 3 * time.Second
-
 // Leave has a leader hand over before its process ends on purpose.
 type Leave struct{}
 
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -21,7 +21,8 @@
 func configLeader(t *testing.T) *Core {
 	c := leaderOf(t, 3)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}, {HostName: "n2"}}
-	c.links["n1"], c.links["n2"] = true, true
+	c.election.SetLink("n1", true)
+	c.election.SetLink("n2", true)
 	return c
 }
 
@@ -166,8 +167,8 @@
 func TestLeaderVersionAskedFor(t *testing.T) {
 	leader, other := configLeader(t), configLeader(t)
 	other.leadership, other.cfg.HostName = nil, "n1"
-	other.links["n0"] = true
-	other.noteLeader("n0", 1)
+	other.election.SetLink("n0", true)
+	other.election.NoteLeader("n0", 1)
 	var ask *peermsg.Message
 	for _, o := range other.Step(other.Now, request.Request{Ref: 1, Op: request.ConfigStatus, Config: &request.ConfigParams{}}) {
 		switch o := o.(type) {
@@ -195,8 +196,8 @@
 			}
 		}
 	}
-	if told != 1 || other.leaderVersion != peerVersion {
-		t.Errorf("told %d times, the leader speaks %d", told, other.leaderVersion)
+	if told != 1 || other.election.LeaderVersion() != peerVersion {
+		t.Errorf("told %d times, the leader speaks %d", told, other.election.LeaderVersion())
 	}
 	forwarded := false
 	for _, o := range other.Step(other.Now, request.Request{Ref: 2, Op: request.ConfigStatus, Config: &request.ConfigParams{}}) {
--- a/internal/core/configuration_views.go
+++ b/internal/core/configuration_views.go
@@ -118,7 +118,7 @@
 	}
 	c.askPeerVersions()
 	for _, s := range c.cfg.Seeds {
-		if n := conf.nodes[s.HostName]; n != nil && n.version >= peerVersion && c.links[s.HostName] {
+		if n := conf.nodes[s.HostName]; n != nil && n.version >= peerVersion && c.election.IsLinked(s.HostName) {
 			c.Emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.ConfigRevision, Term: c.leadership.term, Ref: conf.state.Revision}})
 		}
 	}
@@ -128,7 +128,7 @@
 // term has not come: their link to us comes up after ours to them.
 func (c *Core) askPeerVersions() {
 	for _, s := range c.cfg.Seeds {
-		if c.leadership.config.nodes[s.HostName] == nil && c.links[s.HostName] {
+		if c.leadership.config.nodes[s.HostName] == nil && c.election.IsLinked(s.HostName) {
 			c.Emit(peermsg.Outgoing{To: s.HostName, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
 		}
 	}
@@ -141,7 +141,7 @@
 // askLeaderVersion asks the leader that we know for the version that it talks in: we may have
 // learned of it from the record, or its word went to the process before this one.
 func (c *Core) askLeaderVersion() {
-	c.Emit(peermsg.Outgoing{To: c.knownLeader, Msg: peermsg.Message{Kind: peermsg.Ack, Term: max(1, c.highestTerm), Ref: askForVersion, Version: peerVersion}})
+	c.Emit(peermsg.Outgoing{To: c.election.Leader(), Msg: peermsg.Message{Kind: peermsg.Ack, Term: max(1, c.election.HighestTerm()), Ref: askForVersion, Version: peerVersion}})
 }
 
 // notePeerVersion takes note of the version that another controller talks in.
@@ -165,7 +165,7 @@
 		}
 		return
 	}
-	if from != c.knownLeader || m.Term != c.highestTerm {
+	if from != c.election.Leader() || m.Term != c.election.HighestTerm() {
 		return
 	}
 	have := c.replicatedRevision()
@@ -182,7 +182,7 @@
 		return
 	}
 	for name, n := range conf.nodes {
-		if c.links[name] && n.version >= peerVersion && n.revision < conf.state.Revision {
+		if c.election.IsLinked(name) && n.version >= peerVersion && n.revision < conf.state.Revision {
 			return
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -7,6 +7,7 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
+	"yewpass/internal/election"
 	"yewpass/internal/engine"
 	"yewpass/internal/forwarder"
 	"yewpass/internal/gateway"
@@ -41,30 +42,19 @@
 	cal *calendar.Set
 	reg *zones.Regions
 
-	processID             uint64 // of this process: tells it from one of the same name that ended before
-	leadership            *leadership
-	knownLeader           string            // who leads, as far as we know
-	leaderVersion         uint64            // the version that it talks in
-	configConfirmedAt     time.Time         // when the leader last told us that our configuration is the newest
-	highestTerm           uint64            // the highest term heard of
-	lastClaimRef          uint64            // calls numbered up to this one were made before it was heard of
-	leaderKeyRevision     uint64            // of the leader's key when it was last read
-	firstStoreRevision    uint64            // of the state service when it first answered this process
-	observed              recovery.Observed // what we have seen of the state service
-	dataLossReason        string            // why it must have lost data, until somebody leads who knows
-	lastLedTerm           uint64            // the last term that we led
-	replicas              *replication.Replicas
-	confirmedTerm         uint64 // the newest that the state service has told us of
-	confirmedTermRevision uint64 // at which it is on record
-	links                 map[string]bool
-	leaderLinkLostAt      time.Time // since when we have no link to the leader that we know
-	jobs                  *jobstore.Reader
-	gateway               *gateway.Gateway
-	forwarder             *forwarder.Forwarder
-	handedOverAt          time.Time // when we last handed over
-	storeAvailable        bool
-	storeServedAt         time.Time // when the state service last served us
-	staleHeartbeats       int64     // reports that were older than what was known
+	election          *election.Election
+	processID         uint64 // of this process: tells it from one of the same name that ended before
+	leadership        *leadership
+	configConfirmedAt time.Time         // when the leader last told us that our configuration is the newest
+	observed          recovery.Observed // what we have seen of the state service
+	dataLossReason    string            // why it must have lost data, until somebody leads who knows
+	replicas          *replication.Replicas
+	jobs              *jobstore.Reader
+	gateway           *gateway.Gateway
+	forwarder         *forwarder.Forwarder
+	storeAvailable    bool
+	storeServedAt     time.Time // when the state service last served us
+	staleHeartbeats   int64     // reports that were older than what was known
 
 	heartbeatInterval, workerLease time.Duration
 	leaseTiming                    lease.Timing
@@ -84,13 +74,13 @@
 		pol:               pol,
 		cal:               cal,
 		processID:         processID,
-		links:             map[string]bool{},
 		storeAvailable:    true,
 		heartbeatInterval: cfg.Settings.Workers.Report.Duration(),
 		workerLease:       cfg.Settings.Workers.Lease.Duration(),
 	}
 	c.forwarder = forwarder.New(c.Engine, forwarderView{c}, cfg)
 	c.leaseTiming = lease.Timing{LeaderLease: leaseTTL, WorkerLease: c.workerLease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
+	c.election = election.New(c.Engine, cfg, c.leaseTiming, processID, electionHost{c})
 	c.replicas = replication.New(c.Engine, cfg, replicationHost{c})
 	c.jobs = jobstore.NewReader(c.Engine, cfg.Settings.State.RPS, 1+len(cfg.Seeds), replication.FinalsLimit(cfg))
 	c.gateway = gateway.New(c.Engine, gatewayController{c}, cfg, pol, c.jobs, c.replicas)
@@ -125,7 +115,7 @@
 	if short := c.leaseTiming.Shortfall(); short != "" {
 		c.Log(slog.LevelWarn, "settings leave little margin", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
 	}
-	c.watchLeader()
+	c.election.Watch()
 	if len(c.cfg.Seeds) == 0 {
 		return
 	}
@@ -193,23 +183,10 @@
 	if l := c.leadership; l != nil {
 		// Out of authority, and no peer in reach that would know of another leader:
 		// users are served better anywhere else.
-		alone := len(c.cfg.Seeds) > 0 && l.suspended && c.Now.Sub(l.expiresAt) > readyWithoutLink && !c.hasAnyLink()
+		alone := len(c.cfg.Seeds) > 0 && l.suspended && c.Now.Sub(l.expiresAt) > readyWithoutLink && !c.election.IsLinkedToAny()
 		return l.loaded && !alone
 	}
-	return c.knownLeader != "" && (c.links[c.knownLeader] || c.storeAvailable && c.Now.Sub(c.leaderLinkLostAt) < readyWithoutLink)
-}
-
-// hasLeaderLink reports whether we know who leads and have a link to it.
-func (c *Core) hasLeaderLink() bool { return c.knownLeader != "" && c.links[c.knownLeader] }
-
-// hasAnyLink reports whether we have a link to any other controller.
-func (c *Core) hasAnyLink() bool {
-	for _, up := range c.links {
-		if up {
-			return true
-		}
-	}
-	return false
+	return c.election.Leader() != "" && (c.election.IsLinkedToLeader() || c.storeAvailable && c.Now.Sub(c.election.LinkLostAt()) < readyWithoutLink)
 }
 
 // readyWithoutLink is how long a node that has lost its link to the leader counts as
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -101,7 +101,7 @@
 				rev := num()
 				c.After(0, func() { // in the step, so that what it asks for is asked
 					if c.leadership == nil {
-						c.becomeLeader(min(c.confirmedTerm+1, 1<<20), rev, 1, c.Now, 0)
+						c.becomeLeader(min(c.election.ConfirmedTerm()+1, 1<<20), rev, 1, c.Now, 0)
 					}
 				})
 			}
@@ -149,18 +149,18 @@
 				case 0: // a relay that is in order
 					fold := relay.NewEncoder(uint64(next()) + 1)
 					for range 1 + next()%3 {
-						step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.highestTerm), Reports: fold.Batch([]relay.Delta{fold.Encode(uint64(next()%3), &rep)}, []uint64{uint64(next() % 3)})}})
+						step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.election.HighestTerm()), Reports: fold.Batch([]relay.Delta{fold.Encode(uint64(next()%3), &rep)}, []uint64{uint64(next() % 3)})}})
 						rep.Counter++
 					}
 				case 1: // one that is not
-					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.highestTerm), Reports: &relay.Batch{Session: num(), Number: num(), Released: []uint64{num()},
+					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.election.HighestTerm()), Reports: &relay.Batch{Session: num(), Number: num(), Released: []uint64{num()},
 						Reports: []relay.Delta{{Ref: num(), Handle: num(), Incarnation: num(), Counter: num(), FencingToken: num(), Dropped: []int{next() - 9}}}}}})
 				case 2: // a leader's replies
 					rs := &relay.Replies{Session: num(), Resync: next()%4 == 0, List: []relay.Reply{{Ref: ref - uint64(next()%9)}, {Ref: ref, Status: 421, Upstream: "n2"}}}
 					if s := c.forwarder.Session(); s != 0 && next()%2 == 0 {
 						rs.Session = s
 					}
-					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: max(1, c.highestTerm), Replies: rs}})
+					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: max(1, c.election.HighestTerm()), Replies: rs}})
 				}
 			default:
 				if len(calls) == 0 {
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -17,11 +17,11 @@
 func (g gatewayController) Upstream() gateway.Upstream {
 	c := g.core
 	return gateway.Upstream{
-		Leader:       c.knownLeader,
-		Linked:       c.hasLeaderLink(),
-		KnowsConfig:  c.leaderVersion >= peerVersion,
-		Term:         c.highestTerm,
-		TermRevision: c.confirmedTermRevision,
+		Leader:       c.election.Leader(),
+		Linked:       c.election.IsLinkedToLeader(),
+		KnowsConfig:  c.election.LeaderVersion() >= peerVersion,
+		Term:         c.election.HighestTerm(),
+		TermRevision: c.election.ConfirmedTermRevision(),
 	}
 }
 
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -24,7 +24,7 @@
 
 // becomeLeader begins a term.
 func (c *Core) becomeLeader(term, rev, grant uint64, sent time.Time, ahead time.Duration) {
-	c.highestTerm, c.confirmedTerm, c.knownLeader, c.lastLedTerm = term, term, "", term
+	c.election.NoteOwnTerm(term)
 	c.jobs.ShareAmong(1)
 	c.leadership = newLeadership(c.cfg)
 	c.leadership.scope = c.NewScope()
@@ -154,7 +154,7 @@
 		c.forwarder.Receive(r)
 	}
 	c.answerWaiting(l, request.Unavailable("leadership was lost, try again"))
-	c.After(c.Jitter(100*time.Millisecond), c.watchLeader)
+	c.election.WatchAfter(100 * time.Millisecond)
 }
 
 // answerWaiting answers everybody who waits for a write.
--- a/internal/core/newer_tokens.go
+++ b/internal/core/newer_tokens.go
@@ -48,7 +48,7 @@
 	if len(l.newerTokens) >= minNewerTokenWitnesses {
 		c.observed.Term = slices.Max(slices.Collect(maps.Values(l.newerTokens))) + termGapAfterTotalLoss
 		// We, who know of it, campaign at once: the others would go by what is on record.
-		c.reportDataLossThen("workers have seen newer terms than were on record", func() { c.campaign(0) })
+		c.reportDataLossThen("workers have seen newer terms than were on record", func() { c.election.Campaign(0) })
 	}
 	return true
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -2,7 +2,6 @@
 
 import (
 	"log/slog"
-	"time"
 	"yewpass/internal/kv"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
@@ -21,10 +20,7 @@
 }
 
 func (c *Core) peerLink(p peermsg.LinkChange) {
-	if p.Name == c.knownLeader && c.links[p.Name] {
-		c.leaderLinkLostAt = c.Now
-	}
-	c.links[p.Name] = p.Up
+	c.election.SetLink(p.Name, p.Up)
 	if c.leadership != nil && p.Up {
 		// Also to one that has taken note of the term: it may be a new process.
 		c.Emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
@@ -94,31 +90,22 @@
 // handleLeaderClaim: a peer says that it leads a term. A line that anybody might have written
 // must neither end a leadership that is in order nor keep the nodes from the leader
 // that there is.
-func (c *Core) handleLeaderClaim(from string, term, speaks uint64) {
-	accept := func() {
-		c.noteLeader(from, term)
-		c.leaderVersion = speaks
-		c.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.Ack, Term: term, Version: peerVersion}})
-	}
+func (c *Core) handleLeaderClaim(from string, term, version uint64) {
 	switch l := c.leadership; {
-	case term < c.highestTerm:
-	case l != nil && term == l.term:
+	case term < c.election.HighestTerm():
+	case l == nil:
+		c.election.AcceptClaim(from, term, version, peerVersion)
+	case term == l.term:
 		c.Log(slog.LevelError, "peer claims the term that this node leads", "peer", from, "term", term)
-	case l != nil && c.hasAuthority():
-		// In authority our grant lives, and nobody else can have begun a term, as
+	case c.hasAuthority():
+		// In authority our lease lives, and nobody else can have begun a term, as
 		// far as our clock goes; the state service knows.
 		c.verifyTerm("a newer term is known", func() {
 			c.Log(slog.LevelWarn, "claimed term does not exist", "peer", from, "claimed", term, "term", l.term)
 		})
-	case l != nil:
-		c.stepDown("a newer term is known")
-		accept()
-		c.verifyClaim(term)
-	case term == c.confirmedTerm && (c.knownLeader == from || c.knownLeader == ""):
-		accept()
 	default:
-		accept()
-		c.verifyClaim(term)
+		c.stepDown("a newer term is known")
+		c.election.AcceptClaim(from, term, version, peerVersion)
 	}
 }
 
@@ -140,56 +127,3 @@
 		}
 	})
 }
-
-// verifyClaim asks the state service about a term that a peer has claimed to lead. It
-// was believed at once, because workers are led to a new leader by that; what is not
-// on record is forgotten again.
-func (c *Core) verifyClaim(term uint64) {
-	again := func() {
-		if c.leadership == nil && c.highestTerm == term && c.confirmedTerm != term {
-			c.verifyClaim(term)
-		}
-	}
-	asked := c.LastRef
-	c.CallStore(kv.Request{Op: kv.Get, Key: record.LeaderKey}, func(r kv.Response) {
-		if c.leadership != nil || c.highestTerm != term {
-			return
-		}
-		var rec *record.Leader
-		if r.Outcome == rpc.OK {
-			rec, _ = r.Entries[0].Value.(*record.Leader)
-		}
-		switch {
-		case rec != nil:
-			c.adoptRecordedLeader(rec, r.Entries[0].Rev, asked)
-		case r.Outcome == rpc.OK || r.Outcome == rpc.NotFound:
-			c.verifyEndedClaim(term, again)
-		default:
-			c.After(c.Jitter(500*time.Millisecond), again)
-		}
-	})
-}
-
-// verifyEndedClaim is confirm where nobody leads: the term may have been, and be over. Then no
-// older one must be listened to either.
-func (c *Core) verifyEndedClaim(term uint64, again func()) {
-	c.CallStore(kv.Request{Op: kv.Get, Key: record.TermKey}, func(r kv.Response) {
-		if c.leadership != nil || c.highestTerm != term {
-			return
-		}
-		var began *record.Term
-		if r.Outcome == rpc.OK {
-			began, _ = r.Entries[0].Value.(*record.Term)
-		}
-		switch {
-		case began != nil && began.Term >= term:
-			if c.confirmedTerm < term {
-				c.confirmedTerm, c.confirmedTermRevision = term, r.Entries[0].Rev
-			}
-		case r.Outcome == rpc.OK || r.Outcome == rpc.NotFound:
-			c.highestTerm, c.knownLeader = c.confirmedTerm, ""
-		default:
-			c.After(c.Jitter(500*time.Millisecond), again)
-		}
-	})
-}
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -19,7 +19,7 @@
 // this node before it led.
 func (c *Core) probeUnaccounted() {
 	own := c.leadership.knownReporters
-	if !c.hasAnyLink() {
+	if !c.election.IsLinkedToAny() {
 		c.probeMatching(func(*fleet.Machine) bool { return true })
 		return
 	}
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -2,7 +2,6 @@
 
 import (
 	"log/slog"
-	"time"
 
 	"yewpass/internal/bitset"
 	"yewpass/internal/failover"
@@ -14,10 +13,6 @@
 	"yewpass/internal/writebatch"
 )
 
-// noReplicaDelay is for how long a controller without a replica leaves it to others to stand
-// for election.
-const noReplicaDelay = 150 * time.Millisecond
-
 // recordsPerLoadStep is how many records are loaded in one step.
 const recordsPerLoadStep = 400
 
@@ -28,7 +23,7 @@
 func (h recoveryLeader) Observed() recovery.Observed { return h.c.observed }
 
 // IsLinked reports whether the link to a peer is up.
-func (h recoveryLeader) IsLinked(peer string) bool { return h.c.links[peer] }
+func (h recoveryLeader) IsLinked(peer string) bool { return h.c.election.IsLinked(peer) }
 
 // EndTerm ends the term, because a higher one is known.
 func (h recoveryLeader) EndTerm(higher uint64) { h.c.handleHigherTerm(higher) }
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -18,7 +18,7 @@
 // Upstream implements forwarder.Controller.
 func (v forwarderView) Upstream() forwarder.Upstream {
 	c := v.c
-	return forwarder.Upstream{Leader: c.knownLeader, Linked: c.hasLeaderLink(), LinkLostAt: c.leaderLinkLostAt, Term: c.highestTerm, ConfirmedTerm: c.confirmedTerm}
+	return forwarder.Upstream{Leader: c.election.Leader(), Linked: c.election.IsLinkedToLeader(), LinkLostAt: c.election.LinkLostAt(), Term: c.election.HighestTerm(), ConfirmedTerm: c.election.ConfirmedTerm()}
 }
 
 // linksLeader is a leadership as its links to relays see it.
@@ -28,7 +28,7 @@
 }
 
 // Linked implements relaylinks.Leader.
-func (v linksLeader) Linked(name string) bool { return v.core.links[name] }
+func (v linksLeader) Linked(name string) bool { return v.core.election.IsLinked(name) }
 
 // MayRedirect implements relaylinks.Leader.
 func (v linksLeader) MayRedirect() bool { return v.core.hasAuthority() && v.leadership.allAccounted() }
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -10,13 +10,13 @@
 type replicationHost struct{ c *Core }
 
 // HighestTerm returns the highest term heard of.
-func (h replicationHost) HighestTerm() uint64 { return h.c.highestTerm }
+func (h replicationHost) HighestTerm() uint64 { return h.c.election.HighestTerm() }
 
 // ConfirmedTerm returns the highest term that the store has told of.
-func (h replicationHost) ConfirmedTerm() uint64 { return h.c.confirmedTerm }
+func (h replicationHost) ConfirmedTerm() uint64 { return h.c.election.ConfirmedTerm() }
 
 // IsLinked reports whether the link to a peer is up.
-func (h replicationHost) IsLinked(peer string) bool { return h.c.links[peer] }
+func (h replicationHost) IsLinked(peer string) bool { return h.c.election.IsLinked(peer) }
 
 // HasLoadedRecords reports whether we lead and know which records there are.
 func (h replicationHost) HasLoadedRecords() bool {
@@ -48,7 +48,7 @@
 // lastLeaderReplica returns the replica of the last leader that we know of, or nil without one, and
 // when the store is known to have lost data since.
 func (c *Core) lastLeaderReplica() *replica.Replica {
-	if newest := c.newestReplica(); newest != nil && newest.Term == c.confirmedTerm && c.dataLossReason == "" {
+	if newest := c.newestReplica(); newest != nil && newest.Term == c.election.ConfirmedTerm() && c.dataLossReason == "" {
 		return newest
 	}
 	return nil
@@ -88,7 +88,7 @@
 	l := c.leadership
 	switch {
 	case l == nil:
-		if from != c.knownLeader || line.Term > c.highestTerm {
+		if from != c.election.Leader() || line.Term > c.election.HighestTerm() {
 			return // of nobody who leads
 		}
 		if !c.replicas.ReceiveFromLeader(from, line) {
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -105,8 +105,8 @@
 	n.in(kv.Response{Ref: listing.Ref, Outcome: rpc.OK, Rev: 10, Entries: []kv.Entry{leaderKeyOf("n1", 5, 9, 4)}})
 	stillSix := func(when string) {
 		t.Helper()
-		if n.highestTerm != 6 {
-			t.Fatalf("%s: the newest term is %d", when, n.highestTerm)
+		if n.election.HighestTerm() != 6 {
+			t.Fatalf("%s: the newest term is %d", when, n.election.HighestTerm())
 		}
 		n.outs = nil
 		n.in(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Leader, Term: 5}})
@@ -142,8 +142,9 @@
 			n.in(Tick{})
 			first := n.calls(record.LeaderKey)
 			if x.entry.Rev > 20 { // nobody leads at first
-				n.in(kv.Response{Ref: first.Ref, Outcome: rpc.Refused})
-				n.firstStoreRevision = 20
+				n.in(kv.Response{Ref: first.Ref, Outcome: rpc.OK, Rev: 20})
+				n.pass(time.Second)
+				n.reads("", kv.Response{Outcome: rpc.Refused}) // it campaigns, and is refused a lease
 				n.pass(time.Second)
 				first = n.calls(record.LeaderKey)
 			}
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -4,7 +4,7 @@
 
 // Stats returns the present figures.
 func (c *Core) Stats() view.Stats {
-	s := view.Stats{Term: c.highestTerm, Relayed: c.forwarder.Workers(), StaleHeartbeats: c.staleHeartbeats + c.forwarder.Stale()}
+	s := view.Stats{Term: c.election.HighestTerm(), Relayed: c.forwarder.Workers(), StaleHeartbeats: c.staleHeartbeats + c.forwarder.Stale()}
 	local := c.LocalConfig()
 	s.ConfigRevision, s.ConfigAge = local.Revision, local.AgeSeconds
 	l := c.leadership
