--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -11,20 +11,20 @@
 	"yewpass/internal/rpc"
 )
 
-// The state service may lose data: all of it, some of it, or go back to an older copy of
-// its own. Package rebuild says what shows it and what there is after all; loss.go, gather.go,
-// merge.go and restore.go are what the controllers do about it. docs/design/rebuild.md has the
-// argument.
+// The key-value store may lose data: all of it, some of it, or go back to an older state.
+// Package recovery says what shows that; package failover finds out, under the next leader,
+// which records there are after all, and package restore writes them back.
+// docs/design/rebuild.md has the argument.
 
-// DataLossDetected is the log line of a controller that has found a loss of the state
-// service's data. The scenarios look for it where there was none.
+// DataLossDetected is the log line of a controller that has found a data loss of the store. The
+// scenarios look for it where there was none.
 const DataLossDetected = "data loss detected in the state service"
 
-// unknownJobGrace is how long after a loss a job that nobody knows is not called unknown.
+// unknownJobGrace is for how long after a data loss no job is reported as unknown.
 const unknownJobGrace = 30 * time.Second
 
-// observeRevision takes note of the state service's revision. seen and era are of when the call was
-// sent: a revision below what had been seen by then is one that has fallen.
+// observeRevision takes note of the store's revision in a response. seen and era are of when the
+// call was sent: a revision below what had been seen by then has fallen.
 func (c *Core) observeRevision(rev, seen, era uint64) {
 	if rev == 0 || era != c.observed.Era {
 		return
@@ -36,11 +36,11 @@
 	c.observed.Revision = max(c.observed.Revision, rev)
 }
 
-// reportDataLoss: what we have seen shows that data was lost. A leader's word rests on records
-// that may be gone, so it leads no more until it is known what there is.
+// reportDataLoss is called when the store has proved to have lost data. A leader's records may be
+// gone, so it resigns; the next one finds out what there is.
 func (c *Core) reportDataLoss(why string) { c.reportDataLossThen(why, func() {}) }
 
-// reportDataLossThen is suspect, with what a leader does once its grant has been given back.
+// reportDataLossThen is reportDataLoss; a leader calls then once its lease has been revoked.
 func (c *Core) reportDataLossThen(why string, then func()) {
 	if c.dataLossReason != "" {
 		return
@@ -53,34 +53,34 @@
 }
 
 // observeTerm takes note of the era and the term that are on record.
-func (c *Core) observeTerm(era, term, life uint64) {
-	was := c.observed.Era
-	if c.observed = c.observed.AdvanceTo(era, term, life); c.observed.Era != was {
-		c.dataLossReason = "" // somebody leads who knows
+func (c *Core) observeTerm(era, term, processID uint64) {
+	before := c.observed.Era
+	if c.observed = c.observed.AdvanceTo(era, term, processID); c.observed.Era != before {
+		c.dataLossReason = "" // a leader has recovered from it
 	}
 }
 
 // knowledge is what we tell a new leader.
 func (c *Core) knowledge() *peermsg.Knowledge {
 	k := &peermsg.Knowledge{Observed: c.observed}
-	if best := c.newestReplica(); best != nil {
-		k.ReplicaEra, k.ReplicaTerm, k.ReplicaSeq, k.LiveDigest = best.Era, best.Term, best.Seq, best.Digest(record.LivePrefix)
+	if newest := c.newestReplica(); newest != nil {
+		k.ReplicaEra, k.ReplicaTerm, k.ReplicaSeq, k.LiveDigest = newest.Era, newest.Term, newest.Seq, newest.Digest(record.LivePrefix)
 	}
 	return k
 }
 
-// mayHaveLostJobs reports whether a job that nobody knows may be one that was lost.
+// mayHaveLostJobs reports whether an unknown job may be one that was lost.
 func (l *leadership) mayHaveLostJobs(now time.Time) bool {
 	loss := l.restorer.Loss()
 	return loss != nil && now.Sub(loss.Since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*failover.UnknownPastTimeout
 }
 
-// confirmTerm asks the state service whether our term is on record with its leader, as whatever
-// a leader says rests on it, and whether more holds at the same time.
-func (c *Core) confirmTerm(more []kv.Condition, f func(r kv.Response)) {
+// confirmTerm asks the store whether our term and its leader are still on record, which
+// everything that a leader says rests on, and whether further conditions hold at the same time.
+func (c *Core) confirmTerm(further []kv.Condition, f func(r kv.Response)) {
 	l := c.leadership
-	when := append([]kv.Condition{{Key: record.TermKey, Rev: l.termRevision}, {Key: record.LeaderKey, Rev: l.termRevision}}, more...)
-	c.storeWhileLeading(kv.Request{Op: kv.Txn, Conditions: when, Timeout: leaseTTL / 2}, func(r kv.Response) {
+	conditions := append([]kv.Condition{{Key: record.TermKey, Rev: l.termRevision}, {Key: record.LeaderKey, Rev: l.termRevision}}, further...)
+	c.storeWhileLeading(kv.Request{Op: kv.Txn, Conditions: conditions, Timeout: leaseTTL / 2}, func(r kv.Response) {
 		if r.Outcome == rpc.Conflict && (slices.Contains(r.FailedKeys, record.TermKey) || slices.Contains(r.FailedKeys, record.LeaderKey)) {
 			c.resign("the term is not on record any more")
 		}
--- a/internal/restore/restore.go
+++ b/internal/restore/restore.go
@@ -54,24 +54,6 @@
 	Pending  int       // of them, those that are not in the store yet
 }
 
-// Restorer writes the lost records back for as long as a leadership lasts.
-type Restorer struct {
-	engine    *engine.Engine
-	scope     *engine.Scope
-	writes    *writebatch.Batcher
-	publisher *replication.Publisher
-	replicas  *replication.Replicas
-	leader    Leader
-	schedules Schedules
-	term      uint64
-	maxQueued int // changes of bulk priority that may wait at a time
-
-	loss             *Loss
-	queue            []replica.Record
-	pendingSchedules int // records of schedules that are not in the store yet
-	pendingConfig    int // the same of the configuration
-}
-
 // Config is what a Restorer works with.
 type Config struct {
 	Writes    *writebatch.Batcher
@@ -83,19 +65,21 @@
 	MaxQueued int // changes of bulk priority that may wait at a time
 }
 
+// Restorer writes the lost records back for as long as a leadership lasts.
+type Restorer struct {
+	engine *engine.Engine
+	scope  *engine.Scope
+	cfg    Config
+
+	loss             *Loss
+	queue            []replica.Record
+	pendingSchedules int // records of schedules that are not in the store yet
+	pendingConfig    int // the same of the configuration
+}
+
 // New returns a restorer with nothing to restore.
 func New(e *engine.Engine, scope *engine.Scope, cfg Config) *Restorer {
-	return &Restorer{
-		engine:    e,
-		scope:     scope,
-		writes:    cfg.Writes,
-		publisher: cfg.Publisher,
-		replicas:  cfg.Replicas,
-		leader:    cfg.Leader,
-		schedules: cfg.Schedules,
-		term:      cfg.Term,
-		maxQueued: cfg.MaxQueued,
-	}
+	return &Restorer{engine: e, scope: scope, cfg: cfg}
 }
 
 // Begin takes over the records that are to be written back after a data loss. Rev of each is
@@ -177,7 +161,7 @@
 
 // QueueNext queues lost records for writing, as many as there is room for.
 func (r *Restorer) QueueNext() {
-	for len(r.queue) > 0 && len(r.writes.Queued(writebatch.Bulk)) < r.maxQueued {
+	for len(r.queue) > 0 && len(r.cfg.Writes.Queued(writebatch.Bulk)) < r.cfg.MaxQueued {
 		rec := r.queue[0]
 		r.queue = r.queue[1:]
 		r.restore(rec)
@@ -189,7 +173,7 @@
 	if part, ok := strings.CutPrefix(rec.Key, record.ProgressPrefix); ok {
 		// In the way that progress is always written.
 		if job, chunk := record.SplitProgressKey(part); chunk >= 0 {
-			r.leader.RecordProgress(job, chunk)
+			r.cfg.Leader.RecordProgress(job, chunk)
 		}
 		r.finish(rec.Key)
 		return
@@ -201,6 +185,6 @@
 func (r *Restorer) finish(key string) {
 	r.count(key, -1)
 	if r.loss.Pending--; r.loss.Pending == 0 {
-		r.engine.Log(slog.LevelInfo, "all records restored", "term", r.term, "restored", r.loss.Restored, "after", r.engine.Now.Sub(r.loss.Since))
+		r.engine.Log(slog.LevelInfo, "all records restored", "term", r.cfg.Term, "restored", r.loss.Restored, "after", r.engine.Now.Sub(r.loss.Since))
 	}
 }
--- a/internal/restore/write.go
+++ b/internal/restore/write.go
@@ -30,22 +30,22 @@
 		if strings.HasPrefix(rec.Key, record.SchedulePrefix) {
 			// Each removal of a schedule writes the numbers' record as well, so that this write
 			// fails if it is applied late, after a removal.
-			change.Conditions = []kv.Condition{{Key: rec.Key, Rev: rec.Rev}, {Key: record.ScheduleNumberKey, Rev: r.schedules.NumberRevision()}}
+			change.Conditions = []kv.Condition{{Key: rec.Key, Rev: rec.Rev}, {Key: record.ScheduleNumberKey, Rev: r.cfg.Schedules.NumberRevision()}}
 		}
 		return true
 	}
 	change.OnCommit = func(rev uint64) {
 		switch rec.Key {
 		case record.ScheduleNumberKey:
-			r.schedules.SetNumberRevision(rev)
+			r.cfg.Schedules.SetNumberRevision(rev)
 		case record.ConfigHeadKey:
-			r.leader.NoteConfigHead(rev)
+			r.cfg.Leader.NoteConfigHead(rev)
 		}
 		done(kv.Entry{Key: rec.Key, Value: change.Writes[0].Value, Rev: rev})
 	}
 	change.OnConflict = func() { r.resolveConflict(rec, done) }
 	change.OnReject = func() { done(kv.Entry{}) }
-	r.writes.Add(change)
+	r.cfg.Writes.Add(change)
 }
 
 // newChange returns the change that writes a record, without its value.
@@ -74,9 +74,9 @@
 	if record.IsScheduleKey(rec.Key) {
 		return rec.Value, true // the leader reads schedules only once they are restored
 	}
-	now, ok := r.replicas.Own().Get(rec.Key)
+	now, ok := r.cfg.Replicas.Own().Get(rec.Key)
 	if job, live := strings.CutPrefix(rec.Key, record.JobPrefix); live {
-		ok = ok && r.leader.IsUnfinished(job)
+		ok = ok && r.cfg.Leader.IsUnfinished(job)
 	}
 	return now.Value, ok
 }
@@ -88,7 +88,7 @@
 		done(kv.Entry{})
 		return
 	}
-	r.writes.ReadBack(rec.Key, func(stored kv.Entry, found bool) {
+	r.cfg.Writes.ReadBack(rec.Key, func(stored kv.Entry, found bool) {
 		if _, differs := failover.Join(stored.Value, rec.Value, true); found && !differs {
 			done(stored)
 			return
@@ -98,8 +98,8 @@
 			r.writeBack(rec, done)
 			return
 		}
-		r.writes.ReadBack(record.ScheduleNumberKey, func(numbers kv.Entry, _ bool) {
-			r.schedules.SetNumberRevision(numbers.Rev)
+		r.cfg.Writes.ReadBack(record.ScheduleNumberKey, func(numbers kv.Entry, _ bool) {
+			r.cfg.Schedules.SetNumberRevision(numbers.Rev)
 			r.writeBack(rec, done)
 		})
 	})
@@ -108,7 +108,7 @@
 // RestoreMissingSchedules writes schedules back that the leader's replica has and the store
 // has not; first the numbers' record, if that is lost as well.
 func (r *Restorer) RestoreMissingSchedules() {
-	own := r.publisher.Replica()
+	own := r.cfg.Publisher.Replica()
 	if own == nil {
 		return
 	}
@@ -116,19 +116,19 @@
 	if len(missing) == 0 {
 		return
 	}
-	r.writes.ReadBack(record.ScheduleNumberKey, func(numbers kv.Entry, found bool) {
+	r.cfg.Writes.ReadBack(record.ScheduleNumberKey, func(numbers kv.Entry, found bool) {
 		if rec, ok := own.Get(record.ScheduleNumberKey); ok && !found {
 			rec.Rev = 0
 			r.writeBack(rec, func(kv.Entry) { r.scope.After(pollInterval, r.RestoreMissingSchedules) })
 			return
 		}
-		r.schedules.SetNumberRevision(numbers.Rev)
+		r.cfg.Schedules.SetNumberRevision(numbers.Rev)
 		for _, key := range missing {
 			rec, _ := own.Get(key)
 			r.engine.Log(slog.LevelError, "restoring missing schedule from replica", "key", key)
 			r.writeBack(rec, func(stored kv.Entry) {
-				if stored.Value != nil && !r.schedules.Has(scheduleName(key)) {
-					r.schedules.LoadRecord(stored)
+				if stored.Value != nil && !r.cfg.Schedules.Has(scheduleName(key)) {
+					r.cfg.Schedules.LoadRecord(stored)
 				}
 			})
 		}
@@ -140,7 +140,7 @@
 func (r *Restorer) missingSchedules(own *replica.Replica) (missing []string) {
 	for _, key := range own.Keys(record.SchedulePrefix) {
 		rec, _ := own.Get(key)
-		if sched, _ := rec.Value.(*schedule.Record); rec.Rev == 0 && sched != nil && !r.schedules.Has(scheduleName(key)) {
+		if sched, _ := rec.Value.(*schedule.Record); rec.Rev == 0 && sched != nil && !r.cfg.Schedules.Has(scheduleName(key)) {
 			missing = append(missing, key)
 		}
 	}
