--- /dev/null
+++ b/internal/fleet/fleet_test.go
@@ -0,0 +1,193 @@
+package fleet
+
+import (
+	"testing"
+	"time"
+
+	"yewpass/internal/heartbeat"
+	"yewpass/internal/provider"
+	"yewpass/internal/spec"
+	"yewpass/internal/timeline"
+)
+
+var t0 = time.Unix(1_900_000_000, 0)
+
+func newMachine() *Machine {
+	f := &provider.InstanceType{Name: "f0", Capacity: timeline.Capacity(8, 0, 32), CPUs: 8, ImageGBps: 0.5, OnDemandRate: 16, SpotRate: 8}
+	m := NewMachine(Identity{Host: "h1", TypeName: "f0", Zone: "a", InstanceType: f}, t0)
+	m.Timeline = timeline.New(f.Capacity)
+	return m
+}
+
+func newJob() *Job {
+	j := &Job{Spec: spec.Job{ID: "wk-1", Tasks: 4, CPUs: 2, Image: "img", ImageGB: 1}, Progress: NewProgress(4), FailureHistory: FailureHistory{FailedOn: map[string]bool{}}}
+	j.Need = j.Spec.Need()
+	return j
+}
+
+func TestEligibleFor(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		prepare func(m *Machine, j *Job)
+		want    bool
+	}{
+		{"plain", func(*Machine, *Job) {}, true},
+		{"unknown type", func(m *Machine, _ *Job) { m.InstanceType = nil }, false},
+		{"releasing", func(m *Machine, _ *Job) { m.Releasing = true }, false},
+		{"draining", func(m *Machine, _ *Job) { m.Draining = true }, false},
+		{"quarantined", func(m *Machine, _ *Job) { m.Quarantined = true }, false},
+		{"lease expired", func(m *Machine, _ *Job) { m.LeaseExpired = true }, false},
+		{"unreachable", func(m *Machine, _ *Job) { m.Unreachable = true }, false},
+		{"to be interrupted", func(m *Machine, _ *Job) { m.InterruptionAt = t0 }, false},
+		{"spot refused", func(m *Machine, _ *Job) { m.Spot = true }, false},
+		{"spot allowed", func(m *Machine, j *Job) { m.Spot, j.Spec.AllowSpot = true, true }, true},
+		{"type refused", func(_ *Machine, j *Job) { j.Spec.InstanceTypes = []string{"f1"} }, false},
+		{"type allowed", func(_ *Machine, j *Job) { j.Spec.InstanceTypes = []string{"f1", "f0"} }, true},
+		{"other zone", func(_ *Machine, j *Job) { j.Spec.Zone = "b" }, false},
+		{"own zone", func(_ *Machine, j *Job) { j.Spec.Zone = "a" }, true},
+		{"too large", func(_ *Machine, j *Job) { j.Need = timeline.Need(9, 0, 0) }, false},
+		{"failed there", func(_ *Machine, j *Job) { j.FailedOn["h1"] = true }, false},
+		{"failed elsewhere", func(_ *Machine, j *Job) { j.FailedOn["h2"] = true }, true},
+		{"failed everywhere", func(_ *Machine, j *Job) { j.FailedOn = map[string]bool{"h1": true, "h2": true, "h3": true} }, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			m, j := newMachine(), newJob()
+			if test.prepare(m, j); m.EligibleFor(j) != test.want {
+				t.Errorf("eligible %v, want %v", !test.want, test.want)
+			}
+		})
+	}
+}
+
+func TestOccupancy(t *testing.T) {
+	m, j := newMachine(), newJob()
+	if d := Occupancy(j, m, time.Minute); d != time.Minute+2*time.Second {
+		t.Errorf("%v with the fetch of the image", d)
+	}
+	m.Images.Add("img", struct{}{})
+	if d := Occupancy(j, m, time.Minute); d != time.Minute {
+		t.Errorf("%v where the image is", d)
+	}
+	j.Spec.Service = true
+	if d := Occupancy(j, m, time.Minute); d != timeline.Forever {
+		t.Errorf("%v for a service", d)
+	}
+}
+
+func TestFindAttempt(t *testing.T) {
+	m := newMachine()
+	for i := range 3 {
+		m.Attempts = append(m.Attempts, &Attempt{ID: heartbeat.TaskID{Job: "wk-1", Index: i}, Number: uint64(10 + i)})
+	}
+	for from := range 5 {
+		if a := m.FindAttempt(heartbeat.TaskID{Job: "wk-1", Index: 1}, 11, from); a != m.Attempts[1] {
+			t.Errorf("from %d: %+v", from, a)
+		}
+		if a := m.FindAttempt(heartbeat.TaskID{Job: "wk-1", Index: 1}, 12, from); a != nil {
+			t.Errorf("from %d: another attempt: %+v", from, a)
+		}
+	}
+	if a := newMachine().FindAttempt(heartbeat.TaskID{}, 1, 0); a != nil {
+		t.Errorf("on an idle machine: %+v", a)
+	}
+}
+
+// TestExpireLease: the incarnation whose lease is over is remembered only if it has reported.
+func TestExpireLease(t *testing.T) {
+	m := newMachine()
+	m.Reported, m.Incarnation, m.LastReply = true, 3, t0
+	m.ExpireLease()
+	if m.Reported || !m.LeaseExpired || m.ExpiredIncarnation != 3 || !m.LastReply.IsZero() {
+		t.Errorf("%+v", m.Heartbeats)
+	}
+	m.Incarnation = 4
+	if m.ExpireLease(); m.ExpiredIncarnation != 3 {
+		t.Errorf("incarnation %d has not reported", m.ExpiredIncarnation)
+	}
+}
+
+// TestQueue: jobs stand by their first reservation, then by submission, then by name, and move
+// as their reservations do.
+func TestQueue(t *testing.T) {
+	var q Queue
+	add := func(id string, start, yield, submitted time.Duration) *Job {
+		j := newJob()
+		j.Spec.ID, j.Submitted = id, t0.Add(submitted)
+		j.Reservations = []*Reservation{{Booking: timeline.Booking{Start: t0.Add(start)}, Job: j, Yield: yield}}
+		q.Reposition(j)
+		return j
+	}
+	check := func(want ...string) {
+		t.Helper()
+		if len(q) != len(want) {
+			t.Fatalf("%d jobs, want %v", len(q), want)
+		}
+		for i, j := range q {
+			if j.Spec.ID != want[i] || !j.Queued {
+				t.Errorf("place %d: %s (queued %v), want %s", i, j.Spec.ID, j.Queued, want[i])
+			}
+		}
+	}
+	late := add("late", 0, time.Minute, 0)
+	early := add("early", time.Second, 0, time.Second)
+	add("b", time.Second, 0, 2*time.Second)
+	add("a", time.Second, 0, 2*time.Second)
+	check("early", "a", "b", "late")
+	late.Reservations[0].Yield = 0
+	q.Reposition(late)
+	check("late", "early", "a", "b")
+	early.Reservations = nil
+	q.Reposition(early)
+	check("late", "a", "b")
+	if early.Queued {
+		t.Error("without reservations and queued")
+	}
+	q.Reposition(early)
+	check("late", "a", "b")
+}
+
+func TestCountRunning(t *testing.T) {
+	j := newJob()
+	a := &Attempt{Job: j}
+	for _, step := range []struct {
+		runs, changed bool
+		running       int
+	}{{false, false, 0}, {true, true, 1}, {true, false, 1}, {false, true, 0}} {
+		if changed := a.CountRunning(step.runs); changed != step.changed || j.Running != step.running {
+			t.Errorf("%+v: changed %v, %d running", step, changed, j.Running)
+		}
+	}
+	if !j.HasRun {
+		t.Error("has not run")
+	}
+	if (&Attempt{}).CountRunning(true) {
+		t.Error("counted for no job")
+	}
+}
+
+func TestJobView(t *testing.T) {
+	j := newJob()
+	j.Remaining = 3
+	if v := j.View(); v.State != spec.Queued || v.Done != 1 {
+		t.Errorf("%+v", v)
+	}
+	j.Running = 2
+	if v := j.View(); v.State != spec.Running || v.Running != 2 {
+		t.Errorf("%+v", v)
+	}
+	j.Cancelled = true
+	if v := j.View(); v.State != spec.Cancelled || !j.Halted() {
+		t.Errorf("%+v", v)
+	}
+}
+
+func TestPerCPU(t *testing.T) {
+	m := newMachine()
+	if p := m.PerCPU(); p != 2 {
+		t.Errorf("on demand: %v", p)
+	}
+	m.Spot = true
+	if p := m.PerCPU(); p != 1 {
+		t.Errorf("spot: %v", p)
+	}
+}
