--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -18,6 +18,7 @@
 	"yewpass/internal/outage"
 	"yewpass/internal/placement"
 	"yewpass/internal/quota"
+	"yewpass/internal/reconcile"
 	"yewpass/internal/recurring"
 	"yewpass/internal/relaylinks"
 	"yewpass/internal/replication"
@@ -42,6 +43,7 @@
 	relays         *relaylinks.Links
 	dispatcher     *dispatch.Dispatcher
 	outages        *outage.Monitor
+	reconciler     *reconcile.Reconciler
 	writes         *writebatch.Batcher
 	recurring      *recurring.Scheduler
 	config         liveConfig
@@ -95,7 +97,6 @@
 // reporting is what the machines have reported.
 type reporting struct {
 	knownReporters map[string]*forwarder.Worker // workers that reported to us before
-	heartbeatCount uint64                       // reports taken in
 }
 
 // replicating keeps the followers' replicas up to date, and learns from theirs.
@@ -116,6 +117,7 @@
 	l.recurring = c.newScheduler(l)
 	l.restorer = c.newRestorer(l)
 	l.attempts = attempts.New(c.Engine, l.placement, attemptJobs{c, l})
+	l.reconciler = reconcile.New(c.Engine, reconcilerLeader{c, l}, l.inventory, l.attempts, l.placement, l.term, c.workerLease)
 	l.dispatcher = dispatch.New(c.Engine, l.scope, dispatchLeader{c, l}, l.relays, l.placement, l.term)
 }
 
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -151,7 +151,7 @@
 	d.c.leadership.lifecycle.Queue(j)
 	at := func(host string, try uint64) *fleet.Attempt {
 		m := d.c.leadership.inventory.Ensure(host, "f2", "a", true)
-		d.c.reconcile(m, &heartbeat.Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []heartbeat.Task{{Task: heartbeat.TaskID{Job: "wk-1"}, Try: try, Phase: heartbeat.TaskRuns}}})
+		d.c.leadership.reconciler.Reconcile(m, &heartbeat.Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []heartbeat.Task{{Task: heartbeat.TaskID{Job: "wk-1"}, Try: try, Phase: heartbeat.TaskRuns}}})
 		return m.Attempts[0]
 	}
 	old := at("host-x", 3)
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -23,10 +23,10 @@
 		long.Need = long.Spec.Need()
 		rep := reportOf(m)
 		rep.Tasks = []heartbeat.Task{{Task: heartbeat.TaskID{Job: long.Spec.ID}, Try: 1, Phase: phase}}
-		c.reconcile(m, &rep)
+		c.leadership.reconciler.Reconcile(m, &rep)
 		rep.Counter++
 		rep.Tasks = []heartbeat.Task{{Task: heartbeat.TaskID{Job: long.Spec.ID}, Try: 1, Phase: heartbeat.TaskRuns}}
-		c.reconcile(m, &rep)
+		c.leadership.reconciler.Reconcile(m, &rep)
 		waits := newJob(c, 2, 1, rng)
 		waits.Spec.Owner, waits.Team = "u", c.leadership.teams["u"]
 		waits.Submitted = t0.Add(-time.Minute)
@@ -38,7 +38,7 @@
 		c.Now = c.Now.Add(3 * time.Second)
 		rep.Counter++
 		rep.Tasks[0] = heartbeat.Task{Task: heartbeat.TaskID{Job: long.Spec.ID}, Try: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}
-		c.reconcile(m, &rep)
+		c.leadership.reconciler.Reconcile(m, &rep)
 		if seen := c.leadership.placement.HasRuntimes(&long.Spec); seen != (phase == heartbeat.Pulling) {
 			t.Errorf("found %s: counts for estimates %v", phase, seen)
 		}
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -58,7 +58,7 @@
 // reconcileProbe takes in an answer that counts, of a worker that has seen our term.
 func (c *Core) reconcileProbe(m *fleet.Machine, rep *heartbeat.Report) {
 	m.Probed = true
-	c.reconcile(m, rep)
+	c.leadership.reconciler.Reconcile(m, rep)
 }
 
 // probe probes a machine whose answer would count.
