--- a/internal/topology/rules.go
+++ b/internal/topology/rules.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Kind is what a rule asks for.
+// Kind is the kind of a rule.
 type Kind int
 
 // The kinds of rules.
@@ -20,26 +20,26 @@
 type Rule struct {
 	Kind  Kind
 	Level int
-	Most  int     // Spread: this many; 0: Share says
-	Share float64 // Spread: this part of the job's tasks, rounded up
+	Most  int     // Spread: this many; if 0, by Share
+	Share float64 // Spread: this share of the job's tasks, rounded up
 	Of    string  // Near, AwayFrom: a job or team, as the tally names it
-	Soft  bool    // it only ranks
+	Soft  bool    // it does not forbid a start, but ranks the machines
 }
 
-// Job is whose tasks are to start.
+// Job is a job as its rules see it.
 type Job struct {
 	Key   string // as the tally names it
 	Tasks int
 	Rules []Rule
 }
 
-// SamePlace and Apart are the protocol's fields as rules.
+// SamePlace and Apart are the rules that the protocol has fields for.
 var (
 	SamePlace = Rule{Kind: Together}
 	Apart     = Rule{Kind: Spread, Share: 0.5}
 )
 
-// most is how many tasks a spread rule lets one place have.
+// most returns how many tasks a spread rule allows in one place.
 func (r *Rule) most(tasks int) int {
 	if r.Most > 0 {
 		return r.Most
@@ -48,29 +48,31 @@
 	return int(math.Ceil(r.Share*float64(tasks) - 1e-9))
 }
 
-// Tally counts tasks by job or team and place: all that are, or may be, on a
-// machine, from the order to start until they are proven gone.
+// Tally counts tasks by job or team and place: all that are, or may be, on a machine, from the
+// order to start until they are proven gone.
 type Tally struct {
 	counts map[count]int
 }
 
+// count identifies a counter of a Tally.
 type count struct {
 	key   string
 	place *Place // nil: everywhere
 }
 
 // NewTally returns a tally of no tasks.
-func NewTally() *Tally { return &Tally{map[count]int{}} }
+func NewTally() *Tally { return &Tally{counts: map[count]int{}} }
 
-// Add counts n tasks in on a machine, or out if n is below 0: with the leaf that
-// they were counted in with, whatever the machine's place is said to be by then.
+// Add adds n tasks on a machine; n is below 0 to remove them. They must be removed with the leaf
+// that they were added with, even if the machine's place has changed.
 func (t *Tally) Add(key string, leaf *Place, n int) {
-	t.add(count{key, nil}, n)
+	t.add(count{key: key}, n)
 	for p := leaf; p != nil; p = p.Parent {
-		t.add(count{key, p}, n)
+		t.add(count{key: key, place: p}, n)
 	}
 }
 
+// add adds n to a counter and drops it at 0.
 func (t *Tally) add(c count, n int) {
 	if n += t.counts[c]; n == 0 {
 		delete(t.counts, c)
@@ -79,18 +81,18 @@
 	}
 }
 
-// Count is how many tasks a job or team has in a place; nil is everywhere.
-func (t *Tally) Count(key string, p *Place) int { return t.counts[count{key, p}] }
+// Count returns how many tasks a job or team has in a place, or everywhere if the place is nil.
+func (t *Tally) Count(key string, p *Place) int { return t.counts[count{key: key, place: p}] }
 
-// Refusal says what stands in the way of a start.
+// Refusal is why a task may not start on a machine.
 type Refusal struct {
 	Rule  Rule
 	Place *Place
 	Why   string
 }
 
-// share returns the place that a machine shares with others at a level. A machine
-// whose place is not known that deep is a place of its own.
+// share returns the place that a machine shares with others at a level. A machine whose place at
+// that level is not known is a place of its own.
 func share(leaf *Place, level int) (p *Place, known bool) {
 	if p = leaf.At(level); p != nil {
 		return p, true
@@ -98,8 +100,8 @@
 	return leaf, false
 }
 
-// May reports whether one more task of a job may start on a machine. If not, the
-// refusal says why; if so, broken is how many soft rules it would break.
+// May decides whether one more task of a job may start on a machine. If not, refusal says why;
+// if so, it is nil, and broken is how many soft rules the start would break.
 func (t *Tally) May(j *Job, leaf *Place) (broken int, refusal *Refusal) {
 	for i := range j.Rules {
 		r := &j.Rules[i]
@@ -110,13 +112,13 @@
 			broken++
 		default:
 			p, _ := share(leaf, r.Level)
-			return 0, &Refusal{*r, p, why}
+			return 0, &Refusal{Rule: *r, Place: p, Why: why}
 		}
 	}
 	return broken, nil
 }
 
-// against says what speaks against a start, or "".
+// against returns why a rule forbids a start, or "".
 func (t *Tally) against(j *Job, r *Rule, leaf *Place) string {
 	p, known := share(leaf, r.Level)
 	switch r.Kind {
@@ -143,8 +145,8 @@
 	return ""
 }
 
-// Room is how many tasks of a job, at most n, the hard rules let start on a
-// machine one after the other.
+// Room returns how many tasks of a job, at most n, the hard rules allow to start on a machine
+// one after the other.
 func (t *Tally) Room(j *Job, leaf *Place, n int) int {
 	for i := range j.Rules {
 		r := &j.Rules[i]
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,8 +1,7 @@
-// Package topology knows the places that machines stand in and what they share,
-// and answers whether a task may start on a machine under the rules of its job.
-// It is pure. A place lies in a tree: zones, below them the levels that operators
-// name, and machines as its leaves. Counting a task in or out and asking for it
-// cost the depth of the tree, however many machines and jobs there are.
+// Package topology models where machines are located and decides whether a task may start on a
+// machine under the placement rules of its job. It is pure. Places form a tree: zones, below
+// them the levels that operators name, and machines as leaves. Counting a task and checking
+// a rule cost the depth of the tree, however many machines and jobs there are.
 package topology
 
 import (
@@ -14,38 +13,39 @@
 	"github.com/gaissmai/bart"
 )
 
-// Zone is the name of the widest level; Machine that of the narrowest.
+// Zone is the name of the topmost level, and Machine that of the lowest.
 const (
 	Zone    = "zone"
 	Machine = "machine"
 )
 
-// FieldError says which field is wrong, and why.
+// FieldError is an error in a field of a Definition.
 type FieldError struct{ Field, Reason string }
 
-// Error names the field, then the reason.
+// Error returns the field and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
+// wrong returns a FieldError.
 func wrong(field, format string, args ...any) error {
-	return &FieldError{field, fmt.Sprintf(format, args...)}
+	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Definition is what operators say of their places.
+// Definition is the topology as operators define it.
 type Definition struct {
-	Levels []string // below the zone, the widest first: switch, rack
+	Levels []string // below the zone, from the top: switch, rack
 	Places []PlaceDefinition
 }
 
-// PlaceDefinition says which machines stand in a place.
+// PlaceDefinition defines which machines are located in a place.
 type PlaceDefinition struct {
 	Zone       string
-	Names      []string // of the place at each level from the widest on
+	Names      []string // of the place at each level, from the top
 	Networks   []string // of its machines' addresses, such as 10.1.4.0/22
 	Hosts      []string // patterns of its machines' names, such as host-0001*
-	UplinkMbps float64  // what its machines share towards the rest; 0: not said
+	UplinkMbps float64  // bandwidth that its machines share; 0 if not defined
 }
 
-// Place is a place in the tree. Two machines share it if both lie below it.
+// Place is a node of the tree. Two machines share it if both are below it.
 type Place struct {
 	Name       string
 	Level      int // 0: a zone
@@ -54,7 +54,7 @@
 	children   map[string]*Place
 }
 
-// String names a place with those above it, the widest first.
+// String returns the path of the place from its zone.
 func (p *Place) String() string {
 	if p.Parent == nil {
 		return p.Name
@@ -62,8 +62,8 @@
 	return p.Parent.String() + "/" + p.Name
 }
 
-// At returns the place at a level that p lies in or is. Below the deepest place
-// that is known of a machine it is nil.
+// At returns the ancestor of p at a level, or p itself. It is nil at levels at which the place of
+// a machine is not known.
 func (p *Place) At(level int) *Place {
 	for p != nil && p.Level > level {
 		p = p.Parent
@@ -74,6 +74,7 @@
 	return p
 }
 
+// child returns the child of a name, made if need be.
 func (p *Place) child(name string, level int) *Place {
 	c := p.children[name]
 	if c == nil {
@@ -86,7 +87,7 @@
 	return c
 }
 
-// Tree is all places. It is not for concurrent use.
+// Tree is all places. It is not safe for concurrent use.
 type Tree struct {
 	levels   []string // from the zone to the machine
 	zones    map[string]*Place
@@ -95,12 +96,13 @@
 	machines map[string]*Place
 }
 
+// hostPattern assigns machines to a place by their names.
 type hostPattern struct {
 	pattern string
 	place   *Place
 }
 
-// New checks a definition. The error is a *FieldError. A zero definition gives a
+// New returns the tree of a definition. The error is a *FieldError. A zero definition gives a
 // tree of zones and machines.
 func New(def Definition) (*Tree, error) {
 	t := &Tree{levels: append([]string{Zone}, def.Levels...), zones: map[string]*Place{}, machines: map[string]*Place{}}
@@ -147,12 +149,13 @@
 			if _, err := path.Match(s, ""); err != nil {
 				return nil, wrong(field("hosts"), "%q is no pattern such as host-0001*", s)
 			}
-			t.hosts = append(t.hosts, hostPattern{s, p})
+			t.hosts = append(t.hosts, hostPattern{pattern: s, place: p})
 		}
 	}
 	return t, nil
 }
 
+// zone returns the zone of a name, made if need be.
 func (t *Tree) zone(name string) *Place {
 	z := t.zones[name]
 	if z == nil {
@@ -162,18 +165,16 @@
 	return z
 }
 
-// Level returns the number of a level, 0 for the zone; false if there is none of
-// this name.
+// Level returns the number of a level by its name, 0 for the zone, and false if there is none.
 func (t *Tree) Level(name string) (int, bool) {
 	i := slices.Index(t.levels, name)
 	return i, i >= 0
 }
 
-// Machine returns a machine's place, a leaf of the tree. It stands where the
-// first pattern of host names says, or else the longest network that holds its
-// address; if neither says, all that is known of it is the zone. A place in
-// another zone than the cloud's is a contradiction: it does not count, and is
-// returned to be told.
+// Machine returns the leaf of a machine. It is located where the first matching pattern of host
+// names says, or else the longest network that contains its address; failing both, only its
+// zone is known. A place in another zone than the cloud provider's is a contradiction: it is
+// ignored, and returned so that it can be reported.
 func (t *Tree) Machine(host, address, zone string) (leaf, contradiction *Place) {
 	if p := t.machines[host]; p != nil {
 		return p, nil
@@ -190,6 +191,7 @@
 	return leaf, contradiction
 }
 
+// find returns the place that the definition gives a machine, or nil.
 func (t *Tree) find(host, address string) *Place {
 	for _, h := range t.hosts {
 		if ok, _ := path.Match(h.pattern, host); ok {
@@ -204,5 +206,5 @@
 	return p
 }
 
-// Forget forgets a machine that is gone.
+// Forget removes a machine that is gone.
 func (t *Tree) Forget(host string) { delete(t.machines, host) }
