--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -1,133 +1,146 @@
 package core
 
 import (
-	"log/slog"
 	"maps"
 	"slices"
 
+	"yewpass/internal/config"
+	"yewpass/internal/fleet"
 	"yewpass/internal/relaylinks"
-	"yewpass/internal/request"
 	"yewpass/internal/view"
 	"yewpass/internal/zones"
 )
 
-// records tells how whole the records are, as the leader knows.
-func (c *Core) records() *view.Records {
-	l := c.leadership
-	r := &view.Records{Era: c.observed.Era}
-	if loss := l.restorer.Loss(); loss != nil {
-		r.LossReason, r.Source, r.SinceSeconds, r.Restored, r.Pending = loss.Reason, loss.Source, c.Now.Sub(loss.Since).Seconds(), loss.Restored, loss.Pending
-	}
-	r.UnreadableJobs = slices.Sorted(maps.Keys(l.unreadableJobs))
-	r.UnreadableJobs = r.UnreadableJobs[:min(len(r.UnreadableJobs), 10)]
-	r.Replicas = l.publisher.CompleteFollowers()
-	return r
-}
-
-// cluster returns what is known here.
-func (c *Core) cluster() *view.Cluster {
+// clusterView returns what this controller knows of the cluster.
+func (c *Core) clusterView() *view.Cluster {
 	v := &view.Cluster{Node: c.cfg.HostName, Leader: c.election.Leader(), Term: c.election.HighestTerm()}
-	own := view.ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: "relay", Link: true, Workers: c.forwarder.Workers()}
-	l := c.leadership
-	if l != nil {
-		v.Leader, v.Term, v.LeadsSeconds, v.Authority = c.cfg.HostName, l.term, c.Now.Sub(l.electedAt).Seconds(), c.hasAuthority()
-		v.FailoverComplete, v.Machines, v.Unaccounted, v.MaxMachines = l.loaded && l.allAccounted(), len(l.inventory.Machines()), l.inventory.UnaccountedCount(), relaylinks.MaxFleet(c.cfg)
-		own.Role, own.Workers = "leader", l.relays.Direct()
-		v.Regions = c.clusterRegions()
-		v.Zones, v.Records = c.clusterZones(), c.records()
-	} else if !c.election.IsLinkedToLeader() {
-		own.Role = "away"
+	if c.leadership != nil {
+		c.addLeaderView(v)
 	}
-	v.Nodes = append(v.Nodes, own)
+	v.Nodes = append(v.Nodes, c.ownNodeView())
 	for _, s := range c.cfg.Seeds {
-		n := view.ClusterNode{Name: s.HostName, Zone: s.Site, Link: c.election.IsLinked(s.HostName)}
-		if s.HostName == c.election.Leader() {
-			n.Role = "leader"
-		}
-		if l != nil {
-			n.Role = "away"
-			if p := l.relays.Lookup(s.HostName); p != nil {
-				n.Workers = p.Workers
-				if !p.LastBatch.IsZero() {
-					n.LagSeconds = c.Now.Sub(p.LastBatch).Seconds()
-				}
-				if l.relays.TakesWorkers(s.HostName) {
-					n.Role = "relay"
-				}
-			}
-		}
-		v.Nodes = append(v.Nodes, n)
+		v.Nodes = append(v.Nodes, c.peerNodeView(s))
 	}
 	return v
 }
 
-func (c *Core) clusterRegions() (rs []view.ClusterRegion) {
-	for _, r := range c.leadership.outages.Regions.All() {
-		rs = append(rs, view.ClusterRegion{Name: r.Name, State: r.State.String(), StateSeconds: c.Now.Sub(r.Since).Seconds(), Zones: r.Zones, ZonesAway: r.UnreachableZones, Heard: r.Seen.Heard, Silent: r.Seen.Silent})
+// addLeaderView adds what only the leader knows.
+func (c *Core) addLeaderView(v *view.Cluster) {
+	l := c.leadership
+	v.Leader = c.cfg.HostName
+	v.Term = l.term
+	v.LeadsSeconds = c.Now.Sub(l.electedAt).Seconds()
+	v.Authority = c.hasAuthority()
+	v.FailoverComplete = l.loaded && l.allAccounted()
+	v.Machines = len(l.inventory.Machines())
+	v.Unaccounted = l.inventory.UnaccountedCount()
+	v.MaxMachines = relaylinks.MaxFleet(c.cfg)
+	v.Regions = c.regionViews()
+	v.Zones = c.zoneViews()
+	v.Records = c.recordsView()
+}
+
+func (c *Core) ownNodeView() view.ClusterNode {
+	n := view.ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: view.RoleRelay, Link: true, Workers: c.forwarder.Workers()}
+	if c.leadership != nil {
+		n.Role, n.Workers = view.RoleLeader, c.leadership.relays.Direct()
+	} else if !c.election.IsLinkedToLeader() {
+		n.Role = view.RoleAway
 	}
-	return rs
+	return n
 }
 
-func (c *Core) clusterZones() []view.ClusterZone {
-	l := c.leadership
-	waiting := map[*zones.Zone]int{}
-	for _, m := range l.inventory.Machines() {
-		if m.Unreachable {
-			for _, r := range m.Attempts {
-				if r.Occupies {
-					waiting[m.ZoneState]++
-				}
-			}
-		}
+// peerNodeView returns what is known of another controller. Only the leader knows what it
+// relays.
+func (c *Core) peerNodeView(s config.Seed) view.ClusterNode {
+	n := view.ClusterNode{Name: s.HostName, Zone: s.Site, Link: c.election.IsLinked(s.HostName)}
+	if s.HostName == c.election.Leader() {
+		n.Role = view.RoleLeader
 	}
-	var zs []view.ClusterZone
-	for _, z := range l.outages.Zones.All() {
-		zs = append(zs, view.ClusterZone{Name: z.Name, State: z.State.String(), StateSeconds: c.Now.Sub(z.Since).Seconds(),
-			Heard: z.Seen.Heard, Silent: z.Seen.Silent, UnconfirmedTasks: waiting[z]})
+	if c.leadership == nil {
+		return n
+	}
+	relays := c.leadership.relays
+	n.Role = view.RoleAway
+	if link := relays.Lookup(s.HostName); link != nil {
+		n.Workers = link.Workers
+		if !link.LastBatch.IsZero() {
+			n.LagSeconds = c.Now.Sub(link.LastBatch).Seconds()
+		}
+		if relays.TakesWorkers(s.HostName) {
+			n.Role = view.RoleRelay
+		}
 	}
-	return zs
+	return n
 }
 
-// serveCluster answers what operators ask of the controllers, as the leader.
-func (c *Core) serveCluster(call request.Request) {
-	if call.Op == request.Cluster {
-		c.answer(call, request.Response{Status: 200, Doc: c.cluster()})
-		return
+// maxUnreadableListed bounds how many unreadable jobs are named.
+const maxUnreadableListed = 10
+
+// recordsView returns how complete the records are, as the leader knows.
+func (c *Core) recordsView() *view.Records {
+	l := c.leadership
+	unreadable := slices.Sorted(maps.Keys(l.unreadableJobs))
+	r := &view.Records{
+		Era:            c.observed.Era,
+		UnreadableJobs: unreadable[:min(len(unreadable), maxUnreadableListed)],
+		Replicas:       l.publisher.CompleteFollowers(),
 	}
-	if reason := c.cannotHandOver(); reason != "" {
-		c.answer(call, request.Response{Status: 409, Reason: reason})
-		return
+	if loss := l.restorer.Loss(); loss != nil {
+		r.LossReason = loss.Reason
+		r.Source = loss.Source
+		r.SinceSeconds = c.Now.Sub(loss.Since).Seconds()
+		r.Restored = loss.Restored
+		r.Pending = loss.Pending
 	}
-	c.answer(call, request.Response{Status: 200, Doc: c.cluster()})
-	c.handOver("asked for by an operator")
+	return r
 }
 
-// cannotHandOver says what stands against giving the leadership away, or "".
-func (c *Core) cannotHandOver() string {
-	switch l := c.leadership; {
-	case l == nil || !l.loaded:
-		return "this node does not lead"
-	case !l.allAccounted():
-		return "the take-over is not complete"
-	case len(l.relays.Nodes()) == 0:
-		return "no other controller is in reach"
+func (c *Core) regionViews() []view.ClusterRegion {
+	var views []view.ClusterRegion
+	for _, r := range c.leadership.outages.Regions.All() {
+		views = append(views, view.ClusterRegion{
+			Name:         r.Name,
+			State:        r.State.String(),
+			StateSeconds: c.Now.Sub(r.Since).Seconds(),
+			Zones:        r.Zones,
+			ZonesAway:    r.UnreachableZones,
+			Heard:        r.Seen.Heard,
+			Silent:       r.Seen.Silent,
+		})
 	}
-	return ""
+	return views
 }
 
-// handOver gives the leadership to whoever of the others takes it first.
-func (c *Core) handOver(why string) {
-	c.election.NoteHandOver()
-	c.resign(why)
+func (c *Core) zoneViews() []view.ClusterZone {
+	l := c.leadership
+	unconfirmed := unconfirmedTasks(l.inventory.Machines())
+	var views []view.ClusterZone
+	for _, z := range l.outages.Zones.All() {
+		views = append(views, view.ClusterZone{
+			Name:             z.Name,
+			State:            z.State.String(),
+			StateSeconds:     c.Now.Sub(z.Since).Seconds(),
+			Heard:            z.Seen.Heard,
+			Silent:           z.Seen.Silent,
+			UnconfirmedTasks: unconfirmed[z],
+		})
+	}
+	return views
 }
 
-// Leave has a leader hand over before its process ends on purpose.
-type Leave struct{}
-
-func (c *Core) leave() {
-	if reason := c.cannotHandOver(); reason != "" {
-		c.Log(slog.LevelInfo, "leadership not handed over", "reason", reason)
-		return
+// unconfirmedTasks counts the tasks on unreachable machines that may still run, by zone.
+func unconfirmedTasks(machines []*fleet.Machine) map[*zones.Zone]int {
+	counts := map[*zones.Zone]int{}
+	for _, m := range machines {
+		if !m.Unreachable {
+			continue
+		}
+		for _, a := range m.Attempts {
+			if a.Occupies {
+				counts[m.ZoneState]++
+			}
+		}
 	}
-	c.handOver("the process ends")
+	return counts
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -128,7 +128,7 @@
 	switch in := in.(type) {
 	case Tick:
 	case request.Request:
-		c.userCall(in)
+		c.handleRequest(in)
 	case heartbeat.Received:
 		c.handleHeartbeat(in)
 	case heartbeat.Abandoned:
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -29,7 +29,7 @@
 func (g gatewayController) AskLeaderVersion() { g.core.askLeaderVersion() }
 
 // Cluster implements gateway.Controller.
-func (g gatewayController) Cluster() *view.Cluster { return g.core.cluster() }
+func (g gatewayController) Cluster() *view.Cluster { return g.core.clusterView() }
 
 // LastLeaderReplica implements gateway.Controller.
 func (g gatewayController) LastLeaderReplica() *replica.Replica { return g.core.lastLeaderReplica() }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -59,7 +59,7 @@
 			l.allAcknowledgedAt = c.Now
 		}
 	case peermsg.Request:
-		c.userCall(request.Request{Ref: p.Msg.Ref, From: p.From, Op: p.Msg.Op, ID: p.Msg.ID, Spec: p.Msg.Spec, Schedule: p.Msg.Schedule, Config: p.Msg.Config})
+		c.handleRequest(request.Request{Ref: p.Msg.Ref, From: p.From, Op: p.Msg.Op, ID: p.Msg.ID, Spec: p.Msg.Spec, Schedule: p.Msg.Schedule, Config: p.Msg.Config})
 	case peermsg.Response:
 		c.gateway.HandleResponse(p.From, p.Msg)
 	case peermsg.Replica:
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -7,52 +7,52 @@
 )
 
 // answer sends an answer to where the request came from.
-func (c *Core) answer(call request.Request, a request.Response) { c.Emit(peermsg.Reply(call, a)) }
+func (c *Core) answer(r request.Request, answer request.Response) { c.Emit(peermsg.Reply(r, answer)) }
 
-// userCall serves a request of a user, or one that another controller has forwarded.
-func (c *Core) userCall(call request.Request) {
+// handleRequest serves a request of a user, or one that another controller has forwarded.
+func (c *Core) handleRequest(r request.Request) {
 	switch {
-	case call.Op == request.ConfigHere:
-		c.answer(call, request.Response{Status: 200, Doc: c.LocalConfig()})
+	case r.Op == request.ConfigHere:
+		c.answer(r, request.Response{Status: 200, Doc: c.LocalConfig()})
 	case c.canAct():
-		c.serve(call)
+		c.serve(r)
 	default:
-		c.gateway.Serve(call)
+		c.gateway.Serve(r)
 	}
 }
 
-// serve answers as the leader.
-func (c *Core) serve(call request.Request) {
-	l := c.leadership
-	if call.Schedule != nil {
-		l.recurring.Serve(call)
-		return
-	}
-	if call.Config != nil {
-		c.serveConfig(call)
-		return
-	}
-	if request.IsCluster(call.Op) {
-		c.serveCluster(call)
-		return
+// serve serves a request as the leader.
+func (c *Core) serve(r request.Request) {
+	switch {
+	case r.Schedule != nil:
+		c.leadership.recurring.Serve(r)
+	case r.Config != nil:
+		c.serveConfig(r)
+	case request.IsCluster(r.Op):
+		c.serveCluster(r)
+	default:
+		c.serveJob(r)
 	}
-	if l.unreadableJobs[call.ID] {
-		c.rereadUnreadable(call)
+}
+
+// serveJob serves a request about one job as the leader.
+func (c *Core) serveJob(r request.Request) {
+	l := c.leadership
+	if l.unreadableJobs[r.ID] {
+		c.rereadUnreadable(r)
 		return
 	}
-	if j := l.jobs[call.ID]; j != nil {
-		if call.Op == request.Cancel {
-			c.leadership.lifecycle.Cancel(j, call)
-			return
-		}
-		if j.Cancelled || !c.leadership.lifecycle.WaitForEnding(j, call) {
-			c.answer(call, request.Response{Status: 200, View: j.View(), Reason: c.leadership.outages.WaitReason(j)})
+	if j := l.jobs[r.ID]; j != nil {
+		if r.Op == request.Cancel {
+			l.lifecycle.Cancel(j, r)
+		} else if j.Cancelled || !l.lifecycle.WaitForEnding(j, r) {
+			c.answer(r, request.Response{Status: 200, View: j.View(), Reason: l.outages.WaitReason(j)})
 		}
 		return
 	}
-	if f, ok := c.jobs.Final(call.ID); ok {
-		c.answer(call, request.Response{Status: 200, View: jobstore.FinalStatus(call.ID, f)})
+	if final, ok := c.jobs.Final(r.ID); ok {
+		c.answer(r, request.Response{Status: 200, View: jobstore.FinalStatus(r.ID, final)})
 		return
 	}
-	l.admitter.Serve(call)
+	l.admitter.Serve(r)
 }
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -75,7 +75,7 @@
 	} else if strings.Contains(strings.Join(zs, ""), "a") {
 		t.Error("rented in the lost zone:", zs)
 	}
-	for _, z := range c.cluster().Zones {
+	for _, z := range c.clusterView().Zones {
 		if z.Name == "a" && (z.State != "lost" || z.Silent != 12) {
 			t.Errorf("%+v", z)
 		}
--- a/internal/view/cluster.go
+++ b/internal/view/cluster.go
@@ -40,11 +40,18 @@
 	UnconfirmedTasks int     `json:"tasksAwaitingProof"` // on its silent machines, not yet proven over
 }
 
+// Roles of controllers.
+const (
+	RoleLeader = "leader"
+	RoleRelay  = "relay" // relays heartbeats to the leader
+	RoleAway   = "away"  // relays none
+)
+
 // ClusterNode is a controller.
 type ClusterNode struct {
 	Name       string  `json:"name"`
 	Zone       string  `json:"zone"`
-	Role       string  `json:"role"`       // leader, relay, or away: it relays no heartbeats to the leader
+	Role       string  `json:"role"`       // RoleLeader, RoleRelay or RoleAway; empty if not known
 	Link       bool    `json:"link"`       // from the answering node
 	Workers    int     `json:"workers"`    // that report to it
 	LagSeconds float64 `json:"lagSeconds"` // since its last batch of heartbeats; 0 for the leader
