--- a/internal/fleet/job.go
+++ b/internal/fleet/job.go
@@ -89,7 +89,7 @@
 	Cancelled     bool               // and has been committed
 	Finishing     bool               // the final record is on its way
 	EndingChange  *writebatch.Change // whichever of the two is on its way
-	CancelWaiters []request.Request  // who waits for it
+	EndingWaiters []request.Request  // who waits for it
 }
 
 // Halted reports whether no task of the job may start any more.
--- a/internal/lifecycle/cancel.go
+++ b/internal/lifecycle/cancel.go
@@ -27,7 +27,7 @@
 		m.answer(r, request.Response{Status: 200, View: j.View()})
 		return
 	}
-	j.CancelWaiters = append(j.CancelWaiters, r)
+	j.EndingWaiters = append(j.EndingWaiters, r)
 	if j.Cancelling || j.Finishing {
 		return
 	}
@@ -88,10 +88,10 @@
 
 // AnswerWaiters answers everybody who waits for the end of a job to be recorded.
 func (m *Manager) AnswerWaiters(j *fleet.Job, answer request.Response) {
-	for _, r := range j.CancelWaiters {
+	for _, r := range j.EndingWaiters {
 		m.answer(r, answer)
 	}
-	j.CancelWaiters = nil
+	j.EndingWaiters = nil
 }
 
 // WaitForEnding has a request about a job wait if the job's end may be on record without
@@ -101,11 +101,11 @@
 	if j.EndingChange == nil || !j.EndingChange.Sent {
 		return false
 	}
-	j.CancelWaiters = append(j.CancelWaiters, r)
+	j.EndingWaiters = append(j.EndingWaiters, r)
 	m.scope.After(endingTimeout, func() {
-		i := slices.IndexFunc(j.CancelWaiters, func(w request.Request) bool { return w.From == r.From && w.Ref == r.Ref })
+		i := slices.IndexFunc(j.EndingWaiters, func(w request.Request) bool { return w.From == r.From && w.Ref == r.Ref })
 		if i >= 0 {
-			j.CancelWaiters = slices.Delete(j.CancelWaiters, i, i+1)
+			j.EndingWaiters = slices.Delete(j.EndingWaiters, i, i+1)
 			m.answer(r, request.Unavailable("its end is being recorded"))
 		}
 	})
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -116,8 +116,11 @@
 	Running int // tasks
 }
 
-// statusUnavailable is the status 503 of HTTP; this package does not depend on HTTP.
-const statusUnavailable = 503
+// Statuses of HTTP, on which this package does not depend.
+const (
+	statusUnprocessable = 422
+	statusUnavailable   = 503
+)
 
 // retryAfter is when a request that cannot be served for now may be tried again.
 const retryAfter = time.Second
@@ -126,3 +129,9 @@
 func Unavailable(reason string) Response {
 	return Response{Status: statusUnavailable, RetryAfter: retryAfter, Reason: reason}
 }
+
+// Unprocessable returns the response to a request that is refused for good because of a
+// field of what it describes.
+func Unprocessable(field, reason string) Response {
+	return Response{Status: statusUnprocessable, Field: field, Reason: field + ": " + reason}
+}
