--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -222,3 +222,7 @@
 // allAccounted reports whether every machine that may hold a task of an earlier term
 // is accounted for.
 func (l *leadership) allAccounted() bool { return l.inventory.AllAccounted() }
+
+// spareAttempts is how many attempt numbers a term ends with: more than tasks can start
+// between two ticks.
+const spareAttempts = 1 << 20
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -95,13 +95,13 @@
 	userQueue   userQueue
 }
 
+// loop takes inputs until the node fails or is told to end. What the state service says
+// goes first: on a node that has fallen behind, the leader lease would run out while its
+// renewal waits in line, and the next leader would have all the more to catch up with.
 func (n *node) loop(urgent, inbox <-chan any, failed <-chan error, leaving <-chan os.Signal) error {
 	timer := time.NewTimer(0)
-	var left <-chan time.Time
+	var shutdown <-chan time.Time
 	for {
-		// What the state service says goes first: on a node that has fallen behind the
-		// grant would run out while its renewal stands in line, and the node that leads
-		// next has all the more to catch up with.
 		var in any
 		select {
 		case in = <-urgent:
@@ -119,44 +119,57 @@
 			case s := <-leaving:
 				// What is on its way has shutdownGrace to go out; a second signal does
 				// not wait for that.
-				if left != nil {
+				if shutdown != nil {
 					return nil
 				}
 				slog.Info("node stopping", "signal", s.String())
-				left, in = time.After(shutdownGrace), core.Leave{}
-			case <-left:
+				shutdown, in = time.After(shutdownGrace), core.Leave{}
+			case <-shutdown:
 				return nil
 			}
 			if isUserRequest(in) {
-				if !n.userQueue.add(in) {
-					n.rejectOverload(in)
-				}
+				n.queueRequest(in)
 				continue
 			}
 		}
-		switch x := in.(type) {
-		case api.Exchange:
-			in = n.register(x)
-		case api.Abandoned:
-			ref := n.refs[x.Reply]
-			n.forget(ref)
-			in = heartbeat.Abandoned{Ref: ref}
-		}
-		now := time.Now()
-		for _, o := range n.core.Step(now, in) {
-			n.perform(o)
-		}
-		n.ready.Store(n.core.Ready())
-		n.lastStep.Store(int64(now.Sub(n.startedAt)))
-		if now.Sub(n.gaugesSetAt) >= time.Second {
-			n.gaugesSetAt = now
-			s := n.core.Stats()
-			n.gauges.now.Store(&s)
-		}
+		n.step(in)
 		timer.Reset(max(time.Until(n.core.NextWake()), time.Millisecond))
 	}
 }
 
+// queueRequest keeps a user's request until it is its turn.
+func (n *node) queueRequest(in any) {
+	if !n.userQueue.add(in) {
+		n.rejectOverload(in)
+	}
+}
+
+// step has the core take an input, and performs what follows from it.
+func (n *node) step(in any) {
+	switch x := in.(type) {
+	case api.Exchange:
+		in = n.register(x)
+	case api.Abandoned:
+		ref := n.refs[x.Reply]
+		n.forget(ref)
+		in = heartbeat.Abandoned{Ref: ref}
+	}
+	now := time.Now()
+	for _, output := range n.core.Step(now, in) {
+		n.perform(output)
+	}
+	n.ready.Store(n.core.Ready())
+	n.lastStep.Store(int64(now.Sub(n.startedAt)))
+	if now.Sub(n.gaugesSetAt) >= gaugesInterval {
+		n.gaugesSetAt = now
+		stats := n.core.Stats()
+		n.gauges.now.Store(&stats)
+	}
+}
+
+// gaugesInterval is how often the figures of the metrics page are set.
+const gaugesInterval = time.Second
+
 // shutdownGrace is how long a node that was told to end goes on, to give its leadership
 // back and to answer who waits.
 const shutdownGrace = 400 * time.Millisecond
