--- a/internal/scenario/cloud.go
+++ b/internal/scenario/cloud.go
@@ -53,7 +53,7 @@
 func (c *cloudSim) create(k offerKey, ready time.Duration) *worker {
 	f := c.instanceType(k.flavor)
 	m := &worker{world: c.w, host: fmt.Sprintf("host-%06d", c.made), instanceType: f, zone: k.zone, spot: k.spot,
-		created: c.now, speed: 1, tenure: 0, images: map[string]time.Time{}, node: c.made}
+		created: c.now, images: map[string]time.Time{}, workerFaults: workerFaults{speed: 1}, workerSession: workerSession{node: c.made}}
 	c.made++
 	c.machines = append(c.machines, m)
 	c.w.workers[m.host] = m
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -150,7 +150,7 @@
 // job reads a job's description.
 func (s *script) job(id string, a map[string]string) *userJob {
 	run := dur(a, "run", 20*time.Second)
-	j := &userJob{runs: run, faulty: a["faulty"] != "", done: map[int]bool{}, progress: map[int]time.Duration{}}
+	j := &userJob{runs: run, faulty: a["faulty"] != "", jobProgress: newJobProgress()}
 	sp := &j.spec
 	*sp = spec.Job{ID: id, Class: a["class"], Owner: "t", Service: a["service"] != "", Urgency: spec.Standard, Tasks: int(num(a, "tasks", 1)),
 		CPUs: num(a, "cpus", 1), GPUs: num(a, "gpus", 0), MemGB: num(a, "mem", 1), Image: "img", ImageGB: num(a, "gb", 1), AllowSpot: a["ordinary"] == "",
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -19,27 +19,42 @@
 	leases        map[uint64]*storedLease
 	next          uint64
 	watchers      []*watcher
-	log           []logged                    // the latest changes
-	historyLength uint64                      // how many revisions back one can follow from
-	down          time.Time                   // an outage lasts until then
-	denied        map[string]time.Time        // nodes that get 503 until then
-	unanswered    map[string]unansweredWrites // nodes whose transactions are applied and not answered
-	late          delayedShare                // that share of transactions is applied late and not answered
-	slow          time.Time                   // until then answers come late
-	slowBy        time.Duration
-	met           map[string]int // see world
+	log           []logged // the latest changes
+	historyLength uint64   // how many revisions back one can watch from
+
+	storeFaults
+	storeAllowance
+	storeFigures
+}
+
+// storeFaults are those of the service that are under way.
+type storeFaults struct {
+	down       time.Time                   // an outage lasts until then
+	denied     map[string]time.Time        // nodes that get 503 until then
+	unanswered map[string]unansweredWrites // nodes whose transactions are applied and not answered
+	late       delayedShare                // that share of transactions is applied late and not answered
+	slow       time.Time                   // until then answers come late
+	slowBy     time.Duration
 	// Keys that a node has changed without hearing of it, until it may know.
 	unansweredChanges map[string]unansweredChange
+}
 
+// storeAllowance is what the service takes, and what is left of it.
+type storeAllowance struct {
 	rps, writeRPS                    float64
 	valueKB                          float64
 	txnOps                           int
-	requestAllowance, writeAllowance float64 // what the allowances have left
+	requestAllowance, writeAllowance float64
 	refilled                         time.Time
-	misuse                           string // a request beyond the protocol's limits
-	requests, puts                   int
-	putsOf                           map[string]int // puts, by the kind of their keys
-	refused                          int
+}
+
+// storeFigures are counted for expectations and reports.
+type storeFigures struct {
+	met            map[string]int // see world
+	misuse         string         // a request beyond the protocol's limits
+	requests, puts int
+	putsOf         map[string]int // puts, by the kind of their keys
+	refused        int
 }
 
 // unansweredWrites loses the answers to a node's transactions until a time; they are applied
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -10,35 +10,53 @@
 
 // userJob is a job and what its user knows of it.
 type userJob struct {
-	spec        spec.Job
-	runs        time.Duration // how long a task really takes
-	varies      float64       // give or take this part of it, each task for itself
-	faulty      bool          // every task fails
-	first       time.Time     // first attempt to submit
-	status      int           // the answer that ended the submission
+	spec    spec.Job
+	runs    time.Duration // how long a task really takes
+	varies  float64       // give or take this part of it, each task for itself
+	faulty  bool          // every task fails
+	first   time.Time     // first attempt to submit
+	asking  time.Time     // when its user made the submission at hand
+	status  int           // the answer that ended the submission
+	asked   bool          // a repeated submission has been made
+	reached time.Time     // last answered poll
+	failing int
+
+	userKnowledge
+	jobProgress
+	jobRoom
+}
+
+// userKnowledge is what a user was told of a job.
+type userKnowledge struct {
 	accepted    bool
 	since       time.Time     // when its user first heard that it is accepted
 	toldOn      time.Time     // when its user was told the state in told
 	told        spec.JobState // the last state of consequence: "", done or cancelled
 	wantsCancel bool          // its user asked to cancel it
 	toldAt      time.Time     // when it was told cancelled
-	done        map[int]bool
-	begun       time.Time // its first task has started
-	finished    time.Time
-	progress    map[int]time.Duration
-	reached     time.Time // last answered poll
-	failing     int
-	asked       bool      // a repeated submission has been made
-	waits       time.Time // since when a task of it could run on a machine that is there
-	roomOn      *worker   // which has room for it
-	roomFrom    time.Time // and since when
-	held        []*task   // that machines hold: fetching, running or saving
-
-	asking time.Time // when its user made the submission at hand
+}
 
+// jobProgress is what has become of a job's tasks.
+type jobProgress struct {
+	done         map[int]bool
+	begun        time.Time // its first task has started
+	finished     time.Time
+	progress     map[int]time.Duration
+	held         []*task      // that machines hold: fetching, running or saving
 	startedTasks map[int]bool // that have started once, where that is measured
 }
 
+// jobRoom is what is known of machines that a waiting task could run on.
+type jobRoom struct {
+	waits    time.Time // since when a task of it could run on a machine that is there
+	roomOn   *worker   // which has room for it
+	roomFrom time.Time // and since when
+}
+
+func newJobProgress() jobProgress {
+	return jobProgress{done: map[int]bool{}, progress: map[int]time.Duration{}}
+}
+
 func (w *world) request(op request.Operation, j *userJob, id string, timeout time.Duration, f func(status int, a request.Response)) {
 	w.requestAt(w.pickNode(), op, j, id, timeout, f)
 }
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -18,16 +18,26 @@
 	zone              string
 	spot              bool
 	created, up, gone time.Time
-	speed             float64 // above 1: slower
-	sick              bool
-	hung              time.Time
-	leaves            time.Time // notice of being taken
-	deaf              time.Time // until then its reports arrive, and no answer or command reaches it
-	mute              time.Time // until then it opens no connection to a controller
+	tasks             []*task
+	images            map[string]time.Time // when each image is there
 
+	workerFaults
+	workerSession
+}
+
+// workerFaults are those of a machine.
+type workerFaults struct {
+	speed  float64 // above 1: slower
+	sick   bool
+	hung   time.Time
+	leaves time.Time // notice of being taken
+	deaf   time.Time // until then its reports arrive, and no answer or command reaches it
+	mute   time.Time // until then it opens no connection to a controller
+}
+
+// workerSession is what a worker keeps of its exchange with the controllers.
+type workerSession struct {
 	tenure, counter, epoch uint64
-	tasks                  []*task
-	images                 map[string]time.Time // when each image is there
 	node                   int
 	served                 bool      // by that node
 	flight                 int       // number of the report in flight, 0: none
--- a/internal/scenario/world_new.go
+++ b/internal/scenario/world_new.go
@@ -36,16 +36,17 @@
 
 func newStore(c *clock, met map[string]int) *store {
 	return &store{
-		clock:             c,
-		keys:              map[string]*storedKey{},
-		leases:            map[uint64]*storedLease{},
-		historyLength:     10000,
-		putsOf:            map[string]int{},
-		denied:            map[string]time.Time{},
-		unanswered:        map[string]unansweredWrites{},
-		unansweredChanges: map[string]unansweredChange{},
-		refilled:          c.now,
-		met:               met,
+		clock:         c,
+		keys:          map[string]*storedKey{},
+		leases:        map[uint64]*storedLease{},
+		historyLength: 10000,
+		storeFaults: storeFaults{
+			denied:            map[string]time.Time{},
+			unanswered:        map[string]unansweredWrites{},
+			unansweredChanges: map[string]unansweredChange{},
+		},
+		storeAllowance: storeAllowance{refilled: c.now},
+		storeFigures:   storeFigures{met: met, putsOf: map[string]int{}},
 	}
 }
 
