--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -27,13 +27,6 @@
 	return p.leadership.autoscaler.Backlog(), p.leadership.autoscaler.CPUs()
 }
 
-// reserveWarmRoom keeps room free for jobs that must start at once: the given part of what
-// such a job usually takes, as long as some came lately.
-func (c *Core) reserveWarmRoom(part float64) {
-	l := c.leadership
-	l.placement.ReserveWarmRoom(l.autoscaler.BurstRoom(part))
-}
-
 // lateness returns by how much a job with a deadline would miss it on the best machine at
 // hand or of a type that can be rented.
 func (c *Core) lateness(s *spec.Job) time.Duration {
