--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -17,6 +17,7 @@
 	"yewpass/internal/lifecycle"
 	"yewpass/internal/outage"
 	"yewpass/internal/placement"
+	"yewpass/internal/probe"
 	"yewpass/internal/quota"
 	"yewpass/internal/reconcile"
 	"yewpass/internal/recurring"
@@ -44,6 +45,7 @@
 	dispatcher     *dispatch.Dispatcher
 	outages        *outage.Monitor
 	reconciler     *reconcile.Reconciler
+	prober         *probe.Prober
 	writes         *writebatch.Batcher
 	recurring      *recurring.Scheduler
 	config         liveConfig
@@ -82,8 +84,6 @@
 	noEarlierTerm     bool                 // no term was on record before ours
 	newerTokens       map[string]uint64    // epochs above our term that workers have seen, by machine
 	earlierLeaderLag  time.Duration        // for so long into our term an earlier leader may have led
-	probeQueue        []*fleet.Machine     // see probeUnaccounted
-	probesInFlight    int                  // probes on their way
 }
 
 // workload is the jobs and their teams.
@@ -118,6 +118,7 @@
 	l.restorer = c.newRestorer(l)
 	l.attempts = attempts.New(c.Engine, l.placement, attemptJobs{c, l})
 	l.reconciler = reconcile.New(c.Engine, reconcilerLeader{c, l}, l.inventory, l.attempts, l.placement, l.term, c.workerLease)
+	l.prober = probe.NewProber(c.Engine, l.scope, proberLeader{c, l}, l.inventory, l.term)
 	l.dispatcher = dispatch.New(c.Engine, l.scope, dispatchLeader{c, l}, l.relays, l.placement, l.term)
 }
 
--- a/internal/core/load_records.go
+++ b/internal/core/load_records.go
@@ -106,7 +106,7 @@
 		return // one of them has seen a newer epoch, and we were out of authority
 	}
 	l.autoscaler.ListInstances()
-	c.probeUnaccounted()
+	l.prober.Start(func(host string) bool { return l.knownReporters[host] != nil })
 	if len(c.cfg.Seeds) > 0 {
 		l.admitter.WatchLeaderless()
 	}
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -8,6 +8,7 @@
 	"yewpass/internal/autoscaler"
 	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
+	"yewpass/internal/probe"
 	"yewpass/internal/timeline"
 )
 
@@ -83,7 +84,7 @@
 		// The failover waits for it. Once most others have found this leader, it is gone or
 		// cut off.
 		limit = limits.unaccounted
-		if m.FailedProbes >= maxProbeAttempts {
+		if m.FailedProbes >= probe.MaxAttempts {
 			limit /= 2 // it does not answer probes either
 		}
 	}
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -53,8 +53,8 @@
 	for i := range reports {
 		if ref := m.Reports.Reports[i].Ref; ref != 0 {
 			c.handleHeartbeat(heartbeat.Received{Ref: ref, Via: via, Report: reports[i]})
-		} else if x := l.inventory.Find(reports[i].Host); x != nil && l.loaded && l.probeCounts(x) && reports[i].FencingToken == l.term {
-			c.reconcileProbe(x, &reports[i])
+		} else if l.loaded {
+			l.prober.HandleAnswer(&reports[i])
 		}
 		if c.leadership != l {
 			return
