--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -141,9 +141,9 @@
 	case heartbeat.ProbeReply:
 		c.HandleProbe(in)
 	case peermsg.Received:
-		c.peerIn(in)
+		c.handlePeerMessage(in)
 	case peermsg.LinkChange:
-		c.peerLink(in)
+		c.handleLinkChange(in)
 	case Leave:
 		c.leave()
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -2,6 +2,7 @@
 
 import (
 	"log/slog"
+
 	"yewpass/internal/kv"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
@@ -9,77 +10,31 @@
 	"yewpass/internal/rpc"
 )
 
-// What controllers say to each other about who leads.
-
-func (c *Core) announceTerm() {
-	for _, p := range c.cfg.Seeds {
-		if !c.leadership.acknowledged[p.HostName] {
-			c.Emit(peermsg.Outgoing{To: p.HostName, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
-		}
-	}
-}
-
-func (c *Core) peerLink(p peermsg.LinkChange) {
-	c.election.SetLink(p.Name, p.Up)
-	if c.leadership != nil && p.Up {
-		// Also to one that has taken note of the term: it may be a new process.
-		c.Emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
-		if c.leadership.noEarlierTerm {
-			c.Emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.AskKnowledge, Term: c.leadership.term}})
-		}
-	}
-	if !p.Up && c.leadership != nil {
-		c.leadership.publisher.DropFollower(p.Name)
-	}
-	if !p.Up {
-		c.gateway.HandleLinkLost(p.Name)
-	}
-}
-
-func (c *Core) peerIn(p peermsg.Received) {
+// handlePeerMessage takes in a message of another controller.
+func (c *Core) handlePeerMessage(p peermsg.Received) {
 	switch p.Msg.Kind {
 	case peermsg.Leader:
 		c.handleLeaderClaim(p.From, p.Msg.Term, p.Msg.Version)
+	case peermsg.Ack:
+		c.handleTermAck(p.From, p.Msg)
 	case peermsg.ConfigRevision:
 		c.handlePeerConfig(p.From, p.Msg)
-	case peermsg.Ack:
-		l := c.leadership
-		if l == nil || p.Msg.Term != l.term {
-			return
-		}
-		c.notePeerVersion(p.From, p.Msg.Version)
-		if p.Msg.Ref == askForVersion {
-			c.Emit(peermsg.Outgoing{To: p.From, Msg: peermsg.Message{Kind: peermsg.Leader, Term: l.term, Version: peerVersion}})
-		}
-		if l.acknowledged[p.From] {
-			return
-		}
-		l.acknowledged[p.From] = true
-		if len(l.acknowledged) == len(c.cfg.Seeds) {
-			l.allAcknowledgedAt = c.Now
-		}
 	case peermsg.Request:
-		c.handleRequest(request.Request{Ref: p.Msg.Ref, From: p.From, Op: p.Msg.Op, ID: p.Msg.ID, Spec: p.Msg.Spec, Schedule: p.Msg.Schedule, Config: p.Msg.Config})
+		c.handleForwardedRequest(p.From, p.Msg)
 	case peermsg.Response:
 		c.gateway.HandleResponse(p.From, p.Msg)
 	case peermsg.Replica:
 		c.handleReplicaLine(p.From, p.Msg.Replica)
-	case peermsg.LeaderlessJob:
-		c.handleLeaderlessJob(p.Msg.Replica)
 	case peermsg.ReplicaRestart:
 		c.restartReplica(p.From, p.Msg.Ref)
+	case peermsg.WantReplica:
+		c.handleReplicaWanted(p.From)
+	case peermsg.LeaderlessJob:
+		c.handleLeaderlessJob(p.Msg.Replica)
 	case peermsg.AskKnowledge:
-		if c.leadership == nil {
-			c.Emit(peermsg.Outgoing{To: p.From, Msg: peermsg.Message{Kind: peermsg.TellKnowledge, Term: p.Msg.Term, Knowledge: c.knowledge()}})
-		}
+		c.tellKnowledge(p.From, p.Msg.Term)
 	case peermsg.TellKnowledge:
-		if l := c.leadership; l != nil && p.Msg.Term == l.term {
-			c.handleKnowledge(p.From, p.Msg.Knowledge)
-		}
-	case peermsg.WantReplica:
-		if c.leadership == nil {
-			c.replicas.StartTransfer(p.From)
-		}
+		c.handleKnowledgeTold(p.From, p.Msg)
 	case peermsg.Heartbeats:
 		c.handleRelayedHeartbeats(p.From, p.Msg)
 	case peermsg.HeartbeatReplies:
@@ -87,9 +42,87 @@
 	}
 }
 
-// handleLeaderClaim: a peer says that it leads a term. A line that anybody might have written
-// must neither end a leadership that is in order nor keep the nodes from the leader
-// that there is.
+// handleLinkChange takes in that the link to another controller has come up or gone down.
+func (c *Core) handleLinkChange(p peermsg.LinkChange) {
+	c.election.SetLink(p.Name, p.Up)
+	l := c.leadership
+	switch {
+	case p.Up && l != nil:
+		// Also to one that has acknowledged the term: it may be a new process.
+		c.announceTermTo(p.Name)
+		if l.noEarlierTerm {
+			c.Emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.AskKnowledge, Term: l.term}})
+		}
+	case !p.Up && l != nil:
+		l.publisher.DropFollower(p.Name)
+	}
+	if !p.Up {
+		c.gateway.HandleLinkLost(p.Name)
+	}
+}
+
+// announceTerm tells the peers that have not acknowledged our term that we lead it.
+func (c *Core) announceTerm() {
+	for _, p := range c.cfg.Seeds {
+		if !c.leadership.acknowledged[p.HostName] {
+			c.announceTermTo(p.HostName)
+		}
+	}
+}
+
+// announceTermTo tells a peer that we lead our term.
+func (c *Core) announceTermTo(peer string) {
+	c.Emit(peermsg.Outgoing{To: peer, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
+}
+
+// handleTermAck takes in that a peer has acknowledged a term.
+func (c *Core) handleTermAck(from string, m peermsg.Message) {
+	l := c.leadership
+	if l == nil || m.Term != l.term {
+		return
+	}
+	c.notePeerVersion(from, m.Version)
+	if m.Ref == askForVersion {
+		c.announceTermTo(from)
+	}
+	if l.acknowledged[from] {
+		return
+	}
+	l.acknowledged[from] = true
+	if len(l.acknowledged) == len(c.cfg.Seeds) {
+		l.allAcknowledgedAt = c.Now
+	}
+}
+
+// handleForwardedRequest serves a user's request that a peer has passed on.
+func (c *Core) handleForwardedRequest(from string, m peermsg.Message) {
+	c.handleRequest(request.Request{Ref: m.Ref, From: from, Op: m.Op, ID: m.ID, Spec: m.Spec, Schedule: m.Schedule, Config: m.Config})
+}
+
+// handleReplicaWanted begins to send our replica to a new leader.
+func (c *Core) handleReplicaWanted(from string) {
+	if c.leadership == nil {
+		c.replicas.StartTransfer(from)
+	}
+}
+
+// tellKnowledge answers a new leader that asks what we know of earlier terms.
+func (c *Core) tellKnowledge(to string, term uint64) {
+	if c.leadership == nil {
+		c.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.TellKnowledge, Term: term, Knowledge: c.knowledge()}})
+	}
+}
+
+// handleKnowledgeTold takes in what a peer knows, if we asked in this term.
+func (c *Core) handleKnowledgeTold(from string, m peermsg.Message) {
+	if l := c.leadership; l != nil && m.Term == l.term {
+		c.handleKnowledge(from, m.Knowledge)
+	}
+}
+
+// handleLeaderClaim takes in that a peer claims to lead a term. A message that anybody might
+// have written must neither end a leadership that is in order nor keep the nodes from the
+// leader that there is.
 func (c *Core) handleLeaderClaim(from string, term, version uint64) {
 	switch l := c.leadership; {
 	case term < c.election.HighestTerm():
@@ -109,8 +142,8 @@
 	}
 }
 
-// verifyTerm asks the state service whether our term is still the newest, because
-// something says that it is not. If it is, unfounded is called.
+// verifyTerm asks the store whether our term is still the newest, because something says
+// that it is not. If it is, unfounded is called.
 func (c *Core) verifyTerm(because string, unfounded func()) {
 	l := c.leadership
 	if l.verifying || !c.jobs.Allow(1) {
