--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -59,14 +59,74 @@
 	}
 }
 
+// startedTask is a task on a machine.
+type startedTask struct {
+	key  string
+	leaf *Place
+}
+
+// samePlace reports whether x and y share a place at the level.
+func samePlace(x, y *Place, level int) bool {
+	p, ok := share(x, level)
+	q, ok2 := share(y, level)
+	return ok == ok2 && p == q
+}
+
+// plainlyAllows decides about a rule by looking at all tasks.
+func plainlyAllows(r Rule, j *Job, leaf *Place, tasks []startedTask) bool {
+	here, elsewhere, of, ofHere := 0, 0, 0, 0
+	for _, x := range tasks {
+		shared := samePlace(x.leaf, leaf, r.Level)
+		if x.key == j.Key && shared {
+			here++
+		} else if x.key == j.Key {
+			elsewhere++
+		}
+		if x.key == r.Of {
+			of++
+			if shared {
+				ofHere++
+			}
+		}
+	}
+	_, known := share(leaf, r.Level)
+	switch r.Kind {
+	case Spread:
+		return here < r.most(j.Tasks)
+	case Together:
+		return known && elsewhere == 0
+	case Near:
+		return of == 0 || ofHere > 0
+	default: // AwayFrom
+		return ofHere == 0
+	}
+}
+
+// randomJobs returns jobs with random rules.
+func randomJobs(rng *rand.Rand) (jobs []*Job) {
+	for i := range 6 {
+		j := &Job{Key: fmt.Sprint("job", i), Tasks: 1 + rng.IntN(20)}
+		for range 1 + rng.IntN(3) {
+			r := Rule{Kind: Kind(rng.IntN(4)), Level: rng.IntN(4), Of: fmt.Sprint("job", rng.IntN(6))}
+			if r.Kind == Spread && rng.IntN(2) == 0 {
+				r.Most = 1 + rng.IntN(5)
+			} else if r.Kind == Spread {
+				r.Share = 0.1 + 0.9*rng.Float64()
+			}
+			if r.Of == j.Key {
+				r.Of = "nobody"
+			}
+			j.Rules = append(j.Rules, r)
+		}
+		jobs = append(jobs, j)
+	}
+	return jobs
+}
+
 // TestRulesAsPlain plays random starts and ends and compares every answer with
 // one that looks at all tasks there are. Starts that are allowed never break a
 // rule; starts that are not would.
 func TestRulesAsPlain(t *testing.T) {
-	type task struct {
-		key  string
-		leaf *Place
-	}
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		tr := tree(t)
@@ -76,61 +136,15 @@
 			leaf, _ := tr.Machine(fmt.Sprintf("host-%s%d", zone, i), fmt.Sprintf("10.%d.%d.%d:9000", 1+i/25, 4+i%12, i), zone)
 			leaves = append(leaves, leaf)
 		}
-		var jobs []*Job
-		for i := range 6 {
-			j := &Job{Key: fmt.Sprint("job", i), Tasks: 1 + rng.IntN(20)}
-			for range 1 + rng.IntN(3) {
-				r := Rule{Kind: Kind(rng.IntN(4)), Level: rng.IntN(4), Of: fmt.Sprint("job", rng.IntN(6))}
-				if r.Kind == Spread && rng.IntN(2) == 0 {
-					r.Most = 1 + rng.IntN(5)
-				} else if r.Kind == Spread {
-					r.Share = 0.1 + 0.9*rng.Float64()
-				}
-				if r.Of == j.Key {
-					r.Of = "nobody"
-				}
-				j.Rules = append(j.Rules, r)
-			}
-			jobs = append(jobs, j)
-		}
+		jobs := randomJobs(rng)
 		tally := NewTally()
-		var tasks []task
-		same := func(x, y *Place, level int) bool { // x and y share a place at the level
-			p, ok := share(x, level)
-			q, ok2 := share(y, level)
-			return ok == ok2 && p == q
-		}
+		var tasks []startedTask
 		allowed, refused := 0, 0
 		for range 600 {
 			j, leaf := jobs[rng.IntN(len(jobs))], leaves[rng.IntN(len(leaves))]
 			plain := true
 			for _, r := range j.Rules {
-				here, elsewhere, of, ofHere := 0, 0, 0, 0
-				for _, x := range tasks {
-					shared := same(x.leaf, leaf, r.Level)
-					if x.key == j.Key && shared {
-						here++
-					} else if x.key == j.Key {
-						elsewhere++
-					}
-					if x.key == r.Of {
-						of++
-						if shared {
-							ofHere++
-						}
-					}
-				}
-				_, known := share(leaf, r.Level)
-				switch r.Kind {
-				case Spread:
-					plain = plain && here < r.most(j.Tasks)
-				case Together:
-					plain = plain && known && elsewhere == 0
-				case Near:
-					plain = plain && (of == 0 || ofHere > 0)
-				case AwayFrom:
-					plain = plain && ofHere == 0
-				}
+				plain = plain && plainlyAllows(r, j, leaf, tasks)
 			}
 			_, refusal := tally.May(j, leaf)
 			if (refusal == nil) != plain || (tally.Room(j, leaf, 5) > 0) != plain {
@@ -139,7 +153,7 @@
 			if plain {
 				allowed++
 				tally.Add(j.Key, leaf, 1)
-				tasks = append(tasks, task{j.Key, leaf})
+				tasks = append(tasks, startedTask{j.Key, leaf})
 			} else if refused++; refusal.Why == "" {
 				t.Fatal("refused without a word")
 			}
