--- a/internal/admission/admitter.go
+++ b/internal/admission/admitter.go
@@ -56,7 +56,7 @@
 
 // State is the leader's state that an Admitter works on.
 type State struct {
-	Jobs       *lifecycle.Manager
+	Lifecycle  *lifecycle.Manager
 	Writes     *writebatch.Batcher
 	Replicas   *replication.Publisher
 	Autoscaler *autoscaler.Autoscaler
@@ -174,11 +174,11 @@
 
 // AddCommitted takes on a job whose record has just been committed.
 func (a *Admitter) AddCommitted(rec *record.Job) *fleet.Job {
-	j := a.Jobs.Add(rec, false)
+	j := a.Lifecycle.Add(rec, false)
 	a.leader.JobAdded(j)
 	a.Autoscaler.RecordArrival(j)
-	a.Jobs.Placement.PreferImageLocality(j)
-	a.Jobs.Queue(j)
+	a.Lifecycle.Placement.PreferImageLocality(j)
+	a.Lifecycle.Queue(j)
 	return j
 }
 
@@ -190,7 +190,7 @@
 		a.answerWaiters(s, request.Unavailable(unanswered))
 		a.scope.After(resolveRetry, func() { a.resolveConflict(s) })
 	}
-	a.Jobs.Store.Read(id, func(status *request.JobStatus, known bool) {
+	a.Lifecycle.Store.Read(id, func(status *request.JobStatus, known bool) {
 		switch {
 		case a.scope.Closed() || a.pending[id] != s:
 		case !known || status == nil:
@@ -201,7 +201,7 @@
 		default:
 			a.adopt(id, func() {
 				delete(a.pending, id)
-				if j := a.Jobs.Jobs[id]; j != nil {
+				if j := a.Lifecycle.Jobs[id]; j != nil {
 					a.answerWaiters(s, request.Response{Status: 200, View: j.View()})
 				}
 			}, retry)
@@ -211,7 +211,7 @@
 
 // CheckSchedulable returns why a job can never be scheduled, or nil.
 func (a *Admitter) CheckSchedulable(job *spec.Job) *Refusal {
-	return CheckSchedulable(job, a.Jobs.Teams[job.Owner], a.Autoscaler.InstanceTypes)
+	return CheckSchedulable(job, a.Lifecycle.Teams[job.Owner], a.Autoscaler.InstanceTypes)
 }
 
 // RefusedForNow judges a job with a deadline by the timelines of the machines at hand and of
--- a/internal/admission/admitter_test.go
+++ b/internal/admission/admitter_test.go
@@ -107,7 +107,7 @@
 		Replicas:  replicas,
 		Store:     jobstore.NewReader(e, 1000, 1, 10),
 	}, l)
-	l.Admitter = admission.New(e, l.scope, cfg.Settings.State, admission.State{Jobs: jobs, Writes: writes, Replicas: replicas, Autoscaler: scaler, Policy: p}, l)
+	l.Admitter = admission.New(e, l.scope, cfg.Settings.State, admission.State{Lifecycle: jobs, Writes: writes, Replicas: replicas, Autoscaler: scaler, Policy: p}, l)
 	return l
 }
 
@@ -193,7 +193,7 @@
 	l.wantAnswers(503) // to the poll
 	l.engine.HandleStore(kv.Response{Ref: call.Ref, Outcome: rpc.OK, Rev: 60})
 	l.wantAnswers(201, 201)
-	if !slices.Equal(l.added, []string{"wk-1"}) || l.Jobs.Jobs["wk-1"].Waiting != 3 {
+	if !slices.Equal(l.added, []string{"wk-1"}) || l.Lifecycle.Jobs["wk-1"].Waiting != 3 {
 		t.Errorf("added %q", l.added)
 	}
 }
@@ -211,7 +211,7 @@
 		l.found(liveKey, recorded())
 		l.found(liveKey, recorded()) // read again to be taken on
 		l.wantAnswers(200)
-		if l.Jobs.Jobs["wk-1"] == nil {
+		if l.Lifecycle.Jobs["wk-1"] == nil {
 			t.Error("not taken on")
 		}
 	})
@@ -220,7 +220,7 @@
 		l.reply(kv.Response{Outcome: rpc.NotFound})
 		l.found(finalKey, &record.Final{State: spec.Done, Done: 3})
 		l.wantAnswers(200)
-		if l.Jobs.Jobs["wk-1"] != nil {
+		if l.Lifecycle.Jobs["wk-1"] != nil {
 			t.Error("taken on")
 		}
 	})
@@ -284,7 +284,7 @@
 		l.Admitter.Serve(r)
 		l.found(liveKey, recorded())
 		l.found(liveKey, recorded())
-		if l.Jobs.Jobs["wk-1"] == nil || len(l.served) != 1 {
+		if l.Lifecycle.Jobs["wk-1"] == nil || len(l.served) != 1 {
 			t.Errorf("not taken on, or served %d times", len(l.served))
 		}
 		l.wantAnswers()
@@ -299,67 +299,71 @@
 	})
 }
 
-// TestWatchLeaderless: the jobs that notes name are taken on and their notes dropped, except
+const noteKey = record.LeaderlessPrefix + "wk-1"
+
+// watchNote returns a leader that has just read a note.
+func watchNote(t *testing.T, key string) *leader {
+	t.Helper()
+	l := newLeader(t, "false")
+	l.WatchLeaderless()
+	l.reply(kv.Response{Outcome: rpc.OK, Rev: 60, Entries: []kv.Entry{{Key: key}}})
+	return l
+}
+
+// drops reports whether the key is being deleted.
+func (l *leader) drops(key string) bool {
+	l.Writes.Flush()
+	return slices.ContainsFunc(take[kv.Request](l), func(call kv.Request) bool {
+		return slices.Contains(call.Writes, kv.Write{Key: key})
+	})
+}
+
+// TestLeaderlessNotes: the jobs that notes name are taken on and their notes dropped, except
 // while it is not known what there is.
-func TestWatchLeaderless(t *testing.T) {
-	note := record.LeaderlessPrefix + "wk-1"
-	start := func(t *testing.T, key string) *leader {
-		t.Helper()
-		l := newLeader(t, "false")
-		l.WatchLeaderless()
-		l.reply(kv.Response{Outcome: rpc.OK, Rev: 60, Entries: []kv.Entry{{Key: key}}})
-		return l
-	}
-	dropped := func(l *leader, key string) bool {
-		l.Writes.Flush()
-		for _, call := range take[kv.Request](l) {
-			if slices.Contains(call.Writes, kv.Write{Key: key}) {
-				return true
-			}
-		}
-		return false
-	}
+func TestLeaderlessNotes(t *testing.T) {
 	t.Run("live", func(t *testing.T) {
-		l := start(t, note)
+		l := watchNote(t, noteKey)
 		l.found(liveKey, recorded())
-		if l.Jobs.Jobs["wk-1"] == nil || !dropped(l, note) {
+		if l.Lifecycle.Jobs["wk-1"] == nil || !l.drops(noteKey) {
 			t.Error("not taken on, or its note not dropped")
 		}
 	})
 	t.Run("over", func(t *testing.T) {
-		l := start(t, note)
+		l := watchNote(t, noteKey)
 		l.reply(kv.Response{Outcome: rpc.NotFound})
 		l.reply(kv.Response{Outcome: rpc.NotFound})
 		l.found(finalKey, &record.Final{State: spec.Done})
-		if !dropped(l, note) {
+		if !l.drops(noteKey) {
 			t.Error("note not dropped")
 		}
 	})
 	t.Run("not known", func(t *testing.T) {
-		l := start(t, note)
+		l := watchNote(t, noteKey)
 		l.reply(kv.Response{Outcome: rpc.Unknown})
 		l.reply(kv.Response{Outcome: rpc.Unknown})
-		if dropped(l, note) {
+		if l.drops(noteKey) {
 			t.Error("note dropped")
 		}
 	})
 	t.Run("unreadable", func(t *testing.T) {
 		key := record.LeaderlessPrefix + "unreadable"
-		if l := start(t, key); !dropped(l, key) {
+		if l := watchNote(t, key); !l.drops(key) {
 			t.Error("note not dropped")
 		}
 	})
-	t.Run("none, then one", func(t *testing.T) {
-		l := newLeader(t, "false")
-		l.WatchLeaderless()
-		l.reply(kv.Response{Outcome: rpc.OK, Rev: 60})
-		watch := l.sent()
-		if watch.Op != kv.Watch || watch.Key != record.LeaderlessPrefix || watch.FromRev != 60 {
-			t.Fatalf("%+v", watch)
-		}
-		l.engine.HandleStore(kv.Response{Ref: watch.Ref, Outcome: rpc.OK, Rev: 61})
-		if call := l.sent(); call.Op != kv.List {
-			t.Errorf("%+v", call)
-		}
-	})
+}
+
+// TestWatchLeaderless: without a note it waits for one, from the revision of the list on.
+func TestWatchLeaderless(t *testing.T) {
+	l := newLeader(t, "false")
+	l.WatchLeaderless()
+	l.reply(kv.Response{Outcome: rpc.OK, Rev: 60})
+	watch := l.sent()
+	if watch.Op != kv.Watch || watch.Key != record.LeaderlessPrefix || watch.FromRev != 60 {
+		t.Fatalf("%+v", watch)
+	}
+	l.engine.HandleStore(kv.Response{Ref: watch.Ref, Outcome: rpc.OK, Rev: 61})
+	if call := l.sent(); call.Op != kv.List {
+		t.Errorf("%+v", call)
+	}
 }
--- a/internal/admission/records.go
+++ b/internal/admission/records.go
@@ -21,11 +21,11 @@
 // been given up, or one without a leader: the job is taken on.
 func (a *Admitter) answerFromRecords(r request.Request, missing func()) {
 	no := func() { a.answer(r, request.Unavailable(unanswered)) }
-	a.Jobs.Store.Read(r.ID, func(status *request.JobStatus, known bool) {
+	a.Lifecycle.Store.Read(r.ID, func(status *request.JobStatus, known bool) {
 		switch {
 		case a.scope.Closed() || !a.leader.CanAct() || !known:
 			no()
-		case a.Jobs.Jobs[r.ID] != nil || a.pending[r.ID] != nil:
+		case a.Lifecycle.Jobs[r.ID] != nil || a.pending[r.ID] != nil:
 			a.leader.Serve(r) // accepted since the read began, which saw nothing of it
 		case status == nil && a.leader.MayHaveLostJobs():
 			a.answer(r, request.Unavailable("data was lost, and what there is is being looked for"))
@@ -53,16 +53,16 @@
 			return
 		}
 		a.Replicas.PutRead(reply.Entries[0])
-		if rec, _ := reply.Entries[0].Value.(*record.Job); rec != nil && a.Jobs.Jobs[id] == nil {
+		if rec, _ := reply.Entries[0].Value.(*record.Job); rec != nil && a.Lifecycle.Jobs[id] == nil {
 			s := a.pending[id]
 			delete(a.pending, id)
-			j := a.Jobs.Add(rec, false)
-			a.Jobs.Queue(j)
+			j := a.Lifecycle.Add(rec, false)
+			a.Lifecycle.Queue(j)
 			if s != nil { // accepted by another controller meanwhile: nobody else tells them
 				a.answerWaiters(s, request.Response{Status: 200, View: j.View()})
 			}
 		}
-		if a.Jobs.Jobs[id] == nil {
+		if a.Lifecycle.Jobs[id] == nil {
 			otherwise()
 			return
 		}
@@ -104,12 +104,12 @@
 	drop := func() {
 		a.Writes.Add(&writebatch.Change{Priority: writebatch.Bulk, Writes: []kv.Write{{Key: key}}})
 	}
-	if a.Jobs.Jobs[id] != nil || a.leader.Unreadable(id) {
+	if a.Lifecycle.Jobs[id] != nil || a.leader.Unreadable(id) {
 		drop()
 		return
 	}
 	a.adopt(id, drop, func() {
-		a.Jobs.Store.Read(id, func(status *request.JobStatus, known bool) {
+		a.Lifecycle.Store.Read(id, func(status *request.JobStatus, known bool) {
 			if !a.scope.Closed() && known && (status == nil || status.State.Final()) {
 				drop() // it is over already
 			}
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -14,7 +14,7 @@
 // newAdmitter returns the admitter of the leadership that begins.
 func (c *Core) newAdmitter() *admission.Admitter {
 	l := c.leadership
-	state := admission.State{Jobs: l.lifecycle, Writes: l.writes, Replicas: l.publisher, Autoscaler: l.autoscaler, Policy: c.pol}
+	state := admission.State{Lifecycle: l.lifecycle, Writes: l.writes, Replicas: l.publisher, Autoscaler: l.autoscaler, Policy: c.pol}
 	return admission.New(c.Engine, l.scope, c.cfg.Settings.State, state, admissionLeader{c})
 }
 
