--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -144,7 +144,7 @@
 }
 
 // ReceiveReplica applies a line of the replica that was requested, and reports whether it did.
-// Advance is to be called after it.
+// AdvanceIfFetched is to be called after it.
 func (r *Recovery) ReceiveReplica(from string, line *replica.Line) bool {
 	if r.fetch.source != from || line.Term >= r.term.Number {
 		return false
--- /dev/null
+++ b/internal/restore/restore_test.go
@@ -0,0 +1,121 @@
+package restore
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"yewpass/internal/config"
+	"yewpass/internal/engine"
+	"yewpass/internal/kv"
+	"yewpass/internal/record"
+	"yewpass/internal/replica"
+	"yewpass/internal/replication"
+	"yewpass/internal/schedule"
+	"yewpass/internal/spec"
+	"yewpass/internal/writebatch"
+)
+
+// fakeLeader has jobs a and b; b is finishing.
+type fakeLeader struct{ progress []string }
+
+func (f *fakeLeader) IsUnfinished(job string) bool     { return job == "a" }
+func (f *fakeLeader) RecordProgress(job string, _ int) { f.progress = append(f.progress, job) }
+func (f *fakeLeader) NoteConfigHead(uint64)            {}
+
+// noSchedules is a leader's schedules before any is read.
+type noSchedules struct{}
+
+func (noSchedules) Has(string) bool          { return false }
+func (noSchedules) LoadRecord(kv.Entry)      {}
+func (noSchedules) NumberRevision() uint64   { return 4 }
+func (noSchedules) SetNumberRevision(uint64) {}
+
+func newRestorer(t *testing.T) (*Restorer, *fakeLeader) {
+	t.Helper()
+	e := engine.New(rand.New(rand.NewPCG(1, 1)), 1)
+	e.Begin(time.Unix(1000, 0))
+	replicas := replication.New(e, &config.Config{}, nil)
+	replicas.SetOwn(replica.New(9, 7, record.FinalPrefix, 100))
+	scope, leader := e.NewScope(), &fakeLeader{}
+	return New(e, scope, Config{
+		Writes:    writebatch.New(e, scope, config.State{RPS: 10, WriteRPS: 10, TxnOps: 10}, kv.Condition{}, nil),
+		Publisher: replication.NewPublisher(replicas, scope, 7),
+		Replicas:  replicas,
+		Leader:    leader,
+		Schedules: noSchedules{},
+		Term:      7,
+		MaxQueued: 10,
+	}), leader
+}
+
+// TestRestoreOrder: schedules come back first, then jobs by urgency and age, then the rest;
+// machines are left to whoever records them.
+func TestRestoreOrder(t *testing.T) {
+	r, leader := newRestorer(t)
+	job := func(id string, u spec.Urgency, at int64) replica.Record {
+		rec := replica.Record{Key: record.JobPrefix + id, Value: &record.Job{Spec: spec.Job{ID: id, Urgency: u}, Submitted: time.Unix(at, 0)}}
+		r.cfg.Replicas.Own().Put(rec.Key, rec.Value, 0)
+		return rec
+	}
+	r.Begin([]replica.Record{
+		{Key: record.FinalPrefix + "z", Value: &record.Final{}},
+		{Key: record.ProgressKey("a", 0), Value: &record.Progress{}},
+		job("idle", spec.Idle, 1),
+		job("late", spec.Standard, 9),
+		job("a", spec.Standard, 5),
+		{Key: record.MachinePrefix + "1", Value: &record.Machines{}},
+		{Key: record.SchedulePrefix + "s", Value: &schedule.Record{}},
+	}, "a test", "n1")
+	if machines := r.Prepare(); len(machines) != 1 || !machines[record.MachinePrefix+"1"] {
+		t.Errorf("machines %v", machines)
+	}
+	var keys []string
+	for _, rec := range r.queue {
+		keys = append(keys, rec.Key)
+	}
+	want := []string{record.SchedulePrefix + "s", record.JobPrefix + "a", record.JobPrefix + "late", record.JobPrefix + "idle", record.ProgressKey("a", 0), record.FinalPrefix + "z"}
+	if !slices.Equal(keys, want) {
+		t.Errorf("order %q, want %q", keys, want)
+	}
+	restored := false
+	r.WhenSchedulesRestored(func() { restored = true })
+	r.QueueNext()
+	if restored || r.IsDone() || !slices.Equal(leader.progress, []string{"a"}) {
+		t.Errorf("schedules restored %v, done %v, progress of %v", restored, r.IsDone(), leader.progress)
+	}
+}
+
+// TestRestoreConditions: a job is written back on the condition that it is not over, a schedule
+// on the numbers' record, and a job that is finishing not at all.
+func TestRestoreConditions(t *testing.T) {
+	r, _ := newRestorer(t)
+	var records []replica.Record
+	for _, id := range []string{"a", "b"} {
+		rec := replica.Record{Key: record.JobPrefix + id, Value: &record.Job{Spec: spec.Job{ID: id}}, Rev: 3}
+		r.cfg.Replicas.Own().Put(rec.Key, rec.Value, 0)
+		records = append(records, rec)
+	}
+	records = append(records, replica.Record{Key: record.SchedulePrefix + "s", Value: &schedule.Record{}})
+	r.Begin(records, "a test", "n1")
+	r.QueueNext()
+	bulk, urgent := r.cfg.Writes.Queued(writebatch.Bulk), r.cfg.Writes.Queued(writebatch.Urgent)
+	if len(bulk) != 2 || len(urgent) != 1 {
+		t.Fatalf("%d and %d changes", len(bulk), len(urgent))
+	}
+	if !bulk[0].Prepare() || !slices.Equal(bulk[0].Conditions, []kv.Condition{{Key: record.JobPrefix + "a", Rev: 3}, {Key: record.FinalPrefix + "a", Rev: 0}}) {
+		t.Errorf("job on %+v", bulk[0].Conditions)
+	}
+	if bulk[1].Prepare() {
+		t.Error("a job that is finishing is written back")
+	}
+	if !urgent[0].Prepare() || !slices.Equal(urgent[0].Conditions, []kv.Condition{{Key: record.SchedulePrefix + "s", Rev: 0}, {Key: record.ScheduleNumberKey, Rev: 4}}) {
+		t.Errorf("schedule on %+v", urgent[0].Conditions)
+	}
+	bulk[0].OnCommit(8)
+	urgent[0].OnCommit(9)
+	if !r.IsDone() || r.Loss().Restored != 3 {
+		t.Errorf("done %v, %+v", r.IsDone(), r.Loss())
+	}
+}
