--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"slices"
 	"time"
+
 	"yewpass/internal/fleet"
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/reconcile"
