--- a/internal/core/compatibility_test.go
+++ b/internal/core/compatibility_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 	"yewpass/internal/bitset"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
 )
 
@@ -77,8 +78,8 @@
 		{"tasks of a progress record", bitset.ChunkSize, 16384},
 		{"bits of an attempt that count the starts of a term", record.AttemptBits, 28},
 		{"highest term", record.MaxTerm, 1<<36 - 1},
-		{"version of the talk between controllers", peerVersion, 1},
-		{"reference that asks for the leader's version", askForVersion, 1},
+		{"version of the talk between controllers", peermsg.Version, 1},
+		{"reference that asks for the leader's version", peermsg.AskVersion, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.got != c.want {
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -17,8 +17,9 @@
 	"yewpass/internal/writebatch"
 )
 
-// configLeader is a leader with two other controllers in reach.
-func configLeader(t *testing.T) *Core {
+// leaderOfThree is a leader with two other controllers in reach.
+func leaderOfThree(t *testing.T) *Core {
+	t.Helper()
 	c := leaderOf(t, 3)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}, {HostName: "n2"}}
 	c.election.SetLink("n1", true)
@@ -43,16 +44,28 @@
 	return answer, txn
 }
 
+// askConfig asks the leader about its configuration and returns what it answers.
+func askConfig(t *testing.T, c *Core, op request.Operation, name string) any {
+	t.Helper()
+	for _, o := range c.Step(c.Now, request.Request{Ref: 1, Op: op, Config: &request.ConfigParams{Name: name}}) {
+		if a, ok := o.(request.Response); ok && a.Status == 200 {
+			return a.Doc
+		}
+	}
+	t.Fatalf("%s is not answered", op)
+	return nil
+}
+
 // TestFirstChangeNeedsAll: before all controllers have said that they know live configuration
 // no change is taken: one that does not would lead by the settings. Then it is, and a
 // controller that is away later holds up nothing.
 func TestFirstChangeNeedsAll(t *testing.T) {
-	c := configLeader(t)
+	c := leaderOfThree(t)
 	lowered := liveconfig.Team{Name: "t", CPUsMax: 7}
 	ack := func(from string, speaks uint64) {
 		c.Step(c.Now, peermsg.Received{From: from, Msg: peermsg.Message{Kind: peermsg.Ack, Term: 1, Version: speaks}})
 	}
-	ack("n1", peerVersion)
+	ack("n1", peermsg.Version)
 	if a, txn := setTeam(c, 1, lowered); a == nil || a.Status != 503 || a.RetryAfter == 0 || txn != nil {
 		t.Errorf("n2 has said nothing: %+v, %+v", a, txn)
 	}
@@ -60,7 +73,7 @@
 	if a, _ := setTeam(c, 2, lowered); a == nil || a.Status != 503 {
 		t.Errorf("n2 does not know of it: %+v", a)
 	}
-	ack("n2", peerVersion)
+	ack("n2", peermsg.Version)
 	a, txn := setTeam(c, 3, lowered)
 	if a != nil || txn == nil {
 		t.Fatalf("all know of it: %+v", a)
@@ -78,8 +91,8 @@
 			answered = a.Status == 200 && a.Doc == view.ConfigChanged{Revision: 1}
 		}
 	}
-	if !answered || c.leadership.config.headRev != 40 {
-		t.Errorf("%v, head at %d", outs, c.leadership.config.headRev)
+	if !answered || c.leadership.config.HeadRevision() != 40 {
+		t.Errorf("%v, head at %d", outs, c.leadership.config.HeadRevision())
 	}
 	c.Step(c.Now, peermsg.LinkChange{Name: "n2"})
 	if a, txn := setTeam(c, 4, liveconfig.Team{Name: "t", CPUsMax: 9}); a != nil || txn == nil {
@@ -97,7 +110,7 @@
 	}
 	confirmed := false
 	c.Now = c.Now.Add(time.Millisecond)
-	c.handleConfigConflict(0, func() { confirmed = true })
+	c.leadership.config.HandleConflict(0, func() { confirmed = true })
 	var read *kv.Request
 	for _, o := range c.Outputs {
 		if call, ok := o.(kv.Request); ok && call.Op == kv.Get && call.Key == record.ConfigHeadKey {
@@ -116,8 +129,8 @@
 		}
 	}
 	count(c.Step(c.Now, kv.Response{Ref: read.Ref, Outcome: rpc.OK, Entries: []kv.Entry{{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
-	if !confirmed || c.leadership.config.state.Revision != 1 || c.leadership.config.headRev != 40 || c.leadership.teams["t"].Limit.CPU != 7000 {
-		t.Errorf("confirmed %v, revision %d, head %d", confirmed, c.leadership.config.state.Revision, c.leadership.config.headRev)
+	if !confirmed || c.LocalConfig().Revision != 1 || c.leadership.config.HeadRevision() != 40 || c.leadership.teams["t"].Limit.CPU != 7000 {
+		t.Errorf("confirmed %v, revision %d, head %d", confirmed, c.LocalConfig().Revision, c.leadership.config.HeadRevision())
 	}
 	count(c.Step(c.Now, kv.Response{Ref: txn.Ref, Outcome: rpc.Unknown}))
 	for range 300 {
@@ -137,12 +150,12 @@
 // what a copy has, in force, and is told of.
 func TestDamagedTeamKeepsWhatWasKnown(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.loadConfig(kv.Entry{Key: record.ConfigTeamPrefix + "t", Rev: 7})
-	c.applyLoadedConfig()
-	if v, ok := c.viewTeam("t"); !ok || !v.Damaged || v.CPUs != 100 {
+	c.leadership.config.Load(kv.Entry{Key: record.ConfigTeamPrefix + "t", Rev: 7})
+	c.leadership.config.Start()
+	if v, ok := askConfig(t, c, request.ConfigGet, "t").(view.Team); !ok || !v.Damaged || v.CPUs != 100 {
 		t.Errorf("%+v", v)
 	}
-	if s := c.configStatus(); fmt.Sprint(s.Damaged) != "[team/t]" {
+	if s, _ := askConfig(t, c, request.ConfigStatus, "").(view.ConfigStatus); fmt.Sprint(s.Damaged) != "[team/t]" {
 		t.Errorf("%+v", s)
 	}
 }
@@ -150,12 +163,12 @@
 // TestRetiredTeam: new jobs are refused by the name of the team, and tasks that run count.
 func TestRetiredTeam(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.applyTeams([]liveconfig.Team{{Name: "t", CPUs: 5, Retired: true}})
+	configLeader{c, c.leadership}.ApplyTeams([]liveconfig.Team{{Name: "t", CPUs: 5, Retired: true}})
 	spec := &spec.Job{ID: "wk-1", Owner: "t", Tasks: 1, CPUs: 1}
 	if refusal := c.leadership.admitter.CheckSchedulable(spec); refusal == nil || refusal.Field != "owner" || refusal.Reason == "" {
 		t.Errorf("%+v", refusal)
 	}
-	c.applyTeams([]liveconfig.Team{{Name: "t", CPUs: 5}})
+	configLeader{c, c.leadership}.ApplyTeams([]liveconfig.Team{{Name: "t", CPUs: 5}})
 	if refusal := c.leadership.admitter.CheckSchedulable(spec); refusal != nil {
 		t.Errorf("back again: %+v", refusal)
 	}
@@ -165,7 +178,7 @@
 // for its version, once a call about the configuration needs it; the leader says so, and
 // nobody answers an answer.
 func TestLeaderVersionAskedFor(t *testing.T) {
-	leader, other := configLeader(t), configLeader(t)
+	leader, other := leaderOfThree(t), leaderOfThree(t)
 	other.leadership, other.cfg.HostName = nil, "n1"
 	other.election.SetLink("n0", true)
 	other.election.NoteLeader("n0", 1)
@@ -189,14 +202,17 @@
 	for _, o := range leader.Step(leader.Now, peermsg.Received{From: "n1", Msg: *ask}) {
 		if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Leader {
 			told++
+			if p.Msg.Version != peermsg.Version {
+				t.Errorf("the leader tells version %d", p.Msg.Version)
+			}
 			for _, o := range other.Step(other.Now, peermsg.Received{From: "n0", Msg: p.Msg}) {
-				if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Ack && p.Msg.Ref == askForVersion {
+				if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Ack && p.Msg.Ref == peermsg.AskVersion {
 					t.Error("the answer is answered with a question")
 				}
 			}
 		}
 	}
-	if told != 1 || other.election.LeaderVersion() != peerVersion {
+	if told != 1 || other.election.LeaderVersion() != peermsg.Version {
 		t.Errorf("told %d times, the leader speaks %d", told, other.election.LeaderVersion())
 	}
 	forwarded := false
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -7,6 +7,7 @@
 
 	"yewpass/internal/calendar"
 	"yewpass/internal/config"
+	"yewpass/internal/configmanager"
 	"yewpass/internal/election"
 	"yewpass/internal/engine"
 	"yewpass/internal/forwarder"
@@ -42,19 +43,19 @@
 	cal *calendar.Set
 	reg *zones.Regions
 
-	election          *election.Election
-	processID         uint64 // of this process: tells it from one of the same name that ended before
-	leadership        *leadership
-	configConfirmedAt time.Time         // when the leader last told us that our configuration is the newest
-	observed          recovery.Observed // what we have seen of the state service
-	dataLossReason    string            // why it must have lost data, until somebody leads who knows
-	replicas          *replication.Replicas
-	jobs              *jobstore.Reader
-	gateway           *gateway.Gateway
-	forwarder         *forwarder.Forwarder
-	storeAvailable    bool
-	storeServedAt     time.Time // when the state service last served us
-	staleHeartbeats   int64     // reports that were older than what was known
+	election        *election.Election
+	processID       uint64 // of this process: tells it from one of the same name that ended before
+	leadership      *leadership
+	config          *configmanager.Node // the live configuration, whoever leads
+	observed        recovery.Observed   // what we have seen of the state service
+	dataLossReason  string              // why it must have lost data, until somebody leads who knows
+	replicas        *replication.Replicas
+	jobs            *jobstore.Reader
+	gateway         *gateway.Gateway
+	forwarder       *forwarder.Forwarder
+	storeAvailable  bool
+	storeServedAt   time.Time // when the state service last served us
+	staleHeartbeats int64     // reports that were older than what was known
 
 	heartbeatInterval, workerLease time.Duration
 	leaseTiming                    lease.Timing
@@ -84,6 +85,7 @@
 	c.replicas = replication.New(c.Engine, cfg, replicationHost{c})
 	c.jobs = jobstore.NewReader(c.Engine, cfg.Settings.State.RPS, 1+len(cfg.Seeds), replication.FinalsLimit(cfg))
 	c.gateway = gateway.New(c.Engine, gatewayController{c}, cfg, pol, c.jobs, c.replicas)
+	c.config = configmanager.NewNode(c.Engine, cfg)
 	c.ObserveStore = c.observeStoreCall
 	return c
 }
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -2,6 +2,7 @@
 
 import (
 	"yewpass/internal/gateway"
+	"yewpass/internal/peermsg"
 	"yewpass/internal/quota"
 	"yewpass/internal/replica"
 	"yewpass/internal/view"
@@ -19,14 +20,17 @@
 	return gateway.Upstream{
 		Leader:       c.election.Leader(),
 		Linked:       c.election.IsLinkedToLeader(),
-		KnowsConfig:  c.election.LeaderVersion() >= peerVersion,
+		KnowsConfig:  c.election.LeaderVersion() >= peermsg.Version,
 		Term:         c.election.HighestTerm(),
 		TermRevision: c.election.ConfirmedTermRevision(),
 	}
 }
 
 // AskLeaderVersion implements gateway.Controller.
-func (g gatewayController) AskLeaderVersion() { g.core.askLeaderVersion() }
+func (g gatewayController) AskLeaderVersion() {
+	c := g.core
+	c.config.AskLeaderVersion(c.election.Leader(), c.election.HighestTerm())
+}
 
 // Cluster implements gateway.Controller.
 func (g gatewayController) Cluster() *view.Cluster { return g.core.clusterView() }
@@ -36,5 +40,5 @@
 
 // Team implements gateway.Controller.
 func (g gatewayController) Team(k *replica.Replica, name string) *quota.Account {
-	return g.core.teamFromReplica(k, name)
+	return g.core.config.Team(k, name)
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -106,12 +106,16 @@
 	}
 	var confirm func()
 	confirm = func() {
-		head := l.config.headRev
-		c.confirmTerm(l.configConds(), func(r kv.Response) {
+		head := l.config.HeadRevision()
+		var conditions []kv.Condition
+		if l.loaded {
+			conditions = append(conditions, l.config.Condition())
+		}
+		c.confirmTerm(conditions, func(r kv.Response) {
 			standing = r.Outcome == rpc.OK
 			both()
 			if r.Outcome == rpc.Conflict && c.leadership == l && slices.Contains(r.FailedKeys, record.ConfigHeadKey) {
-				c.handleConfigConflict(head, confirm)
+				l.config.HandleConflict(head, confirm)
 			}
 		})
 	}
@@ -164,7 +168,7 @@
 		l.lifecycle.AnswerWaiters(j, a)
 	}
 	l.recurring.AnswerWaiting(a)
-	c.answerConfig(l, a)
+	l.config.AnswerWaiting(a)
 }
 
 // tickEvery is how often the leader does its regular work.
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -7,6 +7,7 @@
 	"yewpass/internal/attempts"
 	"yewpass/internal/autoscaler"
 	"yewpass/internal/config"
+	"yewpass/internal/configmanager"
 	"yewpass/internal/dispatch"
 	"yewpass/internal/engine"
 	"yewpass/internal/failover"
@@ -48,7 +49,7 @@
 	prober         *probe.Prober
 	writes         *writebatch.Batcher
 	recurring      *recurring.Scheduler
-	config         liveConfig
+	config         *configmanager.Manager
 	autoscaler     *autoscaler.Autoscaler
 }
 
@@ -120,6 +121,7 @@
 	l.reconciler = reconcile.New(c.Engine, reconcilerLeader{c, l}, l.inventory, l.attempts, l.placement, l.term, c.workerLease)
 	l.prober = probe.NewProber(c.Engine, l.scope, proberLeader{c, l}, l.inventory, l.term)
 	l.dispatcher = dispatch.New(c.Engine, l.scope, dispatchLeader{c, l}, l.relays, l.placement, l.term)
+	l.config = configmanager.New(c.Engine, l.scope, c.cfg, l.writes, configLeader{c, l}, l.term)
 }
 
 func newLeadership(cfg *config.Config) *leadership {
@@ -127,6 +129,5 @@
 		authority: authority{acknowledged: map[string]bool{}},
 		inherited: inherited{unreadableJobs: map[string]bool{}, newerTokens: map[string]uint64{}},
 		workload:  workload{jobs: map[string]*fleet.Job{}, teams: quota.Accounts{}},
-		config:    newConfiguring(cfg),
 	}
 }
--- a/internal/core/load_records.go
+++ b/internal/core/load_records.go
@@ -35,7 +35,7 @@
 	case strings.HasPrefix(e.Key, record.JobPrefix):
 		c.loadJob(e)
 	case record.IsConfigKey(e.Key):
-		c.loadConfig(e)
+		l.config.Load(e)
 	case strings.HasPrefix(e.Key, record.MachinePrefix):
 		c.loadMachines(e)
 	case strings.HasPrefix(e.Key, record.ProgressPrefix):
@@ -97,7 +97,7 @@
 func (c *Core) startWork() {
 	l := c.leadership
 	l.loaded = true
-	c.applyLoadedConfig()
+	l.config.Start()
 	for _, j := range l.sortedJobs() {
 		l.lifecycle.Queue(j)
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -18,7 +18,7 @@
 	case peermsg.Ack:
 		c.handleTermAck(p.From, p.Msg)
 	case peermsg.ConfigRevision:
-		c.handlePeerConfig(p.From, p.Msg)
+		c.handleConfigRevision(p.From, p.Msg)
 	case peermsg.Request:
 		c.handleForwardedRequest(p.From, p.Msg)
 	case peermsg.Response:
@@ -72,7 +72,7 @@
 
 // announceTermTo tells a peer that we lead our term.
 func (c *Core) announceTermTo(peer string) {
-	c.Emit(peermsg.Outgoing{To: peer, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peerVersion}})
+	c.Emit(peermsg.Outgoing{To: peer, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peermsg.Version}})
 }
 
 // handleTermAck takes in that a peer has acknowledged a term.
@@ -81,8 +81,8 @@
 	if l == nil || m.Term != l.term {
 		return
 	}
-	c.notePeerVersion(from, m.Version)
-	if m.Ref == askForVersion {
+	l.config.NotePeerVersion(from, m.Version)
+	if m.Ref == peermsg.AskVersion {
 		c.announceTermTo(from)
 	}
 	if l.acknowledged[from] {
@@ -127,7 +127,7 @@
 	switch l := c.leadership; {
 	case term < c.election.HighestTerm():
 	case l == nil:
-		c.election.AcceptClaim(from, term, version, peerVersion)
+		c.election.AcceptClaim(from, term, version, peermsg.Version)
 	case term == l.term:
 		c.Log(slog.LevelError, "peer claims the term that this node leads", "peer", from, "term", term)
 	case c.hasAuthority():
@@ -138,7 +138,7 @@
 		})
 	default:
 		c.stepDown("a newer term is known")
-		c.election.AcceptClaim(from, term, version, peerVersion)
+		c.election.AcceptClaim(from, term, version, peermsg.Version)
 	}
 }
 
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -136,7 +136,7 @@
 }
 
 // NoteConfigHead is told the revision at which the head of the configuration was written.
-func (h restoreLeader) NoteConfigHead(rev uint64) { h.l.config.headRev = rev }
+func (h restoreLeader) NoteConfigHead(rev uint64) { h.l.config.SetHeadRevision(rev) }
 
 // newRestorer returns the restorer of a new leadership.
 func (c *Core) newRestorer(l *leadership) *restore.Restorer {
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -27,7 +27,7 @@
 	case r.Schedule != nil:
 		c.leadership.recurring.Serve(r)
 	case r.Config != nil:
-		c.serveConfig(r)
+		c.leadership.config.Serve(r)
 	case request.IsCluster(r.Op):
 		c.serveCluster(r)
 	default:
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -5,9 +5,12 @@
 // Stats returns the present figures.
 func (c *Core) Stats() view.Stats {
 	s := view.Stats{Term: c.election.HighestTerm(), Relayed: c.forwarder.Workers(), StaleHeartbeats: c.staleHeartbeats + c.forwarder.Stale()}
+	l := c.leadership
+	if l != nil {
+		s.ConfigStats = l.config.Stats()
+	}
 	local := c.LocalConfig()
 	s.ConfigRevision, s.ConfigAge = local.Revision, local.AgeSeconds
-	l := c.leadership
 	if l == nil {
 		return s
 	}
@@ -15,7 +18,6 @@
 	s.WorkStats = l.workStats()
 	s.FleetStats = c.fleetStats()
 	s.RecordStats = c.recordStats()
-	s.ConfigPropagation, s.ConfigChanges, s.ConfigDamaged = l.config.spread.Seconds(), l.config.changes, len(l.config.damaged)
 	s.ScheduleStats = l.recurring.Stats()
 	return s
 }
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -15,7 +15,7 @@
 func (b batchLeader) CanAct() bool { return b.c.canAct() }
 
 // ConfigBatchDue reports whether the queued batch of configuration changes is to go now.
-func (b batchLeader) ConfigBatchDue() bool { return b.c.configBatchDue() }
+func (b batchLeader) ConfigBatchDue() bool { return b.c.leadership.config.BatchDue() }
 
 // RestoreRecords queues lost records to be written back.
 func (b batchLeader) RestoreRecords() { b.c.leadership.restorer.QueueNext() }
--- a/internal/peermsg/peermsg.go
+++ b/internal/peermsg/peermsg.go
@@ -46,6 +46,14 @@
 	HeartbeatReplies Kind = "replies" // to them
 )
 
+// Version is the version of the protocol between controllers. Controllers that are older
+// than its first version tell none, which counts as 0.
+const Version = 1
+
+// AskVersion as the reference of an Ack asks the leader to tell its version again.
+// Leaders that tell none take it for an ordinary one.
+const AskVersion = 1
+
 // Message is what controllers say to each other.
 type Message struct {
 	Kind   Kind
