--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -153,7 +153,7 @@
 			if plain {
 				allowed++
 				tally.Add(j.Key, leaf, 1)
-				tasks = append(tasks, startedTask{j.Key, leaf})
+				tasks = append(tasks, startedTask{key: j.Key, leaf: leaf})
 			} else if refused++; refusal.Why == "" {
 				t.Fatal("refused without a word")
 			}
