--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,12 +26,6 @@
 	"yewpass/internal/zones"
 )
 
-// Times of the leader's grant.
-const (
-	leaseTTL           = 2 * time.Second
-	leaseRenewInterval = 400 * time.Millisecond
-)
-
 func withDrift(d time.Duration) time.Duration { return lease.WithDrift(d) }
 
 // Core is one controller.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -2,17 +2,14 @@
 
 import (
 	"log/slog"
-	"slices"
 	"time"
 
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/kv"
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/placement"
-	"yewpass/internal/record"
 	"yewpass/internal/relaylinks"
 	"yewpass/internal/request"
-	"yewpass/internal/rpc"
 )
 
 func (c *Core) hasAuthority() bool { return c.HasAuthority(c.Now) }
@@ -82,58 +79,6 @@
 	})
 }
 
-// renewLease keeps the grant. Authority counts from when the request was sent. While
-// the state service is away the leader keeps trying: its grant has its full
-// time again after an outage, and the same term then goes on.
-func (c *Core) renewLease() {
-	l := c.leadership
-	sent, ahead := c.Now, c.ClockSkew(c.Now)
-	// The grant alone does not show that the term is on record: a service that has lost
-	// data may know the one and not the other, and whoever looks finds nobody leading.
-	extended, standing := false, false
-	both := func() {
-		if !extended || !standing {
-			return
-		}
-		if u := c.authorityUntil(sent); u.After(l.expiresAt) {
-			l.expiresAt, l.clockSkew = u, ahead
-		}
-		if l.suspended && c.hasAuthority() {
-			l.suspended, l.resumedAt = false, c.Now
-			l.dispatcher.RequestAll()
-			c.Log(slog.LevelInfo, "leader lease renewed, authority regained", "term", l.term)
-		}
-	}
-	var confirm func()
-	confirm = func() {
-		head := l.config.HeadRevision()
-		var conditions []kv.Condition
-		if l.loaded {
-			conditions = append(conditions, l.config.Condition())
-		}
-		c.confirmTerm(conditions, func(r kv.Response) {
-			standing = r.Outcome == rpc.OK
-			both()
-			if r.Outcome == rpc.Conflict && c.leadership == l && slices.Contains(r.FailedKeys, record.ConfigHeadKey) {
-				l.config.HandleConflict(head, confirm)
-			}
-		})
-	}
-	confirm()
-	c.storeWhileLeading(kv.Request{Op: kv.KeepAlive, LeaseID: l.leaseID, TTL: leaseTTL, Timeout: leaseTTL / 2}, func(r kv.Response) {
-		switch r.Outcome {
-		case rpc.OK:
-			extended = true
-			both()
-			c.afterWhileLeading(max(0, leaseRenewInterval-c.Now.Sub(sent)), c.renewLease)
-		case rpc.NotFound, rpc.Invalid:
-			c.stepDown("the grant has ended")
-		default:
-			c.afterWhileLeading(c.Jitter(leaseRenewInterval/3), c.renewLease)
-		}
-	})
-}
-
 // stepDown ends the leadership: nothing of it is used again.
 func (c *Core) stepDown(why string) {
 	l := c.leadership
@@ -187,11 +132,11 @@
 	c.afterWhileLeading(tickEvery, c.tickLeader)
 }
 
-// resign ends a term that is in order: the grant goes back, so that the next begins
+// resign ends a term that is in order: the lease is revoked, so that the next begins
 // at once.
 func (c *Core) resign(why string) { c.resignThen(why, func() {}) }
 
-// resignThen is retire, with what this node does once the grant has been given back.
+// resignThen is resign, with what this node does once the lease has been given back.
 func (c *Core) resignThen(why string, then func()) {
 	grant := c.leadership.leaseID
 	c.stepDown(why)
