--- a/cmd/yewpass/preview.go
+++ b/cmd/yewpass/preview.go
@@ -4,11 +4,12 @@
 	"errors"
 	"fmt"
 	"time"
+
+	"github.com/spf13/cobra"
+
 	"yewpass/internal/calendar"
 	"yewpass/internal/operators"
 	"yewpass/internal/schedule"
-
-	"github.com/spf13/cobra"
 )
 
 func previewCommand() *cobra.Command {
--- a/internal/bitset/bitset_test.go
+++ b/internal/bitset/bitset_test.go
@@ -3,6 +3,7 @@
 import (
 	"math/rand/v2"
 	"testing"
+
 	"yewpass/internal/bitset"
 	"yewpass/internal/spec"
 )
--- a/internal/core/compatibility_test.go
+++ b/internal/core/compatibility_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+
 	"yewpass/internal/bitset"
 	"yewpass/internal/peermsg"
 	"yewpass/internal/record"
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -47,14 +47,19 @@
 	jobs            *jobstore.Reader
 	gateway         *gateway.Gateway
 	forwarder       *forwarder.Forwarder
-	storeAvailable  bool
-	storeServedAt   time.Time // when the state service last served us
-	staleHeartbeats int64     // reports that were older than what was known
+	store           storeHealth
+	staleHeartbeats int64 // reports that were older than what was known
 
 	heartbeatInterval, workerLease time.Duration
 	leaseTiming                    lease.Timing
 }
 
+// storeHealth is how the state service serves this node.
+type storeHealth struct {
+	available bool
+	servedAt  time.Time // when it last did
+}
+
 // New returns a controller that has not begun; give it a Tick to begin.
 func New(cfg *config.Config, pol *policy.Policy, cal *calendar.Set, seed uint64) *Core {
 	// A process may follow another of its name within a fraction of a second, and what
@@ -69,7 +74,7 @@
 		pol:               pol,
 		cal:               cal,
 		processID:         processID,
-		storeAvailable:    true,
+		store:             storeHealth{available: true},
 		heartbeatInterval: cfg.Settings.Workers.Report.Duration(),
 		workerLease:       cfg.Settings.Workers.Lease.Duration(),
 	}
@@ -160,12 +165,12 @@
 func (c *Core) noteStoreOutcome(o rpc.Outcome) {
 	up := o != rpc.Refused && o != rpc.Unknown
 	if up {
-		c.storeServedAt = c.Now
+		c.store.servedAt = c.Now
 	}
-	if up == c.storeAvailable || !up && c.Now.Sub(c.storeServedAt) < storeOutageThreshold {
+	if up == c.store.available || !up && c.Now.Sub(c.store.servedAt) < storeOutageThreshold {
 		return
 	}
-	c.storeAvailable = up
+	c.store.available = up
 	if up {
 		c.Log(slog.LevelInfo, "state service available again")
 	} else {
@@ -182,7 +187,7 @@
 		alone := len(c.cfg.Seeds) > 0 && l.suspended && c.Now.Sub(l.expiresAt) > readyWithoutLink && !c.election.IsLinkedToAny()
 		return l.loaded && !alone
 	}
-	return c.election.Leader() != "" && (c.election.IsLinkedToLeader() || c.storeAvailable && c.Now.Sub(c.election.LinkLostAt()) < readyWithoutLink)
+	return c.election.Leader() != "" && (c.election.IsLinkedToLeader() || c.store.available && c.Now.Sub(c.election.LinkLostAt()) < readyWithoutLink)
 }
 
 // readyWithoutLink is how long a node that has lost its link to the leader counts as
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"slices"
 	"time"
+
 	"yewpass/internal/failover"
 	"yewpass/internal/kv"
 	"yewpass/internal/peermsg"
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -13,7 +13,7 @@
 // handleHeartbeat takes in a worker's heartbeat from our own socket or a relay.
 func (c *Core) handleHeartbeat(in heartbeat.Received) {
 	if l := c.leadership; l != nil && in.Report.FencingToken > l.term && !c.hasAuthority() {
-		c.stepDown("a worker has seen a newer epoch")
+		c.stepDown("a worker has seen a newer fencing token")
 	}
 	l := c.leadership
 	if l == nil {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -20,14 +20,14 @@
 func (c *Core) authorityUntil(sent time.Time) time.Time { return sent.Add(c.leaseTiming.Authority()) }
 
 // becomeLeader begins a term.
-func (c *Core) becomeLeader(term, rev, grant uint64, sent time.Time, ahead time.Duration) {
+func (c *Core) becomeLeader(term, rev, leaseID uint64, sent time.Time, ahead time.Duration) {
 	c.election.NoteOwnTerm(term)
 	c.jobs.ShareAmong(1)
 	c.leadership = newLeadership(c.cfg)
 	c.leadership.scope = c.NewScope()
 	c.leadership.writes = c.newBatcher(c.leadership.scope, rev)
 	c.leadership.relays = relaylinks.New(c.Engine, c.cfg, linksLeader{c, c.leadership}, term)
-	c.leadership.authority.start(term, rev, grant, c.authorityUntil(sent), c.Now, ahead)
+	c.leadership.authority.start(term, rev, leaseID, c.authorityUntil(sent), c.Now, ahead)
 	c.startReplication(c.leadership)
 	c.leadership.autoscaler = c.newAutoscaler()
 	c.leadership.outages = c.newOutageMonitor()
@@ -138,9 +138,9 @@
 
 // resignThen is resign, with what this node does once the lease has been given back.
 func (c *Core) resignThen(why string, then func()) {
-	grant := c.leadership.leaseID
+	leaseID := c.leadership.leaseID
 	c.stepDown(why)
-	c.CallStore(kv.Request{Op: kv.RevokeLease, LeaseID: grant}, func(kv.Response) { then() })
+	c.CallStore(kv.Request{Op: kv.RevokeLease, LeaseID: leaseID}, func(kv.Response) { then() })
 }
 
 // runLeader runs after each input while we lead.
--- a/internal/core/leader_lease.go
+++ b/internal/core/leader_lease.go
@@ -64,7 +64,7 @@
 			r.extendAuthority()
 			c.afterWhileLeading(max(0, leaseRenewInterval-c.Now.Sub(r.sentAt)), c.renewLease)
 		case rpc.NotFound, rpc.Invalid:
-			c.stepDown("the grant has ended")
+			c.stepDown("the leader lease has ended")
 		default:
 			c.afterWhileLeading(c.Jitter(leaseRenewInterval/3), c.renewLease)
 		}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -53,24 +53,24 @@
 	autoscaler     *autoscaler.Autoscaler
 }
 
-// authority is the term, its grant, and for how long the leader may act by it.
+// authority is the term, the leader lease, and for how long the leader may act by them.
 type authority struct {
 	term              uint64
 	termRevision      uint64 // every write is conditional on it: a late one fails under a successor
 	leaseID           uint64
-	expiresAt         time.Time     // authority ends here unless a renewal succeeds
-	electedAt         time.Time     // elected
-	clockSkew         time.Duration // of the time of day, when the last good renewal was sent
+	expiresAt         time.Time // unless a renewal succeeds
+	electedAt         time.Time
+	clockSkew         time.Duration // of the wall clock, when the last successful renewal was sent
 	acknowledged      map[string]bool
-	allAcknowledgedAt time.Time // when the last peer had taken note of our term
-	suspended         bool      // out of authority, answering reports only
-	lastMostlyHeardAt time.Time // before this, most machines were heard
-	resumedAt         time.Time // when authority last came back
-	verifying         bool      // whether the term is still ours is being looked into
+	allAcknowledgedAt time.Time // when the last peer had acknowledged the term
+	suspended         bool      // without authority: heartbeats are answered, nothing starts
+	lastMostlyHeardAt time.Time // when most machines were last heard
+	resumedAt         time.Time // when authority was last regained
+	verifying         bool      // the store is being asked whether the term is still ours
 }
 
-func (a *authority) start(term, rev, grant uint64, until, now time.Time, ahead time.Duration) {
-	a.term, a.termRevision, a.leaseID, a.expiresAt, a.electedAt, a.clockSkew = term, rev, grant, until, now, ahead
+func (a *authority) start(term, rev, leaseID uint64, until, now time.Time, ahead time.Duration) {
+	a.term, a.termRevision, a.leaseID, a.expiresAt, a.electedAt, a.clockSkew = term, rev, leaseID, until, now, ahead
 }
 
 // inherited is what is left of earlier terms: records to be read, written back or missing, and
@@ -83,7 +83,7 @@
 	takingPending     bool                 // there are more of them than go in one step
 	unreadableJobs    map[string]bool      // jobs whose records cannot be read
 	noEarlierTerm     bool                 // no term was on record before ours
-	newerTokens       map[string]uint64    // epochs above our term that workers have seen, by machine
+	newerTokens       map[string]uint64    // fencing tokens above our term that workers have seen, by machine
 	earlierLeaderLag  time.Duration        // for so long into our term an earlier leader may have led
 }
 
--- a/internal/core/load_records.go
+++ b/internal/core/load_records.go
@@ -63,7 +63,7 @@
 func (c *Core) loadMachines(e kv.Entry) {
 	records := c.leadership.machineRecords
 	if rec, _ := e.Value.(*record.Machines); rec == nil {
-		c.logUnreadable(e.Key, "the take-over waits until every lease of an earlier term is over")
+		c.logUnreadable(e.Key, "the failover waits until every worker lease of an earlier term has expired")
 		records.LoadUnreadable(e.Key, e.Rev)
 	} else {
 		records.Load(e.Key, rec, e.Rev)
@@ -103,7 +103,7 @@
 	}
 	c.Log(slog.LevelInfo, "records loaded", "term", l.term, "jobs", len(l.jobs), "machines", l.inventory.UnaccountedCount())
 	if c.takePendingHeartbeats(); c.leadership != l {
-		return // one of them has seen a newer epoch, and we were out of authority
+		return // one of them has seen a newer fencing token, and we had no authority
 	}
 	l.autoscaler.ListInstances()
 	l.prober.Start(func(host string) bool { return l.knownReporters[host] != nil })
--- a/internal/core/newer_tokens.go
+++ b/internal/core/newer_tokens.go
@@ -23,7 +23,7 @@
 // ours. If there was no such term, the worker drops all that we send to it, for ever: it
 // is of no use, and its word must not end the term for all others.
 func (c *Core) handleNewerToken(host string, token uint64, useless func()) {
-	c.verifyTerm("a worker has seen a newer epoch", func() {
+	c.verifyTerm("a worker has seen a newer fencing token", func() {
 		if c.termsBeganAgain(host, token) {
 			return
 		}
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 	"time"
+
 	"yewpass/internal/dispatch"
 	"yewpass/internal/heartbeat"
 )
--- a/internal/election/watch.go
+++ b/internal/election/watch.go
@@ -64,7 +64,7 @@
 	if rec != nil {
 		e.adoptRecord(rec, entry.Rev, asked)
 	} else if !known {
-		e.engine.Log(slog.LevelError, "record is unreadable", "key", entry.Key, "effect", "if its grant lives its leader goes on, unknown to us")
+		e.engine.Log(slog.LevelError, "record is unreadable", "key", entry.Key, "effect", "if its lease is live its leader goes on, unknown to us")
 	}
 	own := rec != nil && rec.Node == e.cfg.HostName
 	if rec != nil && !own && !known {
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -4,11 +4,11 @@
 import (
 	"time"
 
+	lru "github.com/hashicorp/golang-lru/v2"
+
 	"yewpass/internal/provider"
 	"yewpass/internal/spec"
 	"yewpass/internal/timeline"
-
-	lru "github.com/hashicorp/golang-lru/v2"
 )
 
 // Runtimes holds observed run times by class and owner, relative to the users' estimates.
--- a/internal/failover/schema_test.go
+++ b/internal/failover/schema_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+
 	"yewpass/internal/bitset"
 	"yewpass/internal/record"
 )
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -4,6 +4,7 @@
 
 import (
 	"time"
+
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/timeline"
 )
--- a/internal/fleet/job.go
+++ b/internal/fleet/job.go
@@ -5,6 +5,7 @@
 import (
 	"slices"
 	"time"
+
 	"yewpass/internal/bitset"
 	"yewpass/internal/estimate"
 	"yewpass/internal/provider"
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -3,14 +3,15 @@
 import (
 	"slices"
 	"time"
+
+	"github.com/hashicorp/golang-lru/v2/simplelru"
+
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/provider"
 	"yewpass/internal/record"
 	"yewpass/internal/timeline"
 	"yewpass/internal/topology"
 	"yewpass/internal/zones"
-
-	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
 // PerCPU returns the price of one CPU of the machine.
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -2,6 +2,7 @@
 
 import (
 	"time"
+
 	"yewpass/internal/writebatch"
 )
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,7 +1,7 @@
-// Package lease reckons for how long what a leader has said goes on after it: when its
-// authority, what it answers to workers beyond it, and the leases that it renewed are over,
-// and from when on a cancellation may therefore be confirmed. It decides nothing else and
-// knows no clock. docs/design/cancellation.md has the argument.
+// Package lease computes for how long what a leader has said stays in force after it: when
+// its authority expires, until when it may go on answering workers without authority, when
+// the worker leases that it renewed have expired, and from when on a cancellation may
+// therefore be confirmed. It has no clock. docs/design/cancellation.md has the argument.
 package lease
 
 import (
@@ -13,65 +13,67 @@
 // margins take twice that.
 const (
 	driftDivisor = 1000 // a thousandth
-	// ClockSlack is added wherever times of two clocks are compared: timers that go off late,
-	// and what settings in decimal seconds lose.
+	// ClockSlack is added wherever times of two clocks are compared. It covers timers that
+	// fire late, and what settings in decimal seconds lose.
 	ClockSlack = 200 * time.Millisecond
-	// MaxHiddenPause is what a steady clock that has stood still can hide of the time that has
-	// passed: more is noticed by the time of day.
+	// MaxHiddenPause is how much of the time that has passed a steady clock that stood still
+	// can hide: more shows in the wall clock.
 	MaxHiddenPause = time.Second
 )
 
-// WithDrift returns d as a clock that runs slower must measure it, to be sure that d has
-// passed on another machine.
+// WithDrift returns for how long a clock must measure to be sure that d has passed on
+// another machine.
 func WithDrift(d time.Duration) time.Duration { return d + d/driftDivisor + ClockSlack }
 
-// Timing are the settings that the bound rests on.
+// Timing holds the settings that the bounds follow from.
 type Timing struct {
-	LeaderLease   time.Duration // for which the state service lets nobody else lead
-	WorkerLease   time.Duration // of a worker, from when its last answered report was sent
-	CancelTimeout time.Duration // within which tasks must be gone
+	LeaderLease   time.Duration // the TTL for which the store lets nobody else lead
+	WorkerLease   time.Duration // from when a worker's last answered heartbeat was sent
+	CancelTimeout time.Duration // within which the tasks of a cancelled job must have ended
 }
 
-// Authority is how long authority lasts by the leader's own clock, from when the last good
-// renewal was sent: it is over before the grant is, on any clock.
+// Authority returns how long a leader's authority lasts by its own clock, from when its last
+// successful renewal was sent: it expires before the leader lease does on any clock.
 func (t Timing) Authority() time.Duration {
 	return t.LeaderLease - t.LeaderLease/driftDivisor - ClockSlack/2
 }
 
-// GracePeriod is for how long after its authority a leader may go on answering reports, so that
-// tasks outlive an outage: 0 where the settings leave no room.
+// GracePeriod returns for how long a leader whose authority has expired may go on answering
+// heartbeats, so that tasks survive an outage of the store; 0 where the settings leave no
+// room.
 //
-// Whoever leads next may confirm a cancellation at the very instant at which this one's
-// authority is over, or, when the state service has lost the grant along with its data, one
-// grant earlier. A worker that is answered at the end of the hold keeps its tasks for a
-// lease from there.
+// The next leader may confirm a cancellation at the very moment at which this one's
+// authority expires or, when the store has lost the lease along with its data, one leader
+// lease earlier. A worker that is answered at the end of the grace period keeps its tasks for
+// a worker lease from there.
 func (t Timing) GracePeriod() time.Duration {
 	room := t.CancelTimeout - WithDrift(t.WorkerLease) - t.LeaderLease - MaxHiddenPause - ClockSlack
 	return max(0, room-room/driftDivisor-ClockSlack)
 }
 
-// GraceOver reports whether a hold is over that began with the end of authority, by a clock
-// that says so much has passed since, and by how much the time of day has run ahead of it.
+// GraceOver reports whether the grace period has ended, given how long ago authority expired
+// by the steady clock, and by how much the wall clock has run ahead of it since.
 func (t Timing) GraceOver(since, ahead time.Duration) bool {
 	return since+max(0, ahead) > t.GracePeriod()
 }
 
-// TasksGoneAfter is when at the latest every task is gone that an earlier leader may keep on its
-// machine, given when that one's authority is over for sure.
-func (t Timing) TasksGoneAfter(authority time.Time) time.Time {
-	return authority.Add(t.GracePeriod() + MaxHiddenPause + ClockSlack + WithDrift(t.WorkerLease))
+// TasksGoneAfter returns when at the latest every task has ended that an earlier leader may
+// have kept on its machine, given when that leader's authority has surely expired.
+func (t Timing) TasksGoneAfter(authorityExpired time.Time) time.Time {
+	return authorityExpired.Add(t.GracePeriod() + MaxHiddenPause + ClockSlack + WithDrift(t.WorkerLease))
 }
 
-// CancelSafeAfter is from when on a cancellation may be written, for which every reply has been
-// carrying stops since it was begun, and which earlier leaders know nothing of: everything
-// must be gone within Cancel of it. With room in the settings that is at once.
-func (t Timing) CancelSafeAfter(begun, authority time.Time) time.Time {
-	own := begun.Add(WithDrift(t.WorkerLease) - t.CancelTimeout)
-	earlier := t.TasksGoneAfter(authority).Add(-t.CancelTimeout)
-	return slices.MaxFunc([]time.Time{begun, own, earlier}, time.Time.Compare)
+// CancelSafeAfter returns from when on a cancellation may be recorded. Every reply since
+// requested has carried its stops, and earlier leaders know nothing of it: all tasks must
+// have ended within CancelTimeout of the record. Where the settings leave room that is at
+// once.
+func (t Timing) CancelSafeAfter(requested, authorityExpired time.Time) time.Time {
+	own := requested.Add(WithDrift(t.WorkerLease) - t.CancelTimeout)
+	earlier := t.TasksGoneAfter(authorityExpired).Add(-t.CancelTimeout)
+	return slices.MaxFunc([]time.Time{requested, own, earlier}, time.Time.Compare)
 }
 
-// Shortfall says what gives way where the settings leave no room, or "".
+// Shortfall returns what gives way where the settings leave no room, or "".
 func (t Timing) Shortfall() string {
 	switch {
 	case t.CancelTimeout < WithDrift(t.WorkerLease):
--- a/internal/liveconfig/state.go
+++ b/internal/liveconfig/state.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"maps"
 	"slices"
+
 	"yewpass/internal/config"
 )
 
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -35,7 +35,7 @@
 
 // logWriter is the actor that writes the log. Standard error may be a pipe that
 // nobody reads: what logs must not wait for it, least of all the core, which would
-// renew no grant and answer no report. What does not fit is counted and told later.
+// renew no lease and answer no heartbeat. What does not fit is counted and reported later.
 type logWriter struct {
 	lines chan []byte
 	lost  atomic.Int64
--- a/internal/node/user_queue.go
+++ b/internal/node/user_queue.go
@@ -7,7 +7,7 @@
 )
 
 // userQueue holds users' calls back behind everything else. When the node falls
-// behind, reports keep leases, answers of the state service keep the grant, and
+// behind, heartbeats keep worker leases, the store's responses keep the leader lease, and
 // what either of them waits for must not stand behind submissions and polls.
 type userQueue struct {
 	requests      []any
--- a/internal/placement/objectives_test.go
+++ b/internal/placement/objectives_test.go
@@ -4,6 +4,7 @@
 	"math/rand/v2"
 	"testing"
 	"time"
+
 	"yewpass/internal/config"
 	"yewpass/internal/fleet"
 	"yewpass/internal/spec"
--- a/internal/placement/queue_test.go
+++ b/internal/placement/queue_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 	"time"
+
 	"yewpass/internal/fleet"
 )
 
--- a/internal/placement/reservations_test.go
+++ b/internal/placement/reservations_test.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"testing"
 	"time"
+
 	"yewpass/internal/fleet"
 	"yewpass/internal/timeline"
 )
--- a/internal/placement/starts_test.go
+++ b/internal/placement/starts_test.go
@@ -4,6 +4,7 @@
 	"math/rand/v2"
 	"testing"
 	"time"
+
 	"yewpass/internal/fleet"
 )
 
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -4,6 +4,7 @@
 
 import (
 	"time"
+
 	"yewpass/internal/rpc"
 	"yewpass/internal/timeline"
 )
--- a/internal/recordcodec/codec_test.go
+++ b/internal/recordcodec/codec_test.go
@@ -6,6 +6,7 @@
 	"reflect"
 	"testing"
 	"time"
+
 	"yewpass/internal/liveconfig"
 	"yewpass/internal/record"
 	"yewpass/internal/schedule"
--- a/internal/scenario/node.go
+++ b/internal/scenario/node.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strings"
 	"time"
+
 	"yewpass/internal/calendar"
 	"yewpass/internal/cloud"
 	"yewpass/internal/config"
--- a/internal/scenario/script_actions.go
+++ b/internal/scenario/script_actions.go
@@ -7,6 +7,7 @@
 	"strconv"
 	"strings"
 	"time"
+
 	"yewpass/internal/core"
 	"yewpass/internal/request"
 )
--- a/internal/scenario/script_lines.go
+++ b/internal/scenario/script_lines.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"strings"
 	"time"
+
 	"yewpass/internal/config"
 )
 
--- a/internal/scenario/script_plants.go
+++ b/internal/scenario/script_plants.go
@@ -2,6 +2,7 @@
 
 import (
 	"time"
+
 	"yewpass/internal/heartbeat"
 	"yewpass/internal/request"
 	"yewpass/internal/spec"
--- a/internal/scenario/worker_tasks.go
+++ b/internal/scenario/worker_tasks.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 	"time"
+
 	"yewpass/internal/heartbeat"
 )
 
