--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -28,7 +28,7 @@
 func (a admissionLeader) Serve(call request.Request) { a.core.serve(call) }
 
 // Lateness implements admission.Leader.
-func (a admissionLeader) Lateness(job *spec.Job) time.Duration { return a.core.lateness(job) }
+func (a admissionLeader) Lateness(job *spec.Job) time.Duration { return a.core.deadlineLateness(job) }
 
 // PolicyEnv implements admission.Leader.
 func (a admissionLeader) PolicyEnv() policy.Env { return a.core.policyEnv() }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,62 +26,64 @@
 	"yewpass/internal/zones"
 )
 
-func withDrift(d time.Duration) time.Duration { return lease.WithDrift(d) }
+func addClockDrift(d time.Duration) time.Duration { return lease.WithDrift(d) }
 
-// Core is one controller.
+// Core is the state machine of one controller process. It embeds the engine that holds the
+// current time, the timers and the outputs of a step. It is not safe for concurrent use.
 type Core struct {
 	*engine.Engine
 
-	cfg *config.Config
-	pol *policy.Policy
-	cal *calendar.Set
-	reg *zones.Regions
+	cfg       *config.Config
+	pol       *policy.Policy
+	calendars *calendar.Set
+	regions   *zones.Regions
 
 	election        *election.Election
-	processID       uint64 // of this process: tells it from one of the same name that ended before
-	leadership      *leadership
-	config          *configmanager.Node // the live configuration, whoever leads
-	observed        recovery.Observed   // what we have seen of the state service
-	dataLossReason  string              // why it must have lost data, until somebody leads who knows
+	processID       uint64              // distinguishes this process from an earlier one on the same host
+	leadership      *leadership         // nil while this node is not the leader
+	config          *configmanager.Node // the live configuration on any node, leader or not
+	observed        recovery.Observed   // highest era, term and revision seen in the key-value store
+	dataLossReason  string              // evidence of a data loss that no leader has handled yet, or ""
 	replicas        *replication.Replicas
 	jobs            *jobstore.Reader
 	gateway         *gateway.Gateway
 	forwarder       *forwarder.Forwarder
 	store           storeHealth
-	staleHeartbeats int64 // reports that were older than what was known
+	staleHeartbeats int64 // heartbeats refused because they were older than the known state
 
 	heartbeatInterval, workerLease time.Duration
 	leaseTiming                    lease.Timing
 }
 
-// storeHealth is how the state service serves this node.
+// storeHealth tracks whether the key-value store answers this node's calls.
 type storeHealth struct {
-	available bool
-	servedAt  time.Time // when it last did
+	available    bool
+	lastServedAt time.Time // last response other than refused or unknown
 }
 
-// New returns a controller that has not begun; give it a Tick to begin.
+// New returns a controller that is idle until its first Step. The seed determines every random
+// choice, so equal seeds and inputs give equal outputs.
 func New(cfg *config.Config, pol *policy.Policy, cal *calendar.Set, seed uint64) *Core {
-	// A process may follow another of its name within a fraction of a second, and what
-	// the leader answers to a call of the former one reaches the new one's link. Were both
-	// to count from 1, a user would be told about somebody else's job.
+	// A restarted process may receive, on its new link, the leader's response to a call of
+	// the previous process. Call references start at a random number so that such a response
+	// never matches another user's request.
 	identity := rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03))
-	processID := identity.Uint64()>>11 | 1 // what JSON readers of any kind take whole
+	processID := identity.Uint64()>>11 | 1 // 53 bits: exact as a JSON number
 	firstRef := identity.Uint64N(1 << 48)
 	c := &Core{
 		Engine:            engine.New(rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), firstRef),
 		cfg:               cfg,
 		pol:               pol,
-		cal:               cal,
+		calendars:         cal,
 		processID:         processID,
 		store:             storeHealth{available: true},
 		heartbeatInterval: cfg.Settings.Workers.Report.Duration(),
 		workerLease:       cfg.Settings.Workers.Lease.Duration(),
 	}
-	c.forwarder = forwarder.New(c.Engine, forwarderView{c}, cfg)
+	c.forwarder = forwarder.New(c.Engine, forwarderController{c}, cfg)
 	c.leaseTiming = lease.Timing{LeaderLease: leaseTTL, WorkerLease: c.workerLease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
-	c.election = election.New(c.Engine, cfg, c.leaseTiming, processID, electionHost{c})
-	c.replicas = replication.New(c.Engine, cfg, replicationHost{c})
+	c.election = election.New(c.Engine, cfg, c.leaseTiming, processID, electionController{c})
+	c.replicas = replication.New(c.Engine, cfg, replicationController{c})
 	c.jobs = jobstore.NewReader(c.Engine, cfg.Settings.State.RPS, 1+len(cfg.Seeds), replication.FinalsLimit(cfg))
 	c.gateway = gateway.New(c.Engine, gatewayController{c}, cfg, pol, c.jobs, c.replicas)
 	c.config = configmanager.NewNode(c.Engine, cfg)
@@ -89,11 +91,11 @@
 	return c
 }
 
-// SetRegions tells which zones lie in which region; to be called before the first Step.
-func (c *Core) SetRegions(r *zones.Regions) { c.reg = r }
+// SetRegions sets which zones belong to which region. It must be called before the first Step.
+func (c *Core) SetRegions(r *zones.Regions) { c.regions = r }
 
-// Step takes one input and returns what follows from it. The slice is valid
-// until the next call.
+// Step processes one input at the given time and returns the outputs: messages, store and cloud
+// calls, replies and log entries. The returned slice is valid until the next call.
 func (c *Core) Step(now time.Time, in any) []any {
 	if c.Begin(now) {
 		c.start()
@@ -101,7 +103,7 @@
 	c.RunTimers()
 	c.handle(in)
 	if c.leadership != nil {
-		c.runLeader() // which may end the leadership
+		c.runLeader() // may end the leadership
 	}
 	if l := c.leadership; l != nil {
 		l.relays.Flush()
@@ -111,7 +113,7 @@
 	return c.Outputs
 }
 
-// start begins the work of the process with its first step.
+// start runs once, in the first step of the process.
 func (c *Core) start() {
 	if short := c.leaseTiming.Shortfall(); short != "" {
 		c.Log(slog.LevelWarn, "settings leave little margin", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
@@ -124,7 +126,7 @@
 	c.gateway.Start()
 }
 
-// handle takes in one input.
+// handle dispatches one input to its handler.
 func (c *Core) handle(in any) {
 	switch in := in.(type) {
 	case Tick:
@@ -133,7 +135,7 @@
 	case heartbeat.Received:
 		c.handleHeartbeat(in)
 	case heartbeat.Abandoned:
-		c.dropHeartbeat(in.Ref)
+		c.abandonLocalHeartbeat(in.Ref)
 	case kv.Response:
 		c.noteStoreOutcome(in.Outcome)
 		c.HandleStore(in)
@@ -145,57 +147,58 @@
 		c.handlePeerMessage(in)
 	case peermsg.LinkChange:
 		c.handleLinkChange(in)
-	case Leave:
-		c.leave()
+	case Shutdown:
+		c.handleShutdown()
 	}
 }
 
-// observeStoreCall notes what had been seen of the store when a call was sent, and
-// returns what is to see its response.
+// observeStoreCall captures the highest revision and the era known when a store call is sent. It
+// returns a function that checks the response's revision against them.
 func (c *Core) observeStoreCall() func(kv.Response) {
 	revision, era := c.observed.Revision, c.observed.Era
 	return func(r kv.Response) { c.observeRevision(r.Rev, revision, era) }
 }
 
-// storeOutageThreshold is for how long calls must go unserved for it to be worth a word: a few are
-// refused now and then when more come at once than the allowance has room for.
+// storeOutageThreshold is how long calls must fail before an outage is logged. Short bursts of
+// refusals are normal when calls exceed the rate limit.
 const storeOutageThreshold = 500 * time.Millisecond
 
-// noteStoreOutcome logs when the state service goes away and comes back.
+// noteStoreOutcome tracks the availability of the key-value store and logs when it changes.
 func (c *Core) noteStoreOutcome(o rpc.Outcome) {
 	up := o != rpc.Refused && o != rpc.Unknown
 	if up {
-		c.store.servedAt = c.Now
+		c.store.lastServedAt = c.Now
 	}
-	if up == c.store.available || !up && c.Now.Sub(c.store.servedAt) < storeOutageThreshold {
+	if up == c.store.available || !up && c.Now.Sub(c.store.lastServedAt) < storeOutageThreshold {
 		return
 	}
 	c.store.available = up
 	if up {
-		c.Log(slog.LevelInfo, "state service available again")
+		c.Log(slog.LevelInfo, "key-value store available again")
 	} else {
-		c.Log(slog.LevelWarn, "state service unavailable")
+		c.Log(slog.LevelWarn, "key-value store unavailable")
 	}
 }
 
-// Ready reports whether the node can take requests: it leads, or knows who
-// does, or can at least read the state service for its users.
+// Ready reports whether the node can serve requests. A leader is ready once its records are loaded,
+// unless it is isolated. Another node is ready if it knows the leader and either is linked to it or
+// lost that link only recently while the key-value store still answers.
 func (c *Core) Ready() bool {
 	if l := c.leadership; l != nil {
-		// Out of authority, and no peer in reach that would know of another leader:
-		// users are served better anywhere else.
-		alone := len(c.cfg.Seeds) > 0 && l.suspended && c.Now.Sub(l.expiresAt) > readyWithoutLink && !c.election.IsLinkedToAny()
-		return l.loaded && !alone
+		// Without authority and without a link to any peer, this node can neither act
+		// nor learn of a new leader, so a load balancer should prefer other nodes.
+		isolated := len(c.cfg.Seeds) > 0 && l.suspended && c.Now.Sub(l.expiresAt) > readyLinkLossGrace && !c.election.IsLinkedToAny()
+		return l.loaded && !isolated
 	}
-	return c.election.Leader() != "" && (c.election.IsLinkedToLeader() || c.store.available && c.Now.Sub(c.election.LinkLostAt()) < readyWithoutLink)
+	return c.election.Leader() != "" && (c.election.IsLinkedToLeader() || c.store.available && c.Now.Sub(c.election.LinkLostAt()) < readyLinkLossGrace)
 }
 
-// readyWithoutLink is how long a node that has lost its link to the leader counts as
-// ready all the same: a change of leader is over sooner. Without the link it can
-// only send submissions away; those who ask should be led to other nodes.
-const readyWithoutLink = 4 * time.Second
+// readyLinkLossGrace is how long a node stays ready after it lost its link to the leader. It is
+// longer than a change of leader takes. Without the link the node can only reject submissions.
+const readyLinkLossGrace = 4 * time.Second
 
-// HasAuthority reports whether the node leads and has authority at the given time.
+// HasAuthority reports whether the node is the leader and may act as such at the given time: its
+// lease has not expired by the steady clock, and the wall clock shows no hidden pause of that clock.
 func (c *Core) HasAuthority(now time.Time) bool {
 	return c.leadership != nil && now.Before(c.leadership.expiresAt) && c.ClockSkew(now)-c.leadership.clockSkew < lease.MaxHiddenPause
 }
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -12,20 +12,22 @@
 	"yewpass/internal/rpc"
 )
 
-// The key-value store may lose data: all of it, some of it, or go back to an older state.
-// Package recovery says what shows that; package failover finds out, under the next leader,
-// which records there are after all, and package restore writes them back.
-// docs/design/rebuild.md has the argument.
+// The key-value store may lose all or some of its data, or go back to an older state. Package
+// recovery defines the evidence for that. Under the next leader, package failover determines which
+// records can be recovered, and package restore writes them back. docs/design/rebuild.md explains
+// why this is correct.
 
-// DataLossDetected is the log line of a controller that has found a data loss of the store. The
-// scenarios look for it where there was none.
+// DataLossDetected is the message that a controller logs when it detects a data loss of the store.
+// The scenarios fail if it is logged without one.
 const DataLossDetected = "data loss detected in the state service"
 
-// unknownJobGrace is for how long after a data loss no job is reported as unknown.
+// unknownJobGrace is the time after the detection of a data loss in which no job is reported as
+// unknown.
 const unknownJobGrace = 30 * time.Second
 
-// observeRevision takes note of the store's revision in a response. seen and era are of when the
-// call was sent: a revision below what had been seen by then has fallen.
+// observeRevision records the store's revision from a response. seen and era are the highest
+// revision and the era known when the call was sent: a lower revision in the same era shows that
+// the store has lost data.
 func (c *Core) observeRevision(rev, seen, era uint64) {
 	if rev == 0 || era != c.observed.Era {
 		return
@@ -37,31 +39,34 @@
 	c.observed.Revision = max(c.observed.Revision, rev)
 }
 
-// reportDataLoss is called when the store has proved to have lost data. A leader's records may be
-// gone, so it resigns; the next one finds out what there is.
-func (c *Core) reportDataLoss(why string) { c.reportDataLossThen(why, func() {}) }
+// reportDataLoss records and logs evidence that the store has lost data. A leader resigns, as its
+// records may be lost; the next one recovers them. Until that has happened, further reports have
+// no effect.
+func (c *Core) reportDataLoss(reason string) { c.reportDataLossThen(reason, func() {}) }
 
-// reportDataLossThen is reportDataLoss; a leader calls then once its lease has been revoked.
-func (c *Core) reportDataLossThen(why string, then func()) {
+// reportDataLossThen is like reportDataLoss. On a leader it calls then after the store has
+// responded to the revocation of the lease.
+func (c *Core) reportDataLossThen(reason string, then func()) {
 	if c.dataLossReason != "" {
 		return
 	}
-	c.dataLossReason = why
-	c.Log(slog.LevelError, DataLossDetected, "reason", why, "era", c.observed.Era, "term", c.observed.Term, "revision", c.observed.Revision)
+	c.dataLossReason = reason
+	c.Log(slog.LevelError, DataLossDetected, "reason", reason, "era", c.observed.Era, "term", c.observed.Term, "revision", c.observed.Revision)
 	if l := c.leadership; l != nil {
-		c.resignThen(why, then)
+		c.resignThen(reason, then)
 	}
 }
 
-// observeTerm takes note of the era and the term that are on record.
+// observeTerm records the era and the term that the store has on record.
 func (c *Core) observeTerm(era, term, processID uint64) {
 	before := c.observed.Era
 	if c.observed = c.observed.AdvanceTo(era, term, processID); c.observed.Era != before {
-		c.dataLossReason = "" // a leader has recovered from it
+		c.dataLossReason = "" // a leader has begun a new era and recovers the data
 	}
 }
 
-// knowledge is what we tell a new leader.
+// knowledge returns what this node tells a new leader: what it has seen of the store, and which
+// replica it has.
 func (c *Core) knowledge() *peermsg.Knowledge {
 	k := &peermsg.Knowledge{Observed: c.observed}
 	if newest := c.newestReplica(); newest != nil {
@@ -70,20 +75,21 @@
 	return k
 }
 
-// mayHaveLostJobs reports whether an unknown job may be one that was lost.
+// mayHaveLostJobs reports whether the record of an unknown job may have been lost, so that the job
+// must not be reported as nonexistent yet.
 func (l *leadership) mayHaveLostJobs(now time.Time) bool {
 	loss := l.restorer.Loss()
 	return loss != nil && now.Sub(loss.Since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*failover.UnknownPastTimeout
 }
 
-// confirmTerm asks the store whether our term and its leader are still on record, which
-// everything that a leader says rests on, and whether further conditions hold at the same time.
-func (c *Core) confirmTerm(further []kv.Condition, f func(r kv.Response)) {
+// confirmTerm checks in one transaction without writes that the term and leader records are
+// unchanged and that the extra conditions hold. It resigns if another term or leader is on record.
+func (c *Core) confirmTerm(extra []kv.Condition, f func(r kv.Response)) {
 	l := c.leadership
-	conditions := append([]kv.Condition{{Key: record.TermKey, Rev: l.termRevision}, {Key: record.LeaderKey, Rev: l.termRevision}}, further...)
-	c.storeWhileLeading(kv.Request{Op: kv.Txn, Conditions: conditions, Timeout: leaseTTL / 2}, func(r kv.Response) {
+	conditions := append([]kv.Condition{{Key: record.TermKey, Rev: l.termRevision}, {Key: record.LeaderKey, Rev: l.termRevision}}, extra...)
+	c.callStoreWhileLeading(kv.Request{Op: kv.Txn, Conditions: conditions, Timeout: leaseTTL / 2}, func(r kv.Response) {
 		if r.Outcome == rpc.Conflict && (slices.Contains(r.FailedKeys, record.TermKey) || slices.Contains(r.FailedKeys, record.LeaderKey)) {
-			c.resign("the term is not on record any more")
+			c.resign("the term record or the leader record has changed")
 		}
 		f(r)
 	})
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -1,10 +1,11 @@
-// Package core is the controller as a state machine: inputs go in, what to send, write and
-// answer comes out. It does no I/O, starts no goroutines, reads no clock and draws no
-// randomness but from the seed that it was given.
+// Package core implements the controller as a deterministic state machine. Each step takes one
+// input and returns the messages, store calls, cloud calls, replies and log entries that result.
+// The package does no I/O, starts no goroutines, reads no clock, and takes all randomness from the
+// seed passed to New.
 //
-// It composes the packages that decide: Core has what lasts as long as the process,
-// leadership what lasts as long as a term. docs/ARCHITECTURE.md has the whole.
+// It connects the packages that make the decisions. Core holds the state of the process, and
+// leadership the state of one term as leader. docs/ARCHITECTURE.md gives an overview.
 package core
 
-// Tick is the input that lets the core act on the passing of time.
+// Tick is an input without content. It makes the core run the timers that are due.
 type Tick struct{}
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -41,7 +41,7 @@
 	if os := c.leadership.placement.StartTasksOn(m); len(os) > 0 {
 		t.Errorf("%d starts beyond the last attempt", len(os))
 	}
-	l.placement.Attempts = placement.MaxAttempts - spareAttempts - 1
+	l.placement.Attempts = placement.MaxAttempts - reservedAttempts - 1
 	if os := c.leadership.placement.StartTasksOn(m); len(os) == 0 {
 		t.Error("no start, and there are attempts left")
 	}
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -26,7 +26,7 @@
 	l.placement.ReserveWarmRoom(l.autoscaler.BurstRoom(c.pol.Warm(e)))
 	c.preemptForGuarantees()
 	l.autoscaler.ScaleIn(l.allAccounted())
-	l.placement.RereserveOverdue(tickEvery)
+	l.placement.RereserveOverdue(tickInterval)
 	// Releases go first: a failover may wait for one, and requests for instances use up what
 	// calls the cloud allows for as long as there is a backlog.
 	l.autoscaler.SendReleases()
@@ -92,10 +92,10 @@
 // leader that is cut off.
 func (c *Core) isIsolated(reporting, silent int) bool {
 	if silent <= 2 || 2*silent <= reporting {
-		c.leadership.lastMostlyHeardAt = c.Now
+		c.leadership.lastMajorityHeardAt = c.Now
 		return false
 	}
 	// Machines that no longer exist, which a late report has made known, must not block the
 	// others for ever: they count as room, so nothing is rented.
-	return c.Now.Sub(c.leadership.lastMostlyHeardAt) <= maxIsolatedLeases*c.workerLease
+	return c.Now.Sub(c.leadership.lastMajorityHeardAt) <= maxIsolatedLeases*c.workerLease
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -47,10 +47,10 @@
 	c.resign(why)
 }
 
-// Leave has a leader hand over before its process ends on purpose.
-type Leave struct{}
+// Shutdown has a leader hand over before its process ends on purpose.
+type Shutdown struct{}
 
-func (c *Core) leave() {
+func (c *Core) handleShutdown() {
 	if err := c.checkHandOver(); err != nil {
 		c.Log(slog.LevelInfo, "leadership not handed over", "reason", err.Error())
 		return
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -10,7 +10,8 @@
 	"yewpass/internal/reconcile"
 )
 
-// handleHeartbeat takes in a worker's heartbeat from our own socket or a relay.
+// handleHeartbeat processes a worker's heartbeat, received directly or through a relay. A node that
+// is not the leader passes it to the forwarder.
 func (c *Core) handleHeartbeat(in heartbeat.Received) {
 	if l := c.leadership; l != nil && in.Report.FencingToken > l.term && !c.hasAuthority() {
 		c.stepDown("a worker has seen a newer fencing token")
@@ -26,7 +27,7 @@
 	if v == reconcile.Accepted {
 		m = l.inventory.Ensure(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
 		if m.Record == fleet.Unrecorded {
-			m.Address = rep.Address // a machine keeps it
+			m.Address = rep.Address // does not change during the life of a machine
 		}
 		v = reconcile.Compare(m, in, c.hasAuthority())
 	}
@@ -34,7 +35,7 @@
 	case reconcile.Accepted, reconcile.Resent:
 		c.acceptHeartbeat(m, in, v == reconcile.Resent)
 	case reconcile.Overtaken:
-		// Nothing new, but a worker that waits for its reply.
+		// A probe reply was newer than this heartbeat, but the worker still waits for an answer.
 		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
 		m.LastReply = c.Now
 	case reconcile.Deferred:
@@ -56,7 +57,8 @@
 	c.leadership.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 503})
 }
 
-// screenHeartbeat judges a heartbeat by the state of the leadership alone.
+// screenHeartbeat returns the verdict on a heartbeat that follows from the leader's state, without
+// comparing it to the known state of the machine.
 func (c *Core) screenHeartbeat(rep *heartbeat.Report) reconcile.Verdict {
 	l := c.leadership
 	switch {
@@ -65,26 +67,27 @@
 	case !c.hasAuthority() && !c.inGracePeriod():
 		return reconcile.Refused
 	case l.inventory.Released(rep.Host):
-		return reconcile.Stale // the machine is proven gone: whatever arrives now was sent before
+		return reconcile.Stale // sent before the machine was terminated
 	case !l.loaded:
 		return reconcile.Deferred
 	}
 	return reconcile.Accepted
 }
 
-// inGracePeriod reports whether a leader without authority may still answer workers: not
-// once the grace period is over by one of our clocks, nor if the steady one has stood
-// still and cannot say.
+// inGracePeriod reports whether a leader whose authority has expired may still answer workers. The
+// grace period ends as soon as it is over by the steady or by the wall clock. It also ends if
+// the steady clock has been suspended and cannot be trusted.
 func (c *Core) inGracePeriod() bool {
 	l := c.leadership
 	over := c.leaseTiming.GraceOver(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew)
 	return !over && !c.Now.Before(l.expiresAt)
 }
 
-// acceptHeartbeat takes in a heartbeat that is believed, and answers it.
+// acceptHeartbeat reconciles a valid heartbeat with the known state, unless it is a retransmission,
+// and answers it or redirects the worker to another controller.
 func (c *Core) acceptHeartbeat(m *fleet.Machine, in heartbeat.Received, resent bool) {
 	l := c.leadership
-	l.dispatcher.Refuse(m) // the worker has given up on an earlier one whose reply is held
+	l.dispatcher.Refuse(m) // the worker no longer waits for the reply to its previous heartbeat
 	first := !m.Reported && !l.inventory.Unaccounted(m.Host)
 	if !resent {
 		m.Probed = false
@@ -101,7 +104,8 @@
 	l.dispatcher.Answer(m, in)
 }
 
-// markAccounted notes that no unknown task of an earlier term can be on the machine.
+// markAccounted records that the machine cannot run an unknown task of an earlier term. With the
+// last such machine the failover is complete.
 func (c *Core) markAccounted(host string) {
 	l := c.leadership
 	if !l.inventory.MarkAccounted(host) {
@@ -118,9 +122,10 @@
 	}
 }
 
-// lastHeard returns when the machine was last heard in a way that shows that it hears us
-// as well. One that was answered long ago and whose reports still do not show it does not
-// hear: everything accepted in earlier terms would wait for it for as long as that lasts.
+// lastHeard returns when the machine was last known to receive our replies. If its heartbeats keep
+// coming but have not acknowledged a reply for longer than the recovery time of the relays, it does
+// not receive them. Its heartbeats then do not count, or it would block the failover for as long as
+// that lasts.
 func (c *Core) lastHeard(m *fleet.Machine) time.Time {
 	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.leadership.relays.RecoveryTime() {
 		return m.UnacknowledgedSince
@@ -128,9 +133,9 @@
 	return m.LastHeartbeat
 }
 
-// dropHeartbeat forgets a heartbeat from our own socket for whose reply nobody waits any
-// more.
-func (c *Core) dropHeartbeat(ref uint64) {
+// abandonLocalHeartbeat drops a heartbeat that a worker sent directly to this node and whose reply
+// it no longer waits for.
+func (c *Core) abandonLocalHeartbeat(ref uint64) {
 	if c.leadership != nil {
 		c.abandonHeartbeat(fleet.HeartbeatKey{Ref: ref})
 	} else {
@@ -138,17 +143,17 @@
 	}
 }
 
-// abandonHeartbeat forgets a heartbeat for whose reply nobody waits any more.
+// abandonHeartbeat drops a heartbeat on the leader whose worker no longer waits for the reply.
 func (c *Core) abandonHeartbeat(key fleet.HeartbeatKey) {
 	l := c.leadership
 	l.dispatcher.Abandon(key)
-	// Those that wait for the records to be read would pile up while that fails.
+	// Without this, the pending heartbeats would accumulate while loading the records fails.
 	if len(l.pendingHeartbeats) > 0 {
 		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Ref == key.Ref && r.Via == key.Via })
 	}
 }
 
-// reconcilerLeader is a leadership as the reconciler of its reports sees it.
+// reconcilerLeader implements reconcile.Leader for a leadership.
 type reconcilerLeader struct {
 	core       *Core
 	leadership *leadership
@@ -160,7 +165,7 @@
 // MarkAccounted implements reconcile.Leader.
 func (v reconcilerLeader) MarkAccounted(host string) { v.core.markAccounted(host) }
 
-// dispatchLeader is a leadership as its dispatcher sees it.
+// dispatchLeader implements dispatch.Leader for a leadership.
 type dispatchLeader struct {
 	core       *Core
 	leadership *leadership
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -14,20 +14,24 @@
 
 func (c *Core) hasAuthority() bool { return c.HasAuthority(c.Now) }
 
-// canAct reports whether we lead, in authority, and know the records.
+// canAct reports whether this node is the leader, has authority and has loaded the records.
 func (c *Core) canAct() bool { return c.hasAuthority() && c.leadership.loaded }
 
-func (c *Core) authorityUntil(sent time.Time) time.Time { return sent.Add(c.leaseTiming.Authority()) }
+// authorityExpiry returns when the authority ends that a lease renewal sent at sentAt gives.
+func (c *Core) authorityExpiry(sentAt time.Time) time.Time {
+	return sentAt.Add(c.leaseTiming.Authority())
+}
 
-// becomeLeader begins a term.
-func (c *Core) becomeLeader(term, rev, leaseID uint64, sent time.Time, ahead time.Duration) {
+// becomeLeader sets up the leadership of a term that this node has won. sentAt is when the winning
+// transaction was sent, and clockSkew the skew of the wall clock then.
+func (c *Core) becomeLeader(term, termRevision, leaseID uint64, sentAt time.Time, clockSkew time.Duration) {
 	c.election.NoteOwnTerm(term)
 	c.jobs.ShareAmong(1)
 	c.leadership = newLeadership(c.cfg)
 	c.leadership.scope = c.NewScope()
-	c.leadership.writes = c.newBatcher(c.leadership.scope, rev)
-	c.leadership.relays = relaylinks.New(c.Engine, c.cfg, linksLeader{c, c.leadership}, term)
-	c.leadership.authority.start(term, rev, leaseID, c.authorityUntil(sent), c.Now, ahead)
+	c.leadership.writes = c.newBatcher(c.leadership.scope, termRevision)
+	c.leadership.relays = relaylinks.New(c.Engine, c.cfg, relayLinksLeader{c, c.leadership}, term)
+	c.leadership.authority.start(term, termRevision, leaseID, c.authorityExpiry(sentAt), c.Now, clockSkew)
 	c.startReplication(c.leadership)
 	c.leadership.autoscaler = c.newAutoscaler()
 	c.leadership.outages = c.newOutageMonitor()
@@ -41,13 +45,13 @@
 	if len(c.cfg.Seeds) == 0 {
 		c.leadership.allAcknowledgedAt = c.Now
 	}
-	// What waited here for a leader waits for us now.
+	// Heartbeats that the forwarder held for the next leader are now ours to answer.
 	c.leadership.pendingHeartbeats, c.leadership.knownReporters = c.forwarder.TakeOver()
 	c.renewLease()
 	c.leadership.autoscaler.RefreshCatalog()
 }
 
-// afterWhileLeading runs f after d if this very leadership still holds.
+// afterWhileLeading runs f after d unless the current leadership has ended by then.
 func (c *Core) afterWhileLeading(d time.Duration, f func()) {
 	l := c.leadership
 	c.After(d, func() {
@@ -57,8 +61,9 @@
 	})
 }
 
-// storeWhileLeading makes a call whose answer only this leadership wants.
-func (c *Core) storeWhileLeading(call kv.Request, f func(kv.Response)) {
+// callStoreWhileLeading calls the key-value store. It drops the response if the current leadership
+// has ended by then.
+func (c *Core) callStoreWhileLeading(call kv.Request, f func(kv.Response)) {
 	l := c.leadership
 	c.CallStore(call, func(r kv.Response) {
 		if c.leadership == l {
@@ -67,8 +72,9 @@
 	})
 }
 
-// storeWhileLeadingOr is storeWhileLeading where somebody must hear if this leadership ends meanwhile.
-func (c *Core) storeWhileLeadingOr(call kv.Request, otherwise func(), f func(kv.Response)) {
+// callStoreWhileLeadingOr calls the key-value store. It calls otherwise instead of f if the current
+// leadership has ended, or cannot act, when the response arrives.
+func (c *Core) callStoreWhileLeadingOr(call kv.Request, otherwise func(), f func(kv.Response)) {
 	l := c.leadership
 	c.CallStore(call, func(r kv.Response) {
 		if c.leadership == l && c.canAct() {
@@ -79,21 +85,22 @@
 	})
 }
 
-// stepDown ends the leadership: nothing of it is used again.
-func (c *Core) stepDown(why string) {
+// stepDown ends the leadership without revoking the lease. Heartbeats that wait for a reply go to
+// the forwarder, and pending requests are answered as unavailable.
+func (c *Core) stepDown(reason string) {
 	l := c.leadership
 	if l == nil {
 		return
 	}
-	c.Log(slog.LevelWarn, "leadership lost", "term", l.term, "reason", why)
+	c.Log(slog.LevelWarn, "leadership lost", "term", l.term, "reason", reason)
 	c.leadership = nil
 	l.scope.Close()
 	c.jobs.ShareAmong(1 + len(c.cfg.Seeds))
 	if len(l.autoscaler.InstanceTypes) > 0 {
 		c.gateway.SetInstanceTypes(l.autoscaler.InstanceTypes)
 	}
-	// Workers that wait here need not look for the next leader: we pass on what they
-	// have said. Other relays do the same with theirs.
+	// Forward the held heartbeats of workers that report here, so that they need not search
+	// for the next leader. Other relays still have their own.
 	for _, m := range l.inventory.Machines() {
 		if m.HeldReply != nil && m.HeldReply.Via.Relay == "" {
 			c.forwarder.Receive(heartbeat.Received{Ref: m.HeldReply.Ref, Report: m.HeldReply.Report})
@@ -102,11 +109,11 @@
 	for _, r := range l.pendingHeartbeats {
 		c.forwarder.Receive(r)
 	}
-	c.answerWaiting(l, request.Unavailable("leadership was lost, try again"))
+	c.answerWaiting(l, request.Unavailable("the controller lost its leadership, try again"))
 	c.election.WatchAfter(100 * time.Millisecond)
 }
 
-// answerWaiting answers everybody who waits for a write.
+// answerWaiting sends a to every request that waits for a write.
 func (c *Core) answerWaiting(l *leadership, a request.Response) {
 	l.admitter.AnswerWaiting(a)
 	for _, j := range l.sortedJobs() {
@@ -116,42 +123,42 @@
 	l.config.AnswerWaiting(a)
 }
 
-// tickEvery is how often the leader does its regular work.
-const tickEvery = 500 * time.Millisecond
+const tickInterval = 500 * time.Millisecond
 
-// tickLeader does the leader's regular work.
+// tickLeader runs the leader's periodic work and schedules its next run.
 func (c *Core) tickLeader() {
-	if c.leadership.placement.Attempts > placement.MaxAttempts-spareAttempts {
-		// Beyond that an attempt would look like one of the next term's.
-		c.resign("the attempts of the term are used up")
+	if c.leadership.placement.Attempts > placement.MaxAttempts-reservedAttempts {
+		// Attempt numbers beyond the limit would overlap with those of the next term.
+		c.resign("the attempt numbers of the term are used up")
 		return
 	}
 	c.tickFleet()
 	c.leadership.publisher.SupplyFollowers()
 	c.leadership.recurring.Tick()
-	c.afterWhileLeading(tickEvery, c.tickLeader)
+	c.afterWhileLeading(tickInterval, c.tickLeader)
 }
 
-// resign ends a term that is in order: the lease is revoked, so that the next begins
-// at once.
-func (c *Core) resign(why string) { c.resignThen(why, func() {}) }
+// resign steps down and revokes the leader lease, so that another controller can be elected
+// without waiting for its expiry.
+func (c *Core) resign(reason string) { c.resignThen(reason, func() {}) }
 
-// resignThen is resign, with what this node does once the lease has been given back.
-func (c *Core) resignThen(why string, then func()) {
+// resignThen resigns and calls then once the store has responded to the revocation.
+func (c *Core) resignThen(reason string, then func()) {
 	leaseID := c.leadership.leaseID
-	c.stepDown(why)
+	c.stepDown(reason)
 	c.CallStore(kv.Request{Op: kv.RevokeLease, LeaseID: leaseID}, func(kv.Response) { then() })
 }
 
-// runLeader runs after each input while we lead.
+// runLeader runs after each input on the leader. It suspends a leader whose authority has expired;
+// otherwise it sends the queued writes and dispatches tasks.
 func (c *Core) runLeader() {
 	l := c.leadership
 	if !c.hasAuthority() {
 		if !l.suspended {
 			l.suspended = true
-			c.Log(slog.LevelWarn, "leader lease expired, holding workers through the grace period", "term", l.term, "hold", c.leaseTiming.GracePeriod())
-			// Whoever waits for a write hears at once that it is not known.
-			c.answerWaiting(l, request.Unavailable("the state service does not answer"))
+			c.Log(slog.LevelWarn, "leader authority expired, keeping workers for the grace period", "term", l.term, "grace", c.leaseTiming.GracePeriod())
+			// The outcome of pending writes is unknown, and may stay so for long.
+			c.answerWaiting(l, request.Unavailable("the key-value store does not answer"))
 			l.dispatcher.Flush()
 		}
 		return
@@ -168,10 +175,10 @@
 	}
 }
 
-// allAccounted reports whether every machine that may hold a task of an earlier term
-// is accounted for.
+// allAccounted reports whether the failover is complete: every machine that may run a task of an
+// earlier term is accounted for.
 func (l *leadership) allAccounted() bool { return l.inventory.AllAccounted() }
 
-// spareAttempts is how many attempt numbers a term ends with: more than tasks can start
-// between two ticks.
-const spareAttempts = 1 << 20
+// reservedAttempts is how many attempt numbers are left when a leader resigns. It is more than the
+// number of tasks that can start between two ticks.
+const reservedAttempts = 1 << 20
--- a/internal/core/leader_lease.go
+++ b/internal/core/leader_lease.go
@@ -10,34 +10,34 @@
 	"yewpass/internal/rpc"
 )
 
-// Times of the leader lease.
 const (
 	leaseTTL           = 2 * time.Second
 	leaseRenewInterval = 400 * time.Millisecond
 )
 
-// renewal is one renewal of the leader lease. The lease alone does not show that the term
-// is on record: a store that has lost data may know the one and not the other, and whoever
-// looks finds nobody leading. So the term is confirmed along with it.
+// renewal is one renewal of the leader lease. It also confirms the term record: a store that has
+// lost data may still have the lease but not the term, and would then let another node be elected.
 type renewal struct {
 	c         *Core
 	l         *leadership
-	sentAt    time.Time // authority counts from here
-	clockSkew time.Duration
+	sentAt    time.Time     // start of the authority that this renewal gives
+	clockSkew time.Duration // at sentAt
 
-	extended  bool // the lease has been extended
-	confirmed bool // the term is on record
+	extended  bool // the store has extended the lease
+	confirmed bool // the term record was unchanged
 }
 
-// renewLease keeps the leader lease. While the store is away the leader keeps trying: its
-// lease has its full time again after an outage, and the same term then goes on.
+// renewLease starts a renewal of the leader lease, which schedules the next one. The leader keeps
+// trying during an outage of the store. If the store restores the lease with its full TTL
+// afterwards, the same term continues.
 func (c *Core) renewLease() {
 	r := &renewal{c: c, l: c.leadership, sentAt: c.Now, clockSkew: c.ClockSkew(c.Now)}
 	r.confirmTerm()
 	r.extendLease()
 }
 
-// confirmTerm makes sure that the term is on record, and the configuration as known.
+// confirmTerm checks that the term record is unchanged and, once the records are loaded, that the
+// live configuration has not changed either. It reloads a changed configuration and tries again.
 func (r *renewal) confirmTerm() {
 	c := r.c
 	head := r.l.config.HeadRevision()
@@ -54,35 +54,35 @@
 	})
 }
 
-// extendLease extends the lease, and has it renewed again.
+// extendLease extends the lease and schedules the next renewal.
 func (r *renewal) extendLease() {
 	c := r.c
-	c.storeWhileLeading(kv.Request{Op: kv.KeepAlive, LeaseID: r.l.leaseID, TTL: leaseTTL, Timeout: leaseTTL / 2}, func(res kv.Response) {
+	c.callStoreWhileLeading(kv.Request{Op: kv.KeepAlive, LeaseID: r.l.leaseID, TTL: leaseTTL, Timeout: leaseTTL / 2}, func(res kv.Response) {
 		switch res.Outcome {
 		case rpc.OK:
 			r.extended = true
 			r.extendAuthority()
 			c.afterWhileLeading(max(0, leaseRenewInterval-c.Now.Sub(r.sentAt)), c.renewLease)
 		case rpc.NotFound, rpc.Invalid:
-			c.stepDown("the leader lease has ended")
+			c.stepDown("the leader lease has expired or does not exist")
 		default:
 			c.afterWhileLeading(c.Jitter(leaseRenewInterval/3), c.renewLease)
 		}
 	})
 }
 
-// extendAuthority extends the authority once both the lease and the term are in order.
+// extendAuthority extends the authority once the lease is extended and the term is confirmed.
 func (r *renewal) extendAuthority() {
 	if !r.extended || !r.confirmed {
 		return
 	}
 	c, l := r.c, r.l
-	if until := c.authorityUntil(r.sentAt); until.After(l.expiresAt) {
+	if until := c.authorityExpiry(r.sentAt); until.After(l.expiresAt) {
 		l.expiresAt, l.clockSkew = until, r.clockSkew
 	}
 	if l.suspended && c.hasAuthority() {
 		l.suspended, l.resumedAt = false, c.Now
 		l.dispatcher.RequestAll()
-		c.Log(slog.LevelInfo, "leader lease renewed, authority regained", "term", l.term)
+		c.Log(slog.LevelInfo, "leader lease renewed after an outage, authority regained", "term", l.term)
 	}
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -28,15 +28,15 @@
 	"yewpass/internal/writebatch"
 )
 
-// leadership is everything that only a leader has, in parts. Stepping down drops it whole.
+// leadership is the state of one term as leader. It is discarded as a whole on step-down.
 type leadership struct {
-	scope *engine.Scope // bounds the timers and calls of the leadership's parts
+	scope *engine.Scope // cancels the timers and calls of this term when it is closed
 
 	authority
-	inherited
+	failoverState
 	workload
-	reporting
-	replicating
+	heartbeatState
+	replicationState
 
 	inventory      *inventory.Inventory
 	machineRecords *inventory.Records
@@ -53,41 +53,41 @@
 	autoscaler     *autoscaler.Autoscaler
 }
 
-// authority is the term, the leader lease, and for how long the leader may act by them.
+// authority holds the term, the leader lease and the time until which the leader may act.
 type authority struct {
-	term              uint64
-	termRevision      uint64 // every write is conditional on it: a late one fails under a successor
-	leaseID           uint64
-	expiresAt         time.Time // unless a renewal succeeds
-	electedAt         time.Time
-	clockSkew         time.Duration // of the wall clock, when the last successful renewal was sent
-	acknowledged      map[string]bool
-	allAcknowledgedAt time.Time // when the last peer had acknowledged the term
-	suspended         bool      // without authority: heartbeats are answered, nothing starts
-	lastMostlyHeardAt time.Time // when most machines were last heard
-	resumedAt         time.Time // when authority was last regained
-	verifying         bool      // the store is being asked whether the term is still ours
+	term                uint64
+	termRevision        uint64 // of the term record; the condition of every write fences old leaders
+	leaseID             uint64
+	expiresAt           time.Time // end of the authority, extended by each lease renewal
+	electedAt           time.Time
+	clockSkew           time.Duration   // of the wall clock, when the last successful renewal was sent
+	termAcks            map[string]bool // peers that have acknowledged the term, by host name
+	allAcknowledgedAt   time.Time       // when all peers had acknowledged the term, or zero
+	suspended           bool            // authority has expired: heartbeats are answered, no tasks start
+	lastMajorityHeardAt time.Time       // last tick at which most machines were reporting
+	resumedAt           time.Time       // when authority was last regained
+	verifying           bool            // a read of the term record is in flight
 }
 
-func (a *authority) start(term, rev, leaseID uint64, until, now time.Time, ahead time.Duration) {
-	a.term, a.termRevision, a.leaseID, a.expiresAt, a.electedAt, a.clockSkew = term, rev, leaseID, until, now, ahead
+func (a *authority) start(term, termRevision, leaseID uint64, expiresAt, now time.Time, clockSkew time.Duration) {
+	a.term, a.termRevision, a.leaseID, a.expiresAt, a.electedAt, a.clockSkew = term, termRevision, leaseID, expiresAt, now, clockSkew
 }
 
-// inherited is what is left of earlier terms: records to be read, written back or missing, and
-// machines that are not accounted for.
-type inherited struct {
-	loaded            bool                 // the records have been read
-	recovery          *failover.Recovery   // while the records are looked for
-	restorer          *restore.Restorer    // of records that were lost
-	pendingHeartbeats []heartbeat.Received // reports that came while loading
-	takingPending     bool                 // there are more of them than go in one step
-	unreadableJobs    map[string]bool      // jobs whose records cannot be read
-	noEarlierTerm     bool                 // no term was on record before ours
-	newerTokens       map[string]uint64    // fencing tokens above our term that workers have seen, by machine
-	earlierLeaderLag  time.Duration        // for so long into our term an earlier leader may have led
+// failoverState holds what a new leader takes over from earlier terms: the records to load or to
+// restore, and the heartbeats and requests that depend on them.
+type failoverState struct {
+	loaded            bool                 // all records have been loaded
+	recovery          *failover.Recovery   // determines which records exist; nil once they are loaded
+	restorer          *restore.Restorer    // writes lost records back to the store
+	pendingHeartbeats []heartbeat.Received // received before the records were loaded
+	pendingScheduled  bool                 // a step that processes more of them is scheduled
+	unreadableJobs    map[string]bool      // IDs of jobs whose records cannot be decoded
+	noEarlierTerm     bool                 // the store had no record of an earlier term
+	newerTokens       map[string]uint64    // fencing tokens above our term reported by workers, by host
+	earlierLeaderLag  time.Duration        // time after electedAt in which an earlier leader may have acted
 }
 
-// workload is the jobs and their teams.
+// workload holds the live jobs and the quota accounts of their teams.
 type workload struct {
 	lifecycle *lifecycle.Manager
 	jobs      map[string]*fleet.Job
@@ -95,23 +95,24 @@
 	teams     quota.Accounts
 }
 
-// reporting is what the machines have reported.
-type reporting struct {
-	knownReporters map[string]*forwarder.Worker // workers that reported to us before
+// heartbeatState holds what was known from heartbeats before this node was elected.
+type heartbeatState struct {
+	knownReporters map[string]*forwarder.Worker // workers that reported to this node before its election
 }
 
-// replicating keeps the followers' replicas up to date, and learns from theirs.
-type replicating struct {
+// replicationState keeps the followers' replicas up to date and fetches from them the final states
+// of jobs that earlier terms recorded.
+type replicationState struct {
 	publisher *replication.Publisher
 	scrubber  *replication.Scrubber
 	finals    replication.FinalsFetch
 }
 
-// startParts makes the parts of a leadership that are packages of their own. Its zones and
-// its autoscaler have to be there.
+// startParts constructs the components of a leadership. The outage monitor, autoscaler, write
+// batcher, relay links and publisher must already be set.
 func (l *leadership) startParts(c *Core) {
 	l.inventory = inventory.New(c.Engine, l.outages.Zones, c.workerLease, l.autoscaler.InstanceType)
-	l.machineRecords = inventory.NewRecords(c.Engine, l.scope, c.cfg.Settings.State, l.inventory, recordsLeader{c, l}, l.term)
+	l.machineRecords = inventory.NewRecords(c.Engine, l.scope, c.cfg.Settings.State, l.inventory, machineRecordsLeader{c, l}, l.term)
 	l.placement = placement.New(c.Engine, l.scope, c.cfg, placementLeader{l.inventory, c, l}, l.term)
 	l.lifecycle = c.newLifecycle()
 	l.admitter = c.newAdmitter()
@@ -126,8 +127,8 @@
 
 func newLeadership(cfg *config.Config) *leadership {
 	return &leadership{
-		authority: authority{acknowledged: map[string]bool{}},
-		inherited: inherited{unreadableJobs: map[string]bool{}, newerTokens: map[string]uint64{}},
-		workload:  workload{jobs: map[string]*fleet.Job{}, teams: quota.Accounts{}},
+		authority:     authority{termAcks: map[string]bool{}},
+		failoverState: failoverState{unreadableJobs: map[string]bool{}, newerTokens: map[string]uint64{}},
+		workload:      workload{jobs: map[string]*fleet.Job{}, teams: quota.Accounts{}},
 	}
 }
--- a/internal/core/load_records.go
+++ b/internal/core/load_records.go
@@ -13,16 +13,15 @@
 	"yewpass/internal/writebatch"
 )
 
-// loadRecord loads a record of an earlier term. Its key says what must be in it; anything else
-// there cannot be read and is left as it is.
+// loadRecord loads a record written in an earlier term. The key determines the type of the record;
+// a record of another type counts as unreadable and stays unchanged in the store.
 //
-// A panic is contained: if one record ended the process, every controller would end the same
-// way at each start, and no job would be served because of it.
+// It recovers from panics. Otherwise a single record could crash every controller at each start.
 func (c *Core) loadRecord(e kv.Entry) {
 	l := c.leadership
 	defer func() {
 		if p := recover(); p != nil {
-			c.logUnreadable(e.Key, fmt.Sprint("set aside: ", p))
+			c.logUnreadable(e.Key, fmt.Sprint("record ignored after a panic: ", p))
 			if id, ok := strings.CutPrefix(e.Key, record.JobPrefix); ok {
 				delete(l.jobs, id)
 				l.unreadableJobs[id] = true
@@ -41,10 +40,11 @@
 	case strings.HasPrefix(e.Key, record.ProgressPrefix):
 		c.loadProgress(e)
 	default:
-		c.logUnreadable(e.Key, "none")
+		c.logUnreadable(e.Key, "none, the key is not known")
 	}
 }
 
+// logUnreadable logs that a record cannot be used, and the effect on the cluster.
 func (c *Core) logUnreadable(key, effect string) {
 	c.Log(slog.LevelError, "record is unreadable", "key", key, "effect", effect)
 }
@@ -63,38 +63,38 @@
 func (c *Core) loadMachines(e kv.Entry) {
 	records := c.leadership.machineRecords
 	if rec, _ := e.Value.(*record.Machines); rec == nil {
-		c.logUnreadable(e.Key, "the failover waits until every worker lease of an earlier term has expired")
+		c.logUnreadable(e.Key, "the failover completes only after all worker leases of earlier terms have expired")
 		records.LoadUnreadable(e.Key, e.Rev)
 	} else {
 		records.Load(e.Key, rec, e.Rev)
 	}
 }
 
-// loadProgress loads the progress of a chunk of a job. Jobs come before it in the order of
-// keys, so that the job is known by now.
+// loadProgress loads which tasks of one chunk of a job are complete. Records are loaded in key
+// order, in which a job precedes its progress.
 func (c *Core) loadProgress(e kv.Entry) {
 	l := c.leadership
 	id, chunk := record.SplitProgressKey(strings.TrimPrefix(e.Key, record.ProgressPrefix))
 	j := l.jobs[id]
 	if j == nil {
-		if !l.unreadableJobs[id] { // left over by a job that is over
+		if !l.unreadableJobs[id] { // left behind by a finished job
 			l.writes.Add(&writebatch.Change{Writes: []kv.Write{{Key: e.Key}}, Priority: writebatch.Bulk})
 		}
 		return
 	}
 	first := chunk * bitset.ChunkSize
 	if chunk < 0 || first >= j.Spec.Tasks {
-		c.logUnreadable(e.Key, "none, the job has no such tasks")
+		c.logUnreadable(e.Key, "none, the job does not have these tasks")
 		return
 	}
 	if rec, _ := e.Value.(*record.Progress); rec == nil || !j.Done.DecodeChunk(first, j.Spec.Tasks, rec.Ranges) {
-		c.logUnreadable(e.Key, "its tasks run again")
+		c.logUnreadable(e.Key, "the tasks of the chunk run again")
 	}
 	j.ChunkRevisions[chunk] = e.Rev
 }
 
-// startWork begins the work of the term.
-func (c *Core) startWork() {
+// startTermWork starts the regular work of the leader once the records are loaded.
+func (c *Core) startTermWork() {
 	l := c.leadership
 	l.loaded = true
 	l.config.Start()
@@ -102,8 +102,8 @@
 		l.lifecycle.Queue(j)
 	}
 	c.Log(slog.LevelInfo, "records loaded", "term", l.term, "jobs", len(l.jobs), "machines", l.inventory.UnaccountedCount())
-	if c.takePendingHeartbeats(); c.leadership != l {
-		return // one of them has seen a newer fencing token, and we had no authority
+	if c.processPendingHeartbeats(); c.leadership != l {
+		return // a worker has seen a newer fencing token, and we had no authority
 	}
 	l.autoscaler.ListInstances()
 	l.prober.Start(func(host string) bool { return l.knownReporters[host] != nil })
@@ -115,24 +115,24 @@
 	c.tickLeader()
 }
 
-// pendingHeartbeatsPerStep is how many heartbeats that waited for the records are handled in one
-// step.
+// pendingHeartbeatsPerStep bounds how many heartbeats that waited for the records one step handles.
 const pendingHeartbeatsPerStep = 100
 
-// takePendingHeartbeats handles the heartbeats that waited for the records, a part in each step.
-func (c *Core) takePendingHeartbeats() {
+// processPendingHeartbeats handles the heartbeats that waited for the records, a limited number in
+// each step.
+func (c *Core) processPendingHeartbeats() {
 	l := c.leadership
 	n := min(len(l.pendingHeartbeats), pendingHeartbeatsPerStep)
 	batch := slices.Clone(l.pendingHeartbeats[:n])
 	l.pendingHeartbeats = slices.Delete(l.pendingHeartbeats, 0, n)
 	for _, r := range batch {
-		c.handleHeartbeat(r) // which forwards it if we lead no more
+		c.handleHeartbeat(r) // forwards it if this node is no longer the leader
 	}
-	if c.leadership == l && len(l.pendingHeartbeats) > 0 && !l.takingPending {
-		l.takingPending = true
+	if c.leadership == l && len(l.pendingHeartbeats) > 0 && !l.pendingScheduled {
+		l.pendingScheduled = true
 		c.afterWhileLeading(0, func() {
-			l.takingPending = false
-			c.takePendingHeartbeats()
+			l.pendingScheduled = false
+			c.processPendingHeartbeats()
 		})
 	}
 }
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -42,7 +42,7 @@
 func (c *Core) releaseIfLost(m *fleet.Machine, limits reviewLimits) bool {
 	l := c.leadership
 	booting := m.LastHeartbeat.IsZero() && !l.inventory.Unaccounted(m.Host)
-	since, limit := c.silence(m, limits, booting)
+	since, limit := c.silenceLimits(m, limits, booting)
 	silent := c.Now.Sub(since)
 	switch {
 	case m.Unreachable && !l.inventory.Unaccounted(m.Host) && (!booting || silent <= 2*limit):
@@ -64,8 +64,8 @@
 // it became known, if that is longer than its boot may take.
 const bootSilenceFactor = 3
 
-// silence returns since when the machine counts as silent, and for how long it may be.
-func (c *Core) silence(m *fleet.Machine, limits reviewLimits, booting bool) (since time.Time, limit time.Duration) {
+// silenceLimits returns since when the machine counts as silent, and for how long it may be.
+func (c *Core) silenceLimits(m *fleet.Machine, limits reviewLimits, booting bool) (since time.Time, limit time.Duration) {
 	limit = c.reportLimit(m, limits)
 	if !booting {
 		return c.silentSince(m), c.leadership.relays.SilenceLimit(m, limit)
@@ -114,7 +114,7 @@
 func (c *Core) releaseIfUnneeded(m *fleet.Machine, idle time.Duration) {
 	switch {
 	case m.Quarantined, m.Draining, !m.InterruptionAt.IsZero():
-	case c.Now.Sub(m.IdleSince) > idle && c.Now.Sub(m.RentedAt) > autoscaler.MinRentalTime && !c.isWanted(m):
+	case c.Now.Sub(m.IdleSince) > idle && c.Now.Sub(m.RentedAt) > autoscaler.MinRentalTime && !c.isNeededByQueue(m):
 		c.Log(slog.LevelInfo, "releasing idle machine", "machine", m.Host, "type", m.TypeName)
 	default:
 		return
@@ -122,8 +122,8 @@
 	c.leadership.autoscaler.Release(m)
 }
 
-// isWanted reports whether waiting tasks could use the machine.
-func (c *Core) isWanted(m *fleet.Machine) bool {
+// isNeededByQueue reports whether waiting tasks could use the machine.
+func (c *Core) isNeededByQueue(m *fleet.Machine) bool {
 	return slices.ContainsFunc(c.leadership.placement.Queue, func(j *fleet.Job) bool {
 		return m.EligibleFor(j) && c.leadership.placement.CouldStart(j)
 	})
@@ -148,9 +148,9 @@
 }
 
 const (
-	// minMoveGain is how much longer than two checkpoints a task must still run to be moved
+	// minRuntimeGainToMove is how much longer than two checkpoints a task must still run to be moved
 	// off a machine that drains.
-	minMoveGain = 10 * time.Second
+	minRuntimeGainToMove = 10 * time.Second
 	// checkpointSlack is how much earlier than necessary a task takes its last checkpoint
 	// before an interruption, the heartbeat interval aside.
 	checkpointSlack = 3 * time.Second
@@ -165,7 +165,7 @@
 		return true
 	case m.InterruptionAt.IsZero():
 		// Only tasks that take checkpoints are moved, and only if they have long to go.
-		return r.Phase == heartbeat.TaskRuns && s.CheckpointInterval > 0 && c.remaining(r) >= 2*s.CheckpointTime+minMoveGain
+		return r.Phase == heartbeat.TaskRuns && s.CheckpointInterval > 0 && c.remaining(r) >= 2*s.CheckpointTime+minRuntimeGainToMove
 	case r.Phase != heartbeat.TaskRuns || s.Service:
 		return true
 	case r.StartedAt.Add(c.leadership.placement.Estimate(r.Job)).Before(m.InterruptionAt):
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -11,28 +11,30 @@
 	"yewpass/internal/writebatch"
 )
 
-// recordsLeader is a leadership as its records of machines see it.
-type recordsLeader struct {
+// machineRecordsLeader implements inventory.Leader for a leadership.
+type machineRecordsLeader struct {
 	core       *Core
 	leadership *leadership
 }
 
 // Write implements inventory.Leader.
-func (r recordsLeader) Write(change *writebatch.Change) { r.leadership.writes.Add(change) }
+func (r machineRecordsLeader) Write(change *writebatch.Change) { r.leadership.writes.Add(change) }
 
 // ReadBack implements inventory.Leader.
-func (r recordsLeader) ReadBack(key string, f func(e kv.Entry, found bool)) { r.core.readBack(key, f) }
+func (r machineRecordsLeader) ReadBack(key string, f func(e kv.Entry, found bool)) {
+	r.core.readBack(key, f)
+}
 
 // ReplicateDrop implements inventory.Leader.
-func (r recordsLeader) ReplicateDrop(key string) { r.core.replicateDrop(key) }
+func (r machineRecordsLeader) ReplicateDrop(key string) { r.core.replicateDrop(key) }
 
 // RequestDispatch implements inventory.Leader.
-func (r recordsLeader) RequestDispatch(m *fleet.Machine) { r.leadership.dispatcher.Request(m) }
+func (r machineRecordsLeader) RequestDispatch(m *fleet.Machine) { r.leadership.dispatcher.Request(m) }
 
 // MarkAccounted implements inventory.Leader.
-func (r recordsLeader) MarkAccounted(host string) { r.core.markAccounted(host) }
+func (r machineRecordsLeader) MarkAccounted(host string) { r.core.markAccounted(host) }
 
-// sortedJobs returns the jobs by the time of their submission.
+// sortedJobs returns the jobs ordered by submission time, then by ID.
 func (l *leadership) sortedJobs() []*fleet.Job {
 	js := make([]*fleet.Job, 0, len(l.jobs))
 	for _, j := range l.jobs {
@@ -50,20 +52,22 @@
 	return js
 }
 
-// earlierLeaseExpiry is when a lease is surely over that only earlier leaders renewed: one
-// may have gone on answering until its peers told it of our term or its hold ran out.
+// earlierLeaseExpiry returns the time by which all worker leases renewed by earlier leaders have
+// expired. An earlier leader may have answered workers until all peers acknowledged our term, or
+// until its own grace period ended.
 func (c *Core) earlierLeaseExpiry() time.Time {
 	l := c.leadership
-	over := c.leaseTiming.TasksGoneAfter(l.electedAt.Add(l.earlierLeaderLag))
+	expiry := c.leaseTiming.TasksGoneAfter(l.electedAt.Add(l.earlierLeaderLag))
 	if !l.allAcknowledgedAt.IsZero() {
-		if told := l.allAcknowledgedAt.Add(withDrift(c.workerLease)); told.Before(over) {
-			return told
+		if afterAcks := l.allAcknowledgedAt.Add(addClockDrift(c.workerLease)); afterAcks.Before(expiry) {
+			return afterAcks
 		}
 	}
-	return over
+	return expiry
 }
 
-// expireLease gives up on the tasks of a machine whose lease is surely over.
+// expireLease drops the attempts and reservations of a machine whose lease has expired. Tasks that
+// are not complete are queued again.
 func (c *Core) expireLease(m *fleet.Machine) {
 	c.Log(slog.LevelWarn, "worker lease expired", "machine", m.Host, "tasks", len(m.Attempts))
 	c.leadership.attempts.DropAll(m)
--- a/internal/core/newer_tokens.go
+++ b/internal/core/newer_tokens.go
@@ -7,47 +7,48 @@
 )
 
 const (
-	// minNewerTokenWitnesses is how many workers must have seen a fencing token above ours
-	// for it to be our terms that have begun again: one alone is rather faulty itself.
-	minNewerTokenWitnesses = 2
-	// maxFencingToken is the largest fencing token that is believed. Terms are counted one
-	// by one, and far above this there would soon be none left.
-	maxFencingToken = 1 << 32
-	// termGapAfterTotalLoss is how far above the newest fencing token that was heard of the
-	// terms continue: those who say so first need not have seen the last ones, and others
-	// may.
+	// minNewerTokenReports is how many workers must report a fencing token above our term
+	// before the terms are taken to have restarted. A single worker is more likely faulty.
+	minNewerTokenReports = 2
+	// maxPlausibleFencingToken is the largest fencing token that is accepted as genuine. Terms
+	// grow by one per election, so a larger token is an error, and continuing above it could
+	// exhaust the range of terms.
+	maxPlausibleFencingToken = 1 << 32
+	// termGapAfterTotalLoss is added to the highest reported fencing token to get the next
+	// term. Workers that have not reported yet may have seen later terms.
 	termGapAfterTotalLoss = 1 << 10
 )
 
-// handleNewerToken follows up a worker's claim that it has seen a fencing token newer than
-// ours. If there was no such term, the worker drops all that we send to it, for ever: it
-// is of no use, and its word must not end the term for all others.
-func (c *Core) handleNewerToken(host string, token uint64, useless func()) {
+// handleNewerToken checks a worker's claim to have seen a fencing token above our term. If the
+// store has no newer term, the claim must not end the leadership. The worker would reject all our
+// replies, so release is called to give up its machine.
+func (c *Core) handleNewerToken(host string, token uint64, release func()) {
 	c.verifyTerm("a worker has seen a newer fencing token", func() {
-		if c.termsBeganAgain(host, token) {
+		if c.handlePossibleTermReset(host, token) {
 			return
 		}
 		c.Log(slog.LevelWarn, "worker reports an unknown fencing token", "machine", host, "claimed", token, "term", c.leadership.term)
 		if c.leadership.loaded && !c.leadership.inventory.Released(host) {
-			useless()
+			release()
 		}
 	})
 }
 
-// termsBeganAgain reports whether a worker's newer fencing token may show that terms have
-// begun again from 1. When the key-value store and every controller's memory are lost
-// together, nobody else is left to tell: the workers would drop all that we send, and the
-// whole fleet be released for it. As soon as several workers say so, the terms continue
-// above theirs.
-func (c *Core) termsBeganAgain(host string, token uint64) bool {
+// handlePossibleTermReset reports whether a worker's newer fencing token may mean that the terms
+// have restarted from 1. This happens when the key-value store and the memory of every controller
+// are lost together: the workers then reject all our replies, and releasing them would lose the
+// whole fleet. Once enough workers have reported such tokens, this node resigns and campaigns for a
+// term above them.
+func (c *Core) handlePossibleTermReset(host string, token uint64) bool {
 	l := c.leadership
-	if !l.noEarlierTerm || token > maxFencingToken || c.Now.Sub(l.electedAt) > 2*c.workerLease {
+	if !l.noEarlierTerm || token > maxPlausibleFencingToken || c.Now.Sub(l.electedAt) > 2*c.workerLease {
 		return false
 	}
 	l.newerTokens[host] = token
-	if len(l.newerTokens) >= minNewerTokenWitnesses {
+	if len(l.newerTokens) >= minNewerTokenReports {
 		c.observed.Term = slices.Max(slices.Collect(maps.Values(l.newerTokens))) + termGapAfterTotalLoss
-		// We, who know of it, campaign at once: the others would go by what is on record.
+		// Campaign at once: only this node knows of the higher terms, and another one would
+		// continue from the term on record.
 		c.reportDataLossThen("workers have seen newer terms than were on record", func() { c.election.Campaign(0) })
 	}
 	return true
--- a/internal/core/outages.go
+++ b/internal/core/outages.go
@@ -15,11 +15,11 @@
 // newOutageMonitor returns the monitor of the zones and regions for the leadership that begins.
 func (c *Core) newOutageMonitor() *outage.Monitor {
 	return outage.New(c.Engine, outageLeader{c}, zones.Settings{
-		LostAfter:     withDrift(c.workerLease), // what ran in the zone is over then, whatever happens inside
+		LostAfter:     addClockDrift(c.workerLease), // what ran in the zone is over then, whatever happens inside
 		StableFor:     2 * c.heartbeatInterval,
 		ProbeInterval: zoneProbeInterval,
 		KeepFor:       timeline.Seconds(c.pol.ZoneKeep(c.policyEnv())),
-	}, c.reg, c.heartbeatInterval*3/2)
+	}, c.regions, c.heartbeatInterval*3/2)
 }
 
 // outageLeader implements outage.Leader for Core.
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -10,7 +10,7 @@
 	"yewpass/internal/rpc"
 )
 
-// handlePeerMessage takes in a message of another controller.
+// handlePeerMessage dispatches a message from another controller to its handler.
 func (c *Core) handlePeerMessage(p peermsg.Received) {
 	switch p.Msg.Kind {
 	case peermsg.Leader:
@@ -28,13 +28,13 @@
 	case peermsg.ReplicaRestart:
 		c.restartReplica(p.From, p.Msg.Ref)
 	case peermsg.WantReplica:
-		c.handleReplicaWanted(p.From)
+		c.handleReplicaRequest(p.From)
 	case peermsg.LeaderlessJob:
 		c.handleLeaderlessJob(p.Msg.Replica)
 	case peermsg.AskKnowledge:
-		c.tellKnowledge(p.From, p.Msg.Term)
+		c.sendKnowledge(p.From, p.Msg.Term)
 	case peermsg.TellKnowledge:
-		c.handleKnowledgeTold(p.From, p.Msg)
+		c.handleKnowledgeReply(p.From, p.Msg)
 	case peermsg.Heartbeats:
 		c.handleRelayedHeartbeats(p.From, p.Msg)
 	case peermsg.HeartbeatReplies:
@@ -42,13 +42,13 @@
 	}
 }
 
-// handleLinkChange takes in that the link to another controller has come up or gone down.
+// handleLinkChange handles the link to another controller coming up or going down.
 func (c *Core) handleLinkChange(p peermsg.LinkChange) {
 	c.election.SetLink(p.Name, p.Up)
 	l := c.leadership
 	switch {
 	case p.Up && l != nil:
-		// Also to one that has acknowledged the term: it may be a new process.
+		// Announce the term even to a peer that has acknowledged it: it may have restarted.
 		c.announceTermTo(p.Name)
 		if l.noEarlierTerm {
 			c.Emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.AskKnowledge, Term: l.term}})
@@ -61,21 +61,21 @@
 	}
 }
 
-// announceTerm tells the peers that have not acknowledged our term that we lead it.
+// announceTerm announces our term to the peers that have not acknowledged it.
 func (c *Core) announceTerm() {
 	for _, p := range c.cfg.Seeds {
-		if !c.leadership.acknowledged[p.HostName] {
+		if !c.leadership.termAcks[p.HostName] {
 			c.announceTermTo(p.HostName)
 		}
 	}
 }
 
-// announceTermTo tells a peer that we lead our term.
+// announceTermTo tells a peer that this node leads the current term.
 func (c *Core) announceTermTo(peer string) {
 	c.Emit(peermsg.Outgoing{To: peer, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peermsg.Version}})
 }
 
-// handleTermAck takes in that a peer has acknowledged a term.
+// handleTermAck records that a peer has acknowledged our term.
 func (c *Core) handleTermAck(from string, m peermsg.Message) {
 	l := c.leadership
 	if l == nil || m.Term != l.term {
@@ -85,44 +85,45 @@
 	if m.Ref == peermsg.AskVersion {
 		c.announceTermTo(from)
 	}
-	if l.acknowledged[from] {
+	if l.termAcks[from] {
 		return
 	}
-	l.acknowledged[from] = true
-	if len(l.acknowledged) == len(c.cfg.Seeds) {
+	l.termAcks[from] = true
+	if len(l.termAcks) == len(c.cfg.Seeds) {
 		l.allAcknowledgedAt = c.Now
 	}
 }
 
-// handleForwardedRequest serves a user's request that a peer has passed on.
+// handleForwardedRequest serves a user's request that a peer has forwarded.
 func (c *Core) handleForwardedRequest(from string, m peermsg.Message) {
 	c.handleRequest(request.Request{Ref: m.Ref, From: from, Op: m.Op, ID: m.ID, Spec: m.Spec, Schedule: m.Schedule, Config: m.Config})
 }
 
-// handleReplicaWanted begins to send our replica to a new leader.
-func (c *Core) handleReplicaWanted(from string) {
+// handleReplicaRequest starts the transfer of our replica to a new leader.
+func (c *Core) handleReplicaRequest(from string) {
 	if c.leadership == nil {
 		c.replicas.StartTransfer(from)
 	}
 }
 
-// tellKnowledge answers a new leader that asks what we know of earlier terms.
-func (c *Core) tellKnowledge(to string, term uint64) {
+// sendKnowledge tells a new leader what this node knows of earlier terms.
+func (c *Core) sendKnowledge(to string, term uint64) {
 	if c.leadership == nil {
 		c.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.TellKnowledge, Term: term, Knowledge: c.knowledge()}})
 	}
 }
 
-// handleKnowledgeTold takes in what a peer knows, if we asked in this term.
-func (c *Core) handleKnowledgeTold(from string, m peermsg.Message) {
+// handleKnowledgeReply processes what a peer knows of earlier terms. It ignores replies to a
+// request of another term.
+func (c *Core) handleKnowledgeReply(from string, m peermsg.Message) {
 	if l := c.leadership; l != nil && m.Term == l.term {
 		c.handleKnowledge(from, m.Knowledge)
 	}
 }
 
-// handleLeaderClaim takes in that a peer claims to lead a term. A message that anybody might
-// have written must neither end a leadership that is in order nor keep the nodes from the
-// leader that there is.
+// handleLeaderClaim handles a peer's claim to lead a term. A false claim must neither end a valid
+// leadership nor keep other nodes from following the real leader, so a leader that has authority
+// first checks the claim against the key-value store.
 func (c *Core) handleLeaderClaim(from string, term, version uint64) {
 	switch l := c.leadership; {
 	case term < c.election.HighestTerm():
@@ -131,32 +132,33 @@
 	case term == l.term:
 		c.Log(slog.LevelError, "peer claims the term that this node leads", "peer", from, "term", term)
 	case c.hasAuthority():
-		// In authority our lease lives, and nobody else can have begun a term, as
-		// far as our clock goes; the state service knows.
-		c.verifyTerm("a newer term is known", func() {
-			c.Log(slog.LevelWarn, "claimed term does not exist", "peer", from, "claimed", term, "term", l.term)
+		// By our clock the lease is valid and excludes another leader. The store decides.
+		c.verifyTerm("a peer leads a newer term", func() {
+			c.Log(slog.LevelWarn, "peer claims a term that does not exist", "peer", from, "claimed", term, "term", l.term)
 		})
 	default:
-		c.stepDown("a newer term is known")
+		c.stepDown("a peer leads a newer term")
 		c.election.AcceptClaim(from, term, version, peermsg.Version)
 	}
 }
 
-// verifyTerm asks the store whether our term is still the newest, because something says
-// that it is not. If it is, unfounded is called.
-func (c *Core) verifyTerm(because string, unfounded func()) {
+// verifyTerm reads the term record after a hint that a newer term exists. It steps down for the
+// given reason if the record has changed or is gone, and calls stillCurrent if our term is still
+// the newest. It does nothing while another check is in flight or the rate limit of reads is used
+// up; the sender of the hint is expected to repeat it.
+func (c *Core) verifyTerm(reason string, stillCurrent func()) {
 	l := c.leadership
 	if l.verifying || !c.jobs.Allow(1) {
-		return // whoever insists will say so again
+		return
 	}
 	l.verifying = true
-	c.storeWhileLeading(kv.Request{Op: kv.Get, Key: record.TermKey}, func(r kv.Response) {
+	c.callStoreWhileLeading(kv.Request{Op: kv.Get, Key: record.TermKey}, func(r kv.Response) {
 		l.verifying = false
 		switch {
 		case r.Outcome == rpc.OK && r.Entries[0].Rev == l.termRevision:
-			unfounded()
+			stillCurrent()
 		case r.Outcome == rpc.OK || r.Outcome == rpc.NotFound:
-			c.stepDown(because)
+			c.stepDown(reason)
 		}
 	})
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -27,9 +27,9 @@
 	return p.leadership.autoscaler.Backlog(), p.leadership.autoscaler.CPUs()
 }
 
-// lateness returns by how much a job with a deadline would miss it on the best machine at
+// deadlineLateness returns by how much a job with a deadline would miss it on the best machine at
 // hand or of a type that can be rented.
-func (c *Core) lateness(s *spec.Job) time.Duration {
+func (c *Core) deadlineLateness(s *spec.Job) time.Duration {
 	l := c.leadership
 	best := l.placement.EarliestFinish(s)
 	run := l.placement.PaddedSpecEstimate(s)
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -113,7 +113,7 @@
 	if source := l.finals.Source(); source != "" {
 		c.Emit(peermsg.Outgoing{To: source, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
 	}
-	c.startWork()
+	c.startTermWork()
 }
 
 // restoreLeader is what package restore sees of the leader.
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -15,13 +15,13 @@
 
 // newScheduler returns the scheduler of recurring jobs of a leadership that begins.
 func (c *Core) newScheduler(l *leadership) *recurring.Scheduler {
-	settings := recurring.Settings{Calendars: c.cal, Term: l.term, TickInterval: tickEvery}
+	settings := recurring.Settings{Calendars: c.calendars, Term: l.term, TickInterval: tickInterval}
 	return recurring.New(c.Engine, l.scope, settings, recurringLeader{c})
 }
 
-// makeOccurrences has occurrences that are due decided, as many as fit into a transaction.
+// createOccurrences has occurrences that are due decided, as many as fit into a transaction.
 // The state service's allowance paces them.
-func (c *Core) makeOccurrences() {
+func (c *Core) createOccurrences() {
 	l := c.leadership
 	if !l.autoscaler.Loaded || !c.canAct() {
 		return
@@ -33,8 +33,8 @@
 	l.recurring.CreateDue(room)
 }
 
-// occurrencesWait reports whether some could be made if the allowance let them.
-func (c *Core) occurrencesWait() bool {
+// occurrencesPending reports whether some could be made if the allowance let them.
+func (c *Core) occurrencesPending() bool {
 	l := c.leadership
 	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.Due() && l.autoscaler.Loaded
 }
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -9,42 +9,46 @@
 	"yewpass/internal/peermsg"
 )
 
-// forwarderView is the controller as its forwarder sees it.
-type forwarderView struct{ c *Core }
+// forwarderController implements forwarder.Controller for Core.
+type forwarderController struct{ c *Core }
 
 // Leads implements forwarder.Controller.
-func (v forwarderView) Leads() bool { return v.c.leadership != nil }
+func (v forwarderController) Leads() bool { return v.c.leadership != nil }
 
 // Upstream implements forwarder.Controller.
-func (v forwarderView) Upstream() forwarder.Upstream {
+func (v forwarderController) Upstream() forwarder.Upstream {
 	c := v.c
 	return forwarder.Upstream{Leader: c.election.Leader(), Linked: c.election.IsLinkedToLeader(), LinkLostAt: c.election.LinkLostAt(), Term: c.election.HighestTerm(), ConfirmedTerm: c.election.ConfirmedTerm()}
 }
 
-// linksLeader is a leadership as its links to relays see it.
-type linksLeader struct {
+// relayLinksLeader implements relaylinks.Leader for a leadership.
+type relayLinksLeader struct {
 	core       *Core
 	leadership *leadership
 }
 
 // Linked implements relaylinks.Leader.
-func (v linksLeader) Linked(name string) bool { return v.core.election.IsLinked(name) }
+func (v relayLinksLeader) Linked(name string) bool { return v.core.election.IsLinked(name) }
 
-// MayRedirect implements relaylinks.Leader.
-func (v linksLeader) MayRedirect() bool { return v.core.hasAuthority() && v.leadership.allAccounted() }
+// MayRedirect implements relaylinks.Leader. Workers are redirected only once the failover is
+// complete.
+func (v relayLinksLeader) MayRedirect() bool {
+	return v.core.hasAuthority() && v.leadership.allAccounted()
+}
 
 // FleetSize implements relaylinks.Leader.
-func (v linksLeader) FleetSize() int { return len(v.leadership.inventory.Machines()) }
+func (v relayLinksLeader) FleetSize() int { return len(v.leadership.inventory.Machines()) }
 
-// handleRelayedHeartbeats takes in what a relay forwards.
+// handleRelayedHeartbeats processes a batch from a relay: heartbeats, answers to probes, and
+// references of heartbeats that workers have abandoned.
 func (c *Core) handleRelayedHeartbeats(from string, m peermsg.Message) {
 	l := c.leadership
 	if l == nil || m.Term != l.term {
-		return // the relay will hear of the newest term, and forward to its leader
+		return // the relay forwards to the right leader once it learns of the newest term
 	}
-	reports, begun, ok := l.relays.Decode(from, m.Reports)
-	if begun {
-		c.forgetHeldFrom(from)
+	reports, sessionStarted, ok := l.relays.Decode(from, m.Reports)
+	if sessionStarted {
+		c.dropRelayHeartbeats(from)
 	}
 	if !ok {
 		return
@@ -65,8 +69,9 @@
 	}
 }
 
-// forgetHeldFrom forgets the heartbeats of a relay that wait for replies.
-func (c *Core) forgetHeldFrom(relay string) {
+// dropRelayHeartbeats drops the heartbeats from a relay that wait for replies. A relay sends them
+// again in a new session.
+func (c *Core) dropRelayHeartbeats(relay string) {
 	l := c.leadership
 	l.dispatcher.AbandonRelay(relay)
 	l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Via.Relay == relay })
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -6,40 +6,40 @@
 	"yewpass/internal/replication"
 )
 
-// replicationHost is what package replication sees of the controller.
-type replicationHost struct{ c *Core }
+// replicationController is what package replication sees of the controller.
+type replicationController struct{ c *Core }
 
 // HighestTerm returns the highest term heard of.
-func (h replicationHost) HighestTerm() uint64 { return h.c.election.HighestTerm() }
+func (h replicationController) HighestTerm() uint64 { return h.c.election.HighestTerm() }
 
 // ConfirmedTerm returns the highest term that the store has told of.
-func (h replicationHost) ConfirmedTerm() uint64 { return h.c.election.ConfirmedTerm() }
+func (h replicationController) ConfirmedTerm() uint64 { return h.c.election.ConfirmedTerm() }
 
 // IsLinked reports whether the link to a peer is up.
-func (h replicationHost) IsLinked(peer string) bool { return h.c.election.IsLinked(peer) }
+func (h replicationController) IsLinked(peer string) bool { return h.c.election.IsLinked(peer) }
 
 // HasLoadedRecords reports whether we lead and know which records there are.
-func (h replicationHost) HasLoadedRecords() bool {
+func (h replicationController) HasLoadedRecords() bool {
 	l := h.c.leadership
 	return l != nil && l.recovery == nil
 }
 
 // AdmitScrub reports whether the scrubber may read, and takes two reads from the allowance.
-func (h replicationHost) AdmitScrub() bool {
+func (h replicationController) AdmitScrub() bool {
 	c := h.c
 	return c.canAct() && c.leadership.restorer.IsDone() && c.jobs.Allow(2)
 }
 
 // StoreRevision returns the highest revision of the store that was observed.
-func (h replicationHost) StoreRevision() uint64 { return h.c.observed.Revision }
+func (h replicationController) StoreRevision() uint64 { return h.c.observed.Revision }
 
 // ReportDataLoss ends the term, as the store has lost data.
-func (h replicationHost) ReportDataLoss(reason string) { h.c.reportDataLoss(reason) }
+func (h replicationController) ReportDataLoss(reason string) { h.c.reportDataLoss(reason) }
 
 // startReplication sets up the replication of a new term.
 func (c *Core) startReplication(l *leadership) {
 	l.publisher = replication.NewPublisher(c.replicas, l.scope, l.term)
-	l.scrubber = replication.NewScrubber(l.publisher, l.writes, replicationHost{c})
+	l.scrubber = replication.NewScrubber(l.publisher, l.writes, replicationController{c})
 }
 
 // newestReplica returns the newest replica that this process has, or nil.
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -6,10 +6,13 @@
 	"yewpass/internal/request"
 )
 
-// answer sends an answer to where the request came from.
-func (c *Core) answer(r request.Request, answer request.Response) { c.Emit(peermsg.Reply(r, answer)) }
+// answer sends the response to the user or the controller from which the request came.
+func (c *Core) answer(r request.Request, response request.Response) {
+	c.Emit(peermsg.Reply(r, response))
+}
 
-// handleRequest serves a request of a user, or one that another controller has forwarded.
+// handleRequest serves a user's request that arrived here or was forwarded by another controller.
+// Without an active leader on this node, the gateway serves it.
 func (c *Core) handleRequest(r request.Request) {
 	switch {
 	case r.Op == request.ConfigHere:
@@ -21,7 +24,7 @@
 	}
 }
 
-// serve serves a request as the leader.
+// serve serves a request on the leader.
 func (c *Core) serve(r request.Request) {
 	switch {
 	case r.Schedule != nil:
@@ -35,11 +38,11 @@
 	}
 }
 
-// serveJob serves a request about one job as the leader.
+// serveJob serves a request about one job on the leader.
 func (c *Core) serveJob(r request.Request) {
 	l := c.leadership
 	if l.unreadableJobs[r.ID] {
-		c.rereadUnreadable(r)
+		c.rereadUnreadableJob(r)
 		return
 	}
 	if j := l.jobs[r.ID]; j != nil {
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -206,7 +206,7 @@
 		}
 	}
 	// Not for ever: once the lease is over by our clock it is a machine like any other.
-	c.Now = c.Now.Add(withDrift(c.workerLease) + 2*time.Second)
+	c.Now = c.Now.Add(addClockDrift(c.workerLease) + 2*time.Second)
 	l.expiresAt = c.Now.Add(time.Hour)
 	c.reviewMachine(m, reviewLimits{silent: time.Hour, unaccounted: time.Hour, idle: time.Hour})
 	if c.Step(c.Now, heartbeat.Received{Ref: 3, Report: heartbeat.Report{Host: m.Host, InstanceType: m.TypeName, Zone: m.Zone, Incarnation: 2, Counter: 9}}); !m.Reported || m.FencingToken != 0 {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -181,7 +181,7 @@
 				for _, e := range entries {
 					c.loadRecord(e)
 				}
-				c.startWork()
+				c.startTermWork()
 				for i, m := range old.leadership.inventory.Machines() {
 					c.Step(t0, heartbeat.Received{Ref: uint64(i), Report: reportOf(m)})
 				}
--- a/internal/core/unreadable.go
+++ b/internal/core/unreadable.go
@@ -10,16 +10,16 @@
 	"yewpass/internal/rpc"
 )
 
-// rereadUnreadable serves a request about a job whose record could not be read, after
+// rereadUnreadableJob serves a request about a job whose record could not be read, after
 // another look at it: it may have been put right, or dropped.
-func (c *Core) rereadUnreadable(r request.Request) {
+func (c *Core) rereadUnreadableJob(r request.Request) {
 	l, id := c.leadership, r.ID
 	no := func() { c.answer(r, request.Unavailable("the job's record cannot be read")) }
 	if !c.jobs.Allow(2) {
 		no()
 		return
 	}
-	c.storeWhileLeadingOr(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, no, func(reply kv.Response) {
+	c.callStoreWhileLeadingOr(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, no, func(reply kv.Response) {
 		switch {
 		case !l.unreadableJobs[id]: // another request has seen to it
 			c.serve(r)
@@ -48,12 +48,12 @@
 func (c *Core) rereadProgress(r request.Request, job kv.Entry, no func()) {
 	l, id := c.leadership, r.ID
 	list := kv.Request{Op: kv.List, Key: record.ProgressPrefix + id + "/", Limit: maxProgressRecords}
-	c.storeWhileLeadingOr(list, no, func(progress kv.Response) {
+	c.callStoreWhileLeadingOr(list, no, func(progress kv.Response) {
 		if progress.Outcome != rpc.OK || progress.More {
 			no()
 			return
 		}
-		if l.unreadableJobs[id] && !c.adoptReadable(job, progress.Entries) {
+		if l.unreadableJobs[id] && !c.loadRereadJob(job, progress.Entries) {
 			no()
 			return
 		}
@@ -65,10 +65,10 @@
 // more than any job has.
 const maxProgressRecords = 400
 
-// adoptReadable takes on a job whose record could not be read before. Its tasks were stopped;
+// loadRereadJob takes on a job whose record could not be read before. Its tasks were stopped;
 // those that may still be on machines are its own again until they are gone. A record that
 // makes loadRecord panic stays set aside, as at a failover.
-func (c *Core) adoptReadable(job kv.Entry, progress []kv.Entry) bool {
+func (c *Core) loadRereadJob(job kv.Entry, progress []kv.Entry) bool {
 	l, id := c.leadership, strings.TrimPrefix(job.Key, record.JobPrefix)
 	delete(l.unreadableJobs, id)
 	c.loadRecord(job)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -123,7 +123,7 @@
 					return nil
 				}
 				slog.Info("node stopping", "signal", s.String())
-				shutdown, in = time.After(shutdownGrace), core.Leave{}
+				shutdown, in = time.After(shutdownGrace), core.Shutdown{}
 			case <-shutdown:
 				return nil
 			}
--- a/internal/scenario/script_actions.go
+++ b/internal/scenario/script_actions.go
@@ -166,7 +166,7 @@
 func (s *script) actLeave(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
-		n.input(core.Leave{})
+		n.input(core.Shutdown{})
 		w.after(400*time.Millisecond, func() { n.crash(dur(args(f[2:]), "back", 8*time.Second)) })
 	}
 }
