--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -11,14 +11,14 @@
 	"yewpass/internal/spec"
 )
 
-// newAdmitter returns the admitter of the leadership that begins.
+// newAdmitter returns the admitter for the current leadership.
 func (c *Core) newAdmitter() *admission.Admitter {
 	l := c.leadership
 	state := admission.State{Lifecycle: l.lifecycle, Writes: l.writes, Replicas: l.publisher, Autoscaler: l.autoscaler, Policy: c.pol}
 	return admission.New(c.Engine, l.scope, c.cfg.Settings.State, state, admissionLeader{c})
 }
 
-// admissionLeader is the leader as its admitter sees it.
+// admissionLeader implements admission.Leader for the current leadership.
 type admissionLeader struct{ core *Core }
 
 // CanAct implements admission.Leader.
@@ -49,7 +49,8 @@
 // JobAdded implements admission.Leader.
 func (a admissionLeader) JobAdded(j *fleet.Job) { a.core.leadership.recurring.JobAdded(j) }
 
-// policyEnv returns what policies are given of the cluster's state.
+// policyEnv returns the variables that policy expressions can use. The backlog is 0 on a node that
+// is not the leader.
 func (c *Core) policyEnv() policy.Env {
 	e := policy.Env{ReportS: c.heartbeatInterval.Seconds(), LeaseS: c.workerLease.Seconds()}
 	if c.leadership != nil {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -2,7 +2,7 @@
 
 import "yewpass/internal/fleet"
 
-// attemptJobs is the jobs of a leadership as the tracker of attempts sees them.
+// attemptJobs implements attempts.Jobs for a leadership.
 type attemptJobs struct {
 	core       *Core
 	leadership *leadership
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -12,10 +12,9 @@
 	"yewpass/internal/zones"
 )
 
-// newAutoscaler returns the autoscaler of the leadership that begins. What this node has read
-// of the catalog while not leading serves until it can be read anew: a leader that begins
-// while the cloud is unavailable would otherwise start and accept nothing, with machines at
-// hand.
+// newAutoscaler returns the autoscaler for the current leadership. It starts with the catalog that
+// the gateway has read, so that a leader elected during an outage of the cloud can still accept
+// jobs and start tasks on existing machines.
 func (c *Core) newAutoscaler() *autoscaler.Autoscaler {
 	return autoscaler.New(autoscaler.Config{
 		Engine:        c.Engine,
@@ -28,7 +27,7 @@
 	})
 }
 
-// autoscalerState implements autoscaler.State for Core.
+// autoscalerState implements autoscaler.State for the current leadership.
 type autoscalerState struct{ c *Core }
 
 // Machines implements autoscaler.State.
@@ -56,10 +55,11 @@
 // Term implements autoscaler.State.
 func (s autoscalerState) Term() (term, era uint64) { return s.c.leadership.term, s.c.observed.Era }
 
-// autoscalerInventory implements autoscaler.Inventory for Core.
+// autoscalerInventory implements autoscaler.Inventory for the current leadership.
 type autoscalerInventory struct{ c *Core }
 
-// InstanceTypesChanged implements autoscaler.Inventory: prices change, and types are added.
+// InstanceTypesChanged implements autoscaler.Inventory. It updates the types of known machines and
+// sets the type of machines whose type was not in the catalog before.
 func (i autoscalerInventory) InstanceTypesChanged() {
 	c, l := i.c, i.c.leadership
 	for _, m := range l.inventory.Machines() {
@@ -72,7 +72,8 @@
 	}
 }
 
-// InstanceStarted implements autoscaler.Inventory.
+// InstanceStarted implements autoscaler.Inventory. It ignores a machine that has already been
+// released.
 func (i autoscalerInventory) InstanceStarted(host string, o autoscaler.Offer, requestedAt time.Time) {
 	if i.c.leadership.inventory.Released(host) {
 		return
@@ -80,11 +81,12 @@
 	setRentedAt(i.c.leadership.inventory.Ensure(host, o.InstanceType, o.Zone, o.Spot), requestedAt)
 }
 
-// InstanceListed implements autoscaler.Inventory.
+// InstanceListed implements autoscaler.Inventory. It adds an unknown machine and releases one that
+// the cloud reports as failed.
 func (i autoscalerInventory) InstanceListed(x provider.Instance) {
 	c, l := i.c, i.c.leadership
 	if l.inventory.Released(x.Host) {
-		return // the list lags behind
+		return // the cloud's list is eventually consistent
 	}
 	m := l.inventory.Find(x.Host)
 	if m == nil {
@@ -98,7 +100,8 @@
 	}
 }
 
-// setRentedAt sets since when a machine is rented and when it is expected to report.
+// setRentedAt sets when a machine was requested and, if its type is known, when it should be
+// ready.
 func setRentedAt(m *fleet.Machine, at time.Time) {
 	m.RentedAt = at
 	if m.InstanceType != nil {
@@ -106,7 +109,8 @@
 	}
 }
 
-// InstanceReleased implements autoscaler.Inventory: the machine is proven gone.
+// InstanceReleased implements autoscaler.Inventory. The machine no longer exists, so its attempts
+// are dropped and it counts as accounted for.
 func (i autoscalerInventory) InstanceReleased(host string) {
 	c, l := i.c, i.c.leadership
 	m := l.inventory.Find(host)
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -11,7 +11,8 @@
 	"yewpass/internal/zones"
 )
 
-// clusterView returns what this controller knows of the cluster.
+// clusterView returns the state of the cluster as this controller knows it. Only a leader fills in
+// the fleet, the zones and the records.
 func (c *Core) clusterView() *view.Cluster {
 	v := &view.Cluster{Node: c.cfg.HostName, Leader: c.election.Leader(), Term: c.election.HighestTerm()}
 	if c.leadership != nil {
@@ -24,7 +25,7 @@
 	return v
 }
 
-// addLeaderView adds what only the leader knows.
+// addLeaderView adds the fields that only the leader knows.
 func (c *Core) addLeaderView(v *view.Cluster) {
 	l := c.leadership
 	v.Leader = c.cfg.HostName
@@ -50,8 +51,8 @@
 	return n
 }
 
-// peerNodeView returns what is known of another controller. Only the leader knows what it
-// relays.
+// peerNodeView returns the state of another controller. Only the leader knows whether that
+// controller relays, and for how many workers.
 func (c *Core) peerNodeView(s config.Seed) view.ClusterNode {
 	n := view.ClusterNode{Name: s.HostName, Zone: s.Site, Link: c.election.IsLinked(s.HostName)}
 	if s.HostName == c.election.Leader() {
@@ -74,10 +75,11 @@
 	return n
 }
 
-// maxUnreadableListed bounds how many unreadable jobs are named.
+// maxUnreadableListed bounds how many unreadable jobs the view lists.
 const maxUnreadableListed = 10
 
-// recordsView returns how complete the records are, as the leader knows.
+// recordsView returns the unreadable jobs, the complete replicas and the progress of restoring lost
+// records.
 func (c *Core) recordsView() *view.Records {
 	l := c.leadership
 	unreadable := slices.Sorted(maps.Keys(l.unreadableJobs))
@@ -129,7 +131,7 @@
 	return views
 }
 
-// unconfirmedTasks counts the tasks on unreachable machines that may still run, by zone.
+// unconfirmedTasks counts by zone the tasks on unreachable machines that may still be running.
 func unconfirmedTasks(machines []*fleet.Machine) map[*zones.Zone]int {
 	counts := map[*zones.Zone]int{}
 	for _, m := range machines {
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -12,7 +12,7 @@
 	"yewpass/internal/view"
 )
 
-// configLeader is a leadership as its live configuration sees it.
+// configLeader implements configmanager.Leader for a leadership.
 type configLeader struct {
 	core       *Core
 	leadership *leadership
@@ -23,8 +23,8 @@
 	l.core.answer(to, response)
 }
 
-// ApplyTeams implements configmanager.Leader. Running tasks go on, and count; under a
-// lowered limit nothing more starts until there is room.
+// ApplyTeams implements configmanager.Leader. Running tasks are not stopped when a limit is lowered;
+// they still count, and no further tasks start until the team is below its limit.
 func (l configLeader) ApplyTeams(teams []liveconfig.Team) {
 	if len(teams) == 0 {
 		return
@@ -44,8 +44,8 @@
 	return timeline.Resources{}
 }
 
-// SinceConfirmed implements configmanager.Leader: the authority counts from the last
-// confirmation.
+// SinceConfirmed implements configmanager.Leader. The time of the last confirmation follows from
+// the expiry of the authority, because each lease renewal also confirms the configuration.
 func (l configLeader) SinceConfirmed() time.Duration {
 	return max(0, l.core.leaseTiming.Authority()-l.leadership.expiresAt.Sub(l.core.Now))
 }
@@ -62,7 +62,8 @@
 // Replicate implements configmanager.Leader.
 func (l configLeader) Replicate(entry kv.Entry) { l.core.replicate(entry) }
 
-// LocalConfig returns which configuration this node has, whoever leads.
+// LocalConfig returns the revision and age of the configuration that this node uses, whether or not
+// it is the leader.
 func (c *Core) LocalConfig() view.LocalConfig {
 	if l := c.leadership; l != nil && l.loaded {
 		return l.config.Local()
@@ -70,8 +71,8 @@
 	return c.config.Local(c.newestReplica())
 }
 
-// handleConfigRevision handles news of the revision that is in force, if from the leader,
-// or of the one that another node has.
+// handleConfigRevision handles a message about a configuration revision: on the leader, which
+// revision a peer has; on another node, which revision the leader has put into force.
 func (c *Core) handleConfigRevision(from string, m peermsg.Message) {
 	switch l := c.leadership; {
 	case l != nil && m.Term == l.term:
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -115,8 +115,8 @@
 
 // start runs once, in the first step of the process.
 func (c *Core) start() {
-	if short := c.leaseTiming.Shortfall(); short != "" {
-		c.Log(slog.LevelWarn, "settings leave little margin", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
+	if shortfall := c.leaseTiming.Shortfall(); shortfall != "" {
+		c.Log(slog.LevelWarn, "settings leave little margin", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", shortfall)
 	}
 	c.election.Watch()
 	if len(c.cfg.Seeds) == 0 {
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -10,7 +10,8 @@
 	"yewpass/internal/timeline"
 )
 
-// tickFleet is the leader's regular look at the fleet.
+// tickFleet runs the leader's periodic work on the fleet: outage detection, machine review,
+// preemption and scaling.
 func (c *Core) tickFleet() {
 	l := c.leadership
 	l.autoscaler.UpdateLoad()
@@ -27,13 +28,13 @@
 	c.preemptForGuarantees()
 	l.autoscaler.ScaleIn(l.allAccounted())
 	l.placement.RereserveOverdue(tickInterval)
-	// Releases go first: a failover may wait for one, and requests for instances use up what
-	// calls the cloud allows for as long as there is a backlog.
+	// Send releases first: a failover may wait for one, and scaling out under a backlog can use
+	// up the rate limit of cloud calls.
 	l.autoscaler.SendReleases()
 	l.autoscaler.ScaleOut(timeline.Seconds(c.pol.RentBacklog(e)), timeline.Seconds(c.pol.OrdinaryBacklog(e)))
 }
 
-// applyPolicy sets what the operators' policy says for the present backlog.
+// applyPolicy applies the values that the operators' policy gives for the current backlog.
 func (c *Core) applyPolicy(e policy.Env) {
 	l := c.leadership
 	l.dispatcher.Pacing = dispatch.Pacing{
@@ -45,7 +46,8 @@
 	l.placement.FindOverdue(timeline.Seconds(c.pol.BeginWithin(e)))
 }
 
-// reviewMachines reviews all machines by the limits of the policy.
+// reviewMachines reviews each machine against the limits of the policy. The limit for machines that
+// a failover waits for applies only once most machines report to this leader.
 func (c *Core) reviewMachines(e policy.Env) {
 	l := c.leadership
 	limits := reviewLimits{
@@ -64,9 +66,9 @@
 	}
 }
 
-// countReporting returns how many reachable machines have reported in this term, and how many
-// of them have been silent for longer than the limit, and of how many workers of each relay
-// the reports are overdue.
+// countReporting counts the reachable machines that have reported in this term, those of them that
+// have been silent for longer than the limit, and for each relay the workers whose heartbeats are
+// overdue.
 func (c *Core) countReporting(limit time.Duration) (reporting, silent int, overdue map[*fleet.RelayLink]int) {
 	overdue = map[*fleet.RelayLink]int{}
 	for _, m := range c.leadership.inventory.Machines() {
@@ -84,18 +86,18 @@
 	return reporting, silent, overdue
 }
 
-// maxIsolatedLeases is for how many worker leases the leader takes itself to be isolated
-// before it takes the silent machines to be gone.
+// maxIsolatedLeases is how long, in worker leases, the leader assumes that it is isolated before it
+// treats the silent machines as lost.
 const maxIsolatedLeases = 2
 
-// isIsolated reports whether so many machines are silent at once that it is more likely the
-// leader that is cut off.
+// isIsolated reports whether so many machines are silent at once that the leader itself is more
+// likely to be isolated.
 func (c *Core) isIsolated(reporting, silent int) bool {
 	if silent <= 2 || 2*silent <= reporting {
 		c.leadership.lastMajorityHeardAt = c.Now
 		return false
 	}
-	// Machines that no longer exist, which a late report has made known, must not block the
-	// others for ever: they count as room, so nothing is rented.
+	// The assumption must end some time: machines that no longer exist, added by a late
+	// heartbeat, would otherwise count as capacity forever and prevent scaling out.
 	return c.Now.Sub(c.leadership.lastMajorityHeardAt) <= maxIsolatedLeases*c.workerLease
 }
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -8,7 +8,7 @@
 	"yewpass/internal/view"
 )
 
-// gatewayController is a controller as its gateway sees it.
+// gatewayController implements gateway.Controller for Core.
 type gatewayController struct{ core *Core }
 
 // Leads implements gateway.Controller.
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -7,7 +7,8 @@
 	"yewpass/internal/request"
 )
 
-// serveCluster serves an operator's request about the controllers, as the leader.
+// serveCluster serves an operator's request about the cluster on the leader: its status, or a
+// hand-over of the leadership.
 func (c *Core) serveCluster(call request.Request) {
 	if call.Op == request.Cluster {
 		c.answer(call, request.Response{Status: 200, Doc: c.clusterView()})
@@ -18,17 +19,17 @@
 		return
 	}
 	c.answer(call, request.Response{Status: 200, Doc: c.clusterView()})
-	c.handOver("asked for by an operator")
+	c.handOver("handed over at an operator's request")
 }
 
-// Reasons not to hand over the leadership.
+// Reasons for refusing to hand over the leadership.
 var (
-	errNotLeading      = errors.New("this node does not lead")
-	errFailoverPending = errors.New("the take-over is not complete")
-	errNoPeer          = errors.New("no other controller is in reach")
+	errNotLeading      = errors.New("this node is not the leader or is still loading records")
+	errFailoverPending = errors.New("the failover is not complete")
+	errNoPeer          = errors.New("no other controller is reachable")
 )
 
-// checkHandOver returns why the leadership cannot be handed over, or nil.
+// checkHandOver returns an error if the leadership cannot be handed over now.
 func (c *Core) checkHandOver() error {
 	switch l := c.leadership; {
 	case l == nil || !l.loaded:
@@ -41,13 +42,14 @@
 	return nil
 }
 
-// handOver resigns, so that another controller is elected.
-func (c *Core) handOver(why string) {
+// handOver resigns in favor of another controller.
+func (c *Core) handOver(reason string) {
 	c.election.NoteHandOver()
-	c.resign(why)
+	c.resign(reason)
 }
 
-// Shutdown has a leader hand over before its process ends on purpose.
+// Shutdown is the input that announces an orderly end of the process. A leader hands over its
+// leadership if it can.
 type Shutdown struct{}
 
 func (c *Core) handleShutdown() {
@@ -55,5 +57,5 @@
 		c.Log(slog.LevelInfo, "leadership not handed over", "reason", err.Error())
 		return
 	}
-	c.handOver("the process ends")
+	c.handOver("handed over before shutdown")
 }
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -8,7 +8,7 @@
 	"yewpass/internal/spec"
 )
 
-// newLifecycle returns the manager of the jobs of the leadership that begins.
+// newLifecycle returns the manager of the jobs for the current leadership.
 func (c *Core) newLifecycle() *lifecycle.Manager {
 	l := c.leadership
 	state := lifecycle.State{
@@ -22,7 +22,7 @@
 	return lifecycle.New(c.Engine, l.scope, c.cfg.Settings.State, state, lifecycleLeader{c})
 }
 
-// lifecycleLeader is the leader as the manager of its jobs sees it.
+// lifecycleLeader implements lifecycle.Leader for the current leadership.
 type lifecycleLeader struct{ core *Core }
 
 // AllAccounted implements lifecycle.Leader.
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -12,15 +12,15 @@
 	"yewpass/internal/timeline"
 )
 
-// reviewLimits is what machines are reviewed by.
+// reviewLimits holds the limits after which machines are released.
 type reviewLimits struct {
-	silent      time.Duration // a machine that is silent for longer is released
-	unaccounted time.Duration // the same for a machine that is not accounted for after a failover
-	idle        time.Duration // a machine that is idle for longer is released
-	isolated    bool          // the leader itself seems to be cut off: silence says nothing
+	silent      time.Duration // time without heartbeats
+	unaccounted time.Duration // the same for a machine not accounted for since a failover
+	idle        time.Duration // time without tasks
+	isolated    bool          // the leader seems to be isolated: silence is no evidence of a lost machine
 }
 
-// reviewMachine expires the machine's lease, drains it and releases it as is due.
+// reviewMachine expires the machine's lease, drains the machine and releases it when these are due.
 func (c *Core) reviewMachine(m *fleet.Machine, limits reviewLimits) {
 	unaccounted := c.leadership.inventory.Unaccounted(m.Host)
 	if unaccounted || m.Reported && len(m.Attempts) > 0 {
@@ -37,8 +37,8 @@
 	}
 }
 
-// releaseIfLost releases a machine that is silent for too long or of a type that does not
-// exist, and reports whether it has.
+// releaseIfLost releases a machine that has been silent for too long or has an instance type
+// missing from the catalog. It reports whether it released the machine.
 func (c *Core) releaseIfLost(m *fleet.Machine, limits reviewLimits) bool {
 	l := c.leadership
 	booting := m.LastHeartbeat.IsZero() && !l.inventory.Unaccounted(m.Host)
@@ -46,13 +46,13 @@
 	silent := c.Now.Sub(since)
 	switch {
 	case m.Unreachable && !l.inventory.Unaccounted(m.Host) && (!booting || silent <= 2*limit):
-		return false // its zone is cut off, and it is kept or released with the others there
+		return false // the outage monitor decides about the machines of an unreachable zone
 	case silent > limit && (!limits.isolated || booting):
 		c.Log(slog.LevelWarn, "releasing silent machine", "machine", m.Host, "type", m.TypeName, "silent", silent, "tasks", len(m.Attempts), "booted", !booting)
 		if booting && !m.Unreachable {
 			l.autoscaler.BootTimedOut(m.TypeName)
 		}
-	case m.InstanceType == nil && l.autoscaler.Loaded: // the catalog does not have its type
+	case m.InstanceType == nil && l.autoscaler.Loaded: // the type is not in the catalog
 	default:
 		return false
 	}
@@ -60,11 +60,11 @@
 	return true
 }
 
-// bootSilenceFactor is by how many times the limit on silence a machine may be silent after
-// it became known, if that is longer than its boot may take.
+// bootSilenceFactor times the limit on silence is how long a machine that has never reported may
+// stay silent after it became known, if that is later than its boot timeout.
 const bootSilenceFactor = 3
 
-// silenceLimits returns since when the machine counts as silent, and for how long it may be.
+// silenceLimits returns since when the machine counts as silent and how long it may be silent.
 func (c *Core) silenceLimits(m *fleet.Machine, limits reviewLimits, booting bool) (since time.Time, limit time.Duration) {
 	limit = c.reportLimit(m, limits)
 	if !booting {
@@ -77,27 +77,28 @@
 	return m.RentedAt, timeout
 }
 
-// reportLimit returns for how long the machine may fail to report, its relay aside.
+// reportLimit returns how long the machine may go without a heartbeat, not counting delays that its
+// relay causes.
 func (c *Core) reportLimit(m *fleet.Machine, limits reviewLimits) time.Duration {
 	limit := limits.silent
 	if c.leadership.inventory.Unaccounted(m.Host) && (!m.Reported || c.lastHeard(m) != m.LastHeartbeat) && limits.unaccounted < limit {
-		// The failover waits for it. Once most others have found this leader, it is gone or
-		// cut off.
+		// The failover waits for this machine. Once most others report to this leader, a
+		// machine that does not is probably gone or unreachable.
 		limit = limits.unaccounted
 		if m.FailedProbes >= probe.MaxAttempts {
-			limit /= 2 // it does not answer probes either
+			limit /= 2 // it does not answer probes
 		}
 	}
 	if !m.InterruptionAt.IsZero() && c.Now.After(m.InterruptionAt.Add(time.Second)) {
-		// Its notice has run out: a report that is a little overdue is proof enough.
+		// The time of the announced interruption has passed, so one missing heartbeat suffices.
 		limit = min(limit, c.heartbeatInterval*3/4)
 	}
 	return limit
 }
 
-// silentSince returns since when the machine counts as silent. Machines of a zone that
-// returns report one after the other over a heartbeat interval, and so do those that tried in
-// vain while the leader had no authority.
+// silentSince returns since when the machine counts as silent. It counts from the last change of
+// its zone's state and from when the leader regained authority, if these are later: afterwards the
+// machines need a heartbeat interval until all have reported again.
 func (c *Core) silentSince(m *fleet.Machine) time.Time {
 	l := c.leadership
 	since := latest(c.lastHeard(m), m.ZoneState.Since, l.resumedAt)
@@ -110,7 +111,8 @@
 // latest returns the latest of the times.
 func latest(times ...time.Time) time.Time { return slices.MaxFunc(times, time.Time.Compare) }
 
-// releaseIfUnneeded releases a machine without tasks that is to go, or is idle for too long.
+// releaseIfUnneeded releases a machine without tasks if it is quarantined, draining or about to be
+// interrupted, or if it has been idle for too long.
 func (c *Core) releaseIfUnneeded(m *fleet.Machine, idle time.Duration) {
 	switch {
 	case m.Quarantined, m.Draining, !m.InterruptionAt.IsZero():
@@ -122,15 +124,16 @@
 	c.leadership.autoscaler.Release(m)
 }
 
-// isNeededByQueue reports whether waiting tasks could use the machine.
+// isNeededByQueue reports whether the machine could run a task that waits in the queue.
 func (c *Core) isNeededByQueue(m *fleet.Machine) bool {
 	return slices.ContainsFunc(c.leadership.placement.Queue, func(j *fleet.Job) bool {
 		return m.EligibleFor(j) && c.leadership.placement.CouldStart(j)
 	})
 }
 
-// drainMachine stops the tasks of a machine that is to go, as far as they will not be over in
-// time. Those that take checkpoints take a last one; the others go on.
+// drainMachine stops the tasks of a machine that is quarantined, draining or about to be
+// interrupted, as far as mustStop requires it. Tasks with checkpoints get time for a last one,
+// unless the interruption leaves none.
 func (c *Core) drainMachine(m *fleet.Machine) {
 	if !m.Quarantined && !m.Draining && m.InterruptionAt.IsZero() {
 		return
@@ -148,34 +151,35 @@
 }
 
 const (
-	// minRuntimeGainToMove is how much longer than two checkpoints a task must still run to be moved
-	// off a machine that drains.
+	// minRuntimeGainToMove is how much longer than twice its checkpoint time a task must still
+	// run for it to be moved off a draining machine.
 	minRuntimeGainToMove = 10 * time.Second
-	// checkpointSlack is how much earlier than necessary a task takes its last checkpoint
-	// before an interruption, the heartbeat interval aside.
+	// checkpointSlack is the safety margin between the last checkpoint and an interruption, in
+	// addition to the heartbeat interval.
 	checkpointSlack = 3 * time.Second
 )
 
-// mustStop reports whether an attempt is to be stopped now, on a machine that is quarantined,
-// drains or is to be interrupted.
+// mustStop reports whether to stop an attempt now on a machine that is quarantined, draining or
+// about to be interrupted.
 func (c *Core) mustStop(r *fleet.Attempt, m *fleet.Machine) bool {
 	s := &r.Job.Spec
 	switch {
 	case m.Quarantined:
 		return true
 	case m.InterruptionAt.IsZero():
-		// Only tasks that take checkpoints are moved, and only if they have long to go.
+		// On a draining machine, move only tasks with checkpoints that still run for long.
 		return r.Phase == heartbeat.TaskRuns && s.CheckpointInterval > 0 && c.remaining(r) >= 2*s.CheckpointTime+minRuntimeGainToMove
 	case r.Phase != heartbeat.TaskRuns || s.Service:
 		return true
 	case r.StartedAt.Add(c.leadership.placement.Estimate(r.Job)).Before(m.InterruptionAt):
 		return false
 	}
-	// The last checkpoint is taken as late as is safe.
+	// Take the last checkpoint as late as is safe.
 	return s.CheckpointInterval <= 0 || m.InterruptionAt.Sub(c.Now) <= s.CheckpointTime+checkpointSlack+c.heartbeatInterval
 }
 
-// remaining returns how long an attempt is estimated to run from now on.
+// remaining returns the estimated remaining runtime of an attempt, or timeline.Forever for a
+// service.
 func (c *Core) remaining(r *fleet.Attempt) time.Duration {
 	if r.Job.Spec.Service {
 		return timeline.Forever
--- a/internal/core/outages.go
+++ b/internal/core/outages.go
@@ -9,20 +9,21 @@
 	"yewpass/internal/zones"
 )
 
-// zoneProbeInterval is how often one instance is requested in a lost zone that has none left.
+// zoneProbeInterval is how often one instance is requested in a lost zone without machines, to
+// detect that the zone has recovered.
 const zoneProbeInterval = time.Minute
 
-// newOutageMonitor returns the monitor of the zones and regions for the leadership that begins.
+// newOutageMonitor returns the monitor of zones and regions for the current leadership.
 func (c *Core) newOutageMonitor() *outage.Monitor {
 	return outage.New(c.Engine, outageLeader{c}, zones.Settings{
-		LostAfter:     addClockDrift(c.workerLease), // what ran in the zone is over then, whatever happens inside
+		LostAfter:     addClockDrift(c.workerLease), // the leases of all workers in the zone have expired by then
 		StableFor:     2 * c.heartbeatInterval,
 		ProbeInterval: zoneProbeInterval,
 		KeepFor:       timeline.Seconds(c.pol.ZoneKeep(c.policyEnv())),
 	}, c.regions, c.heartbeatInterval*3/2)
 }
 
-// outageLeader implements outage.Leader for Core.
+// outageLeader implements outage.Leader for the current leadership.
 type outageLeader struct{ c *Core }
 
 // Machines implements outage.Leader.
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -6,8 +6,8 @@
 	"yewpass/internal/preemption"
 )
 
-// preemptForGuarantees stops tasks of teams that run beyond their guarantee where another team
-// waits for its own.
+// preemptForGuarantees stops tasks of teams that use more than their guaranteed quota while another
+// team waits for its own. It does nothing until the failover is complete.
 func (c *Core) preemptForGuarantees() {
 	l := c.leadership
 	if !l.allAccounted() {
@@ -23,6 +23,6 @@
 		c.leadership.dispatcher.Request(r.Machine)
 	}
 	if len(stops) > 0 {
-		c.Log(slog.LevelInfo, "preempting tasks over quota", "tasks", len(stops))
+		c.Log(slog.LevelInfo, "preempting tasks of teams above their guarantee", "tasks", len(stops))
 	}
 }
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -5,7 +5,7 @@
 	"yewpass/internal/heartbeat"
 )
 
-// proberLeader is a leadership as its prober sees it.
+// proberLeader implements probe.Leader for a leadership.
 type proberLeader struct {
 	core       *Core
 	leadership *leadership
@@ -22,7 +22,8 @@
 	v.leadership.reconciler.Reconcile(m, report)
 }
 
-// HandleNewerToken implements probe.Leader.
+// HandleNewerToken implements probe.Leader. It releases the machine if the token turns out to be
+// false.
 func (v proberLeader) HandleNewerToken(m *fleet.Machine, token uint64) {
 	v.core.handleNewerToken(m.Host, token, func() { v.core.leadership.autoscaler.Release(m) })
 }
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -13,26 +13,26 @@
 	"yewpass/internal/writebatch"
 )
 
-// recordsPerLoadStep is how many records are loaded in one step.
+// recordsPerLoadStep bounds how many records one step loads, so that steps stay short.
 const recordsPerLoadStep = 400
 
-// recoveryLeader is what package failover sees of the new leader.
+// recoveryLeader implements failover.Leader for the current leadership.
 type recoveryLeader struct{ c *Core }
 
-// Observed returns what has been seen of the store by now.
+// Observed returns the highest era, term and revision seen in the store, including the new term.
 func (h recoveryLeader) Observed() recovery.Observed { return h.c.observed }
 
 // IsLinked reports whether the link to a peer is up.
 func (h recoveryLeader) IsLinked(peer string) bool { return h.c.election.IsLinked(peer) }
 
-// EndTerm ends the term, because a higher one is known.
+// EndTerm resigns because a higher term than those on record is known, which shows a data loss.
 func (h recoveryLeader) EndTerm(higher uint64) { h.c.handleHigherTerm(higher) }
 
-// Recovered loads the records that there are.
+// Recovered starts loading the records that the recovery has found.
 func (h recoveryLeader) Recovered(o *failover.Outcome) { h.c.handleRecovered(o) }
 
-// startRecovery begins to find out which records there are. before is what we had seen of the
-// store before the campaign.
+// startRecovery starts to determine which records exist. before is what this node had seen of the
+// store before its campaign, and read is what the campaign read of the term.
 func (c *Core) startRecovery(before recovery.Observed, read recovery.TermRead, ledLastTerm bool) {
 	l := c.leadership
 	l.recovery = failover.New(c.Engine, l.scope, c.cfg, c.replicas, recoveryLeader{c}, failover.Term{
@@ -47,32 +47,35 @@
 	l.recovery.Start()
 }
 
-// handleKnowledge takes in what a peer knows.
+// handleKnowledge processes what a peer knows of earlier terms. After the recovery it matters only
+// to a leader that found no earlier term on record: the peer may know of one.
 func (c *Core) handleKnowledge(from string, k *peermsg.Knowledge) {
 	l := c.leadership
 	switch {
 	case l.recovery != nil:
 		l.recovery.HandleKnowledge(from, k)
 	case l.noEarlierTerm && k.Era == c.observed.Era && k.Term > l.term && k.HighestPastTerm < l.term:
-		// Of the same data: somebody leads after us, and we were cut off meanwhile.
+		// The term is newer than ours and of the same data: a successor was elected while
+		// this node was isolated.
 		if c.hasAuthority() {
-			c.verifyTerm("a newer term is known", func() {})
+			c.verifyTerm("a peer knows of a newer term", func() {})
 		} else {
-			c.stepDown("a newer term is known")
+			c.stepDown("a peer knows of a newer term")
 		}
 	case l.noEarlierTerm && k.HasHigherTerm(c.observed.Era, l.term, c.processID):
-		// Nothing was on record and nobody in reach when we began; now somebody is.
+		// A term that was lost from the store, known to a peer that was unreachable until now.
 		c.handleHigherTerm(max(k.HighestPastTerm, k.Term))
 	}
 }
 
-// handleHigherTerm ends the term: terms have begun again, below one that workers have seen.
+// handleHigherTerm resigns because the store has lost a higher term: the terms have restarted below
+// one that workers may have seen, and workers reject lower terms.
 func (c *Core) handleHigherTerm(term uint64) {
 	c.observed.Term = max(c.observed.Term, term)
 	c.reportDataLoss("a higher term is known than those on record")
 }
 
-// handleRecovered takes over the outcome of the recovery.
+// handleRecovered applies the outcome of the recovery and starts loading the records.
 func (c *Core) handleRecovered(o *failover.Outcome) {
 	l := c.leadership
 	if o.Restored != nil {
@@ -83,9 +86,9 @@
 	}
 	if o.LossReason != "" {
 		l.restorer.Begin(o.Restore, o.LossReason, o.Source)
-		c.Log(slog.LevelError, "recovering from data loss", "term", l.term, "era", c.observed.Era, "reason", o.LossReason, "copy of", o.Source, "records", len(o.Records), "restored", len(o.Restore))
+		c.Log(slog.LevelError, "recovering from data loss", "term", l.term, "era", c.observed.Era, "reason", o.LossReason, "source", o.Source, "records", len(o.Records), "restored", len(o.Restore))
 		if o.Restored == nil {
-			c.Log(slog.LevelError, "no replica left, data lost by the state service cannot be restored", "term", l.term)
+			c.Log(slog.LevelError, "no replica available, records lost by the key-value store cannot be restored", "term", l.term)
 		}
 	}
 	c.dataLossReason = ""
@@ -95,7 +98,7 @@
 	c.loadRecords(o.Records)
 }
 
-// loadRecords loads records, a part in each step.
+// loadRecords loads records, a limited number in each step, and then starts the work of the term.
 func (c *Core) loadRecords(records []replica.Record) {
 	n := min(len(records), recordsPerLoadStep)
 	for _, r := range records[:n] {
@@ -116,29 +119,29 @@
 	c.startTermWork()
 }
 
-// restoreLeader is what package restore sees of the leader.
+// restoreLeader implements restore.Leader for a leadership.
 type restoreLeader struct {
 	c *Core
 	l *leadership
 }
 
-// IsUnfinished reports whether a job is known whose final record is not on its way.
+// IsUnfinished reports whether a job is known and its final record is not being written.
 func (h restoreLeader) IsUnfinished(job string) bool {
 	j := h.l.jobs[job]
 	return j != nil && !j.Finishing
 }
 
-// RecordProgress has the progress of one chunk of a job written, if the job is known.
+// RecordProgress schedules a write of the progress of one chunk of a job, if the job is known.
 func (h restoreLeader) RecordProgress(job string, chunk int) {
 	if j := h.l.jobs[job]; j != nil {
 		h.l.lifecycle.RecordProgressSoon(j, chunk*bitset.ChunkSize)
 	}
 }
 
-// NoteConfigHead is told the revision at which the head of the configuration was written.
+// NoteConfigHead records the revision at which the configuration's head record was restored.
 func (h restoreLeader) NoteConfigHead(rev uint64) { h.l.config.SetHeadRevision(rev) }
 
-// newRestorer returns the restorer of a new leadership.
+// newRestorer returns the restorer of lost records for a leadership.
 func (c *Core) newRestorer(l *leadership) *restore.Restorer {
 	return restore.New(c.Engine, l.scope, restore.Config{
 		Writes:    l.writes,
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -13,33 +13,34 @@
 	"yewpass/internal/writebatch"
 )
 
-// newScheduler returns the scheduler of recurring jobs of a leadership that begins.
+// newScheduler returns the scheduler of recurring jobs for a leadership.
 func (c *Core) newScheduler(l *leadership) *recurring.Scheduler {
 	settings := recurring.Settings{Calendars: c.calendars, Term: l.term, TickInterval: tickInterval}
 	return recurring.New(c.Engine, l.scope, settings, recurringLeader{c})
 }
 
-// createOccurrences has occurrences that are due decided, as many as fit into a transaction.
-// The state service's allowance paces them.
+// createOccurrences queues the writes of due occurrences, as many as fit into one transaction. The
+// write batcher calls it when the store's rate limit allows another transaction.
 func (c *Core) createOccurrences() {
 	l := c.leadership
 	if !l.autoscaler.Loaded || !c.canAct() {
 		return
 	}
-	room := c.cfg.Settings.State.TxnOps
+	remainingOps := c.cfg.Settings.State.TxnOps
 	for _, ch := range l.writes.Queued(writebatch.Occurrence) {
-		room -= len(ch.Writes)
+		remainingOps -= len(ch.Writes)
 	}
-	l.recurring.CreateDue(room)
+	l.recurring.CreateDue(remainingOps)
 }
 
-// occurrencesPending reports whether some could be made if the allowance let them.
+// occurrencesPending reports whether occurrences are queued or due that wait only for the store's
+// rate limit.
 func (c *Core) occurrencesPending() bool {
 	l := c.leadership
 	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.Due() && l.autoscaler.Loaded
 }
 
-// recurringLeader is the leader as the scheduler of recurring jobs sees it.
+// recurringLeader implements recurring.Leader for the current leadership.
 type recurringLeader struct{ core *Core }
 
 var _ recurring.Leader = recurringLeader{}
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -6,37 +6,37 @@
 	"yewpass/internal/replication"
 )
 
-// replicationController is what package replication sees of the controller.
+// replicationController implements replication.Controller and replication.ScrubHost for Core.
 type replicationController struct{ c *Core }
 
-// HighestTerm returns the highest term heard of.
+// HighestTerm returns the highest term that this node has learned of from any source.
 func (h replicationController) HighestTerm() uint64 { return h.c.election.HighestTerm() }
 
-// ConfirmedTerm returns the highest term that the store has told of.
+// ConfirmedTerm returns the highest term that this node has read from the store.
 func (h replicationController) ConfirmedTerm() uint64 { return h.c.election.ConfirmedTerm() }
 
 // IsLinked reports whether the link to a peer is up.
 func (h replicationController) IsLinked(peer string) bool { return h.c.election.IsLinked(peer) }
 
-// HasLoadedRecords reports whether we lead and know which records there are.
+// HasLoadedRecords reports whether this node is the leader and has finished recovering the records.
 func (h replicationController) HasLoadedRecords() bool {
 	l := h.c.leadership
 	return l != nil && l.recovery == nil
 }
 
-// AdmitScrub reports whether the scrubber may read, and takes two reads from the allowance.
+// AdmitScrub reports whether the scrubber may read now. It counts two reads against the rate limit.
 func (h replicationController) AdmitScrub() bool {
 	c := h.c
 	return c.canAct() && c.leadership.restorer.IsDone() && c.jobs.Allow(2)
 }
 
-// StoreRevision returns the highest revision of the store that was observed.
+// StoreRevision returns the highest revision of the store that this node has seen.
 func (h replicationController) StoreRevision() uint64 { return h.c.observed.Revision }
 
-// ReportDataLoss ends the term, as the store has lost data.
+// ReportDataLoss ends the term because the store has lost data.
 func (h replicationController) ReportDataLoss(reason string) { h.c.reportDataLoss(reason) }
 
-// startReplication sets up the replication of a new term.
+// startReplication sets up the publisher and the scrubber of a new term.
 func (c *Core) startReplication(l *leadership) {
 	l.publisher = replication.NewPublisher(c.replicas, l.scope, l.term)
 	l.scrubber = replication.NewScrubber(l.publisher, l.writes, replicationController{c})
@@ -45,8 +45,8 @@
 // newestReplica returns the newest replica that this process has, or nil.
 func (c *Core) newestReplica() *replica.Replica { return c.replicas.Newest() }
 
-// lastLeaderReplica returns the replica of the last leader that we know of, or nil without one, and
-// when the store is known to have lost data since.
+// lastLeaderReplica returns the replica of the newest confirmed term. It returns nil if this node
+// does not have that replica or the store is known to have lost data.
 func (c *Core) lastLeaderReplica() *replica.Replica {
 	if newest := c.newestReplica(); newest != nil && newest.Term == c.election.ConfirmedTerm() && c.dataLossReason == "" {
 		return newest
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// ownReplica returns the replica of the term that we lead, or nil.
+// ownReplica returns the replica that this node publishes as the leader, or nil.
 func (c *Core) ownReplica() *replica.Replica {
 	if c.leadership == nil {
 		return nil
@@ -62,34 +62,36 @@
 	return c.leadership.publisher.Replica()
 }
 
-// replicate publishes a record that was read.
+// replicate publishes a record read from the store to the followers. It does nothing on a node that
+// is not the leader.
 func (c *Core) replicate(e kv.Entry) {
 	if c.leadership != nil {
 		c.leadership.publisher.PutRead(e)
 	}
 }
 
-// replicateDrop publishes that we have deleted a record.
+// replicateDrop publishes the deletion of a record to the followers.
 func (c *Core) replicateDrop(key string) {
 	if c.leadership != nil {
 		c.leadership.publisher.Drop(key)
 	}
 }
 
-// handleLeaderlessJob takes in a job that another controller has accepted without a leader.
+// handleLeaderlessJob adds to the replica a job that a peer has accepted while there was no leader.
 func (c *Core) handleLeaderlessJob(line *replica.Line) {
-	if c.leadership == nil { // a leader adopts it by its note
+	if c.leadership == nil { // a leader finds the job in the store
 		c.replicas.ReceiveLeaderlessJob(line)
 	}
 }
 
-// handleReplicaLine takes in a line of a replica: of the leader's, or of one that we have asked for.
+// handleReplicaLine processes one line of a replica stream. A follower accepts lines from the
+// leader; a new leader accepts lines of a replica that it requested from a peer.
 func (c *Core) handleReplicaLine(from string, line *replica.Line) {
 	l := c.leadership
 	switch {
 	case l == nil:
 		if from != c.election.Leader() || line.Term > c.election.HighestTerm() {
-			return // of nobody who leads
+			return // the sender is not the current leader
 		}
 		if !c.replicas.ReceiveFromLeader(from, line) {
 			return
@@ -113,7 +115,8 @@
 	}
 }
 
-// receiveFinals takes in a line of the replica from which we learn how jobs have ended.
+// receiveFinals processes a line of an earlier term's replica. Once it is complete, its final states
+// of jobs are added to our own replica.
 func (c *Core) receiveFinals(line *replica.Line) {
 	l := c.leadership
 	if c.ownReplica() == nil || line.Term >= l.term {
@@ -128,17 +131,17 @@
 	}
 }
 
-// rememberFinals takes in how the jobs of a replica have ended.
+// rememberFinals caches the final states of the jobs in a replica.
 func (c *Core) rememberFinals(r *replica.Replica) {
 	for id, final := range replication.Finals(r) {
 		c.jobs.Remember(id, final)
 	}
 }
 
-// restartReplica begins a stream anew whose lines did not all arrive.
+// restartReplica restarts a replica stream after the receiver has reported missing lines.
 func (c *Core) restartReplica(from string, session uint64) {
 	if l := c.leadership; l != nil {
-		l.publisher.RestartFollower(from, session) // supplied again with the next tick
+		l.publisher.RestartFollower(from, session) // the next tick starts a new stream
 		return
 	}
 	c.replicas.RestartTransfer(from, session)
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -2,7 +2,8 @@
 
 import "yewpass/internal/view"
 
-// Stats returns the present figures.
+// Stats returns the current values of the metrics. A node that is not the leader reports only its
+// term, its relayed workers, its stale heartbeats and its configuration.
 func (c *Core) Stats() view.Stats {
 	s := view.Stats{Term: c.election.HighestTerm(), Relayed: c.forwarder.Workers(), StaleHeartbeats: c.staleHeartbeats + c.forwarder.Stale()}
 	l := c.leadership
--- a/internal/core/unreadable.go
+++ b/internal/core/unreadable.go
@@ -10,31 +10,31 @@
 	"yewpass/internal/rpc"
 )
 
-// rereadUnreadableJob serves a request about a job whose record could not be read, after
-// another look at it: it may have been put right, or dropped.
+// rereadUnreadableJob serves a request about a job whose record was unreadable. It reads the record
+// again first, because an operator may have repaired or deleted it.
 func (c *Core) rereadUnreadableJob(r request.Request) {
 	l, id := c.leadership, r.ID
-	no := func() { c.answer(r, request.Unavailable("the job's record cannot be read")) }
+	unavailable := func() { c.answer(r, request.Unavailable("the job's record cannot be read")) }
 	if !c.jobs.Allow(2) {
-		no()
+		unavailable()
 		return
 	}
-	c.callStoreWhileLeadingOr(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, no, func(reply kv.Response) {
+	c.callStoreWhileLeadingOr(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, unavailable, func(reply kv.Response) {
 		switch {
-		case !l.unreadableJobs[id]: // another request has seen to it
+		case !l.unreadableJobs[id]: // loaded meanwhile for another request
 			c.serve(r)
 		case reply.Outcome == rpc.NotFound:
 			delete(l.unreadableJobs, id)
 			c.serve(r)
 		case isRecordOf(id, reply):
-			c.rereadProgress(r, reply.Entries[0], no)
+			c.rereadProgress(r, reply.Entries[0], unavailable)
 		default:
-			no()
+			unavailable()
 		}
 	})
 }
 
-// isRecordOf reports whether the response has the readable record of a job.
+// isRecordOf reports whether the response contains a readable record of the job.
 func isRecordOf(id string, reply kv.Response) bool {
 	if reply.Outcome != rpc.OK {
 		return false
@@ -43,31 +43,30 @@
 	return job != nil && job.Spec.ID == id
 }
 
-// rereadProgress takes on a job whose record is readable again, with its progress, and
-// serves the request.
-func (c *Core) rereadProgress(r request.Request, job kv.Entry, no func()) {
+// rereadProgress reads the progress of a job whose record is readable again, loads both and serves
+// the request. It calls unavailable if the progress cannot be read.
+func (c *Core) rereadProgress(r request.Request, job kv.Entry, unavailable func()) {
 	l, id := c.leadership, r.ID
 	list := kv.Request{Op: kv.List, Key: record.ProgressPrefix + id + "/", Limit: maxProgressRecords}
-	c.callStoreWhileLeadingOr(list, no, func(progress kv.Response) {
+	c.callStoreWhileLeadingOr(list, unavailable, func(progress kv.Response) {
 		if progress.Outcome != rpc.OK || progress.More {
-			no()
+			unavailable()
 			return
 		}
 		if l.unreadableJobs[id] && !c.loadRereadJob(job, progress.Entries) {
-			no()
+			unavailable()
 			return
 		}
 		c.serve(r)
 	})
 }
 
-// maxProgressRecords is how many records of progress of one job are read at once, which is
-// more than any job has.
+// maxProgressRecords limits the list of progress records of one job. No job has that many.
 const maxProgressRecords = 400
 
-// loadRereadJob takes on a job whose record could not be read before. Its tasks were stopped;
-// those that may still be on machines are its own again until they are gone. A record that
-// makes loadRecord panic stays set aside, as at a failover.
+// loadRereadJob loads a job whose record was unreadable, and reports whether it succeeded. The tasks
+// of the job were ordered to stop; those that may still run on machines are assigned to it again
+// until they end. A record that makes loadRecord panic stays unreadable.
 func (c *Core) loadRereadJob(job kv.Entry, progress []kv.Entry) bool {
 	l, id := c.leadership, strings.TrimPrefix(job.Key, record.JobPrefix)
 	delete(l.unreadableJobs, id)
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -7,23 +7,22 @@
 	"yewpass/internal/writebatch"
 )
 
-// writeBatchLeader answers the batcher's questions about the leadership and carries out what
-// it asks for.
+// writeBatchLeader implements writebatch.Leader for the current leadership.
 type writeBatchLeader struct{ c *Core }
 
 // CanAct reports whether the leader has authority and has loaded the records.
 func (b writeBatchLeader) CanAct() bool { return b.c.canAct() }
 
-// ConfigBatchDue reports whether the queued batch of configuration changes is to go now.
+// ConfigBatchDue reports whether the queued batch of configuration changes should be written now.
 func (b writeBatchLeader) ConfigBatchDue() bool { return b.c.leadership.config.BatchDue() }
 
 // RestoreRecords queues lost records to be written back.
 func (b writeBatchLeader) RestoreRecords() { b.c.leadership.restorer.QueueNext() }
 
-// MakeOccurrences queues due occurrences of schedules.
+// MakeOccurrences queues due occurrences of schedules, as many as fit into one transaction.
 func (b writeBatchLeader) MakeOccurrences() { b.c.createOccurrences() }
 
-// OccurrencesWait reports whether occurrences would be written if the allowance let them.
+// OccurrencesWait reports whether occurrences wait only for the store's rate limit.
 func (b writeBatchLeader) OccurrencesWait() bool { return b.c.occurrencesPending() }
 
 // ReplicateBatch publishes a committed batch to the replicas.
@@ -34,16 +33,17 @@
 // ReplicateEntry publishes an entry that was read to the replicas.
 func (b writeBatchLeader) ReplicateEntry(e kv.Entry) { b.c.replicate(e) }
 
-// StepDown ends the leadership.
-func (b writeBatchLeader) StepDown(why string) { b.c.stepDown(why) }
+// StepDown ends the leadership without revoking the lease.
+func (b writeBatchLeader) StepDown(reason string) { b.c.stepDown(reason) }
 
-// newBatcher returns the batcher of a leadership whose term is on record at a revision.
+// newBatcher returns the write batcher of a leadership. Its transactions are conditional on the term
+// record having the given revision.
 func (c *Core) newBatcher(scope *engine.Scope, termRevision uint64) *writebatch.Batcher {
 	term := kv.Condition{Key: record.TermKey, Rev: termRevision}
 	return writebatch.New(c.Engine, scope, c.cfg.Settings.State, term, writeBatchLeader{c})
 }
 
-// readBack reads an entry whose write met a condition that does not hold.
+// readBack reads an entry after a write of it failed on a condition.
 func (c *Core) readBack(key string, f func(e kv.Entry, found bool)) {
 	c.leadership.writes.ReadBack(key, f)
 }
