--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -25,7 +25,7 @@
 func (a admissionLeader) CanAct() bool { return a.core.canAct() }
 
 // Serve implements admission.Leader.
-func (a admissionLeader) Serve(call request.Request) { a.core.serve(call) }
+func (a admissionLeader) Serve(call request.Request) { a.core.serveAsLeader(call) }
 
 // Lateness implements admission.Leader.
 func (a admissionLeader) Lateness(job *spec.Job) time.Duration { return a.core.deadlineLateness(job) }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -45,7 +45,7 @@
 	observed        recovery.Observed   // highest era, term and revision seen in the key-value store
 	dataLossReason  string              // evidence of a data loss that no leader has handled yet, or ""
 	replicas        *replication.Replicas
-	jobs            *jobstore.Reader
+	jobReader       *jobstore.Reader
 	gateway         *gateway.Gateway
 	forwarder       *forwarder.Forwarder
 	store           storeHealth
@@ -82,10 +82,10 @@
 	}
 	c.forwarder = forwarder.New(c.Engine, forwarderController{c}, cfg)
 	c.leaseTiming = lease.Timing{LeaderLease: leaseTTL, WorkerLease: c.workerLease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
-	c.election = election.New(c.Engine, cfg, c.leaseTiming, processID, electionController{c})
+	c.election = election.New(c.Engine, cfg, c.leaseTiming, processID, electionHost{c})
 	c.replicas = replication.New(c.Engine, cfg, replicationController{c})
-	c.jobs = jobstore.NewReader(c.Engine, cfg.Settings.State.RPS, 1+len(cfg.Seeds), replication.FinalsLimit(cfg))
-	c.gateway = gateway.New(c.Engine, gatewayController{c}, cfg, pol, c.jobs, c.replicas)
+	c.jobReader = jobstore.NewReader(c.Engine, cfg.Settings.State.RPS, 1+len(cfg.Seeds), replication.FinalsLimit(cfg))
+	c.gateway = gateway.New(c.Engine, gatewayController{c}, cfg, pol, c.jobReader, c.replicas)
 	c.config = configmanager.NewNode(c.Engine, cfg)
 	c.ObserveStore = c.observeStoreCall
 	return c
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -19,7 +19,7 @@
 
 // DataLossDetected is the message that a controller logs when it detects a data loss of the store.
 // The scenarios fail if it is logged without one.
-const DataLossDetected = "data loss detected in the state service"
+const DataLossDetected = "data loss detected in the key-value store"
 
 // unknownJobGrace is the time after the detection of a data loss in which no job is reported as
 // unknown.
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -6,30 +6,30 @@
 	"yewpass/internal/recovery"
 )
 
-// electionController implements election.Host for Core.
-type electionController struct{ c *Core }
+// electionHost implements election.Host for Core.
+type electionHost struct{ c *Core }
 
 // IsLeading reports whether this node is the leader, with or without authority.
-func (h electionController) IsLeading() bool { return h.c.leadership != nil }
+func (h electionHost) IsLeading() bool { return h.c.leadership != nil }
 
 // HasReplica reports whether this node has a replica of any term's records.
-func (h electionController) HasReplica() bool { return h.c.newestReplica() != nil }
+func (h electionHost) HasReplica() bool { return h.c.newestReplica() != nil }
 
 // Observed returns the highest era, term and revision seen in the store.
-func (h electionController) Observed() recovery.Observed { return h.c.observed }
+func (h electionHost) Observed() recovery.Observed { return h.c.observed }
 
 // ObserveTerm records the era and the term of a leader record read from the store. A change of the
 // era clears the recorded reason of a data loss.
-func (h electionController) ObserveTerm(rec *record.Leader) {
+func (h electionHost) ObserveTerm(rec *record.Leader) {
 	h.c.observeTerm(rec.Era, rec.Term, rec.ProcessID)
 }
 
 // ReportDataLoss records that the store has lost data; a leader resigns.
-func (h electionController) ReportDataLoss(reason string) { h.c.reportDataLoss(reason) }
+func (h electionHost) ReportDataLoss(reason string) { h.c.reportDataLoss(reason) }
 
 // CheckDataLoss returns the reason for which the store must have lost data, or "". It remembers
 // the first reason until a new era begins, but neither logs nor resigns.
-func (h electionController) CheckDataLoss(before recovery.Observed, found recovery.TermRead) string {
+func (h electionHost) CheckDataLoss(before recovery.Observed, found recovery.TermRead) string {
 	if h.c.dataLossReason == "" {
 		h.c.dataLossReason = before.LossReason(found)
 	}
@@ -38,7 +38,7 @@
 
 // BeginTerm makes this node the leader of the term that it won and starts the recovery of the
 // records.
-func (h electionController) BeginTerm(v election.Victory) {
+func (h electionHost) BeginTerm(v election.Victory) {
 	c := h.c
 	c.becomeLeader(v.Term, v.Revision, v.LeaseID, v.SentAt, v.ClockSkew)
 	c.observed = c.observed.AdvanceTo(v.Era, v.Term, c.processID)
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -75,8 +75,9 @@
 }
 
 // inGracePeriod reports whether a leader whose authority has expired may still answer workers. The
-// grace period ends as soon as it is over by the steady or by the wall clock. It also ends if
-// the steady clock has been suspended and cannot be trusted.
+// time that the wall clock has run ahead of the steady clock counts against the grace period. A
+// leader whose steady clock has not reached the expiry lost its authority through such a hidden
+// pause, and has no grace period.
 func (c *Core) inGracePeriod() bool {
 	l := c.leadership
 	over := c.leaseTiming.GraceOver(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew)
@@ -153,17 +154,17 @@
 	}
 }
 
-// reconcilerLeader implements reconcile.Leader for a leadership.
-type reconcilerLeader struct {
+// reconcileLeader implements reconcile.Leader for a leadership.
+type reconcileLeader struct {
 	core       *Core
 	leadership *leadership
 }
 
 // Booted implements reconcile.Leader.
-func (v reconcilerLeader) Booted(instanceType string) { v.leadership.autoscaler.Booted(instanceType) }
+func (v reconcileLeader) Booted(instanceType string) { v.leadership.autoscaler.Booted(instanceType) }
 
 // MarkAccounted implements reconcile.Leader.
-func (v reconcilerLeader) MarkAccounted(host string) { v.core.markAccounted(host) }
+func (v reconcileLeader) MarkAccounted(host string) { v.core.markAccounted(host) }
 
 // dispatchLeader implements dispatch.Leader for a leadership.
 type dispatchLeader struct {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -26,16 +26,16 @@
 // transaction was sent, and clockSkew the skew of the wall clock then.
 func (c *Core) becomeLeader(term, termRevision, leaseID uint64, sentAt time.Time, clockSkew time.Duration) {
 	c.election.NoteOwnTerm(term)
-	c.jobs.ShareAmong(1)
+	c.jobReader.ShareAmong(1)
 	c.leadership = newLeadership(c.cfg)
 	c.leadership.scope = c.NewScope()
-	c.leadership.writes = c.newBatcher(c.leadership.scope, termRevision)
+	c.leadership.writes = c.newWriteBatcher(c.leadership.scope, termRevision)
 	c.leadership.relays = relaylinks.New(c.Engine, c.cfg, relayLinksLeader{c, c.leadership}, term)
 	c.leadership.authority.start(term, termRevision, leaseID, c.authorityExpiry(sentAt), c.Now, clockSkew)
 	c.startReplication(c.leadership)
 	c.leadership.autoscaler = c.newAutoscaler()
 	c.leadership.outages = c.newOutageMonitor()
-	c.leadership.startParts(c)
+	c.leadership.startComponents(c)
 	for _, t := range liveconfig.BaseTeams(c.cfg.Settings.Teams) {
 		c.leadership.teams.Configure(t)
 		c.leadership.placement.Guarantees = c.leadership.placement.Guarantees || t.CPUs > 0 || t.GPUs > 0
@@ -95,7 +95,7 @@
 	c.Log(slog.LevelWarn, "leadership lost", "term", l.term, "reason", reason)
 	c.leadership = nil
 	l.scope.Close()
-	c.jobs.ShareAmong(1 + len(c.cfg.Seeds))
+	c.jobReader.ShareAmong(1 + len(c.cfg.Seeds))
 	if len(l.autoscaler.InstanceTypes) > 0 {
 		c.gateway.SetInstanceTypes(l.autoscaler.InstanceTypes)
 	}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -108,19 +108,19 @@
 	finals    replication.FinalsFetch
 }
 
-// startParts constructs the components of a leadership. The outage monitor, autoscaler, write
+// startComponents constructs the components of a leadership. The outage monitor, autoscaler, write
 // batcher, relay links and publisher must already be set.
-func (l *leadership) startParts(c *Core) {
+func (l *leadership) startComponents(c *Core) {
 	l.inventory = inventory.New(c.Engine, l.outages.Zones, c.workerLease, l.autoscaler.InstanceType)
-	l.machineRecords = inventory.NewRecords(c.Engine, l.scope, c.cfg.Settings.State, l.inventory, machineRecordsLeader{c, l}, l.term)
+	l.machineRecords = inventory.NewRecords(c.Engine, l.scope, c.cfg.Settings.State, l.inventory, inventoryLeader{c, l}, l.term)
 	l.placement = placement.New(c.Engine, l.scope, c.cfg, placementLeader{l.inventory, c, l}, l.term)
 	l.lifecycle = c.newLifecycle()
 	l.admitter = c.newAdmitter()
-	l.recurring = c.newScheduler(l)
+	l.recurring = c.newRecurringScheduler(l)
 	l.restorer = c.newRestorer(l)
 	l.attempts = attempts.New(c.Engine, l.placement, attemptJobs{c, l})
-	l.reconciler = reconcile.New(c.Engine, reconcilerLeader{c, l}, l.inventory, l.attempts, l.placement, l.term, c.workerLease)
-	l.prober = probe.NewProber(c.Engine, l.scope, proberLeader{c, l}, l.inventory, l.term)
+	l.reconciler = reconcile.New(c.Engine, reconcileLeader{c, l}, l.inventory, l.attempts, l.placement, l.term, c.workerLease)
+	l.prober = probe.NewProber(c.Engine, l.scope, probeLeader{c, l}, l.inventory, l.term)
 	l.dispatcher = dispatch.New(c.Engine, l.scope, dispatchLeader{c, l}, l.relays, l.placement, l.term)
 	l.config = configmanager.New(c.Engine, l.scope, c.cfg, l.writes, configLeader{c, l}, l.term)
 }
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -17,7 +17,7 @@
 		Placement: l.placement,
 		Writes:    l.writes,
 		Replicas:  l.publisher,
-		Store:     c.jobs,
+		Store:     c.jobReader,
 	}
 	return lifecycle.New(c.Engine, l.scope, c.cfg.Settings.State, state, lifecycleLeader{c})
 }
--- a/internal/core/load_records.go
+++ b/internal/core/load_records.go
@@ -36,7 +36,7 @@
 	case record.IsConfigKey(e.Key):
 		l.config.Load(e)
 	case strings.HasPrefix(e.Key, record.MachinePrefix):
-		c.loadMachines(e)
+		c.loadMachineRecord(e)
 	case strings.HasPrefix(e.Key, record.ProgressPrefix):
 		c.loadProgress(e)
 	default:
@@ -60,7 +60,7 @@
 	}
 }
 
-func (c *Core) loadMachines(e kv.Entry) {
+func (c *Core) loadMachineRecord(e kv.Entry) {
 	records := c.leadership.machineRecords
 	if rec, _ := e.Value.(*record.Machines); rec == nil {
 		c.logUnreadable(e.Key, "the failover completes only after all worker leases of earlier terms have expired")
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -168,7 +168,7 @@
 		return true
 	case m.InterruptionAt.IsZero():
 		// On a draining machine, move only tasks with checkpoints that still run for long.
-		return r.Phase == heartbeat.TaskRuns && s.CheckpointInterval > 0 && c.remaining(r) >= 2*s.CheckpointTime+minRuntimeGainToMove
+		return r.Phase == heartbeat.TaskRuns && s.CheckpointInterval > 0 && c.remainingRuntime(r) >= 2*s.CheckpointTime+minRuntimeGainToMove
 	case r.Phase != heartbeat.TaskRuns || s.Service:
 		return true
 	case r.StartedAt.Add(c.leadership.placement.Estimate(r.Job)).Before(m.InterruptionAt):
@@ -178,9 +178,9 @@
 	return s.CheckpointInterval <= 0 || m.InterruptionAt.Sub(c.Now) <= s.CheckpointTime+checkpointSlack+c.heartbeatInterval
 }
 
-// remaining returns the estimated remaining runtime of an attempt, or timeline.Forever for a
+// remainingRuntime returns the estimated remainingRuntime runtime of an attempt, or timeline.Forever for a
 // service.
-func (c *Core) remaining(r *fleet.Attempt) time.Duration {
+func (c *Core) remainingRuntime(r *fleet.Attempt) time.Duration {
 	if r.Job.Spec.Service {
 		return timeline.Forever
 	}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -11,28 +11,28 @@
 	"yewpass/internal/writebatch"
 )
 
-// machineRecordsLeader implements inventory.Leader for a leadership.
-type machineRecordsLeader struct {
+// inventoryLeader implements inventory.Leader for a leadership.
+type inventoryLeader struct {
 	core       *Core
 	leadership *leadership
 }
 
 // Write implements inventory.Leader.
-func (r machineRecordsLeader) Write(change *writebatch.Change) { r.leadership.writes.Add(change) }
+func (r inventoryLeader) Write(change *writebatch.Change) { r.leadership.writes.Add(change) }
 
 // ReadBack implements inventory.Leader.
-func (r machineRecordsLeader) ReadBack(key string, f func(e kv.Entry, found bool)) {
+func (r inventoryLeader) ReadBack(key string, f func(e kv.Entry, found bool)) {
 	r.core.readBack(key, f)
 }
 
 // ReplicateDrop implements inventory.Leader.
-func (r machineRecordsLeader) ReplicateDrop(key string) { r.core.replicateDrop(key) }
+func (r inventoryLeader) ReplicateDrop(key string) { r.core.replicateDrop(key) }
 
 // RequestDispatch implements inventory.Leader.
-func (r machineRecordsLeader) RequestDispatch(m *fleet.Machine) { r.leadership.dispatcher.Request(m) }
+func (r inventoryLeader) RequestDispatch(m *fleet.Machine) { r.leadership.dispatcher.Request(m) }
 
 // MarkAccounted implements inventory.Leader.
-func (r machineRecordsLeader) MarkAccounted(host string) { r.core.markAccounted(host) }
+func (r inventoryLeader) MarkAccounted(host string) { r.core.markAccounted(host) }
 
 // sortedJobs returns the jobs ordered by submission time, then by ID.
 func (l *leadership) sortedJobs() []*fleet.Job {
@@ -53,8 +53,8 @@
 }
 
 // earlierLeaseExpiry returns the time by which all worker leases renewed by earlier leaders have
-// expired. An earlier leader may have answered workers until all peers acknowledged our term, or
-// until its own grace period ended.
+// expired. An earlier leader may have answered workers until all peers acknowledged our term or its
+// own grace period ended, whichever came first.
 func (c *Core) earlierLeaseExpiry() time.Time {
 	l := c.leadership
 	expiry := c.leaseTiming.TasksGoneAfter(l.electedAt.Add(l.earlierLeaderLag))
--- a/internal/core/outages.go
+++ b/internal/core/outages.go
@@ -16,7 +16,7 @@
 // newOutageMonitor returns the monitor of zones and regions for the current leadership.
 func (c *Core) newOutageMonitor() *outage.Monitor {
 	return outage.New(c.Engine, outageLeader{c}, zones.Settings{
-		LostAfter:     addClockDrift(c.workerLease), // the leases of all workers in the zone have expired by then
+		LostAfter:     addClockDrift(c.workerLease), // all worker leases in the zone have expired by then
 		StableFor:     2 * c.heartbeatInterval,
 		ProbeInterval: zoneProbeInterval,
 		KeepFor:       timeline.Seconds(c.pol.ZoneKeep(c.policyEnv())),
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -148,7 +148,7 @@
 // up; the sender of the hint is expected to repeat it.
 func (c *Core) verifyTerm(reason string, stillCurrent func()) {
 	l := c.leadership
-	if l.verifying || !c.jobs.Allow(1) {
+	if l.verifying || !c.jobReader.Allow(1) {
 		return
 	}
 	l.verifying = true
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -5,25 +5,25 @@
 	"yewpass/internal/heartbeat"
 )
 
-// proberLeader implements probe.Leader for a leadership.
-type proberLeader struct {
+// probeLeader implements probe.Leader for a leadership.
+type probeLeader struct {
 	core       *Core
 	leadership *leadership
 }
 
 // CanAct implements probe.Leader.
-func (v proberLeader) CanAct() bool { return v.core.canAct() }
+func (v probeLeader) CanAct() bool { return v.core.canAct() }
 
 // Linked implements probe.Leader.
-func (v proberLeader) Linked() bool { return v.core.election.IsLinkedToAny() }
+func (v probeLeader) Linked() bool { return v.core.election.IsLinkedToAny() }
 
 // Reconcile implements probe.Leader.
-func (v proberLeader) Reconcile(m *fleet.Machine, report *heartbeat.Report) {
+func (v probeLeader) Reconcile(m *fleet.Machine, report *heartbeat.Report) {
 	v.leadership.reconciler.Reconcile(m, report)
 }
 
 // HandleNewerToken implements probe.Leader. It releases the machine if the token turns out to be
 // false.
-func (v proberLeader) HandleNewerToken(m *fleet.Machine, token uint64) {
+func (v probeLeader) HandleNewerToken(m *fleet.Machine, token uint64) {
 	v.core.handleNewerToken(m.Host, token, func() { v.core.leadership.autoscaler.Release(m) })
 }
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -16,26 +16,26 @@
 // recordsPerLoadStep bounds how many records one step loads, so that steps stay short.
 const recordsPerLoadStep = 400
 
-// recoveryLeader implements failover.Leader for the current leadership.
-type recoveryLeader struct{ c *Core }
+// failoverLeader implements failover.Leader for the current leadership.
+type failoverLeader struct{ c *Core }
 
 // Observed returns the highest era, term and revision seen in the store, including the new term.
-func (h recoveryLeader) Observed() recovery.Observed { return h.c.observed }
+func (h failoverLeader) Observed() recovery.Observed { return h.c.observed }
 
 // IsLinked reports whether the link to a peer is up.
-func (h recoveryLeader) IsLinked(peer string) bool { return h.c.election.IsLinked(peer) }
+func (h failoverLeader) IsLinked(peer string) bool { return h.c.election.IsLinked(peer) }
 
 // EndTerm resigns because a higher term than those on record is known, which shows a data loss.
-func (h recoveryLeader) EndTerm(higher uint64) { h.c.handleHigherTerm(higher) }
+func (h failoverLeader) EndTerm(higher uint64) { h.c.handleHigherTerm(higher) }
 
 // Recovered starts loading the records that the recovery has found.
-func (h recoveryLeader) Recovered(o *failover.Outcome) { h.c.handleRecovered(o) }
+func (h failoverLeader) Recovered(o *failover.Outcome) { h.c.handleRecovered(o) }
 
 // startRecovery starts to determine which records exist. before is what this node had seen of the
 // store before its campaign, and read is what the campaign read of the term.
 func (c *Core) startRecovery(before recovery.Observed, read recovery.TermRead, ledLastTerm bool) {
 	l := c.leadership
-	l.recovery = failover.New(c.Engine, l.scope, c.cfg, c.replicas, recoveryLeader{c}, failover.Term{
+	l.recovery = failover.New(c.Engine, l.scope, c.cfg, c.replicas, failoverLeader{c}, failover.Term{
 		Number:      l.term,
 		ProcessID:   c.processID,
 		LeaderLease: leaseTTL,
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -13,8 +13,8 @@
 	"yewpass/internal/writebatch"
 )
 
-// newScheduler returns the scheduler of recurring jobs for a leadership.
-func (c *Core) newScheduler(l *leadership) *recurring.Scheduler {
+// newRecurringScheduler returns the scheduler of recurring jobs for a leadership.
+func (c *Core) newRecurringScheduler(l *leadership) *recurring.Scheduler {
 	settings := recurring.Settings{Calendars: c.calendars, Term: l.term, TickInterval: tickInterval}
 	return recurring.New(c.Engine, l.scope, settings, recurringLeader{c})
 }
@@ -50,13 +50,13 @@
 
 // FinalState implements recurring.Leader.
 func (r recurringLeader) FinalState(id string) (spec.JobState, bool) {
-	final, ok := r.core.jobs.Final(id)
+	final, ok := r.core.jobReader.Final(id)
 	return final.State, ok
 }
 
 // ReadJob implements recurring.Leader.
 func (r recurringLeader) ReadJob(id string, f func(status *request.JobStatus, known bool)) {
-	r.core.jobs.Read(id, f)
+	r.core.jobReader.Read(id, f)
 }
 
 // AddJob implements recurring.Leader.
@@ -106,4 +106,4 @@
 }
 
 // Serve implements recurring.Leader.
-func (r recurringLeader) Serve(call request.Request) { r.core.serve(call) }
+func (r recurringLeader) Serve(call request.Request) { r.core.serveAsLeader(call) }
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -27,7 +27,7 @@
 // AdmitScrub reports whether the scrubber may read now. It counts two reads against the rate limit.
 func (h replicationController) AdmitScrub() bool {
 	c := h.c
-	return c.canAct() && c.leadership.restorer.IsDone() && c.jobs.Allow(2)
+	return c.canAct() && c.leadership.restorer.IsDone() && c.jobReader.Allow(2)
 }
 
 // StoreRevision returns the highest revision of the store that this node has seen.
@@ -134,7 +134,7 @@
 // rememberFinals caches the final states of the jobs in a replica.
 func (c *Core) rememberFinals(r *replica.Replica) {
 	for id, final := range replication.Finals(r) {
-		c.jobs.Remember(id, final)
+		c.jobReader.Remember(id, final)
 	}
 }
 
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -18,14 +18,14 @@
 	case r.Op == request.ConfigHere:
 		c.answer(r, request.Response{Status: 200, Doc: c.LocalConfig()})
 	case c.canAct():
-		c.serve(r)
+		c.serveAsLeader(r)
 	default:
 		c.gateway.Serve(r)
 	}
 }
 
-// serve serves a request on the leader.
-func (c *Core) serve(r request.Request) {
+// serveAsLeader serves a request on the leader.
+func (c *Core) serveAsLeader(r request.Request) {
 	switch {
 	case r.Schedule != nil:
 		c.leadership.recurring.Serve(r)
@@ -53,7 +53,7 @@
 		}
 		return
 	}
-	if final, ok := c.jobs.Final(r.ID); ok {
+	if final, ok := c.jobReader.Final(r.ID); ok {
 		c.answer(r, request.Response{Status: 200, View: jobstore.FinalStatus(r.ID, final)})
 		return
 	}
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -57,7 +57,7 @@
 			t.Errorf("whoever asked about wk-2 is told %+v", a)
 		}
 	}
-	if _, ok := n.jobs.Final("wk-2"); ok {
+	if _, ok := n.jobReader.Final("wk-2"); ok {
 		t.Error("and so is everybody from then on")
 	}
 }
--- a/internal/core/unreadable.go
+++ b/internal/core/unreadable.go
@@ -15,17 +15,17 @@
 func (c *Core) rereadUnreadableJob(r request.Request) {
 	l, id := c.leadership, r.ID
 	unavailable := func() { c.answer(r, request.Unavailable("the job's record cannot be read")) }
-	if !c.jobs.Allow(2) {
+	if !c.jobReader.Allow(2) {
 		unavailable()
 		return
 	}
 	c.callStoreWhileLeadingOr(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, unavailable, func(reply kv.Response) {
 		switch {
 		case !l.unreadableJobs[id]: // loaded meanwhile for another request
-			c.serve(r)
+			c.serveAsLeader(r)
 		case reply.Outcome == rpc.NotFound:
 			delete(l.unreadableJobs, id)
-			c.serve(r)
+			c.serveAsLeader(r)
 		case isRecordOf(id, reply):
 			c.rereadProgress(r, reply.Entries[0], unavailable)
 		default:
@@ -57,7 +57,7 @@
 			unavailable()
 			return
 		}
-		c.serve(r)
+		c.serveAsLeader(r)
 	})
 }
 
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -36,9 +36,9 @@
 // StepDown ends the leadership without revoking the lease.
 func (b writeBatchLeader) StepDown(reason string) { b.c.stepDown(reason) }
 
-// newBatcher returns the write batcher of a leadership. Its transactions are conditional on the term
+// newWriteBatcher returns the write batcher of a leadership. Its transactions are conditional on the term
 // record having the given revision.
-func (c *Core) newBatcher(scope *engine.Scope, termRevision uint64) *writebatch.Batcher {
+func (c *Core) newWriteBatcher(scope *engine.Scope, termRevision uint64) *writebatch.Batcher {
 	term := kv.Condition{Key: record.TermKey, Rev: termRevision}
 	return writebatch.New(c.Engine, scope, c.cfg.Settings.State, term, writeBatchLeader{c})
 }
