--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -178,7 +178,7 @@
 	return s.CheckpointInterval <= 0 || m.InterruptionAt.Sub(c.Now) <= s.CheckpointTime+checkpointSlack+c.heartbeatInterval
 }
 
-// remainingRuntime returns the estimated remainingRuntime runtime of an attempt, or timeline.Forever for a
+// remainingRuntime returns the estimated remaining runtime of an attempt, or timeline.Forever for a
 // service.
 func (c *Core) remainingRuntime(r *fleet.Attempt) time.Duration {
 	if r.Job.Spec.Service {
