--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -13,33 +13,34 @@
 	"yewpass/internal/writebatch"
 )
 
-// newScheduler returns the scheduler of recurring jobs of a leadership that begins.
-func (c *Core) newScheduler(l *leadership) *recurring.Scheduler {
-	settings := recurring.Settings{Calendars: c.cal, Term: l.term, TickInterval: tickEvery}
+// newRecurringScheduler returns the scheduler of recurring jobs for a leadership.
+func (c *Core) newRecurringScheduler(l *leadership) *recurring.Scheduler {
+	settings := recurring.Settings{Calendars: c.calendars, Term: l.term, TickInterval: tickInterval}
 	return recurring.New(c.Engine, l.scope, settings, recurringLeader{c})
 }
 
-// makeOccurrences has occurrences that are due decided, as many as fit into a transaction.
-// The state service's allowance paces them.
-func (c *Core) makeOccurrences() {
+// createOccurrences queues the writes of due occurrences, as many as fit into one transaction. The
+// write batcher calls it when the store's rate limit allows another transaction.
+func (c *Core) createOccurrences() {
 	l := c.leadership
 	if !l.autoscaler.Loaded || !c.canAct() {
 		return
 	}
-	room := c.cfg.Settings.State.TxnOps
+	remainingOps := c.cfg.Settings.State.TxnOps
 	for _, ch := range l.writes.Queued(writebatch.Occurrence) {
-		room -= len(ch.Writes)
+		remainingOps -= len(ch.Writes)
 	}
-	l.recurring.CreateDue(room)
+	l.recurring.CreateDue(remainingOps)
 }
 
-// occurrencesWait reports whether some could be made if the allowance let them.
-func (c *Core) occurrencesWait() bool {
+// occurrencesPending reports whether occurrences are queued or due that wait only for the store's
+// rate limit.
+func (c *Core) occurrencesPending() bool {
 	l := c.leadership
 	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.Due() && l.autoscaler.Loaded
 }
 
-// recurringLeader is the leader as the scheduler of recurring jobs sees it.
+// recurringLeader implements recurring.Leader for the current leadership.
 type recurringLeader struct{ core *Core }
 
 var _ recurring.Leader = recurringLeader{}
@@ -49,13 +50,13 @@
 
 // FinalState implements recurring.Leader.
 func (r recurringLeader) FinalState(id string) (spec.JobState, bool) {
-	final, ok := r.core.jobs.Final(id)
+	final, ok := r.core.jobReader.Final(id)
 	return final.State, ok
 }
 
 // ReadJob implements recurring.Leader.
 func (r recurringLeader) ReadJob(id string, f func(status *request.JobStatus, known bool)) {
-	r.core.jobs.Read(id, f)
+	r.core.jobReader.Read(id, f)
 }
 
 // AddJob implements recurring.Leader.
@@ -105,4 +106,4 @@
 }
 
 // Serve implements recurring.Leader.
-func (r recurringLeader) Serve(call request.Request) { r.core.serve(call) }
+func (r recurringLeader) Serve(call request.Request) { r.core.serveAsLeader(call) }
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -57,7 +57,7 @@
 			t.Errorf("whoever asked about wk-2 is told %+v", a)
 		}
 	}
-	if _, ok := n.jobs.Final("wk-2"); ok {
+	if _, ok := n.jobReader.Final("wk-2"); ok {
 		t.Error("and so is everybody from then on")
 	}
 }
@@ -206,7 +206,7 @@
 		}
 	}
 	// Not for ever: once the lease is over by our clock it is a machine like any other.
-	c.Now = c.Now.Add(withDrift(c.workerLease) + 2*time.Second)
+	c.Now = c.Now.Add(addClockDrift(c.workerLease) + 2*time.Second)
 	l.expiresAt = c.Now.Add(time.Hour)
 	c.reviewMachine(m, reviewLimits{silent: time.Hour, unaccounted: time.Hour, idle: time.Hour})
 	if c.Step(c.Now, heartbeat.Received{Ref: 3, Report: heartbeat.Report{Host: m.Host, InstanceType: m.TypeName, Zone: m.Zone, Incarnation: 2, Counter: 9}}); !m.Reported || m.FencingToken != 0 {
