--- a/internal/admission/admitter.go
+++ b/internal/admission/admitter.go
@@ -22,39 +22,40 @@
 	"yewpass/internal/writebatch"
 )
 
-// Reasons of answers with status 503.
+// Reasons sent to clients with status 503.
 const (
-	unanswered   = "the state service does not answer"
-	typesUnknown = "the machine types are not known yet"
+	storeUnavailable     = "the state service does not answer"
+	instanceTypesUnknown = "the machine types are not known yet"
 )
 
 const (
-	resolveRetry  = time.Second
-	maxRetryAfter = 30 * time.Second // of a job that is refused for now
+	conflictRetryDelay = time.Second
+	maxRetryAfter      = 30 * time.Second // upper bound of Retry-After for a rejected job
 )
 
-// Leader is what an Admitter needs of the leader that it admits jobs for.
+// Leader is implemented by the leader on whose behalf an Admitter accepts jobs.
 type Leader interface {
-	// CanAct reports whether the leader has authority and knows the records.
+	// CanAct reports whether the leader holds its lease and has loaded the stored records.
 	CanAct() bool
-	// Serve serves a request of any kind.
+	// Serve handles a client request of any kind.
 	Serve(r request.Request)
-	// Lateness returns by how much a job with a deadline would miss it.
+	// Lateness returns by how much a job with a deadline is expected to miss it.
 	Lateness(job *spec.Job) time.Duration
-	// PolicyEnv returns what policies are given of the cluster's state.
+	// PolicyEnv returns the cluster state that policy expressions are evaluated on.
 	PolicyEnv() policy.Env
-	// MayHaveLostJobs reports whether a job that nobody knows may be one that was lost.
+	// MayHaveLostJobs reports whether the store may have lost job records, so that an
+	// unknown job ID may belong to an accepted job.
 	MayHaveLostJobs() bool
-	// Unreadable reports whether the record of a job is known to be unreadable.
+	// Unreadable reports whether the job's record exists but cannot be decoded.
 	Unreadable(id string) bool
-	// ConfirmTerm asks the store whether the leader's term is on record and whether more
-	// holds at the same time.
+	// ConfirmTerm checks in one transaction that the store still has this leader's term and
+	// that the additional conditions hold, and calls f with the response.
 	ConfirmTerm(more []kv.Condition, f func(kv.Response))
-	// JobAdded is called when a job of this term is in memory, before it is queued.
+	// JobAdded is called after a job accepted in this term is added, before it is queued.
 	JobAdded(j *fleet.Job)
 }
 
-// State is the leader's state that an Admitter works on.
+// State holds the components of the leader that an Admitter reads and updates.
 type State struct {
 	Lifecycle  *lifecycle.Manager
 	Writes     *writebatch.Batcher
@@ -63,46 +64,47 @@
 	Policy     *policy.Policy
 }
 
-// Admitter admits jobs for one leadership.
+// Admitter accepts or rejects submitted jobs during one leadership term.
 type Admitter struct {
 	State
 	engine  *engine.Engine
 	scope   *engine.Scope
 	limits  config.State
 	leader  Leader
-	pending map[string]*submission // by the job's ID
+	pending map[string]*submission // submissions being written, by job ID
 }
 
-// submission is a submitted job whose record is on its way to the store.
+// submission is a job whose record is being written to the store.
 type submission struct {
 	job     *spec.Job
-	waiters []request.Request
+	waiters []request.Request // submissions of the same job that wait for the outcome
 }
 
-// New returns an admitter for the leadership that scope bounds.
+// New returns an admitter for one leadership term; its callbacks stop when scope is closed.
 func New(e *engine.Engine, scope *engine.Scope, limits config.State, state State, leader Leader) *Admitter {
 	return &Admitter{State: state, engine: e, scope: scope, limits: limits, leader: leader, pending: map[string]*submission{}}
 }
 
-func (a *Admitter) answer(r request.Request, answer request.Response) {
-	a.engine.Emit(peermsg.Reply(r, answer))
+func (a *Admitter) answer(r request.Request, response request.Response) {
+	a.engine.Emit(peermsg.Reply(r, response))
 }
 
-func (a *Admitter) answerWaiters(s *submission, answer request.Response) {
+func (a *Admitter) answerWaiters(s *submission, response request.Response) {
 	for _, r := range s.waiters {
-		a.answer(r, answer)
+		a.answer(r, response)
 	}
 	s.waiters = nil
 }
 
-// AnswerWaiting answers everybody who waits for a job to be recorded.
-func (a *Admitter) AnswerWaiting(answer request.Response) {
+// AnswerWaiting sends the response to every client whose submission is still being written,
+// in order of job ID.
+func (a *Admitter) AnswerWaiting(response request.Response) {
 	for _, id := range slices.Sorted(maps.Keys(a.pending)) {
-		a.answerWaiters(a.pending[id], answer)
+		a.answerWaiters(a.pending[id], response)
 	}
 }
 
-// Serve serves a request about a job that is not in memory and not known to be over.
+// Serve handles a request about a job that is neither in memory nor known to have ended.
 func (a *Admitter) Serve(r request.Request) {
 	s := a.pending[r.ID]
 	switch {
@@ -113,44 +115,44 @@
 	case r.Op == request.Submit:
 		a.submit(r)
 	default:
-		a.serveFromRecords(r, request.Response{Status: 404, Reason: "no such job"})
+		a.serveFromStore(r, request.Response{Status: 404, Reason: "no such job"})
 	}
 }
 
-// submit decides on a new job and answers once its record is committed.
+// submit validates a new job and, if it is accepted, responds once its record is committed.
 func (a *Admitter) submit(r request.Request) {
 	if len(a.Autoscaler.InstanceTypes) == 0 {
-		a.answer(r, request.Unavailable(typesUnknown))
+		a.answer(r, request.Unavailable(instanceTypesUnknown))
 		return
 	}
 	job := r.Spec
 	if !jobstore.FitsValue(record.JobSize(job), a.limits) {
-		a.answer(r, TooLong)
+		a.answer(r, SpecTooLarge)
 		return
 	}
-	// A refusal must never meet a job that was accepted once, so the records have the last
-	// word before it.
+	// A job that was accepted before must not be rejected when it is submitted again, so the
+	// stored records are checked before a rejection is sent.
 	if refusal := a.CheckSchedulable(job); refusal != nil {
 		if !a.Autoscaler.Loaded {
-			a.answer(r, request.Unavailable(typesUnknown))
+			a.answer(r, request.Unavailable(instanceTypesUnknown))
 			return
 		}
-		a.serveFromRecords(r, refusal.Response())
+		a.serveFromStore(r, refusal.Response())
 		return
 	}
-	if late, refused := a.RefusedForNow(job); refused {
-		a.answerFromRecords(r, func() {
-			a.engine.Log(slog.LevelInfo, "admission refused", "job", job.ID, "class", job.Class, "late", late)
+	if late, refused := a.CheckDeadline(job); refused {
+		a.answerFromStore(r, func() {
+			a.engine.Log(slog.LevelInfo, "job rejected: deadline cannot be met", "job", job.ID, "class", job.Class, "late", late)
 			wait := min(max(late, time.Second), maxRetryAfter)
 			a.answer(r, request.Response{Status: 429, RetryAfter: wait, Reason: "no timeline can complete the job in time at present"})
 		})
 		return
 	}
-	a.accept(r)
+	a.writeRecord(r)
 }
 
-// accept has the record of a job written.
-func (a *Admitter) accept(r request.Request) {
+// writeRecord writes the record of an accepted job to the store.
+func (a *Admitter) writeRecord(r request.Request) {
 	job := r.Spec
 	s := &submission{job: job, waiters: []request.Request{r}}
 	a.pending[job.ID] = s
@@ -172,7 +174,7 @@
 	})
 }
 
-// AddCommitted takes on a job whose record has just been committed.
+// AddCommitted adds a job whose record has just been committed and queues its tasks.
 func (a *Admitter) AddCommitted(rec *record.Job) *fleet.Job {
 	j := a.Lifecycle.Add(rec, false)
 	a.leader.JobAdded(j)
@@ -182,13 +184,13 @@
 	return j
 }
 
-// resolveConflict deals with a submitted job that has a record already, maybe from a try of
-// ours whose outcome was not known.
+// resolveConflict handles a submission whose write found an existing record of the job. The
+// record may stem from an earlier attempt of the same write whose outcome was unknown.
 func (a *Admitter) resolveConflict(s *submission) {
 	id := s.job.ID
 	retry := func() {
-		a.answerWaiters(s, request.Unavailable(unanswered))
-		a.scope.After(resolveRetry, func() { a.resolveConflict(s) })
+		a.answerWaiters(s, request.Unavailable(storeUnavailable))
+		a.scope.After(conflictRetryDelay, func() { a.resolveConflict(s) })
 	}
 	a.Lifecycle.Store.Read(id, func(status *request.JobStatus, known bool) {
 		switch {
@@ -209,17 +211,18 @@
 	})
 }
 
-// CheckSchedulable returns why a job can never be scheduled, or nil.
+// CheckSchedulable returns why a job can never be scheduled with the current teams and
+// instance types, or nil.
 func (a *Admitter) CheckSchedulable(job *spec.Job) *Refusal {
 	return CheckSchedulable(job, a.Lifecycle.Teams[job.Owner], a.Autoscaler.InstanceTypes)
 }
 
-// RefusedForNow judges a job with a deadline by the timelines of the machines at hand and of
-// the types that can be rented, and asks the policy. It returns by how much the job would
-// miss its deadline, and whether it is refused.
-func (a *Admitter) RefusedForNow(job *spec.Job) (late time.Duration, refused bool) {
+// CheckDeadline estimates by how much a job would miss its deadline on the machines of the
+// fleet and on those that can be added, and evaluates the admission policy. It returns the
+// expected lateness and whether the job is rejected. Jobs without a deadline never are.
+func (a *Admitter) CheckDeadline(job *spec.Job) (late time.Duration, refused bool) {
 	if !job.HasDeadline || a.Policy.NeverRefuses() {
-		return 0, false // what the timelines say is a search over the whole fleet
+		return 0, false // skip the lateness estimate, which searches the whole fleet
 	}
 	late = a.leader.Lateness(job)
 	env := a.leader.PolicyEnv()
--- a/internal/admission/admitter_test.go
+++ b/internal/admission/admitter_test.go
@@ -31,13 +31,13 @@
 
 const liveKey, finalKey = record.JobPrefix + "wk-1", record.FinalPrefix + "wk-1"
 
-// leader is a leader with no machines and a store that answers by hand.
+// leader is a fake leader without machines; tests reply to its store requests explicitly.
 type leader struct {
 	*admission.Admitter
 	t         *testing.T
 	engine    *engine.Engine
 	scope     *engine.Scope
-	suspended bool // without authority
+	suspended bool // CanAct returns false
 	lostData  bool
 	late      time.Duration
 	served    []request.Request
@@ -55,7 +55,7 @@
 	l.scope.CallStore(kv.Request{Op: kv.Txn, Conditions: more}, f)
 }
 
-// What the lower parts ask of the leader.
+// Methods that the embedded components require of the leader.
 func (l *leader) AllAccounted() bool                          { return true }
 func (l *leader) CancelSafeAt() time.Time                     { return l.engine.Now }
 func (l *leader) RequestDispatch(*fleet.Machine)              {}
@@ -111,7 +111,7 @@
 	return l
 }
 
-// submit serves a submission and returns the record that is sent for it.
+// submit serves a submission and returns the store request that writes its record.
 func (l *leader) submit() kv.Request {
 	l.t.Helper()
 	l.Admitter.Serve(submission(1))
@@ -124,12 +124,14 @@
 	return request.Request{Ref: ref, Op: request.Submit, ID: "wk-1", Spec: job}
 }
 
+// pass advances the clock, runs the due timers and flushes queued writes.
 func (l *leader) pass(d time.Duration) {
 	l.engine.Begin(l.engine.Now.Add(d))
 	l.engine.RunTimers()
 	l.Writes.Flush()
 }
 
+// take removes and returns all outputs of type T.
 func take[T any](l *leader) (found []T) {
 	for _, out := range l.engine.Outputs {
 		if x, ok := out.(T); ok {
@@ -140,23 +142,24 @@
 	return found
 }
 
-// sent returns the one request to the store.
+// sent returns the only request sent to the store, and fails the test if there is not one.
 func (l *leader) sent() kv.Request {
 	l.t.Helper()
 	calls := take[kv.Request](l)
 	if len(calls) != 1 {
-		l.t.Fatalf("%d requests to the store, want one: %+v", len(calls), calls)
+		l.t.Fatalf("got %d requests to the store, want 1: %+v", len(calls), calls)
 	}
 	return calls[0]
 }
 
-// reply answers the one request to the store.
+// reply responds to the only request sent to the store.
 func (l *leader) reply(r kv.Response) {
 	l.t.Helper()
 	r.Ref = l.sent().Ref
 	l.engine.HandleStore(r)
 }
 
+// found responds to the only store request with an entry.
 func (l *leader) found(key string, value any) {
 	l.t.Helper()
 	l.reply(kv.Response{Outcome: rpc.OK, Rev: 60, Entries: []kv.Entry{{Key: key, Value: value, Rev: 60}}})
@@ -169,32 +172,32 @@
 		got = append(got, a.Status)
 	}
 	if !slices.Equal(got, statuses) {
-		l.t.Errorf("answers %v, want %v", got, statuses)
+		l.t.Errorf("response statuses %v, want %v", got, statuses)
 	}
 }
 
 func recorded() *record.Job { return &record.Job{Spec: *submission(1).Spec} }
 
-// TestSubmission: nobody is told of a job before its record is committed, which is written on
-// the condition that it has none.
+// TestSubmission checks that clients are told of a job only after its record is committed, and
+// that the write requires that the job has no record yet.
 func TestSubmission(t *testing.T) {
 	l := newLeader(t, "false")
 	call := l.submit()
 	for _, want := range record.NoJob("wk-1") {
 		if !slices.Contains(call.Conditions, want) {
-			t.Errorf("no condition %+v", want)
+			t.Errorf("write lacks the condition %+v", want)
 		}
 	}
 	if len(call.Writes) != 1 || call.Writes[0].Key != liveKey {
-		t.Errorf("%+v", call.Writes)
+		t.Errorf("writes %+v, want one of the live record", call.Writes)
 	}
 	l.Admitter.Serve(submission(2))
 	l.Admitter.Serve(request.Request{Ref: 3, Op: request.Get, ID: "wk-1"})
-	l.wantAnswers(503) // to the poll
+	l.wantAnswers(503) // to the Get request
 	l.engine.HandleStore(kv.Response{Ref: call.Ref, Outcome: rpc.OK, Rev: 60})
 	l.wantAnswers(201, 201)
 	if !slices.Equal(l.added, []string{"wk-1"}) || l.Lifecycle.Jobs["wk-1"].Waiting != 3 {
-		t.Errorf("added %q", l.added)
+		t.Errorf("added jobs %q, want wk-1 with 3 waiting tasks", l.added)
 	}
 }
 
@@ -209,10 +212,10 @@
 	t.Run("live", func(t *testing.T) {
 		l := conflict(t)
 		l.found(liveKey, recorded())
-		l.found(liveKey, recorded()) // read again to be taken on
+		l.found(liveKey, recorded()) // second read, to adopt the job
 		l.wantAnswers(200)
 		if l.Lifecycle.Jobs["wk-1"] == nil {
-			t.Error("not taken on")
+			t.Error("job was not adopted")
 		}
 	})
 	t.Run("over", func(t *testing.T) {
@@ -221,7 +224,7 @@
 		l.found(finalKey, &record.Final{State: spec.Done, Done: 3})
 		l.wantAnswers(200)
 		if l.Lifecycle.Jobs["wk-1"] != nil {
-			t.Error("taken on")
+			t.Error("ended job was adopted")
 		}
 	})
 	t.Run("store does not answer", func(t *testing.T) {
@@ -239,12 +242,13 @@
 		l.scope.Close()
 		l.found(liveKey, recorded())
 		if calls := take[kv.Request](l); len(calls) != 0 {
-			t.Errorf("%+v", calls)
+			t.Errorf("requests to the store after the leadership ended: %+v", calls)
 		}
 	})
 }
 
-// TestRefusals: a refusal has to be confirmed by the records.
+// TestRefusals checks that a job is rejected only after the store has confirmed that it has no
+// record of it.
 func TestRefusals(t *testing.T) {
 	never := func(r *request.Request) { r.Spec.CPUs = 9 }
 	dated := func(r *request.Request) { r.Spec.HasDeadline = true }
@@ -273,7 +277,7 @@
 			}
 			answers := take[request.Response](l)
 			if len(answers) != 1 || answers[0].Status != test.status || answers[0].RetryAfter != test.retry {
-				t.Errorf("%+v", answers)
+				t.Errorf("unexpected responses %+v", answers)
 			}
 		})
 	}
@@ -285,7 +289,7 @@
 		l.found(liveKey, recorded())
 		l.found(liveKey, recorded())
 		if l.Lifecycle.Jobs["wk-1"] == nil || len(l.served) != 1 {
-			t.Errorf("not taken on, or served %d times", len(l.served))
+			t.Errorf("job was not adopted, or served %d times, want 1", len(l.served))
 		}
 		l.wantAnswers()
 	})
@@ -299,10 +303,10 @@
 	})
 }
 
-const noteKey = record.LeaderlessPrefix + "wk-1"
+const markerKey = record.LeaderlessPrefix + "wk-1"
 
-// watchNote returns a leader that has just read a note.
-func watchNote(t *testing.T, key string) *leader {
+// watchMarker returns a leader that has just read a leaderless marker with the given key.
+func watchMarker(t *testing.T, key string) *leader {
 	t.Helper()
 	l := newLeader(t, "false")
 	l.WatchLeaderless()
@@ -310,60 +314,61 @@
 	return l
 }
 
-// drops reports whether the key is being deleted.
-func (l *leader) drops(key string) bool {
+// deletes reports whether a request that deletes the key has been sent.
+func (l *leader) deletes(key string) bool {
 	l.Writes.Flush()
 	return slices.ContainsFunc(take[kv.Request](l), func(call kv.Request) bool {
 		return slices.Contains(call.Writes, kv.Write{Key: key})
 	})
 }
 
-// TestLeaderlessNotes: the jobs that notes name are taken on and their notes dropped, except
-// while it is not known what there is.
-func TestLeaderlessNotes(t *testing.T) {
+// TestLeaderlessMarkers checks that jobs named by leaderless markers are adopted and their
+// markers deleted, and that a marker is kept while the state of its job cannot be read.
+func TestLeaderlessMarkers(t *testing.T) {
 	t.Run("live", func(t *testing.T) {
-		l := watchNote(t, noteKey)
+		l := watchMarker(t, markerKey)
 		l.found(liveKey, recorded())
-		if l.Lifecycle.Jobs["wk-1"] == nil || !l.drops(noteKey) {
-			t.Error("not taken on, or its note not dropped")
+		if l.Lifecycle.Jobs["wk-1"] == nil || !l.deletes(markerKey) {
+			t.Error("job was not adopted, or its marker not deleted")
 		}
 	})
 	t.Run("over", func(t *testing.T) {
-		l := watchNote(t, noteKey)
+		l := watchMarker(t, markerKey)
 		l.reply(kv.Response{Outcome: rpc.NotFound})
 		l.reply(kv.Response{Outcome: rpc.NotFound})
 		l.found(finalKey, &record.Final{State: spec.Done})
-		if !l.drops(noteKey) {
-			t.Error("note not dropped")
+		if !l.deletes(markerKey) {
+			t.Error("marker was not deleted")
 		}
 	})
 	t.Run("not known", func(t *testing.T) {
-		l := watchNote(t, noteKey)
+		l := watchMarker(t, markerKey)
 		l.reply(kv.Response{Outcome: rpc.Unknown})
 		l.reply(kv.Response{Outcome: rpc.Unknown})
-		if l.drops(noteKey) {
-			t.Error("note dropped")
+		if l.deletes(markerKey) {
+			t.Error("marker was deleted")
 		}
 	})
 	t.Run("unreadable", func(t *testing.T) {
 		key := record.LeaderlessPrefix + "unreadable"
-		if l := watchNote(t, key); !l.drops(key) {
-			t.Error("note not dropped")
+		if l := watchMarker(t, key); !l.deletes(key) {
+			t.Error("marker was not deleted")
 		}
 	})
 }
 
-// TestWatchLeaderless: without a note it waits for one, from the revision of the list on.
+// TestWatchLeaderless checks that an empty list is followed by a watch from the revision of
+// the list.
 func TestWatchLeaderless(t *testing.T) {
 	l := newLeader(t, "false")
 	l.WatchLeaderless()
 	l.reply(kv.Response{Outcome: rpc.OK, Rev: 60})
 	watch := l.sent()
 	if watch.Op != kv.Watch || watch.Key != record.LeaderlessPrefix || watch.FromRev != 60 {
-		t.Fatalf("%+v", watch)
+		t.Fatalf("request %+v, want a watch of the markers from revision 60", watch)
 	}
 	l.engine.HandleStore(kv.Response{Ref: watch.Ref, Outcome: rpc.OK, Rev: 61})
 	if call := l.sent(); call.Op != kv.List {
-		t.Errorf("%+v", call)
+		t.Errorf("request %+v after a change, want a list", call)
 	}
 }
--- a/internal/admission/records.go
+++ b/internal/admission/records.go
@@ -11,22 +11,23 @@
 	"yewpass/internal/writebatch"
 )
 
-// serveFromRecords answers by the records, or with the given answer if there are none.
-func (a *Admitter) serveFromRecords(r request.Request, otherwise request.Response) {
-	a.answerFromRecords(r, func() { a.answer(r, otherwise) })
+// serveFromStore responds with the stored state of a job, or with ifMissing if the store has
+// no record of it.
+func (a *Admitter) serveFromStore(r request.Request, ifMissing request.Response) {
+	a.answerFromStore(r, func() { a.answer(r, ifMissing) })
 }
 
-// answerFromRecords answers by the records, or calls missing for a job that has none. A
-// record that memory does not have is an acceptance whose write was applied after it had
-// been given up, or one without a leader: the job is taken on.
-func (a *Admitter) answerFromRecords(r request.Request, missing func()) {
-	no := func() { a.answer(r, request.Unavailable(unanswered)) }
+// answerFromStore responds with the stored state of a job, or calls missing if the store has
+// no record of it. A live record that is not in memory belongs to a job whose write was
+// applied after it had been given up, or that was accepted without a leader; it is adopted.
+func (a *Admitter) answerFromStore(r request.Request, missing func()) {
+	unavailable := func() { a.answer(r, request.Unavailable(storeUnavailable)) }
 	a.Lifecycle.Store.Read(r.ID, func(status *request.JobStatus, known bool) {
 		switch {
 		case a.scope.Closed() || !a.leader.CanAct() || !known:
-			no()
+			unavailable()
 		case a.Lifecycle.Jobs[r.ID] != nil || a.pending[r.ID] != nil:
-			a.leader.Serve(r) // accepted since the read began, which saw nothing of it
+			a.leader.Serve(r) // accepted since the read was sent
 		case status == nil && a.leader.MayHaveLostJobs():
 			a.answer(r, request.Unavailable("data was lost, and what there is is being looked for"))
 		case status == nil:
@@ -34,22 +35,23 @@
 				if reply.Outcome == rpc.OK && a.leader.CanAct() {
 					missing()
 				} else {
-					no()
+					unavailable()
 				}
 			})
 		case status.State.Final():
 			a.answer(r, request.Response{Status: 200, View: *status})
 		default:
-			a.adopt(r.ID, func() { a.leader.Serve(r) }, no)
+			a.adopt(r.ID, func() { a.leader.Serve(r) }, unavailable)
 		}
 	})
 }
 
-// adopt takes on a job whose record exists but which memory lacks.
-func (a *Admitter) adopt(id string, then, otherwise func()) {
+// adopt reads the live record of a job that is not in memory and adds the job. It calls
+// onAdopted if the job is in memory afterwards, otherwise onFailure.
+func (a *Admitter) adopt(id string, onAdopted, onFailure func()) {
 	a.scope.CallStore(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, func(reply kv.Response) {
 		if reply.Outcome != rpc.OK {
-			otherwise()
+			onFailure()
 			return
 		}
 		a.Replicas.PutRead(reply.Entries[0])
@@ -58,60 +60,61 @@
 			delete(a.pending, id)
 			j := a.Lifecycle.Add(rec, false)
 			a.Lifecycle.Queue(j)
-			if s != nil { // accepted by another controller meanwhile: nobody else tells them
+			if s != nil { // another controller wrote the record; no callback responds to the waiters
 				a.answerWaiters(s, request.Response{Status: 200, View: j.View()})
 			}
 		}
 		if a.Lifecycle.Jobs[id] == nil {
-			otherwise()
+			onFailure()
 			return
 		}
-		then()
+		onAdopted()
 	})
 }
 
-// leaderlessPageSize is how many notes of jobs accepted without a leader are read at once.
-const leaderlessPageSize = 200
+// markerPageSize is the number of leaderless markers read per list request.
+const markerPageSize = 200
 
-// WatchLeaderless follows the notes of jobs that controllers accept without a leader, and
-// takes the jobs on.
+// WatchLeaderless lists and then watches the markers that controllers write for jobs accepted
+// without a leader, and adopts those jobs. It runs until the scope is closed.
 func (a *Admitter) WatchLeaderless() {
-	again := func() { a.scope.After(a.engine.Jitter(time.Second), a.WatchLeaderless) }
-	a.scope.CallStore(kv.Request{Op: kv.List, Key: record.LeaderlessPrefix, Limit: leaderlessPageSize}, func(reply kv.Response) {
+	retry := func() { a.scope.After(a.engine.Jitter(time.Second), a.WatchLeaderless) }
+	a.scope.CallStore(kv.Request{Op: kv.List, Key: record.LeaderlessPrefix, Limit: markerPageSize}, func(reply kv.Response) {
 		switch {
 		case reply.Outcome != rpc.OK:
-			again()
+			retry()
 		case len(reply.Entries) > 0:
 			for _, e := range reply.Entries {
 				a.AdoptLeaderless(e.Key)
 			}
-			again()
+			retry()
 		default:
 			a.scope.CallStore(kv.WatchPrefix(record.LeaderlessPrefix, reply.Rev), func(change kv.Response) {
 				if change.Outcome == rpc.OK {
 					a.WatchLeaderless()
 				} else {
-					again()
+					retry()
 				}
 			})
 		}
 	})
 }
 
-// AdoptLeaderless takes on the job that a note names, and drops the note.
+// AdoptLeaderless adopts the job that a leaderless marker names and deletes the marker. The
+// marker is kept if the state of the job cannot be read.
 func (a *Admitter) AdoptLeaderless(key string) {
 	id := strings.TrimPrefix(key, record.LeaderlessPrefix)
-	drop := func() {
+	deleteMarker := func() {
 		a.Writes.Add(&writebatch.Change{Priority: writebatch.Bulk, Writes: []kv.Write{{Key: key}}})
 	}
 	if a.Lifecycle.Jobs[id] != nil || a.leader.Unreadable(id) {
-		drop()
+		deleteMarker()
 		return
 	}
-	a.adopt(id, drop, func() {
+	a.adopt(id, deleteMarker, func() {
 		a.Lifecycle.Store.Read(id, func(status *request.JobStatus, known bool) {
 			if !a.scope.Closed() && known && (status == nil || status.State.Final()) {
-				drop() // it is over already
+				deleteMarker() // the job has ended or was never recorded
 			}
 		})
 	})
--- a/internal/admission/unschedulable.go
+++ b/internal/admission/unschedulable.go
@@ -1,5 +1,5 @@
-// Package admission decides which submitted jobs the leader accepts, and takes accepted
-// jobs into their records.
+// Package admission validates submitted jobs on the leader and writes the records of accepted
+// jobs to the key-value store.
 package admission
 
 import (
@@ -12,19 +12,20 @@
 
 // Refusal is why a job can never be scheduled.
 type Refusal struct {
-	Field  string // of the job's description, by its wire name
+	Field  string // wire name of the invalid field of the job description
 	Reason string
 }
 
-// Response returns the answer to the user whose job is refused.
+// Response returns the response to the client, with status 422.
 func (r *Refusal) Response() request.Response { return request.Unprocessable(r.Field, r.Reason) }
 
-// TooLong is the answer to a submission whose record would not fit into a value of the
-// key-value store, now or at any later time.
-var TooLong = request.Response{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
+// SpecTooLarge is the response to a submission whose record exceeds the maximum size of a
+// value in the key-value store.
+var SpecTooLarge = request.Response{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
 
-// CheckSchedulable returns why a job can never be scheduled, or nil. The team is that of
-// the job's owner, nil if there is none; the types are those that the cloud offers.
+// CheckSchedulable returns why a job can never be scheduled, or nil. team is the account of
+// the job's owner, nil if the team does not exist; types are the instance types that the cloud
+// offers.
 func CheckSchedulable(job *spec.Job, team *quota.Account, types []provider.InstanceType) *Refusal {
 	if refusal := checkTeam(job, team); refusal != nil {
 		return refusal
@@ -54,8 +55,8 @@
 	return &Refusal{field, "the job needs more than the limit of team " + job.Owner}
 }
 
-// checkInstanceTypes looks for a type that a task of the job fits. Without one it blames
-// the field that rules out the last of the allowed types in the job's zone.
+// checkInstanceTypes checks that a task of the job fits on some instance type. If none fits,
+// the refusal names the field that rules out the last of the allowed types in the job's zone.
 func checkInstanceTypes(job *spec.Job, types []provider.InstanceType) *Refusal {
 	need, field := job.Need(), "flavors"
 	for i := range types {
--- a/internal/admission/unschedulable_test.go
+++ b/internal/admission/unschedulable_test.go
@@ -53,9 +53,9 @@
 			switch {
 			case refusal == nil && test.field == "":
 			case refusal == nil:
-				t.Errorf("accepted, want a refusal by %s", test.field)
+				t.Errorf("job accepted, want a refusal of field %s", test.field)
 			case refusal.Field != test.field:
-				t.Errorf("refused by %s (%s), want %q", refusal.Field, refusal.Reason, test.field)
+				t.Errorf("refused field %s (%s), want %q", refusal.Field, refusal.Reason, test.field)
 			case refusal.Response().Status != 422 || refusal.Response().Reason != refusal.Field+": "+refusal.Reason:
 				t.Errorf("response %+v", refusal.Response())
 			}
--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -26,8 +26,8 @@
 	CompleteTask(j *fleet.Job, index int)
 	// Requeue makes a task of the job wait again.
 	Requeue(j *fleet.Job, index int)
-	// FinishIfOver records the end of the job if it is over.
-	FinishIfOver(j *fleet.Job)
+	// FinishIfEnded records the end of the job if it is over.
+	FinishIfEnded(j *fleet.Job)
 }
 
 // Tracker follows the attempts of one term.
@@ -57,7 +57,7 @@
 	}
 	a.FoundRunning = task.Phase != heartbeat.Pulling
 	if j != nil {
-		t.replaceEarlier(a, j)
+		t.supersedeEarlier(a, j)
 	}
 	if j != nil && !j.Done.Has(a.ID.Index) && j.Attempts[a.ID.Index] == nil {
 		t.placement.Occupy(a, j)
@@ -75,10 +75,10 @@
 	return a
 }
 
-// replaceEarlier has an earlier attempt of the task stopped that is taken to be on another
+// supersedeEarlier has an earlier attempt of the task stopped that is taken to be on another
 // machine. A later attempt was only ordered once the earlier one was surely gone: what
 // reported that one was late, and the later one is the one that runs.
-func (t *Tracker) replaceEarlier(a *fleet.Attempt, j *fleet.Job) {
+func (t *Tracker) supersedeEarlier(a *fleet.Attempt, j *fleet.Job) {
 	earlier := j.Attempts[a.ID.Index]
 	if earlier != nil && earlier.Machine != a.Machine && earlier.Number < a.Number {
 		t.placement.Vacate(earlier)
@@ -104,7 +104,7 @@
 	if held {
 		t.jobs.Requeue(a.Job, a.ID.Index)
 		if a.Job.Cancelled {
-			t.jobs.FinishIfOver(a.Job)
+			t.jobs.FinishIfEnded(a.Job)
 		}
 	}
 }
@@ -118,14 +118,14 @@
 		a.Machine.UnlistedStarts = 0
 	}
 	if task.Phase == heartbeat.Exited {
-		t.exited(a, task.Cause)
+		t.onExit(a, task.Cause)
 	} else {
-		t.present(a, task.Phase)
+		t.onListed(a, task.Phase)
 	}
 }
 
-// present takes in that a task is on its machine.
-func (t *Tracker) present(a *fleet.Attempt, phase heartbeat.Phase) {
+// onListed takes in that a task is on its machine.
+func (t *Tracker) onListed(a *fleet.Attempt, phase heartbeat.Phase) {
 	if phase == heartbeat.TaskRuns && a.Phase != heartbeat.TaskRuns {
 		a.StartedAt = t.engine.Now
 		if a.Job != nil {
@@ -140,20 +140,20 @@
 	}
 }
 
-// exited takes in that a task has ended.
-func (t *Tracker) exited(a *fleet.Attempt, cause string) {
+// onExit takes in that a task has ended.
+func (t *Tracker) onExit(a *fleet.Attempt, cause string) {
 	was, held := a.Phase, a.Occupies
 	a.Phase = heartbeat.Exited
 	t.placement.Vacate(a)
 	if cause == heartbeat.CauseDone {
-		t.completed(a, was, held)
+		t.onCompleted(a, was, held)
 	} else {
-		t.failed(a, cause, held)
+		t.onFailed(a, cause, held)
 	}
 }
 
-// completed follows when a task is done. held says whether it counted against its job.
-func (t *Tracker) completed(a *fleet.Attempt, was heartbeat.Phase, held bool) {
+// onCompleted follows when a task is done. held says whether it counted against its job.
+func (t *Tracker) onCompleted(a *fleet.Attempt, was heartbeat.Phase, held bool) {
 	m, j := a.Machine, a.Job
 	m.FailureScore, m.OnProbation = 0, false
 	if j == nil {
@@ -174,7 +174,7 @@
 		t.jobs.CompleteTask(j, a.ID.Index)
 	case held && j.Cancelled:
 		a.Forgettable = true
-		t.jobs.FinishIfOver(j)
+		t.jobs.FinishIfEnded(j)
 	}
 }
 
@@ -186,8 +186,8 @@
 	unknownTaskDelay = 2 * time.Second
 )
 
-// failed follows when a task has ended without being done.
-func (t *Tracker) failed(a *fleet.Attempt, cause string, held bool) {
+// onFailed follows when a task has ended without being done.
+func (t *Tracker) onFailed(a *fleet.Attempt, cause string, held bool) {
 	m, j := a.Machine, a.Job
 	a.Forgettable = true
 	if j == nil {
@@ -202,14 +202,14 @@
 		j.RetryAt = t.engine.Now.Add(unknownTaskDelay)
 	}
 	if j.Cancelled {
-		t.jobs.FinishIfOver(j)
+		t.jobs.FinishIfEnded(j)
 	} else if held {
 		t.jobs.Requeue(j, a.ID.Index)
 	}
 }
 
-// quarantineScore is the failure score from which on a machine gets no more tasks.
-const quarantineScore = 4
+// quarantineThreshold is the failure score from which on a machine gets no more tasks.
+const quarantineThreshold = 4
 
 // recordFailure weighs a failed task: the machine is at fault when jobs fail on it that run
 // elsewhere, the job when it fails wherever it goes.
@@ -231,7 +231,7 @@
 		j.RetryAt = t.engine.Now.Add(wait)
 		t.engine.Log(slog.LevelDebug, "job fails repeatedly, backing off", "job", j.Spec.ID, "failures", j.Failures, "wait", wait)
 	}
-	if m.FailureScore >= quarantineScore && !m.Quarantined {
+	if m.FailureScore >= quarantineThreshold && !m.Quarantined {
 		m.Quarantined = true
 		t.engine.Log(slog.LevelWarn, "machine quarantined", "machine", m.Host, "type", m.TypeName, "reason", "tasks fail on it that run elsewhere")
 		t.placement.DropMachineReservations(m)
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -23,7 +23,7 @@
 type fakeLeader struct {
 	jobs       map[string]*fleet.Job
 	unreadable map[string]bool
-	log        []string // what was asked of the jobs
+	calls      []string // what was asked of the jobs
 }
 
 func (l *fakeLeader) CanAct() bool                      { return true }
@@ -33,26 +33,26 @@
 func (l *fakeLeader) DispatchAll()                      {}
 func (l *fakeLeader) Backlog() (time.Duration, float64) { return 0, 0 }
 
-func (l *fakeLeader) note(format string, args ...any) {
-	l.log = append(l.log, fmt.Sprintf(format, args...))
+func (l *fakeLeader) record(format string, args ...any) {
+	l.calls = append(l.calls, fmt.Sprintf(format, args...))
 }
 
 func (l *fakeLeader) Find(id string) *fleet.Job        { return l.jobs[id] }
 func (l *fakeLeader) Unreadable(id string) bool        { return l.unreadable[id] }
-func (l *fakeLeader) TaskStarted(*fleet.Job)           { l.note("started") }
-func (l *fakeLeader) CompleteTask(_ *fleet.Job, i int) { l.note("complete %d", i) }
-func (l *fakeLeader) Requeue(_ *fleet.Job, i int)      { l.note("requeue %d", i) }
-func (l *fakeLeader) FinishIfOver(*fleet.Job)          { l.note("finish") }
-func (l *fakeLeader) logged(t *testing.T, want ...string) {
+func (l *fakeLeader) TaskStarted(*fleet.Job)           { l.record("started") }
+func (l *fakeLeader) CompleteTask(_ *fleet.Job, i int) { l.record("complete %d", i) }
+func (l *fakeLeader) Requeue(_ *fleet.Job, i int)      { l.record("requeue %d", i) }
+func (l *fakeLeader) FinishIfEnded(*fleet.Job)         { l.record("finish") }
+func (l *fakeLeader) wantCalls(t *testing.T, want ...string) {
 	t.Helper()
-	if fmt.Sprint(l.log) != fmt.Sprint(want) {
-		t.Errorf("asked of the jobs: %q, want %q", l.log, want)
+	if fmt.Sprint(l.calls) != fmt.Sprint(want) {
+		t.Errorf("asked of the jobs: %q, want %q", l.calls, want)
 	}
-	l.log = nil
+	l.calls = nil
 }
 
-// world is a tracker with one job of four tasks.
-type world struct {
+// fixture is a tracker with one job of four tasks.
+type fixture struct {
 	*Tracker
 	leader    *fakeLeader
 	engine    *engine.Engine
@@ -60,7 +60,7 @@
 	job       *fleet.Job
 }
 
-func newWorld(t *testing.T) *world {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	e := engine.New(rand.New(rand.NewPCG(1, 1)), 1)
 	e.Now = t0
@@ -71,7 +71,7 @@
 	j.Need = j.Spec.Need()
 	l := &fakeLeader{jobs: map[string]*fleet.Job{"wk-1": j}, unreadable: map[string]bool{}}
 	p := placement.New(e, e.NewScope(), &config.Config{}, l, 1)
-	return &world{Tracker: New(e, p, l), leader: l, engine: e, placement: p, job: j}
+	return &fixture{Tracker: New(e, p, l), leader: l, engine: e, placement: p, job: j}
 }
 
 func newMachine(host string) *fleet.Machine {
@@ -86,42 +86,42 @@
 }
 
 // run has a task of the job run on the machine.
-func (w *world) run(m *fleet.Machine, index int, try uint64) *fleet.Attempt {
+func (w *fixture) run(m *fleet.Machine, index int, try uint64) *fleet.Attempt {
 	a := w.Adopt(m, task(index, try, heartbeat.Pulling, ""))
 	w.Update(a, task(index, try, heartbeat.TaskRuns, ""))
-	w.leader.log = nil
+	w.leader.calls = nil
 	return a
 }
 
 func TestAdopt(t *testing.T) {
 	t.Run("waited for", func(t *testing.T) {
-		w, m := newWorld(t), newMachine("h1")
+		w, m := newFixture(t), newMachine("h1")
 		a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
 		if a.StopRequested || !a.Occupies || !a.FoundRunning || w.job.Attempts[1] != a || m.Allocated != w.job.Need {
 			t.Errorf("%+v", a)
 		}
 	})
 	t.Run("exited", func(t *testing.T) {
-		w, m := newWorld(t), newMachine("h1")
+		w, m := newFixture(t), newMachine("h1")
 		if a := w.Adopt(m, task(1, 1, heartbeat.Exited, heartbeat.CauseDone)); a.Job != w.job || a.Occupies || a.StopRequested {
 			t.Errorf("%+v", a)
 		}
 	})
 	t.Run("done already", func(t *testing.T) {
-		w, m := newWorld(t), newMachine("h1")
+		w, m := newFixture(t), newMachine("h1")
 		w.job.Done.Add(1)
 		if a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Occupies || a.Job != nil {
 			t.Errorf("%+v", a)
 		}
 	})
 	t.Run("no such task", func(t *testing.T) {
-		w, m := newWorld(t), newMachine("h1")
+		w, m := newFixture(t), newMachine("h1")
 		if a := w.Adopt(m, task(4, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Orphaned || a.Occupies {
 			t.Errorf("%+v", a)
 		}
 	})
 	t.Run("unreadable job", func(t *testing.T) {
-		w, m := newWorld(t), newMachine("h1")
+		w, m := newFixture(t), newMachine("h1")
 		delete(w.leader.jobs, "wk-1")
 		w.leader.unreadable["wk-1"] = true
 		a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
@@ -133,7 +133,7 @@
 		}
 	})
 	t.Run("later attempt", func(t *testing.T) {
-		w, m := newWorld(t), newMachine("h1")
+		w, m := newFixture(t), newMachine("h1")
 		earlier := w.run(newMachine("h2"), 1, 1)
 		a := w.Adopt(m, task(1, 2, heartbeat.TaskRuns, ""))
 		if !earlier.StopRequested || earlier.Occupies || a.StopRequested || !a.Occupies {
@@ -141,7 +141,7 @@
 		}
 	})
 	t.Run("earlier attempt", func(t *testing.T) {
-		w, m := newWorld(t), newMachine("h1")
+		w, m := newFixture(t), newMachine("h1")
 		later := w.run(newMachine("h2"), 1, 2)
 		a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
 		if later.StopRequested || !later.Occupies || !a.StopRequested || a.Occupies {
@@ -151,26 +151,26 @@
 }
 
 func TestUpdate(t *testing.T) {
-	w, m := newWorld(t), newMachine("h1")
+	w, m := newFixture(t), newMachine("h1")
 	a := w.Adopt(m, task(1, 1, heartbeat.Pulling, ""))
 	w.Update(a, task(1, 1, heartbeat.Pulling, ""))
-	w.leader.logged(t)
+	w.leader.wantCalls(t)
 	w.engine.Now = t0.Add(time.Second)
 	w.Update(a, task(1, 1, heartbeat.TaskRuns, ""))
-	w.leader.logged(t, "started")
+	w.leader.wantCalls(t, "started")
 	if !a.StartedAt.Equal(w.engine.Now) || !m.Images.Contains("img") || w.job.Running != 1 {
 		t.Errorf("%+v", a)
 	}
 	w.Update(a, task(1, 1, heartbeat.Checkpointing, ""))
-	w.leader.logged(t)
+	w.leader.wantCalls(t)
 	w.engine.Now = t0.Add(21 * time.Second)
 	w.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
-	w.leader.logged(t, "complete 1")
+	w.leader.wantCalls(t, "complete 1")
 	if w.job.Running != 0 || a.Occupies || m.Allocated != (timeline.Resources{}) || a.Forgettable || len(w.job.Completed) != 1 {
 		t.Errorf("%+v", a)
 	}
 	w.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseError))
-	w.leader.logged(t) // an attempt ends once
+	w.leader.wantCalls(t) // an attempt ends once
 }
 
 // TestRuntime: how long a task ran is known only of one that was seen to begin and to end while
@@ -186,7 +186,7 @@
 		{"checkpointing at last", heartbeat.Pulling, heartbeat.Checkpointing, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w, m := newWorld(t), newMachine("h1")
+			w, m := newFixture(t), newMachine("h1")
 			a := w.Adopt(m, task(1, 1, test.first, ""))
 			w.Update(a, task(1, 1, heartbeat.TaskRuns, ""))
 			w.Update(a, task(1, 1, test.last, ""))
@@ -216,36 +216,36 @@
 		{name: "no room", cause: heartbeat.CauseNoRoom, want: []string{"requeue 1"}, forgettable: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w, m := newWorld(t), newMachine("h1")
+			w, m := newFixture(t), newMachine("h1")
 			a := w.run(m, 1, 1)
 			if test.prepare != nil {
 				test.prepare(w.job)
 			}
 			w.Update(a, task(1, 1, heartbeat.Exited, test.cause))
-			w.leader.logged(t, test.want...)
+			w.leader.wantCalls(t, test.want...)
 			if a.Forgettable != test.forgettable || a.Occupies {
 				t.Errorf("%+v", a)
 			}
 		})
 	}
 	t.Run("job forgotten", func(t *testing.T) {
-		w, m := newWorld(t), newMachine("h1")
+		w, m := newFixture(t), newMachine("h1")
 		a := w.run(m, 1, 1)
 		delete(w.leader.jobs, "wk-1")
 		w.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
-		if w.leader.logged(t); !a.Forgettable {
+		if w.leader.wantCalls(t); !a.Forgettable {
 			t.Error("to be kept for nobody")
 		}
 	})
 }
 
 func TestDropAll(t *testing.T) {
-	w, m := newWorld(t), newMachine("h1")
+	w, m := newFixture(t), newMachine("h1")
 	w.run(m, 1, 1)
 	w.run(m, 2, 2)
 	w.job.Cancelled = true
 	w.DropAll(m)
-	w.leader.logged(t, "requeue 1", "finish", "requeue 2", "finish")
+	w.leader.wantCalls(t, "requeue 1", "finish", "requeue 2", "finish")
 	if len(m.Attempts) != 0 || len(w.job.Attempts) != 0 || m.Allocated != (timeline.Resources{}) {
 		t.Errorf("%d attempts are left", len(m.Attempts))
 	}
@@ -254,7 +254,7 @@
 // TestFailures: a machine on which a job fails that runs elsewhere is quarantined soon, and a job
 // that fails on several machines and never completed is held back.
 func TestFailures(t *testing.T) {
-	w, m := newWorld(t), newMachine("h1")
+	w, m := newFixture(t), newMachine("h1")
 	w.job.AnyCompleted = true
 	fail := func(m *fleet.Machine, try uint64) {
 		a := w.run(m, 1, try)
@@ -269,7 +269,7 @@
 	if !w.job.RetryAt.IsZero() {
 		t.Error("the job is held back for a machine's fault")
 	}
-	w = newWorld(t)
+	w = newFixture(t)
 	if fail(newMachine("h1"), 1); !w.job.RetryAt.IsZero() {
 		t.Error("held back after one failure")
 	}
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -25,5 +25,5 @@
 // Requeue implements attempts.Jobs.
 func (a attemptJobs) Requeue(j *fleet.Job, index int) { a.core.leadership.lifecycle.Requeue(j, index) }
 
-// FinishIfOver implements attempts.Jobs.
-func (a attemptJobs) FinishIfOver(j *fleet.Job) { a.core.leadership.lifecycle.FinishIfOver(j) }
+// FinishIfEnded implements attempts.Jobs.
+func (a attemptJobs) FinishIfEnded(j *fleet.Job) { a.core.leadership.lifecycle.FinishIfEnded(j) }
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -65,7 +65,7 @@
 	for _, m := range l.inventory.Machines() {
 		if t := l.autoscaler.InstanceType(m.TypeName); m.InstanceType == nil {
 			c.leadership.inventory.SetInstanceType(m)
-			l.dispatcher.RequestAll()
+			l.dispatcher.EnqueueAll()
 		} else if t != nil {
 			m.InstanceType = t
 		}
@@ -90,7 +90,7 @@
 	if m == nil {
 		m = c.leadership.inventory.Ensure(x.Host, x.InstanceType, x.Zone, x.Spot)
 		setRentedAt(m, c.Now.Add(-x.Age))
-		l.dispatcher.RequestAll()
+		l.dispatcher.EnqueueAll()
 	}
 	if x.Status == "failed" && !m.Releasing {
 		c.Log(slog.LevelWarn, "machine failed", "machine", x.Host)
@@ -128,4 +128,4 @@
 }
 
 // Dispatch implements autoscaler.Inventory.
-func (i autoscalerInventory) Dispatch() { i.c.leadership.dispatcher.RequestAll() }
+func (i autoscalerInventory) Dispatch() { i.c.leadership.dispatcher.EnqueueAll() }
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -33,7 +33,7 @@
 		l.leadership.teams.Configure(t)
 	}
 	l.leadership.placement.Guarantees = l.leadership.teams.AnyGuarantee()
-	l.leadership.dispatcher.RequestAll()
+	l.leadership.dispatcher.EnqueueAll()
 }
 
 // TeamUsage implements configmanager.Leader.
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -28,12 +28,12 @@
 		if m.Record == fleet.Unrecorded {
 			m.Address = rep.Address // a machine keeps it
 		}
-		v = reconcile.Compare(m, in, c.hasAuthority())
+		v = reconcile.Classify(m, in, c.hasAuthority())
 	}
 	switch v {
 	case reconcile.Accepted, reconcile.Resent:
 		c.acceptHeartbeat(m, in, v == reconcile.Resent)
-	case reconcile.Overtaken:
+	case reconcile.Superseded:
 		// Nothing new, but a worker that waits for its reply.
 		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
 		m.LastReply = c.Now
@@ -98,7 +98,7 @@
 		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
 		return
 	}
-	l.dispatcher.Answer(m, in)
+	l.dispatcher.ReplyOrHold(m, in)
 }
 
 // markAccounted notes that no unknown task of an earlier term can be on the machine.
@@ -111,10 +111,10 @@
 		c.Log(slog.LevelInfo, "failover complete", "term", l.term, "after", c.Now.Sub(l.electedAt))
 		for _, j := range l.sortedJobs() {
 			if j.Cancelled {
-				c.leadership.lifecycle.FinishIfOver(j)
+				c.leadership.lifecycle.FinishIfEnded(j)
 			}
 		}
-		l.dispatcher.RequestAll()
+		l.dispatcher.EnqueueAll()
 	}
 }
 
@@ -154,8 +154,8 @@
 	leadership *leadership
 }
 
-// Booted implements reconcile.Leader.
-func (v reconcilerLeader) Booted(instanceType string) { v.leadership.autoscaler.Booted(instanceType) }
+// OnBoot implements reconcile.Leader.
+func (v reconcilerLeader) OnBoot(instanceType string) { v.leadership.autoscaler.Booted(instanceType) }
 
 // MarkAccounted implements reconcile.Leader.
 func (v reconcilerLeader) MarkAccounted(host string) { v.core.markAccounted(host) }
--- a/internal/core/leader_lease.go
+++ b/internal/core/leader_lease.go
@@ -82,7 +82,7 @@
 	}
 	if l.suspended && c.hasAuthority() {
 		l.suspended, l.resumedAt = false, c.Now
-		l.dispatcher.RequestAll()
+		l.dispatcher.EnqueueAll()
 		c.Log(slog.LevelInfo, "leader lease renewed, authority regained", "term", l.term)
 	}
 }
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -35,7 +35,7 @@
 }
 
 // RequestDispatch implements lifecycle.Leader.
-func (a lifecycleLeader) RequestDispatch(m *fleet.Machine) { a.core.leadership.dispatcher.Request(m) }
+func (a lifecycleLeader) RequestDispatch(m *fleet.Machine) { a.core.leadership.dispatcher.Enqueue(m) }
 
 // JobFinished implements lifecycle.Leader.
 func (a lifecycleLeader) JobFinished(j *fleet.Job, state spec.JobState) {
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -143,7 +143,7 @@
 		if s := &r.Job.Spec; s.CheckpointInterval > 0 && (m.InterruptionAt.IsZero() || m.InterruptionAt.Sub(c.Now) > s.CheckpointTime) {
 			r.DrainTime = s.CheckpointTime + time.Second
 		}
-		c.leadership.dispatcher.Request(m)
+		c.leadership.dispatcher.Enqueue(m)
 	}
 }
 
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -27,7 +27,7 @@
 func (r recordsLeader) ReplicateDrop(key string) { r.core.replicateDrop(key) }
 
 // RequestDispatch implements inventory.Leader.
-func (r recordsLeader) RequestDispatch(m *fleet.Machine) { r.leadership.dispatcher.Request(m) }
+func (r recordsLeader) RequestDispatch(m *fleet.Machine) { r.leadership.dispatcher.Enqueue(m) }
 
 // MarkAccounted implements inventory.Leader.
 func (r recordsLeader) MarkAccounted(host string) { r.core.markAccounted(host) }
--- a/internal/core/outages.go
+++ b/internal/core/outages.go
@@ -44,7 +44,7 @@
 }
 
 // DispatchAll implements outage.Leader.
-func (o outageLeader) DispatchAll() { o.c.leadership.dispatcher.RequestAll() }
+func (o outageLeader) DispatchAll() { o.c.leadership.dispatcher.EnqueueAll() }
 
 // Release implements outage.Leader.
 func (o outageLeader) Release(m *fleet.Machine) { o.c.leadership.autoscaler.Release(m) }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -20,7 +20,7 @@
 func (p placementLeader) CanAct() bool { return p.core.canAct() }
 
 // DispatchAll implements placement.Leader.
-func (p placementLeader) DispatchAll() { p.leadership.dispatcher.RequestAll() }
+func (p placementLeader) DispatchAll() { p.leadership.dispatcher.EnqueueAll() }
 
 // Backlog implements placement.Leader.
 func (p placementLeader) Backlog() (work time.Duration, cpus float64) {
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -20,7 +20,7 @@
 		if stop.DrainTime > 0 {
 			r.DrainTime = stop.DrainTime
 		}
-		c.leadership.dispatcher.Request(r.Machine)
+		c.leadership.dispatcher.Enqueue(r.Machine)
 	}
 	if len(stops) > 0 {
 		c.Log(slog.LevelInfo, "preempting tasks over quota", "tasks", len(stops))
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -131,7 +131,7 @@
 // RecordProgress has the progress of one chunk of a job written, if the job is known.
 func (h restoreLeader) RecordProgress(job string, chunk int) {
 	if j := h.l.jobs[job]; j != nil {
-		h.l.lifecycle.RecordProgressSoon(j, chunk*bitset.ChunkSize)
+		h.l.lifecycle.ScheduleProgressWrite(j, chunk*bitset.ChunkSize)
 	}
 }
 
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -74,7 +74,7 @@
 
 // AdmissionRefused implements recurring.Leader.
 func (r recurringLeader) AdmissionRefused(job *spec.Job) (lateness time.Duration, refused bool) {
-	return r.core.leadership.admitter.RefusedForNow(job)
+	return r.core.leadership.admitter.CheckDeadline(job)
 }
 
 // FitsValue implements recurring.Leader.
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -131,7 +131,7 @@
 // rememberFinals takes in how the jobs of a replica have ended.
 func (c *Core) rememberFinals(r *replica.Replica) {
 	for id, final := range replication.Finals(r) {
-		c.jobs.Remember(id, final)
+		c.jobs.CacheFinal(id, final)
 	}
 }
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -42,11 +42,11 @@
 	placement *placement.Scheduler
 	term      uint64
 
-	held      map[fleet.HeartbeatKey]*fleet.Machine // machines whose replies are held
-	pending   []*fleet.Machine                      // see Request
-	all       bool                                  // see RequestAll
-	nextAll   time.Time                             // not before this are all machines looked at again
-	scheduled bool                                  // a timer is set for then
+	held         map[fleet.HeartbeatKey]*fleet.Machine // machines whose replies are held
+	pending      []*fleet.Machine                      // see Request
+	allPending   bool                                  // see RequestAll
+	nextFullPass time.Time                             // not before this are all machines looked at again
+	timerSet     bool                                  // a timer is set for then
 }
 
 // New returns the dispatcher of the term that begins now.
@@ -57,25 +57,25 @@
 	}
 }
 
-// interval bounds how often all held replies are looked at: there is news many times as
+// fullPassInterval bounds how often all held replies are looked at: there is news many times as
 // often on a large fleet, and each time takes a pass over all of it.
-const interval = 40 * time.Millisecond
+const fullPassInterval = 40 * time.Millisecond
 
-// Request has the machine looked at soon if its reply is held, as there may be orders
+// Enqueue has the machine looked at soon if its reply is held, as there may be orders
 // for it.
-func (d *Dispatcher) Request(m *fleet.Machine) {
+func (d *Dispatcher) Enqueue(m *fleet.Machine) {
 	if !m.DispatchPending {
 		m.DispatchPending = true
 		d.pending = append(d.pending, m)
 	}
 }
 
-// RequestAll has all machines looked at soon whose replies are held, as there may be
+// EnqueueAll has all machines looked at soon whose replies are held, as there may be
 // something for any of them to start.
-func (d *Dispatcher) RequestAll() { d.all = true }
+func (d *Dispatcher) EnqueueAll() { d.allPending = true }
 
 // Pending reports whether machines are to be looked at.
-func (d *Dispatcher) Pending() bool { return d.all || len(d.pending) > 0 }
+func (d *Dispatcher) Pending() bool { return d.allPending || len(d.pending) > 0 }
 
 // Run looks at the machines for which there are requests, and answers those for which
 // there are orders.
@@ -86,19 +86,19 @@
 		d.replyIfOrders(m)
 	}
 	d.pending = d.pending[:0]
-	if !d.all {
+	if !d.allPending {
 		return
 	}
 	now := d.engine.Now
-	if now.Before(d.nextAll) {
-		if !d.scheduled {
-			d.scheduled = true
-			d.scope.After(d.nextAll.Sub(now), func() { d.scheduled = false }) // Run follows in the same step
+	if now.Before(d.nextFullPass) {
+		if !d.timerSet {
+			d.timerSet = true
+			d.scope.After(d.nextFullPass.Sub(now), func() { d.timerSet = false }) // Run follows in the same step
 		}
 		return
 	}
-	d.all = false
-	d.nextAll = now.Add(interval)
+	d.allPending = false
+	d.nextFullPass = now.Add(fullPassInterval)
 	for _, m := range d.leader.Machines() {
 		if m.HeldReply == nil || m.Room().CPU <= 0 {
 			continue
@@ -130,12 +130,12 @@
 	for _, a := range m.Attempts {
 		switch {
 		case a.Phase == heartbeat.Exited:
-			if d.mayForget(a) {
+			if d.mayReap(a) {
 				orders = append(orders, heartbeat.Order{Verb: heartbeat.Reap, Task: a.ID, Try: a.Number})
 			}
-		case a.StopRequested || isCancelled(a.Job):
+		case a.StopRequested || isCancelledOrCancelling(a.Job):
 			drain := a.DrainTime
-			if a.Job == nil || isCancelled(a.Job) {
+			if a.Job == nil || isCancelledOrCancelling(a.Job) {
 				drain = 0
 			}
 			if a.StopSentAt.IsZero() {
@@ -147,13 +147,13 @@
 	return orders
 }
 
-// mayForget reports whether the worker may forget an attempt that has exited.
-func (d *Dispatcher) mayForget(a *fleet.Attempt) bool {
+// mayReap reports whether the worker may forget an attempt that has exited.
+func (d *Dispatcher) mayReap(a *fleet.Attempt) bool {
 	if a.Job == nil {
 		return a.Forgettable || !d.leader.Unreadable(a.ID.Job)
 	}
 	return a.Forgettable || a.Job.Cancelled
 }
 
-// isCancelled reports whether the tasks of a job, if it is known, are not wanted any more.
-func isCancelled(j *fleet.Job) bool { return j != nil && (j.Cancelled || j.Cancelling) }
+// isCancelledOrCancelling reports whether the tasks of a job, if it is known, are not wanted any more.
+func isCancelledOrCancelling(j *fleet.Job) bool { return j != nil && (j.Cancelled || j.Cancelling) }
--- a/internal/dispatch/replies.go
+++ b/internal/dispatch/replies.go
@@ -9,9 +9,9 @@
 	"yewpass/internal/timeline"
 )
 
-// Answer answers a heartbeat that has been accepted, at once or when there is something
+// ReplyOrHold answers a heartbeat that has been accepted, at once or when there is something
 // to say.
-func (d *Dispatcher) Answer(m *fleet.Machine, in heartbeat.Received) {
+func (d *Dispatcher) ReplyOrHold(m *fleet.Machine, in heartbeat.Received) {
 	m.HeldReply = &fleet.HeldReply{HeartbeatKey: fleet.HeartbeatKey{Via: in.Via, Ref: in.Ref}, Since: d.engine.Now}
 	if in.Via.Relay == "" {
 		m.HeldReply.Report = in.Report
@@ -20,8 +20,8 @@
 	d.reply(m, false)
 }
 
-// take removes the heartbeat whose reply is held for a machine and returns its key.
-func (d *Dispatcher) take(m *fleet.Machine) fleet.HeartbeatKey {
+// takeHeld removes the heartbeat whose reply is held for a machine and returns its key.
+func (d *Dispatcher) takeHeld(m *fleet.Machine) fleet.HeartbeatKey {
 	key := m.HeldReply.HeartbeatKey
 	delete(d.held, key)
 	m.HeldReply = nil
@@ -31,7 +31,7 @@
 // Refuse refuses the heartbeat whose reply is held for a machine, if there is one.
 func (d *Dispatcher) Refuse(m *fleet.Machine) {
 	if m.HeldReply != nil {
-		key := d.take(m)
+		key := d.takeHeld(m)
 		d.relays.Reply(key.Via, heartbeat.Reply{Ref: key.Ref, Status: 503})
 	}
 }
@@ -39,7 +39,7 @@
 // Abandon forgets a heartbeat for whose reply nobody waits any more.
 func (d *Dispatcher) Abandon(key fleet.HeartbeatKey) {
 	if m := d.held[key]; m != nil {
-		d.take(m)
+		d.takeHeld(m)
 	}
 }
 
@@ -47,7 +47,7 @@
 func (d *Dispatcher) AbandonRelay(name string) {
 	for _, m := range d.leader.Machines() {
 		if m.HeldReply != nil && m.HeldReply.Via.Relay == name {
-			d.take(m)
+			d.takeHeld(m)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 		d.send(m, orders)
 		return
 	}
-	if hold := d.holdTime(m); hold > 0 {
+	if hold := d.holdDuration(m); hold > 0 {
 		d.replyAfter(hold, m, true)
 	} else {
 		d.send(m, nil)
@@ -101,8 +101,8 @@
 	})
 }
 
-// holdTime returns for how long a reply without orders is held.
-func (d *Dispatcher) holdTime(m *fleet.Machine) time.Duration {
+// holdDuration returns for how long a reply without orders is held.
+func (d *Dispatcher) holdDuration(m *fleet.Machine) time.Duration {
 	if len(m.Attempts) == 0 || m.WarmReserve != 0 && m.Room().CPU >= m.WarmReserve/2 {
 		return d.Pacing.HoldIdle
 	}
@@ -113,7 +113,7 @@
 }
 
 func (d *Dispatcher) send(m *fleet.Machine, orders []heartbeat.Order) {
-	key := d.take(m)
+	key := d.takeHeld(m)
 	if m.FencingToken != d.term && m.UnacknowledgedSince.IsZero() {
 		m.UnacknowledgedSince = d.engine.Now
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -170,7 +170,7 @@
 	if answer.Status == 200 && op == request.Get && answer.View.State.Final() {
 		// Only a final answer to a poll: the answer to a cancellation may tell of a job
 		// that is cancelled and still on record, with tasks that are not yet stopped.
-		g.jobs.Remember(f.request.ID, record.Final{State: answer.View.State, Done: answer.View.Done})
+		g.jobs.CacheFinal(f.request.ID, record.Final{State: answer.View.State, Done: answer.View.Done})
 	}
 	g.answer(f.request, *answer)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -200,7 +200,7 @@
 	n.upstream.KnowsConfig = true
 	n.Serve(request.Request{Ref: 9, Op: request.ConfigSet, Config: &request.ConfigParams{}})
 	one[peermsg.Outgoing](n)
-	n.jobs.Remember("wk-1", record.Final{State: spec.Done, Done: 3})
+	n.jobs.CacheFinal("wk-1", record.Final{State: spec.Done, Done: 3})
 	n.Serve(request.Request{Ref: 9, Op: request.Get, ID: "wk-1"})
 	if got := one[request.Response](n); got.Status != 200 || got.View.State != spec.Done || got.View.Done != 3 {
 		t.Errorf("the end of a job, remembered: %+v", got)
--- a/internal/gateway/leaderless.go
+++ b/internal/gateway/leaderless.go
@@ -82,7 +82,7 @@
 		return
 	}
 	if !jobstore.FitsValue(record.JobSize(job), g.cfg.Settings.State) {
-		g.answer(r, admission.TooLong)
+		g.answer(r, admission.SpecTooLarge)
 		return
 	}
 	// The store may have lost data and not know of all jobs. Whoever has the last leader's
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -15,8 +15,8 @@
 	"yewpass/internal/writebatch"
 )
 
-// writeInterval is how often a record of machines is written at the most.
-const writeInterval = 250 * time.Millisecond
+// minWriteInterval is how often a record of machines is written at the most.
+const minWriteInterval = 250 * time.Millisecond
 
 // Leader is what the records of machines need of the leader that they belong to.
 type Leader interface {
@@ -39,11 +39,11 @@
 	inventory *Inventory
 	leader    Leader
 	maxSize   int // of a value in the key-value store
-	fillLimit int // up to which machines are added to a record
+	fillSize  int // up to which machines are added to a record
 	term      uint64
 
 	records    []*fleet.Record
-	begun      uint64            // records begun in this term
+	created    uint64            // records begun in this term
 	unreadable map[string]uint64 // revisions of records that cannot be read, by key
 }
 
@@ -51,26 +51,26 @@
 func NewRecords(e *engine.Engine, scope *engine.Scope, st config.State, inv *Inventory, leader Leader, term uint64) *Records {
 	return &Records{
 		engine: e, scope: scope, inventory: inv, leader: leader, term: term,
-		maxSize: int(st.ValueKB * 1024), fillLimit: int(st.ValueKB * 1024 * 3 / 4), unreadable: map[string]uint64{},
+		maxSize: int(st.ValueKB * 1024), fillSize: int(st.ValueKB * 1024 * 3 / 4), unreadable: map[string]uint64{},
 	}
 }
 
 // Add has it recorded that the machine may hold tasks.
 func (r *Records) Add(m *fleet.Machine) {
-	i := slices.IndexFunc(r.records, func(g *fleet.Record) bool { return g.Size+fleet.RecordedSize(m) <= r.fillLimit })
+	i := slices.IndexFunc(r.records, func(g *fleet.Record) bool { return g.Size+fleet.RecordedSize(m) <= r.fillSize })
 	if i < 0 {
-		r.begun++
-		r.records = append(r.records, &fleet.Record{Key: fmt.Sprintf("%s%d-%d", record.MachinePrefix, r.term, r.begun)})
+		r.created++
+		r.records = append(r.records, &fleet.Record{Key: fmt.Sprintf("%s%d-%d", record.MachinePrefix, r.term, r.created)})
 		i = len(r.records) - 1
 	}
 	g := r.records[i]
 	m.Record = fleet.Recording
-	r.name(g, m)
+	r.assign(g, m)
 	r.write(g, writebatch.Urgent)
 }
 
-// name adds a machine to those that a record names.
-func (r *Records) name(g *fleet.Record, m *fleet.Machine) {
+// assign adds a machine to those that a record names.
+func (r *Records) assign(g *fleet.Record, m *fleet.Machine) {
 	m.RecordedIn = g
 	g.Machines = append(g.Machines, m)
 	g.Size += fleet.RecordedSize(m)
@@ -107,12 +107,12 @@
 		return
 	}
 	g.WriteQueued, g.Priority = true, priority
-	r.scope.After(max(0, g.WrittenAt.Add(writeInterval).Sub(r.engine.Now)), func() {
+	r.scope.After(max(0, g.WrittenAt.Add(minWriteInterval).Sub(r.engine.Now)), func() {
 		w := &recordWrite{
 			records: r, record: g,
 			change: &writebatch.Change{Priority: priority, Writes: []kv.Write{{Key: g.Key}}, Size: r.maxSize},
 		}
-		w.change.Prepare, w.change.OnConflict, w.change.OnCommit = w.prepare, w.conflict, w.commit
+		w.change.Prepare, w.change.OnConflict, w.change.OnCommit = w.prepare, w.onConflict, w.onCommit
 		r.leader.Write(w.change)
 	})
 }
@@ -155,12 +155,12 @@
 	return true
 }
 
-// drops reports whether the write removes the record.
-func (w *recordWrite) drops() bool { return w.change.Writes[0].Value == nil }
+// deletes reports whether the write removes the record.
+func (w *recordWrite) deletes() bool { return w.change.Writes[0].Value == nil }
 
-// conflict follows when an earlier try of ours has been applied.
-func (w *recordWrite) conflict() {
-	g, dropped := w.record, w.drops()
+// onConflict follows when an earlier try of ours has been applied.
+func (w *recordWrite) onConflict() {
+	g, dropped := w.record, w.deletes()
 	w.records.leader.ReadBack(g.Key, func(e kv.Entry, found bool) {
 		if dropped && !found {
 			w.records.leader.ReplicateDrop(g.Key)
@@ -170,10 +170,10 @@
 	})
 }
 
-// commit follows when the record has been written.
-func (w *recordWrite) commit(rev uint64) {
+// onCommit follows when the record has been written.
+func (w *recordWrite) onCommit(rev uint64) {
 	g := w.record
-	if g.Revision = rev; w.drops() {
+	if g.Revision = rev; w.deletes() {
 		g.Revision = 0
 	}
 	for _, m := range w.added {
@@ -194,7 +194,7 @@
 		}
 		r.inventory.unaccounted[x.Host] = true
 		m.Record, m.Address = fleet.Recorded, x.Address
-		r.name(g, m)
+		r.assign(g, m)
 	}
 	r.records = append(r.records, g)
 }
--- a/internal/inventory/records_test.go
+++ b/internal/inventory/records_test.go
@@ -39,7 +39,7 @@
 // sent lets the time of the next write come and returns the hosts that it names.
 func (l *fakeLeader) sent(t *testing.T, e *engine.Engine, n int) (*writebatch.Change, []string) {
 	t.Helper()
-	e.Now = e.Now.Add(writeInterval)
+	e.Now = e.Now.Add(minWriteInterval)
 	e.RunTimers()
 	if len(l.changes) != n {
 		t.Fatalf("%d writes, not %d", len(l.changes), n)
--- a/internal/jobstore/reader.go
+++ b/internal/jobstore/reader.go
@@ -12,15 +12,15 @@
 	"yewpass/internal/spec"
 )
 
-// readShare is how much of the requests that the key-value store allows goes into reads
+// userReadShare is how much of the requests that the key-value store allows goes into reads
 // for users: so much at the leader, and so much at all other controllers together. Were
 // each of those to take as much, users who ask about unknown and forgotten jobs many times
 // would leave no room for renewals of the leader lease.
-const readShare = 0.25
+const userReadShare = 0.25
 
-// maxReads is how many requests Read takes for a job that does not exist, including the
+// maxRequestsPerRead is how many requests Read takes for a job that does not exist, including the
 // one that confirms it.
-const maxReads = 3
+const maxRequestsPerRead = 3
 
 // Reader reads the states of jobs for users. It keeps to a share of the requests that the
 // store allows, and remembers how recent jobs have ended, which never changes.
@@ -43,7 +43,7 @@
 // ShareAmong divides the reads that the store allows among so many controllers, and begins
 // to count anew.
 func (r *Reader) ShareAmong(controllers int) {
-	each := r.rps * readShare / float64(controllers)
+	each := r.rps * userReadShare / float64(controllers)
 	r.limit = rate.NewLimiter(rate.Limit(each), max(2, int(each))) // a poll may take two
 }
 
@@ -53,14 +53,14 @@
 // Final returns how a job has ended, if it is remembered.
 func (r *Reader) Final(id string) (record.Final, bool) { return r.finals.Get(id) }
 
-// Remember remembers how a job has ended.
-func (r *Reader) Remember(id string, final record.Final) { r.finals.Add(id, final) }
+// CacheFinal remembers how a job has ended.
+func (r *Reader) CacheFinal(id string, final record.Final) { r.finals.Add(id, final) }
 
 // Read reads a job's state: first the live record, then the final one, because a job moves
 // from the first to the second in one transaction. The status is nil for a job that has no
 // record; known is false if the store does not say.
 func (r *Reader) Read(id string, f func(status *request.JobStatus, known bool)) {
-	if !r.Allow(maxReads) {
+	if !r.Allow(maxRequestsPerRead) {
 		f(nil, false)
 		return
 	}
@@ -90,7 +90,7 @@
 				f(nil, false)
 				return
 			}
-			r.Remember(id, *final)
+			r.CacheFinal(id, *final)
 			status := FinalStatus(id, *final)
 			f(&status, true)
 		case rpc.NotFound:
--- a/internal/lifecycle/cancel.go
+++ b/internal/lifecycle/cancel.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// endingTimeout is how long a request about a job waits for the record of its end:
+	// endingWaitTimeout is how long a request about a job waits for the record of its end:
 	// shorter than a forwarded request waits for the leader.
-	endingTimeout = 600 * time.Millisecond
+	endingWaitTimeout = 600 * time.Millisecond
 	// cancelRetryInterval is how often it is looked at again whether a cancellation may be
 	// recorded.
 	cancelRetryInterval = 500 * time.Millisecond
@@ -38,18 +38,18 @@
 	for _, a := range j.Attempts {
 		m.leader.RequestDispatch(a.Machine)
 	}
-	m.recordCancelled(j, m.leader.CancelSafeAt())
+	m.writeCancellation(j, m.leader.CancelSafeAt())
 }
 
-// recordCancelled writes a cancellation, not before a time unless nothing of the job can be
+// writeCancellation writes a cancellation, not before a time unless nothing of the job can be
 // on any machine: where the settings leave no room a lease may last longer than tasks of a
 // cancelled job may.
-func (m *Manager) recordCancelled(j *fleet.Job, safeAt time.Time) {
+func (m *Manager) writeCancellation(j *fleet.Job, safeAt time.Time) {
 	if wait := safeAt.Sub(m.engine.Now); wait > 0 && m.mayHaveAttempts(j) {
 		stopping := request.Unavailable("the tasks are being stopped")
 		stopping.RetryAfter = wait
 		m.AnswerWaiters(j, stopping) // once for each: who asks again is told again
-		m.scope.After(min(wait, cancelRetryInterval), func() { m.recordCancelled(j, safeAt) })
+		m.scope.After(min(wait, cancelRetryInterval), func() { m.writeCancellation(j, safeAt) })
 		return
 	}
 	cancelled := *j.Record
@@ -59,29 +59,29 @@
 		// A try that is applied late must not bring back a job that is over.
 		Conditions: []kv.Condition{{Key: record.FinalPrefix + j.Spec.ID, Rev: 0}},
 		Writes:     []kv.Write{{Key: record.JobPrefix + j.Spec.ID, Value: &cancelled}},
-		OnConflict: func() { m.finishRecorded(j) },
-		OnCommit:   func(uint64) { m.cancelled(j, &cancelled) },
+		OnConflict: func() { m.readBackFinal(j) },
+		OnCommit:   func(uint64) { m.onCancelCommitted(j, &cancelled) },
 	}
 	j.EndingChange = change
 	m.Writes.Add(change)
 }
 
-// cancelled follows the commit of a cancellation.
-func (m *Manager) cancelled(j *fleet.Job, rec *record.Job) {
+// onCancelCommitted follows the commit of a cancellation.
+func (m *Manager) onCancelCommitted(j *fleet.Job, rec *record.Job) {
 	j.Cancelling, j.Cancelled, j.Record, j.EndingChange = false, true, rec, nil
 	m.Placement.DropReservations(j)
 	m.engine.Log(slog.LevelDebug, "job cancelled", "job", j.Spec.ID)
 	m.AnswerWaiters(j, request.Response{Status: 200, View: j.View()})
-	m.FinishIfOver(j)
+	m.FinishIfEnded(j)
 }
 
-// finishRecorded finishes a job that turned out to have a final record when it was to be
+// readBackFinal finishes a job that turned out to have a final record when it was to be
 // cancelled.
-func (m *Manager) finishRecorded(j *fleet.Job) {
+func (m *Manager) readBackFinal(j *fleet.Job) {
 	m.AnswerWaiters(j, request.Unavailable("the job has just ended, try again"))
 	m.Writes.ReadBack(record.FinalPrefix+j.Spec.ID, func(e kv.Entry, _ bool) {
 		if final, _ := e.Value.(*record.Final); final != nil && m.Jobs[j.Spec.ID] == j {
-			m.finished(j, *final)
+			m.onFinalCommitted(j, *final)
 		}
 	})
 }
@@ -102,7 +102,7 @@
 		return false
 	}
 	j.EndingWaiters = append(j.EndingWaiters, r)
-	m.scope.After(endingTimeout, func() {
+	m.scope.After(endingWaitTimeout, func() {
 		i := slices.IndexFunc(j.EndingWaiters, func(w request.Request) bool { return w.From == r.From && w.Ref == r.Ref })
 		if i >= 0 {
 			j.EndingWaiters = slices.Delete(j.EndingWaiters, i, i+1)
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -48,15 +48,15 @@
 // Manager manages the jobs of one leadership.
 type Manager struct {
 	State
-	engine *engine.Engine
-	scope  *engine.Scope
-	leader Leader
-	maxOps int // writes of a transaction
+	engine    *engine.Engine
+	scope     *engine.Scope
+	leader    Leader
+	maxTxnOps int // writes of a transaction
 }
 
 // New returns a manager for the leadership that scope bounds.
 func New(e *engine.Engine, scope *engine.Scope, limits config.State, state State, leader Leader) *Manager {
-	return &Manager{State: state, engine: e, scope: scope, leader: leader, maxOps: limits.TxnOps}
+	return &Manager{State: state, engine: e, scope: scope, leader: leader, maxTxnOps: limits.TxnOps}
 }
 
 func (m *Manager) answer(r request.Request, answer request.Response) {
@@ -113,7 +113,7 @@
 		}
 	}
 	if j.Cancelled || j.Remaining == 0 && !j.Spec.Service {
-		m.FinishIfOver(j)
+		m.FinishIfEnded(j)
 		return
 	}
 	m.Placement.ReserveSoon(j)
@@ -136,7 +136,7 @@
 		return
 	}
 	if j.Done.Has(task) {
-		m.RecordProgressSoon(j, task) // a worker still has it: write again, so that it may forget
+		m.ScheduleProgressWrite(j, task) // a worker still has it: write again, so that it may forget
 		return
 	}
 	if j.Pending.Has(task) {
@@ -151,16 +151,16 @@
 	j.Failures = 0
 	j.RetryAt = time.Time{}
 	if j.Remaining == 0 {
-		m.FinishIfOver(j)
+		m.FinishIfEnded(j)
 		return
 	}
-	m.RecordProgressSoon(j, task)
+	m.ScheduleProgressWrite(j, task)
 }
 
-// finished follows the commit of a final record.
-func (m *Manager) finished(j *fleet.Job, final record.Final) {
+// onFinalCommitted follows the commit of a final record.
+func (m *Manager) onFinalCommitted(j *fleet.Job, final record.Final) {
 	id := j.Spec.ID
-	m.Store.Remember(id, final)
+	m.Store.CacheFinal(id, final)
 	m.Replicas.Drop(record.JobPrefix + id) // however we have learned that it is over
 	delete(m.Jobs, id)
 	j.Team.JobCount--
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -256,7 +256,7 @@
 		t.Fatalf("over with machines unaccounted for: %+v", calls)
 	}
 	l.unresolved = false
-	l.FinishIfOver(j)
+	l.FinishIfEnded(j)
 	l.reply(l.sent(), kv.Response{Outcome: rpc.OK, Rev: 61})
 	if !slices.Equal(l.finished, []spec.JobState{spec.Cancelled}) {
 		t.Errorf("finished %v", l.finished)
--- a/internal/lifecycle/records.go
+++ b/internal/lifecycle/records.go
@@ -16,20 +16,20 @@
 // progressInterval is how long news of a chunk's tasks wait for more.
 const progressInterval = time.Second
 
-// RecordProgressSoon has the progress around a task written. One change a chunk waits at a
+// ScheduleProgressWrite has the progress around a task written. One change a chunk waits at a
 // time and is filled in when it is sent: however slow the writes, the news of many seconds
 // go in one. The final record makes most of them needless.
-func (m *Manager) RecordProgressSoon(j *fleet.Job, task int) {
+func (m *Manager) ScheduleProgressWrite(j *fleet.Job, task int) {
 	chunk := task / bitset.ChunkSize
 	if j.DirtyChunks[chunk] {
 		return
 	}
 	j.DirtyChunks[chunk] = true
-	m.scope.After(progressInterval, func() { m.recordProgress(j, chunk) })
+	m.scope.After(progressInterval, func() { m.writeProgress(j, chunk) })
 }
 
-// recordProgress writes the progress of one chunk of a job.
-func (m *Manager) recordProgress(j *fleet.Job, chunk int) {
+// writeProgress writes the progress of one chunk of a job.
+func (m *Manager) writeProgress(j *fleet.Job, chunk int) {
 	key := record.ProgressKey(j.Spec.ID, chunk)
 	var written bitset.Set
 	change := &writebatch.Change{
@@ -38,14 +38,14 @@
 		Writes:   []kv.Write{{Key: key}},
 		OnCommit: func(revision uint64) {
 			j.ChunkRevisions[chunk] = revision
-			forgetRecorded(j, chunk, written)
+			markForgettable(j, chunk, written)
 		},
 		OnConflict: func() {
 			// A write of ours whose outcome was not known has been applied.
 			m.Writes.ReadBack(key, func(e kv.Entry, _ bool) {
 				j.ChunkRevisions[chunk] = e.Rev // 0 if there is none
 				if m.Jobs[j.Spec.ID] == j && !j.Halted() {
-					m.recordProgress(j, chunk)
+					m.writeProgress(j, chunk)
 				}
 			})
 		},
@@ -63,9 +63,9 @@
 	m.Writes.Add(change)
 }
 
-// forgetRecorded lets workers forget the tasks of a chunk that the key-value store now
+// markForgettable lets workers forget the tasks of a chunk that the key-value store now
 // knows to be done. Until then their heartbeats repeat it to any successor.
-func forgetRecorded(j *fleet.Job, chunk int, recorded bitset.Set) {
+func markForgettable(j *fleet.Job, chunk int, recorded bitset.Set) {
 	j.Completed = slices.DeleteFunc(j.Completed, func(a *fleet.Attempt) bool {
 		if a.ID.Index/bitset.ChunkSize == chunk && recorded.Has(a.ID.Index%bitset.ChunkSize) {
 			a.Forgettable = true
@@ -74,8 +74,8 @@
 	})
 }
 
-// FinishIfOver writes the final record of a job that is over.
-func (m *Manager) FinishIfOver(j *fleet.Job) {
+// FinishIfEnded writes the final record of a job that is over.
+func (m *Manager) FinishIfEnded(j *fleet.Job) {
 	if j.Finishing || j.Cancelling {
 		return
 	}
@@ -86,7 +86,7 @@
 	j.Finishing = true
 	change := &writebatch.Change{
 		Writes:   []kv.Write{{Key: record.FinalPrefix + j.Spec.ID, Value: &final}, {Key: record.JobPrefix + j.Spec.ID}},
-		OnCommit: func(uint64) { m.finished(j, final) },
+		OnCommit: func(uint64) { m.onFinalCommitted(j, final) },
 	}
 	j.EndingChange = change
 	// The records of progress go in the same transaction, as many as it has room for.
@@ -96,7 +96,7 @@
 			continue
 		}
 		w := kv.Write{Key: record.ProgressKey(j.Spec.ID, chunk)}
-		if len(change.Writes) < m.maxOps {
+		if len(change.Writes) < m.maxTxnOps {
 			change.Writes = append(change.Writes, w)
 		} else {
 			drops = append(drops, &writebatch.Change{Writes: []kv.Write{w}, Priority: writebatch.Bulk})
--- a/internal/reconcile/verdict.go
+++ b/internal/reconcile/verdict.go
@@ -16,8 +16,8 @@
 	// Resent is a heartbeat that was accepted before, and that a relay has sent again in a
 	// new session.
 	Resent
-	// Overtaken is a heartbeat that the worker's own answer to a probe has overtaken.
-	Overtaken
+	// Superseded is a heartbeat that the worker's own answer to a probe has overtaken.
+	Superseded
 	// Stale is a heartbeat that was delayed on the way: what it says is older than what is
 	// known.
 	Stale
@@ -40,13 +40,13 @@
 	return verdictNames[v]
 }
 
-// Compare judges a heartbeat by what is known of its machine. It returns Accepted,
+// Classify judges a heartbeat by what is known of its machine. It returns Accepted,
 // Resent, Overtaken or Stale.
-func Compare(m *fleet.Machine, in heartbeat.Received, hasAuthority bool) Verdict {
+func Classify(m *fleet.Machine, in heartbeat.Received, hasAuthority bool) Verdict {
 	report := &in.Report
 	sameIncarnation := report.Incarnation == m.Incarnation
 	if m.Probed && sameIncarnation && report.Counter <= m.Counter && hasAuthority {
-		return Overtaken
+		return Superseded
 	}
 	if report.Incarnation <= m.ExpiredIncarnation {
 		return Stale
--- a/internal/reconcile/verdict_test.go
+++ b/internal/reconcile/verdict_test.go
@@ -7,9 +7,9 @@
 	"yewpass/internal/heartbeat"
 )
 
-// TestCompare: a heartbeat is believed only if it is surely newer than what is known of
+// TestClassify: a heartbeat is believed only if it is surely newer than what is known of
 // its machine; one that a relay sends again is told from one that is late.
-func TestCompare(t *testing.T) {
+func TestClassify(t *testing.T) {
 	known := fleet.Heartbeats{Reported: true, Incarnation: 3, Counter: 7, FencingToken: 5}
 	probed := known
 	probed.Probed = true
@@ -34,15 +34,15 @@
 		"the same with an older token, by a relay":   {machine: known, via: relayed, incarnation: 3, counter: 7, token: 4, want: Stale},
 		"of an incarnation whose lease is over":      {machine: expired, incarnation: 3, counter: 9, want: Stale},
 		"after that one":                             {machine: expired, incarnation: 4, counter: 1, want: Accepted},
-		"before the answer to a probe":               {machine: probed, incarnation: 3, counter: 6, token: 4, want: Overtaken},
-		"the answer to a probe itself":               {machine: probed, incarnation: 3, counter: 7, token: 5, want: Overtaken},
+		"before the answer to a probe":               {machine: probed, incarnation: 3, counter: 6, token: 4, want: Superseded},
+		"the answer to a probe itself":               {machine: probed, incarnation: 3, counter: 7, token: 5, want: Superseded},
 		"after the answer to a probe":                {machine: probed, incarnation: 3, counter: 8, token: 5, want: Accepted},
 		"before the answer to a probe, no authority": {machine: probed, incarnation: 3, counter: 6, token: 5, noAuthority: true, want: Stale},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := &fleet.Machine{Heartbeats: x.machine}
 			in := heartbeat.Received{Via: x.via, Report: heartbeat.Report{Incarnation: x.incarnation, Counter: x.counter, FencingToken: x.token}}
-			if got := Compare(m, in, !x.noAuthority); got != x.want {
+			if got := Classify(m, in, !x.noAuthority); got != x.want {
 				t.Errorf("%v, it should be %v", got, x.want)
 			}
 		})
