--- a/internal/lifecycle/cancel.go
+++ b/internal/lifecycle/cancel.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// endingWaitTimeout is how long a request about a job waits for the record of its end:
-	// shorter than a forwarded request waits for the leader.
+	// endingWaitTimeout is how long a request about a job waits for its cancellation or final
+	// record to be committed. It is shorter than the timeout of a forwarded request.
 	endingWaitTimeout = 600 * time.Millisecond
-	// cancelRetryInterval is how often it is looked at again whether a cancellation may be
-	// recorded.
+	// cancelRetryInterval is the longest time between checks whether a cancellation may be
+	// written.
 	cancelRetryInterval = 500 * time.Millisecond
 )
 
-// Cancel records a cancellation and answers once it is committed.
+// Cancel writes the cancellation of a job to the store and responds once it is committed. The
+// job's tasks are told to stop at once.
 func (m *Manager) Cancel(j *fleet.Job, r request.Request) {
 	if j.Cancelled {
 		m.answer(r, request.Response{Status: 200, View: j.View()})
@@ -32,23 +33,23 @@
 		return
 	}
 	j.Cancelling = true
-	// Whatever becomes of the record, its user wants nothing of it any more. Others may read
-	// it and tell before we know that it is committed: whatever renews leases meanwhile, with
-	// authority or without, has to carry the stops.
+	// Stop the tasks before the write is known to be committed: other controllers may read
+	// the record and report the job as cancelled earlier than this leader learns of the
+	// commit, and every lease renewed from now on has to carry the stop orders.
 	for _, a := range j.Attempts {
 		m.leader.RequestDispatch(a.Machine)
 	}
 	m.writeCancellation(j, m.leader.CancelSafeAt())
 }
 
-// writeCancellation writes a cancellation, not before a time unless nothing of the job can be
-// on any machine: where the settings leave no room a lease may last longer than tasks of a
-// cancelled job may.
+// writeCancellation writes the cancellation of a job. While any machine may still have one of
+// its tasks it waits until safeAt, because with some settings a worker's lease may outlast the
+// time within which the tasks of a cancelled job have to stop.
 func (m *Manager) writeCancellation(j *fleet.Job, safeAt time.Time) {
 	if wait := safeAt.Sub(m.engine.Now); wait > 0 && m.mayHaveAttempts(j) {
 		stopping := request.Unavailable("the tasks are being stopped")
 		stopping.RetryAfter = wait
-		m.AnswerWaiters(j, stopping) // once for each: who asks again is told again
+		m.AnswerWaiters(j, stopping) // each waiting client is told once and may retry
 		m.scope.After(min(wait, cancelRetryInterval), func() { m.writeCancellation(j, safeAt) })
 		return
 	}
@@ -56,7 +57,7 @@
 	cancelled.Cancelled = true
 	change := &writebatch.Change{
 		Size: record.JobSize(&cancelled.Spec),
-		// A try that is applied late must not bring back a job that is over.
+		// A delayed attempt of this write must not recreate the record of a job that has ended.
 		Conditions: []kv.Condition{{Key: record.FinalPrefix + j.Spec.ID, Rev: 0}},
 		Writes:     []kv.Write{{Key: record.JobPrefix + j.Spec.ID, Value: &cancelled}},
 		OnConflict: func() { m.readBackFinal(j) },
@@ -66,7 +67,7 @@
 	m.Writes.Add(change)
 }
 
-// onCancelCommitted follows the commit of a cancellation.
+// onCancelCommitted updates a job whose cancellation has been committed.
 func (m *Manager) onCancelCommitted(j *fleet.Job, rec *record.Job) {
 	j.Cancelling, j.Cancelled, j.Record, j.EndingChange = false, true, rec, nil
 	m.Placement.DropReservations(j)
@@ -75,8 +76,8 @@
 	m.FinishIfEnded(j)
 }
 
-// readBackFinal finishes a job that turned out to have a final record when it was to be
-// cancelled.
+// readBackFinal handles a cancellation that was rejected because the job already has a final
+// record: it reads that record and finishes the job.
 func (m *Manager) readBackFinal(j *fleet.Job) {
 	m.AnswerWaiters(j, request.Unavailable("the job has just ended, try again"))
 	m.Writes.ReadBack(record.FinalPrefix+j.Spec.ID, func(e kv.Entry, _ bool) {
@@ -86,17 +87,18 @@
 	})
 }
 
-// AnswerWaiters answers everybody who waits for the end of a job to be recorded.
-func (m *Manager) AnswerWaiters(j *fleet.Job, answer request.Response) {
+// AnswerWaiters sends the response to every request that waits for the job's cancellation or
+// final record, and clears the list.
+func (m *Manager) AnswerWaiters(j *fleet.Job, response request.Response) {
 	for _, r := range j.EndingWaiters {
-		m.answer(r, answer)
+		m.answer(r, response)
 	}
 	j.EndingWaiters = nil
 }
 
-// WaitForEnding has a request about a job wait if the job's end may be on record without
-// our knowing, and reports whether it does. Whoever reads the record may have told the user,
-// who must hear nothing older from us.
+// WaitForEnding holds a request about a job whose cancellation or final record has been sent to
+// the store and may be committed already, and reports whether it does. Another controller may
+// have reported the new state to the client, which must not see an older one afterwards.
 func (m *Manager) WaitForEnding(j *fleet.Job, r request.Request) bool {
 	if j.EndingChange == nil || !j.EndingChange.Sent {
 		return false
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,5 +1,5 @@
-// Package lifecycle takes the leader's jobs from their acceptance to their final records:
-// it queues them, counts and records the progress of their tasks, and records how they end.
+// Package lifecycle manages the leader's jobs from acceptance to final record: it queues their
+// tasks, tracks and stores their progress, and records completion and cancellation.
 package lifecycle
 
 import (
@@ -21,23 +21,24 @@
 	"yewpass/internal/writebatch"
 )
 
-// Leader is what a Manager needs of the leader whose jobs it manages.
+// Leader is implemented by the leader whose jobs a Manager manages.
 type Leader interface {
-	// AllAccounted reports whether every machine that may hold a task of an earlier term
-	// is accounted for.
+	// AllAccounted reports whether the tasks that were started in earlier terms are known
+	// for every machine.
 	AllAccounted() bool
-	// CancelSafeAt returns from when on the record of a cancellation that is decided now
-	// may be read, although machines may still have tasks of the job.
+	// CancelSafeAt returns the earliest time at which a cancellation requested now may be
+	// written to the store while machines may still have tasks of the job.
 	CancelSafeAt() time.Time
-	// RequestDispatch has a reply that is held for a machine sent soon.
+	// RequestDispatch schedules a check for orders to be sent with the reply held for a machine.
 	RequestDispatch(m *fleet.Machine)
-	// JobFinished is called when a job is over, on record and in memory.
+	// JobFinished is called after the final record of a job has been committed and the job has
+	// been removed from memory.
 	JobFinished(j *fleet.Job, state spec.JobState)
 }
 
-// State is the leader's state that a Manager works on.
+// State holds the components of the leader that a Manager reads and updates.
 type State struct {
-	Jobs      map[string]*fleet.Job // that are not over
+	Jobs      map[string]*fleet.Job // live jobs by ID
 	Teams     quota.Accounts
 	Placement *placement.Scheduler
 	Writes    *writebatch.Batcher
@@ -45,34 +46,34 @@
 	Store     *jobstore.Reader
 }
 
-// Manager manages the jobs of one leadership.
+// Manager manages the jobs of one leadership term.
 type Manager struct {
 	State
 	engine    *engine.Engine
 	scope     *engine.Scope
 	leader    Leader
-	maxTxnOps int // writes of a transaction
+	maxTxnOps int // largest number of operations in a transaction
 }
 
-// New returns a manager for the leadership that scope bounds.
+// New returns a manager for one leadership term; its timers stop when scope is closed.
 func New(e *engine.Engine, scope *engine.Scope, limits config.State, state State, leader Leader) *Manager {
 	return &Manager{State: state, engine: e, scope: scope, leader: leader, maxTxnOps: limits.TxnOps}
 }
 
-func (m *Manager) answer(r request.Request, answer request.Response) {
-	m.engine.Emit(peermsg.Reply(r, answer))
+func (m *Manager) answer(r request.Request, response request.Response) {
+	m.engine.Emit(peermsg.Reply(r, response))
 }
 
-// Add takes a job into memory; earlier says that it was accepted in an earlier term. Its
-// tasks do not wait for machines before Queue.
-func (m *Manager) Add(rec *record.Job, earlier bool) *fleet.Job {
+// Add adds a job to memory. fromEarlierTerm reports that it was accepted in an earlier term.
+// Its tasks are not scheduled before Queue is called.
+func (m *Manager) Add(rec *record.Job, fromEarlierTerm bool) *fleet.Job {
 	s := rec.Spec
 	now := m.engine.Now
 	j := &fleet.Job{
 		Spec:            s,
 		Need:            s.Need(),
 		Record:          rec,
-		FromEarlierTerm: earlier,
+		FromEarlierTerm: fromEarlierTerm,
 		Submitted:       now.Add(rec.Submitted.Sub(now.Round(0))),
 		Team:            m.Teams[s.Owner],
 		StartsAtOnce:    m.Placement.MustStartAtOnce(s.Class),
@@ -81,7 +82,7 @@
 		FailureHistory:  fleet.FailureHistory{FailedOn: map[string]bool{}},
 		Ending:          fleet.Ending{Cancelled: rec.Cancelled},
 	}
-	if j.Team == nil { // the team has left the settings: its jobs still run
+	if j.Team == nil { // the team was removed from the configuration; its jobs still run
 		j.Team = &quota.Account{}
 		m.Teams[s.Owner] = j.Team
 	}
@@ -101,7 +102,8 @@
 	return p
 }
 
-// Queue makes a job's tasks wait for machines, once its progress is known.
+// Queue marks the remaining tasks of a job as pending and schedules them. It is called once
+// the progress of the job has been loaded.
 func (m *Manager) Queue(j *fleet.Job) {
 	for i := range j.Spec.Tasks {
 		if j.Done.Has(i) {
@@ -119,7 +121,8 @@
 	m.Placement.ReserveSoon(j)
 }
 
-// Requeue makes a task wait for a machine again.
+// Requeue marks a task as pending again, unless it is completed, pending or on a machine, or
+// its job is ending.
 func (m *Manager) Requeue(j *fleet.Job, task int) {
 	if j.Halted() || task >= j.Spec.Tasks || j.Done.Has(task) || j.Pending.Has(task) || j.Attempts[task] != nil {
 		return
@@ -129,14 +132,14 @@
 	m.Placement.ReserveSoon(j)
 }
 
-// CompleteTask marks a task complete and has that recorded before long: progress is
-// written in bulk.
+// CompleteTask marks a task as completed and schedules a write of the job's progress, or of its
+// final record after the last task.
 func (m *Manager) CompleteTask(j *fleet.Job, task int) {
 	if task >= j.Spec.Tasks || j.Spec.Service {
 		return
 	}
 	if j.Done.Has(task) {
-		m.ScheduleProgressWrite(j, task) // a worker still has it: write again, so that it may forget
+		m.ScheduleProgressWrite(j, task) // a worker still lists it: it may forget it after the next write
 		return
 	}
 	if j.Pending.Has(task) {
@@ -157,11 +160,11 @@
 	m.ScheduleProgressWrite(j, task)
 }
 
-// onFinalCommitted follows the commit of a final record.
+// onFinalCommitted removes a job whose final record has been committed.
 func (m *Manager) onFinalCommitted(j *fleet.Job, final record.Final) {
 	id := j.Spec.ID
 	m.Store.CacheFinal(id, final)
-	m.Replicas.Drop(record.JobPrefix + id) // however we have learned that it is over
+	m.Replicas.Drop(record.JobPrefix + id) // also needed if another leader wrote the final record
 	delete(m.Jobs, id)
 	j.Team.JobCount--
 	m.Placement.DropReservations(j)
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -28,12 +28,12 @@
 
 const liveKey, finalKey = record.JobPrefix + "wk-1", record.FinalPrefix + "wk-1"
 
-// leader is a leader with no machines and an empty store that answers by hand.
+// leader is a fake leader without machines; tests reply to its store requests explicitly.
 type leader struct {
 	*lifecycle.Manager
 	t          *testing.T
 	engine     *engine.Engine
-	unresolved bool // machines of an earlier term are not accounted for
+	unresolved bool // AllAccounted returns false
 	cancelAt   time.Time
 	dispatched int
 	finished   []spec.JobState
@@ -46,7 +46,7 @@
 	l.finished = append(l.finished, state)
 }
 
-// What the lower parts ask of the leader.
+// Methods that the embedded components require of the leader.
 func (l *leader) CanAct() bool                                { return true }
 func (l *leader) Machines() []*fleet.Machine                  { return nil }
 func (l *leader) Unaccounted(string) bool                     { return false }
@@ -84,20 +84,22 @@
 	return l
 }
 
-func (l *leader) add(tasks int, earlier bool) *fleet.Job {
+// add adds and queues a job with the given number of tasks.
+func (l *leader) add(tasks int, fromEarlierTerm bool) *fleet.Job {
 	job := spec.Job{ID: "wk-1", Owner: "t", Tasks: tasks, CPUs: 1, MemGB: 1}
-	j := l.Add(&record.Job{Spec: job, Submitted: l.engine.Now}, earlier)
+	j := l.Add(&record.Job{Spec: job, Submitted: l.engine.Now}, fromEarlierTerm)
 	l.Queue(j)
 	return j
 }
 
-// pass lets time pass, and sends what waits.
+// pass advances the clock, runs the due timers and flushes queued writes.
 func (l *leader) pass(d time.Duration) {
 	l.engine.Begin(l.engine.Now.Add(d))
 	l.engine.RunTimers()
 	l.Writes.Flush()
 }
 
+// take removes and returns all outputs of type T.
 func take[T any](l *leader) (found []T) {
 	for _, out := range l.engine.Outputs {
 		if x, ok := out.(T); ok {
@@ -108,18 +110,19 @@
 	return found
 }
 
-// sent sends what waits and returns the one request to the store.
+// sent flushes queued writes and returns the only request sent to the store.
 func (l *leader) sent() kv.Request {
 	l.t.Helper()
 	return l.sentAll(1)[0]
 }
 
+// sentAll flushes queued writes and returns the n requests sent to the store.
 func (l *leader) sentAll(n int) []kv.Request {
 	l.t.Helper()
 	l.Writes.Flush()
 	calls := take[kv.Request](l)
 	if len(calls) != n {
-		l.t.Fatalf("%d requests to the store, want %d: %+v", len(calls), n, calls)
+		l.t.Fatalf("got %d requests to the store, want %d: %+v", len(calls), n, calls)
 	}
 	return calls
 }
@@ -136,10 +139,11 @@
 		got = append(got, a.Status)
 	}
 	if !slices.Equal(got, statuses) {
-		l.t.Errorf("answers %v, want %v", got, statuses)
+		l.t.Errorf("response statuses %v, want %v", got, statuses)
 	}
 }
 
+// keys returns the keys that a request writes, with a minus sign before those it deletes.
 func keys(call kv.Request) string {
 	var ks []string
 	for _, w := range call.Writes {
@@ -152,8 +156,8 @@
 	return strings.Join(ks, " ")
 }
 
-// TestProgressInOneWrite: the news of a second go in one write; workers may forget what it
-// has, and not what came since.
+// TestProgressInOneWrite checks that completions within a second share one write, and that
+// workers may forget only the completions that a committed write contains.
 func TestProgressInOneWrite(t *testing.T) {
 	l := newLeader(t)
 	j := l.add(10, false)
@@ -168,37 +172,37 @@
 	complete(1)
 	l.pass(999 * time.Millisecond)
 	if calls := take[kv.Request](l); len(calls) != 0 {
-		t.Fatalf("%+v before a second has passed", calls)
+		t.Fatalf("requests %+v before a second has passed", calls)
 	}
 	l.pass(time.Millisecond)
 	call := l.sent()
 	if len(call.Writes) != 1 || call.Writes[0].Key != record.ProgressKey("wk-1", 0) {
-		t.Fatalf("%+v", call.Writes)
+		t.Fatalf("writes %+v, want one of progress chunk 0", call.Writes)
 	}
 	if want := (kv.Condition{Key: record.ProgressKey("wk-1", 0), Rev: 0}); !slices.Contains(call.Conditions, want) {
-		t.Errorf("%+v", call.Conditions)
+		t.Errorf("conditions %+v, want the known revision of the record", call.Conditions)
 	}
 	complete(2)
 	l.reply(call, kv.Response{Outcome: rpc.OK, Rev: 50})
 	for i, a := range attempts {
 		if a.Forgettable != (i < 2) {
-			t.Errorf("task %d forgettable: %v", i, a.Forgettable)
+			t.Errorf("attempt of task %d: Forgettable is %v", i, a.Forgettable)
 		}
 	}
 	l.pass(time.Second)
 	call = l.sent()
 	if want := (kv.Condition{Key: record.ProgressKey("wk-1", 0), Rev: 50}); !slices.Contains(call.Conditions, want) {
-		t.Errorf("%+v", call.Conditions)
+		t.Errorf("conditions %+v, want the known revision of the record", call.Conditions)
 	}
 }
 
-// TestFinalRecord: it goes with the drops of the live record and of as much progress as the
-// transaction has room for; the job is over once it is committed.
+// TestFinalRecord checks that the final record is written in one transaction that deletes the
+// live record and as many progress records as fit, and that the job ends once it is committed.
 func TestFinalRecord(t *testing.T) {
 	l := newLeader(t)
 	j := l.add(1, false)
 	for chunk := range 4 {
-		j.ChunkRevisions[chunk] = uint64(10 * chunk) // 0: has no record
+		j.ChunkRevisions[chunk] = uint64(10 * chunk) // 0: the chunk has no record
 	}
 	l.CompleteTask(j, 0)
 	calls := l.sentAll(2)
@@ -209,22 +213,22 @@
 		t.Errorf("writes %q, want %q", got, want)
 	}
 	if l.Jobs["wk-1"] != j || len(l.finished) != 0 {
-		t.Error("over before the record is committed")
+		t.Error("job finished before its final record was committed")
 	}
 	l.reply(call, kv.Response{Outcome: rpc.OK, Rev: 60})
 	if final, ok := l.Store.Final("wk-1"); !ok || final != (record.Final{State: spec.Done, Done: 1}) {
-		t.Errorf("end remembered: %+v", final)
+		t.Errorf("cached final record %+v", final)
 	}
 	if l.Jobs["wk-1"] != nil || j.Team.JobCount != 0 || !slices.Equal(l.finished, []spec.JobState{spec.Done}) {
-		t.Errorf("still in memory, or finished %v", l.finished)
+		t.Errorf("job is still in memory, or finished with states %v, want done", l.finished)
 	}
 	if got, want := keys(rest), "-"+strings.TrimPrefix(record.ProgressKey("wk-1", 3), record.Root); got != want {
-		t.Errorf("writes %q, want the progress that had no room, %q", got, want)
+		t.Errorf("second transaction writes %q, want the remaining progress record %q", got, want)
 	}
 }
 
-// TestCancelWaitsUntilSafe: while tasks may be on machines a cancellation is not recorded
-// before it is safe to be read, and whoever asks meanwhile is told for how long.
+// TestCancelWaitsUntilSafe checks that a cancellation is not written before CancelSafeAt while
+// machines may have tasks of the job, and that clients get the remaining time as Retry-After.
 func TestCancelWaitsUntilSafe(t *testing.T) {
 	l := newLeader(t)
 	l.unresolved, l.cancelAt = true, l.engine.Now.Add(700*time.Millisecond)
@@ -232,7 +236,7 @@
 	l.Cancel(j, request.Request{Ref: 1, Op: request.Cancel})
 	answers := take[request.Response](l)
 	if len(answers) != 1 || answers[0].Status != 503 || answers[0].RetryAfter != 700*time.Millisecond {
-		t.Fatalf("%+v", answers)
+		t.Fatalf("responses %+v, want one with status 503 and RetryAfter 700ms", answers)
 	}
 	l.Cancel(j, request.Request{Ref: 2, Op: request.Cancel})
 	l.pass(500 * time.Millisecond)
@@ -241,30 +245,30 @@
 	l.pass(200 * time.Millisecond)
 	call := l.sent()
 	if rec, _ := call.Writes[0].Value.(*record.Job); len(call.Writes) != 1 || call.Writes[0].Key != liveKey || !rec.Cancelled {
-		t.Fatalf("%+v", call.Writes)
+		t.Fatalf("writes %+v, want one of the cancelled live record", call.Writes)
 	}
 	if !slices.Contains(call.Conditions, kv.Condition{Key: finalKey, Rev: 0}) {
-		t.Errorf("%+v", call.Conditions)
+		t.Errorf("conditions %+v, want that no final record exists", call.Conditions)
 	}
 	l.wantAnswers()
 	l.reply(call, kv.Response{Outcome: rpc.OK, Rev: 60})
 	l.wantAnswers(200)
 
-	// It stays on record until none of its tasks can be on any machine.
+	// The live record is kept until none of the tasks can be on any machine.
 	l.pass(time.Second)
 	if calls := take[kv.Request](l); len(calls) != 0 || l.Jobs["wk-1"] == nil {
-		t.Fatalf("over with machines unaccounted for: %+v", calls)
+		t.Fatalf("job ended while machines are unaccounted for, requests %+v", calls)
 	}
 	l.unresolved = false
 	l.FinishIfEnded(j)
 	l.reply(l.sent(), kv.Response{Outcome: rpc.OK, Rev: 61})
 	if !slices.Equal(l.finished, []spec.JobState{spec.Cancelled}) {
-		t.Errorf("finished %v", l.finished)
+		t.Errorf("finished with states %v, want cancelled", l.finished)
 	}
 }
 
-// TestCancelStopsAtOnce: the machines that have tasks of a job hear of its cancellation
-// before that is on record.
+// TestCancelStopsAtOnce checks that stop orders are sent to the machines of a job before its
+// cancellation is committed.
 func TestCancelStopsAtOnce(t *testing.T) {
 	l := newLeader(t)
 	j := l.add(2, false)
@@ -273,30 +277,30 @@
 	}
 	l.Cancel(j, request.Request{Ref: 1, Op: request.Cancel})
 	if l.dispatched != 2 || !j.Halted() {
-		t.Errorf("%d machines told, halted: %v", l.dispatched, j.Halted())
+		t.Errorf("dispatch requested for %d machines, want 2; halted: %v", l.dispatched, j.Halted())
 	}
 }
 
-// TestRequestWaitsForEnding: once the record of a job's end has been sent it may be on
-// record, and nobody is told anything older.
+// TestRequestWaitsForEnding checks that requests about a job are held once its final record has
+// been sent, until the outcome is known or the wait times out.
 func TestRequestWaitsForEnding(t *testing.T) {
 	l := newLeader(t)
 	j := l.add(1, false)
 	poll := request.Request{Ref: 1, Op: request.Get}
 	l.CompleteTask(j, 0)
 	if l.WaitForEnding(j, poll) {
-		t.Error("waits before the record is sent")
+		t.Error("request is held before the final record is sent")
 	}
 	call := l.sent()
 	if !l.WaitForEnding(j, poll) {
-		t.Fatal("does not wait")
+		t.Fatal("request is not held")
 	}
 	l.pass(599 * time.Millisecond)
 	l.wantAnswers()
 	l.pass(time.Millisecond)
 	l.wantAnswers(503)
 	if !l.WaitForEnding(j, poll) {
-		t.Fatal("does not wait again")
+		t.Fatal("second request is not held")
 	}
 	l.reply(call, kv.Response{Outcome: rpc.OK, Rev: 60})
 	l.wantAnswers(200)
@@ -304,11 +308,11 @@
 	l.wantAnswers()
 }
 
-// TestRequeue: a task waits again only if it is still to be run and nowhere else.
+// TestRequeue checks that a task is queued again only if it still has to run and has no attempt.
 func TestRequeue(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(*fleet.Job)
-		waits  bool
+		queued bool
 	}{
 		"to be run":    {func(*fleet.Job) {}, true},
 		"done":         {func(j *fleet.Job) { j.Done.Add(0) }, false},
@@ -323,8 +327,8 @@
 			j.Waiting--
 			test.change(j)
 			l.Requeue(j, 0)
-			if j.Pending.Has(0) != test.waits || j.Waiting == bitset.ChunkSize != test.waits {
-				t.Errorf("pending: %v, %d tasks wait", j.Pending.Has(0), j.Waiting)
+			if j.Pending.Has(0) != test.queued || j.Waiting == bitset.ChunkSize != test.queued {
+				t.Errorf("task pending: %v, %d tasks waiting", j.Pending.Has(0), j.Waiting)
 			}
 		})
 	}
--- a/internal/lifecycle/records.go
+++ b/internal/lifecycle/records.go
@@ -13,12 +13,13 @@
 	"yewpass/internal/writebatch"
 )
 
-// progressInterval is how long news of a chunk's tasks wait for more.
+// progressInterval is the delay before the progress of a chunk is written, so that several
+// completions share a write.
 const progressInterval = time.Second
 
-// ScheduleProgressWrite has the progress around a task written. One change a chunk waits at a
-// time and is filled in when it is sent: however slow the writes, the news of many seconds
-// go in one. The final record makes most of them needless.
+// ScheduleProgressWrite schedules a write of the progress of the chunk that contains the task.
+// At most one write per chunk is queued; its value is filled in when it is sent, so it includes
+// all completions up to then.
 func (m *Manager) ScheduleProgressWrite(j *fleet.Job, task int) {
 	chunk := task / bitset.ChunkSize
 	if j.DirtyChunks[chunk] {
@@ -41,9 +42,9 @@
 			markForgettable(j, chunk, written)
 		},
 		OnConflict: func() {
-			// A write of ours whose outcome was not known has been applied.
+			// An earlier attempt of this write whose outcome was unknown has been applied.
 			m.Writes.ReadBack(key, func(e kv.Entry, _ bool) {
-				j.ChunkRevisions[chunk] = e.Rev // 0 if there is none
+				j.ChunkRevisions[chunk] = e.Rev // 0 if the record does not exist
 				if m.Jobs[j.Spec.ID] == j && !j.Halted() {
 					m.writeProgress(j, chunk)
 				}
@@ -63,8 +64,9 @@
 	m.Writes.Add(change)
 }
 
-// markForgettable lets workers forget the tasks of a chunk that the key-value store now
-// knows to be done. Until then their heartbeats repeat it to any successor.
+// markForgettable marks the attempts whose completion has been written to the store, so that
+// workers may forget them. Until then workers report them in every heartbeat, and a new leader
+// learns of the completion from there.
 func markForgettable(j *fleet.Job, chunk int, recorded bitset.Set) {
 	j.Completed = slices.DeleteFunc(j.Completed, func(a *fleet.Attempt) bool {
 		if a.ID.Index/bitset.ChunkSize == chunk && recorded.Has(a.ID.Index%bitset.ChunkSize) {
@@ -74,13 +76,14 @@
 	})
 }
 
-// FinishIfEnded writes the final record of a job that is over.
+// FinishIfEnded writes the final record of a job whose tasks have all completed, or that is
+// cancelled and has no task left on any machine.
 func (m *Manager) FinishIfEnded(j *fleet.Job) {
 	if j.Finishing || j.Cancelling {
 		return
 	}
-	final, over := m.outcome(j)
-	if !over {
+	final, ended := m.outcome(j)
+	if !ended {
 		return
 	}
 	j.Finishing = true
@@ -89,8 +92,8 @@
 		OnCommit: func(uint64) { m.onFinalCommitted(j, final) },
 	}
 	j.EndingChange = change
-	// The records of progress go in the same transaction, as many as it has room for.
-	drops := make([]*writebatch.Change, 0, 1)
+	// The progress records are deleted in the same transaction, up to its limit of operations.
+	deletes := make([]*writebatch.Change, 0, 1)
 	for _, chunk := range slices.Sorted(maps.Keys(j.ChunkRevisions)) {
 		if j.ChunkRevisions[chunk] == 0 {
 			continue
@@ -99,25 +102,26 @@
 		if len(change.Writes) < m.maxTxnOps {
 			change.Writes = append(change.Writes, w)
 		} else {
-			drops = append(drops, &writebatch.Change{Writes: []kv.Write{w}, Priority: writebatch.Bulk})
+			deletes = append(deletes, &writebatch.Change{Writes: []kv.Write{w}, Priority: writebatch.Bulk})
 		}
 	}
 	m.Writes.Add(change)
-	for _, drop := range drops {
-		m.Writes.Add(drop)
+	for _, change := range deletes {
+		m.Writes.Add(change)
 	}
 }
 
-// outcome returns how a job has ended, if it is over. A cancelled job stays on record until
-// none of its tasks can be on any machine, because its tasks still count for its team.
-func (m *Manager) outcome(j *fleet.Job) (final record.Final, over bool) {
+// outcome returns the final record of a job and whether the job has ended. A cancelled job
+// ends only when none of its tasks can be on any machine, because until then its tasks count
+// against the quota of its team.
+func (m *Manager) outcome(j *fleet.Job) (final record.Final, ended bool) {
 	if j.Cancelled {
 		return record.Final{State: spec.Cancelled, Done: j.Spec.Tasks - j.Remaining}, !m.mayHaveAttempts(j)
 	}
 	return record.Final{State: spec.Done, Done: j.Spec.Tasks}, !j.Spec.Service && j.Remaining <= 0
 }
 
-// mayHaveAttempts reports whether any machine may have a task of the job.
+// mayHaveAttempts reports whether any machine may still have a task of the job.
 func (m *Manager) mayHaveAttempts(j *fleet.Job) bool {
 	return len(j.Attempts) > 0 || j.FromEarlierTerm && !m.leader.AllAccounted()
 }
