--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -1,6 +1,6 @@
-// Package attempts follows the attempts of tasks on machines: it makes those known that
-// workers report and the leader did not start, takes in what becomes of them, and forgets
-// those that are surely gone.
+// Package attempts tracks the attempts to run tasks on machines: it adopts those that workers
+// report and the leader did not start, applies their state changes, and releases those that
+// have ended or were lost.
 package attempts
 
 import (
@@ -14,36 +14,37 @@
 	"yewpass/internal/placement"
 )
 
-// Jobs is the jobs that attempts belong to.
+// Jobs gives a Tracker access to the jobs that attempts belong to.
 type Jobs interface {
-	// Find returns the job, or nil if it is not known.
+	// Find returns the job with the given ID, or nil if it is not in memory.
 	Find(id string) *fleet.Job
-	// Unreadable reports whether the job is on record and cannot be read.
+	// Unreadable reports whether the job's record exists but cannot be decoded.
 	Unreadable(id string) bool
-	// TaskStarted follows when a task of the job is reported as running.
+	// TaskStarted is called when a worker first reports a task of the job as running.
 	TaskStarted(j *fleet.Job)
-	// CompleteTask marks a task of the job complete.
+	// CompleteTask marks a task of the job as completed.
 	CompleteTask(j *fleet.Job, index int)
-	// Requeue makes a task of the job wait again.
+	// Requeue marks a task of the job as pending again.
 	Requeue(j *fleet.Job, index int)
-	// FinishIfEnded records the end of the job if it is over.
+	// FinishIfEnded writes the final record of the job if it has ended.
 	FinishIfEnded(j *fleet.Job)
 }
 
-// Tracker follows the attempts of one term.
+// Tracker tracks the attempts known in one leadership term.
 type Tracker struct {
 	engine    *engine.Engine
 	placement *placement.Scheduler
 	jobs      Jobs
 }
 
-// New returns a tracker of attempts.
+// New returns a tracker that accounts for attempts in p and reports their outcome to jobs.
 func New(e *engine.Engine, p *placement.Scheduler, jobs Jobs) *Tracker {
 	return &Tracker{engine: e, placement: p, jobs: jobs}
 }
 
-// Adopt makes a task known that a worker lists and the leader did not start: of an earlier
-// term, or of a job that is over.
+// Adopt adds an attempt for a task that a worker lists and that this leader did not start, for
+// instance one started in an earlier term or one of an ended job. An attempt whose task does
+// not need to run is marked to be stopped.
 func (t *Tracker) Adopt(m *fleet.Machine, task *heartbeat.Task) *fleet.Attempt {
 	a := &fleet.Attempt{ID: task.Task, Number: task.Try, Machine: m, Phase: fleet.Ordered, OrderedAt: t.engine.Now}
 	m.Attempts = append(m.Attempts, a)
@@ -63,7 +64,7 @@
 		t.placement.Occupy(a, j)
 		return a
 	}
-	// Nobody waits for it.
+	// The task is unknown, completed or running elsewhere.
 	a.StopRequested = true
 	if t.jobs.Unreadable(a.ID.Job) {
 		a.Orphaned = true
@@ -75,9 +76,9 @@
 	return a
 }
 
-// supersedeEarlier has an earlier attempt of the task stopped that is taken to be on another
-// machine. A later attempt was only ordered once the earlier one was surely gone: what
-// reported that one was late, and the later one is the one that runs.
+// supersedeEarlier stops an earlier attempt of the same task that is believed to run on another
+// machine. A later attempt is started only after the earlier one is known to have ended, so the
+// information about the earlier attempt is outdated.
 func (t *Tracker) supersedeEarlier(a *fleet.Attempt, j *fleet.Job) {
 	earlier := j.Attempts[a.ID.Index]
 	if earlier != nil && earlier.Machine != a.Machine && earlier.Number < a.Number {
@@ -86,7 +87,8 @@
 	}
 }
 
-// DropAll forgets all attempts on a machine, which are surely gone.
+// DropAll removes and releases all attempts on a machine. The caller must know that none of them
+// is still running.
 func (t *Tracker) DropAll(m *fleet.Machine) {
 	for _, a := range slices.Clone(m.Attempts) {
 		if i := slices.Index(m.Attempts, a); i >= 0 {
@@ -96,12 +98,12 @@
 	}
 }
 
-// Release gives up an attempt that is surely gone and makes its task wait again. The caller
-// takes it off the machine's list.
+// Release frees the resources of an attempt that is known to have ended and requeues its task.
+// The caller removes the attempt from the machine's list.
 func (t *Tracker) Release(a *fleet.Attempt) {
-	held := a.Occupies
+	occupied := a.Occupies
 	t.placement.Vacate(a)
-	if held {
+	if occupied {
 		t.jobs.Requeue(a.Job, a.ID.Index)
 		if a.Job.Cancelled {
 			t.jobs.FinishIfEnded(a.Job)
@@ -109,7 +111,8 @@
 	}
 }
 
-// Update takes in the state of a task.
+// Update applies the reported state of a task to its attempt. It ignores attempts that have
+// exited before.
 func (t *Tracker) Update(a *fleet.Attempt, task *heartbeat.Task) {
 	if a.Phase == heartbeat.Exited {
 		return
@@ -124,7 +127,7 @@
 	}
 }
 
-// onListed takes in that a task is on its machine.
+// onListed updates an attempt whose task has not exited.
 func (t *Tracker) onListed(a *fleet.Attempt, phase heartbeat.Phase) {
 	if phase == heartbeat.TaskRuns && a.Phase != heartbeat.TaskRuns {
 		a.StartedAt = t.engine.Now
@@ -140,20 +143,21 @@
 	}
 }
 
-// onExit takes in that a task has ended.
+// onExit updates an attempt whose task has exited.
 func (t *Tracker) onExit(a *fleet.Attempt, cause string) {
-	was, held := a.Phase, a.Occupies
+	previous, occupied := a.Phase, a.Occupies
 	a.Phase = heartbeat.Exited
 	t.placement.Vacate(a)
 	if cause == heartbeat.CauseDone {
-		t.onCompleted(a, was, held)
+		t.onCompleted(a, previous, occupied)
 	} else {
-		t.onFailed(a, cause, held)
+		t.onFailed(a, cause, occupied)
 	}
 }
 
-// onCompleted follows when a task is done. held says whether it counted against its job.
-func (t *Tracker) onCompleted(a *fleet.Attempt, was heartbeat.Phase, held bool) {
+// onCompleted handles an attempt that has completed its task. previous is its phase before the
+// exit; occupied reports whether it occupied resources for its job until then.
+func (t *Tracker) onCompleted(a *fleet.Attempt, previous heartbeat.Phase, occupied bool) {
 	m, j := a.Machine, a.Job
 	m.FailureScore, m.OnProbation = 0, false
 	if j == nil {
@@ -163,31 +167,32 @@
 	a.Forgettable = t.jobs.Find(a.ID.Job) != j
 	switch {
 	case !a.Forgettable && j.Finishing && !j.Cancelled:
-		// Its final record is on its way: until that is known this exit may be all that
-		// tells a successor that the task is done.
+		// Until the final record is committed, the exit that this worker reports may be the
+		// only information from which a new leader learns that the task has completed.
 		j.Completed = append(j.Completed, a)
 	case !a.Forgettable && !j.Halted():
-		if was == heartbeat.TaskRuns && !a.StartedAt.IsZero() && !a.FoundRunning {
+		if previous == heartbeat.TaskRuns && !a.StartedAt.IsZero() && !a.FoundRunning {
 			t.placement.RecordRuntime(j, t.engine.Now.Sub(a.StartedAt))
 		}
 		j.Completed = append(j.Completed, a)
 		t.jobs.CompleteTask(j, a.ID.Index)
-	case held && j.Cancelled:
+	case occupied && j.Cancelled:
 		a.Forgettable = true
 		t.jobs.FinishIfEnded(j)
 	}
 }
 
 const (
-	// noRoomDelay is how long a machine is left alone that has refused a start: the worker
-	// sees less room than the leader does.
+	// noRoomDelay is how long no task is started on a machine whose worker has rejected a
+	// start for lack of resources.
 	noRoomDelay = time.Second
-	// unknownTaskDelay is how long a job is left alone after an exit with CauseUnknownTask.
+	// unknownTaskDelay is how long no task of a job is started after an exit with
+	// CauseUnknownTask.
 	unknownTaskDelay = 2 * time.Second
 )
 
-// onFailed follows when a task has ended without being done.
-func (t *Tracker) onFailed(a *fleet.Attempt, cause string, held bool) {
+// onFailed handles an attempt that has exited without completing its task.
+func (t *Tracker) onFailed(a *fleet.Attempt, cause string, occupied bool) {
 	m, j := a.Machine, a.Job
 	a.Forgettable = true
 	if j == nil {
@@ -203,18 +208,19 @@
 	}
 	if j.Cancelled {
 		t.jobs.FinishIfEnded(j)
-	} else if held {
+	} else if occupied {
 		t.jobs.Requeue(j, a.ID.Index)
 	}
 }
 
-// quarantineThreshold is the failure score from which on a machine gets no more tasks.
+// quarantineThreshold is the failure score at which a machine is quarantined and gets no more
+// tasks.
 const quarantineThreshold = 4
 
-// recordFailure weighs a failed task: the machine is at fault when jobs fail on it that run
-// elsewhere, the job when it fails wherever it goes.
+// recordFailure attributes a failed task to its machine or its job: a machine is quarantined if
+// jobs fail on it that run elsewhere, and a job is delayed if it fails on several machines.
 func (t *Tracker) recordFailure(j *fleet.Job, m *fleet.Machine) {
-	if len(j.FailedOn) <= fleet.MaxFailedMachines { // more would not change where it may go
+	if len(j.FailedOn) <= fleet.MaxFailedMachines { // further entries have no effect on placement
 		j.FailedOn[m.Host] = true
 	}
 	j.Failures++
@@ -225,15 +231,15 @@
 		m.FailureScore++
 	}
 	if !j.AnyCompleted && len(j.FailedOn) > 1 {
-		// Failed on several machines and never completed: more likely the job. It goes on
-		// one task at a time, less and less often.
+		// No task has completed and several machines have seen failures, so the job is the
+		// likely cause: retry with exponential backoff.
 		wait := min(2*time.Second<<min(j.Failures/2, 5), time.Minute)
 		j.RetryAt = t.engine.Now.Add(wait)
-		t.engine.Log(slog.LevelDebug, "job fails repeatedly, backing off", "job", j.Spec.ID, "failures", j.Failures, "wait", wait)
+		t.engine.Log(slog.LevelDebug, "job failed on several machines; delaying its next attempt", "job", j.Spec.ID, "failures", j.Failures, "wait", wait)
 	}
 	if m.FailureScore >= quarantineThreshold && !m.Quarantined {
 		m.Quarantined = true
-		t.engine.Log(slog.LevelWarn, "machine quarantined", "machine", m.Host, "type", m.TypeName, "reason", "tasks fail on it that run elsewhere")
+		t.engine.Log(slog.LevelWarn, "machine quarantined", "machine", m.Host, "type", m.TypeName, "reason", "tasks fail on this machine that complete on others")
 		t.placement.DropMachineReservations(m)
 	}
 }
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -19,11 +19,11 @@
 
 var t0 = time.Unix(1_900_000_000, 0)
 
-// fakeLeader is the leader and the jobs around a tracker.
+// fakeLeader implements Jobs and the leader that the placement package requires.
 type fakeLeader struct {
 	jobs       map[string]*fleet.Job
 	unreadable map[string]bool
-	calls      []string // what was asked of the jobs
+	calls      []string // calls of Jobs methods with effects
 }
 
 func (l *fakeLeader) CanAct() bool                      { return true }
@@ -46,12 +46,12 @@
 func (l *fakeLeader) wantCalls(t *testing.T, want ...string) {
 	t.Helper()
 	if fmt.Sprint(l.calls) != fmt.Sprint(want) {
-		t.Errorf("asked of the jobs: %q, want %q", l.calls, want)
+		t.Errorf("calls of Jobs: %q, want %q", l.calls, want)
 	}
 	l.calls = nil
 }
 
-// fixture is a tracker with one job of four tasks.
+// fixture is a tracker with a job of four tasks.
 type fixture struct {
 	*Tracker
 	leader    *fakeLeader
@@ -85,65 +85,65 @@
 	return &heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-1", Index: index}, Try: try, Phase: phase, Cause: cause}
 }
 
-// run has a task of the job run on the machine.
-func (w *fixture) run(m *fleet.Machine, index int, try uint64) *fleet.Attempt {
-	a := w.Adopt(m, task(index, try, heartbeat.Pulling, ""))
-	w.Update(a, task(index, try, heartbeat.TaskRuns, ""))
-	w.leader.calls = nil
+// run adopts an attempt of a task of the job and reports it as running.
+func (f *fixture) run(m *fleet.Machine, index int, try uint64) *fleet.Attempt {
+	a := f.Adopt(m, task(index, try, heartbeat.Pulling, ""))
+	f.Update(a, task(index, try, heartbeat.TaskRuns, ""))
+	f.leader.calls = nil
 	return a
 }
 
 func TestAdopt(t *testing.T) {
-	t.Run("waited for", func(t *testing.T) {
-		w, m := newFixture(t), newMachine("h1")
-		a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
-		if a.StopRequested || !a.Occupies || !a.FoundRunning || w.job.Attempts[1] != a || m.Allocated != w.job.Need {
-			t.Errorf("%+v", a)
+	t.Run("pending task", func(t *testing.T) {
+		f, m := newFixture(t), newMachine("h1")
+		a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
+		if a.StopRequested || !a.Occupies || !a.FoundRunning || f.job.Attempts[1] != a || m.Allocated != f.job.Need {
+			t.Errorf("unexpected attempt state %+v", a)
 		}
 	})
 	t.Run("exited", func(t *testing.T) {
-		w, m := newFixture(t), newMachine("h1")
-		if a := w.Adopt(m, task(1, 1, heartbeat.Exited, heartbeat.CauseDone)); a.Job != w.job || a.Occupies || a.StopRequested {
-			t.Errorf("%+v", a)
+		f, m := newFixture(t), newMachine("h1")
+		if a := f.Adopt(m, task(1, 1, heartbeat.Exited, heartbeat.CauseDone)); a.Job != f.job || a.Occupies || a.StopRequested {
+			t.Errorf("unexpected attempt state %+v", a)
 		}
 	})
-	t.Run("done already", func(t *testing.T) {
-		w, m := newFixture(t), newMachine("h1")
-		w.job.Done.Add(1)
-		if a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Occupies || a.Job != nil {
-			t.Errorf("%+v", a)
+	t.Run("completed task", func(t *testing.T) {
+		f, m := newFixture(t), newMachine("h1")
+		f.job.Done.Add(1)
+		if a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Occupies || a.Job != nil {
+			t.Errorf("unexpected attempt state %+v", a)
 		}
 	})
 	t.Run("no such task", func(t *testing.T) {
-		w, m := newFixture(t), newMachine("h1")
-		if a := w.Adopt(m, task(4, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Orphaned || a.Occupies {
-			t.Errorf("%+v", a)
+		f, m := newFixture(t), newMachine("h1")
+		if a := f.Adopt(m, task(4, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Orphaned || a.Occupies {
+			t.Errorf("unexpected attempt state %+v", a)
 		}
 	})
 	t.Run("unreadable job", func(t *testing.T) {
-		w, m := newFixture(t), newMachine("h1")
-		delete(w.leader.jobs, "wk-1")
-		w.leader.unreadable["wk-1"] = true
-		a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
-		if !a.StopRequested || !a.Orphaned || w.placement.OrphanedTasks != 1 {
-			t.Errorf("%+v, %d orphaned", a, w.placement.OrphanedTasks)
+		f, m := newFixture(t), newMachine("h1")
+		delete(f.leader.jobs, "wk-1")
+		f.leader.unreadable["wk-1"] = true
+		a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
+		if !a.StopRequested || !a.Orphaned || f.placement.OrphanedTasks != 1 {
+			t.Errorf("attempt %+v, %d orphaned tasks, want 1", a, f.placement.OrphanedTasks)
 		}
-		if w.DropAll(m); w.placement.OrphanedTasks != 0 {
-			t.Error("still orphaned")
+		if f.DropAll(m); f.placement.OrphanedTasks != 0 {
+			t.Error("orphaned tasks are counted after DropAll")
 		}
 	})
 	t.Run("later attempt", func(t *testing.T) {
-		w, m := newFixture(t), newMachine("h1")
-		earlier := w.run(newMachine("h2"), 1, 1)
-		a := w.Adopt(m, task(1, 2, heartbeat.TaskRuns, ""))
+		f, m := newFixture(t), newMachine("h1")
+		earlier := f.run(newMachine("h2"), 1, 1)
+		a := f.Adopt(m, task(1, 2, heartbeat.TaskRuns, ""))
 		if !earlier.StopRequested || earlier.Occupies || a.StopRequested || !a.Occupies {
 			t.Errorf("earlier %+v, later %+v", earlier, a)
 		}
 	})
 	t.Run("earlier attempt", func(t *testing.T) {
-		w, m := newFixture(t), newMachine("h1")
-		later := w.run(newMachine("h2"), 1, 2)
-		a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
+		f, m := newFixture(t), newMachine("h1")
+		later := f.run(newMachine("h2"), 1, 2)
+		a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
 		if later.StopRequested || !later.Occupies || !a.StopRequested || a.Occupies {
 			t.Errorf("earlier %+v, later %+v", a, later)
 		}
@@ -151,30 +151,30 @@
 }
 
 func TestUpdate(t *testing.T) {
-	w, m := newFixture(t), newMachine("h1")
-	a := w.Adopt(m, task(1, 1, heartbeat.Pulling, ""))
-	w.Update(a, task(1, 1, heartbeat.Pulling, ""))
-	w.leader.wantCalls(t)
-	w.engine.Now = t0.Add(time.Second)
-	w.Update(a, task(1, 1, heartbeat.TaskRuns, ""))
-	w.leader.wantCalls(t, "started")
-	if !a.StartedAt.Equal(w.engine.Now) || !m.Images.Contains("img") || w.job.Running != 1 {
-		t.Errorf("%+v", a)
+	f, m := newFixture(t), newMachine("h1")
+	a := f.Adopt(m, task(1, 1, heartbeat.Pulling, ""))
+	f.Update(a, task(1, 1, heartbeat.Pulling, ""))
+	f.leader.wantCalls(t)
+	f.engine.Now = t0.Add(time.Second)
+	f.Update(a, task(1, 1, heartbeat.TaskRuns, ""))
+	f.leader.wantCalls(t, "started")
+	if !a.StartedAt.Equal(f.engine.Now) || !m.Images.Contains("img") || f.job.Running != 1 {
+		t.Errorf("unexpected attempt state %+v", a)
 	}
-	w.Update(a, task(1, 1, heartbeat.Checkpointing, ""))
-	w.leader.wantCalls(t)
-	w.engine.Now = t0.Add(21 * time.Second)
-	w.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
-	w.leader.wantCalls(t, "complete 1")
-	if w.job.Running != 0 || a.Occupies || m.Allocated != (timeline.Resources{}) || a.Forgettable || len(w.job.Completed) != 1 {
-		t.Errorf("%+v", a)
+	f.Update(a, task(1, 1, heartbeat.Checkpointing, ""))
+	f.leader.wantCalls(t)
+	f.engine.Now = t0.Add(21 * time.Second)
+	f.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
+	f.leader.wantCalls(t, "complete 1")
+	if f.job.Running != 0 || a.Occupies || m.Allocated != (timeline.Resources{}) || a.Forgettable || len(f.job.Completed) != 1 {
+		t.Errorf("unexpected attempt state %+v", a)
 	}
-	w.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseError))
-	w.leader.wantCalls(t) // an attempt ends once
+	f.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseError))
+	f.leader.wantCalls(t) // a second exit is ignored
 }
 
-// TestRuntime: how long a task ran is known only of one that was seen to begin and to end while
-// it ran.
+// TestRuntime checks that the run time of a task is recorded only if both its start and its exit
+// were observed while it ran.
 func TestRuntime(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -186,14 +186,14 @@
 		{"checkpointing at last", heartbeat.Pulling, heartbeat.Checkpointing, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w, m := newFixture(t), newMachine("h1")
-			a := w.Adopt(m, task(1, 1, test.first, ""))
-			w.Update(a, task(1, 1, heartbeat.TaskRuns, ""))
-			w.Update(a, task(1, 1, test.last, ""))
-			w.engine.Now = t0.Add(20 * time.Second)
-			w.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
-			if n := w.job.Runtime.N; n != test.want {
-				t.Errorf("%d run times, not %d", n, test.want)
+			f, m := newFixture(t), newMachine("h1")
+			a := f.Adopt(m, task(1, 1, test.first, ""))
+			f.Update(a, task(1, 1, heartbeat.TaskRuns, ""))
+			f.Update(a, task(1, 1, test.last, ""))
+			f.engine.Now = t0.Add(20 * time.Second)
+			f.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
+			if n := f.job.Runtime.N; n != test.want {
+				t.Errorf("recorded %d run times, want %d", n, test.want)
 			}
 		})
 	}
@@ -216,64 +216,64 @@
 		{name: "no room", cause: heartbeat.CauseNoRoom, want: []string{"requeue 1"}, forgettable: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w, m := newFixture(t), newMachine("h1")
-			a := w.run(m, 1, 1)
+			f, m := newFixture(t), newMachine("h1")
+			a := f.run(m, 1, 1)
 			if test.prepare != nil {
-				test.prepare(w.job)
+				test.prepare(f.job)
 			}
-			w.Update(a, task(1, 1, heartbeat.Exited, test.cause))
-			w.leader.wantCalls(t, test.want...)
+			f.Update(a, task(1, 1, heartbeat.Exited, test.cause))
+			f.leader.wantCalls(t, test.want...)
 			if a.Forgettable != test.forgettable || a.Occupies {
-				t.Errorf("%+v", a)
+				t.Errorf("unexpected attempt state %+v", a)
 			}
 		})
 	}
-	t.Run("job forgotten", func(t *testing.T) {
-		w, m := newFixture(t), newMachine("h1")
-		a := w.run(m, 1, 1)
-		delete(w.leader.jobs, "wk-1")
-		w.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
-		if w.leader.wantCalls(t); !a.Forgettable {
-			t.Error("to be kept for nobody")
+	t.Run("job no longer in memory", func(t *testing.T) {
+		f, m := newFixture(t), newMachine("h1")
+		a := f.run(m, 1, 1)
+		delete(f.leader.jobs, "wk-1")
+		f.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
+		if f.leader.wantCalls(t); !a.Forgettable {
+			t.Error("attempt of a removed job is not forgettable")
 		}
 	})
 }
 
 func TestDropAll(t *testing.T) {
-	w, m := newFixture(t), newMachine("h1")
-	w.run(m, 1, 1)
-	w.run(m, 2, 2)
-	w.job.Cancelled = true
-	w.DropAll(m)
-	w.leader.wantCalls(t, "requeue 1", "finish", "requeue 2", "finish")
-	if len(m.Attempts) != 0 || len(w.job.Attempts) != 0 || m.Allocated != (timeline.Resources{}) {
-		t.Errorf("%d attempts are left", len(m.Attempts))
+	f, m := newFixture(t), newMachine("h1")
+	f.run(m, 1, 1)
+	f.run(m, 2, 2)
+	f.job.Cancelled = true
+	f.DropAll(m)
+	f.leader.wantCalls(t, "requeue 1", "finish", "requeue 2", "finish")
+	if len(m.Attempts) != 0 || len(f.job.Attempts) != 0 || m.Allocated != (timeline.Resources{}) {
+		t.Errorf("%d attempts left on the machine, want 0 and no allocated resources", len(m.Attempts))
 	}
 }
 
-// TestFailures: a machine on which a job fails that runs elsewhere is quarantined soon, and a job
-// that fails on several machines and never completed is held back.
+// TestFailures checks that a machine is quarantined if a job fails on it that completes elsewhere,
+// and that a job that fails on several machines without completing a task is delayed.
 func TestFailures(t *testing.T) {
-	w, m := newFixture(t), newMachine("h1")
-	w.job.AnyCompleted = true
+	f, m := newFixture(t), newMachine("h1")
+	f.job.AnyCompleted = true
 	fail := func(m *fleet.Machine, try uint64) {
-		a := w.run(m, 1, try)
-		w.Update(a, task(1, try, heartbeat.Exited, heartbeat.CauseError))
+		a := f.run(m, 1, try)
+		f.Update(a, task(1, try, heartbeat.Exited, heartbeat.CauseError))
 	}
-	if fail(m, 1); m.Quarantined || !m.OnProbation || !w.job.FailedOn["h1"] {
-		t.Errorf("after one failure: %+v", m.Health)
+	if fail(m, 1); m.Quarantined || !m.OnProbation || !f.job.FailedOn["h1"] {
+		t.Errorf("machine health after one failure: %+v", m.Health)
 	}
 	if fail(m, 2); !m.Quarantined {
-		t.Error("not quarantined after two failures")
+		t.Error("machine not quarantined after two failures")
 	}
-	if !w.job.RetryAt.IsZero() {
-		t.Error("the job is held back for a machine's fault")
+	if !f.job.RetryAt.IsZero() {
+		t.Error("job delayed because of failures on one machine")
 	}
-	w = newFixture(t)
-	if fail(newMachine("h1"), 1); !w.job.RetryAt.IsZero() {
-		t.Error("held back after one failure")
+	f = newFixture(t)
+	if fail(newMachine("h1"), 1); !f.job.RetryAt.IsZero() {
+		t.Error("job delayed after one failure")
 	}
-	if fail(newMachine("h2"), 2); !w.job.RetryAt.Equal(t0.Add(4 * time.Second)) {
-		t.Errorf("held back for %v after failures on two machines", w.job.RetryAt.Sub(t0))
+	if fail(newMachine("h2"), 2); !f.job.RetryAt.Equal(t0.Add(4 * time.Second)) {
+		t.Errorf("job delayed for %v after failures on two machines, want 4s", f.job.RetryAt.Sub(t0))
 	}
 }
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -1,6 +1,5 @@
-// Package reconcile judges workers' reports by what is known of their machines, and
-// brings what is known of machines and their tasks in line with the reports that are
-// believed.
+// Package reconcile classifies workers' heartbeats as current or outdated, and updates the
+// leader's view of machines and tasks from those that are accepted.
 package reconcile
 
 import (
@@ -16,15 +15,15 @@
 	"yewpass/internal/placement"
 )
 
-// Leader is what the reconciler needs of the leadership that it is part of.
+// Leader is implemented by the leader that a Reconciler belongs to.
 type Leader interface {
-	// OnBoot follows the first heartbeat of a machine of an instance type.
+	// OnBoot is called at the first heartbeat of a machine, with its instance type.
 	OnBoot(instanceType string)
-	// MarkAccounted notes that no unknown task of an earlier term can be on a machine.
+	// MarkAccounted records that all tasks that earlier terms started on a machine are known.
 	MarkAccounted(host string)
 }
 
-// Reconciler takes in the reports of one term.
+// Reconciler applies the accepted heartbeats of one leadership term.
 type Reconciler struct {
 	engine       *engine.Engine
 	leader       Leader
@@ -33,15 +32,16 @@
 	placement    *placement.Scheduler
 	term         uint64
 	workerLease  time.Duration
-	heartbeatSeq uint64 // taken in
+	heartbeatSeq uint64 // number of the heartbeat being applied
 }
 
-// New returns the reconciler of the term that begins now.
+// New returns a reconciler for the given term. workerLease bounds the delay before the next start
+// on a machine that has lost start orders.
 func New(e *engine.Engine, leader Leader, v *inventory.Inventory, tracker *attempts.Tracker, scheduler *placement.Scheduler, term uint64, workerLease time.Duration) *Reconciler {
 	return &Reconciler{engine: e, leader: leader, inventory: v, attempts: tracker, placement: scheduler, term: term, workerLease: workerLease}
 }
 
-// Reconcile takes in a report that is believed.
+// Reconcile updates a machine and its tasks from a heartbeat that was accepted.
 func (r *Reconciler) Reconcile(m *fleet.Machine, report *heartbeat.Report) {
 	r.updateMachine(m, report)
 	r.updateTasks(m, report)
@@ -54,7 +54,7 @@
 	r.placement.ExtendOverruns(m)
 }
 
-// updateMachine takes in what a report says of the machine itself.
+// updateMachine updates the machine itself from a heartbeat.
 func (r *Reconciler) updateMachine(m *fleet.Machine, report *heartbeat.Report) {
 	now := r.engine.Now
 	if !m.Reported {
@@ -63,7 +63,8 @@
 		r.leader.OnBoot(m.TypeName)
 	}
 	if m.Reported && report.Incarnation > m.Incarnation {
-		// Its lease has expired: the worker has killed all that it had.
+		// The worker starts a new incarnation after its lease has expired and it has killed
+		// all of its tasks.
 		r.attempts.DropAll(m)
 	}
 	m.Reported, m.Incarnation, m.Counter, m.FencingToken = true, report.Incarnation, report.Counter, report.FencingToken
@@ -79,7 +80,7 @@
 	}
 }
 
-// updateTasks takes in the tasks that a report lists.
+// updateTasks updates the attempts of the tasks that a heartbeat lists.
 func (r *Reconciler) updateTasks(m *fleet.Machine, report *heartbeat.Report) {
 	r.heartbeatSeq++
 	for i := range report.Tasks {
@@ -93,10 +94,10 @@
 	}
 }
 
-// releaseUnlisted drops the attempts that a report should list and does not, and reports
-// whether a start was lost. A start that went out with the reply to an earlier report and
-// is not listed now was never executed, and never will be: the worker takes replies in
-// turn and drops late ones.
+// releaseUnlisted releases the attempts that a heartbeat should list and does not, and reports
+// whether a start order was lost. A start sent with the reply to an earlier heartbeat that is
+// not listed now will never be executed, because workers process replies in order and ignore
+// late ones.
 func (r *Reconciler) releaseUnlisted(m *fleet.Machine, report *heartbeat.Report) (lostStart bool) {
 	m.Attempts = slices.DeleteFunc(m.Attempts, func(a *fleet.Attempt) bool {
 		if a.LastListed == r.heartbeatSeq || report.Counter <= a.OrderedCounter {
@@ -109,9 +110,9 @@
 	return lostStart
 }
 
-// backOffAfterLostStart notes that a machine has not executed a start. Once may be chance, or a
-// relay that ended. A machine that does not hear us must not be what a task is tried on
-// again and again while there is room elsewhere.
+// backOffAfterLostStart counts a start order that a machine did not execute. From the second
+// one on, further starts on the machine are delayed exponentially, so that tasks are not
+// retried on a machine that does not receive replies.
 func (r *Reconciler) backOffAfterLostStart(m *fleet.Machine) {
 	if m.UnlistedStarts++; m.UnlistedStarts > 1 {
 		m.RetryAt = r.engine.Now.Add(min(time.Second<<min(m.UnlistedStarts-1, 10), r.workerLease))
--- a/internal/reconcile/verdict.go
+++ b/internal/reconcile/verdict.go
@@ -7,32 +7,30 @@
 	"yewpass/internal/heartbeat"
 )
 
-// Verdict is what is made of a worker's heartbeat.
+// Verdict is the classification of a worker's heartbeat.
 type Verdict int
 
 const (
-	// Accepted is a heartbeat that is believed.
+	// Accepted is a heartbeat that is newer than all known ones and is applied.
 	Accepted Verdict = iota
-	// Resent is a heartbeat that was accepted before, and that a relay has sent again in a
-	// new session.
+	// Resent is a heartbeat that was accepted before and that a relay has sent again in a new
+	// session.
 	Resent
-	// Superseded is a heartbeat that the worker's own answer to a probe has overtaken.
+	// Superseded is a heartbeat that is older than the worker's answer to a probe.
 	Superseded
-	// Stale is a heartbeat that was delayed on the way: what it says is older than what is
-	// known.
+	// Stale is a delayed heartbeat that is older than the known state of the machine.
 	Stale
-	// Deferred is a heartbeat that waits until the records have been read.
+	// Deferred is a heartbeat that is processed after the stored records have been loaded.
 	Deferred
-	// Refused is a heartbeat that the leader has no authority to answer.
+	// Refused is a heartbeat that the leader must not answer without a valid leader lease.
 	Refused
-	// UnknownToken is a heartbeat of a worker that has seen a fencing token newer than the
-	// leader's.
+	// UnknownToken is a heartbeat with a fencing token newer than the leader's own.
 	UnknownToken
 )
 
-var verdictNames = [...]string{"accepted", "resent", "overtaken", "stale", "deferred", "refused", "unknown token"}
+var verdictNames = [...]string{"accepted", "resent", "superseded", "stale", "deferred", "refused", "unknown token"}
 
-// String returns the name of the verdict.
+// String returns the verdict in lower case, or its number if it is undefined.
 func (v Verdict) String() string {
 	if v < 0 || int(v) >= len(verdictNames) {
 		return fmt.Sprintf("Verdict(%d)", int(v))
@@ -40,8 +38,8 @@
 	return verdictNames[v]
 }
 
-// Classify judges a heartbeat by what is known of its machine. It returns Accepted,
-// Resent, Overtaken or Stale.
+// Classify compares a heartbeat with the known state of its machine. It returns Accepted, Resent,
+// Superseded or Stale.
 func Classify(m *fleet.Machine, in heartbeat.Received, hasAuthority bool) Verdict {
 	report := &in.Report
 	sameIncarnation := report.Incarnation == m.Incarnation
@@ -54,15 +52,14 @@
 	if !m.Reported {
 		return Accepted
 	}
-	// A worker never forgets a fencing token that it has seen, unless its process has
-	// begun anew: then its counters may begin anew too, and what is newer by them may have
-	// been sent before the earlier process ended. Nothing of either is believed until the
-	// lease of what we know is over, which a machine that is not answered does not outlast.
+	// A worker's fencing token decreases only when its process restarts. The counters may
+	// restart too, so they cannot tell whether a heartbeat was sent by the old or the new
+	// process. All such heartbeats are rejected until the known lease has expired.
 	if report.FencingToken < m.FencingToken {
 		return Stale
 	}
-	// A relay that has begun a new session sends again what waits there. What was answered
-	// in the session before has not reached the worker, and will not.
+	// A relay that starts a new session resends the heartbeats that still wait for a reply.
+	// Replies sent in the previous session have not reached the worker and never will.
 	if in.Via.Relay != "" && sameIncarnation && report.Counter == m.Counter {
 		return Resent
 	}
--- a/internal/reconcile/verdict_test.go
+++ b/internal/reconcile/verdict_test.go
@@ -7,8 +7,8 @@
 	"yewpass/internal/heartbeat"
 )
 
-// TestClassify: a heartbeat is believed only if it is surely newer than what is known of
-// its machine; one that a relay sends again is told from one that is late.
+// TestClassify checks that a heartbeat is accepted only if it is newer than the known state of
+// its machine, and that a heartbeat resent by a relay is not taken for a delayed one.
 func TestClassify(t *testing.T) {
 	known := fleet.Heartbeats{Reported: true, Incarnation: 3, Counter: 7, FencingToken: 5}
 	probed := known
@@ -22,18 +22,18 @@
 		noAuthority                 bool
 		want                        Verdict
 	}{
-		"the first":                                  {incarnation: 1, counter: 1, want: Accepted},
-		"the next":                                   {machine: known, incarnation: 3, counter: 8, token: 5, want: Accepted},
-		"the first with a newer token":               {machine: known, incarnation: 3, counter: 8, token: 6, want: Accepted},
-		"of the next incarnation":                    {machine: known, incarnation: 4, counter: 1, token: 5, want: Accepted},
-		"the same":                                   {machine: known, incarnation: 3, counter: 7, token: 5, want: Stale},
-		"the same, through a relay":                  {machine: known, via: relayed, incarnation: 3, counter: 7, token: 5, want: Resent},
-		"an earlier one, through a relay":            {machine: known, via: relayed, incarnation: 3, counter: 6, token: 5, want: Stale},
-		"of an earlier incarnation":                  {machine: known, incarnation: 2, counter: 9, token: 5, want: Stale},
-		"with an older token":                        {machine: known, incarnation: 3, counter: 8, token: 4, want: Stale},
-		"the same with an older token, by a relay":   {machine: known, via: relayed, incarnation: 3, counter: 7, token: 4, want: Stale},
-		"of an incarnation whose lease is over":      {machine: expired, incarnation: 3, counter: 9, want: Stale},
-		"after that one":                             {machine: expired, incarnation: 4, counter: 1, want: Accepted},
+		"first heartbeat":                            {incarnation: 1, counter: 1, want: Accepted},
+		"next heartbeat":                             {machine: known, incarnation: 3, counter: 8, token: 5, want: Accepted},
+		"first with a newer token":                   {machine: known, incarnation: 3, counter: 8, token: 6, want: Accepted},
+		"next incarnation":                           {machine: known, incarnation: 4, counter: 1, token: 5, want: Accepted},
+		"repeated":                                   {machine: known, incarnation: 3, counter: 7, token: 5, want: Stale},
+		"repeated, through a relay":                  {machine: known, via: relayed, incarnation: 3, counter: 7, token: 5, want: Resent},
+		"earlier, through a relay":                   {machine: known, via: relayed, incarnation: 3, counter: 6, token: 5, want: Stale},
+		"earlier incarnation":                        {machine: known, incarnation: 2, counter: 9, token: 5, want: Stale},
+		"older token":                                {machine: known, incarnation: 3, counter: 8, token: 4, want: Stale},
+		"repeated with an older token, by a relay":   {machine: known, via: relayed, incarnation: 3, counter: 7, token: 4, want: Stale},
+		"incarnation whose lease has expired":        {machine: expired, incarnation: 3, counter: 9, want: Stale},
+		"incarnation after the expired one":          {machine: expired, incarnation: 4, counter: 1, want: Accepted},
 		"before the answer to a probe":               {machine: probed, incarnation: 3, counter: 6, token: 4, want: Superseded},
 		"the answer to a probe itself":               {machine: probed, incarnation: 3, counter: 7, token: 5, want: Superseded},
 		"after the answer to a probe":                {machine: probed, incarnation: 3, counter: 8, token: 5, want: Accepted},
@@ -43,7 +43,7 @@
 			m := &fleet.Machine{Heartbeats: x.machine}
 			in := heartbeat.Received{Via: x.via, Report: heartbeat.Report{Incarnation: x.incarnation, Counter: x.counter, FencingToken: x.token}}
 			if got := Classify(m, in, !x.noAuthority); got != x.want {
-				t.Errorf("%v, it should be %v", got, x.want)
+				t.Errorf("Classify returned %v, want %v", got, x.want)
 			}
 		})
 	}
