--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,6 +1,6 @@
-// Package dispatch answers the heartbeats of workers: it holds a reply while there is
-// nothing to say, paces replies so that workers keep to the bandwidth that operators
-// allow, and sends orders as soon as there are any.
+// Package dispatch replies to the heartbeats of workers. It holds a reply while there are no
+// orders for the worker, sends it as soon as there are, and delays replies so that heartbeats
+// stay within the configured bandwidth.
 package dispatch
 
 import (
@@ -14,25 +14,26 @@
 	"yewpass/internal/relaylinks"
 )
 
-// Leader is what the dispatcher needs of the leadership that it is part of.
+// Leader is implemented by the leader that a Dispatcher belongs to.
 type Leader interface {
-	// HasAuthority reports whether the leader may start tasks and acknowledge exits.
+	// HasAuthority reports whether the leader holds its lease, and may therefore start tasks
+	// and acknowledge exits.
 	HasAuthority() bool
-	// Machines returns the machines of the fleet, by name.
+	// Machines returns the machines of the fleet, sorted by host name.
 	Machines() []*fleet.Machine
-	// Unreadable reports whether a job's record cannot be read.
+	// Unreadable reports whether the job's record exists but cannot be decoded.
 	Unreadable(job string) bool
 }
 
-// Pacing is how long replies are held, as the operators' policy has it.
+// Pacing configures how long replies are held. It is set from the operators' configuration.
 type Pacing struct {
-	HoldIdle, HoldBusy time.Duration // while there is nothing to say
-	BytesPerSecond     float64       // that heartbeats may take of a worker's network; 0: no bound
+	HoldIdle, HoldBusy time.Duration // how long replies without orders are held; see holdDuration
+	BytesPerSecond     float64       // bandwidth of a worker's heartbeats; 0: unlimited
 }
 
-// Dispatcher answers the heartbeats of one term.
+// Dispatcher replies to the heartbeats of one leadership term.
 type Dispatcher struct {
-	// Pacing may be set at any time.
+	// Pacing may be changed at any time.
 	Pacing Pacing
 
 	engine    *engine.Engine
@@ -42,14 +43,14 @@
 	placement *placement.Scheduler
 	term      uint64
 
-	held         map[fleet.HeartbeatKey]*fleet.Machine // machines whose replies are held
-	pending      []*fleet.Machine                      // see Request
-	allPending   bool                                  // see RequestAll
-	nextFullPass time.Time                             // not before this are all machines looked at again
-	timerSet     bool                                  // a timer is set for then
+	held         map[fleet.HeartbeatKey]*fleet.Machine // machines with a held reply
+	pending      []*fleet.Machine                      // machines to be checked; see Enqueue
+	allPending   bool                                  // check all machines; see EnqueueAll
+	nextFullPass time.Time                             // earliest next pass over all machines
+	timerSet     bool                                  // a timer for nextFullPass is running
 }
 
-// New returns the dispatcher of the term that begins now.
+// New returns a dispatcher for the given term; its timers stop when scope is closed.
 func New(e *engine.Engine, scope *engine.Scope, leader Leader, relays *relaylinks.Links, scheduler *placement.Scheduler, term uint64) *Dispatcher {
 	return &Dispatcher{
 		engine: e, scope: scope, leader: leader, relays: relays, placement: scheduler, term: term,
@@ -57,12 +58,12 @@
 	}
 }
 
-// fullPassInterval bounds how often all held replies are looked at: there is news many times as
-// often on a large fleet, and each time takes a pass over all of it.
+// fullPassInterval is the shortest time between two passes over all machines. On a large fleet
+// events arrive much more often, and each pass visits every machine.
 const fullPassInterval = 40 * time.Millisecond
 
-// Enqueue has the machine looked at soon if its reply is held, as there may be orders
-// for it.
+// Enqueue schedules a check of the machine in the next Run. It is called when there may be orders
+// for the machine.
 func (d *Dispatcher) Enqueue(m *fleet.Machine) {
 	if !m.DispatchPending {
 		m.DispatchPending = true
@@ -70,15 +71,15 @@
 	}
 }
 
-// EnqueueAll has all machines looked at soon whose replies are held, as there may be
-// something for any of them to start.
+// EnqueueAll schedules a check of all machines with held replies. It is called when tasks may have
+// become startable on any of them.
 func (d *Dispatcher) EnqueueAll() { d.allPending = true }
 
-// Pending reports whether machines are to be looked at.
+// Pending reports whether Run has machines to check.
 func (d *Dispatcher) Pending() bool { return d.allPending || len(d.pending) > 0 }
 
-// Run looks at the machines for which there are requests, and answers those for which
-// there are orders.
+// Run checks the enqueued machines and replies to those that have orders. Passes over all machines
+// are at least fullPassInterval apart.
 func (d *Dispatcher) Run() {
 	for i := 0; i < len(d.pending); i++ {
 		m := d.pending[i]
@@ -93,7 +94,8 @@
 	if now.Before(d.nextFullPass) {
 		if !d.timerSet {
 			d.timerSet = true
-			d.scope.After(d.nextFullPass.Sub(now), func() { d.timerSet = false }) // Run follows in the same step
+			// The leader calls Run in the same step, after the timer.
+			d.scope.After(d.nextFullPass.Sub(now), func() { d.timerSet = false })
 		}
 		return
 	}
@@ -110,21 +112,21 @@
 	}
 }
 
-// replyIfOrders answers a held heartbeat if there are orders for the machine.
+// replyIfOrders sends the held reply of a machine if there are orders for it.
 func (d *Dispatcher) replyIfOrders(m *fleet.Machine) {
 	if m.HeldReply == nil || m.FencingToken != d.term {
 		return
 	}
 	orders := d.orders(m)
 	if d.paceDelay(m, orders) > 0 {
-		return // it is answered when the time has come
+		return // a timer sends the reply after the delay
 	}
 	if orders = append(orders, d.placement.StartTasksOn(m)...); len(orders) > 0 {
 		d.send(m, orders)
 	}
 }
 
-// orders returns what the machine has to do other than to start tasks.
+// orders returns the stop and reap orders for the machine.
 func (d *Dispatcher) orders(m *fleet.Machine) []heartbeat.Order {
 	var orders []heartbeat.Order
 	for _, a := range m.Attempts {
@@ -147,7 +149,7 @@
 	return orders
 }
 
-// mayReap reports whether the worker may forget an attempt that has exited.
+// mayReap reports whether the worker may forget an exited attempt.
 func (d *Dispatcher) mayReap(a *fleet.Attempt) bool {
 	if a.Job == nil {
 		return a.Forgettable || !d.leader.Unreadable(a.ID.Job)
@@ -155,5 +157,5 @@
 	return a.Forgettable || a.Job.Cancelled
 }
 
-// isCancelledOrCancelling reports whether the tasks of a job, if it is known, are not wanted any more.
+// isCancelledOrCancelling reports whether a job, which may be nil, has been or is being cancelled.
 func isCancelledOrCancelling(j *fleet.Job) bool { return j != nil && (j.Cancelled || j.Cancelling) }
--- a/internal/dispatch/replies.go
+++ b/internal/dispatch/replies.go
@@ -9,8 +9,8 @@
 	"yewpass/internal/timeline"
 )
 
-// ReplyOrHold answers a heartbeat that has been accepted, at once or when there is something
-// to say.
+// ReplyOrHold replies to an accepted heartbeat, either at once or, if there are no orders, when
+// some arise or the hold time has passed.
 func (d *Dispatcher) ReplyOrHold(m *fleet.Machine, in heartbeat.Received) {
 	m.HeldReply = &fleet.HeldReply{HeartbeatKey: fleet.HeartbeatKey{Via: in.Via, Ref: in.Ref}, Since: d.engine.Now}
 	if in.Via.Relay == "" {
@@ -20,7 +20,7 @@
 	d.reply(m, false)
 }
 
-// takeHeld removes the heartbeat whose reply is held for a machine and returns its key.
+// takeHeld removes the held reply of a machine and returns its key. There must be one.
 func (d *Dispatcher) takeHeld(m *fleet.Machine) fleet.HeartbeatKey {
 	key := m.HeldReply.HeartbeatKey
 	delete(d.held, key)
@@ -28,7 +28,7 @@
 	return key
 }
 
-// Refuse refuses the heartbeat whose reply is held for a machine, if there is one.
+// Refuse sends the held reply of a machine, if there is one, with status 503.
 func (d *Dispatcher) Refuse(m *fleet.Machine) {
 	if m.HeldReply != nil {
 		key := d.takeHeld(m)
@@ -36,14 +36,14 @@
 	}
 }
 
-// Abandon forgets a heartbeat for whose reply nobody waits any more.
+// Abandon discards a held reply that the worker or relay no longer waits for.
 func (d *Dispatcher) Abandon(key fleet.HeartbeatKey) {
 	if m := d.held[key]; m != nil {
 		d.takeHeld(m)
 	}
 }
 
-// AbandonRelay forgets all heartbeats that came through a relay.
+// AbandonRelay discards all held replies to heartbeats that came through the named relay.
 func (d *Dispatcher) AbandonRelay(name string) {
 	for _, m := range d.leader.Machines() {
 		if m.HeldReply != nil && m.HeldReply.Via.Relay == name {
@@ -52,35 +52,35 @@
 	}
 }
 
-// Flush answers all held heartbeats.
+// Flush sends all held replies, unless pacing delays them.
 func (d *Dispatcher) Flush() {
 	for _, m := range d.leader.Machines() {
 		d.reply(m, true)
 	}
 }
 
-// reply answers a machine's heartbeat, or holds the reply for a while as long as there is
-// nothing to say; due says that it has been held for long enough.
-func (d *Dispatcher) reply(m *fleet.Machine, due bool) {
+// reply sends the held reply of a machine, or holds it longer while there are no orders.
+// holdExpired reports that it must not be held any longer for that reason.
+func (d *Dispatcher) reply(m *fleet.Machine, holdExpired bool) {
 	if m.HeldReply == nil {
 		return
 	}
 	orders := d.orders(m)
 	if !d.leader.HasAuthority() {
-		// No starts and no acknowledgements; but what has been cancelled, or whose
-		// cancellation has begun, is stopped: that was decided under authority.
+		// Without authority no task is started and no exit acknowledged. Stops are still
+		// sent, because they were decided while the leader had authority.
 		orders = slices.DeleteFunc(orders, func(o heartbeat.Order) bool { return o.Verb != heartbeat.Stop })
 		d.send(m, orders)
 		return
 	}
 	if wait := d.paceDelay(m, orders); wait > 0 {
-		d.replyAfter(wait, m, due)
+		d.replyAfter(wait, m, holdExpired)
 		return
 	}
 	if m.FencingToken == d.term {
 		orders = append(orders, d.placement.StartTasksOn(m)...)
 	}
-	if len(orders) > 0 || due || m.FencingToken != d.term || m.Releasing {
+	if len(orders) > 0 || holdExpired || m.FencingToken != d.term || m.Releasing {
 		d.send(m, orders)
 		return
 	}
@@ -91,17 +91,17 @@
 	}
 }
 
-// replyAfter answers a machine's heartbeat later unless it has been answered by then.
-func (d *Dispatcher) replyAfter(wait time.Duration, m *fleet.Machine, due bool) {
+// replyAfter calls reply after a delay, unless the held reply has been sent by then.
+func (d *Dispatcher) replyAfter(wait time.Duration, m *fleet.Machine, holdExpired bool) {
 	held := m.HeldReply
 	d.scope.After(wait, func() {
 		if m.HeldReply == held {
-			d.reply(m, due)
+			d.reply(m, holdExpired)
 		}
 	})
 }
 
-// holdDuration returns for how long a reply without orders is held.
+// holdDuration returns how long a reply without orders is held; 0 sends it at once.
 func (d *Dispatcher) holdDuration(m *fleet.Machine) time.Duration {
 	if len(m.Attempts) == 0 || m.WarmReserve != 0 && m.Room().CPU >= m.WarmReserve/2 {
 		return d.Pacing.HoldIdle
@@ -121,21 +121,20 @@
 	m.LastReply = d.engine.Now
 }
 
-// What a heartbeat and its reply take on the wire, approximately: the headers of HTTP
-// and the fields of the machine, and each task that is listed.
+// Approximate size of a heartbeat and its reply on the network: HTTP headers and machine fields,
+// and each listed task.
 const (
 	heartbeatBytes     = 480
 	heartbeatTaskBytes = 90
 )
 
-// MaxPaceDelay bounds for how long a reply is held for its bytes: workers give up after
-// 4 s.
+// MaxPaceDelay is the longest time by which pacing delays a reply. It is below the 4 s after which
+// workers give up waiting for a reply.
 const MaxPaceDelay = 2500 * time.Millisecond
 
-// paceDelay returns for how long a reply to the machine is still held so that its worker
-// keeps to the bytes a second that operators allow: a worker sends its next heartbeat
-// after the reply at the earliest, and one with many tasks has news all the time. Stops
-// are never held back.
+// paceDelay returns how long the held reply of a machine has to be delayed for its worker to stay
+// within Pacing.BytesPerSecond. This limits the rate of heartbeats because a worker sends the
+// next one only after the reply. Replies with stop orders are never delayed.
 func (d *Dispatcher) paceDelay(m *fleet.Machine, orders []heartbeat.Order) time.Duration {
 	budget := d.Pacing.BytesPerSecond
 	if budget <= 0 || m.FencingToken != d.term || m.Releasing || slices.ContainsFunc(orders, func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop }) {
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory is the machines that the leader knows, the records that name them for its
-// successors, and when their leases are over.
+// Package inventory keeps the machines that the leader knows, writes the stored records from
+// which a new leader learns of them, and determines when their leases expire.
 package inventory
 
 import (
@@ -17,36 +17,37 @@
 	"yewpass/internal/zones"
 )
 
-// Inventory is the machines that are known in one term.
+// Inventory holds the machines known in one leadership term.
 type Inventory struct {
 	engine       *engine.Engine
 	byHost       map[string]*fleet.Machine
-	machines     []*fleet.Machine // the same, by name
-	released     expiringset.Set  // proven gone: their late heartbeats count for nothing
-	unaccounted  map[string]bool  // recorded machines, or unreadable records of machines, that may stand for an earlier term's tasks
+	machines     []*fleet.Machine // the same machines, sorted by host name
+	released     expiringset.Set  // known to be terminated; their delayed heartbeats are ignored
+	unaccounted  map[string]bool  // hosts and unreadable record keys; see Unaccounted
 	places       *topology.Tree
 	zones        *zones.Watch
 	instanceType func(name string) *provider.InstanceType
 	workerLease  time.Duration
 }
 
-// New returns an inventory without machines. Function instanceType returns an instance type
-// of the catalog, or nil.
+// New returns an empty inventory. instanceType returns an instance type of the catalog, or nil if
+// the name is unknown.
 func New(e *engine.Engine, z *zones.Watch, workerLease time.Duration, instanceType func(name string) *provider.InstanceType) *Inventory {
-	places, _ := topology.New(topology.Definition{}) // zones alone: cannot fail
+	places, _ := topology.New(topology.Definition{}) // cannot fail without user-defined levels
 	return &Inventory{
 		engine: e, byHost: map[string]*fleet.Machine{}, released: expiringset.New(e.Now), unaccounted: map[string]bool{},
 		places: places, zones: z, instanceType: instanceType, workerLease: workerLease,
 	}
 }
 
-// Machines returns the machines by name.
+// Machines returns all machines, sorted by host name. The caller must not modify the slice.
 func (v *Inventory) Machines() []*fleet.Machine { return v.machines }
 
-// Find returns the machine, or nil if it is not known.
+// Find returns the machine with the given host name, or nil if it is not known.
 func (v *Inventory) Find(host string) *fleet.Machine { return v.byHost[host] }
 
-// Ensure returns the machine, made known if need be.
+// Ensure returns the machine with the given host name, and adds it if it is not known. The other
+// arguments are used only for a new machine.
 func (v *Inventory) Ensure(host, instanceType, zone string, spot bool) *fleet.Machine {
 	m := v.byHost[host]
 	if m == nil {
@@ -60,13 +61,13 @@
 	return m
 }
 
-// index returns where the machine is among the machines, or would be.
+// index returns the position of the host in v.machines, or where it would be inserted.
 func (v *Inventory) index(host string) int {
 	return sort.Search(len(v.machines), func(i int) bool { return v.machines[i].Host >= host })
 }
 
-// SetInstanceType sets the instance type of a machine and with it its capacity, if the type is
-// known by now and was not before.
+// SetInstanceType sets the instance type of a machine, and thereby its capacity, if the catalog
+// has the type and it was not set before.
 func (v *Inventory) SetInstanceType(m *fleet.Machine) {
 	f := v.instanceType(m.TypeName)
 	if f == nil || m.InstanceType != nil {
@@ -81,7 +82,7 @@
 	}
 }
 
-// Remove forgets a machine.
+// Remove deletes a machine from the inventory.
 func (v *Inventory) Remove(m *fleet.Machine) {
 	delete(v.byHost, m.Host)
 	v.places.Forget(m.Host)
@@ -90,40 +91,41 @@
 	}
 }
 
-// MarkReleased notes that a machine has been released and is proven gone.
+// MarkReleased records that a machine has been released and is known to be terminated.
 func (v *Inventory) MarkReleased(host string) { v.released.Add(host, v.engine.Now) }
 
-// Released reports whether the machine was released lately and is proven gone.
+// Released reports whether the machine was recently marked with MarkReleased.
 func (v *Inventory) Released(host string) bool { return v.released.Has(host) }
 
-// Unaccounted reports whether the machine may hold tasks of an earlier term that are not known.
+// Unaccounted reports whether the machine may have tasks of an earlier term that the leader does
+// not know.
 func (v *Inventory) Unaccounted(host string) bool { return v.unaccounted[host] }
 
-// UnaccountedCount returns how many machines, or records of machines that cannot be read, may
-// stand for unknown tasks of an earlier term.
+// UnaccountedCount returns the number of machines that may have unknown tasks of an earlier term.
+// A machine record that cannot be read counts as one machine.
 func (v *Inventory) UnaccountedCount() int { return len(v.unaccounted) }
 
-// AllAccounted reports whether no machine can hold unknown tasks of an earlier term.
+// AllAccounted reports whether no machine can have unknown tasks of an earlier term.
 func (v *Inventory) AllAccounted() bool { return len(v.unaccounted) == 0 }
 
-// MarkAccounted notes that nothing of an earlier term can be on the machine unknown. It reports
-// whether that was open before.
+// MarkAccounted records that the machine has no unknown task of an earlier term. It reports
+// whether the machine was unaccounted before.
 func (v *Inventory) MarkAccounted(host string) bool {
 	was := v.unaccounted[host]
 	delete(v.unaccounted, host)
 	return was
 }
 
-// LeaseExpiry returns when the machine's lease has surely ended if it is not answered any more,
-// given when all leases are over that only earlier leaders renewed. ok is false while it cannot
-// be told.
-func (v *Inventory) LeaseExpiry(m *fleet.Machine, earlier time.Time) (expiry time.Time, ok bool) {
-	answered := m.LastReply.Add(lease.WithDrift(v.workerLease))
+// LeaseExpiry returns the time by which the machine's lease has expired if it gets no further
+// replies. earlierExpiry is the time by which all leases renewed by earlier leaders have expired.
+// ok is false if the machine is accounted for and this leader has never replied to it.
+func (v *Inventory) LeaseExpiry(m *fleet.Machine, earlierExpiry time.Time) (expiry time.Time, ok bool) {
+	ownExpiry := m.LastReply.Add(lease.WithDrift(v.workerLease))
 	if !v.unaccounted[m.Host] && !m.Probed {
-		return answered, !m.LastReply.IsZero()
+		return ownExpiry, !m.LastReply.IsZero()
 	}
-	if answered.After(earlier) {
-		return answered, true
+	if ownExpiry.After(earlierExpiry) {
+		return ownExpiry, true
 	}
-	return earlier, true
+	return earlierExpiry, true
 }
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -17,7 +17,7 @@
 
 const workerLease = 30 * time.Second
 
-// newInventory returns an empty inventory with a catalog that the test may fill.
+// newInventory returns an empty inventory and its catalog, which the test may fill.
 func newInventory(t *testing.T) (*Inventory, *engine.Engine, map[string]*provider.InstanceType) {
 	t.Helper()
 	e := engine.New(rand.New(rand.NewPCG(1, 1)), 1)
@@ -33,13 +33,13 @@
 	for _, host := range []string{"h2", "h3", "h1"} {
 		m := v.Ensure(host, "f0", "a", true)
 		if m.Host != host || m.InstanceType != catalog["f0"] || m.Timeline.Capacity() != catalog["f0"].Capacity || !m.Spot || m.Place == nil || m.ZoneState == nil {
-			t.Errorf("%s: %+v", host, m.Identity)
+			t.Errorf("machine %s: unexpected identity or capacity: %+v", host, m.Identity)
 		}
 		if again := v.Ensure(host, "f1", "b", false); again != m || m.Zone != "a" {
-			t.Errorf("%s is made known twice", host)
+			t.Errorf("second Ensure of %s changed the machine", host)
 		}
 		if v.Find(host) != m {
-			t.Errorf("%s is not found", host)
+			t.Errorf("Find did not return machine %s", host)
 		}
 	}
 	v.Remove(v.Find("h2"))
@@ -48,31 +48,31 @@
 		hosts = append(hosts, m.Host)
 	}
 	if len(hosts) != 2 || hosts[0] != "h1" || hosts[1] != "h3" || v.Find("h2") != nil {
-		t.Errorf("machines %v, not h1 and h3", hosts)
+		t.Errorf("machines %v, want h1 and h3", hosts)
 	}
 	if v.MarkReleased("h2"); !v.Released("h2") || v.Released("h1") {
-		t.Error("h2 alone is released")
+		t.Error("want h2 released and h1 not")
 	}
 }
 
-// TestSetInstanceType: what runs on a machine is on its timeline as soon as its capacity is
-// known, and a capacity that is known stays.
+// TestSetInstanceType checks that the attempts on a machine are entered into its timeline once
+// its capacity is known, and that a known capacity does not change.
 func TestSetInstanceType(t *testing.T) {
 	v, _, catalog := newInventory(t)
 	m := v.Ensure("h1", "f0", "a", false)
 	if m.InstanceType != nil || m.Timeline.Capacity() != (timeline.Resources{}) {
-		t.Fatal("has a capacity, and the catalog is unknown")
+		t.Fatal("machine has a capacity although its type is not in the catalog")
 	}
 	need := timeline.Need(4, 0, 1)
 	m.Attempts = append(m.Attempts, &fleet.Attempt{Reservation: &timeline.Booking{Start: t0, End: t0.Add(time.Minute), Need: need, Count: 1}}, &fleet.Attempt{})
 	catalog["f0"] = &provider.InstanceType{Name: "f0", Capacity: timeline.Capacity(4, 0, 16)}
 	v.SetInstanceType(m)
 	if start, ok := m.Timeline.Earliest(t0, time.Second, need); !ok || !start.Equal(t0.Add(time.Minute)) {
-		t.Errorf("free after %v, not after what runs", start.Sub(t0))
+		t.Errorf("earliest start after %v, want 1m0s, when the attempt ends", start.Sub(t0))
 	}
 	catalog["f0"] = &provider.InstanceType{Name: "f0", Capacity: timeline.Capacity(8, 0, 16)}
 	if v.SetInstanceType(m); m.Timeline.Capacity().CPU != 4000 {
-		t.Error("the capacity has changed")
+		t.Error("known capacity of the machine has changed")
 	}
 }
 
@@ -101,7 +101,7 @@
 			}
 			got, ok := v.LeaseExpiry(m, test.earlier)
 			if ok == test.unknown || ok && !got.Equal(test.want) {
-				t.Errorf("%v after the start (%v), want %v", got.Sub(t0), ok, test.want.Sub(t0))
+				t.Errorf("lease expires %v after t0 (ok %v), want %v", got.Sub(t0), ok, test.want.Sub(t0))
 			}
 		})
 	}
@@ -111,9 +111,9 @@
 	v, _, _ := newInventory(t)
 	v.unaccounted["h1"] = true
 	if !v.Unaccounted("h1") || v.AllAccounted() || v.UnaccountedCount() != 1 {
-		t.Error("h1 is not accounted for")
+		t.Error("h1 should be the only unaccounted machine")
 	}
 	if !v.MarkAccounted("h1") || v.MarkAccounted("h1") || !v.AllAccounted() {
-		t.Error("h1 is accounted for once")
+		t.Error("MarkAccounted should return true only the first time")
 	}
 }
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -15,39 +15,40 @@
 	"yewpass/internal/writebatch"
 )
 
-// minWriteInterval is how often a record of machines is written at the most.
+// minWriteInterval is the shortest time between two writes of the same machine record.
 const minWriteInterval = 250 * time.Millisecond
 
-// Leader is what the records of machines need of the leader that they belong to.
+// Leader is implemented by the leader that owns the machine records.
 type Leader interface {
-	// Write has a change written to the key-value store.
+	// Write queues a change to be written to the key-value store.
 	Write(change *writebatch.Change)
-	// ReadBack reads the record whose write met a condition that does not hold.
+	// ReadBack reads a record whose conditional write failed, and calls f with the result.
 	ReadBack(key string, f func(e kv.Entry, found bool))
-	// ReplicateDrop has the replicas drop a record.
+	// ReplicateDrop deletes a record from the replicas.
 	ReplicateDrop(key string)
-	// RequestDispatch has the machine looked at soon for work that may start there.
+	// RequestDispatch schedules a check for tasks that can start on the machine.
 	RequestDispatch(m *fleet.Machine)
-	// MarkAccounted notes that nothing of an earlier term is on the machine unknown.
+	// MarkAccounted records that the machine has no unknown task of an earlier term.
 	MarkAccounted(host string)
 }
 
-// Records is the records that name the machines which may hold tasks.
+// Records writes the stored records that list the machines on which tasks may run.
 type Records struct {
 	engine    *engine.Engine
 	scope     *engine.Scope
 	inventory *Inventory
 	leader    Leader
-	maxSize   int // of a value in the key-value store
-	fillSize  int // up to which machines are added to a record
+	maxSize   int // bytes of a value in the key-value store
+	fillSize  int // bytes up to which machines are added to a record
 	term      uint64
 
 	records    []*fleet.Record
-	created    uint64            // records begun in this term
-	unreadable map[string]uint64 // revisions of records that cannot be read, by key
+	created    uint64            // records created in this term
+	unreadable map[string]uint64 // revisions of records that cannot be decoded, by key
 }
 
-// NewRecords returns the records of the inventory in the given term.
+// NewRecords returns the records of the inventory for the given term; no writes are started after
+// scope is closed.
 func NewRecords(e *engine.Engine, scope *engine.Scope, st config.State, inv *Inventory, leader Leader, term uint64) *Records {
 	return &Records{
 		engine: e, scope: scope, inventory: inv, leader: leader, term: term,
@@ -55,94 +56,95 @@
 	}
 }
 
-// Add has it recorded that the machine may hold tasks.
+// Add adds the machine to a record and schedules its write. Tasks may start on the machine once
+// that is committed.
 func (r *Records) Add(m *fleet.Machine) {
-	i := slices.IndexFunc(r.records, func(g *fleet.Record) bool { return g.Size+fleet.RecordedSize(m) <= r.fillSize })
+	i := slices.IndexFunc(r.records, func(rec *fleet.Record) bool { return rec.Size+fleet.RecordedSize(m) <= r.fillSize })
 	if i < 0 {
 		r.created++
 		r.records = append(r.records, &fleet.Record{Key: fmt.Sprintf("%s%d-%d", record.MachinePrefix, r.term, r.created)})
 		i = len(r.records) - 1
 	}
-	g := r.records[i]
+	rec := r.records[i]
 	m.Record = fleet.Recording
-	r.assign(g, m)
-	r.write(g, writebatch.Urgent)
+	r.assign(rec, m)
+	r.write(rec, writebatch.Urgent)
 }
 
-// assign adds a machine to those that a record names.
-func (r *Records) assign(g *fleet.Record, m *fleet.Machine) {
-	m.RecordedIn = g
-	g.Machines = append(g.Machines, m)
-	g.Size += fleet.RecordedSize(m)
+// assign adds a machine to a record.
+func (r *Records) assign(rec *fleet.Record, m *fleet.Machine) {
+	m.RecordedIn = rec
+	rec.Machines = append(rec.Machines, m)
+	rec.Size += fleet.RecordedSize(m)
 }
 
-// Remove takes a machine that is gone out of its record.
+// Remove removes a terminated machine from its record and schedules the write.
 func (r *Records) Remove(m *fleet.Machine) {
-	g := m.RecordedIn
-	if g == nil {
+	rec := m.RecordedIn
+	if rec == nil {
 		return
 	}
 	m.Record, m.RecordedIn = fleet.Unrecorded, nil
-	g.Machines = slices.DeleteFunc(g.Machines, func(x *fleet.Machine) bool { return x == m })
-	g.Size -= fleet.RecordedSize(m)
-	r.write(g, writebatch.Bulk)
+	rec.Machines = slices.DeleteFunc(rec.Machines, func(x *fleet.Machine) bool { return x == m })
+	rec.Size -= fleet.RecordedSize(m)
+	r.write(rec, writebatch.Bulk)
 }
 
-// Restore writes those of the records with the given keys again that name machines. Nothing
-// starts on the machines until they are on record.
+// Restore rewrites the records with the given keys, which the store has lost. No task starts on
+// their machines until the write is committed.
 func (r *Records) Restore(lost map[string]bool) {
-	for _, g := range r.records {
-		if lost[g.Key] && len(g.Machines) > 0 {
-			for _, m := range g.Machines {
+	for _, rec := range r.records {
+		if lost[rec.Key] && len(rec.Machines) > 0 {
+			for _, m := range rec.Machines {
 				m.Record = fleet.Recording
 			}
-			r.write(g, writebatch.Urgent)
+			r.write(rec, writebatch.Urgent)
 		}
 	}
 }
 
-// write writes a record. What changes until then goes along.
-func (r *Records) write(g *fleet.Record, priority writebatch.Priority) {
-	if g.WriteQueued && priority >= g.Priority {
+// write schedules a write of a record. The value is determined when the write is sent.
+func (r *Records) write(rec *fleet.Record, priority writebatch.Priority) {
+	if rec.WriteQueued && priority >= rec.Priority {
 		return
 	}
-	g.WriteQueued, g.Priority = true, priority
-	r.scope.After(max(0, g.WrittenAt.Add(minWriteInterval).Sub(r.engine.Now)), func() {
+	rec.WriteQueued, rec.Priority = true, priority
+	r.scope.After(max(0, rec.WrittenAt.Add(minWriteInterval).Sub(r.engine.Now)), func() {
 		w := &recordWrite{
-			records: r, record: g,
-			change: &writebatch.Change{Priority: priority, Writes: []kv.Write{{Key: g.Key}}, Size: r.maxSize},
+			records: r, record: rec,
+			change: &writebatch.Change{Priority: priority, Writes: []kv.Write{{Key: rec.Key}}, Size: r.maxSize},
 		}
 		w.change.Prepare, w.change.OnConflict, w.change.OnCommit = w.prepare, w.onConflict, w.onCommit
 		r.leader.Write(w.change)
 	})
 }
 
-// recordWrite is a write of a record of machines.
+// recordWrite is a write of a machine record, conditional on the record's revision.
 //
-// The record's own revision is a condition. A transaction whose response was lost is sent
-// again and may be applied late all the same, under this very leader and after newer ones: it
-// must not bring back a list that lacks machines, which a successor would take for empty.
+// A transaction whose response was lost is retried, and the first attempt may still be applied
+// after newer writes. The condition prevents it from restoring an older list: a new leader would
+// assume that no tasks run on machines that the list lacks.
 type recordWrite struct {
 	records *Records
 	record  *fleet.Record
 	change  *writebatch.Change
-	added   []*fleet.Machine // those that are on record with this write
+	added   []*fleet.Machine // machines that this write records for the first time
 	sent    bool
 }
 
-// prepare sets what is written. It reports whether there is anything left to write.
+// prepare sets the value to be written. It returns false if the write is no longer needed.
 func (w *recordWrite) prepare() bool {
-	g := w.record
-	if !g.WriteQueued && !w.sent {
-		return false // went along with one of a higher priority
+	rec := w.record
+	if !rec.WriteQueued && !w.sent {
+		return false // already included in a write of higher priority
 	}
-	// What has been sent may not have been executed: it goes again.
-	g.WriteQueued, g.WrittenAt, w.sent = false, w.records.engine.Now, true
-	w.change.Conditions = []kv.Condition{{Key: g.Key, Rev: g.Revision}}
+	// A write that was sent before may not have been applied, so it is sent again.
+	rec.WriteQueued, rec.WrittenAt, w.sent = false, w.records.engine.Now, true
+	w.change.Conditions = []kv.Condition{{Key: rec.Key, Rev: rec.Revision}}
 	w.added = nil
-	w.change.Size = g.Size
+	w.change.Size = rec.Size
 	value := &record.Machines{}
-	for _, m := range g.Machines {
+	for _, m := range rec.Machines {
 		value.Machines = append(value.Machines, m.Recorded())
 		if m.Record == fleet.Recording {
 			w.added = append(w.added, m)
@@ -155,67 +157,67 @@
 	return true
 }
 
-// deletes reports whether the write removes the record.
+// deletes reports whether the write deletes the record.
 func (w *recordWrite) deletes() bool { return w.change.Writes[0].Value == nil }
 
-// onConflict follows when an earlier try of ours has been applied.
+// onConflict reads the current revision after an earlier attempt of a write has been applied, and
+// schedules another write.
 func (w *recordWrite) onConflict() {
-	g, dropped := w.record, w.deletes()
-	w.records.leader.ReadBack(g.Key, func(e kv.Entry, found bool) {
+	rec, dropped := w.record, w.deletes()
+	w.records.leader.ReadBack(rec.Key, func(e kv.Entry, found bool) {
 		if dropped && !found {
-			w.records.leader.ReplicateDrop(g.Key)
+			w.records.leader.ReplicateDrop(rec.Key)
 		}
-		g.Revision = e.Rev // 0 if there is none
-		w.records.write(g, w.change.Priority)
+		rec.Revision = e.Rev // 0 if the record does not exist
+		w.records.write(rec, w.change.Priority)
 	})
 }
 
-// onCommit follows when the record has been written.
+// onCommit updates the revision, and allows tasks on the machines that are now recorded.
 func (w *recordWrite) onCommit(rev uint64) {
-	g := w.record
-	if g.Revision = rev; w.deletes() {
-		g.Revision = 0
+	rec := w.record
+	if rec.Revision = rev; w.deletes() {
+		rec.Revision = 0
 	}
 	for _, m := range w.added {
-		if m.Record == fleet.Recording && m.RecordedIn == g {
+		if m.Record == fleet.Recording && m.RecordedIn == rec {
 			m.Record = fleet.Recorded
 			w.records.leader.RequestDispatch(m)
 		}
 	}
 }
 
-// Load takes in a record of an earlier term.
-func (r *Records) Load(key string, rec *record.Machines, rev uint64) {
-	g := &fleet.Record{Key: key, Revision: rev}
-	for _, x := range rec.Machines {
+// Load adds a record of an earlier term and its machines, which are unaccounted from then on.
+func (r *Records) Load(key string, stored *record.Machines, rev uint64) {
+	rec := &fleet.Record{Key: key, Revision: rev}
+	for _, x := range stored.Machines {
 		m := r.inventory.Ensure(x.Host, x.InstanceType, x.Zone, x.Spot)
 		if m.RecordedIn != nil {
 			continue
 		}
 		r.inventory.unaccounted[x.Host] = true
 		m.Record, m.Address = fleet.Recorded, x.Address
-		r.assign(g, m)
+		r.assign(rec, m)
 	}
-	r.records = append(r.records, g)
+	r.records = append(r.records, rec)
 }
 
-// LoadUnreadable takes in a record of an earlier term that cannot be read. Which machines it
-// names is not known, so nothing but time shows that they are accounted for: what reports is
-// known by that, and what does not has lost its lease by then.
+// LoadUnreadable adds a record of an earlier term that cannot be decoded. Its machines are unknown,
+// so it counts as unaccounted until all leases of earlier terms have expired: by then each machine
+// has sent a heartbeat or lost its lease.
 func (r *Records) LoadUnreadable(key string, rev uint64) {
 	r.inventory.unaccounted[key] = true
 	r.unreadable[key] = rev
 }
 
-// DropExpired gives up on the machines of unreadable records once every lease is over that an
-// earlier leader can have renewed. Such a record then says nothing more, and would hold up the
-// next failover as well.
-func (r *Records) DropExpired(leasesOver time.Time) {
-	if len(r.unreadable) == 0 || !r.engine.Now.After(leasesOver) {
+// DropExpired deletes the unreadable records once all leases that earlier leaders may have renewed
+// have expired. Otherwise they would delay the next failover too.
+func (r *Records) DropExpired(leasesExpired time.Time) {
+	if len(r.unreadable) == 0 || !r.engine.Now.After(leasesExpired) {
 		return
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.unreadable)) {
-		r.engine.Log(slog.LevelWarn, "dropping unreadable machine record, all its leases have expired", "key", key)
+		r.engine.Log(slog.LevelWarn, "deleting unreadable machine record: all leases of earlier terms have expired", "key", key)
 		r.leader.Write(&writebatch.Change{Priority: writebatch.Bulk, Conditions: []kv.Condition{{Key: key, Rev: r.unreadable[key]}}, Writes: []kv.Write{{Key: key}}})
 		r.leader.MarkAccounted(key)
 	}
--- a/internal/inventory/records_test.go
+++ b/internal/inventory/records_test.go
@@ -12,7 +12,7 @@
 	"yewpass/internal/writebatch"
 )
 
-// fakeLeader keeps what the records ask of their leader.
+// fakeLeader records the calls of Leader methods.
 type fakeLeader struct {
 	changes    []*writebatch.Change
 	readBacks  []func(kv.Entry, bool)
@@ -36,13 +36,14 @@
 	return NewRecords(e, e.NewScope(), config.State{ValueKB: 16}, v, l, 7), v, l, e
 }
 
-// sent lets the time of the next write come and returns the hosts that it names.
+// sent advances the clock to the next write and returns the change and the hosts in its record.
+// n is the number of writes expected so far.
 func (l *fakeLeader) sent(t *testing.T, e *engine.Engine, n int) (*writebatch.Change, []string) {
 	t.Helper()
 	e.Now = e.Now.Add(minWriteInterval)
 	e.RunTimers()
 	if len(l.changes) != n {
-		t.Fatalf("%d writes, not %d", len(l.changes), n)
+		t.Fatalf("got %d writes, want %d", len(l.changes), n)
 	}
 	change := l.changes[n-1]
 	if !change.Prepare() {
@@ -57,8 +58,8 @@
 	return change, hosts
 }
 
-// TestRecordMachines: machines that come together are written together, may take tasks once
-// that is committed, and a record that names none any more is dropped.
+// TestRecordMachines checks that machines added together share a write, may run tasks once it is
+// committed, and that a record is deleted when its last machine is removed.
 func TestRecordMachines(t *testing.T) {
 	r, v, l, e := newRecords(t)
 	a, b := v.Ensure("h1", "f0", "a", true), v.Ensure("h2", "f0", "a", true)
@@ -66,26 +67,26 @@
 	r.Add(b)
 	change, hosts := l.sent(t, e, 1)
 	if len(hosts) != 2 || change.Writes[0].Key != record.MachinePrefix+"7-1" || change.Priority != writebatch.Urgent || change.Conditions[0].Rev != 0 {
-		t.Fatalf("%v in %+v", hosts, change)
+		t.Fatalf("write of hosts %v: %+v", hosts, change)
 	}
 	if a.Record != fleet.Recording {
-		t.Error("counts as recorded before the commit")
+		t.Error("machine is recorded before the commit")
 	}
 	change.OnCommit(5)
 	if a.Record != fleet.Recorded || b.Record != fleet.Recorded || len(l.dispatched) != 2 {
-		t.Errorf("recorded: %v and %v, %d looked at for work", a.Record, b.Record, len(l.dispatched))
+		t.Errorf("record states %v and %v, dispatch requested for %d machines, want 2", a.Record, b.Record, len(l.dispatched))
 	}
 	r.Remove(a)
 	r.Remove(b)
-	r.Remove(b) // it is in no record any more
+	r.Remove(b) // no effect the second time
 	change, hosts = l.sent(t, e, 2)
 	if len(hosts) != 0 || change.Writes[0].Value != nil || change.Priority != writebatch.Bulk || change.Conditions[0].Rev != 5 {
-		t.Errorf("%v in %+v", hosts, change)
+		t.Errorf("write of hosts %v, want a deletion: %+v", hosts, change)
 	}
 }
 
-// TestRecordWriteConflict: an earlier try that was applied after all is read back, and what is
-// known now is written on top of it.
+// TestRecordWriteConflict checks that after a conflict the record is read back and written again
+// on the revision that was read.
 func TestRecordWriteConflict(t *testing.T) {
 	r, v, l, e := newRecords(t)
 	r.Add(v.Ensure("h1", "f0", "a", true))
@@ -94,15 +95,15 @@
 	l.readBacks[0](kv.Entry{Rev: 9}, true)
 	change, hosts := l.sent(t, e, 2)
 	if len(hosts) != 1 || change.Conditions[0].Rev != 9 {
-		t.Errorf("%v on revision %d", hosts, change.Conditions[0].Rev)
+		t.Errorf("write of hosts %v on revision %d, want one host on revision 9", hosts, change.Conditions[0].Rev)
 	}
 	if len(l.dropped) != 0 {
-		t.Error("dropped from the replicas")
+		t.Error("existing record was deleted from the replicas")
 	}
 }
 
-// TestRecordWritesMerge: a write that has become needless because one of a higher priority went
-// first is not sent.
+// TestRecordWritesMerge checks that a queued write is not sent if one of a higher priority has
+// included its changes.
 func TestRecordWritesMerge(t *testing.T) {
 	r, v, l, e := newRecords(t)
 	a, b := v.Ensure("h1", "f0", "a", true), v.Ensure("h2", "f0", "a", true)
@@ -112,36 +113,36 @@
 	r.Remove(a)
 	r.Add(b)
 	if _, hosts := l.sent(t, e, 3); len(hosts) != 1 || hosts[0] != "h2" {
-		t.Errorf("the urgent write names %v", hosts)
+		t.Errorf("urgent write has hosts %v, want h2", hosts)
 	}
 	if l.changes[1].Prepare() {
-		t.Error("the needless write is sent")
+		t.Error("redundant write was sent")
 	}
 }
 
-// TestLoadRecords: machines on record in an earlier term are not accounted for, and those of a
-// record that cannot be read until all leases are over.
+// TestLoadRecords checks that machines recorded in an earlier term are unaccounted, and that an
+// unreadable record is deleted only after all leases have expired.
 func TestLoadRecords(t *testing.T) {
 	r, v, l, e := newRecords(t)
 	r.Load(record.MachinePrefix+"6-1", &record.Machines{Machines: []record.Machine{{Host: "h1", Address: "h1:1", InstanceType: "f0", Zone: "a"}}}, 3)
 	r.LoadUnreadable(record.MachinePrefix+"6-2", 4)
 	m := v.Find("h1")
 	if m == nil || m.Record != fleet.Recorded || m.Address != "h1:1" || !v.Unaccounted("h1") || v.UnaccountedCount() != 2 {
-		t.Fatalf("%+v, %d not accounted for", m, v.UnaccountedCount())
+		t.Fatalf("machine %+v, %d unaccounted, want 2", m, v.UnaccountedCount())
 	}
-	over := t0.Add(time.Minute)
-	e.Now = over
-	if r.DropExpired(over); len(l.changes) != 0 {
-		t.Error("dropped before the leases are surely over")
+	expiry := t0.Add(time.Minute)
+	e.Now = expiry
+	if r.DropExpired(expiry); len(l.changes) != 0 {
+		t.Error("unreadable record deleted before all leases have expired")
 	}
-	e.Now = over.Add(1)
-	r.DropExpired(over)
-	r.DropExpired(over)
+	e.Now = expiry.Add(1)
+	r.DropExpired(expiry)
+	r.DropExpired(expiry)
 	if len(l.changes) != 1 || l.changes[0].Writes[0].Key != record.MachinePrefix+"6-2" || l.changes[0].Conditions[0].Rev != 4 || len(l.accounted) != 1 {
-		t.Errorf("%d writes, %v accounted for", len(l.changes), l.accounted)
+		t.Errorf("%d writes, accounted %v, want one of each", len(l.changes), l.accounted)
 	}
 	r.Restore(map[string]bool{record.MachinePrefix + "6-1": true})
 	if change, hosts := l.sent(t, e, 2); len(hosts) != 1 || m.Record != fleet.Recording || change.Conditions[0].Rev != 3 {
-		t.Errorf("written back: %v, on revision %d", hosts, change.Conditions[0].Rev)
+		t.Errorf("restored hosts %v on revision %d, want h1 on revision 3", hosts, change.Conditions[0].Rev)
 	}
 }
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -1,4 +1,4 @@
-// Package jobstore reads and writes the records of jobs in the key-value store.
+// Package jobstore reads job records from the key-value store on behalf of clients.
 package jobstore
 
 import (
@@ -7,12 +7,12 @@
 	"yewpass/internal/request"
 )
 
-// FitsValue reports whether a record of so many bytes fits into a value of the store.
+// FitsValue reports whether a record of size bytes fits into a value of the key-value store.
 func FitsValue(size int, limits config.State) bool {
 	return float64(size) <= limits.ValueKB*1024
 }
 
-// FinalStatus returns what users are told of a job that has ended.
+// FinalStatus returns the client-visible status of a job with the given final record.
 func FinalStatus(id string, f record.Final) request.JobStatus {
 	return request.JobStatus{ID: id, State: f.State, Done: f.Done}
 }
--- a/internal/jobstore/reader.go
+++ b/internal/jobstore/reader.go
@@ -12,18 +12,17 @@
 	"yewpass/internal/spec"
 )
 
-// userReadShare is how much of the requests that the key-value store allows goes into reads
-// for users: so much at the leader, and so much at all other controllers together. Were
-// each of those to take as much, users who ask about unknown and forgotten jobs many times
-// would leave no room for renewals of the leader lease.
+// userReadShare is the fraction of the key-value store's request limit that reads for clients may
+// use: once for the leader, and once for all other controllers together. With that much for each
+// controller, repeated requests about unknown jobs could block renewals of the leader lease.
 const userReadShare = 0.25
 
-// maxRequestsPerRead is how many requests Read takes for a job that does not exist, including the
-// one that confirms it.
+// maxRequestsPerRead is the number of store requests for a job that does not exist: two by Read,
+// and one by which the leader confirms the result.
 const maxRequestsPerRead = 3
 
-// Reader reads the states of jobs for users. It keeps to a share of the requests that the
-// store allows, and remembers how recent jobs have ended, which never changes.
+// Reader reads the status of jobs for clients. It limits its rate of store requests, and caches
+// the final records of recent jobs, which never change.
 type Reader struct {
 	engine *engine.Engine
 	rps    float64
@@ -31,8 +30,9 @@
 	finals *lru.Cache[string, record.Final]
 }
 
-// NewReader returns a reader for a store that allows rps requests a second. It remembers
-// the ends of maxFinals jobs, and has the share of one of so many controllers.
+// NewReader returns a reader for a store that allows rps requests per second. The rate available
+// to clients is divided among the given number of controllers; up to maxFinals final records,
+// at least 1, are cached.
 func NewReader(e *engine.Engine, rps float64, controllers, maxFinals int) *Reader {
 	finals, _ := lru.New[string, record.Final](maxFinals) // fails only for a size below 1
 	r := &Reader{engine: e, rps: rps, finals: finals}
@@ -40,25 +40,28 @@
 	return r
 }
 
-// ShareAmong divides the reads that the store allows among so many controllers, and begins
-// to count anew.
+// ShareAmong divides the rate of reads for clients among the given number of controllers, and
+// resets the rate limiter.
 func (r *Reader) ShareAmong(controllers int) {
-	each := r.rps * userReadShare / float64(controllers)
-	r.limit = rate.NewLimiter(rate.Limit(each), max(2, int(each))) // a poll may take two
+	perController := r.rps * userReadShare / float64(controllers)
+	// The burst is at least 2, the number of requests that one Read may send.
+	r.limit = rate.NewLimiter(rate.Limit(perController), max(2, int(perController)))
 }
 
-// Allow reports whether so many requests may be made for users now, and counts them.
+// Allow reports whether the given number of store requests may be sent for clients now. If so, it
+// counts them against the rate limit.
 func (r *Reader) Allow(requests int) bool { return r.limit.AllowN(r.engine.Now, requests) }
 
-// Final returns how a job has ended, if it is remembered.
+// Final returns the final record of a job if it is cached.
 func (r *Reader) Final(id string) (record.Final, bool) { return r.finals.Get(id) }
 
-// CacheFinal remembers how a job has ended.
+// CacheFinal adds the final record of a job to the cache.
 func (r *Reader) CacheFinal(id string, final record.Final) { r.finals.Add(id, final) }
 
-// Read reads a job's state: first the live record, then the final one, because a job moves
-// from the first to the second in one transaction. The status is nil for a job that has no
-// record; known is false if the store does not say.
+// Read reads the status of a job and calls f with the result. It reads the live record before the
+// final one, because one transaction replaces the first by the second. The status is nil for a job
+// without a record. known is false if the rate limit is exceeded, the store does not answer or the
+// record cannot be decoded.
 func (r *Reader) Read(id string, f func(status *request.JobStatus, known bool)) {
 	if !r.Allow(maxRequestsPerRead) {
 		f(nil, false)
@@ -101,7 +104,8 @@
 	})
 }
 
-// LiveStatus returns what users are told of a job by its live record alone.
+// LiveStatus returns the client-visible status of a job as far as its live record tells: queued or
+// cancelled, without task counts.
 func LiveStatus(id string, job *record.Job) *request.JobStatus {
 	status := &request.JobStatus{ID: id, State: spec.Queued}
 	if job.Cancelled {
--- a/internal/jobstore/reader_test.go
+++ b/internal/jobstore/reader_test.go
@@ -17,14 +17,14 @@
 
 const key, finalKey = record.JobPrefix + "wk-1", record.FinalPrefix + "wk-1"
 
-// store answers the requests that are sent to it by the replies given for their keys.
+// store is a fake key-value store that replies to each request according to its key.
 type store struct {
 	engine  *engine.Engine
 	replies map[string]kv.Response
 	read    []string
 }
 
-// run answers all requests, including those that follow from the answers.
+// run replies to all requests, including those that the replies cause.
 func (s *store) run() {
 	for i := 0; i < len(s.engine.Outputs); i++ {
 		if call, ok := s.engine.Outputs[i].(kv.Request); ok {
@@ -57,12 +57,12 @@
 	}{
 		{"queued", found(key, &record.Job{}), none, "queued 0", 1},
 		{"cancelled", found(key, &record.Job{Cancelled: true}), none, "cancelled 0", 1},
-		{"over", none, found(finalKey, &record.Final{State: spec.Done, Done: 3}), "done 3", 2},
+		{"final", none, found(finalKey, &record.Final{State: spec.Done, Done: 3}), "done 3", 2},
 		{"no record", none, none, "none", 2},
 		{"live record unreadable", found(key, nil), none, "unknown", 1},
 		{"final record unreadable", none, found(finalKey, nil), "unknown", 2},
-		{"no answer", kv.Response{Outcome: rpc.Unknown}, none, "unknown", 1},
-		{"no second answer", none, kv.Response{Outcome: rpc.Refused}, "unknown", 2},
+		{"no reply", kv.Response{Outcome: rpc.Unknown}, none, "unknown", 1},
+		{"no second reply", none, kv.Response{Outcome: rpc.Refused}, "unknown", 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := newStore(map[string]kv.Response{key: test.live, finalKey: test.final})
@@ -75,7 +75,7 @@
 				case status == nil:
 					got = "none"
 				case status.ID != "wk-1":
-					t.Errorf("the status of job %q", status.ID)
+					t.Errorf("status has job ID %q, want wk-1", status.ID)
 				default:
 					got = fmt.Sprint(status.State, " ", status.Done)
 				}
@@ -84,15 +84,15 @@
 			if got != test.want || len(s.read) != test.reads {
 				t.Errorf("got %q after reading %q, want %q after %d reads", got, s.read, test.want, test.reads)
 			}
-			if _, remembered := r.Final("wk-1"); remembered != (test.name == "over") {
-				t.Errorf("end remembered: %v", remembered)
+			if _, cached := r.Final("wk-1"); cached != (test.name == "final") {
+				t.Errorf("final record cached: %v", cached)
 			}
 		})
 	}
 }
 
-// TestReadKeepsToShare: a quarter of the store's requests, divided among the controllers;
-// what is beyond is not known, and nothing is sent.
+// TestReadKeepsToShare checks that reads use at most a quarter of the store's request limit,
+// divided among the controllers, and that further reads fail without a request.
 func TestReadKeepsToShare(t *testing.T) {
 	s := newStore(map[string]kv.Response{key: found(key, &record.Job{})})
 	r := jobstore.NewReader(s.engine, 96, 4, 10) // 6 requests a second each
@@ -109,20 +109,20 @@
 		read()
 	}
 	if known != 2 || len(s.read) != 2 {
-		t.Errorf("%d answers and %d requests within a second, want 2", known, len(s.read))
+		t.Errorf("%d results and %d requests within a second, want 2 of each", known, len(s.read))
 	}
 	s.engine.Begin(s.engine.Now.Add(time.Second / 2))
 	for range 5 {
 		read()
 	}
 	if known != 3 {
-		t.Errorf("%d answers after half a second more, want 3", known)
+		t.Errorf("%d results after another half second, want 3", known)
 	}
 	r.ShareAmong(1)
 	for range 20 {
 		read()
 	}
 	if known != 3+8 {
-		t.Errorf("%d answers, want 8 more with the share of all", known)
+		t.Errorf("%d results with the share of all controllers, want 8 more", known)
 	}
 }
