--- a/internal/admission/admitter_test.go
+++ b/internal/admission/admitter_test.go
@@ -124,15 +124,15 @@
 	return request.Request{Ref: ref, Op: request.Submit, ID: "wk-1", Spec: job}
 }
 
-// pass advances the clock, runs the due timers and flushes queued writes.
-func (l *leader) pass(d time.Duration) {
+// advance advances the clock, runs the due timers and flushes queued writes.
+func (l *leader) advance(d time.Duration) {
 	l.engine.Begin(l.engine.Now.Add(d))
 	l.engine.RunTimers()
 	l.Writes.Flush()
 }
 
-// take removes and returns all outputs of type T.
-func take[T any](l *leader) (found []T) {
+// takeOutputs removes and returns all outputs of type T.
+func takeOutputs[T any](l *leader) (found []T) {
 	for _, out := range l.engine.Outputs {
 		if x, ok := out.(T); ok {
 			found = append(found, x)
@@ -145,7 +145,7 @@
 // sent returns the only request sent to the store, and fails the test if there is not one.
 func (l *leader) sent() kv.Request {
 	l.t.Helper()
-	calls := take[kv.Request](l)
+	calls := takeOutputs[kv.Request](l)
 	if len(calls) != 1 {
 		l.t.Fatalf("got %d requests to the store, want 1: %+v", len(calls), calls)
 	}
@@ -159,16 +159,16 @@
 	l.engine.HandleStore(r)
 }
 
-// found responds to the only store request with an entry.
-func (l *leader) found(key string, value any) {
+// replyEntry responds to the only store request with an entry.
+func (l *leader) replyEntry(key string, value any) {
 	l.t.Helper()
 	l.reply(kv.Response{Outcome: rpc.OK, Rev: 60, Entries: []kv.Entry{{Key: key, Value: value, Rev: 60}}})
 }
 
-func (l *leader) wantAnswers(statuses ...int) {
+func (l *leader) wantStatuses(statuses ...int) {
 	l.t.Helper()
 	var got []int
-	for _, a := range take[request.Response](l) {
+	for _, a := range takeOutputs[request.Response](l) {
 		got = append(got, a.Status)
 	}
 	if !slices.Equal(got, statuses) {
@@ -176,7 +176,7 @@
 	}
 }
 
-func recorded() *record.Job { return &record.Job{Spec: *submission(1).Spec} }
+func liveRecord() *record.Job { return &record.Job{Spec: *submission(1).Spec} }
 
 // TestSubmission checks that clients are told of a job only after its record is committed, and
 // that the write requires that the job has no record yet.
@@ -193,9 +193,9 @@
 	}
 	l.Admitter.Serve(submission(2))
 	l.Admitter.Serve(request.Request{Ref: 3, Op: request.Get, ID: "wk-1"})
-	l.wantAnswers(503) // to the Get request
+	l.wantStatuses(503) // to the Get request
 	l.engine.HandleStore(kv.Response{Ref: call.Ref, Outcome: rpc.OK, Rev: 60})
-	l.wantAnswers(201, 201)
+	l.wantStatuses(201, 201)
 	if !slices.Equal(l.added, []string{"wk-1"}) || l.Lifecycle.Jobs["wk-1"].Waiting != 3 {
 		t.Errorf("added jobs %q, want wk-1 with 3 waiting tasks", l.added)
 	}
@@ -211,18 +211,18 @@
 	}
 	t.Run("live", func(t *testing.T) {
 		l := conflict(t)
-		l.found(liveKey, recorded())
-		l.found(liveKey, recorded()) // second read, to adopt the job
-		l.wantAnswers(200)
+		l.replyEntry(liveKey, liveRecord())
+		l.replyEntry(liveKey, liveRecord()) // second read, to adopt the job
+		l.wantStatuses(200)
 		if l.Lifecycle.Jobs["wk-1"] == nil {
 			t.Error("job was not adopted")
 		}
 	})
-	t.Run("over", func(t *testing.T) {
+	t.Run("ended", func(t *testing.T) {
 		l := conflict(t)
 		l.reply(kv.Response{Outcome: rpc.NotFound})
-		l.found(finalKey, &record.Final{State: spec.Done, Done: 3})
-		l.wantAnswers(200)
+		l.replyEntry(finalKey, &record.Final{State: spec.Done, Done: 3})
+		l.wantStatuses(200)
 		if l.Lifecycle.Jobs["wk-1"] != nil {
 			t.Error("ended job was adopted")
 		}
@@ -230,18 +230,18 @@
 	t.Run("store does not answer", func(t *testing.T) {
 		l := conflict(t)
 		l.reply(kv.Response{Outcome: rpc.Unknown})
-		l.wantAnswers(503)
+		l.wantStatuses(503)
 		l.Admitter.Serve(submission(2))
-		l.pass(time.Second)
-		l.found(liveKey, recorded())
-		l.found(liveKey, recorded())
-		l.wantAnswers(200)
+		l.advance(time.Second)
+		l.replyEntry(liveKey, liveRecord())
+		l.replyEntry(liveKey, liveRecord())
+		l.wantStatuses(200)
 	})
 	t.Run("leadership ended", func(t *testing.T) {
 		l := conflict(t)
 		l.scope.Close()
-		l.found(liveKey, recorded())
-		if calls := take[kv.Request](l); len(calls) != 0 {
+		l.replyEntry(liveKey, liveRecord())
+		if calls := takeOutputs[kv.Request](l); len(calls) != 0 {
 			t.Errorf("requests to the store after the leadership ended: %+v", calls)
 		}
 	})
@@ -272,10 +272,10 @@
 			l.reply(kv.Response{Outcome: rpc.NotFound})
 			l.reply(kv.Response{Outcome: rpc.NotFound})
 			if !test.lost {
-				l.wantAnswers()
+				l.wantStatuses()
 				l.reply(kv.Response{Outcome: rpc.OK})
 			}
-			answers := take[request.Response](l)
+			answers := takeOutputs[request.Response](l)
 			if len(answers) != 1 || answers[0].Status != test.status || answers[0].RetryAfter != test.retry {
 				t.Errorf("unexpected responses %+v", answers)
 			}
@@ -286,12 +286,12 @@
 		r := submission(1)
 		never(&r)
 		l.Admitter.Serve(r)
-		l.found(liveKey, recorded())
-		l.found(liveKey, recorded())
+		l.replyEntry(liveKey, liveRecord())
+		l.replyEntry(liveKey, liveRecord())
 		if l.Lifecycle.Jobs["wk-1"] == nil || len(l.served) != 1 {
 			t.Errorf("job was not adopted, or served %d times, want 1", len(l.served))
 		}
-		l.wantAnswers()
+		l.wantStatuses()
 	})
 	t.Run("term not confirmed", func(t *testing.T) {
 		l := newLeader(t, "false")
@@ -299,7 +299,7 @@
 		l.reply(kv.Response{Outcome: rpc.NotFound})
 		l.reply(kv.Response{Outcome: rpc.NotFound})
 		l.reply(kv.Response{Outcome: rpc.Conflict})
-		l.wantAnswers(503)
+		l.wantStatuses(503)
 	})
 }
 
@@ -317,7 +317,7 @@
 // deletes reports whether a request that deletes the key has been sent.
 func (l *leader) deletes(key string) bool {
 	l.Writes.Flush()
-	return slices.ContainsFunc(take[kv.Request](l), func(call kv.Request) bool {
+	return slices.ContainsFunc(takeOutputs[kv.Request](l), func(call kv.Request) bool {
 		return slices.Contains(call.Writes, kv.Write{Key: key})
 	})
 }
@@ -327,16 +327,16 @@
 func TestLeaderlessMarkers(t *testing.T) {
 	t.Run("live", func(t *testing.T) {
 		l := watchMarker(t, markerKey)
-		l.found(liveKey, recorded())
+		l.replyEntry(liveKey, liveRecord())
 		if l.Lifecycle.Jobs["wk-1"] == nil || !l.deletes(markerKey) {
 			t.Error("job was not adopted, or its marker not deleted")
 		}
 	})
-	t.Run("over", func(t *testing.T) {
+	t.Run("ended", func(t *testing.T) {
 		l := watchMarker(t, markerKey)
 		l.reply(kv.Response{Outcome: rpc.NotFound})
 		l.reply(kv.Response{Outcome: rpc.NotFound})
-		l.found(finalKey, &record.Final{State: spec.Done})
+		l.replyEntry(finalKey, &record.Final{State: spec.Done})
 		if !l.deletes(markerKey) {
 			t.Error("marker was not deleted")
 		}
--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -43,8 +43,8 @@
 }
 
 // Adopt adds an attempt for a task that a worker lists and that this leader did not start, for
-// instance one started in an earlier term or one of an ended job. An attempt whose task does
-// not need to run is marked to be stopped.
+// instance one started in an earlier term or one of an ended job. An attempt that is running
+// and not needed is marked to be stopped.
 func (t *Tracker) Adopt(m *fleet.Machine, task *heartbeat.Task) *fleet.Attempt {
 	a := &fleet.Attempt{ID: task.Task, Number: task.Try, Machine: m, Phase: fleet.Ordered, OrderedAt: t.engine.Now}
 	m.Attempts = append(m.Attempts, a)
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -85,8 +85,8 @@
 	return &heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-1", Index: index}, Try: try, Phase: phase, Cause: cause}
 }
 
-// run adopts an attempt of a task of the job and reports it as running.
-func (f *fixture) run(m *fleet.Machine, index int, try uint64) *fleet.Attempt {
+// startTask adopts an attempt of a task of the job and reports it as running.
+func (f *fixture) startTask(m *fleet.Machine, index int, try uint64) *fleet.Attempt {
 	a := f.Adopt(m, task(index, try, heartbeat.Pulling, ""))
 	f.Update(a, task(index, try, heartbeat.TaskRuns, ""))
 	f.leader.calls = nil
@@ -134,7 +134,7 @@
 	})
 	t.Run("later attempt", func(t *testing.T) {
 		f, m := newFixture(t), newMachine("h1")
-		earlier := f.run(newMachine("h2"), 1, 1)
+		earlier := f.startTask(newMachine("h2"), 1, 1)
 		a := f.Adopt(m, task(1, 2, heartbeat.TaskRuns, ""))
 		if !earlier.StopRequested || earlier.Occupies || a.StopRequested || !a.Occupies {
 			t.Errorf("earlier %+v, later %+v", earlier, a)
@@ -142,7 +142,7 @@
 	})
 	t.Run("earlier attempt", func(t *testing.T) {
 		f, m := newFixture(t), newMachine("h1")
-		later := f.run(newMachine("h2"), 1, 2)
+		later := f.startTask(newMachine("h2"), 1, 2)
 		a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
 		if later.StopRequested || !later.Occupies || !a.StopRequested || a.Occupies {
 			t.Errorf("earlier %+v, later %+v", a, later)
@@ -217,7 +217,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f, m := newFixture(t), newMachine("h1")
-			a := f.run(m, 1, 1)
+			a := f.startTask(m, 1, 1)
 			if test.prepare != nil {
 				test.prepare(f.job)
 			}
@@ -230,7 +230,7 @@
 	}
 	t.Run("job no longer in memory", func(t *testing.T) {
 		f, m := newFixture(t), newMachine("h1")
-		a := f.run(m, 1, 1)
+		a := f.startTask(m, 1, 1)
 		delete(f.leader.jobs, "wk-1")
 		f.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
 		if f.leader.wantCalls(t); !a.Forgettable {
@@ -241,8 +241,8 @@
 
 func TestDropAll(t *testing.T) {
 	f, m := newFixture(t), newMachine("h1")
-	f.run(m, 1, 1)
-	f.run(m, 2, 2)
+	f.startTask(m, 1, 1)
+	f.startTask(m, 2, 2)
 	f.job.Cancelled = true
 	f.DropAll(m)
 	f.leader.wantCalls(t, "requeue 1", "finish", "requeue 2", "finish")
@@ -257,7 +257,7 @@
 	f, m := newFixture(t), newMachine("h1")
 	f.job.AnyCompleted = true
 	fail := func(m *fleet.Machine, try uint64) {
-		a := f.run(m, 1, try)
+		a := f.startTask(m, 1, try)
 		f.Update(a, task(1, try, heartbeat.Exited, heartbeat.CauseError))
 	}
 	if fail(m, 1); m.Quarantined || !m.OnProbation || !f.job.FailedOn["h1"] {
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -39,7 +39,7 @@
 	inventory *Inventory
 	leader    Leader
 	maxSize   int // bytes of a value in the key-value store
-	fillSize  int // bytes up to which machines are added to a record
+	fillLimit int // bytes up to which machines are added to a record
 	term      uint64
 
 	records    []*fleet.Record
@@ -52,14 +52,14 @@
 func NewRecords(e *engine.Engine, scope *engine.Scope, st config.State, inv *Inventory, leader Leader, term uint64) *Records {
 	return &Records{
 		engine: e, scope: scope, inventory: inv, leader: leader, term: term,
-		maxSize: int(st.ValueKB * 1024), fillSize: int(st.ValueKB * 1024 * 3 / 4), unreadable: map[string]uint64{},
+		maxSize: int(st.ValueKB * 1024), fillLimit: int(st.ValueKB * 1024 * 3 / 4), unreadable: map[string]uint64{},
 	}
 }
 
 // Add adds the machine to a record and schedules its write. Tasks may start on the machine once
 // that is committed.
 func (r *Records) Add(m *fleet.Machine) {
-	i := slices.IndexFunc(r.records, func(rec *fleet.Record) bool { return rec.Size+fleet.RecordedSize(m) <= r.fillSize })
+	i := slices.IndexFunc(r.records, func(rec *fleet.Record) bool { return rec.Size+fleet.RecordedSize(m) <= r.fillLimit })
 	if i < 0 {
 		r.created++
 		r.records = append(r.records, &fleet.Record{Key: fmt.Sprintf("%s%d-%d", record.MachinePrefix, r.term, r.created)})
@@ -128,7 +128,7 @@
 	records *Records
 	record  *fleet.Record
 	change  *writebatch.Change
-	added   []*fleet.Machine // machines that this write records for the first time
+	added   []*fleet.Machine // machines that count as recorded once this is committed
 	sent    bool
 }
 
--- a/internal/inventory/records_test.go
+++ b/internal/inventory/records_test.go
@@ -14,18 +14,18 @@
 
 // fakeLeader records the calls of Leader methods.
 type fakeLeader struct {
-	changes    []*writebatch.Change
-	readBacks  []func(kv.Entry, bool)
-	dropped    []string
-	dispatched []*fleet.Machine
-	accounted  []string
+	changes      []*writebatch.Change
+	readBacks    []func(kv.Entry, bool)
+	replicaDrops []string
+	dispatched   []*fleet.Machine
+	accounted    []string
 }
 
 func (l *fakeLeader) Write(change *writebatch.Change) { l.changes = append(l.changes, change) }
 func (l *fakeLeader) ReadBack(_ string, f func(kv.Entry, bool)) {
 	l.readBacks = append(l.readBacks, f)
 }
-func (l *fakeLeader) ReplicateDrop(key string)         { l.dropped = append(l.dropped, key) }
+func (l *fakeLeader) ReplicateDrop(key string)         { l.replicaDrops = append(l.replicaDrops, key) }
 func (l *fakeLeader) RequestDispatch(m *fleet.Machine) { l.dispatched = append(l.dispatched, m) }
 func (l *fakeLeader) MarkAccounted(host string)        { l.accounted = append(l.accounted, host) }
 
@@ -97,7 +97,7 @@
 	if len(hosts) != 1 || change.Conditions[0].Rev != 9 {
 		t.Errorf("write of hosts %v on revision %d, want one host on revision 9", hosts, change.Conditions[0].Rev)
 	}
-	if len(l.dropped) != 0 {
+	if len(l.replicaDrops) != 0 {
 		t.Error("existing record was deleted from the replicas")
 	}
 }
--- a/internal/jobstore/reader_test.go
+++ b/internal/jobstore/reader_test.go
@@ -43,7 +43,7 @@
 	return &store{engine: e, replies: replies}
 }
 
-func found(key string, value any) kv.Response {
+func entryReply(key string, value any) kv.Response {
 	return kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{{Key: key, Value: value}}}
 }
 
@@ -55,12 +55,12 @@
 		want        string // the status, "none" or "unknown"
 		reads       int
 	}{
-		{"queued", found(key, &record.Job{}), none, "queued 0", 1},
-		{"cancelled", found(key, &record.Job{Cancelled: true}), none, "cancelled 0", 1},
-		{"final", none, found(finalKey, &record.Final{State: spec.Done, Done: 3}), "done 3", 2},
+		{"queued", entryReply(key, &record.Job{}), none, "queued 0", 1},
+		{"cancelled", entryReply(key, &record.Job{Cancelled: true}), none, "cancelled 0", 1},
+		{"final", none, entryReply(finalKey, &record.Final{State: spec.Done, Done: 3}), "done 3", 2},
 		{"no record", none, none, "none", 2},
-		{"live record unreadable", found(key, nil), none, "unknown", 1},
-		{"final record unreadable", none, found(finalKey, nil), "unknown", 2},
+		{"live record unreadable", entryReply(key, nil), none, "unknown", 1},
+		{"final record unreadable", none, entryReply(finalKey, nil), "unknown", 2},
 		{"no reply", kv.Response{Outcome: rpc.Unknown}, none, "unknown", 1},
 		{"no second reply", none, kv.Response{Outcome: rpc.Refused}, "unknown", 2},
 	} {
@@ -94,7 +94,7 @@
 // TestReadKeepsToShare checks that reads use at most a quarter of the store's request limit,
 // divided among the controllers, and that further reads fail without a request.
 func TestReadKeepsToShare(t *testing.T) {
-	s := newStore(map[string]kv.Response{key: found(key, &record.Job{})})
+	s := newStore(map[string]kv.Response{key: entryReply(key, &record.Job{})})
 	r := jobstore.NewReader(s.engine, 96, 4, 10) // 6 requests a second each
 	known := 0
 	read := func() {
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -31,16 +31,16 @@
 // leader is a fake leader without machines; tests reply to its store requests explicitly.
 type leader struct {
 	*lifecycle.Manager
-	t          *testing.T
-	engine     *engine.Engine
-	unresolved bool // AllAccounted returns false
-	cancelAt   time.Time
-	dispatched int
-	finished   []spec.JobState
+	t            *testing.T
+	engine       *engine.Engine
+	unaccounted  bool // AllAccounted returns false
+	cancelSafeAt time.Time
+	dispatched   int
+	finished     []spec.JobState
 }
 
-func (l *leader) AllAccounted() bool             { return !l.unresolved }
-func (l *leader) CancelSafeAt() time.Time        { return l.cancelAt }
+func (l *leader) AllAccounted() bool             { return !l.unaccounted }
+func (l *leader) CancelSafeAt() time.Time        { return l.cancelSafeAt }
 func (l *leader) RequestDispatch(*fleet.Machine) { l.dispatched++ }
 func (l *leader) JobFinished(_ *fleet.Job, state spec.JobState) {
 	l.finished = append(l.finished, state)
@@ -92,15 +92,15 @@
 	return j
 }
 
-// pass advances the clock, runs the due timers and flushes queued writes.
-func (l *leader) pass(d time.Duration) {
+// advance advances the clock, runs the due timers and flushes queued writes.
+func (l *leader) advance(d time.Duration) {
 	l.engine.Begin(l.engine.Now.Add(d))
 	l.engine.RunTimers()
 	l.Writes.Flush()
 }
 
-// take removes and returns all outputs of type T.
-func take[T any](l *leader) (found []T) {
+// takeOutputs removes and returns all outputs of type T.
+func takeOutputs[T any](l *leader) (found []T) {
 	for _, out := range l.engine.Outputs {
 		if x, ok := out.(T); ok {
 			found = append(found, x)
@@ -120,7 +120,7 @@
 func (l *leader) sentAll(n int) []kv.Request {
 	l.t.Helper()
 	l.Writes.Flush()
-	calls := take[kv.Request](l)
+	calls := takeOutputs[kv.Request](l)
 	if len(calls) != n {
 		l.t.Fatalf("got %d requests to the store, want %d: %+v", len(calls), n, calls)
 	}
@@ -132,10 +132,10 @@
 	l.engine.HandleStore(r)
 }
 
-func (l *leader) wantAnswers(statuses ...int) {
+func (l *leader) wantStatuses(statuses ...int) {
 	l.t.Helper()
 	var got []int
-	for _, a := range take[request.Response](l) {
+	for _, a := range takeOutputs[request.Response](l) {
 		got = append(got, a.Status)
 	}
 	if !slices.Equal(got, statuses) {
@@ -170,11 +170,11 @@
 	}
 	complete(0)
 	complete(1)
-	l.pass(999 * time.Millisecond)
-	if calls := take[kv.Request](l); len(calls) != 0 {
+	l.advance(999 * time.Millisecond)
+	if calls := takeOutputs[kv.Request](l); len(calls) != 0 {
 		t.Fatalf("requests %+v before a second has passed", calls)
 	}
-	l.pass(time.Millisecond)
+	l.advance(time.Millisecond)
 	call := l.sent()
 	if len(call.Writes) != 1 || call.Writes[0].Key != record.ProgressKey("wk-1", 0) {
 		t.Fatalf("writes %+v, want one of progress chunk 0", call.Writes)
@@ -189,7 +189,7 @@
 			t.Errorf("attempt of task %d: Forgettable is %v", i, a.Forgettable)
 		}
 	}
-	l.pass(time.Second)
+	l.advance(time.Second)
 	call = l.sent()
 	if want := (kv.Condition{Key: record.ProgressKey("wk-1", 0), Rev: 50}); !slices.Contains(call.Conditions, want) {
 		t.Errorf("conditions %+v, want the known revision of the record", call.Conditions)
@@ -231,18 +231,18 @@
 // machines may have tasks of the job, and that clients get the remaining time as Retry-After.
 func TestCancelWaitsUntilSafe(t *testing.T) {
 	l := newLeader(t)
-	l.unresolved, l.cancelAt = true, l.engine.Now.Add(700*time.Millisecond)
+	l.unaccounted, l.cancelSafeAt = true, l.engine.Now.Add(700*time.Millisecond)
 	j := l.add(1, true)
 	l.Cancel(j, request.Request{Ref: 1, Op: request.Cancel})
-	answers := take[request.Response](l)
+	answers := takeOutputs[request.Response](l)
 	if len(answers) != 1 || answers[0].Status != 503 || answers[0].RetryAfter != 700*time.Millisecond {
 		t.Fatalf("responses %+v, want one with status 503 and RetryAfter 700ms", answers)
 	}
 	l.Cancel(j, request.Request{Ref: 2, Op: request.Cancel})
-	l.pass(500 * time.Millisecond)
-	l.wantAnswers(503)
+	l.advance(500 * time.Millisecond)
+	l.wantStatuses(503)
 	l.Cancel(j, request.Request{Ref: 3, Op: request.Cancel})
-	l.pass(200 * time.Millisecond)
+	l.advance(200 * time.Millisecond)
 	call := l.sent()
 	if rec, _ := call.Writes[0].Value.(*record.Job); len(call.Writes) != 1 || call.Writes[0].Key != liveKey || !rec.Cancelled {
 		t.Fatalf("writes %+v, want one of the cancelled live record", call.Writes)
@@ -250,16 +250,16 @@
 	if !slices.Contains(call.Conditions, kv.Condition{Key: finalKey, Rev: 0}) {
 		t.Errorf("conditions %+v, want that no final record exists", call.Conditions)
 	}
-	l.wantAnswers()
+	l.wantStatuses()
 	l.reply(call, kv.Response{Outcome: rpc.OK, Rev: 60})
-	l.wantAnswers(200)
+	l.wantStatuses(200)
 
 	// The live record is kept until none of the tasks can be on any machine.
-	l.pass(time.Second)
-	if calls := take[kv.Request](l); len(calls) != 0 || l.Jobs["wk-1"] == nil {
+	l.advance(time.Second)
+	if calls := takeOutputs[kv.Request](l); len(calls) != 0 || l.Jobs["wk-1"] == nil {
 		t.Fatalf("job ended while machines are unaccounted for, requests %+v", calls)
 	}
-	l.unresolved = false
+	l.unaccounted = false
 	l.FinishIfEnded(j)
 	l.reply(l.sent(), kv.Response{Outcome: rpc.OK, Rev: 61})
 	if !slices.Equal(l.finished, []spec.JobState{spec.Cancelled}) {
@@ -295,17 +295,17 @@
 	if !l.WaitForEnding(j, poll) {
 		t.Fatal("request is not held")
 	}
-	l.pass(599 * time.Millisecond)
-	l.wantAnswers()
-	l.pass(time.Millisecond)
-	l.wantAnswers(503)
+	l.advance(599 * time.Millisecond)
+	l.wantStatuses()
+	l.advance(time.Millisecond)
+	l.wantStatuses(503)
 	if !l.WaitForEnding(j, poll) {
 		t.Fatal("second request is not held")
 	}
 	l.reply(call, kv.Response{Outcome: rpc.OK, Rev: 60})
-	l.wantAnswers(200)
-	l.pass(time.Second)
-	l.wantAnswers()
+	l.wantStatuses(200)
+	l.advance(time.Second)
+	l.wantStatuses()
 }
 
 // TestRequeue checks that a task is queued again only if it still has to run and has no attempt.
@@ -314,8 +314,8 @@
 		change func(*fleet.Job)
 		queued bool
 	}{
-		"to be run":    {func(*fleet.Job) {}, true},
-		"done":         {func(j *fleet.Job) { j.Done.Add(0) }, false},
+		"pending run":  {func(*fleet.Job) {}, true},
+		"completed":    {func(j *fleet.Job) { j.Done.Add(0) }, false},
 		"on a machine": {func(j *fleet.Job) { j.Attempts[0] = &fleet.Attempt{} }, false},
 		"cancelled":    {func(j *fleet.Job) { j.Cancelled = true }, false},
 		"finishing":    {func(j *fleet.Job) { j.Finishing = true }, false},
--- a/internal/reconcile/verdict.go
+++ b/internal/reconcile/verdict.go
@@ -22,7 +22,7 @@
 	Stale
 	// Deferred is a heartbeat that is processed after the stored records have been loaded.
 	Deferred
-	// Refused is a heartbeat that the leader must not answer without a valid leader lease.
+	// Refused is a heartbeat received while the leader has no valid lease and must not answer.
 	Refused
 	// UnknownToken is a heartbeat with a fencing token newer than the leader's own.
 	UnknownToken
@@ -54,7 +54,8 @@
 	}
 	// A worker's fencing token decreases only when its process restarts. The counters may
 	// restart too, so they cannot tell whether a heartbeat was sent by the old or the new
-	// process. All such heartbeats are rejected until the known lease has expired.
+	// process. All such heartbeats are rejected until the known lease has expired, which the
+	// worker cannot renew without replies.
 	if report.FencingToken < m.FencingToken {
 		return Stale
 	}
