--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -29,12 +29,12 @@
 		if m.Record == fleet.Unrecorded {
 			m.Address = rep.Address // does not change during the life of a machine
 		}
-		v = reconcile.Compare(m, in, c.hasAuthority())
+		v = reconcile.Classify(m, in, c.hasAuthority())
 	}
 	switch v {
 	case reconcile.Accepted, reconcile.Resent:
 		c.acceptHeartbeat(m, in, v == reconcile.Resent)
-	case reconcile.Overtaken:
+	case reconcile.Superseded:
 		// A probe reply was newer than this heartbeat, but the worker still waits for an answer.
 		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
 		m.LastReply = c.Now
@@ -102,7 +102,7 @@
 		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: to})
 		return
 	}
-	l.dispatcher.Answer(m, in)
+	l.dispatcher.ReplyOrHold(m, in)
 }
 
 // markAccounted records that the machine cannot run an unknown task of an earlier term. With the
@@ -116,10 +116,10 @@
 		c.Log(slog.LevelInfo, "failover complete", "term", l.term, "after", c.Now.Sub(l.electedAt))
 		for _, j := range l.sortedJobs() {
 			if j.Cancelled {
-				c.leadership.lifecycle.FinishIfOver(j)
+				c.leadership.lifecycle.FinishIfEnded(j)
 			}
 		}
-		l.dispatcher.RequestAll()
+		l.dispatcher.EnqueueAll()
 	}
 }
 
@@ -160,8 +160,8 @@
 	leadership *leadership
 }
 
-// Booted implements reconcile.Leader.
-func (v reconcileLeader) Booted(instanceType string) { v.leadership.autoscaler.Booted(instanceType) }
+// OnBoot implements reconcile.Leader.
+func (v reconcileLeader) OnBoot(instanceType string) { v.leadership.autoscaler.Booted(instanceType) }
 
 // MarkAccounted implements reconcile.Leader.
 func (v reconcileLeader) MarkAccounted(host string) { v.core.markAccounted(host) }
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -29,7 +29,7 @@
 func (r inventoryLeader) ReplicateDrop(key string) { r.core.replicateDrop(key) }
 
 // RequestDispatch implements inventory.Leader.
-func (r inventoryLeader) RequestDispatch(m *fleet.Machine) { r.leadership.dispatcher.Request(m) }
+func (r inventoryLeader) RequestDispatch(m *fleet.Machine) { r.leadership.dispatcher.Enqueue(m) }
 
 // MarkAccounted implements inventory.Leader.
 func (r inventoryLeader) MarkAccounted(host string) { r.core.markAccounted(host) }
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -134,7 +134,7 @@
 // RecordProgress schedules a write of the progress of one chunk of a job, if the job is known.
 func (h restoreLeader) RecordProgress(job string, chunk int) {
 	if j := h.l.jobs[job]; j != nil {
-		h.l.lifecycle.RecordProgressSoon(j, chunk*bitset.ChunkSize)
+		h.l.lifecycle.ScheduleProgressWrite(j, chunk*bitset.ChunkSize)
 	}
 }
 
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -134,7 +134,7 @@
 // rememberFinals caches the final states of the jobs in a replica.
 func (c *Core) rememberFinals(r *replica.Replica) {
 	for id, final := range replication.Finals(r) {
-		c.jobReader.Remember(id, final)
+		c.jobReader.CacheFinal(id, final)
 	}
 }
 
