--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -60,7 +60,7 @@
 		t.replaceEarlier(a, j)
 	}
 	if j != nil && !j.Done.Has(a.ID.Index) && j.Attempts[a.ID.Index] == nil {
-		t.placement.Occupy(a, j)
+		t.placement.Allocate(a, j)
 		return a
 	}
 	// Nobody waits for it.
@@ -81,7 +81,7 @@
 func (t *Tracker) replaceEarlier(a *fleet.Attempt, j *fleet.Job) {
 	earlier := j.Attempts[a.ID.Index]
 	if earlier != nil && earlier.Machine != a.Machine && earlier.Number < a.Number {
-		t.placement.Vacate(earlier)
+		t.placement.Deallocate(earlier)
 		earlier.StopRequested = true
 	}
 }
@@ -99,8 +99,8 @@
 // Release gives up an attempt that is surely gone and makes its task wait again. The caller
 // takes it off the machine's list.
 func (t *Tracker) Release(a *fleet.Attempt) {
-	held := a.Occupies
-	t.placement.Vacate(a)
+	held := a.HoldsResources
+	t.placement.Deallocate(a)
 	if held {
 		t.jobs.Requeue(a.Job, a.ID.Index)
 		if a.Job.Cancelled {
@@ -130,21 +130,21 @@
 		a.StartedAt = t.engine.Now
 		if a.Job != nil {
 			a.Machine.Images.Add(a.Job.Spec.Image, struct{}{})
-			t.placement.Renew(a)
+			t.placement.ResetExpectedEnd(a)
 		}
 	}
 	a.Phase = phase
 	runs := phase == heartbeat.TaskRuns || phase == heartbeat.Checkpointing
-	if a.Occupies && a.CountRunning(runs) && runs {
+	if a.HoldsResources && a.SetRunning(runs) && runs {
 		t.jobs.TaskStarted(a.Job)
 	}
 }
 
 // exited takes in that a task has ended.
 func (t *Tracker) exited(a *fleet.Attempt, cause string) {
-	was, held := a.Phase, a.Occupies
+	was, held := a.Phase, a.HoldsResources
 	a.Phase = heartbeat.Exited
-	t.placement.Vacate(a)
+	t.placement.Deallocate(a)
 	if cause == heartbeat.CauseDone {
 		t.completed(a, was, held)
 	} else {
@@ -165,12 +165,12 @@
 	case !a.Forgettable && j.Finishing && !j.Cancelled:
 		// Its final record is on its way: until that is known this exit may be all that
 		// tells a successor that the task is done.
-		j.Completed = append(j.Completed, a)
+		j.UnrecordedCompletions = append(j.UnrecordedCompletions, a)
 	case !a.Forgettable && !j.Halted():
 		if was == heartbeat.TaskRuns && !a.StartedAt.IsZero() && !a.FoundRunning {
 			t.placement.RecordRuntime(j, t.engine.Now.Sub(a.StartedAt))
 		}
-		j.Completed = append(j.Completed, a)
+		j.UnrecordedCompletions = append(j.UnrecordedCompletions, a)
 		t.jobs.CompleteTask(j, a.ID.Index)
 	case held && j.Cancelled:
 		a.Forgettable = true
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -97,26 +97,26 @@
 	t.Run("waited for", func(t *testing.T) {
 		w, m := newWorld(t), newMachine("h1")
 		a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
-		if a.StopRequested || !a.Occupies || !a.FoundRunning || w.job.Attempts[1] != a || m.Allocated != w.job.Need {
+		if a.StopRequested || !a.HoldsResources || !a.FoundRunning || w.job.Attempts[1] != a || m.Allocated != w.job.Need {
 			t.Errorf("%+v", a)
 		}
 	})
 	t.Run("exited", func(t *testing.T) {
 		w, m := newWorld(t), newMachine("h1")
-		if a := w.Adopt(m, task(1, 1, heartbeat.Exited, heartbeat.CauseDone)); a.Job != w.job || a.Occupies || a.StopRequested {
+		if a := w.Adopt(m, task(1, 1, heartbeat.Exited, heartbeat.CauseDone)); a.Job != w.job || a.HoldsResources || a.StopRequested {
 			t.Errorf("%+v", a)
 		}
 	})
 	t.Run("done already", func(t *testing.T) {
 		w, m := newWorld(t), newMachine("h1")
 		w.job.Done.Add(1)
-		if a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Occupies || a.Job != nil {
+		if a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.HoldsResources || a.Job != nil {
 			t.Errorf("%+v", a)
 		}
 	})
 	t.Run("no such task", func(t *testing.T) {
 		w, m := newWorld(t), newMachine("h1")
-		if a := w.Adopt(m, task(4, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Orphaned || a.Occupies {
+		if a := w.Adopt(m, task(4, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Orphaned || a.HoldsResources {
 			t.Errorf("%+v", a)
 		}
 	})
@@ -136,7 +136,7 @@
 		w, m := newWorld(t), newMachine("h1")
 		earlier := w.run(newMachine("h2"), 1, 1)
 		a := w.Adopt(m, task(1, 2, heartbeat.TaskRuns, ""))
-		if !earlier.StopRequested || earlier.Occupies || a.StopRequested || !a.Occupies {
+		if !earlier.StopRequested || earlier.HoldsResources || a.StopRequested || !a.HoldsResources {
 			t.Errorf("earlier %+v, later %+v", earlier, a)
 		}
 	})
@@ -144,7 +144,7 @@
 		w, m := newWorld(t), newMachine("h1")
 		later := w.run(newMachine("h2"), 1, 2)
 		a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
-		if later.StopRequested || !later.Occupies || !a.StopRequested || a.Occupies {
+		if later.StopRequested || !later.HoldsResources || !a.StopRequested || a.HoldsResources {
 			t.Errorf("earlier %+v, later %+v", a, later)
 		}
 	})
@@ -166,7 +166,7 @@
 	w.engine.Now = t0.Add(21 * time.Second)
 	w.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
 	w.leader.logged(t, "complete 1")
-	if w.job.Running != 0 || a.Occupies || m.Allocated != (timeline.Resources{}) || a.Forgettable || len(w.job.Completed) != 1 {
+	if w.job.Running != 0 || a.HoldsResources || m.Allocated != (timeline.Resources{}) || a.Forgettable || len(w.job.UnrecordedCompletions) != 1 {
 		t.Errorf("%+v", a)
 	}
 	w.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseError))
@@ -223,7 +223,7 @@
 			}
 			w.Update(a, task(1, 1, heartbeat.Exited, test.cause))
 			w.leader.logged(t, test.want...)
-			if a.Forgettable != test.forgettable || a.Occupies {
+			if a.Forgettable != test.forgettable || a.HoldsResources {
 				t.Errorf("%+v", a)
 			}
 		})
--- a/internal/autoscaler/arrivals.go
+++ b/internal/autoscaler/arrivals.go
@@ -21,11 +21,11 @@
 
 // RecordArrival takes in the work of a new job.
 func (a *Autoscaler) RecordArrival(j *fleet.Job) {
-	seconds := quota.ArrivalMemory.Seconds()
+	seconds := quota.ArrivalTimeConstant.Seconds()
 	if !j.Spec.Service {
 		seconds = a.state.Estimate(j).Seconds()
 	}
-	if j.StartsAtOnce {
+	if j.LatencySensitive {
 		cpus := float64(j.Spec.Tasks) * float64(j.Need.CPU) / 1000
 		if a.burstAt.IsZero() {
 			a.burstCPUs = cpus
@@ -34,14 +34,14 @@
 		a.burstAt = a.Now
 	}
 	t := j.Team
-	t.Load = t.ExpectedCPUs(a.Now) + float64(j.Spec.Tasks)*float64(j.Need.CPU)/1000*seconds/quota.ArrivalMemory.Seconds()
+	t.ArrivalLoad = t.ExpectedCPUs(a.Now) + float64(j.Spec.Tasks)*float64(j.Need.CPU)/1000*seconds/quota.ArrivalTimeConstant.Seconds()
 	t.LoadAt = a.Now
 }
 
 // BurstRoom returns how many thousandths of CPUs to keep free for jobs that must start at
 // once: the given part of what such a job takes, 0 if none has come lately.
 func (a *Autoscaler) BurstRoom(part float64) int64 {
-	if a.Now.Sub(a.burstAt) > quota.ArrivalMemory {
+	if a.Now.Sub(a.burstAt) > quota.ArrivalTimeConstant {
 		return 0
 	}
 	return int64(a.burstCPUs * part * 1000)
--- a/internal/autoscaler/load.go
+++ b/internal/autoscaler/load.go
@@ -77,11 +77,11 @@
 // supply returns how many CPUs are at hand or on their way, and how many of them are free.
 func (a *Autoscaler) supply(onDemandOnly bool) (total, free float64) {
 	for _, m := range a.state.Machines() {
-		if !m.Usable() || onDemandOnly && m.Spot || a.overdueBoot(m) {
+		if !m.Schedulable() || onDemandOnly && m.Spot || a.overdueBoot(m) {
 			continue
 		}
 		total += m.InstanceType.CPUs
-		free += float64(m.Room().CPU) / 1000
+		free += float64(m.FreeResources().CPU) / 1000
 	}
 	for _, r := range a.pending {
 		if !onDemandOnly || !r.Spot {
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -85,11 +85,11 @@
 		if m.Draining && !m.Releasing {
 			u.draining++
 		}
-		if !m.Usable() || !m.Reported {
+		if !m.Schedulable() || !m.Reported {
 			continue
 		}
 		u.used += float64(m.Allocated.CPU) / 1000
-		u.free += float64(m.Room().CPU) / 1000
+		u.free += float64(m.FreeResources().CPU) / 1000
 		if a.Now.Sub(m.RentedAt) >= MinRentalTime {
 			u.candidates = append(u.candidates, m)
 		}
@@ -100,7 +100,7 @@
 // compareCost orders machines by price, the most expensive first, and machines of about the
 // same price by use, the emptiest first.
 func compareCost(a, b *fleet.Machine) int {
-	priceClass := func(m *fleet.Machine) int { return int(math.Round(50 * math.Log(m.PerCPU()+1e-9))) }
+	priceClass := func(m *fleet.Machine) int { return int(math.Round(50 * math.Log(m.PricePerCPU()+1e-9))) }
 	if x := cmp.Compare(priceClass(b), priceClass(a)); x != 0 {
 		return x
 	}
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -137,7 +137,7 @@
 			continue
 		}
 		for _, a := range m.Attempts {
-			if a.Occupies {
+			if a.HoldsResources {
 				counts[m.ZoneState]++
 			}
 		}
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -32,7 +32,7 @@
 	for _, t := range teams {
 		l.leadership.teams.Configure(t)
 	}
-	l.leadership.placement.Guarantees = l.leadership.teams.AnyGuarantee()
+	l.leadership.placement.AnyGuarantee = l.leadership.teams.AnyGuarantee()
 	l.leadership.dispatcher.RequestAll()
 }
 
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -37,11 +37,11 @@
 	m.HeldReply, m.FencingToken = &fleet.HeldReply{HeartbeatKey: fleet.HeartbeatKey{Ref: 9}}, l.term
 	j := newJob(c, 1, 3, testRand())
 	c.leadership.placement.Reserve(j)
-	l.placement.Attempts = placement.MaxAttempts
+	l.placement.AttemptCount = placement.MaxAttempts
 	if os := c.leadership.placement.StartTasksOn(m); len(os) > 0 {
 		t.Errorf("%d starts beyond the last attempt", len(os))
 	}
-	l.placement.Attempts = placement.MaxAttempts - spareAttempts - 1
+	l.placement.AttemptCount = placement.MaxAttempts - spareAttempts - 1
 	if os := c.leadership.placement.StartTasksOn(m); len(os) == 0 {
 		t.Error("no start, and there are attempts left")
 	}
@@ -61,7 +61,7 @@
 // TestAmounts: what no machine has and no file should say turns round nowhere.
 func TestAmounts(t *testing.T) {
 	for _, x := range []float64{0, 1e-9, 1, 1e6, 1e300, -1e300, math.Inf(1), math.Inf(-1), math.NaN(), math.MaxInt64} {
-		up, down := timeline.Thousandths(x, true), timeline.Thousandths(x, false)
+		up, down := timeline.ToMilli(x, true), timeline.ToMilli(x, false)
 		if up < down || x > 0 && up <= 0 || x <= 0 && down > 0 {
 			t.Errorf("%g: %d, %d thousandths", x, up, down)
 		}
@@ -74,16 +74,16 @@
 		}
 	}
 	empty := timeline.New(timeline.Resources{})
-	if _, ok := empty.Latest(t0, t0, 0, timeline.Resources{}); !ok {
+	if _, ok := empty.LatestStart(t0, t0, 0, timeline.Resources{}); !ok {
 		t.Error("nothing does not fit on nothing, now")
 	}
-	if _, ok := empty.Latest(t0, t0.Add(-1), 0, timeline.Resources{}); ok {
+	if _, ok := empty.LatestStart(t0, t0.Add(-1), 0, timeline.Resources{}); ok {
 		t.Error("a deadline that has passed is met")
 	}
-	if n := empty.Count(t0, time.Hour, timeline.Need(1, 0, 0), 5); n != 0 {
+	if n := empty.FitCount(t0, time.Hour, timeline.Need(1, 0, 0), 5); n != 0 {
 		t.Errorf("%d tasks fit on nothing", n)
 	}
-	if _, ok := empty.Earliest(t0, timeline.Forever, timeline.Need(0, 0, 1)); ok {
+	if _, ok := empty.EarliestStart(t0, timeline.Forever, timeline.Need(0, 0, 1)); ok {
 		t.Error("a task fits on nothing")
 	}
 }
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -23,10 +23,10 @@
 	l.outages.Observe()
 	c.reviewMachines(e)
 	l.machineRecords.DropExpired(c.earlierLeaseExpiry())
-	l.placement.ReserveWarmRoom(l.autoscaler.BurstRoom(c.pol.Warm(e)))
+	l.placement.ReserveWarmCapacity(l.autoscaler.BurstRoom(c.pol.Warm(e)))
 	c.preemptForGuarantees()
 	l.autoscaler.ScaleIn(l.allAccounted())
-	l.placement.RereserveOverdue(tickEvery)
+	l.placement.RefreshDueReservations(tickEvery)
 	// Releases go first: a failover may wait for one, and requests for instances use up what
 	// calls the cloud allows for as long as there is a backlog.
 	l.autoscaler.SendReleases()
@@ -41,8 +41,8 @@
 		HoldBusy:       timeline.Seconds(c.pol.HoldBusy(e)),
 		BytesPerSecond: c.pol.ReportBytes(e),
 	}
-	l.placement.Margin = c.pol.Margin(e)
-	l.placement.FindOverdue(timeline.Seconds(c.pol.BeginWithin(e)))
+	l.placement.EstimateMargin = c.pol.Margin(e)
+	l.placement.FindStarvedJobs(timeline.Seconds(c.pol.BeginWithin(e)))
 }
 
 // reviewMachines reviews all machines by the limits of the policy.
@@ -74,8 +74,8 @@
 			continue
 		}
 		reporting++
-		if m.ReportsVia != nil && c.leadership.relays.Overdue(m) {
-			overdue[m.ReportsVia]++
+		if m.Relay != nil && c.leadership.relays.Overdue(m) {
+			overdue[m.Relay]++
 		}
 		if c.Now.Sub(c.lastHeard(m)) > limit {
 			silent++
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -91,7 +91,7 @@
 		l.reconciler.Reconcile(m, &in.Report)
 	}
 	l.relays.Attach(m, in.Via.Relay)
-	if m.Record == fleet.Unrecorded && c.hasAuthority() && m.Usable() {
+	if m.Record == fleet.Unrecorded && c.hasAuthority() && m.Schedulable() {
 		l.machineRecords.Add(m)
 	}
 	if to := l.relays.RedirectTarget(m, in.Via.Relay, first); to != "" {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -34,7 +34,7 @@
 	c.leadership.startParts(c)
 	for _, t := range liveconfig.BaseTeams(c.cfg.Settings.Teams) {
 		c.leadership.teams.Configure(t)
-		c.leadership.placement.Guarantees = c.leadership.placement.Guarantees || t.CPUs > 0 || t.GPUs > 0
+		c.leadership.placement.AnyGuarantee = c.leadership.placement.AnyGuarantee || t.CPUs > 0 || t.GPUs > 0
 	}
 	c.Log(slog.LevelInfo, "elected leader", "term", term)
 	c.announceTerm()
@@ -121,7 +121,7 @@
 
 // tickLeader does the leader's regular work.
 func (c *Core) tickLeader() {
-	if c.leadership.placement.Attempts > placement.MaxAttempts-spareAttempts {
+	if c.leadership.placement.AttemptCount > placement.MaxAttempts-spareAttempts {
 		// Beyond that an attempt would look like one of the next term's.
 		c.resign("the attempts of the term are used up")
 		return
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -71,8 +71,8 @@
 		return c.silentSince(m), c.leadership.relays.SilenceLimit(m, limit)
 	}
 	timeout := c.leadership.autoscaler.BootTimeout(m)
-	if m.KnownSince.Add(bootSilenceFactor * limit).After(m.RentedAt.Add(timeout)) {
-		return m.KnownSince, bootSilenceFactor * limit
+	if m.FirstSeen.Add(bootSilenceFactor * limit).After(m.RentedAt.Add(timeout)) {
+		return m.FirstSeen, bootSilenceFactor * limit
 	}
 	return m.RentedAt, timeout
 }
@@ -102,7 +102,7 @@
 	l := c.leadership
 	since := latest(c.lastHeard(m), m.ZoneState.Since, l.resumedAt)
 	if !m.Reported {
-		since = latest(since, m.KnownSince, l.electedAt)
+		since = latest(since, m.FirstSeen, l.electedAt)
 	}
 	return since
 }
@@ -125,7 +125,7 @@
 // isWanted reports whether waiting tasks could use the machine.
 func (c *Core) isWanted(m *fleet.Machine) bool {
 	return slices.ContainsFunc(c.leadership.placement.Queue, func(j *fleet.Job) bool {
-		return m.EligibleFor(j) && c.leadership.placement.CouldStart(j)
+		return m.EligibleFor(j) && c.leadership.placement.MayStartWithinLimit(j)
 	})
 }
 
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -13,7 +13,7 @@
 	if !l.allAccounted() {
 		return
 	}
-	stops := preemption.Plan(&preemption.Cluster{Now: c.Now, Queue: l.placement.Queue, Machines: l.inventory.Machines(), MayStart: l.placement.MayStart, Estimate: l.placement.Estimate})
+	stops := preemption.Plan(&preemption.State{Now: c.Now, Queue: l.placement.Queue, Machines: l.inventory.Machines(), MayStart: l.placement.MayStart, Estimate: l.placement.Estimate})
 	for _, stop := range stops {
 		r := stop.Attempt
 		r.StopRequested = true
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -50,7 +50,7 @@
 	c.becomeLeader(term, 1, 1, t0, 0)
 	c.Outputs = nil
 	l := c.leadership
-	l.loaded, l.placement.Margin, l.expiresAt = true, 0.15, t0.Add(1000*time.Hour)
+	l.loaded, l.placement.EstimateMargin, l.expiresAt = true, 0.15, t0.Add(1000*time.Hour)
 	for i, cpus := range []float64{4, 8, 32} {
 		l.autoscaler.InstanceTypes = append(l.autoscaler.InstanceTypes, provider.InstanceType{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, ImageGBps: 0.4, OnDemandRate: cpus, SpotRate: cpus / 3, BootTime: 20 * time.Second, Zones: []string{"a"}})
 	}
@@ -105,10 +105,10 @@
 		j = c.leadership.lifecycle.Add(&record.Job{Spec: spec.Job{ID: "wk-1", Class: "r", Owner: "t", Tasks: spec.MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute}, Submitted: t0}, false)
 		j.AnyCompleted = true
 	}
-	for range m.Room().CPU / 1000 {
+	for range m.FreeResources().CPU / 1000 {
 		r := &fleet.Attempt{ID: heartbeat.TaskID{Job: "wk-1", Index: len(j.Attempts)}, Number: uint64(len(j.Attempts) + 1), Machine: m, Phase: heartbeat.TaskRuns, OrderedAt: c.Now, StartedAt: c.Now}
 		m.Attempts = append(m.Attempts, r)
-		c.leadership.placement.Occupy(r, j)
+		c.leadership.placement.Allocate(r, j)
 	}
 }
 
--- a/internal/core/unreadable.go
+++ b/internal/core/unreadable.go
@@ -85,9 +85,9 @@
 	for _, m := range l.inventory.Machines() {
 		for _, a := range m.Attempts {
 			if a.Orphaned && a.ID.Job == id {
-				l.placement.Vacate(a)
+				l.placement.Deallocate(a)
 				if a.ID.Index < j.Spec.Tasks && j.Attempts[a.ID.Index] == nil {
-					l.placement.Occupy(a, j)
+					l.placement.Allocate(a, j)
 				}
 			}
 		}
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -58,8 +58,8 @@
 		t.Fatal("the zone is", z.State)
 	}
 	for _, m := range c.leadership.inventory.Machines() {
-		if m.Zone == "a" && (m.Releasing || m.Usable() || len(m.Reservations) > 0) {
-			t.Fatalf("%s: released %v, usable %v, %d bookings", m.Host, m.Releasing, m.Usable(), len(m.Reservations))
+		if m.Zone == "a" && (m.Releasing || m.Schedulable() || len(m.Reservations) > 0) {
+			t.Fatalf("%s: released %v, usable %v, %d bookings", m.Host, m.Releasing, m.Schedulable(), len(m.Reservations))
 		}
 	}
 	if r := c.leadership.outages.WaitReason(pinned); !strings.Contains(r, "zone a is doubtful") {
@@ -88,7 +88,7 @@
 	c := twoZones(t, 12)
 	p := c.leadership.relays.Link("n1")
 	m := c.leadership.inventory.Machines()[0]
-	m.ReportsVia, p.LastBatch = p, t0
+	m.Relay, p.LastBatch = p, t0
 	silent := 10 * time.Second
 	if d := c.leadership.relays.SilenceLimit(m, silent); d != silent {
 		t.Errorf("%v with a relay in order", d)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -100,10 +100,10 @@
 	d.all = false
 	d.nextAll = now.Add(interval)
 	for _, m := range d.leader.Machines() {
-		if m.HeldReply == nil || m.Room().CPU <= 0 {
+		if m.HeldReply == nil || m.FreeResources().CPU <= 0 {
 			continue
 		}
-		if !slices.ContainsFunc(d.placement.Queue, d.placement.CouldStart) {
+		if !slices.ContainsFunc(d.placement.Queue, d.placement.MayStartWithinLimit) {
 			break
 		}
 		d.replyIfOrders(m)
--- a/internal/dispatch/replies.go
+++ b/internal/dispatch/replies.go
@@ -103,10 +103,10 @@
 
 // holdTime returns for how long a reply without orders is held.
 func (d *Dispatcher) holdTime(m *fleet.Machine) time.Duration {
-	if len(m.Attempts) == 0 || m.WarmReserve != 0 && m.Room().CPU >= m.WarmReserve/2 {
+	if len(m.Attempts) == 0 || m.WarmReserve != 0 && m.FreeResources().CPU >= m.WarmReserve/2 {
 		return d.Pacing.HoldIdle
 	}
-	if !m.Usable() || m.Room().CPU <= 0 {
+	if !m.Schedulable() || m.FreeResources().CPU <= 0 {
 		return 0
 	}
 	return d.Pacing.HoldBusy
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -14,7 +14,7 @@
 // Runtimes holds observed run times by class and owner, relative to the users' estimates.
 // Users name classes as they like, so only the most recently used ones are kept.
 type Runtimes struct {
-	*lru.Cache[string, *Average]
+	*lru.Cache[string, *MovingAverage]
 }
 
 // maxClasses is how many classes are kept.
@@ -22,18 +22,18 @@
 
 // NewRuntimes returns a Runtimes that has observed nothing.
 func NewRuntimes() Runtimes {
-	kept, _ := lru.New[string, *Average](maxClasses) // errs only for a size below 1
+	kept, _ := lru.New[string, *MovingAverage](maxClasses) // errs only for a size below 1
 	return Runtimes{kept}
 }
 
-// Of returns what was observed of jobs of the same class and owner, nil if nothing.
-func (e Runtimes) Of(s *spec.Job) *Average {
+// Lookup returns what was observed of jobs of the same class and owner, nil if nothing.
+func (e Runtimes) Lookup(s *spec.Job) *MovingAverage {
 	o, _ := e.Get(s.Class + "/" + s.Owner)
 	return o
 }
 
-// Average is a mean of observations in which recent ones count more than old ones.
-type Average struct {
+// MovingAverage is a mean of observations in which recent ones count more than old ones.
+type MovingAverage struct {
 	N    int
 	Mean float64 // class: actual over estimate; job: seconds
 }
@@ -42,14 +42,14 @@
 const minWeight = 0.08
 
 // Add adds an observation.
-func (o *Average) Add(x float64) {
+func (o *MovingAverage) Add(x float64) {
 	o.N++
 	w := max(1/float64(o.N), minWeight)
 	o.Mean += w * (x - o.Mean)
 }
 
-// ImageFetch returns how long a machine of the type needs to fetch the image of the job.
-func ImageFetch(s *spec.Job, t *provider.InstanceType) time.Duration {
+// ImageFetchTime returns how long a machine of the type needs to fetch the image of the job.
+func ImageFetchTime(s *spec.Job, t *provider.InstanceType) time.Duration {
 	if t == nil || t.ImageGBps <= 0 {
 		return 0
 	}
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -18,7 +18,7 @@
 	Job            *Job // nil: of no job that we know
 	Need           timeline.Resources
 	Phase          heartbeat.Phase
-	Occupies       bool   // counts against machine, team and job
+	HoldsResources bool   // counts against machine, team and job
 	OrderedCounter uint64 // the counter of the report whose reply carried the start
 	OrderedAt      time.Time
 	StartedAt      time.Time // first reported as running
@@ -37,9 +37,9 @@
 // confirmed yet. Workers report the phases after it.
 const Ordered = heartbeat.Phase("ordered")
 
-// CountRunning counts the attempt among its job's running tasks, or no longer. It reports
+// SetRunning counts the attempt among its job's running tasks, or no longer. It reports
 // whether that is a change.
-func (a *Attempt) CountRunning(runs bool) bool {
+func (a *Attempt) SetRunning(runs bool) bool {
 	if a.CountedRunning == runs || a.Job == nil {
 		return false
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -61,15 +61,15 @@
 
 func TestOccupancy(t *testing.T) {
 	m, j := newMachine(), newJob()
-	if d := Occupancy(j, m, time.Minute); d != time.Minute+2*time.Second {
+	if d := ReservationDuration(j, m, time.Minute); d != time.Minute+2*time.Second {
 		t.Errorf("%v with the fetch of the image", d)
 	}
 	m.Images.Add("img", struct{}{})
-	if d := Occupancy(j, m, time.Minute); d != time.Minute {
+	if d := ReservationDuration(j, m, time.Minute); d != time.Minute {
 		t.Errorf("%v where the image is", d)
 	}
 	j.Spec.Service = true
-	if d := Occupancy(j, m, time.Minute); d != timeline.Forever {
+	if d := ReservationDuration(j, m, time.Minute); d != timeline.Forever {
 		t.Errorf("%v for a service", d)
 	}
 }
@@ -113,7 +113,7 @@
 	add := func(id string, start, yield, submitted time.Duration) *Job {
 		j := newJob()
 		j.Spec.ID, j.Submitted = id, t0.Add(submitted)
-		j.Reservations = []*Reservation{{Booking: timeline.Booking{Start: t0.Add(start)}, Job: j, Yield: yield}}
+		j.Reservations = []*Reservation{{Booking: timeline.Booking{Start: t0.Add(start)}, Job: j, QueueDelay: yield}}
 		q.Reposition(j)
 		return j
 	}
@@ -133,7 +133,7 @@
 	add("b", time.Second, 0, 2*time.Second)
 	add("a", time.Second, 0, 2*time.Second)
 	check("early", "a", "b", "late")
-	late.Reservations[0].Yield = 0
+	late.Reservations[0].QueueDelay = 0
 	q.Reposition(late)
 	check("late", "early", "a", "b")
 	early.Reservations = nil
@@ -153,14 +153,14 @@
 		runs, changed bool
 		running       int
 	}{{false, false, 0}, {true, true, 1}, {true, false, 1}, {false, true, 0}} {
-		if changed := a.CountRunning(step.runs); changed != step.changed || j.Running != step.running {
+		if changed := a.SetRunning(step.runs); changed != step.changed || j.Running != step.running {
 			t.Errorf("%+v: changed %v, %d running", step, changed, j.Running)
 		}
 	}
 	if !j.HasRun {
 		t.Error("has not run")
 	}
-	if (&Attempt{}).CountRunning(true) {
+	if (&Attempt{}).SetRunning(true) {
 		t.Error("counted for no job")
 	}
 }
@@ -183,11 +183,11 @@
 
 func TestPerCPU(t *testing.T) {
 	m := newMachine()
-	if p := m.PerCPU(); p != 2 {
+	if p := m.PricePerCPU(); p != 2 {
 		t.Errorf("on demand: %v", p)
 	}
 	m.Spot = true
-	if p := m.PerCPU(); p != 1 {
+	if p := m.PricePerCPU(); p != 1 {
 		t.Errorf("spot: %v", p)
 	}
 }
--- a/internal/fleet/job.go
+++ b/internal/fleet/job.go
@@ -24,36 +24,36 @@
 
 // Job is an accepted job that is not over.
 type Job struct {
-	Spec            spec.Job
-	Need            timeline.Resources
-	Submitted       time.Time // on the core's clock
-	Record          *record.Job
-	FromEarlierTerm bool         // accepted in an earlier term: its tasks may be anywhere
-	Placement       topology.Job // its rules on places
-	Team            *quota.Account
-	StartsAtOnce    bool // must start at once
+	Spec             spec.Job
+	Need             timeline.Resources
+	Submitted        time.Time // on the core's clock
+	Record           *record.Job
+	FromEarlierTerm  bool         // accepted in an earlier term: its tasks may be anywhere
+	Placement        topology.Job // its rules on places
+	Team             *quota.Account
+	LatencySensitive bool // must start at once
 
 	Progress
 	Queueing
 	FailureHistory
-	Ending
+	Finalization
 }
 
 // Progress is what a job's tasks have come to.
 type Progress struct {
-	Done           bitset.Set       // completed
-	Pending        bitset.Set       // neither done nor on a machine
-	Waiting        int              // members of pending
-	Remaining      int              // tasks not done
-	Attempts       map[int]*Attempt // tasks on machines, or that may be
-	Running        int              // tasks that workers report as running or checkpointing
-	Completed      []*Attempt       // completed, and not known to be on record
-	AnyCompleted   bool             // a task has completed
-	HasRun         bool             // a task of it has run, or is done
-	StartNoted     bool             // and has been noted to have started
-	Runtime        estimate.Average // seconds that its tasks took
-	ChunkRevisions map[int]uint64   // revisions of the progress records
-	DirtyChunks    map[int]bool     // chunks with changes not yet on their way
+	Done                  bitset.Set             // completed
+	Pending               bitset.Set             // neither done nor on a machine
+	Waiting               int                    // members of pending
+	Remaining             int                    // tasks not done
+	Attempts              map[int]*Attempt       // tasks on machines, or that may be
+	Running               int                    // tasks that workers report as running or checkpointing
+	UnrecordedCompletions []*Attempt             // completed, and not known to be on record
+	AnyCompleted          bool                   // a task has completed
+	HasRun                bool                   // a task of it has run, or is done
+	StartRecorded         bool                   // and has been noted to have started
+	Runtime               estimate.MovingAverage // seconds that its tasks took
+	ChunkRevisions        map[int]uint64         // revisions of the progress records
+	DirtyChunks           map[int]bool           // chunks with changes not yet on their way
 }
 
 // NewProgress returns the progress of a job that has so many tasks, of which nothing is known
@@ -67,14 +67,14 @@
 
 // Queueing is a job's reservations and its place in the queue.
 type Queueing struct {
-	Reserved           int            // members of pending that have a place in the queue
-	Reservations       []*Reservation // places in the queue, in order
-	QueueTime          time.Time      // of the first, while queued
-	Queued             bool
-	ReservationPending bool      // reservations are to be made soon
-	LastRereserved     time.Time // when its reservations were last renewed
-	MissedUntil        time.Time // objectives up to this are out of reach
-	ImageLocalUntil    time.Time // until then it starts only where its image is
+	Reserved              int            // members of pending that have a place in the queue
+	Reservations          []*Reservation // places in the queue, in order
+	QueueTime             time.Time      // of the first, while queued
+	Queued                bool
+	ReservationPending    bool      // reservations are to be made soon
+	LastRefreshed         time.Time // when its reservations were last renewed
+	MissedObjectivesUntil time.Time // objectives up to this are out of reach
+	ImageLocalUntil       time.Time // until then it starts only where its image is
 }
 
 // FailureHistory is how a job's tasks have failed.
@@ -84,13 +84,13 @@
 	RetryAt  time.Time       // not before this, after failures
 }
 
-// Ending is how far a job's cancellation or completion has got.
-type Ending struct {
-	Cancelling    bool               // a cancellation has been begun
-	Cancelled     bool               // and has been committed
-	Finishing     bool               // the final record is on its way
-	EndingChange  *writebatch.Change // whichever of the two is on its way
-	EndingWaiters []request.Request  // who waits for it
+// Finalization is how far a job's cancellation or completion has got.
+type Finalization struct {
+	Cancelling   bool               // a cancellation has been begun
+	Cancelled    bool               // and has been committed
+	Finishing    bool               // the final record is on its way
+	FinalChange  *writebatch.Change // whichever of the two is on its way
+	FinalWaiters []request.Request  // who waits for it
 }
 
 // Halted reports whether no task of the job may start any more.
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -14,16 +14,16 @@
 	"yewpass/internal/zones"
 )
 
-// PerCPU returns the price of one CPU of the machine.
-func (m *Machine) PerCPU() float64 {
+// PricePerCPU returns the price of one CPU of the machine.
+func (m *Machine) PricePerCPU() float64 {
 	if m.Spot {
 		return m.InstanceType.SpotRate / m.InstanceType.CPUs
 	}
 	return m.InstanceType.OnDemandRate / m.InstanceType.CPUs
 }
 
-// Recorded returns the machine as a record names it.
-func (m *Machine) Recorded() record.Machine {
+// ToRecord returns the machine as a record names it.
+func (m *Machine) ToRecord() record.Machine {
 	return record.Machine{Host: m.Host, Address: m.Address, InstanceType: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
@@ -87,14 +87,14 @@
 	HeldReply            *HeldReply
 	UnacknowledgedSince  time.Time  // first answered in this term, and has not shown that it heard
 	UnlistedStarts       int        // in a row: starts that its next report did not list
-	ReportsVia           *RelayLink // by which it reports, among whose workers it counts
-	LastMoved            time.Time  // when it was last redirected to another node
+	Relay                *RelayLink // by which it reports, among whose workers it counts
+	LastRedirect         time.Time  // when it was last redirected to another node
 	DispatchPending      bool       // has orders that need not wait for its next report
 }
 
 // Lifecycle is when a machine came and why it is to go.
 type Lifecycle struct {
-	KnownSince     time.Time // known to us
+	FirstSeen      time.Time // known to us
 	RentedAt       time.Time
 	ReadyAt        time.Time // expected, while it boots
 	IdleSince      time.Time // since when nothing runs or is reserved
@@ -127,7 +127,7 @@
 func NewMachine(id Identity, now time.Time) *Machine {
 	return &Machine{
 		Identity:  id,
-		Lifecycle: Lifecycle{KnownSince: now, RentedAt: now, IdleSince: now},
+		Lifecycle: Lifecycle{FirstSeen: now, RentedAt: now, IdleSince: now},
 		Load:      Load{Images: NewImages(), Timeline: timeline.New(timeline.Resources{})},
 	}
 }
@@ -142,13 +142,13 @@
 	m.LastReply = time.Time{}
 }
 
-// Usable reports whether room may be reserved on the machine for new tasks.
-func (m *Machine) Usable() bool {
+// Schedulable reports whether room may be reserved on the machine for new tasks.
+func (m *Machine) Schedulable() bool {
 	return m.InstanceType != nil && !m.Releasing && !m.Draining && !m.Quarantined && !m.LeaseExpired && !m.Unreachable && m.InterruptionAt.IsZero()
 }
 
-// Room returns the resources that no attempt occupies.
-func (m *Machine) Room() timeline.Resources {
+// FreeResources returns the resources that no attempt occupies.
+func (m *Machine) FreeResources() timeline.Resources {
 	return m.Timeline.Capacity().Add(m.Allocated, -1)
 }
 
@@ -167,7 +167,7 @@
 // EligibleFor reports whether the job's tasks may run on the machine at all.
 func (m *Machine) EligibleFor(j *Job) bool {
 	s := &j.Spec
-	return m.Usable() && (!m.Spot || s.AllowSpot) && AllowsInstanceType(s, m.TypeName) &&
+	return m.Schedulable() && (!m.Spot || s.AllowSpot) && AllowsInstanceType(s, m.TypeName) &&
 		(s.Zone == "" || s.Zone == m.Zone) && j.Need.Fits(m.Timeline.Capacity()) &&
 		(len(j.FailedOn) == 0 || !j.FailedOn[m.Host] || len(j.FailedOn) > MaxFailedMachines)
 }
@@ -179,5 +179,5 @@
 
 // CanStartNow reports whether the job's tasks could start on the machine right away.
 func (m *Machine) CanStartNow(j *Job) bool {
-	return m.Reported && m.Usable() && m.Images.Contains(j.Spec.Image) && j.Need.Fits(m.Room())
+	return m.Reported && m.Schedulable() && m.Images.Contains(j.Spec.Image) && j.Need.Fits(m.FreeResources())
 }
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -20,8 +20,8 @@
 	WrittenAt   time.Time
 }
 
-// RecordedSize returns about how many bytes of a record the machine takes.
-func RecordedSize(m *Machine) int {
-	r := m.Recorded()
+// RecordSize returns about how many bytes of a record the machine takes.
+func RecordSize(m *Machine) int {
+	r := m.ToRecord()
 	return r.Size()
 }
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -84,7 +84,7 @@
 // Remove forgets a machine.
 func (v *Inventory) Remove(m *fleet.Machine) {
 	delete(v.byHost, m.Host)
-	v.places.Forget(m.Host)
+	v.places.Remove(m.Host)
 	if i := v.index(m.Host); i < len(v.machines) && v.machines[i] == m {
 		v.machines = slices.Delete(v.machines, i, i+1)
 	}
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -67,7 +67,7 @@
 	m.Attempts = append(m.Attempts, &fleet.Attempt{Reservation: &timeline.Booking{Start: t0, End: t0.Add(time.Minute), Need: need, Count: 1}}, &fleet.Attempt{})
 	catalog["f0"] = &provider.InstanceType{Name: "f0", Capacity: timeline.Capacity(4, 0, 16)}
 	v.SetInstanceType(m)
-	if start, ok := m.Timeline.Earliest(t0, time.Second, need); !ok || !start.Equal(t0.Add(time.Minute)) {
+	if start, ok := m.Timeline.EarliestStart(t0, time.Second, need); !ok || !start.Equal(t0.Add(time.Minute)) {
 		t.Errorf("free after %v, not after what runs", start.Sub(t0))
 	}
 	catalog["f0"] = &provider.InstanceType{Name: "f0", Capacity: timeline.Capacity(8, 0, 16)}
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -57,7 +57,7 @@
 
 // Add has it recorded that the machine may hold tasks.
 func (r *Records) Add(m *fleet.Machine) {
-	i := slices.IndexFunc(r.records, func(g *fleet.Record) bool { return g.Size+fleet.RecordedSize(m) <= r.fillLimit })
+	i := slices.IndexFunc(r.records, func(g *fleet.Record) bool { return g.Size+fleet.RecordSize(m) <= r.fillLimit })
 	if i < 0 {
 		r.begun++
 		r.records = append(r.records, &fleet.Record{Key: fmt.Sprintf("%s%d-%d", record.MachinePrefix, r.term, r.begun)})
@@ -73,7 +73,7 @@
 func (r *Records) name(g *fleet.Record, m *fleet.Machine) {
 	m.RecordedIn = g
 	g.Machines = append(g.Machines, m)
-	g.Size += fleet.RecordedSize(m)
+	g.Size += fleet.RecordSize(m)
 }
 
 // Remove takes a machine that is gone out of its record.
@@ -84,7 +84,7 @@
 	}
 	m.Record, m.RecordedIn = fleet.Unrecorded, nil
 	g.Machines = slices.DeleteFunc(g.Machines, func(x *fleet.Machine) bool { return x == m })
-	g.Size -= fleet.RecordedSize(m)
+	g.Size -= fleet.RecordSize(m)
 	r.write(g, writebatch.Bulk)
 }
 
@@ -143,7 +143,7 @@
 	w.change.Size = g.Size
 	value := &record.Machines{}
 	for _, m := range g.Machines {
-		value.Machines = append(value.Machines, m.Recorded())
+		value.Machines = append(value.Machines, m.ToRecord())
 		if m.Record == fleet.Recording {
 			w.added = append(w.added, m)
 		}
--- a/internal/lifecycle/cancel.go
+++ b/internal/lifecycle/cancel.go
@@ -27,7 +27,7 @@
 		m.answer(r, request.Response{Status: 200, View: j.View()})
 		return
 	}
-	j.EndingWaiters = append(j.EndingWaiters, r)
+	j.FinalWaiters = append(j.FinalWaiters, r)
 	if j.Cancelling || j.Finishing {
 		return
 	}
@@ -62,13 +62,13 @@
 		OnConflict: func() { m.finishRecorded(j) },
 		OnCommit:   func(uint64) { m.cancelled(j, &cancelled) },
 	}
-	j.EndingChange = change
+	j.FinalChange = change
 	m.Writes.Add(change)
 }
 
 // cancelled follows the commit of a cancellation.
 func (m *Manager) cancelled(j *fleet.Job, rec *record.Job) {
-	j.Cancelling, j.Cancelled, j.Record, j.EndingChange = false, true, rec, nil
+	j.Cancelling, j.Cancelled, j.Record, j.FinalChange = false, true, rec, nil
 	m.Placement.DropReservations(j)
 	m.engine.Log(slog.LevelDebug, "job cancelled", "job", j.Spec.ID)
 	m.AnswerWaiters(j, request.Response{Status: 200, View: j.View()})
@@ -88,24 +88,24 @@
 
 // AnswerWaiters answers everybody who waits for the end of a job to be recorded.
 func (m *Manager) AnswerWaiters(j *fleet.Job, answer request.Response) {
-	for _, r := range j.EndingWaiters {
+	for _, r := range j.FinalWaiters {
 		m.answer(r, answer)
 	}
-	j.EndingWaiters = nil
+	j.FinalWaiters = nil
 }
 
 // WaitForEnding has a request about a job wait if the job's end may be on record without
 // our knowing, and reports whether it does. Whoever reads the record may have told the user,
 // who must hear nothing older from us.
 func (m *Manager) WaitForEnding(j *fleet.Job, r request.Request) bool {
-	if j.EndingChange == nil || !j.EndingChange.Sent {
+	if j.FinalChange == nil || !j.FinalChange.Sent {
 		return false
 	}
-	j.EndingWaiters = append(j.EndingWaiters, r)
+	j.FinalWaiters = append(j.FinalWaiters, r)
 	m.scope.After(endingTimeout, func() {
-		i := slices.IndexFunc(j.EndingWaiters, func(w request.Request) bool { return w.From == r.From && w.Ref == r.Ref })
+		i := slices.IndexFunc(j.FinalWaiters, func(w request.Request) bool { return w.From == r.From && w.Ref == r.Ref })
 		if i >= 0 {
-			j.EndingWaiters = slices.Delete(j.EndingWaiters, i, i+1)
+			j.FinalWaiters = slices.Delete(j.FinalWaiters, i, i+1)
 			m.answer(r, request.Unavailable("its end is being recorded"))
 		}
 	})
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -69,17 +69,17 @@
 	s := rec.Spec
 	now := m.engine.Now
 	j := &fleet.Job{
-		Spec:            s,
-		Need:            s.Need(),
-		Record:          rec,
-		FromEarlierTerm: earlier,
-		Submitted:       now.Add(rec.Submitted.Sub(now.Round(0))),
-		Team:            m.Teams[s.Owner],
-		StartsAtOnce:    m.Placement.MustStartAtOnce(s.Class),
-		Placement:       placementRules(&s),
-		Progress:        fleet.NewProgress(s.Tasks),
-		FailureHistory:  fleet.FailureHistory{FailedOn: map[string]bool{}},
-		Ending:          fleet.Ending{Cancelled: rec.Cancelled},
+		Spec:             s,
+		Need:             s.Need(),
+		Record:           rec,
+		FromEarlierTerm:  earlier,
+		Submitted:        now.Add(rec.Submitted.Sub(now.Round(0))),
+		Team:             m.Teams[s.Owner],
+		LatencySensitive: m.Placement.IsLatencySensitive(s.Class),
+		Placement:        placementRules(&s),
+		Progress:         fleet.NewProgress(s.Tasks),
+		FailureHistory:   fleet.FailureHistory{FailedOn: map[string]bool{}},
+		Finalization:     fleet.Finalization{Cancelled: rec.Cancelled},
 	}
 	if j.Team == nil { // the team has left the settings: its jobs still run
 		j.Team = &quota.Account{}
@@ -165,10 +165,10 @@
 	delete(m.Jobs, id)
 	j.Team.JobCount--
 	m.Placement.DropReservations(j)
-	for _, a := range j.Completed {
+	for _, a := range j.UnrecordedCompletions {
 		a.Forgettable = true
 	}
-	j.Completed = nil
+	j.UnrecordedCompletions = nil
 	m.AnswerWaiters(j, request.Response{Status: 200, View: jobstore.FinalStatus(id, final)})
 	m.leader.JobFinished(j, final.State)
 	m.engine.Log(slog.LevelDebug, "job finished", "job", id, "state", final.State)
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -161,7 +161,7 @@
 	complete := func(task int) {
 		a := &fleet.Attempt{ID: heartbeat.TaskID{Job: "wk-1", Index: task}}
 		attempts = append(attempts, a)
-		j.Completed = append(j.Completed, a)
+		j.UnrecordedCompletions = append(j.UnrecordedCompletions, a)
 		l.CompleteTask(j, task)
 	}
 	complete(0)
--- a/internal/lifecycle/records.go
+++ b/internal/lifecycle/records.go
@@ -66,7 +66,7 @@
 // forgetRecorded lets workers forget the tasks of a chunk that the key-value store now
 // knows to be done. Until then their heartbeats repeat it to any successor.
 func forgetRecorded(j *fleet.Job, chunk int, recorded bitset.Set) {
-	j.Completed = slices.DeleteFunc(j.Completed, func(a *fleet.Attempt) bool {
+	j.UnrecordedCompletions = slices.DeleteFunc(j.UnrecordedCompletions, func(a *fleet.Attempt) bool {
 		if a.ID.Index/bitset.ChunkSize == chunk && recorded.Has(a.ID.Index%bitset.ChunkSize) {
 			a.Forgettable = true
 		}
@@ -88,7 +88,7 @@
 		Writes:   []kv.Write{{Key: record.FinalPrefix + j.Spec.ID, Value: &final}, {Key: record.JobPrefix + j.Spec.ID}},
 		OnCommit: func(uint64) { m.finished(j, final) },
 	}
-	j.EndingChange = change
+	j.FinalChange = change
 	// The records of progress go in the same transaction, as many as it has room for.
 	drops := make([]*writebatch.Change, 0, 1)
 	for _, chunk := range slices.Sorted(maps.Keys(j.ChunkRevisions)) {
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -161,7 +161,7 @@
 			list = append(list, m)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *fleet.Machine) int { return cmp.Compare(b.PerCPU(), a.PerCPU()) })
+	slices.SortStableFunc(list, func(a, b *fleet.Machine) int { return cmp.Compare(b.PricePerCPU(), a.PricePerCPU()) })
 	return list
 }
 
--- a/internal/placement/attempts.go
+++ b/internal/placement/attempts.go
@@ -7,10 +7,10 @@
 	"yewpass/internal/timeline"
 )
 
-// Occupy counts an attempt against its machine, team and job.
-func (s *Scheduler) Occupy(a *fleet.Attempt, j *fleet.Job) {
+// Allocate counts an attempt against its machine, team and job.
+func (s *Scheduler) Allocate(a *fleet.Attempt, j *fleet.Job) {
 	i := a.ID.Index
-	a.Job, a.Need, a.Occupies = j, j.Need, true
+	a.Job, a.Need, a.HoldsResources = j, j.Need, true
 	j.Attempts[i] = a
 	if j.Pending.Has(i) {
 		j.Pending.Remove(i)
@@ -18,16 +18,16 @@
 		s.DropExcessReservation(j)
 	}
 	if len(j.Placement.Rules) > 0 {
-		s.tally.Add(j.Spec.ID, a.Machine.Place, 1)
+		s.taskCounter.Add(j.Spec.ID, a.Machine.Place, 1)
 	}
 	a.Machine.Allocated = a.Machine.Allocated.Add(j.Need, 1)
 	j.Team.Allocated = j.Team.Allocated.Add(j.Need, 1)
-	a.Reservation = &timeline.Booking{Start: s.now(), End: s.now().Add(s.Occupancy(j, a.Machine)), Need: j.Need, Count: 1}
+	a.Reservation = &timeline.Booking{Start: s.now(), End: s.now().Add(s.ReservationDuration(j, a.Machine)), Need: j.Need, Count: 1}
 	a.Machine.Timeline.Add(a.Reservation)
 }
 
-// Vacate is the reverse of Occupy: the task is surely not on the machine.
-func (s *Scheduler) Vacate(a *fleet.Attempt) {
+// Deallocate is the reverse of Occupy: the task is surely not on the machine.
+func (s *Scheduler) Deallocate(a *fleet.Attempt) {
 	m := a.Machine
 	if a.Reservation != nil {
 		m.Timeline.Remove(a.Reservation)
@@ -38,14 +38,14 @@
 		s.OrphanedTasks--
 		s.leader.DispatchAll()
 	}
-	if !a.Occupies {
+	if !a.HoldsResources {
 		return
 	}
-	a.Occupies = false
+	a.HoldsResources = false
 	j := a.Job
-	a.CountRunning(false)
+	a.SetRunning(false)
 	if len(j.Placement.Rules) > 0 {
-		s.tally.Add(j.Spec.ID, m.Place, -1)
+		s.taskCounter.Add(j.Spec.ID, m.Place, -1)
 	}
 	m.Allocated = m.Allocated.Add(a.Need, -1)
 	j.Team.Allocated = j.Team.Allocated.Add(a.Need, -1)
@@ -63,11 +63,11 @@
 	}
 }
 
-// Renew sets the end of an attempt that has just begun to run.
-func (s *Scheduler) Renew(a *fleet.Attempt) {
+// ResetExpectedEnd sets the end of an attempt that has just begun to run.
+func (s *Scheduler) ResetExpectedEnd(a *fleet.Attempt) {
 	if a.Reservation != nil {
-		a.Reservation.End = s.now().Add(s.Occupancy(a.Job, a.Machine))
-		a.Machine.Timeline.Touch()
+		a.Reservation.End = s.now().Add(s.ReservationDuration(a.Job, a.Machine))
+		a.Machine.Timeline.Invalidate()
 	}
 }
 
@@ -75,8 +75,8 @@
 func (s *Scheduler) ExtendOverruns(m *fleet.Machine) {
 	for _, a := range m.Attempts {
 		if a.Reservation != nil && !a.Reservation.End.After(s.now()) {
-			a.Reservation.End = s.now().Add(max(s.Occupancy(a.Job, m)/8, time.Second))
-			m.Timeline.Touch()
+			a.Reservation.End = s.now().Add(max(s.ReservationDuration(a.Job, m)/8, time.Second))
+			m.Timeline.Invalidate()
 		}
 	}
 }
--- a/internal/placement/cluster_test.go
+++ b/internal/placement/cluster_test.go
@@ -47,7 +47,7 @@
 	c := &cluster{engine: e, cfg: cfg, jobs: map[string]*fleet.Job{}, teams: map[string]*quota.Account{}}
 	c.teams["t"] = quota.New(liveconfig.Team{Name: "t", CPUs: 100})
 	c.Scheduler = New(e, e.NewScope(), cfg, c, 1)
-	c.Margin, c.Guarantees = 0.15, true
+	c.EstimateMargin, c.AnyGuarantee = 0.15, true
 	var types []*provider.InstanceType
 	for i, cpus := range []float64{4, 8, 32} {
 		types = append(types, &provider.InstanceType{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, ImageGBps: 0.4, OnDemandRate: cpus, SpotRate: cpus / 3, BootTime: 20 * time.Second, Zones: []string{"a"}})
@@ -68,7 +68,7 @@
 // addJob takes on a job none of whose tasks waits.
 func (c *cluster) addJob(job spec.Job) *fleet.Job {
 	j := &fleet.Job{
-		Spec: job, Need: job.Need(), Submitted: c.engine.Now, Team: c.teams[job.Owner], StartsAtOnce: c.MustStartAtOnce(job.Class),
+		Spec: job, Need: job.Need(), Submitted: c.engine.Now, Team: c.teams[job.Owner], LatencySensitive: c.IsLatencySensitive(job.Class),
 		Progress: fleet.NewProgress(job.Tasks), FailureHistory: fleet.FailureHistory{FailedOn: map[string]bool{}},
 		Placement: topology.Job{Key: job.ID, Tasks: job.Tasks},
 	}
@@ -100,9 +100,9 @@
 		j = c.addJob(spec.Job{ID: "wk-1", Class: "r", Owner: "t", Tasks: spec.MaxTasks, CPUs: 1, MemGB: 1, Image: "img0", AllowSpot: true, Runtime: time.Minute})
 		j.AnyCompleted = true
 	}
-	for range m.Room().CPU / 1000 {
+	for range m.FreeResources().CPU / 1000 {
 		a := &fleet.Attempt{ID: heartbeat.TaskID{Job: "wk-1", Index: len(j.Attempts)}, Number: uint64(len(j.Attempts) + 1), Machine: m, Phase: heartbeat.TaskRuns, OrderedAt: t0, StartedAt: t0}
 		m.Attempts = append(m.Attempts, a)
-		c.Occupy(a, j)
+		c.Allocate(a, j)
 	}
 }
--- a/internal/placement/estimates.go
+++ b/internal/placement/estimates.go
@@ -19,9 +19,9 @@
 		return
 	}
 	j.Runtime.Add(took.Seconds())
-	o := s.runtimes.Of(&j.Spec)
+	o := s.runtimes.Lookup(&j.Spec)
 	if o == nil {
-		o = &estimate.Average{}
+		o = &estimate.MovingAverage{}
 		s.runtimes.Add(j.Spec.Class+"/"+j.Spec.Owner, o)
 	}
 	if j.Runtime.N <= maxRuntimesPerJob {
@@ -30,7 +30,7 @@
 }
 
 // HasRuntimes reports whether run times of jobs like this one are known.
-func (s *Scheduler) HasRuntimes(job *spec.Job) bool { return s.runtimes.Of(job) != nil }
+func (s *Scheduler) HasRuntimes(job *spec.Job) bool { return s.runtimes.Lookup(job) != nil }
 
 // Estimate returns how long a task of the job runs, without the fetch of its image.
 func (s *Scheduler) Estimate(j *fleet.Job) time.Duration {
@@ -46,7 +46,7 @@
 // estimateSpec returns the estimate for a job none of whose tasks has completed.
 func (s *Scheduler) estimateSpec(job *spec.Job) time.Duration {
 	d := job.Runtime
-	if o := s.runtimes.Of(job); o != nil && o.N >= 5 {
+	if o := s.runtimes.Lookup(job); o != nil && o.N >= 5 {
 		d = timeline.Seconds(d.Seconds() * min(max(o.Mean, 0.3), 3))
 	}
 	return max(d, 100*time.Millisecond)
@@ -63,12 +63,12 @@
 }
 
 func (s *Scheduler) pad(d time.Duration) time.Duration {
-	return timeline.Seconds(d.Seconds() * (1 + s.Margin))
+	return timeline.Seconds(d.Seconds() * (1 + s.EstimateMargin))
 }
 
-// Occupancy returns for how long room is reserved on the machine for a task of the job.
-func (s *Scheduler) Occupancy(j *fleet.Job, m *fleet.Machine) time.Duration {
-	return fleet.Occupancy(j, m, s.paddedEstimate(j))
+// ReservationDuration returns for how long room is reserved on the machine for a task of the job.
+func (s *Scheduler) ReservationDuration(j *fleet.Job, m *fleet.Machine) time.Duration {
+	return fleet.ReservationDuration(j, m, s.paddedEstimate(j))
 }
 
 // EarliestFinish returns how soon a task of a job that is not accepted yet could be over on
@@ -79,7 +79,7 @@
 	best := time.Duration(1<<63 - 1)
 	for _, m := range s.leader.Machines() {
 		if m.EligibleFor(j) {
-			if t, ok := m.Timeline.Earliest(s.earliestStart(m), run, j.Need); ok {
+			if t, ok := m.Timeline.EarliestStart(s.earliestStart(m), run, j.Need); ok {
 				best = min(best, t.Add(run).Sub(s.now()))
 			}
 		}
--- a/internal/placement/locality.go
+++ b/internal/placement/locality.go
@@ -7,10 +7,10 @@
 	"yewpass/internal/fleet"
 )
 
-// ReserveWarmRoom shares out the room that is kept free for jobs that must start at once, in
+// ReserveWarmCapacity shares out the room that is kept free for jobs that must start at once, in
 // thousandths of a CPU: on the machines with the most CPUs, where one heartbeat serves many
 // tasks.
-func (s *Scheduler) ReserveWarmRoom(cpus int64) {
+func (s *Scheduler) ReserveWarmCapacity(cpus int64) {
 	machines := s.leader.Machines()
 	var sizes []int64
 	for _, m := range machines {
@@ -25,7 +25,7 @@
 			if cpus <= 0 {
 				return
 			}
-			if m.Timeline.Capacity().CPU == n && m.Usable() && m.Reported {
+			if m.Timeline.Capacity().CPU == n && m.Schedulable() && m.Reported {
 				m.WarmReserve = min(cpus, n/4)
 				cpus -= m.WarmReserve
 			}
@@ -41,7 +41,7 @@
 // PreferImageLocality has a new job wait for machines that have its image, if there are
 // enough of them.
 func (s *Scheduler) PreferImageLocality(j *fleet.Job) {
-	if !j.StartsAtOnce {
+	if !j.LatencySensitive {
 		return
 	}
 	have := int64(0)
@@ -57,9 +57,9 @@
 	s.scope.After(imageLocalityWait, s.leader.DispatchAll)
 }
 
-// maxReservationsSeen is how many reservations of a job a machine without its image looks
+// maxReservationsScanned is how many reservations of a job a machine without its image looks
 // at: if there are more, so many tasks are about to start where room is reserved for them.
-const maxReservationsSeen = 17
+const maxReservationsScanned = 17
 
 // nextReservationFor returns the job's first reservation that the machine may serve. A machine
 // that lacks the image leaves alone what is reserved on one that has both the image and the
@@ -71,7 +71,7 @@
 	if s.now().Before(j.ImageLocalUntil) {
 		return nil
 	}
-	for _, r := range j.Reservations[:min(len(j.Reservations), maxReservationsSeen)] {
+	for _, r := range j.Reservations[:min(len(j.Reservations), maxReservationsScanned)] {
 		if r.Machine == nil || r.Machine == m || !r.Machine.CanStartNow(j) {
 			return r
 		}
--- a/internal/placement/objectives.go
+++ b/internal/placement/objectives.go
@@ -21,7 +21,7 @@
 // can still be met. An objective on waiting counts as a deadline one run time later. ok is
 // false if none can be met any more.
 func (s *Scheduler) nextObjective(j *fleet.Job, length time.Duration) (best objective, ok bool) {
-	return s.nextObjectiveFrom(j, s.now(), j.MissedUntil, length)
+	return s.nextObjectiveFrom(j, s.now(), j.MissedObjectivesUntil, length)
 }
 
 // nextObjectiveFrom is nextObjective as seen at the time from, for objectives after missed.
@@ -35,11 +35,11 @@
 	return best, ok
 }
 
-// earlyObjectivePercent is the part of the time that an objective gives a job to finish
+// earlyFinishPercent is the part of the time that an objective gives a job to finish
 // which is tried first, in hundredths: the last task of a large array takes twice as long as
 // most do, and if it were started as late as possible it would be too late. Idle jobs give
 // way to others instead.
-const earlyObjectivePercent = 60
+const earlyFinishPercent = 60
 
 // forEachObjective calls f with every objective of the job, whose tasks run for about length.
 func (s *Scheduler) forEachObjective(j *fleet.Job, length time.Duration, f func(objective)) {
@@ -63,7 +63,7 @@
 			f(objective{j.Submitted.Add(within + length), false})
 		case "finished":
 			if j.Spec.Urgency > spec.Idle {
-				f(objective{j.Submitted.Add(within * earlyObjectivePercent / 100), true})
+				f(objective{j.Submitted.Add(within * earlyFinishPercent / 100), true})
 			}
 			f(objective{j.Submitted.Add(within), true})
 		case "guarantee":
@@ -74,19 +74,19 @@
 	}
 }
 
-// MustStartAtOnce reports whether jobs of the class have an objective on waiting that holds
+// IsLatencySensitive reports whether jobs of the class have an objective on waiting that holds
 // for every team.
-func (s *Scheduler) MustStartAtOnce(class string) bool {
+func (s *Scheduler) IsLatencySensitive(class string) bool {
 	return slices.ContainsFunc(s.cfg.Settings.Objectives, func(o config.Objective) bool {
 		return o.Kind == "wait" && (o.Class == "" || o.Class == class)
 	})
 }
 
-// hasNoObjective reports whether nothing is expected of an idle job: it has no deadline and
+// isBestEffort reports whether nothing is expected of an idle job: it has no deadline and
 // no objective of the operators. It is put back in the queue like one that is late.
 // Otherwise it would go ahead of everything that has missed an objective, and a guest's
 // spare-time work would take the room of the regular classes.
-func (s *Scheduler) hasNoObjective(j *fleet.Job) bool {
+func (s *Scheduler) isBestEffort(j *fleet.Job) bool {
 	if j.Spec.Urgency != spec.Idle || j.Spec.Service {
 		return false
 	}
@@ -95,10 +95,10 @@
 	return none
 }
 
-// yieldsWhenLate reports whether a task that takes so long and can meet no objective any more
+// delayedWhenLate reports whether a task that takes so long and can meet no objective any more
 // is put back in the queue. One that could not have met any from the start is not: such
 // tasks are long, and started late they would keep machines up when all else is over.
-func (s *Scheduler) yieldsWhenLate(j *fleet.Job, length time.Duration) bool {
+func (s *Scheduler) delayedWhenLate(j *fleet.Job, length time.Duration) bool {
 	_, ok := s.nextObjectiveFrom(j, j.Submitted, j.Submitted.Add(length*11/10), length)
 	return ok
 }
--- a/internal/placement/objectives_test.go
+++ b/internal/placement/objectives_test.go
@@ -57,7 +57,7 @@
 	}
 	guest, regular := add(1, "x", spec.Idle), add(2, "x", spec.Standard)
 	late := add(3, "c", spec.Idle)
-	late.MissedUntil = t0.Add(time.Hour)
+	late.MissedObjectivesUntil = t0.Add(time.Hour)
 	c.DropReservations(late)
 	c.Reserve(late)
 	if guest.QueueTime.Before(late.QueueTime) || !regular.QueueTime.Before(late.QueueTime) {
--- a/internal/placement/offers.go
+++ b/internal/placement/offers.go
@@ -9,17 +9,17 @@
 
 // offer is the slot that a machine offers for a task of a job.
 type offer struct {
-	machine    *fleet.Machine
-	start      time.Time
-	length     time.Duration
-	fleetIndex int // the machine's place in the fleet
+	machine      *fleet.Machine
+	start        time.Time
+	length       time.Duration
+	machineIndex int // the machine's place in the fleet
 }
 
 // offerHeap is the offers for one job, the best first: the latest start, or the earliest for
 // a job that has no deadline to meet; among equals the machine with the most free room now.
 type offerHeap struct {
-	list  []offer
-	dated bool // there is a deadline to meet
+	list        []offer
+	hasDeadline bool // there is a deadline to meet
 }
 
 // Len implements heap.Interface.
@@ -32,12 +32,12 @@
 func (h *offerHeap) Less(i, j int) bool {
 	a, b := &h.list[i], &h.list[j]
 	if x := a.start.Compare(b.start); x != 0 {
-		return x > 0 == h.dated
+		return x > 0 == h.hasDeadline
 	}
-	if x, y := a.machine.Room().CPU, b.machine.Room().CPU; x != y {
+	if x, y := a.machine.FreeResources().CPU, b.machine.FreeResources().CPU; x != y {
 		return x > y
 	}
-	return a.fleetIndex < b.fleetIndex
+	return a.machineIndex < b.machineIndex
 }
 
 // Push implements heap.Interface.
@@ -50,17 +50,17 @@
 	return last
 }
 
-// offers asks every machine once. A reservation changes the offer of its own machine only,
+// collectOffers asks every machine once. A reservation changes the offer of its own machine only,
 // so the rest of an array costs no further search.
-func (s *Scheduler) offers(j *fleet.Job, base time.Duration, deadline time.Time, dated bool) (h *offerHeap, anyMachine bool) {
-	h = &offerHeap{list: s.offerBuffer[:0], dated: dated}
+func (s *Scheduler) collectOffers(j *fleet.Job, base time.Duration, deadline time.Time, dated bool) (h *offerHeap, anyMachine bool) {
+	h = &offerHeap{list: s.offerBuffer[:0], hasDeadline: dated}
 	for i, m := range s.leader.Machines() {
 		if !m.EligibleFor(j) {
 			continue
 		}
 		anyMachine = true
-		d := fleet.Occupancy(j, m, base)
-		if start, ok := s.slot(j, m, d, deadline, dated); ok {
+		d := fleet.ReservationDuration(j, m, base)
+		if start, ok := s.findSlot(j, m, d, deadline, dated); ok {
 			h.list = append(h.list, offer{m, start, d, i})
 		}
 	}
@@ -77,12 +77,12 @@
 	return s.now()
 }
 
-// slot returns the latest start on the machine that meets the deadline, or the earliest fit
+// findSlot returns the latest start on the machine that meets the deadline, or the earliest fit
 // for a job that has none to meet.
-func (s *Scheduler) slot(j *fleet.Job, m *fleet.Machine, length time.Duration, deadline time.Time, dated bool) (time.Time, bool) {
+func (s *Scheduler) findSlot(j *fleet.Job, m *fleet.Machine, length time.Duration, deadline time.Time, dated bool) (time.Time, bool) {
 	from := s.earliestStart(m)
 	if dated {
-		return m.Timeline.Latest(from, deadline, length, j.Need)
+		return m.Timeline.LatestStart(from, deadline, length, j.Need)
 	}
-	return m.Timeline.Earliest(from, length, j.Need)
+	return m.Timeline.EarliestStart(from, length, j.Need)
 }
--- a/internal/placement/queue_test.go
+++ b/internal/placement/queue_test.go
@@ -13,11 +13,11 @@
 // TestRereserveLimit: looking for new slots takes a bounded part of the processor share,
 // whatever the fleet and the queue, and each job has its turn only once in a while.
 func TestRereserveLimit(t *testing.T) {
-	for machines, want := range map[int]int{100: maxRereserve, 700: 14, 1300: 7, 2600: 3, 20000: 2} {
+	for machines, want := range map[int]int{100: maxRefreshedJobs, 700: 14, 1300: 7, 2600: 3, 20000: 2} {
 		c := newCluster(1)
 		c.cfg.Settings.Limits.CPUShare = 0.168
 		c.machines = make([]*fleet.Machine, machines)
-		if n := c.rereserveLimit(tick); n != want {
+		if n := c.refreshLimit(tick); n != want {
 			t.Errorf("%d machines: %d jobs at a time, not %d", machines, n, want)
 		}
 	}
@@ -30,24 +30,24 @@
 	c.engine.Now = c.engine.Now.Add(time.Hour) // all is due
 	looked := func() (n int) {
 		for _, j := range c.jobs {
-			if j.LastRereserved.Equal(c.engine.Now) {
+			if j.LastRefreshed.Equal(c.engine.Now) {
 				n++
 			}
 		}
 		return n
 	}
-	c.rereserve(10)
+	c.refreshReservations(10)
 	if n := looked(); n != 10 {
 		t.Fatalf("%d jobs are looked at", n)
 	}
 	first := map[*fleet.Job]bool{}
 	for _, j := range c.jobs {
-		first[j] = j.LastRereserved.Equal(c.engine.Now)
+		first[j] = j.LastRefreshed.Equal(c.engine.Now)
 	}
 	c.engine.Now = c.engine.Now.Add(tick)
-	c.rereserve(10)
+	c.refreshReservations(10)
 	for j, was := range first {
-		if was && j.LastRereserved.Equal(c.engine.Now) {
+		if was && j.LastRefreshed.Equal(c.engine.Now) {
 			t.Errorf("job %s is looked at again at once", j.Spec.ID)
 		}
 	}
@@ -66,9 +66,9 @@
 	for _, step := range []struct {
 		after  time.Duration
 		looked bool
-	}{{time.Hour, true}, {tick, false}, {rereserveInterval - tick, false}, {1, true}} {
+	}{{time.Hour, true}, {tick, false}, {refreshInterval - tick, false}, {1, true}} {
 		c.engine.Now = c.engine.Now.Add(step.after)
-		if c.rereserve(10); j.LastRereserved.Equal(c.engine.Now) != step.looked {
+		if c.refreshReservations(10); j.LastRefreshed.Equal(c.engine.Now) != step.looked {
 			t.Errorf("%v later: looked at %v, want %v", step.after, !step.looked, step.looked)
 		}
 	}
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -33,23 +33,23 @@
 	defer s.Queue.Reposition(j)
 	base := s.paddedEstimate(j)
 	target, dated := s.nextObjective(j, base)
-	offers, anyMachine := s.offers(j, base, target.deadline, dated)
+	offers, anyMachine := s.collectOffers(j, base, target.deadline, dated)
 	for ; n > 0; n = min(j.Waiting, reservationWindow) - j.Reserved {
 		if len(offers.list) == 0 {
 			if !dated || !anyMachine {
 				break
 			}
-			j.MissedUntil = target.deadline
+			j.MissedObjectivesUntil = target.deadline
 			if target.wholeJob {
 				s.DropReservations(j)
 			}
 			target, dated = s.nextObjective(j, base)
-			offers, anyMachine = s.offers(j, base, target.deadline, dated)
+			offers, anyMachine = s.collectOffers(j, base, target.deadline, dated)
 			continue
 		}
 		best := &offers.list[0]
-		s.accept(j, best, n, dated)
-		if start, ok := s.slot(j, best.machine, best.length, target.deadline, dated); ok {
+		s.acceptOffer(j, best, n, dated)
+		if start, ok := s.findSlot(j, best.machine, best.length, target.deadline, dated); ok {
 			best.start = start
 			heap.Fix(offers, 0)
 		} else {
@@ -66,16 +66,16 @@
 	}
 }
 
-// accept reserves the offered slot for as many of n tasks as fit there.
-func (s *Scheduler) accept(j *fleet.Job, o *offer, n int, dated bool) {
-	k := max(o.machine.Timeline.Count(o.start, o.length, j.Need, n), 1)
+// acceptOffer reserves the offered slot for as many of n tasks as fit there.
+func (s *Scheduler) acceptOffer(j *fleet.Job, o *offer, n int, dated bool) {
+	k := max(o.machine.Timeline.FitCount(o.start, o.length, j.Need, n), 1)
 	var yield, perTask time.Duration
-	if !dated && (s.yieldsWhenLate(j, o.length) || s.hasNoObjective(j)) {
-		yield, perTask = s.queueYield(j, o.start)
+	if !dated && (s.delayedWhenLate(j, o.length) || s.isBestEffort(j)) {
+		yield, perTask = s.queueDelay(j, o.start)
 	}
 	s.addReservation(&fleet.Reservation{
 		Booking: timeline.Booking{Start: o.start, End: o.start.Add(o.length), Need: j.Need, Count: k},
-		Job:     j, Machine: o.machine, Yield: yield, YieldPerTask: perTask,
+		Job:     j, Machine: o.machine, QueueDelay: yield, QueueDelayPerTask: perTask,
 	})
 }
 
@@ -97,7 +97,7 @@
 func (s *Scheduler) ReserveSoon(j *fleet.Job) {
 	if !j.ReservationPending {
 		j.ReservationPending = true
-		s.unscheduled = append(s.unscheduled, j)
+		s.pendingJobs = append(s.pendingJobs, j)
 	}
 }
 
@@ -107,8 +107,8 @@
 	// before that, room would be reserved for nothing.
 	machines := len(s.leader.Machines())
 	early := !s.allAccounted() && 10*s.leader.UnaccountedCount() > machines && s.now().Sub(s.electedAt) < s.cfg.Settings.Workers.Report.Duration()
-	visits, reserved, left := 0, 0, s.unscheduled[:0]
-	for _, j := range s.unscheduled {
+	visits, reserved, left := 0, 0, s.pendingJobs[:0]
+	for _, j := range s.pendingJobs {
 		if early && j.FromEarlierTerm || visits >= maxVisitsPerStep {
 			left = append(left, j)
 			continue
@@ -118,13 +118,13 @@
 		reserved++
 		visits += 1 + machines
 	}
-	clear(s.unscheduled[len(left):])
-	if s.unscheduled = left; reserved > 0 {
+	clear(s.pendingJobs[len(left):])
+	if s.pendingJobs = left; reserved > 0 {
 		s.leader.DispatchAll()
 	}
-	if len(left) > 0 && visits >= maxVisitsPerStep && !s.continues {
-		s.continues = true
-		s.scope.After(0, func() { s.continues = false }) // the next step goes on
+	if len(left) > 0 && visits >= maxVisitsPerStep && !s.continuationQueued {
+		s.continuationQueued = true
+		s.scope.After(0, func() { s.continuationQueued = false }) // the next step goes on
 	}
 }
 
@@ -154,7 +154,7 @@
 	r.Count--
 	r.Job.Reserved--
 	if r.Machine != nil {
-		r.Machine.Timeline.Touch()
+		r.Machine.Timeline.Invalidate()
 	}
 }
 
--- a/internal/placement/reservations_test.go
+++ b/internal/placement/reservations_test.go
@@ -24,14 +24,14 @@
 			if !m.EligibleFor(j) {
 				continue
 			}
-			d := c.Occupancy(j, m)
-			s, ok := c.slot(j, m, d, target.deadline, dated)
-			if ok && (best == nil || s.Equal(start) && best.Room().CPU < m.Room().CPU || !s.Equal(start) && s.After(start) == dated) {
+			d := c.ReservationDuration(j, m)
+			s, ok := c.findSlot(j, m, d, target.deadline, dated)
+			if ok && (best == nil || s.Equal(start) && best.FreeResources().CPU < m.FreeResources().CPU || !s.Equal(start) && s.After(start) == dated) {
 				best, start, length = m, s, d
 			}
 		}
 		if best == nil && dated {
-			j.MissedUntil = target.deadline
+			j.MissedObjectivesUntil = target.deadline
 			if target.wholeJob {
 				c.DropReservations(j)
 			}
@@ -41,11 +41,11 @@
 		if best == nil {
 			return
 		}
-		k := max(best.Timeline.Count(start, length, j.Need, n), 1)
-		if !dated && (c.yieldsWhenLate(j, length) || c.hasNoObjective(j)) {
-			yield, perTask = c.queueYield(j, start)
+		k := max(best.Timeline.FitCount(start, length, j.Need, n), 1)
+		if !dated && (c.delayedWhenLate(j, length) || c.isBestEffort(j)) {
+			yield, perTask = c.queueDelay(j, start)
 		}
-		c.addReservation(&fleet.Reservation{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.Need, Count: k}, Job: j, Machine: best, Yield: yield, YieldPerTask: perTask})
+		c.addReservation(&fleet.Reservation{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.Need, Count: k}, Job: j, Machine: best, QueueDelay: yield, QueueDelayPerTask: perTask})
 		c.Queue.Reposition(j)
 	}
 }
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -34,15 +34,15 @@
 type Scheduler struct {
 	// Queue is the jobs that have reservations.
 	Queue fleet.Queue
-	// Margin is the share that is added to estimates when room is reserved.
-	Margin float64
-	// Guarantees says that some team has a guarantee.
-	Guarantees bool
+	// EstimateMargin is the share that is added to estimates when room is reserved.
+	EstimateMargin float64
+	// AnyGuarantee says that some team has a guarantee.
+	AnyGuarantee bool
 	// OrphanedTasks is how many tasks on machines are of jobs whose records cannot be read.
 	// They may count for any team.
 	OrphanedTasks int
-	// Attempts is how many attempt numbers of the term have been given.
-	Attempts uint64
+	// AttemptCount is how many attempt numbers of the term have been given.
+	AttemptCount uint64
 
 	engine    *engine.Engine
 	scope     *engine.Scope
@@ -51,19 +51,19 @@
 	term      uint64
 	electedAt time.Time
 
-	runtimes    estimate.Runtimes
-	tally       *topology.Tally // tasks of jobs with rules on places
-	overdue     []*fleet.Job    // of which nothing has run for too long
-	unscheduled []*fleet.Job    // see ReserveSoon
-	continues   bool            // there are more of them than go in one step
-	offerBuffer []offer         // scratch space
+	runtimes           estimate.Runtimes
+	taskCounter        *topology.TaskCounter // tasks of jobs with rules on places
+	starved            []*fleet.Job          // of which nothing has run for too long
+	pendingJobs        []*fleet.Job          // see ReserveSoon
+	continuationQueued bool                  // there are more of them than go in one step
+	offerBuffer        []offer               // scratch space
 }
 
 // New returns the scheduler of the term that begins now.
 func New(e *engine.Engine, scope *engine.Scope, cfg *config.Config, leader Leader, term uint64) *Scheduler {
 	return &Scheduler{
 		engine: e, scope: scope, cfg: cfg, leader: leader, term: term, electedAt: e.Now,
-		runtimes: estimate.NewRuntimes(), tally: topology.NewTally(),
+		runtimes: estimate.NewRuntimes(), taskCounter: topology.NewTaskCounter(),
 	}
 }
 
--- a/internal/placement/starts_test.go
+++ b/internal/placement/starts_test.go
@@ -15,7 +15,7 @@
 	m := c.machines[0]
 	submit := func(id int) *fleet.Job {
 		j := c.newJob(id, 2, rand.New(rand.NewPCG(1, 1)))
-		j.StartsAtOnce = true
+		j.LatencySensitive = true
 		c.PreferImageLocality(j)
 		c.Reserve(j)
 		return j
@@ -49,7 +49,7 @@
 		m := c.machines[2]
 		c.fill(m)
 		for _, r := range m.Attempts[:4] {
-			c.Vacate(r) // four CPUs are free, and the large job takes all
+			c.Deallocate(r) // four CPUs are free, and the large job takes all
 		}
 		for _, x := range c.machines[:2] {
 			x.Quarantined = true
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -24,8 +24,8 @@
 	minRemaining       = time.Minute
 )
 
-// Cluster is the state that a plan is made for.
-type Cluster struct {
+// State is the state that a plan is made for.
+type State struct {
 	Now      time.Time
 	Queue    fleet.Queue
 	Machines []*fleet.Machine
@@ -33,15 +33,15 @@
 	Estimate func(*fleet.Job) time.Duration // how long a task of a job runs
 }
 
-// Stop is an attempt to preempt.
-type Stop struct {
+// Preemption is an attempt to preempt.
+type Preemption struct {
 	Attempt   *fleet.Attempt
 	DrainTime time.Duration // for a last checkpoint; 0 if the task takes none
 }
 
 // Plan returns the attempts to stop, in order: tasks of teams that run beyond their guarantee
 // while another team waits for its own, those first that lose the least work.
-func Plan(c *Cluster) (stops []Stop) {
+func Plan(c *State) (stops []Preemption) {
 	short := c.shortage()
 	if short <= 0 {
 		return nil
@@ -60,7 +60,7 @@
 		}
 		excess[team] -= need
 		short -= need
-		stop := Stop{Attempt: x.attempt}
+		stop := Preemption{Attempt: x.attempt}
 		if job.Spec.CheckpointInterval > 0 {
 			stop.DrainTime = job.Spec.CheckpointTime + checkpointSlack
 		}
@@ -71,11 +71,11 @@
 
 // shortage returns how many thousandths of CPUs the waiting tasks within guarantees need
 // beyond what is free or being vacated already.
-func (c *Cluster) shortage() int64 {
+func (c *State) shortage() int64 {
 	short := c.guaranteedDemand()
 	for _, m := range c.Machines {
-		if m.Usable() && m.Reported {
-			short -= m.Room().CPU
+		if m.Schedulable() && m.Reported {
+			short -= m.FreeResources().CPU
 		}
 	}
 	if short <= 0 {
@@ -83,7 +83,7 @@
 	}
 	for _, m := range c.Machines {
 		for _, r := range m.Attempts {
-			if r.StopRequested && r.Occupies {
+			if r.StopRequested && r.HoldsResources {
 				short -= r.Need.CPU
 			}
 		}
@@ -93,7 +93,7 @@
 
 // guaranteedDemand returns how many thousandths of CPUs tasks that have waited for longer
 // than the grace time need within their teams' guarantees.
-func (c *Cluster) guaranteedDemand() (demand int64) {
+func (c *State) guaranteedDemand() (demand int64) {
 	left := map[*quota.Account]int64{} // of each team's guarantee
 	for _, j := range c.Queue {
 		t := j.Team
@@ -118,14 +118,14 @@
 
 // candidates returns the running attempts of teams beyond their guarantees that may be
 // preempted, by machine.
-func (c *Cluster) candidates() (list []candidate) {
+func (c *State) candidates() (list []candidate) {
 	estimates := map[*fleet.Job]time.Duration{} // a job's tasks are many
 	for _, m := range c.Machines {
-		if !m.Usable() || !m.Reported {
+		if !m.Schedulable() || !m.Reported {
 			continue
 		}
 		for _, r := range m.Attempts {
-			if !r.Occupies || r.StopRequested || r.Phase != heartbeat.TaskRuns || r.Job.Team.Allocated.CPU <= r.Job.Team.Guaranteed.CPU {
+			if !r.HoldsResources || r.StopRequested || r.Phase != heartbeat.TaskRuns || r.Job.Team.Allocated.CPU <= r.Job.Team.Guaranteed.CPU {
 				continue
 			}
 			if loss, ok := c.loss(r, estimates); ok {
@@ -139,7 +139,7 @@
 // loss returns what preempting an attempt costs, and false if it must not be preempted.
 // A task without checkpoints loses all its work, so it is preempted only if it has hardly
 // begun and would keep the room for long.
-func (c *Cluster) loss(r *fleet.Attempt, estimates map[*fleet.Job]time.Duration) (time.Duration, bool) {
+func (c *State) loss(r *fleet.Attempt, estimates map[*fleet.Job]time.Duration) (time.Duration, bool) {
 	spec := &r.Job.Spec
 	if spec.CheckpointInterval > 0 {
 		return spec.CheckpointTime, true
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -10,9 +10,9 @@
 	"yewpass/internal/timeline"
 )
 
-// ArrivalMemory is the time constant by which arrivals stop counting towards the work
+// ArrivalTimeConstant is the time constant by which arrivals stop counting towards the work
 // to be expected.
-const ArrivalMemory = 60 * time.Second
+const ArrivalTimeConstant = 60 * time.Second
 
 // Account is the account of a team. A task counts as allocated from the order to start
 // it until it is known to be gone.
@@ -22,7 +22,7 @@
 	Guaranteed, Limit timeline.Resources // 0: none
 	Allocated         timeline.Resources
 	JobCount          int
-	Load              float64 // CPUs that its arrivals keep busy, as of LoadAt
+	ArrivalLoad       float64 // CPUs that its arrivals keep busy, as of LoadAt
 	LoadAt            time.Time
 	LimitReached      bool // its limit has kept a task off a machine that had room
 }
@@ -42,11 +42,11 @@
 
 // ExpectedCPUs returns how many CPUs the team's arrivals are expected to keep busy.
 func (a *Account) ExpectedCPUs(now time.Time) float64 {
-	return a.Load * math.Exp(-now.Sub(a.LoadAt).Seconds()/ArrivalMemory.Seconds())
+	return a.ArrivalLoad * math.Exp(-now.Sub(a.LoadAt).Seconds()/ArrivalTimeConstant.Seconds())
 }
 
-// Limited reports whether the team has a limit.
-func (a *Account) Limited() bool { return a.Limit.CPU > 0 || a.Limit.GPU > 0 }
+// HasLimit reports whether the team has a limit.
+func (a *Account) HasLimit() bool { return a.Limit.CPU > 0 || a.Limit.GPU > 0 }
 
 // HasGuarantee reports whether the team has a guarantee.
 func (a *Account) HasGuarantee() bool { return a.Guaranteed.CPU > 0 || a.Guaranteed.GPU > 0 }
@@ -68,8 +68,8 @@
 	return max(n, 0)
 }
 
-// GuaranteedTasks returns how many more tasks lie within the team's guarantee, at most n.
-func (a *Account) GuaranteedTasks(need timeline.Resources, n int) int {
+// TasksWithinGuarantee returns how many more tasks lie within the team's guarantee, at most n.
+func (a *Account) TasksWithinGuarantee(need timeline.Resources, n int) int {
 	if !a.HasGuarantee() {
 		return 0
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -12,7 +12,7 @@
 	accounts := Accounts{}
 	accounts.Configure(liveconfig.Team{Name: "a", CPUsMax: 20})
 	a := accounts["a"]
-	if accounts.AnyGuarantee() || !a.Limited() || a.Retired {
+	if accounts.AnyGuarantee() || !a.HasLimit() || a.Retired {
 		t.Errorf("a limit only: %+v", a)
 	}
 	a.Allocated, a.JobCount = timeline.Capacity(15, 0, 0), 3
@@ -20,7 +20,7 @@
 	if accounts["a"] != a || a.Allocated.CPU != 15000 || a.JobCount != 3 {
 		t.Errorf("use is lost: %+v", accounts["a"])
 	}
-	if !accounts.AnyGuarantee() || a.Limited() || !a.Retired || !a.Configured {
+	if !accounts.AnyGuarantee() || a.HasLimit() || !a.Retired || !a.Configured {
 		t.Errorf("a guarantee only: %+v", a)
 	}
 }
@@ -46,7 +46,7 @@
 			if got := a.TasksWithinLimit(need, 10); got != test.limited {
 				t.Errorf("%d tasks within the limit, want %d", got, test.limited)
 			}
-			if got := a.GuaranteedTasks(need, 10); got != test.guaranteed {
+			if got := a.TasksWithinGuarantee(need, 10); got != test.guaranteed {
 				t.Errorf("%d tasks within the guarantee, want %d", got, test.guaranteed)
 			}
 			if got := a.FitsLimit(need, 10); got != test.fits {
@@ -58,11 +58,11 @@
 
 func TestExpectedCPUsDecay(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	a := &Account{Load: 100, LoadAt: now}
+	a := &Account{ArrivalLoad: 100, LoadAt: now}
 	if got := a.ExpectedCPUs(now); got != 100 {
 		t.Errorf("at once: %g", got)
 	}
-	if got := a.ExpectedCPUs(now.Add(ArrivalMemory)); got < 36.7 || got > 36.9 {
+	if got := a.ExpectedCPUs(now.Add(ArrivalTimeConstant)); got < 36.7 || got > 36.9 {
 		t.Errorf("after the time constant: %g, want 100/e", got)
 	}
 }
--- a/internal/recurring/history.go
+++ b/internal/recurring/history.go
@@ -80,10 +80,10 @@
 // JobStarted is called when a task of a job has started.
 func (s *Scheduler) JobStarted(live *fleet.Job) {
 	job := s.byJob[live]
-	if job == nil || live.StartNoted || job.removed {
+	if job == nil || live.StartRecorded || job.removed {
 		return
 	}
-	live.StartNoted = true
+	live.StartRecorded = true
 	if entry, ok := job.record.Entry(live.Spec.ID); ok && entry.Started.IsZero() {
 		job.record.Update(live.Spec.ID, func(entry *schedule.Entry) { entry.Started = s.engine.TimeOfDay() })
 		s.flushHistory(job)
--- a/internal/relaylinks/links.go
+++ b/internal/relaylinks/links.go
@@ -136,17 +136,17 @@
 
 // Attach counts a machine among the workers of the relay that it reports through.
 func (l *Links) Attach(m *fleet.Machine, name string) {
-	if link := l.Link(name); m.ReportsVia != link {
+	if link := l.Link(name); m.Relay != link {
 		Detach(m)
-		m.ReportsVia = link
+		m.Relay = link
 		link.Workers++
 	}
 }
 
 // Detach counts a machine among the workers of no relay any more.
 func Detach(m *fleet.Machine) {
-	if m.ReportsVia != nil {
-		m.ReportsVia.Workers--
-		m.ReportsVia = nil
+	if m.Relay != nil {
+		m.Relay.Workers--
+		m.Relay = nil
 	}
 }
--- a/internal/relaylinks/redirect.go
+++ b/internal/relaylinks/redirect.go
@@ -54,7 +54,7 @@
 // machine that comes back had a reason: the other controller is out of its reach.
 func (l *Links) RedirectTarget(m *fleet.Machine, via string, first bool) string {
 	now := l.engine.Now
-	if len(l.cfg.Seeds) == 0 || !l.leader.MayRedirect() || m.Releasing || now.Sub(m.LastMoved) < 3*l.cfg.Settings.Workers.Lease.Duration() {
+	if len(l.cfg.Seeds) == 0 || !l.leader.MayRedirect() || m.Releasing || now.Sub(m.LastRedirect) < 3*l.cfg.Settings.Workers.Lease.Duration() {
 		return ""
 	}
 	first = first && via == ""
@@ -69,6 +69,6 @@
 	if !first {
 		l.nextRedirectAt = now.Add(time.Second / time.Duration(4+l.leader.FleetSize()/50))
 	}
-	m.LastMoved = now
+	m.LastRedirect = now
 	return to
 }
--- a/internal/relaylinks/silence.go
+++ b/internal/relaylinks/silence.go
@@ -51,7 +51,7 @@
 // SilenceLimit returns how long a machine may be silent, given how long one with a relay
 // in order may be.
 func (l *Links) SilenceLimit(m *fleet.Machine, limit time.Duration) time.Duration {
-	if m.ReportsVia != nil && m.ReportsVia.LastSilent.After(m.LastHeartbeat) {
+	if m.Relay != nil && m.Relay.LastSilent.After(m.LastHeartbeat) {
 		return max(limit, l.RecoveryTime()+time.Second)
 	}
 	return limit
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -23,10 +23,10 @@
 // a decimal amount may be through its binary form alone.
 const roundingTolerance = 1e-6
 
-// Thousandths returns a decimal amount in thousandths, rounded up for what a task takes and
+// ToMilli returns a decimal amount in thousandths, rounded up for what a task takes and
 // down for what a machine has, so that rounding never overbooks. NaN counts as more than any
 // machine has when rounded up, and as nothing when rounded down.
-func Thousandths(amount float64, roundUp bool) int64 {
+func ToMilli(amount float64, roundUp bool) int64 {
 	scaled := amount * 1000
 	switch {
 	case math.IsNaN(scaled) && roundUp, scaled > maxAmount:
@@ -60,12 +60,12 @@
 
 // Need returns what a task takes.
 func Need(cpus, gpus, memGB float64) Resources {
-	return Resources{Thousandths(cpus, true), Thousandths(gpus, true), Thousandths(memGB, true)}
+	return Resources{ToMilli(cpus, true), ToMilli(gpus, true), ToMilli(memGB, true)}
 }
 
 // Capacity returns what a machine has.
 func Capacity(cpus, gpus, memGB float64) Resources {
-	return Resources{Thousandths(cpus, false), Thousandths(gpus, false), Thousandths(memGB, false)}
+	return Resources{ToMilli(cpus, false), ToMilli(gpus, false), ToMilli(memGB, false)}
 }
 
 // Add returns r plus n times o.
@@ -78,17 +78,17 @@
 	return r.CPU <= room.CPU && r.GPU <= room.GPU && r.Mem <= room.Mem
 }
 
-// Times returns how often r fits into room, at most limit.
-func (r Resources) Times(room Resources, limit int) int {
+// CopiesWithin returns how often r fits into room, at most limit.
+func (r Resources) CopiesWithin(room Resources, limit int) int {
 	n := int64(limit)
-	n = atMost(n, r.CPU, room.CPU)
-	n = atMost(n, r.GPU, room.GPU)
-	n = atMost(n, r.Mem, room.Mem)
+	n = limitCopies(n, r.CPU, room.CPU)
+	n = limitCopies(n, r.GPU, room.GPU)
+	n = limitCopies(n, r.Mem, room.Mem)
 	return int(max(n, 0))
 }
 
-// atMost returns n, or how often need fits into room if that is less.
-func atMost(n, need, room int64) int64 {
+// limitCopies returns n, or how often need fits into room if that is less.
+func limitCopies(n, need, room int64) int64 {
 	if need <= 0 {
 		return n
 	}
@@ -105,8 +105,8 @@
 	Count      int
 }
 
-// point is a time at which what is booked changes.
-type point struct {
+// usagePoint is a time at which what is booked changes.
+type usagePoint struct {
 	at   time.Time
 	used Resources // from then on, until the next point
 }
@@ -115,7 +115,7 @@
 type Timeline struct {
 	capacity Resources
 	bookings []*Booking
-	profile  []point // in order of time; valid unless stale
+	profile  []usagePoint // in order of time; valid unless stale
 	stale    bool
 }
 
@@ -140,11 +140,11 @@
 	}
 }
 
-// Touch tells the timeline that a booking on it has changed.
-func (t *Timeline) Touch() { t.stale = true }
+// Invalidate tells the timeline that a booking on it has changed.
+func (t *Timeline) Invalidate() { t.stale = true }
 
 // points returns the profile of what is booked, rebuilt if a booking has changed.
-func (t *Timeline) points() []point {
+func (t *Timeline) points() []usagePoint {
 	if !t.stale {
 		return t.profile
 	}
@@ -155,10 +155,10 @@
 			continue
 		}
 		changes = append(changes,
-			point{b.Start, Resources{}.Add(b.Need, b.Count)},
-			point{b.End, Resources{}.Add(b.Need, -b.Count)})
+			usagePoint{b.Start, Resources{}.Add(b.Need, b.Count)},
+			usagePoint{b.End, Resources{}.Add(b.Need, -b.Count)})
 	}
-	slices.SortFunc(changes, func(a, b point) int { return a.at.Compare(b.at) })
+	slices.SortFunc(changes, func(a, b usagePoint) int { return a.at.Compare(b.at) })
 	profile := changes[:0] // never ahead of what is read
 	var used Resources
 	for _, change := range changes {
@@ -166,29 +166,29 @@
 		if n := len(profile); n > 0 && profile[n-1].at.Equal(change.at) {
 			profile[n-1].used = used
 		} else {
-			profile = append(profile, point{change.at, used})
+			profile = append(profile, usagePoint{change.at, used})
 		}
 	}
 	t.profile = profile
 	return profile
 }
 
-// room returns what is left of the machine beside what is used.
-func (t *Timeline) room(used Resources) Resources { return t.capacity.Add(used, -1) }
+// free returns what is left of the machine beside what is used.
+func (t *Timeline) free(used Resources) Resources { return t.capacity.Add(used, -1) }
 
-// Latest returns the latest start, not before from, at which need fits for
+// LatestStart returns the latest start, not before from, at which need fits for
 // length and is over by deadline. It scans from the back like the paper: the
 // deadline minus the run time when that falls after the last booking in the
 // way, otherwise the latest gap that fits, ending at the deadline or at the
 // next booking, whichever comes first, down to the gap that begins at from.
-func (t *Timeline) Latest(from, deadline time.Time, length time.Duration, need Resources) (time.Time, bool) {
+func (t *Timeline) LatestStart(from, deadline time.Time, length time.Duration, need Resources) (time.Time, bool) {
 	if !need.Fits(t.capacity) || from.Add(length).After(deadline) {
 		return time.Time{}, false
 	}
 	points := t.points()
 	end := deadline
 	for i := len(points) - 1; i >= 0; i-- {
-		if !points[i].at.Before(end) || need.Fits(t.room(points[i].used)) {
+		if !points[i].at.Before(end) || need.Fits(t.free(points[i].used)) {
 			continue
 		}
 		gapStart := end // nothing is used after the last point, so i+1 exists here
@@ -207,9 +207,9 @@
 	return start, !start.Before(from)
 }
 
-// Earliest returns the earliest start, not before from, at which need fits for
+// EarliestStart returns the earliest start, not before from, at which need fits for
 // length.
-func (t *Timeline) Earliest(from time.Time, length time.Duration, need Resources) (time.Time, bool) {
+func (t *Timeline) EarliestStart(from time.Time, length time.Duration, need Resources) (time.Time, bool) {
 	if !need.Fits(t.capacity) {
 		return time.Time{}, false
 	}
@@ -219,7 +219,7 @@
 		if !p.at.Before(start.Add(length)) {
 			break
 		}
-		if need.Fits(t.room(p.used)) {
+		if need.Fits(t.free(p.used)) {
 			continue
 		}
 		if i+1 < len(points) && points[i+1].at.After(start) {
@@ -229,10 +229,10 @@
 	return start, true
 }
 
-// Count returns how many tasks of the given need fit from start for length, at
+// FitCount returns how many tasks of the given need fit from start for length, at
 // most limit.
-func (t *Timeline) Count(start time.Time, length time.Duration, need Resources, limit int) int {
-	n := need.Times(t.capacity, limit)
+func (t *Timeline) FitCount(start time.Time, length time.Duration, need Resources, limit int) int {
+	n := need.CopiesWithin(t.capacity, limit)
 	end := start.Add(length)
 	points := t.points()
 	for i, p := range points {
@@ -242,7 +242,7 @@
 		if i+1 < len(points) && !points[i+1].at.After(start) {
 			continue
 		}
-		n = min(n, need.Times(t.room(p.used), limit))
+		n = min(n, need.CopiesWithin(t.free(p.used), limit))
 	}
 	return n
 }
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -41,7 +41,7 @@
 		{"no gap is long enough", 39, 11, -1},
 		{"deadline passed", -1, 1, -1},
 	} {
-		got, ok := tl.Latest(at(0), at(c.deadline), secs(c.long), one)
+		got, ok := tl.LatestStart(at(0), at(c.deadline), secs(c.long), one)
 		if ok != (c.want >= 0) || ok && !got.Equal(at(c.want)) {
 			t.Errorf("%s: got %v %v, want %v", c.name, got.Sub(t0), ok, c.want)
 		}
@@ -91,16 +91,16 @@
 				latest = at(s)
 			}
 		}
-		got, ok := tl.Latest(t0, deadline, length, need)
+		got, ok := tl.LatestStart(t0, deadline, length, need)
 		if ok == latest.IsZero() || ok && !got.Equal(latest) {
 			t.Fatalf("Latest: got %v %v, want %v", got.Sub(t0), ok, latest.Sub(t0))
 		}
-		got, ok = tl.Earliest(t0, length, need)
+		got, ok = tl.EarliestStart(t0, length, need)
 		if ok == earliest.IsZero() || ok && !got.Equal(earliest) {
 			t.Fatalf("Earliest: got %v %v, want %v", got.Sub(t0), ok, earliest.Sub(t0))
 		}
-		if ok != (tl.Count(got, length, need, 9) > 0) {
-			t.Fatalf("Count: %d at the earliest fit", tl.Count(got, length, need, 9))
+		if ok != (tl.FitCount(got, length, need, 9) > 0) {
+			t.Fatalf("Count: %d at the earliest fit", tl.FitCount(got, length, need, 9))
 		}
 	}
 }
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -25,8 +25,8 @@
 // Error returns the field and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// wrong returns a FieldError.
-func wrong(field, format string, args ...any) error {
+// fieldErrorf returns a FieldError.
+func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
@@ -109,27 +109,27 @@
 	t.levels = append(t.levels, Machine)
 	for i, l := range t.levels {
 		if l == "" || slices.Contains(t.levels[:i], l) {
-			return nil, wrong("levels", "%q is empty, stands twice, or is one of %s and %s, which are always there", l, Zone, Machine)
+			return nil, fieldErrorf("levels", "%q is empty, stands twice, or is one of %s and %s, which are always there", l, Zone, Machine)
 		}
 	}
 	seen := map[netip.Prefix]bool{}
 	for i, d := range def.Places {
 		field := func(name string) string { return fmt.Sprintf("places[%d].%s", i, name) }
 		if d.Zone == "" {
-			return nil, wrong(field(Zone), "missing")
+			return nil, fieldErrorf(field(Zone), "missing")
 		}
 		if len(d.Names) > len(def.Levels) {
-			return nil, wrong(field("names"), "%d names for %d levels", len(d.Names), len(def.Levels))
+			return nil, fieldErrorf(field("names"), "%d names for %d levels", len(d.Names), len(def.Levels))
 		}
 		p := t.zone(d.Zone)
 		for k, name := range d.Names {
 			if name == "" {
-				return nil, wrong(field(def.Levels[k]), "missing, and a level below it is named")
+				return nil, fieldErrorf(field(def.Levels[k]), "missing, and a level below it is named")
 			}
 			p = p.child(name, k+1)
 		}
 		if !(d.UplinkMbps >= 0) {
-			return nil, wrong(field("uplink_mbps"), "must not be below 0")
+			return nil, fieldErrorf(field("uplink_mbps"), "must not be below 0")
 		}
 		if d.UplinkMbps > 0 {
 			p.UplinkMbps = d.UplinkMbps
@@ -137,17 +137,17 @@
 		for _, s := range d.Networks {
 			n, err := netip.ParsePrefix(s)
 			if err != nil {
-				return nil, wrong(field("networks"), "%q is no network such as 10.1.4.0/22", s)
+				return nil, fieldErrorf(field("networks"), "%q is no network such as 10.1.4.0/22", s)
 			}
 			if n = n.Masked(); seen[n] {
-				return nil, wrong(field("networks"), "%s is that of another place", n)
+				return nil, fieldErrorf(field("networks"), "%s is that of another place", n)
 			}
 			seen[n] = true
 			t.networks.Insert(n, p)
 		}
 		for _, s := range d.Hosts {
 			if _, err := path.Match(s, ""); err != nil {
-				return nil, wrong(field("hosts"), "%q is no pattern such as host-0001*", s)
+				return nil, fieldErrorf(field("hosts"), "%q is no pattern such as host-0001*", s)
 			}
 			t.hosts = append(t.hosts, hostPattern{pattern: s, place: p})
 		}
@@ -206,5 +206,5 @@
 	return p
 }
 
-// Forget removes a machine that is gone.
-func (t *Tree) Forget(host string) { delete(t.machines, host) }
+// Remove removes a machine that is gone.
+func (t *Tree) Remove(host string) { delete(t.machines, host) }
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -67,8 +67,8 @@
 
 // samePlace reports whether x and y share a place at the level.
 func samePlace(x, y *Place, level int) bool {
-	p, ok := share(x, level)
-	q, ok2 := share(y, level)
+	p, ok := placeAt(x, level)
+	q, ok2 := placeAt(y, level)
 	return ok == ok2 && p == q
 }
 
@@ -82,20 +82,20 @@
 		} else if x.key == j.Key {
 			elsewhere++
 		}
-		if x.key == r.Of {
+		if x.key == r.Target {
 			of++
 			if shared {
 				ofHere++
 			}
 		}
 	}
-	_, known := share(leaf, r.Level)
+	_, known := placeAt(leaf, r.Level)
 	switch r.Kind {
 	case Spread:
-		return here < r.most(j.Tasks)
-	case Together:
+		return here < r.maxTasks(j.Tasks)
+	case Colocate:
 		return known && elsewhere == 0
-	case Near:
+	case Affinity:
 		return of == 0 || ofHere > 0
 	default: // AwayFrom
 		return ofHere == 0
@@ -107,14 +107,14 @@
 	for i := range 6 {
 		j := &Job{Key: fmt.Sprint("job", i), Tasks: 1 + rng.IntN(20)}
 		for range 1 + rng.IntN(3) {
-			r := Rule{Kind: Kind(rng.IntN(4)), Level: rng.IntN(4), Of: fmt.Sprint("job", rng.IntN(6))}
+			r := Rule{Kind: Kind(rng.IntN(4)), Level: rng.IntN(4), Target: fmt.Sprint("job", rng.IntN(6))}
 			if r.Kind == Spread && rng.IntN(2) == 0 {
-				r.Most = 1 + rng.IntN(5)
+				r.MaxPerPlace = 1 + rng.IntN(5)
 			} else if r.Kind == Spread {
 				r.Share = 0.1 + 0.9*rng.Float64()
 			}
-			if r.Of == j.Key {
-				r.Of = "nobody"
+			if r.Target == j.Key {
+				r.Target = "nobody"
 			}
 			j.Rules = append(j.Rules, r)
 		}
@@ -137,7 +137,7 @@
 			leaves = append(leaves, leaf)
 		}
 		jobs := randomJobs(rng)
-		tally := NewTally()
+		tally := NewTaskCounter()
 		var tasks []startedTask
 		allowed, refused := 0, 0
 		for range 600 {
@@ -146,7 +146,7 @@
 			for _, r := range j.Rules {
 				plain = plain && plainlyAllows(r, j, leaf, tasks)
 			}
-			_, refusal := tally.May(j, leaf)
+			_, refusal := tally.Check(j, leaf)
 			if (refusal == nil) != plain || (tally.Room(j, leaf, 5) > 0) != plain {
 				t.Fatalf("seed %d: %s on %s: %+v, plainly %v", seed, j.Key, leaf, refusal, plain)
 			}
@@ -154,7 +154,7 @@
 				allowed++
 				tally.Add(j.Key, leaf, 1)
 				tasks = append(tasks, startedTask{key: j.Key, leaf: leaf})
-			} else if refused++; refusal.Why == "" {
+			} else if refused++; refusal.Reason == "" {
 				t.Fatal("refused without a word")
 			}
 			if len(tasks) > 0 && rng.IntN(3) == 0 {
@@ -183,33 +183,33 @@
 	b, _ := tr.Machine("host-b1", "", "b")
 	lost, _ := tr.Machine("h9", "", "a")
 	lost2, _ := tr.Machine("h10", "", "a")
-	tally := NewTally()
+	tally := NewTaskCounter()
 	apart := &Job{Key: "x", Tasks: 5, Rules: []Rule{Apart}}
 	if n := tally.Room(apart, a, 9); n != 3 { // 5 of 9, 3 of 5, 1 of 1
 		t.Error("apart lets", n, "of 5 start in a zone")
 	}
 	same := &Job{Key: "y", Tasks: 2, Rules: []Rule{SamePlace}}
 	tally.Add("y", a, 1)
-	if _, r := tally.May(same, b); r == nil || !strings.Contains(r.Why, "elsewhere") {
+	if _, r := tally.Check(same, b); r == nil || !strings.Contains(r.Reason, "elsewhere") {
 		t.Error("samePlace lets a task start in another zone", r)
 	}
-	if _, r := tally.May(same, lost); r != nil {
+	if _, r := tally.Check(same, lost); r != nil {
 		t.Error("a zone is known of every machine", r)
 	}
 	same.Rules[0].Soft = true
-	if n, r := tally.May(same, b); n != 1 || r != nil {
+	if n, r := tally.Check(same, b); n != 1 || r != nil {
 		t.Error("a soft rule forbids", n, r)
 	}
 	rack, _ := tr.Level("rack")
-	racks := &Job{Key: "z", Tasks: 9, Rules: []Rule{{Kind: Spread, Level: rack, Most: 1}}}
+	racks := &Job{Key: "z", Tasks: 9, Rules: []Rule{{Kind: Spread, Level: rack, MaxPerPlace: 1}}}
 	tally.Add("z", lost, 1)
-	if _, r := tally.May(racks, lost); r == nil {
+	if _, r := tally.Check(racks, lost); r == nil {
 		t.Error("a machine without a rack is not a place of its own")
 	}
-	if _, r := tally.May(racks, lost2); r != nil {
+	if _, r := tally.Check(racks, lost2); r != nil {
 		t.Error("two machines without a rack are one place", r)
 	}
-	if _, r := tally.May(&Job{Key: "w", Tasks: 2, Rules: []Rule{{Kind: Together, Level: rack}}}, lost); r == nil {
+	if _, r := tally.Check(&Job{Key: "w", Tasks: 2, Rules: []Rule{{Kind: Colocate, Level: rack}}}, lost); r == nil {
 		t.Error("a machine without a rack satisfies together")
 	}
 }
@@ -219,15 +219,15 @@
 func BenchmarkMay(b *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			tr, tally := tree(b), NewTally()
+			tr, tally := tree(b), NewTaskCounter()
 			var leaf *Place
 			for i := range n {
 				leaf, _ = tr.Machine(fmt.Sprint("h", i), fmt.Sprintf("10.1.%d.%d:9000", i/250%256, i%250), "a")
 				tally.Add(fmt.Sprint("job", i), leaf, 1)
 			}
-			j := &Job{Key: "x", Tasks: 100, Rules: []Rule{{Kind: Spread, Level: 2, Most: 4}, Apart, {Kind: AwayFrom, Level: 3, Of: "y"}}}
+			j := &Job{Key: "x", Tasks: 100, Rules: []Rule{{Kind: Spread, Level: 2, MaxPerPlace: 4}, Apart, {Kind: AntiAffinity, Level: 3, Target: "y"}}}
 			for b.Loop() {
-				if _, r := tally.May(j, leaf); r != nil {
+				if _, r := tally.Check(j, leaf); r != nil {
 					b.Fatal(r)
 				}
 				tally.Add("x", leaf, 1)
