--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -55,7 +55,7 @@
 		a.Job = j
 		return a
 	}
-	a.FoundRunning = task.Phase != heartbeat.Pulling
+	a.StartTimeUnknown = task.Phase != heartbeat.Pulling
 	if j != nil {
 		t.replaceEarlier(a, j)
 	}
@@ -115,7 +115,7 @@
 		return
 	}
 	if a.Phase == fleet.Ordered && a.OrderedCounter > 0 {
-		a.Machine.UnlistedStarts = 0
+		a.Machine.MissedStarts = 0
 	}
 	if task.Phase == heartbeat.Exited {
 		t.exited(a, task.Cause)
@@ -167,7 +167,7 @@
 		// tells a successor that the task is done.
 		j.UnrecordedCompletions = append(j.UnrecordedCompletions, a)
 	case !a.Forgettable && !j.Halted():
-		if was == heartbeat.TaskRuns && !a.StartedAt.IsZero() && !a.FoundRunning {
+		if was == heartbeat.TaskRuns && !a.StartedAt.IsZero() && !a.StartTimeUnknown {
 			t.placement.RecordRuntime(j, t.engine.Now.Sub(a.StartedAt))
 		}
 		j.UnrecordedCompletions = append(j.UnrecordedCompletions, a)
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -97,7 +97,7 @@
 	t.Run("waited for", func(t *testing.T) {
 		w, m := newWorld(t), newMachine("h1")
 		a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
-		if a.StopRequested || !a.HoldsResources || !a.FoundRunning || w.job.Attempts[1] != a || m.Allocated != w.job.Need {
+		if a.StopRequested || !a.HoldsResources || !a.StartTimeUnknown || w.job.Attempts[1] != a || m.Allocated != w.job.Need {
 			t.Errorf("%+v", a)
 		}
 	})
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -12,25 +12,25 @@
 // Attempt is one attempt of a task on a machine: from the order to start it until
 // the worker has forgotten it.
 type Attempt struct {
-	ID             heartbeat.TaskID
-	Number         uint64
-	Machine        *Machine
-	Job            *Job // nil: of no job that we know
-	Need           timeline.Resources
-	Phase          heartbeat.Phase
-	HoldsResources bool   // counts against machine, team and job
-	OrderedCounter uint64 // the counter of the report whose reply carried the start
-	OrderedAt      time.Time
-	StartedAt      time.Time // first reported as running
-	FoundRunning   bool      // it ran before that, nobody knows for how long
-	Reservation    *timeline.Booking
-	Forgettable    bool   // exited, and the worker may forget it
-	CountedRunning bool   // among its job's running tasks
-	Orphaned       bool   // of a job whose record cannot be read
-	LastListed     uint64 // number of the last report that listed it
-	StopRequested  bool   // to be stopped
-	DrainTime      time.Duration
-	StopSentAt     time.Time // when the stop first went out
+	ID               heartbeat.TaskID
+	Number           uint64
+	Machine          *Machine
+	Job              *Job // nil: of no job that we know
+	Need             timeline.Resources
+	Phase            heartbeat.Phase
+	HoldsResources   bool   // counts against machine, team and job
+	OrderedCounter   uint64 // the counter of the report whose reply carried the start
+	OrderedAt        time.Time
+	StartedAt        time.Time // first reported as running
+	StartTimeUnknown bool      // it ran before that, nobody knows for how long
+	Reservation      *timeline.Booking
+	Forgettable      bool   // exited, and the worker may forget it
+	CountedAsRunning bool   // among its job's running tasks
+	Orphaned         bool   // of a job whose record cannot be read
+	LastListed       uint64 // number of the last report that listed it
+	StopRequested    bool   // to be stopped
+	DrainTime        time.Duration
+	StopSentAt       time.Time // when the stop first went out
 }
 
 // Ordered is the phase of an attempt whose start is in a reply that no later report has
@@ -40,10 +40,10 @@
 // SetRunning counts the attempt among its job's running tasks, or no longer. It reports
 // whether that is a change.
 func (a *Attempt) SetRunning(runs bool) bool {
-	if a.CountedRunning == runs || a.Job == nil {
+	if a.CountedAsRunning == runs || a.Job == nil {
 		return false
 	}
-	a.CountedRunning = runs
+	a.CountedAsRunning = runs
 	if runs {
 		a.Job.Running++
 		a.Job.HasRun = true
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -86,7 +86,7 @@
 	LastReply            time.Time // last answered report
 	HeldReply            *HeldReply
 	UnacknowledgedSince  time.Time  // first answered in this term, and has not shown that it heard
-	UnlistedStarts       int        // in a row: starts that its next report did not list
+	MissedStarts         int        // in a row: starts that its next report did not list
 	Relay                *RelayLink // by which it reports, among whose workers it counts
 	LastRedirect         time.Time  // when it was last redirected to another node
 	DispatchPending      bool       // has orders that need not wait for its next report
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -51,7 +51,7 @@
 	m := v.byHost[host]
 	if m == nil {
 		m = fleet.NewMachine(fleet.Identity{Host: host, TypeName: instanceType, Zone: zone, Spot: spot}, v.engine.Now)
-		m.Place, _ = v.places.Machine(host, "", zone)
+		m.Place, _ = v.places.Locate(host, "", zone)
 		m.ZoneState = v.zones.Zone(zone)
 		v.byHost[host] = m
 		v.machines = slices.Insert(v.machines, v.index(host), m)
--- a/internal/placement/attempts.go
+++ b/internal/placement/attempts.go
@@ -7,7 +7,8 @@
 	"yewpass/internal/timeline"
 )
 
-// Allocate counts an attempt against its machine, team and job.
+// Allocate charges the resources of an attempt to its machine, team and job, and books them on the
+// machine's timeline until the expected end of the attempt.
 func (s *Scheduler) Allocate(a *fleet.Attempt, j *fleet.Job) {
 	i := a.ID.Index
 	a.Job, a.Need, a.HoldsResources = j, j.Need, true
@@ -26,7 +27,8 @@
 	a.Machine.Timeline.Add(a.Reservation)
 }
 
-// Deallocate is the reverse of Occupy: the task is surely not on the machine.
+// Deallocate releases what Allocate charged. Call it only when the task is known to be gone from
+// the machine, since its resources are reused at once.
 func (s *Scheduler) Deallocate(a *fleet.Attempt) {
 	m := a.Machine
 	if a.Reservation != nil {
@@ -55,15 +57,16 @@
 	if m.Allocated == (timeline.Resources{}) {
 		m.IdleSince = s.now()
 	}
-	// The machine's own reply looks for work for the room. Others can make use of what the
-	// team or the job has got back.
+	// The reply to this machine's heartbeat already dispatches work to it. Other machines have to
+	// be considered too if the team or the job was held back by its quota, placement rules or
+	// failures.
 	if j.Team.LimitReached || j.Spec.SamePlace || j.Spec.Apart || j.Failures > 0 {
 		j.Team.LimitReached = false
 		s.leader.DispatchAll()
 	}
 }
 
-// ResetExpectedEnd sets the end of an attempt that has just begun to run.
+// ResetExpectedEnd updates the end of the attempt's booking when the attempt starts to run.
 func (s *Scheduler) ResetExpectedEnd(a *fleet.Attempt) {
 	if a.Reservation != nil {
 		a.Reservation.End = s.now().Add(s.ReservationDuration(a.Job, a.Machine))
@@ -71,7 +74,8 @@
 	}
 }
 
-// ExtendOverruns moves the end of attempts on the machine that take longer than estimated.
+// ExtendOverruns postpones the expected end of attempts on the machine that have run for longer
+// than estimated.
 func (s *Scheduler) ExtendOverruns(m *fleet.Machine) {
 	for _, a := range m.Attempts {
 		if a.Reservation != nil && !a.Reservation.End.After(s.now()) {
--- a/internal/placement/cluster_test.go
+++ b/internal/placement/cluster_test.go
@@ -20,7 +20,7 @@
 
 var t0 = time.Unix(1_900_000_000, 0)
 
-// cluster is a scheduler with its leader, machines and jobs.
+// cluster is a scheduler together with its machines, jobs and teams. It implements Leader.
 type cluster struct {
 	*Scheduler
 	engine   *engine.Engine
@@ -37,7 +37,7 @@
 func (c *cluster) DispatchAll()                      {}
 func (c *cluster) Backlog() (time.Duration, float64) { return 0, 0 }
 
-// newCluster returns a cluster of n machines of three types, all of them reporting.
+// newCluster returns a cluster of n machines of three types, all of which send heartbeats.
 func newCluster(n int) *cluster {
 	cfg := &config.Config{HostName: "n0"}
 	cfg.Settings.Workers = config.Workers{Report: 5, Lease: 29, Cancel: 54}
@@ -65,7 +65,7 @@
 
 func testRand() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-// addJob takes on a job none of whose tasks waits.
+// addJob adds a job without pending tasks.
 func (c *cluster) addJob(job spec.Job) *fleet.Job {
 	j := &fleet.Job{
 		Spec: job, Need: job.Need(), Submitted: c.engine.Now, Team: c.teams[job.Owner], LatencySensitive: c.IsLatencySensitive(job.Class),
@@ -76,7 +76,7 @@
 	return j
 }
 
-// newJob takes on a job all of whose tasks wait, without reservations.
+// newJob adds a random job all of whose tasks are pending, without reservations.
 func (c *cluster) newJob(id, tasks int, rng *rand.Rand) *fleet.Job {
 	job := spec.Job{
 		ID: fmt.Sprintf("wk-%06d", id), Class: "c", Owner: "t", Urgency: spec.Standard, Tasks: tasks, CPUs: float64(1 + rng.IntN(4)), MemGB: 1,
@@ -93,7 +93,7 @@
 	return j
 }
 
-// fill has tasks run on all of a machine.
+// fill runs single-CPU tasks on all free CPUs of a machine.
 func (c *cluster) fill(m *fleet.Machine) {
 	j := c.jobs["wk-1"]
 	if j == nil {
--- a/internal/placement/estimates.go
+++ b/internal/placement/estimates.go
@@ -9,30 +9,32 @@
 	"yewpass/internal/timeline"
 )
 
-// maxRuntimesPerJob is how many run times of one job count for its class and owner: a large
-// array must not outweigh all other jobs.
+// maxRuntimesPerJob is how many runtimes of one job count towards the average of its class and
+// owner, so that a large array does not outweigh all other jobs.
 const maxRuntimesPerJob = 8
 
-// RecordRuntime takes in how long a task of the job ran.
+// RecordRuntime adds the observed runtime of a task to the averages of its job and of the job's
+// class and owner. It ignores jobs without a user estimate.
 func (s *Scheduler) RecordRuntime(j *fleet.Job, took time.Duration) {
 	if j.Spec.Runtime <= 0 {
 		return
 	}
 	j.Runtime.Add(took.Seconds())
-	o := s.runtimes.Lookup(&j.Spec)
-	if o == nil {
-		o = &estimate.MovingAverage{}
-		s.runtimes.Add(j.Spec.Class+"/"+j.Spec.Owner, o)
+	avg := s.runtimes.Lookup(&j.Spec)
+	if avg == nil {
+		avg = &estimate.MovingAverage{}
+		s.runtimes.Add(j.Spec.Class+"/"+j.Spec.Owner, avg)
 	}
 	if j.Runtime.N <= maxRuntimesPerJob {
-		o.Add(took.Seconds() / j.Spec.Runtime.Seconds())
+		avg.Add(took.Seconds() / j.Spec.Runtime.Seconds())
 	}
 }
 
-// HasRuntimes reports whether run times of jobs like this one are known.
+// HasRuntimes reports whether runtimes have been observed for the job's class and owner.
 func (s *Scheduler) HasRuntimes(job *spec.Job) bool { return s.runtimes.Lookup(job) != nil }
 
-// Estimate returns how long a task of the job runs, without the fetch of its image.
+// Estimate returns the expected runtime of a task of the job, without the time to fetch its image.
+// It is 0 for services.
 func (s *Scheduler) Estimate(j *fleet.Job) time.Duration {
 	if j.Spec.Service {
 		return 0
@@ -43,21 +45,20 @@
 	return s.estimateSpec(&j.Spec)
 }
 
-// estimateSpec returns the estimate for a job none of whose tasks has completed.
+// estimateSpec returns the estimate for a job none of whose tasks has completed: the user's
+// estimate, corrected by the runtimes observed for its class and owner.
 func (s *Scheduler) estimateSpec(job *spec.Job) time.Duration {
 	d := job.Runtime
-	if o := s.runtimes.Lookup(job); o != nil && o.N >= 5 {
-		d = timeline.Seconds(d.Seconds() * min(max(o.Mean, 0.3), 3))
+	if avg := s.runtimes.Lookup(job); avg != nil && avg.N >= 5 {
+		d = timeline.Seconds(d.Seconds() * min(max(avg.Mean, 0.3), 3))
 	}
 	return max(d, 100*time.Millisecond)
 }
 
-// paddedEstimate returns for how long room is reserved for a task of the job, without the
-// fetch of its image.
+// paddedEstimate returns the estimate plus the margin, without the time to fetch the image.
 func (s *Scheduler) paddedEstimate(j *fleet.Job) time.Duration { return s.pad(s.Estimate(j)) }
 
-// PaddedSpecEstimate returns for how long room would be reserved for a task of a job that
-// is not accepted yet.
+// PaddedSpecEstimate returns the estimate plus the margin for a job that has not been accepted yet.
 func (s *Scheduler) PaddedSpecEstimate(job *spec.Job) time.Duration {
 	return s.pad(s.estimateSpec(job))
 }
@@ -66,13 +67,14 @@
 	return timeline.Seconds(d.Seconds() * (1 + s.EstimateMargin))
 }
 
-// ReservationDuration returns for how long room is reserved on the machine for a task of the job.
+// ReservationDuration returns how long a slot on the machine is reserved for a task of the job: the
+// padded estimate plus the time to fetch the image if the machine lacks it.
 func (s *Scheduler) ReservationDuration(j *fleet.Job, m *fleet.Machine) time.Duration {
 	return fleet.ReservationDuration(j, m, s.paddedEstimate(j))
 }
 
-// EarliestFinish returns how soon a task of a job that is not accepted yet could be over on
-// the machines at hand, or the longest duration if it fits on none of them.
+// EarliestFinish returns how soon a task of a job that has not been accepted yet could finish on
+// the current machines, or the longest duration if it fits on none of them.
 func (s *Scheduler) EarliestFinish(job *spec.Job) time.Duration {
 	j := &fleet.Job{Spec: *job, Need: job.Need()}
 	run := s.PaddedSpecEstimate(job)
--- a/internal/placement/locality.go
+++ b/internal/placement/locality.go
@@ -7,16 +7,16 @@
 	"yewpass/internal/fleet"
 )
 
-// ReserveWarmCapacity shares out the room that is kept free for jobs that must start at once, in
-// thousandths of a CPU: on the machines with the most CPUs, where one heartbeat serves many
-// tasks.
+// ReserveWarmCapacity keeps the given number of millicores free for latency-sensitive jobs. It
+// distributes them over the machines with the most CPUs, where one heartbeat starts many tasks, and
+// takes at most a quarter of each.
 func (s *Scheduler) ReserveWarmCapacity(cpus int64) {
 	machines := s.leader.Machines()
 	var sizes []int64
 	for _, m := range machines {
 		m.WarmReserve = 0
 		if n := m.Timeline.Capacity().CPU; !slices.Contains(sizes, n) {
-			sizes = append(sizes, n) // as many as there are types
+			sizes = append(sizes, n) // one entry per machine size, so the list stays short
 		}
 	}
 	slices.Sort(sizes)
@@ -33,13 +33,12 @@
 	}
 }
 
-// imageLocalityWait is how long a job that must start at once waits for room on a machine
-// that has its image. On a busy fleet room comes free many times a second, and the fetch
-// that a start elsewhere needs takes longer than that.
+// imageLocalityWait is how long a latency-sensitive job waits for a machine that has its image. On
+// a busy fleet such a machine becomes free sooner than another one could fetch the image.
 const imageLocalityWait = 700 * time.Millisecond
 
-// PreferImageLocality has a new job wait for machines that have its image, if there are
-// enough of them.
+// PreferImageLocality restricts a new latency-sensitive job to machines that have its image for
+// imageLocalityWait, if their total capacity is at least four times what the job needs.
 func (s *Scheduler) PreferImageLocality(j *fleet.Job) {
 	if !j.LatencySensitive {
 		return
@@ -57,13 +56,14 @@
 	s.scope.After(imageLocalityWait, s.leader.DispatchAll)
 }
 
-// maxReservationsScanned is how many reservations of a job a machine without its image looks
-// at: if there are more, so many tasks are about to start where room is reserved for them.
+// maxReservationsScanned bounds how many reservations of a job are examined for a machine that
+// lacks its image. If there are more, that many tasks are about to start where they have a
+// reservation.
 const maxReservationsScanned = 17
 
-// nextReservationFor returns the job's first reservation that the machine may serve. A machine
-// that lacks the image leaves alone what is reserved on one that has both the image and the
-// room, and at first what waits for any that has the image.
+// nextReservationFor returns the job's first reservation that the machine may serve, or nil. A
+// machine that lacks the image does not serve a reservation whose own machine has the image and can
+// start the task now, and serves none while the job is restricted to machines that have its image.
 func (s *Scheduler) nextReservationFor(j *fleet.Job, m *fleet.Machine) *fleet.Reservation {
 	if m.Images.Contains(j.Spec.Image) {
 		return j.Reservations[0]
--- a/internal/placement/objectives.go
+++ b/internal/placement/objectives.go
@@ -10,21 +10,22 @@
 	"yewpass/internal/timeline"
 )
 
-// objective is a time by which a job's tasks should be over.
+// objective is a time by which the tasks of a job should finish.
 type objective struct {
 	deadline time.Time
-	wholeJob bool // all tasks have to meet it; otherwise each one counts
+	wholeJob bool // all tasks have to meet it; otherwise each task is counted individually
 }
 
-// nextObjective returns the objective to be met by a task of the job that runs for about
-// length: of the user's deadline and the operators' objectives the most pressing one that
-// can still be met. An objective on waiting counts as a deadline one run time later. ok is
-// false if none can be met any more.
+// nextObjective returns the earliest objective that a task of the job with the given expected
+// runtime can still meet, among the user's deadline and the operators' service-level objectives. An
+// objective on the waiting time counts as a deadline one runtime later. ok is false if no objective
+// can be met.
 func (s *Scheduler) nextObjective(j *fleet.Job, length time.Duration) (best objective, ok bool) {
 	return s.nextObjectiveFrom(j, s.now(), j.MissedObjectivesUntil, length)
 }
 
-// nextObjectiveFrom is nextObjective as seen at the time from, for objectives after missed.
+// nextObjectiveFrom is nextObjective for a task that starts at from at the earliest. It ignores
+// objectives up to missed.
 func (s *Scheduler) nextObjectiveFrom(j *fleet.Job, from, missed time.Time, length time.Duration) (best objective, ok bool) {
 	earliest := from.Add(length)
 	s.forEachObjective(j, length, func(o objective) {
@@ -35,13 +36,13 @@
 	return best, ok
 }
 
-// earlyFinishPercent is the part of the time that an objective gives a job to finish
-// which is tried first, in hundredths: the last task of a large array takes twice as long as
-// most do, and if it were started as late as possible it would be too late. Idle jobs give
-// way to others instead.
+// earlyFinishPercent is the percentage of the time allowed by a "finished" objective that is tried
+// as a deadline first. The slowest tasks of a large array take about twice as long as most, so they
+// would miss the objective if they started as late as possible. Idle jobs have no early deadline.
 const earlyFinishPercent = 60
 
-// forEachObjective calls f with every objective of the job, whose tasks run for about length.
+// forEachObjective calls f with every objective of the job, given the expected runtime of its
+// tasks. Services have none.
 func (s *Scheduler) forEachObjective(j *fleet.Job, length time.Duration, f func(objective)) {
 	if j.Spec.Service {
 		return
@@ -74,18 +75,17 @@
 	}
 }
 
-// IsLatencySensitive reports whether jobs of the class have an objective on waiting that holds
-// for every team.
+// IsLatencySensitive reports whether jobs of the class have an objective on their waiting time that
+// applies to every team.
 func (s *Scheduler) IsLatencySensitive(class string) bool {
 	return slices.ContainsFunc(s.cfg.Settings.Objectives, func(o config.Objective) bool {
 		return o.Kind == "wait" && (o.Class == "" || o.Class == class)
 	})
 }
 
-// isBestEffort reports whether nothing is expected of an idle job: it has no deadline and
-// no objective of the operators. It is put back in the queue like one that is late.
-// Otherwise it would go ahead of everything that has missed an objective, and a guest's
-// spare-time work would take the room of the regular classes.
+// isBestEffort reports whether an idle job has neither a deadline nor an objective. Such a job is
+// delayed in the queue like a late one; otherwise it would start before every job that has missed
+// an objective.
 func (s *Scheduler) isBestEffort(j *fleet.Job) bool {
 	if j.Spec.Urgency != spec.Idle || j.Spec.Service {
 		return false
@@ -95,9 +95,10 @@
 	return none
 }
 
-// delayedWhenLate reports whether a task that takes so long and can meet no objective any more
-// is put back in the queue. One that could not have met any from the start is not: such
-// tasks are long, and started late they would keep machines up when all else is over.
+// delayedWhenLate reports whether a task with the given expected runtime is delayed in the queue
+// once it can meet no objective. It is false for tasks that could not meet any even when they were
+// submitted: they are long, and starting them late would keep machines running after all other work
+// has finished.
 func (s *Scheduler) delayedWhenLate(j *fleet.Job, length time.Duration) bool {
 	_, ok := s.nextObjectiveFrom(j, j.Submitted, j.Submitted.Add(length*11/10), length)
 	return ok
--- a/internal/placement/objectives_test.go
+++ b/internal/placement/objectives_test.go
@@ -10,8 +10,8 @@
 	"yewpass/internal/spec"
 )
 
-// TestObjectives: a deadline counts again at the times that an objective names, and a
-// finishing objective is tried early, but not for idle jobs.
+// TestObjectives checks that a "deadline" objective adds a multiple of the user's deadline, and
+// that a "finished" objective adds an early deadline except for idle jobs.
 func TestObjectives(t *testing.T) {
 	c := newCluster(1)
 	c.cfg.Settings.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1.5}, {Kind: "finished", Class: "c", Within: 200}}
@@ -25,27 +25,27 @@
 		var got []float64
 		c.forEachObjective(j, time.Second, func(a objective) {
 			if !a.wholeJob {
-				t.Error("takes all tasks")
+				t.Error("objective does not apply to the whole job")
 			}
 			got = append(got, a.deadline.Sub(j.Submitted).Seconds())
 		})
 		if len(got) != len(x.want) {
-			t.Fatalf("%v: %v, want %v", x.urgency, got, x.want)
+			t.Fatalf("%v: objectives at %v s, want %v", x.urgency, got, x.want)
 		}
 		for i := range got {
 			if got[i] != x.want[i] {
-				t.Errorf("%v: %v, want %v", x.urgency, got, x.want)
+				t.Errorf("%v: objectives at %v s, want %v", x.urgency, got, x.want)
 			}
 		}
 	}
 	j.Spec.Urgency = spec.Standard
 	if a, ok := c.nextObjectiveFrom(j, t0, t0.Add(120*time.Second), time.Second); !ok || a.deadline != j.Submitted.Add(150*time.Second) {
-		t.Errorf("after 120 s: %v", a.deadline.Sub(t0))
+		t.Errorf("next objective after 120 s is at %v, want 150s", a.deadline.Sub(t0))
 	}
 }
 
-// TestNoObjective: idle work of which nobody expects anything stands behind what is late in the queue.
-func TestNoObjective(t *testing.T) {
+// TestBestEffort checks that an idle job without objectives is queued behind late jobs.
+func TestBestEffort(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	c := newCluster(1)
 	c.fill(c.machines[0])
@@ -61,6 +61,6 @@
 	c.DropReservations(late)
 	c.Reserve(late)
 	if guest.QueueTime.Before(late.QueueTime) || !regular.QueueTime.Before(late.QueueTime) {
-		t.Errorf("turns: idle without objective %v, without objective %v, late %v", guest.QueueTime.Sub(t0), regular.QueueTime.Sub(t0), late.QueueTime.Sub(t0))
+		t.Errorf("queue times: idle without objective %v, standard without objective %v, late %v", guest.QueueTime.Sub(t0), regular.QueueTime.Sub(t0), late.QueueTime.Sub(t0))
 	}
 }
--- a/internal/placement/offers.go
+++ b/internal/placement/offers.go
@@ -7,19 +7,19 @@
 	"yewpass/internal/fleet"
 )
 
-// offer is the slot that a machine offers for a task of a job.
+// offer is a slot on a machine for a task of a job.
 type offer struct {
 	machine      *fleet.Machine
 	start        time.Time
 	length       time.Duration
-	machineIndex int // the machine's place in the fleet
+	machineIndex int // index in Leader.Machines
 }
 
-// offerHeap is the offers for one job, the best first: the latest start, or the earliest for
-// a job that has no deadline to meet; among equals the machine with the most free room now.
+// offerHeap is a heap of the offers for one job, best first: the latest start if the job has a
+// deadline to meet, otherwise the earliest. Ties go to the machine with the most free CPUs.
 type offerHeap struct {
 	list        []offer
-	hasDeadline bool // there is a deadline to meet
+	hasDeadline bool // the job has a deadline to meet
 }
 
 // Len implements heap.Interface.
@@ -50,17 +50,18 @@
 	return last
 }
 
-// collectOffers asks every machine once. A reservation changes the offer of its own machine only,
-// so the rest of an array costs no further search.
-func (s *Scheduler) collectOffers(j *fleet.Job, base time.Duration, deadline time.Time, dated bool) (h *offerHeap, anyMachine bool) {
-	h = &offerHeap{list: s.offerBuffer[:0], hasDeadline: dated}
+// collectOffers returns the best slot of every eligible machine. A reservation changes the offer of
+// its own machine only, so further tasks of the job need no other search. anyMachine reports
+// whether any machine is eligible.
+func (s *Scheduler) collectOffers(j *fleet.Job, base time.Duration, deadline time.Time, hasDeadline bool) (h *offerHeap, anyMachine bool) {
+	h = &offerHeap{list: s.offerBuffer[:0], hasDeadline: hasDeadline}
 	for i, m := range s.leader.Machines() {
 		if !m.EligibleFor(j) {
 			continue
 		}
 		anyMachine = true
 		d := fleet.ReservationDuration(j, m, base)
-		if start, ok := s.findSlot(j, m, d, deadline, dated); ok {
+		if start, ok := s.findSlot(j, m, d, deadline, hasDeadline); ok {
 			h.list = append(h.list, offer{m, start, d, i})
 		}
 	}
@@ -69,7 +70,7 @@
 	return h, anyMachine
 }
 
-// earliestStart returns when tasks can start on the machine at the earliest.
+// earliestStart returns the earliest time at which tasks can start on the machine.
 func (s *Scheduler) earliestStart(m *fleet.Machine) time.Time {
 	if !m.Reported && m.ReadyAt.After(s.now()) {
 		return m.ReadyAt
@@ -77,11 +78,11 @@
 	return s.now()
 }
 
-// findSlot returns the latest start on the machine that meets the deadline, or the earliest fit
-// for a job that has none to meet.
-func (s *Scheduler) findSlot(j *fleet.Job, m *fleet.Machine, length time.Duration, deadline time.Time, dated bool) (time.Time, bool) {
+// findSlot returns the latest start on the machine that meets the deadline, or the earliest
+// possible start if the job has no deadline to meet.
+func (s *Scheduler) findSlot(j *fleet.Job, m *fleet.Machine, length time.Duration, deadline time.Time, hasDeadline bool) (time.Time, bool) {
 	from := s.earliestStart(m)
-	if dated {
+	if hasDeadline {
 		return m.Timeline.LatestStart(from, deadline, length, j.Need)
 	}
 	return m.Timeline.EarliestStart(from, length, j.Need)
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -9,24 +9,23 @@
 )
 
 const (
-	// lateQueueDelay is by how much a reservation that misses its deadline anyway is put back
-	// in the queue. It is bounded so that the job never starves.
+	// lateQueueDelay is how far a reservation that cannot meet any objective is moved back in the
+	// queue. It is bounded to avoid starvation.
 	lateQueueDelay = 90 * time.Second
-	// shortageBacklog is how much work must wait, as time of all CPUs at hand, for the machines
-	// to count as scarce: after the loss of a zone, say.
+	// shortageBacklog is the pending work, as time on all current CPUs, from which capacity counts
+	// as short, for example after the loss of a zone.
 	shortageBacklog = 150 * time.Second
-	// shortageDelayWeight is by how many times its own length on all CPUs at hand a job that is late
-	// anyway is then put back.
+	// shortageDelayWeight multiplies the queue delay of late jobs during a shortage. Its base is
+	// the time that the job's pending tasks would take on all current CPUs.
 	shortageDelayWeight = 40
 )
 
-// queueDelay returns by how much a task that can meet no objective any more, and could start
-// at the given time, is put back in the queue, and by how much less for each task of the job
-// that starts. While machines are scarce, the jobs of that kind which need the least go
-// first: most of them are then served, and what is begun is finished before more is. If all
-// of them advanced a little at a time, hardly any would end. Whatever has an objective to
-// meet goes before them all, and a job's turn comes nearer as it waits, so that none starves.
-func (s *Scheduler) queueDelay(j *fleet.Job, start time.Time) (yield, perTask time.Duration) {
+// queueDelay returns how far a task that can meet no objective, and could start at the given time,
+// is moved back in the queue, and by how much that shrinks for each task of the job that starts.
+// During a shortage the late jobs with the least remaining work go first, so that most jobs finish
+// soon instead of all progressing slowly. Jobs that can still meet an objective precede them all,
+// and the position of a job improves with its waiting time, so none starves.
+func (s *Scheduler) queueDelay(j *fleet.Job, start time.Time) (delay, perTask time.Duration) {
 	backlog, cpus := s.leader.Backlog()
 	if backlog < shortageBacklog || cpus <= 0 {
 		return lateQueueDelay, 0
@@ -35,8 +34,8 @@
 	return lateQueueDelay + time.Duration(j.Waiting)*perTask - start.Sub(s.now()), perTask
 }
 
-// advanceInQueue moves a job up in the queue of which n more tasks have started, if it is put
-// back by its length.
+// advanceInQueue moves a job forward in the queue after n of its tasks have started, if its queue
+// delay depends on the number of its pending tasks.
 func (s *Scheduler) advanceInQueue(j *fleet.Job, n int) {
 	moved := false
 	for _, r := range j.Reservations {
@@ -51,27 +50,26 @@
 }
 
 const (
-	// maxRefreshedJobs is for how many jobs at most new slots are looked for at a time.
+	// maxRefreshedJobs bounds how many jobs get new slots in one call.
 	maxRefreshedJobs = 24
-	// refreshVisitsPerSecond is how many machines may be asked for that in a second, on a
-	// whole processor core: about a fifth of its time. With a long queue on a full fleet all
-	// of it is due all the time, and little comes of it; heartbeats, users and the leader
-	// lease go first.
+	// refreshVisitsPerSecond bounds how many machines are searched for new slots per second on a
+	// whole processor core, about a fifth of its time. With a long queue on a full fleet every
+	// reservation is due, and the search must not delay heartbeats, user requests or the renewal of
+	// the leader lease.
 	refreshVisitsPerSecond = 120_000
-	// refreshInterval is how long a job is left alone after new slots were looked for.
+	// refreshInterval is the minimum time between two refreshes of the same job.
 	refreshInterval = 2 * time.Second
-	// refreshTolerance is by how much the time of a reservation has passed when it is due.
+	// refreshTolerance is how long after its start time a reservation becomes due.
 	refreshTolerance = 300 * time.Millisecond
 )
 
-// RefreshDueReservations finds new slots for jobs whose reservations have come due without room, or
-// are on no machine. It is to be called once in every period and takes a few jobs at a time,
-// because each of them asks every machine.
-func (s *Scheduler) RefreshDueReservations(period time.Duration) {
-	s.refreshReservations(s.refreshLimit(period))
-}
+// RefreshDueReservations searches new slots for jobs whose first reservation is past its start time
+// or has no machine. Call it once per period. It handles a few jobs at a time, because each search
+// visits every machine.
+func (s *Scheduler) RefreshDueReservations(period time.Duration) { s.refresh(s.refreshLimit(period)) }
 
-// refreshLimit returns for how many jobs new slots are looked for at a time.
+// refreshLimit returns how many jobs may get new slots in one period, given the processor share and
+// the number of machines.
 func (s *Scheduler) refreshLimit(period time.Duration) int {
 	share := s.cfg.Settings.Limits.CPUShare
 	if share <= 0 {
@@ -81,7 +79,7 @@
 	return min(maxRefreshedJobs, max(2, int(visits)/max(1, len(s.leader.Machines()))))
 }
 
-func (s *Scheduler) refreshReservations(limit int) {
+func (s *Scheduler) refresh(limit int) {
 	var due []*fleet.Job
 	for _, j := range s.Queue {
 		if len(due) >= limit {
@@ -97,18 +95,18 @@
 	for _, j := range due {
 		if !j.Halted() {
 			s.DropReservations(j)
-			j.MissedObjectivesUntil = time.Time{} // room may have come free: try all objectives again
+			j.MissedObjectivesUntil = time.Time{} // capacity may have become free: try all objectives again
 			s.Reserve(j)
 		}
 	}
 }
 
-// maxStarvedJobs is how many jobs at a time have a first task started ahead of their turn.
+// maxStarvedJobs bounds how many starved jobs are tracked at a time.
 const maxStarvedJobs = 64
 
-// FindStarvedJobs finds the jobs of which nothing has run for long after they were submitted. By
-// their place in the queue they might not start for as long as smaller and more pressing ones
-// come.
+// FindStarvedJobs selects the jobs none of whose tasks has run within the given time of submission.
+// By queue order alone they might not start while smaller or more urgent jobs keep arriving, so
+// StartTasksOn starts a first task of each of them before it walks the queue.
 func (s *Scheduler) FindStarvedJobs(within time.Duration) {
 	s.starved = s.starved[:0]
 	for _, j := range s.Queue {
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// reservationWindow bounds for how many waiting tasks of a job room is reserved at a
-	// time, so that an array of 100,000 tasks costs no more than a large one.
+	// reservationWindow bounds how many pending tasks of a job have reservations at a time, which
+	// limits the cost of very large arrays.
 	reservationWindow = 256
-	// maxVisitsPerStep bounds how many machines are asked for slots in one step. After a
-	// failover or the loss of a zone, room has to be reserved for hundreds of jobs on
-	// thousands of machines. Done in one step, that outlasts the leader lease on a small
-	// share of a processor, and the next leader's as well, and so on for ever.
+	// maxVisitsPerStep bounds how many machines are searched for slots in one step. After a
+	// failover or the loss of a zone, hundreds of jobs need reservations on thousands of machines.
+	// Doing that in one step on a small processor share would outlast the leader lease, and every
+	// following leader would lose its lease in the same way.
 	maxVisitsPerStep = 1 << 14
 )
 
-// Reserve reserves room for the job's waiting tasks, each time on the machine with the best
-// offer. When an objective that all tasks have to meet is out of reach for one of them, the
-// others give their slots back and the next objective is tried; a job with none left takes
-// the earliest fit.
+// Reserve creates reservations for the job's pending tasks, each on the machine with the best
+// offer. If one task cannot meet an objective that applies to the whole job, all reservations of
+// the job are dropped and the next objective is tried. A job that can meet no objective gets the
+// earliest slots.
 func (s *Scheduler) Reserve(j *fleet.Job) {
 	n := min(j.Waiting, reservationWindow) - j.Reserved
 	if j.Halted() || n <= 0 {
@@ -32,24 +32,24 @@
 	}
 	defer s.Queue.Reposition(j)
 	base := s.paddedEstimate(j)
-	target, dated := s.nextObjective(j, base)
-	offers, anyMachine := s.collectOffers(j, base, target.deadline, dated)
+	target, hasDeadline := s.nextObjective(j, base)
+	offers, anyMachine := s.collectOffers(j, base, target.deadline, hasDeadline)
 	for ; n > 0; n = min(j.Waiting, reservationWindow) - j.Reserved {
 		if len(offers.list) == 0 {
-			if !dated || !anyMachine {
+			if !hasDeadline || !anyMachine {
 				break
 			}
 			j.MissedObjectivesUntil = target.deadline
 			if target.wholeJob {
 				s.DropReservations(j)
 			}
-			target, dated = s.nextObjective(j, base)
-			offers, anyMachine = s.collectOffers(j, base, target.deadline, dated)
+			target, hasDeadline = s.nextObjective(j, base)
+			offers, anyMachine = s.collectOffers(j, base, target.deadline, hasDeadline)
 			continue
 		}
 		best := &offers.list[0]
-		s.acceptOffer(j, best, n, dated)
-		if start, ok := s.findSlot(j, best.machine, best.length, target.deadline, dated); ok {
+		s.acceptOffer(j, best, n, hasDeadline)
+		if start, ok := s.findSlot(j, best.machine, best.length, target.deadline, hasDeadline); ok {
 			best.start = start
 			heap.Fix(offers, 0)
 		} else {
@@ -57,30 +57,30 @@
 		}
 	}
 	if n > 0 {
-		// No machine at all: keep the place in the queue.
+		// No machine has a slot: a reservation without a machine keeps the job in the queue.
 		at := s.now()
-		if dated {
+		if hasDeadline {
 			at = target.deadline.Add(-base)
 		}
 		s.addReservation(&fleet.Reservation{Booking: timeline.Booking{Start: at, End: at.Add(max(base, time.Second)), Need: j.Need, Count: n}, Job: j})
 	}
 }
 
-// acceptOffer reserves the offered slot for as many of n tasks as fit there.
-func (s *Scheduler) acceptOffer(j *fleet.Job, o *offer, n int, dated bool) {
+// acceptOffer reserves the offered slot for as many of n tasks as fit in it.
+func (s *Scheduler) acceptOffer(j *fleet.Job, o *offer, n int, hasDeadline bool) {
 	k := max(o.machine.Timeline.FitCount(o.start, o.length, j.Need, n), 1)
-	var yield, perTask time.Duration
-	if !dated && (s.delayedWhenLate(j, o.length) || s.isBestEffort(j)) {
-		yield, perTask = s.queueDelay(j, o.start)
+	var delay, delayPerTask time.Duration
+	if !hasDeadline && (s.delayedWhenLate(j, o.length) || s.isBestEffort(j)) {
+		delay, delayPerTask = s.queueDelay(j, o.start)
 	}
 	s.addReservation(&fleet.Reservation{
 		Booking: timeline.Booking{Start: o.start, End: o.start.Add(o.length), Need: j.Need, Count: k},
-		Job:     j, Machine: o.machine, QueueDelay: yield, QueueDelayPerTask: perTask,
+		Job:     j, Machine: o.machine, QueueDelay: delay, QueueDelayPerTask: delayPerTask,
 	})
 }
 
-// addReservation adds a reservation, in the order of the job's others. The caller has to
-// see to the job's place in the queue.
+// addReservation inserts a reservation among the job's others in queue order. The caller must
+// reposition the job in the queue.
 func (s *Scheduler) addReservation(r *fleet.Reservation) {
 	j := r.Job
 	i := sort.Search(len(j.Reservations), func(i int) bool { return r.QueueTime().Before(j.Reservations[i].QueueTime()) })
@@ -92,8 +92,8 @@
 	}
 }
 
-// ReserveSoon has room reserved for the job's waiting tasks once the current input has been
-// taken in: a lost machine returns many tasks of a job at once.
+// ReserveSoon schedules Reserve for the next call of ReservePending, so that the many tasks of a
+// job that a lost machine returns at once cost one search.
 func (s *Scheduler) ReserveSoon(j *fleet.Job) {
 	if !j.ReservationPending {
 		j.ReservationPending = true
@@ -101,10 +101,11 @@
 	}
 }
 
-// ReservePending reserves what ReserveSoon was called for.
+// ReservePending calls Reserve for the jobs passed to ReserveSoon. What exceeds the visit limit of
+// one step remains for the next.
 func (s *Scheduler) ReservePending() {
-	// Most tasks of earlier jobs run somewhere, and their machines are about to say so:
-	// before that, room would be reserved for nothing.
+	// Most tasks of jobs from earlier terms are running, and their machines are about to report
+	// them. Reserving capacity for them before that would be wasted work.
 	machines := len(s.leader.Machines())
 	early := !s.allAccounted() && 10*s.leader.UnaccountedCount() > machines && s.now().Sub(s.electedAt) < s.cfg.Settings.Workers.Report.Duration()
 	visits, reserved, left := 0, 0, s.pendingJobs[:0]
@@ -124,11 +125,11 @@
 	}
 	if len(left) > 0 && visits >= maxVisitsPerStep && !s.continuationQueued {
 		s.continuationQueued = true
-		s.scope.After(0, func() { s.continuationQueued = false }) // the next step goes on
+		s.scope.After(0, func() { s.continuationQueued = false }) // triggers another step
 	}
 }
 
-// dropReservation removes a reservation.
+// dropReservation removes a reservation from its job and its machine.
 func (s *Scheduler) dropReservation(r *fleet.Reservation) {
 	j := r.Job
 	j.Reserved -= r.Count
@@ -145,7 +146,7 @@
 	s.Queue.Reposition(j)
 }
 
-// consumeReservation takes one task off a reservation.
+// consumeReservation reduces a reservation by one task and drops it if that was the last.
 func (s *Scheduler) consumeReservation(r *fleet.Reservation) {
 	if r.Count == 1 {
 		s.dropReservation(r)
@@ -158,22 +159,23 @@
 	}
 }
 
-// DropReservations drops all reservations of a job.
+// DropReservations removes all reservations of a job, which also removes it from the queue.
 func (s *Scheduler) DropReservations(j *fleet.Job) {
 	for len(j.Reservations) > 0 {
 		s.dropReservation(j.Reservations[len(j.Reservations)-1])
 	}
 }
 
-// DropExcessReservation drops the reservation of a task that no longer waits.
+// DropExcessReservation reduces the job's last reservation by one task if more tasks are reserved
+// than pending. Call it after a pending task was removed.
 func (s *Scheduler) DropExcessReservation(j *fleet.Job) {
 	if j.Reserved > j.Waiting {
 		s.consumeReservation(j.Reservations[len(j.Reservations)-1])
 	}
 }
 
-// DropMachineReservations drops what is reserved on the machine, and has room reserved for
-// it elsewhere.
+// DropMachineReservations removes all reservations on the machine and schedules new ones elsewhere
+// for their jobs.
 func (s *Scheduler) DropMachineReservations(m *fleet.Machine) {
 	for len(m.Reservations) > 0 {
 		r := m.Reservations[len(m.Reservations)-1]
--- a/internal/placement/reservations_test.go
+++ b/internal/placement/reservations_test.go
@@ -10,13 +10,12 @@
 	"yewpass/internal/timeline"
 )
 
-// plainReserve is Reserve as the paper writes it: every machine is asked for every
-// reservation.
+// plainReserve is a simple version of Reserve that searches all machines for every reservation.
 func (c *cluster) plainReserve(j *fleet.Job) {
 	base := c.paddedEstimate(j)
-	target, dated := c.nextObjective(j, base)
+	target, hasDeadline := c.nextObjective(j, base)
 	for n := min(j.Waiting, reservationWindow) - j.Reserved; n > 0; n = min(j.Waiting, reservationWindow) - j.Reserved {
-		var yield, perTask time.Duration
+		var delay, delayPerTask time.Duration
 		var best *fleet.Machine
 		var start time.Time
 		var length time.Duration
@@ -25,33 +24,33 @@
 				continue
 			}
 			d := c.ReservationDuration(j, m)
-			s, ok := c.findSlot(j, m, d, target.deadline, dated)
-			if ok && (best == nil || s.Equal(start) && best.FreeResources().CPU < m.FreeResources().CPU || !s.Equal(start) && s.After(start) == dated) {
+			s, ok := c.findSlot(j, m, d, target.deadline, hasDeadline)
+			if ok && (best == nil || s.Equal(start) && best.FreeResources().CPU < m.FreeResources().CPU || !s.Equal(start) && s.After(start) == hasDeadline) {
 				best, start, length = m, s, d
 			}
 		}
-		if best == nil && dated {
+		if best == nil && hasDeadline {
 			j.MissedObjectivesUntil = target.deadline
 			if target.wholeJob {
 				c.DropReservations(j)
 			}
-			target, dated = c.nextObjective(j, base)
+			target, hasDeadline = c.nextObjective(j, base)
 			continue
 		}
 		if best == nil {
 			return
 		}
 		k := max(best.Timeline.FitCount(start, length, j.Need, n), 1)
-		if !dated && (c.delayedWhenLate(j, length) || c.isBestEffort(j)) {
-			yield, perTask = c.queueDelay(j, start)
+		if !hasDeadline && (c.delayedWhenLate(j, length) || c.isBestEffort(j)) {
+			delay, delayPerTask = c.queueDelay(j, start)
 		}
-		c.addReservation(&fleet.Reservation{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.Need, Count: k}, Job: j, Machine: best, QueueDelay: yield, QueueDelayPerTask: perTask})
+		c.addReservation(&fleet.Reservation{Booking: timeline.Booking{Start: start, End: start.Add(length), Need: j.Need, Count: k}, Job: j, Machine: best, QueueDelay: delay, QueueDelayPerTask: delayPerTask})
 		c.Queue.Reposition(j)
 	}
 }
 
-// TestReserveMatchesPlainSearch compares the search that asks each machine once with the plain
-// one, on random fleets and queues.
+// TestReserveMatchesPlainSearch checks on random fleets and queues that Reserve makes the same
+// reservations as plainReserve.
 func TestReserveMatchesPlainSearch(t *testing.T) {
 	for seed := range uint64(60) {
 		rng, twin := rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 1))
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -1,6 +1,6 @@
-// Package placement decides which tasks run on which machines: it reserves room for the
-// tasks that wait, keeps the queue of jobs by the times of their reservations, and chooses
-// what starts on a machine that has room.
+// Package placement assigns tasks to machines. It reserves slots for pending tasks, orders the
+// queue of jobs by the times of their reservations, and selects the tasks that start on a machine
+// with free resources.
 package placement
 
 import (
@@ -13,35 +13,35 @@
 	"yewpass/internal/topology"
 )
 
-// Leader is what placement needs to know of the leader that it works for.
+// Leader is the part of the elected leader that the scheduler depends on.
 type Leader interface {
-	// CanAct reports whether the leader has authority and knows the records.
+	// CanAct reports whether the leader holds its lease and has loaded the stored records.
 	CanAct() bool
-	// Machines returns the machines of the fleet, by name.
+	// Machines returns all machines of the fleet, sorted by name.
 	Machines() []*fleet.Machine
-	// Unaccounted reports whether the machine may hold unknown tasks of an earlier term.
+	// Unaccounted reports whether the machine may still run tasks of an earlier term that it has
+	// not reported yet.
 	Unaccounted(host string) bool
-	// UnaccountedCount returns how many machines may.
+	// UnaccountedCount returns the number of unaccounted machines.
 	UnaccountedCount() int
-	// DispatchAll has all machines looked at again whose replies are held.
+	// DispatchAll reconsiders all machines whose heartbeat replies are held.
 	DispatchAll()
-	// Backlog returns how long all CPUs at hand need for the work that waits, and how many
-	// CPUs those are.
+	// Backlog returns the pending work as time on all current CPUs, and the number of these CPUs.
 	Backlog() (work time.Duration, cpus float64)
 }
 
-// Scheduler places the tasks of one term.
+// Scheduler places tasks during one term of the leader.
 type Scheduler struct {
-	// Queue is the jobs that have reservations.
+	// Queue holds the jobs that have reservations.
 	Queue fleet.Queue
-	// EstimateMargin is the share that is added to estimates when room is reserved.
+	// EstimateMargin is the fraction added to runtime estimates when slots are reserved.
 	EstimateMargin float64
-	// AnyGuarantee says that some team has a guarantee.
+	// AnyGuarantee is set if at least one team has a guaranteed quota.
 	AnyGuarantee bool
-	// OrphanedTasks is how many tasks on machines are of jobs whose records cannot be read.
-	// They may count for any team.
+	// OrphanedTasks counts the tasks on machines whose job records cannot be read. Any team may own
+	// them, so teams with a limit start nothing until they are gone.
 	OrphanedTasks int
-	// AttemptCount is how many attempt numbers of the term have been given.
+	// AttemptCount is the number of attempt numbers assigned in this term.
 	AttemptCount uint64
 
 	engine    *engine.Engine
@@ -52,14 +52,14 @@
 	electedAt time.Time
 
 	runtimes           estimate.Runtimes
-	taskCounter        *topology.TaskCounter // tasks of jobs with rules on places
-	starved            []*fleet.Job          // of which nothing has run for too long
-	pendingJobs        []*fleet.Job          // see ReserveSoon
-	continuationQueued bool                  // there are more of them than go in one step
-	offerBuffer        []offer               // scratch space
+	taskCounter        *topology.TaskCounter // counts tasks of jobs with placement rules
+	starved            []*fleet.Job          // set by FindStarvedJobs
+	pendingJobs        []*fleet.Job          // jobs passed to ReserveSoon
+	continuationQueued bool                  // another step will run ReservePending
+	offerBuffer        []offer               // reused by collectOffers
 }
 
-// New returns the scheduler of the term that begins now.
+// New returns the scheduler of a term that begins now.
 func New(e *engine.Engine, scope *engine.Scope, cfg *config.Config, leader Leader, term uint64) *Scheduler {
 	return &Scheduler{
 		engine: e, scope: scope, cfg: cfg, leader: leader, term: term, electedAt: e.Now,
@@ -69,6 +69,6 @@
 
 func (s *Scheduler) now() time.Time { return s.engine.Now }
 
-// allAccounted reports whether every machine that may hold a task of an earlier term is
+// allAccounted reports whether every machine that may run a task of an earlier term has been
 // accounted for.
 func (s *Scheduler) allAccounted() bool { return s.leader.UnaccountedCount() == 0 }
--- a/internal/placement/starts.go
+++ b/internal/placement/starts.go
@@ -10,32 +10,35 @@
 )
 
 const (
-	// MaxAttempts is how many attempts a term has numbers for.
+	// MaxAttempts is the number of attempt numbers available in one term.
 	MaxAttempts = 1<<record.AttemptBits - 1
-	// maxBackfillConflicts is how many jobs one reply finds in the way of something larger before it
-	// leaves the rest of the queue to later ones. Each look goes over the machine's timeline:
-	// with hundreds of small jobs waiting on full machines (a guest's many single tasks) that
-	// took most of a leader's processor share, and users' calls waited for seconds.
+	// maxBackfillConflicts bounds how many backfill checks may fail during one reply before the
+	// rest of the queue is left to later replies. Each check scans the machine's timeline, which is
+	// expensive with hundreds of small jobs pending on full machines.
 	maxBackfillConflicts = 8
-	// maxStartsPerReply is how many tasks one reply starts at the most, or a few more.
+	// maxStartsPerReply is the number of started tasks after which a reply is wholeReservation. The last
+	// job served may exceed it.
 	maxStartsPerReply = 256
 )
 
-// topologyLimit returns how many of n more tasks of the job may be on the machine now, given
-// where its others are, or may be.
+// topologyLimit returns how many of n more tasks of the job its placement rules allow on the
+// machine, given where its other tasks are or may be.
 func (s *Scheduler) topologyLimit(j *fleet.Job, m *fleet.Machine, n int) int {
 	if len(j.Placement.Rules) == 0 {
 		return n
 	}
-	return s.taskCounter.Room(&j.Placement, m.Place, n)
+	return s.taskCounter.AllowedTasks(&j.Placement, m.Place, n)
 }
 
-// MayStart reports whether tasks of the job may start at all now.
+// MayStart reports whether any task of the job may start now. Jobs from earlier terms and teams
+// with a limit wait until all machines are accounted for, since unreported tasks may be the same
+// tasks or count towards the limit.
 func (s *Scheduler) MayStart(j *fleet.Job) bool {
 	return !j.Halted() && !s.now().Before(j.RetryAt) && (s.allAccounted() || !j.FromEarlierTerm && !j.Team.HasLimit()) && (s.OrphanedTasks == 0 || !j.Team.HasLimit())
 }
 
-// MayStartWithinLimit reports whether a task of the job may start now wherever it fits.
+// MayStartWithinLimit reports whether a task of the job may start now and its team's limit allows
+// one more.
 func (s *Scheduler) MayStartWithinLimit(j *fleet.Job) bool {
 	return s.MayStart(j) && j.Team.TasksWithinLimit(j.Need, 1) > 0
 }
@@ -47,10 +50,9 @@
 		!s.now().Before(m.RetryAt) && !s.leader.Unaccounted(m.Host) && s.AttemptCount <= MaxAttempts-maxStartsPerReply
 }
 
-// StartTasksOn starts waiting tasks on the machine in the order of the queue while they fit,
-// ahead of their time if need be and wherever room is reserved for them: a machine with free
-// room takes what waits for a busy one. It returns the orders for the reply to the machine's
-// last report.
+// StartTasksOn starts pending tasks on the machine in queue order while they fit, even before their
+// reserved time and if their reservation is on another machine. It returns the orders for the reply
+// to the machine's last heartbeat.
 func (s *Scheduler) StartTasksOn(m *fleet.Machine) []heartbeat.Order {
 	if !s.acceptsTasks(m) {
 		return nil
@@ -58,7 +60,7 @@
 	f := startPass{Scheduler: s, machine: m}
 	f.startStarved()
 	f.free = m.FreeResources()
-	// What lies within a team's guarantee goes first: borrowing is for what is left unused.
+	// Tasks within a team's guarantee go first; other teams may borrow only what is left.
 	if s.AnyGuarantee && !f.walkQueue(false) {
 		return f.orders
 	}
@@ -66,18 +68,17 @@
 	return f.orders
 }
 
-// startPass is the choice of what starts on one machine.
+// startPass selects the tasks to start on one machine for one reply.
 type startPass struct {
 	*Scheduler
 	machine   *fleet.Machine
-	free      timeline.Resources // still free
+	free      timeline.Resources // resources not yet taken
 	orders    []heartbeat.Order
-	blocked   bool               // something larger waits here for its slot
-	conflicts []timeline.Booking // what was found to stand in its way
+	blocked   bool               // a pending job with a reservation here does not fit yet
+	conflicts []timeline.Booking // backfill candidates that would delay it
 }
 
-// startStarved starts a first task each of jobs that have waited for long, as far as
-// guarantees and limits allow.
+// startStarved starts the first task of each starved job, subject to guarantees and limits.
 func (f *startPass) startStarved() {
 	m := f.machine
 	for _, j := range f.starved {
@@ -94,8 +95,8 @@
 	}
 }
 
-// walkQueue goes through the queue once and starts what it can. It reports whether there may
-// be more to start.
+// walkQueue walks the queue once and starts the tasks that it can. It reports whether another walk
+// may start more.
 func (f *startPass) walkQueue(borrowing bool) (more bool) {
 	for i := 0; i < len(f.Queue); {
 		if f.free.CPU <= 0 || len(f.orders) >= maxStartsPerReply {
@@ -106,13 +107,13 @@
 			i++
 		case stop:
 			return false
-		case nextReservation: // the job has moved on to its next reservation, or left the queue
+		case nextReservation: // the job was repositioned in the queue or removed from it
 		}
 	}
 	return true
 }
 
-// walkStep says how the walk through the queue goes on.
+// walkStep is how walkQueue continues after a job.
 type walkStep int
 
 const (
@@ -121,7 +122,7 @@
 	stop
 )
 
-// String names the verdict.
+// String returns the name of the step.
 func (v walkStep) String() string { return [...]string{"next job", "next reservation", "stop"}[v] }
 
 // startFromJob starts tasks of the job's next reservation.
@@ -131,11 +132,11 @@
 		return nextJob
 	}
 	if m.OnProbation && len(m.Attempts) > 0 {
-		return stop // one task at a time shows whether the machine works
+		return stop // one task at a time until one completes
 	}
 	r := f.nextReservationFor(j, m)
 	if r == nil {
-		return nextJob // better started elsewhere, where its image is
+		return nextJob // a machine with the image is preferred
 	}
 	n := j.Need.CopiesWithin(f.freeFor(j), r.Count)
 	if n == 0 {
@@ -153,7 +154,7 @@
 	if n = f.allowedTasks(j, n, borrowing); n == 0 {
 		return nextJob
 	}
-	whole := n == r.Count
+	wholeReservation := n == r.Count
 	f.startTasks(r, n)
 	f.free = m.FreeResources()
 	if j.Waiting > j.Reserved && j.Reserved < reservationWindow/2 {
@@ -162,29 +163,30 @@
 	switch {
 	case m.OnProbation:
 		return stop
-	case whole:
+	case wholeReservation:
 		return nextReservation
 	}
 	return nextJob
 }
 
-// freeFor returns the free room that the job may take.
+// freeFor returns the free resources that the job may use. Warm capacity is available to
+// latency-sensitive jobs only.
 func (f *startPass) freeFor(j *fleet.Job) timeline.Resources {
-	room := f.free
+	free := f.free
 	if f.machine.WarmReserve > 0 && !j.LatencySensitive {
-		room.CPU -= f.machine.WarmReserve
+		free.CPU -= f.machine.WarmReserve
 	}
-	return room
+	return free
 }
 
-// backfillLimit returns how many of n tasks of the reservation may start now without taking the
-// slot of something larger that waits here.
+// backfillLimit returns how many of n tasks of the reservation may start now without delaying a
+// larger job that has a reservation on this machine.
 func (f *startPass) backfillLimit(r *fleet.Reservation, n int) int {
 	m, j := f.machine, r.Job
 	length := f.ReservationDuration(j, m)
 	end := f.now().Add(length)
 	if r.Machine != m && slices.ContainsFunc(f.conflicts, func(x timeline.Booking) bool { return x.Need.Fits(j.Need) && !x.End.After(end) }) {
-		return 0 // needs more, or for longer, than what was found to stand in the way
+		return 0 // needs at least as much, for at least as long, as a candidate that failed
 	}
 	if r.Machine == m {
 		m.Timeline.Remove(&r.Booking)
@@ -199,8 +201,8 @@
 	return n
 }
 
-// allowedTasks returns how many of n tasks of the job its team's allowedTasks and guarantee, its rules on
-// places and earlier failures let start on the machine.
+// allowedTasks returns how many of n tasks of the job may start on the machine under its team's
+// limit and guarantee, its placement rules and its earlier failures.
 func (f *startPass) allowedTasks(j *fleet.Job, n int, borrowing bool) int {
 	if n = j.Team.TasksWithinLimit(j.Need, n); n == 0 {
 		j.Team.LimitReached = true
@@ -215,7 +217,7 @@
 	return n
 }
 
-// startTasks orders n tasks of a reservation to startTasks on the machine.
+// startTasks creates start orders for n tasks of a reservation.
 func (f *startPass) startTasks(r *fleet.Reservation, n int) {
 	for range n {
 		f.orders = append(f.orders, f.startTask(r, f.machine))
@@ -225,14 +227,14 @@
 	}
 }
 
-// startTask orders one task of a reservation to start on the machine.
+// startTask creates the attempt and the start order for one task of a reservation.
 func (s *Scheduler) startTask(r *fleet.Reservation, m *fleet.Machine) heartbeat.Order {
 	j := r.Job
 	i := j.Pending.First()
 	s.consumeReservation(r)
 	j.Pending.Remove(i)
 	j.Waiting--
-	// Attempt numbers rise across terms as well: the term comes first.
+	// The term occupies the high bits, so attempt numbers also increase across terms.
 	s.AttemptCount++
 	a := &fleet.Attempt{
 		ID: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Number: s.term<<record.AttemptBits + s.AttemptCount,
--- a/internal/placement/starts_test.go
+++ b/internal/placement/starts_test.go
@@ -8,8 +8,8 @@
 	"yewpass/internal/fleet"
 )
 
-// TestImageLocality: an urgent job leaves a machine alone that would have to fetch
-// its image while others have it, but not for ever, and not when few have it.
+// TestImageLocality checks that a latency-sensitive job avoids a machine without its image while
+// other machines have it, but only for imageLocalityWait, and not if no machine has it.
 func TestImageLocality(t *testing.T) {
 	c := newCluster(12)
 	m := c.machines[0]
@@ -22,26 +22,26 @@
 	}
 	submit(1)
 	if len(c.StartTasksOn(m)) == 0 {
-		t.Error("no machine has the image: it must be fetched somewhere")
+		t.Error("started no task although no machine has the image")
 	}
 	for _, o := range c.machines[1:] {
 		for _, image := range []string{"img0", "img1", "img2", "img3", "img4", "img5"} {
 			o.Images.Add(image, struct{}{})
 		}
-		c.fill(o) // no room for now
+		c.fill(o) // no free resources for now
 	}
 	j := submit(2)
 	if os := c.StartTasksOn(m); len(os) != 0 {
-		t.Errorf("started %v where the image is not", os)
+		t.Errorf("started %v on a machine without the image", os)
 	}
 	c.engine.Now = c.engine.Now.Add(imageLocalityWait)
 	if c.StartTasksOn(m); j.Waiting != 0 {
-		t.Errorf("%d tasks still wait", j.Waiting)
+		t.Errorf("%d tasks are still pending after imageLocalityWait, want 0", j.Waiting)
 	}
 }
 
-// TestManySmallBehindLarge: a reply must not go over the machine's timeline once for each
-// of hundreds of small jobs that stand in the way of something larger.
+// TestManySmallBehindLarge guards against scanning the machine's timeline once for each of
+// hundreds of small jobs that would delay a larger one.
 func TestManySmallBehindLarge(t *testing.T) {
 	cost := func(small int) time.Duration {
 		rng := rand.New(rand.NewPCG(1, 2))
@@ -49,7 +49,7 @@
 		m := c.machines[2]
 		c.fill(m)
 		for _, r := range m.Attempts[:4] {
-			c.Deallocate(r) // four CPUs are free, and the large job takes all
+			c.Deallocate(r) // frees four CPUs; the large job needs all of them
 		}
 		for _, x := range c.machines[:2] {
 			x.Quarantined = true
@@ -75,7 +75,7 @@
 		return best
 	}
 	if few, many := cost(20), cost(400); many > 60*few {
-		t.Errorf("a reply takes %v with 20 small jobs in the queue, %v with 400", few, many)
+		t.Errorf("StartTasksOn takes %v with 20 small jobs in the queue and %v with 400, want at most 60 times as long", few, many)
 	} else {
 		t.Log(few, many)
 	}
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -144,7 +144,7 @@
 	if spec.CheckpointInterval > 0 {
 		return spec.CheckpointTime, true
 	}
-	if r.FoundRunning {
+	if r.StartTimeUnknown {
 		return 0, false // how long it has run is not known: to a new leader all seem to have begun just now
 	}
 	loss := c.Now.Sub(r.StartedAt)
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -58,7 +58,7 @@
 		{"half is being vacated", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
 			func(c *State) { c.Machines[0].Attempts[0].StopRequested = true }, []int{1}},
 		{"found running", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
-			func(c *State) { c.Machines[0].Attempts[1].FoundRunning = true }, []int{0, 2}},
+			func(c *State) { c.Machines[0].Attempts[1].StartTimeUnknown = true }, []int{0, 2}},
 		{"within the grace time", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
 			func(c *State) { c.Queue[0].Submitted = now.Add(-guaranteeGrace + 1) }, nil},
 		{"a job that may not start", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -113,7 +113,7 @@
 // relay that ended. A machine that does not hear us must not be what a task is tried on
 // again and again while there is room elsewhere.
 func (r *Reconciler) noteLostStart(m *fleet.Machine) {
-	if m.UnlistedStarts++; m.UnlistedStarts > 1 {
-		m.RetryAt = r.engine.Now.Add(min(time.Second<<min(m.UnlistedStarts-1, 10), r.workerLease))
+	if m.MissedStarts++; m.MissedStarts > 1 {
+		m.RetryAt = r.engine.Now.Add(min(time.Second<<min(m.MissedStarts-1, 10), r.workerLease))
 	}
 }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -116,7 +116,7 @@
 	capacity Resources
 	bookings []*Booking
 	profile  []usagePoint // in order of time; valid unless stale
-	stale    bool
+	dirty    bool
 }
 
 // New returns an empty timeline of a machine of the given capacity.
@@ -128,7 +128,7 @@
 // Add books b. The caller may change b later, followed by Touch.
 func (t *Timeline) Add(b *Booking) {
 	t.bookings = append(t.bookings, b)
-	t.stale = true
+	t.dirty = true
 }
 
 // Remove takes b off the timeline.
@@ -136,19 +136,19 @@
 	if i := slices.Index(t.bookings, b); i >= 0 {
 		t.bookings[i] = t.bookings[len(t.bookings)-1]
 		t.bookings = t.bookings[:len(t.bookings)-1]
-		t.stale = true
+		t.dirty = true
 	}
 }
 
 // Invalidate tells the timeline that a booking on it has changed.
-func (t *Timeline) Invalidate() { t.stale = true }
+func (t *Timeline) Invalidate() { t.dirty = true }
 
 // points returns the profile of what is booked, rebuilt if a booking has changed.
 func (t *Timeline) points() []usagePoint {
-	if !t.stale {
+	if !t.dirty {
 		return t.profile
 	}
-	t.stale = false
+	t.dirty = false
 	changes := t.profile[:0]
 	for _, b := range t.bookings {
 		if b.Count <= 0 || !b.Start.Before(b.End) {
--- a/internal/topology/rules.go
+++ b/internal/topology/rules.go
@@ -96,7 +96,7 @@
 // placeAt returns the place that a machine shares with others at a level. A machine whose place at
 // that level is not known is a place of its own.
 func placeAt(leaf *Place, level int) (p *Place, known bool) {
-	if p = leaf.At(level); p != nil {
+	if p = leaf.Ancestor(level); p != nil {
 		return p, true
 	}
 	return leaf, false
@@ -147,9 +147,9 @@
 	return ""
 }
 
-// Room returns how many tasks of a job, at most n, the hard rules allow to start on a machine
+// AllowedTasks returns how many tasks of a job, at most n, the hard rules allow to start on a machine
 // one after the other.
-func (t *TaskCounter) Room(j *Job, leaf *Place, n int) int {
+func (t *TaskCounter) AllowedTasks(j *Job, leaf *Place, n int) int {
 	for i := range j.Rules {
 		r := &j.Rules[i]
 		if r.Soft {
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -62,9 +62,9 @@
 	return p.Parent.String() + "/" + p.Name
 }
 
-// At returns the ancestor of p at a level, or p itself. It is nil at levels at which the place of
+// Ancestor returns the ancestor of p at a level, or p itself. It is nil at levels at which the place of
 // a machine is not known.
-func (p *Place) At(level int) *Place {
+func (p *Place) Ancestor(level int) *Place {
 	for p != nil && p.Level > level {
 		p = p.Parent
 	}
@@ -171,16 +171,16 @@
 	return i, i >= 0
 }
 
-// Machine returns the leaf of a machine. It is located where the first matching pattern of host
+// Locate returns the leaf of a machine. It is located where the first matching pattern of host
 // names says, or else the longest network that contains its address; failing both, only its
 // zone is known. A place in another zone than the cloud provider's is a contradiction: it is
 // ignored, and returned so that it can be reported.
-func (t *Tree) Machine(host, address, zone string) (leaf, contradiction *Place) {
+func (t *Tree) Locate(host, address, zone string) (leaf, contradiction *Place) {
 	if p := t.machines[host]; p != nil {
 		return p, nil
 	}
 	at := t.find(host, address)
-	if at != nil && at.At(0).Name != zone {
+	if at != nil && at.Ancestor(0).Name != zone {
 		at, contradiction = nil, at
 	}
 	if at == nil {
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -29,7 +29,7 @@
 		{"h4", "10.2.0.1:9000", "a", "a/h4", ""}, {"h5", "[fd00:1::7]:9000", "a", "a/s1/r2/h5", ""}, {"host-b12", "10.1.4.9:9000", "b", "b/s2/r1/host-b12", ""},
 		{"h6", "10.1.4.10:9000", "c", "c/h6", "a/s1/r1"}, {"h7", "nonsense", "b", "b/h7", ""}, {"h8", "[::ffff:10.1.4.11]:9000", "a", "a/s1/r1/h8", ""},
 	} {
-		p, other := tr.Machine(c.host, c.address, c.zone)
+		p, other := tr.Locate(c.host, c.address, c.zone)
 		got := ""
 		if other != nil {
 			got = other.String()
@@ -37,7 +37,7 @@
 		if p.String() != c.want || got != c.contradicts {
 			t.Errorf("%s stands in %s (not in %q), want %s (%q)", c.host, p, got, c.want, c.contradicts)
 		}
-		if again, _ := tr.Machine(c.host, "", c.zone); again != p {
+		if again, _ := tr.Locate(c.host, "", c.zone); again != p {
 			t.Errorf("%s has two places", c.host)
 		}
 	}
@@ -133,7 +133,7 @@
 		var leaves []*Place
 		for i := range 30 {
 			zone := []string{"a", "a", "b"}[i%3]
-			leaf, _ := tr.Machine(fmt.Sprintf("host-%s%d", zone, i), fmt.Sprintf("10.%d.%d.%d:9000", 1+i/25, 4+i%12, i), zone)
+			leaf, _ := tr.Locate(fmt.Sprintf("host-%s%d", zone, i), fmt.Sprintf("10.%d.%d.%d:9000", 1+i/25, 4+i%12, i), zone)
 			leaves = append(leaves, leaf)
 		}
 		jobs := randomJobs(rng)
@@ -147,7 +147,7 @@
 				plain = plain && plainlyAllows(r, j, leaf, tasks)
 			}
 			_, refusal := tally.Check(j, leaf)
-			if (refusal == nil) != plain || (tally.Room(j, leaf, 5) > 0) != plain {
+			if (refusal == nil) != plain || (tally.AllowedTasks(j, leaf, 5) > 0) != plain {
 				t.Fatalf("seed %d: %s on %s: %+v, plainly %v", seed, j.Key, leaf, refusal, plain)
 			}
 			if plain {
@@ -179,13 +179,13 @@
 // a machine whose place is not known is a place of its own.
 func TestProtocol(t *testing.T) {
 	tr := tree(t)
-	a, _ := tr.Machine("h1", "10.1.4.9:9000", "a")
-	b, _ := tr.Machine("host-b1", "", "b")
-	lost, _ := tr.Machine("h9", "", "a")
-	lost2, _ := tr.Machine("h10", "", "a")
+	a, _ := tr.Locate("h1", "10.1.4.9:9000", "a")
+	b, _ := tr.Locate("host-b1", "", "b")
+	lost, _ := tr.Locate("h9", "", "a")
+	lost2, _ := tr.Locate("h10", "", "a")
 	tally := NewTaskCounter()
 	apart := &Job{Key: "x", Tasks: 5, Rules: []Rule{Apart}}
-	if n := tally.Room(apart, a, 9); n != 3 { // 5 of 9, 3 of 5, 1 of 1
+	if n := tally.AllowedTasks(apart, a, 9); n != 3 { // 5 of 9, 3 of 5, 1 of 1
 		t.Error("apart lets", n, "of 5 start in a zone")
 	}
 	same := &Job{Key: "y", Tasks: 2, Rules: []Rule{SamePlace}}
@@ -222,7 +222,7 @@
 			tr, tally := tree(b), NewTaskCounter()
 			var leaf *Place
 			for i := range n {
-				leaf, _ = tr.Machine(fmt.Sprint("h", i), fmt.Sprintf("10.1.%d.%d:9000", i/250%256, i%250), "a")
+				leaf, _ = tr.Locate(fmt.Sprint("h", i), fmt.Sprintf("10.1.%d.%d:9000", i/250%256, i%250), "a")
 				tally.Add(fmt.Sprint("job", i), leaf, 1)
 			}
 			j := &Job{Key: "x", Tasks: 100, Rules: []Rule{{Kind: Spread, Level: 2, MaxPerPlace: 4}, Apart, {Kind: AntiAffinity, Level: 3, Target: "y"}}}
