--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -1,5 +1,3 @@
-// Package fleet holds what the leader knows of machines, jobs, attempts of tasks and
-// reservations. It decides nothing.
 package fleet
 
 import (
@@ -9,36 +7,36 @@
 	"yewpass/internal/timeline"
 )
 
-// Attempt is one attempt of a task on a machine: from the order to start it until
-// the worker has forgotten it.
+// Attempt is one attempt to run a task on a machine. It exists from the start order until the
+// worker has confirmed that it no longer keeps the task.
 type Attempt struct {
 	ID               heartbeat.TaskID
 	Number           uint64
 	Machine          *Machine
-	Job              *Job // nil: of no job that we know
+	Job              *Job // nil if the job is not known
 	Need             timeline.Resources
 	Phase            heartbeat.Phase
-	HoldsResources   bool   // counts against machine, team and job
-	OrderedCounter   uint64 // the counter of the report whose reply carried the start
+	HoldsResources   bool   // its resources are charged to machine, team and job
+	OrderedCounter   uint64 // heartbeat counter whose reply carried the start order
 	OrderedAt        time.Time
-	StartedAt        time.Time // first reported as running
-	StartTimeUnknown bool      // it ran before that, nobody knows for how long
+	StartedAt        time.Time // when a heartbeat first listed it as running
+	StartTimeUnknown bool      // it was already running when this leader first saw it
 	Reservation      *timeline.Booking
-	Forgettable      bool   // exited, and the worker may forget it
-	CountedAsRunning bool   // among its job's running tasks
-	Orphaned         bool   // of a job whose record cannot be read
-	LastListed       uint64 // number of the last report that listed it
-	StopRequested    bool   // to be stopped
+	Forgettable      bool   // it has exited, and the worker may discard it
+	CountedAsRunning bool   // it is included in Job.Running
+	Orphaned         bool   // the record of its job cannot be read
+	LastListed       uint64 // number of the last heartbeat that listed it
+	StopRequested    bool   // it is to be stopped
 	DrainTime        time.Duration
-	StopSentAt       time.Time // when the stop first went out
+	StopSentAt       time.Time // when the stop order was first sent
 }
 
-// Ordered is the phase of an attempt whose start is in a reply that no later report has
-// confirmed yet. Workers report the phases after it.
+// Ordered is the phase of an attempt whose start order has been created but not yet confirmed by a
+// heartbeat. Workers report only the phases that follow.
 const Ordered = heartbeat.Phase("ordered")
 
-// SetRunning counts the attempt among its job's running tasks, or no longer. It reports
-// whether that is a change.
+// SetRunning adds the attempt to its job's running tasks or removes it. It reports whether that
+// changed the count.
 func (a *Attempt) SetRunning(runs bool) bool {
 	if a.CountedAsRunning == runs || a.Job == nil {
 		return false
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -59,18 +59,18 @@
 	}
 }
 
-func TestOccupancy(t *testing.T) {
+func TestReservationDuration(t *testing.T) {
 	m, j := newMachine(), newJob()
 	if d := ReservationDuration(j, m, time.Minute); d != time.Minute+2*time.Second {
-		t.Errorf("%v with the fetch of the image", d)
+		t.Errorf("machine without the image: reserved for %v, want 1m2s", d)
 	}
 	m.Images.Add("img", struct{}{})
 	if d := ReservationDuration(j, m, time.Minute); d != time.Minute {
-		t.Errorf("%v where the image is", d)
+		t.Errorf("machine with the image: reserved for %v, want 1m0s", d)
 	}
 	j.Spec.Service = true
 	if d := ReservationDuration(j, m, time.Minute); d != timeline.Forever {
-		t.Errorf("%v for a service", d)
+		t.Errorf("service: reserved for %v, want timeline.Forever", d)
 	}
 }
 
@@ -81,33 +81,33 @@
 	}
 	for from := range 5 {
 		if a := m.FindAttempt(heartbeat.TaskID{Job: "wk-1", Index: 1}, 11, from); a != m.Attempts[1] {
-			t.Errorf("from %d: %+v", from, a)
+			t.Errorf("search from %d: found %+v, want attempt 11", from, a)
 		}
 		if a := m.FindAttempt(heartbeat.TaskID{Job: "wk-1", Index: 1}, 12, from); a != nil {
-			t.Errorf("from %d: another attempt: %+v", from, a)
+			t.Errorf("search from %d: found %+v for another attempt number, want nil", from, a)
 		}
 	}
 	if a := newMachine().FindAttempt(heartbeat.TaskID{}, 1, 0); a != nil {
-		t.Errorf("on an idle machine: %+v", a)
+		t.Errorf("idle machine: found %+v, want nil", a)
 	}
 }
 
-// TestExpireLease: the incarnation whose lease is over is remembered only if it has reported.
+// TestExpireLease checks that ExpiredIncarnation is updated only if the machine has reported.
 func TestExpireLease(t *testing.T) {
 	m := newMachine()
 	m.Reported, m.Incarnation, m.LastReply = true, 3, t0
 	m.ExpireLease()
 	if m.Reported || !m.LeaseExpired || m.ExpiredIncarnation != 3 || !m.LastReply.IsZero() {
-		t.Errorf("%+v", m.Heartbeats)
+		t.Errorf("after the lease of incarnation 3 expired: %+v", m.Heartbeats)
 	}
 	m.Incarnation = 4
 	if m.ExpireLease(); m.ExpiredIncarnation != 3 {
-		t.Errorf("incarnation %d has not reported", m.ExpiredIncarnation)
+		t.Errorf("expired incarnation %d, want 3: incarnation 4 has not reported", m.ExpiredIncarnation)
 	}
 }
 
-// TestQueue: jobs stand by their first reservation, then by submission, then by name, and move
-// as their reservations do.
+// TestQueue checks that jobs are ordered by the queue time of their first reservation, then by
+// submission, then by ID, and that Reposition moves and removes them.
 func TestQueue(t *testing.T) {
 	var q Queue
 	add := func(id string, start, yield, submitted time.Duration) *Job {
@@ -120,11 +120,11 @@
 	check := func(want ...string) {
 		t.Helper()
 		if len(q) != len(want) {
-			t.Fatalf("%d jobs, want %v", len(q), want)
+			t.Fatalf("%d jobs in the queue, want %v", len(q), want)
 		}
 		for i, j := range q {
 			if j.Spec.ID != want[i] || !j.Queued {
-				t.Errorf("place %d: %s (queued %v), want %s", i, j.Spec.ID, j.Queued, want[i])
+				t.Errorf("position %d: %s (queued %v), want %s", i, j.Spec.ID, j.Queued, want[i])
 			}
 		}
 	}
@@ -140,13 +140,13 @@
 	q.Reposition(early)
 	check("late", "a", "b")
 	if early.Queued {
-		t.Error("without reservations and queued")
+		t.Error("job without reservations is still marked as queued")
 	}
 	q.Reposition(early)
 	check("late", "a", "b")
 }
 
-func TestCountRunning(t *testing.T) {
+func TestSetRunning(t *testing.T) {
 	j := newJob()
 	a := &Attempt{Job: j}
 	for _, step := range []struct {
@@ -154,14 +154,14 @@
 		running       int
 	}{{false, false, 0}, {true, true, 1}, {true, false, 1}, {false, true, 0}} {
 		if changed := a.SetRunning(step.runs); changed != step.changed || j.Running != step.running {
-			t.Errorf("%+v: changed %v, %d running", step, changed, j.Running)
+			t.Errorf("step %+v: changed %v, %d running", step, changed, j.Running)
 		}
 	}
 	if !j.HasRun {
-		t.Error("has not run")
+		t.Error("HasRun is false after an attempt was running")
 	}
 	if (&Attempt{}).SetRunning(true) {
-		t.Error("counted for no job")
+		t.Error("SetRunning reports a change for an attempt without a job")
 	}
 }
 
@@ -169,25 +169,25 @@
 	j := newJob()
 	j.Remaining = 3
 	if v := j.View(); v.State != spec.Queued || v.Done != 1 {
-		t.Errorf("%+v", v)
+		t.Errorf("job without running tasks: %+v, want queued with 1 done", v)
 	}
 	j.Running = 2
 	if v := j.View(); v.State != spec.Running || v.Running != 2 {
-		t.Errorf("%+v", v)
+		t.Errorf("job with running tasks: %+v, want running with 2 tasks", v)
 	}
 	j.Cancelled = true
 	if v := j.View(); v.State != spec.Cancelled || !j.Halted() {
-		t.Errorf("%+v", v)
+		t.Errorf("cancelled job: %+v, want cancelled and halted", v)
 	}
 }
 
-func TestPerCPU(t *testing.T) {
+func TestPricePerCPU(t *testing.T) {
 	m := newMachine()
 	if p := m.PricePerCPU(); p != 2 {
-		t.Errorf("on demand: %v", p)
+		t.Errorf("on-demand price per CPU %v, want 2", p)
 	}
 	m.Spot = true
 	if p := m.PricePerCPU(); p != 1 {
-		t.Errorf("spot: %v", p)
+		t.Errorf("spot price per CPU %v, want 1", p)
 	}
 }
--- a/internal/fleet/heldreply.go
+++ b/internal/fleet/heldreply.go
@@ -7,25 +7,28 @@
 	"yewpass/internal/relay"
 )
 
-// RelayLink is the leader's end of its link to a relay.
+// RelayLink is the leader's side of the connection to a relay, which aggregates the heartbeats of
+// many workers.
 type RelayLink struct {
 	Decoder    relay.Decoder
-	LastBatch  time.Time     // when its last batch was decoded
-	LastSilent time.Time     // when it was last found to be silent
-	Workers    int           // that report through it
+	LastBatch  time.Time     // when the last batch was decoded
+	LastSilent time.Time     // when the relay was last found silent
+	Workers    int           // number of workers that report through the relay
 	Replies    []relay.Reply // not yet sent
-	Weight     int           // of Replies
+	Weight     int           // total weight of Replies, see relay.Reply.Weight
 }
 
-// HeartbeatKey identifies a heartbeat whose reply is held. Ref is unique per session only.
+// HeartbeatKey identifies a heartbeat whose reply is held. Ref is unique only within one relay
+// session.
 type HeartbeatKey struct {
 	Via heartbeat.RelaySession
 	Ref uint64
 }
 
-// HeldReply is a heartbeat whose reply is held until there is something to say.
+// HeldReply is a heartbeat that the leader has not answered yet because there are no orders for the
+// machine (long polling).
 type HeldReply struct {
 	HeartbeatKey
 	Since  time.Time
-	Report heartbeat.Report // if it came in on our own socket: forwarded to the next leader
+	Report heartbeat.Report // set if the node received it directly; forwarded to the next leader
 }
--- a/internal/fleet/job.go
+++ b/internal/fleet/job.go
@@ -1,5 +1,5 @@
-// Package fleet is the state that the leader keeps of machines, jobs, the attempts of
-// their tasks, and the reservations that bind them. It decides nothing.
+// Package fleet defines the leader's in-memory state of machines, jobs, task attempts and
+// reservations. It makes no scheduling decisions.
 package fleet
 
 import (
@@ -18,20 +18,20 @@
 	"yewpass/internal/writebatch"
 )
 
-// MaxFailedMachines is on how many machines a job's tasks must have failed for it to be
-// tried on them again: then it is the job.
+// MaxFailedMachines is the number of machines on which a job's tasks may fail before those machines
+// are excluded no longer. Failures on more machines are attributed to the job.
 const MaxFailedMachines = 2
 
-// Job is an accepted job that is not over.
+// Job is an accepted job that has not finished.
 type Job struct {
 	Spec             spec.Job
 	Need             timeline.Resources
-	Submitted        time.Time // on the core's clock
+	Submitted        time.Time // on the clock of this node
 	Record           *record.Job
-	FromEarlierTerm  bool         // accepted in an earlier term: its tasks may be anywhere
-	Placement        topology.Job // its rules on places
+	FromEarlierTerm  bool         // accepted in an earlier term, so its tasks may run on any machine
+	Placement        topology.Job // placement rules
 	Team             *quota.Account
-	LatencySensitive bool // must start at once
+	LatencySensitive bool // its class has an objective on the waiting time
 
 	Progress
 	Queueing
@@ -39,25 +39,25 @@
 	Finalization
 }
 
-// Progress is what a job's tasks have come to.
+// Progress is the execution state of a job's tasks.
 type Progress struct {
-	Done                  bitset.Set             // completed
-	Pending               bitset.Set             // neither done nor on a machine
-	Waiting               int                    // members of pending
-	Remaining             int                    // tasks not done
-	Attempts              map[int]*Attempt       // tasks on machines, or that may be
-	Running               int                    // tasks that workers report as running or checkpointing
-	UnrecordedCompletions []*Attempt             // completed, and not known to be on record
-	AnyCompleted          bool                   // a task has completed
-	HasRun                bool                   // a task of it has run, or is done
-	StartRecorded         bool                   // and has been noted to have started
-	Runtime               estimate.MovingAverage // seconds that its tasks took
-	ChunkRevisions        map[int]uint64         // revisions of the progress records
-	DirtyChunks           map[int]bool           // chunks with changes not yet on their way
+	Done                  bitset.Set             // completed tasks
+	Pending               bitset.Set             // tasks neither completed nor on a machine
+	Waiting               int                    // number of pending tasks
+	Remaining             int                    // number of tasks not completed
+	Attempts              map[int]*Attempt       // attempts by task index that are or may be on a machine
+	Running               int                    // number of tasks reported as running or checkpointing
+	UnrecordedCompletions []*Attempt             // completions that are not known to be stored
+	AnyCompleted          bool                   // at least one task has completed
+	HasRun                bool                   // at least one task has run or completed
+	StartRecorded         bool                   // the start has been added to the history of its schedule
+	Runtime               estimate.MovingAverage // observed runtime in seconds
+	ChunkRevisions        map[int]uint64         // store revisions of the progress records
+	DirtyChunks           map[int]bool           // progress records with changes not yet being written
 }
 
-// NewProgress returns the progress of a job that has so many tasks, of which nothing is known
-// yet.
+// NewProgress returns the progress of a job with the given number of tasks, none of which is marked
+// as pending, running or done.
 func NewProgress(tasks int) Progress {
 	return Progress{
 		Done: bitset.New(tasks), Pending: bitset.New(tasks), Remaining: tasks, Attempts: map[int]*Attempt{},
@@ -65,38 +65,39 @@
 	}
 }
 
-// Queueing is a job's reservations and its place in the queue.
+// Queueing holds a job's reservations and its position in the queue.
 type Queueing struct {
-	Reserved              int            // members of pending that have a place in the queue
-	Reservations          []*Reservation // places in the queue, in order
-	QueueTime             time.Time      // of the first, while queued
+	Reserved              int            // number of pending tasks covered by Reservations
+	Reservations          []*Reservation // in queue order
+	QueueTime             time.Time      // queue time of the first reservation, while Queued
 	Queued                bool
-	ReservationPending    bool      // reservations are to be made soon
-	LastRefreshed         time.Time // when its reservations were last renewed
-	MissedObjectivesUntil time.Time // objectives up to this are out of reach
-	ImageLocalUntil       time.Time // until then it starts only where its image is
+	ReservationPending    bool      // a call of Reserve is scheduled
+	LastRefreshed         time.Time // when new slots were last searched
+	MissedObjectivesUntil time.Time // objectives up to this time cannot be met
+	ImageLocalUntil       time.Time // until then only machines that have its image may start it
 }
 
-// FailureHistory is how a job's tasks have failed.
+// FailureHistory records failures of a job's tasks.
 type FailureHistory struct {
-	FailedOn map[string]bool // machines on which its tasks failed
-	Failures int             // since a task last completed
-	RetryAt  time.Time       // not before this, after failures
+	FailedOn map[string]bool // machines on which a task failed
+	Failures int             // number of failures since a task last completed
+	RetryAt  time.Time       // tasks must not start before this time
 }
 
-// Finalization is how far a job's cancellation or completion has got.
+// Finalization is the progress of a job's cancellation or completion.
 type Finalization struct {
-	Cancelling   bool               // a cancellation has been begun
-	Cancelled    bool               // and has been committed
-	Finishing    bool               // the final record is on its way
-	FinalChange  *writebatch.Change // whichever of the two is on its way
-	FinalWaiters []request.Request  // who waits for it
+	Cancelling   bool               // the cancellation is being written
+	Cancelled    bool               // the cancellation has been committed
+	Finishing    bool               // the final record is being written
+	FinalChange  *writebatch.Change // the cancellation or final record being written
+	FinalWaiters []request.Request  // requests to answer when the job has ended
 }
 
-// Halted reports whether no task of the job may start any more.
+// Halted reports whether the job has been or is being cancelled or finished, so that none of its
+// tasks may start.
 func (j *Job) Halted() bool { return j.Cancelled || j.Cancelling || j.Finishing }
 
-// View returns what a user is told of the job.
+// View returns the status of the job that is reported to users.
 func (j *Job) View() request.JobStatus {
 	v := request.JobStatus{ID: j.Spec.ID, State: spec.Queued, Done: j.Spec.Tasks - j.Remaining, Running: j.Running}
 	switch {
@@ -108,8 +109,8 @@
 	return v
 }
 
-// Before reports whether the job stands before another one in the queue: by the time of
-// its first reservation, then by submission.
+// Before reports whether the job precedes o in the queue. Jobs are ordered by the queue time of
+// their first reservation, then by submission, then by ID.
 func (j *Job) Before(o *Job) bool {
 	if x := j.QueueTime.Compare(o.QueueTime); x != 0 {
 		return x < 0
@@ -120,10 +121,12 @@
 	return j.Spec.ID < o.Spec.ID
 }
 
-// AllowsInstanceType reports whether the job may run on machines of the named type.
+// AllowsInstanceType reports whether the job may run on the named instance type. An empty list in
+// the job allows all types.
 func AllowsInstanceType(s *spec.Job, name string) bool {
 	return len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, name)
 }
 
-// OfferedIn reports whether the cloud offers the instance type in the zone.
+// OfferedIn reports whether the cloud offers the instance type in the zone, according to its
+// catalog.
 func OfferedIn(f *provider.InstanceType, zone string) bool { return slices.Contains(f.Zones, zone) }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -14,7 +14,7 @@
 	"yewpass/internal/zones"
 )
 
-// PricePerCPU returns the price of one CPU of the machine.
+// PricePerCPU returns the hourly price of the machine divided by its CPUs.
 func (m *Machine) PricePerCPU() float64 {
 	if m.Spot {
 		return m.InstanceType.SpotRate / m.InstanceType.CPUs
@@ -22,32 +22,32 @@
 	return m.InstanceType.OnDemandRate / m.InstanceType.CPUs
 }
 
-// ToRecord returns the machine as a record names it.
+// ToRecord returns the part of the machine's state that is written to the store.
 func (m *Machine) ToRecord() record.Machine {
 	return record.Machine{Host: m.Host, Address: m.Address, InstanceType: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
-// maxKnownImages is how many images a machine is taken to have: the most recently used,
-// as its own cache keeps them. Image names are chosen by users, so the set needs a bound.
+// maxKnownImages bounds the set of images that a machine is assumed to have. Like the machine's own
+// cache, it keeps the most recently used ones. Users choose image names, so the set needs a bound.
 const maxKnownImages = 128
 
-// NewImages returns an empty set of images that a machine has.
+// NewImages returns an empty set of images, which evicts the least recently used one when full.
 func NewImages() *simplelru.LRU[string, struct{}] {
-	images, _ := simplelru.NewLRU[string, struct{}](maxKnownImages, nil) // errs only for a size below 1
+	images, _ := simplelru.NewLRU[string, struct{}](maxKnownImages, nil) // fails only for sizes below 1
 	return images
 }
 
-// RecordStatus says whether a machine is on record.
+// RecordStatus says whether the store has a record of a machine.
 type RecordStatus int
 
-// The states of a machine's record.
+// Record states of a machine.
 const (
 	Unrecorded RecordStatus = iota
-	Recording               // the write that names it is on its way
+	Recording               // the write is in progress
 	Recorded
 )
 
-// Machine is a rented machine.
+// Machine is a machine rented from the cloud.
 type Machine struct {
 	Identity
 	RecordState
@@ -57,73 +57,74 @@
 	Health
 }
 
-// Identity is what a machine is and where it stands.
+// Identity describes a machine and its location.
 type Identity struct {
 	Host, TypeName, Zone string
 	Address              string
-	Place                *topology.Place        // where it stands
-	ZoneState            *zones.Zone            // and how that zone is
-	InstanceType         *provider.InstanceType // nil while the catalog is unknown
+	Place                *topology.Place        // location in the topology
+	ZoneState            *zones.Zone            // availability of its zone
+	InstanceType         *provider.InstanceType // nil until the catalog is known
 	Spot                 bool
 }
 
-// RecordState is how far a machine is on record: a successor must know of it before it
-// may hold tasks.
+// RecordState says whether the machine has been recorded in the store. Tasks start only on recorded
+// machines, so that the next leader knows of every machine that may run tasks.
 type RecordState struct {
 	Record     RecordStatus
-	RecordedIn *Record // the record that names it
+	RecordedIn *Record // the record that includes the machine
 }
 
-// Heartbeats is what a machine has reported and been told.
+// Heartbeats is the state of the heartbeat exchange with a machine.
 type Heartbeats struct {
-	Reported             bool // in this term
-	Probed               bool // and that only in answer to a probe
-	FailedProbes         int  // probes in vain
+	Reported             bool // has sent a heartbeat in this term
+	Probed               bool // has only answered a probe in this term
+	FailedProbes         int  // consecutive probes without an answer
 	Incarnation, Counter uint64
 	FencingToken         uint64
-	ExpiredIncarnation   uint64    // its lease under incarnations up to this one is surely over
-	LastHeartbeat        time.Time // last report
-	LastReply            time.Time // last answered report
+	ExpiredIncarnation   uint64    // leases of incarnations up to this one have expired
+	LastHeartbeat        time.Time // when the last heartbeat was received
+	LastReply            time.Time // when the last reply was sent
 	HeldReply            *HeldReply
-	UnacknowledgedSince  time.Time  // first answered in this term, and has not shown that it heard
-	MissedStarts         int        // in a row: starts that its next report did not list
-	Relay                *RelayLink // by which it reports, among whose workers it counts
+	UnacknowledgedSince  time.Time  // first reply of this term, until a heartbeat acknowledges it
+	MissedStarts         int        // consecutive start orders that the following heartbeat did not list
+	Relay                *RelayLink // relay that forwards its heartbeats; nil if it reports directly
 	LastRedirect         time.Time  // when it was last redirected to another node
-	DispatchPending      bool       // has orders that need not wait for its next report
+	DispatchPending      bool       // has orders to send without waiting for the next heartbeat
 }
 
-// Lifecycle is when a machine came and why it is to go.
+// Lifecycle holds the times and flags of a machine's rental, from start to release.
 type Lifecycle struct {
-	FirstSeen      time.Time // known to us
+	FirstSeen      time.Time // when this leader first learned of it
 	RentedAt       time.Time
-	ReadyAt        time.Time // expected, while it boots
-	IdleSince      time.Time // since when nothing runs or is reserved
+	ReadyAt        time.Time // expected end of booting
+	IdleSince      time.Time // when it last became idle
 	Releasing      bool
-	Draining       bool      // its work fits elsewhere: no new tasks, then it is released
-	InterruptionAt time.Time // the cloud takes it away
+	Draining       bool      // accepts no new tasks and is released once its tasks have ended
+	InterruptionAt time.Time // announced time of the spot interruption; zero if none
 }
 
-// Load is what runs on a machine and what is reserved there.
+// Load is what runs on a machine and what is reserved on it.
 type Load struct {
 	Timeline     *timeline.Timeline
 	Attempts     []*Attempt
-	Reservations []*Reservation // of tasks that wait
+	Reservations []*Reservation // reservations of pending tasks
 	Allocated    timeline.Resources
-	WarmReserve  int64                            // CPUs, in thousandths, kept free for work that must start at once
-	Images       *simplelru.LRU[string, struct{}] // that it has, as far as we know
+	WarmReserve  int64                            // millicores kept free for latency-sensitive jobs
+	Images       *simplelru.LRU[string, struct{}] // images that it is assumed to have
 }
 
-// Health is what keeps tasks off a machine.
+// Health holds the conditions that keep tasks off a machine.
 type Health struct {
 	Quarantined  bool
-	LeaseExpired bool      // its lease is over and it has not reported since
-	Unreachable  bool      // silent, in a zone that seems to be cut off
-	RetryAt      time.Time // after a refused start
+	LeaseExpired bool      // its lease has expired and it has not sent a heartbeat since
+	Unreachable  bool      // silent, in a zone that appears to be disconnected
+	RetryAt      time.Time // no starts before this time, after a refused start
 	FailureScore int
-	OnProbation  bool // its last task failed: one task at a time until one completes
+	OnProbation  bool // its last task failed; it runs one task at a time until one completes
 }
 
-// NewMachine returns a machine that has just become known. Its capacity is not known yet.
+// NewMachine returns a machine first seen at now. Its capacity is zero until the caller sets its
+// timeline.
 func NewMachine(id Identity, now time.Time) *Machine {
 	return &Machine{
 		Identity:  id,
@@ -132,8 +133,8 @@
 	}
 }
 
-// ExpireLease notes that the machine's lease is over: until it reports under a later
-// incarnation nothing of it counts.
+// ExpireLease marks the machine's lease as expired. If the machine has reported in this term, later
+// heartbeats of the same incarnation are stale.
 func (m *Machine) ExpireLease() {
 	if m.Reported {
 		m.ExpiredIncarnation = m.Incarnation
@@ -142,18 +143,18 @@
 	m.LastReply = time.Time{}
 }
 
-// Schedulable reports whether room may be reserved on the machine for new tasks.
+// Schedulable reports whether new tasks may be reserved on the machine.
 func (m *Machine) Schedulable() bool {
 	return m.InstanceType != nil && !m.Releasing && !m.Draining && !m.Quarantined && !m.LeaseExpired && !m.Unreachable && m.InterruptionAt.IsZero()
 }
 
-// FreeResources returns the resources that no attempt occupies.
+// FreeResources returns the capacity that no attempt holds.
 func (m *Machine) FreeResources() timeline.Resources {
 	return m.Timeline.Capacity().Add(m.Allocated, -1)
 }
 
-// FindAttempt returns the attempt of a task, or nil. Workers list tasks in the order in
-// which they were started, as Attempts does, so the search begins at that index.
+// FindAttempt returns the given attempt of a task, or nil. Workers list tasks in start order, like
+// Attempts, so the search begins at index from.
 func (m *Machine) FindAttempt(id heartbeat.TaskID, try uint64, from int) *Attempt {
 	n := len(m.Attempts)
 	for i := range n {
@@ -164,7 +165,8 @@
 	return nil
 }
 
-// EligibleFor reports whether the job's tasks may run on the machine at all.
+// EligibleFor reports whether the machine satisfies the job's constraints: spot, instance type,
+// zone, capacity and earlier failures. It does not consider what is free now.
 func (m *Machine) EligibleFor(j *Job) bool {
 	s := &j.Spec
 	return m.Schedulable() && (!m.Spot || s.AllowSpot) && AllowsInstanceType(s, m.TypeName) &&
@@ -172,12 +174,13 @@
 		(len(j.FailedOn) == 0 || !j.FailedOn[m.Host] || len(j.FailedOn) > MaxFailedMachines)
 }
 
-// HasReservationOf reports whether room is reserved on the machine for tasks of the job.
+// HasReservationOf reports whether any of the job's reservations is on the machine.
 func (m *Machine) HasReservationOf(j *Job) bool {
 	return slices.ContainsFunc(m.Reservations, func(b *Reservation) bool { return b.Job == j })
 }
 
-// CanStartNow reports whether the job's tasks could start on the machine right away.
+// CanStartNow reports whether the machine has the job's image and enough free resources to start a
+// task now.
 func (m *Machine) CanStartNow(j *Job) bool {
 	return m.Reported && m.Schedulable() && m.Images.Contains(j.Spec.Image) && j.Need.Fits(m.FreeResources())
 }
--- a/internal/fleet/queue.go
+++ b/internal/fleet/queue.go
@@ -5,13 +5,13 @@
 	"sort"
 )
 
-// Queue is the jobs that have reservations, ordered by the time of their first one and then
-// by submission. Walking it, with every job moving on to its next reservation as it is
-// served, visits all reservations in order of time at the cost of the jobs alone.
+// Queue holds the jobs that have reservations, ordered by the queue time of their first reservation
+// and then by submission. A job is repositioned by its next reservation when the first is consumed,
+// so a walk visits all reservations in queue order although the queue has one entry per job.
 type Queue []*Job
 
-// Reposition moves the job to the place of its first reservation, or removes it when it
-// has none.
+// Reposition moves the job to the position of its first reservation, inserting it if needed, or
+// removes it if it has no reservations.
 func (q *Queue) Reposition(j *Job) {
 	if j.Queued {
 		if len(j.Reservations) > 0 && j.Reservations[0].QueueTime().Equal(j.QueueTime) {
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -6,21 +6,20 @@
 	"yewpass/internal/writebatch"
 )
 
-// Record is a record that names machines which may hold tasks. Only once it is
-// committed do tasks start on a machine, so a successor that reads the records
-// knows where to look. Machines come up by the dozen on a large fleet and leave
-// the same way; together they cost a write or two.
+// Record is a stored record that lists machines which may run tasks. Tasks start on a machine only
+// after its record is committed, so the next leader finds every such machine. Many machines share a
+// record to save writes when a fleet grows or shrinks.
 type Record struct {
 	Key         string
-	Revision    uint64 // of the record
+	Revision    uint64 // store revision
 	Machines    []*Machine
-	Size        int                 // bytes, estimated
-	WriteQueued bool                // a change of it waits
-	Priority    writebatch.Priority // how pressing
+	Size        int                 // estimated size in bytes
+	WriteQueued bool                // a change is queued for writing
+	Priority    writebatch.Priority // priority of the queued write
 	WrittenAt   time.Time
 }
 
-// RecordSize returns about how many bytes of a record the machine takes.
+// RecordSize returns the approximate number of bytes that the machine takes in a record.
 func RecordSize(m *Machine) int {
 	r := m.ToRecord()
 	return r.Size()
--- a/internal/fleet/reservation.go
+++ b/internal/fleet/reservation.go
@@ -7,21 +7,22 @@
 	"yewpass/internal/timeline"
 )
 
-// Reservation reserves room for waiting tasks of one job on one machine's timeline.
-// Without a machine it only keeps their place in the queue.
+// Reservation reserves a slot on a machine's timeline for pending tasks of one job. Without a
+// machine it only holds the job's position in the queue.
 type Reservation struct {
 	timeline.Booking
 	Job               *Job
 	Machine           *Machine
-	QueueDelay        time.Duration // by how much it is put back in the queue
-	QueueDelayPerTask time.Duration // by how much less for every task of the job that starts
+	QueueDelay        time.Duration // how far it is moved back in the queue
+	QueueDelayPerTask time.Duration // reduction of QueueDelay for each task of the job that starts
 }
 
-// QueueTime returns the time that decides the reservation's place in the queue.
+// QueueTime returns the time that determines the reservation's position in the queue.
 func (b *Reservation) QueueTime() time.Time { return b.Start.Add(b.QueueDelay) }
 
-// ReservationDuration returns for how long a task of the job is reserved on the machine if it runs for
-// base, with the time to fetch its image if the machine lacks it.
+// ReservationDuration returns how long a slot on the machine is reserved for a task of the job that
+// runs for base: base plus the time to fetch the image if the machine lacks it. Services are
+// reserved until timeline.Forever.
 func ReservationDuration(j *Job, m *Machine, base time.Duration) time.Duration {
 	if j.Spec.Service {
 		return timeline.Forever
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,6 +1,5 @@
-// Package timeline keeps the bookings of one machine and answers when a task
-// fits on it: latest feasible start (the paper's GetTimeToStart, generalised to
-// several resources) and earliest fit. It is pure: no clock, no I/O.
+// Package timeline keeps the resource bookings of one machine over time, and computes the latest or
+// earliest time at which a task fits. It uses neither clocks nor I/O.
 package timeline
 
 import (
@@ -9,23 +8,23 @@
 	"time"
 )
 
-// Resources is an amount of CPUs, GPUs and memory in thousandths, so that sums
-// of decimal amounts such as 1.1 GB stay exact.
+// Resources is an amount of CPUs, GPUs and memory (in GB) in thousandths. Integers keep sums of
+// decimal amounts such as 1.1 GB exact.
 type Resources struct {
 	CPU, GPU, Mem int64
 }
 
-// maxAmount bounds an amount, in thousandths: above anything that input checks let through,
-// and far below where sums over all tasks of a job would overflow.
+// maxAmount bounds an amount, in thousandths. It exceeds every amount that validation accepts, and
+// sums over all tasks of a job do not overflow.
 const maxAmount = 1 << 40
 
-// roundingTolerance is how far from a whole number of thousandths, relative to the amount,
-// a decimal amount may be through its binary form alone.
+// roundingTolerance is the relative error up to which an amount counts as a whole number of
+// thousandths, to absorb the binary representation of decimal fractions.
 const roundingTolerance = 1e-6
 
-// ToMilli returns a decimal amount in thousandths, rounded up for what a task takes and
-// down for what a machine has, so that rounding never overbooks. NaN counts as more than any
-// machine has when rounded up, and as nothing when rounded down.
+// ToMilli converts a decimal amount to thousandths. It rounds requests up and capacities down, so
+// that rounding never overbooks a machine. NaN converts to the maximum when rounding up and to 0
+// when rounding down.
 func ToMilli(amount float64, roundUp bool) int64 {
 	scaled := amount * 1000
 	switch {
@@ -44,8 +43,8 @@
 	return int64(math.Floor(scaled))
 }
 
-// Seconds returns a decimal number of seconds as a duration, Forever at most: the conversion
-// of what a duration cannot hold is undefined. NaN counts as 0.
+// Seconds converts a decimal number of seconds to a duration, limited to ±Forever because
+// converting an out-of-range value is undefined. NaN converts to 0.
 func Seconds(seconds float64) time.Duration {
 	switch limit := Forever.Seconds(); {
 	case math.IsNaN(seconds):
@@ -58,80 +57,80 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Need returns what a task takes.
+// Need returns the resources that a task requests, rounded up.
 func Need(cpus, gpus, memGB float64) Resources {
 	return Resources{ToMilli(cpus, true), ToMilli(gpus, true), ToMilli(memGB, true)}
 }
 
-// Capacity returns what a machine has.
+// Capacity returns the resources that a machine provides, rounded down.
 func Capacity(cpus, gpus, memGB float64) Resources {
 	return Resources{ToMilli(cpus, false), ToMilli(gpus, false), ToMilli(memGB, false)}
 }
 
-// Add returns r plus n times o.
+// Add returns r plus n times o; n may be negative.
 func (r Resources) Add(o Resources, n int) Resources {
 	return Resources{r.CPU + int64(n)*o.CPU, r.GPU + int64(n)*o.GPU, r.Mem + int64(n)*o.Mem}
 }
 
-// Fits reports whether r fits into room.
-func (r Resources) Fits(room Resources) bool {
-	return r.CPU <= room.CPU && r.GPU <= room.GPU && r.Mem <= room.Mem
+// Fits reports whether r fits into available in every dimension.
+func (r Resources) Fits(available Resources) bool {
+	return r.CPU <= available.CPU && r.GPU <= available.GPU && r.Mem <= available.Mem
 }
 
-// CopiesWithin returns how often r fits into room, at most limit.
-func (r Resources) CopiesWithin(room Resources, limit int) int {
+// CopiesWithin returns how many copies of r fit into available, at most limit.
+func (r Resources) CopiesWithin(available Resources, limit int) int {
 	n := int64(limit)
-	n = limitCopies(n, r.CPU, room.CPU)
-	n = limitCopies(n, r.GPU, room.GPU)
-	n = limitCopies(n, r.Mem, room.Mem)
+	n = limitCopies(n, r.CPU, available.CPU)
+	n = limitCopies(n, r.GPU, available.GPU)
+	n = limitCopies(n, r.Mem, available.Mem)
 	return int(max(n, 0))
 }
 
-// limitCopies returns n, or how often need fits into room if that is less.
-func limitCopies(n, need, room int64) int64 {
+// limitCopies returns the smaller of n and the number of copies of need that fit into available.
+func limitCopies(n, need, available int64) int64 {
 	if need <= 0 {
 		return n
 	}
-	return min(n, room/need)
+	return min(n, available/need)
 }
 
-// Forever ends the booking of a service, which runs until it is cancelled.
+// Forever is the length of the booking of a service, which runs until it is cancelled.
 const Forever = 20 * 365 * 24 * time.Hour
 
-// Booking reserves room for Count equal tasks from Start to End.
+// Booking books resources for Count equal tasks from Start until End.
 type Booking struct {
 	Start, End time.Time
 	Need       Resources
 	Count      int
 }
 
-// usagePoint is a time at which what is booked changes.
+// usagePoint is a time at which the booked resources change.
 type usagePoint struct {
 	at   time.Time
-	used Resources // from then on, until the next point
+	used Resources // booked from at until the next point
 }
 
-// Timeline is the bookings of one machine. The zero value has no room.
+// Timeline holds the bookings of one machine. The zero value has no capacity.
 type Timeline struct {
 	capacity Resources
 	bookings []*Booking
-	profile  []usagePoint // in order of time; valid unless stale
+	profile  []usagePoint // sorted by time; valid unless dirty
 	dirty    bool
 }
 
-// New returns an empty timeline of a machine of the given capacity.
+// New returns an empty timeline of a machine with the given capacity.
 func New(capacity Resources) *Timeline { return &Timeline{capacity: capacity} }
 
-// Capacity returns what the machine has.
+// Capacity returns the total resources of the machine.
 func (t *Timeline) Capacity() Resources { return t.capacity }
 
-// Add books b. The caller may change b later, followed by Touch.
+// Add adds the booking b. The caller may modify b later and must then call Invalidate.
 func (t *Timeline) Add(b *Booking) {
 	t.bookings = append(t.bookings, b)
 	t.dirty = true
 }
 
-// Remove takes b off the timeline.
+// Remove removes the booking b. It does nothing if b is not on the timeline.
 func (t *Timeline) Remove(b *Booking) {
 	if i := slices.Index(t.bookings, b); i >= 0 {
 		t.bookings[i] = t.bookings[len(t.bookings)-1]
@@ -140,10 +139,11 @@
 	}
 }
 
-// Invalidate tells the timeline that a booking on it has changed.
+// Invalidate marks the cached profile as outdated. Call it after modifying a booking that is on the
+// timeline.
 func (t *Timeline) Invalidate() { t.dirty = true }
 
-// points returns the profile of what is booked, rebuilt if a booking has changed.
+// points returns the usage profile, which it rebuilds if a booking has changed.
 func (t *Timeline) points() []usagePoint {
 	if !t.dirty {
 		return t.profile
@@ -159,7 +159,7 @@
 			usagePoint{b.End, Resources{}.Add(b.Need, -b.Count)})
 	}
 	slices.SortFunc(changes, func(a, b usagePoint) int { return a.at.Compare(b.at) })
-	profile := changes[:0] // never ahead of what is read
+	profile := changes[:0] // shares the array; writes never overtake reads
 	var used Resources
 	for _, change := range changes {
 		used = used.Add(change.used, 1)
@@ -173,14 +173,12 @@
 	return profile
 }
 
-// free returns what is left of the machine beside what is used.
+// free returns the capacity that remains beside used.
 func (t *Timeline) free(used Resources) Resources { return t.capacity.Add(used, -1) }
 
-// LatestStart returns the latest start, not before from, at which need fits for
-// length and is over by deadline. It scans from the back like the paper: the
-// deadline minus the run time when that falls after the last booking in the
-// way, otherwise the latest gap that fits, ending at the deadline or at the
-// next booking, whichever comes first, down to the gap that begins at from.
+// LatestStart returns the latest start, not before from, at which need fits for length and ends by
+// deadline. It scans the gaps backwards in time. In the last gap that is long enough, the task ends
+// at the deadline or at the next booking, whichever comes first.
 func (t *Timeline) LatestStart(from, deadline time.Time, length time.Duration, need Resources) (time.Time, bool) {
 	if !need.Fits(t.capacity) || from.Add(length).After(deadline) {
 		return time.Time{}, false
@@ -191,7 +189,7 @@
 		if !points[i].at.Before(end) || need.Fits(t.free(points[i].used)) {
 			continue
 		}
-		gapStart := end // nothing is used after the last point, so i+1 exists here
+		gapStart := end // nothing is booked after the last point, so i+1 exists here
 		if i+1 < len(points) {
 			gapStart = points[i+1].at
 		}
@@ -207,8 +205,8 @@
 	return start, !start.Before(from)
 }
 
-// EarliestStart returns the earliest start, not before from, at which need fits for
-// length.
+// EarliestStart returns the earliest start, not before from, at which need fits for length. It
+// reports false only if need exceeds the machine's capacity.
 func (t *Timeline) EarliestStart(from time.Time, length time.Duration, need Resources) (time.Time, bool) {
 	if !need.Fits(t.capacity) {
 		return time.Time{}, false
@@ -229,8 +227,8 @@
 	return start, true
 }
 
-// FitCount returns how many tasks of the given need fit from start for length, at
-// most limit.
+// FitCount returns how many tasks with the given need fit together from start for length, at most
+// limit.
 func (t *Timeline) FitCount(start time.Time, length time.Duration, need Resources, limit int) int {
 	n := need.CopiesWithin(t.capacity, limit)
 	end := start.Add(length)
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -18,9 +18,9 @@
 	return b
 }
 
-// TestPaper follows the paper's figure: three jobs with gaps before, between
-// and after them, on a machine that runs one job at a time.
-func TestPaper(t *testing.T) {
+// TestLatestStart checks the latest start among gaps before, between and after three bookings on a
+// machine that runs one job at a time.
+func TestLatestStart(t *testing.T) {
 	tl := New(Capacity(1, 0, 0))
 	book(tl, 10, 20, 1)
 	book(tl, 24, 30, 1)
@@ -43,12 +43,12 @@
 	} {
 		got, ok := tl.LatestStart(at(0), at(c.deadline), secs(c.long), one)
 		if ok != (c.want >= 0) || ok && !got.Equal(at(c.want)) {
-			t.Errorf("%s: got %v %v, want %v", c.name, got.Sub(t0), ok, c.want)
+			t.Errorf("%s: start at %v (found %v), want %v s", c.name, got.Sub(t0), ok, c.want)
 		}
 	}
 }
 
-// fits is the plain definition that the scans must agree with.
+// fits checks second by second whether need fits from start for length.
 func fits(tl *Timeline, start time.Time, length time.Duration, need Resources) bool {
 	for s := start; s.Before(start.Add(length)); s = s.Add(time.Second) {
 		used := need
@@ -64,8 +64,9 @@
 	return true
 }
 
-// TestAgainstDefinition compares the fits with a search second by second.
-func TestAgainstDefinition(t *testing.T) {
+// TestMatchesExhaustiveSearch compares LatestStart, EarliestStart and FitCount with a search over
+// every second of random timelines.
+func TestMatchesExhaustiveSearch(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 500 {
 		tl := New(Capacity(8, 2, 16))
@@ -93,14 +94,14 @@
 		}
 		got, ok := tl.LatestStart(t0, deadline, length, need)
 		if ok == latest.IsZero() || ok && !got.Equal(latest) {
-			t.Fatalf("Latest: got %v %v, want %v", got.Sub(t0), ok, latest.Sub(t0))
+			t.Fatalf("LatestStart: got %v (found %v), want %v", got.Sub(t0), ok, latest.Sub(t0))
 		}
 		got, ok = tl.EarliestStart(t0, length, need)
 		if ok == earliest.IsZero() || ok && !got.Equal(earliest) {
-			t.Fatalf("Earliest: got %v %v, want %v", got.Sub(t0), ok, earliest.Sub(t0))
+			t.Fatalf("EarliestStart: got %v (found %v), want %v", got.Sub(t0), ok, earliest.Sub(t0))
 		}
 		if ok != (tl.FitCount(got, length, need, 9) > 0) {
-			t.Fatalf("Count: %d at the earliest fit", tl.FitCount(got, length, need, 9))
+			t.Fatalf("FitCount: %d at the earliest start", tl.FitCount(got, length, need, 9))
 		}
 	}
 }
