--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,4 +1,4 @@
-// Package estimate corrects users' estimates of run times by those that were observed.
+// Package estimate corrects users' runtime estimates by observed runtimes.
 package estimate
 
 import (
@@ -11,44 +11,46 @@
 	"yewpass/internal/timeline"
 )
 
-// Runtimes holds observed run times by class and owner, relative to the users' estimates.
-// Users name classes as they like, so only the most recently used ones are kept.
+// Runtimes holds the average ratio of observed to estimated runtimes by class and owner. Users
+// choose class names, so only the most recently used entries are cache.
 type Runtimes struct {
 	*lru.Cache[string, *MovingAverage]
 }
 
-// maxClasses is how many classes are kept.
+// maxClasses is the maximum number of entries in Runtimes.
 const maxClasses = 4096
 
-// NewRuntimes returns a Runtimes that has observed nothing.
+// NewRuntimes returns a Runtimes without observations.
 func NewRuntimes() Runtimes {
-	kept, _ := lru.New[string, *MovingAverage](maxClasses) // errs only for a size below 1
-	return Runtimes{kept}
+	cache, _ := lru.New[string, *MovingAverage](maxClasses) // fails only for sizes below 1
+	return Runtimes{cache}
 }
 
-// Lookup returns what was observed of jobs of the same class and owner, nil if nothing.
+// Lookup returns the average for the job's class and owner, or nil if nothing has been observed.
 func (e Runtimes) Lookup(s *spec.Job) *MovingAverage {
 	o, _ := e.Get(s.Class + "/" + s.Owner)
 	return o
 }
 
-// MovingAverage is a mean of observations in which recent ones count more than old ones.
+// MovingAverage is the mean of the first observations and an exponentially weighted average of
+// later ones.
 type MovingAverage struct {
 	N    int
-	Mean float64 // class: actual over estimate; job: seconds
+	Mean float64 // runtime ratio for a class, seconds for a job
 }
 
-// minWeight is the least weight of a new observation.
+// minWeight is the minimum weight of a new observation.
 const minWeight = 0.08
 
-// Add adds an observation.
+// Add includes an observation in the average.
 func (o *MovingAverage) Add(x float64) {
 	o.N++
 	w := max(1/float64(o.N), minWeight)
 	o.Mean += w * (x - o.Mean)
 }
 
-// ImageFetchTime returns how long a machine of the type needs to fetch the image of the job.
+// ImageFetchTime returns how long a machine of the given type takes to fetch the image of the job,
+// or 0 if its bandwidth is unknown.
 func ImageFetchTime(s *spec.Job, t *provider.InstanceType) time.Duration {
 	if t == nil || t.ImageGBps <= 0 {
 		return 0
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -1,5 +1,5 @@
-// Package preemption chooses which running tasks to stop so that teams get the capacity
-// that they are guaranteed. It is pure: the caller stops the tasks.
+// Package preemption selects running tasks to stop so that teams get their guaranteed quota. It has
+// no side effects; the caller stops the tasks.
 package preemption
 
 import (
@@ -13,42 +13,42 @@
 )
 
 const (
-	// guaranteeGrace is how long tasks within a guarantee wait before any are preempted for
-	// them: tasks that end by themselves often make the room sooner.
+	// guaranteeGrace is how long a job within its team's guarantee waits before tasks are preempted
+	// for it. Tasks that finish in the meantime often free enough resources.
 	guaranteeGrace = 4 * time.Second
-	// checkpointSlack is added to the checkpoint time of a task that is preempted.
+	// checkpointSlack is added to the checkpoint time of a preempted task.
 	checkpointSlack = time.Second
-	// minRemainingFactor and minRemaining bound which tasks without checkpoints may be
-	// preempted: what remains of them must exceed so many times what has run, and so much more.
+	// A task without checkpoints may be preempted only if its remaining runtime is at least
+	// minRemainingFactor times its elapsed runtime plus minRemaining.
 	minRemainingFactor = 6
 	minRemaining       = time.Minute
 )
 
-// State is the state that a plan is made for.
+// State is the input of Plan.
 type State struct {
 	Now      time.Time
 	Queue    fleet.Queue
 	Machines []*fleet.Machine
-	MayStart func(*fleet.Job) bool          // whether tasks of a job may start at all now
-	Estimate func(*fleet.Job) time.Duration // how long a task of a job runs
+	MayStart func(*fleet.Job) bool          // whether any task of a job may start now
+	Estimate func(*fleet.Job) time.Duration // expected runtime of a task
 }
 
-// Preemption is an attempt to preempt.
+// Preemption is the decision to stop an attempt.
 type Preemption struct {
 	Attempt   *fleet.Attempt
-	DrainTime time.Duration // for a last checkpoint; 0 if the task takes none
+	DrainTime time.Duration // time for a final checkpoint; 0 if the task takes none
 }
 
-// Plan returns the attempts to stop, in order: tasks of teams that run beyond their guarantee
-// while another team waits for its own, those first that lose the least work.
-func Plan(c *State) (stops []Preemption) {
-	short := c.shortage()
+// Plan returns the attempts to preempt. It selects tasks of teams that use more than their
+// guarantee while another team waits for its own, starting with those that lose the least work.
+func Plan(s *State) (plan []Preemption) {
+	short := s.shortage()
 	if short <= 0 {
 		return nil
 	}
-	candidates := c.candidates()
+	candidates := s.candidates()
 	slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.loss, b.loss) })
-	excess := map[*quota.Account]int64{} // what each team still runs beyond its guarantee
+	excess := map[*quota.Account]int64{} // millicores of each team beyond its guarantee that are still preemptible
 	for _, x := range candidates {
 		job, need := x.attempt.Job, x.attempt.Need.CPU
 		team := job.Team
@@ -60,20 +60,20 @@
 		}
 		excess[team] -= need
 		short -= need
-		stop := Preemption{Attempt: x.attempt}
+		p := Preemption{Attempt: x.attempt}
 		if job.Spec.CheckpointInterval > 0 {
-			stop.DrainTime = job.Spec.CheckpointTime + checkpointSlack
+			p.DrainTime = job.Spec.CheckpointTime + checkpointSlack
 		}
-		stops = append(stops, stop)
+		plan = append(plan, p)
 	}
-	return stops
+	return plan
 }
 
-// shortage returns how many thousandths of CPUs the waiting tasks within guarantees need
-// beyond what is free or being vacated already.
-func (c *State) shortage() int64 {
-	short := c.guaranteedDemand()
-	for _, m := range c.Machines {
+// shortage returns by how many millicores the demand within guarantees exceeds what is free or being
+// freed by tasks that have been told to stop.
+func (s *State) shortage() int64 {
+	short := s.guaranteedDemand()
+	for _, m := range s.Machines {
 		if m.Schedulable() && m.Reported {
 			short -= m.FreeResources().CPU
 		}
@@ -81,23 +81,23 @@
 	if short <= 0 {
 		return short
 	}
-	for _, m := range c.Machines {
-		for _, r := range m.Attempts {
-			if r.StopRequested && r.HoldsResources {
-				short -= r.Need.CPU
+	for _, m := range s.Machines {
+		for _, a := range m.Attempts {
+			if a.StopRequested && a.HoldsResources {
+				short -= a.Need.CPU
 			}
 		}
 	}
 	return short
 }
 
-// guaranteedDemand returns how many thousandths of CPUs tasks that have waited for longer
-// than the grace time need within their teams' guarantees.
-func (c *State) guaranteedDemand() (demand int64) {
-	left := map[*quota.Account]int64{} // of each team's guarantee
-	for _, j := range c.Queue {
+// guaranteedDemand returns the millicores that tasks pending for at least guaranteeGrace need
+// within their teams' guarantees.
+func (s *State) guaranteedDemand() (demand int64) {
+	left := map[*quota.Account]int64{} // what remains of each team's guarantee
+	for _, j := range s.Queue {
 		t := j.Team
-		if t.Guaranteed.CPU == 0 || !c.MayStart(j) || c.Now.Sub(j.Submitted) < guaranteeGrace || t.Allocated.CPU+j.Need.CPU > t.Guaranteed.CPU {
+		if t.Guaranteed.CPU == 0 || !s.MayStart(j) || s.Now.Sub(j.Submitted) < guaranteeGrace || t.Allocated.CPU+j.Need.CPU > t.Guaranteed.CPU {
 			continue
 		}
 		if _, ok := left[t]; !ok {
@@ -113,48 +113,48 @@
 // candidate is an attempt that may be preempted.
 type candidate struct {
 	attempt *fleet.Attempt
-	loss    time.Duration // work that is lost, or spent on a checkpoint
+	loss    time.Duration // work lost, or time spent on a checkpoint
 }
 
-// candidates returns the running attempts of teams beyond their guarantees that may be
-// preempted, by machine.
-func (c *State) candidates() (list []candidate) {
-	estimates := map[*fleet.Job]time.Duration{} // a job's tasks are many
-	for _, m := range c.Machines {
+// candidates returns the running attempts that may be preempted, of teams that use more than their
+// guarantee, in the order of the machines.
+func (s *State) candidates() (list []candidate) {
+	estimates := map[*fleet.Job]time.Duration{} // one estimate serves all tasks of a job
+	for _, m := range s.Machines {
 		if !m.Schedulable() || !m.Reported {
 			continue
 		}
-		for _, r := range m.Attempts {
-			if !r.HoldsResources || r.StopRequested || r.Phase != heartbeat.TaskRuns || r.Job.Team.Allocated.CPU <= r.Job.Team.Guaranteed.CPU {
+		for _, a := range m.Attempts {
+			if !a.HoldsResources || a.StopRequested || a.Phase != heartbeat.TaskRuns || a.Job.Team.Allocated.CPU <= a.Job.Team.Guaranteed.CPU {
 				continue
 			}
-			if loss, ok := c.loss(r, estimates); ok {
-				list = append(list, candidate{attempt: r, loss: loss})
+			if loss, ok := s.loss(a, estimates); ok {
+				list = append(list, candidate{attempt: a, loss: loss})
 			}
 		}
 	}
 	return list
 }
 
-// loss returns what preempting an attempt costs, and false if it must not be preempted.
-// A task without checkpoints loses all its work, so it is preempted only if it has hardly
-// begun and would keep the room for long.
-func (c *State) loss(r *fleet.Attempt, estimates map[*fleet.Job]time.Duration) (time.Duration, bool) {
-	spec := &r.Job.Spec
+// loss returns the cost of preempting an attempt, and false if it must not be preempted. A task
+// without checkpoints loses all its work, so it is preempted only shortly after its start and if it
+// would run much longer.
+func (s *State) loss(a *fleet.Attempt, estimates map[*fleet.Job]time.Duration) (time.Duration, bool) {
+	spec := &a.Job.Spec
 	if spec.CheckpointInterval > 0 {
 		return spec.CheckpointTime, true
 	}
-	if r.StartTimeUnknown {
-		return 0, false // how long it has run is not known: to a new leader all seem to have begun just now
+	if a.StartTimeUnknown {
+		return 0, false // the elapsed runtime is unknown after a failover
 	}
-	loss := c.Now.Sub(r.StartedAt)
+	loss := s.Now.Sub(a.StartedAt)
 	if spec.Service {
 		return loss, true
 	}
-	length, ok := estimates[r.Job]
+	length, ok := estimates[a.Job]
 	if !ok {
-		length = c.Estimate(r.Job)
-		estimates[r.Job] = length
+		length = s.Estimate(a.Job)
+		estimates[a.Job] = length
 	}
 	return loss, length-loss >= minRemainingFactor*loss+minRemaining
 }
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -14,8 +14,8 @@
 
 var now = time.Unix(1_900_000_000, 0)
 
-// cluster returns a full machine of 8 CPUs on which a team without a guarantee runs tasks of
-// 2 CPUs, and a job of another team that waits for 4 CPUs of its guarantee.
+// cluster returns the state of a full machine with 8 CPUs. A team without a guarantee runs the
+// given tasks of 2 CPUs each, and a job of another team waits for 4 guaranteed CPUs.
 func cluster(t *testing.T, running ...*fleet.Attempt) *State {
 	t.Helper()
 	m := &fleet.Machine{}
@@ -50,7 +50,7 @@
 		name    string
 		running []*fleet.Attempt
 		change  func(*State)
-		want    []int // of the running attempts, in order
+		want    []int // indexes of the attempts to preempt, in order
 	}{
 		{"the least loss first", []*fleet.Attempt{attempt(20*time.Second, long), attempt(time.Minute, saves), attempt(time.Second, long), attempt(time.Minute, saves)}, nil, []int{2, 1}},
 		{"nearly done goes on", []*fleet.Attempt{attempt(time.Minute, spec.Job{Runtime: 2 * time.Minute}), attempt(0, spec.Job{Service: true}), attempt(time.Minute, spec.Job{Runtime: 2 * time.Minute}), attempt(time.Minute, spec.Job{Runtime: 2 * time.Minute})}, nil, []int{1}},
@@ -71,20 +71,20 @@
 			if x.change != nil {
 				x.change(c)
 			}
-			stops := Plan(c)
-			if len(stops) != len(x.want) {
-				t.Fatalf("%d stops, want %d", len(stops), len(x.want))
+			plan := Plan(c)
+			if len(plan) != len(x.want) {
+				t.Fatalf("%d preemptions, want %d", len(plan), len(x.want))
 			}
-			for i, stop := range stops {
-				if stop.Attempt != x.running[x.want[i]] {
-					t.Errorf("stop %d is not of attempt %d", i, x.want[i])
+			for i, p := range plan {
+				if p.Attempt != x.running[x.want[i]] {
+					t.Errorf("preemption %d is not of attempt %d", i, x.want[i])
 				}
 				drain := time.Duration(0)
-				if s := stop.Attempt.Job.Spec; s.CheckpointInterval > 0 {
+				if s := p.Attempt.Job.Spec; s.CheckpointInterval > 0 {
 					drain = s.CheckpointTime + time.Second
 				}
-				if stop.DrainTime != drain {
-					t.Errorf("stop %d: drains for %v, want %v", i, stop.DrainTime, drain)
+				if p.DrainTime != drain {
+					t.Errorf("preemption %d: drain time %v, want %v", i, p.DrainTime, drain)
 				}
 			}
 		})
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,5 +1,4 @@
-// Package quota implements the accounts of teams: their guarantees, their limits, and
-// what their tasks use.
+// Package quota tracks the guaranteed quota, the limit and the resource use of each team.
 package quota
 
 import (
@@ -10,24 +9,23 @@
 	"yewpass/internal/timeline"
 )
 
-// ArrivalTimeConstant is the time constant by which arrivals stop counting towards the work
-// to be expected.
+// ArrivalTimeConstant is the time constant of the exponential decay of ArrivalLoad.
 const ArrivalTimeConstant = 60 * time.Second
 
-// Account is the account of a team. A task counts as allocated from the order to start
-// it until it is known to be gone.
+// Account holds the quota and use of a team. A task counts as allocated from its start order until
+// it is known to be gone.
 type Account struct {
-	Configured        bool               // in the settings or by an operator; other teams just submit jobs
-	Retired           bool               // accepts no new jobs; existing ones go on
-	Guaranteed, Limit timeline.Resources // 0: none
+	Configured        bool               // defined in the settings or by an operator; other teams may only submit jobs
+	Retired           bool               // accepts no new jobs; existing jobs continue
+	Guaranteed, Limit timeline.Resources // a zero resource has no guarantee or limit
 	Allocated         timeline.Resources
 	JobCount          int
-	ArrivalLoad       float64 // CPUs that its arrivals keep busy, as of LoadAt
+	ArrivalLoad       float64 // CPUs kept busy by recent submissions, as of LoadAt
 	LoadAt            time.Time
-	LimitReached      bool // its limit has kept a task off a machine that had room
+	LimitReached      bool // the limit has prevented a start on a machine with free resources
 }
 
-// New returns an empty account of a team with this configuration.
+// New returns an account with the given configuration and no use.
 func New(team liveconfig.Team) *Account {
 	a := &Account{}
 	a.configure(team)
@@ -40,24 +38,25 @@
 	a.Limit = timeline.Capacity(team.CPUsMax, team.GPUsMax, 0)
 }
 
-// ExpectedCPUs returns how many CPUs the team's arrivals are expected to keep busy.
+// ExpectedCPUs returns how many CPUs the team's submissions are expected to keep busy: ArrivalLoad,
+// decayed to now.
 func (a *Account) ExpectedCPUs(now time.Time) float64 {
 	return a.ArrivalLoad * math.Exp(-now.Sub(a.LoadAt).Seconds()/ArrivalTimeConstant.Seconds())
 }
 
-// HasLimit reports whether the team has a limit.
+// HasLimit reports whether the team has a limit on CPUs or GPUs.
 func (a *Account) HasLimit() bool { return a.Limit.CPU > 0 || a.Limit.GPU > 0 }
 
-// HasGuarantee reports whether the team has a guarantee.
+// HasGuarantee reports whether the team has a guarantee of CPUs or GPUs.
 func (a *Account) HasGuarantee() bool { return a.Guaranteed.CPU > 0 || a.Guaranteed.GPU > 0 }
 
-// FitsLimit reports whether n tasks fit into the team's limit on their own.
+// FitsLimit reports whether n tasks would fit into the team's limit if nothing else were allocated.
 func (a *Account) FitsLimit(need timeline.Resources, n int) bool {
 	return (a.Limit.CPU == 0 || need.CPU*int64(n) <= a.Limit.CPU) &&
 		(a.Limit.GPU == 0 || need.GPU*int64(n) <= a.Limit.GPU)
 }
 
-// TasksWithinLimit returns how many more tasks the team's limit allows, at most n.
+// TasksWithinLimit returns how many more tasks, at most n, the team may start within its limit.
 func (a *Account) TasksWithinLimit(need timeline.Resources, n int) int {
 	if a.Limit.CPU > 0 && need.CPU > 0 {
 		n = min(n, int((a.Limit.CPU-a.Allocated.CPU)/need.CPU))
@@ -68,7 +67,8 @@
 	return max(n, 0)
 }
 
-// TasksWithinGuarantee returns how many more tasks lie within the team's guarantee, at most n.
+// TasksWithinGuarantee returns how many more tasks, at most n, the team may start within its
+// guarantee. It returns 0 for teams without a guarantee.
 func (a *Account) TasksWithinGuarantee(need timeline.Resources, n int) int {
 	if !a.HasGuarantee() {
 		return 0
@@ -82,10 +82,11 @@
 	return max(n, 0)
 }
 
-// Accounts holds the accounts of teams by name.
+// Accounts holds the accounts of all teams by team name.
 type Accounts map[string]*Account
 
-// Configure puts the configuration of a team into force. What the team uses stays.
+// Configure applies the configuration of a team, creating its account if needed. The team's current
+// use is kept.
 func (as Accounts) Configure(team liveconfig.Team) {
 	if as[team.Name] == nil {
 		as[team.Name] = &Account{}
@@ -93,7 +94,7 @@
 	as[team.Name].configure(team)
 }
 
-// AnyGuarantee reports whether any team has a guarantee.
+// AnyGuarantee reports whether at least one team has a guarantee.
 func (as Accounts) AnyGuarantee() bool {
 	for _, a := range as {
 		if a.HasGuarantee() {
--- a/internal/topology/rules.go
+++ b/internal/topology/rules.go
@@ -5,66 +5,67 @@
 	"math"
 )
 
-// Kind is the kind of a rule.
+// Kind is the kind of a placement rule.
 type Kind int
 
-// The kinds of rules.
+// Kinds of placement rules. A place is a node of the topology at the level of the rule.
 const (
-	Spread       Kind = iota // at most so many of the job's tasks in one place
-	Colocate                 // all of the job's tasks in one place
-	Affinity                 // in a place where Of has tasks, if it has any
-	AntiAffinity             // in no place where Of has tasks
+	Spread       Kind = iota // at most MaxPerPlace or Share of the job's tasks in one place
+	Colocate                 // all tasks of the job in one place
+	Affinity                 // only places where Target has tasks, if it has any
+	AntiAffinity             // no place where Target has tasks
 )
 
-// Rule is one rule of a job, at a level of the tree.
+// Rule is a placement rule of a job at one level of the topology.
 type Rule struct {
 	Kind        Kind
 	Level       int
-	MaxPerPlace int     // Spread: this many; if 0, by Share
-	Share       float64 // Spread: this share of the job's tasks, rounded up
-	Target      string  // Near, AwayFrom: a job or team, as the tally names it
-	Soft        bool    // it does not forbid a start, but ranks the machines
+	MaxPerPlace int     // Spread: maximum per place; if 0, Share applies
+	Share       float64 // Spread: maximum fraction of the job's tasks, rounded up
+	Target      string  // Affinity, AntiAffinity: TaskCounter key of another job or team
+	Soft        bool    // ranks machines instead of excluding them
 }
 
-// Job is a job as its rules see it.
+// Job is the part of a job that its placement rules depend on.
 type Job struct {
-	Key   string // as the tally names it
+	Key   string // key in the TaskCounter
 	Tasks int
 	Rules []Rule
 }
 
-// SamePlace and Apart are the rules that the protocol has fields for.
+// SamePlace and Apart are the rules for the samePlace and apart fields of submissions. Both apply
+// to zones.
 var (
 	SamePlace = Rule{Kind: Colocate}
 	Apart     = Rule{Kind: Spread, Share: 0.5}
 )
 
-// maxTasks returns how many tasks a spread rule allows in one place.
+// maxTasks returns how many of a job's tasks a Spread rule allows in one place.
 func (r *Rule) maxTasks(tasks int) int {
 	if r.MaxPerPlace > 0 {
 		return r.MaxPerPlace
 	}
-	// A share such as 0.1 of 30 is 3, whatever binary fractions make of it.
+	// Subtracting a small tolerance keeps 0.1 of 30 at 3 despite binary fractions.
 	return int(math.Ceil(r.Share*float64(tasks) - 1e-9))
 }
 
-// TaskCounter counts tasks by job or team and place: all that are, or may be, on a machine, from the
-// order to start until they are proven gone.
+// TaskCounter counts tasks by job or team and by place. It includes every task that is or may be on
+// a machine, from its start order until it is known to be gone.
 type TaskCounter struct {
 	counts map[counterKey]int
 }
 
-// counterKey identifies a counter of a Tally.
+// counterKey identifies one counter of a TaskCounter.
 type counterKey struct {
 	key   string
-	place *Place // nil: everywhere
+	place *Place // nil for the total over all places
 }
 
-// NewTaskCounter returns a tally of no tasks.
+// NewTaskCounter returns a counter without tasks.
 func NewTaskCounter() *TaskCounter { return &TaskCounter{counts: map[counterKey]int{}} }
 
-// Add adds n tasks on a machine; n is below 0 to remove them. They must be removed with the leaf
-// that they were added with, even if the machine's place has changed.
+// Add adds n tasks on a machine, or removes them if n is negative. Tasks must be removed with the
+// leaf they were added with, even if the machine has moved since.
 func (t *TaskCounter) Add(key string, leaf *Place, n int) {
 	t.add(counterKey{key: key}, n)
 	for p := leaf; p != nil; p = p.Parent {
@@ -72,7 +73,7 @@
 	}
 }
 
-// add adds n to a counter and drops it at 0.
+// add adds n to one counter and deletes it when it reaches 0.
 func (t *TaskCounter) add(c counterKey, n int) {
 	if n += t.counts[c]; n == 0 {
 		delete(t.counts, c)
@@ -81,20 +82,21 @@
 	}
 }
 
-// Count returns how many tasks a job or team has in a place, or everywhere if the place is nil.
+// Count returns the number of tasks of a job or team in a place, or in all places if p is nil.
 func (t *TaskCounter) Count(key string, p *Place) int {
 	return t.counts[counterKey{key: key, place: p}]
 }
 
-// Violation is why a task may not start on a machine.
+// Violation describes the hard rule that forbids a task to start on a machine.
 type Violation struct {
 	Rule   Rule
 	Place  *Place
 	Reason string
 }
 
-// placeAt returns the place that a machine shares with others at a level. A machine whose place at
-// that level is not known is a place of its own.
+// placeAt returns the ancestor of a machine at a level and true. If the machine's place at that
+// level is unknown, it returns the machine itself and false, so the machine shares the place with
+// no other.
 func placeAt(leaf *Place, level int) (p *Place, known bool) {
 	if p = leaf.Ancestor(level); p != nil {
 		return p, true
@@ -102,9 +104,9 @@
 	return leaf, false
 }
 
-// Check decides whether one more task of a job may start on a machine. If not, refusal says why;
-// if so, it is nil, and broken is how many soft rules the start would break.
-func (t *TaskCounter) Check(j *Job, leaf *Place) (broken int, refusal *Violation) {
+// Check reports whether one more task of a job may start on a machine. The violation is nil if all
+// hard rules allow it; broken is then the number of soft rules that the start would break.
+func (t *TaskCounter) Check(j *Job, leaf *Place) (broken int, violation *Violation) {
 	for i := range j.Rules {
 		r := &j.Rules[i]
 		why := t.violation(j, r, leaf)
@@ -120,20 +122,20 @@
 	return broken, nil
 }
 
-// violation returns why a rule forbids a start, or "".
+// violation returns the reason why a rule forbids a start, or an empty string if it does not.
 func (t *TaskCounter) violation(j *Job, r *Rule, leaf *Place) string {
 	p, known := placeAt(leaf, r.Level)
 	switch r.Kind {
 	case Spread:
 		if n, most := t.Count(j.Key, p), r.maxTasks(j.Tasks); n >= most {
-			return fmt.Sprintf("%s has %d of its tasks, %d are allowed", p, n, most)
+			return fmt.Sprintf("%s already has %d tasks of the job, the maximum is %d", p, n, most)
 		}
 	case Colocate:
 		if !known {
-			return fmt.Sprintf("where %s stands is not known", p)
+			return fmt.Sprintf("the place of %s at this level is unknown", p)
 		}
 		if n := t.Count(j.Key, nil) - t.Count(j.Key, p); n > 0 {
-			return fmt.Sprintf("%d of its tasks are elsewhere than in %s", n, p)
+			return fmt.Sprintf("%d tasks of the job are elsewhere, not in %s", n, p)
 		}
 	case Affinity:
 		if t.Count(r.Target, nil) > 0 && t.Count(r.Target, p) == 0 {
@@ -147,8 +149,7 @@
 	return ""
 }
 
-// AllowedTasks returns how many tasks of a job, at most n, the hard rules allow to start on a machine
-// one after the other.
+// AllowedTasks returns how many more tasks of a job, at most n, the hard rules allow on a machine.
 func (t *TaskCounter) AllowedTasks(j *Job, leaf *Place, n int) int {
 	for i := range j.Rules {
 		r := &j.Rules[i]
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,7 +1,7 @@
-// Package topology models where machines are located and decides whether a task may start on a
-// machine under the placement rules of its job. It is pure. Places form a tree: zones, below
-// them the levels that operators name, and machines as leaves. Counting a task and checking
-// a rule cost the depth of the tree, however many machines and jobs there are.
+// Package topology models the locations of machines and decides whether the placement rules of a
+// job allow a task to start on a machine. Places form a tree of zones, operator-defined levels such
+// as racks, and machines as leaves. Counting a task or checking a rule takes time proportional to
+// the depth of the tree, independent of the number of machines and jobs. The package does no I/O.
 package topology
 
 import (
@@ -13,48 +13,48 @@
 	"github.com/gaissmai/bart"
 )
 
-// Zone is the name of the topmost level, and Machine that of the lowest.
+// Zone and Machine are the names of the topmost and the lowest level.
 const (
 	Zone    = "zone"
 	Machine = "machine"
 )
 
-// FieldError is an error in a field of a Definition.
+// FieldError reports an invalid field of a Definition.
 type FieldError struct{ Field, Reason string }
 
-// Error returns the field and the reason.
+// Error returns the field and the reason, separated by a colon.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// fieldErrorf returns a FieldError.
+// fieldErrorf returns a *FieldError with a formatted reason.
 func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Definition is the topology as operators define it.
+// Definition is the topology as configured by operators.
 type Definition struct {
-	Levels []string // below the zone, from the top: switch, rack
+	Levels []string // between zone and machine, from the top: switch, rack
 	Places []PlaceDefinition
 }
 
-// PlaceDefinition defines which machines are located in a place.
+// PlaceDefinition configures which machines are located in a place.
 type PlaceDefinition struct {
 	Zone       string
-	Names      []string // of the place at each level, from the top
-	Networks   []string // of its machines' addresses, such as 10.1.4.0/22
-	Hosts      []string // patterns of its machines' names, such as host-0001*
-	UplinkMbps float64  // bandwidth that its machines share; 0 if not defined
+	Names      []string // name of the place at each level, from the top
+	Networks   []string // CIDR prefixes of machine addresses, such as 10.1.4.0/22
+	Hosts      []string // glob patterns of host names, such as host-0001*
+	UplinkMbps float64  // bandwidth shared by its machines; 0 if unknown
 }
 
-// Place is a node of the tree. Two machines share it if both are below it.
+// Place is a node of the topology tree.
 type Place struct {
 	Name       string
-	Level      int // 0: a zone
+	Level      int // 0 for a zone
 	Parent     *Place
 	UplinkMbps float64
 	children   map[string]*Place
 }
 
-// String returns the path of the place from its zone.
+// String returns the names from the zone down to the place, separated by slashes.
 func (p *Place) String() string {
 	if p.Parent == nil {
 		return p.Name
@@ -62,8 +62,8 @@
 	return p.Parent.String() + "/" + p.Name
 }
 
-// Ancestor returns the ancestor of p at a level, or p itself. It is nil at levels at which the place of
-// a machine is not known.
+// Ancestor returns the ancestor of p at a level, or p itself if that is its level. It returns nil
+// if the machine's place at the level is unknown.
 func (p *Place) Ancestor(level int) *Place {
 	for p != nil && p.Level > level {
 		p = p.Parent
@@ -74,7 +74,7 @@
 	return p
 }
 
-// child returns the child of a name, made if need be.
+// child returns the child with the given name and creates it if needed.
 func (p *Place) child(name string, level int) *Place {
 	c := p.children[name]
 	if c == nil {
@@ -87,29 +87,29 @@
 	return c
 }
 
-// Tree is all places. It is not safe for concurrent use.
+// Tree holds all places. It is not safe for concurrent use.
 type Tree struct {
-	levels   []string // from the zone to the machine
+	levels   []string // level names from zone to machine
 	zones    map[string]*Place
 	networks bart.Table[*Place]
 	hosts    []hostPattern
 	machines map[string]*Place
 }
 
-// hostPattern assigns machines to a place by their names.
+// hostPattern assigns the machines whose host names match a pattern to a place.
 type hostPattern struct {
 	pattern string
 	place   *Place
 }
 
-// New returns the tree of a definition. The error is a *FieldError. A zero definition gives a
-// tree of zones and machines.
+// New builds the tree of a definition. It returns a *FieldError if the definition is invalid. The
+// zero definition has zones and machines only.
 func New(def Definition) (*Tree, error) {
 	t := &Tree{levels: append([]string{Zone}, def.Levels...), zones: map[string]*Place{}, machines: map[string]*Place{}}
 	t.levels = append(t.levels, Machine)
 	for i, l := range t.levels {
 		if l == "" || slices.Contains(t.levels[:i], l) {
-			return nil, fieldErrorf("levels", "%q is empty, stands twice, or is one of %s and %s, which are always there", l, Zone, Machine)
+			return nil, fieldErrorf("levels", "level name %q is empty, duplicate or one of the reserved names %s and %s", l, Zone, Machine)
 		}
 	}
 	seen := map[netip.Prefix]bool{}
@@ -124,12 +124,12 @@
 		p := t.zone(d.Zone)
 		for k, name := range d.Names {
 			if name == "" {
-				return nil, fieldErrorf(field(def.Levels[k]), "missing, and a level below it is named")
+				return nil, fieldErrorf(field(def.Levels[k]), "missing, but a level below it is set")
 			}
 			p = p.child(name, k+1)
 		}
 		if !(d.UplinkMbps >= 0) {
-			return nil, fieldErrorf(field("uplink_mbps"), "must not be below 0")
+			return nil, fieldErrorf(field("uplink_mbps"), "must be a number of at least 0")
 		}
 		if d.UplinkMbps > 0 {
 			p.UplinkMbps = d.UplinkMbps
@@ -137,17 +137,17 @@
 		for _, s := range d.Networks {
 			n, err := netip.ParsePrefix(s)
 			if err != nil {
-				return nil, fieldErrorf(field("networks"), "%q is no network such as 10.1.4.0/22", s)
+				return nil, fieldErrorf(field("networks"), "%q is not a CIDR prefix such as 10.1.4.0/22", s)
 			}
 			if n = n.Masked(); seen[n] {
-				return nil, fieldErrorf(field("networks"), "%s is that of another place", n)
+				return nil, fieldErrorf(field("networks"), "%s is already assigned to a place", n)
 			}
 			seen[n] = true
 			t.networks.Insert(n, p)
 		}
 		for _, s := range d.Hosts {
 			if _, err := path.Match(s, ""); err != nil {
-				return nil, fieldErrorf(field("hosts"), "%q is no pattern such as host-0001*", s)
+				return nil, fieldErrorf(field("hosts"), "%q is not a valid host name pattern such as host-0001*", s)
 			}
 			t.hosts = append(t.hosts, hostPattern{pattern: s, place: p})
 		}
@@ -155,7 +155,7 @@
 	return t, nil
 }
 
-// zone returns the zone of a name, made if need be.
+// zone returns the zone with the given name and creates it if needed.
 func (t *Tree) zone(name string) *Place {
 	z := t.zones[name]
 	if z == nil {
@@ -165,33 +165,33 @@
 	return z
 }
 
-// Level returns the number of a level by its name, 0 for the zone, and false if there is none.
+// Level returns the index of the named level, 0 for the zone, and false if it does not exist.
 func (t *Tree) Level(name string) (int, bool) {
 	i := slices.Index(t.levels, name)
 	return i, i >= 0
 }
 
-// Locate returns the leaf of a machine. It is located where the first matching pattern of host
-// names says, or else the longest network that contains its address; failing both, only its
-// zone is known. A place in another zone than the cloud provider's is a contradiction: it is
-// ignored, and returned so that it can be reported.
-func (t *Tree) Locate(host, address, zone string) (leaf, contradiction *Place) {
+// Locate returns the leaf of a machine and creates it if needed. The first matching host pattern
+// determines its place, or else the longest network prefix that contains its address. If neither
+// matches, or the place found is in another zone than the one the cloud reports, only the zone is
+// used. In the latter case mismatch is the ignored place, for the caller to report.
+func (t *Tree) Locate(host, address, zone string) (leaf, mismatch *Place) {
 	if p := t.machines[host]; p != nil {
 		return p, nil
 	}
 	at := t.find(host, address)
 	if at != nil && at.Ancestor(0).Name != zone {
-		at, contradiction = nil, at
+		at, mismatch = nil, at
 	}
 	if at == nil {
 		at = t.zone(zone)
 	}
 	leaf = &Place{Name: host, Level: len(t.levels) - 1, Parent: at}
 	t.machines[host] = leaf
-	return leaf, contradiction
+	return leaf, mismatch
 }
 
-// find returns the place that the definition gives a machine, or nil.
+// find returns the place that the definition assigns to a machine, or nil.
 func (t *Tree) find(host, address string) *Place {
 	for _, h := range t.hosts {
 		if ok, _ := path.Match(h.pattern, host); ok {
@@ -206,5 +206,5 @@
 	return p
 }
 
-// Remove removes a machine that is gone.
+// Remove removes the leaf of a machine. A later Locate determines its place again.
 func (t *Tree) Remove(host string) { delete(t.machines, host) }
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -24,7 +24,7 @@
 
 func TestPlaces(t *testing.T) {
 	tr := tree(t)
-	for _, c := range []struct{ host, address, zone, want, contradicts string }{
+	for _, c := range []struct{ host, address, zone, want, mismatch string }{
 		{"h1", "10.1.4.9:9000", "a", "a/s1/r1/h1", ""}, {"h2", "10.1.8.9:9000", "a", "a/s1/r2/h2", ""}, {"h3", "10.1.99.9:9000", "a", "a/s1/h3", ""},
 		{"h4", "10.2.0.1:9000", "a", "a/h4", ""}, {"h5", "[fd00:1::7]:9000", "a", "a/s1/r2/h5", ""}, {"host-b12", "10.1.4.9:9000", "b", "b/s2/r1/host-b12", ""},
 		{"h6", "10.1.4.10:9000", "c", "c/h6", "a/s1/r1"}, {"h7", "nonsense", "b", "b/h7", ""}, {"h8", "[::ffff:10.1.4.11]:9000", "a", "a/s1/r1/h8", ""},
@@ -34,11 +34,11 @@
 		if other != nil {
 			got = other.String()
 		}
-		if p.String() != c.want || got != c.contradicts {
-			t.Errorf("%s stands in %s (not in %q), want %s (%q)", c.host, p, got, c.want, c.contradicts)
+		if p.String() != c.want || got != c.mismatch {
+			t.Errorf("%s located in %s (mismatch %q), want %s (%q)", c.host, p, got, c.want, c.mismatch)
 		}
 		if again, _ := tr.Locate(c.host, "", c.zone); again != p {
-			t.Errorf("%s has two places", c.host)
+			t.Errorf("second Locate of %s returned another place", c.host)
 		}
 	}
 	for want, def := range map[string]Definition{
@@ -54,7 +54,7 @@
 		_, err := New(def)
 		var fe *FieldError
 		if !errors.As(err, &fe) || fe.Field != want {
-			t.Errorf("%v, want a word about %s", err, want)
+			t.Errorf("got error %v, want an error in field %s", err, want)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	return ok == ok2 && p == q
 }
 
-// plainlyAllows decides about a rule by looking at all tasks.
+// plainlyAllows decides whether a rule allows a start by examining all tasks.
 func plainlyAllows(r Rule, j *Job, leaf *Place, tasks []startedTask) bool {
 	here, elsewhere, of, ofHere := 0, 0, 0, 0
 	for _, x := range tasks {
@@ -123,10 +123,9 @@
 	return jobs
 }
 
-// TestRulesAsPlain plays random starts and ends and compares every answer with
-// one that looks at all tasks there are. Starts that are allowed never break a
-// rule; starts that are not would.
-func TestRulesAsPlain(t *testing.T) {
+// TestRulesMatchPlainSearch starts and ends random tasks and compares Check and AllowedTasks with
+// plainlyAllows.
+func TestRulesMatchPlainSearch(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		tr := tree(t)
@@ -139,23 +138,23 @@
 		jobs := randomJobs(rng)
 		tally := NewTaskCounter()
 		var tasks []startedTask
-		allowed, refused := 0, 0
+		allowed, forbidden := 0, 0
 		for range 600 {
 			j, leaf := jobs[rng.IntN(len(jobs))], leaves[rng.IntN(len(leaves))]
 			plain := true
 			for _, r := range j.Rules {
 				plain = plain && plainlyAllows(r, j, leaf, tasks)
 			}
-			_, refusal := tally.Check(j, leaf)
-			if (refusal == nil) != plain || (tally.AllowedTasks(j, leaf, 5) > 0) != plain {
-				t.Fatalf("seed %d: %s on %s: %+v, plainly %v", seed, j.Key, leaf, refusal, plain)
+			_, violation := tally.Check(j, leaf)
+			if (violation == nil) != plain || (tally.AllowedTasks(j, leaf, 5) > 0) != plain {
+				t.Fatalf("seed %d: %s on %s: violation %+v, plain search allows it: %v", seed, j.Key, leaf, violation, plain)
 			}
 			if plain {
 				allowed++
 				tally.Add(j.Key, leaf, 1)
 				tasks = append(tasks, startedTask{key: j.Key, leaf: leaf})
-			} else if refused++; refusal.Reason == "" {
-				t.Fatal("refused without a word")
+			} else if forbidden++; violation.Reason == "" {
+				t.Fatal("violation without a reason")
 			}
 			if len(tasks) > 0 && rng.IntN(3) == 0 {
 				i := rng.IntN(len(tasks))
@@ -163,21 +162,21 @@
 				tasks = append(tasks[:i], tasks[i+1:]...)
 			}
 		}
-		if allowed == 0 || refused == 0 {
-			t.Errorf("seed %d: %d allowed, %d refused", seed, allowed, refused)
+		if allowed == 0 || forbidden == 0 {
+			t.Errorf("seed %d: %d allowed, %d forbidden", seed, allowed, forbidden)
 		}
 		for _, x := range tasks {
 			tally.Add(x.key, x.leaf, -1)
 		}
 		if len(tally.counts) > 0 {
-			t.Errorf("seed %d: %d counts are left", seed, len(tally.counts))
+			t.Errorf("seed %d: %d counters remain after all tasks were removed", seed, len(tally.counts))
 		}
 	}
 }
 
-// TestProtocol: samePlace and apart keep their meaning, soft rules only rank, and
-// a machine whose place is not known is a place of its own.
-func TestProtocol(t *testing.T) {
+// TestSubmissionRules checks the rules SamePlace and Apart, that soft rules never forbid a start,
+// and that a machine whose place is unknown shares it with no other.
+func TestSubmissionRules(t *testing.T) {
 	tr := tree(t)
 	a, _ := tr.Locate("h1", "10.1.4.9:9000", "a")
 	b, _ := tr.Locate("host-b1", "", "b")
@@ -186,37 +185,36 @@
 	tally := NewTaskCounter()
 	apart := &Job{Key: "x", Tasks: 5, Rules: []Rule{Apart}}
 	if n := tally.AllowedTasks(apart, a, 9); n != 3 { // 5 of 9, 3 of 5, 1 of 1
-		t.Error("apart lets", n, "of 5 start in a zone")
+		t.Error("Apart allows", n, "of 5 tasks in a zone, want 3")
 	}
 	same := &Job{Key: "y", Tasks: 2, Rules: []Rule{SamePlace}}
 	tally.Add("y", a, 1)
 	if _, r := tally.Check(same, b); r == nil || !strings.Contains(r.Reason, "elsewhere") {
-		t.Error("samePlace lets a task start in another zone", r)
+		t.Error("SamePlace allows a task in another zone; violation:", r)
 	}
 	if _, r := tally.Check(same, lost); r != nil {
-		t.Error("a zone is known of every machine", r)
+		t.Error("SamePlace forbids a machine in the same zone without a rack:", r)
 	}
 	same.Rules[0].Soft = true
 	if n, r := tally.Check(same, b); n != 1 || r != nil {
-		t.Error("a soft rule forbids", n, r)
+		t.Error("soft rule: broken and violation are", n, r)
 	}
 	rack, _ := tr.Level("rack")
 	racks := &Job{Key: "z", Tasks: 9, Rules: []Rule{{Kind: Spread, Level: rack, MaxPerPlace: 1}}}
 	tally.Add("z", lost, 1)
 	if _, r := tally.Check(racks, lost); r == nil {
-		t.Error("a machine without a rack is not a place of its own")
+		t.Error("Spread allows a second task on a machine without a rack")
 	}
 	if _, r := tally.Check(racks, lost2); r != nil {
-		t.Error("two machines without a rack are one place", r)
+		t.Error("Spread treats two machines without a rack as one place:", r)
 	}
 	if _, r := tally.Check(&Job{Key: "w", Tasks: 2, Rules: []Rule{{Kind: Colocate, Level: rack}}}, lost); r == nil {
-		t.Error("a machine without a rack satisfies together")
+		t.Error("Colocate at rack level allows a machine without a rack")
 	}
 }
 
-// BenchmarkMay is a question and a start and an end with many machines and jobs
-// counted.
-func BenchmarkMay(b *testing.B) {
+// BenchmarkCheck measures one check, start and end of a task with many machines and jobs counted.
+func BenchmarkCheck(b *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			tr, tally := tree(b), NewTaskCounter()
