--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -158,8 +158,8 @@
 func (m *Machine) FindAttempt(id heartbeat.TaskID, try uint64, from int) *Attempt {
 	n := len(m.Attempts)
 	for i := range n {
-		if r := m.Attempts[(from+i)%n]; r.Number == try && r.ID == id {
-			return r
+		if a := m.Attempts[(from+i)%n]; a.Number == try && a.ID == id {
+			return a
 		}
 	}
 	return nil
@@ -176,7 +176,7 @@
 
 // HasReservationOf reports whether any of the job's reservations is on the machine.
 func (m *Machine) HasReservationOf(j *Job) bool {
-	return slices.ContainsFunc(m.Reservations, func(b *Reservation) bool { return b.Job == j })
+	return slices.ContainsFunc(m.Reservations, func(r *Reservation) bool { return r.Job == j })
 }
 
 // CanStartNow reports whether the machine has the job's image and enough free resources to start a
--- a/internal/fleet/reservation.go
+++ b/internal/fleet/reservation.go
@@ -18,7 +18,7 @@
 }
 
 // QueueTime returns the time that determines the reservation's position in the queue.
-func (b *Reservation) QueueTime() time.Time { return b.Start.Add(b.QueueDelay) }
+func (r *Reservation) QueueTime() time.Time { return r.Start.Add(r.QueueDelay) }
 
 // ReservationDuration returns how long a slot on the machine is reserved for a task of the job that
 // runs for base: base plus the time to fetch the image if the machine lacks it. Services are
--- a/internal/placement/starts.go
+++ b/internal/placement/starts.go
@@ -16,7 +16,7 @@
 	// rest of the queue is left to later replies. Each check scans the machine's timeline, which is
 	// expensive with hundreds of small jobs pending on full machines.
 	maxBackfillConflicts = 8
-	// maxStartsPerReply is the number of started tasks after which a reply is wholeReservation. The last
+	// maxStartsPerReply is the number of started tasks after which a reply is complete. The last
 	// job served may exceed it.
 	maxStartsPerReply = 256
 )
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -15,7 +15,7 @@
 // Account holds the quota and use of a team. A task counts as allocated from its start order until
 // it is known to be gone.
 type Account struct {
-	Configured        bool               // defined in the settings or by an operator; other teams may only submit jobs
+	Configured        bool               // defined in the settings or by an operator; other teams only submit jobs
 	Retired           bool               // accepts no new jobs; existing jobs continue
 	Guaranteed, Limit timeline.Resources // a zero resource has no guarantee or limit
 	Allocated         timeline.Resources
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -97,7 +97,7 @@
 		return known && elsewhere == 0
 	case Affinity:
 		return of == 0 || ofHere > 0
-	default: // AwayFrom
+	default: // AntiAffinity
 		return ofHere == 0
 	}
 }
@@ -136,7 +136,7 @@
 			leaves = append(leaves, leaf)
 		}
 		jobs := randomJobs(rng)
-		tally := NewTaskCounter()
+		counter := NewTaskCounter()
 		var tasks []startedTask
 		allowed, forbidden := 0, 0
 		for range 600 {
@@ -145,20 +145,20 @@
 			for _, r := range j.Rules {
 				plain = plain && plainlyAllows(r, j, leaf, tasks)
 			}
-			_, violation := tally.Check(j, leaf)
-			if (violation == nil) != plain || (tally.AllowedTasks(j, leaf, 5) > 0) != plain {
+			_, violation := counter.Check(j, leaf)
+			if (violation == nil) != plain || (counter.AllowedTasks(j, leaf, 5) > 0) != plain {
 				t.Fatalf("seed %d: %s on %s: violation %+v, plain search allows it: %v", seed, j.Key, leaf, violation, plain)
 			}
 			if plain {
 				allowed++
-				tally.Add(j.Key, leaf, 1)
+				counter.Add(j.Key, leaf, 1)
 				tasks = append(tasks, startedTask{key: j.Key, leaf: leaf})
 			} else if forbidden++; violation.Reason == "" {
 				t.Fatal("violation without a reason")
 			}
 			if len(tasks) > 0 && rng.IntN(3) == 0 {
 				i := rng.IntN(len(tasks))
-				tally.Add(tasks[i].key, tasks[i].leaf, -1)
+				counter.Add(tasks[i].key, tasks[i].leaf, -1)
 				tasks = append(tasks[:i], tasks[i+1:]...)
 			}
 		}
@@ -166,10 +166,10 @@
 			t.Errorf("seed %d: %d allowed, %d forbidden", seed, allowed, forbidden)
 		}
 		for _, x := range tasks {
-			tally.Add(x.key, x.leaf, -1)
+			counter.Add(x.key, x.leaf, -1)
 		}
-		if len(tally.counts) > 0 {
-			t.Errorf("seed %d: %d counters remain after all tasks were removed", seed, len(tally.counts))
+		if len(counter.counts) > 0 {
+			t.Errorf("seed %d: %d counters remain after all tasks were removed", seed, len(counter.counts))
 		}
 	}
 }
@@ -180,35 +180,35 @@
 	tr := tree(t)
 	a, _ := tr.Locate("h1", "10.1.4.9:9000", "a")
 	b, _ := tr.Locate("host-b1", "", "b")
-	lost, _ := tr.Locate("h9", "", "a")
-	lost2, _ := tr.Locate("h10", "", "a")
-	tally := NewTaskCounter()
+	noRack, _ := tr.Locate("h9", "", "a")
+	noRack2, _ := tr.Locate("h10", "", "a")
+	counter := NewTaskCounter()
 	apart := &Job{Key: "x", Tasks: 5, Rules: []Rule{Apart}}
-	if n := tally.AllowedTasks(apart, a, 9); n != 3 { // 5 of 9, 3 of 5, 1 of 1
+	if n := counter.AllowedTasks(apart, a, 9); n != 3 { // half of the tasks, rounded up
 		t.Error("Apart allows", n, "of 5 tasks in a zone, want 3")
 	}
 	same := &Job{Key: "y", Tasks: 2, Rules: []Rule{SamePlace}}
-	tally.Add("y", a, 1)
-	if _, r := tally.Check(same, b); r == nil || !strings.Contains(r.Reason, "elsewhere") {
+	counter.Add("y", a, 1)
+	if _, r := counter.Check(same, b); r == nil || !strings.Contains(r.Reason, "elsewhere") {
 		t.Error("SamePlace allows a task in another zone; violation:", r)
 	}
-	if _, r := tally.Check(same, lost); r != nil {
+	if _, r := counter.Check(same, noRack); r != nil {
 		t.Error("SamePlace forbids a machine in the same zone without a rack:", r)
 	}
 	same.Rules[0].Soft = true
-	if n, r := tally.Check(same, b); n != 1 || r != nil {
+	if n, r := counter.Check(same, b); n != 1 || r != nil {
 		t.Error("soft rule: broken and violation are", n, r)
 	}
 	rack, _ := tr.Level("rack")
 	racks := &Job{Key: "z", Tasks: 9, Rules: []Rule{{Kind: Spread, Level: rack, MaxPerPlace: 1}}}
-	tally.Add("z", lost, 1)
-	if _, r := tally.Check(racks, lost); r == nil {
+	counter.Add("z", noRack, 1)
+	if _, r := counter.Check(racks, noRack); r == nil {
 		t.Error("Spread allows a second task on a machine without a rack")
 	}
-	if _, r := tally.Check(racks, lost2); r != nil {
+	if _, r := counter.Check(racks, noRack2); r != nil {
 		t.Error("Spread treats two machines without a rack as one place:", r)
 	}
-	if _, r := tally.Check(&Job{Key: "w", Tasks: 2, Rules: []Rule{{Kind: Colocate, Level: rack}}}, lost); r == nil {
+	if _, r := counter.Check(&Job{Key: "w", Tasks: 2, Rules: []Rule{{Kind: Colocate, Level: rack}}}, noRack); r == nil {
 		t.Error("Colocate at rack level allows a machine without a rack")
 	}
 }
@@ -217,19 +217,19 @@
 func BenchmarkCheck(b *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			tr, tally := tree(b), NewTaskCounter()
+			tr, counter := tree(b), NewTaskCounter()
 			var leaf *Place
 			for i := range n {
 				leaf, _ = tr.Locate(fmt.Sprint("h", i), fmt.Sprintf("10.1.%d.%d:9000", i/250%256, i%250), "a")
-				tally.Add(fmt.Sprint("job", i), leaf, 1)
+				counter.Add(fmt.Sprint("job", i), leaf, 1)
 			}
 			j := &Job{Key: "x", Tasks: 100, Rules: []Rule{{Kind: Spread, Level: 2, MaxPerPlace: 4}, Apart, {Kind: AntiAffinity, Level: 3, Target: "y"}}}
 			for b.Loop() {
-				if _, r := tally.Check(j, leaf); r != nil {
+				if _, r := counter.Check(j, leaf); r != nil {
 					b.Fatal(r)
 				}
-				tally.Add("x", leaf, 1)
-				tally.Add("x", leaf, -1)
+				counter.Add("x", leaf, 1)
+				counter.Add("x", leaf, -1)
 			}
 		})
 	}
