--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -56,12 +56,12 @@
 		a.Job = j
 		return a
 	}
-	a.FoundRunning = task.Phase != heartbeat.Pulling
+	a.StartTimeUnknown = task.Phase != heartbeat.Pulling
 	if j != nil {
 		t.supersedeEarlier(a, j)
 	}
 	if j != nil && !j.Done.Has(a.ID.Index) && j.Attempts[a.ID.Index] == nil {
-		t.placement.Occupy(a, j)
+		t.placement.Allocate(a, j)
 		return a
 	}
 	// The task is unknown, completed or running elsewhere.
@@ -82,7 +82,7 @@
 func (t *Tracker) supersedeEarlier(a *fleet.Attempt, j *fleet.Job) {
 	earlier := j.Attempts[a.ID.Index]
 	if earlier != nil && earlier.Machine != a.Machine && earlier.Number < a.Number {
-		t.placement.Vacate(earlier)
+		t.placement.Deallocate(earlier)
 		earlier.StopRequested = true
 	}
 }
@@ -101,8 +101,8 @@
 // Release frees the resources of an attempt that is known to have ended and requeues its task.
 // The caller removes the attempt from the machine's list.
 func (t *Tracker) Release(a *fleet.Attempt) {
-	occupied := a.Occupies
-	t.placement.Vacate(a)
+	occupied := a.HoldsResources
+	t.placement.Deallocate(a)
 	if occupied {
 		t.jobs.Requeue(a.Job, a.ID.Index)
 		if a.Job.Cancelled {
@@ -118,7 +118,7 @@
 		return
 	}
 	if a.Phase == fleet.Ordered && a.OrderedCounter > 0 {
-		a.Machine.UnlistedStarts = 0
+		a.Machine.MissedStarts = 0
 	}
 	if task.Phase == heartbeat.Exited {
 		t.onExit(a, task.Cause)
@@ -133,21 +133,21 @@
 		a.StartedAt = t.engine.Now
 		if a.Job != nil {
 			a.Machine.Images.Add(a.Job.Spec.Image, struct{}{})
-			t.placement.Renew(a)
+			t.placement.ResetExpectedEnd(a)
 		}
 	}
 	a.Phase = phase
 	runs := phase == heartbeat.TaskRuns || phase == heartbeat.Checkpointing
-	if a.Occupies && a.CountRunning(runs) && runs {
+	if a.HoldsResources && a.SetRunning(runs) && runs {
 		t.jobs.TaskStarted(a.Job)
 	}
 }
 
 // onExit updates an attempt whose task has exited.
 func (t *Tracker) onExit(a *fleet.Attempt, cause string) {
-	previous, occupied := a.Phase, a.Occupies
+	previous, occupied := a.Phase, a.HoldsResources
 	a.Phase = heartbeat.Exited
-	t.placement.Vacate(a)
+	t.placement.Deallocate(a)
 	if cause == heartbeat.CauseDone {
 		t.onCompleted(a, previous, occupied)
 	} else {
@@ -169,12 +169,12 @@
 	case !a.Forgettable && j.Finishing && !j.Cancelled:
 		// Until the final record is committed, the exit that this worker reports may be the
 		// only information from which a new leader learns that the task has completed.
-		j.Completed = append(j.Completed, a)
+		j.UnrecordedCompletions = append(j.UnrecordedCompletions, a)
 	case !a.Forgettable && !j.Halted():
-		if previous == heartbeat.TaskRuns && !a.StartedAt.IsZero() && !a.FoundRunning {
+		if previous == heartbeat.TaskRuns && !a.StartedAt.IsZero() && !a.StartTimeUnknown {
 			t.placement.RecordRuntime(j, t.engine.Now.Sub(a.StartedAt))
 		}
-		j.Completed = append(j.Completed, a)
+		j.UnrecordedCompletions = append(j.UnrecordedCompletions, a)
 		t.jobs.CompleteTask(j, a.ID.Index)
 	case occupied && j.Cancelled:
 		a.Forgettable = true
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -97,26 +97,26 @@
 	t.Run("pending task", func(t *testing.T) {
 		f, m := newFixture(t), newMachine("h1")
 		a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
-		if a.StopRequested || !a.Occupies || !a.FoundRunning || f.job.Attempts[1] != a || m.Allocated != f.job.Need {
+		if a.StopRequested || !a.HoldsResources || !a.StartTimeUnknown || f.job.Attempts[1] != a || m.Allocated != f.job.Need {
 			t.Errorf("unexpected attempt state %+v", a)
 		}
 	})
 	t.Run("exited", func(t *testing.T) {
 		f, m := newFixture(t), newMachine("h1")
-		if a := f.Adopt(m, task(1, 1, heartbeat.Exited, heartbeat.CauseDone)); a.Job != f.job || a.Occupies || a.StopRequested {
+		if a := f.Adopt(m, task(1, 1, heartbeat.Exited, heartbeat.CauseDone)); a.Job != f.job || a.HoldsResources || a.StopRequested {
 			t.Errorf("unexpected attempt state %+v", a)
 		}
 	})
 	t.Run("completed task", func(t *testing.T) {
 		f, m := newFixture(t), newMachine("h1")
 		f.job.Done.Add(1)
-		if a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Occupies || a.Job != nil {
+		if a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.HoldsResources || a.Job != nil {
 			t.Errorf("unexpected attempt state %+v", a)
 		}
 	})
 	t.Run("no such task", func(t *testing.T) {
 		f, m := newFixture(t), newMachine("h1")
-		if a := f.Adopt(m, task(4, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Orphaned || a.Occupies {
+		if a := f.Adopt(m, task(4, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Orphaned || a.HoldsResources {
 			t.Errorf("unexpected attempt state %+v", a)
 		}
 	})
@@ -136,7 +136,7 @@
 		f, m := newFixture(t), newMachine("h1")
 		earlier := f.startTask(newMachine("h2"), 1, 1)
 		a := f.Adopt(m, task(1, 2, heartbeat.TaskRuns, ""))
-		if !earlier.StopRequested || earlier.Occupies || a.StopRequested || !a.Occupies {
+		if !earlier.StopRequested || earlier.HoldsResources || a.StopRequested || !a.HoldsResources {
 			t.Errorf("earlier %+v, later %+v", earlier, a)
 		}
 	})
@@ -144,7 +144,7 @@
 		f, m := newFixture(t), newMachine("h1")
 		later := f.startTask(newMachine("h2"), 1, 2)
 		a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
-		if later.StopRequested || !later.Occupies || !a.StopRequested || a.Occupies {
+		if later.StopRequested || !later.HoldsResources || !a.StopRequested || a.HoldsResources {
 			t.Errorf("earlier %+v, later %+v", a, later)
 		}
 	})
@@ -166,7 +166,7 @@
 	f.engine.Now = t0.Add(21 * time.Second)
 	f.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
 	f.leader.wantCalls(t, "complete 1")
-	if f.job.Running != 0 || a.Occupies || m.Allocated != (timeline.Resources{}) || a.Forgettable || len(f.job.Completed) != 1 {
+	if f.job.Running != 0 || a.HoldsResources || m.Allocated != (timeline.Resources{}) || a.Forgettable || len(f.job.UnrecordedCompletions) != 1 {
 		t.Errorf("unexpected attempt state %+v", a)
 	}
 	f.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseError))
@@ -223,7 +223,7 @@
 			}
 			f.Update(a, task(1, 1, heartbeat.Exited, test.cause))
 			f.leader.wantCalls(t, test.want...)
-			if a.Forgettable != test.forgettable || a.Occupies {
+			if a.Forgettable != test.forgettable || a.HoldsResources {
 				t.Errorf("unexpected attempt state %+v", a)
 			}
 		})
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -24,10 +24,10 @@
 	l.outages.Observe()
 	c.reviewMachines(e)
 	l.machineRecords.DropExpired(c.earlierLeaseExpiry())
-	l.placement.ReserveWarmRoom(l.autoscaler.BurstRoom(c.pol.Warm(e)))
+	l.placement.ReserveWarmCapacity(l.autoscaler.BurstRoom(c.pol.Warm(e)))
 	c.preemptForGuarantees()
 	l.autoscaler.ScaleIn(l.allAccounted())
-	l.placement.RereserveOverdue(tickInterval)
+	l.placement.RefreshDueReservations(tickInterval)
 	// Send releases first: a failover may wait for one, and scaling out under a backlog can use
 	// up the rate limit of cloud calls.
 	l.autoscaler.SendReleases()
@@ -42,8 +42,8 @@
 		HoldBusy:       timeline.Seconds(c.pol.HoldBusy(e)),
 		BytesPerSecond: c.pol.ReportBytes(e),
 	}
-	l.placement.Margin = c.pol.Margin(e)
-	l.placement.FindOverdue(timeline.Seconds(c.pol.BeginWithin(e)))
+	l.placement.EstimateMargin = c.pol.Margin(e)
+	l.placement.FindStarvedJobs(timeline.Seconds(c.pol.BeginWithin(e)))
 }
 
 // reviewMachines reviews each machine against the limits of the policy. The limit for machines that
@@ -76,8 +76,8 @@
 			continue
 		}
 		reporting++
-		if m.ReportsVia != nil && c.leadership.relays.Overdue(m) {
-			overdue[m.ReportsVia]++
+		if m.Relay != nil && c.leadership.relays.Overdue(m) {
+			overdue[m.Relay]++
 		}
 		if c.Now.Sub(c.lastHeard(m)) > limit {
 			silent++
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -38,7 +38,7 @@
 	c.leadership.startComponents(c)
 	for _, t := range liveconfig.BaseTeams(c.cfg.Settings.Teams) {
 		c.leadership.teams.Configure(t)
-		c.leadership.placement.Guarantees = c.leadership.placement.Guarantees || t.CPUs > 0 || t.GPUs > 0
+		c.leadership.placement.AnyGuarantee = c.leadership.placement.AnyGuarantee || t.CPUs > 0 || t.GPUs > 0
 	}
 	c.Log(slog.LevelInfo, "elected leader", "term", term)
 	c.announceTerm()
@@ -127,7 +127,7 @@
 
 // tickLeader runs the leader's periodic work and schedules its next run.
 func (c *Core) tickLeader() {
-	if c.leadership.placement.Attempts > placement.MaxAttempts-reservedAttempts {
+	if c.leadership.placement.AttemptCount > placement.MaxAttempts-reservedAttempts {
 		// Attempt numbers beyond the limit would overlap with those of the next term.
 		c.resign("the attempt numbers of the term are used up")
 		return
--- a/internal/fleet/reservation.go
+++ b/internal/fleet/reservation.go
@@ -7,27 +7,28 @@
 	"yewpass/internal/timeline"
 )
 
-// Reservation reserves room for waiting tasks of one job on one machine's timeline.
-// Without a machine it only keeps their place in the queue.
+// Reservation reserves a slot on a machine's timeline for pending tasks of one job. Without a
+// machine it only holds the job's position in the queue.
 type Reservation struct {
 	timeline.Booking
-	Job          *Job
-	Machine      *Machine
-	Yield        time.Duration // by how much it is put back in the queue
-	YieldPerTask time.Duration // by how much less for every task of the job that starts
+	Job               *Job
+	Machine           *Machine
+	QueueDelay        time.Duration // how far it is moved back in the queue
+	QueueDelayPerTask time.Duration // reduction of QueueDelay for each task of the job that starts
 }
 
-// QueueTime returns the time that decides the reservation's place in the queue.
-func (b *Reservation) QueueTime() time.Time { return b.Start.Add(b.Yield) }
+// QueueTime returns the time that determines the reservation's position in the queue.
+func (r *Reservation) QueueTime() time.Time { return r.Start.Add(r.QueueDelay) }
 
-// Occupancy returns for how long a task of the job is reserved on the machine if it runs for
-// base, with the time to fetch its image if the machine lacks it.
-func Occupancy(j *Job, m *Machine, base time.Duration) time.Duration {
+// ReservationDuration returns how long a slot on the machine is reserved for a task of the job that
+// runs for base: base plus the time to fetch the image if the machine lacks it. Services are
+// reserved until timeline.Forever.
+func ReservationDuration(j *Job, m *Machine, base time.Duration) time.Duration {
 	if j.Spec.Service {
 		return timeline.Forever
 	}
 	if !m.Images.Contains(j.Spec.Image) {
-		base += estimate.ImageFetch(&j.Spec, m.InstanceType)
+		base += estimate.ImageFetchTime(&j.Spec, m.InstanceType)
 	}
 	return base
 }
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -52,7 +52,7 @@
 	m := v.byHost[host]
 	if m == nil {
 		m = fleet.NewMachine(fleet.Identity{Host: host, TypeName: instanceType, Zone: zone, Spot: spot}, v.engine.Now)
-		m.Place, _ = v.places.Machine(host, "", zone)
+		m.Place, _ = v.places.Locate(host, "", zone)
 		m.ZoneState = v.zones.Zone(zone)
 		v.byHost[host] = m
 		v.machines = slices.Insert(v.machines, v.index(host), m)
@@ -85,7 +85,7 @@
 // Remove deletes a machine from the inventory.
 func (v *Inventory) Remove(m *fleet.Machine) {
 	delete(v.byHost, m.Host)
-	v.places.Forget(m.Host)
+	v.places.Remove(m.Host)
 	if i := v.index(m.Host); i < len(v.machines) && v.machines[i] == m {
 		v.machines = slices.Delete(v.machines, i, i+1)
 	}
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -59,7 +59,7 @@
 // Add adds the machine to a record and schedules its write. Tasks may start on the machine once
 // that is committed.
 func (r *Records) Add(m *fleet.Machine) {
-	i := slices.IndexFunc(r.records, func(rec *fleet.Record) bool { return rec.Size+fleet.RecordedSize(m) <= r.fillLimit })
+	i := slices.IndexFunc(r.records, func(rec *fleet.Record) bool { return rec.Size+fleet.RecordSize(m) <= r.fillLimit })
 	if i < 0 {
 		r.created++
 		r.records = append(r.records, &fleet.Record{Key: fmt.Sprintf("%s%d-%d", record.MachinePrefix, r.term, r.created)})
@@ -75,7 +75,7 @@
 func (r *Records) assign(rec *fleet.Record, m *fleet.Machine) {
 	m.RecordedIn = rec
 	rec.Machines = append(rec.Machines, m)
-	rec.Size += fleet.RecordedSize(m)
+	rec.Size += fleet.RecordSize(m)
 }
 
 // Remove removes a terminated machine from its record and schedules the write.
@@ -86,7 +86,7 @@
 	}
 	m.Record, m.RecordedIn = fleet.Unrecorded, nil
 	rec.Machines = slices.DeleteFunc(rec.Machines, func(x *fleet.Machine) bool { return x == m })
-	rec.Size -= fleet.RecordedSize(m)
+	rec.Size -= fleet.RecordSize(m)
 	r.write(rec, writebatch.Bulk)
 }
 
@@ -145,7 +145,7 @@
 	w.change.Size = rec.Size
 	value := &record.Machines{}
 	for _, m := range rec.Machines {
-		value.Machines = append(value.Machines, m.Recorded())
+		value.Machines = append(value.Machines, m.ToRecord())
 		if m.Record == fleet.Recording {
 			w.added = append(w.added, m)
 		}
--- a/internal/lifecycle/cancel.go
+++ b/internal/lifecycle/cancel.go
@@ -28,7 +28,7 @@
 		m.answer(r, request.Response{Status: 200, View: j.View()})
 		return
 	}
-	j.EndingWaiters = append(j.EndingWaiters, r)
+	j.FinalWaiters = append(j.FinalWaiters, r)
 	if j.Cancelling || j.Finishing {
 		return
 	}
@@ -63,13 +63,13 @@
 		OnConflict: func() { m.readBackFinal(j) },
 		OnCommit:   func(uint64) { m.onCancelCommitted(j, &cancelled) },
 	}
-	j.EndingChange = change
+	j.FinalChange = change
 	m.Writes.Add(change)
 }
 
 // onCancelCommitted updates a job whose cancellation has been committed.
 func (m *Manager) onCancelCommitted(j *fleet.Job, rec *record.Job) {
-	j.Cancelling, j.Cancelled, j.Record, j.EndingChange = false, true, rec, nil
+	j.Cancelling, j.Cancelled, j.Record, j.FinalChange = false, true, rec, nil
 	m.Placement.DropReservations(j)
 	m.engine.Log(slog.LevelDebug, "job cancelled", "job", j.Spec.ID)
 	m.AnswerWaiters(j, request.Response{Status: 200, View: j.View()})
@@ -90,24 +90,24 @@
 // AnswerWaiters sends the response to every request that waits for the job's cancellation or
 // final record, and clears the list.
 func (m *Manager) AnswerWaiters(j *fleet.Job, response request.Response) {
-	for _, r := range j.EndingWaiters {
+	for _, r := range j.FinalWaiters {
 		m.answer(r, response)
 	}
-	j.EndingWaiters = nil
+	j.FinalWaiters = nil
 }
 
 // WaitForEnding holds a request about a job whose cancellation or final record has been sent to
 // the store and may be committed already, and reports whether it does. Another controller may
 // have reported the new state to the client, which must not see an older one afterwards.
 func (m *Manager) WaitForEnding(j *fleet.Job, r request.Request) bool {
-	if j.EndingChange == nil || !j.EndingChange.Sent {
+	if j.FinalChange == nil || !j.FinalChange.Sent {
 		return false
 	}
-	j.EndingWaiters = append(j.EndingWaiters, r)
+	j.FinalWaiters = append(j.FinalWaiters, r)
 	m.scope.After(endingWaitTimeout, func() {
-		i := slices.IndexFunc(j.EndingWaiters, func(w request.Request) bool { return w.From == r.From && w.Ref == r.Ref })
+		i := slices.IndexFunc(j.FinalWaiters, func(w request.Request) bool { return w.From == r.From && w.Ref == r.Ref })
 		if i >= 0 {
-			j.EndingWaiters = slices.Delete(j.EndingWaiters, i, i+1)
+			j.FinalWaiters = slices.Delete(j.FinalWaiters, i, i+1)
 			m.answer(r, request.Unavailable("its end is being recorded"))
 		}
 	})
--- a/internal/lifecycle/records.go
+++ b/internal/lifecycle/records.go
@@ -68,7 +68,7 @@
 // workers may forget them. Until then workers report them in every heartbeat, and a new leader
 // learns of the completion from there.
 func markForgettable(j *fleet.Job, chunk int, recorded bitset.Set) {
-	j.Completed = slices.DeleteFunc(j.Completed, func(a *fleet.Attempt) bool {
+	j.UnrecordedCompletions = slices.DeleteFunc(j.UnrecordedCompletions, func(a *fleet.Attempt) bool {
 		if a.ID.Index/bitset.ChunkSize == chunk && recorded.Has(a.ID.Index%bitset.ChunkSize) {
 			a.Forgettable = true
 		}
@@ -91,7 +91,7 @@
 		Writes:   []kv.Write{{Key: record.FinalPrefix + j.Spec.ID, Value: &final}, {Key: record.JobPrefix + j.Spec.ID}},
 		OnCommit: func(uint64) { m.onFinalCommitted(j, final) },
 	}
-	j.EndingChange = change
+	j.FinalChange = change
 	// The progress records are deleted in the same transaction, up to its limit of operations.
 	deletes := make([]*writebatch.Change, 0, 1)
 	for _, chunk := range slices.Sorted(maps.Keys(j.ChunkRevisions)) {
--- a/internal/placement/starts.go
+++ b/internal/placement/starts.go
@@ -10,235 +10,237 @@
 )
 
 const (
-	// MaxAttempts is how many attempts a term has numbers for.
+	// MaxAttempts is the number of attempt numbers available in one term.
 	MaxAttempts = 1<<record.AttemptBits - 1
-	// maxBlockedJobs is how many jobs one reply finds in the way of something larger before it
-	// leaves the rest of the queue to later ones. Each look goes over the machine's timeline:
-	// with hundreds of small jobs waiting on full machines (a guest's many single tasks) that
-	// took most of a leader's processor share, and users' calls waited for seconds.
-	maxBlockedJobs = 8
-	// maxStartsPerReply is how many tasks one reply starts at the most, or a few more.
+	// maxBackfillConflicts bounds how many backfill checks may fail during one reply before the
+	// rest of the queue is left to later replies. Each check scans the machine's timeline, which is
+	// expensive with hundreds of small jobs pending on full machines.
+	maxBackfillConflicts = 8
+	// maxStartsPerReply is the number of started tasks after which a reply is complete. The last
+	// job served may exceed it.
 	maxStartsPerReply = 256
 )
 
-// topologyRoom returns how many of n more tasks of the job may be on the machine now, given
-// where its others are, or may be.
-func (s *Scheduler) topologyRoom(j *fleet.Job, m *fleet.Machine, n int) int {
+// topologyLimit returns how many of n more tasks of the job its placement rules allow on the
+// machine, given where its other tasks are or may be.
+func (s *Scheduler) topologyLimit(j *fleet.Job, m *fleet.Machine, n int) int {
 	if len(j.Placement.Rules) == 0 {
 		return n
 	}
-	return s.tally.Room(&j.Placement, m.Place, n)
+	return s.taskCounter.AllowedTasks(&j.Placement, m.Place, n)
 }
 
-// MayStart reports whether tasks of the job may start at all now.
+// MayStart reports whether any task of the job may start now. Jobs from earlier terms and teams
+// with a limit wait until all machines are accounted for, since unreported tasks may be the same
+// tasks or count towards the limit.
 func (s *Scheduler) MayStart(j *fleet.Job) bool {
-	return !j.Halted() && !s.now().Before(j.RetryAt) && (s.allAccounted() || !j.FromEarlierTerm && !j.Team.Limited()) && (s.OrphanedTasks == 0 || !j.Team.Limited())
+	return !j.Halted() && !s.now().Before(j.RetryAt) && (s.allAccounted() || !j.FromEarlierTerm && !j.Team.HasLimit()) && (s.OrphanedTasks == 0 || !j.Team.HasLimit())
 }
 
-// CouldStart reports whether a task of the job may start now wherever it fits.
-func (s *Scheduler) CouldStart(j *fleet.Job) bool {
+// MayStartWithinLimit reports whether a task of the job may start now and its team's limit allows
+// one more.
+func (s *Scheduler) MayStartWithinLimit(j *fleet.Job) bool {
 	return s.MayStart(j) && j.Team.TasksWithinLimit(j.Need, 1) > 0
 }
 
-// takesTasks reports whether tasks may start on the machine now.
-func (s *Scheduler) takesTasks(m *fleet.Machine) bool {
-	return m.Room().CPU > 0 && len(s.Queue) > 0 && s.leader.CanAct() &&
-		m.Reported && m.Record == fleet.Recorded && m.Usable() && m.ZoneState.StartsTasks() &&
-		!s.now().Before(m.RetryAt) && !s.leader.Unaccounted(m.Host) && s.Attempts <= MaxAttempts-maxStartsPerReply
+// acceptsTasks reports whether tasks may start on the machine now.
+func (s *Scheduler) acceptsTasks(m *fleet.Machine) bool {
+	return m.FreeResources().CPU > 0 && len(s.Queue) > 0 && s.leader.CanAct() &&
+		m.Reported && m.Record == fleet.Recorded && m.Schedulable() && m.ZoneState.StartsTasks() &&
+		!s.now().Before(m.RetryAt) && !s.leader.Unaccounted(m.Host) && s.AttemptCount <= MaxAttempts-maxStartsPerReply
 }
 
-// StartTasksOn starts waiting tasks on the machine in the order of the queue while they fit,
-// ahead of their time if need be and wherever room is reserved for them: a machine with free
-// room takes what waits for a busy one. It returns the orders for the reply to the machine's
-// last report.
+// StartTasksOn starts pending tasks on the machine in queue order while they fit, even before their
+// reserved time and if their reservation is on another machine. It returns the orders for the reply
+// to the machine's last heartbeat.
 func (s *Scheduler) StartTasksOn(m *fleet.Machine) []heartbeat.Order {
-	if !s.takesTasks(m) {
+	if !s.acceptsTasks(m) {
 		return nil
 	}
-	f := filling{Scheduler: s, machine: m}
-	f.startOverdue()
-	f.room = m.Room()
-	// What lies within a team's guarantee goes first: borrowing is for what is left unused.
-	if s.Guarantees && !f.walkQueue(false) {
+	f := startPass{Scheduler: s, machine: m}
+	f.startStarved()
+	f.free = m.FreeResources()
+	// Tasks within a team's guarantee go first; other teams may borrow only what is left.
+	if s.AnyGuarantee && !f.walkQueue(false) {
 		return f.orders
 	}
 	f.walkQueue(true)
 	return f.orders
 }
 
-// filling is the choice of what starts on one machine.
-type filling struct {
+// startPass selects the tasks to start on one machine for one reply.
+type startPass struct {
 	*Scheduler
-	machine *fleet.Machine
-	room    timeline.Resources // still free
-	orders  []heartbeat.Order
-	blocked bool               // something larger waits here for its slot
-	barred  []timeline.Booking // what was found to stand in its way
+	machine   *fleet.Machine
+	free      timeline.Resources // resources not yet taken
+	orders    []heartbeat.Order
+	blocked   bool               // a pending job with a reservation here does not fit yet
+	conflicts []timeline.Booking // backfill candidates that would delay it
 }
 
-// startOverdue starts a first task each of jobs that have waited for long, as far as
-// guarantees and limits allow.
-func (f *filling) startOverdue() {
+// startStarved starts the first task of each starved job, subject to guarantees and limits.
+func (f *startPass) startStarved() {
 	m := f.machine
-	for _, j := range f.overdue {
-		if len(j.Reservations) == 0 || len(j.Attempts) > 0 || !m.EligibleFor(j) || !f.MayStart(j) || j.Team.TasksWithinLimit(j.Need, 1) == 0 || f.topologyRoom(j, m, 1) == 0 ||
-			f.Guarantees && j.Team.GuaranteedTasks(j.Need, 1) == 0 || m.OnProbation && len(m.Attempts) > 0 {
+	for _, j := range f.starved {
+		if len(j.Reservations) == 0 || len(j.Attempts) > 0 || !m.EligibleFor(j) || !f.MayStart(j) || j.Team.TasksWithinLimit(j.Need, 1) == 0 || f.topologyLimit(j, m, 1) == 0 ||
+			f.AnyGuarantee && j.Team.TasksWithinGuarantee(j.Need, 1) == 0 || m.OnProbation && len(m.Attempts) > 0 {
 			continue
 		}
-		if !j.Need.Fits(m.Room()) {
+		if !j.Need.Fits(m.FreeResources()) {
 			f.blocked = f.blocked || m.HasReservationOf(j)
 			continue
 		}
 		r := j.Reservations[0]
-		f.start(r, 1)
+		f.startTasks(r, 1)
 	}
 }
 
-// walkQueue goes through the queue once and starts what it can. It reports whether there may
-// be more to start.
-func (f *filling) walkQueue(borrowing bool) (more bool) {
+// walkQueue walks the queue once and starts the tasks that it can. It reports whether another walk
+// may start more.
+func (f *startPass) walkQueue(borrowing bool) (more bool) {
 	for i := 0; i < len(f.Queue); {
-		if f.room.CPU <= 0 || len(f.orders) >= maxStartsPerReply {
+		if f.free.CPU <= 0 || len(f.orders) >= maxStartsPerReply {
 			return false
 		}
-		switch f.serve(f.Queue[i], borrowing) {
+		switch f.startFromJob(f.Queue[i], borrowing) {
 		case nextJob:
 			i++
 		case stop:
 			return false
-		case nextReservation: // the job has moved on to its next reservation, or left the queue
+		case nextReservation: // the job was repositioned in the queue or removed from it
 		}
 	}
 	return true
 }
 
-// verdict says how the walk through the queue goes on.
-type verdict int
+// walkStep is how walkQueue continues after a job.
+type walkStep int
 
 const (
-	nextJob verdict = iota
+	nextJob walkStep = iota
 	nextReservation
 	stop
 )
 
-// String names the verdict.
-func (v verdict) String() string { return [...]string{"next job", "next reservation", "stop"}[v] }
+// String returns the name of the step.
+func (v walkStep) String() string { return [...]string{"next job", "next reservation", "stop"}[v] }
 
-// serve starts tasks of the job's next reservation.
-func (f *filling) serve(j *fleet.Job, borrowing bool) verdict {
+// startFromJob starts tasks of the job's next reservation.
+func (f *startPass) startFromJob(j *fleet.Job, borrowing bool) walkStep {
 	m := f.machine
-	if !borrowing && j.Team.GuaranteedTasks(j.Need, 1) == 0 || !m.EligibleFor(j) || !f.MayStart(j) {
+	if !borrowing && j.Team.TasksWithinGuarantee(j.Need, 1) == 0 || !m.EligibleFor(j) || !f.MayStart(j) {
 		return nextJob
 	}
 	if m.OnProbation && len(m.Attempts) > 0 {
-		return stop // one task at a time shows whether the machine works
+		return stop // one task at a time until one completes
 	}
 	r := f.nextReservationFor(j, m)
 	if r == nil {
-		return nextJob // better started elsewhere, where its image is
+		return nextJob // a machine with the image is preferred
 	}
-	n := j.Need.Times(f.roomFor(j), r.Count)
+	n := j.Need.CopiesWithin(f.freeFor(j), r.Count)
 	if n == 0 {
 		f.blocked = f.blocked || m.HasReservationOf(j)
 		return nextJob
 	}
 	if f.blocked {
-		if n = f.outOfTheWay(r, n); n == 0 {
-			if len(f.barred) >= maxBlockedJobs {
+		if n = f.backfillLimit(r, n); n == 0 {
+			if len(f.conflicts) >= maxBackfillConflicts {
 				return stop
 			}
 			return nextJob
 		}
 	}
-	if n = f.limit(j, n, borrowing); n == 0 {
+	if n = f.allowedTasks(j, n, borrowing); n == 0 {
 		return nextJob
 	}
-	whole := n == r.Count
-	f.start(r, n)
-	f.room = m.Room()
+	wholeReservation := n == r.Count
+	f.startTasks(r, n)
+	f.free = m.FreeResources()
 	if j.Waiting > j.Reserved && j.Reserved < reservationWindow/2 {
 		f.ReserveSoon(j)
 	}
 	switch {
 	case m.OnProbation:
 		return stop
-	case whole:
+	case wholeReservation:
 		return nextReservation
 	}
 	return nextJob
 }
 
-// roomFor returns the free room that the job may take.
-func (f *filling) roomFor(j *fleet.Job) timeline.Resources {
-	room := f.room
-	if f.machine.WarmReserve > 0 && !j.StartsAtOnce {
-		room.CPU -= f.machine.WarmReserve
+// freeFor returns the free resources that the job may use. Warm capacity is available to
+// latency-sensitive jobs only.
+func (f *startPass) freeFor(j *fleet.Job) timeline.Resources {
+	free := f.free
+	if f.machine.WarmReserve > 0 && !j.LatencySensitive {
+		free.CPU -= f.machine.WarmReserve
 	}
-	return room
+	return free
 }
 
-// outOfTheWay returns how many of n tasks of the reservation may start now without taking the
-// slot of something larger that waits here.
-func (f *filling) outOfTheWay(r *fleet.Reservation, n int) int {
+// backfillLimit returns how many of n tasks of the reservation may start now without delaying a
+// larger job that has a reservation on this machine.
+func (f *startPass) backfillLimit(r *fleet.Reservation, n int) int {
 	m, j := f.machine, r.Job
-	length := f.Occupancy(j, m)
+	length := f.ReservationDuration(j, m)
 	end := f.now().Add(length)
-	if r.Machine != m && slices.ContainsFunc(f.barred, func(x timeline.Booking) bool { return x.Need.Fits(j.Need) && !x.End.After(end) }) {
-		return 0 // needs more, or for longer, than what was found to stand in the way
+	if r.Machine != m && slices.ContainsFunc(f.conflicts, func(x timeline.Booking) bool { return x.Need.Fits(j.Need) && !x.End.After(end) }) {
+		return 0 // needs at least as much, for at least as long, as a candidate that failed
 	}
 	if r.Machine == m {
 		m.Timeline.Remove(&r.Booking)
 	}
-	n = m.Timeline.Count(f.now(), length, j.Need, n)
+	n = m.Timeline.FitCount(f.now(), length, j.Need, n)
 	if r.Machine == m {
 		m.Timeline.Add(&r.Booking)
 	}
 	if n == 0 {
-		f.barred = append(f.barred, timeline.Booking{Need: j.Need, End: end})
+		f.conflicts = append(f.conflicts, timeline.Booking{Need: j.Need, End: end})
 	}
 	return n
 }
 
-// limit returns how many of n tasks of the job its team's limit and guarantee, its rules on
-// places and earlier failures let start on the machine.
-func (f *filling) limit(j *fleet.Job, n int, borrowing bool) int {
+// allowedTasks returns how many of n tasks of the job may start on the machine under its team's
+// limit and guarantee, its placement rules and its earlier failures.
+func (f *startPass) allowedTasks(j *fleet.Job, n int, borrowing bool) int {
 	if n = j.Team.TasksWithinLimit(j.Need, n); n == 0 {
 		j.Team.LimitReached = true
 	}
 	if !borrowing {
-		n = j.Team.GuaranteedTasks(j.Need, n)
+		n = j.Team.TasksWithinGuarantee(j.Need, n)
 	}
-	n = f.topologyRoom(j, f.machine, n)
+	n = f.topologyLimit(j, f.machine, n)
 	if f.machine.OnProbation || j.Failures > 0 && !j.AnyCompleted {
 		n = min(n, max(0, 1-len(j.Attempts)))
 	}
 	return n
 }
 
-// start orders n tasks of a reservation to start on the machine.
-func (f *filling) start(r *fleet.Reservation, n int) {
+// startTasks creates start orders for n tasks of a reservation.
+func (f *startPass) startTasks(r *fleet.Reservation, n int) {
 	for range n {
 		f.orders = append(f.orders, f.startTask(r, f.machine))
 	}
-	if r.YieldPerTask > 0 {
+	if r.QueueDelayPerTask > 0 {
 		f.advanceInQueue(r.Job, n)
 	}
 }
 
-// startTask orders one task of a reservation to start on the machine.
+// startTask creates the attempt and the start order for one task of a reservation.
 func (s *Scheduler) startTask(r *fleet.Reservation, m *fleet.Machine) heartbeat.Order {
 	j := r.Job
 	i := j.Pending.First()
 	s.consumeReservation(r)
 	j.Pending.Remove(i)
 	j.Waiting--
-	// Attempt numbers rise across terms as well: the term comes first.
-	s.Attempts++
+	// The term occupies the high bits, so attempt numbers also increase across terms.
+	s.AttemptCount++
 	a := &fleet.Attempt{
-		ID: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Number: s.term<<record.AttemptBits + s.Attempts,
+		ID: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Number: s.term<<record.AttemptBits + s.AttemptCount,
 		Machine: m, Phase: fleet.Ordered, OrderedCounter: m.Counter, OrderedAt: s.now(),
 	}
 	m.Attempts = append(m.Attempts, a)
-	s.Occupy(a, j)
+	s.Allocate(a, j)
 	return heartbeat.Order{Verb: heartbeat.Start, Task: a.ID, Try: a.Number}
 }
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -114,7 +114,7 @@
 // one on, further starts on the machine are delayed exponentially, so that tasks are not
 // retried on a machine that does not receive replies.
 func (r *Reconciler) backOffAfterLostStart(m *fleet.Machine) {
-	if m.UnlistedStarts++; m.UnlistedStarts > 1 {
-		m.RetryAt = r.engine.Now.Add(min(time.Second<<min(m.UnlistedStarts-1, 10), r.workerLease))
+	if m.MissedStarts++; m.MissedStarts > 1 {
+		m.RetryAt = r.engine.Now.Add(min(time.Second<<min(m.MissedStarts-1, 10), r.workerLease))
 	}
 }
