--- a/internal/configmanager/batch.go
+++ b/internal/configmanager/batch.go
@@ -85,7 +85,7 @@
 
 // roomForBatch returns how many writes a batch may have now.
 func (m *Manager) roomForBatch() int {
-	return m.writes.RoomFor(writebatch.Config, m.engine.Now, m.cfg.Settings.State.TxnOps)
+	return m.writes.AvailableWrites(writebatch.Config, m.engine.Now, m.cfg.Settings.State.TxnOps)
 }
 
 // prepareBatch decides which changes the batch holds, as it is about to be written.
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -181,7 +181,7 @@
 	leader, other := leaderOfThree(t), leaderOfThree(t)
 	other.leadership, other.cfg.HostName = nil, "n1"
 	other.election.SetLink("n0", true)
-	other.election.NoteLeader("n0", 1)
+	other.election.SetLeader("n0", 1)
 	var ask *peermsg.Message
 	for _, o := range other.Step(other.Now, request.Request{Ref: 1, Op: request.ConfigStatus, Config: &request.ConfigParams{}}) {
 		switch o := o.(type) {
@@ -229,7 +229,7 @@
 // allowance that configuration has holds all of it.
 func TestWideChangeWaitsForItsRoom(t *testing.T) {
 	c := leaderOf(t, 1)
-	c.leadership.writes.Spend(writebatch.Config, c.Now, 10) // two of twelve are left
+	c.leadership.writes.Consume(writebatch.Config, c.Now, 10) // two of twelve are left
 	var wide []liveconfig.TeamChange
 	for i := range c.cfg.Settings.State.TxnOps - 1 {
 		wide = append(wide, liveconfig.TeamChange{Team: liveconfig.Team{Name: fmt.Sprint("w", i)}})
@@ -248,7 +248,7 @@
 			if after := c.Now.Sub(began); after < time.Second || after > 1500*time.Millisecond {
 				t.Errorf("it goes after %s, ten changes come back in 1.1 s", after)
 			}
-			if room := c.leadership.writes.RoomFor(writebatch.Config, c.Now, 12); room > 0 {
+			if room := c.leadership.writes.AvailableWrites(writebatch.Config, c.Now, 12); room > 0 {
 				t.Errorf("room for %d more", room)
 			}
 			return
@@ -265,7 +265,7 @@
 	c := leaderOf(t, 1)
 	st := c.cfg.Settings.State
 	rate := st.WriteRPS * writebatch.ConfigShare
-	c.leadership.writes.Spend(writebatch.Config, c.Now, st.TxnOps)
+	c.leadership.writes.Consume(writebatch.Config, c.Now, st.TxnOps)
 	const piled = 40
 	asked, made := 0, 0
 	ask := func() []any {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -113,7 +113,7 @@
 
 // start begins the work of the process with its first step.
 func (c *Core) start() {
-	if short := c.leaseTiming.Shortfall(); short != "" {
+	if short := c.leaseTiming.MarginWarning(); short != "" {
 		c.Log(slog.LevelWarn, "settings leave little margin", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", short)
 	}
 	c.election.Watch()
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -73,7 +73,7 @@
 // mayHaveLostJobs reports whether an unknown job may be one that was lost.
 func (l *leadership) mayHaveLostJobs(now time.Time) bool {
 	loss := l.restorer.Loss()
-	return loss != nil && now.Sub(loss.Since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*failover.UnknownPastTimeout
+	return loss != nil && now.Sub(loss.Since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*failover.UnknownHistoryTimeout
 }
 
 // confirmTerm asks the store whether our term and its leader are still on record, which
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -35,10 +35,10 @@
 }
 
 // BeginTerm makes this node the leader of a term, and begins to look for the records.
-func (h electionHost) BeginTerm(v election.Victory) {
+func (h electionHost) BeginTerm(v election.CampaignResult) {
 	c := h.c
-	c.becomeLeader(v.Term, v.Revision, v.LeaseID, v.SentAt, v.ClockSkew)
+	c.becomeLeader(v.Term, v.Revision, v.LeaseID, v.LeaseRequestedAt, v.ClockSkew)
 	c.observed = c.observed.AdvanceTo(v.Era, v.Term, c.processID)
 	c.observed.Revision = max(c.observed.Revision, v.Revision)
-	c.startRecovery(v.Before, v.Read, v.LedLastTerm)
+	c.startRecovery(v.ObservedBefore, v.TermRead, v.LedPreviousTerm)
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -43,7 +43,7 @@
 
 // handOver resigns, so that another controller is elected.
 func (c *Core) handOver(why string) {
-	c.election.NoteHandOver()
+	c.election.RecordHandOver()
 	c.resign(why)
 }
 
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -77,7 +77,7 @@
 // still and cannot say.
 func (c *Core) inGracePeriod() bool {
 	l := c.leadership
-	over := c.leaseTiming.GraceOver(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew)
+	over := c.leaseTiming.GracePeriodExpired(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew)
 	return !over && !c.Now.Before(l.expiresAt)
 }
 
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -21,7 +21,7 @@
 
 // becomeLeader begins a term.
 func (c *Core) becomeLeader(term, rev, leaseID uint64, sent time.Time, ahead time.Duration) {
-	c.election.NoteOwnTerm(term)
+	c.election.SetOwnTerm(term)
 	c.jobs.ShareAmong(1)
 	c.leadership = newLeadership(c.cfg)
 	c.leadership.scope = c.NewScope()
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -54,7 +54,7 @@
 // may have gone on answering until its peers told it of our term or its hold ran out.
 func (c *Core) earlierLeaseExpiry() time.Time {
 	l := c.leadership
-	over := c.leaseTiming.TasksGoneAfter(l.electedAt.Add(l.earlierLeaderLag))
+	over := c.leaseTiming.TasksEndedBy(l.electedAt.Add(l.earlierLeaderLag))
 	if !l.allAcknowledgedAt.IsZero() {
 		if told := l.allAcknowledgedAt.Add(withDrift(c.workerLease)); told.Before(over) {
 			return told
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -42,7 +42,7 @@
 		Observed:    before,
 		Read:        read,
 		LossReason:  c.dataLossReason,
-		LedLastTerm: ledLastTerm,
+		LedPreviousTerm: ledLastTerm,
 	})
 	l.recovery.Start()
 }
@@ -78,7 +78,7 @@
 	if o.Restored != nil {
 		c.rememberFinals(o.Restored)
 	}
-	for _, key := range o.Drops {
+	for _, key := range o.Deletes {
 		l.writes.Add(&writebatch.Change{Priority: writebatch.Bulk, Writes: []kv.Write{{Key: key}}})
 	}
 	if o.LossReason != "" {
@@ -91,7 +91,7 @@
 	c.dataLossReason = ""
 	c.replicas.SetOwn(o.Replica)
 	l.finals.SetSource(o.FinalsSource)
-	l.noEarlierTerm, l.earlierLeaderLag = o.NoEarlierTerm, o.EarlierLeaderLag
+	l.noEarlierTerm, l.earlierLeaderLag = o.NoEarlierTerm, o.EarlierLeaderOverlap
 	c.loadRecords(o.Records)
 }
 
@@ -135,8 +135,8 @@
 	}
 }
 
-// NoteConfigHead is told the revision at which the head of the configuration was written.
-func (h restoreLeader) NoteConfigHead(rev uint64) { h.l.config.SetHeadRevision(rev) }
+// SetConfigHeadRevision is told the revision at which the head of the configuration was written.
+func (h restoreLeader) SetConfigHeadRevision(rev uint64) { h.l.config.SetHeadRevision(rev) }
 
 // newRestorer returns the restorer of a new leadership.
 func (c *Core) newRestorer(l *leadership) *restore.Restorer {
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -86,7 +86,7 @@
 func (r recurringLeader) Write(change *writebatch.Change) { r.core.leadership.writes.Add(change) }
 
 // WakeWriter implements recurring.Leader.
-func (r recurringLeader) WakeWriter() { r.core.leadership.writes.WakeSoon() }
+func (r recurringLeader) WakeWriter() { r.core.leadership.writes.ScheduleFlush() }
 
 // ReadBack implements recurring.Leader.
 func (r recurringLeader) ReadBack(key string, f func(entry kv.Entry, found bool)) {
--- a/internal/core/replication_test.go
+++ b/internal/core/replication_test.go
@@ -18,7 +18,7 @@
 	if k := c.newestReplica(); k == nil || k.Term != 2 {
 		t.Fatal("the copy is gone")
 	}
-	c.election.NoteLeader("n0", 188)
+	c.election.SetLeader("n0", 188)
 	c.handleReplicaLine("n0", &replica.Line{Era: 9, Term: 188, Session: 1, Number: 1})
 	if k := c.newestReplica(); k.Term != 2 {
 		t.Fatal("the copy is gone before the next one is whole")
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -17,14 +17,14 @@
 // ConfigBatchDue reports whether the queued batch of configuration changes is to go now.
 func (b batchLeader) ConfigBatchDue() bool { return b.c.leadership.config.BatchDue() }
 
-// RestoreRecords queues lost records to be written back.
-func (b batchLeader) RestoreRecords() { b.c.leadership.restorer.QueueNext() }
+// QueueRestores queues lost records to be written back.
+func (b batchLeader) QueueRestores() { b.c.leadership.restorer.QueueNext() }
 
-// MakeOccurrences queues due occurrences of schedules.
-func (b batchLeader) MakeOccurrences() { b.c.makeOccurrences() }
+// QueueDueOccurrences queues due occurrences of schedules.
+func (b batchLeader) QueueDueOccurrences() { b.c.makeOccurrences() }
 
-// OccurrencesWait reports whether occurrences would be written if the allowance let them.
-func (b batchLeader) OccurrencesWait() bool { return b.c.occurrencesWait() }
+// HasDueOccurrences reports whether occurrences would be written if the allowance let them.
+func (b batchLeader) HasDueOccurrences() bool { return b.c.occurrencesWait() }
 
 // ReplicateBatch publishes a committed batch to the replicas.
 func (b batchLeader) ReplicateBatch(batch []*writebatch.Change, rev uint64) {
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -12,36 +12,38 @@
 
 const (
 	campaignRetryDelay = 200 * time.Millisecond
-	// handOverCooldown is for how long a node that has handed over does not campaign: the
-	// others have long begun by then, unless none of them is able to.
+	// handOverCooldown is how long a node does not campaign after handing over leadership, so
+	// that another node wins. After that it campaigns again in case no other node can lead.
 	handOverCooldown = 3 * time.Second
 )
 
-// Victory is a campaign that was won.
-type Victory struct {
-	Term        uint64
-	Era         uint64
-	Revision    uint64        // at which the term is on record
-	LeaseID     uint64        // of the leader's key
-	SentAt      time.Time     // when the lease was asked for: authority counts from there
-	ClockSkew   time.Duration // of the time of day at that time
-	LedLastTerm bool          // by this very process
-	Before      recovery.Observed
-	Read        recovery.TermRead // what the term's record said
+// CampaignResult describes a won campaign.
+type CampaignResult struct {
+	Term             uint64
+	Era              uint64
+	Revision         uint64        // revision at which the term record was written
+	LeaseID          uint64        // lease of the leader key
+	LeaseRequestedAt time.Time     // when the lease request was sent; authority is measured from then
+	ClockSkew        time.Duration // skew of the wall clock at LeaseRequestedAt
+	LedPreviousTerm  bool          // this process led the newest term in ObservedBefore
+	ObservedBefore   recovery.Observed
+	TermRead         recovery.TermRead // term record as read during the campaign
 }
 
-// campaign is one attempt to become the leader.
+// campaign is one attempt to become leader.
 type campaign struct {
 	*Election
-	keyRevision uint64 // that the leader's key must have; 0: it must not be there
-	victory     Victory
+	keyRevision uint64 // required revision of the leader key; 0 if the key must not exist
+	result      CampaignResult
 }
 
-// NoteHandOver notes that this node hands over the leadership.
-func (e *Election) NoteHandOver() { e.handedOverAt = e.engine.Now }
+// RecordHandOver records that this node has just handed over leadership. The node does not
+// campaign for handOverCooldown.
+func (e *Election) RecordHandOver() { e.handedOverAt = e.engine.Now }
 
-// Campaign stands for election: one transaction takes the leader's key, which must be at a
-// revision (0: not there), under a short lease and raises the term.
+// Campaign tries to become leader. It requests a lease, then writes the leader key under that
+// lease and increments the term in one transaction. The transaction requires the leader key to
+// be at keyRevision, or not to exist if keyRevision is 0.
 func (e *Election) Campaign(keyRevision uint64) {
 	if e.host.IsLeading() {
 		return
@@ -50,98 +52,99 @@
 		e.engine.After(wait, e.Watch)
 		return
 	}
-	k := &campaign{Election: e, keyRevision: keyRevision}
-	k.victory.SentAt, k.victory.ClockSkew = e.engine.Now, e.engine.ClockSkew(e.engine.Now)
+	c := &campaign{Election: e, keyRevision: keyRevision}
+	c.result.LeaseRequestedAt, c.result.ClockSkew = e.engine.Now, e.engine.ClockSkew(e.engine.Now)
 	e.engine.CallStore(kv.Request{Op: kv.GrantLease, TTL: e.timing.LeaderLease}, func(r kv.Response) {
 		if r.Outcome != rpc.OK {
 			e.WatchAfter(campaignRetryDelay)
 			return
 		}
-		k.victory.LeaseID = r.LeaseID
-		e.engine.CallStore(kv.Request{Op: kv.Get, Key: record.TermKey}, k.chooseTerm)
+		c.result.LeaseID = r.LeaseID
+		e.engine.CallStore(kv.Request{Op: kv.Get, Key: record.TermKey}, c.chooseTerm)
 	})
 }
 
-// giveUp ends the campaign, and its lease at once: should the transaction have been applied
-// all the same, its key goes with it.
-func (k *campaign) giveUp() {
-	k.engine.CallStore(kv.Request{Op: kv.RevokeLease, LeaseID: k.victory.LeaseID}, func(kv.Response) {})
-	k.WatchAfter(campaignRetryDelay)
+// abort ends the campaign and revokes its lease. Revoking the lease also deletes the leader key
+// if the transaction was applied although its response reported a failure or was late.
+func (c *campaign) abort() {
+	c.engine.CallStore(kv.Request{Op: kv.RevokeLease, LeaseID: c.result.LeaseID}, func(kv.Response) {})
+	c.WatchAfter(campaignRetryDelay)
 }
 
-// chooseTerm chooses the term by what the term's record says.
-func (k *campaign) chooseTerm(r kv.Response) {
+// chooseTerm handles the response to the read of the term record and chooses the new term and
+// era.
+func (c *campaign) chooseTerm(r kv.Response) {
 	if r.Outcome != rpc.OK && r.Outcome != rpc.NotFound {
-		k.giveUp()
+		c.abort()
 		return
 	}
-	v := &k.victory
-	v.Before = k.host.Observed()
-	v.Read = recovery.TermRead{Missing: r.Outcome == rpc.NotFound, StoreRevision: r.Rev}
+	result := &c.result
+	result.ObservedBefore = c.host.Observed()
+	result.TermRead = recovery.TermRead{Missing: r.Outcome == rpc.NotFound, StoreRevision: r.Rev}
 	if r.Outcome == rpc.OK {
 		if rec, _ := r.Entries[0].Value.(*record.Term); rec != nil {
-			v.Read.Term, v.Read.Era = rec.Term, rec.Era
+			result.TermRead.Term, result.TermRead.Era = rec.Term, rec.Era
 		}
 	}
-	v.Era = v.Read.Era
-	if lost := k.host.CheckDataLoss(v.Before, v.Read); lost != "" || v.Era == 0 {
-		v.Era = k.engine.RandomID()
+	result.Era = result.TermRead.Era
+	if lost := c.host.CheckDataLoss(result.ObservedBefore, result.TermRead); lost != "" || result.Era == 0 {
+		result.Era = c.engine.RandomID()
 	}
 	var termRevision uint64
-	v.Term, termRevision = k.nextTerm(r)
-	if v.Term > record.MaxTerm {
-		k.engine.Log(slog.LevelError, "terms exhausted", "key", record.TermKey, "term", v.Term)
-		k.giveUp()
+	result.Term, termRevision = c.nextTerm(r)
+	if result.Term > record.MaxTerm {
+		c.engine.Log(slog.LevelError, "cannot start a new term: the maximum term is exceeded", "key", record.TermKey, "term", result.Term)
+		c.abort()
 		return
 	}
-	k.take(termRevision)
+	c.acquireLeaderKey(termRevision)
 }
 
-// take takes the leader's key and raises the term.
-func (k *campaign) take(termRevision uint64) {
-	v := &k.victory
-	k.engine.CallStore(kv.Request{
+// acquireLeaderKey writes the leader key and the new term in one compare-and-swap.
+func (c *campaign) acquireLeaderKey(termRevision uint64) {
+	result := &c.result
+	c.engine.CallStore(kv.Request{
 		Op: kv.Txn,
 		Conditions: []kv.Condition{
-			{Key: record.LeaderKey, Rev: k.keyRevision},
+			{Key: record.LeaderKey, Rev: c.keyRevision},
 			{Key: record.TermKey, Rev: termRevision},
 		},
 		Writes: []kv.Write{
-			{Key: record.LeaderKey, Value: &record.Leader{Node: k.cfg.HostName, Term: v.Term, ProcessID: k.processID, Era: v.Era}, LeaseID: v.LeaseID},
-			{Key: record.TermKey, Value: &record.Term{Term: v.Term, Era: v.Era}},
+			{Key: record.LeaderKey, Value: &record.Leader{Node: c.cfg.HostName, Term: result.Term, ProcessID: c.processID, Era: result.Era}, LeaseID: result.LeaseID},
+			{Key: record.TermKey, Value: &record.Term{Term: result.Term, Era: result.Era}},
 		},
 	}, func(r kv.Response) {
-		// What was heard of terms does not count here, only the record: a peer may say
-		// anything. An answer that comes this late finds the lease over.
-		if r.Outcome != rpc.OK || !k.engine.Now.Before(v.SentAt.Add(k.timing.Authority())) {
-			k.giveUp()
+		// Only the transaction decides; terms claimed by peers are not verified. A response
+		// that arrives after the authority has expired is treated as a failure.
+		if r.Outcome != rpc.OK || !c.engine.Now.Before(result.LeaseRequestedAt.Add(c.timing.Authority())) {
+			c.abort()
 			return
 		}
-		v.Revision = r.Rev
-		v.LedLastTerm = k.lastLedTerm != 0 && k.lastLedTerm == v.Before.Term
-		k.host.BeginTerm(*v)
+		result.Revision = r.Rev
+		result.LedPreviousTerm = c.lastLedTerm != 0 && c.lastLedTerm == result.ObservedBefore.Term
+		c.host.BeginTerm(*result)
 	})
 }
 
-// nextTerm returns the term to begin and the revision that the term's key must have.
+// nextTerm returns the next term and the required revision of the term key.
 //
-// A record that is damaged or gone must not begin the count anew: fencing tokens and
-// attempts would fall and names of machines repeat. No term was ever above the revision of
-// the transaction that began it, because each begins with a change of its own; so one above
-// the revision at hand is above them all.
+// Terms must not restart when the term record is damaged or missing, because fencing tokens and
+// attempt numbers would decrease and machine names would repeat. Each term starts with its own
+// transaction, so no term exceeds the store revision at its start, and a term above the current
+// revision exceeds all earlier ones.
 func (e *Election) nextTerm(r kv.Response) (term, rev uint64) {
 	known := max(e.confirmedTerm, e.host.Observed().Term)
 	if r.Outcome == rpc.NotFound {
 		if term = max(r.Rev, known) + 1; r.Rev > 0 {
-			e.engine.Log(slog.LevelWarn, "no term on record, continuing above the store's revision", "key", record.TermKey, "term", term)
+			e.engine.Log(slog.LevelWarn, "term record is missing; choosing a term above the store revision", "key", record.TermKey, "term", term)
 		}
 		return term, 0
 	}
 	entry := r.Entries[0]
 	if rec, _ := entry.Value.(*record.Term); rec != nil {
-		return max(rec.Term, known) + 1, entry.Rev // the record may be of an old copy
+		return max(rec.Term, known) + 1, entry.Rev // the record may come from an old backup
 	}
 	term = max(entry.Rev, known) + 1
-	e.engine.Log(slog.LevelError, "record is unreadable", "key", record.TermKey, "effect", "terms go on above its revision", "term", term)
+	e.engine.Log(slog.LevelError, "record is unreadable", "key", record.TermKey, "effect", "the next term is chosen above the revision of the record", "term", term)
 	return term, entry.Rev
 }
--- a/internal/election/claims.go
+++ b/internal/election/claims.go
@@ -11,13 +11,13 @@
 
 const verifyRetryDelay = 500 * time.Millisecond
 
-// AcceptClaim takes a peer's word, which speaks a version of the protocol, that it leads a
-// term not below the highest known. It is believed at once, because workers are led to a
-// new leader by that, and acknowledged in our own version; the store is asked about it
-// unless it has confirmed the term already.
+// AcceptClaim handles a peer's claim to lead a term that is not below the highest known one.
+// version is the peer's protocol version. The claim takes effect immediately, so that workers
+// are directed to the new leader, and is acknowledged with ownVersion. Unless the store has
+// already confirmed the term, AcceptClaim also verifies it with the store.
 func (e *Election) AcceptClaim(from string, term, version, ownVersion uint64) {
 	confirmed := term == e.confirmedTerm && (e.leader == from || e.leader == "")
-	e.NoteLeader(from, term)
+	e.SetLeader(from, term)
 	e.leaderVersion = version
 	e.engine.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.Ack, Term: term, Version: ownVersion}})
 	if !confirmed {
@@ -25,15 +25,15 @@
 	}
 }
 
-// verifyClaim asks the store about a term that a peer has claimed to lead. What is not on
-// record is forgotten again.
+// verifyClaim reads the leader record to verify a term claimed by a peer. A claim that the store
+// does not confirm is discarded.
 func (e *Election) verifyClaim(term uint64) {
-	again := func() {
+	retry := func() {
 		if !e.host.IsLeading() && e.highestTerm == term && e.confirmedTerm != term {
 			e.verifyClaim(term)
 		}
 	}
-	asked := e.engine.LastRef
+	lastRef := e.engine.LastRef
 	e.engine.CallStore(kv.Request{Op: kv.Get, Key: record.LeaderKey}, func(r kv.Response) {
 		if e.host.IsLeading() || e.highestTerm != term {
 			return
@@ -44,35 +44,36 @@
 		}
 		switch {
 		case rec != nil:
-			e.adoptRecord(rec, r.Entries[0].Rev, asked)
+			e.adoptRecord(rec, r.Entries[0].Rev, lastRef)
 		case r.Outcome == rpc.OK || r.Outcome == rpc.NotFound:
-			e.verifyEndedClaim(term, again)
+			e.verifyTermRecord(term, retry)
 		default:
-			e.engine.After(e.engine.Jitter(verifyRetryDelay), again)
+			e.engine.After(e.engine.Jitter(verifyRetryDelay), retry)
 		}
 	})
 }
 
-// verifyEndedClaim is verifyClaim where nobody leads: the term may have been, and be over.
-// Then no older one must be listened to either.
-func (e *Election) verifyEndedClaim(term uint64, again func()) {
+// verifyTermRecord verifies a claimed term against the term record when there is no leader
+// record. The term may have existed and ended already; it is then recorded as confirmed, so
+// that claims of older terms are still rejected.
+func (e *Election) verifyTermRecord(term uint64, retry func()) {
 	e.engine.CallStore(kv.Request{Op: kv.Get, Key: record.TermKey}, func(r kv.Response) {
 		if e.host.IsLeading() || e.highestTerm != term {
 			return
 		}
-		var began *record.Term
+		var rec *record.Term
 		if r.Outcome == rpc.OK {
-			began, _ = r.Entries[0].Value.(*record.Term)
+			rec, _ = r.Entries[0].Value.(*record.Term)
 		}
 		switch {
-		case began != nil && began.Term >= term:
+		case rec != nil && rec.Term >= term:
 			if e.confirmedTerm < term {
 				e.confirmedTerm, e.confirmedTermRevision = term, r.Entries[0].Rev
 			}
 		case r.Outcome == rpc.OK || r.Outcome == rpc.NotFound:
 			e.highestTerm, e.leader = e.confirmedTerm, ""
 		default:
-			e.engine.After(e.engine.Jitter(verifyRetryDelay), again)
+			e.engine.After(e.engine.Jitter(verifyRetryDelay), retry)
 		}
 	})
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,6 +1,6 @@
-// Package election is a controller's part in leader election: what it knows of who leads,
-// from the leader's key in the key-value store and from what peers claim, and its
-// campaigns when nobody does.
+// Package election implements leader election for a controller. It tracks the current leader,
+// based on the leader key in the key-value store and on claims from peers, and campaigns for
+// leadership when there is no leader.
 package election
 
 import (
@@ -14,54 +14,55 @@
 	"yewpass/internal/recovery"
 )
 
-// Host is the controller that takes part in elections.
+// Host is the controller that an Election runs in.
 type Host interface {
-	// IsLeading reports whether this node leads, in authority or not.
+	// IsLeading reports whether this node is the leader, even if its authority has expired.
 	IsLeading() bool
-	// HasReplica reports whether this node has a replica of the records.
+	// HasReplica reports whether this node holds a replica of the records.
 	HasReplica() bool
-	// Observed returns what has been seen of the store.
+	// Observed returns the state of the store that this node has observed.
 	Observed() recovery.Observed
-	// ObserveTerm notes the era and the term that are on record.
+	// ObserveTerm records the era and the term read from the store.
 	ObserveTerm(rec *record.Leader)
-	// ReportDataLoss notes that the store must have lost data.
+	// ReportDataLoss records that the store has lost data, with the evidence in why.
 	ReportDataLoss(why string)
-	// CheckDataLoss returns why the store must have lost data, by what was known before a
-	// read of the term's record and what was found, or "".
+	// CheckDataLoss returns why the store must have lost data, or "" if nothing indicates a
+	// loss. It compares the state observed before a read of the term record with its result.
 	CheckDataLoss(before recovery.Observed, found recovery.TermRead) string
-	// BeginTerm makes this node the leader of a term.
-	BeginTerm(v Victory)
+	// BeginTerm makes this node the leader of the term that the campaign won.
+	BeginTerm(result CampaignResult)
 }
 
-// Election is what a controller knows of who leads, and its campaigns. It is not safe for
-// concurrent use.
+// Election tracks the current leader and runs the campaigns of one controller. It is not safe
+// for concurrent use.
 type Election struct {
-	knowledge
+	leaderState
 	links
 
 	engine    *engine.Engine
 	host      Host
 	cfg       *config.Config
-	processID uint64 // tells this process from one of the same name that ended before
+	processID uint64 // distinguishes this process from earlier ones with the same node name
 	timing    lease.Timing
 
-	leaderKeyRevision  uint64 // of the leader's key when it was last read
-	firstStoreRevision uint64 // of the store when it first answered this process
+	leaderKeyRevision  uint64 // revision of the leader key when it was last read
+	firstStoreRevision uint64 // store revision in its first response to this process
 	handedOverAt       time.Time
 }
 
-// knowledge is who leads as far as is known, and which terms there were.
-type knowledge struct {
-	leader                string // "" if unknown or this node
-	leaderVersion         uint64 // of the protocol that the leader speaks; 0: unknown
-	highestTerm           uint64 // heard of
-	lastClaimRef          uint64 // calls numbered up to this one were made before it was heard of
-	confirmedTerm         uint64 // the newest that the store has told of
-	confirmedTermRevision uint64 // at which it is on record
-	lastLedTerm           uint64 // the last term that this node led
+// leaderState holds the known leader and terms.
+type leaderState struct {
+	leader                string // node name; "" if unknown or this node
+	leaderVersion         uint64 // protocol version of the leader; 0 if unknown
+	highestTerm           uint64 // highest term known, from the store or from a peer's claim
+	lastClaimRef          uint64 // last store call sent before highestTerm became known
+	confirmedTerm         uint64 // newest term confirmed by the store
+	confirmedTermRevision uint64 // store revision of the record that confirmed it
+	lastLedTerm           uint64 // last term led by this process; 0 if none
 }
 
-// New returns the part of the controller of the given configuration in elections.
+// New returns the Election of the controller with the given configuration. Call Watch to start
+// it.
 func New(eng *engine.Engine, cfg *config.Config, timing lease.Timing, processID uint64, host Host) *Election {
 	return &Election{
 		links:     links{up: map[string]bool{}},
@@ -73,25 +74,25 @@
 	}
 }
 
-// Leader returns the controller that leads as far as is known, or "" if none is known or
-// this node leads.
+// Leader returns the node name of the known leader, or "" if no leader is known or this node is
+// the leader.
 func (e *Election) Leader() string { return e.leader }
 
-// LeaderVersion returns the protocol version that the leader speaks, or 0 if it has not
-// said.
+// LeaderVersion returns the protocol version of the leader, or 0 if it is not known.
 func (e *Election) LeaderVersion() uint64 { return e.leaderVersion }
 
-// HighestTerm returns the highest term heard of.
+// HighestTerm returns the highest known term, which may be an unverified claim of a peer.
 func (e *Election) HighestTerm() uint64 { return e.highestTerm }
 
-// ConfirmedTerm returns the newest term that the store has told of.
+// ConfirmedTerm returns the newest term that the store has confirmed.
 func (e *Election) ConfirmedTerm() uint64 { return e.confirmedTerm }
 
-// ConfirmedTermRevision returns the revision at which the confirmed term is on record.
+// ConfirmedTermRevision returns the store revision of the record that confirmed
+// ConfirmedTerm.
 func (e *Election) ConfirmedTermRevision() uint64 { return e.confirmedTermRevision }
 
-// NoteLeader notes that a node leads a term, unless a higher one is known.
-func (e *Election) NoteLeader(node string, term uint64) {
+// SetLeader records node as the leader of term. It does nothing if a higher term is known.
+func (e *Election) SetLeader(node string, term uint64) {
 	if term < e.highestTerm {
 		return
 	}
@@ -106,12 +107,12 @@
 	}
 	e.highestTerm = term
 	if node == e.cfg.HostName {
-		node = "" // our own earlier process: its key lasts until its lease ends
+		node = "" // written by an earlier process of this node whose lease has not expired yet
 	}
 	e.leader = node
 }
 
-// NoteOwnTerm notes that this node leads a term.
-func (e *Election) NoteOwnTerm(term uint64) {
+// SetOwnTerm records that this node leads term.
+func (e *Election) SetOwnTerm(term uint64) {
 	e.highestTerm, e.confirmedTerm, e.leader, e.lastLedTerm = term, term, "", term
 }
--- a/internal/election/links.go
+++ b/internal/election/links.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// links are the links to the other controllers.
+// links tracks the connections to the other controllers.
 type links struct {
 	up           map[string]bool
-	leaderLostAt time.Time // since when there is no link to the known leader
+	leaderLostAt time.Time // when the link to the known leader went down
 }
 
-// IsLinked reports whether there is a link to a peer.
+// IsLinked reports whether the link to peer is up.
 func (l *links) IsLinked(peer string) bool { return l.up[peer] }
 
-// LinkLostAt returns since when there has been no link to the known leader. It means
-// nothing while there is one.
+// LinkLostAt returns when the link to the known leader went down. The value is meaningless
+// while the link is up.
 func (l *links) LinkLostAt() time.Time { return l.leaderLostAt }
 
-// IsLinkedToAny reports whether there is a link to any other controller.
+// IsLinkedToAny reports whether the link to at least one other controller is up.
 func (l *links) IsLinkedToAny() bool {
 	for _, up := range l.up {
 		if up {
@@ -25,10 +25,10 @@
 	return false
 }
 
-// IsLinkedToLeader reports whether it is known who leads and there is a link to it.
+// IsLinkedToLeader reports whether the leader is known and the link to it is up.
 func (e *Election) IsLinkedToLeader() bool { return e.leader != "" && e.up[e.leader] }
 
-// SetLink notes that the link to a peer has come up or gone down.
+// SetLink records whether the link to peer is up. Call it on every change.
 func (e *Election) SetLink(peer string, up bool) {
 	if peer == e.leader && e.up[peer] {
 		e.leaderLostAt = e.engine.Now
--- a/internal/failover/advance.go
+++ b/internal/failover/advance.go
@@ -7,12 +7,13 @@
 	"yewpass/internal/replica"
 )
 
-// advance goes on as far as what has been gathered allows.
+// advance continues the recovery as far as the gathered data allows. It is called whenever new
+// data arrives or a timeout expires.
 func (r *Recovery) advance() {
-	if r.phase != gathering || !r.allStored || r.awaitsPeers() {
+	if r.phase != gathering || !r.allStored || r.awaitsPeerKnowledge() {
 		return
 	}
-	past := r.collectKnowledge()
+	past := r.collectPeerKnowledge()
 	if past.higherTerm >= r.term.Number {
 		r.leader.EndTerm(past.higherTerm)
 		return
@@ -23,7 +24,7 @@
 	switch r.chooseReplica(past.offers) {
 	case replicaFetching:
 		return
-	case choiceOutdated:
+	case offersChanged:
 		r.advance()
 		return
 	}
@@ -41,29 +42,29 @@
 	r.merge()
 }
 
-// past is what is known, here and at the peers that have told, of the terms before ours.
-type past struct {
+// pastTerms is what this node and the peers that have responded know about earlier terms.
+type pastTerms struct {
 	observed   recovery.Observed
-	offers     []recovery.Offer // replicas
-	higherTerm uint64           // a term known to be no lower than ours, or 0
+	offers     []recovery.Offer // available replicas
+	higherTerm uint64           // a term that conflicts with ours because it is not lower, or 0
 }
 
-// collectKnowledge puts together what the peers have told.
-func (r *Recovery) collectKnowledge() past {
-	p := past{observed: r.term.Observed}
+// collectPeerKnowledge combines the responses of the peers with what this node knows.
+func (r *Recovery) collectPeerKnowledge() pastTerms {
+	p := pastTerms{observed: r.term.Observed}
 	if newest := r.replicas.Newest(); newest != nil && newest.Term < r.term.Number {
 		p.offers = append(p.offers, recovery.Offer{Version: newest.Version})
 	}
 	era := r.leader.Observed().Era
 	for _, seed := range r.cfg.Seeds {
-		k := r.knowledge[seed.HostName]
+		k := r.peerKnowledge[seed.HostName]
 		if k == nil {
 			continue
 		}
 		if k.HasHigherTerm(era, r.term.Number, r.term.ProcessID) {
 			p.higherTerm = max(p.higherTerm, k.HighestPastTerm, k.Term)
 		}
-		if k.Era != era { // else it has read of our term already
+		if k.Era != era { // otherwise the peer has already observed our term
 			p.observed = p.observed.Merge(k.Observed)
 		} else if r.term.LossReason == "" && r.term.Read.Missing && k.HighestPastTerm > 0 {
 			r.term.LossReason = "no term is on record, and one was"
@@ -75,19 +76,19 @@
 	return p
 }
 
-// choice is the result of chooseReplica.
-type choice int
+// replicaChoice is a result of chooseReplica.
+type replicaChoice int
 
 const (
-	replicaChosen   choice = iota
-	replicaFetching        // it is on its way from a peer
+	replicaChosen   replicaChoice = iota
+	replicaFetching               // waiting for a replica from a peer
 	noReplicaOffered
-	replicaNotNeeded // the store has all that the newest replica has
-	choiceOutdated   // an offer has turned out to be void: choose anew
+	storeIsComplete // the store has every live record of the newest replica
+	offersChanged   // an offer was withdrawn or changed: choose again
 )
 
-// chooseReplica decides which replica to restore from, and requests it if a peer has it.
-func (r *Recovery) chooseReplica(offers []recovery.Offer) choice {
+// chooseReplica decides which replica to restore from, and requests it if a peer holds it.
+func (r *Recovery) chooseReplica(offers []recovery.Offer) replicaChoice {
 	if r.replica != nil {
 		return replicaChosen
 	}
@@ -99,46 +100,46 @@
 		r.replica = r.replicas.Newest()
 		return replicaChosen
 	}
-	received, peer := r.fetch.receiver.Replica(), r.knowledge[newest.Source]
+	received, peer := r.fetch.receiver.Replica(), r.peerKnowledge[newest.Source]
 	switch {
 	case received != nil && r.fetch.source == newest.Source:
 		if newest.After(received.Version) {
-			// Not the one that was offered. Another peer's may be newer by now.
+			// The received replica is older than the offered one, so another may be newer.
 			peer.ReplicaTerm, peer.ReplicaSeq = received.Term, received.Seq
-			return choiceOutdated
+			return offersChanged
 		}
 		r.replica = received
 		return replicaChosen
 	case r.term.LossReason == "" && peer.LiveDigest == replica.DigestOf(r.stored) && peer.ReplicaEra == r.term.Read.Era:
-		// Nothing is missing, as far as the keys tell, except how jobs have ended, which is
-		// learned beside the work.
+		// The digest of keys shows that no live record is missing. Final records are fetched
+		// later, while the leader is already serving.
 		r.finalsSource = newest.Source
-		return replicaNotNeeded
+		return storeIsComplete
 	case r.fetch.source != newest.Source:
-		r.request(newest.Source)
+		r.requestReplica(newest.Source)
 		return replicaFetching
 	case r.engine.Now.Before(r.fetch.deadline):
 		return replicaFetching
 	}
 	r.fetch.failed[newest.Source], r.fetch.source = true, ""
-	return choiceOutdated
+	return offersChanged
 }
 
-// request requests the replica of a peer.
-func (r *Recovery) request(source string) {
+// requestReplica requests the replica of source and schedules a check for its timeout.
+func (r *Recovery) requestReplica(source string) {
 	r.fetch.source, r.fetch.deadline, r.fetch.receiver = source, r.engine.Now.Add(replicaTimeout), replica.Receiver{}
 	r.send(source, peermsg.WantReplica)
 	r.scope.After(replicaTimeout+timerMargin, r.advance)
 }
 
-// earlierLeaderMayAct reports whether the leader before us may still act: after a data loss its
-// lease may not have been lost, or not be missed yet. There is none if this very process led
-// last.
+// earlierLeaderMayAct reports whether an earlier leader may still have authority. After a data
+// loss its lease may still exist, or the leader may not have noticed that the lease is gone.
+// There is no such leader if this process led the last term.
 func (r *Recovery) earlierLeaderMayAct(observed recovery.Observed) bool {
 	lastTerm := max(observed.Term, r.term.Read.Term)
-	ours := r.term.LedLastTerm && lastTerm == r.term.Observed.Term && len(r.knowledge) == len(r.cfg.Seeds)
-	if !ours {
-		r.earlierLeaderLag = lease.WithDrift(r.term.LeaderLease)
+	ledLastTerm := r.term.LedPreviousTerm && lastTerm == r.term.Observed.Term && len(r.peerKnowledge) == len(r.cfg.Seeds)
+	if !ledLastTerm {
+		r.earlierLeaderOverlap = lease.WithDrift(r.term.LeaderLease)
 	}
-	return r.engine.Now.Sub(r.startedAt) < r.earlierLeaderLag
+	return r.engine.Now.Sub(r.startedAt) < r.earlierLeaderOverlap
 }
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,7 +1,8 @@
-// Package failover finds out, before a new leader's term begins its work, which records there
-// are: it reads those in the store, asks the other controllers what they know of it, decides
-// whether the store has lost data, and then merges the store's records with those of the
-// newest replica. Package recovery has the decisions; package core loads the outcome.
+// Package failover recovers the records at the start of a new leader's term, before the leader
+// acts on them. It reads the records from the store, asks the other controllers what they have
+// observed of it, determines whether the store has lost data, and merges the stored records with
+// the newest replica if necessary. Package recovery implements the decisions; package core loads
+// the outcome.
 package failover
 
 import (
@@ -20,41 +21,41 @@
 )
 
 const (
-	askInterval       = 100 * time.Millisecond
-	peerAnswerTimeout = 300 * time.Millisecond
-	// UnknownPastTimeout is how long peers are left to answer if nothing is known here and
-	// nothing on record.
-	UnknownPastTimeout = time.Second
-	replicaTimeout     = 5 * time.Second // between two lines of a requested replica
-	retryDelay         = 200 * time.Millisecond
-	pageSize           = 400 // records of a page of the live records
+	askInterval         = 100 * time.Millisecond
+	peerResponseTimeout = 300 * time.Millisecond
+	// UnknownHistoryTimeout is how long to wait for responses from peers if neither this node
+	// nor the store knows of an earlier term.
+	UnknownHistoryTimeout = time.Second
+	replicaTimeout        = 5 * time.Second // between two lines of a replica transfer
+	retryDelay            = 200 * time.Millisecond
+	pageSize              = 400 // live records per page
 )
 
 // Term is the term whose leader recovers the records.
 type Term struct {
 	Number      uint64
-	ProcessID   uint64        // of this process
-	LeaderLease time.Duration // for so long an earlier leader may go on
+	ProcessID   uint64        // identifies this process
+	LeaderLease time.Duration // bounds how long an earlier leader may keep its authority
 
-	Observed    recovery.Observed // what this process had seen of the store before the campaign
-	Read        recovery.TermRead // the term's record as the campaign found it
-	LossReason  string            // why data must have been lost, or ""
-	LedLastTerm bool              // the last term that this process knew of was its own
+	Observed        recovery.Observed // state of the store observed before the campaign
+	Read            recovery.TermRead // term record as read during the campaign
+	LossReason      string            // why the store must have lost data, or ""
+	LedPreviousTerm bool              // this process led the newest term in Observed
 }
 
-// Leader is what a recovery needs of the leader that it is part of.
+// Leader is the leader that a Recovery works for.
 type Leader interface {
-	// Observed returns what has been seen of the store by now, with the new term.
+	// Observed returns the state of the store observed so far, including the new term.
 	Observed() recovery.Observed
-	// IsLinked reports whether the link to a peer is up.
+	// IsLinked reports whether the link to peer is up.
 	IsLinked(peer string) bool
-	// EndTerm ends the term, because a higher one is known.
+	// EndTerm ends the term because the term higher, which is not lower, is known.
 	EndTerm(higher uint64)
-	// Recovered is called once, when it is known which records there are.
+	// Recovered is called once, when the recovery is complete.
 	Recovered(*Outcome)
 }
 
-// Recovery is the state of one new leader's search for its records.
+// Recovery recovers the records at the start of one term. It is not safe for concurrent use.
 type Recovery struct {
 	engine   *engine.Engine
 	scope    *engine.Scope
@@ -62,68 +63,69 @@
 	replicas *replication.Replicas
 	leader   Leader
 
-	term      Term
-	startedAt time.Time
-	stored    []replica.Record // that were read from the store
-	allStored bool             // those are all of them
-	knowledge map[string]*peermsg.Knowledge
-	phase     phase
-
-	fetch            fetch
-	replica          *replica.Replica // to restore from
-	finalsSource     string
-	earlierLeaderLag time.Duration
+	term          Term
+	startedAt     time.Time
+	stored        []replica.Record              // live records read from the store
+	allStored     bool                          // stored is complete
+	peerKnowledge map[string]*peermsg.Knowledge // responses by peer
+	phase         phase
+
+	fetch                fetch
+	replica              *replica.Replica // replica to restore from, or nil
+	finalsSource         string
+	earlierLeaderOverlap time.Duration
 }
 
-// phase is how far a recovery has come.
+// phase is the progress of a recovery.
 type phase int
 
 const (
-	gathering     phase = iota // from the store and the peers
-	resolvingJobs              // the store is asked about jobs that only the replica has
-	merged                     // the outcome is known
+	gathering     phase = iota // reading the store and waiting for the peers
+	resolvingJobs              // looking up the final records of jobs that only the replica has
+	merged                     // the outcome has been passed to the leader
 )
 
-// fetch is a replica that was requested from a peer.
+// fetch is the state of a replica transfer from a peer.
 type fetch struct {
-	source   string // "": none
+	source   string // peer that the replica was requested from; "" if none
 	deadline time.Time
 	receiver replica.Receiver
-	failed   map[string]bool // peers that did not send theirs
+	failed   map[string]bool // peers whose transfer timed out
 }
 
-// New returns a recovery that has not begun.
+// New returns a Recovery of term. Call Start to begin.
 func New(e *engine.Engine, scope *engine.Scope, cfg *config.Config, replicas *replication.Replicas, leader Leader, term Term) *Recovery {
 	return &Recovery{
-		engine:    e,
-		scope:     scope,
-		cfg:       cfg,
-		replicas:  replicas,
-		leader:    leader,
-		term:      term,
-		startedAt: e.Now,
-		knowledge: map[string]*peermsg.Knowledge{},
-		fetch:     fetch{failed: map[string]bool{}},
+		engine:        e,
+		scope:         scope,
+		cfg:           cfg,
+		replicas:      replicas,
+		leader:        leader,
+		term:          term,
+		startedAt:     e.Now,
+		peerKnowledge: map[string]*peermsg.Knowledge{},
+		fetch:         fetch{failed: map[string]bool{}},
 	}
 }
 
-// Start begins to gather.
+// Start begins to read the store and to query the peers. Leader.Recovered or Leader.EndTerm is
+// called later.
 func (r *Recovery) Start() {
 	r.askPeers()
-	r.scope.After(peerAnswerTimeout, r.advance)
-	r.scope.After(UnknownPastTimeout, r.advance)
+	r.scope.After(peerResponseTimeout, r.advance)
+	r.scope.After(UnknownHistoryTimeout, r.advance)
 	r.scope.After(lease.WithDrift(r.term.LeaderLease)+time.Millisecond, r.advance)
 	r.readStore("")
 }
 
-// askPeers asks the peers that have not told what they know, again and again: the link to a
-// process that has just begun comes up later than the link from it.
+// askPeers queries the peers that have not responded, and repeats this every askInterval until
+// the recovery is complete: the link to a peer that has just started may not be up yet.
 func (r *Recovery) askPeers() {
 	if r.phase == merged {
 		return
 	}
 	for _, seed := range r.cfg.Seeds {
-		if r.knowledge[seed.HostName] == nil {
+		if r.peerKnowledge[seed.HostName] == nil {
 			r.send(seed.HostName, peermsg.AskKnowledge)
 		}
 	}
@@ -134,17 +136,18 @@
 	r.engine.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: kind, Term: r.term.Number}})
 }
 
-// HandleKnowledge takes in what a peer knows.
+// HandleKnowledge handles a peer's response to the query for its knowledge of earlier terms.
 func (r *Recovery) HandleKnowledge(from string, k *peermsg.Knowledge) {
-	if r.knowledge[from] == nil && k.ReplicaTerm == 0 {
+	if r.peerKnowledge[from] == nil && k.ReplicaTerm == 0 {
 		r.replicas.StartTransfer(from)
 	}
-	r.knowledge[from] = k
+	r.peerKnowledge[from] = k
 	r.advance()
 }
 
-// ReceiveReplica applies a line of the replica that was requested, and reports whether it did.
-// AdvanceIfFetched is to be called after it.
+// ReceiveReplica applies one line of the requested replica and reports whether it was accepted.
+// A line from a peer whose replica was not requested is rejected. Call AdvanceIfFetched
+// afterwards.
 func (r *Recovery) ReceiveReplica(from string, line *replica.Line) bool {
 	if r.fetch.source != from || line.Term >= r.term.Number {
 		return false
@@ -153,14 +156,14 @@
 	return r.replicas.Receive(&r.fetch.receiver, from, line)
 }
 
-// AdvanceIfFetched goes on if the requested replica is complete.
+// AdvanceIfFetched continues the recovery if the requested replica has been received completely.
 func (r *Recovery) AdvanceIfFetched() {
 	if r.fetch.receiver.Replica() != nil {
 		r.advance()
 	}
 }
 
-// readStore reads the records of the earlier terms, page by page.
+// readStore reads the live records from the store, page by page, starting after the key from.
 func (r *Recovery) readStore(from string) {
 	r.scope.CallStore(kv.Request{Op: kv.List, Key: record.LivePrefix, From: from, Limit: pageSize}, func(page kv.Response) {
 		if page.Outcome != rpc.OK {
@@ -179,33 +182,34 @@
 	})
 }
 
-// awaitsPeers reports whether a peer may still tell what is not known here.
-func (r *Recovery) awaitsPeers() bool {
+// awaitsPeerKnowledge reports whether to keep waiting for a peer that may know more than this
+// node.
+func (r *Recovery) awaitsPeerKnowledge() bool {
 	waited := r.engine.Now.Sub(r.startedAt)
 	newest, read := r.replicas.Newest(), r.term.Read
 	switch {
 	case r.term.LossReason != "" || read.Missing:
 	case newest != nil && newest.Term == read.Term && newest.Era == read.Era:
-		return false // nobody knows more
-	case newest == nil && waited < UnknownPastTimeout:
-		// A process that has just begun: the others may have replicas, and the links to it
-		// come up.
-		for _, k := range r.knowledge {
+		return false // this node holds a replica of the last term
+	case newest == nil && waited < UnknownHistoryTimeout:
+		// This process has just started: peers may hold replicas, and their links to this node
+		// are still being established.
+		for _, k := range r.peerKnowledge {
 			if k.ReplicaTerm+1 >= read.Term {
 				return false
 			}
 		}
-		return len(r.knowledge) < len(r.cfg.Seeds)
+		return len(r.peerKnowledge) < len(r.cfg.Seeds)
 	}
-	timeout, unlinkedToo := peerAnswerTimeout, false
+	timeout, includeUnlinked := peerResponseTimeout, false
 	if r.term.LossReason != "" || read.Missing && r.term.Observed.Term == 0 {
-		timeout, unlinkedToo = UnknownPastTimeout, true // their links may not be up yet
+		timeout, includeUnlinked = UnknownHistoryTimeout, true // links may not be up yet
 	}
 	if waited >= timeout {
 		return false
 	}
 	for _, seed := range r.cfg.Seeds {
-		if r.knowledge[seed.HostName] == nil && (unlinkedToo || r.leader.IsLinked(seed.HostName)) {
+		if r.peerKnowledge[seed.HostName] == nil && (includeUnlinked || r.leader.IsLinked(seed.HostName)) {
 			return true
 		}
 	}
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -20,29 +20,30 @@
 
 const era, ownTerm = 9, 7
 
-// bench is a recovery with the store and the peers n1 and n2 played by the test.
-type bench struct {
+// harness is a Recovery whose store and peers n1 and n2 are simulated by the test. It also
+// implements the Leader.
+type harness struct {
 	*Recovery
 	t        *testing.T
 	engine   *engine.Engine
 	replicas *replication.Replicas
-	higher   uint64 // the term that ended ours
+	higher   uint64 // argument of EndTerm
 	outcome  *Outcome
 }
 
-func (b *bench) Observed() recovery.Observed { return recovery.Observed{Era: era, Term: ownTerm} }
-func (b *bench) IsLinked(string) bool        { return true }
-func (b *bench) EndTerm(higher uint64)       { b.higher = higher }
-func (b *bench) Recovered(o *Outcome)        { b.outcome = o }
-func (b *bench) HighestTerm() uint64         { return ownTerm }
-func (b *bench) ConfirmedTerm() uint64       { return ownTerm }
-func (b *bench) HasLoadedRecords() bool      { return false }
-
-// begin starts a recovery of the term, with own as the replica of an earlier term that this
-// process led, if any.
-func begin(t *testing.T, term Term, own *replica.Replica) *bench {
+func (b *harness) Observed() recovery.Observed { return recovery.Observed{Era: era, Term: ownTerm} }
+func (b *harness) IsLinked(string) bool        { return true }
+func (b *harness) EndTerm(higher uint64)       { b.higher = higher }
+func (b *harness) Recovered(o *Outcome)        { b.outcome = o }
+func (b *harness) HighestTerm() uint64         { return ownTerm }
+func (b *harness) ConfirmedTerm() uint64       { return ownTerm }
+func (b *harness) HasLoadedRecords() bool      { return false }
+
+// begin starts a recovery of term. own is the replica of an earlier term that this process led,
+// or nil.
+func begin(t *testing.T, term Term, own *replica.Replica) *harness {
 	t.Helper()
-	b := &bench{t: t, engine: engine.New(rand.New(rand.NewPCG(1, 1)), 1)}
+	b := &harness{t: t, engine: engine.New(rand.New(rand.NewPCG(1, 1)), 1)}
 	b.engine.Begin(time.Unix(1000, 0))
 	cfg := &config.Config{HostName: "n0", Seeds: []config.Seed{{HostName: "n1"}, {HostName: "n2"}}}
 	b.replicas = replication.New(b.engine, cfg, b)
@@ -53,30 +54,30 @@
 	return b
 }
 
-// pass lets time go by in steps of 10 ms.
-func (b *bench) pass(d time.Duration) {
+// advanceClock advances the clock by d in steps of 10 ms and runs due timers.
+func (b *harness) advanceClock(d time.Duration) {
 	for range d / (10 * time.Millisecond) {
 		b.engine.Begin(b.engine.Now.Add(10 * time.Millisecond))
 		b.engine.RunTimers()
 	}
 }
 
-// answer answers the store call of the operation that is an output of this step.
-func (b *bench) answer(op kv.Op, r kv.Response) {
+// respond responds to the pending store call with operation op that this step has sent.
+func (b *harness) respond(op kv.Op, r kv.Response) {
 	b.t.Helper()
 	i := slices.IndexFunc(b.engine.Outputs, func(o any) bool {
 		call, ok := o.(kv.Request)
 		return ok && call.Op == op && b.engine.AwaitsStore(call.Ref)
 	})
 	if i < 0 {
-		b.t.Fatalf("no call of kind %v waits", op)
+		b.t.Fatalf("no pending store call with operation %v", op)
 	}
 	r.Ref = b.engine.Outputs[i].(kv.Request).Ref
 	b.engine.HandleStore(r)
 }
 
-// wants returns whose replica was requested in this step.
-func (b *bench) wants() (names []string) {
+// requestedReplicas returns the peers whose replica was requested in this step.
+func (b *harness) requestedReplicas() (names []string) {
 	for _, o := range b.engine.Outputs {
 		if m, ok := o.(peermsg.Outgoing); ok && m.Msg.Kind == peermsg.WantReplica {
 			names = append(names, m.To)
@@ -105,8 +106,8 @@
 	return r
 }
 
-// TestMissingJob: a job that only the replica has is restored if it has no final record, and
-// is over if it has one.
+// TestMissingJob checks that a job that only the replica has is restored if it has no final
+// record, and treated as finished if it has one.
 func TestMissingJob(t *testing.T) {
 	for name, x := range map[string]struct {
 		final    kv.Response
@@ -117,88 +118,88 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := begin(t, Term{Read: recovery.TermRead{Era: era, Term: 6}}, replicaOf(6, job("a"), job("b")))
-			b.answer(kv.List, page(job("a")))
+			b.respond(kv.List, page(job("a")))
 			if b.outcome != nil {
-				t.Fatal("the final record is not looked up")
+				t.Fatal("recovery completed without reading the final record")
 			}
-			b.answer(kv.Get, x.final)
+			b.respond(kv.Get, x.final)
 			o := b.outcome
 			if o == nil || len(o.Restore) != x.restored || len(o.Records) != 1+x.restored || (o.LossReason != "") != (x.restored > 0) {
-				t.Fatalf("%+v", o)
+				t.Fatalf("unexpected outcome %+v", o)
 			}
-			if o.Source != "n0" || o.Replica.Term != ownTerm || o.EarlierLeaderLag != 0 {
-				t.Errorf("source %q, term %d, lag %v", o.Source, o.Replica.Term, o.EarlierLeaderLag)
+			if o.Source != "n0" || o.Replica.Term != ownTerm || o.EarlierLeaderOverlap != 0 {
+				t.Errorf("source %q, replica term %d, earlier leader overlap %v; want n0, own term, 0", o.Source, o.Replica.Term, o.EarlierLeaderOverlap)
 			}
 		})
 	}
 }
 
-// TestFetchFromNextPeer: after a loss the newest replica is fetched, or the next one if its
-// holder does not send it; and nothing is loaded while an earlier leader may act.
+// TestFetchFromNextPeer checks that after a data loss the newest replica is requested, and the
+// next newest if the first peer does not send its replica.
 func TestFetchFromNextPeer(t *testing.T) {
 	b := begin(t, Term{Read: recovery.TermRead{Missing: true}, Observed: recovery.Observed{Era: 8, Term: 6}}, nil)
-	b.answer(kv.List, page())
+	b.respond(kv.List, page())
 	b.HandleKnowledge("n1", &peermsg.Knowledge{ReplicaTerm: 4})
 	b.HandleKnowledge("n2", &peermsg.Knowledge{ReplicaTerm: 5})
-	if got := b.wants(); !slices.Equal(got, []string{"n2"}) {
-		t.Fatalf("wants %v", got)
+	if got := b.requestedReplicas(); !slices.Equal(got, []string{"n2"}) {
+		t.Fatalf("requested replicas of %v, want n2", got)
 	}
-	var later []string
+	var requested []string
 	for range 600 { // 6 s
-		b.pass(10 * time.Millisecond)
-		later = append(later, b.wants()...)
+		b.advanceClock(10 * time.Millisecond)
+		requested = append(requested, b.requestedReplicas()...)
 	}
-	if !slices.Equal(later, []string{"n1"}) {
-		t.Fatalf("then wants %v", later)
+	if !slices.Equal(requested, []string{"n1"}) {
+		t.Fatalf("after the timeout, requested replicas of %v, want n1", requested)
 	}
 	if b.ReceiveReplica("n2", &replica.Line{Era: 8, Term: 5, Session: 1, Number: 1, Complete: true}) {
-		t.Error("a line of the peer that was given up is taken")
+		t.Error("accepted a line from a peer whose transfer timed out")
 	}
 	if !b.ReceiveReplica("n1", &replica.Line{Era: 8, Term: 4, Session: 2, Number: 1, Complete: true, Puts: []replica.Record{job("a")}}) {
-		t.Fatal("the replica is not taken")
+		t.Fatal("rejected a line of the requested replica")
 	}
 	b.AdvanceIfFetched()
-	b.answer(kv.Get, kv.Response{Outcome: rpc.NotFound})
+	b.respond(kv.Get, kv.Response{Outcome: rpc.NotFound})
 	o := b.outcome
-	if o == nil || o.Source != "n1" || len(o.Restore) != 1 || o.LossReason == "" || o.EarlierLeaderLag == 0 || !o.NoEarlierTerm {
-		t.Fatalf("%+v", o)
+	if o == nil || o.Source != "n1" || len(o.Restore) != 1 || o.LossReason == "" || o.EarlierLeaderOverlap == 0 || !o.NoEarlierTerm {
+		t.Fatalf("unexpected outcome %+v", o)
 	}
 }
 
-// TestEarlierLeaderMayAct: after a loss nothing is loaded before an earlier leader's lease is
-// surely over.
+// TestEarlierLeaderMayAct checks that after a data loss the recovery does not complete before an
+// earlier leader's lease has certainly expired.
 func TestEarlierLeaderMayAct(t *testing.T) {
 	b := begin(t, Term{Read: recovery.TermRead{Missing: true}, Observed: recovery.Observed{Era: 8, Term: 6}}, replicaOf(6))
-	b.answer(kv.List, page())
-	b.pass(1900 * time.Millisecond)
+	b.respond(kv.List, page())
+	b.advanceClock(1900 * time.Millisecond)
 	if b.outcome != nil {
-		t.Fatal("loads while an earlier leader may act")
+		t.Fatal("recovery completed while an earlier leader may still have authority")
 	}
-	b.pass(time.Second)
+	b.advanceClock(time.Second)
 	if b.outcome == nil {
-		t.Fatal("does not go on")
+		t.Fatal("recovery did not complete after the earlier leader's lease expired")
 	}
 }
 
-// TestStoreSuffices: a peer's replica is not waited for if the store has the same keys; how
-// jobs have ended is learned from it later.
+// TestStoreSuffices checks that no replica is requested if the store has the same live keys as a
+// peer's replica, and that the peer is chosen as the source of final records.
 func TestStoreSuffices(t *testing.T) {
 	b := begin(t, Term{Read: recovery.TermRead{Era: era, Term: 6}}, nil)
-	b.answer(kv.List, page(job("a")))
+	b.respond(kv.List, page(job("a")))
 	b.HandleKnowledge("n1", &peermsg.Knowledge{ReplicaEra: era, ReplicaTerm: 6, LiveDigest: replica.DigestOf([]replica.Record{job("a")})})
 	o := b.outcome
-	if o == nil || o.FinalsSource != "n1" || o.Restored != nil || o.LossReason != "" || len(o.Records) != 1 || len(b.wants()) != 0 {
-		t.Fatalf("%+v, wants %v", o, b.wants())
+	if o == nil || o.FinalsSource != "n1" || o.Restored != nil || o.LossReason != "" || len(o.Records) != 1 || len(b.requestedReplicas()) != 0 {
+		t.Fatalf("outcome %+v, requested replicas of %v, want none", o, b.requestedReplicas())
 	}
 }
 
-// TestHigherTermEndsOurs: a leader whose term is below one that a peer knows of ends it.
+// TestHigherTermEndsOurs checks that a leader ends its term if a peer knows of a higher one.
 func TestHigherTermEndsOurs(t *testing.T) {
 	b := begin(t, Term{Read: recovery.TermRead{Missing: true}}, nil)
-	b.answer(kv.List, page())
+	b.respond(kv.List, page())
 	b.HandleKnowledge("n1", &peermsg.Knowledge{Observed: recovery.Observed{Era: 8, Term: 12}})
 	b.HandleKnowledge("n2", &peermsg.Knowledge{})
 	if b.higher != 12 || b.outcome != nil {
-		t.Errorf("ended by %d, outcome %+v", b.higher, b.outcome)
+		t.Errorf("term ended by term %d with outcome %+v, want 12 and no outcome", b.higher, b.outcome)
 	}
 }
--- a/internal/failover/merge.go
+++ b/internal/failover/merge.go
@@ -10,35 +10,35 @@
 	"yewpass/internal/replica"
 )
 
-// timerMargin has a timer run after the deadline that it is for.
+// timerMargin is added to a timer so that it fires after its deadline.
 const timerMargin = time.Millisecond
 
-// Outcome is which records there are.
+// Outcome is the result of a recovery.
 type Outcome struct {
 	Records  []replica.Record // live records, sorted by key
-	Restore  []replica.Record // lost records to be written back; Rev is what the store has, 0 for none
-	Drops    []string         // keys of live records of jobs that are over
-	Replica  *replica.Replica // the first state of our own term's replica
-	Restored *replica.Replica // the replica that was merged with the store's records, or nil
+	Restore  []replica.Record // lost records to write back; Rev is the revision in the store, 0 if absent
+	Deletes  []string         // keys of live records of finished jobs, to be deleted
+	Replica  *replica.Replica // initial replica of the new term
+	Restored *replica.Replica // replica that was merged with the stored records, or nil
 
-	LossReason       string        // what showed that data was lost, or ""
-	Source           string        // whose replica was merged, or "" for none
-	FinalsSource     string        // the controller to learn from how jobs have ended, or ""
-	NoEarlierTerm    bool          // no term was on record before ours
-	EarlierLeaderLag time.Duration // for so long into our term an earlier leader may have led
+	LossReason           string        // evidence of a data loss, or ""
+	Source               string        // controller that supplied Restored, or ""
+	FinalsSource         string        // controller to fetch final records from, or ""
+	NoEarlierTerm        bool          // the store had no term record before the new term
+	EarlierLeaderOverlap time.Duration // how long into the new term an earlier leader may have had authority
 }
 
-// merge makes the records to go by and hands them to the leader.
+// merge computes the outcome and passes it to the leader.
 func (r *Recovery) merge() {
 	r.phase = merged
 	o := &Outcome{
-		Records:          r.stored,
-		Replica:          r.replicas.NewReplica(r.leader.Observed().Era, r.term.Number),
-		Restored:         r.replica,
-		LossReason:       r.term.LossReason,
-		FinalsSource:     r.finalsSource,
-		NoEarlierTerm:    r.term.Read.Missing,
-		EarlierLeaderLag: r.earlierLeaderLag,
+		Records:              r.stored,
+		Replica:              r.replicas.NewReplica(r.leader.Observed().Era, r.term.Number),
+		Restored:             r.replica,
+		LossReason:           r.term.LossReason,
+		FinalsSource:         r.finalsSource,
+		NoEarlierTerm:        r.term.Read.Missing,
+		EarlierLeaderOverlap: r.earlierLeaderOverlap,
 	}
 	newest := r.replicas.Newest()
 	if r.replica != nil {
@@ -53,27 +53,27 @@
 	r.leader.Recovered(o)
 }
 
-// mergeReplica merges the replica with the store's records.
+// mergeReplica merges the replica with the stored records into o.
 func (r *Recovery) mergeReplica(o *Outcome) {
 	storeLostData := o.LossReason != ""
 	res := recovery.Merge(r.stored, r.replica, storeLostData, schema)
 	notLive := func(rec replica.Record) bool { return !strings.HasPrefix(rec.Key, record.LivePrefix) }
-	o.Records, o.Drops = slices.DeleteFunc(res.Records, notLive), res.Drops
+	o.Records, o.Deletes = slices.DeleteFunc(res.Records, notLive), res.Deletes
 	for _, key := range r.replica.Keys(record.FinalPrefix) {
 		rec, _ := r.replica.Get(key)
 		if storeLostData {
-			rec.Rev = 0 // revisions have begun again
+			rec.Rev = 0 // store revisions have restarted
 		}
 		o.Replica.Put(key, rec.Value, rec.Rev)
 	}
 	for _, key := range r.replica.Keys(record.SchedulesPrefix) {
-		// Until they have been read: a replica that is sent on without them would be newer
-		// than one that has them.
+		// Keep the schedules until they are read from the store. Without them, the replica of
+		// the new term would be preferred over older ones that still have them.
 		rec, _ := r.replica.Get(key)
 		o.Replica.Put(key, rec.Value, 0)
 	}
 	if !storeLostData {
-		// Ended jobs and schedules of a replica are older news than the store's.
+		// The store's final records and schedules are newer than the replica's.
 		res.Writes = slices.DeleteFunc(res.Writes, notLive)
 		if len(res.Writes) > 0 {
 			o.LossReason = "records are missing that a copy has"
--- a/internal/failover/missing_jobs.go
+++ b/internal/failover/missing_jobs.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// maxFinalReads is how many final records are read one by one. For more jobs all final
-	// records in between are listed.
+	// maxFinalReads is the most final records that are read one by one. For more, all final
+	// records in the key range are listed.
 	maxFinalReads = 50
-	finalsPage    = 1000 // final records of a page
+	finalsPage    = 1000 // final records per page
 )
 
-// resolveMissingJobs looks up how the jobs ended that the replica has and the store has not:
-// they ended after the replica's last change, or are lost. What is found goes into the
-// replica.
+// resolveMissingJobs looks up the final records of jobs that the replica has and the store
+// lacks. Such a job either finished after the replica's last update or was lost. Final records
+// that exist are added to the replica; then the recovery merges.
 func (r *Recovery) resolveMissingJobs() {
 	finals := r.missingFinals()
 	switch {
@@ -26,10 +26,10 @@
 	case len(finals) > maxFinalReads:
 		r.listFinals(finals[0], finals[len(finals)-1])
 	default:
-		left := len(finals)
+		remaining := len(finals)
 		for _, key := range finals {
 			r.readFinal(key, func() {
-				if left--; left == 0 {
+				if remaining--; remaining == 0 {
 					r.merge()
 				}
 			})
@@ -37,7 +37,8 @@
 	}
 }
 
-// missingFinals returns the keys of the final records that the missing jobs may have, sorted.
+// missingFinals returns the sorted keys under which the final records of the missing jobs would
+// be stored.
 func (r *Recovery) missingFinals() (finals []string) {
 	stored := map[string]bool{}
 	for _, rec := range r.stored {
@@ -52,7 +53,8 @@
 	return finals
 }
 
-// readFinal reads a final record until the store answers, and then calls done.
+// readFinal reads a final record into the replica and then calls done. It retries until the
+// store responds.
 func (r *Recovery) readFinal(key string, done func()) {
 	r.scope.CallStore(kv.Request{Op: kv.Get, Key: key}, func(got kv.Response) {
 		switch got.Outcome {
@@ -67,7 +69,8 @@
 	})
 }
 
-// listFinals lists all final records from one key to another.
+// listFinals lists the final records from key from to key to, adds those of the replica's jobs
+// to the replica, and then merges.
 func (r *Recovery) listFinals(from, to string) {
 	r.scope.CallStore(kv.Request{Op: kv.List, Key: record.FinalPrefix, From: from[:len(from)-1], Limit: finalsPage}, func(page kv.Response) {
 		if page.Outcome != rpc.OK {
--- a/internal/failover/schema.go
+++ b/internal/failover/schema.go
@@ -10,7 +10,7 @@
 	"yewpass/internal/schedule"
 )
 
-// schema tells package recovery what our records are.
+// schema describes the key layout and the merge rules of the records to package recovery.
 var schema = recovery.Schema{
 	Job:      func(key string) (string, bool) { return strings.CutPrefix(key, record.JobPrefix) },
 	Final:    func(key string) (string, bool) { return strings.CutPrefix(key, record.FinalPrefix) },
@@ -20,17 +20,17 @@
 		id, _ := record.SplitProgressKey(name)
 		return id, ok
 	},
-	Join: Join,
+	MergeValues: MergeValues,
 }
 
-// Join makes one value of a stored and a replicated record, given whether the stored one is the
-// older. differs reports whether the result is not the stored value. Progress counts by
-// whichever knows of it, and so does a cancellation.
-func Join(stored, replicated any, storedIsOlder bool) (joined any, differs bool) {
+// MergeValues merges the stored and the replicated value of a record. storedIsOlder says that
+// the store went back in time. differs reports whether the result differs from the stored value.
+// Progress is the union of both values, and a job is cancelled if either says so.
+func MergeValues(stored, replicated any, storedIsOlder bool) (merged any, differs bool) {
 	switch rep := replicated.(type) {
 	case *record.Progress:
 		st, _ := stored.(*record.Progress)
-		return joinProgress(st, rep)
+		return mergeProgress(st, rep)
 	case *record.Job:
 		st, _ := stored.(*record.Job)
 		if st == nil {
@@ -53,22 +53,22 @@
 	return replicated, storedIsOlder
 }
 
-// joinProgress returns the union of the progress of one chunk.
-func joinProgress(stored, replicated *record.Progress) (joined any, differs bool) {
-	all, more := bitset.New(bitset.ChunkSize), bitset.New(bitset.ChunkSize)
-	if stored == nil || !all.DecodeChunk(0, bitset.ChunkSize, stored.Ranges) {
+// mergeProgress returns the union of two progress records of one chunk.
+func mergeProgress(stored, replicated *record.Progress) (merged any, differs bool) {
+	union, replicatedSet := bitset.New(bitset.ChunkSize), bitset.New(bitset.ChunkSize)
+	if stored == nil || !union.DecodeChunk(0, bitset.ChunkSize, stored.Ranges) {
 		return replicated, true
 	}
-	if !more.DecodeChunk(0, bitset.ChunkSize, replicated.Ranges) {
+	if !replicatedSet.DecodeChunk(0, bitset.ChunkSize, replicated.Ranges) {
 		return stored, false
 	}
-	// The members count, not the encoding: the same ones may be written in more than one way.
-	for i := range all {
-		differs = differs || more[i]&^all[i] != 0
-		all[i] |= more[i]
+	// Compare the members, because the same set has more than one encoding.
+	for i := range union {
+		differs = differs || replicatedSet[i]&^union[i] != 0
+		union[i] |= replicatedSet[i]
 	}
 	if !differs {
 		return stored, false
 	}
-	return &record.Progress{Ranges: all.EncodeChunk(0)}, true
+	return &record.Progress{Ranges: union.EncodeChunk(0)}, true
 }
--- a/internal/failover/schema_test.go
+++ b/internal/failover/schema_test.go
@@ -7,9 +7,9 @@
 	"yewpass/internal/record"
 )
 
-// TestJoin: progress by either record counts, and the same progress is no loss, however it
-// is written: a chunk's length decides how.
-func TestJoin(t *testing.T) {
+// TestMergeValues checks that progress and cancellation of either record are kept, and that equal
+// progress in a different encoding does not count as a difference.
+func TestMergeValues(t *testing.T) {
 	short, long := bitset.New(200), bitset.New(bitset.ChunkSize)
 	for i := 0; i < 200; i += 2 {
 		short.Add(i)
@@ -17,22 +17,22 @@
 	}
 	a, b := &record.Progress{Ranges: short.EncodeChunk(0)}, &record.Progress{Ranges: long.EncodeChunk(0)}
 	if a.Ranges == b.Ranges {
-		t.Fatal("both are written the same way")
+		t.Fatal("both chunks have the same encoding, want different ones")
 	}
-	if _, differ := Join(a, b, true); differ {
-		t.Error("the same progress counts as lost")
+	if _, differ := MergeValues(a, b, true); differ {
+		t.Error("equal progress in another encoding is reported as different")
 	}
-	if v, differ := Join(&record.Progress{Ranges: "0-3"}, &record.Progress{Ranges: "2-9"}, false); !differ || v.(*record.Progress).Ranges != "0-9" {
-		t.Errorf("%+v, %v", v, differ)
+	if v, differ := MergeValues(&record.Progress{Ranges: "0-3"}, &record.Progress{Ranges: "2-9"}, false); !differ || v.(*record.Progress).Ranges != "0-9" {
+		t.Errorf("merged value %+v, differs %v, want the range 0-9 and true", v, differ)
 	}
-	if v, differ := Join(&record.Progress{Ranges: "0-9"}, &record.Progress{Ranges: "2-3"}, true); differ || v.(*record.Progress).Ranges != "0-9" {
-		t.Errorf("%+v, %v", v, differ)
+	if v, differ := MergeValues(&record.Progress{Ranges: "0-9"}, &record.Progress{Ranges: "2-3"}, true); differ || v.(*record.Progress).Ranges != "0-9" {
+		t.Errorf("merged value %+v, differs %v, want the range 0-9 and false", v, differ)
 	}
-	live, over := &record.Job{}, &record.Job{Cancelled: true}
-	if v, differ := Join(live, over, false); !differ || !v.(*record.Job).Cancelled {
-		t.Error("a cancellation is taken back")
+	live, cancelled := &record.Job{}, &record.Job{Cancelled: true}
+	if v, differ := MergeValues(live, cancelled, false); !differ || !v.(*record.Job).Cancelled {
+		t.Error("cancellation in the replica is not kept")
 	}
-	if _, differ := Join(over, live, true); differ {
-		t.Error("a cancellation on record is taken back")
+	if _, differ := MergeValues(cancelled, live, true); differ {
+		t.Error("cancellation in the store is not kept")
 	}
 }
--- a/internal/recovery/merge.go
+++ b/internal/recovery/merge.go
@@ -7,34 +7,36 @@
 	"yewpass/internal/replica"
 )
 
-// Schema tells Merge what the records under a key are. Keys of no kind stand for themselves.
+// Schema tells Merge the kind of the record under a key. Records of no listed kind are merged
+// independently of each other.
 type Schema struct {
-	Job      func(key string) (id string, ok bool)  // the record of a job that is not over
-	Final    func(key string) (id string, ok bool)  // how a job ended
-	Progress func(key string) (job string, ok bool) // the progress of a job
-	Machines func(key string) bool                  // machines that may hold tasks
+	Job      func(key string) (id string, ok bool)  // live record of a job
+	Final    func(key string) (id string, ok bool)  // final record of a finished job
+	Progress func(key string) (job string, ok bool) // progress record of a job
+	Machines func(key string) bool                  // list of machines that may run tasks
 
-	// Join makes one value of the stored and the replicated one, given whether the stored
-	// one is the older. differs reports whether the result is not the stored value.
-	Join func(stored, replicated any, storedIsOlder bool) (joined any, differs bool)
+	// MergeValues merges the stored and the replicated value of a record. storedIsOlder says
+	// that the store went back in time. differs reports whether the result differs from the
+	// stored value.
+	MergeValues func(stored, replicated any, storedIsOlder bool) (merged any, differs bool)
 }
 
 // MergeResult is the outcome of Merge.
 type MergeResult struct {
 	Records []replica.Record // sorted by key
-	Writes  []replica.Record // those that the store lacks or has with another value; Rev is what it has, 0 for none
-	Drops   []string         // keys in the store that belong to jobs that are over
+	Writes  []replica.Record // records to write to the store; Rev is the revision in the store, 0 if absent
+	Deletes []string         // keys in the store that belong to finished jobs
 }
 
-// Merge makes one set of records of those in the store and those in a replica. Unless
-// storedIsOlder says that the store went back in time its values stand and the replica adds
-// what is missing; otherwise the replica's values stand.
+// Merge merges the records in the store with those of a replica. If storedIsOlder is set, the
+// store went back in time and the replica's values take precedence. Otherwise the stored values
+// do, and the replica only adds missing records.
 //
-// A job that is over by either is over: jobs never come back. Machines and progress of both
-// count, as both state what has been.
+// A job is finished if either side has its final record, so that finished jobs never run again.
+// Machines and progress of both sides are kept, because both are facts about the past.
 func Merge(stored []replica.Record, r *replica.Replica, storedIsOlder bool, schema Schema) MergeResult {
 	replicaKeys := r.Keys("")
-	over := endedJobs(stored, replicaKeys, schema)
+	finished := endedJobs(stored, replicaKeys, schema)
 	merged := make(map[string]replica.Record, len(stored))
 	for _, rec := range stored {
 		merged[rec.Key] = rec
@@ -45,7 +47,7 @@
 		res.Writes = append(res.Writes, merged[key])
 	}
 	for _, key := range replicaKeys {
-		if over.owns(key) {
+		if finished.ownsKey(key) {
 			continue
 		}
 		replicated, _ := r.Get(key)
@@ -53,37 +55,37 @@
 		switch {
 		case !found:
 			put(key, replicated.Value, 0)
-		case schema.Machines(key): // either list may name machines that the other does not
+		case schema.Machines(key): // keep both: either may list machines that the other lacks
 			if storedIsOlder {
 				put(key+"~", replicated.Value, 0)
 			}
 		default:
-			if joined, differs := schema.Join(inStore.Value, replicated.Value, storedIsOlder); differs {
-				put(key, joined, inStore.Rev)
+			if value, differs := schema.MergeValues(inStore.Value, replicated.Value, storedIsOlder); differs {
+				put(key, value, inStore.Rev)
 			}
 		}
 	}
 	for key, rec := range merged {
-		if !over.owns(key) {
+		if !finished.ownsKey(key) {
 			res.Records = append(res.Records, rec)
 		} else if rec.Rev != 0 {
-			res.Drops = append(res.Drops, key)
+			res.Deletes = append(res.Deletes, key)
 		}
 	}
 	slices.SortFunc(res.Records, func(a, b replica.Record) int { return strings.Compare(a.Key, b.Key) })
-	slices.Sort(res.Drops)
+	slices.Sort(res.Deletes)
 	return res
 }
 
-// ended is the set of jobs that are over.
-type ended struct {
+// endedJobSet is a set of finished jobs.
+type endedJobSet struct {
 	jobs   map[string]bool
 	schema Schema
 }
 
-// endedJobs returns the jobs that are over by the store's or the replica's final records.
-func endedJobs(stored []replica.Record, replicaKeys []string, schema Schema) ended {
-	e := ended{jobs: map[string]bool{}, schema: schema}
+// endedJobs returns the jobs that have a final record in the store or in the replica.
+func endedJobs(stored []replica.Record, replicaKeys []string, schema Schema) endedJobSet {
+	e := endedJobSet{jobs: map[string]bool{}, schema: schema}
 	for _, rec := range stored {
 		e.add(rec.Key)
 	}
@@ -93,14 +95,14 @@
 	return e
 }
 
-func (e ended) add(key string) {
+func (e endedJobSet) add(key string) {
 	if id, ok := e.schema.Final(key); ok {
 		e.jobs[id] = true
 	}
 }
 
-// owns reports whether a key is the live or a progress record of a job that is over.
-func (e ended) owns(key string) bool {
+// ownsKey reports whether key is a live or a progress record of a finished job.
+func (e endedJobSet) ownsKey(key string) bool {
 	id, ok := e.schema.Job(key)
 	if !ok {
 		id, ok = e.schema.Progress(key)
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,27 +1,28 @@
-// Package recovery decides what to do when the store may have lost data: whether it has
-// (Observed.LossReason), which replica to restore from (NewestOf), and which records there
-// are after all (Merge).
+// Package recovery implements the decisions of recovery from a data loss in the key-value store:
+// whether data was lost (Observed.LossReason), which replica to restore from (NewestOf), and
+// which records result (Merge).
 //
-// It is pure: package core makes the calls. The invariants: a record known to have been in
-// the store is never taken for one that never was, and an older replica never wins over a
-// newer one.
+// The functions are pure; the callers perform the store calls. Two invariants hold: a record
+// known to have been in the store is never treated as if it had never existed, and an older
+// replica never takes precedence over a newer one.
 package recovery
 
 import (
 	"yewpass/internal/replica"
 )
 
-// Observed is what a controller has seen of the store. None of it decreases while the store
-// keeps its data.
+// Observed is the state of the store that a controller has observed. Within an era, Term and
+// Revision never decrease unless the store loses data.
 type Observed struct {
-	Era             uint64 `json:"era,omitempty"` // redrawn after each data loss; stored with the term
+	Era             uint64 `json:"era,omitempty"` // random; changed after each data loss and stored with the term
 	Term            uint64 `json:"term,omitempty"`
-	ProcessID       uint64 `json:"life,omitempty"` // of the process that led the term
-	Revision        uint64 `json:"rev,omitempty"`  // of the whole store
-	HighestPastTerm uint64 `json:"old,omitempty"`  // the highest term of earlier eras
+	ProcessID       uint64 `json:"life,omitempty"` // process that led the term
+	Revision        uint64 `json:"rev,omitempty"`  // revision of the whole store
+	HighestPastTerm uint64 `json:"old,omitempty"`  // highest term of earlier eras
 }
 
-// AdvanceTo returns what is known once an era and a term of it have been read from the store.
+// AdvanceTo returns o updated with an era and a term read from the store. If the era has changed,
+// the revision is reset and the earlier terms count towards HighestPastTerm.
 func (o Observed) AdvanceTo(era, term, processID uint64) Observed {
 	if era == 0 || era == o.Era || o.Era == 0 {
 		if era != 0 {
@@ -32,25 +33,26 @@
 		}
 		return o
 	}
-	// Revisions may have begun again, terms must not have.
+	// Revisions may restart in a new era, but terms must not.
 	return Observed{Era: era, Term: term, ProcessID: processID, HighestPastTerm: max(o.HighestPastTerm, o.Term)}
 }
 
-// HasHigherTerm reports whether the given term, led by the given process, is not above all
-// terms that were led before it: then terms have begun again.
+// HasHigherTerm reports whether o contains a term that conflicts with the given term of the given
+// process: a higher one, or the same one led by another process or in another era. Terms have
+// then restarted because of a data loss.
 func (o Observed) HasHigherTerm(era, term, processID uint64) bool {
 	return o.HighestPastTerm >= term || o.Term > term || o.Term == term && (o.ProcessID != processID || o.Era != era)
 }
 
-// TermRead is the result of reading the term's record.
+// TermRead is the result of reading the term record.
 type TermRead struct {
 	Missing       bool
-	Era, Term     uint64 // 0 if the record has none or cannot be read
-	StoreRevision uint64 // of the whole store at the time of the read
+	Era, Term     uint64 // 0 if not set in the record or unreadable
+	StoreRevision uint64 // revision of the whole store at the time of the read
 }
 
-// LossReason says why the result of the read proves a data loss, or returns "". The revision
-// in o must have been observed before the read was sent, as responses may be reordered.
+// LossReason returns why the result of a read proves a data loss, or "". The revision in o must
+// have been observed before the read was sent, because responses may be reordered.
 func (o Observed) LossReason(read TermRead) string {
 	switch {
 	case read.StoreRevision > 0 && read.StoreRevision < o.Revision:
@@ -65,7 +67,7 @@
 	return ""
 }
 
-// Merge adds what another controller has observed.
+// Merge returns o combined with the observations of another controller.
 func (o Observed) Merge(other Observed) Observed {
 	if other.Term >= o.Term && other.Era != 0 {
 		o.Era = other.Era
@@ -81,14 +83,14 @@
 
 // Offer is a replica that the store may be restored from.
 type Offer struct {
-	Source string // the controller that has it; "" for this one
+	Source string // controller that holds it; "" for this one
 	replica.Version
 }
 
-// NewestOf returns the newest of the offered replicas. Term 0 stands for no replica; found is
-// false if there is none. The newest may be of a term well before the last one, whose leader
-// did not get to replicate; the jobs that have ended since are looked up in the store before
-// the replica's records of them count as live.
+// NewestOf returns the newest of the offered replicas. Offers of term 0 are skipped; found is
+// false if there is no other. The newest replica may be of a term well before the last one, if
+// later leaders did not replicate. The caller must therefore look up the final records of the
+// replica's jobs before treating the jobs as live.
 func NewestOf(offers []Offer) (newest Offer, found bool) {
 	for _, o := range offers {
 		if o.Term != 0 && (!found || o.After(newest.Version)) {
--- a/internal/replication/scrubber.go
+++ b/internal/replication/scrubber.go
@@ -72,7 +72,7 @@
 		if r.Outcome != rpc.OK || s.publisher.Replica() != own {
 			return
 		}
-		page := recovery.ListPage{Prefix: prefix, From: s.from, AskedRevision: asked}
+		page := recovery.ListPage{Prefix: prefix, From: s.from, RequestRevision: asked}
 		for _, e := range r.Entries {
 			page.Listed = append(page.Listed, replica.Record{Key: e.Key, Rev: e.Rev})
 		}
--- a/internal/restore/restore.go
+++ b/internal/restore/restore.go
@@ -29,8 +29,8 @@
 	IsUnfinished(job string) bool
 	// RecordProgress has the progress of one chunk of a job written, if the job is known.
 	RecordProgress(job string, chunk int)
-	// NoteConfigHead is told the revision at which the head of the configuration was written.
-	NoteConfigHead(rev uint64)
+	// SetConfigHeadRevision is told the revision at which the head of the configuration was written.
+	SetConfigHeadRevision(rev uint64)
 }
 
 // Schedules is what a Restorer needs of the leader's schedules.
@@ -45,8 +45,8 @@
 	SetNumberRevision(uint64)
 }
 
-// Loss is what is known of a data loss under the leader that has found it.
-type Loss struct {
+// DataLoss is what is known of a data loss under the leader that has found it.
+type DataLoss struct {
 	Reason   string    // what showed it
 	Source   string    // whose replica was merged, or ""
 	Since    time.Time // when it was found
@@ -71,7 +71,7 @@
 	scope  *engine.Scope
 	cfg    Config
 
-	loss             *Loss
+	loss             *DataLoss
 	queue            []replica.Record
 	pendingSchedules int // records of schedules that are not in the store yet
 	pendingConfig    int // the same of the configuration
@@ -86,14 +86,14 @@
 // what the store has, 0 for none.
 func (r *Restorer) Begin(records []replica.Record, reason, source string) {
 	r.queue = records
-	r.loss = &Loss{Reason: reason, Source: source, Since: r.engine.Now, Restored: len(records), Pending: len(records)}
+	r.loss = &DataLoss{Reason: reason, Source: source, Since: r.engine.Now, Restored: len(records), Pending: len(records)}
 	for _, rec := range records {
-		r.count(rec.Key, 1)
+		r.addPending(rec.Key, 1)
 	}
 }
 
-// count adds to the records that are pending of the kind of a key.
-func (r *Restorer) count(key string, n int) {
+// addPending adds to the records that are pending of the kind of a key.
+func (r *Restorer) addPending(key string, n int) {
 	if record.IsScheduleKey(key) {
 		r.pendingSchedules += n
 	}
@@ -103,7 +103,7 @@
 }
 
 // Loss returns the data loss that this leader has found, or nil.
-func (r *Restorer) Loss() *Loss { return r.loss }
+func (r *Restorer) Loss() *DataLoss { return r.loss }
 
 // IsDone reports whether everything that was lost is in the store again.
 func (r *Restorer) IsDone() bool { return len(r.queue) == 0 && (r.loss == nil || r.loss.Pending == 0) }
@@ -134,8 +134,8 @@
 		return true
 	})
 	slices.SortStableFunc(r.queue, func(a, b replica.Record) int {
-		rankA, sinceA := order(a)
-		rankB, sinceB := order(b)
+		rankA, sinceA := restoreOrder(a)
+		rankB, sinceB := restoreOrder(b)
 		if rankA != rankB {
 			return rankA - rankB
 		}
@@ -144,10 +144,10 @@
 	return machineRecords
 }
 
-// order says when a record is written back, by rank and then by time: schedules first, because
+// restoreOrder says when a record is written back, by rank and then by time: schedules first, because
 // no occurrence is made until they are there; then jobs, the most urgent and oldest first;
 // then their progress; then how jobs have ended.
-func order(rec replica.Record) (rank int, since time.Time) {
+func restoreOrder(rec replica.Record) (rank int, since time.Time) {
 	switch v := rec.Value.(type) {
 	case *schedule.Record, *record.ScheduleNumber, *liveconfig.HeadRecord, *liveconfig.TeamRecord:
 		return 0, time.Time{}
@@ -175,15 +175,15 @@
 		if job, chunk := record.SplitProgressKey(part); chunk >= 0 {
 			r.cfg.Leader.RecordProgress(job, chunk)
 		}
-		r.finish(rec.Key)
+		r.markRestored(rec.Key)
 		return
 	}
-	r.writeBack(rec, func(kv.Entry) { r.finish(rec.Key) })
+	r.writeBack(rec, func(kv.Entry) { r.markRestored(rec.Key) })
 }
 
-// finish counts a record that need not be written back any more.
-func (r *Restorer) finish(key string) {
-	r.count(key, -1)
+// markRestored counts a record that need not be written back any more.
+func (r *Restorer) markRestored(key string) {
+	r.addPending(key, -1)
 	if r.loss.Pending--; r.loss.Pending == 0 {
 		r.engine.Log(slog.LevelInfo, "all records restored", "term", r.cfg.Term, "restored", r.loss.Restored, "after", r.engine.Now.Sub(r.loss.Since))
 	}
--- a/internal/restore/restore_test.go
+++ b/internal/restore/restore_test.go
@@ -22,7 +22,7 @@
 
 func (f *fakeLeader) IsUnfinished(job string) bool     { return job == "a" }
 func (f *fakeLeader) RecordProgress(job string, _ int) { f.progress = append(f.progress, job) }
-func (f *fakeLeader) NoteConfigHead(uint64)            {}
+func (f *fakeLeader) SetConfigHeadRevision(uint64)            {}
 
 // noSchedules is a leader's schedules before any is read.
 type noSchedules struct{}
--- a/internal/restore/write.go
+++ b/internal/restore/write.go
@@ -39,7 +39,7 @@
 		case record.ScheduleNumberKey:
 			r.cfg.Schedules.SetNumberRevision(rev)
 		case record.ConfigHeadKey:
-			r.cfg.Leader.NoteConfigHead(rev)
+			r.cfg.Leader.SetConfigHeadRevision(rev)
 		}
 		done(kv.Entry{Key: rec.Key, Value: change.Writes[0].Value, Rev: rev})
 	}
@@ -89,7 +89,7 @@
 		return
 	}
 	r.cfg.Writes.ReadBack(rec.Key, func(stored kv.Entry, found bool) {
-		if _, differs := failover.Join(stored.Value, rec.Value, true); found && !differs {
+		if _, differs := failover.MergeValues(stored.Value, rec.Value, true); found && !differs {
 			done(stored)
 			return
 		}
--- a/internal/writebatch/limits.go
+++ b/internal/writebatch/limits.go
@@ -34,17 +34,17 @@
 	}
 }
 
-// minRoom is how many writes a transaction of a priority has at the least: one of
+// minWrites is how many writes a transaction of a priority has at the least: one of
 // configuration has an object and the head.
-func minRoom(p Priority) int {
+func minWrites(p Priority) int {
 	if p == Config {
 		return 2
 	}
 	return 1
 }
 
-// RoomFor returns how many writes may go in a transaction of a priority now.
-func (l *limits) RoomFor(p Priority, now time.Time, ops int) int {
+// AvailableWrites returns how many writes may go in a transaction of a priority now.
+func (l *limits) AvailableWrites(p Priority, now time.Time, ops int) int {
 	limiter := l.writes
 	if p == Config {
 		limiter = l.configWrites
@@ -52,17 +52,17 @@
 	return min(ops, int(limiter.TokensAt(now)))
 }
 
-// hasRequest reports whether a request is allowed now.
-func (l *limits) hasRequest(now time.Time) bool { return l.requests.TokensAt(now) >= 1 }
+// allowsRequest reports whether a request is allowed now.
+func (l *limits) allowsRequest(now time.Time) bool { return l.requests.TokensAt(now) >= 1 }
 
-// halfLeft reports whether half of the allowance of writes is left.
-func (l *limits) halfLeft(now time.Time) bool {
+// hasHalfWriteBudget reports whether half of the allowance of writes is left.
+func (l *limits) hasHalfWriteBudget(now time.Time) bool {
 	return l.writes.TokensAt(now) >= float64(l.writes.Burst())/2
 }
 
-// Spend takes writes out of the allowance. What configuration takes goes out of the whole
+// Consume takes writes out of the allowance. What configuration takes goes out of the whole
 // too, also ahead of time: together they stay below what the store takes.
-func (l *limits) Spend(p Priority, now time.Time, writes int) {
+func (l *limits) Consume(p Priority, now time.Time, writes int) {
 	l.requests.AllowN(now, 1)
 	if p == Config {
 		l.configWrites.ReserveN(now, min(writes, l.configWrites.Burst()))
--- a/internal/writebatch/queue.go
+++ b/internal/writebatch/queue.go
@@ -14,11 +14,11 @@
 	queued       [priorities][]*Change
 	inFlight     [priorities]int
 	keysInFlight map[string]bool // keys of transactions on their way
-	singly       int             // so many changes go one by one, to find a malformed one
+	sendSingly       int             // so many changes go one by one, to find a malformed one
 }
 
-// take removes the next batch of a priority, of at most ops writes.
-func (q *queue) take(p Priority, ops int) []*Change {
+// takeBatch removes the next batch of a priority, of at most ops writes.
+func (q *queue) takeBatch(p Priority, ops int) []*Change {
 	var batch []*Change
 	n, conds, size := 0, 1, 0
 	keys := map[string]bool{}
@@ -26,7 +26,7 @@
 	rest := list[:0:0]
 	for i, ch := range list {
 		clash := slices.ContainsFunc(ch.Writes, func(w kv.Write) bool { return q.keysInFlight[w.Key] || keys[w.Key] })
-		full := q.singly > 0 || n+len(ch.Writes) > ops || conds+len(ch.Conditions) > 4*ops || size+ch.Size > maxTxnBytes
+		full := q.sendSingly > 0 || n+len(ch.Writes) > ops || conds+len(ch.Conditions) > 4*ops || size+ch.Size > maxTxnBytes
 		if full && len(batch) > 0 {
 			rest = append(rest, list[i:]...)
 			break
@@ -45,27 +45,27 @@
 		n, conds, size = n+len(ch.Writes), conds+len(ch.Conditions), size+ch.Size
 	}
 	q.queued[p] = rest
-	q.singly = max(0, q.singly-len(batch))
+	q.sendSingly = max(0, q.sendSingly-len(batch))
 	return batch
 }
 
-// putBack queues changes again, in front of the others.
-func (q *queue) putBack(changes []*Change) {
+// requeue queues changes again, in front of the others.
+func (q *queue) requeue(changes []*Change) {
 	for _, ch := range slices.Backward(changes) {
 		q.queued[ch.Priority] = slices.Insert(q.queued[ch.Priority], 0, ch)
 	}
 }
 
-// departed notes that a transaction of a priority is on its way.
-func (q *queue) departed(p Priority, writes []kv.Write) {
+// markInFlight notes that a transaction of a priority is on its way.
+func (q *queue) markInFlight(p Priority, writes []kv.Write) {
 	for _, w := range writes {
 		q.keysInFlight[w.Key] = true
 	}
 	q.inFlight[p]++
 }
 
-// returned notes that a transaction has been answered.
-func (q *queue) returned(p Priority, writes []kv.Write) {
+// clearInFlight notes that a transaction has been answered.
+func (q *queue) clearInFlight(p Priority, writes []kv.Write) {
 	q.inFlight[p]--
 	for _, w := range writes {
 		delete(q.keysInFlight, w.Key)
--- a/internal/writebatch/send.go
+++ b/internal/writebatch/send.go
@@ -13,7 +13,7 @@
 	maxUrgentInFlight     = 3
 	maxOccurrenceInFlight = 2
 
-	wakeDelay           = 20 * time.Millisecond
+	flushDelay           = 20 * time.Millisecond
 	malformedRetryDelay = time.Second
 	minBackoff          = 100 * time.Millisecond
 	maxBackoff          = 2 * time.Second
@@ -30,11 +30,11 @@
 			return
 		}
 	}
-	b.leader.RestoreRecords()
+	b.leader.QueueRestores()
 	b.flushDeferrable()
 	// What waits for the allowance is seen to when it has come back.
-	if b.inFlight[Occurrence] == 0 && b.leader.OccurrencesWait() {
-		b.WakeSoon()
+	if b.inFlight[Occurrence] == 0 && b.leader.HasDueOccurrences() {
+		b.ScheduleFlush()
 	}
 }
 
@@ -45,7 +45,7 @@
 	if b.leader.ConfigBatchDue() {
 		b.send(Config)
 	} else {
-		b.WakeSoon()
+		b.ScheduleFlush()
 	}
 }
 
@@ -53,14 +53,14 @@
 // in the allowance for what users wait for.
 func (b *Batcher) flushDeferrable() {
 	for range 2 {
-		if len(b.queued[Urgent]) > 0 || !b.halfLeft(b.engine.Now) {
+		if len(b.queued[Urgent]) > 0 || !b.hasHalfWriteBudget(b.engine.Now) {
 			return
 		}
 		b.bulkNext = !b.bulkNext
 		if b.bulkNext && len(b.queued[Bulk]) > 0 && b.inFlight[Bulk] == 0 {
 			b.send(Bulk)
 		} else if !b.bulkNext && b.inFlight[Occurrence] < maxOccurrenceInFlight {
-			b.leader.MakeOccurrences()
+			b.leader.QueueDueOccurrences()
 			if len(b.queued[Occurrence]) > 0 {
 				b.send(Occurrence)
 			}
@@ -68,36 +68,36 @@
 	}
 }
 
-// WakeSoon has the state machine take a step soon, which flushes the batcher.
-func (b *Batcher) WakeSoon() {
-	if !b.wakeScheduled {
-		b.wakeScheduled = true
-		b.scope.After(wakeDelay, func() { b.wakeScheduled = false })
+// ScheduleFlush has the state machine take a step soon, which flushes the batcher.
+func (b *Batcher) ScheduleFlush() {
+	if !b.flushScheduled {
+		b.flushScheduled = true
+		b.scope.After(flushDelay, func() { b.flushScheduled = false })
 	}
 }
 
 // send sends the next batch of a priority and reports whether there was one.
 func (b *Batcher) send(p Priority) bool {
 	now := b.engine.Now
-	ops := b.RoomFor(p, now, b.maxOps)
-	if !b.hasRequest(now) || ops < minRoom(p) {
-		b.WakeSoon()
+	ops := b.AvailableWrites(p, now, b.maxOps)
+	if !b.allowsRequest(now) || ops < minWrites(p) {
+		b.ScheduleFlush()
 		return false
 	}
-	batch := b.take(p, ops)
+	batch := b.takeBatch(p, ops)
 	if len(batch) == 0 {
 		return false
 	}
-	call := kv.Request{Op: kv.Txn, Conditions: []kv.Condition{b.term}}
+	call := kv.Request{Op: kv.Txn, Conditions: []kv.Condition{b.termCondition}}
 	for _, ch := range batch {
 		ch.Sent = true
 		call.Conditions = append(call.Conditions, ch.Conditions...)
 		call.Writes = append(call.Writes, ch.Writes...)
 	}
-	b.Spend(p, now, len(call.Writes))
-	b.departed(p, call.Writes)
+	b.Consume(p, now, len(call.Writes))
+	b.markInFlight(p, call.Writes)
 	b.scope.CallStore(call, func(r kv.Response) {
-		b.returned(p, call.Writes)
+		b.clearInFlight(p, call.Writes)
 		b.handleReply(batch, r)
 	})
 	return true
@@ -123,14 +123,14 @@
 		// Should the first try be applied as well, the second meets a condition
 		// of its own, which is read back.
 		b.backOff()
-		b.putBack(batch)
+		b.requeue(batch)
 	}
 }
 
 // handleConflict drops the changes whose own conditions have failed and queues the others
 // again.
 func (b *Batcher) handleConflict(batch []*Change, failedKeys []string) {
-	if slices.Contains(failedKeys, b.term.Key) {
+	if slices.Contains(failedKeys, b.termCondition.Key) {
 		b.leader.StepDown("a newer term has been written")
 		return
 	}
@@ -151,7 +151,7 @@
 	} else {
 		b.backoff = 0
 	}
-	b.putBack(rest)
+	b.requeue(rest)
 }
 
 // handleMalformed deals with a batch that the store calls malformed. That is our fault:
@@ -161,8 +161,8 @@
 	b.engine.Log(slog.LevelError, "transaction rejected as malformed", "changes", len(batch), "key", batch[0].Writes[0].Key)
 	switch ch := batch[0]; {
 	case len(batch) > 1:
-		b.singly = max(b.singly, len(batch))
-		b.putBack(batch)
+		b.sendSingly = max(b.sendSingly, len(batch))
+		b.requeue(batch)
 	case ch.OnReject != nil:
 		ch.OnReject()
 	default:
--- a/internal/writebatch/writebatch.go
+++ b/internal/writebatch/writebatch.go
@@ -49,12 +49,12 @@
 	CanAct() bool
 	// ConfigBatchDue reports whether the queued batch of configuration changes is to go now.
 	ConfigBatchDue() bool
-	// RestoreRecords queues lost records to be written back, as many as there is room for.
-	RestoreRecords()
-	// MakeOccurrences queues due occurrences of schedules, as many as a transaction takes.
-	MakeOccurrences()
-	// OccurrencesWait reports whether occurrences would be written if the allowance let them.
-	OccurrencesWait() bool
+	// QueueRestores queues lost records to be written back, as many as there is room for.
+	QueueRestores()
+	// QueueDueOccurrences queues due occurrences of schedules, as many as a transaction takes.
+	QueueDueOccurrences()
+	// HasDueOccurrences reports whether occurrences would be written if the allowance let them.
+	HasDueOccurrences() bool
 	// ReplicateBatch passes a committed batch on to the replicas.
 	ReplicateBatch(batch []*Change, rev uint64)
 	// ReplicateEntry passes an entry that was read on to the replicas.
@@ -73,13 +73,13 @@
 	engine *engine.Engine
 	scope  *engine.Scope
 	leader Leader
-	term   kv.Condition // of every transaction: it fails once a successor has begun a term
+	termCondition   kv.Condition // of every transaction: it fails once a successor has begun a term
 	maxOps int          // writes in a transaction
 
 	bulkNext      bool // bulk changes are next in turn, not occurrences
 	pausedUntil   time.Time
 	backoff       time.Duration
-	wakeScheduled bool
+	flushScheduled bool
 }
 
 // New returns a Batcher for the leadership of a scope. The condition term holds as long
@@ -91,7 +91,7 @@
 		engine: eng,
 		scope:  scope,
 		leader: leader,
-		term:   term,
+		termCondition:   term,
 		maxOps: st.TxnOps,
 	}
 }
--- a/internal/writebatch/writebatch_test.go
+++ b/internal/writebatch/writebatch_test.go
@@ -19,9 +19,9 @@
 
 func (idleLeader) CanAct() bool                     { return true }
 func (idleLeader) ConfigBatchDue() bool             { return true }
-func (idleLeader) RestoreRecords()                  {}
-func (idleLeader) MakeOccurrences()                 {}
-func (idleLeader) OccurrencesWait() bool            { return false }
+func (idleLeader) QueueRestores()                  {}
+func (idleLeader) QueueDueOccurrences()                 {}
+func (idleLeader) HasDueOccurrences() bool            { return false }
 func (idleLeader) ReplicateBatch([]*Change, uint64) {}
 func (idleLeader) ReplicateEntry(kv.Entry)          {}
 func (idleLeader) StepDown(string)                  {}
@@ -51,7 +51,7 @@
 	b, eng := newBatcher(t)
 	bad, good := &Change{Writes: []kv.Write{{Key: "a"}}}, &Change{Writes: []kv.Write{{Key: "b"}}}
 	b.handleReply([]*Change{bad, good}, kv.Response{Outcome: rpc.Invalid})
-	b.take(Urgent, 9)
+	b.takeBatch(Urgent, 9)
 	b.handleReply([]*Change{bad}, kv.Response{Outcome: rpc.Invalid})
 	if w := b.Queued(Urgent); len(w) != 1 || w[0] != good {
 		t.Errorf("%d wait", len(w))
@@ -68,21 +68,21 @@
 func TestConfigHasItsPart(t *testing.T) {
 	p := newLimits(config.State{RPS: 350, WriteRPS: 80, TxnOps: 12})
 	now := t0
-	p.Spend(Urgent, now, 64) // a storm has taken all there is
-	if room := p.RoomFor(Urgent, now, 12); room >= minRoom(Urgent) {
+	p.Consume(Urgent, now, 64) // a storm has taken all there is
+	if room := p.AvailableWrites(Urgent, now, 12); room >= minWrites(Urgent) {
 		t.Errorf("room for %d more submissions", room)
 	}
-	if room := p.RoomFor(Config, now, 12); room < minRoom(Config) {
+	if room := p.AvailableWrites(Config, now, 12); room < minWrites(Config) {
 		t.Errorf("no room for a change of configuration: %d", room)
 	}
 	written, others := 0, 0
 	for end := now.Add(time.Minute); now.Before(end); now = now.Add(10 * time.Millisecond) {
-		if room := p.RoomFor(Config, now, 12); room >= 12 { // as many changes as go
-			p.Spend(Config, now, room)
+		if room := p.AvailableWrites(Config, now, 12); room >= 12 { // as many changes as go
+			p.Consume(Config, now, room)
 			written += room
 		}
-		if room := p.RoomFor(Urgent, now, 12); room > 0 {
-			p.Spend(Urgent, now, room)
+		if room := p.AvailableWrites(Urgent, now, 12); room > 0 {
+			p.Consume(Urgent, now, room)
 			others += room
 		}
 	}
