--- a/internal/admission/admitter_test.go
+++ b/internal/admission/admitter_test.go
@@ -66,9 +66,9 @@
 func (l *leader) DispatchAll()                                {}
 func (l *leader) Backlog() (time.Duration, float64)           { return 0, 0 }
 func (l *leader) ConfigBatchDue() bool                        { return false }
-func (l *leader) QueueRestores()                             {}
-func (l *leader) QueueDueOccurrences()                            {}
-func (l *leader) HasDueOccurrences() bool                       { return false }
+func (l *leader) QueueRestores()                              {}
+func (l *leader) QueueDueOccurrences()                        {}
+func (l *leader) HasDueOccurrences() bool                     { return false }
 func (l *leader) ReplicateBatch([]*writebatch.Change, uint64) {}
 func (l *leader) ReplicateEntry(kv.Entry)                     {}
 func (l *leader) StepDown(why string)                         { l.t.Error("stepped down:", why) }
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -36,12 +36,12 @@
 func (c *Core) startRecovery(before recovery.Observed, read recovery.TermRead, ledLastTerm bool) {
 	l := c.leadership
 	l.recovery = failover.New(c.Engine, l.scope, c.cfg, c.replicas, recoveryLeader{c}, failover.Term{
-		Number:      l.term,
-		ProcessID:   c.processID,
-		LeaderLease: leaseTTL,
-		Observed:    before,
-		Read:        read,
-		LossReason:  c.dataLossReason,
+		Number:          l.term,
+		ProcessID:       c.processID,
+		LeaderLease:     leaseTTL,
+		Observed:        before,
+		Read:            read,
+		LossReason:      c.dataLossReason,
 		LedPreviousTerm: ledLastTerm,
 	})
 	l.recovery.Start()
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -15,7 +15,7 @@
 	between := func(a, b float64) time.Duration {
 		return time.Duration((a + rng.Float64()*(b-a)) * float64(time.Second))
 	}
-	slow := func(d time.Duration) time.Duration { return d + d/2000 } // true duration of d measured on a clock that is 0.05% slow
+	slow := func(d time.Duration) time.Duration { return d + d/2000 } // d on a clock that is 0.05% slow
 	t0 := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	withGrace, delayed := 0, 0
 	for range 20000 {
--- a/internal/restore/restore.go
+++ b/internal/restore/restore.go
@@ -1,6 +1,6 @@
-// Package restore writes records back to the key-value store that it has lost. It does so a
-// few at a time, behind what users wait for, and on conditions that keep a late write from
-// bringing back what is over.
+// Package restore writes records that the key-value store has lost back to it. Records are
+// written in small batches with a lower priority than user requests. The writes carry conditions,
+// so that a delayed write cannot bring back a finished job or a removed schedule.
 package restore
 
 import (
@@ -20,41 +20,42 @@
 	"yewpass/internal/writebatch"
 )
 
-// pollInterval is how often it is looked again whether schedules are restored.
+// pollInterval is how often the progress of restoring schedules is checked.
 const pollInterval = 100 * time.Millisecond
 
-// Leader is what a Restorer needs of the leader.
+// Leader is the leader that a Restorer works for.
 type Leader interface {
-	// IsUnfinished reports whether a job is known whose final record is not on its way.
+	// IsUnfinished reports whether the job is known and its final record is not being written.
 	IsUnfinished(job string) bool
-	// RecordProgress has the progress of one chunk of a job written, if the job is known.
+	// RecordProgress queues a write of the progress of one chunk of a job, if the job is known.
 	RecordProgress(job string, chunk int)
-	// SetConfigHeadRevision is told the revision at which the head of the configuration was written.
+	// SetConfigHeadRevision records the revision at which the head record of the configuration
+	// was written.
 	SetConfigHeadRevision(rev uint64)
 }
 
-// Schedules is what a Restorer needs of the leader's schedules.
+// Schedules is the leader's set of schedules.
 type Schedules interface {
-	// Has reports whether a schedule is known.
+	// Has reports whether the schedule is known.
 	Has(name string) bool
-	// LoadRecord loads the record of a schedule.
+	// LoadRecord loads a schedule from its record.
 	LoadRecord(kv.Entry)
-	// NumberRevision returns the revision of the record of schedule numbers.
+	// NumberRevision returns the revision of the schedule number record.
 	NumberRevision() uint64
-	// SetNumberRevision notes the revision of the record of schedule numbers.
+	// SetNumberRevision sets the revision of the schedule number record.
 	SetNumberRevision(uint64)
 }
 
-// DataLoss is what is known of a data loss under the leader that has found it.
+// DataLoss describes a data loss and the progress of its repair by the leader that detected it.
 type DataLoss struct {
-	Reason   string    // what showed it
-	Source   string    // whose replica was merged, or ""
-	Since    time.Time // when it was found
-	Restored int       // records that were lost or older
-	Pending  int       // of them, those that are not in the store yet
+	Reason   string    // evidence of the loss
+	Source   string    // controller whose replica was merged, or ""
+	Since    time.Time // when it was detected
+	Restored int       // number of records that were lost or outdated
+	Pending  int       // number of them not yet written back
 }
 
-// Config is what a Restorer works with.
+// Config holds the dependencies and limits of a Restorer.
 type Config struct {
 	Writes    *writebatch.Batcher
 	Publisher *replication.Publisher
@@ -62,10 +63,10 @@
 	Leader    Leader
 	Schedules Schedules
 	Term      uint64
-	MaxQueued int // changes of bulk priority that may wait at a time
+	MaxQueued int // maximum number of queued changes of bulk priority
 }
 
-// Restorer writes the lost records back for as long as a leadership lasts.
+// Restorer writes lost records back during one leadership.
 type Restorer struct {
 	engine *engine.Engine
 	scope  *engine.Scope
@@ -73,17 +74,17 @@
 
 	loss             *DataLoss
 	queue            []replica.Record
-	pendingSchedules int // records of schedules that are not in the store yet
-	pendingConfig    int // the same of the configuration
+	pendingSchedules int // schedule records not yet written back
+	pendingConfig    int // configuration records not yet written back
 }
 
-// New returns a restorer with nothing to restore.
+// New returns a Restorer with nothing to restore. Call Begin after a data loss.
 func New(e *engine.Engine, scope *engine.Scope, cfg Config) *Restorer {
 	return &Restorer{engine: e, scope: scope, cfg: cfg}
 }
 
-// Begin takes over the records that are to be written back after a data loss. Rev of each is
-// what the store has, 0 for none.
+// Begin sets the records to write back after a data loss. Rev of each record is its revision in
+// the store, 0 if absent. source is the controller whose replica was merged, or "".
 func (r *Restorer) Begin(records []replica.Record, reason, source string) {
 	r.queue = records
 	r.loss = &DataLoss{Reason: reason, Source: source, Since: r.engine.Now, Restored: len(records), Pending: len(records)}
@@ -92,7 +93,7 @@
 	}
 }
 
-// addPending adds to the records that are pending of the kind of a key.
+// addPending adds n to the counters of pending records that include key.
 func (r *Restorer) addPending(key string, n int) {
 	if record.IsScheduleKey(key) {
 		r.pendingSchedules += n
@@ -102,16 +103,17 @@
 	}
 }
 
-// Loss returns the data loss that this leader has found, or nil.
+// Loss returns the data loss that this leader has detected, or nil.
 func (r *Restorer) Loss() *DataLoss { return r.loss }
 
-// IsDone reports whether everything that was lost is in the store again.
+// IsDone reports whether no lost record is pending any more.
 func (r *Restorer) IsDone() bool { return len(r.queue) == 0 && (r.loss == nil || r.loss.Pending == 0) }
 
-// ConfigIsPending reports whether records of the configuration are still to be written back.
+// ConfigIsPending reports whether any configuration record is still to be written back.
 func (r *Restorer) ConfigIsPending() bool { return r.pendingConfig > 0 }
 
-// WhenSchedulesRestored calls f once no record of a schedule is pending.
+// WhenSchedulesRestored calls f when no schedule record is pending, immediately or within
+// pollInterval of the last one.
 func (r *Restorer) WhenSchedulesRestored(f func()) {
 	if r.pendingSchedules == 0 {
 		f()
@@ -120,9 +122,9 @@
 	r.scope.After(pollInterval, func() { r.WhenSchedulesRestored(f) })
 }
 
-// Prepare puts the records in the order in which they are written back. It takes out the
-// records of machines and returns their keys: nothing starts on a machine before it is on
-// record, so those are to be written at once.
+// Prepare sorts the records into the order in which they are written back. It removes the machine
+// records and returns their keys. The caller must write those immediately, because no task starts
+// on a machine without a record.
 func (r *Restorer) Prepare() (machineRecords map[string]bool) {
 	machineRecords = map[string]bool{}
 	r.queue = slices.DeleteFunc(r.queue, func(rec replica.Record) bool {
@@ -134,20 +136,20 @@
 		return true
 	})
 	slices.SortStableFunc(r.queue, func(a, b replica.Record) int {
-		rankA, sinceA := restoreOrder(a)
-		rankB, sinceB := restoreOrder(b)
+		rankA, timeA := restorePriority(a)
+		rankB, timeB := restorePriority(b)
 		if rankA != rankB {
 			return rankA - rankB
 		}
-		return sinceA.Compare(sinceB)
+		return timeA.Compare(timeB)
 	})
 	return machineRecords
 }
 
-// restoreOrder says when a record is written back, by rank and then by time: schedules first, because
-// no occurrence is made until they are there; then jobs, the most urgent and oldest first;
-// then their progress; then how jobs have ended.
-func restoreOrder(rec replica.Record) (rank int, since time.Time) {
+// restorePriority returns the sort key of a record. The order is: schedules and configuration,
+// because no occurrence is created before the schedules are restored; jobs, the most urgent and
+// oldest first; progress records; and final records.
+func restorePriority(rec replica.Record) (rank int, submitted time.Time) {
 	switch v := rec.Value.(type) {
 	case *schedule.Record, *record.ScheduleNumber, *liveconfig.HeadRecord, *liveconfig.TeamRecord:
 		return 0, time.Time{}
@@ -159,7 +161,7 @@
 	return 101, time.Time{}
 }
 
-// QueueNext queues lost records for writing, as many as there is room for.
+// QueueNext queues lost records for writing until MaxQueued bulk changes are queued.
 func (r *Restorer) QueueNext() {
 	for len(r.queue) > 0 && len(r.cfg.Writes.Queued(writebatch.Bulk)) < r.cfg.MaxQueued {
 		rec := r.queue[0]
@@ -168,10 +170,10 @@
 	}
 }
 
-// restore writes a record back as it now is, if it still is, and counts it.
+// restore writes back the current value of a record, unless it is obsolete by then.
 func (r *Restorer) restore(rec replica.Record) {
 	if part, ok := strings.CutPrefix(rec.Key, record.ProgressPrefix); ok {
-		// In the way that progress is always written.
+		// Progress is written by the same path as new progress.
 		if job, chunk := record.SplitProgressKey(part); chunk >= 0 {
 			r.cfg.Leader.RecordProgress(job, chunk)
 		}
@@ -181,10 +183,11 @@
 	r.writeBack(rec, func(kv.Entry) { r.markRestored(rec.Key) })
 }
 
-// markRestored counts a record that need not be written back any more.
+// markRestored counts a record as restored. It is also called for records that no longer need to
+// be written.
 func (r *Restorer) markRestored(key string) {
 	r.addPending(key, -1)
 	if r.loss.Pending--; r.loss.Pending == 0 {
-		r.engine.Log(slog.LevelInfo, "all records restored", "term", r.cfg.Term, "restored", r.loss.Restored, "after", r.engine.Now.Sub(r.loss.Since))
+		r.engine.Log(slog.LevelInfo, "all lost records have been restored", "term", r.cfg.Term, "restored", r.loss.Restored, "after", r.engine.Now.Sub(r.loss.Since))
 	}
 }
--- a/internal/restore/restore_test.go
+++ b/internal/restore/restore_test.go
@@ -17,14 +17,14 @@
 	"yewpass/internal/writebatch"
 )
 
-// fakeLeader has jobs a and b; b is finishing.
+// fakeLeader is a Leader with jobs a and b, where the final record of b is being written.
 type fakeLeader struct{ progress []string }
 
 func (f *fakeLeader) IsUnfinished(job string) bool     { return job == "a" }
 func (f *fakeLeader) RecordProgress(job string, _ int) { f.progress = append(f.progress, job) }
-func (f *fakeLeader) SetConfigHeadRevision(uint64)            {}
+func (f *fakeLeader) SetConfigHeadRevision(uint64)     {}
 
-// noSchedules is a leader's schedules before any is read.
+// noSchedules is a Schedules without any schedule.
 type noSchedules struct{}
 
 func (noSchedules) Has(string) bool          { return false }
@@ -50,8 +50,8 @@
 	}), leader
 }
 
-// TestRestoreOrder: schedules come back first, then jobs by urgency and age, then the rest;
-// machines are left to whoever records them.
+// TestRestoreOrder checks that schedules are restored first, then jobs by urgency and age, then
+// other records, and that Prepare returns the machine records.
 func TestRestoreOrder(t *testing.T) {
 	r, leader := newRestorer(t)
 	job := func(id string, u spec.Urgency, at int64) replica.Record {
@@ -69,7 +69,7 @@
 		{Key: record.SchedulePrefix + "s", Value: &schedule.Record{}},
 	}, "a test", "n1")
 	if machines := r.Prepare(); len(machines) != 1 || !machines[record.MachinePrefix+"1"] {
-		t.Errorf("machines %v", machines)
+		t.Errorf("machine records %v, want only machine 1", machines)
 	}
 	var keys []string
 	for _, rec := range r.queue {
@@ -77,18 +77,19 @@
 	}
 	want := []string{record.SchedulePrefix + "s", record.JobPrefix + "a", record.JobPrefix + "late", record.JobPrefix + "idle", record.ProgressKey("a", 0), record.FinalPrefix + "z"}
 	if !slices.Equal(keys, want) {
-		t.Errorf("order %q, want %q", keys, want)
+		t.Errorf("restore order %q, want %q", keys, want)
 	}
 	restored := false
 	r.WhenSchedulesRestored(func() { restored = true })
 	r.QueueNext()
 	if restored || r.IsDone() || !slices.Equal(leader.progress, []string{"a"}) {
-		t.Errorf("schedules restored %v, done %v, progress of %v", restored, r.IsDone(), leader.progress)
+		t.Errorf("schedules restored %v, done %v, progress recorded for %v; want false, false, a", restored, r.IsDone(), leader.progress)
 	}
 }
 
-// TestRestoreConditions: a job is written back on the condition that it is not over, a schedule
-// on the numbers' record, and a job that is finishing not at all.
+// TestRestoreConditions checks that the write of a job requires that it has no final record, that
+// the write of a schedule requires an unchanged schedule number record, and that a job whose final
+// record is being written is not restored.
 func TestRestoreConditions(t *testing.T) {
 	r, _ := newRestorer(t)
 	var records []replica.Record
@@ -102,20 +103,20 @@
 	r.QueueNext()
 	bulk, urgent := r.cfg.Writes.Queued(writebatch.Bulk), r.cfg.Writes.Queued(writebatch.Urgent)
 	if len(bulk) != 2 || len(urgent) != 1 {
-		t.Fatalf("%d and %d changes", len(bulk), len(urgent))
+		t.Fatalf("%d bulk and %d urgent changes, want 2 and 1", len(bulk), len(urgent))
 	}
 	if !bulk[0].Prepare() || !slices.Equal(bulk[0].Conditions, []kv.Condition{{Key: record.JobPrefix + "a", Rev: 3}, {Key: record.FinalPrefix + "a", Rev: 0}}) {
-		t.Errorf("job on %+v", bulk[0].Conditions)
+		t.Errorf("unexpected conditions of the job %+v", bulk[0].Conditions)
 	}
 	if bulk[1].Prepare() {
-		t.Error("a job that is finishing is written back")
+		t.Error("a job whose final record is being written is restored")
 	}
 	if !urgent[0].Prepare() || !slices.Equal(urgent[0].Conditions, []kv.Condition{{Key: record.SchedulePrefix + "s", Rev: 0}, {Key: record.ScheduleNumberKey, Rev: 4}}) {
-		t.Errorf("schedule on %+v", urgent[0].Conditions)
+		t.Errorf("unexpected conditions of the schedule %+v", urgent[0].Conditions)
 	}
 	bulk[0].OnCommit(8)
 	urgent[0].OnCommit(9)
 	if !r.IsDone() || r.Loss().Restored != 3 {
-		t.Errorf("done %v, %+v", r.IsDone(), r.Loss())
+		t.Errorf("done %v, data loss %+v; want true and 3 restored records", r.IsDone(), r.Loss())
 	}
 }
--- a/internal/restore/write.go
+++ b/internal/restore/write.go
@@ -12,12 +12,12 @@
 	"yewpass/internal/writebatch"
 )
 
-// defaultSize is the estimated size of a change whose record has no estimate of its own.
+// defaultSize is the estimated size in bytes of a change for records without their own estimate.
 const defaultSize = 400
 
-// writeBack writes a lost record back, on the condition that the store still has what rec.Rev
-// says. Then done is called with what the store has by then: without a value if that is not
-// known, or if nothing has to be written any more.
+// writeBack writes a lost record back, on the condition that its revision in the store is still
+// rec.Rev. It then calls done with the entry in the store. The entry is empty if it is not known
+// or the record no longer needs to be written.
 func (r *Restorer) writeBack(rec replica.Record, done func(stored kv.Entry)) {
 	change := newChange(rec)
 	change.Prepare = func() bool {
@@ -28,8 +28,8 @@
 		}
 		change.Writes[0].Value = value
 		if strings.HasPrefix(rec.Key, record.SchedulePrefix) {
-			// Each removal of a schedule writes the numbers' record as well, so that this write
-			// fails if it is applied late, after a removal.
+			// Every removal of a schedule also writes the schedule number record. The condition
+			// makes this write fail if it is applied after a removal.
 			change.Conditions = []kv.Condition{{Key: rec.Key, Rev: rec.Rev}, {Key: record.ScheduleNumberKey, Rev: r.cfg.Schedules.NumberRevision()}}
 		}
 		return true
@@ -48,7 +48,7 @@
 	r.cfg.Writes.Add(change)
 }
 
-// newChange returns the change that writes a record, without its value.
+// newChange returns the change that writes a record. The value is set later.
 func newChange(rec replica.Record) *writebatch.Change {
 	change := &writebatch.Change{
 		Priority:   writebatch.Bulk,
@@ -57,8 +57,8 @@
 		Size:       defaultSize,
 	}
 	if job, ok := rec.Value.(*record.Job); ok {
-		// Applied late, when the job is over and its record gone again, it would bring the job
-		// back to the next leader.
+		// Without this condition, a write applied after the job has finished and its record was
+		// deleted would make the next leader run the job again.
 		change.Conditions = append(change.Conditions, kv.Condition{Key: record.FinalPrefix + job.Spec.ID, Rev: 0})
 		change.Size = record.JobSize(&job.Spec)
 	} else if sched, ok := rec.Value.(*schedule.Record); ok {
@@ -69,20 +69,22 @@
 	return change
 }
 
-// currentValue returns what a lost record is by now, and false if it is not to be written.
+// currentValue returns the current value of a lost record, and false if the record must not be
+// written any more.
 func (r *Restorer) currentValue(rec replica.Record) (value any, ok bool) {
 	if record.IsScheduleKey(rec.Key) {
-		return rec.Value, true // the leader reads schedules only once they are restored
+		return rec.Value, true // unchanged: the leader loads schedules only after they are restored
 	}
-	now, ok := r.cfg.Replicas.Own().Get(rec.Key)
-	if job, live := strings.CutPrefix(rec.Key, record.JobPrefix); live {
+	current, ok := r.cfg.Replicas.Own().Get(rec.Key)
+	if job, isJob := strings.CutPrefix(rec.Key, record.JobPrefix); isJob {
 		ok = ok && r.cfg.Leader.IsUnfinished(job)
 	}
-	return now.Value, ok
+	return current.Value, ok
 }
 
-// resolveConflict goes on after the store turned out to have the record: written after the
-// loss, or late, or an older one.
+// resolveConflict handles a failed condition of writeBack: the store has another version of the
+// record, which may be newer or older. Only schedule records are read back and retried; for
+// other records the stored version is kept.
 func (r *Restorer) resolveConflict(rec replica.Record, done func(stored kv.Entry)) {
 	if !record.IsScheduleKey(rec.Key) {
 		done(kv.Entry{})
@@ -105,8 +107,8 @@
 	})
 }
 
-// RestoreMissingSchedules writes schedules back that the leader's replica has and the store
-// has not; first the numbers' record, if that is lost as well.
+// RestoreMissingSchedules writes back the schedules that the leader's replica has and the store
+// lacks. If the schedule number record is missing as well, that is written first.
 func (r *Restorer) RestoreMissingSchedules() {
 	own := r.cfg.Publisher.Replica()
 	if own == nil {
@@ -125,7 +127,7 @@
 		r.cfg.Schedules.SetNumberRevision(numbers.Rev)
 		for _, key := range missing {
 			rec, _ := own.Get(key)
-			r.engine.Log(slog.LevelError, "restoring missing schedule from replica", "key", key)
+			r.engine.Log(slog.LevelError, "schedule is missing from the store; restoring it from the replica", "key", key)
 			r.writeBack(rec, func(stored kv.Entry) {
 				if stored.Value != nil && !r.cfg.Schedules.Has(scheduleName(key)) {
 					r.cfg.Schedules.LoadRecord(stored)
--- a/internal/writebatch/limits.go
+++ b/internal/writebatch/limits.go
@@ -8,22 +8,22 @@
 	"yewpass/internal/config"
 )
 
-// ConfigShare of the writes that the store allows is kept for configuration: neither a
-// storm of submissions nor one of configuration changes holds up the other.
+// ConfigShare is the fraction of the store's write rate that is reserved for configuration
+// changes, so that bursts of submissions and of configuration changes do not delay each other.
 const ConfigShare = 0.15
 
-// Parts of the store's allowance that the leader's batches take.
+// Fractions of the store's rate limits that the leader's batches may use.
 const (
-	writeShare   = 0.9 // of the writes a second
-	writeBurst   = 0.8 // of a second's writes at once
-	requestShare = 0.6 // of the requests a second
-	requestBurst = 0.5 // of a second's requests at once
+	writeShare   = 0.9 // of the write rate
+	writeBurst   = 0.8 // burst, relative to the writes of one second
+	requestShare = 0.6 // of the request rate
+	requestBurst = 0.5 // burst, relative to the requests of one second
 )
 
-// limits keep the batches within what the store allows.
+// limits keeps the batches within the rate limits of the store.
 type limits struct {
 	writes, requests *rate.Limiter
-	configWrites     *rate.Limiter // the part of writes that configuration has
+	configWrites     *rate.Limiter // share of writes reserved for configuration changes
 }
 
 func newLimits(st config.State) limits {
@@ -34,8 +34,8 @@
 	}
 }
 
-// minWrites is how many writes a transaction of a priority has at the least: one of
-// configuration has an object and the head.
+// minWrites returns the minimum number of writes in a transaction of a priority. A configuration
+// change writes an object and the head record.
 func minWrites(p Priority) int {
 	if p == Config {
 		return 2
@@ -43,7 +43,8 @@
 	return 1
 }
 
-// AvailableWrites returns how many writes may go in a transaction of a priority now.
+// AvailableWrites returns how many writes a transaction of a priority may contain now, at most
+// ops.
 func (l *limits) AvailableWrites(p Priority, now time.Time, ops int) int {
 	limiter := l.writes
 	if p == Config {
@@ -52,16 +53,17 @@
 	return min(ops, int(limiter.TokensAt(now)))
 }
 
-// allowsRequest reports whether a request is allowed now.
+// allowsRequest reports whether the request rate allows another request now.
 func (l *limits) allowsRequest(now time.Time) bool { return l.requests.TokensAt(now) >= 1 }
 
-// hasHalfWriteBudget reports whether half of the allowance of writes is left.
+// hasHalfWriteBudget reports whether at least half of the write burst is available.
 func (l *limits) hasHalfWriteBudget(now time.Time) bool {
 	return l.writes.TokensAt(now) >= float64(l.writes.Burst())/2
 }
 
-// Consume takes writes out of the allowance. What configuration takes goes out of the whole
-// too, also ahead of time: together they stay below what the store takes.
+// Consume counts one request and the given number of writes against the limits. Configuration
+// writes count against the total as well, if necessary in advance, so that all writes together
+// stay within the limit of the store.
 func (l *limits) Consume(p Priority, now time.Time, writes int) {
 	l.requests.AllowN(now, 1)
 	if p == Config {
--- a/internal/writebatch/send.go
+++ b/internal/writebatch/send.go
@@ -13,13 +13,14 @@
 	maxUrgentInFlight     = 3
 	maxOccurrenceInFlight = 2
 
-	flushDelay           = 20 * time.Millisecond
+	flushDelay          = 20 * time.Millisecond
 	malformedRetryDelay = time.Second
 	minBackoff          = 100 * time.Millisecond
 	maxBackoff          = 2 * time.Second
 )
 
-// Flush sends what may be sent.
+// Flush sends queued changes as far as the rate limits allow. It does nothing while the leader
+// cannot act or the batcher backs off.
 func (b *Batcher) Flush() {
 	if !b.leader.CanAct() || b.engine.Now.Before(b.pausedUntil) {
 		return
@@ -32,7 +33,7 @@
 	}
 	b.leader.QueueRestores()
 	b.flushDeferrable()
-	// What waits for the allowance is seen to when it has come back.
+	// Occurrences that wait for the rate limit are sent by a later flush.
 	if b.inFlight[Occurrence] == 0 && b.leader.HasDueOccurrences() {
 		b.ScheduleFlush()
 	}
@@ -49,17 +50,17 @@
 	}
 }
 
-// flushDeferrable sends bulk changes and occurrences in turns, as long as they leave room
-// in the allowance for what users wait for.
+// flushDeferrable sends bulk changes and occurrences alternately. It stops when urgent changes are
+// queued or less than half of the write burst is left.
 func (b *Batcher) flushDeferrable() {
 	for range 2 {
 		if len(b.queued[Urgent]) > 0 || !b.hasHalfWriteBudget(b.engine.Now) {
 			return
 		}
-		b.bulkNext = !b.bulkNext
-		if b.bulkNext && len(b.queued[Bulk]) > 0 && b.inFlight[Bulk] == 0 {
+		b.bulkTurn = !b.bulkTurn
+		if b.bulkTurn && len(b.queued[Bulk]) > 0 && b.inFlight[Bulk] == 0 {
 			b.send(Bulk)
-		} else if !b.bulkNext && b.inFlight[Occurrence] < maxOccurrenceInFlight {
+		} else if !b.bulkTurn && b.inFlight[Occurrence] < maxOccurrenceInFlight {
 			b.leader.QueueDueOccurrences()
 			if len(b.queued[Occurrence]) > 0 {
 				b.send(Occurrence)
@@ -68,7 +69,8 @@
 	}
 }
 
-// ScheduleFlush has the state machine take a step soon, which flushes the batcher.
+// ScheduleFlush schedules a step of the state machine after flushDelay. The step flushes the
+// batcher.
 func (b *Batcher) ScheduleFlush() {
 	if !b.flushScheduled {
 		b.flushScheduled = true
@@ -76,7 +78,7 @@
 	}
 }
 
-// send sends the next batch of a priority and reports whether there was one.
+// send sends the next batch of a priority and reports whether it sent one.
 func (b *Batcher) send(p Priority) bool {
 	now := b.engine.Now
 	ops := b.AvailableWrites(p, now, b.maxOps)
@@ -98,13 +100,13 @@
 	b.markInFlight(p, call.Writes)
 	b.scope.CallStore(call, func(r kv.Response) {
 		b.clearInFlight(p, call.Writes)
-		b.handleReply(batch, r)
+		b.handleResponse(batch, r)
 	})
 	return true
 }
 
-// handleReply settles a batch, or queues again what has not been applied.
-func (b *Batcher) handleReply(batch []*Change, r kv.Response) {
+// handleResponse handles the response to a batch: it completes the changes or requeues them.
+func (b *Batcher) handleResponse(batch []*Change, r kv.Response) {
 	switch r.Outcome {
 	case rpc.OK:
 		b.backoff = 0
@@ -119,44 +121,42 @@
 	case rpc.Invalid:
 		b.handleMalformed(batch)
 	default:
-		// Known not to have been executed, or not known: both are sent again.
-		// Should the first try be applied as well, the second meets a condition
-		// of its own, which is read back.
+		// The transaction failed or its outcome is unknown; send it again. If the first attempt
+		// was applied after all, a condition of the second one fails and is read back.
 		b.backOff()
 		b.requeue(batch)
 	}
 }
 
-// handleConflict drops the changes whose own conditions have failed and queues the others
-// again.
+// handleConflict drops the changes whose own conditions have failed, after calling OnConflict,
+// and requeues the others. It ends the leadership if the term condition has failed.
 func (b *Batcher) handleConflict(batch []*Change, failedKeys []string) {
 	if slices.Contains(failedKeys, b.termCondition.Key) {
 		b.leader.StepDown("a newer term has been written")
 		return
 	}
-	var rest []*Change
+	var others []*Change
 	for _, ch := range batch {
-		own := slices.ContainsFunc(ch.Conditions, func(c kv.Condition) bool { return slices.Contains(failedKeys, c.Key) })
+		failed := slices.ContainsFunc(ch.Conditions, func(c kv.Condition) bool { return slices.Contains(failedKeys, c.Key) })
 		switch {
-		case own && ch.OnConflict != nil:
+		case failed && ch.OnConflict != nil:
 			ch.OnConflict()
-		case own:
+		case failed:
 		default:
-			rest = append(rest, ch)
+			others = append(others, ch)
 		}
 	}
-	if len(rest) == len(batch) {
-		// It names none of ours: nothing would be different the next time.
+	if len(others) == len(batch) {
+		// No failed key belongs to the batch, so an immediate retry would fail as well.
 		b.backOff()
 	} else {
 		b.backoff = 0
 	}
-	b.requeue(rest)
+	b.requeue(others)
 }
 
-// handleMalformed deals with a batch that the store calls malformed. That is our fault:
-// it is logged loudly, and the changes are tried one by one so that a single bad one does
-// not block the rest for ever.
+// handleMalformed handles a batch that the store has rejected as malformed, which indicates a bug.
+// The changes are retried one by one, so that a malformed one does not block the others.
 func (b *Batcher) handleMalformed(batch []*Change) {
 	b.engine.Log(slog.LevelError, "transaction rejected as malformed", "changes", len(batch), "key", batch[0].Writes[0].Key)
 	switch ch := batch[0]; {
@@ -166,15 +166,15 @@
 	case ch.OnReject != nil:
 		ch.OnReject()
 	default:
-		// The bad one, or one of them: behind all others, and later.
+		// This change is malformed: retry it later, behind all others.
 		b.scope.After(b.engine.Jitter(malformedRetryDelay), func() { b.Add(ch) })
 	}
 }
 
-// backOff pauses the batcher, longer each time in a row.
+// backOff pauses the batcher. The delay doubles with each consecutive call, up to maxBackoff.
 func (b *Batcher) backOff() {
 	b.backoff = min(max(2*b.backoff, minBackoff), maxBackoff)
-	d := b.engine.Jitter(b.backoff)
-	b.pausedUntil = b.engine.Now.Add(d)
-	b.scope.After(d, func() {}) // a step then flushes the batcher
+	delay := b.engine.Jitter(b.backoff)
+	b.pausedUntil = b.engine.Now.Add(delay)
+	b.scope.After(delay, func() {}) // the step that runs the timer flushes the batcher
 }
--- a/internal/writebatch/writebatch.go
+++ b/internal/writebatch/writebatch.go
@@ -1,6 +1,6 @@
-// Package writebatch batches the leader's changes into transactions of the key-value
-// store, within the rates that the store allows, and sends them until they are committed
-// or turn out to be in conflict with what is stored.
+// Package writebatch batches the leader's changes into transactions of the key-value store, within
+// the rate limits of the store. Each change is retried until it is committed or one of its
+// conditions fails.
 package writebatch
 
 import (
@@ -13,90 +13,90 @@
 	"yewpass/internal/rpc"
 )
 
-// Priority says how pressing a change is.
+// Priority is the priority of a change.
 type Priority int
 
-// The priorities, the most pressing first.
+// The priorities, the most urgent first.
 const (
-	Urgent     Priority = iota // users or machines wait for it
-	Config                     // changes of configuration, which have a part of the allowance of their own
-	Occurrence                 // occurrences of schedules, by deadline
-	Bulk                       // progress and other news that can wait
+	Urgent     Priority = iota // a user or a machine waits for the change
+	Config                     // configuration changes, which have their own share of the write rate
+	Occurrence                 // occurrences of schedules, ordered by deadline
+	Bulk                       // progress and other changes that may be delayed
 	priorities
 )
 
-// Change is a set of writes that go together, with the conditions of its own.
+// Change is a set of writes that are applied atomically, if all conditions of the change hold.
 type Change struct {
 	Conditions []kv.Condition
 	Writes     []kv.Write
 	Size       int // estimated bytes
 	Priority   Priority
-	Prepare    func() bool // called when it is about to go, to set what it writes; false: nothing any more
-	OnCommit   func(rev uint64)
-	OnConflict func() // a condition of its own did not hold
-	OnReject   func() // malformed by the store's judgement, on its own
+	Prepare    func() bool      // called before sending, to set the values; false drops the change
+	OnCommit   func(rev uint64) // called with the revision of the commit
+	OnConflict func()           // called if a condition of the change failed
+	OnReject   func()           // called if the store rejects the change as malformed
 
-	Sent bool // at least once: it may have been applied
+	Sent bool // sent at least once, so it may have been applied
 }
 
 func (ch *Change) writesTo(key string) bool {
 	return slices.ContainsFunc(ch.Writes, func(w kv.Write) bool { return w.Key == key })
 }
 
-// Leader is what a Batcher asks of the leadership whose changes it writes.
+// Leader is the leader whose changes a Batcher writes.
 type Leader interface {
 	// CanAct reports whether the leader has authority and has loaded the records.
 	CanAct() bool
-	// ConfigBatchDue reports whether the queued batch of configuration changes is to go now.
+	// ConfigBatchDue reports whether the queued configuration changes are to be sent now.
 	ConfigBatchDue() bool
-	// QueueRestores queues lost records to be written back, as many as there is room for.
+	// QueueRestores queues lost records to be written back, up to the limit of queued changes.
 	QueueRestores()
-	// QueueDueOccurrences queues due occurrences of schedules, as many as a transaction takes.
+	// QueueDueOccurrences queues due occurrences of schedules, up to one transaction.
 	QueueDueOccurrences()
-	// HasDueOccurrences reports whether occurrences would be written if the allowance let them.
+	// HasDueOccurrences reports whether occurrences are waiting for the rate limit.
 	HasDueOccurrences() bool
-	// ReplicateBatch passes a committed batch on to the replicas.
+	// ReplicateBatch replicates a batch that was committed at revision rev.
 	ReplicateBatch(batch []*Change, rev uint64)
-	// ReplicateEntry passes an entry that was read on to the replicas.
+	// ReplicateEntry replicates an entry that was read from the store.
 	ReplicateEntry(e kv.Entry)
-	// StepDown ends the leadership.
+	// StepDown ends the leadership for the reason why.
 	StepDown(why string)
 }
 
-// Batcher batches changes into transactions within the store's limits. The priorities
-// below Urgent only go when nothing urgent waits and half of the allowance is left, so
-// that an acceptance is never delayed behind them; they take turns. Changes of the same
-// key never overlap.
+// Batcher batches changes into transactions within the rate limits of the store. Occurrence and
+// Bulk changes take turns. They are sent only while no urgent change is queued and half of the
+// write burst is left, so that they never delay a user request. Transactions that write the same
+// key are never in flight at the same time. A Batcher is not safe for concurrent use.
 type Batcher struct {
 	limits
 	queue
-	engine *engine.Engine
-	scope  *engine.Scope
-	leader Leader
-	termCondition   kv.Condition // of every transaction: it fails once a successor has begun a term
-	maxOps int          // writes in a transaction
-
-	bulkNext      bool // bulk changes are next in turn, not occurrences
-	pausedUntil   time.Time
-	backoff       time.Duration
+	engine        *engine.Engine
+	scope         *engine.Scope
+	leader        Leader
+	termCondition kv.Condition // added to every transaction; fails once a newer term has begun
+	maxOps        int          // maximum number of writes in a transaction
+
+	bulkTurn       bool // the current turn is for bulk changes, not for occurrences
+	pausedUntil    time.Time
+	backoff        time.Duration
 	flushScheduled bool
 }
 
-// New returns a Batcher for the leadership of a scope. The condition term holds as long
-// as its term is the newest.
-func New(eng *engine.Engine, scope *engine.Scope, st config.State, term kv.Condition, leader Leader) *Batcher {
+// New returns a Batcher for one leadership. Its timers and store calls belong to scope and end with
+// it. termCondition must hold exactly as long as the leader's term is the newest.
+func New(eng *engine.Engine, scope *engine.Scope, st config.State, termCondition kv.Condition, leader Leader) *Batcher {
 	return &Batcher{
-		limits: newLimits(st),
-		queue:  queue{keysInFlight: map[string]bool{}},
-		engine: eng,
-		scope:  scope,
-		leader: leader,
-		termCondition:   term,
-		maxOps: st.TxnOps,
+		limits:        newLimits(st),
+		queue:         queue{keysInFlight: map[string]bool{}},
+		engine:        eng,
+		scope:         scope,
+		leader:        leader,
+		termCondition: termCondition,
+		maxOps:        st.TxnOps,
 	}
 }
 
-// Add queues a change.
+// Add queues a change. If ch.Size is 0, Add estimates it from the number of writes and conditions.
 func (b *Batcher) Add(ch *Change) {
 	if ch.Size == 0 {
 		ch.Size = 120 * (len(ch.Writes) + len(ch.Conditions))
@@ -104,11 +104,11 @@
 	b.queued[ch.Priority] = append(b.queued[ch.Priority], ch)
 }
 
-// Queued returns the changes of a priority that wait, in their order.
+// Queued returns the queued changes of a priority in order. The caller must not modify the slice.
 func (b *Batcher) Queued(p Priority) []*Change { return b.queued[p] }
 
-// HasUncommitted reports whether a change of the key is on its way, or has been sent with
-// an unknown outcome.
+// HasUncommitted reports whether a change of key is in flight, or has been sent with an unknown
+// outcome.
 func (b *Batcher) HasUncommitted(key string) bool {
 	if b.keysInFlight[key] {
 		return true
@@ -121,8 +121,8 @@
 	return false
 }
 
-// ReadBack reads an entry whose write met a condition that does not hold, until the store
-// answers; found is false if there is none.
+// ReadBack reads the entry of key, typically after a conflict, replicates it and passes it to f.
+// found is false if the entry does not exist. ReadBack retries until the store responds.
 func (b *Batcher) ReadBack(key string, f func(e kv.Entry, found bool)) {
 	b.scope.CallStore(kv.Request{Op: kv.Get, Key: key}, func(r kv.Response) {
 		switch r.Outcome {
--- a/internal/writebatch/writebatch_test.go
+++ b/internal/writebatch/writebatch_test.go
@@ -14,14 +14,14 @@
 
 var t0 = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// idleLeader is a leader in authority that has nothing to write of its own.
+// idleLeader is a Leader that may act but has no changes of its own.
 type idleLeader struct{}
 
 func (idleLeader) CanAct() bool                     { return true }
 func (idleLeader) ConfigBatchDue() bool             { return true }
-func (idleLeader) QueueRestores()                  {}
-func (idleLeader) QueueDueOccurrences()                 {}
-func (idleLeader) HasDueOccurrences() bool            { return false }
+func (idleLeader) QueueRestores()                   {}
+func (idleLeader) QueueDueOccurrences()             {}
+func (idleLeader) HasDueOccurrences() bool          { return false }
 func (idleLeader) ReplicateBatch([]*Change, uint64) {}
 func (idleLeader) ReplicateEntry(kv.Entry)          {}
 func (idleLeader) StepDown(string)                  {}
@@ -34,80 +34,79 @@
 	return New(eng, eng.NewScope(), st, kv.Condition{Key: record.TermKey, Rev: 1}, idleLeader{}), eng
 }
 
-// TestStrangeConflict: an answer that names no condition of ours is not tried again
-// at once, for ever.
-func TestStrangeConflict(t *testing.T) {
+// TestConflictOnUnknownKey checks that a batch is retried only after a delay if none of the failed
+// keys belongs to it.
+func TestConflictOnUnknownKey(t *testing.T) {
 	b, eng := newBatcher(t)
 	ch := &Change{Writes: []kv.Write{{Key: "a", Value: &record.Term{Term: 1}}}}
-	b.handleReply([]*Change{ch}, kv.Response{Outcome: rpc.Conflict, FailedKeys: []string{"something else"}})
+	b.handleResponse([]*Change{ch}, kv.Response{Outcome: rpc.Conflict, FailedKeys: []string{"something else"}})
 	if !b.pausedUntil.After(eng.Now) || len(b.Queued(Urgent)) != 1 {
-		t.Errorf("pause until %v, %d wait", b.pausedUntil, len(b.Queued(Urgent)))
+		t.Errorf("paused until %v with %d queued changes, want a pause and 1 change", b.pausedUntil, len(b.Queued(Urgent)))
 	}
 }
 
-// TestMalformedChange: a change that the state service calls malformed stands back
-// behind the others.
+// TestMalformedChange checks that a change rejected as malformed is retried behind the others.
 func TestMalformedChange(t *testing.T) {
 	b, eng := newBatcher(t)
 	bad, good := &Change{Writes: []kv.Write{{Key: "a"}}}, &Change{Writes: []kv.Write{{Key: "b"}}}
-	b.handleReply([]*Change{bad, good}, kv.Response{Outcome: rpc.Invalid})
+	b.handleResponse([]*Change{bad, good}, kv.Response{Outcome: rpc.Invalid})
 	b.takeBatch(Urgent, 9)
-	b.handleReply([]*Change{bad}, kv.Response{Outcome: rpc.Invalid})
+	b.handleResponse([]*Change{bad}, kv.Response{Outcome: rpc.Invalid})
 	if w := b.Queued(Urgent); len(w) != 1 || w[0] != good {
-		t.Errorf("%d wait", len(w))
+		t.Errorf("%d queued changes, want only the valid one", len(w))
 	}
 	eng.Now = eng.Now.Add(2 * time.Second)
 	eng.RunTimers()
 	if w := b.Queued(Urgent); len(w) != 2 || w[1] != bad {
-		t.Errorf("%d wait: the malformed one is lost or goes first", len(w))
+		t.Errorf("%d queued changes, want 2 with the malformed one last", len(w))
 	}
 }
 
-// TestConfigHasItsPart: a storm of submissions does not hold up a change of configuration,
-// and a storm of changes leaves the others their part.
-func TestConfigHasItsPart(t *testing.T) {
-	p := newLimits(config.State{RPS: 350, WriteRPS: 80, TxnOps: 12})
+// TestConfigWriteShare checks that a burst of submissions does not delay configuration changes, and
+// that a burst of configuration changes leaves the other changes their share of the write rate.
+func TestConfigWriteShare(t *testing.T) {
+	limits := newLimits(config.State{RPS: 350, WriteRPS: 80, TxnOps: 12})
 	now := t0
-	p.Consume(Urgent, now, 64) // a storm has taken all there is
-	if room := p.AvailableWrites(Urgent, now, 12); room >= minWrites(Urgent) {
-		t.Errorf("room for %d more submissions", room)
+	limits.Consume(Urgent, now, 64) // uses up the available writes
+	if room := limits.AvailableWrites(Urgent, now, 12); room >= minWrites(Urgent) {
+		t.Errorf("%d urgent writes available, want fewer than the minimum", room)
 	}
-	if room := p.AvailableWrites(Config, now, 12); room < minWrites(Config) {
-		t.Errorf("no room for a change of configuration: %d", room)
+	if room := limits.AvailableWrites(Config, now, 12); room < minWrites(Config) {
+		t.Errorf("%d configuration writes available, want at least the minimum", room)
 	}
 	written, others := 0, 0
 	for end := now.Add(time.Minute); now.Before(end); now = now.Add(10 * time.Millisecond) {
-		if room := p.AvailableWrites(Config, now, 12); room >= 12 { // as many changes as go
-			p.Consume(Config, now, room)
+		if room := limits.AvailableWrites(Config, now, 12); room >= 12 { // wait for full batches
+			limits.Consume(Config, now, room)
 			written += room
 		}
-		if room := p.AvailableWrites(Urgent, now, 12); room > 0 {
-			p.Consume(Urgent, now, room)
+		if room := limits.AvailableWrites(Urgent, now, 12); room > 0 {
+			limits.Consume(Urgent, now, room)
 			others += room
 		}
 	}
-	if part := float64(written) / 60; part < 10 || part > 13 {
-		t.Errorf("%.1f changes of configuration a second", part)
+	if configRate := float64(written) / 60; configRate < 10 || configRate > 13 {
+		t.Errorf("%.1f configuration writes per second, want 10 to 13", configRate)
 	}
-	if rest := float64(others) / 60; rest < 58 || rest > 63 {
-		t.Errorf("%.1f others a second", rest)
+	if otherRate := float64(others) / 60; otherRate < 58 || otherRate > 63 {
+		t.Errorf("%.1f other writes per second, want 58 to 63", otherRate)
 	}
 }
 
-// TestFollowingLeadershipUndisturbed: what a batcher has sent is not settled once its
-// leadership is over.
-func TestFollowingLeadershipUndisturbed(t *testing.T) {
+// TestResponseAfterLeadershipEnds checks that no callback of a change runs after the leadership has
+// ended.
+func TestResponseAfterLeadershipEnds(t *testing.T) {
 	b, eng := newBatcher(t)
-	settled := false
-	b.Add(&Change{Writes: []kv.Write{{Key: "a"}}, OnCommit: func(uint64) { settled = true }})
+	committed := false
+	b.Add(&Change{Writes: []kv.Write{{Key: "a"}}, OnCommit: func(uint64) { committed = true }})
 	b.Flush()
 	call, ok := eng.Outputs[len(eng.Outputs)-1].(kv.Request)
 	if !ok || !b.HasUncommitted("a") {
-		t.Fatalf("nothing was sent: %v", eng.Outputs)
+		t.Fatalf("no transaction in the outputs: %v", eng.Outputs)
 	}
 	b.scope.Close()
 	eng.HandleStore(kv.Response{Ref: call.Ref, Outcome: rpc.OK, Rev: 2})
-	if settled {
-		t.Error("a change was settled after its leadership had ended")
+	if committed {
+		t.Error("OnCommit was called after the leadership had ended")
 	}
 }
