--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -23,8 +23,8 @@
 const (
 	askInterval         = 100 * time.Millisecond
 	peerResponseTimeout = 300 * time.Millisecond
-	// UnknownHistoryTimeout is how long to wait for responses from peers if neither this node
-	// nor the store knows of an earlier term.
+	// UnknownHistoryTimeout is how long to wait for responses from peers if the store has lost
+	// data, or if this node knows of no earlier term.
 	UnknownHistoryTimeout = time.Second
 	replicaTimeout        = 5 * time.Second // between two lines of a replica transfer
 	retryDelay            = 200 * time.Millisecond
@@ -72,7 +72,7 @@
 
 	fetch                fetch
 	replica              *replica.Replica // replica to restore from, or nil
-	finalsSource         string
+	finalsSource         string           // peer to fetch final records from, or ""
 	earlierLeaderOverlap time.Duration
 }
 
