--- a/internal/restore/restore.go
+++ b/internal/restore/restore.go
@@ -188,6 +188,6 @@
 func (r *Restorer) markRestored(key string) {
 	r.addPending(key, -1)
 	if r.loss.Pending--; r.loss.Pending == 0 {
-		r.engine.Log(slog.LevelInfo, "all lost records have been restored", "term", r.cfg.Term, "restored", r.loss.Restored, "after", r.engine.Now.Sub(r.loss.Since))
+		r.engine.Log(slog.LevelInfo, "all records restored", "term", r.cfg.Term, "restored", r.loss.Restored, "after", r.engine.Now.Sub(r.loss.Since))
 	}
 }
