--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -115,7 +115,7 @@
 
 // start runs once, in the first step of the process.
 func (c *Core) start() {
-	if shortfall := c.leaseTiming.Shortfall(); shortfall != "" {
+	if shortfall := c.leaseTiming.MarginWarning(); shortfall != "" {
 		c.Log(slog.LevelWarn, "settings leave little margin", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", shortfall)
 	}
 	c.election.Watch()
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -79,7 +79,7 @@
 // must not be reported as nonexistent yet.
 func (l *leadership) mayHaveLostJobs(now time.Time) bool {
 	loss := l.restorer.Loss()
-	return loss != nil && now.Sub(loss.Since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*failover.UnknownPastTimeout
+	return loss != nil && now.Sub(loss.Since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*failover.UnknownHistoryTimeout
 }
 
 // confirmTerm checks in one transaction without writes that the term and leader records are
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -44,7 +44,7 @@
 
 // handOver resigns in favor of another controller.
 func (c *Core) handOver(reason string) {
-	c.election.NoteHandOver()
+	c.election.RecordHandOver()
 	c.resign(reason)
 }
 
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -80,7 +80,7 @@
 // pause, and has no grace period.
 func (c *Core) inGracePeriod() bool {
 	l := c.leadership
-	over := c.leaseTiming.GraceOver(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew)
+	over := c.leaseTiming.GracePeriodExpired(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew)
 	return !over && !c.Now.Before(l.expiresAt)
 }
 
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -25,7 +25,7 @@
 // becomeLeader sets up the leadership of a term that this node has won. sentAt is when the winning
 // transaction was sent, and clockSkew the skew of the wall clock then.
 func (c *Core) becomeLeader(term, termRevision, leaseID uint64, sentAt time.Time, clockSkew time.Duration) {
-	c.election.NoteOwnTerm(term)
+	c.election.SetOwnTerm(term)
 	c.jobReader.ShareAmong(1)
 	c.leadership = newLeadership(c.cfg)
 	c.leadership.scope = c.NewScope()
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -57,7 +57,7 @@
 // own grace period ended, whichever came first.
 func (c *Core) earlierLeaseExpiry() time.Time {
 	l := c.leadership
-	expiry := c.leaseTiming.TasksGoneAfter(l.electedAt.Add(l.earlierLeaderLag))
+	expiry := c.leaseTiming.TasksEndedBy(l.electedAt.Add(l.earlierLeaderLag))
 	if !l.allAcknowledgedAt.IsZero() {
 		if afterAcks := l.allAcknowledgedAt.Add(addClockDrift(c.workerLease)); afterAcks.Before(expiry) {
 			return afterAcks
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -36,13 +36,13 @@
 func (c *Core) startRecovery(before recovery.Observed, read recovery.TermRead, ledLastTerm bool) {
 	l := c.leadership
 	l.recovery = failover.New(c.Engine, l.scope, c.cfg, c.replicas, failoverLeader{c}, failover.Term{
-		Number:      l.term,
-		ProcessID:   c.processID,
-		LeaderLease: leaseTTL,
-		Observed:    before,
-		Read:        read,
-		LossReason:  c.dataLossReason,
-		LedLastTerm: ledLastTerm,
+		Number:          l.term,
+		ProcessID:       c.processID,
+		LeaderLease:     leaseTTL,
+		Observed:        before,
+		Read:            read,
+		LossReason:      c.dataLossReason,
+		LedPreviousTerm: ledLastTerm,
 	})
 	l.recovery.Start()
 }
@@ -81,7 +81,7 @@
 	if o.Restored != nil {
 		c.rememberFinals(o.Restored)
 	}
-	for _, key := range o.Drops {
+	for _, key := range o.Deletes {
 		l.writes.Add(&writebatch.Change{Priority: writebatch.Bulk, Writes: []kv.Write{{Key: key}}})
 	}
 	if o.LossReason != "" {
@@ -94,7 +94,7 @@
 	c.dataLossReason = ""
 	c.replicas.SetOwn(o.Replica)
 	l.finals.SetSource(o.FinalsSource)
-	l.noEarlierTerm, l.earlierLeaderLag = o.NoEarlierTerm, o.EarlierLeaderLag
+	l.noEarlierTerm, l.earlierLeaderLag = o.NoEarlierTerm, o.EarlierLeaderOverlap
 	c.loadRecords(o.Records)
 }
 
@@ -138,8 +138,8 @@
 	}
 }
 
-// NoteConfigHead records the revision at which the configuration's head record was restored.
-func (h restoreLeader) NoteConfigHead(rev uint64) { h.l.config.SetHeadRevision(rev) }
+// SetConfigHeadRevision records the revision at which the configuration's head record was restored.
+func (h restoreLeader) SetConfigHeadRevision(rev uint64) { h.l.config.SetHeadRevision(rev) }
 
 // newRestorer returns the restorer of lost records for a leadership.
 func (c *Core) newRestorer(l *leadership) *restore.Restorer {
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -16,14 +16,14 @@
 // ConfigBatchDue reports whether the queued batch of configuration changes should be written now.
 func (b writeBatchLeader) ConfigBatchDue() bool { return b.c.leadership.config.BatchDue() }
 
-// RestoreRecords queues lost records to be written back.
-func (b writeBatchLeader) RestoreRecords() { b.c.leadership.restorer.QueueNext() }
+// QueueRestores queues lost records to be written back.
+func (b writeBatchLeader) QueueRestores() { b.c.leadership.restorer.QueueNext() }
 
-// MakeOccurrences queues due occurrences of schedules, as many as fit into one transaction.
-func (b writeBatchLeader) MakeOccurrences() { b.c.createOccurrences() }
+// QueueDueOccurrences queues due occurrences of schedules, as many as fit into one transaction.
+func (b writeBatchLeader) QueueDueOccurrences() { b.c.createOccurrences() }
 
-// OccurrencesWait reports whether occurrences wait only for the store's rate limit.
-func (b writeBatchLeader) OccurrencesWait() bool { return b.c.occurrencesPending() }
+// HasDueOccurrences reports whether occurrences wait only for the store's rate limit.
+func (b writeBatchLeader) HasDueOccurrences() bool { return b.c.occurrencesPending() }
 
 // ReplicateBatch publishes a committed batch to the replicas.
 func (b writeBatchLeader) ReplicateBatch(batch []*writebatch.Change, rev uint64) {
--- a/internal/writebatch/send.go
+++ b/internal/writebatch/send.go
@@ -13,13 +13,14 @@
 	maxUrgentInFlight     = 3
 	maxOccurrenceInFlight = 2
 
-	wakeDelay           = 20 * time.Millisecond
+	flushDelay          = 20 * time.Millisecond
 	malformedRetryDelay = time.Second
 	minBackoff          = 100 * time.Millisecond
 	maxBackoff          = 2 * time.Second
 )
 
-// Flush sends what may be sent.
+// Flush sends queued changes as far as the rate limits allow. It does nothing while the leader
+// cannot act or the batcher backs off.
 func (b *Batcher) Flush() {
 	if !b.leader.CanAct() || b.engine.Now.Before(b.pausedUntil) {
 		return
@@ -30,11 +31,11 @@
 			return
 		}
 	}
-	b.leader.RestoreRecords()
+	b.leader.QueueRestores()
 	b.flushDeferrable()
-	// What waits for the allowance is seen to when it has come back.
-	if b.inFlight[Occurrence] == 0 && b.leader.OccurrencesWait() {
-		b.WakeSoon()
+	// Occurrences that wait for the rate limit are sent by a later flush.
+	if b.inFlight[Occurrence] == 0 && b.leader.HasDueOccurrences() {
+		b.ScheduleFlush()
 	}
 }
 
@@ -45,22 +46,22 @@
 	if b.leader.ConfigBatchDue() {
 		b.send(Config)
 	} else {
-		b.WakeSoon()
+		b.ScheduleFlush()
 	}
 }
 
-// flushDeferrable sends bulk changes and occurrences in turns, as long as they leave room
-// in the allowance for what users wait for.
+// flushDeferrable sends bulk changes and occurrences alternately. It stops when urgent changes are
+// queued or less than half of the write burst is left.
 func (b *Batcher) flushDeferrable() {
 	for range 2 {
-		if len(b.queued[Urgent]) > 0 || !b.halfLeft(b.engine.Now) {
+		if len(b.queued[Urgent]) > 0 || !b.hasHalfWriteBudget(b.engine.Now) {
 			return
 		}
-		b.bulkNext = !b.bulkNext
-		if b.bulkNext && len(b.queued[Bulk]) > 0 && b.inFlight[Bulk] == 0 {
+		b.bulkTurn = !b.bulkTurn
+		if b.bulkTurn && len(b.queued[Bulk]) > 0 && b.inFlight[Bulk] == 0 {
 			b.send(Bulk)
-		} else if !b.bulkNext && b.inFlight[Occurrence] < maxOccurrenceInFlight {
-			b.leader.MakeOccurrences()
+		} else if !b.bulkTurn && b.inFlight[Occurrence] < maxOccurrenceInFlight {
+			b.leader.QueueDueOccurrences()
 			if len(b.queued[Occurrence]) > 0 {
 				b.send(Occurrence)
 			}
@@ -68,43 +69,44 @@
 	}
 }
 
-// WakeSoon has the state machine take a step soon, which flushes the batcher.
-func (b *Batcher) WakeSoon() {
-	if !b.wakeScheduled {
-		b.wakeScheduled = true
-		b.scope.After(wakeDelay, func() { b.wakeScheduled = false })
+// ScheduleFlush schedules a step of the state machine after flushDelay. The step flushes the
+// batcher.
+func (b *Batcher) ScheduleFlush() {
+	if !b.flushScheduled {
+		b.flushScheduled = true
+		b.scope.After(flushDelay, func() { b.flushScheduled = false })
 	}
 }
 
-// send sends the next batch of a priority and reports whether there was one.
+// send sends the next batch of a priority and reports whether it sent one.
 func (b *Batcher) send(p Priority) bool {
 	now := b.engine.Now
-	ops := b.RoomFor(p, now, b.maxOps)
-	if !b.hasRequest(now) || ops < minRoom(p) {
-		b.WakeSoon()
+	ops := b.AvailableWrites(p, now, b.maxOps)
+	if !b.allowsRequest(now) || ops < minWrites(p) {
+		b.ScheduleFlush()
 		return false
 	}
-	batch := b.take(p, ops)
+	batch := b.takeBatch(p, ops)
 	if len(batch) == 0 {
 		return false
 	}
-	call := kv.Request{Op: kv.Txn, Conditions: []kv.Condition{b.term}}
+	call := kv.Request{Op: kv.Txn, Conditions: []kv.Condition{b.termCondition}}
 	for _, ch := range batch {
 		ch.Sent = true
 		call.Conditions = append(call.Conditions, ch.Conditions...)
 		call.Writes = append(call.Writes, ch.Writes...)
 	}
-	b.Spend(p, now, len(call.Writes))
-	b.departed(p, call.Writes)
+	b.Consume(p, now, len(call.Writes))
+	b.markInFlight(p, call.Writes)
 	b.scope.CallStore(call, func(r kv.Response) {
-		b.returned(p, call.Writes)
-		b.handleReply(batch, r)
+		b.clearInFlight(p, call.Writes)
+		b.handleResponse(batch, r)
 	})
 	return true
 }
 
-// handleReply settles a batch, or queues again what has not been applied.
-func (b *Batcher) handleReply(batch []*Change, r kv.Response) {
+// handleResponse handles the response to a batch: it completes the changes or requeues them.
+func (b *Batcher) handleResponse(batch []*Change, r kv.Response) {
 	switch r.Outcome {
 	case rpc.OK:
 		b.backoff = 0
@@ -119,62 +121,60 @@
 	case rpc.Invalid:
 		b.handleMalformed(batch)
 	default:
-		// Known not to have been executed, or not known: both are sent again.
-		// Should the first try be applied as well, the second meets a condition
-		// of its own, which is read back.
+		// The transaction failed or its outcome is unknown; send it again. If the first attempt
+		// was applied after all, a condition of the second one fails and is read back.
 		b.backOff()
-		b.putBack(batch)
+		b.requeue(batch)
 	}
 }
 
-// handleConflict drops the changes whose own conditions have failed and queues the others
-// again.
+// handleConflict drops the changes whose own conditions have failed, after calling OnConflict,
+// and requeues the others. It ends the leadership if the term condition has failed.
 func (b *Batcher) handleConflict(batch []*Change, failedKeys []string) {
-	if slices.Contains(failedKeys, b.term.Key) {
+	if slices.Contains(failedKeys, b.termCondition.Key) {
 		b.leader.StepDown("a newer term has been written")
 		return
 	}
-	var rest []*Change
+	var others []*Change
 	for _, ch := range batch {
-		own := slices.ContainsFunc(ch.Conditions, func(c kv.Condition) bool { return slices.Contains(failedKeys, c.Key) })
+		failed := slices.ContainsFunc(ch.Conditions, func(c kv.Condition) bool { return slices.Contains(failedKeys, c.Key) })
 		switch {
-		case own && ch.OnConflict != nil:
+		case failed && ch.OnConflict != nil:
 			ch.OnConflict()
-		case own:
+		case failed:
 		default:
-			rest = append(rest, ch)
+			others = append(others, ch)
 		}
 	}
-	if len(rest) == len(batch) {
-		// It names none of ours: nothing would be different the next time.
+	if len(others) == len(batch) {
+		// No failed key belongs to the batch, so an immediate retry would fail as well.
 		b.backOff()
 	} else {
 		b.backoff = 0
 	}
-	b.putBack(rest)
+	b.requeue(others)
 }
 
-// handleMalformed deals with a batch that the store calls malformed. That is our fault:
-// it is logged loudly, and the changes are tried one by one so that a single bad one does
-// not block the rest for ever.
+// handleMalformed handles a batch that the store has rejected as malformed, which indicates a bug.
+// The changes are retried one by one, so that a malformed one does not block the others.
 func (b *Batcher) handleMalformed(batch []*Change) {
 	b.engine.Log(slog.LevelError, "transaction rejected as malformed", "changes", len(batch), "key", batch[0].Writes[0].Key)
 	switch ch := batch[0]; {
 	case len(batch) > 1:
-		b.singly = max(b.singly, len(batch))
-		b.putBack(batch)
+		b.sendSingly = max(b.sendSingly, len(batch))
+		b.requeue(batch)
 	case ch.OnReject != nil:
 		ch.OnReject()
 	default:
-		// The bad one, or one of them: behind all others, and later.
+		// This change is malformed: retry it later, behind all others.
 		b.scope.After(b.engine.Jitter(malformedRetryDelay), func() { b.Add(ch) })
 	}
 }
 
-// backOff pauses the batcher, longer each time in a row.
+// backOff pauses the batcher. The delay doubles with each consecutive call, up to maxBackoff.
 func (b *Batcher) backOff() {
 	b.backoff = min(max(2*b.backoff, minBackoff), maxBackoff)
-	d := b.engine.Jitter(b.backoff)
-	b.pausedUntil = b.engine.Now.Add(d)
-	b.scope.After(d, func() {}) // a step then flushes the batcher
+	delay := b.engine.Jitter(b.backoff)
+	b.pausedUntil = b.engine.Now.Add(delay)
+	b.scope.After(delay, func() {}) // the step that runs the timer flushes the batcher
 }
