--- a/internal/autoscaler/arrivals.go
+++ b/internal/autoscaler/arrivals.go
@@ -11,13 +11,13 @@
 
 // arrivals is what the jobs that arrive let expect.
 type arrivals struct {
-	teams     map[string]*quota.Account
-	burstCPUs float64 // CPUs that a job takes which must start at once, averaged
-	burstAt   time.Time
+	teams       map[string]*quota.Account
+	burstCPUs   float64 // CPUs that a job takes which must start at once, averaged
+	lastBurstAt time.Time
 }
 
-// burstWeight is the weight of the latest job in the average of burstCPUs.
-const burstWeight = 0.15
+// burstSmoothing is the weight of the latest job in the average of burstCPUs.
+const burstSmoothing = 0.15
 
 // RecordArrival takes in the work of a new job.
 func (a *Autoscaler) RecordArrival(j *fleet.Job) {
@@ -27,29 +27,29 @@
 	}
 	if j.StartsAtOnce {
 		cpus := float64(j.Spec.Tasks) * float64(j.Need.CPU) / 1000
-		if a.burstAt.IsZero() {
+		if a.lastBurstAt.IsZero() {
 			a.burstCPUs = cpus
 		}
-		a.burstCPUs += burstWeight * (cpus - a.burstCPUs)
-		a.burstAt = a.Now
+		a.burstCPUs += burstSmoothing * (cpus - a.burstCPUs)
+		a.lastBurstAt = a.Now
 	}
 	t := j.Team
 	t.Load = t.ExpectedCPUs(a.Now) + float64(j.Spec.Tasks)*float64(j.Need.CPU)/1000*seconds/quota.ArrivalMemory.Seconds()
 	t.LoadAt = a.Now
 }
 
-// BurstRoom returns how many thousandths of CPUs to keep free for jobs that must start at
+// BurstReserve returns how many thousandths of CPUs to keep free for jobs that must start at
 // once: the given part of what such a job takes, 0 if none has come lately.
-func (a *Autoscaler) BurstRoom(part float64) int64 {
-	if a.Now.Sub(a.burstAt) > quota.ArrivalMemory {
+func (a *Autoscaler) BurstReserve(part float64) int64 {
+	if a.Now.Sub(a.lastBurstAt) > quota.ArrivalMemory {
 		return 0
 	}
 	return int64(a.burstCPUs * part * 1000)
 }
 
-// expectedCPUs returns how many CPUs the work of recent arrivals keeps busy, within the
+// forecastCPUs returns how many CPUs the work of recent arrivals keeps busy, within the
 // teams' limits.
-func (a *Autoscaler) expectedCPUs() float64 {
+func (a *Autoscaler) forecastCPUs() float64 {
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(a.teams)) {
 		t := a.teams[name]
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -62,8 +62,8 @@
 	CloudRPS      float64                 // how many requests a second the cloud allows
 }
 
-// callShare is the autoscaler's share of the requests that the cloud allows.
-const callShare = 0.8
+// cloudCallShare is the autoscaler's share of the requests that the cloud allows.
+const cloudCallShare = 0.8
 
 // Autoscaler rents and returns the machines of one leadership.
 type Autoscaler struct {
@@ -78,20 +78,20 @@
 	releases
 	load
 	arrivals
-	bootFactors map[string]float64 // see BootTimeout
+	bootTimeoutFactors map[string]float64 // see BootTimeout
 }
 
 // New returns an autoscaler that has not called the cloud yet.
 func New(c Config) *Autoscaler {
 	return &Autoscaler{
-		Engine:      c.Engine,
-		scope:       c.Scope,
-		state:       c.State,
-		inventory:   c.Inventory,
-		callLimit:   rate.NewLimiter(rate.Limit(c.CloudRPS*callShare), max(1, int(c.CloudRPS))),
-		Catalog:     Catalog{InstanceTypes: c.InstanceTypes},
-		requests:    requests{noCapacityUntil: map[Offer]time.Time{}, pending: map[string]*pendingRequest{}},
-		arrivals:    arrivals{teams: c.Teams},
-		bootFactors: map[string]float64{},
+		Engine:             c.Engine,
+		scope:              c.Scope,
+		state:              c.State,
+		inventory:          c.Inventory,
+		callLimit:          rate.NewLimiter(rate.Limit(c.CloudRPS*cloudCallShare), max(1, int(c.CloudRPS))),
+		Catalog:            Catalog{InstanceTypes: c.InstanceTypes},
+		requests:           requests{noCapacityUntil: map[Offer]time.Time{}, pending: map[string]*pendingRequest{}},
+		arrivals:           arrivals{teams: c.Teams},
+		bootTimeoutFactors: map[string]float64{},
 	}
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -18,37 +18,37 @@
 
 var start = time.Unix(1_900_000_000, 0)
 
-// leader implements State and Inventory for tests.
-type leader struct {
+// fakeLeader implements State and Inventory for tests.
+type fakeLeader struct {
 	machines    []*fleet.Machine
 	queue       fleet.Queue
-	zones       *zones.Watch
+	zones       *zones.Tracker
 	maxMachines int
 	started     []string
 	released    []string
 	dropped     int
 }
 
-func (l *leader) Machines() []*fleet.Machine          { return l.machines }
-func (l *leader) Queue() fleet.Queue                  { return l.queue }
-func (l *leader) Zone(name string) *zones.Zone        { return l.zones.Zone(name) }
-func (l *leader) Estimate(j *fleet.Job) time.Duration { return j.Spec.Runtime }
-func (l *leader) CanAct() bool                        { return true }
-func (l *leader) MaxMachines() int                    { return l.maxMachines }
-func (l *leader) Term() (term, era uint64)            { return 3, 0xa }
-func (l *leader) InstanceTypesChanged()               {}
-func (l *leader) InstanceStarted(host string, _ Offer, _ time.Time) {
+func (l *fakeLeader) Machines() []*fleet.Machine          { return l.machines }
+func (l *fakeLeader) Queue() fleet.Queue                  { return l.queue }
+func (l *fakeLeader) Zone(name string) *zones.Zone        { return l.zones.Zone(name) }
+func (l *fakeLeader) Estimate(j *fleet.Job) time.Duration { return j.Spec.Runtime }
+func (l *fakeLeader) CanAct() bool                        { return true }
+func (l *fakeLeader) MaxMachines() int                    { return l.maxMachines }
+func (l *fakeLeader) Term() (term, era uint64)            { return 3, 0xa }
+func (l *fakeLeader) InstanceTypesChanged()               {}
+func (l *fakeLeader) InstanceStarted(host string, _ Offer, _ time.Time) {
 	l.started = append(l.started, host)
 }
-func (l *leader) InstanceListed(provider.Instance) {}
-func (l *leader) InstanceReleased(host string)     { l.released = append(l.released, host) }
-func (l *leader) DropReservations(*fleet.Machine)  { l.dropped++ }
-func (l *leader) Dispatch()                        {}
+func (l *fakeLeader) InstanceListed(provider.Instance) {}
+func (l *fakeLeader) InstanceReleased(host string)     { l.released = append(l.released, host) }
+func (l *fakeLeader) DropReservations(*fleet.Machine)  { l.dropped++ }
+func (l *fakeLeader) Dispatch()                        {}
 
 // newAutoscaler returns an autoscaler over a small and a large instance type in zones a and b.
-func newAutoscaler(t *testing.T) (*Autoscaler, *leader) {
+func newAutoscaler(t *testing.T) (*Autoscaler, *fakeLeader) {
 	t.Helper()
-	l := &leader{zones: zones.New(zones.Settings{}), maxMachines: 1000}
+	l := &fakeLeader{zones: zones.New(zones.Settings{}), maxMachines: 1000}
 	e := engine.New(rand.New(rand.NewPCG(1, 2)), 0)
 	e.Begin(start)
 	var types []provider.InstanceType
@@ -62,7 +62,7 @@
 }
 
 // addMachine adds a machine that has reported and uses some of its CPUs.
-func (l *leader) addMachine(a *Autoscaler, typeName string, used float64) *fleet.Machine {
+func (l *fakeLeader) addMachine(a *Autoscaler, typeName string, used float64) *fleet.Machine {
 	m := &fleet.Machine{}
 	m.Host, m.TypeName, m.Zone, m.Spot = fmt.Sprint("h", len(l.machines)), typeName, "a", true
 	m.InstanceType, m.Reported, m.RentedAt = a.InstanceType(typeName), true, start.Add(-time.Hour)
@@ -72,7 +72,7 @@
 }
 
 // addJob adds a job of tasks of one CPU that wait without a machine.
-func (l *leader) addJob(tasks int, runtime time.Duration, s spec.Job) *fleet.Job {
+func (l *fakeLeader) addJob(tasks int, runtime time.Duration, s spec.Job) *fleet.Job {
 	s.Tasks, s.CPUs, s.Runtime = tasks, 1, runtime
 	j := &fleet.Job{Spec: s, Need: s.Need(), Team: &quota.Account{}}
 	j.Waiting = tasks
@@ -81,8 +81,8 @@
 	return j
 }
 
-// calls returns the requests to the cloud of a kind that were sent since the last look.
-func calls(a *Autoscaler, op provider.Op) (list []provider.Request) {
+// takeCloudRequests returns the requests to the cloud of a kind that were sent since the last look.
+func takeCloudRequests(a *Autoscaler, op provider.Op) (list []provider.Request) {
 	for _, o := range a.Outputs {
 		if r, ok := o.(provider.Request); ok && r.Op == op {
 			list = append(list, r)
@@ -96,16 +96,16 @@
 	for _, x := range []struct {
 		name      string
 		job       spec.Job
-		change    func(*Autoscaler, *leader)
+		change    func(*Autoscaler, *fakeLeader)
 		wantTypes []string
 		wantSpot  bool
 	}{
 		{name: "spot first", job: spec.Job{AllowSpot: true}, wantTypes: []string{"small", "large"}, wantSpot: true},
 		{name: "on-demand where spot is not allowed", job: spec.Job{}, wantTypes: []string{"small", "large"}},
 		{name: "the type that the job names", job: spec.Job{AllowSpot: true, InstanceTypes: []string{"large"}}, wantTypes: []string{"large"}, wantSpot: true},
-		{name: "none beyond what the controllers serve", job: spec.Job{AllowSpot: true}, change: func(_ *Autoscaler, l *leader) { l.maxMachines = 0 }},
-		{name: "none for a zone that is cut off", job: spec.Job{AllowSpot: true, Zone: "a"}, change: func(_ *Autoscaler, l *leader) { l.zones.Zone("a").State = zones.Lost }},
-		{name: "none of an unknown catalog", job: spec.Job{AllowSpot: true}, change: func(a *Autoscaler, _ *leader) { a.InstanceTypes = nil }},
+		{name: "none beyond what the controllers serve", job: spec.Job{AllowSpot: true}, change: func(_ *Autoscaler, l *fakeLeader) { l.maxMachines = 0 }},
+		{name: "none for a zone that is cut off", job: spec.Job{AllowSpot: true, Zone: "a"}, change: func(_ *Autoscaler, l *fakeLeader) { l.zones.Zone("a").State = zones.Lost }},
+		{name: "none of an unknown catalog", job: spec.Job{AllowSpot: true}, change: func(a *Autoscaler, _ *fakeLeader) { a.InstanceTypes = nil }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			a, l := newAutoscaler(t)
@@ -114,7 +114,7 @@
 				x.change(a, l)
 			}
 			a.ScaleOut(time.Minute, time.Hour)
-			list := calls(a, provider.ScaleOut)
+			list := takeCloudRequests(a, provider.ScaleOut)
 			if (len(list) > 0) != (x.wantTypes != nil) {
 				t.Fatalf("%d requests: %+v", len(list), list)
 			}
@@ -143,7 +143,7 @@
 	request := func() provider.Request {
 		t.Helper()
 		a.ScaleOut(time.Minute, time.Hour)
-		list := calls(a, provider.ScaleOut)
+		list := takeCloudRequests(a, provider.ScaleOut)
 		if len(list) != 1 {
 			t.Fatalf("%d requests", len(list))
 		}
@@ -156,18 +156,18 @@
 		t.Errorf("refused, and requested again: %+v", second)
 	}
 	a.HandleCloud(provider.Response{Ref: second.Ref, Outcome: rpc.Unknown})
-	if a.ScaleOut(time.Minute, time.Hour); len(calls(a, provider.ScaleOut)) > 0 {
+	if a.ScaleOut(time.Minute, time.Hour); len(takeCloudRequests(a, provider.ScaleOut)) > 0 {
 		t.Error("a request whose outcome is unknown does not count")
 	}
 	a.Begin(start.Add(4 * time.Second))
 	a.RunTimers()
-	again := calls(a, provider.ScaleOut)
+	again := takeCloudRequests(a, provider.ScaleOut)
 	if len(again) != 1 || again[0].RequestName != second.RequestName {
 		t.Fatalf("sent again: %+v", again)
 	}
 	a.HandleCloud(provider.Response{Ref: again[0].Ref, Outcome: rpc.OK, Hosts: []string{"x", "y"}})
-	if len(l.started) != 2 || a.requested() != 0 {
-		t.Errorf("started %v, %d requested", l.started, a.requested())
+	if len(l.started) != 2 || a.pendingInstances() != 0 {
+		t.Errorf("started %v, %d requested", l.started, a.pendingInstances())
 	}
 	job.Waiting = 0
 	if a.UpdateLoad(); a.Backlog() != 0 {
@@ -209,13 +209,13 @@
 	for _, outcome := range []rpc.Outcome{rpc.Unknown, rpc.OK} {
 		a.SendReleases()
 		a.SendReleases()
-		list := calls(a, provider.Release)
+		list := takeCloudRequests(a, provider.Release)
 		if len(list) != 1 || len(list[0].Hosts) != 1 || list[0].Hosts[0] != m.Host {
 			t.Fatalf("calls: %+v", list)
 		}
 		a.HandleCloud(provider.Response{Ref: list[0].Ref, Outcome: outcome})
 	}
-	if a.SendReleases(); len(calls(a, provider.Release)) > 0 || len(l.released) != 1 {
+	if a.SendReleases(); len(takeCloudRequests(a, provider.Release)) > 0 || len(l.released) != 1 {
 		t.Errorf("released %v", l.released)
 	}
 }
--- a/internal/autoscaler/boot.go
+++ b/internal/autoscaler/boot.go
@@ -12,10 +12,10 @@
 	// Instances are given so many times their usual boot time, and at least so much more.
 	bootTimeFactor = 3
 	minBootSlack   = 30 * time.Second
-	// bootFactorStep and maxBootFactor are how the timeout of a type grows while its
+	// bootTimeoutGrowth and maxBootFactor are how the timeout of a type grows while its
 	// instances keep exceeding it.
-	bootFactorStep = 1.25
-	maxBootFactor  = 6
+	bootTimeoutGrowth    = 1.25
+	maxBootTimeoutFactor = 6
 )
 
 // BootTimeout returns how long after its request a machine may take to report: some take
@@ -26,7 +26,7 @@
 		boot = m.InstanceType.BootTime
 	}
 	timeout := max(bootTimeFactor*boot, boot+minBootSlack)
-	if f := a.bootFactors[m.TypeName]; f > 0 {
+	if f := a.bootTimeoutFactors[m.TypeName]; f > 0 {
 		timeout = timeline.Seconds(timeout.Seconds() * f)
 	}
 	return timeout
@@ -35,8 +35,8 @@
 // BootTimedOut raises the timeout of an instance type. When boots take longer for a while,
 // giving up each time would never get a machine.
 func (a *Autoscaler) BootTimedOut(instanceType string) {
-	a.bootFactors[instanceType] = min(max(a.bootFactors[instanceType], 1)*bootFactorStep, maxBootFactor)
+	a.bootTimeoutFactors[instanceType] = min(max(a.bootTimeoutFactors[instanceType], 1)*bootTimeoutGrowth, maxBootTimeoutFactor)
 }
 
 // Booted resets the timeout of an instance type.
-func (a *Autoscaler) Booted(instanceType string) { delete(a.bootFactors, instanceType) }
+func (a *Autoscaler) Booted(instanceType string) { delete(a.bootTimeoutFactors, instanceType) }
--- a/internal/autoscaler/load.go
+++ b/internal/autoscaler/load.go
@@ -21,10 +21,10 @@
 func (l *load) CPUs() float64 { return l.cpus }
 
 // UpdateLoad computes the backlog anew.
-func (a *Autoscaler) UpdateLoad() { a.demand() }
+func (a *Autoscaler) UpdateLoad() { a.computeDemand() }
 
-// serviceSeconds is for how long a waiting service counts as work.
-const serviceSeconds = 600
+// serviceWorkSeconds is for how long a waiting service counts as work.
+const serviceWorkSeconds = 600
 
 // workload is waiting work.
 type workload struct {
@@ -37,12 +37,12 @@
 	w.cpuSeconds += cpus * seconds
 }
 
-// demand sums up the waiting work, and the part of it that needs on-demand instances, and
+// computeDemand sums up the waiting work, and the part of it that needs on-computeDemand instances, and
 // updates the load.
-func (a *Autoscaler) demand() (all, onDemand workload) {
+func (a *Autoscaler) computeDemand() (all, onDemand workload) {
 	limits := map[*quota.Account]float64{} // CPUs that teams may still use
 	for _, j := range a.state.Queue() {
-		if j.Halted() || a.Now.Before(j.RetryAt) || !a.zoneRents(j.Spec.Zone) {
+		if j.Halted() || a.Now.Before(j.RetryAt) || !a.zoneAllowsRental(j.Spec.Zone) {
 			continue // machines elsewhere would be rented for nothing
 		}
 		cpus := float64(j.Waiting) * float64(j.Need.CPU) / 1000
@@ -54,7 +54,7 @@
 			cpus = min(cpus, left)
 			limits[t] = left - cpus
 		}
-		seconds := float64(serviceSeconds)
+		seconds := float64(serviceWorkSeconds)
 		if !j.Spec.Service {
 			seconds = a.state.Estimate(j).Seconds() + 1
 		}
@@ -68,16 +68,16 @@
 	return all, onDemand
 }
 
-// zoneRents reports whether machines may be rented for a job that is bound to a zone, or to
+// zoneAllowsRental reports whether machines may be rented for a job that is bound to a zone, or to
 // none ("").
-func (a *Autoscaler) zoneRents(zone string) bool {
+func (a *Autoscaler) zoneAllowsRental(zone string) bool {
 	return zone == "" || a.state.Zone(zone).AllowsRental()
 }
 
 // supply returns how many CPUs are at hand or on their way, and how many of them are free.
 func (a *Autoscaler) supply(onDemandOnly bool) (total, free float64) {
 	for _, m := range a.state.Machines() {
-		if !m.Usable() || onDemandOnly && m.Spot || a.overdueBoot(m) {
+		if !m.Usable() || onDemandOnly && m.Spot || a.isBootOverdue(m) {
 			continue
 		}
 		total += m.InstanceType.CPUs
@@ -92,7 +92,7 @@
 	return total, free
 }
 
-// overdueBoot reports whether a machine takes so long to boot that it cannot be counted on.
-func (a *Autoscaler) overdueBoot(m *fleet.Machine) bool {
+// isBootOverdue reports whether a machine takes so long to boot that it cannot be counted on.
+func (a *Autoscaler) isBootOverdue(m *fleet.Machine) bool {
 	return !m.Reported && a.Now.Sub(m.RentedAt) > 2*m.InstanceType.BootTime+10*time.Second
 }
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -24,8 +24,8 @@
 	rejectedPause   = time.Minute
 	// requestRetryDelay is when a request whose outcome is unknown is sent again, on average.
 	requestRetryDelay = 2 * time.Second
-	// minCPUs stands for the CPUs of tasks that take none: they need a machine all the same.
-	minCPUs = 0.001
+	// minRequestCPUs stands for the CPUs of tasks that take none: they need a machine all the same.
+	minRequestCPUs = 0.001
 	// bootCostSeconds is the boot time that doubles what an instance type seems to cost.
 	bootCostSeconds = 120
 )
@@ -65,8 +65,8 @@
 // not serve them.
 func (r *requests) AtCapacity() bool { return r.atCapacity }
 
-// requested returns how many instances the pending requests may bring.
-func (r *requests) requested() (n int) {
+// pendingInstances returns how many instances the pending requests may bring.
+func (r *requests) pendingInstances() (n int) {
 	for _, p := range r.pending {
 		n += p.count
 	}
@@ -85,23 +85,23 @@
 
 // RequestProbe requests one instance in a zone that is lost, to see whether it is back.
 func (a *Autoscaler) RequestProbe(zone string) {
-	a.request(requirement{spec: &spec.Job{Zone: zone, AllowSpot: true}, urgent: true, probe: true})
+	a.requestInstances(requirement{spec: &spec.Job{Zone: zone, AllowSpot: true}, urgent: true, probe: true})
 }
 
-// request sends one request for instances that suit a requirement, of the cheapest kind;
+// requestInstances sends one requestInstances for instances that suit a requirement, of the cheapest kind;
 // false if none could be sent.
-func (a *Autoscaler) request(want requirement) bool {
-	room := a.state.MaxMachines() - len(a.state.Machines()) - a.requested()
-	a.noteCapacity(room)
+func (a *Autoscaler) requestInstances(want requirement) bool {
+	room := a.state.MaxMachines() - len(a.state.Machines()) - a.pendingInstances()
+	a.updateAtCapacity(room)
 	if room <= 0 {
 		return false
 	}
-	want.cpus = max(want.cpus, minCPUs)
-	candidates := a.candidates(want)
+	want.cpus = max(want.cpus, minRequestCPUs)
+	candidates := a.candidateOffers(want)
 	if len(candidates) == 0 || !a.callLimit.AllowN(a.Now, 1) {
 		return false
 	}
-	best := slices.MinFunc(candidates, compareCandidates)
+	best := slices.MinFunc(candidates, compareCandidateOffers)
 	n := min(int(math.Ceil(want.cpus/best.cpus)), maxInstancesPerRequest, room)
 	name := a.nextRequestName()
 	a.pending[name] = &pendingRequest{Offer: best.Offer, count: n, cpus: float64(n) * best.cpus, requestedAt: a.Now}
@@ -109,10 +109,10 @@
 	return true
 }
 
-// noteCapacity logs when the controllers cannot serve more machines, and when they can again.
+// updateAtCapacity logs when the controllers cannot serve more machines, and when they can again.
 // More machines than they have connections for would serve nobody: they would crowd out each
 // other, and users.
-func (a *Autoscaler) noteCapacity(room int) {
+func (a *Autoscaler) updateAtCapacity(room int) {
 	if a.atCapacity == (room <= 0) {
 		return
 	}
@@ -124,16 +124,16 @@
 	}
 }
 
-// candidate is an offer that suits a requirement.
-type candidate struct {
+// candidateOffer is an offer that suits a requirement.
+type candidateOffer struct {
 	Offer
 	cpus float64 // of one instance
 	cost float64 // of all that is required, to compare by
 }
 
-// candidates returns the offers that suit a requirement and may have capacity. In a zone that
+// candidateOffers returns the offers that suit a requirement and may have capacity. In a zone that
 // is cut off none does but a probe.
-func (a *Autoscaler) candidates(want requirement) (list []candidate) {
+func (a *Autoscaler) candidateOffers(want requirement) (list []candidateOffer) {
 	s := want.spec
 	have := map[Offer]int{}
 	for _, m := range a.state.Machines() {
@@ -155,7 +155,7 @@
 				}
 				// Among equals the kind goes first of which there are fewer.
 				cost := rentalCost(t, spot, want.cpus) + 1e-9*float64(have[o])
-				list = append(list, candidate{Offer: o, cpus: t.CPUs, cost: cost})
+				list = append(list, candidateOffer{Offer: o, cpus: t.CPUs, cost: cost})
 			}
 		}
 	}
@@ -174,8 +174,8 @@
 	return price * n / used * (1 + t.BootTime.Seconds()/bootCostSeconds)
 }
 
-// compareCandidates orders spot instances before on-demand instances, and both by cost.
-func compareCandidates(a, b candidate) int {
+// compareCandidateOffers orders spot instances before on-demand instances, and both by cost.
+func compareCandidateOffers(a, b candidateOffer) int {
 	if a.Spot != b.Spot {
 		if a.Spot {
 			return -1
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -24,8 +24,8 @@
 	drainBacklog   = time.Second
 	undrainBacklog = 10 * time.Second
 	// A part of the CPUs in use, and a few more, are kept free when machines drain.
-	reservePart = 0.1
-	reserveCPUs = 2
+	reserveShare = 0.1
+	reserveCPUs  = 2
 )
 
 // ScaleIn begins to drain the machines that are the most expensive to keep, if what runs on
@@ -43,9 +43,9 @@
 		return
 	}
 	machines := a.state.Machines()
-	use := a.usage()
+	use := a.fleetUsage()
 	slices.SortStableFunc(use.candidates, compareCost)
-	reserve := max(a.expectedCPUs()-use.used, 0) + reservePart*use.used + reserveCPUs
+	reserve := max(a.forecastCPUs()-use.used, 0) + reserveShare*use.used + reserveCPUs
 	free, draining := use.free, use.draining
 	limit := draining + 1 + len(machines)/drainDivisor
 	for _, m := range use.candidates {
@@ -79,8 +79,8 @@
 	candidates []*fleet.Machine
 }
 
-// usage sums up how the machines are used and which of them may begin to drain.
-func (a *Autoscaler) usage() (u usage) {
+// fleetUsage sums up how the machines are used and which of them may begin to drain.
+func (a *Autoscaler) fleetUsage() (u usage) {
 	for _, m := range a.state.Machines() {
 		if m.Draining && !m.Releasing {
 			u.draining++
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// maxUnplacedTasks is for how many tasks of a job machines are rented at a time if no
+	// maxUnplaceableTasks is for how many tasks of a job machines are rented at a time if no
 	// machine at hand can take any.
-	maxUnplacedTasks = 8
-	// minShortage is how many CPUs must be short for a machine to be rented.
-	minShortage = 0.5
+	maxUnplaceableTasks = 8
+	// minShortageCPUs is how many CPUs must be short for a machine to be rented.
+	minShortageCPUs = 0.5
 )
 
 // ScaleOut requests instances while the waiting work would take longer than targetBacklog on
@@ -23,25 +23,25 @@
 	if len(a.InstanceTypes) == 0 || !a.state.CanAct() {
 		return
 	}
-	if !a.requestForUnplaced() {
+	if !a.requestForUnplaceableJob() {
 		return
 	}
-	all, onDemand := a.demand()
+	all, onDemand := a.computeDemand()
 	a.coverShortage(onDemand, targetBacklog, 0, true)
 	a.coverShortage(all, targetBacklog, onDemandBacklog, false)
 }
 
-// requestForUnplaced requests instances for the first job that no machine at hand can take;
+// requestForUnplaceableJob requests instances for the first job that no machine at hand can take;
 // false if no request could be sent.
-func (a *Autoscaler) requestForUnplaced() bool {
+func (a *Autoscaler) requestForUnplaceableJob() bool {
 	for _, j := range a.state.Queue() {
 		if j.Reservations[0].Machine != nil || j.Halted() || slices.ContainsFunc(a.state.Machines(), func(m *fleet.Machine) bool { return m.EligibleFor(j) }) {
 			continue
 		}
-		if !a.zoneRents(j.Spec.Zone) {
+		if !a.zoneAllowsRental(j.Spec.Zone) {
 			continue // it waits for its zone, and must not keep others from renting
 		}
-		return a.request(requirement{spec: &j.Spec, cpus: float64(min(j.Waiting, maxUnplacedTasks)) * j.Spec.CPUs, urgent: true})
+		return a.requestInstances(requirement{spec: &j.Spec, cpus: float64(min(j.Waiting, maxUnplaceableTasks)) * j.Spec.CPUs, urgent: true})
 	}
 	return true
 }
@@ -56,8 +56,8 @@
 		return
 	}
 	urgent := work.cpuSeconds/max(total, 1) > onDemandBacklog.Seconds()
-	for short > minShortage {
-		if !a.request(requirement{spec: &spec.Job{AllowSpot: !onDemandOnly}, cpus: short, urgent: urgent}) {
+	for short > minShortageCPUs {
+		if !a.requestInstances(requirement{spec: &spec.Job{AllowSpot: !onDemandOnly}, cpus: short, urgent: urgent}) {
 			return
 		}
 		_, freeNow := a.supply(onDemandOnly)
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -105,8 +105,8 @@
 			StateSeconds: c.Now.Sub(r.Since).Seconds(),
 			Zones:        r.Zones,
 			ZonesAway:    r.UnreachableZones,
-			Heard:        r.Seen.Heard,
-			Silent:       r.Seen.Silent,
+			Heard:        r.Counts.Reporting,
+			Silent:       r.Counts.Silent,
 		})
 	}
 	return views
@@ -121,8 +121,8 @@
 			Name:             z.Name,
 			State:            z.State.String(),
 			StateSeconds:     c.Now.Sub(z.Since).Seconds(),
-			Heard:            z.Seen.Heard,
-			Silent:           z.Seen.Silent,
+			Heard:            z.Counts.Reporting,
+			Silent:           z.Counts.Silent,
 			UnconfirmedTasks: unconfirmed[z],
 		})
 	}
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -23,7 +23,7 @@
 	l.outages.Observe()
 	c.reviewMachines(e)
 	l.machineRecords.DropExpired(c.earlierLeaseExpiry())
-	l.placement.ReserveWarmRoom(l.autoscaler.BurstRoom(c.pol.Warm(e)))
+	l.placement.ReserveWarmRoom(l.autoscaler.BurstReserve(c.pol.Warm(e)))
 	c.preemptForGuarantees()
 	l.autoscaler.ScaleIn(l.allAccounted())
 	l.placement.RereserveOverdue(tickEvery)
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -157,7 +157,7 @@
 						Reports: []relay.Delta{{Ref: num(), Handle: num(), Incarnation: num(), Counter: num(), FencingToken: num(), Dropped: []int{next() - 9}}}}}})
 				case 2: // a leader's replies
 					rs := &relay.Replies{Session: num(), Resync: next()%4 == 0, List: []relay.Reply{{Ref: ref - uint64(next()%9)}, {Ref: ref, Status: 421, Upstream: "n2"}}}
-					if s := c.forwarder.Session(); s != 0 && next()%2 == 0 {
+					if s := c.forwarder.SessionID(); s != 0 && next()%2 == 0 {
 						rs.Session = s
 					}
 					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: max(1, c.election.HighestTerm()), Replies: rs}})
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// AskLeaderVersion implements gateway.Controller.
-func (g gatewayController) AskLeaderVersion() {
+// RequestLeaderVersion implements gateway.Controller.
+func (g gatewayController) RequestLeaderVersion() {
 	c := g.core
 	c.config.AskLeaderVersion(c.election.Leader(), c.election.HighestTerm())
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -42,7 +42,7 @@
 		c.leadership.allAcknowledgedAt = c.Now
 	}
 	// What waited here for a leader waits for us now.
-	c.leadership.pendingHeartbeats, c.leadership.knownReporters = c.forwarder.TakeOver()
+	c.leadership.pendingHeartbeats, c.leadership.knownReporters = c.forwarder.TakePending()
 	c.renewLease()
 	c.leadership.autoscaler.RefreshCatalog()
 }
--- a/internal/core/outages.go
+++ b/internal/core/outages.go
@@ -33,8 +33,8 @@
 	return o.c.leadership.inventory.Unaccounted(host)
 }
 
-// LedSince implements outage.Leader.
-func (o outageLeader) LedSince() (electedAt, resumedAt time.Time) {
+// LeadershipTimes implements outage.Leader.
+func (o outageLeader) LeadershipTimes() (electedAt, resumedAt time.Time) {
 	return o.c.leadership.electedAt, o.c.leadership.resumedAt
 }
 
--- a/internal/core/regions_test.go
+++ b/internal/core/regions_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.leadership.outages.Regions = zones.NewRegionWatch(set)
+	c.leadership.outages.Regions = zones.NewRegionTracker(set)
 	for zone := range 4 {
 		for i := range 3 {
 			m := c.leadership.inventory.Ensure(fmt.Sprintf("host-1%d%d", zone, i), "f0", fmt.Sprintf("r1-%d", zone), false)
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -54,7 +54,7 @@
 		if ref := m.Reports.Reports[i].Ref; ref != 0 {
 			c.handleHeartbeat(heartbeat.Received{Ref: ref, Via: via, Report: reports[i]})
 		} else if l.loaded {
-			l.prober.HandleAnswer(&reports[i])
+			l.prober.HandleRelayedReply(&reports[i])
 		}
 		if c.leadership != l {
 			return
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -4,7 +4,7 @@
 
 // Stats returns the present figures.
 func (c *Core) Stats() view.Stats {
-	s := view.Stats{Term: c.election.HighestTerm(), Relayed: c.forwarder.Workers(), StaleHeartbeats: c.staleHeartbeats + c.forwarder.Stale()}
+	s := view.Stats{Term: c.election.HighestTerm(), Relayed: c.forwarder.Workers(), StaleHeartbeats: c.staleHeartbeats + c.forwarder.StaleHeartbeats()}
 	l := c.leadership
 	if l != nil {
 		s.ConfigStats = l.config.Stats()
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -52,9 +52,9 @@
 // could have renewed through us.
 func (u *Upstream) usable() bool { return u.Linked && u.ConfirmedTerm != 0 }
 
-// outOfReach reports whether the leader has been known, but without a link to us or not
+// unreachable reports whether the leader has been known, but without a link to us or not
 // confirmed, for longer than a failover takes. Its workers are then better off with it.
-func (u *Upstream) outOfReach(now time.Time) bool {
+func (u *Upstream) unreachable(now time.Time) bool {
 	return u.Leader != "" && !u.usable() && now.Sub(u.LinkLostAt) > LinkTimeout
 }
 
@@ -68,10 +68,10 @@
 
 // Forwarder forwards heartbeats while its controller does not lead.
 type Forwarder struct {
-	engine     *engine.Engine
-	controller Controller
-	cfg        *config.Config
-	stale      int64 // heartbeats refused
+	engine          *engine.Engine
+	controller      Controller
+	cfg             *config.Config
+	staleHeartbeats int64 // heartbeats refused
 
 	heartbeats
 	session
@@ -81,26 +81,26 @@
 // heartbeats is the workers that report to this controller, and their heartbeats that
 // wait for replies.
 type heartbeats struct {
-	waiting  map[uint64]*pending // by our number
-	byHost   map[string]*pending
+	byRef    map[uint64]*pendingHeartbeat // by our number
+	byHost   map[string]*pendingHeartbeat
 	workers  map[string]*Worker
 	prunedAt time.Time
 }
 
 // session is the state of the link to the leader.
 type session struct {
-	encoder   *relay.Encoder // nil without a link
-	leader    string
-	term      uint64
-	unsent    []relay.Delta
-	weight    int // of unsent
-	abandoned []uint64
-	flushedAt time.Time
-	flushing  bool // a timer is set
+	encoder        *relay.Encoder // nil without a link
+	leader         string
+	term           uint64
+	unsent         []relay.Delta
+	unsentWeight   int // of unsent
+	abandoned      []uint64
+	flushedAt      time.Time
+	flushScheduled bool // a timer is set
 }
 
-// pending is a heartbeat that waits for its reply.
-type pending struct {
+// pendingHeartbeat is a heartbeat that waits for its reply.
+type pendingHeartbeat struct {
 	ref        uint64
 	report     heartbeat.Report
 	receivedAt time.Time
@@ -121,7 +121,7 @@
 }
 
 func (f *Forwarder) reset() {
-	f.heartbeats = heartbeats{waiting: map[uint64]*pending{}, byHost: map[string]*pending{}, workers: map[string]*Worker{}}
+	f.heartbeats = heartbeats{byRef: map[uint64]*pendingHeartbeat{}, byHost: map[string]*pendingHeartbeat{}, workers: map[string]*Worker{}}
 	f.session = session{}
 	f.prober = prober{}
 }
@@ -129,24 +129,24 @@
 // Workers returns how many workers report to this controller while it does not lead.
 func (f *Forwarder) Workers() int { return len(f.workers) }
 
-// Stale returns how many heartbeats were refused because a newer one was known.
-func (f *Forwarder) Stale() int64 { return f.stale }
+// StaleHeartbeats returns how many heartbeats were refused because a newer one was known.
+func (f *Forwarder) StaleHeartbeats() int64 { return f.staleHeartbeats }
 
-// Session returns the number of the session with the leader, 0 for none.
-func (f *Forwarder) Session() uint64 {
+// SessionID returns the number of the session with the leader, 0 for none.
+func (f *Forwarder) SessionID() uint64 {
 	if f.encoder == nil {
 		return 0
 	}
 	return f.encoder.Session()
 }
 
-// TakeOver empties the forwarder for a controller that begins to lead. It returns the
+// TakePending empties the forwarder for a controller that begins to lead. It returns the
 // heartbeats that wait for replies, in the order in which they came, and the workers
 // that have reported here, by host.
-func (f *Forwarder) TakeOver() ([]heartbeat.Received, map[string]*Worker) {
+func (f *Forwarder) TakePending() ([]heartbeat.Received, map[string]*Worker) {
 	var waiting []heartbeat.Received
-	for _, ref := range f.refs() {
-		waiting = append(waiting, heartbeat.Received{Ref: ref, Report: f.waiting[ref].report})
+	for _, ref := range f.waitingRefs() {
+		waiting = append(waiting, heartbeat.Received{Ref: ref, Report: f.byRef[ref].report})
 	}
 	workers := f.workers
 	f.reset()
@@ -161,7 +161,7 @@
 	}
 	if p := f.byHost[report.Host]; p != nil {
 		if !report.Newer(p.report.Incarnation, p.report.Counter) {
-			f.stale++
+			f.staleHeartbeats++
 			f.engine.Emit(heartbeat.Reply{Ref: in.Ref, Status: 503}) // delayed on the way
 			return
 		}
@@ -169,7 +169,7 @@
 		f.engine.Emit(heartbeat.Reply{Ref: p.ref, Status: 503})
 	}
 	upstream := f.controller.Upstream()
-	if len(f.cfg.Seeds) == 0 || upstream.outOfReach(f.engine.Now) {
+	if len(f.cfg.Seeds) == 0 || upstream.unreachable(f.engine.Now) {
 		f.engine.Emit(heartbeat.Reply{Ref: in.Ref, Status: 421, Upstream: upstream.Leader})
 		return
 	}
@@ -179,16 +179,16 @@
 		f.workers[report.Host] = w
 	}
 	*w = Worker{address: report.Address, incarnation: report.Incarnation, fencingToken: report.FencingToken, lastHeartbeat: f.engine.Now}
-	p := &pending{ref: in.Ref, report: *report, receivedAt: f.engine.Now}
-	f.waiting[p.ref], f.byHost[report.Host] = p, p
+	p := &pendingHeartbeat{ref: in.Ref, report: *report, receivedAt: f.engine.Now}
+	f.byRef[p.ref], f.byHost[report.Host] = p, p
 	if f.encoder != nil {
-		f.add(p.ref, &p.report)
+		f.enqueue(p.ref, &p.report)
 	}
 }
 
 // Abandon drops a heartbeat whose worker no longer waits for the reply.
 func (f *Forwarder) Abandon(ref uint64) {
-	if p := f.waiting[ref]; p != nil {
+	if p := f.byRef[ref]; p != nil {
 		f.drop(p)
 	}
 }
@@ -196,19 +196,19 @@
 func (f *Forwarder) workerLease() time.Duration { return f.cfg.Settings.Workers.Lease.Duration() }
 
 // remove removes a heartbeat from those that wait.
-func (h *heartbeats) remove(p *pending) {
-	delete(h.waiting, p.ref)
+func (h *heartbeats) remove(p *pendingHeartbeat) {
+	delete(h.byRef, p.ref)
 	if h.byHost[p.report.Host] == p {
 		delete(h.byHost, p.report.Host)
 	}
 }
 
-// refs returns the numbers of the waiting heartbeats, in the order in which they came.
-func (h *heartbeats) refs() []uint64 { return slices.Sorted(maps.Keys(h.waiting)) }
+// waitingRefs returns the numbers of the waiting heartbeats, in the order in which they came.
+func (h *heartbeats) waitingRefs() []uint64 { return slices.Sorted(maps.Keys(h.byRef)) }
 
 // drop removes a heartbeat for whose reply nobody waits any more, and has the leader
 // told so.
-func (f *Forwarder) drop(p *pending) {
+func (f *Forwarder) drop(p *pendingHeartbeat) {
 	f.remove(p)
 	if f.encoder != nil {
 		f.abandoned = append(f.abandoned, p.ref)
@@ -234,9 +234,9 @@
 // expire sends the workers elsewhere whose heartbeats cannot be answered in time.
 func (f *Forwarder) expire() {
 	upstream := f.controller.Upstream()
-	outOfReach := upstream.outOfReach(f.engine.Now)
-	for _, ref := range f.refs() {
-		p := f.waiting[ref]
+	outOfReach := upstream.unreachable(f.engine.Now)
+	for _, ref := range f.waitingRefs() {
+		p := f.byRef[ref]
 		if !outOfReach && f.engine.Now.Sub(p.receivedAt) < replyTimeout {
 			continue
 		}
--- a/internal/forwarder/prober.go
+++ b/internal/forwarder/prober.go
@@ -16,11 +16,11 @@
 	probesInFlight int
 }
 
-// startProbes shows the new leader's fencing token to our workers, as the leader itself
+// probeWorkers shows the new leader's fencing token to our workers, as the leader itself
 // does with its own: all relays together probe many more at a time. Only once the
 // key-value store has confirmed the term: a worker that has seen a fencing token that
 // never was is of no use any more.
-func (f *Forwarder) startProbes() {
+func (f *Forwarder) probeWorkers() {
 	f.prober = prober{probedTerm: f.term}
 	recently := 2 * f.cfg.Settings.Workers.Report.Duration()
 	for _, host := range slices.Sorted(maps.Keys(f.workers)) {
@@ -39,13 +39,13 @@
 		host := f.queue[0]
 		f.queue = f.queue[1:]
 		if w := f.workers[host]; w != nil && w.fencingToken < f.probedTerm && f.byHost[host] == nil {
-			f.probe(host, w, w.incarnation)
+			f.probeWorker(host, w, w.incarnation)
 		}
 	}
 }
 
-// probe probes one worker, and once more if its incarnation turns out to be another.
-func (f *Forwarder) probe(host string, w *Worker, incarnation uint64) {
+// probeWorker probes one worker, and once more if its incarnation turns out to be another.
+func (f *Forwarder) probeWorker(host string, w *Worker, incarnation uint64) {
 	term := f.probedTerm
 	f.probesInFlight++
 	probe.Send(f.engine, w.address, term, incarnation, func(p heartbeat.ProbeReply) {
@@ -58,10 +58,10 @@
 		case f.controller.Leads() || p.Outcome == rpc.Unknown || report.Host != host:
 		case p.Outcome == rpc.Conflict && report.Incarnation != incarnation && report.Incarnation != w.incarnation:
 			w.incarnation = report.Incarnation
-			f.probe(host, w, report.Incarnation)
+			f.probeWorker(host, w, report.Incarnation)
 		case p.Outcome == rpc.OK && report.FencingToken == term && f.encoder != nil && f.term == term:
 			w.fencingToken = term
-			f.add(0, report)
+			f.enqueue(0, report)
 		}
 		f.probeNext()
 	})
--- a/internal/forwarder/session.go
+++ b/internal/forwarder/session.go
@@ -13,45 +13,45 @@
 func (f *Forwarder) Run() {
 	upstream := f.controller.Upstream()
 	if !upstream.usable() {
-		f.encoder, f.unsent, f.abandoned, f.weight = nil, nil, nil, 0
+		f.encoder, f.unsent, f.abandoned, f.unsentWeight = nil, nil, nil, 0
 		return
 	}
 	if f.encoder == nil || f.leader != upstream.Leader || f.term != upstream.Term {
-		f.open(upstream.Leader, upstream.Term)
+		f.openSession(upstream.Leader, upstream.Term)
 	}
 	if upstream.ConfirmedTerm == f.term && f.probedTerm != f.term {
-		f.startProbes()
+		f.probeWorkers()
 	}
 	if len(f.unsent) == 0 && len(f.abandoned) == 0 {
 		return
 	}
 	interval := min(flushInterval+time.Duration(len(f.workers))*flushIntervalPerWorker, maxFlushInterval)
-	if wait := f.flushedAt.Add(interval).Sub(f.engine.Now); wait > 0 && f.weight < relay.MaxMessageWeight {
-		if !f.flushing {
-			f.flushing = true
-			f.engine.After(wait, func() { f.flushing = false }) // Run follows in the same step
+	if wait := f.flushedAt.Add(interval).Sub(f.engine.Now); wait > 0 && f.unsentWeight < relay.MaxMessageWeight {
+		if !f.flushScheduled {
+			f.flushScheduled = true
+			f.engine.After(wait, func() { f.flushScheduled = false }) // Run follows in the same step
 		}
 		return
 	}
 	f.flush()
 }
 
-// open opens a session with a leader and sends it all heartbeats that wait here.
-func (f *Forwarder) open(leader string, term uint64) {
+// openSession opens a session with a leader and sends it all heartbeats that wait here.
+func (f *Forwarder) openSession(leader string, term uint64) {
 	f.leader, f.term = leader, term
 	f.encoder = relay.NewEncoder(f.engine.Rand.Uint64() | 1) // never 0
-	f.unsent, f.abandoned, f.weight = nil, nil, 0
-	for _, ref := range f.refs() {
-		f.add(ref, &f.waiting[ref].report)
+	f.unsent, f.abandoned, f.unsentWeight = nil, nil, 0
+	for _, ref := range f.waitingRefs() {
+		f.enqueue(ref, &f.byRef[ref].report)
 	}
 	f.flush()
 }
 
-// add encodes a report to be sent with the next batch.
-func (s *session) add(ref uint64, report *heartbeat.Report) {
+// enqueue encodes a report to be sent with the next batch.
+func (s *session) enqueue(ref uint64, report *heartbeat.Report) {
 	d := s.encoder.Encode(ref, report)
 	s.unsent = append(s.unsent, d)
-	s.weight += d.Weight()
+	s.unsentWeight += d.Weight()
 }
 
 // flush sends what has not been sent, or an empty batch.
@@ -69,7 +69,7 @@
 		f.engine.Emit(peermsg.Outgoing{To: f.leader, Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: f.term, Reports: batch}})
 		f.unsent = f.unsent[n:]
 	}
-	f.unsent, f.weight, f.flushedAt = nil, 0, f.engine.Now
+	f.unsent, f.unsentWeight, f.flushedAt = nil, 0, f.engine.Now
 }
 
 // HandleReplies forwards the leader's replies to workers. Only those of the newest known
@@ -83,7 +83,7 @@
 		return
 	}
 	if replies.Resync {
-		f.open(upstream.Leader, upstream.Term)
+		f.openSession(upstream.Leader, upstream.Term)
 		return
 	}
 	for i := range replies.List {
@@ -92,7 +92,7 @@
 }
 
 func (f *Forwarder) handleReply(r *relay.Reply) {
-	p := f.waiting[r.Ref]
+	p := f.byRef[r.Ref]
 	if p == nil {
 		return
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,9 +26,9 @@
 
 // How long the leader has to answer a forwarded request.
 const (
-	forwardTimeout       = 2500 * time.Millisecond
-	forwardGetTimeout    = 800 * time.Millisecond // a poll is given up after 2 s
-	forwardSubmitTimeout = 700 * time.Millisecond
+	defaultForwardTimeout = 2500 * time.Millisecond
+	forwardGetTimeout     = 800 * time.Millisecond // a poll is given up after 2 s
+	forwardSubmitTimeout  = 700 * time.Millisecond
 )
 
 // Reasons of answers with status 503.
@@ -52,8 +52,8 @@
 	Leads() bool
 	// Upstream returns what is known about the leader.
 	Upstream() Upstream
-	// AskLeaderVersion asks the leader for the version that it speaks.
-	AskLeaderVersion()
+	// RequestLeaderVersion asks the leader for the version that it speaks.
+	RequestLeaderVersion()
 	// Cluster returns what this controller knows of the cluster.
 	Cluster() *view.Cluster
 	// LastLeaderReplica returns the replica of the last leader's records, or nil if there
@@ -97,18 +97,18 @@
 	}
 }
 
-func (g *Gateway) answer(r request.Request, answer request.Response) {
+func (g *Gateway) respond(r request.Request, answer request.Response) {
 	g.engine.Emit(peermsg.Reply(r, answer))
 }
 
 // Serve serves a request that the controller cannot serve as the leader.
 func (g *Gateway) Serve(r request.Request) {
 	if r.From != "" {
-		g.answer(r, request.Unavailable(notLeader))
+		g.respond(r, request.Unavailable(notLeader))
 		return
 	}
 	if final, ok := g.jobs.Final(r.ID); ok {
-		g.answer(r, request.Response{Status: 200, View: jobstore.FinalStatus(r.ID, final)})
+		g.respond(r, request.Response{Status: 200, View: jobstore.FinalStatus(r.ID, final)})
 		return
 	}
 	upstream := g.controller.Upstream()
@@ -117,8 +117,8 @@
 		return
 	}
 	if r.Config != nil && !upstream.KnowsConfig {
-		g.controller.AskLeaderVersion()
-		g.answer(r, request.Unavailable("the leader has not said that it knows live configuration"))
+		g.controller.RequestLeaderVersion()
+		g.respond(r, request.Unavailable("the leader has not said that it knows live configuration"))
 		return
 	}
 	g.forward(r, upstream.Leader)
@@ -137,7 +137,7 @@
 		Schedule: r.Schedule,
 		Config:   r.Config,
 	}})
-	timeout := forwardTimeout
+	timeout := defaultForwardTimeout
 	switch r.Op {
 	case request.Get:
 		timeout = forwardGetTimeout
@@ -172,7 +172,7 @@
 		// that is cancelled and still on record, with tasks that are not yet stopped.
 		g.jobs.Remember(f.request.ID, record.Final{State: answer.View.State, Done: answer.View.Done})
 	}
-	g.answer(f.request, *answer)
+	g.respond(f.request, *answer)
 }
 
 // HandleLinkLost serves what was forwarded over a link that is lost.
@@ -189,31 +189,31 @@
 func (g *Gateway) serveWithoutLeader(r request.Request) {
 	switch r.Op {
 	case request.Get:
-		g.get(r)
+		g.serveGet(r)
 	case request.Submit:
-		g.submit(r)
+		g.admitLeaderless(r)
 	case request.Cluster:
-		g.answer(r, request.Response{Status: 200, Doc: g.controller.Cluster()})
+		g.respond(r, request.Response{Status: 200, Doc: g.controller.Cluster()})
 	default:
-		g.answer(r, request.Unavailable(noLeader))
+		g.respond(r, request.Unavailable(noLeader))
 	}
 }
 
-// get answers a poll by the records, corrected by the last leader's replica.
-func (g *Gateway) get(r request.Request) {
+// serveGet answers a poll by the records, corrected by the last leader's replica.
+func (g *Gateway) serveGet(r request.Request) {
 	g.jobs.Read(r.ID, func(status *request.JobStatus, known bool) {
 		k := g.controller.LastLeaderReplica()
 		if !known || k == nil {
-			g.answer(r, request.Unavailable("the state service does not answer"))
+			g.respond(r, request.Unavailable("the state service does not answer"))
 			return
 		}
 		status = correctByReplica(k, r.ID, status)
 		if status == nil {
 			// Only a leader, who knows what was lost, can say that there is no such job.
-			g.answer(r, request.Unavailable(noLeader))
+			g.respond(r, request.Unavailable(noLeader))
 			return
 		}
-		g.answer(r, request.Response{Status: 200, View: *status})
+		g.respond(r, request.Response{Status: 200, View: *status})
 	})
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -30,35 +30,35 @@
 	finalKey = record.FinalPrefix + "wk-1"
 )
 
-// node is a controller that does not lead, with its gateway.
-type node struct {
+// fakeController is a controller that does not lead, with its gateway.
+type fakeController struct {
 	*Gateway
-	t        *testing.T
-	leads    bool
-	upstream Upstream
-	asked    int // for the leader's version
-	replica  *replica.Replica
+	t               *testing.T
+	leads           bool
+	upstream        Upstream
+	versionRequests int // for the leader's version
+	replica         *replica.Replica
 }
 
-func (n *node) Leads() bool                         { return n.leads }
-func (n *node) Upstream() Upstream                  { return n.upstream }
-func (n *node) AskLeaderVersion()                   { n.asked++ }
-func (n *node) Cluster() *view.Cluster              { return &view.Cluster{Node: "n0"} }
-func (n *node) LastLeaderReplica() *replica.Replica { return n.replica }
-func (n *node) Team(_ *replica.Replica, name string) *quota.Account {
+func (n *fakeController) Leads() bool                         { return n.leads }
+func (n *fakeController) Upstream() Upstream                  { return n.upstream }
+func (n *fakeController) RequestLeaderVersion()               { n.versionRequests++ }
+func (n *fakeController) Cluster() *view.Cluster              { return &view.Cluster{Node: "n0"} }
+func (n *fakeController) LastLeaderReplica() *replica.Replica { return n.replica }
+func (n *fakeController) Team(_ *replica.Replica, name string) *quota.Account {
 	if name != "t" {
 		return nil
 	}
 	return quota.New(liveconfig.Team{Name: "t"})
 }
 
-func (n *node) HighestTerm() uint64    { return n.upstream.Term }
-func (n *node) ConfirmedTerm() uint64  { return n.upstream.Term }
-func (n *node) IsLinked(string) bool   { return true }
-func (n *node) HasLoadedRecords() bool { return false }
+func (n *fakeController) HighestTerm() uint64    { return n.upstream.Term }
+func (n *fakeController) ConfirmedTerm() uint64  { return n.upstream.Term }
+func (n *fakeController) IsLinked(string) bool   { return true }
+func (n *fakeController) HasLoadedRecords() bool { return false }
 
-// newNode returns a node with a link to the leader n1, and with the replica of its term.
-func newNode(t *testing.T) *node {
+// newFakeController returns a node with a link to the leader n1, and with the replica of its term.
+func newFakeController(t *testing.T) *fakeController {
 	t.Helper()
 	p, err := policy.New(map[string]string{"refuse": "false"})
 	if err != nil {
@@ -68,7 +68,7 @@
 	cfg.Settings.State = config.State{RPS: 100, WriteRPS: 300, ValueKB: 64, TxnOps: 16}
 	e := engine.New(rand.New(rand.NewPCG(1, 1)), 1)
 	e.Begin(time.Unix(1_900_000_000, 0))
-	n := &node{t: t, upstream: Upstream{Leader: "n1", Linked: true, Term: 5, TermRevision: 40}}
+	n := &fakeController{t: t, upstream: Upstream{Leader: "n1", Linked: true, Term: 5, TermRevision: 40}}
 	n.replica = replica.New(1, 5, record.FinalPrefix, 100)
 	n.replica.Put(record.ConfigHeadKey, nil, 17)
 	n.Gateway = New(e, n, cfg, p, jobstore.NewReader(e, 100, 1, 10), replication.New(e, cfg, n))
@@ -76,8 +76,8 @@
 	return n
 }
 
-// take returns the outputs of the present step of one type and forgets all.
-func take[T any](n *node) (found []T) {
+// takeOutputs returns the outputs of the present step of one type and forgets all.
+func takeOutputs[T any](n *fakeController) (found []T) {
 	for _, out := range n.engine.Outputs {
 		if x, ok := out.(T); ok {
 			found = append(found, x)
@@ -87,25 +87,25 @@
 	return found
 }
 
-func one[T any](n *node) T {
+func takeOutput[T any](n *fakeController) T {
 	n.t.Helper()
-	found := take[T](n)
+	found := takeOutputs[T](n)
 	if len(found) != 1 {
 		n.t.Fatalf("%d outputs of type %T, want one", len(found), *new(T))
 	}
 	return found[0]
 }
 
-// reply answers the one request to the store and returns it.
-func (n *node) reply(r kv.Response) kv.Request {
+// replyFromStore answers the one request to the store and returns it.
+func (n *fakeController) replyFromStore(r kv.Response) kv.Request {
 	n.t.Helper()
-	call := one[kv.Request](n)
+	call := takeOutput[kv.Request](n)
 	r.Ref = call.Ref
 	n.engine.HandleStore(r)
 	return call
 }
 
-func (n *node) pass(d time.Duration) {
+func (n *fakeController) advance(d time.Duration) {
 	n.engine.Begin(n.engine.Now.Add(d))
 	n.engine.RunTimers()
 }
@@ -115,9 +115,9 @@
 }
 
 func TestForwardedRequestIsAnswered(t *testing.T) {
-	n := newNode(t)
+	n := newFakeController(t)
 	n.Serve(request.Request{Ref: 9, Op: request.Cancel, ID: "wk-1"})
-	sent := one[peermsg.Outgoing](n)
+	sent := takeOutput[peermsg.Outgoing](n)
 	if sent.To != "n1" || sent.Msg.Kind != peermsg.Request || sent.Msg.Op != request.Cancel || sent.Msg.ID != "wk-1" {
 		t.Fatalf("%+v", sent)
 	}
@@ -126,18 +126,18 @@
 	other := answer
 	other.Answer = &request.Response{Status: 200, View: request.JobStatus{ID: "wk-2"}}
 	n.HandleResponse("n1", other)
-	if got := take[request.Response](n); len(got) != 0 {
+	if got := takeOutputs[request.Response](n); len(got) != 0 {
 		t.Fatalf("answered by another controller, or about another job: %+v", got)
 	}
 	n.HandleResponse("n1", answer)
-	if got := one[request.Response](n); got.Ref != 9 || got.Status != 200 || got.View.State != spec.Cancelled {
+	if got := takeOutput[request.Response](n); got.Ref != 9 || got.Status != 200 || got.View.State != spec.Cancelled {
 		t.Errorf("%+v", got)
 	}
 	if _, ok := n.jobs.Final("wk-1"); ok {
 		t.Error("the answer to a cancellation is remembered as a job's end")
 	}
 	n.HandleResponse("n1", answer)
-	if got := take[request.Response](n); len(got) != 0 {
+	if got := takeOutputs[request.Response](n); len(got) != 0 {
 		t.Errorf("answered twice: %+v", got)
 	}
 }
@@ -154,29 +154,29 @@
 		{request.Cluster, 2500 * time.Millisecond, 200},
 	} {
 		t.Run(string(test.op), func(t *testing.T) {
-			outcome := func(n *node, when string) {
+			outcome := func(n *fakeController, when string) {
 				t.Helper()
 				if test.status == 0 {
-					one[kv.Request](n)
-				} else if got := one[request.Response](n); got.Status != test.status {
+					takeOutput[kv.Request](n)
+				} else if got := takeOutput[request.Response](n); got.Status != test.status {
 					t.Errorf("%s: %+v", when, got)
 				}
 			}
 			r := submission("wk-1")
 			r.Op = test.op
-			n := newNode(t)
+			n := newFakeController(t)
 			n.Serve(r)
-			one[peermsg.Outgoing](n)
-			n.pass(test.timeout - time.Millisecond)
+			takeOutput[peermsg.Outgoing](n)
+			n.advance(test.timeout - time.Millisecond)
 			if len(n.engine.Outputs) != 0 {
 				t.Errorf("%+v before the timeout", n.engine.Outputs)
 			}
-			n.pass(time.Millisecond)
+			n.advance(time.Millisecond)
 			outcome(n, "after the timeout")
 
-			n = newNode(t)
+			n = newFakeController(t)
 			n.Serve(r)
-			one[peermsg.Outgoing](n)
+			takeOutput[peermsg.Outgoing](n)
 			n.HandleLinkLost("n2")
 			if len(n.engine.Outputs) != 0 {
 				t.Errorf("%+v after another link is lost", n.engine.Outputs)
@@ -188,21 +188,21 @@
 }
 
 func TestServeWithoutForwarding(t *testing.T) {
-	n := newNode(t)
+	n := newFakeController(t)
 	n.Serve(request.Request{Ref: 9, From: "n2", Op: request.Get, ID: "wk-1"})
-	if got := one[peermsg.Outgoing](n); got.To != "n2" || got.Msg.Ref != 9 || got.Msg.Answer.Status != 503 || got.Msg.Answer.Reason != "not the leader" {
+	if got := takeOutput[peermsg.Outgoing](n); got.To != "n2" || got.Msg.Ref != 9 || got.Msg.Answer.Status != 503 || got.Msg.Answer.Reason != "not the leader" {
 		t.Errorf("to one that took us for the leader: %+v", got)
 	}
 	n.Serve(request.Request{Ref: 9, Op: request.ConfigSet, Config: &request.ConfigParams{}})
-	if got := one[request.Response](n); got.Status != 503 || n.asked != 1 {
-		t.Errorf("configuration, the leader's version unknown: %+v, asked %d times", got, n.asked)
+	if got := takeOutput[request.Response](n); got.Status != 503 || n.versionRequests != 1 {
+		t.Errorf("configuration, the leader's version unknown: %+v, asked %d times", got, n.versionRequests)
 	}
 	n.upstream.KnowsConfig = true
 	n.Serve(request.Request{Ref: 9, Op: request.ConfigSet, Config: &request.ConfigParams{}})
-	one[peermsg.Outgoing](n)
+	takeOutput[peermsg.Outgoing](n)
 	n.jobs.Remember("wk-1", record.Final{State: spec.Done, Done: 3})
 	n.Serve(request.Request{Ref: 9, Op: request.Get, ID: "wk-1"})
-	if got := one[request.Response](n); got.Status != 200 || got.View.State != spec.Done || got.View.Done != 3 {
+	if got := takeOutput[request.Response](n); got.Status != 200 || got.View.State != spec.Done || got.View.Done != 3 {
 		t.Errorf("the end of a job, remembered: %+v", got)
 	}
 }
@@ -245,45 +245,48 @@
 // has no record and that neither the term nor the configuration has changed.
 func TestLeaderlessAdmission(t *testing.T) {
 	conditions := []kv.Condition{{Key: liveKey}, {Key: finalKey}, {Key: record.TermKey, Rev: 40}, {Key: record.ConfigHeadKey, Rev: 17}}
-	n := newNode(t)
+	n := newFakeController(t)
 	n.upstream.Linked = false
 	n.Serve(submission("wk-1"))
-	call := n.reply(kv.Response{Outcome: rpc.OK, Rev: 50})
+	call := n.replyFromStore(kv.Response{Outcome: rpc.OK, Rev: 50})
 	if call.Op != kv.Txn || !slices.Equal(call.Conditions, conditions) {
 		t.Errorf("%+v", call)
 	}
 	if len(call.Writes) != 2 || call.Writes[0].Key != liveKey || call.Writes[1].Key != record.LeaderlessPrefix+"wk-1" {
 		t.Errorf("%+v", call.Writes)
 	}
-	if got := take[request.Response](n); len(got) != 1 || got[0].Status != 201 || got[0].View.State != spec.Queued {
+	if got := takeOutputs[request.Response](n); len(got) != 1 || got[0].Status != 201 || got[0].View.State != spec.Queued {
 		t.Errorf("%+v", got)
 	}
 
 	n.Serve(submission("wk-1"))
-	n.reply(kv.Response{Outcome: rpc.Conflict})
-	n.reply(kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{{Key: liveKey, Value: &record.Job{}}}})
-	if got := one[request.Response](n); got.Status != 200 || got.View.State != spec.Queued {
+	n.replyFromStore(kv.Response{Outcome: rpc.Conflict})
+	n.replyFromStore(kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{{Key: liveKey, Value: &record.Job{}}}})
+	if got := takeOutput[request.Response](n); got.Status != 200 || got.View.State != spec.Queued {
 		t.Errorf("a job that has a record: %+v", got)
 	}
 }
 
 func TestLeaderlessAdmissionDeclined(t *testing.T) {
-	for name, change := range map[string]func(*node, *request.Request){
-		"leads without authority":    func(n *node, _ *request.Request) { n.leads = true },
-		"no instance types":          func(n *node, _ *request.Request) { n.SetInstanceTypes(nil) },
-		"no replica":                 func(n *node, _ *request.Request) { n.replica = nil },
-		"over by the replica":        func(n *node, _ *request.Request) { n.replica.Put(finalKey, &record.Final{}, 3) },
-		"refused, live by replica":   func(n *node, r *request.Request) { n.replica.Put(liveKey, &record.Job{}, 3); r.Spec.Owner = "x" },
-		"no other controllers":       func(n *node, _ *request.Request) { n.cfg.Seeds = nil },
-		"the allowance is exhausted": func(n *node, _ *request.Request) { n.writeLimit.AllowN(n.engine.Now, n.writeLimit.Burst()) },
+	for name, change := range map[string]func(*fakeController, *request.Request){
+		"leads without authority": func(n *fakeController, _ *request.Request) { n.leads = true },
+		"no instance types":       func(n *fakeController, _ *request.Request) { n.SetInstanceTypes(nil) },
+		"no replica":              func(n *fakeController, _ *request.Request) { n.replica = nil },
+		"over by the replica":     func(n *fakeController, _ *request.Request) { n.replica.Put(finalKey, &record.Final{}, 3) },
+		"refused, live by replica": func(n *fakeController, r *request.Request) {
+			n.replica.Put(liveKey, &record.Job{}, 3)
+			r.Spec.Owner = "x"
+		},
+		"no other controllers":       func(n *fakeController, _ *request.Request) { n.cfg.Seeds = nil },
+		"the allowance is exhausted": func(n *fakeController, _ *request.Request) { n.writeLimit.AllowN(n.engine.Now, n.writeLimit.Burst()) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := newNode(t)
+			n := newFakeController(t)
 			n.upstream.Linked = false
 			r := submission("wk-1")
 			change(n, &r)
 			n.Serve(r)
-			if got := one[request.Response](n); got.Status != 503 {
+			if got := takeOutput[request.Response](n); got.Status != 503 {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -294,16 +297,16 @@
 // nobody ever accepted it.
 func TestLeaderlessRefusal(t *testing.T) {
 	for outcome, status := range map[rpc.Outcome]int{rpc.OK: 422, rpc.Conflict: 503, rpc.Unknown: 503} {
-		n := newNode(t)
+		n := newFakeController(t)
 		n.upstream.Linked = false
 		r := submission("wk-1")
 		r.Spec.CPUs = 9
 		n.Serve(r)
-		call := n.reply(kv.Response{Outcome: outcome})
+		call := n.replyFromStore(kv.Response{Outcome: outcome})
 		if len(call.Writes) != 0 || len(call.Conditions) != 4 {
 			t.Errorf("%+v", call)
 		}
-		if got := one[request.Response](n); got.Status != status || status == 422 && got.Field != "vcpus" {
+		if got := takeOutput[request.Response](n); got.Status != status || status == 422 && got.Field != "vcpus" {
 			t.Errorf("outcome %v: %+v", outcome, got)
 		}
 	}
--- a/internal/gateway/leaderless.go
+++ b/internal/gateway/leaderless.go
@@ -32,23 +32,23 @@
 // with all others, as a job accepted earlier.
 const (
 	leaderlessWriteShare = 0.1 // of the changes that the key-value store allows: a leader uses up to nine tenths
-	leaderlessBurst      = 0.5 // of one second's changes: all controllers together stay below what the store takes at once
+	leaderlessBurstShare = 0.5 // of one second's changes: all controllers together stay below what the store takes at once
 	// instanceTypesInterval is how often a controller that does not lead reads the
 	// instance types.
-	instanceTypesInterval  = time.Minute
-	instanceTypesRetry     = 4 * time.Second
-	instanceTypesFirstRead = 400 * time.Millisecond // after the start of the process
+	instanceTypesInterval     = time.Minute
+	instanceTypesRetryDelay   = 4 * time.Second
+	instanceTypesInitialDelay = 400 * time.Millisecond // after the start of the process
 )
 
 func newWriteLimit(writes float64, controllers int) *rate.Limiter {
 	n := float64(controllers)
-	return rate.NewLimiter(rate.Limit(writes*leaderlessWriteShare/n), max(1, int(writes*leaderlessBurst/n)))
+	return rate.NewLimiter(rate.Limit(writes*leaderlessWriteShare/n), max(1, int(writes*leaderlessBurstShare/n)))
 }
 
 // Start begins to read the instance types. It does not read them at once: a process that
 // ends again and again would use up what calls the cloud allows to all of them.
 func (g *Gateway) Start() {
-	g.engine.After(g.engine.Jitter(instanceTypesFirstRead), g.refreshInstanceTypes)
+	g.engine.After(g.engine.Jitter(instanceTypesInitialDelay), g.refreshInstanceTypes)
 }
 
 // InstanceTypes returns the instance types as they were last read.
@@ -66,7 +66,7 @@
 	}
 	g.engine.CallCloud(provider.Request{Op: provider.Catalog}, func(r provider.Response) {
 		if r.Outcome != rpc.OK || len(r.InstanceTypes) == 0 {
-			g.engine.After(g.engine.Jitter(instanceTypesRetry), g.refreshInstanceTypes)
+			g.engine.After(g.engine.Jitter(instanceTypesRetryDelay), g.refreshInstanceTypes)
 			return
 		}
 		g.instanceTypes = r.InstanceTypes
@@ -74,103 +74,103 @@
 	})
 }
 
-// submit records a submission without a leader, or refuses one that can never be scheduled.
-func (g *Gateway) submit(r request.Request) {
+// admitLeaderless records a submission without a leader, or refuses one that can never be scheduled.
+func (g *Gateway) admitLeaderless(r request.Request) {
 	job, no := r.Spec, request.Unavailable(noLeader)
-	if !g.admitsLeaderless(r) {
-		g.answer(r, no)
+	if !g.allowsLeaderlessAdmission(r) {
+		g.respond(r, no)
 		return
 	}
 	if !jobstore.FitsValue(record.JobSize(job), g.cfg.Settings.State) {
-		g.answer(r, admission.TooLong)
+		g.respond(r, admission.TooLong)
 		return
 	}
 	// The store may have lost data and not know of all jobs. Whoever has the last leader's
 	// replica knows.
 	k := g.controller.LastLeaderReplica()
 	if k == nil {
-		g.answer(r, no)
+		g.respond(r, no)
 		return
 	}
 	if _, over := k.Get(record.FinalPrefix + job.ID); over {
-		g.answer(r, no)
+		g.respond(r, no)
 		return
 	}
 	if refusal := admission.CheckSchedulable(job, g.controller.Team(k, job.Owner), g.instanceTypes); refusal != nil {
-		g.refuse(r, k, refusal.Response())
+		g.refuseLeaderless(r, k, refusal.Response())
 		return
 	}
 	if !g.writeLimit.AllowN(g.engine.Now, 2) || !g.jobs.Allow(1) {
-		g.answer(r, no)
+		g.respond(r, no)
 		return
 	}
-	g.accept(r, k)
+	g.acceptLeaderless(r, k)
 }
 
-// admitsLeaderless reports whether this controller may accept a submission by itself.
-func (g *Gateway) admitsLeaderless(r request.Request) bool {
+// allowsLeaderlessAdmission reports whether this controller may accept a submission by itself.
+func (g *Gateway) allowsLeaderlessAdmission(r request.Request) bool {
 	return !g.controller.Leads() && r.From == "" && len(g.cfg.Seeds) > 0 && len(g.instanceTypes) > 0 && g.policy.NeverRefuses()
 }
 
-// conditions returns the conditions of what is decided on a job without a leader: it has no
+// admissionConditions returns the admissionConditions of what is decided on a job without a leader: it has no
 // record, and the term that is known here is on record, because a store that has lost its
 // data knows of no job, not even of those that are over. Nor may the configuration have
 // changed since the replica.
-func (g *Gateway) conditions(id string, k *replica.Replica) []kv.Condition {
+func (g *Gateway) admissionConditions(id string, k *replica.Replica) []kv.Condition {
 	config, _ := k.Get(record.ConfigHeadKey)
 	return append(record.NoJob(id),
 		kv.Condition{Key: record.TermKey, Rev: g.controller.Upstream().TermRevision},
 		kv.Condition{Key: record.ConfigHeadKey, Rev: config.Rev})
 }
 
-// accept writes the record of a job, and the note for the leader.
-func (g *Gateway) accept(r request.Request, k *replica.Replica) {
+// acceptLeaderless writes the record of a job, and the note for the leader.
+func (g *Gateway) acceptLeaderless(r request.Request, k *replica.Replica) {
 	id, no := r.Spec.ID, request.Unavailable(noLeader)
 	job := &record.Job{Spec: *r.Spec, Submitted: g.engine.Now.Round(0)}
 	note := &record.Leader{Node: g.cfg.HostName, Term: max(1, g.controller.Upstream().Term)}
 	g.engine.CallStore(kv.Request{
 		Op:         kv.Txn,
-		Conditions: g.conditions(id, k),
+		Conditions: g.admissionConditions(id, k),
 		Writes:     []kv.Write{{Key: record.JobPrefix + id, Value: job}, {Key: record.LeaderlessPrefix + id, Value: note}},
 	}, func(reply kv.Response) {
 		switch reply.Outcome {
 		case rpc.OK:
 			g.engine.Log(slog.LevelInfo, "job accepted without a leader", "job", id)
 			g.replicas.SendLeaderlessJob(job, reply.Rev)
-			g.answer(r, request.Response{Status: 201, View: request.JobStatus{ID: id, State: spec.Queued}})
+			g.respond(r, request.Response{Status: 201, View: request.JobStatus{ID: id, State: spec.Queued}})
 		case rpc.Conflict, rpc.Unknown:
-			g.answerExisting(r)
+			g.respondWithExisting(r)
 		default:
-			g.answer(r, no)
+			g.respond(r, no)
 		}
 	})
 }
 
-// answerExisting answers a submission of a job that has a record, maybe of this very
+// respondWithExisting answers a submission of a job that has a record, maybe of this very
 // submission.
-func (g *Gateway) answerExisting(r request.Request) {
+func (g *Gateway) respondWithExisting(r request.Request) {
 	g.jobs.Read(r.Spec.ID, func(status *request.JobStatus, known bool) {
 		if known && status != nil {
-			g.answer(r, request.Response{Status: 200, View: *status})
+			g.respond(r, request.Response{Status: 200, View: *status})
 		} else {
-			g.answer(r, request.Unavailable(noLeader))
+			g.respond(r, request.Unavailable(noLeader))
 		}
 	})
 }
 
-// refuse refuses a submission for good, but only if the store confirms that nobody ever
+// refuseLeaderless refuses a submission for good, but only if the store confirms that nobody ever
 // accepted it and the last leader's replica says the same.
-func (g *Gateway) refuse(r request.Request, k *replica.Replica, refusal request.Response) {
+func (g *Gateway) refuseLeaderless(r request.Request, k *replica.Replica, refusal request.Response) {
 	id, no := r.Spec.ID, request.Unavailable(noLeader)
 	if _, live := k.Get(record.JobPrefix + id); live || !g.jobs.Allow(1) {
-		g.answer(r, no)
+		g.respond(r, no)
 		return
 	}
-	g.engine.CallStore(kv.Request{Op: kv.Txn, Conditions: g.conditions(id, k)}, func(reply kv.Response) {
+	g.engine.CallStore(kv.Request{Op: kv.Txn, Conditions: g.admissionConditions(id, k)}, func(reply kv.Response) {
 		if reply.Outcome == rpc.OK {
-			g.answer(r, refusal)
+			g.respond(r, refusal)
 		} else {
-			g.answer(r, no)
+			g.respond(r, no)
 		}
 	})
 }
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -25,14 +25,14 @@
 	released     expiringset.Set  // proven gone: their late heartbeats count for nothing
 	unaccounted  map[string]bool  // recorded machines, or unreadable records of machines, that may stand for an earlier term's tasks
 	places       *topology.Tree
-	zones        *zones.Watch
+	zones        *zones.Tracker
 	instanceType func(name string) *provider.InstanceType
 	workerLease  time.Duration
 }
 
 // New returns an inventory without machines. Function instanceType returns an instance type
 // of the catalog, or nil.
-func New(e *engine.Engine, z *zones.Watch, workerLease time.Duration, instanceType func(name string) *provider.InstanceType) *Inventory {
+func New(e *engine.Engine, z *zones.Tracker, workerLease time.Duration, instanceType func(name string) *provider.InstanceType) *Inventory {
 	places, _ := topology.New(topology.Definition{}) // zones alone: cannot fail
 	return &Inventory{
 		engine: e, byHost: map[string]*fleet.Machine{}, released: expiringset.New(e.Now), unaccounted: map[string]bool{},
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -21,8 +21,8 @@
 	Machines() []*fleet.Machine
 	// Unaccounted reports whether a machine may hold unknown tasks of an earlier term.
 	Unaccounted(host string) bool
-	// LedSince returns when the term began and when the leader last regained its authority.
-	LedSince() (electedAt, resumedAt time.Time)
+	// LeadershipTimes returns when the term began and when the leader last regained its authority.
+	LeadershipTimes() (electedAt, resumedAt time.Time)
 	// DropReservations has the tasks that wait for a machine placed elsewhere.
 	DropReservations(m *fleet.Machine)
 	// DispatchAll has waiting tasks started on what machines there are.
@@ -33,14 +33,14 @@
 	RequestProbe(zone string)
 }
 
-// unheardAfterElection is after how long in a term a machine of an earlier one counts as
+// electionGrace is after how long in a term a machine of an earlier one counts as
 // silent: its relay, or a probe, would have shown it by then.
-const unheardAfterElection = 2500 * time.Millisecond
+const electionGrace = 2500 * time.Millisecond
 
 // Monitor watches the zones and regions of one leadership.
 type Monitor struct {
-	Zones   *zones.Watch
-	Regions *zones.RegionWatch
+	Zones   *zones.Tracker
+	Regions *zones.RegionTracker
 
 	engine      *engine.Engine
 	leader      Leader
@@ -50,33 +50,33 @@
 // New returns a Monitor to which all zones are up. A machine whose last heartbeat is longer ago
 // than silentAfter counts as silent.
 func New(e *engine.Engine, leader Leader, s zones.Settings, regions *zones.Regions, silentAfter time.Duration) *Monitor {
-	return &Monitor{Zones: zones.New(s), Regions: zones.NewRegionWatch(regions), engine: e, leader: leader, silentAfter: silentAfter}
+	return &Monitor{Zones: zones.New(s), Regions: zones.NewRegionTracker(regions), engine: e, leader: leader, silentAfter: silentAfter}
 }
 
 // Observe looks at all machines and acts on what that says of their zones.
 func (o *Monitor) Observe() {
-	changes := o.Zones.Observe(o.engine.Now, o.observations())
+	changes := o.Zones.Observe(o.engine.Now, o.countMachines())
 	o.observeRegions()
 	for _, x := range changes {
-		o.logZone(x)
+		o.logZoneChange(x)
 		o.leader.DispatchAll()
 	}
 	o.markUnreachable()
-	o.releaseLostZones()
+	o.handleLostZones()
 }
 
-// observations returns how many machines are heard and silent in each zone.
-func (o *Monitor) observations() map[string]zones.Observation {
-	observations := map[string]zones.Observation{}
-	electedAt, _ := o.leader.LedSince()
-	justElected := o.engine.Now.Sub(electedAt) <= min(o.silentAfter, unheardAfterElection)
+// countMachines returns how many machines are heard and silent in each zone.
+func (o *Monitor) countMachines() map[string]zones.MachineCounts {
+	observations := map[string]zones.MachineCounts{}
+	electedAt, _ := o.leader.LeadershipTimes()
+	justElected := o.engine.Now.Sub(electedAt) <= min(o.silentAfter, electionGrace)
 	for _, m := range o.leader.Machines() {
 		if m.Releasing || !m.InterruptionAt.IsZero() || !m.Reported && !m.LeaseExpired && !o.leader.Unaccounted(m.Host) {
 			continue // on its way out, or not up yet
 		}
 		s := observations[m.Zone]
-		if o.isHeard(m) || !m.Reported && !m.LeaseExpired && justElected {
-			s.Heard++
+		if o.isReporting(m) || !m.Reported && !m.LeaseExpired && justElected {
+			s.Reporting++
 		} else {
 			s.Silent++
 		}
@@ -85,29 +85,29 @@
 	return observations
 }
 
-// isHeard reports whether a machine reports in time.
-func (o *Monitor) isHeard(m *fleet.Machine) bool {
+// isReporting reports whether a machine reports in time.
+func (o *Monitor) isReporting(m *fleet.Machine) bool {
 	since := m.LastHeartbeat
-	if _, resumedAt := o.leader.LedSince(); resumedAt.After(since) {
+	if _, resumedAt := o.leader.LeadershipTimes(); resumedAt.After(since) {
 		since = resumedAt
 	}
 	return m.Reported && o.engine.Now.Sub(since) <= o.silentAfter
 }
 
-// logZone logs that a zone has changed its state.
-func (o *Monitor) logZone(x zones.Change) {
+// logZoneChange logs that a zone has changed its state.
+func (o *Monitor) logZoneChange(x zones.Change) {
 	z, level := x.Zone, logLevel(x.To)
-	if r := o.Regions.Of(z.Name); r != nil && r.State != zones.Up {
+	if r := o.Regions.RegionOf(z.Name); r != nil && r.State != zones.Up {
 		level = slog.LevelDebug // the line of the region says it
 	}
-	o.engine.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.After, "heard", z.Seen.Heard, "silent", z.Seen.Silent)
+	o.engine.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.Previous, "heard", z.Counts.Reporting, "silent", z.Counts.Silent)
 }
 
 // observeRegions derives the states of the regions from those of their zones and logs changes.
 func (o *Monitor) observeRegions() {
 	for _, x := range o.Regions.Observe(o.engine.Now, o.Zones.All()) {
 		r := x.Region
-		o.engine.Log(logLevel(x.To), "region "+x.To.String(), "region", r.Name, "before", x.From.String(), "after", x.After, "zones", r.Zones, "away", r.UnreachableZones, "heard", r.Seen.Heard, "silent", r.Seen.Silent)
+		o.engine.Log(logLevel(x.To), "region "+x.To.String(), "region", r.Name, "before", x.From.String(), "after", x.Previous, "zones", r.Zones, "away", r.UnreachableZones, "heard", r.Counts.Reporting, "silent", r.Counts.Silent)
 	}
 }
 
@@ -125,7 +125,7 @@
 		switch {
 		case !m.ZoneState.Unreachable():
 			m.Unreachable = false
-		case m.Unreachable || m.Releasing || o.isHeard(m):
+		case m.Unreachable || m.Releasing || o.isReporting(m):
 		default:
 			m.Unreachable = true
 			o.leader.DropReservations(m)
@@ -133,19 +133,19 @@
 	}
 }
 
-// releaseLostZones probes lost zones and releases those of their machines that are not to be
+// handleLostZones probes lost zones and releases those of their machines that are not to be
 // kept any longer, the most expensive first.
-func (o *Monitor) releaseLostZones() {
+func (o *Monitor) handleLostZones() {
 	for _, z := range o.Zones.All() {
-		if z.TakeProbe(o.engine.Now) {
+		if z.StartProbeIfDue(o.engine.Now) {
 			o.engine.Log(slog.LevelInfo, "probing lost zone with one instance", "zone", z.Name)
 			o.leader.RequestProbe(z.Name)
 		}
-		excess := z.Seen.Silent - z.KeepCount(o.engine.Now)
+		excess := z.Counts.Silent - z.KeepCount(o.engine.Now)
 		if !z.Unreachable() || excess <= 0 {
 			continue
 		}
-		silent := o.silentMachines(z)
+		silent := o.releasableMachines(z)
 		for _, m := range silent[:min(excess, len(silent))] {
 			o.engine.Log(slog.LevelInfo, "releasing machine of lost zone", "machine", m.Host, "zone", z.Name, "silent", o.engine.Now.Sub(m.LastHeartbeat))
 			o.leader.Release(m)
@@ -153,9 +153,9 @@
 	}
 }
 
-// silentMachines returns the machines of a zone that may be released with it, the most
+// releasableMachines returns the machines of a zone that may be released with it, the most
 // expensive first.
-func (o *Monitor) silentMachines(z *zones.Zone) (list []*fleet.Machine) {
+func (o *Monitor) releasableMachines(z *zones.Zone) (list []*fleet.Machine) {
 	for _, m := range o.leader.Machines() {
 		if m.ZoneState == z && m.Unreachable && !m.Releasing && !m.LastHeartbeat.IsZero() && m.InstanceType != nil {
 			list = append(list, m)
--- a/internal/placement/starts.go
+++ b/internal/placement/starts.go
@@ -43,7 +43,7 @@
 // takesTasks reports whether tasks may start on the machine now.
 func (s *Scheduler) takesTasks(m *fleet.Machine) bool {
 	return m.Room().CPU > 0 && len(s.Queue) > 0 && s.leader.CanAct() &&
-		m.Reported && m.Record == fleet.Recorded && m.Usable() && m.ZoneState.StartsTasks() &&
+		m.Reported && m.Record == fleet.Recorded && m.Usable() && m.ZoneState.AllowsTaskStarts() &&
 		!s.now().Before(m.RetryAt) && !s.leader.Unaccounted(m.Host) && s.Attempts <= MaxAttempts-maxStartsPerReply
 }
 
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -18,9 +18,9 @@
 // socket.
 const MaxInFlight = 24
 
-const timeout = 1200 * time.Millisecond
+const replyTimeout = 1200 * time.Millisecond
 
 // Send probes the worker at an address and has f called with its answer.
 func Send(e *engine.Engine, address string, token, incarnation uint64, f func(heartbeat.ProbeReply)) {
-	e.CallWorker(heartbeat.Probe{Address: address, FencingToken: token, Incarnation: incarnation, Timeout: timeout}, f)
+	e.CallWorker(heartbeat.Probe{Address: address, FencingToken: token, Incarnation: incarnation, Timeout: replyTimeout}, f)
 }
--- a/internal/probe/prober.go
+++ b/internal/probe/prober.go
@@ -68,27 +68,27 @@
 			p.queue = append(p.queue, m)
 		}
 	}
-	p.next()
+	p.sendNext()
 }
 
-func (p *Prober) next() {
+func (p *Prober) sendNext() {
 	for p.inFlight < MaxInFlight && len(p.queue) > 0 && p.leader.CanAct() {
 		m := p.queue[0]
 		p.queue = p.queue[1:]
-		p.probe(m, 1) // most machines are in their first incarnation
+		p.sendProbe(m, 1) // most machines are in their first incarnation
 	}
 }
 
-// counts reports whether a machine's answer to a probe counts: not once it has reported
+// acceptsReplyFrom reports whether a machine's answer to a probe acceptsReplyFrom: not once it has reported
 // by itself. Then starts may be on their way to it, of which the answer need not know.
-func (p *Prober) counts(m *fleet.Machine) bool {
+func (p *Prober) acceptsReplyFrom(m *fleet.Machine) bool {
 	return p.inventory.Unaccounted(m.Host) && !m.Reported && !m.Releasing
 }
 
-// HandleAnswer takes in a report that a relay was given in answer to a probe of its own.
-func (p *Prober) HandleAnswer(report *heartbeat.Report) {
+// HandleRelayedReply takes in a report that a relay was given in answer to a probe of its own.
+func (p *Prober) HandleRelayedReply(report *heartbeat.Report) {
 	m := p.inventory.Find(report.Host)
-	if m != nil && p.counts(m) && report.FencingToken == p.term {
+	if m != nil && p.acceptsReplyFrom(m) && report.FencingToken == p.term {
 		p.reconcile(m, report)
 	}
 }
@@ -99,9 +99,9 @@
 	p.leader.Reconcile(m, report)
 }
 
-// probe probes a machine if its answer would count.
-func (p *Prober) probe(m *fleet.Machine, incarnation uint64) {
-	if !p.counts(m) {
+// sendProbe probes a machine if its answer would count.
+func (p *Prober) sendProbe(m *fleet.Machine, incarnation uint64) {
+	if !p.acceptsReplyFrom(m) {
 		return
 	}
 	p.inFlight++
@@ -111,14 +111,14 @@
 		}
 		p.inFlight--
 		p.handleReply(m, incarnation, &r)
-		p.next()
+		p.sendNext()
 	})
 }
 
 func (p *Prober) handleReply(m *fleet.Machine, incarnation uint64, r *heartbeat.ProbeReply) {
 	report := &r.Report
 	switch {
-	case !p.counts(m):
+	case !p.acceptsReplyFrom(m):
 	case r.Outcome != rpc.Unknown && report.FencingToken > p.term:
 		p.leader.HandleNewerToken(m, report.FencingToken)
 	case r.Outcome != rpc.Unknown && report.Host != m.Host:
@@ -126,7 +126,7 @@
 	case r.Outcome == rpc.OK && report.FencingToken == p.term:
 		p.reconcile(m, report)
 	case r.Outcome == rpc.Conflict && report.Incarnation != incarnation:
-		p.probe(m, report.Incarnation)
+		p.sendProbe(m, report.Incarnation)
 	default:
 		if m.FailedProbes++; m.FailedProbes < MaxAttempts {
 			p.queue = append(p.queue, m)
--- a/internal/zones/regions_test.go
+++ b/internal/zones/regions_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 	var none *Regions
-	if none.Of("a") != "" {
+	if none.RegionOf("a") != "" {
 		t.Error("a zone lies in a region where there are none")
 	}
 }
@@ -30,15 +30,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := NewRegionWatch(set)
+	w := NewRegionTracker(set)
 	now := time.Unix(1_900_000_000, 0)
 	zone := map[string]*Zone{}
 	var all []*Zone
 	for _, name := range []string{"other", "r1-a", "r1-b", "r1-empty", "r2-a"} {
-		zone[name] = &Zone{Name: name, Seen: Observation{Heard: 5}}
+		zone[name] = &Zone{Name: name, Counts: MachineCounts{Reporting: 5}}
 		all = append(all, zone[name])
 	}
-	zone["r1-empty"].Seen = Observation{}
+	zone["r1-empty"].Counts = MachineCounts{}
 	var told []string
 	for _, step := range []string{"", "r1-a doubtful", "r1-b doubtful", "r1-a lost", "r1-b lost", "r1-a returning", "r1-b returning", "r1-a up", "r1-b up", "r2-a lost"} {
 		if name, state, ok := strings.Cut(step, " "); ok {
@@ -50,7 +50,7 @@
 		}
 		now = now.Add(time.Second)
 		for _, c := range w.Observe(now, all) {
-			told = append(told, fmt.Sprint(step, ": ", c.Region.Name, " ", c.To, " after ", c.After))
+			told = append(told, fmt.Sprint(step, ": ", c.Region.Name, " ", c.To, " after ", c.Previous))
 		}
 	}
 	want := "r1-b doubtful: r1 doubtful after 2s,r1-b lost: r1 lost after 2s,r1-a returning: r1 returning after 1s,r1-b up: r1 up after 3s"
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -36,10 +36,10 @@
 	ProbeInterval time.Duration // how often one machine is rented in a lost zone that has none left
 }
 
-// Observation is how many machines of a zone are heard and silent at one time.
-type Observation struct {
-	Heard  int // machines that have reported recently
-	Silent int // machines that have reported before, or may hold tasks, but have not reported recently
+// MachineCounts is how many machines of a zone are heard and silent at one time.
+type MachineCounts struct {
+	Reporting int // machines that have reported recently
+	Silent    int // machines that have reported before, or may hold tasks, but have not reported recently
 }
 
 const (
@@ -47,39 +47,39 @@
 	minSilent = 3
 	// maxRelapses bounds how often StableFor is doubled.
 	maxRelapses = 4
-	// calmAfter is how long a zone must have been up for its relapses to be forgotten.
-	calmAfter = 5 * time.Minute
-	// Witnesses is how many silent machines of a lost zone are kept for good: they report when
+	// relapseResetTime is how long a zone must have been up for its relapses to be forgotten.
+	relapseResetTime = 5 * time.Minute
+	// MinKeepCount is how many silent machines of a lost zone are kept for good: they report when
 	// it is back.
-	Witnesses = 2
+	MinKeepCount = 2
 )
 
 // Zone is what is known of one zone.
 type Zone struct {
-	Name        string
-	State       State
-	Since       time.Time   // of the state
-	Seen        Observation // latest
-	OutageSince time.Time   // when the outage began that led to the state
-	maxSilent   int         // the most that were silent at a time since then
-	relapses    int
-	ignoreUntil time.Time // no outage is suspected before this: part of the zone was silent for long
-	probedAt    time.Time
-	settings    *Settings
+	Name            string
+	State           State
+	Since           time.Time     // of the state
+	Counts          MachineCounts // latest
+	OutageSince     time.Time     // when the outage began that led to the state
+	maxSilent       int           // the most that were silent at a time since then
+	relapses        int
+	suppressedUntil time.Time // no outage is suspected before this: part of the zone was silent for long
+	probedAt        time.Time
+	settings        *Settings
 }
 
-// Watch observes the zones.
-type Watch struct {
+// Tracker observes the zones.
+type Tracker struct {
 	settings Settings
 	zones    map[string]*Zone
 	names    []string // sorted
 }
 
 // New returns a Watch that has observed nothing.
-func New(s Settings) *Watch { return &Watch{settings: s, zones: map[string]*Zone{}} }
+func New(s Settings) *Tracker { return &Tracker{settings: s, zones: map[string]*Zone{}} }
 
 // Zone returns the zone of a name. A new one is up.
-func (w *Watch) Zone(name string) *Zone {
+func (w *Tracker) Zone(name string) *Zone {
 	z := w.zones[name]
 	if z == nil {
 		z = &Zone{Name: name, settings: &w.settings}
@@ -91,7 +91,7 @@
 }
 
 // All returns the zones by name.
-func (w *Watch) All() []*Zone {
+func (w *Tracker) All() []*Zone {
 	zs := make([]*Zone, 0, len(w.names))
 	for _, n := range w.names {
 		zs = append(zs, w.zones[n])
@@ -103,16 +103,16 @@
 type Change struct {
 	Zone     *Zone
 	From, To State
-	After    time.Duration // how long the former state lasted
+	Previous time.Duration // how long the former state lasted
 }
 
 // Observe takes in an observation of each zone and returns the changes of state.
-func (w *Watch) Observe(now time.Time, observations map[string]Observation) []Change {
+func (w *Tracker) Observe(now time.Time, observations map[string]MachineCounts) []Change {
 	for name := range observations {
 		w.Zone(name)
 	}
 	for _, n := range w.names {
-		w.zones[n].Seen = observations[n]
+		w.zones[n].Counts = observations[n]
 	}
 	var cs []Change
 	for _, n := range w.names {
@@ -121,32 +121,32 @@
 			z.Since = now
 		}
 		from, since := z.State, z.Since
-		z.observe(now, w.heardElsewhere(z))
+		z.updateState(now, w.otherZonesReport(z))
 		if z.State != from {
-			cs = append(cs, Change{Zone: z, From: from, To: z.State, After: now.Sub(since)})
+			cs = append(cs, Change{Zone: z, From: from, To: z.State, Previous: now.Sub(since)})
 		}
 	}
 	return cs
 }
 
-// heardElsewhere reports whether most machines are heard in the other zones, without those
+// otherZonesReport reports whether most machines are heard in the other zones, without those
 // that are cut off. If not, or if there are none, it is more likely the observer that is cut
 // off.
-func (w *Watch) heardElsewhere(z *Zone) bool {
+func (w *Tracker) otherZonesReport(z *Zone) bool {
 	heard, silent := 0, 0
 	for _, n := range w.names {
 		if o := w.zones[n]; o != z && o.State != Doubtful && o.State != Lost {
-			heard += o.Seen.Heard
-			silent += o.Seen.Silent
+			heard += o.Counts.Reporting
+			silent += o.Counts.Silent
 		}
 	}
 	return heard > silent
 }
 
-func (z *Zone) enter(s State, now time.Time) { z.State, z.Since = s, now }
+func (z *Zone) setState(s State, now time.Time) { z.State, z.Since = s, now }
 
-func (z *Zone) observe(now time.Time, elsewhere bool) {
-	heard, silent := z.Seen.Heard, z.Seen.Silent
+func (z *Zone) updateState(now time.Time, elsewhere bool) {
+	heard, silent := z.Counts.Reporting, z.Counts.Silent
 	doubt := silent >= minSilent && 2*silent >= heard && elsewhere
 	if z.State == Returning {
 		doubt = doubt && heard == 0 // its machines report one after the other over a heartbeat interval
@@ -154,47 +154,47 @@
 	switch z.State {
 	case Up, Returning:
 		switch {
-		case doubt && !now.Before(z.ignoreUntil):
-			if z.State == Returning || now.Sub(z.Since) < calmAfter && !z.OutageSince.IsZero() {
+		case doubt && !now.Before(z.suppressedUntil):
+			if z.State == Returning || now.Sub(z.Since) < relapseResetTime && !z.OutageSince.IsZero() {
 				z.relapses = min(z.relapses+1, maxRelapses)
 			} else {
 				z.relapses = 0
 			}
 			z.OutageSince, z.maxSilent = now, silent
-			z.enter(Doubtful, now)
-		case z.State == Returning && now.Sub(z.Since) >= z.stableFor():
+			z.setState(Doubtful, now)
+		case z.State == Returning && now.Sub(z.Since) >= z.requiredStability():
 			if silent >= minSilent && 2*silent >= heard {
-				z.ignoreSilence(now) // machines that are not back by now are judged one by one
+				z.suppressSuspicion(now) // machines that are not back by now are judged one by one
 			}
-			z.enter(Up, now)
+			z.setState(Up, now)
 		}
 	case Doubtful:
 		z.maxSilent = max(z.maxSilent, silent)
 		over := now.Sub(z.Since) >= z.settings.LostAfter
 		switch {
 		case heard > 0 && silent == 0:
-			z.enter(Returning, now)
+			z.setState(Returning, now)
 		case over && heard > 0:
 			// Part of the zone has been reachable all the time, so it is not cut off.
-			z.ignoreSilence(now)
-			z.enter(Up, now)
+			z.suppressSuspicion(now)
+			z.setState(Up, now)
 		case over:
 			z.probedAt = time.Time{} // a probe is due at once if no machine is left there
-			z.enter(Lost, now)
+			z.setState(Lost, now)
 		}
 	case Lost:
 		z.maxSilent = max(z.maxSilent, silent)
 		if heard > 0 { // a zone from which any machine is heard is not cut off
-			z.enter(Returning, now)
+			z.setState(Returning, now)
 		}
 	}
 }
 
-// ignoreSilence suspects no outage for a while, so that silent machines are judged one by one.
-func (z *Zone) ignoreSilence(now time.Time) { z.ignoreUntil = now.Add(z.settings.LostAfter) }
+// suppressSuspicion suspects no outage for a while, so that silent machines are judged one by one.
+func (z *Zone) suppressSuspicion(now time.Time) { z.suppressedUntil = now.Add(z.settings.LostAfter) }
 
-// stableFor returns for how long the zone must have returned to be up.
-func (z *Zone) stableFor() time.Duration { return z.settings.StableFor << z.relapses }
+// requiredStability returns for how long the zone must have returned to be up.
+func (z *Zone) requiredStability() time.Duration { return z.settings.StableFor << z.relapses }
 
 // Unreachable reports whether silent machines of the zone are taken to be cut off, not gone.
 func (z *Zone) Unreachable() bool { return z.State == Doubtful || z.State == Lost }
@@ -202,12 +202,12 @@
 // AllowsRental reports whether machines may be rented in the zone: not while it is cut off,
 // and not while it returns and some of its machines have not reported yet.
 func (z *Zone) AllowsRental() bool {
-	return z.State == Up || z.State == Returning && z.Seen.Silent == 0
+	return z.State == Up || z.State == Returning && z.Counts.Silent == 0
 }
 
-// StartsTasks reports whether machines of the zone that report may start tasks. A zone that
+// AllowsTaskStarts reports whether machines of the zone that report may start tasks. A zone that
 // relapsed has to be stable for a while first, or its tasks would be lost each time.
-func (z *Zone) StartsTasks() bool { return z.State != Returning || z.relapses == 0 }
+func (z *Zone) AllowsTaskStarts() bool { return z.State != Returning || z.relapses == 0 }
 
 // KeepCount returns how many of the zone's silent machines to keep at present. At first that
 // is all of them: most outages are short, and the machines come back at once and with their
@@ -223,14 +223,14 @@
 		return z.maxSilent
 	}
 	left := 1 - float64(over)/float64(2*z.settings.KeepFor)
-	return max(Witnesses, int(left*float64(z.maxSilent)))
+	return max(MinKeepCount, int(left*float64(z.maxSilent)))
 }
 
-// TakeProbe reports whether one machine is to be rented in the zone now to see whether it is
+// StartProbeIfDue reports whether one machine is to be rented in the zone now to see whether it is
 // back, because it is lost and has no machine that would show it. The next probe is due after
 // the probe interval.
-func (z *Zone) TakeProbe(now time.Time) bool {
-	if z.State != Lost || z.Seen.Heard+z.Seen.Silent > 0 || now.Sub(z.probedAt) < z.settings.ProbeInterval {
+func (z *Zone) StartProbeIfDue(now time.Time) bool {
+	if z.State != Lost || z.Counts.Reporting+z.Counts.Silent > 0 || now.Sub(z.probedAt) < z.settings.ProbeInterval {
 		return false
 	}
 	z.probedAt = now
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -9,11 +9,11 @@
 
 var t0 = time.Unix(1_900_000_000, 0)
 
-var set = Settings{LostAfter: 20 * time.Second, StableFor: 8 * time.Second, KeepFor: 60 * time.Second, ProbeInterval: time.Minute}
+var testSettings = Settings{LostAfter: 20 * time.Second, StableFor: 8 * time.Second, KeepFor: 60 * time.Second, ProbeInterval: time.Minute}
 
-// day plays what is seen of zone a beside zone b, a look a second, and returns the states
+// observeTimeline plays what is seen of zone a beside zone b, a look a second, and returns the states
 // that a went through, with their seconds. A step is "until heard/silent heard/silent".
-func day(w *Watch, steps ...string) string {
+func observeTimeline(w *Tracker, steps ...string) string {
 	var out []string
 	at := 0
 	for _, s := range steps {
@@ -22,7 +22,7 @@
 			panic(s)
 		}
 		for ; at < until; at++ {
-			for _, c := range w.Observe(t0.Add(time.Duration(at)*time.Second), map[string]Observation{"a": {ha, sa}, "b": {hb, sb}}) {
+			for _, c := range w.Observe(t0.Add(time.Duration(at)*time.Second), map[string]MachineCounts{"a": {ha, sa}, "b": {hb, sb}}) {
 				if c.Zone.Name == "a" {
 					out = append(out, fmt.Sprintf("%s %d", c.To, at))
 				}
@@ -50,7 +50,7 @@
 		{"the other zone is lost first", []string{"10 40/0 40/0", "40 40/0 0/40", "90 0/40 0/40"}, ""},
 		{"nothing elsewhere to judge by", []string{"10 40/0 0/0", "60 0/40 0/0"}, ""},
 	} {
-		if got := day(New(set), x.steps...); got != x.want {
+		if got := observeTimeline(New(testSettings), x.steps...); got != x.want {
 			t.Errorf("%s: %s, want %s", x.name, got, x.want)
 		}
 	}
@@ -60,38 +60,38 @@
 // counts as up, and before its machines start anything; once it has been calm, that is
 // forgotten.
 func TestFlapping(t *testing.T) {
-	w := New(set)
-	got := day(w, "10 40/0 40/0", "20 0/40 40/0", "30 40/0 40/0", "40 0/40 40/0", "50 40/0 40/0", "60 0/40 40/0")
+	w := New(testSettings)
+	got := observeTimeline(w, "10 40/0 40/0", "20 0/40 40/0", "30 40/0 40/0", "40 0/40 40/0", "50 40/0 40/0", "60 0/40 40/0")
 	if want := "doubtful 10, returning 20, up 28, doubtful 30, returning 40, doubtful 50"; got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
 	z := w.Zone("a")
-	look := func(at int, s Observation) {
-		w.Observe(t0.Add(time.Duration(at)*time.Second), map[string]Observation{"a": s, "b": {Heard: 40}})
+	look := func(at int, s MachineCounts) {
+		w.Observe(t0.Add(time.Duration(at)*time.Second), map[string]MachineCounts{"a": s, "b": {Reporting: 40}})
 	}
-	look(70, Observation{Heard: 40})
-	if z.State != Returning || z.StartsTasks() {
-		t.Errorf("third return: %v, takes work %v", z.State, z.StartsTasks())
+	look(70, MachineCounts{Reporting: 40})
+	if z.State != Returning || z.AllowsTaskStarts() {
+		t.Errorf("third return: %v, takes work %v", z.State, z.AllowsTaskStarts())
 	}
-	look(70+31, Observation{Heard: 40})
+	look(70+31, MachineCounts{Reporting: 40})
 	if z.State != Returning {
 		t.Error("up after", 31*time.Second)
 	}
-	look(70+32, Observation{Heard: 40})
-	if z.State != Up || !z.StartsTasks() {
-		t.Errorf("%v after 32 s, takes work %v", z.State, z.StartsTasks())
+	look(70+32, MachineCounts{Reporting: 40})
+	if z.State != Up || !z.AllowsTaskStarts() {
+		t.Errorf("%v after 32 s, takes work %v", z.State, z.AllowsTaskStarts())
 	}
-	look(500, Observation{Silent: 40})
-	look(510, Observation{Heard: 40})
-	if !z.StartsTasks() {
+	look(500, MachineCounts{Silent: 40})
+	look(510, MachineCounts{Reporting: 40})
+	if !z.AllowsTaskStarts() {
 		t.Error("relapses are not forgotten")
 	}
 }
 
 // TestKept: all for Keep, fewer and fewer after it, and the witnesses for good.
 func TestKept(t *testing.T) {
-	w := New(set)
-	day(w, "10 40/0 40/0", "11 0/40 40/0")
+	w := New(testSettings)
+	observeTimeline(w, "10 40/0 40/0", "11 0/40 40/0")
 	z := w.Zone("a")
 	for _, x := range []struct{ after, want int }{{0, 40}, {60, 40}, {90, 30}, {120, 20}, {179, 2}, {1000, 2}} {
 		if got := z.KeepCount(t0.Add(time.Duration(10+x.after) * time.Second)); got != x.want {
@@ -103,23 +103,23 @@
 // TestProbe: a lost zone without machines is asked now and then, by one at a time, and
 // one that has witnesses is not.
 func TestProbe(t *testing.T) {
-	w := New(set)
-	day(w, "10 40/0 40/0", "40 0/40 40/0")
+	w := New(testSettings)
+	observeTimeline(w, "10 40/0 40/0", "40 0/40 40/0")
 	z := w.Zone("a")
-	if z.TakeProbe(t0.Add(300 * time.Second)) {
+	if z.StartProbeIfDue(t0.Add(300 * time.Second)) {
 		t.Error("probed with machines that could tell")
 	}
-	day(w, "41 0/0 40/0")
+	observeTimeline(w, "41 0/0 40/0")
 	n := 0
 	for at := range 600 {
-		if z.TakeProbe(t0.Add(time.Duration(at) * time.Second)) {
+		if z.StartProbeIfDue(t0.Add(time.Duration(at) * time.Second)) {
 			n++
 		}
 	}
 	if n < 9 || n > 11 {
 		t.Errorf("%d probes in ten minutes", n)
 	}
-	w.Observe(t0.Add(700*time.Second), map[string]Observation{"a": {Heard: 1}, "b": {Heard: 40}})
+	w.Observe(t0.Add(700*time.Second), map[string]MachineCounts{"a": {Reporting: 1}, "b": {Reporting: 40}})
 	if z.State != Returning || !z.AllowsRental() {
 		t.Errorf("%v once the probe reports", z.State)
 	}
@@ -139,7 +139,7 @@
 		if x.refused {
 			z.ProbeRefused(at(x.at))
 		}
-		if got := z.TakeProbe(at(x.at)); got != x.due {
+		if got := z.StartProbeIfDue(at(x.at)); got != x.due {
 			t.Errorf("at %d s: %v", x.at, got)
 		}
 	}
