--- a/internal/autoscaler/arrivals.go
+++ b/internal/autoscaler/arrivals.go
@@ -9,17 +9,17 @@
 	"yewpass/internal/quota"
 )
 
-// arrivals is what the jobs that arrive let expect.
+// arrivals holds the state for forecasting the load of jobs to come.
 type arrivals struct {
 	teams       map[string]*quota.Account
-	burstCPUs   float64 // CPUs that a job takes which must start at once, averaged
+	burstCPUs   float64 // moving average of the CPUs of jobs that must start at once
 	lastBurstAt time.Time
 }
 
-// burstSmoothing is the weight of the latest job in the average of burstCPUs.
+// burstSmoothing is the weight of the latest job in the exponential moving average burstCPUs.
 const burstSmoothing = 0.15
 
-// RecordArrival takes in the work of a new job.
+// RecordArrival adds the work of a new job to its team's load forecast.
 func (a *Autoscaler) RecordArrival(j *fleet.Job) {
 	seconds := quota.ArrivalMemory.Seconds()
 	if !j.Spec.Service {
@@ -38,17 +38,18 @@
 	t.LoadAt = a.Now
 }
 
-// BurstReserve returns how many thousandths of CPUs to keep free for jobs that must start at
-// once: the given part of what such a job takes, 0 if none has come lately.
-func (a *Autoscaler) BurstReserve(part float64) int64 {
+// BurstReserve returns the CPU capacity, in thousandths of a CPU, to keep free for jobs that
+// must start at once: the given share of their average size, or 0 if none arrived within
+// quota.ArrivalMemory.
+func (a *Autoscaler) BurstReserve(share float64) int64 {
 	if a.Now.Sub(a.lastBurstAt) > quota.ArrivalMemory {
 		return 0
 	}
-	return int64(a.burstCPUs * part * 1000)
+	return int64(a.burstCPUs * share * 1000)
 }
 
-// forecastCPUs returns how many CPUs the work of recent arrivals keeps busy, within the
-// teams' limits.
+// forecastCPUs returns the number of CPUs that jobs are expected to use if they keep arriving
+// at the recent rate, capped at each team's limit.
 func (a *Autoscaler) forecastCPUs() float64 {
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(a.teams)) {
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,8 +1,9 @@
-// Package autoscaler rents machines while the waiting work would take too long on those at
-// hand, and returns machines that are not needed. Its state lives as long as one leadership.
+// Package autoscaler scales the fleet: it requests instances from the cloud while the backlog
+// exceeds its target, and drains and releases machines that are not needed. Its state is
+// discarded when the leader's term ends.
 //
-// It decides how many machines there are. Which tasks run on them, and when a machine counts
-// as lost, is decided elsewhere.
+// It decides only the number and kind of machines. Task placement and the detection of failed
+// machines belong to other packages.
 package autoscaler
 
 import (
@@ -17,55 +18,57 @@
 	"yewpass/internal/zones"
 )
 
-// State is what the autoscaler reads of the leader's state.
+// State provides read access to the leader's state.
 type State interface {
-	// Machines returns all machines, by name.
+	// Machines returns all machines, sorted by host name.
 	Machines() []*fleet.Machine
-	// Queue returns the jobs whose tasks wait, in order.
+	// Queue returns the jobs with waiting tasks, in scheduling order.
 	Queue() fleet.Queue
-	// Zone returns the zone of a name.
+	// Zone returns the zone with the given name.
 	Zone(name string) *zones.Zone
-	// Estimate returns how long a task of a job runs.
+	// Estimate returns the expected runtime of one task of a job.
 	Estimate(j *fleet.Job) time.Duration
-	// CanAct reports whether the leader has authority and has loaded the records.
+	// CanAct reports whether the leader's lease is valid and the records are loaded.
 	CanAct() bool
-	// MaxMachines returns how many machines the controllers can serve.
+	// MaxMachines returns the number of machines that the controllers can serve.
 	MaxMachines() int
-	// Term returns the leader's term and the era of the store's data that it belongs to.
+	// Term returns the leader's term and the era of the store's data in which it was elected.
+	// The era changes when the store has lost all its data.
 	Term() (term, era uint64)
 }
 
-// Inventory takes in what the cloud says of instances, and carries out decisions.
+// Inventory applies the cloud's responses and the autoscaler's decisions to the fleet.
 type Inventory interface {
-	// InstanceTypesChanged is called when the catalog has been read.
+	// InstanceTypesChanged is called after each successful read of the catalog.
 	InstanceTypesChanged()
-	// InstanceStarted takes in an instance of a request.
+	// InstanceStarted adds an instance that the cloud started for a request.
 	InstanceStarted(host string, o Offer, requestedAt time.Time)
-	// InstanceListed takes in an instance of the cloud's list.
+	// InstanceListed reconciles one entry of the cloud's list of instances.
 	InstanceListed(i provider.Instance)
-	// InstanceReleased takes in that the cloud has confirmed a release.
+	// InstanceReleased removes a machine after the cloud has confirmed its release.
 	InstanceReleased(host string)
-	// DropReservations has the tasks that wait for a machine placed elsewhere.
+	// DropReservations cancels the reservations on a machine, so that the tasks are placed
+	// on other machines.
 	DropReservations(m *fleet.Machine)
-	// Dispatch has waiting tasks started on what machines there are.
+	// Dispatch requests that waiting tasks be started on the available machines.
 	Dispatch()
 }
 
-// Config is what an Autoscaler is made of.
+// Config holds the dependencies and settings of an Autoscaler.
 type Config struct {
 	Engine        *engine.Engine
-	Scope         *engine.Scope // of the leadership
+	Scope         *engine.Scope // closed when the leadership ends
 	State         State
 	Inventory     Inventory
 	Teams         map[string]*quota.Account
-	InstanceTypes []provider.InstanceType // as known so far
-	CloudRPS      float64                 // how many requests a second the cloud allows
+	InstanceTypes []provider.InstanceType // last known; may be empty
+	CloudRPS      float64                 // the cloud's rate limit, in requests per second
 }
 
-// cloudCallShare is the autoscaler's share of the requests that the cloud allows.
+// cloudCallShare is the part of the cloud's rate limit that the autoscaler uses.
 const cloudCallShare = 0.8
 
-// Autoscaler rents and returns the machines of one leadership.
+// Autoscaler scales the fleet during one term of the leader.
 type Autoscaler struct {
 	*engine.Engine
 	scope     *engine.Scope
@@ -78,10 +81,11 @@
 	releases
 	load
 	arrivals
-	bootTimeoutFactors map[string]float64 // see BootTimeout
+	bootTimeoutFactors map[string]float64 // by instance type; see BootTimeout
 }
 
-// New returns an autoscaler that has not called the cloud yet.
+// New returns an Autoscaler. It does not call the cloud until RefreshCatalog, ListInstances or
+// ScaleOut is called.
 func New(c Config) *Autoscaler {
 	return &Autoscaler{
 		Engine:             c.Engine,
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -18,7 +18,7 @@
 
 var start = time.Unix(1_900_000_000, 0)
 
-// fakeLeader implements State and Inventory for tests.
+// fakeLeader implements State and Inventory.
 type fakeLeader struct {
 	machines    []*fleet.Machine
 	queue       fleet.Queue
@@ -45,7 +45,7 @@
 func (l *fakeLeader) DropReservations(*fleet.Machine)  { l.dropped++ }
 func (l *fakeLeader) Dispatch()                        {}
 
-// newAutoscaler returns an autoscaler over a small and a large instance type in zones a and b.
+// newAutoscaler returns an Autoscaler with a small and a large instance type in zones a and b.
 func newAutoscaler(t *testing.T) (*Autoscaler, *fakeLeader) {
 	t.Helper()
 	l := &fakeLeader{zones: zones.New(zones.Settings{}), maxMachines: 1000}
@@ -61,7 +61,7 @@
 	return a, l
 }
 
-// addMachine adds a machine that has reported and uses some of its CPUs.
+// addMachine adds a machine that has sent a heartbeat and has the given number of CPUs in use.
 func (l *fakeLeader) addMachine(a *Autoscaler, typeName string, used float64) *fleet.Machine {
 	m := &fleet.Machine{}
 	m.Host, m.TypeName, m.Zone, m.Spot = fmt.Sprint("h", len(l.machines)), typeName, "a", true
@@ -71,7 +71,7 @@
 	return m
 }
 
-// addJob adds a job of tasks of one CPU that wait without a machine.
+// addJob adds a job with the given number of waiting one-CPU tasks and no eligible machine.
 func (l *fakeLeader) addJob(tasks int, runtime time.Duration, s spec.Job) *fleet.Job {
 	s.Tasks, s.CPUs, s.Runtime = tasks, 1, runtime
 	j := &fleet.Job{Spec: s, Need: s.Need(), Team: &quota.Account{}}
@@ -81,7 +81,8 @@
 	return j
 }
 
-// takeCloudRequests returns the requests to the cloud of a kind that were sent since the last look.
+// takeCloudRequests returns the cloud requests of one operation among the outputs, and clears
+// the outputs.
 func takeCloudRequests(a *Autoscaler, op provider.Op) (list []provider.Request) {
 	for _, o := range a.Outputs {
 		if r, ok := o.(provider.Request); ok && r.Op == op {
@@ -102,10 +103,10 @@
 	}{
 		{name: "spot first", job: spec.Job{AllowSpot: true}, wantTypes: []string{"small", "large"}, wantSpot: true},
 		{name: "on-demand where spot is not allowed", job: spec.Job{}, wantTypes: []string{"small", "large"}},
-		{name: "the type that the job names", job: spec.Job{AllowSpot: true, InstanceTypes: []string{"large"}}, wantTypes: []string{"large"}, wantSpot: true},
-		{name: "none beyond what the controllers serve", job: spec.Job{AllowSpot: true}, change: func(_ *Autoscaler, l *fakeLeader) { l.maxMachines = 0 }},
-		{name: "none for a zone that is cut off", job: spec.Job{AllowSpot: true, Zone: "a"}, change: func(_ *Autoscaler, l *fakeLeader) { l.zones.Zone("a").State = zones.Lost }},
-		{name: "none of an unknown catalog", job: spec.Job{AllowSpot: true}, change: func(a *Autoscaler, _ *fakeLeader) { a.InstanceTypes = nil }},
+		{name: "only the instance type that the job allows", job: spec.Job{AllowSpot: true, InstanceTypes: []string{"large"}}, wantTypes: []string{"large"}, wantSpot: true},
+		{name: "none beyond the capacity of the controllers", job: spec.Job{AllowSpot: true}, change: func(_ *Autoscaler, l *fakeLeader) { l.maxMachines = 0 }},
+		{name: "none for a job restricted to a lost zone", job: spec.Job{AllowSpot: true, Zone: "a"}, change: func(_ *Autoscaler, l *fakeLeader) { l.zones.Zone("a").State = zones.Lost }},
+		{name: "none without a catalog", job: spec.Job{AllowSpot: true}, change: func(a *Autoscaler, _ *fakeLeader) { a.InstanceTypes = nil }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			a, l := newAutoscaler(t)
@@ -116,7 +117,7 @@
 			a.ScaleOut(time.Minute, time.Hour)
 			list := takeCloudRequests(a, provider.ScaleOut)
 			if (len(list) > 0) != (x.wantTypes != nil) {
-				t.Fatalf("%d requests: %+v", len(list), list)
+				t.Fatalf("got %d requests, want none exactly if no type is wanted: %+v", len(list), list)
 			}
 			for i, r := range list {
 				known := false
@@ -124,28 +125,28 @@
 					known = known || r.InstanceType == name
 				}
 				if !known || r.Spot != x.wantSpot {
-					t.Errorf("request %d: %+v", i, r)
+					t.Errorf("request %d has an unwanted type or price model: %+v", i, r)
 				}
 			}
 			if len(list) > 0 && list[0].RequestName != "t3-1-a" {
-				t.Errorf("named %q", list[0].RequestName)
+				t.Errorf("first request is named %q, want t3-1-a", list[0].RequestName)
 			}
 		})
 	}
 }
 
-// TestRequestOutcomes: a refused offer is left alone for a while, a lost response is followed
-// by the same request, and what has started is taken in.
+// TestRequestOutcomes checks that a refused offer is not requested again at once, that a request
+// with unknown outcome is resent under the same name, and that started instances are added.
 func TestRequestOutcomes(t *testing.T) {
 	a, l := newAutoscaler(t)
 	job := l.addJob(8, time.Hour, spec.Job{AllowSpot: true})
-	job.Reservations[0].Machine = l.addMachine(a, "small", 4) // which is full
+	job.Reservations[0].Machine = l.addMachine(a, "small", 4) // fully used
 	request := func() provider.Request {
 		t.Helper()
 		a.ScaleOut(time.Minute, time.Hour)
 		list := takeCloudRequests(a, provider.ScaleOut)
 		if len(list) != 1 {
-			t.Fatalf("%d requests", len(list))
+			t.Fatalf("got %d requests, want 1", len(list))
 		}
 		return list[0]
 	}
@@ -153,30 +154,30 @@
 	a.HandleCloud(provider.Response{Ref: first.Ref, Outcome: rpc.Refused})
 	second := request()
 	if second.InstanceType == first.InstanceType && second.Zone == first.Zone {
-		t.Errorf("refused, and requested again: %+v", second)
+		t.Errorf("refused offer was requested again: %+v", second)
 	}
 	a.HandleCloud(provider.Response{Ref: second.Ref, Outcome: rpc.Unknown})
 	if a.ScaleOut(time.Minute, time.Hour); len(takeCloudRequests(a, provider.ScaleOut)) > 0 {
-		t.Error("a request whose outcome is unknown does not count")
+		t.Error("got another request while the outcome of the first is unknown, want none")
 	}
 	a.Begin(start.Add(4 * time.Second))
 	a.RunTimers()
-	again := takeCloudRequests(a, provider.ScaleOut)
-	if len(again) != 1 || again[0].RequestName != second.RequestName {
-		t.Fatalf("sent again: %+v", again)
+	resent := takeCloudRequests(a, provider.ScaleOut)
+	if len(resent) != 1 || resent[0].RequestName != second.RequestName {
+		t.Fatalf("got %+v, want the second request resent under its name", resent)
 	}
-	a.HandleCloud(provider.Response{Ref: again[0].Ref, Outcome: rpc.OK, Hosts: []string{"x", "y"}})
+	a.HandleCloud(provider.Response{Ref: resent[0].Ref, Outcome: rpc.OK, Hosts: []string{"x", "y"}})
 	if len(l.started) != 2 || a.pendingInstances() != 0 {
-		t.Errorf("started %v, %d requested", l.started, a.pendingInstances())
+		t.Errorf("started %v with %d instances pending, want 2 started and none pending", l.started, a.pendingInstances())
 	}
 	job.Waiting = 0
 	if a.UpdateLoad(); a.Backlog() != 0 {
-		t.Errorf("a backlog of %v", a.Backlog())
+		t.Errorf("backlog is %v without waiting tasks, want 0", a.Backlog())
 	}
 }
 
-// TestScaleIn: the emptiest machine of the most expensive kind drains while the others have
-// room, and none while work waits.
+// TestScaleIn checks that the least used machine drains if the others have room for its tasks,
+// and that no machine drains while there is a backlog.
 func TestScaleIn(t *testing.T) {
 	a, l := newAutoscaler(t)
 	full := l.addMachine(a, "small", 4)
@@ -184,23 +185,24 @@
 	empty := l.addMachine(a, "small", 0)
 	l.addMachine(a, "large", 0)
 	if a.ScaleIn(false); empty.Draining {
-		t.Error("drains while machines are unaccounted for")
+		t.Error("machine drains before all machines are accounted for")
 	}
 	a.ScaleIn(true)
 	if !empty.Draining || l.machines[3].Draining || full.Draining || half.Draining || l.dropped != 1 {
-		t.Errorf("draining: %v %v %v, %d dropped", full.Draining, half.Draining, empty.Draining, l.dropped)
+		t.Errorf("draining: full %v, half %v, empty %v, %d reservations dropped; want only empty and 1 dropped", full.Draining, half.Draining, empty.Draining, l.dropped)
 	}
 	l.addJob(1000, time.Hour, spec.Job{AllowSpot: true})
 	a.UpdateLoad()
 	a.ScaleIn(true)
 	for _, m := range l.machines {
 		if m.Draining {
-			t.Errorf("%s drains while work waits", m.Host)
+			t.Errorf("%s drains while there is a backlog", m.Host)
 		}
 	}
 }
 
-// TestReleases: a release goes on until the cloud has confirmed it, once per machine.
+// TestReleases checks that a release is retried until the cloud confirms it, and that a machine
+// is released only once.
 func TestReleases(t *testing.T) {
 	a, l := newAutoscaler(t)
 	m := l.addMachine(a, "small", 0)
@@ -211,23 +213,23 @@
 		a.SendReleases()
 		list := takeCloudRequests(a, provider.Release)
 		if len(list) != 1 || len(list[0].Hosts) != 1 || list[0].Hosts[0] != m.Host {
-			t.Fatalf("calls: %+v", list)
+			t.Fatalf("got release calls %+v, want one call for one host", list)
 		}
 		a.HandleCloud(provider.Response{Ref: list[0].Ref, Outcome: outcome})
 	}
 	if a.SendReleases(); len(takeCloudRequests(a, provider.Release)) > 0 || len(l.released) != 1 {
-		t.Errorf("released %v", l.released)
+		t.Errorf("released %v, want one release and no further call", l.released)
 	}
 }
 
-// TestBootTimeout: timeouts of a type grow while its instances exceed them, up to a bound,
-// and fall back once one has booted.
+// TestBootTimeout checks that the boot timeout of a type grows up to a bound while its instances
+// exceed it, and is reset by a successful boot.
 func TestBootTimeout(t *testing.T) {
 	a, l := newAutoscaler(t)
 	m := l.addMachine(a, "small", 0)
 	for _, want := range []time.Duration{60 * time.Second, 75 * time.Second} {
 		if got := a.BootTimeout(m); got != want {
-			t.Errorf("%v, want %v", got, want)
+			t.Errorf("boot timeout is %v, want %v", got, want)
 		}
 		a.BootTimedOut("small")
 	}
@@ -235,9 +237,9 @@
 		a.BootTimedOut("small")
 	}
 	if got := a.BootTimeout(m); got != 6*time.Minute {
-		t.Errorf("%v at the most", got)
+		t.Errorf("boot timeout is %v after many timeouts, want 6m", got)
 	}
 	if a.Booted("small"); a.BootTimeout(m) != time.Minute {
-		t.Errorf("%v after a boot", a.BootTimeout(m))
+		t.Errorf("boot timeout is %v after a successful boot, want 1m", a.BootTimeout(m))
 	}
 }
--- a/internal/autoscaler/boot.go
+++ b/internal/autoscaler/boot.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	defaultBootTime = 30 * time.Second // of an instance of unknown type
-	// Instances are given so many times their usual boot time, and at least so much more.
+	defaultBootTime = 30 * time.Second // for instances of unknown type
+	// The boot timeout is bootTimeFactor times the usual boot time, and at least minBootSlack
+	// longer than it.
 	bootTimeFactor = 3
 	minBootSlack   = 30 * time.Second
-	// bootTimeoutGrowth and maxBootFactor are how the timeout of a type grows while its
-	// instances keep exceeding it.
+	// Each boot that times out multiplies the timeout of its instance type by
+	// bootTimeoutGrowth, up to a total factor of maxBootTimeoutFactor.
 	bootTimeoutGrowth    = 1.25
 	maxBootTimeoutFactor = 6
 )
 
-// BootTimeout returns how long after its request a machine may take to report: some take
-// several times as long as usual, and a few never come up.
+// BootTimeout returns how long after the request a machine may take to send its first
+// heartbeat before it is considered failed.
 func (a *Autoscaler) BootTimeout(m *fleet.Machine) time.Duration {
 	boot := defaultBootTime
 	if m.InstanceType != nil {
@@ -32,11 +33,11 @@
 	return timeout
 }
 
-// BootTimedOut raises the timeout of an instance type. When boots take longer for a while,
-// giving up each time would never get a machine.
+// BootTimedOut raises the boot timeout of an instance type. With a fixed timeout, a period of
+// slow boots would cause every new instance to be released before it is up.
 func (a *Autoscaler) BootTimedOut(instanceType string) {
 	a.bootTimeoutFactors[instanceType] = min(max(a.bootTimeoutFactors[instanceType], 1)*bootTimeoutGrowth, maxBootTimeoutFactor)
 }
 
-// Booted resets the timeout of an instance type.
+// Booted resets the boot timeout of an instance type.
 func (a *Autoscaler) Booted(instanceType string) { delete(a.bootTimeoutFactors, instanceType) }
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -8,14 +8,14 @@
 	"yewpass/internal/rpc"
 )
 
-// Catalog is what is known of the cloud's instance types.
+// Catalog caches the cloud's instance types and prices.
 type Catalog struct {
 	InstanceTypes []provider.InstanceType
-	Loaded        bool // read in this leadership: only then does a type that it lacks not exist
-	unreadable    bool // it could not be read last time
+	Loaded        bool // read during this term; until then a type may exist that is not listed here
+	unreadable    bool // the last read failed
 }
 
-// InstanceType returns the instance type of a name, or nil.
+// InstanceType returns the instance type with the given name, or nil if it is not known.
 func (c *Catalog) InstanceType(name string) *provider.InstanceType {
 	for i := range c.InstanceTypes {
 		if c.InstanceTypes[i].Name == name {
@@ -30,13 +30,14 @@
 	catalogRetryDelay = time.Second
 )
 
-// RefreshCatalog reads the instance types and their prices, now and regularly from then on.
+// RefreshCatalog reads the instance types and prices now and then every catalogInterval. A
+// failed or empty read is retried after catalogRetryDelay and keeps the previous types.
 func (a *Autoscaler) RefreshCatalog() {
 	a.scope.CallCloud(provider.Request{Op: provider.Catalog}, func(r provider.Response) {
 		if r.Outcome != rpc.OK || len(r.InstanceTypes) == 0 {
 			if !a.unreadable {
 				a.unreadable = true
-				a.Log(slog.LevelWarn, "instance types cannot be read", "known", len(a.InstanceTypes))
+				a.Log(slog.LevelWarn, "reading the instance type catalog failed, retrying", "known", len(a.InstanceTypes))
 			}
 			a.scope.After(a.Jitter(catalogRetryDelay), a.RefreshCatalog)
 			return
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -11,18 +11,20 @@
 
 const (
 	listInterval = 6 * time.Second
-	// maxListed ends a list that never ends: it would be read and remembered for ever.
-	// No fleet comes near it.
+	// maxListed bounds the instances read per listing, so that a cloud that always reports
+	// another page cannot exhaust the memory.
 	maxListed = 100_000
-	// maxReleasesPerCall is how many instances one call to the cloud releases.
+	// maxReleasesPerCall is the maximum number of instances that one call releases.
 	maxReleasesPerCall = 100
 )
 
-// ListInstances reads the cloud's list of instances, now and regularly from then on. It shows
-// instances that an earlier leader or a late request has rented, and those that have failed.
+// ListInstances reads the cloud's list of instances now and then every listInterval. The list
+// reveals instances requested by an earlier leader or by a request that timed out, and
+// instances that have failed.
 func (a *Autoscaler) ListInstances() { a.listInstances("", nil) }
 
-// listInstances reads the list from after a host on; listed is what was read before.
+// listInstances reads the page of the list that follows the host after. The argument listed
+// holds the entries of the previous pages.
 func (a *Autoscaler) listInstances(after string, listed []provider.Instance) {
 	a.scope.CallCloud(provider.Request{Op: provider.List, After: after}, func(r provider.Response) {
 		if r.Outcome != rpc.OK {
@@ -41,14 +43,15 @@
 	})
 }
 
-// releases is the instances to be returned to the cloud.
+// releases holds the instances that are to be released.
 type releases struct {
-	toRelease       []string // hosts whose release is not confirmed yet
+	toRelease       []string // hosts whose release the cloud has not confirmed
 	releaseInFlight bool
 }
 
-// Release returns a machine. Once the cloud has confirmed it, the machine and all that was
-// on it are gone.
+// Release queues a machine to be released by SendReleases. The machine is removed from the
+// inventory once the cloud confirms the release. Calls for a machine that is already being
+// released have no effect.
 func (a *Autoscaler) Release(m *fleet.Machine) {
 	if m.Releasing {
 		return
@@ -58,7 +61,8 @@
 	a.inventory.DropReservations(m)
 }
 
-// SendReleases calls the cloud for the machines that are to be returned.
+// SendReleases asks the cloud to release queued machines, up to maxReleasesPerCall per call,
+// with one call in flight at a time. Unconfirmed releases are retried by the next call.
 func (a *Autoscaler) SendReleases() {
 	if a.releaseInFlight || len(a.toRelease) == 0 || !a.state.CanAct() || !a.callLimit.AllowN(a.Now, 1) {
 		return
@@ -68,7 +72,7 @@
 	a.scope.CallCloud(provider.Request{Op: provider.Release, Hosts: hosts}, func(r provider.Response) {
 		a.releaseInFlight = false
 		if r.Outcome != rpc.OK {
-			return // they stay listed, and are tried again
+			return // the hosts stay in toRelease and are retried
 		}
 		for _, h := range hosts {
 			a.toRelease = slices.DeleteFunc(a.toRelease, func(x string) bool { return x == h })
--- a/internal/autoscaler/load.go
+++ b/internal/autoscaler/load.go
@@ -8,27 +8,28 @@
 	"yewpass/internal/timeline"
 )
 
-// load is the waiting work and the machines for it as of the last look.
+// load holds the backlog and the capacity as last computed by computeDemand.
 type load struct {
 	backlog time.Duration
-	cpus    float64 // at hand or on their way
+	cpus    float64 // available or requested
 }
 
-// Backlog returns how long the waiting work would take on all CPUs at hand or on their way.
+// Backlog returns the time that the waiting work would take on all available and requested
+// CPUs, as of the last update.
 func (l *load) Backlog() time.Duration { return l.backlog }
 
-// CPUs returns how many CPUs are at hand or on their way.
+// CPUs returns the number of available and requested CPUs, as of the last update.
 func (l *load) CPUs() float64 { return l.cpus }
 
-// UpdateLoad computes the backlog anew.
+// UpdateLoad recomputes the values that Backlog and CPUs return.
 func (a *Autoscaler) UpdateLoad() { a.computeDemand() }
 
-// serviceWorkSeconds is for how long a waiting service counts as work.
+// serviceWorkSeconds is the runtime assumed for tasks of services, which do not end.
 const serviceWorkSeconds = 600
 
-// workload is waiting work.
+// workload is an amount of waiting work.
 type workload struct {
-	cpus       float64 // that its tasks take together
+	cpus       float64 // used if all its tasks run at the same time
 	cpuSeconds float64
 }
 
@@ -37,13 +38,13 @@
 	w.cpuSeconds += cpus * seconds
 }
 
-// computeDemand sums up the waiting work, and the part of it that needs on-computeDemand instances, and
-// updates the load.
+// computeDemand returns the total waiting work and the part of it that requires on-demand
+// instances, and updates the load.
 func (a *Autoscaler) computeDemand() (all, onDemand workload) {
-	limits := map[*quota.Account]float64{} // CPUs that teams may still use
+	limits := map[*quota.Account]float64{} // CPUs left within the teams' limits
 	for _, j := range a.state.Queue() {
 		if j.Halted() || a.Now.Before(j.RetryAt) || !a.zoneAllowsRental(j.Spec.Zone) {
-			continue // machines elsewhere would be rented for nothing
+			continue // additional machines would not let it start
 		}
 		cpus := float64(j.Waiting) * float64(j.Need.CPU) / 1000
 		if t := j.Team; t.Limit.CPU > 0 {
@@ -68,13 +69,13 @@
 	return all, onDemand
 }
 
-// zoneAllowsRental reports whether machines may be rented for a job that is bound to a zone, or to
-// none ("").
+// zoneAllowsRental reports whether instances may be requested for a job that is restricted to
+// the given zone, or unrestricted ("").
 func (a *Autoscaler) zoneAllowsRental(zone string) bool {
 	return zone == "" || a.state.Zone(zone).AllowsRental()
 }
 
-// supply returns how many CPUs are at hand or on their way, and how many of them are free.
+// supply returns the number of available and requested CPUs, and how many of them are free.
 func (a *Autoscaler) supply(onDemandOnly bool) (total, free float64) {
 	for _, m := range a.state.Machines() {
 		if !m.Usable() || onDemandOnly && m.Spot || a.isBootOverdue(m) {
@@ -92,7 +93,8 @@
 	return total, free
 }
 
-// isBootOverdue reports whether a machine takes so long to boot that it cannot be counted on.
+// isBootOverdue reports whether a machine has been booting for so long that it does not count
+// as supply.
 func (a *Autoscaler) isBootOverdue(m *fleet.Machine) bool {
 	return !m.Reported && a.Now.Sub(m.RentedAt) > 2*m.InstanceType.BootTime+10*time.Second
 }
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	// maxInstancesPerRequest is how many instances one request asks for at the most.
+	// maxInstancesPerRequest is the maximum number of instances per request.
 	maxInstancesPerRequest = 50
-	// noCapacityPause is for how long an offer without capacity is not requested again, on
-	// average; rejectedPause is that for one that the cloud calls malformed.
+	// noCapacityPause is the average time for which an offer is not requested again after the
+	// cloud had no capacity for it, rejectedPause after the cloud rejected it as malformed.
 	noCapacityPause = 10 * time.Second
 	rejectedPause   = time.Minute
-	// requestRetryDelay is when a request whose outcome is unknown is sent again, on average.
+	// requestRetryDelay is the average delay before a request with unknown outcome is resent.
 	requestRetryDelay = 2 * time.Second
-	// minRequestCPUs stands for the CPUs of tasks that take none: they need a machine all the same.
+	// minRequestCPUs is requested for tasks that use no CPU, since they still need a machine.
 	minRequestCPUs = 0.001
-	// bootCostSeconds is the boot time that doubles what an instance type seems to cost.
+	// bootCostSeconds is the boot time that doubles the cost at which a type is compared.
 	bootCostSeconds = 120
 )
 
-// Offer is a kind of instance that can be rented.
+// Offer identifies instances that the cloud offers: a type in a zone, spot or on-demand.
 type Offer struct {
 	InstanceType string
 	Zone         string
 	Spot         bool
 }
 
-// requests is the requests for instances and what came of them.
+// requests tracks the requests for instances and which offers lack capacity.
 type requests struct {
 	noCapacityUntil map[Offer]time.Time
-	pending         map[string]*pendingRequest // requests whose outcome is not known, by name
-	requestCount    uint64                     // with the term and the era it makes names that never repeat
+	pending         map[string]*pendingRequest // requests with unknown outcome, by name
+	requestCount    uint64                     // part of request names; see nextRequestName
 	atCapacity      bool                       // the controllers cannot serve more machines
 }
 
-// pendingRequest is a request whose outcome is not known.
+// pendingRequest is a request for instances whose outcome is not known yet.
 type pendingRequest struct {
 	Offer
 	count       int
@@ -53,19 +53,19 @@
 	requestedAt time.Time
 }
 
-// requirement is what instances are requested for.
+// requirement describes the instances to request.
 type requirement struct {
-	spec   *spec.Job // that an instance must suit
+	spec   *spec.Job // the job that an instance must be able to run
 	cpus   float64
-	urgent bool // on-demand instances will do as well as spot instances
-	probe  bool // to see whether a lost zone is back
+	urgent bool // also consider on-demand instances if spot is allowed
+	probe  bool // tests whether a lost zone is reachable, so zone states are ignored
 }
 
-// AtCapacity reports whether no more instances are requested because the controllers could
-// not serve them.
+// AtCapacity reports whether scaling out is suspended because the controllers cannot serve
+// more machines.
 func (r *requests) AtCapacity() bool { return r.atCapacity }
 
-// pendingInstances returns how many instances the pending requests may bring.
+// pendingInstances returns the number of instances that pending requests may start.
 func (r *requests) pendingInstances() (n int) {
 	for _, p := range r.pending {
 		n += p.count
@@ -73,7 +73,8 @@
 	return n
 }
 
-// MayHaveCapacity reports whether some zone may have capacity for instances of a type.
+// MayHaveCapacity reports whether any zone may have capacity for instances of a type, that is,
+// whether the cloud has not refused it recently in all zones.
 func (a *Autoscaler) MayHaveCapacity(t *provider.InstanceType, allowSpot bool) bool {
 	for _, z := range t.Zones {
 		if a.Now.After(a.noCapacityUntil[Offer{InstanceType: t.Name, Zone: z}]) || allowSpot && a.Now.After(a.noCapacityUntil[Offer{InstanceType: t.Name, Zone: z, Spot: true}]) {
@@ -83,17 +84,18 @@
 	return false
 }
 
-// RequestProbe requests one instance in a zone that is lost, to see whether it is back.
+// RequestProbe requests one instance in a lost zone. Its heartbeat shows that the zone is
+// reachable again.
 func (a *Autoscaler) RequestProbe(zone string) {
 	a.requestInstances(requirement{spec: &spec.Job{Zone: zone, AllowSpot: true}, urgent: true, probe: true})
 }
 
-// requestInstances sends one requestInstances for instances that suit a requirement, of the cheapest kind;
-// false if none could be sent.
+// requestInstances sends one request for the cheapest instances that meet a requirement. It
+// reports whether a request was sent.
 func (a *Autoscaler) requestInstances(want requirement) bool {
-	room := a.state.MaxMachines() - len(a.state.Machines()) - a.pendingInstances()
-	a.updateAtCapacity(room)
-	if room <= 0 {
+	headroom := a.state.MaxMachines() - len(a.state.Machines()) - a.pendingInstances()
+	a.updateAtCapacity(headroom)
+	if headroom <= 0 {
 		return false
 	}
 	want.cpus = max(want.cpus, minRequestCPUs)
@@ -102,42 +104,42 @@
 		return false
 	}
 	best := slices.MinFunc(candidates, compareCandidateOffers)
-	n := min(int(math.Ceil(want.cpus/best.cpus)), maxInstancesPerRequest, room)
+	n := min(int(math.Ceil(want.cpus/best.cpus)), maxInstancesPerRequest, headroom)
 	name := a.nextRequestName()
 	a.pending[name] = &pendingRequest{Offer: best.Offer, count: n, cpus: float64(n) * best.cpus, requestedAt: a.Now}
 	a.sendRequest(name)
 	return true
 }
 
-// updateAtCapacity logs when the controllers cannot serve more machines, and when they can again.
-// More machines than they have connections for would serve nobody: they would crowd out each
-// other, and users.
-func (a *Autoscaler) updateAtCapacity(room int) {
-	if a.atCapacity == (room <= 0) {
+// updateAtCapacity records and logs whether the controllers can serve more machines. Machines
+// beyond the controllers' connection limit would compete for connections with each other and
+// with users.
+func (a *Autoscaler) updateAtCapacity(headroom int) {
+	if a.atCapacity == (headroom <= 0) {
 		return
 	}
-	machines, most := len(a.state.Machines()), a.state.MaxMachines()
-	if a.atCapacity = room <= 0; a.atCapacity {
-		a.Log(slog.LevelWarn, "not scaling out, controllers are at capacity", "machines", machines, "most", most, "reason", "the controllers cannot serve more")
+	machines, maxMachines := len(a.state.Machines()), a.state.MaxMachines()
+	if a.atCapacity = headroom <= 0; a.atCapacity {
+		a.Log(slog.LevelWarn, "not scaling out, controllers are at capacity", "machines", machines, "max", maxMachines, "reason", "the controllers cannot serve more machines")
 	} else {
-		a.Log(slog.LevelInfo, "scaling out again", "machines", machines, "most", most)
+		a.Log(slog.LevelInfo, "controllers have capacity again, scaling out resumed", "machines", machines, "max", maxMachines)
 	}
 }
 
-// candidateOffer is an offer that suits a requirement.
+// candidateOffer is an offer that meets a requirement.
 type candidateOffer struct {
 	Offer
-	cpus float64 // of one instance
-	cost float64 // of all that is required, to compare by
+	cpus float64 // per instance
+	cost float64 // see rentalCost
 }
 
-// candidateOffers returns the offers that suit a requirement and may have capacity. In a zone that
-// is cut off none does but a probe.
+// candidateOffers returns the offers that meet a requirement and may have capacity. Offers in
+// unreachable zones are returned only for probes.
 func (a *Autoscaler) candidateOffers(want requirement) (list []candidateOffer) {
 	s := want.spec
-	have := map[Offer]int{}
+	counts := map[Offer]int{}
 	for _, m := range a.state.Machines() {
-		have[Offer{InstanceType: m.TypeName, Zone: m.Zone, Spot: m.Spot}]++
+		counts[Offer{InstanceType: m.TypeName, Zone: m.Zone, Spot: m.Spot}]++
 	}
 	for i := range a.InstanceTypes {
 		t := &a.InstanceTypes[i]
@@ -153,8 +155,8 @@
 				if spot && !s.AllowSpot || !spot && s.AllowSpot && !want.urgent || a.Now.Before(a.noCapacityUntil[o]) {
 					continue
 				}
-				// Among equals the kind goes first of which there are fewer.
-				cost := rentalCost(t, spot, want.cpus) + 1e-9*float64(have[o])
+				// Prefers, at equal cost, the offer with fewer machines.
+				cost := rentalCost(t, spot, want.cpus) + 1e-9*float64(counts[o])
 				list = append(list, candidateOffer{Offer: o, cpus: t.CPUs, cost: cost})
 			}
 		}
@@ -162,8 +164,8 @@
 	return list
 }
 
-// rentalCost is the price of a CPU on instances of a type that make up so many CPUs, raised
-// for their boot time.
+// rentalCost returns the price per used CPU of renting enough instances of a type for the given
+// number of CPUs, increased in proportion to the boot time.
 func rentalCost(t *provider.InstanceType, spot bool, cpus float64) float64 {
 	price := t.OnDemandRate
 	if spot {
@@ -174,7 +176,7 @@
 	return price * n / used * (1 + t.BootTime.Seconds()/bootCostSeconds)
 }
 
-// compareCandidateOffers orders spot instances before on-demand instances, and both by cost.
+// compareCandidateOffers orders spot offers before on-demand offers, and each group by cost.
 func compareCandidateOffers(a, b candidateOffer) int {
 	if a.Spot != b.Spot {
 		if a.Spot {
@@ -185,23 +187,24 @@
 	return cmp.Compare(a.cost, b.cost)
 }
 
-// nextRequestName returns a name that no request has had: the cloud answers one that it knows
-// with the instances of that time. Terms rise for as long as they are on record; where all of
-// it is lost they may begin again, and then the era differs.
+// nextRequestName returns a name that no earlier request has used. The cloud treats the name as
+// an idempotency key: it answers a repeated name with the instances of the first request. Terms
+// may start over when the store has lost its data, so the name includes the era.
 func (a *Autoscaler) nextRequestName() string {
 	a.requestCount++
 	term, era := a.state.Term()
 	return fmt.Sprintf("t%d-%d-%x", term, a.requestCount, era)
 }
 
-// sendRequest sends a request, and again under the same name while its outcome is unknown.
+// sendRequest sends a pending request. While the outcome is unknown, handleOutcome resends it
+// under the same name.
 func (a *Autoscaler) sendRequest(name string) {
 	p := a.pending[name]
 	call := provider.Request{Op: provider.ScaleOut, RequestName: name, InstanceType: p.InstanceType, Zone: p.Zone, Spot: p.Spot, Count: p.count}
 	a.scope.CallCloud(call, func(r provider.Response) { a.handleOutcome(name, p, r) })
 }
 
-// handleOutcome takes in what came of a request.
+// handleOutcome processes the cloud's response to a request.
 func (a *Autoscaler) handleOutcome(name string, p *pendingRequest, r provider.Response) {
 	switch r.Outcome {
 	case rpc.OK:
@@ -218,7 +221,7 @@
 		delete(a.pending, name)
 		a.state.Zone(p.Zone).ProbeRefused(a.Now)
 		a.noCapacityUntil[p.Offer] = a.Now.Add(a.Jitter(noCapacityPause))
-		a.Log(slog.LevelInfo, "instance request refused, no capacity", "type", p.InstanceType, "zone", p.Zone, "spot", p.Spot, "wanted", p.count)
+		a.Log(slog.LevelInfo, "instance request refused, offer has no capacity", "type", p.InstanceType, "zone", p.Zone, "spot", p.Spot, "wanted", p.count)
 	case rpc.Invalid:
 		delete(a.pending, name)
 		a.noCapacityUntil[p.Offer] = a.Now.Add(rejectedPause)
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -10,28 +10,30 @@
 	"yewpass/internal/fleet"
 )
 
-// MinRentalTime is how long a machine is kept at least: a minute is paid for anyway.
+// MinRentalTime is the minimum time that a machine is kept, since the cloud bills at least one
+// minute.
 const MinRentalTime = 50 * time.Second
 
 const (
-	// drainDivisor bounds how many machines begin to drain at a time: one, and one more for
-	// so many that there are.
+	// drainDivisor bounds how many machines start draining at the same time: one, plus one for
+	// every drainDivisor machines in the fleet.
 	drainDivisor = 20
-	// maxDrainingDivisor bounds how many machines drain at a time: one in so many.
+	// maxDrainingDivisor bounds how many machines drain at the same time: one in
+	// maxDrainingDivisor.
 	maxDrainingDivisor = 3
-	// drainBacklog is the backlog from which on no machine begins to drain; beyond
-	// undrainBacklog those that drain are kept after all.
+	// No machine starts draining while the backlog exceeds drainBacklog. While it exceeds
+	// undrainBacklog, draining machines are returned to service.
 	drainBacklog   = time.Second
 	undrainBacklog = 10 * time.Second
-	// A part of the CPUs in use, and a few more, are kept free when machines drain.
+	// Draining leaves reserveShare of the used CPUs, plus reserveCPUs, free.
 	reserveShare = 0.1
 	reserveCPUs  = 2
 )
 
-// ScaleIn begins to drain the machines that are the most expensive to keep, if what runs on
-// them fits on the others, with some room for the work that is expected. While work waits
-// it stops draining instead. None begins to drain while earlier terms' machines are
-// unaccounted for.
+// ScaleIn starts draining the most expensive machines if their tasks fit on the remaining ones
+// with a reserve for the forecast load. While the backlog is large it stops draining instead.
+// No machine starts draining until allAccounted is true, that is, until every machine that may
+// hold tasks of an earlier term is accounted for.
 func (a *Autoscaler) ScaleIn(allAccounted bool) {
 	if len(a.state.Queue()) > 0 && a.backlog > drainBacklog {
 		if a.backlog > undrainBacklog {
@@ -53,7 +55,7 @@
 			break
 		}
 		if free-m.InstanceType.CPUs < reserve {
-			continue // what the others have, less what would move to them
+			continue // the remaining machines would have less free capacity than the reserve
 		}
 		free -= m.InstanceType.CPUs
 		draining++
@@ -63,7 +65,7 @@
 	}
 }
 
-// stopDraining keeps the machines that drain.
+// stopDraining returns draining machines to service, except those being released.
 func (a *Autoscaler) stopDraining() {
 	for _, m := range a.state.Machines() {
 		if m.Draining && !m.Releasing {
@@ -72,14 +74,14 @@
 	}
 }
 
-// usage is how the machines are used.
+// usage summarizes the utilization of the fleet.
 type usage struct {
-	used, free float64 // CPUs of the machines that take tasks
-	draining   int     // machines
-	candidates []*fleet.Machine
+	used, free float64          // CPUs of machines that accept tasks
+	draining   int              // number of draining machines
+	candidates []*fleet.Machine // machines that may start draining
 }
 
-// fleetUsage sums up how the machines are used and which of them may begin to drain.
+// fleetUsage returns the utilization of the fleet and the machines that may start draining.
 func (a *Autoscaler) fleetUsage() (u usage) {
 	for _, m := range a.state.Machines() {
 		if m.Draining && !m.Releasing {
@@ -97,8 +99,8 @@
 	return u
 }
 
-// compareCost orders machines by price, the most expensive first, and machines of about the
-// same price by use, the emptiest first.
+// compareCost orders machines by descending price per CPU and, within a price class, by
+// ascending utilization. Prices that differ by less than about 2 % share a class.
 func compareCost(a, b *fleet.Machine) int {
 	priceClass := func(m *fleet.Machine) int { return int(math.Round(50 * math.Log(m.PerCPU()+1e-9))) }
 	if x := cmp.Compare(priceClass(b), priceClass(a)); x != 0 {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -30,8 +30,8 @@
 	finalKey = record.FinalPrefix + "wk-1"
 )
 
-// fakeController is a controller that does not lead, with its gateway.
-type fakeController struct {
+// node is a controller that does not lead, with its gateway.
+type node struct {
 	*Gateway
 	t               *testing.T
 	leads           bool
@@ -40,25 +40,25 @@
 	replica         *replica.Replica
 }
 
-func (n *fakeController) Leads() bool                         { return n.leads }
-func (n *fakeController) Upstream() Upstream                  { return n.upstream }
-func (n *fakeController) RequestLeaderVersion()               { n.versionRequests++ }
-func (n *fakeController) Cluster() *view.Cluster              { return &view.Cluster{Node: "n0"} }
-func (n *fakeController) LastLeaderReplica() *replica.Replica { return n.replica }
-func (n *fakeController) Team(_ *replica.Replica, name string) *quota.Account {
+func (n *node) Leads() bool                         { return n.leads }
+func (n *node) Upstream() Upstream                  { return n.upstream }
+func (n *node) RequestLeaderVersion()               { n.versionRequests++ }
+func (n *node) Cluster() *view.Cluster              { return &view.Cluster{Node: "n0"} }
+func (n *node) LastLeaderReplica() *replica.Replica { return n.replica }
+func (n *node) Team(_ *replica.Replica, name string) *quota.Account {
 	if name != "t" {
 		return nil
 	}
 	return quota.New(liveconfig.Team{Name: "t"})
 }
 
-func (n *fakeController) HighestTerm() uint64    { return n.upstream.Term }
-func (n *fakeController) ConfirmedTerm() uint64  { return n.upstream.Term }
-func (n *fakeController) IsLinked(string) bool   { return true }
-func (n *fakeController) HasLoadedRecords() bool { return false }
+func (n *node) HighestTerm() uint64    { return n.upstream.Term }
+func (n *node) ConfirmedTerm() uint64  { return n.upstream.Term }
+func (n *node) IsLinked(string) bool   { return true }
+func (n *node) HasLoadedRecords() bool { return false }
 
-// newFakeController returns a node with a link to the leader n1, and with the replica of its term.
-func newFakeController(t *testing.T) *fakeController {
+// newNode returns a node with a link to the leader n1, and with the replica of its term.
+func newNode(t *testing.T) *node {
 	t.Helper()
 	p, err := policy.New(map[string]string{"refuse": "false"})
 	if err != nil {
@@ -68,7 +68,7 @@
 	cfg.Settings.State = config.State{RPS: 100, WriteRPS: 300, ValueKB: 64, TxnOps: 16}
 	e := engine.New(rand.New(rand.NewPCG(1, 1)), 1)
 	e.Begin(time.Unix(1_900_000_000, 0))
-	n := &fakeController{t: t, upstream: Upstream{Leader: "n1", Linked: true, Term: 5, TermRevision: 40}}
+	n := &node{t: t, upstream: Upstream{Leader: "n1", Linked: true, Term: 5, TermRevision: 40}}
 	n.replica = replica.New(1, 5, record.FinalPrefix, 100)
 	n.replica.Put(record.ConfigHeadKey, nil, 17)
 	n.Gateway = New(e, n, cfg, p, jobstore.NewReader(e, 100, 1, 10), replication.New(e, cfg, n))
@@ -77,7 +77,7 @@
 }
 
 // takeOutputs returns the outputs of the present step of one type and forgets all.
-func takeOutputs[T any](n *fakeController) (found []T) {
+func takeOutputs[T any](n *node) (found []T) {
 	for _, out := range n.engine.Outputs {
 		if x, ok := out.(T); ok {
 			found = append(found, x)
@@ -87,7 +87,7 @@
 	return found
 }
 
-func takeOutput[T any](n *fakeController) T {
+func takeOutput[T any](n *node) T {
 	n.t.Helper()
 	found := takeOutputs[T](n)
 	if len(found) != 1 {
@@ -97,7 +97,7 @@
 }
 
 // replyFromStore answers the one request to the store and returns it.
-func (n *fakeController) replyFromStore(r kv.Response) kv.Request {
+func (n *node) replyFromStore(r kv.Response) kv.Request {
 	n.t.Helper()
 	call := takeOutput[kv.Request](n)
 	r.Ref = call.Ref
@@ -105,7 +105,7 @@
 	return call
 }
 
-func (n *fakeController) advance(d time.Duration) {
+func (n *node) advance(d time.Duration) {
 	n.engine.Begin(n.engine.Now.Add(d))
 	n.engine.RunTimers()
 }
@@ -115,7 +115,7 @@
 }
 
 func TestForwardedRequestIsAnswered(t *testing.T) {
-	n := newFakeController(t)
+	n := newNode(t)
 	n.Serve(request.Request{Ref: 9, Op: request.Cancel, ID: "wk-1"})
 	sent := takeOutput[peermsg.Outgoing](n)
 	if sent.To != "n1" || sent.Msg.Kind != peermsg.Request || sent.Msg.Op != request.Cancel || sent.Msg.ID != "wk-1" {
@@ -154,7 +154,7 @@
 		{request.Cluster, 2500 * time.Millisecond, 200},
 	} {
 		t.Run(string(test.op), func(t *testing.T) {
-			outcome := func(n *fakeController, when string) {
+			outcome := func(n *node, when string) {
 				t.Helper()
 				if test.status == 0 {
 					takeOutput[kv.Request](n)
@@ -164,7 +164,7 @@
 			}
 			r := submission("wk-1")
 			r.Op = test.op
-			n := newFakeController(t)
+			n := newNode(t)
 			n.Serve(r)
 			takeOutput[peermsg.Outgoing](n)
 			n.advance(test.timeout - time.Millisecond)
@@ -174,7 +174,7 @@
 			n.advance(time.Millisecond)
 			outcome(n, "after the timeout")
 
-			n = newFakeController(t)
+			n = newNode(t)
 			n.Serve(r)
 			takeOutput[peermsg.Outgoing](n)
 			n.HandleLinkLost("n2")
@@ -188,7 +188,7 @@
 }
 
 func TestServeWithoutForwarding(t *testing.T) {
-	n := newFakeController(t)
+	n := newNode(t)
 	n.Serve(request.Request{Ref: 9, From: "n2", Op: request.Get, ID: "wk-1"})
 	if got := takeOutput[peermsg.Outgoing](n); got.To != "n2" || got.Msg.Ref != 9 || got.Msg.Answer.Status != 503 || got.Msg.Answer.Reason != "not the leader" {
 		t.Errorf("to one that took us for the leader: %+v", got)
@@ -245,7 +245,7 @@
 // has no record and that neither the term nor the configuration has changed.
 func TestLeaderlessAdmission(t *testing.T) {
 	conditions := []kv.Condition{{Key: liveKey}, {Key: finalKey}, {Key: record.TermKey, Rev: 40}, {Key: record.ConfigHeadKey, Rev: 17}}
-	n := newFakeController(t)
+	n := newNode(t)
 	n.upstream.Linked = false
 	n.Serve(submission("wk-1"))
 	call := n.replyFromStore(kv.Response{Outcome: rpc.OK, Rev: 50})
@@ -268,20 +268,17 @@
 }
 
 func TestLeaderlessAdmissionDeclined(t *testing.T) {
-	for name, change := range map[string]func(*fakeController, *request.Request){
-		"leads without authority": func(n *fakeController, _ *request.Request) { n.leads = true },
-		"no instance types":       func(n *fakeController, _ *request.Request) { n.SetInstanceTypes(nil) },
-		"no replica":              func(n *fakeController, _ *request.Request) { n.replica = nil },
-		"over by the replica":     func(n *fakeController, _ *request.Request) { n.replica.Put(finalKey, &record.Final{}, 3) },
-		"refused, live by replica": func(n *fakeController, r *request.Request) {
-			n.replica.Put(liveKey, &record.Job{}, 3)
-			r.Spec.Owner = "x"
-		},
-		"no other controllers":       func(n *fakeController, _ *request.Request) { n.cfg.Seeds = nil },
-		"the allowance is exhausted": func(n *fakeController, _ *request.Request) { n.writeLimit.AllowN(n.engine.Now, n.writeLimit.Burst()) },
+	for name, change := range map[string]func(*node, *request.Request){
+		"leads without authority":    func(n *node, _ *request.Request) { n.leads = true },
+		"no instance types":          func(n *node, _ *request.Request) { n.SetInstanceTypes(nil) },
+		"no replica":                 func(n *node, _ *request.Request) { n.replica = nil },
+		"over by the replica":        func(n *node, _ *request.Request) { n.replica.Put(finalKey, &record.Final{}, 3) },
+		"refused, live by replica":   func(n *node, r *request.Request) { n.replica.Put(liveKey, &record.Job{}, 3); r.Spec.Owner = "x" },
+		"no other controllers":       func(n *node, _ *request.Request) { n.cfg.Seeds = nil },
+		"the allowance is exhausted": func(n *node, _ *request.Request) { n.writeLimit.AllowN(n.engine.Now, n.writeLimit.Burst()) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := newFakeController(t)
+			n := newNode(t)
 			n.upstream.Linked = false
 			r := submission("wk-1")
 			change(n, &r)
@@ -297,7 +294,7 @@
 // nobody ever accepted it.
 func TestLeaderlessRefusal(t *testing.T) {
 	for outcome, status := range map[rpc.Outcome]int{rpc.OK: 422, rpc.Conflict: 503, rpc.Unknown: 503} {
-		n := newFakeController(t)
+		n := newNode(t)
 		n.upstream.Linked = false
 		r := submission("wk-1")
 		r.Spec.CPUs = 9
