--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -100,14 +100,14 @@
 	if r := o.Regions.RegionOf(z.Name); r != nil && r.State != zones.Up {
 		level = slog.LevelDebug // the line of the region says it
 	}
-	o.engine.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.Previous, "heard", z.Counts.Reporting, "silent", z.Counts.Silent)
+	o.engine.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.PreviousDuration, "heard", z.Counts.Reporting, "silent", z.Counts.Silent)
 }
 
 // observeRegions derives the states of the regions from those of their zones and logs changes.
 func (o *Monitor) observeRegions() {
 	for _, x := range o.Regions.Observe(o.engine.Now, o.Zones.All()) {
 		r := x.Region
-		o.engine.Log(logLevel(x.To), "region "+x.To.String(), "region", r.Name, "before", x.From.String(), "after", x.Previous, "zones", r.Zones, "away", r.UnreachableZones, "heard", r.Counts.Reporting, "silent", r.Counts.Silent)
+		o.engine.Log(logLevel(x.To), "region "+x.To.String(), "region", r.Name, "before", x.From.String(), "after", x.PreviousDuration, "zones", r.Zones, "away", r.UnreachableZones, "heard", r.Counts.Reporting, "silent", r.Counts.Silent)
 	}
 }
 
--- a/internal/zones/regions.go
+++ b/internal/zones/regions.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Regions says which zones lie in which region. Zones that it does not name lie in none.
+// Regions maps zones to regions. A zone may belong to no region.
 type Regions struct {
 	regionOf map[string]string
 	names    []string // sorted
 }
 
-// NewRegions returns the regions of a definition: the zones of each by its name. The error
-// names the region that is wrong.
+// NewRegions returns the Regions for a map from region names to their zones. It returns an error
+// that names the region if a region is empty, a zone has no name, or a zone is in two regions.
 func NewRegions(def map[string][]string) (*Regions, error) {
 	r := &Regions{regionOf: map[string]string{}, names: slices.Sorted(maps.Keys(def))}
 	for _, region := range r.names {
@@ -34,7 +34,7 @@
 	return r, nil
 }
 
-// RegionOf returns the region of a zone, or "".
+// RegionOf returns the name of a zone's region, or "" if the zone is in no region.
 func (r *Regions) RegionOf(zone string) string {
 	if r == nil {
 		return ""
@@ -42,62 +42,63 @@
 	return r.regionOf[zone]
 }
 
-// Region is what is known of one region, derived from its zones.
+// Region holds the state of one region, which is derived from its zones.
 type Region struct {
 	Name             string
 	State            State
-	Since            time.Time     // of the state
-	Counts           MachineCounts // sum of its zones
+	Since            time.Time     // when the state was entered
+	Counts           MachineCounts // sums over its zones
 	Zones            int           // number of zones that have machines
-	UnreachableZones int           // of them, those that are doubtful or lost
+	UnreachableZones int           // number of those that are doubtful or lost
 }
 
-// RegionChange is a region that goes from one state to another.
+// RegionChange is a state change of a region.
 type RegionChange struct {
-	Region   *Region
-	From, To State
-	Previous time.Duration // how long the former state lasted
+	Region           *Region
+	From, To         State
+	PreviousDuration time.Duration // time spent in state From
 }
 
-// RegionTracker observes the regions.
+// RegionTracker tracks the states of all regions.
 type RegionTracker struct {
 	membership *Regions
 	regions    map[string]*Region
 }
 
-// NewRegionTracker returns a RegionWatch of the regions, of none if set is nil.
-func NewRegionTracker(set *Regions) *RegionTracker {
-	w := &RegionTracker{membership: set, regions: map[string]*Region{}}
-	if set != nil {
-		for _, name := range set.names {
-			w.regions[name] = &Region{Name: name}
+// NewRegionTracker returns a RegionTracker with all regions in state Up. A nil argument means no
+// regions.
+func NewRegionTracker(regions *Regions) *RegionTracker {
+	t := &RegionTracker{membership: regions, regions: map[string]*Region{}}
+	if regions != nil {
+		for _, name := range regions.names {
+			t.regions[name] = &Region{Name: name}
 		}
 	}
-	return w
+	return t
 }
 
-// All returns the regions by name.
-func (w *RegionTracker) All() (rs []*Region) {
-	for _, name := range slices.Sorted(maps.Keys(w.regions)) {
-		rs = append(rs, w.regions[name])
+// All returns the regions, sorted by name.
+func (t *RegionTracker) All() (list []*Region) {
+	for _, name := range slices.Sorted(maps.Keys(t.regions)) {
+		list = append(list, t.regions[name])
 	}
-	return rs
+	return list
 }
 
-// RegionOf returns the region of a zone, or nil.
-func (w *RegionTracker) RegionOf(zone string) *Region { return w.regions[w.membership.RegionOf(zone)] }
+// RegionOf returns the region of a zone, or nil if the zone is in no region.
+func (t *RegionTracker) RegionOf(zone string) *Region { return t.regions[t.membership.RegionOf(zone)] }
 
-// Observe derives the states of the regions from those of the zones and returns the changes. A
-// region is unreachable when all its zones that have machines are, and there is more than
-// one; the outage of a single zone is not that of a region.
-func (w *RegionTracker) Observe(now time.Time, zones []*Zone) (changes []RegionChange) {
+// Observe derives the states of the regions from those of the zones and returns the state
+// changes. A region is unreachable when more than one of its zones have machines and all of
+// those zones are unreachable.
+func (t *RegionTracker) Observe(now time.Time, zones []*Zone) (changes []RegionChange) {
 	lost := map[string]int{}
 	returning := map[string]int{}
-	for _, r := range w.regions {
+	for _, r := range t.regions {
 		r.Zones, r.UnreachableZones, r.Counts = 0, 0, MachineCounts{}
 	}
 	for _, z := range zones {
-		r := w.RegionOf(z.Name)
+		r := t.RegionOf(z.Name)
 		if r == nil || z.State == Up && z.Counts.Reporting+z.Counts.Silent == 0 {
 			continue
 		}
@@ -114,19 +115,19 @@
 			returning[r.Name]++
 		}
 	}
-	for _, r := range w.All() {
+	for _, r := range t.All() {
 		if r.Since.IsZero() {
 			r.Since = now
 		}
 		if to := r.nextState(lost[r.Name], returning[r.Name]); to != r.State {
-			changes = append(changes, RegionChange{Region: r, From: r.State, To: to, Previous: now.Sub(r.Since)})
+			changes = append(changes, RegionChange{Region: r, From: r.State, To: to, PreviousDuration: now.Sub(r.Since)})
 			r.State, r.Since = to, now
 		}
 	}
 	return changes
 }
 
-// nextState is the state that follows from those of the zones.
+// nextState returns the state of the region for the given numbers of lost and returning zones.
 func (r *Region) nextState(lost, returning int) State {
 	switch {
 	case r.Zones > 1 && lost == r.Zones:
@@ -134,10 +135,10 @@
 	case r.Zones > 1 && r.UnreachableZones == r.Zones:
 		return Doubtful
 	case r.State != Up && (r.UnreachableZones > 0 || returning > 0):
-		return Returning // until the last of its zones is up
+		return Returning // until all its zones are up
 	}
 	return Up
 }
 
-// Unreachable reports whether all of the region is taken to be cut off.
+// Unreachable reports whether the whole region is considered unreachable.
 func (r *Region) Unreachable() bool { return r.State == Doubtful || r.State == Lost }
--- a/internal/zones/regions_test.go
+++ b/internal/zones/regions_test.go
@@ -14,17 +14,17 @@
 		"r1: a zone has no name":        {"r1": {""}},
 	} {
 		if _, err := NewRegions(def); err == nil || err.Error() != want {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("got error %v, want %s", err, want)
 		}
 	}
 	var none *Regions
 	if none.RegionOf("a") != "" {
-		t.Error("a zone lies in a region where there are none")
+		t.Error("nil Regions returns a region for a zone")
 	}
 }
 
-// TestRegionIsOneEvent: a region whose zones go and come one after the other is one event
-// each way; a zone that goes alone is none, and neither is one that has no machines.
+// TestRegionIsOneEvent checks that the outage of all zones of a region is reported as one change
+// of the region in each direction. The outage of a region's only zone with machines is not.
 func TestRegionIsOneEvent(t *testing.T) {
 	set, err := NewRegions(map[string][]string{"r1": {"r1-a", "r1-b", "r1-empty"}, "r2": {"r2-a"}})
 	if err != nil {
@@ -39,7 +39,7 @@
 		all = append(all, zone[name])
 	}
 	zone["r1-empty"].Counts = MachineCounts{}
-	var told []string
+	var got []string
 	for _, step := range []string{"", "r1-a doubtful", "r1-b doubtful", "r1-a lost", "r1-b lost", "r1-a returning", "r1-b returning", "r1-a up", "r1-b up", "r2-a lost"} {
 		if name, state, ok := strings.Cut(step, " "); ok {
 			for s := Up; s <= Returning; s++ {
@@ -50,11 +50,11 @@
 		}
 		now = now.Add(time.Second)
 		for _, c := range w.Observe(now, all) {
-			told = append(told, fmt.Sprint(step, ": ", c.Region.Name, " ", c.To, " after ", c.Previous))
+			got = append(got, fmt.Sprint(step, ": ", c.Region.Name, " ", c.To, " after ", c.PreviousDuration))
 		}
 	}
 	want := "r1-b doubtful: r1 doubtful after 2s,r1-b lost: r1 lost after 2s,r1-a returning: r1 returning after 1s,r1-b up: r1 up after 3s"
-	if got := strings.Join(told, ","); got != want {
-		t.Errorf("told %s\nwant %s", got, want)
+	if joined := strings.Join(got, ","); joined != want {
+		t.Errorf("got %s\nwant %s", joined, want)
 	}
 }
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,10 +1,10 @@
-// Package zones distinguishes a zone that is cut off from single machines that are gone. It
-// derives the state of each zone from how many of its machines are heard. It knows no
-// machines, does no I/O and reads no clock.
+// Package zones detects outages of availability zones and regions. It derives the state of each
+// zone from the number of its machines that report and that are silent. It does no I/O and
+// reads no clock.
 //
-// Hundreds of machines that fall silent at the same time are one outage, not hundreds of
-// failures: the machines are most likely well and back within a minute or two, and new ones
-// in the same zone would be just as unreachable.
+// When many machines of a zone fall silent at the same time, a network partition is more likely
+// than many independent failures: the machines usually come back within minutes, and new
+// machines in the same zone would be unreachable as well.
 package zones
 
 import (
@@ -18,9 +18,9 @@
 // The states of a zone or region.
 const (
 	Up        State = iota
-	Doubtful        // so many of its machines are silent at once that it may be cut off
-	Lost            // and has been for longer than a worker's lease
-	Returning       // reporting again, but not for long yet
+	Doubtful        // so many machines are silent that the zone may be unreachable
+	Lost            // doubtful for longer than a worker's lease
+	Returning       // reporting again, but not yet for long enough to be up
 )
 
 // String returns the name of the state in lower case.
@@ -28,133 +28,138 @@
 	return [...]string{"up", "doubtful", "lost", "returning"}[s]
 }
 
-// Settings are the times that decide about the states.
+// Settings are the intervals that govern state changes, probes and the release of machines.
 type Settings struct {
-	LostAfter     time.Duration // a doubtful zone is lost after this: what ran there is over by then
-	StableFor     time.Duration // a returning zone is up after this; doubled for each relapse
-	KeepFor       time.Duration // all machines of a lost zone are kept for this, counted from the beginning of the outage
-	ProbeInterval time.Duration // how often one machine is rented in a lost zone that has none left
+	// LostAfter is the time after which a doubtful zone is lost. It is longer than a worker's
+	// lease, so the tasks of an unreachable zone have ended by then.
+	LostAfter time.Duration
+	// StableFor is the time after which a returning zone is up; doubled for each relapse.
+	StableFor time.Duration
+	// KeepFor is how long all machines of a lost zone are kept, from the start of the outage.
+	KeepFor time.Duration
+	// ProbeInterval is the interval between probes of a lost zone that has no machines.
+	ProbeInterval time.Duration
 }
 
-// MachineCounts is how many machines of a zone are heard and silent at one time.
+// MachineCounts is the number of reporting and silent machines of a zone at one time.
 type MachineCounts struct {
-	Reporting int // machines that have reported recently
-	Silent    int // machines that have reported before, or may hold tasks, but have not reported recently
+	Reporting int // machines with a recent heartbeat
+	Silent    int // machines without one that have reported before or may hold tasks
 }
 
 const (
-	// minSilent is how many machines must be silent for their zone to be suspected.
+	// minSilent is the minimum number of silent machines for a zone to become doubtful.
 	minSilent = 3
-	// maxRelapses bounds how often StableFor is doubled.
+	// maxRelapses is the maximum number of times that StableFor is doubled.
 	maxRelapses = 4
-	// relapseResetTime is how long a zone must have been up for its relapses to be forgotten.
+	// relapseResetTime is how long a zone must have been up for its relapse count to be reset.
 	relapseResetTime = 5 * time.Minute
-	// MinKeepCount is how many silent machines of a lost zone are kept for good: they report when
-	// it is back.
+	// MinKeepCount is the number of silent machines of a lost zone that are never released, so
+	// that their heartbeats show when the zone is reachable again.
 	MinKeepCount = 2
 )
 
-// Zone is what is known of one zone.
+// Zone holds the state of one zone.
 type Zone struct {
 	Name            string
 	State           State
-	Since           time.Time     // of the state
-	Counts          MachineCounts // latest
-	OutageSince     time.Time     // when the outage began that led to the state
-	maxSilent       int           // the most that were silent at a time since then
+	Since           time.Time     // when the state was entered
+	Counts          MachineCounts // from the latest observation
+	OutageSince     time.Time     // start of the latest outage
+	maxSilent       int           // maximum of Counts.Silent during that outage
 	relapses        int
-	suppressedUntil time.Time // no outage is suspected before this: part of the zone was silent for long
+	suppressedUntil time.Time // the zone does not become doubtful before this
 	probedAt        time.Time
 	settings        *Settings
 }
 
-// Tracker observes the zones.
+// Tracker tracks the states of all zones.
 type Tracker struct {
 	settings Settings
 	zones    map[string]*Zone
 	names    []string // sorted
 }
 
-// New returns a Watch that has observed nothing.
+// New returns a Tracker without zones.
 func New(s Settings) *Tracker { return &Tracker{settings: s, zones: map[string]*Zone{}} }
 
-// Zone returns the zone of a name. A new one is up.
-func (w *Tracker) Zone(name string) *Zone {
-	z := w.zones[name]
+// Zone returns the zone with the given name, adding it in state Up if it is not known.
+func (t *Tracker) Zone(name string) *Zone {
+	z := t.zones[name]
 	if z == nil {
-		z = &Zone{Name: name, settings: &w.settings}
-		w.zones[name] = z
-		i, _ := slices.BinarySearch(w.names, name)
-		w.names = slices.Insert(w.names, i, name)
+		z = &Zone{Name: name, settings: &t.settings}
+		t.zones[name] = z
+		i, _ := slices.BinarySearch(t.names, name)
+		t.names = slices.Insert(t.names, i, name)
 	}
 	return z
 }
 
-// All returns the zones by name.
-func (w *Tracker) All() []*Zone {
-	zs := make([]*Zone, 0, len(w.names))
-	for _, n := range w.names {
-		zs = append(zs, w.zones[n])
+// All returns the zones, sorted by name.
+func (t *Tracker) All() []*Zone {
+	list := make([]*Zone, 0, len(t.names))
+	for _, n := range t.names {
+		list = append(list, t.zones[n])
 	}
-	return zs
+	return list
 }
 
-// Change is a zone that goes from one state to another.
+// Change is a state change of a zone.
 type Change struct {
-	Zone     *Zone
-	From, To State
-	Previous time.Duration // how long the former state lasted
+	Zone             *Zone
+	From, To         State
+	PreviousDuration time.Duration // time spent in state From
 }
 
-// Observe takes in an observation of each zone and returns the changes of state.
-func (w *Tracker) Observe(now time.Time, observations map[string]MachineCounts) []Change {
+// Observe updates all zones and returns their state changes. Zones missing from observations
+// count as having no machines.
+func (t *Tracker) Observe(now time.Time, observations map[string]MachineCounts) []Change {
 	for name := range observations {
-		w.Zone(name)
+		t.Zone(name)
 	}
-	for _, n := range w.names {
-		w.zones[n].Counts = observations[n]
+	for _, n := range t.names {
+		t.zones[n].Counts = observations[n]
 	}
-	var cs []Change
-	for _, n := range w.names {
-		z := w.zones[n]
+	var changes []Change
+	for _, n := range t.names {
+		z := t.zones[n]
 		if z.Since.IsZero() {
 			z.Since = now
 		}
 		from, since := z.State, z.Since
-		z.updateState(now, w.otherZonesReport(z))
+		z.updateState(now, t.otherZonesReport(z))
 		if z.State != from {
-			cs = append(cs, Change{Zone: z, From: from, To: z.State, Previous: now.Sub(since)})
+			changes = append(changes, Change{Zone: z, From: from, To: z.State, PreviousDuration: now.Sub(since)})
 		}
 	}
-	return cs
+	return changes
 }
 
-// otherZonesReport reports whether most machines are heard in the other zones, without those
-// that are cut off. If not, or if there are none, it is more likely the observer that is cut
-// off.
-func (w *Tracker) otherZonesReport(z *Zone) bool {
-	heard, silent := 0, 0
-	for _, n := range w.names {
-		if o := w.zones[n]; o != z && o.State != Doubtful && o.State != Lost {
-			heard += o.Counts.Reporting
+// otherZonesReport reports whether most machines of the other reachable zones report. If not, or
+// if there are none, the observer itself is more likely to be partitioned than the zone z.
+func (t *Tracker) otherZonesReport(z *Zone) bool {
+	reporting, silent := 0, 0
+	for _, n := range t.names {
+		if o := t.zones[n]; o != z && o.State != Doubtful && o.State != Lost {
+			reporting += o.Counts.Reporting
 			silent += o.Counts.Silent
 		}
 	}
-	return heard > silent
+	return reporting > silent
 }
 
 func (z *Zone) setState(s State, now time.Time) { z.State, z.Since = s, now }
 
-func (z *Zone) updateState(now time.Time, elsewhere bool) {
-	heard, silent := z.Counts.Reporting, z.Counts.Silent
-	doubt := silent >= minSilent && 2*silent >= heard && elsewhere
+func (z *Zone) updateState(now time.Time, othersReport bool) {
+	reporting, silent := z.Counts.Reporting, z.Counts.Silent
+	suspected := silent >= minSilent && 2*silent >= reporting && othersReport
 	if z.State == Returning {
-		doubt = doubt && heard == 0 // its machines report one after the other over a heartbeat interval
+		suspected = suspected && reporting == 0 // heartbeats resume gradually over one heartbeat interval
 	}
 	switch z.State {
 	case Up, Returning:
 		switch {
-		case doubt && !now.Before(z.suppressedUntil):
+		case suspected && !now.Before(z.suppressedUntil):
 			if z.State == Returning || now.Sub(z.Since) < relapseResetTime && !z.OutageSince.IsZero() {
 				z.relapses = min(z.relapses+1, maxRelapses)
 			} else {
@@ -163,8 +168,8 @@
 			z.OutageSince, z.maxSilent = now, silent
 			z.setState(Doubtful, now)
 		case z.State == Returning && now.Sub(z.Since) >= z.requiredStability():
-			if silent >= minSilent && 2*silent >= heard {
-				z.suppressSuspicion(now) // machines that are not back by now are judged one by one
+			if silent >= minSilent && 2*silent >= reporting {
+				z.suppressSuspicion(now) // the remaining silent machines are handled individually
 			}
 			z.setState(Up, now)
 		}
@@ -172,48 +177,48 @@
 		z.maxSilent = max(z.maxSilent, silent)
 		over := now.Sub(z.Since) >= z.settings.LostAfter
 		switch {
-		case heard > 0 && silent == 0:
+		case reporting > 0 && silent == 0:
 			z.setState(Returning, now)
-		case over && heard > 0:
-			// Part of the zone has been reachable all the time, so it is not cut off.
+		case over && reporting > 0:
+			// Some machines have been reporting all the time, so the zone is reachable.
 			z.suppressSuspicion(now)
 			z.setState(Up, now)
 		case over:
-			z.probedAt = time.Time{} // a probe is due at once if no machine is left there
+			z.probedAt = time.Time{} // makes a probe due at once if the zone has no machines
 			z.setState(Lost, now)
 		}
 	case Lost:
 		z.maxSilent = max(z.maxSilent, silent)
-		if heard > 0 { // a zone from which any machine is heard is not cut off
+		if reporting > 0 { // one heartbeat proves that the zone is reachable
 			z.setState(Returning, now)
 		}
 	}
 }
 
-// suppressSuspicion suspects no outage for a while, so that silent machines are judged one by one.
+// suppressSuspicion keeps the zone from becoming doubtful for LostAfter, so that its silent
+// machines are handled individually.
 func (z *Zone) suppressSuspicion(now time.Time) { z.suppressedUntil = now.Add(z.settings.LostAfter) }
 
-// requiredStability returns for how long the zone must have returned to be up.
+// requiredStability returns how long the zone must be in state Returning before it is up.
 func (z *Zone) requiredStability() time.Duration { return z.settings.StableFor << z.relapses }
 
-// Unreachable reports whether silent machines of the zone are taken to be cut off, not gone.
+// Unreachable reports whether silent machines of the zone are considered unreachable rather than
+// failed.
 func (z *Zone) Unreachable() bool { return z.State == Doubtful || z.State == Lost }
 
-// AllowsRental reports whether machines may be rented in the zone: not while it is cut off,
-// and not while it returns and some of its machines have not reported yet.
+// AllowsRental reports whether instances may be requested in the zone. They may not while the
+// zone is unreachable, or returning with some of its machines still silent.
 func (z *Zone) AllowsRental() bool {
 	return z.State == Up || z.State == Returning && z.Counts.Silent == 0
 }
 
-// AllowsTaskStarts reports whether machines of the zone that report may start tasks. A zone that
-// relapsed has to be stable for a while first, or its tasks would be lost each time.
+// AllowsTaskStarts reports whether reporting machines of the zone may start tasks. They may not
+// while the zone is returning after a relapse, since each further relapse would lose the tasks.
 func (z *Zone) AllowsTaskStarts() bool { return z.State != Returning || z.relapses == 0 }
 
-// KeepCount returns how many of the zone's silent machines to keep at present. At first that
-// is all of them: most outages are short, and the machines come back at once and with their
-// images, where new ones have to boot and fetch them. The longer an outage has lasted, the
-// longer it is likely to last; so from KeepFor on the number falls, and at three times KeepFor
-// only the witnesses are left.
+// KeepCount returns how many silent machines of an unreachable zone to keep. All are kept until
+// KeepFor, since most outages are short and new machines would have to boot and fetch images.
+// After that the number decreases linearly, down to MinKeepCount at three times KeepFor.
 func (z *Zone) KeepCount(now time.Time) int {
 	if !z.Unreachable() {
 		return 0
@@ -226,9 +231,9 @@
 	return max(MinKeepCount, int(left*float64(z.maxSilent)))
 }
 
-// StartProbeIfDue reports whether one machine is to be rented in the zone now to see whether it is
-// back, because it is lost and has no machine that would show it. The next probe is due after
-// the probe interval.
+// StartProbeIfDue reports whether to request one machine in the zone now, to detect whether the
+// zone is reachable. This is so if the zone is lost, has no machines and was not probed within
+// ProbeInterval. If it returns true, it records the probe as started.
 func (z *Zone) StartProbeIfDue(now time.Time) bool {
 	if z.State != Lost || z.Counts.Reporting+z.Counts.Silent > 0 || now.Sub(z.probedAt) < z.settings.ProbeInterval {
 		return false
@@ -237,12 +242,12 @@
 	return true
 }
 
-// probeRetryDelay is how long after a refusal the next probe is due.
+// probeRetryDelay is the delay before the next probe after a refused one.
 const probeRetryDelay = 2 * time.Second
 
-// ProbeRefused notes that the cloud had no machine of a type in the zone. A refused probe shows
-// nothing, so the next one is due soon and may be of another type: otherwise a zone without
-// capacity for the type that is tried first would never be found to be back.
+// ProbeRefused records that the cloud had no capacity for an instance type in the zone. The next
+// probe is due after probeRetryDelay and may use another type. Otherwise the recovery of a zone
+// without capacity for the first type would not be detected.
 func (z *Zone) ProbeRefused(now time.Time) {
 	if z.State == Lost {
 		z.probedAt = now.Add(probeRetryDelay - z.settings.ProbeInterval)
