--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -1,7 +1,7 @@
-// Package outage watches which zones and regions are cut off, as the heartbeats of their
-// machines show, and acts on it: nothing is placed on the machines of such a zone, and they
-// are not released for being silent. Machines of a lost zone are released bit by bit, and an
-// instance is requested there now and then to see whether it is back.
+// Package outage detects unreachable zones and regions from missing heartbeats and responds to
+// the outage. Silent machines of an unreachable zone receive no tasks, but are not treated as
+// failed. Machines of a lost zone are released gradually, and a lost zone without machines is
+// probed with single instances until it is reachable again.
 package outage
 
 import (
@@ -15,45 +15,48 @@
 	"yewpass/internal/zones"
 )
 
-// Leader is what a Monitor reads of the leader's state, and has it do.
+// Leader provides access to the leader's state and the actions that a Monitor takes.
 type Leader interface {
-	// Machines returns all machines, by name.
+	// Machines returns all machines, sorted by host name.
 	Machines() []*fleet.Machine
 	// Unaccounted reports whether a machine may hold unknown tasks of an earlier term.
 	Unaccounted(host string) bool
-	// LeadershipTimes returns when the term began and when the leader last regained its authority.
+	// LeadershipTimes returns when the leader was elected and when it last regained its
+	// authority after its lease had lapsed.
 	LeadershipTimes() (electedAt, resumedAt time.Time)
-	// DropReservations has the tasks that wait for a machine placed elsewhere.
+	// DropReservations cancels the reservations on a machine, so that the tasks are placed
+	// on other machines.
 	DropReservations(m *fleet.Machine)
-	// DispatchAll has waiting tasks started on what machines there are.
+	// DispatchAll requests that waiting tasks be started on the available machines.
 	DispatchAll()
-	// Release returns a machine to the cloud.
+	// Release queues a machine to be released to the cloud.
 	Release(m *fleet.Machine)
 	// RequestProbe requests one instance in a lost zone.
 	RequestProbe(zone string)
 }
 
-// electionGrace is after how long in a term a machine of an earlier one counts as
-// silent: its relay, or a probe, would have shown it by then.
+// electionGrace is the time after an election for which a machine of an earlier term counts as
+// reporting without a heartbeat. A relay or a probe has reached every live machine by then.
 const electionGrace = 2500 * time.Millisecond
 
-// Monitor watches the zones and regions of one leadership.
+// Monitor tracks zones and regions and handles their outages during one term of the leader.
 type Monitor struct {
 	Zones   *zones.Tracker
 	Regions *zones.RegionTracker
 
 	engine      *engine.Engine
 	leader      Leader
-	silentAfter time.Duration // for how long a machine that is well may fail to report
+	silentAfter time.Duration // age of the last heartbeat above which a machine is silent
 }
 
-// New returns a Monitor to which all zones are up. A machine whose last heartbeat is longer ago
-// than silentAfter counts as silent.
+// New returns a Monitor with all zones up. A machine counts as silent when its last heartbeat is
+// older than silentAfter.
 func New(e *engine.Engine, leader Leader, s zones.Settings, regions *zones.Regions, silentAfter time.Duration) *Monitor {
 	return &Monitor{Zones: zones.New(s), Regions: zones.NewRegionTracker(regions), engine: e, leader: leader, silentAfter: silentAfter}
 }
 
-// Observe looks at all machines and acts on what that says of their zones.
+// Observe updates the states of zones and regions from the machines' heartbeats, marks
+// unreachable machines, and releases machines of lost zones. It is called periodically.
 func (o *Monitor) Observe() {
 	changes := o.Zones.Observe(o.engine.Now, o.countMachines())
 	o.observeRegions()
@@ -65,27 +68,28 @@
 	o.handleLostZones()
 }
 
-// countMachines returns how many machines are heard and silent in each zone.
+// countMachines returns the number of reporting and silent machines in each zone.
 func (o *Monitor) countMachines() map[string]zones.MachineCounts {
-	observations := map[string]zones.MachineCounts{}
+	counts := map[string]zones.MachineCounts{}
 	electedAt, _ := o.leader.LeadershipTimes()
-	justElected := o.engine.Now.Sub(electedAt) <= min(o.silentAfter, electionGrace)
+	inElectionGrace := o.engine.Now.Sub(electedAt) <= min(o.silentAfter, electionGrace)
 	for _, m := range o.leader.Machines() {
 		if m.Releasing || !m.InterruptionAt.IsZero() || !m.Reported && !m.LeaseExpired && !o.leader.Unaccounted(m.Host) {
-			continue // on its way out, or not up yet
+			continue // being released or interrupted, or not booted yet
 		}
-		s := observations[m.Zone]
-		if o.isReporting(m) || !m.Reported && !m.LeaseExpired && justElected {
-			s.Reporting++
+		c := counts[m.Zone]
+		if o.isReporting(m) || !m.Reported && !m.LeaseExpired && inElectionGrace {
+			c.Reporting++
 		} else {
-			s.Silent++
+			c.Silent++
 		}
-		observations[m.Zone] = s
+		counts[m.Zone] = c
 	}
-	return observations
+	return counts
 }
 
-// isReporting reports whether a machine reports in time.
+// isReporting reports whether a machine's last heartbeat is recent. Time without authority, in
+// which the leader answers no heartbeats, does not count.
 func (o *Monitor) isReporting(m *fleet.Machine) bool {
 	since := m.LastHeartbeat
 	if _, resumedAt := o.leader.LeadershipTimes(); resumedAt.After(since) {
@@ -94,16 +98,16 @@
 	return m.Reported && o.engine.Now.Sub(since) <= o.silentAfter
 }
 
-// logZoneChange logs that a zone has changed its state.
+// logZoneChange logs a state change of a zone.
 func (o *Monitor) logZoneChange(x zones.Change) {
 	z, level := x.Zone, logLevel(x.To)
 	if r := o.Regions.RegionOf(z.Name); r != nil && r.State != zones.Up {
-		level = slog.LevelDebug // the line of the region says it
+		level = slog.LevelDebug // the region's state change is already logged
 	}
 	o.engine.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.PreviousDuration, "heard", z.Counts.Reporting, "silent", z.Counts.Silent)
 }
 
-// observeRegions derives the states of the regions from those of their zones and logs changes.
+// observeRegions derives the states of regions from those of their zones and logs changes.
 func (o *Monitor) observeRegions() {
 	for _, x := range o.Regions.Observe(o.engine.Now, o.Zones.All()) {
 		r := x.Region
@@ -111,7 +115,7 @@
 	}
 }
 
-// logLevel returns at which level operators are told that a zone or region has come to a state.
+// logLevel returns the level for logging that a zone or region has entered a state.
 func logLevel(to zones.State) slog.Level {
 	if to == zones.Up || to == zones.Returning {
 		return slog.LevelInfo
@@ -119,7 +123,8 @@
 	return slog.LevelWarn
 }
 
-// markUnreachable marks the silent machines of zones that are cut off, and no others.
+// markUnreachable marks the silent machines of unreachable zones and drops their reservations. It
+// clears the mark of all machines in other zones.
 func (o *Monitor) markUnreachable() {
 	for _, m := range o.leader.Machines() {
 		switch {
@@ -133,28 +138,28 @@
 	}
 }
 
-// handleLostZones probes lost zones and releases those of their machines that are not to be
-// kept any longer, the most expensive first.
+// handleLostZones starts probes that are due and releases silent machines in excess of the zone's
+// KeepCount, the most expensive first.
 func (o *Monitor) handleLostZones() {
 	for _, z := range o.Zones.All() {
 		if z.StartProbeIfDue(o.engine.Now) {
-			o.engine.Log(slog.LevelInfo, "probing lost zone with one instance", "zone", z.Name)
+			o.engine.Log(slog.LevelInfo, "probing lost zone, requesting one instance", "zone", z.Name)
 			o.leader.RequestProbe(z.Name)
 		}
 		excess := z.Counts.Silent - z.KeepCount(o.engine.Now)
 		if !z.Unreachable() || excess <= 0 {
 			continue
 		}
-		silent := o.releasableMachines(z)
-		for _, m := range silent[:min(excess, len(silent))] {
-			o.engine.Log(slog.LevelInfo, "releasing machine of lost zone", "machine", m.Host, "zone", z.Name, "silent", o.engine.Now.Sub(m.LastHeartbeat))
+		releasable := o.releasableMachines(z)
+		for _, m := range releasable[:min(excess, len(releasable))] {
+			o.engine.Log(slog.LevelInfo, "releasing silent machine of lost zone", "machine", m.Host, "zone", z.Name, "silent", o.engine.Now.Sub(m.LastHeartbeat))
 			o.leader.Release(m)
 		}
 	}
 }
 
-// releasableMachines returns the machines of a zone that may be released with it, the most
-// expensive first.
+// releasableMachines returns the silent machines of an unreachable zone that may be released, the
+// most expensive first.
 func (o *Monitor) releasableMachines(z *zones.Zone) (list []*fleet.Machine) {
 	for _, m := range o.leader.Machines() {
 		if m.ZoneState == z && m.Unreachable && !m.Releasing && !m.LastHeartbeat.IsZero() && m.InstanceType != nil {
@@ -165,7 +170,8 @@
 	return list
 }
 
-// WaitReason returns what keeps the tasks of a job waiting that may run in one zone only, or "".
+// WaitReason returns the message for a job whose tasks wait for the unreachable zone that the job
+// is restricted to, or "" if they do not.
 func (o *Monitor) WaitReason(j *fleet.Job) string {
 	if j.Spec.Zone == "" || j.Waiting == 0 {
 		return ""
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -1,10 +1,10 @@
-// Package probe shows workers a new leader's fencing token.
+// Package probe sends workers a new leader's fencing token and collects their reports.
 //
-// Probes speed up a failover: tasks accepted in earlier terms wait until every machine
-// that may hold one is accounted for, and left to themselves workers find the new leader
-// over a whole heartbeat interval and the time that redirects take. A probe is a command
-// without orders. Its answer is the report of a worker that has seen the new fencing
-// token, and so drops whatever an earlier leader still sends.
+// Probes speed up a failover. Tasks accepted in earlier terms cannot start until every machine
+// that may hold one is accounted for. Without probes, this takes a full heartbeat interval plus
+// the time for workers to be redirected to the new leader. A probe is a command without orders.
+// A worker that answers it has seen the new fencing token and rejects commands of earlier
+// leaders.
 package probe
 
 import (
@@ -14,13 +14,14 @@
 	"yewpass/internal/heartbeat"
 )
 
-// MaxInFlight is how many probes a controller has on their way at a time: each takes a
+// MaxInFlight is the maximum number of concurrent probes per controller. Each probe uses a
 // socket.
 const MaxInFlight = 24
 
 const replyTimeout = 1200 * time.Millisecond
 
-// Send probes the worker at an address and has f called with its answer.
+// Send probes the worker at an address and calls f with the reply. The outcome of the reply is
+// rpc.Unknown if none arrives within the timeout.
 func Send(e *engine.Engine, address string, token, incarnation uint64, f func(heartbeat.ProbeReply)) {
 	e.CallWorker(heartbeat.Probe{Address: address, FencingToken: token, Incarnation: incarnation, Timeout: replyTimeout}, f)
 }
--- a/internal/probe/prober.go
+++ b/internal/probe/prober.go
@@ -10,28 +10,29 @@
 	"yewpass/internal/rpc"
 )
 
-// MaxAttempts is after how many probes in vain a machine counts as out of reach.
+// MaxAttempts is the number of failed probes after which a machine counts as unreachable and is
+// not probed again.
 const MaxAttempts = 2
 
-// relayDelay is how long relays are left to forward the heartbeats of their workers, and
-// to probe those that have none to forward, before the leader probes the rest.
+// relayDelay gives relays time to forward their workers' heartbeats and to probe their other
+// workers before the leader probes the remaining machines.
 const relayDelay = 700 * time.Millisecond
 
-// Leader is what the prober needs of the leadership that it is part of.
+// Leader provides the functions of the leader that a Prober uses.
 type Leader interface {
-	// CanAct reports whether the leader has authority and knows the records.
+	// CanAct reports whether the leader's lease is valid and the records are loaded.
 	CanAct() bool
-	// Linked reports whether there is a link to any other controller.
+	// Linked reports whether this controller is connected to any other controller.
 	Linked() bool
-	// Reconcile takes in a report that is believed.
+	// Reconcile updates the state of a machine from a valid report.
 	Reconcile(m *fleet.Machine, report *heartbeat.Report)
-	// HandleNewerToken follows up the claim of a machine's worker that it has seen a newer
-	// fencing token than the leader's.
+	// HandleNewerToken is called when a worker claims to have seen a newer fencing token than
+	// the leader's.
 	HandleNewerToken(m *fleet.Machine, token uint64)
 }
 
-// Prober is the leader's prober: it probes the machines that may hold unknown tasks of an
-// earlier term.
+// Prober probes the machines that may hold unknown tasks of an earlier term, on behalf of the
+// leader.
 type Prober struct {
 	engine    *engine.Engine
 	scope     *engine.Scope
@@ -42,14 +43,14 @@
 	inFlight  int
 }
 
-// NewProber returns the prober of the term that begins now.
+// NewProber returns the Prober of a new term. It sends no probes until Start is called.
 func NewProber(e *engine.Engine, scope *engine.Scope, leader Leader, v *inventory.Inventory, term uint64) *Prober {
 	return &Prober{engine: e, scope: scope, leader: leader, inventory: v, term: term}
 }
 
-// Start probes the machines that are not accounted for: at once those whose workers
-// reported to this controller before it led, and the rest once the relays have had time
-// to. Without a link to a relay all are probed at once.
+// Start probes the unaccounted machines. Those whose workers reported to this controller before
+// its election are probed at once, the others after relayDelay. Without a link to any relay, all
+// are probed at once.
 func (p *Prober) Start(reportedHere func(host string) bool) {
 	if !p.leader.Linked() {
 		p.enqueue(func(string) bool { return true })
@@ -61,7 +62,7 @@
 	})
 }
 
-// enqueue has those of the unaccounted machines probed that match.
+// enqueue queues the unaccounted machines that match for probing.
 func (p *Prober) enqueue(match func(host string) bool) {
 	for _, m := range p.inventory.Machines() {
 		if p.inventory.Unaccounted(m.Host) && m.Address != "" && match(m.Host) {
@@ -79,13 +80,14 @@
 	}
 }
 
-// acceptsReplyFrom reports whether a machine's answer to a probe acceptsReplyFrom: not once it has reported
-// by itself. Then starts may be on their way to it, of which the answer need not know.
+// acceptsReplyFrom reports whether a machine's reply to a probe is still usable. It is not once
+// the machine has sent a heartbeat, since the reply may then predate tasks sent to the machine.
 func (p *Prober) acceptsReplyFrom(m *fleet.Machine) bool {
 	return p.inventory.Unaccounted(m.Host) && !m.Reported && !m.Releasing
 }
 
-// HandleRelayedReply takes in a report that a relay was given in answer to a probe of its own.
+// HandleRelayedReply processes a report that a worker returned to a probe sent by a relay. It
+// ignores reports with another fencing token than the leader's.
 func (p *Prober) HandleRelayedReply(report *heartbeat.Report) {
 	m := p.inventory.Find(report.Host)
 	if m != nil && p.acceptsReplyFrom(m) && report.FencingToken == p.term {
@@ -93,13 +95,13 @@
 	}
 }
 
-// reconcile takes in an answer that counts, of a worker that has accepted our token.
+// reconcile passes on the report of a worker that has accepted the leader's token.
 func (p *Prober) reconcile(m *fleet.Machine, report *heartbeat.Report) {
 	m.Probed = true
 	p.leader.Reconcile(m, report)
 }
 
-// sendProbe probes a machine if its answer would count.
+// sendProbe probes a machine unless its reply would be ignored.
 func (p *Prober) sendProbe(m *fleet.Machine, incarnation uint64) {
 	if !p.acceptsReplyFrom(m) {
 		return
@@ -122,7 +124,7 @@
 	case r.Outcome != rpc.Unknown && report.FencingToken > p.term:
 		p.leader.HandleNewerToken(m, report.FencingToken)
 	case r.Outcome != rpc.Unknown && report.Host != m.Host:
-		// Another machine has the address now.
+		// The address now belongs to another machine.
 	case r.Outcome == rpc.OK && report.FencingToken == p.term:
 		p.reconcile(m, report)
 	case r.Outcome == rpc.Conflict && report.Incarnation != incarnation:
