--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway serves users' requests at a controller that does not lead: it forwards
-// them to the leader, and without one serves what the key-value store alone can answer.
+// Package gateway serves users' requests at controllers that are not the leader. It forwards
+// requests to the leader. Without a leader it serves those that need only the key-value store.
 package gateway
 
 import (
@@ -24,47 +24,47 @@
 	"yewpass/internal/view"
 )
 
-// How long the leader has to answer a forwarded request.
+// Timeouts for the leader's answer to a forwarded request.
 const (
 	defaultForwardTimeout = 2500 * time.Millisecond
-	forwardGetTimeout     = 800 * time.Millisecond // a poll is given up after 2 s
+	forwardGetTimeout     = 800 * time.Millisecond // shorter than the 2 s after which clients give up
 	forwardSubmitTimeout  = 700 * time.Millisecond
 )
 
-// Reasons of answers with status 503.
+// Reasons in responses with status 503.
 const (
-	notLeader = "not the leader" // to a controller that took this one for the leader
+	notLeader = "not the leader" // sent to a controller that took this one for the leader
 	noLeader  = "no leader at present"
 )
 
-// Upstream is what a controller knows about the leader.
+// Upstream is what this controller knows about the leader.
 type Upstream struct {
-	Leader       string // "" while it is not known
-	Linked       bool   // there is a link to it
-	KnowsConfig  bool   // it has said that it knows live configuration
-	Term         uint64 // the highest term heard of
-	TermRevision uint64 // at which the newest term that the key-value store has confirmed is on record
+	Leader       string // "" if not known
+	Linked       bool   // this controller is connected to the leader
+	KnowsConfig  bool   // the leader has announced support for live configuration
+	Term         uint64 // highest known term
+	TermRevision uint64 // store revision of the newest confirmed term record
 }
 
-// Controller is what the gateway needs of the controller that it is part of.
+// Controller provides the functions of the controller that a Gateway uses.
 type Controller interface {
-	// Leads reports whether the controller leads, with or without authority.
+	// Leads reports whether the controller is the leader, even if its lease has lapsed.
 	Leads() bool
 	// Upstream returns what is known about the leader.
 	Upstream() Upstream
-	// RequestLeaderVersion asks the leader for the version that it speaks.
+	// RequestLeaderVersion asks the leader for its protocol version.
 	RequestLeaderVersion()
-	// Cluster returns what this controller knows of the cluster.
+	// Cluster returns the state of the cluster as known to this controller.
 	Cluster() *view.Cluster
-	// LastLeaderReplica returns the replica of the last leader's records, or nil if there
-	// is none that can be relied on.
+	// LastLeaderReplica returns the replica of the last leader's records, or nil if no
+	// reliable one is available.
 	LastLeaderReplica() *replica.Replica
-	// Team returns a team by a replica or the settings, or nil. The decisions that are
-	// taken by it have to be conditional on the replica's configuration.
-	Team(k *replica.Replica, name string) *quota.Account
+	// Team returns a team as configured in the replica or in the settings, or nil. Writes
+	// based on it must be conditional on the revision of the replica's configuration.
+	Team(lastReplica *replica.Replica, name string) *quota.Account
 }
 
-// Gateway serves users' requests while its controller does not lead.
+// Gateway serves users' requests while its controller is not the leader.
 type Gateway struct {
 	engine        *engine.Engine
 	controller    Controller
@@ -72,18 +72,18 @@
 	policy        *policy.Policy
 	jobs          *jobstore.Reader
 	replicas      *replication.Replicas
-	forwarded     map[uint64]*forwardedRequest // by our number
-	writeLimit    *rate.Limiter                // of leaderless admission
-	instanceTypes []provider.InstanceType      // as last read
+	forwarded     map[uint64]*forwardedRequest // by the ref sent to the leader
+	writeLimit    *rate.Limiter                // for leaderless admission
+	instanceTypes []provider.InstanceType      // as last read from the cloud
 }
 
-// forwardedRequest is a request that waits for the leader's answer.
+// forwardedRequest is a request that awaits the leader's answer.
 type forwardedRequest struct {
 	request request.Request
 	leader  string
 }
 
-// New returns a gateway with no requests.
+// New returns a Gateway. Call Start before it serves requests, so that it reads instance types.
 func New(e *engine.Engine, controller Controller, cfg *config.Config, p *policy.Policy, jobs *jobstore.Reader, replicas *replication.Replicas) *Gateway {
 	return &Gateway{
 		engine:     e,
@@ -97,11 +97,12 @@
 	}
 }
 
-func (g *Gateway) respond(r request.Request, answer request.Response) {
-	g.engine.Emit(peermsg.Reply(r, answer))
+func (g *Gateway) respond(r request.Request, response request.Response) {
+	g.engine.Emit(peermsg.Reply(r, response))
 }
 
-// Serve serves a request that the controller cannot serve as the leader.
+// Serve serves a request at a controller that is not the leader, or is the leader without
+// authority.
 func (g *Gateway) Serve(r request.Request) {
 	if r.From != "" {
 		g.respond(r, request.Unavailable(notLeader))
@@ -124,7 +125,8 @@
 	g.forward(r, upstream.Leader)
 }
 
-// forward passes a request on to the leader.
+// forward sends a request to the leader. If the leader does not answer within the timeout, the
+// request is served without it.
 func (g *Gateway) forward(r request.Request, leader string) {
 	ref := g.engine.NextRef()
 	g.forwarded[ref] = &forwardedRequest{r, leader}
@@ -152,7 +154,8 @@
 	})
 }
 
-// HandleResponse takes in the leader's answer to a forwarded request.
+// HandleResponse processes the leader's answer to a forwarded request. It ignores answers from
+// other controllers and to requests that are no longer pending.
 func (g *Gateway) HandleResponse(from string, m peermsg.Message) {
 	f := g.forwarded[m.Ref]
 	if f == nil || f.leader != from || m.Answer == nil {
@@ -160,7 +163,7 @@
 	}
 	answer, op := m.Answer, f.request.Op
 	if id := answer.View.ID; id != "" && id != f.request.ID && f.request.IsJob() {
-		return // about another job: meant for somebody else
+		return // concerns another job, so it answers another request
 	}
 	delete(g.forwarded, m.Ref)
 	if answer.Status == 503 && (op == request.Get || op == request.Submit && answer.Reason == notLeader) {
@@ -168,14 +171,15 @@
 		return
 	}
 	if answer.Status == 200 && op == request.Get && answer.View.State.Final() {
-		// Only a final answer to a poll: the answer to a cancellation may tell of a job
-		// that is cancelled and still on record, with tasks that are not yet stopped.
+		// Remembers only answers to polls: a cancellation may be answered while the job's
+		// record still exists and its tasks have not stopped.
 		g.jobs.Remember(f.request.ID, record.Final{State: answer.View.State, Done: answer.View.Done})
 	}
 	g.respond(f.request, *answer)
 }
 
-// HandleLinkLost serves what was forwarded over a link that is lost.
+// HandleLinkLost serves the requests that were forwarded to the named controller without the
+// leader, after the link to it was lost.
 func (g *Gateway) HandleLinkLost(name string) {
 	for _, ref := range slices.Sorted(maps.Keys(g.forwarded)) {
 		if f := g.forwarded[ref]; f.leader == name {
@@ -185,7 +189,8 @@
 	}
 }
 
-// serveWithoutLeader serves what the key-value store alone can answer.
+// serveWithoutLeader serves requests that need only the key-value store, and answers others with
+// status 503.
 func (g *Gateway) serveWithoutLeader(r request.Request) {
 	switch r.Op {
 	case request.Get:
@@ -199,17 +204,18 @@
 	}
 }
 
-// serveGet answers a poll by the records, corrected by the last leader's replica.
+// serveGet answers a poll from the records in the store, corrected by the last leader's replica.
 func (g *Gateway) serveGet(r request.Request) {
 	g.jobs.Read(r.ID, func(status *request.JobStatus, known bool) {
-		k := g.controller.LastLeaderReplica()
-		if !known || k == nil {
+		lastReplica := g.controller.LastLeaderReplica()
+		if !known || lastReplica == nil {
 			g.respond(r, request.Unavailable("the state service does not answer"))
 			return
 		}
-		status = correctByReplica(k, r.ID, status)
+		status = correctByReplica(lastReplica, r.ID, status)
 		if status == nil {
-			// Only a leader, who knows what was lost, can say that there is no such job.
+			// The store may have lost the record, so only a leader can say that the job
+			// does not exist.
 			g.respond(r, request.Unavailable(noLeader))
 			return
 		}
@@ -217,11 +223,11 @@
 	})
 }
 
-// correctByReplica corrects the status of a job that was read from the key-value store, nil
-// for none, by the last leader's replica: the store may have lost data since, or have been
-// restored from an older copy.
-func correctByReplica(k *replica.Replica, id string, status *request.JobStatus) *request.JobStatus {
-	if r, ok := k.Get(record.FinalPrefix + id); ok {
+// correctByReplica corrects a job status read from the key-value store by the last leader's
+// replica, since the store may have lost data or have been restored from an older copy. The
+// status is nil if the store has no record of the job.
+func correctByReplica(lastReplica *replica.Replica, id string, status *request.JobStatus) *request.JobStatus {
+	if r, ok := lastReplica.Get(record.FinalPrefix + id); ok {
 		if final, _ := r.Value.(*record.Final); final != nil {
 			corrected := jobstore.FinalStatus(id, *final)
 			return &corrected
@@ -230,7 +236,7 @@
 	if status != nil && status.State != spec.Queued {
 		return status
 	}
-	if r, ok := k.Get(record.JobPrefix + id); ok {
+	if r, ok := lastReplica.Get(record.JobPrefix + id); ok {
 		if job, _ := r.Value.(*record.Job); job != nil {
 			return jobstore.LiveStatus(id, job)
 		}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -30,13 +30,13 @@
 	finalKey = record.FinalPrefix + "wk-1"
 )
 
-// node is a controller that does not lead, with its gateway.
+// node is a Gateway and a fake of its Controller, which is not the leader.
 type node struct {
 	*Gateway
 	t               *testing.T
 	leads           bool
 	upstream        Upstream
-	versionRequests int // for the leader's version
+	versionRequests int // calls of RequestLeaderVersion
 	replica         *replica.Replica
 }
 
@@ -57,7 +57,7 @@
 func (n *node) IsLinked(string) bool   { return true }
 func (n *node) HasLoadedRecords() bool { return false }
 
-// newNode returns a node with a link to the leader n1, and with the replica of its term.
+// newNode returns a node that is linked to the leader n1 and holds the replica of its term.
 func newNode(t *testing.T) *node {
 	t.Helper()
 	p, err := policy.New(map[string]string{"refuse": "false"})
@@ -76,7 +76,7 @@
 	return n
 }
 
-// takeOutputs returns the outputs of the present step of one type and forgets all.
+// takeOutputs returns the outputs of type T and clears all outputs.
 func takeOutputs[T any](n *node) (found []T) {
 	for _, out := range n.engine.Outputs {
 		if x, ok := out.(T); ok {
@@ -96,7 +96,7 @@
 	return found[0]
 }
 
-// replyFromStore answers the one request to the store and returns it.
+// replyFromStore answers the only pending store request and returns the request.
 func (n *node) replyFromStore(r kv.Response) kv.Request {
 	n.t.Helper()
 	call := takeOutput[kv.Request](n)
@@ -119,7 +119,7 @@
 	n.Serve(request.Request{Ref: 9, Op: request.Cancel, ID: "wk-1"})
 	sent := takeOutput[peermsg.Outgoing](n)
 	if sent.To != "n1" || sent.Msg.Kind != peermsg.Request || sent.Msg.Op != request.Cancel || sent.Msg.ID != "wk-1" {
-		t.Fatalf("%+v", sent)
+		t.Fatalf("got message %+v, want the cancellation forwarded to n1", sent)
 	}
 	answer := peermsg.Message{Ref: sent.Msg.Ref, Answer: &request.Response{Status: 200, View: request.JobStatus{ID: "wk-1", State: spec.Cancelled}}}
 	n.HandleResponse("n2", answer)
@@ -127,18 +127,18 @@
 	other.Answer = &request.Response{Status: 200, View: request.JobStatus{ID: "wk-2"}}
 	n.HandleResponse("n1", other)
 	if got := takeOutputs[request.Response](n); len(got) != 0 {
-		t.Fatalf("answered by another controller, or about another job: %+v", got)
+		t.Fatalf("accepted an answer from another controller or about another job: %+v", got)
 	}
 	n.HandleResponse("n1", answer)
 	if got := takeOutput[request.Response](n); got.Ref != 9 || got.Status != 200 || got.View.State != spec.Cancelled {
-		t.Errorf("%+v", got)
+		t.Errorf("got response %+v, want the leader's answer for ref 9", got)
 	}
 	if _, ok := n.jobs.Final("wk-1"); ok {
-		t.Error("the answer to a cancellation is remembered as a job's end")
+		t.Error("answer to a cancellation was remembered as the final state of the job")
 	}
 	n.HandleResponse("n1", answer)
 	if got := takeOutputs[request.Response](n); len(got) != 0 {
-		t.Errorf("answered twice: %+v", got)
+		t.Errorf("request was answered twice: %+v", got)
 	}
 }
 
@@ -146,7 +146,7 @@
 	for _, test := range []struct {
 		op      request.Operation
 		timeout time.Duration
-		status  int // of the answer then; 0 if the store is asked
+		status  int // of the response after the timeout; 0 if a store request is sent instead
 	}{
 		{request.Get, 800 * time.Millisecond, 0},
 		{request.Submit, 700 * time.Millisecond, 0},
@@ -159,7 +159,7 @@
 				if test.status == 0 {
 					takeOutput[kv.Request](n)
 				} else if got := takeOutput[request.Response](n); got.Status != test.status {
-					t.Errorf("%s: %+v", when, got)
+					t.Errorf("unexpected response %s: %+v", when, got)
 				}
 			}
 			r := submission("wk-1")
@@ -169,7 +169,7 @@
 			takeOutput[peermsg.Outgoing](n)
 			n.advance(test.timeout - time.Millisecond)
 			if len(n.engine.Outputs) != 0 {
-				t.Errorf("%+v before the timeout", n.engine.Outputs)
+				t.Errorf("got outputs %+v before the timeout, want none", n.engine.Outputs)
 			}
 			n.advance(time.Millisecond)
 			outcome(n, "after the timeout")
@@ -179,7 +179,7 @@
 			takeOutput[peermsg.Outgoing](n)
 			n.HandleLinkLost("n2")
 			if len(n.engine.Outputs) != 0 {
-				t.Errorf("%+v after another link is lost", n.engine.Outputs)
+				t.Errorf("got outputs %+v after the loss of another link, want none", n.engine.Outputs)
 			}
 			n.HandleLinkLost("n1")
 			outcome(n, "after the link is lost")
@@ -191,11 +191,11 @@
 	n := newNode(t)
 	n.Serve(request.Request{Ref: 9, From: "n2", Op: request.Get, ID: "wk-1"})
 	if got := takeOutput[peermsg.Outgoing](n); got.To != "n2" || got.Msg.Ref != 9 || got.Msg.Answer.Status != 503 || got.Msg.Answer.Reason != "not the leader" {
-		t.Errorf("to one that took us for the leader: %+v", got)
+		t.Errorf("forwarded request: got %+v, want status 503 sent to n2", got)
 	}
 	n.Serve(request.Request{Ref: 9, Op: request.ConfigSet, Config: &request.ConfigParams{}})
 	if got := takeOutput[request.Response](n); got.Status != 503 || n.versionRequests != 1 {
-		t.Errorf("configuration, the leader's version unknown: %+v, asked %d times", got, n.versionRequests)
+		t.Errorf("configuration change, leader's version unknown: got %+v and %d version requests, want status 503 and 1", got, n.versionRequests)
 	}
 	n.upstream.KnowsConfig = true
 	n.Serve(request.Request{Ref: 9, Op: request.ConfigSet, Config: &request.ConfigParams{}})
@@ -203,7 +203,7 @@
 	n.jobs.Remember("wk-1", record.Final{State: spec.Done, Done: 3})
 	n.Serve(request.Request{Ref: 9, Op: request.Get, ID: "wk-1"})
 	if got := takeOutput[request.Response](n); got.Status != 200 || got.View.State != spec.Done || got.View.Done != 3 {
-		t.Errorf("the end of a job, remembered: %+v", got)
+		t.Errorf("remembered final state: got %+v, want status 200 with a done job", got)
 	}
 }
 
@@ -214,15 +214,15 @@
 		key   string
 		value any
 		read  *request.JobStatus
-		want  spec.JobState // "" for no job
+		want  spec.JobState // "" if no job is expected
 	}{
-		{"neither knows it", "", nil, nil, ""},
+		{"unknown to both", "", nil, nil, ""},
 		{"lost from the store", liveKey, &record.Job{}, nil, spec.Queued},
-		{"cancelled, and an older copy read", liveKey, &record.Job{Cancelled: true}, status(spec.Queued), spec.Cancelled},
-		{"over, and an older copy read", finalKey, &record.Final{State: spec.Done}, status(spec.Queued), spec.Done},
-		{"cancelled since the replica", liveKey, &record.Job{}, status(spec.Cancelled), spec.Cancelled},
-		{"over since the replica", liveKey, &record.Job{}, status(spec.Done), spec.Done},
-		{"accepted since the replica", "", nil, status(spec.Queued), spec.Queued},
+		{"cancelled, older copy in the store", liveKey, &record.Job{Cancelled: true}, status(spec.Queued), spec.Cancelled},
+		{"final, older copy in the store", finalKey, &record.Final{State: spec.Done}, status(spec.Queued), spec.Done},
+		{"cancelled after the replica's last update", liveKey, &record.Job{}, status(spec.Cancelled), spec.Cancelled},
+		{"final after the replica's last update", liveKey, &record.Job{}, status(spec.Done), spec.Done},
+		{"accepted after the replica's last update", "", nil, status(spec.Queued), spec.Queued},
 		{"unreadable in the replica", liveKey, nil, status(spec.Queued), spec.Queued},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -241,8 +241,8 @@
 	}
 }
 
-// TestLeaderlessAdmission: the record and its note are written on the condition that the job
-// has no record and that neither the term nor the configuration has changed.
+// TestLeaderlessAdmission checks that the job record and the note are written on the condition
+// that the job has no record and that neither the term nor the configuration has changed.
 func TestLeaderlessAdmission(t *testing.T) {
 	conditions := []kv.Condition{{Key: liveKey}, {Key: finalKey}, {Key: record.TermKey, Rev: 40}, {Key: record.ConfigHeadKey, Rev: 17}}
 	n := newNode(t)
@@ -250,32 +250,32 @@
 	n.Serve(submission("wk-1"))
 	call := n.replyFromStore(kv.Response{Outcome: rpc.OK, Rev: 50})
 	if call.Op != kv.Txn || !slices.Equal(call.Conditions, conditions) {
-		t.Errorf("%+v", call)
+		t.Errorf("got store request %+v, want a transaction with all four conditions", call)
 	}
 	if len(call.Writes) != 2 || call.Writes[0].Key != liveKey || call.Writes[1].Key != record.LeaderlessPrefix+"wk-1" {
-		t.Errorf("%+v", call.Writes)
+		t.Errorf("got writes %+v, want the job record and the note", call.Writes)
 	}
 	if got := takeOutputs[request.Response](n); len(got) != 1 || got[0].Status != 201 || got[0].View.State != spec.Queued {
-		t.Errorf("%+v", got)
+		t.Errorf("got responses %+v, want one with status 201 and a queued job", got)
 	}
 
 	n.Serve(submission("wk-1"))
 	n.replyFromStore(kv.Response{Outcome: rpc.Conflict})
 	n.replyFromStore(kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{{Key: liveKey, Value: &record.Job{}}}})
 	if got := takeOutput[request.Response](n); got.Status != 200 || got.View.State != spec.Queued {
-		t.Errorf("a job that has a record: %+v", got)
+		t.Errorf("existing job: got %+v, want status 200 with a queued job", got)
 	}
 }
 
 func TestLeaderlessAdmissionDeclined(t *testing.T) {
 	for name, change := range map[string]func(*node, *request.Request){
-		"leads without authority":    func(n *node, _ *request.Request) { n.leads = true },
-		"no instance types":          func(n *node, _ *request.Request) { n.SetInstanceTypes(nil) },
-		"no replica":                 func(n *node, _ *request.Request) { n.replica = nil },
-		"over by the replica":        func(n *node, _ *request.Request) { n.replica.Put(finalKey, &record.Final{}, 3) },
-		"refused, live by replica":   func(n *node, r *request.Request) { n.replica.Put(liveKey, &record.Job{}, 3); r.Spec.Owner = "x" },
-		"no other controllers":       func(n *node, _ *request.Request) { n.cfg.Seeds = nil },
-		"the allowance is exhausted": func(n *node, _ *request.Request) { n.writeLimit.AllowN(n.engine.Now, n.writeLimit.Burst()) },
+		"leads without authority":  func(n *node, _ *request.Request) { n.leads = true },
+		"no instance types":        func(n *node, _ *request.Request) { n.SetInstanceTypes(nil) },
+		"no replica":               func(n *node, _ *request.Request) { n.replica = nil },
+		"final in the replica":     func(n *node, _ *request.Request) { n.replica.Put(finalKey, &record.Final{}, 3) },
+		"refused, live in replica": func(n *node, r *request.Request) { n.replica.Put(liveKey, &record.Job{}, 3); r.Spec.Owner = "x" },
+		"no other controllers":     func(n *node, _ *request.Request) { n.cfg.Seeds = nil },
+		"write limit is exhausted": func(n *node, _ *request.Request) { n.writeLimit.AllowN(n.engine.Now, n.writeLimit.Burst()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newNode(t)
@@ -284,14 +284,14 @@
 			change(n, &r)
 			n.Serve(r)
 			if got := takeOutput[request.Response](n); got.Status != 503 {
-				t.Errorf("%+v", got)
+				t.Errorf("got %+v, want status 503", got)
 			}
 		})
 	}
 }
 
-// TestLeaderlessRefusal: a job is refused for good only once the store has confirmed that
-// nobody ever accepted it.
+// TestLeaderlessRefusal checks that a job is refused permanently only after the store has confirmed
+// that it was never accepted.
 func TestLeaderlessRefusal(t *testing.T) {
 	for outcome, status := range map[rpc.Outcome]int{rpc.OK: 422, rpc.Conflict: 503, rpc.Unknown: 503} {
 		n := newNode(t)
@@ -301,10 +301,10 @@
 		n.Serve(r)
 		call := n.replyFromStore(kv.Response{Outcome: outcome})
 		if len(call.Writes) != 0 || len(call.Conditions) != 4 {
-			t.Errorf("%+v", call)
+			t.Errorf("got %+v, want a transaction with four conditions and no writes", call)
 		}
 		if got := takeOutput[request.Response](n); got.Status != status || status == 422 && got.Field != "vcpus" {
-			t.Errorf("outcome %v: %+v", outcome, got)
+			t.Errorf("store outcome %v: unexpected response %+v", outcome, got)
 		}
 	}
 }
--- a/internal/gateway/leaderless.go
+++ b/internal/gateway/leaderless.go
@@ -17,24 +17,21 @@
 	"yewpass/internal/spec"
 )
 
-// Leaderless admission: a submission needs a durable record, not a leader. While a
-// controller knows of no leader, or the one it knows does not answer, it writes the record
-// itself, on the condition that the job has neither a live nor a final one, and answers
-// 201. To the leader, the next or the same, that record is like one of its own whose
-// transaction was applied after it had been given up: whoever asks for the job has the
-// leader take it on. So that it need not wait for somebody to ask, a note goes along in the
-// same transaction, and the leader follows the notes.
+// Leaderless admission accepts submissions while no leader is known or the known one does not
+// answer. The controller writes the job's record itself, on the condition that the job has
+// neither a live nor a final record, and answers 201. The same transaction writes a note, from
+// which the leader learns of the job without waiting for a request about it.
 //
-// Nothing is started, cancelled or refused for want of time without a leader. Tasks of the
-// job start once a leader has taken it on. A leader whose term began before the record was
-// written has it from the note, and no earlier leader can have started anything of it,
-// since its authority ended before that term began; one whose term began later reads it
-// with all others, as a job accepted earlier.
+// Without a leader no tasks are started, and no jobs are cancelled or refused because of their
+// deadline. The tasks of the job start after a leader has loaded it. A leader elected before the
+// record was written finds the job by the note; no earlier leader can have started its tasks,
+// since its authority ended before that election. A leader elected later loads the record with
+// all others.
 const (
-	leaderlessWriteShare = 0.1 // of the changes that the key-value store allows: a leader uses up to nine tenths
-	leaderlessBurstShare = 0.5 // of one second's changes: all controllers together stay below what the store takes at once
-	// instanceTypesInterval is how often a controller that does not lead reads the
-	// instance types.
+	leaderlessWriteShare = 0.1 // of the store's write rate; the leader uses the rest
+	leaderlessBurstShare = 0.5 // of the writes per second; keeps the burst of all controllers below the store's limit
+	// instanceTypesInterval is the interval at which controllers other than the leader read
+	// the instance types.
 	instanceTypesInterval     = time.Minute
 	instanceTypesRetryDelay   = 4 * time.Second
 	instanceTypesInitialDelay = 400 * time.Millisecond // after the start of the process
@@ -45,22 +42,22 @@
 	return rate.NewLimiter(rate.Limit(writes*leaderlessWriteShare/n), max(1, int(writes*leaderlessBurstShare/n)))
 }
 
-// Start begins to read the instance types. It does not read them at once: a process that
-// ends again and again would use up what calls the cloud allows to all of them.
+// Start starts reading the instance types periodically. The first read is delayed, so that a
+// process in a crash loop does not exhaust the cloud's rate limit, which all controllers share.
 func (g *Gateway) Start() {
 	g.engine.After(g.engine.Jitter(instanceTypesInitialDelay), g.refreshInstanceTypes)
 }
 
-// InstanceTypes returns the instance types as they were last read.
+// InstanceTypes returns the instance types as last read, or nil before the first read.
 func (g *Gateway) InstanceTypes() []provider.InstanceType { return g.instanceTypes }
 
-// SetInstanceTypes tells the instance types as the controller read them while it led.
+// SetInstanceTypes sets the instance types that the controller read while it was the leader.
 func (g *Gateway) SetInstanceTypes(types []provider.InstanceType) { g.instanceTypes = types }
 
-// refreshInstanceTypes reads the instance types now and then: a job that can never be
-// scheduled is refused, and without them it can be neither refused nor accepted.
+// refreshInstanceTypes reads the instance types and schedules the next read. Leaderless admission
+// needs them to refuse jobs that can never be scheduled.
 func (g *Gateway) refreshInstanceTypes() {
-	if g.controller.Leads() { // the leader reads them by itself
+	if g.controller.Leads() { // the autoscaler of the leader reads them
 		g.engine.After(g.engine.Jitter(instanceTypesInterval), g.refreshInstanceTypes)
 		return
 	}
@@ -74,63 +71,64 @@
 	})
 }
 
-// admitLeaderless records a submission without a leader, or refuses one that can never be scheduled.
+// admitLeaderless records a submission without a leader, or refuses a job that can never be
+// scheduled.
 func (g *Gateway) admitLeaderless(r request.Request) {
-	job, no := r.Spec, request.Unavailable(noLeader)
+	job, unavailable := r.Spec, request.Unavailable(noLeader)
 	if !g.allowsLeaderlessAdmission(r) {
-		g.respond(r, no)
+		g.respond(r, unavailable)
 		return
 	}
 	if !jobstore.FitsValue(record.JobSize(job), g.cfg.Settings.State) {
 		g.respond(r, admission.TooLong)
 		return
 	}
-	// The store may have lost data and not know of all jobs. Whoever has the last leader's
-	// replica knows.
-	k := g.controller.LastLeaderReplica()
-	if k == nil {
-		g.respond(r, no)
+	// The store may have lost records, so the last leader's replica is checked as well.
+	lastReplica := g.controller.LastLeaderReplica()
+	if lastReplica == nil {
+		g.respond(r, unavailable)
 		return
 	}
-	if _, over := k.Get(record.FinalPrefix + job.ID); over {
-		g.respond(r, no)
+	if _, over := lastReplica.Get(record.FinalPrefix + job.ID); over {
+		g.respond(r, unavailable)
 		return
 	}
-	if refusal := admission.CheckSchedulable(job, g.controller.Team(k, job.Owner), g.instanceTypes); refusal != nil {
-		g.refuseLeaderless(r, k, refusal.Response())
+	if refusal := admission.CheckSchedulable(job, g.controller.Team(lastReplica, job.Owner), g.instanceTypes); refusal != nil {
+		g.refuseLeaderless(r, lastReplica, refusal.Response())
 		return
 	}
 	if !g.writeLimit.AllowN(g.engine.Now, 2) || !g.jobs.Allow(1) {
-		g.respond(r, no)
+		g.respond(r, unavailable)
 		return
 	}
-	g.acceptLeaderless(r, k)
+	g.acceptLeaderless(r, lastReplica)
 }
 
-// allowsLeaderlessAdmission reports whether this controller may accept a submission by itself.
+// allowsLeaderlessAdmission reports whether this controller may accept a submission without a
+// leader.
 func (g *Gateway) allowsLeaderlessAdmission(r request.Request) bool {
 	return !g.controller.Leads() && r.From == "" && len(g.cfg.Seeds) > 0 && len(g.instanceTypes) > 0 && g.policy.NeverRefuses()
 }
 
-// admissionConditions returns the admissionConditions of what is decided on a job without a leader: it has no
-// record, and the term that is known here is on record, because a store that has lost its
-// data knows of no job, not even of those that are over. Nor may the configuration have
-// changed since the replica.
-func (g *Gateway) admissionConditions(id string, k *replica.Replica) []kv.Condition {
-	config, _ := k.Get(record.ConfigHeadKey)
+// admissionConditions returns the conditions under which a decision on a job may be made without
+// a leader. The job must have no record. The known term must still be recorded, since a store
+// that has lost its data does not know any jobs, including finished ones. The configuration must
+// not have changed since the replica was updated.
+func (g *Gateway) admissionConditions(id string, lastReplica *replica.Replica) []kv.Condition {
+	config, _ := lastReplica.Get(record.ConfigHeadKey)
 	return append(record.NoJob(id),
 		kv.Condition{Key: record.TermKey, Rev: g.controller.Upstream().TermRevision},
 		kv.Condition{Key: record.ConfigHeadKey, Rev: config.Rev})
 }
 
-// acceptLeaderless writes the record of a job, and the note for the leader.
-func (g *Gateway) acceptLeaderless(r request.Request, k *replica.Replica) {
-	id, no := r.Spec.ID, request.Unavailable(noLeader)
+// acceptLeaderless writes the record of a job and the note for the leader in one transaction.
+func (g *Gateway) acceptLeaderless(r request.Request, lastReplica *replica.Replica) {
+	id, unavailable := r.Spec.ID, request.Unavailable(noLeader)
 	job := &record.Job{Spec: *r.Spec, Submitted: g.engine.Now.Round(0)}
 	note := &record.Leader{Node: g.cfg.HostName, Term: max(1, g.controller.Upstream().Term)}
 	g.engine.CallStore(kv.Request{
 		Op:         kv.Txn,
-		Conditions: g.admissionConditions(id, k),
+		Conditions: g.admissionConditions(id, lastReplica),
 		Writes:     []kv.Write{{Key: record.JobPrefix + id, Value: job}, {Key: record.LeaderlessPrefix + id, Value: note}},
 	}, func(reply kv.Response) {
 		switch reply.Outcome {
@@ -141,13 +139,13 @@
 		case rpc.Conflict, rpc.Unknown:
 			g.respondWithExisting(r)
 		default:
-			g.respond(r, no)
+			g.respond(r, unavailable)
 		}
 	})
 }
 
-// respondWithExisting answers a submission of a job that has a record, maybe of this very
-// submission.
+// respondWithExisting answers a submission of a job that may already have a record, possibly
+// written for this submission.
 func (g *Gateway) respondWithExisting(r request.Request) {
 	g.jobs.Read(r.Spec.ID, func(status *request.JobStatus, known bool) {
 		if known && status != nil {
@@ -158,19 +156,19 @@
 	})
 }
 
-// refuseLeaderless refuses a submission for good, but only if the store confirms that nobody ever
-// accepted it and the last leader's replica says the same.
-func (g *Gateway) refuseLeaderless(r request.Request, k *replica.Replica, refusal request.Response) {
-	id, no := r.Spec.ID, request.Unavailable(noLeader)
-	if _, live := k.Get(record.JobPrefix + id); live || !g.jobs.Allow(1) {
-		g.respond(r, no)
+// refuseLeaderless refuses a submission permanently if both the store and the last leader's
+// replica confirm that the job was never accepted. Otherwise it answers with status 503.
+func (g *Gateway) refuseLeaderless(r request.Request, lastReplica *replica.Replica, refusal request.Response) {
+	id, unavailable := r.Spec.ID, request.Unavailable(noLeader)
+	if _, live := lastReplica.Get(record.JobPrefix + id); live || !g.jobs.Allow(1) {
+		g.respond(r, unavailable)
 		return
 	}
-	g.engine.CallStore(kv.Request{Op: kv.Txn, Conditions: g.admissionConditions(id, k)}, func(reply kv.Response) {
+	g.engine.CallStore(kv.Request{Op: kv.Txn, Conditions: g.admissionConditions(id, lastReplica)}, func(reply kv.Response) {
 		if reply.Outcome == rpc.OK {
 			g.respond(r, refusal)
 		} else {
-			g.respond(r, no)
+			g.respond(r, unavailable)
 		}
 	})
 }
