--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -1,9 +1,8 @@
-// Package forwarder is what a controller that does not lead does for workers: it
-// forwards their heartbeats to the leader and the leader's replies back to them.
+// Package forwarder relays heartbeats at controllers that are not the leader: it forwards workers'
+// heartbeats to the leader and the leader's replies to the workers.
 //
-// To everybody else it is part of the way: a reply is the leader's word on one
-// heartbeat, and is valid or not by the heartbeat's incarnation and counter and by the
-// reply's term, however it has travelled.
+// A reply is the leader's answer to one heartbeat. Its validity depends only on the heartbeat's
+// incarnation and counter and on the reply's term, not on the path that it has taken.
 package forwarder
 
 import (
@@ -18,88 +17,87 @@
 )
 
 const (
-	// flushInterval is the shortest time between two batches, and flushIntervalPerWorker
-	// what is added to it for each worker: what comes in between goes in one batch. Each
-	// message costs the leader a few system calls, whatever is in it.
+	// flushInterval is the minimum time between two batches, increased by
+	// flushIntervalPerWorker for each worker. Batching reduces the number of messages, each of
+	// which costs the leader several system calls.
 	flushInterval          = 10 * time.Millisecond
 	flushIntervalPerWorker = 25 * time.Microsecond
 	maxFlushInterval       = 40 * time.Millisecond
-	// KeepAliveInterval is how often a relay checks the heartbeats that wait, and after
-	// which time it sends an empty batch to show that it is there.
+	// KeepAliveInterval is the interval at which a relay checks the waiting heartbeats, and the
+	// idle time after which it sends an empty batch as a keep-alive.
 	KeepAliveInterval = 400 * time.Millisecond
-	// replyTimeout is how long a heartbeat waits for the leader's reply, or for a leader.
-	// Workers give up after 4 s.
+	// replyTimeout is how long a heartbeat waits for the leader's reply, or for a leader to be
+	// elected. It is shorter than the 4 s after which workers give up.
 	replyTimeout = 3300 * time.Millisecond
-	// LinkTimeout is how long a relay without a link to the leader keeps its workers: a
-	// failover is over sooner.
+	// LinkTimeout is how long a relay keeps its workers without a link to the leader. It is
+	// longer than a failover.
 	LinkTimeout = 2500 * time.Millisecond
 )
 
-// Upstream is what a controller knows about the leader.
+// Upstream is what this controller knows about the leader.
 type Upstream struct {
-	Leader        string // "" while it is not known
-	Linked        bool   // there is a link to it
+	Leader        string // "" if not known
+	Linked        bool   // this controller is connected to the leader
 	LinkLostAt    time.Time
-	Term          uint64 // the highest term heard of
-	ConfirmedTerm uint64 // the newest term that the key-value store has confirmed to this process; 0 for none
+	Term          uint64 // highest known term
+	ConfirmedTerm uint64 // newest term that the key-value store has confirmed to this process, or 0
 }
 
 // usable reports whether heartbeats can be forwarded to the leader.
 //
-// A process that the key-value store has not answered yet is sure of no term. The process
-// before it may have acknowledged a newer term than that of the leader that it hears, and
-// a successor counts on that: it takes the leases to have expired that the older leader
-// could have renewed through us.
+// It requires a confirmed term. A controller that has restarted does not know which term its
+// previous process acknowledged. That term may be newer than the leader's. A newer leader assumes
+// that, since the acknowledgment, the older leader cannot renew leases through this controller.
 func (u *Upstream) usable() bool { return u.Linked && u.ConfirmedTerm != 0 }
 
-// unreachable reports whether the leader has been known, but without a link to us or not
-// confirmed, for longer than a failover takes. Its workers are then better off with it.
+// unreachable reports whether the leader is known, but has not been usable for longer than a
+// failover takes. Workers should then send their heartbeats to the leader directly.
 func (u *Upstream) unreachable(now time.Time) bool {
 	return u.Leader != "" && !u.usable() && now.Sub(u.LinkLostAt) > LinkTimeout
 }
 
-// Controller is what the forwarder needs of the controller that it is part of.
+// Controller provides the functions of the controller that a Forwarder uses.
 type Controller interface {
-	// Leads reports whether the controller leads: nothing is forwarded then.
+	// Leads reports whether the controller is the leader, which forwards nothing.
 	Leads() bool
 	// Upstream returns what is known about the leader.
 	Upstream() Upstream
 }
 
-// Forwarder forwards heartbeats while its controller does not lead.
+// Forwarder forwards heartbeats while its controller is not the leader.
 type Forwarder struct {
 	engine          *engine.Engine
 	controller      Controller
 	cfg             *config.Config
-	staleHeartbeats int64 // heartbeats refused
+	staleHeartbeats int64 // number of heartbeats refused as stale
 
 	heartbeats
 	session
 	prober
 }
 
-// heartbeats is the workers that report to this controller, and their heartbeats that
-// wait for replies.
+// heartbeats holds the workers that report to this controller, and their heartbeats that await a
+// reply.
 type heartbeats struct {
-	byRef    map[uint64]*pendingHeartbeat // by our number
+	byRef    map[uint64]*pendingHeartbeat
 	byHost   map[string]*pendingHeartbeat
 	workers  map[string]*Worker
 	prunedAt time.Time
 }
 
-// session is the state of the link to the leader.
+// session holds the state of the session with the leader.
 type session struct {
 	encoder        *relay.Encoder // nil without a link
 	leader         string
 	term           uint64
 	unsent         []relay.Delta
-	unsentWeight   int // of unsent
+	unsentWeight   int // total weight of unsent
 	abandoned      []uint64
 	flushedAt      time.Time
-	flushScheduled bool // a timer is set
+	flushScheduled bool // a timer for the next flush is running
 }
 
-// pendingHeartbeat is a heartbeat that waits for its reply.
+// pendingHeartbeat is a heartbeat that awaits a reply.
 type pendingHeartbeat struct {
 	ref        uint64
 	report     heartbeat.Report
@@ -113,7 +111,7 @@
 	lastHeartbeat             time.Time
 }
 
-// New returns a forwarder that holds nothing.
+// New returns a Forwarder without workers or a session. Call Tick once to start its timers.
 func New(e *engine.Engine, controller Controller, cfg *config.Config) *Forwarder {
 	f := &Forwarder{engine: e, controller: controller, cfg: cfg}
 	f.reset()
@@ -126,13 +124,14 @@
 	f.prober = prober{}
 }
 
-// Workers returns how many workers report to this controller while it does not lead.
+// Workers returns the number of workers that report to this controller. It is 0 while the
+// controller is the leader.
 func (f *Forwarder) Workers() int { return len(f.workers) }
 
-// StaleHeartbeats returns how many heartbeats were refused because a newer one was known.
+// StaleHeartbeats returns the number of heartbeats refused because a newer one was pending.
 func (f *Forwarder) StaleHeartbeats() int64 { return f.staleHeartbeats }
 
-// SessionID returns the number of the session with the leader, 0 for none.
+// SessionID returns the ID of the session with the leader, or 0 if there is none.
 func (f *Forwarder) SessionID() uint64 {
 	if f.encoder == nil {
 		return 0
@@ -140,9 +139,9 @@
 	return f.encoder.Session()
 }
 
-// TakePending empties the forwarder for a controller that begins to lead. It returns the
-// heartbeats that wait for replies, in the order in which they came, and the workers
-// that have reported here, by host.
+// TakePending resets the forwarder when its controller becomes the leader. It returns the
+// heartbeats that await a reply, in order of arrival, and the workers that have reported to this
+// controller, by host.
 func (f *Forwarder) TakePending() ([]heartbeat.Received, map[string]*Worker) {
 	var waiting []heartbeat.Received
 	for _, ref := range f.waitingRefs() {
@@ -153,19 +152,21 @@
 	return waiting, workers
 }
 
-// Receive takes a worker's heartbeat for the leader, whoever that is or will be.
+// Receive accepts a worker's heartbeat to be forwarded to the leader. If no leader is known yet,
+// the heartbeat waits for one until replyTimeout. If the leader is unreachable, the worker is
+// redirected to it.
 func (f *Forwarder) Receive(in heartbeat.Received) {
 	report := &in.Report
 	if in.Via.Relay != "" {
-		return // meant for a leader: its relay will learn who that is
+		return // relayed to this controller as the leader; the relay will find the new one
 	}
 	if p := f.byHost[report.Host]; p != nil {
 		if !report.Newer(p.report.Incarnation, p.report.Counter) {
 			f.staleHeartbeats++
-			f.engine.Emit(heartbeat.Reply{Ref: in.Ref, Status: 503}) // delayed on the way
+			f.engine.Emit(heartbeat.Reply{Ref: in.Ref, Status: 503}) // delayed in the network
 			return
 		}
-		f.drop(p) // the worker has given up on it
+		f.drop(p) // the worker has abandoned this request
 		f.engine.Emit(heartbeat.Reply{Ref: p.ref, Status: 503})
 	}
 	upstream := f.controller.Upstream()
@@ -186,7 +187,7 @@
 	}
 }
 
-// Abandon drops a heartbeat whose worker no longer waits for the reply.
+// Abandon drops a heartbeat whose worker has closed its request.
 func (f *Forwarder) Abandon(ref uint64) {
 	if p := f.byRef[ref]; p != nil {
 		f.drop(p)
@@ -195,7 +196,7 @@
 
 func (f *Forwarder) workerLease() time.Duration { return f.cfg.Settings.Workers.Lease.Duration() }
 
-// remove removes a heartbeat from those that wait.
+// remove deletes a heartbeat from the pending ones.
 func (h *heartbeats) remove(p *pendingHeartbeat) {
 	delete(h.byRef, p.ref)
 	if h.byHost[p.report.Host] == p {
@@ -203,11 +204,10 @@
 	}
 }
 
-// waitingRefs returns the numbers of the waiting heartbeats, in the order in which they came.
+// waitingRefs returns the refs of the pending heartbeats in order of arrival.
 func (h *heartbeats) waitingRefs() []uint64 { return slices.Sorted(maps.Keys(h.byRef)) }
 
-// drop removes a heartbeat for whose reply nobody waits any more, and has the leader
-// told so.
+// drop removes a heartbeat that no worker waits for, and informs the leader with the next batch.
 func (f *Forwarder) drop(p *pendingHeartbeat) {
 	f.remove(p)
 	if f.encoder != nil {
@@ -215,8 +215,8 @@
 	}
 }
 
-// Tick answers the heartbeats that have waited for too long, forgets workers that have
-// gone, and keeps the session alive. It calls itself again while the process lasts.
+// Tick redirects workers whose heartbeats have waited too long, removes silent workers, and sends
+// keep-alives. It reschedules itself every KeepAliveInterval.
 func (f *Forwarder) Tick() {
 	f.engine.After(KeepAliveInterval, f.Tick)
 	if f.controller.Leads() {
@@ -231,7 +231,7 @@
 	}
 }
 
-// expire sends the workers elsewhere whose heartbeats cannot be answered in time.
+// expire redirects workers whose heartbeats cannot be answered in time.
 func (f *Forwarder) expire() {
 	upstream := f.controller.Upstream()
 	outOfReach := upstream.unreachable(f.engine.Now)
@@ -249,7 +249,7 @@
 	}
 }
 
-// prune forgets the workers that have not reported for the length of a lease.
+// prune removes workers that have not sent a heartbeat for the duration of a lease.
 func (f *Forwarder) prune() {
 	lease := f.workerLease()
 	f.prunedAt = f.engine.Now
--- a/internal/forwarder/prober.go
+++ b/internal/forwarder/prober.go
@@ -9,17 +9,17 @@
 	"yewpass/internal/rpc"
 )
 
-// prober is the state of the probes of our own workers.
+// prober holds the state of this relay's probes of its workers.
 type prober struct {
-	probedTerm     uint64   // the newest term whose fencing token we have shown to our workers
-	queue          []string // hosts
+	probedTerm     uint64   // newest term whose fencing token was sent to the workers
+	queue          []string // hosts to probe
 	probesInFlight int
 }
 
-// probeWorkers shows the new leader's fencing token to our workers, as the leader itself
-// does with its own: all relays together probe many more at a time. Only once the
-// key-value store has confirmed the term: a worker that has seen a fencing token that
-// never was is of no use any more.
+// probeWorkers sends the new leader's fencing token to this relay's workers. The leader probes its
+// own workers; probing from all relays allows more concurrent probes. The term must be confirmed
+// by the key-value store: a worker that has seen a token of a term that was never recorded would
+// reject the commands of valid leaders with lower tokens.
 func (f *Forwarder) probeWorkers() {
 	f.prober = prober{probedTerm: f.term}
 	recently := 2 * f.cfg.Settings.Workers.Report.Duration()
@@ -28,8 +28,8 @@
 			f.queue = append(f.queue, host)
 		}
 	}
-	// Those heard of last are the likeliest to be there still. A machine that was returned
-	// answers nothing, and each such probe keeps others waiting.
+	// Probes workers with the latest heartbeats first. Probes of machines that no longer exist
+	// block other probes until they time out.
 	slices.SortStableFunc(f.queue, func(a, b string) int { return f.workers[b].lastHeartbeat.Compare(f.workers[a].lastHeartbeat) })
 	f.probeNext()
 }
@@ -44,7 +44,8 @@
 	}
 }
 
-// probeWorker probes one worker, and once more if its incarnation turns out to be another.
+// probeWorker probes one worker. If the worker reports another incarnation, it is probed once more
+// with that incarnation.
 func (f *Forwarder) probeWorker(host string, w *Worker, incarnation uint64) {
 	term := f.probedTerm
 	f.probesInFlight++
--- a/internal/forwarder/session.go
+++ b/internal/forwarder/session.go
@@ -8,8 +8,9 @@
 	"yewpass/internal/relay"
 )
 
-// Run keeps the session with the leader and sends what is due. It is called at the end
-// of each step in which the controller does not lead.
+// Run opens a session when the leader or its term changes, closes it when the leader is not usable,
+// and sends pending batches. It must be called at the end of each step in which the controller is
+// not the leader.
 func (f *Forwarder) Run() {
 	upstream := f.controller.Upstream()
 	if !upstream.usable() {
@@ -29,14 +30,14 @@
 	if wait := f.flushedAt.Add(interval).Sub(f.engine.Now); wait > 0 && f.unsentWeight < relay.MaxMessageWeight {
 		if !f.flushScheduled {
 			f.flushScheduled = true
-			f.engine.After(wait, func() { f.flushScheduled = false }) // Run follows in the same step
+			f.engine.After(wait, func() { f.flushScheduled = false }) // Run is called at the end of this step and flushes
 		}
 		return
 	}
 	f.flush()
 }
 
-// openSession opens a session with a leader and sends it all heartbeats that wait here.
+// openSession opens a session with a leader and sends it all pending heartbeats.
 func (f *Forwarder) openSession(leader string, term uint64) {
 	f.leader, f.term = leader, term
 	f.encoder = relay.NewEncoder(f.engine.Rand.Uint64() | 1) // never 0
@@ -47,14 +48,14 @@
 	f.flush()
 }
 
-// enqueue encodes a report to be sent with the next batch.
+// enqueue encodes a report for the next batch.
 func (s *session) enqueue(ref uint64, report *heartbeat.Report) {
 	d := s.encoder.Encode(ref, report)
 	s.unsent = append(s.unsent, d)
 	s.unsentWeight += d.Weight()
 }
 
-// flush sends what has not been sent, or an empty batch.
+// flush sends all unsent reports in one or more batches, or one empty batch if there are none.
 func (f *Forwarder) flush() {
 	for first := true; first || len(f.unsent) > 0; first = false {
 		n := 0
@@ -72,10 +73,10 @@
 	f.unsent, f.unsentWeight, f.flushedAt = nil, 0, f.engine.Now
 }
 
-// HandleReplies forwards the leader's replies to workers. Only those of the newest known
-// term and of the current session count: once a controller has acknowledged a term it
-// lets out no reply of an older one, and none meant for an earlier process of its name,
-// whose numbers stood for other heartbeats.
+// HandleReplies forwards the leader's replies to the workers. It ignores replies of other sessions
+// and of other terms than the newest known one. A controller that has acknowledged a term must not
+// deliver replies of an older one. The refs in replies to an earlier process of this controller
+// may denote other heartbeats.
 func (f *Forwarder) HandleReplies(from string, term uint64, replies *relay.Replies) {
 	upstream := f.controller.Upstream()
 	if f.controller.Leads() || f.encoder == nil || from != f.leader || from != upstream.Leader ||
@@ -101,7 +102,7 @@
 	if r.Status != 0 {
 		reply.Status = r.Status
 	}
-	if reply.Status == 421 { // the worker goes elsewhere
+	if reply.Status == 421 { // the worker is redirected to another controller
 		delete(f.workers, p.report.Host)
 		f.encoder.Forget(p.report.Host)
 	}
