--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -30,8 +30,8 @@
 	catalogRetryDelay = time.Second
 )
 
-// RefreshCatalog reads the instance types and prices now and then every catalogInterval. A
-// failed or empty read is retried after catalogRetryDelay and keeps the previous types.
+// RefreshCatalog reads the instance types and prices immediately and every catalogInterval after
+// that. A failed or empty read is retried after catalogRetryDelay and keeps the previous types.
 func (a *Autoscaler) RefreshCatalog() {
 	a.scope.CallCloud(provider.Request{Op: provider.Catalog}, func(r provider.Response) {
 		if r.Outcome != rpc.OK || len(r.InstanceTypes) == 0 {
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -18,8 +18,8 @@
 	maxReleasesPerCall = 100
 )
 
-// ListInstances reads the cloud's list of instances now and then every listInterval. The list
-// reveals instances requested by an earlier leader or by a request that timed out, and
+// ListInstances reads the cloud's list of instances immediately and every listInterval after
+// that. The list reveals instances requested by an earlier leader or by a request that timed out, and
 // instances that have failed.
 func (a *Autoscaler) ListInstances() { a.listInstances("", nil) }
 
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -234,10 +234,10 @@
 // expire redirects workers whose heartbeats cannot be answered in time.
 func (f *Forwarder) expire() {
 	upstream := f.controller.Upstream()
-	outOfReach := upstream.unreachable(f.engine.Now)
+	unreachable := upstream.unreachable(f.engine.Now)
 	for _, ref := range f.waitingRefs() {
 		p := f.byRef[ref]
-		if !outOfReach && f.engine.Now.Sub(p.receivedAt) < replyTimeout {
+		if !unreachable && f.engine.Now.Sub(p.receivedAt) < replyTimeout {
 			continue
 		}
 		reply := heartbeat.Reply{Ref: ref, Status: 421}
--- a/internal/forwarder/session.go
+++ b/internal/forwarder/session.go
@@ -30,7 +30,7 @@
 	if wait := f.flushedAt.Add(interval).Sub(f.engine.Now); wait > 0 && f.unsentWeight < relay.MaxMessageWeight {
 		if !f.flushScheduled {
 			f.flushScheduled = true
-			f.engine.After(wait, func() { f.flushScheduled = false }) // Run is called at the end of this step and flushes
+			f.engine.After(wait, func() { f.flushScheduled = false }) // Run flushes later in this step
 		}
 		return
 	}
--- a/internal/gateway/leaderless.go
+++ b/internal/gateway/leaderless.go
@@ -29,7 +29,7 @@
 // all others.
 const (
 	leaderlessWriteShare = 0.1 // of the store's write rate; the leader uses the rest
-	leaderlessBurstShare = 0.5 // of the writes per second; keeps the burst of all controllers below the store's limit
+	leaderlessBurstShare = 0.5 // of one second's writes, over all controllers
 	// instanceTypesInterval is the interval at which controllers other than the leader read
 	// the instance types.
 	instanceTypesInterval     = time.Minute
--- a/internal/zones/regions_test.go
+++ b/internal/zones/regions_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := NewRegionTracker(set)
+	tracker := NewRegionTracker(set)
 	now := time.Unix(1_900_000_000, 0)
 	zone := map[string]*Zone{}
 	var all []*Zone
@@ -49,7 +49,7 @@
 			}
 		}
 		now = now.Add(time.Second)
-		for _, c := range w.Observe(now, all) {
+		for _, c := range tracker.Observe(now, all) {
 			got = append(got, fmt.Sprint(step, ": ", c.Region.Name, " ", c.To, " after ", c.PreviousDuration))
 		}
 	}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -18,7 +18,7 @@
 // The states of a zone or region.
 const (
 	Up        State = iota
-	Doubtful        // so many machines are silent that the zone may be unreachable
+	Doubtful        // may be unreachable: many of its machines fell silent
 	Lost            // doubtful for longer than a worker's lease
 	Returning       // reporting again, but not yet for long enough to be up
 )
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -14,7 +14,7 @@
 // observeTimeline feeds the tracker one observation of zones a and b per second and returns the
 // states that zone a enters, each with its second. A step is "until heard/silent heard/silent",
 // with the counts of a before those of b.
-func observeTimeline(w *Tracker, steps ...string) string {
+func observeTimeline(tracker *Tracker, steps ...string) string {
 	var out []string
 	at := 0
 	for _, s := range steps {
@@ -23,7 +23,7 @@
 			panic(s)
 		}
 		for ; at < until; at++ {
-			for _, c := range w.Observe(t0.Add(time.Duration(at)*time.Second), map[string]MachineCounts{"a": {ha, sa}, "b": {hb, sb}}) {
+			for _, c := range tracker.Observe(t0.Add(time.Duration(at)*time.Second), map[string]MachineCounts{"a": {ha, sa}, "b": {hb, sb}}) {
 				if c.Zone.Name == "a" {
 					out = append(out, fmt.Sprintf("%s %d", c.To, at))
 				}
@@ -60,14 +60,14 @@
 // TestFlapping checks that each relapse lengthens the time before a zone is up and starts tasks,
 // and that relapses are forgotten after a long stable period.
 func TestFlapping(t *testing.T) {
-	w := New(testSettings)
-	got := observeTimeline(w, "10 40/0 40/0", "20 0/40 40/0", "30 40/0 40/0", "40 0/40 40/0", "50 40/0 40/0", "60 0/40 40/0")
+	tracker := New(testSettings)
+	got := observeTimeline(tracker, "10 40/0 40/0", "20 0/40 40/0", "30 40/0 40/0", "40 0/40 40/0", "50 40/0 40/0", "60 0/40 40/0")
 	if want := "doubtful 10, returning 20, up 28, doubtful 30, returning 40, doubtful 50"; got != want {
 		t.Errorf("got states %q, want %q", got, want)
 	}
-	z := w.Zone("a")
+	z := tracker.Zone("a")
 	observe := func(at int, s MachineCounts) {
-		w.Observe(t0.Add(time.Duration(at)*time.Second), map[string]MachineCounts{"a": s, "b": {Reporting: 40}})
+		tracker.Observe(t0.Add(time.Duration(at)*time.Second), map[string]MachineCounts{"a": s, "b": {Reporting: 40}})
 	}
 	observe(70, MachineCounts{Reporting: 40})
 	if z.State != Returning || z.AllowsTaskStarts() {
@@ -91,9 +91,9 @@
 // TestKept checks that all silent machines are kept until KeepFor, then fewer over time, but never
 // fewer than MinKeepCount.
 func TestKept(t *testing.T) {
-	w := New(testSettings)
-	observeTimeline(w, "10 40/0 40/0", "11 0/40 40/0")
-	z := w.Zone("a")
+	tracker := New(testSettings)
+	observeTimeline(tracker, "10 40/0 40/0", "11 0/40 40/0")
+	z := tracker.Zone("a")
 	for _, x := range []struct{ after, want int }{{0, 40}, {60, 40}, {90, 30}, {120, 20}, {179, 2}, {1000, 2}} {
 		if got := z.KeepCount(t0.Add(time.Duration(10+x.after) * time.Second)); got != x.want {
 			t.Errorf("after %d s: KeepCount is %d, want %d", x.after, got, x.want)
@@ -104,13 +104,13 @@
 // TestProbe checks that a lost zone is probed once per interval if it has no machines, and not at
 // all while it has silent machines.
 func TestProbe(t *testing.T) {
-	w := New(testSettings)
-	observeTimeline(w, "10 40/0 40/0", "40 0/40 40/0")
-	z := w.Zone("a")
+	tracker := New(testSettings)
+	observeTimeline(tracker, "10 40/0 40/0", "40 0/40 40/0")
+	z := tracker.Zone("a")
 	if z.StartProbeIfDue(t0.Add(300 * time.Second)) {
 		t.Error("zone with silent machines is probed")
 	}
-	observeTimeline(w, "41 0/0 40/0")
+	observeTimeline(tracker, "41 0/0 40/0")
 	n := 0
 	for at := range 600 {
 		if z.StartProbeIfDue(t0.Add(time.Duration(at) * time.Second)) {
@@ -120,7 +120,7 @@
 	if n < 9 || n > 11 {
 		t.Errorf("got %d probes in ten minutes, want 9 to 11", n)
 	}
-	w.Observe(t0.Add(700*time.Second), map[string]MachineCounts{"a": {Reporting: 1}, "b": {Reporting: 40}})
+	tracker.Observe(t0.Add(700*time.Second), map[string]MachineCounts{"a": {Reporting: 1}, "b": {Reporting: 40}})
 	if z.State != Returning || !z.AllowsRental() {
 		t.Errorf("state is %v after the probe reports, want returning with rentals allowed", z.State)
 	}
