--- a/internal/autoscaler/arrivals.go
+++ b/internal/autoscaler/arrivals.go
@@ -9,17 +9,17 @@
 	"yewpass/internal/quota"
 )
 
-// arrivals is what the jobs that arrive let expect.
+// arrivals holds the state for forecasting the load of jobs to come.
 type arrivals struct {
-	teams     map[string]*quota.Account
-	burstCPUs float64 // CPUs that a job takes which must start at once, averaged
-	burstAt   time.Time
+	teams       map[string]*quota.Account
+	burstCPUs   float64 // moving average of the CPUs of jobs that must start at once
+	lastBurstAt time.Time
 }
 
-// burstWeight is the weight of the latest job in the average of burstCPUs.
-const burstWeight = 0.15
+// burstSmoothing is the weight of the latest job in the exponential moving average burstCPUs.
+const burstSmoothing = 0.15
 
-// RecordArrival takes in the work of a new job.
+// RecordArrival adds the work of a new job to its team's load forecast.
 func (a *Autoscaler) RecordArrival(j *fleet.Job) {
 	seconds := quota.ArrivalTimeConstant.Seconds()
 	if !j.Spec.Service {
@@ -27,29 +27,30 @@
 	}
 	if j.LatencySensitive {
 		cpus := float64(j.Spec.Tasks) * float64(j.Need.CPU) / 1000
-		if a.burstAt.IsZero() {
+		if a.lastBurstAt.IsZero() {
 			a.burstCPUs = cpus
 		}
-		a.burstCPUs += burstWeight * (cpus - a.burstCPUs)
-		a.burstAt = a.Now
+		a.burstCPUs += burstSmoothing * (cpus - a.burstCPUs)
+		a.lastBurstAt = a.Now
 	}
 	t := j.Team
 	t.ArrivalLoad = t.ExpectedCPUs(a.Now) + float64(j.Spec.Tasks)*float64(j.Need.CPU)/1000*seconds/quota.ArrivalTimeConstant.Seconds()
 	t.LoadAt = a.Now
 }
 
-// BurstRoom returns how many thousandths of CPUs to keep free for jobs that must start at
-// once: the given part of what such a job takes, 0 if none has come lately.
-func (a *Autoscaler) BurstRoom(part float64) int64 {
-	if a.Now.Sub(a.burstAt) > quota.ArrivalTimeConstant {
+// BurstReserve returns the CPU capacity, in thousandths of a CPU, to keep free for jobs that
+// must start at once: the given share of their average size, or 0 if none arrived within
+// quota.ArrivalMemory.
+func (a *Autoscaler) BurstReserve(share float64) int64 {
+	if a.Now.Sub(a.lastBurstAt) > quota.ArrivalTimeConstant {
 		return 0
 	}
-	return int64(a.burstCPUs * part * 1000)
+	return int64(a.burstCPUs * share * 1000)
 }
 
-// expectedCPUs returns how many CPUs the work of recent arrivals keeps busy, within the
-// teams' limits.
-func (a *Autoscaler) expectedCPUs() float64 {
+// forecastCPUs returns the number of CPUs that jobs are expected to use if they keep arriving
+// at the recent rate, capped at each team's limit.
+func (a *Autoscaler) forecastCPUs() float64 {
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(a.teams)) {
 		t := a.teams[name]
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -24,7 +24,7 @@
 	l.outages.Observe()
 	c.reviewMachines(e)
 	l.machineRecords.DropExpired(c.earlierLeaseExpiry())
-	l.placement.ReserveWarmCapacity(l.autoscaler.BurstRoom(c.pol.Warm(e)))
+	l.placement.ReserveWarmCapacity(l.autoscaler.BurstReserve(c.pol.Warm(e)))
 	c.preemptForGuarantees()
 	l.autoscaler.ScaleIn(l.allAccounted())
 	l.placement.RefreshDueReservations(tickInterval)
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -46,7 +46,7 @@
 		c.leadership.allAcknowledgedAt = c.Now
 	}
 	// Heartbeats that the forwarder held for the next leader are now ours to answer.
-	c.leadership.pendingHeartbeats, c.leadership.knownReporters = c.forwarder.TakeOver()
+	c.leadership.pendingHeartbeats, c.leadership.knownReporters = c.forwarder.TakePending()
 	c.renewLease()
 	c.leadership.autoscaler.RefreshCatalog()
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -5,7 +5,7 @@
 // Stats returns the current values of the metrics. A node that is not the leader reports only its
 // term, its relayed workers, its stale heartbeats and its configuration.
 func (c *Core) Stats() view.Stats {
-	s := view.Stats{Term: c.election.HighestTerm(), Relayed: c.forwarder.Workers(), StaleHeartbeats: c.staleHeartbeats + c.forwarder.Stale()}
+	s := view.Stats{Term: c.election.HighestTerm(), Relayed: c.forwarder.Workers(), StaleHeartbeats: c.staleHeartbeats + c.forwarder.StaleHeartbeats()}
 	l := c.leadership
 	if l != nil {
 		s.ConfigStats = l.config.Stats()
--- a/internal/forwarder/prober.go
+++ b/internal/forwarder/prober.go
@@ -9,18 +9,18 @@
 	"yewpass/internal/rpc"
 )
 
-// prober is the state of the probes of our own workers.
+// prober holds the state of this relay's probes of its workers.
 type prober struct {
-	probedTerm     uint64   // the newest term whose fencing token we have shown to our workers
-	queue          []string // hosts
+	probedTerm     uint64   // newest term whose fencing token was sent to the workers
+	queue          []string // hosts to probe
 	probesInFlight int
 }
 
-// startProbes shows the new leader's fencing token to our workers, as the leader itself
-// does with its own: all relays together probe many more at a time. Only once the
-// key-value store has confirmed the term: a worker that has seen a fencing token that
-// never was is of no use any more.
-func (f *Forwarder) startProbes() {
+// probeWorkers sends the new leader's fencing token to this relay's workers. The leader probes its
+// own workers; probing from all relays allows more concurrent probes. The term must be confirmed
+// by the key-value store: a worker that has seen a token of a term that was never recorded would
+// reject the commands of valid leaders with lower tokens.
+func (f *Forwarder) probeWorkers() {
 	f.prober = prober{probedTerm: f.term}
 	recently := 2 * f.cfg.Settings.Workers.Report.Duration()
 	for _, host := range slices.Sorted(maps.Keys(f.workers)) {
@@ -28,8 +28,8 @@
 			f.queue = append(f.queue, host)
 		}
 	}
-	// Those heard of last are the likeliest to be there still. A machine that was returned
-	// answers nothing, and each such probe keeps others waiting.
+	// Probes workers with the latest heartbeats first. Probes of machines that no longer exist
+	// block other probes until they time out.
 	slices.SortStableFunc(f.queue, func(a, b string) int { return f.workers[b].lastHeartbeat.Compare(f.workers[a].lastHeartbeat) })
 	f.probeNext()
 }
@@ -39,13 +39,14 @@
 		host := f.queue[0]
 		f.queue = f.queue[1:]
 		if w := f.workers[host]; w != nil && w.fencingToken < f.probedTerm && f.byHost[host] == nil {
-			f.probe(host, w, w.incarnation)
+			f.probeWorker(host, w, w.incarnation)
 		}
 	}
 }
 
-// probe probes one worker, and once more if its incarnation turns out to be another.
-func (f *Forwarder) probe(host string, w *Worker, incarnation uint64) {
+// probeWorker probes one worker. If the worker reports another incarnation, it is probed once more
+// with that incarnation.
+func (f *Forwarder) probeWorker(host string, w *Worker, incarnation uint64) {
 	term := f.probedTerm
 	f.probesInFlight++
 	probe.Send(f.engine, w.address, term, incarnation, func(p heartbeat.ProbeReply) {
@@ -58,10 +59,10 @@
 		case f.controller.Leads() || p.Outcome == rpc.Unknown || report.Host != host:
 		case p.Outcome == rpc.Conflict && report.Incarnation != incarnation && report.Incarnation != w.incarnation:
 			w.incarnation = report.Incarnation
-			f.probe(host, w, report.Incarnation)
+			f.probeWorker(host, w, report.Incarnation)
 		case p.Outcome == rpc.OK && report.FencingToken == term && f.encoder != nil && f.term == term:
 			w.fencingToken = term
-			f.add(0, report)
+			f.enqueue(0, report)
 		}
 		f.probeNext()
 	})
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -25,14 +25,14 @@
 	released     expiringset.Set  // known to be terminated; their delayed heartbeats are ignored
 	unaccounted  map[string]bool  // hosts and unreadable record keys; see Unaccounted
 	places       *topology.Tree
-	zones        *zones.Watch
+	zones        *zones.Tracker
 	instanceType func(name string) *provider.InstanceType
 	workerLease  time.Duration
 }
 
 // New returns an empty inventory. instanceType returns an instance type of the catalog, or nil if
 // the name is unknown.
-func New(e *engine.Engine, z *zones.Watch, workerLease time.Duration, instanceType func(name string) *provider.InstanceType) *Inventory {
+func New(e *engine.Engine, z *zones.Tracker, workerLease time.Duration, instanceType func(name string) *provider.InstanceType) *Inventory {
 	places, _ := topology.New(topology.Definition{}) // cannot fail without user-defined levels
 	return &Inventory{
 		engine: e, byHost: map[string]*fleet.Machine{}, released: expiringset.New(e.Now), unaccounted: map[string]bool{},
--- a/internal/placement/starts.go
+++ b/internal/placement/starts.go
@@ -46,7 +46,7 @@
 // acceptsTasks reports whether tasks may start on the machine now.
 func (s *Scheduler) acceptsTasks(m *fleet.Machine) bool {
 	return m.FreeResources().CPU > 0 && len(s.Queue) > 0 && s.leader.CanAct() &&
-		m.Reported && m.Record == fleet.Recorded && m.Schedulable() && m.ZoneState.StartsTasks() &&
+		m.Reported && m.Record == fleet.Recorded && m.Schedulable() && m.ZoneState.AllowsTaskStarts() &&
 		!s.now().Before(m.RetryAt) && !s.leader.Unaccounted(m.Host) && s.AttemptCount <= MaxAttempts-maxStartsPerReply
 }
 
