--- a/internal/admission/records.go
+++ b/internal/admission/records.go
@@ -52,7 +52,7 @@
 			otherwise()
 			return
 		}
-		a.Replicas.PutRead(reply.Entries[0])
+		a.Replicas.PublishRead(reply.Entries[0])
 		if rec, _ := reply.Entries[0].Value.(*record.Job); rec != nil && a.Lifecycle.Jobs[id] == nil {
 			s := a.pending[id]
 			delete(a.pending, id)
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -51,7 +51,7 @@
 func (s autoscalerState) CanAct() bool { return s.c.canAct() }
 
 // MaxMachines implements autoscaler.State.
-func (s autoscalerState) MaxMachines() int { return relaylinks.MaxFleet(s.c.cfg) }
+func (s autoscalerState) MaxMachines() int { return relaylinks.MaxFleetSize(s.c.cfg) }
 
 // Term implements autoscaler.State.
 func (s autoscalerState) Term() (term, era uint64) { return s.c.leadership.term, s.c.observed.Era }
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -34,7 +34,7 @@
 	v.FailoverComplete = l.loaded && l.allAccounted()
 	v.Machines = len(l.inventory.Machines())
 	v.Unaccounted = l.inventory.UnaccountedCount()
-	v.MaxMachines = relaylinks.MaxFleet(c.cfg)
+	v.MaxMachines = relaylinks.MaxFleetSize(c.cfg)
 	v.Regions = c.regionViews()
 	v.Zones = c.zoneViews()
 	v.Records = c.recordsView()
@@ -43,7 +43,7 @@
 func (c *Core) ownNodeView() view.ClusterNode {
 	n := view.ClusterNode{Name: c.cfg.HostName, Zone: c.cfg.Site, Role: view.RoleRelay, Link: true, Workers: c.forwarder.Workers()}
 	if c.leadership != nil {
-		n.Role, n.Workers = view.RoleLeader, c.leadership.relays.Direct()
+		n.Role, n.Workers = view.RoleLeader, c.leadership.relays.DirectWorkers()
 	} else if !c.election.IsLinkedToLeader() {
 		n.Role = view.RoleAway
 	}
@@ -67,7 +67,7 @@
 		if !link.LastBatch.IsZero() {
 			n.LagSeconds = c.Now.Sub(link.LastBatch).Seconds()
 		}
-		if relays.TakesWorkers(s.HostName) {
+		if relays.AcceptsWorkers(s.HostName) {
 			n.Role = view.RoleRelay
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -82,7 +82,7 @@
 	c.leaseTiming = lease.Timing{LeaderLease: leaseTTL, WorkerLease: c.workerLease, CancelTimeout: cfg.Settings.Workers.Cancel.Duration()}
 	c.election = election.New(c.Engine, cfg, c.leaseTiming, processID, electionHost{c})
 	c.replicas = replication.New(c.Engine, cfg, replicationHost{c})
-	c.jobs = jobstore.NewReader(c.Engine, cfg.Settings.State.RPS, 1+len(cfg.Seeds), replication.FinalsLimit(cfg))
+	c.jobs = jobstore.NewReader(c.Engine, cfg.Settings.State.RPS, 1+len(cfg.Seeds), replication.MaxFinalRecords(cfg))
 	c.gateway = gateway.New(c.Engine, gatewayController{c}, cfg, pol, c.jobs, c.replicas)
 	c.config = configmanager.NewNode(c.Engine, cfg)
 	c.ObserveStore = c.observeStoreCall
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -19,7 +19,7 @@
 	if !c.canAct() {
 		return
 	}
-	l.relays.NoteSilent()
+	l.relays.MarkSilentRelays()
 	l.outages.Observe()
 	c.reviewMachines(e)
 	l.machineRecords.DropExpired(c.earlierLeaseExpiry())
@@ -53,7 +53,7 @@
 		idle:   timeline.Seconds(c.pol.IdleReturn(e)),
 	}
 	reporting, silent, overdue := c.countReporting(limits.silent)
-	l.relays.NoteIsolated(overdue)
+	l.relays.MarkIsolatedRelays(overdue)
 	limits.unaccounted = limits.silent
 	if 2*l.inventory.UnaccountedCount() < reporting {
 		limits.unaccounted = timeline.Seconds(c.pol.TakeoverRelease(e))
@@ -74,7 +74,7 @@
 			continue
 		}
 		reporting++
-		if m.ReportsVia != nil && c.leadership.relays.Overdue(m) {
+		if m.ReportsVia != nil && c.leadership.relays.IsOverdue(m) {
 			overdue[m.ReportsVia]++
 		}
 		if c.Now.Sub(c.lastHeard(m)) > limit {
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -122,7 +122,7 @@
 // as well. One that was answered long ago and whose reports still do not show it does not
 // hear: everything accepted in earlier terms would wait for it for as long as that lasts.
 func (c *Core) lastHeard(m *fleet.Machine) time.Time {
-	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.leadership.relays.RecoveryTime() {
+	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.leadership.relays.MaxReconnectTime() {
 		return m.UnacknowledgedSince
 	}
 	return m.LastHeartbeat
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -127,7 +127,7 @@
 		return
 	}
 	c.tickFleet()
-	c.leadership.publisher.SupplyFollowers()
+	c.leadership.publisher.StartStreams()
 	c.leadership.recurring.Tick()
 	c.afterWhileLeading(tickEvery, c.tickLeader)
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -104,7 +104,7 @@
 type replicating struct {
 	publisher *replication.Publisher
 	scrubber  *replication.Scrubber
-	finals    replication.FinalsFetch
+	finals    replication.FinalRecordFetch
 }
 
 // startParts makes the parts of a leadership that are packages of their own. Its zones and
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -27,8 +27,8 @@
 	leadership *leadership
 }
 
-// Linked implements relaylinks.Leader.
-func (v linksLeader) Linked(name string) bool { return v.core.election.IsLinked(name) }
+// IsLinked implements relaylinks.Leader.
+func (v linksLeader) IsLinked(name string) bool { return v.core.election.IsLinked(name) }
 
 // MayRedirect implements relaylinks.Leader.
 func (v linksLeader) MayRedirect() bool { return v.core.hasAuthority() && v.leadership.allAccounted() }
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -65,14 +65,14 @@
 // replicate publishes a record that was read.
 func (c *Core) replicate(e kv.Entry) {
 	if c.leadership != nil {
-		c.leadership.publisher.PutRead(e)
+		c.leadership.publisher.PublishRead(e)
 	}
 }
 
 // replicateDrop publishes that we have deleted a record.
 func (c *Core) replicateDrop(key string) {
 	if c.leadership != nil {
-		c.leadership.publisher.Drop(key)
+		c.leadership.publisher.PublishDelete(key)
 	}
 }
 
@@ -119,8 +119,8 @@
 	if c.ownReplica() == nil || line.Term >= l.term {
 		return
 	}
-	if fetched := l.finals.Receive(line, replication.FinalsLimit(c.cfg)); fetched != nil {
-		l.publisher.Adopt(fetched)
+	if fetched := l.finals.Receive(line, replication.MaxFinalRecords(c.cfg)); fetched != nil {
+		l.publisher.MergeFetched(fetched)
 		c.rememberFinals(fetched)
 		if l.recurring.Loaded() {
 			l.restorer.RestoreMissingSchedules()
@@ -130,7 +130,7 @@
 
 // rememberFinals takes in how the jobs of a replica have ended.
 func (c *Core) rememberFinals(r *replica.Replica) {
-	for id, final := range replication.Finals(r) {
+	for id, final := range replication.FinalRecords(r) {
 		c.jobs.Remember(id, final)
 	}
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -36,7 +36,7 @@
 	s := view.FleetStats{
 		Machines:    len(l.inventory.Machines()),
 		Unaccounted: l.inventory.UnaccountedCount(),
-		Direct:      l.relays.Direct(),
+		Direct:      l.relays.DirectWorkers(),
 		Relays:      len(l.relays.Nodes()),
 		FleetFull:   l.autoscaler.AtCapacity(),
 	}
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -28,7 +28,7 @@
 
 // ReplicateBatch publishes a committed batch to the replicas.
 func (b batchLeader) ReplicateBatch(batch []*writebatch.Change, rev uint64) {
-	b.c.leadership.publisher.PutCommitted(batch, rev)
+	b.c.leadership.publisher.PublishCommitted(batch, rev)
 }
 
 // ReplicateEntry publishes an entry that was read to the replicas.
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -161,7 +161,7 @@
 func (m *Manager) finished(j *fleet.Job, final record.Final) {
 	id := j.Spec.ID
 	m.Store.Remember(id, final)
-	m.Replicas.Drop(record.JobPrefix + id) // however we have learned that it is over
+	m.Replicas.PublishDelete(record.JobPrefix + id) // however we have learned that it is over
 	delete(m.Jobs, id)
 	j.Team.JobCount--
 	m.Placement.DropReservations(j)
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -264,7 +264,7 @@
 			{Key: "yewpass/live/config/head", Value: &liveconfig.HeadRecord{Revision: 12}, Rev: 97},
 			{Key: "yewpass/live/config/team/vision", Value: &liveconfig.TeamRecord{Team: liveconfig.Team{Name: "vision", CPUs: 10.5}, Revision: 12}, Rev: 98},
 		},
-		Drops: []string{"yewpass/live/job/wk-8", "yewpass/live/progress/wk-8/0"},
+		Deletes: []string{"yewpass/live/job/wk-8", "yewpass/live/progress/wk-8/0"},
 	}
 }
 
@@ -295,7 +295,7 @@
 				Counter:     3,
 				Notice:      pointer(int64(119_500)),
 				Dropped:     []int{0, 2},
-				Changed:     []relay.TaskChange{{At: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}, {At: 2, Phase: heartbeat.TaskRuns}},
+				Changed:     []relay.TaskChange{{Index: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}, {Index: 2, Phase: heartbeat.TaskRuns}},
 			},
 		},
 		Abandoned: []uint64{70, 71},
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -156,7 +156,7 @@
 		Number:   l.Number,
 		Seq:      l.Seq,
 		Complete: l.Complete,
-		Drops:    l.Drops,
+		Deletes:  l.Drops,
 	}
 	for _, r := range l.Puts {
 		value := recordcodec.Decode(r.Key, r.Value)
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -126,7 +126,7 @@
 		Number:   line.Number,
 		Seq:      line.Seq,
 		Complete: line.Complete,
-		Drops:    line.Drops,
+		Drops:    line.Deletes,
 	}
 	for _, r := range line.Puts {
 		j.Puts = append(j.Puts, recordJSON{r.Key, recordcodec.Encode(r.Value), r.Rev})
--- a/internal/relay/decoder.go
+++ b/internal/relay/decoder.go
@@ -13,7 +13,7 @@
 // other. The zero value is ready to use.
 type Decoder struct {
 	session, number uint64
-	former          []uint64                     // sessions that are over, the latest last
+	closedSessions  []uint64                     // sessions that are over, the latest last
 	machines        map[uint64]*heartbeat.Report // the last one of each, by handle
 }
 
@@ -34,9 +34,9 @@
 	errInvalidTask     = errors.New("a task is none")
 )
 
-// maxFormerSessions is how many sessions that are over are remembered: more than a
+// maxClosedSessions is how many sessions that are over are remembered: more than a
 // relay may open while one of its messages is delayed on the way.
-const maxFormerSessions = 64
+const maxClosedSessions = 64
 
 // maxMachines bounds the machines remembered for a relay: more workers than any
 // controller has connections for.
@@ -49,11 +49,11 @@
 // session. After an error other than ErrStaleSession nothing of the session can be
 // used: the relay has to open a new one.
 func (dec *Decoder) Decode(b *Batch) (reports []heartbeat.Report, begun bool, err error) {
-	if slices.Contains(dec.former, b.Session) {
+	if slices.Contains(dec.closedSessions, b.Session) {
 		return nil, false, ErrStaleSession
 	}
 	if b.Number == 1 && b.Session != 0 && b.Session != dec.session {
-		dec.begin(b.Session)
+		dec.openSession(b.Session)
 		begun = true
 	}
 	if b.Session != dec.session || b.Session == 0 || b.Number != dec.number+1 {
@@ -75,13 +75,13 @@
 	return reports, begun, nil
 }
 
-// begin opens a session.
-func (dec *Decoder) begin(session uint64) {
-	former := dec.former
+// openSession opens a session.
+func (dec *Decoder) openSession(session uint64) {
+	former := dec.closedSessions
 	if dec.session != 0 {
-		former = append(former[max(0, len(former)+1-maxFormerSessions):], dec.session)
+		former = append(former[max(0, len(former)+1-maxClosedSessions):], dec.session)
 	}
-	*dec = Decoder{session: session, former: former, machines: map[uint64]*heartbeat.Report{}}
+	*dec = Decoder{session: session, closedSessions: former, machines: map[uint64]*heartbeat.Report{}}
 }
 
 // decode restores one report and keeps it as the machine's last one.
@@ -133,10 +133,10 @@
 		return nil, errUnlistedDrop
 	}
 	for _, c := range d.Changed {
-		if c.At < 0 || c.At >= len(tasks) || !c.Phase.Known() {
+		if c.Index < 0 || c.Index >= len(tasks) || !c.Phase.Known() {
 			return nil, errUnlistedChange
 		}
-		tasks[c.At].Phase, tasks[c.At].Cause = c.Phase, c.Cause
+		tasks[c.Index].Phase, tasks[c.Index].Cause = c.Phase, c.Cause
 	}
 	for _, a := range d.Added {
 		if a.Task.Job == "" || !a.Phase.Known() {
--- a/internal/relay/encoder.go
+++ b/internal/relay/encoder.go
@@ -64,7 +64,7 @@
 		p := &previous[i]
 		if matched < len(tasks) && tasks[matched].Try == p.Try && tasks[matched].Task == p.Task {
 			if t := &tasks[matched]; t.Phase != p.Phase || t.Cause != p.Cause {
-				d.Changed = append(d.Changed, TaskChange{At: matched, Phase: t.Phase, Cause: t.Cause})
+				d.Changed = append(d.Changed, TaskChange{Index: matched, Phase: t.Phase, Cause: t.Cause})
 			}
 			matched++
 			continue
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -60,7 +60,7 @@
 
 // TaskChange is a task whose phase or cause of exit has changed.
 type TaskChange struct {
-	At    int             `json:"k"` // index in the list
+	Index int             `json:"k"` // index in the list
 	Phase heartbeat.Phase `json:"p"`
 	Cause string          `json:"c,omitempty"`
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -143,7 +143,7 @@
 		"unknown machine": {Handle: 2},
 		"dropped":         {Handle: 1, Dropped: []int{0}},
 		"dropped below":   {Handle: 1, Identity: who, Dropped: []int{-1}},
-		"changed":         {Handle: 1, Changed: []TaskChange{{At: 0, Phase: heartbeat.Exited}}},
+		"changed":         {Handle: 1, Changed: []TaskChange{{Index: 0, Phase: heartbeat.Exited}}},
 		"no phase":        {Handle: 1, Added: Tasks{{Task: heartbeat.TaskID{Job: "wk-1"}, Phase: "?"}}},
 		"no job":          {Handle: 1, Added: Tasks{{Phase: heartbeat.Exited}}},
 	} {
--- a/internal/relay/text.go
+++ b/internal/relay/text.go
@@ -47,7 +47,7 @@
 func decodeList[T any](text []byte, readMember func(f *fields) T) ([]T, error) {
 	f := fields{rest: string(text)}
 	list := make([]T, 0, 1+strings.Count(f.rest, ","))
-	for f.more() {
+	for f.hasNext() {
 		list = append(list, readMember(&f))
 	}
 	return list, f.err
@@ -65,9 +65,9 @@
 // a phase is one of the protocol is for the caller to check.
 func (ts *Tasks) UnmarshalText(text []byte) (err error) {
 	*ts, err = decodeList(text, func(f *fields) heartbeat.Task {
-		t := heartbeat.Task{Task: heartbeat.TaskID{Job: f.name(' '), Index: f.index(' ')}, Try: f.number(' ')}
-		t.Phase = heartbeat.Phase(f.name(' '))
-		t.Cause = f.name(',')
+		t := heartbeat.Task{Task: heartbeat.TaskID{Job: f.text(' '), Index: f.index(' ')}, Try: f.number(' ')}
+		t.Phase = heartbeat.Phase(f.text(' '))
+		t.Cause = f.text(',')
 		return t
 	})
 	return err
@@ -91,7 +91,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (os *Orders) UnmarshalText(text []byte) (err error) {
 	*os, err = decodeList(text, func(f *fields) heartbeat.Order {
-		o := heartbeat.Order{Verb: heartbeat.Verb(f.name(' ')), Task: heartbeat.TaskID{Job: f.name(' '), Index: f.index(' ')}, Try: f.number(' ')}
+		o := heartbeat.Order{Verb: heartbeat.Verb(f.text(' ')), Task: heartbeat.TaskID{Job: f.text(' '), Index: f.index(' ')}, Try: f.number(' ')}
 		ms := f.number(',')
 		if ms > uint64(maxDrain.Milliseconds()) {
 			f.err = errMalformedList
@@ -111,7 +111,7 @@
 	err  error
 }
 
-func (f *fields) more() bool { return f.rest != "" && f.err == nil }
+func (f *fields) hasNext() bool { return f.rest != "" && f.err == nil }
 
 func (f *fields) next(sep byte) string {
 	i := strings.IndexByte(f.rest, sep)
@@ -130,7 +130,7 @@
 	return s
 }
 
-func (f *fields) name(sep byte) string {
+func (f *fields) text(sep byte) string {
 	s := f.next(sep)
 	if strings.IndexByte(s, '%') < 0 && strings.IndexByte(s, '+') < 0 {
 		return s
--- a/internal/relaylinks/links.go
+++ b/internal/relaylinks/links.go
@@ -19,8 +19,8 @@
 
 // Leader is what the links need of the leadership that they are part of.
 type Leader interface {
-	// Linked reports whether there is a link to another controller.
-	Linked(name string) bool
+	// IsLinked reports whether there is a link to another controller.
+	IsLinked(name string) bool
 	// MayRedirect reports whether workers may be redirected at all: the leader has
 	// authority and failover is complete.
 	MayRedirect() bool
@@ -58,8 +58,8 @@
 // Lookup returns the link to a relay, or nil if there was none in this leadership.
 func (l *Links) Lookup(name string) *fleet.RelayLink { return l.byName[name] }
 
-// Direct returns the number of workers that report to the leader itself.
-func (l *Links) Direct() int { return l.Link("").Workers }
+// DirectWorkers returns the number of workers that report to the leader itself.
+func (l *Links) DirectWorkers() int { return l.Link("").Workers }
 
 // Decode decodes a batch from a relay. begun says that the batch opens a session: the
 // heartbeats that waited in the previous one are all sent again, and replies to those
--- a/internal/relaylinks/redirect.go
+++ b/internal/relaylinks/redirect.go
@@ -8,26 +8,26 @@
 	"yewpass/internal/relay"
 )
 
-// relaySilence is after which time without a batch from a relay no worker is redirected
+// relayTimeout is after which time without a batch from a relay no worker is redirected
 // to it.
-const relaySilence = 3 * time.Second
+const relayTimeout = 3 * time.Second
 
 // Nodes returns the relays that can take workers now. The slice is valid until the next
 // call.
 func (l *Links) Nodes() []relay.Node {
 	l.nodes = l.nodes[:0]
 	for _, s := range l.cfg.Seeds {
-		if l.TakesWorkers(s.HostName) {
+		if l.AcceptsWorkers(s.HostName) {
 			l.nodes = append(l.nodes, relay.Node{Name: s.HostName, Zone: s.Site, Workers: l.byName[s.HostName].Workers, Capacity: nodeCapacity(l.cfg)})
 		}
 	}
 	return l.nodes
 }
 
-// TakesWorkers reports whether workers can report through a relay now.
-func (l *Links) TakesWorkers(name string) bool {
+// AcceptsWorkers reports whether workers can report through a relay now.
+func (l *Links) AcceptsWorkers(name string) bool {
 	link := l.byName[name]
-	return link != nil && l.leader.Linked(name) && link.Decoder.Session() != 0 && l.engine.Now.Sub(link.LastBatch) < relaySilence
+	return link != nil && l.leader.IsLinked(name) && link.Decoder.Session() != 0 && l.engine.Now.Sub(link.LastBatch) < relayTimeout
 }
 
 // nodeCapacity returns how many workers a controller takes: their part of the
@@ -39,9 +39,9 @@
 	return 1 << 30
 }
 
-// MaxFleet returns how many machines the controllers can serve together. The leader
+// MaxFleetSize returns how many machines the controllers can serve together. The leader
 // takes no workers itself while there are others, and one of those may be away.
-func MaxFleet(cfg *config.Config) int {
+func MaxFleetSize(cfg *config.Config) int {
 	return nodeCapacity(cfg) * max(1, len(cfg.Seeds)-1)
 }
 
--- a/internal/replica/compatibility_test.go
+++ b/internal/replica/compatibility_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// TestDigestOf5990396 guards the digest of keys, by which controllers of two versions tell
-// whether they have the same records.
+// TestDigestOf5990396 checks that the digest of keys is the same as in version 5990396, since
+// controllers of both versions compare digests during an upgrade.
 func TestDigestOf5990396(t *testing.T) {
 	var got Digest
 	got.Add("yewpass/live/job/wk-7")
 	got.Add("yewpass/live/job/wk-000412")
 	if want := (Digest{Count: 2, Hash: 1589883300364363858}); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("digest is %+v, want %+v", got, want)
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,10 +1,11 @@
-// Package replica keeps replicas of the records in the key-value store. The leader keeps
-// one of what it has read and committed, and streams it to the other controllers: first a
-// snapshot, then each change. After a data loss the newest replica restores the store.
+// Package replica implements in-memory replicas of the records in the key-value store, and the
+// stream that copies a replica to another controller. The leader's replica holds what it has
+// read and committed. A stream consists of a snapshot followed by changes. After a data loss
+// the store is restored from the newest replica.
 //
-// The package does no I/O: package peer puts lines on the wire, each with a checksum. The
-// invariant: a replica never counts as complete that lacks a line, has applied one twice,
-// or mixes the lines of two streams.
+// The package does no I/O; package peer encodes the lines of a stream and adds a checksum to
+// each. Invariant: a replica is considered complete only if every line of exactly one stream
+// has been applied exactly once.
 package replica
 
 import (
@@ -13,32 +14,32 @@
 	"strings"
 )
 
-// Record is a key of the store with its value, which must not be modified.
+// Record is a key of the store with its value. The value must not be modified.
 type Record struct {
 	Key   string
 	Value any
-	Rev   uint64 // the revision at which the store has it; 0 if it is not known to have it
+	Rev   uint64 // modification revision in the store; 0 if the store is not known to have the record
 }
 
-// Version orders replicas by how new they are.
+// Version identifies a state of a replica. Versions are ordered by term, then by sequence number.
 type Version struct {
-	Term uint64 // of the leader that wrote it
-	Seq  uint64 // changes since that term began
+	Term uint64 // of the leader that wrote the replica
+	Seq  uint64 // number of changes in that term
 }
 
 // After reports whether v is newer than o.
 func (v Version) After(o Version) bool { return v.Term > o.Term || v.Term == o.Term && v.Seq > o.Seq }
 
-// Replica holds the records as the leader of a term has left them. Of the records under
-// one prefix, the bounded ones, it keeps only the latest.
+// Replica holds the records as of a version. The records under one prefix are bounded: only the
+// most recently added ones are kept. A Replica is not safe for concurrent use.
 type Replica struct {
-	Era uint64 // of the store's data, see package recovery
+	Era uint64 // of the store's data; see package recovery
 	Version
 
 	records       map[string]*Record
 	boundedPrefix string
 	boundedMax    int
-	boundedKeys   []string // the oldest first
+	boundedKeys   []string // oldest first
 }
 
 // New returns an empty replica that keeps at most boundedMax records whose keys begin with
@@ -47,7 +48,7 @@
 	return &Replica{Era: era, Version: Version{Term: term}, records: map[string]*Record{}, boundedPrefix: boundedPrefix, boundedMax: boundedMax}
 }
 
-// Put sets a record.
+// Put sets a record. Adding a bounded record beyond the limit evicts the oldest one.
 func (r *Replica) Put(key string, value any, rev uint64) {
 	if old := r.records[key]; old != nil {
 		old.Value, old.Rev = value, rev
@@ -64,8 +65,8 @@
 	}
 }
 
-// Drop removes a record.
-func (r *Replica) Drop(key string) {
+// Delete removes a record. It has no effect if the record does not exist.
+func (r *Replica) Delete(key string) {
 	if r.records[key] == nil {
 		return
 	}
@@ -75,8 +76,9 @@
 	}
 }
 
-// InheritBounded adds the bounded records of an earlier replica, as the oldest. They never
-// change, and a leader that began with few of them would otherwise lose the rest.
+// InheritBounded adds the bounded records of an earlier replica that r lacks, as the oldest and
+// with revision 0, up to the limit. Otherwise a leader that started with few of these records
+// would lose the others. Bounded records are immutable, so the earlier values are valid.
 func (r *Replica) InheritBounded(earlier *Replica) {
 	if earlier == nil || earlier == r {
 		return
@@ -94,7 +96,7 @@
 	r.boundedKeys = append(inherited, r.boundedKeys...)
 }
 
-// Get returns the record of a key.
+// Get returns the record with a key and whether it exists.
 func (r *Replica) Get(key string) (Record, bool) {
 	if rec := r.records[key]; rec != nil {
 		return *rec, true
@@ -102,7 +104,7 @@
 	return Record{}, false
 }
 
-// Keys returns the keys with a prefix, sorted.
+// Keys returns the keys with a prefix in ascending order.
 func (r *Replica) Keys(prefix string) []string {
 	keys := make([]string, 0, len(r.records))
 	for key := range r.records {
@@ -114,17 +116,18 @@
 	return keys
 }
 
-// BoundedKeys returns the keys of the bounded records, the oldest first. The slice must not
-// be modified.
+// BoundedKeys returns the keys of the bounded records, oldest first. The slice must not be
+// modified.
 func (r *Replica) BoundedKeys() []string { return r.boundedKeys }
 
-// Digest identifies a set of keys: replicas with equal digests have the same keys.
+// Digest summarizes a set of keys. Sets with equal digests are considered equal.
 type Digest struct {
 	Count int    `json:"c"`
 	Hash  uint64 `json:"h"`
 }
 
-// Add adds a key, in any order.
+// Add adds a key to the set. The order of additions does not matter. Each key must be added
+// only once.
 func (d *Digest) Add(key string) {
 	h := fnv.New64a()
 	h.Write([]byte(key))
@@ -132,7 +135,7 @@
 	d.Hash ^= h.Sum64()
 }
 
-// Digest returns the digest of the keys with a prefix.
+// Digest returns the digest of the replica's keys with a prefix.
 func (r *Replica) Digest(prefix string) (d Digest) {
 	for key := range r.records {
 		if strings.HasPrefix(key, prefix) {
@@ -150,7 +153,7 @@
 	return d
 }
 
-// NewerThan reports whether r is to be preferred to o. Either may be nil.
+// NewerThan reports whether r has a higher version than o. A nil replica is older than any other.
 func (r *Replica) NewerThan(o *Replica) bool {
 	return r != nil && (o == nil || r.After(o.Version))
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// same reports whether two replicas hold the same records.
-func same(a, b *Replica) bool {
+// haveSameRecords reports whether two replicas have the same keys and values.
+func haveSameRecords(a, b *Replica) bool {
 	if a == nil || b == nil || !slices.Equal(a.Keys(""), b.Keys("")) {
 		return false
 	}
@@ -22,89 +22,90 @@
 	return true
 }
 
-func ten(Record) int { return 10 }
+func fixedSize(Record) int { return 10 }
 
-// TestStream: whatever changes while a snapshot is sent, and whichever lines are lost, repeated
-// or swapped, the receiver has an equal replica, or the last complete one.
+// TestStream checks that a receiver ends up with a replica equal to the sender's although records
+// change during the snapshot and lines are lost, duplicated or reordered.
 func TestStream(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		c := New(1, 7, "f/", 1000)
-		change := func() (puts []Record, drops []string) {
-			k := fmt.Sprintf("%c/%d", "jf"[rng.IntN(2)], rng.IntN(30))
-			if _, ok := c.Get(k); ok && k[0] == 'j' && rng.IntN(2) == 0 { // bounded ones are never dropped
-				c.Drop(k)
-				drops = []string{k}
+		source := New(1, 7, "f/", 1000)
+		change := func() (puts []Record, deletes []string) {
+			key := fmt.Sprintf("%c/%d", "jf"[rng.IntN(2)], rng.IntN(30))
+			if _, ok := source.Get(key); ok && key[0] == 'j' && rng.IntN(2) == 0 { // bounded records are never deleted
+				source.Delete(key)
+				deletes = []string{key}
 			} else {
-				c.Put(k, rng.Uint64(), 9)
-				r, _ := c.Get(k)
-				puts = []Record{r}
+				source.Put(key, rng.Uint64(), 9)
+				rec, _ := source.Get(key)
+				puts = []Record{rec}
 			}
-			c.Seq++
-			return puts, drops
+			source.Seq++
+			return puts, deletes
 		}
 		for range 40 {
 			change()
 		}
-		var h Receiver
+		var receiver Receiver
 		session := uint64(1)
-		s := NewSender(session, c)
-		again := false
-		var late *Line
+		sender := NewSender(session, source)
+		restart := false
+		var delayed *Line
 		for step := range 200 {
-			var l Line
-			if part, more := s.NextSnapshotLine(c, 1+rng.IntN(5), 100, ten); more && rng.IntN(2) == 0 {
-				l = part
+			var line Line
+			if snapshotLine, more := sender.NextSnapshotLine(source, 1+rng.IntN(5), 100, fixedSize); more && rng.IntN(2) == 0 {
+				line = snapshotLine
 			} else if more {
-				// The part is lost on the way.
-				again = true
-				l = s.ChangeLine(c, nil, nil)
+				// This part of the snapshot is lost in transit.
+				restart = true
+				line = sender.ChangeLine(source, nil, nil)
 			} else {
-				puts, drops := change()
-				l = s.ChangeLine(c, puts, drops)
+				puts, deletes := change()
+				line = sender.ChangeLine(source, puts, deletes)
 			}
 			damaged := rng.IntN(9) == 0 && step < 150
 			switch {
-			case damaged && rng.IntN(2) == 0: // lost
-				late = &l
-			case damaged: // twice
-				h.Receive(&l, "f/", 1000)
+			case damaged && rng.IntN(2) == 0: // lost or delayed
+				delayed = &line
+			case damaged: // duplicated
+				receiver.Receive(&line, "f/", 1000)
 				fallthrough
 			default:
-				if late != nil && rng.IntN(3) == 0 {
-					h.Receive(late, "f/", 1000)
-					late = nil
+				if delayed != nil && rng.IntN(3) == 0 {
+					receiver.Receive(delayed, "f/", 1000)
+					delayed = nil
 				}
-				again = h.Receive(&l, "f/", 1000) != nil || again
+				restart = receiver.Receive(&line, "f/", 1000) != nil || restart
 			}
-			if again {
+			if restart {
 				session++
-				s, again = NewSender(session, c), false
+				sender, restart = NewSender(session, source), false
 			}
 		}
 		for {
-			l, more := s.NextSnapshotLine(c, 50, 100, ten)
+			line, more := sender.NextSnapshotLine(source, 50, 100, fixedSize)
 			if !more {
 				break
 			}
-			h.Receive(&l, "f/", 1000)
+			receiver.Receive(&line, "f/", 1000)
 		}
-		puts, drops := change()
-		l := s.ChangeLine(c, puts, drops)
-		if h.Receive(&l, "f/", 1000) != nil {
-			s = NewSender(session+1, c)
-			l, _ = s.NextSnapshotLine(c, 1000, 1<<20, ten)
-			if err := h.Receive(&l, "f/", 1000); err != nil {
-				t.Fatalf("seed %d: %v", seed, err)
+		puts, deletes := change()
+		line := sender.ChangeLine(source, puts, deletes)
+		if receiver.Receive(&line, "f/", 1000) != nil {
+			sender = NewSender(session+1, source)
+			line, _ = sender.NextSnapshotLine(source, 1000, 1<<20, fixedSize)
+			if err := receiver.Receive(&line, "f/", 1000); err != nil {
+				t.Fatalf("seed %d: Receive of the whole snapshot: %v", seed, err)
 			}
 		}
-		if !same(h.Replica(), c) {
-			t.Fatalf("seed %d: the copies differ", seed)
+		if !haveSameRecords(receiver.Replica(), source) {
+			t.Fatalf("seed %d: the receiver's replica differs from the sender's", seed)
 		}
 	}
 }
 
-// TestBoundedRecords: of the bounded records the latest are kept and inherited by the next replica.
+// TestBoundedRecords checks that the latest bounded records are kept and inherited by the next
+// replica, and that a replica of an earlier term does not replace one of a later term.
 func TestBoundedRecords(t *testing.T) {
 	a, b := New(1, 1, "f/", 3), New(1, 2, "f/", 3)
 	for i := range 5 {
@@ -113,21 +114,21 @@
 	b.Put("f/9", 9, 1)
 	b.InheritBounded(a)
 	if got := b.Keys(""); !slices.Equal(got, []string{"f/3", "f/4", "f/9"}) {
-		t.Errorf("%q", got)
+		t.Errorf("keys are %q, want the latest 3", got)
 	}
 	old, next := New(1, 1, "f/", 3), Receiver{}
 	s := NewSender(5, b)
-	l, _ := s.NextSnapshotLine(b, 9, 100, ten)
+	l, _ := s.NextSnapshotLine(b, 9, 100, fixedSize)
 	next.Receive(&l, "f/", 3)
 	s = NewSender(6, old)
-	l, _ = s.NextSnapshotLine(old, 9, 100, ten)
+	l, _ = s.NextSnapshotLine(old, 9, 100, fixedSize)
 	if next.Receive(&l, "f/", 3); next.Replica().Term != 2 {
-		t.Error("an older copy takes the place of a newer one")
+		t.Error("a replica of term 1 replaced one of term 2")
 	}
 }
 
-// TestSnapshotLineSize: no line is larger than asked for, however large the records, and none is empty
-// while there is more.
+// TestSnapshotLineSize checks that snapshot lines respect the limits on records and bytes, except
+// for a single larger record, and that none is empty before the snapshot is complete.
 func TestSnapshotLineSize(t *testing.T) {
 	c := New(1, 1, "f/", 3)
 	for i := range 50 {
@@ -144,10 +145,10 @@
 			sum += r.Value.(int)
 		}
 		if n += len(l.Puts); len(l.Puts) == 0 || len(l.Puts) > 1 && sum > 64 || len(l.Puts) > 20 {
-			t.Fatalf("%d records of %d bytes", len(l.Puts), sum)
+			t.Fatalf("line has %d records of %d bytes in total, limits are 20 and 64", len(l.Puts), sum)
 		}
 	}
 	if n != 50 {
-		t.Errorf("%d records", n)
+		t.Errorf("snapshot has %d records, want 50", n)
 	}
 }
--- a/internal/replica/stream.go
+++ b/internal/replica/stream.go
@@ -2,40 +2,40 @@
 
 import "errors"
 
-// Line is one message of a stream that carries a replica: a part of the snapshot, or a
-// change.
+// Line is one message of a replica stream. It carries a part of the snapshot or a change.
 type Line struct {
 	Era      uint64   // of the replica
 	Term     uint64   // of the replica
 	Session  uint64   // identifies the stream; never 0
-	Number   uint64   // 1, 2, 3… within the stream; the first begins a new replica
-	Seq      uint64   // of the replica once the line is applied
-	Complete bool     // whether this line or an earlier one has completed the snapshot
-	Puts     []Record // with their revisions
-	Drops    []string
+	Number   uint64   // position in the stream, starting at 1
+	Seq      uint64   // of the replica after the line is applied
+	Complete bool     // this line or an earlier one has completed the snapshot
+	Puts     []Record // records to set, with their revisions
+	Deletes  []string // keys to delete, after Puts
 }
 
 // Sender is the sending end of a stream to one receiver.
 type Sender struct {
 	session, number uint64
-	remainingKeys   []string // of the snapshot
+	remainingKeys   []string // snapshot keys that have not been sent
 	complete        bool
 }
 
-// NewSender returns a sender for a new stream. The session must not have been used before.
+// NewSender returns a sender for a new stream of r. The session number must not be 0 or have
+// been used before.
 func NewSender(session uint64, r *Replica) *Sender {
 	return &Sender{session: session, remainingKeys: r.Keys("")}
 }
 
-// Session returns the number that identifies the stream.
+// Session returns the session number that identifies the stream.
 func (s *Sender) Session() uint64 { return s.session }
 
 // Complete reports whether the whole snapshot has been sent.
 func (s *Sender) Complete() bool { return s.complete }
 
-// NextSnapshotLine returns the next part of the snapshot: at most maxRecords records whose
-// sizes add up to at most maxBytes, but at least one record. more is false, and the line
-// empty, once the whole snapshot has been sent.
+// NextSnapshotLine returns the next part of the snapshot, with at most maxRecords records of at
+// most maxBytes in total as computed by size. A record larger than maxBytes is sent alone. Once
+// the whole snapshot has been sent, it returns an empty line and more is false.
 func (s *Sender) NextSnapshotLine(r *Replica, maxRecords, maxBytes int, size func(Record) int) (line Line, more bool) {
 	if s.complete {
 		return Line{}, false
@@ -44,7 +44,7 @@
 	for ; n < min(maxRecords, len(s.remainingKeys)); n++ {
 		rec, ok := r.Get(s.remainingKeys[n])
 		if !ok {
-			continue // dropped since; the others go as they are now
+			continue // deleted since the stream started
 		}
 		if maxBytes -= size(rec); maxBytes < 0 && len(line.Puts) > 0 {
 			break
@@ -53,78 +53,80 @@
 	}
 	s.remainingKeys = s.remainingKeys[n:]
 	s.complete = len(s.remainingKeys) == 0
-	return s.inSequence(r, line), true
+	return s.stamp(r, line), true
 }
 
-// ChangeLine returns the line for a change that has just been applied to the replica.
-func (s *Sender) ChangeLine(r *Replica, puts []Record, drops []string) Line {
-	return s.inSequence(r, Line{Puts: puts, Drops: drops})
+// ChangeLine returns the line for a change. It must be called right after the change has been
+// applied to the replica.
+func (s *Sender) ChangeLine(r *Replica, puts []Record, deletes []string) Line {
+	return s.stamp(r, Line{Puts: puts, Deletes: deletes})
 }
 
-// inSequence gives a line its place in the stream.
-func (s *Sender) inSequence(r *Replica, line Line) Line {
+// stamp sets a line's session, number and version fields.
+func (s *Sender) stamp(r *Replica, line Line) Line {
 	s.number++
 	line.Era, line.Term, line.Seq = r.Era, r.Term, r.Seq
 	line.Session, line.Number, line.Complete = s.session, s.number, s.complete
 	return line
 }
 
-// Receiver is the receiving end. It keeps the last complete replica until the next one is
-// complete.
+// Receiver is the receiving end of successive streams. It keeps the last complete replica until
+// the next one is complete. The zero value is ready to use.
 type Receiver struct {
 	session, number uint64
-	incoming        *Replica
-	complete        *Replica
+	incoming        *Replica // of the current stream; nil after a gap
+	complete        *Replica // last complete replica; may be the same as incoming
 }
 
-// ErrGap is returned for a line that does not follow the one before it: the replica cannot
-// be completed, and the stream must begin anew.
-var ErrGap = errors.New("lines of the copy are missing")
+// ErrGap is returned for a line that does not follow the previous one. The incoming replica is
+// then discarded, and the sender must start a new stream.
+var ErrGap = errors.New("lines are missing from the replica stream")
 
 // Replica returns the last complete replica, or nil.
-func (h *Receiver) Replica() *Replica { return h.complete }
+func (rc *Receiver) Replica() *Replica { return rc.complete }
 
-// Receive applies a line. boundedPrefix and boundedMax are as for New. Lines that are
-// repeated, or older than the complete replica, are ignored.
-func (h *Receiver) Receive(line *Line, boundedPrefix string, boundedMax int) error {
-	if line.Number == 1 && line.Session != 0 && line.Session != h.session {
-		if h.isOutdated(line) {
+// Receive applies a line, or returns ErrGap. A line numbered 1 of another session starts a new
+// replica, for which boundedPrefix and boundedMax are passed to New. Duplicate lines and lines
+// of an earlier term than the complete replica are ignored.
+func (rc *Receiver) Receive(line *Line, boundedPrefix string, boundedMax int) error {
+	if line.Number == 1 && line.Session != 0 && line.Session != rc.session {
+		if rc.isOutdated(line) {
 			return nil
 		}
-		h.session, h.number, h.incoming = line.Session, 0, New(line.Era, line.Term, boundedPrefix, boundedMax)
+		rc.session, rc.number, rc.incoming = line.Session, 0, New(line.Era, line.Term, boundedPrefix, boundedMax)
 	}
-	r := h.incoming
-	if r == nil || !h.follows(line) {
-		if line.Session == h.session && line.Number <= h.number || h.isOutdated(line) {
+	r := rc.incoming
+	if r == nil || !rc.follows(line) {
+		if line.Session == rc.session && line.Number <= rc.number || rc.isOutdated(line) {
 			return nil
 		}
-		h.incoming = nil
-		if h.complete != nil && line.Session == h.session {
-			h.session = 0 // the complete replica stays, whatever else comes of this stream
+		rc.incoming = nil
+		if rc.complete != nil && line.Session == rc.session {
+			rc.session = 0 // abandon the stream and keep the complete replica
 		}
 		return ErrGap
 	}
-	h.number, r.Seq = line.Number, line.Seq
+	rc.number, r.Seq = line.Number, line.Seq
 	for _, rec := range line.Puts {
 		r.Put(rec.Key, rec.Value, rec.Rev)
 	}
-	for _, key := range line.Drops {
-		r.Drop(key)
+	for _, key := range line.Deletes {
+		r.Delete(key)
 	}
-	if line.Complete && h.complete != r {
-		r.InheritBounded(h.complete)
-		h.complete = r
+	if line.Complete && rc.complete != r {
+		r.InheritBounded(rc.complete)
+		rc.complete = r
 	}
 	return nil
 }
 
-// follows reports whether a line is the next one of the incoming replica.
-func (h *Receiver) follows(line *Line) bool {
-	r := h.incoming
-	return line.Session == h.session && line.Number == h.number+1 && line.Term == r.Term && line.Era == r.Era && line.Seq >= r.Seq
+// follows reports whether a line directly continues the incoming replica.
+func (rc *Receiver) follows(line *Line) bool {
+	r := rc.incoming
+	return line.Session == rc.session && line.Number == rc.number+1 && line.Term == r.Term && line.Era == r.Era && line.Seq >= r.Seq
 }
 
-// isOutdated reports whether a line is of a leader before the one whose replica is complete.
-func (h *Receiver) isOutdated(line *Line) bool {
-	return h.complete != nil && line.Term < h.complete.Term
+// isOutdated reports whether a line is of an earlier term than the complete replica.
+func (rc *Receiver) isOutdated(line *Line) bool {
+	return rc.complete != nil && line.Term < rc.complete.Term
 }
--- a/internal/replication/finals.go
+++ b/internal/replication/finals.go
@@ -5,25 +5,25 @@
 	"yewpass/internal/replica"
 )
 
-// FinalsFetch receives the replica of another controller beside the work of the term, for how
-// jobs have ended: the store may have lost some of that unnoticed, and a process that has
-// just begun remembers none.
-type FinalsFetch struct {
-	source   string // "": nobody is asked
+// FinalRecordFetch receives the replica of another controller in the background, after failover,
+// for the final records of ended jobs. The store may have lost some of them undetected, and a
+// newly started leader has none in memory.
+type FinalRecordFetch struct {
+	source   string // host name of the controller, or "" if no fetch is in progress
 	receiver replica.Receiver
 }
 
-// SetSource sets the controller whose replica is received.
-func (f *FinalsFetch) SetSource(name string) { f.source = name }
+// SetSource sets the controller whose replica is received. An empty name disables the fetch.
+func (f *FinalRecordFetch) SetSource(name string) { f.source = name }
 
-// Source returns the controller whose replica is received, or "".
-func (f *FinalsFetch) Source() string { return f.source }
+// Source returns the controller whose replica is received, or "" if no fetch is in progress.
+func (f *FinalRecordFetch) Source() string { return f.source }
 
-// Receive applies a line of the source's replica and returns that replica once it is
-// complete; the fetch is then over. Missing lines are not asked for again: the leader can do
-// without.
-func (f *FinalsFetch) Receive(line *replica.Line, finalsLimit int) *replica.Replica {
-	if f.receiver.Receive(line, record.FinalPrefix, finalsLimit) != nil {
+// Receive applies a line of the source's replica. It returns the replica and ends the fetch
+// once the replica is complete, and nil before. Missing lines are not requested again because
+// the leader does not depend on this fetch.
+func (f *FinalRecordFetch) Receive(line *replica.Line, maxFinalRecords int) *replica.Replica {
+	if f.receiver.Receive(line, record.FinalPrefix, maxFinalRecords) != nil {
 		return nil
 	}
 	fetched := f.receiver.Replica()
@@ -33,10 +33,10 @@
 	return fetched
 }
 
-// Adopt adds to the publisher's replica how jobs have ended by another replica, and the
-// schedules that it lacks, as records that the store is not known to have. Schedules lie
-// apart from the records that a new leader compares, so that some may be lost unnoticed.
-func (p *Publisher) Adopt(fetched *replica.Replica) {
+// MergeFetched adds the final records and the missing schedules of another replica to the
+// publisher's replica, with revision 0 because the store may not have them. Schedules are
+// outside the key range that a new leader compares, so their loss could go undetected.
+func (p *Publisher) MergeFetched(fetched *replica.Replica) {
 	own := p.Replica()
 	own.InheritBounded(fetched)
 	for _, key := range fetched.Keys(record.SchedulesPrefix) {
--- a/internal/replication/publisher.go
+++ b/internal/replication/publisher.go
@@ -11,22 +11,23 @@
 )
 
 // Publisher keeps the leader's replica up to date and streams it to the other controllers,
-// its followers. It lives as long as one leadership.
+// its followers. It is valid for a single leadership term.
 type Publisher struct {
 	replicas  *Replicas
 	scope     *engine.Scope
 	term      uint64
-	followers map[string]*replica.Sender
+	followers map[string]*replica.Sender // by host name
 
-	snapshotScheduled bool // a part of the snapshot goes out soon
+	snapshotScheduled bool // a call of sendSnapshotParts is pending
 }
 
-// NewPublisher returns the publisher of the leadership of a term.
+// NewPublisher returns the publisher for a leadership term. Its timers stop when scope is closed.
 func NewPublisher(replicas *Replicas, scope *engine.Scope, term uint64) *Publisher {
 	return &Publisher{replicas: replicas, scope: scope, term: term, followers: map[string]*replica.Sender{}}
 }
 
-// Replica returns the replica of the term, or nil before the records are known.
+// Replica returns the replica of the publisher's term, or nil before the leader has loaded the
+// records.
 func (p *Publisher) Replica() *replica.Replica {
 	if own := p.replicas.own; own != nil && own.Term == p.term {
 		return own
@@ -34,8 +35,9 @@
 	return nil
 }
 
-// PutRead publishes a record that was read from the store, if it is news.
-func (p *Publisher) PutRead(e kv.Entry) {
+// PublishRead publishes a record that was read from the store, unless the replica already has
+// that revision.
+func (p *Publisher) PublishRead(e kv.Entry) {
 	own := p.Replica()
 	if own == nil || e.Value == nil {
 		return
@@ -45,10 +47,10 @@
 	}
 }
 
-// Drop publishes that the leader has deleted a record, however it has learned so. That the
-// store lacks the record is not enough: it may have been lost, and the replica is then all
-// that is left of it.
-func (p *Publisher) Drop(key string) {
+// PublishDelete publishes the deletion of a record. It must be called only for records that the
+// leader has deleted. A record that is merely absent from the store may have been lost, and
+// the replica may then hold its last copy.
+func (p *Publisher) PublishDelete(key string) {
 	if own := p.Replica(); own != nil {
 		if _, ok := own.Get(key); ok {
 			p.publish(nil, []string{key})
@@ -56,57 +58,57 @@
 	}
 }
 
-// PutCommitted publishes a committed transaction. It is to be called before anybody who waits
-// for the commit is answered.
-func (p *Publisher) PutCommitted(batch []*writebatch.Change, rev uint64) {
+// PublishCommitted publishes a committed transaction. It must be called before the commit is
+// acknowledged to any caller.
+func (p *Publisher) PublishCommitted(batch []*writebatch.Change, rev uint64) {
 	if p.Replica() == nil {
 		return
 	}
 	var puts []replica.Record
-	var drops []string
+	var deletes []string
 	for _, change := range batch {
 		for _, w := range change.Writes {
 			switch {
 			case strings.HasPrefix(w.Key, record.LeaderlessPrefix):
 			case w.Value == nil:
-				drops = append(drops, w.Key)
+				deletes = append(deletes, w.Key)
 			default:
 				puts = append(puts, replica.Record{Key: w.Key, Value: w.Value, Rev: rev})
 			}
 		}
 	}
-	if len(puts)+len(drops) > 0 {
-		p.publish(puts, drops)
+	if len(puts)+len(deletes) > 0 {
+		p.publish(puts, deletes)
 	}
 }
 
 // publish applies a change to the replica and sends it to the followers.
-func (p *Publisher) publish(puts []replica.Record, drops []string) {
+func (p *Publisher) publish(puts []replica.Record, deletes []string) {
 	own := p.replicas.own
 	for _, rec := range puts {
 		own.Put(rec.Key, rec.Value, rec.Rev)
 	}
-	for _, key := range drops {
-		own.Drop(key)
+	for _, key := range deletes {
+		own.Delete(key)
 	}
 	own.Seq++
 	for _, seed := range p.replicas.cfg.Seeds {
 		if follower := p.followers[seed.HostName]; follower != nil {
-			p.replicas.send(seed.HostName, follower.ChangeLine(own, puts, drops))
+			p.replicas.send(seed.HostName, follower.ChangeLine(own, puts, deletes))
 		}
 	}
 }
 
-// SupplyFollowers begins a stream to every controller in reach that has none: any of them may
-// have to restore the store from its replica, and one without a replica accepts no job while
-// there is no leader.
-func (p *Publisher) SupplyFollowers() {
+// StartStreams starts a stream to every linked controller that has none. Each of them may
+// become the leader that restores the store, and a controller without a replica accepts no
+// jobs while there is no leader.
+func (p *Publisher) StartStreams() {
 	if p.Replica() == nil {
 		return
 	}
 	for _, seed := range p.replicas.cfg.Seeds {
 		if p.followers[seed.HostName] != nil || !p.replicas.controller.IsLinked(seed.HostName) {
-			continue // a lost link ends the stream as well
+			continue // the stream is dropped together with the link
 		}
 		p.followers[seed.HostName] = replica.NewSender(p.replicas.newSession(), p.replicas.own)
 		if !p.snapshotScheduled {
@@ -116,8 +118,8 @@
 	}
 }
 
-// CompleteFollowers returns the names of the controllers that were sent a whole replica, in
-// the order of the seeds.
+// CompleteFollowers returns the names of the controllers that have been sent the whole
+// snapshot, in the order of the configured seeds.
 func (p *Publisher) CompleteFollowers() (names []string) {
 	for _, seed := range p.replicas.cfg.Seeds {
 		if follower := p.followers[seed.HostName]; follower != nil && follower.Complete() {
@@ -127,19 +129,20 @@
 	return names
 }
 
-// DropFollower ends the stream to a controller. The next SupplyFollowers begins another once
-// the controller is in reach.
+// DropFollower ends the stream to a controller. The next StartStreams starts a new one if the
+// controller is linked.
 func (p *Publisher) DropFollower(name string) { delete(p.followers, name) }
 
-// RestartFollower ends a stream of which the controller has missed lines.
+// RestartFollower ends a stream in which the controller has missed lines, so that the next
+// StartStreams starts a new one. Requests for any other session are ignored.
 func (p *Publisher) RestartFollower(name string, session uint64) {
 	if follower := p.followers[name]; follower != nil && follower.Session() == session {
 		p.DropFollower(name)
 	}
 }
 
-// sendSnapshotParts sends the next part of the snapshot to each follower that has not got all
-// of it, until there is none.
+// sendSnapshotParts sends the next part of the snapshot to each incomplete follower, and
+// reschedules itself until all followers are complete.
 func (p *Publisher) sendSnapshotParts() {
 	p.snapshotScheduled = false
 	incomplete := 0
@@ -154,7 +157,7 @@
 		if follower == nil {
 			continue
 		}
-		if line, more := follower.NextSnapshotLine(p.replicas.own, maxRecords, maxLineBytes, recordSize); more {
+		if line, more := follower.NextSnapshotLine(p.replicas.own, maxRecords, maxLineBytes, estimateRecordSize); more {
 			p.replicas.send(seed.HostName, line)
 			p.snapshotScheduled = true
 		}
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -1,11 +1,10 @@
-// Package replication keeps replicas of the records in the key-value store at every
-// controller. The leader's Publisher streams its replica to the others and its Scrubber
-// checks the store against it; Replicas is what each controller holds, and passes on to a
-// new leader that asks for it.
+// Package replication replicates the records of the key-value store to every controller, so
+// that they can be restored after the store has lost data. The leader's Publisher streams its
+// replica to the other controllers, and its Scrubber compares the store with that replica.
+// Replicas holds the replicas of one controller and transfers the newest to a new leader.
 //
-// The invariant: no committed change is acknowledged to anybody before it has been sent to
-// the followers, and the newest replica that a process has is never given up before it holds
-// a complete one of a later term.
+// Invariants: a committed change is sent to the followers before it is acknowledged, and a
+// process discards its newest replica only after it has a complete one of a later term.
 package replication
 
 import (
@@ -21,34 +20,34 @@
 	"yewpass/internal/replica"
 )
 
-// How replicas are sent.
 const (
-	snapshotInterval = 100 * time.Millisecond // between two lines of a snapshot
-	recordsPerLine   = 200                    // to one transfer, or to all incomplete followers together
-	maxLineBytes     = 96 << 10               // well below what a peer reads of one line
-	finalsPerMB      = 40                     // of the machine's memory; one takes about 250 bytes in all
+	snapshotInterval  = 100 * time.Millisecond // between two lines of a snapshot
+	recordsPerLine    = 200                    // for one transfer, or shared by all incomplete followers
+	maxLineBytes      = 96 << 10               // well below the longest line that a peer accepts
+	finalRecordsPerMB = 40                     // per MB of memory; a record takes about 250 bytes
 )
 
-// Controller is what replication needs to know of the controller that it is part of.
+// Controller is the view that replication has of its controller.
 type Controller interface {
-	// HighestTerm returns the highest term heard of.
+	// HighestTerm returns the highest term observed from any source.
 	HighestTerm() uint64
-	// ConfirmedTerm returns the highest term that the store has told of.
+	// ConfirmedTerm returns the highest term read from the store.
 	ConfirmedTerm() uint64
 	// IsLinked reports whether the link to a peer is up.
 	IsLinked(peer string) bool
-	// HasLoadedRecords reports whether the controller leads and knows which records there are.
+	// HasLoadedRecords reports whether the controller is the leader and has loaded all records.
 	HasLoadedRecords() bool
 }
 
-// FinalsLimit returns of how many jobs a controller remembers how they ended.
-func FinalsLimit(cfg *config.Config) int {
-	return max(4096, int(cfg.Settings.Limits.MemMB*finalsPerMB))
+// MaxFinalRecords returns the number of final records of jobs that a controller keeps, in
+// proportion to its memory limit.
+func MaxFinalRecords(cfg *config.Config) int {
+	return max(4096, int(cfg.Settings.Limits.MemMB*finalRecordsPerMB))
 }
 
-// Finals returns the ids of the jobs that a replica knows to have ended, in the order of their
-// keys, with how they ended.
-func Finals(r *replica.Replica) iter.Seq2[string, record.Final] {
+// FinalRecords iterates over the ids of the ended jobs in a replica and their final records, in
+// key order.
+func FinalRecords(r *replica.Replica) iter.Seq2[string, record.Final] {
 	return func(yield func(string, record.Final) bool) {
 		for _, key := range r.Keys(record.FinalPrefix) {
 			rec, _ := r.Get(key)
@@ -59,40 +58,42 @@
 	}
 }
 
-// Replicas holds the replicas of one controller, for as long as its process lives.
+// Replicas holds the replicas of one controller in memory. It outlives leadership terms.
 type Replicas struct {
 	engine     *engine.Engine
 	cfg        *config.Config
 	controller Controller
 
-	own       *replica.Replica // of the term that we lead, or led last
-	received  replica.Receiver // what a leader sends us
-	transfers map[string]*transfer
+	own       *replica.Replica     // of the current or last term that this controller led
+	received  replica.Receiver     // from the leader's stream
+	transfers map[string]*transfer // by destination
 }
 
-// transfer is a replica on its way to a controller that has asked for it, or has none.
+// transfer is the ongoing transfer of a replica to another controller.
 type transfer struct {
 	sender *replica.Sender
 	source *replica.Replica
 }
 
-// New returns the replicas of a controller that has none yet.
+// New returns an empty Replicas for a controller.
 func New(e *engine.Engine, cfg *config.Config, controller Controller) *Replicas {
 	return &Replicas{engine: e, cfg: cfg, controller: controller, transfers: map[string]*transfer{}}
 }
 
-// NewReplica returns an empty replica of a term.
+// NewReplica returns an empty replica for a term that keeps at most MaxFinalRecords final
+// records. It is not stored; see SetOwn.
 func (rs *Replicas) NewReplica(era, term uint64) *replica.Replica {
-	return replica.New(era, term, record.FinalPrefix, FinalsLimit(rs.cfg))
+	return replica.New(era, term, record.FinalPrefix, MaxFinalRecords(rs.cfg))
 }
 
-// Own returns the replica of the term that this controller leads or led last, or nil.
+// Own returns the replica of the current or last term that this controller led, or nil.
 func (rs *Replicas) Own() *replica.Replica { return rs.own }
 
 // SetOwn sets the replica of the term that this controller leads.
 func (rs *Replicas) SetOwn(r *replica.Replica) { rs.own = r }
 
-// Newest returns the newest replica that this process has, or nil.
+// Newest returns the newer of the own replica and the complete one received from a leader, or
+// nil if there is neither.
 func (rs *Replicas) Newest() *replica.Replica {
 	if received := rs.received.Replica(); received.NewerThan(rs.own) {
 		return received
@@ -100,34 +101,35 @@
 	return rs.own
 }
 
-// ReceiveFromLeader applies a line that the leader has sent. It reports false if lines are
-// missing before it; the leader is then asked to begin anew.
+// ReceiveFromLeader applies a line that the leader has sent. If an earlier line is missing, it
+// requests a new stream from the leader and returns false.
 func (rs *Replicas) ReceiveFromLeader(from string, line *replica.Line) bool {
 	return rs.Receive(&rs.received, from, line)
 }
 
-// Receive applies a line from a peer to a receiver. It reports false if lines are missing
-// before it; the peer is then asked to begin anew.
+// Receive applies a line from a peer to a receiver. If an earlier line is missing, it requests
+// a new stream from the peer and returns false.
 func (rs *Replicas) Receive(receiver *replica.Receiver, from string, line *replica.Line) bool {
-	err := receiver.Receive(line, record.FinalPrefix, FinalsLimit(rs.cfg))
+	err := receiver.Receive(line, record.FinalPrefix, MaxFinalRecords(rs.cfg))
 	if err != nil {
-		rs.engine.Log(slog.LevelWarn, "replica out of sequence, requesting it again", "from", from, "reason", err)
+		rs.engine.Log(slog.LevelWarn, "gap in replica stream, requesting a new stream", "from", from, "reason", err)
 		rs.engine.Emit(peermsg.Outgoing{To: from, Msg: peermsg.Message{Kind: peermsg.ReplicaRestart, Term: max(1, line.Term), Ref: line.Session}})
 	}
 	return err == nil
 }
 
-// DropOutdatedOwn drops the replica of a term that this controller led, once it holds a
-// complete one of a later term. How far terms have gone on does not matter: after a data
-// loss they continue far above the last one, and its replica is then the newest there is.
+// DropOutdatedOwn discards the own replica once this controller holds a complete replica of a
+// later term. It deliberately ignores the highest observed term: after a data loss terms skip
+// far ahead, and the own replica may still be the newest one in the cluster.
 func (rs *Replicas) DropOutdatedOwn() {
 	if received := rs.received.Replica(); rs.own != nil && received != nil && received.Term > rs.own.Term {
 		rs.own = nil
 	}
 }
 
-// SendLeaderlessJob adds a job that was accepted without a leader to the replicas of all
-// controllers in reach: until a leader has adopted it, nobody else knows of it.
+// SendLeaderlessJob adds a job that was accepted without a leader to this controller's newest
+// replica and sends it to all controllers. Until a leader adopts the job, no replica stream
+// carries it.
 func (rs *Replicas) SendLeaderlessJob(job *record.Job, rev uint64) {
 	rec := replica.Record{Key: record.JobPrefix + job.Spec.ID, Value: job, Rev: rev}
 	if newest := rs.Newest(); newest != nil {
@@ -140,7 +142,8 @@
 	}
 }
 
-// ReceiveLeaderlessJob adds a job that another controller has accepted without a leader.
+// ReceiveLeaderlessJob adds a job that another controller has accepted without a leader to the
+// newest replica. It ignores the job if the replica is of another term or already has it.
 func (rs *Replicas) ReceiveLeaderlessJob(line *replica.Line) {
 	newest := rs.Newest()
 	if newest == nil || newest.Term != line.Term {
@@ -153,8 +156,9 @@
 	}
 }
 
-// StartTransfer sends the newest replica to a new leader that wants it, or, before this
-// controller leads itself, to one that has none: it would be lost if this process ended.
+// StartTransfer starts to send the newest replica to a peer, replacing any transfer in
+// progress. The peer is a new leader that has requested it, or, before this controller leads, one
+// without a replica, so that the data survives if this process ends.
 func (rs *Replicas) StartTransfer(peer string) {
 	newest := rs.Newest()
 	if newest == nil {
@@ -165,18 +169,21 @@
 	rs.continueTransfer(peer, t)
 }
 
-// RestartTransfer begins a transfer anew of which the peer has missed lines.
+// RestartTransfer restarts a transfer in which the peer has missed lines. Requests for any
+// other session are ignored.
 func (rs *Replicas) RestartTransfer(peer string, session uint64) {
 	if t := rs.transfers[peer]; t != nil && t.sender.Session() == session {
 		rs.StartTransfer(peer)
 	}
 }
 
+// continueTransfer sends the next line and schedules the one after it. A transfer stops when it
+// is complete, has been replaced, or this controller has loaded records as the leader.
 func (rs *Replicas) continueTransfer(peer string, t *transfer) {
 	if rs.transfers[peer] != t {
 		return
 	}
-	line, more := t.sender.NextSnapshotLine(t.source, recordsPerLine, maxLineBytes, recordSize)
+	line, more := t.sender.NextSnapshotLine(t.source, recordsPerLine, maxLineBytes, estimateRecordSize)
 	if !more || rs.controller.HasLoadedRecords() {
 		delete(rs.transfers, peer)
 		return
@@ -185,7 +192,7 @@
 	rs.engine.After(snapshotInterval/5, func() { rs.continueTransfer(peer, t) })
 }
 
-// newSession returns a number for a new stream.
+// newSession returns a random, nonzero session number for a new stream.
 func (rs *Replicas) newSession() uint64 { return rs.engine.Rand.Uint64() | 1 }
 
 func (rs *Replicas) send(to string, line replica.Line) {
--- a/internal/replication/replication_test.go
+++ b/internal/replication/replication_test.go
@@ -17,13 +17,13 @@
 	"yewpass/internal/writebatch"
 )
 
-// node is a controller whose replication is tested.
+// node is a controller with only the replication component.
 type node struct {
-	engine   *engine.Engine
-	replicas *Replicas
-	linked   map[string]bool
-	loaded   bool
-	lossSeen string
+	engine       *engine.Engine
+	replicas     *Replicas
+	linked       map[string]bool
+	loaded       bool
+	reportedLoss string
 }
 
 func (n *node) HighestTerm() uint64          { return 7 }
@@ -32,7 +32,7 @@
 func (n *node) HasLoadedRecords() bool       { return n.loaded }
 func (n *node) AdmitScrub() bool             { return true }
 func (n *node) StoreRevision() uint64        { return 100 }
-func (n *node) ReportDataLoss(reason string) { n.lossSeen = reason }
+func (n *node) ReportDataLoss(reason string) { n.reportedLoss = reason }
 
 func newNode(seed uint64) *node {
 	n := &node{engine: engine.New(rand.New(rand.NewPCG(seed, 1)), 1), linked: map[string]bool{}}
@@ -41,7 +41,8 @@
 	return n
 }
 
-// step passes 10 ms and returns the replica lines to a peer since the step before.
+// step returns the replica lines sent to a peer since the previous step, and advances the clock
+// by 10 ms.
 func (n *node) step(to string) (lines []*replica.Line) {
 	for _, o := range n.engine.Outputs {
 		if m, ok := o.(peermsg.Outgoing); ok && m.To == to && m.Msg.Kind == peermsg.Replica {
@@ -53,54 +54,54 @@
 	return lines
 }
 
-// TestPublisher: whatever the leader reads and commits reaches a follower that is in reach, and
-// what is committed while the snapshot is sent does too.
+// TestPublisher checks that a linked follower receives all records that the leader reads or
+// commits, including changes committed while the snapshot is being sent.
 func TestPublisher(t *testing.T) {
 	leader, follower := newNode(1), newNode(2)
 	leader.linked["n1"] = true
 	scope := leader.engine.NewScope()
 	p := NewPublisher(leader.replicas, scope, 7)
-	p.PutRead(kv.Entry{Key: "a", Value: 1, Rev: 1})
+	p.PublishRead(kv.Entry{Key: "a", Value: 1, Rev: 1})
 	if p.Replica() != nil {
-		t.Fatal("there is a replica before the records are known")
+		t.Fatal("Replica() is not nil before the records are loaded")
 	}
 	leader.replicas.SetOwn(leader.replicas.NewReplica(9, 7))
-	p.PutRead(kv.Entry{Key: "a", Value: 1, Rev: 1})
-	p.PutRead(kv.Entry{Key: "b", Value: 2, Rev: 2})
-	p.SupplyFollowers()
-	p.PutCommitted([]*writebatch.Change{{Writes: []kv.Write{{Key: "b"}, {Key: "c", Value: 3}, {Key: record.LeaderlessPrefix + "x", Value: 4}}}}, 5)
+	p.PublishRead(kv.Entry{Key: "a", Value: 1, Rev: 1})
+	p.PublishRead(kv.Entry{Key: "b", Value: 2, Rev: 2})
+	p.StartStreams()
+	p.PublishCommitted([]*writebatch.Change{{Writes: []kv.Write{{Key: "b"}, {Key: "c", Value: 3}, {Key: record.LeaderlessPrefix + "x", Value: 4}}}}, 5)
 	for range 50 {
 		for _, line := range leader.step("n1") {
 			if !follower.replicas.ReceiveFromLeader("n0", line) {
-				t.Fatal("a line is missing")
+				t.Fatal("ReceiveFromLeader reported a missing line")
 			}
 		}
 	}
 	got := follower.replicas.Newest()
 	if got == nil || !slices.Equal(got.Keys(""), []string{"a", "c"}) || got.Term != 7 || got.Era != 9 {
-		t.Fatalf("the follower has %+v", got)
+		t.Fatalf("follower's replica is %+v, want keys a and c of term 7 and era 9", got)
 	}
 	if names := p.CompleteFollowers(); !slices.Equal(names, []string{"n1"}) {
-		t.Errorf("complete: %v", names)
+		t.Errorf("CompleteFollowers() = %v, want [n1]", names)
 	}
 	p.RestartFollower("n1", 1)
 	if len(p.CompleteFollowers()) != 1 {
-		t.Error("a stream ends for a restart of another")
+		t.Error("a restart request for another session ended the stream")
 	}
 	p.DropFollower("n1")
 	if len(p.CompleteFollowers()) != 0 {
-		t.Error("a dropped follower counts as complete")
+		t.Error("a dropped follower is still reported as complete")
 	}
-	p.SupplyFollowers()
+	p.StartStreams()
 	scope.Close()
-	leader.engine.Begin(leader.engine.Now) // drops the outputs of the step
+	leader.engine.Begin(leader.engine.Now) // discards the outputs of the previous step
 	if leader.step("n1"); len(leader.step("n1")) != 0 {
-		t.Error("lines go out after the leadership has ended")
+		t.Error("lines were sent after the leadership ended")
 	}
 }
 
-// TestTransfer: a replica goes out whole, and no further once its sender has loaded records of
-// its own.
+// TestTransfer checks that a transfer sends the whole replica, and that it stops once the sender
+// has loaded records as the leader.
 func TestTransfer(t *testing.T) {
 	for _, loaded := range []bool{false, true} {
 		from, to := newNode(1), newNode(2)
@@ -118,12 +119,13 @@
 			}
 		}
 		if got := receiver.Replica(); (got != nil) == loaded || got != nil && len(got.Keys("")) != 3*recordsPerLine {
-			t.Errorf("loaded %v: received %v", loaded, got != nil)
+			t.Errorf("loaded %v: received a replica: %v; want all records unless loaded", loaded, got != nil)
 		}
 	}
 }
 
-// TestScrubber: a record that the store has no more is reported as lost, and none that it has.
+// TestScrubber checks that a record missing from the store is reported as a data loss, and that
+// a record that the store has is not.
 func TestScrubber(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		n := newNode(1)
@@ -131,10 +133,10 @@
 		p := NewPublisher(n.replicas, scope, 7)
 		n.replicas.SetOwn(n.replicas.NewReplica(9, 7))
 		key := record.JobPrefix + "a"
-		p.PutRead(kv.Entry{Key: key, Value: &record.Job{}, Rev: 3})
+		p.PublishRead(kv.Entry{Key: key, Value: &record.Job{}, Rev: 3})
 		writes := writebatch.New(n.engine, scope, config.State{RPS: 10, WriteRPS: 10, TxnOps: 10}, kv.Condition{}, nil)
 		NewScrubber(p, writes, n).Run()
-		for i := 0; i < len(n.engine.Outputs); i++ { // grows while it is read
+		for i := 0; i < len(n.engine.Outputs); i++ { // HandleStore appends to Outputs
 			call, ok := n.engine.Outputs[i].(kv.Request)
 			switch {
 			case !ok:
@@ -146,8 +148,8 @@
 				n.engine.HandleStore(kv.Response{Ref: call.Ref, Outcome: rpc.NotFound})
 			}
 		}
-		if (n.lossSeen != "") != lost {
-			t.Errorf("lost %v: reported %q", lost, n.lossSeen)
+		if (n.reportedLoss != "") != lost {
+			t.Errorf("lost %v: ReportDataLoss was called with %q", lost, n.reportedLoss)
 		}
 	}
 }
--- a/internal/replication/scrubber.go
+++ b/internal/replication/scrubber.go
@@ -12,46 +12,45 @@
 	"yewpass/internal/writebatch"
 )
 
-// ScrubInterval is how often the scrubber reads a page.
+// ScrubInterval is the time between two pages that the scrubber reads.
 const ScrubInterval = 2 * time.Second
 
 const scrubPageSize = 100 // records
 
 var scrubbedPrefixes = []string{record.LivePrefix, record.SchedulePrefix}
 
-// ScrubHost is what the scrubber needs of the controller.
+// ScrubHost is the view that a Scrubber has of its controller.
 type ScrubHost interface {
-	// AdmitScrub reports whether a page and a record may be read now, and takes both reads from
-	// the allowance if so.
+	// AdmitScrub reports whether the rate limit permits reading one page and one record now,
+	// and consumes the tokens for both reads if so.
 	AdmitScrub() bool
-	// StoreRevision returns the highest revision of the store that was observed.
+	// StoreRevision returns the highest observed revision of the store.
 	StoreRevision() uint64
-	// ReportDataLoss is called when the store has lost data.
+	// ReportDataLoss is called with a description of the loss when the store has lost data.
 	ReportDataLoss(reason string)
 }
 
-// Scrubber compares the store with the leader's replica, a page at a time, over and over: a
-// store that loses single records under a living leader does not report it, and the term
-// stands. What is missing there is a data loss like any other, which the next leader repairs
-// from the replicas. Of the records of ended jobs, of which there may be any number, one
-// that the replica has is looked up each time.
+// Scrubber continuously compares the store with the leader's replica, one page at a time. It
+// detects the loss of single records, which neither the store reports nor a change of term
+// reveals. The next leader restores lost records from the replicas. Final records are not
+// listed, as their number is unbounded; each run looks up one that the replica has.
 type Scrubber struct {
 	publisher *Publisher
 	writes    *writebatch.Batcher
 	host      ScrubHost
 
-	prefix    int    // the scrubbed prefix that is next
-	from      string // the last key that was read under it
-	nextFinal int    // the final record that is next
+	prefixIndex int    // of the current prefix in scrubbedPrefixes
+	lastKey     string // last key of the previous page, or "" to start at the first
+	finalIndex  int    // of the last verified key in the replica's bounded keys
 }
 
-// NewScrubber returns a scrubber for the publisher's replica. writes is asked for changes that
-// are not known to be committed.
+// NewScrubber returns a scrubber for the publisher's replica. It skips records for which writes
+// has uncommitted changes.
 func NewScrubber(publisher *Publisher, writes *writebatch.Batcher, host ScrubHost) *Scrubber {
 	return &Scrubber{publisher: publisher, writes: writes, host: host}
 }
 
-// Run reads the next page, now and every ScrubInterval until the leadership ends.
+// Run reads the next page now and every ScrubInterval until the publisher's scope is closed.
 func (s *Scrubber) Run() {
 	s.publisher.scope.After(ScrubInterval, s.Run)
 	own := s.publisher.Replica()
@@ -60,36 +59,36 @@
 	}
 	s.readPage(own)
 	if keys := own.BoundedKeys(); len(keys) > 0 {
-		s.nextFinal = (s.nextFinal + 1) % len(keys)
-		s.verify(own, keys[s.nextFinal])
+		s.finalIndex = (s.finalIndex + 1) % len(keys)
+		s.verify(own, keys[s.finalIndex])
 	}
 }
 
-// readPage lists the next page and verifies the first record that seems to be missing from it.
+// readPage lists the next page and verifies the first record that appears to be missing from it.
 func (s *Scrubber) readPage(own *replica.Replica) {
-	prefix, asked := scrubbedPrefixes[s.prefix], s.host.StoreRevision()
-	s.publisher.scope.CallStore(kv.Request{Op: kv.List, Key: prefix, From: s.from, Limit: scrubPageSize}, func(r kv.Response) {
+	prefix, requestRevision := scrubbedPrefixes[s.prefixIndex], s.host.StoreRevision()
+	s.publisher.scope.CallStore(kv.Request{Op: kv.List, Key: prefix, From: s.lastKey, Limit: scrubPageSize}, func(r kv.Response) {
 		if r.Outcome != rpc.OK || s.publisher.Replica() != own {
 			return
 		}
-		page := recovery.ListPage{Prefix: prefix, From: s.from, AskedRevision: asked}
+		page := recovery.ListPage{Prefix: prefix, From: s.lastKey, AskedRevision: requestRevision}
 		for _, e := range r.Entries {
 			page.Listed = append(page.Listed, replica.Record{Key: e.Key, Rev: e.Rev})
 		}
 		if n := len(r.Entries); r.More && n > 0 {
 			page.To = r.Entries[n-1].Key
 		} else {
-			s.prefix = (s.prefix + 1) % len(scrubbedPrefixes)
+			s.prefixIndex = (s.prefixIndex + 1) % len(scrubbedPrefixes)
 		}
-		s.from = page.To
+		s.lastKey = page.To
 		if missing := recovery.MissingKeys(own, page, s.writes.HasUncommitted); len(missing) > 0 {
 			s.verify(own, missing[0])
 		}
 	})
 }
 
-// verify looks up a record. If it is missing or old, and no change of ours explains that, data
-// was lost.
+// verify reads a record from the store and reports a data loss if it is missing or has an
+// older revision than the replica, unless a write by this leader explains the difference.
 func (s *Scrubber) verify(own *replica.Replica, key string) {
 	before, ok := own.Get(key)
 	if !ok || before.Rev == 0 || s.writes.HasUncommitted(key) {
@@ -99,7 +98,7 @@
 		now, present := own.Get(key)
 		lost := r.Outcome == rpc.NotFound || r.Outcome == rpc.OK && r.Entries[0].Rev < before.Rev
 		if lost && present && now.Rev == before.Rev && s.publisher.Replica() == own && !s.writes.HasUncommitted(key) {
-			s.host.ReportDataLoss("a record is missing or old that a copy has: " + strings.TrimPrefix(key, record.Root))
+			s.host.ReportDataLoss("record is missing from the store or older than its replica: " + strings.TrimPrefix(key, record.Root))
 		}
 	})
 }
--- a/internal/replication/size.go
+++ b/internal/replication/size.go
@@ -6,8 +6,8 @@
 	"yewpass/internal/schedule"
 )
 
-// recordSize returns an upper estimate of the bytes of a record in a line.
-func recordSize(rec replica.Record) int {
+// estimateRecordSize returns an upper estimate of the encoded size of a record, in bytes.
+func estimateRecordSize(rec replica.Record) int {
 	size := 100 + len(rec.Key)
 	switch v := rec.Value.(type) {
 	case *record.Job:
