--- a/internal/relay/balance.go
+++ b/internal/relay/balance.go
@@ -6,13 +6,13 @@
 type Node struct {
 	Name     string
 	Zone     string
-	Workers  int // that report to it
-	Capacity int // how many it can take
+	Workers  int // number of workers that report to it
+	Capacity int // maximum number of workers
 }
 
-// load returns how full a node is for workers in a zone. A node counts as half as full
-// for workers of its own zone: a partition between zones then takes no worker from its
-// tasks that could have been served inside its zone.
+// load returns the load of a node as weighted for a worker in a zone. Nodes of other zones count
+// double. Workers then prefer nodes in their own zone, which they can still reach if the zones
+// are partitioned.
 func (n *Node) load(zone string) int {
 	if n.Zone == zone {
 		return n.Workers
@@ -20,15 +20,15 @@
 	return 2 * n.Workers
 }
 
-// LeastLoaded returns the name of the node that a worker in a zone should report to, the
-// first by name among equals, or "" when none has room.
+// LeastLoaded returns the name of the node that a worker in a zone should report to, or "" if all
+// nodes are full. Ties are broken by name.
 func LeastLoaded(nodes []Node, zone string) string {
 	best, least := "", 0
 	for _, n := range nodes {
 		if n.Workers >= n.Capacity {
 			continue
 		}
-		n.Workers++ // with this one
+		n.Workers++ // including the new worker
 		load := n.load(zone)
 		if best == "" || load < least || load == least && n.Name < best {
 			best, least = n.Name, load
@@ -37,9 +37,9 @@
 	return best
 }
 
-// Imbalanced reports whether a worker in a zone should be redirected from one node to
-// another to balance their load. That takes a clear difference, a quarter and at least
-// eight workers, so that no worker moves back and forth.
+// Imbalanced reports whether a worker in a zone should be redirected from one node to another to
+// balance their load. The difference must exceed a quarter plus a constant, so that workers do
+// not move back and forth. A node above its capacity is always relieved by one with room.
 func Imbalanced(nodes []Node, from, to, zone string) bool {
 	i := slices.IndexFunc(nodes, func(n Node) bool { return n.Name == from })
 	j := slices.IndexFunc(nodes, func(n Node) bool { return n.Name == to })
@@ -54,7 +54,7 @@
 	return x > y+y/4+16
 }
 
-// MaxClientConnections returns how many connections of users and workers a controller
-// accepts that may have so many sockets: what is left after other controllers, the
-// key-value store, the cloud and probes, and some spare.
+// MaxClientConnections returns the number of connections from users and workers that a
+// controller accepts, given its limit on open sockets. The remaining sockets are reserved for
+// other controllers, the key-value store, the cloud and probes.
 func MaxClientConnections(sockets int) int { return max(16, sockets*9/10-64) }
--- a/internal/relay/compatibility_test.go
+++ b/internal/relay/compatibility_test.go
@@ -11,11 +11,11 @@
 	"yewpass/internal/heartbeat"
 )
 
-// goldenBatches was written by the relay of version 5990396, one batch a line, for the
-// reports of relayedReports. It is never written anew.
+// goldenBatches has the batches that a relay of version 5990396 sent for relayedReports, one per
+// line. The file must not be regenerated.
 const goldenBatches = "testdata/batches-5990396.jsonl"
 
-// relayedReports are the reports that went into each golden batch.
+// relayedReports returns the reports of each golden batch.
 func relayedReports() [][]heartbeat.Report {
 	task := func(index int, phase heartbeat.Phase, cause string) heartbeat.Task {
 		return heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-7", Index: index}, Try: 5, Phase: phase, Cause: cause}
@@ -34,11 +34,11 @@
 		{machine(2, task(0, heartbeat.TaskRuns, ""), task(1, heartbeat.TaskRuns, ""), task(2, heartbeat.Exited, "stopped"))},
 		{machine(3, task(0, heartbeat.TaskRuns, ""), task(1, heartbeat.TaskRuns, ""), task(2, heartbeat.Exited, "stopped"))},
 		{warned},
-		{}, // host-2 has left
+		{}, // host-2 no longer reports here
 	}
 }
 
-// encodeAll encodes the reports as a relay does.
+// encodeAll encodes the reports of each batch as a relay does.
 func encodeAll(all [][]heartbeat.Report) (batches []*Batch) {
 	encoder := NewEncoder(6)
 	var ref uint64
@@ -46,12 +46,12 @@
 		if i == len(all)-1 {
 			encoder.Forget("host-2")
 		}
-		var items []Delta
+		var deltas []Delta
 		for _, r := range reports {
 			ref++
-			items = append(items, encoder.Encode(ref, &r))
+			deltas = append(deltas, encoder.Encode(ref, &r))
 		}
-		batches = append(batches, encoder.Batch(items, nil))
+		batches = append(batches, encoder.Batch(deltas, nil))
 	}
 	return batches
 }
@@ -68,8 +68,9 @@
 	return lines
 }
 
-// TestBatchesOf5990396 guards the stream of reports from a relay to the leader: batches of
-// version 5990396 must become the reports again, and the reverse.
+// TestBatchesOf5990396 checks that relays and leaders of this version and of version 5990396 are
+// compatible: the golden batches are decoded to the reports, and the reports are encoded to
+// the same batches.
 func TestBatchesOf5990396(t *testing.T) {
 	all := relayedReports()
 	golden := goldenLines(t)
@@ -83,7 +84,7 @@
 			t.Fatal(err)
 		}
 		if string(data) != string(golden[i]) {
-			t.Errorf("batch %d written\n%s, want\n%s", i+1, data, golden[i])
+			t.Errorf("batch %d is encoded as\n%s, want\n%s", i+1, data, golden[i])
 		}
 		var read Batch
 		if err := json.Unmarshal(golden[i], &read); err != nil {
@@ -94,7 +95,7 @@
 			t.Fatalf("batch %d: %v", i+1, err)
 		}
 		if !reflect.DeepEqual(got, all[i]) {
-			t.Errorf("batch %d read\n%+v, want\n%+v", i+1, got, all[i])
+			t.Errorf("batch %d is decoded as\n%+v, want\n%+v", i+1, got, all[i])
 		}
 	}
 }
--- a/internal/relay/decoder.go
+++ b/internal/relay/decoder.go
@@ -9,55 +9,53 @@
 	"yewpass/internal/heartbeat"
 )
 
-// Decoder is the leader's end of the sessions of one relay, one session after the
-// other. The zero value is ready to use.
+// Decoder is the leader's end of the successive sessions of one relay. The zero value is ready to
+// use.
 type Decoder struct {
 	session, number uint64
-	closedSessions  []uint64                     // sessions that are over, the latest last
-	machines        map[uint64]*heartbeat.Report // the last one of each, by handle
+	closedSessions  []uint64                     // numbers of previous sessions, latest last
+	machines        map[uint64]*heartbeat.Report // last report of each machine, by handle
 }
 
-// ErrSequenceGap says that a batch does not follow the one before it: batches were
-// lost, or it belongs to another session.
-var ErrSequenceGap = errors.New("batches are missing")
+// ErrSequenceGap is returned for a batch that does not follow the previous one, because batches
+// were lost or it belongs to an unknown session.
+var ErrSequenceGap = errors.New("batch does not follow the previous one")
 
-// ErrStaleSession says that a batch belongs to a session that another one has followed:
-// it was delayed on the way, maybe since an earlier process of the relay. It changes
-// nothing.
-var ErrStaleSession = errors.New("the session is over")
+// ErrStaleSession is returned for a delayed batch of a closed session, possibly of an earlier
+// process of the relay. The batch leaves the decoder unchanged.
+var ErrStaleSession = errors.New("batch belongs to a closed session")
 
-// The errors of batches that no controller sends.
+// Errors for batches that no correct relay sends.
 var (
-	errTooManyMachines = errors.New("too many machines")
-	errUnlistedDrop    = errors.New("a task is dropped that was not listed")
-	errUnlistedChange  = errors.New("a task changes that was not listed")
-	errInvalidTask     = errors.New("a task is none")
+	errTooManyMachines = errors.New("relay reports too many machines")
+	errUnlistedDrop    = errors.New("dropped task is not in the previous list")
+	errUnlistedChange  = errors.New("changed task is not in the list, or its phase is unknown")
+	errInvalidTask     = errors.New("added task has no job or an unknown phase")
 )
 
-// maxClosedSessions is how many sessions that are over are remembered: more than a
-// relay may open while one of its messages is delayed on the way.
+// maxClosedSessions is the number of closed sessions that are remembered. It must exceed the
+// number that a relay can open while one of its messages is in transit.
 const maxClosedSessions = 64
 
-// maxMachines bounds the machines remembered for a relay: more workers than any
-// controller has connections for.
+// maxMachines bounds the number of machines tracked per relay. It exceeds the number of workers
+// that a controller can serve.
 const maxMachines = 1 << 17
 
-// Session returns the number of the current session, 0 for none.
+// Session returns the number of the current session, or 0 if there is none.
 func (dec *Decoder) Session() uint64 { return dec.session }
 
-// Decode restores the reports of a batch, in order; begun says that the batch opens a
-// session. After an error other than ErrStaleSession nothing of the session can be
-// used: the relay has to open a new one.
-func (dec *Decoder) Decode(b *Batch) (reports []heartbeat.Report, begun bool, err error) {
+// Decode restores the reports of a batch in their order. opened reports whether the batch opens
+// a new session. After an error other than ErrStaleSession the relay must open a new session.
+func (dec *Decoder) Decode(b *Batch) (reports []heartbeat.Report, opened bool, err error) {
 	if slices.Contains(dec.closedSessions, b.Session) {
 		return nil, false, ErrStaleSession
 	}
 	if b.Number == 1 && b.Session != 0 && b.Session != dec.session {
 		dec.openSession(b.Session)
-		begun = true
+		opened = true
 	}
 	if b.Session != dec.session || b.Session == 0 || b.Number != dec.number+1 {
-		return nil, begun, ErrSequenceGap
+		return nil, opened, ErrSequenceGap
 	}
 	dec.number++
 	reports = make([]heartbeat.Report, 0, len(b.Reports))
@@ -65,26 +63,26 @@
 		r, err := dec.decode(&b.Reports[i])
 		if err != nil {
 			dec.session = 0
-			return nil, begun, err
+			return nil, opened, err
 		}
 		reports = append(reports, r)
 	}
 	for _, h := range b.Released {
 		delete(dec.machines, h)
 	}
-	return reports, begun, nil
+	return reports, opened, nil
 }
 
-// openSession opens a session.
+// openSession resets the decoder for a new session and remembers the previous one as closed.
 func (dec *Decoder) openSession(session uint64) {
-	former := dec.closedSessions
+	closed := dec.closedSessions
 	if dec.session != 0 {
-		former = append(former[max(0, len(former)+1-maxClosedSessions):], dec.session)
+		closed = append(closed[max(0, len(closed)+1-maxClosedSessions):], dec.session)
 	}
-	*dec = Decoder{session: session, closedSessions: former, machines: map[uint64]*heartbeat.Report{}}
+	*dec = Decoder{session: session, closedSessions: closed, machines: map[uint64]*heartbeat.Report{}}
 }
 
-// decode restores one report and keeps it as the machine's last one.
+// decode restores one report and stores it as the base of the machine's next delta.
 func (dec *Decoder) decode(d *Delta) (heartbeat.Report, error) {
 	last := dec.machines[d.Handle]
 	if id := d.Identity; id != nil {
@@ -98,7 +96,7 @@
 		*last = heartbeat.Report{Host: id.Host, Address: id.Address, InstanceType: id.InstanceType, Zone: id.Zone, Spot: id.Spot}
 	}
 	if last == nil {
-		return heartbeat.Report{}, fmt.Errorf("machine %d is not known", d.Handle)
+		return heartbeat.Report{}, fmt.Errorf("no machine with handle %d in this session", d.Handle)
 	}
 	r := *last
 	r.Incarnation, r.Counter, r.FencingToken = d.Incarnation, d.Counter, d.FencingToken
@@ -117,8 +115,8 @@
 	return r, nil
 }
 
-// decodeTasks applies the delta to a machine's previous list of tasks. It returns a new
-// list: whoever was given the previous one may still use it.
+// decodeTasks applies the delta to a machine's previous list of tasks. It returns a new list,
+// since callers of Decode may still use the previous one.
 func (d *Delta) decodeTasks(previous []heartbeat.Task) ([]heartbeat.Task, error) {
 	tasks := make([]heartbeat.Task, 0, len(previous)+len(d.Added))
 	dropped := 0
--- a/internal/relay/encoder.go
+++ b/internal/relay/encoder.go
@@ -2,23 +2,23 @@
 
 import "yewpass/internal/heartbeat"
 
-// Encoder is the relay's end of a session: it turns heartbeats into deltas.
+// Encoder is the relay's end of one session. It encodes heartbeats as deltas.
 type Encoder struct {
 	session, number uint64
 	lastHandle      uint64
 	machines        map[string]*encodedMachine // by host
-	released        []uint64
+	released        []uint64                   // handles to be released with the next batch
 }
 
-// encodedMachine is what the leader was last sent about a machine.
+// encodedMachine is the state of a machine as last sent to the leader.
 type encodedMachine struct {
 	handle   uint64
 	identity Identity
 	tasks    []heartbeat.Task
 }
 
-// NewEncoder returns the relay's end of a new session, whose number must not have been
-// used before by any relay of the same name.
+// NewEncoder returns an encoder for a new session. The number must not be 0 or have been used by
+// any process of the same relay.
 func NewEncoder(session uint64) *Encoder {
 	return &Encoder{session: session, machines: map[string]*encodedMachine{}}
 }
@@ -26,8 +26,8 @@
 // Session returns the number of the session.
 func (e *Encoder) Session() uint64 { return e.session }
 
-// Encode encodes a heartbeat. The delta must go out with the next Batch, after those
-// encoded before it. The report's tasks must not be changed afterwards.
+// Encode encodes a heartbeat. Deltas must be sent in the order in which they were encoded, with
+// the next Batch. The report's tasks must not be modified afterwards.
 func (e *Encoder) Encode(ref uint64, r *heartbeat.Report) Delta {
 	d := Delta{Ref: ref, Incarnation: r.Incarnation, Counter: r.Counter, FencingToken: r.FencingToken}
 	if r.HasNotice {
@@ -45,21 +45,21 @@
 	if id := identityOf(r); id != m.identity {
 		m.identity, previous = id, nil
 		d.Identity = &Identity{}
-		*d.Identity = id // a copy: id itself stays off the heap in the many heartbeats that change nothing
+		*d.Identity = id // copied so that id does not escape to the heap when the identity is unchanged
 	}
 	m.tasks = r.Tasks
 	d.encodeTasks(previous, r.Tasks)
 	return d
 }
 
-// identityOf returns what a report says of its machine.
+// identityOf returns the machine's identity fields of a report.
 func identityOf(r *heartbeat.Report) Identity {
 	return Identity{Host: r.Host, Address: r.Address, InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot}
 }
 
-// encodeTasks sets the difference between two lists of tasks.
+// encodeTasks sets Dropped, Changed and Added to the difference between two lists of tasks.
 func (d *Delta) encodeTasks(previous, tasks []heartbeat.Task) {
-	matched := 0 // tasks of the new list that were found in the previous one, in order
+	matched := 0 // length of the prefix of tasks that was found in previous, in order
 	for i := range previous {
 		p := &previous[i]
 		if matched < len(tasks) && tasks[matched].Try == p.Try && tasks[matched].Task == p.Task {
@@ -74,7 +74,8 @@
 	d.Added = tasks[matched:]
 }
 
-// Forget drops the state of a machine that no longer reports here.
+// Forget discards the state of a machine that no longer reports to this relay. The next batch
+// releases its handle at the leader.
 func (e *Encoder) Forget(host string) {
 	if m := e.machines[host]; m != nil {
 		e.released = append(e.released, m.handle)
@@ -82,7 +83,8 @@
 	}
 }
 
-// Batch returns the next numbered batch of the session.
+// Batch returns the next batch of the session. It carries the deltas, the refs of abandoned
+// heartbeats, and the handles released since the previous batch.
 func (e *Encoder) Batch(reports []Delta, abandoned []uint64) *Batch {
 	e.number++
 	b := &Batch{Session: e.session, Number: e.number, Reports: reports, Abandoned: abandoned, Released: e.released}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,43 +1,41 @@
-// Package relay defines how workers' heartbeats travel between controllers. A
-// controller that does not lead encodes the heartbeats that it receives as differences
-// from the previous ones (Encoder) and sends them to the leader, which restores them
-// (Decoder). The package also decides which controller a worker should report to
-// (LeastLoaded, Imbalanced).
+// Package relay defines the protocol by which controllers forward heartbeats of workers to the
+// leader. A controller that is not the leader, called a relay, encodes each heartbeat as a delta
+// from the machine's previous one (Encoder). The leader restores the heartbeats (Decoder). The
+// package also balances workers between controllers (LeastLoaded, Imbalanced).
 //
-// It does no I/O, reads no clock, and knows nothing of a heartbeat beyond its list of
-// tasks. The invariant: Decoder returns exactly the reports that Encoder was given, in
-// the order of their session, or an error.
+// The package does no I/O and reads no clock. Invariant: Decoder returns exactly the reports that
+// Encoder was given, in the order of their session, or an error.
 package relay
 
 import "yewpass/internal/heartbeat"
 
-// Batch is the heartbeats that a relay sends to the leader in one message.
+// Batch is a message from a relay to the leader with any number of heartbeats.
 type Batch struct {
 	Session   uint64   `json:"s"`
-	Number    uint64   `json:"n"`           // 1, 2, 3… within the session
-	Reports   []Delta  `json:"r,omitempty"` // in the order in which they were received
-	Abandoned []uint64 `json:"g,omitempty"` // refs of heartbeats whose workers no longer wait
-	Released  []uint64 `json:"l,omitempty"` // handles that are no longer used
+	Number    uint64   `json:"n"`           // position in the session, starting at 1
+	Reports   []Delta  `json:"r,omitempty"` // in the order in which they were encoded
+	Abandoned []uint64 `json:"g,omitempty"` // refs of heartbeats whose workers no longer wait for a reply
+	Released  []uint64 `json:"l,omitempty"` // handles of machines that no longer report to the relay
 }
 
-// Delta is a heartbeat as its difference from the previous one of the same machine in
-// the same session.
+// Delta is a heartbeat encoded as the difference from the previous one of the same machine in the
+// same session.
 type Delta struct {
-	Ref          uint64    `json:"i,omitempty"` // the relay's number of the heartbeat; 0: no reply is expected
-	Handle       uint64    `json:"h"`           // stands for the machine within the session
-	Identity     *Identity `json:"w,omitempty"` // with the first heartbeat, and when it changes; all tasks are then listed as added
+	Ref          uint64    `json:"i,omitempty"` // identifies the heartbeat at the relay; 0 if no reply is expected
+	Handle       uint64    `json:"h"`           // identifies the machine within the session
+	Identity     *Identity `json:"w,omitempty"` // set in the first heartbeat and on changes; Added then lists all tasks
 	Incarnation  uint64    `json:"t"`
 	Counter      uint64    `json:"c"`
 	FencingToken uint64    `json:"e,omitempty"`
-	Notice       *int64    `json:"v,omitempty"` // milliseconds until the cloud interrupts the machine
+	Notice       *int64    `json:"v,omitempty"` // milliseconds until the cloud interrupts the spot instance
 
-	Dropped []int        `json:"d,omitempty"` // indexes into the previous list, ascending
-	Changed []TaskChange `json:"p,omitempty"` // by index into what remains of it
-	Added   Tasks        `json:"a,omitempty"` // at the end
+	Dropped []int        `json:"d,omitempty"` // indexes into the previous list, in ascending order
+	Changed []TaskChange `json:"p,omitempty"` // by index into the list without the dropped tasks
+	Added   Tasks        `json:"a,omitempty"` // appended to the list
 }
 
-// MaxMessageWeight is about how much goes into one message between controllers, as
-// measured by Delta.Weight and Reply.Weight.
+// MaxMessageWeight is the approximate size limit of one message between controllers, in the unit of
+// Delta.Weight and Reply.Weight. Senders flush or split messages at this size.
 const MaxMessageWeight = 400
 
 // baseWeight is the weight of a heartbeat or a reply without its tasks or orders.
@@ -49,7 +47,7 @@
 // Weight returns the approximate size of the reply, in units of one order.
 func (r *Reply) Weight() int { return baseWeight + len(r.Orders) }
 
-// Identity is what a worker reports about its machine.
+// Identity has the fields of a heartbeat that describe the machine and rarely change.
 type Identity struct {
 	Host         string `json:"host"`
 	Address      string `json:"address,omitempty"`
@@ -58,36 +56,37 @@
 	Spot         bool   `json:"low,omitempty"`
 }
 
-// TaskChange is a task whose phase or cause of exit has changed.
+// TaskChange is the new phase and cause of exit of a task.
 type TaskChange struct {
-	Index int             `json:"k"` // index in the list
+	Index int             `json:"k"` // into the list without the dropped tasks
 	Phase heartbeat.Phase `json:"p"`
 	Cause string          `json:"c,omitempty"`
 }
 
-// Replies is the replies that the leader sends to a relay's workers in one message.
+// Replies is a message from the leader to a relay with replies to forwarded heartbeats.
 type Replies struct {
-	Session uint64  `json:"s"` // the relay's session that they answer
+	Session uint64  `json:"s"` // session of the heartbeats
 	List    []Reply `json:"r,omitempty"`
-	Resync  bool    `json:"a,omitempty"` // a batch is missing: the relay must open a new session and send all that waits
+	Resync  bool    `json:"a,omitempty"` // the relay must open a new session and send all pending heartbeats again
 }
 
-// Reply answers one heartbeat.
+// Reply is the reply to the heartbeat with the same Ref.
 type Reply struct {
 	Ref      uint64 `json:"i"`
-	Status   int    `json:"s,omitempty"` // of HTTP; 0 stands for 200
-	Upstream string `json:"u,omitempty"` // with status 421, the controller to report to
+	Status   int    `json:"s,omitempty"` // HTTP status code; 0 stands for 200
+	Upstream string `json:"u,omitempty"` // controller to report to, with status 421
 	Orders   Orders `json:"o,omitempty"`
 }
 
-// Valid reports whether the replies are ones that a leader may send.
+// Valid reports whether all replies are well-formed: each has status 0 and known orders for tasks
+// of a named job, or an error status and no orders.
 func (r *Replies) Valid() bool {
 	for i := range r.List {
-		x := &r.List[i]
-		if x.Status != 0 && (x.Status < 400 || x.Status > 599) || x.Status != 0 && len(x.Orders) > 0 {
+		reply := &r.List[i]
+		if reply.Status != 0 && (reply.Status < 400 || reply.Status > 599) || reply.Status != 0 && len(reply.Orders) > 0 {
 			return false
 		}
-		for _, o := range x.Orders {
+		for _, o := range reply.Orders {
 			if !o.Verb.Known() || o.Task.Job == "" {
 				return false
 			}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,11 +11,12 @@
 	"yewpass/internal/heartbeat"
 )
 
-// worker makes reports of a machine whose list of tasks changes like a worker's, and
-// now and then like no worker's.
+// worker generates reports of a machine whose list of tasks changes randomly.
 type worker struct{ heartbeat.Report }
 
-func (w *worker) next(rng *rand.Rand, strange bool) heartbeat.Report {
+// next returns the next report. If irregular is true, it sometimes reorders the tasks or changes
+// the zone, as no real worker does.
+func (w *worker) next(rng *rand.Rand, irregular bool) heartbeat.Report {
 	w.Counter++
 	ts := make([]heartbeat.Task, 0, len(w.Tasks)+3)
 	for _, t := range w.Tasks {
@@ -32,7 +33,7 @@
 	for range rng.IntN(3) {
 		ts = append(ts, heartbeat.Task{Task: heartbeat.TaskID{Job: fmt.Sprint("wk-", rng.IntN(5)), Index: rng.IntN(4)}, Try: rng.Uint64N(9), Phase: heartbeat.Pulling})
 	}
-	if strange && rng.IntN(3) == 0 {
+	if irregular && rng.IntN(3) == 0 {
 		rng.Shuffle(len(ts), func(i, j int) { ts[i], ts[j] = ts[j], ts[i] })
 		w.Zone = fmt.Sprint(rng.IntN(3))
 	}
@@ -44,32 +45,31 @@
 	return w.Report
 }
 
-// TestLink: what comes out of a link is what went in, in its order, over lines of
-// JSON, whatever workers say; a line that is missing, repeated or of another session
-// is seen, and a new session sets all right.
-func TestLink(t *testing.T) {
+// TestRoundTrip checks that a decoder restores the encoded reports in order after a JSON round
+// trip, that it rejects batches with a wrong number or session, and that a new session recovers.
+func TestRoundTrip(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		var ws []*worker
+		var workers []*worker
 		for i := range 1 + rng.IntN(5) {
-			ws = append(ws, &worker{heartbeat.Report{Host: fmt.Sprint("host-", i), Address: "10.0.0.1:9000", InstanceType: "f", Zone: "a", Incarnation: 1}})
+			workers = append(workers, &worker{heartbeat.Report{Host: fmt.Sprint("host-", i), Address: "10.0.0.1:9000", InstanceType: "f", Zone: "a", Incarnation: 1}})
 		}
-		var u Decoder
+		var decoder Decoder
 		session := uint64(1)
-		f := NewEncoder(session)
+		encoder := NewEncoder(session)
 		for range 60 {
-			var items []Delta
+			var deltas []Delta
 			var want []heartbeat.Report
 			for range rng.IntN(4) {
-				w := ws[rng.IntN(len(ws))]
+				w := workers[rng.IntN(len(workers))]
 				r := w.next(rng, seed%3 == 0)
-				items = append(items, f.Encode(7, &r))
+				deltas = append(deltas, encoder.Encode(7, &r))
 				want = append(want, r)
 			}
 			if rng.IntN(5) == 0 {
-				f.Forget(ws[0].Host)
+				encoder.Forget(workers[0].Host)
 			}
-			line, err := json.Marshal(f.Batch(items, nil))
+			line, err := json.Marshal(encoder.Batch(deltas, nil))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -77,39 +77,40 @@
 			if err := json.Unmarshal(line, &b); err != nil {
 				t.Fatal(err)
 			}
-			if rng.IntN(12) == 0 { // lost, or another one in its place
+			if rng.IntN(12) == 0 { // wrong number or session
 				b.Number += uint64(1 + rng.IntN(2))
 				if b.Number > 2 && rng.IntN(2) == 0 {
 					b.Number, b.Session = b.Number-1, b.Session+1
 				}
-				if _, _, err := u.Decode(&b); err == nil {
-					t.Fatalf("seed %d: a line that does not follow is taken", seed)
+				if _, _, err := decoder.Decode(&b); err == nil {
+					t.Fatalf("seed %d: a batch that does not follow the previous one was accepted", seed)
 				}
 				session += 2
-				f = NewEncoder(session)
+				encoder = NewEncoder(session)
 				continue
 			}
-			got, _, err := u.Decode(&b)
+			got, _, err := decoder.Decode(&b)
 			if err != nil {
-				t.Fatalf("seed %d: %v", seed, err)
+				t.Fatalf("seed %d: Decode: %v", seed, err)
 			}
 			if len(got) != len(want) {
-				t.Fatalf("seed %d: %d reports of %d", seed, len(got), len(want))
+				t.Fatalf("seed %d: decoded %d reports, want %d", seed, len(got), len(want))
 			}
 			for i := range got {
 				if len(got[i].Tasks) == 0 && len(want[i].Tasks) == 0 {
 					got[i].Tasks, want[i].Tasks = nil, nil
 				}
 				if !reflect.DeepEqual(got[i], want[i]) {
-					t.Fatalf("seed %d: %+v, it was %+v", seed, got[i], want[i])
+					t.Fatalf("seed %d: decoded %+v, want %+v", seed, got[i], want[i])
 				}
 			}
 		}
 	}
 }
 
-// TestText: lists come back as they were, and texts that nobody writes do not pass.
-func TestText(t *testing.T) {
+// TestListText checks that lists of tasks and orders survive a round trip as text, and that
+// malformed texts are rejected.
+func TestListText(t *testing.T) {
 	ts := Tasks{{Task: heartbeat.TaskID{Job: "wk-1", Index: 3}, Try: 1<<64 - 1, Phase: heartbeat.Exited, Cause: "done"}, {Task: heartbeat.TaskID{Job: "a b,c/ü+%", Index: 0}, Phase: "?", Cause: "no room, none"}}
 	os := Orders{{Verb: heartbeat.Stop, Task: heartbeat.TaskID{Job: "wk-1", Index: 7}, Try: 9, Drain: 2500 * time.Millisecond}, {Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: ",", Index: 1}}}
 	line, err := json.Marshal(struct {
@@ -121,44 +122,44 @@
 		O Orders
 	}
 	if err != nil || json.Unmarshal(line, &back) != nil || !reflect.DeepEqual(back.T, ts) || !reflect.DeepEqual(back.O, os) {
-		t.Errorf("%s %v: %+v", line, err, back)
+		t.Errorf("text %s, error %v: decoded %+v, want the original lists", line, err, back)
 	}
 	for _, bad := range []string{"wk-1", "wk-1 1 2 running", "wk-1 1 2 running ,", "wk-1 -1 2 running ", "wk-1 1 x running ", "wk-1 99999999999 2 running ", "%zz 1 2 running ", ",", " ", "start wk-1 1 2 99999999999999"} {
 		var ts Tasks
 		var os Orders
 		if ts.UnmarshalText([]byte(bad)) == nil {
-			t.Errorf("tasks %q pass: %+v", bad, ts)
+			t.Errorf("tasks %q are accepted as %+v", bad, ts)
 		}
 		if os.UnmarshalText([]byte(bad)) == nil {
-			t.Errorf("orders %q pass: %+v", bad, os)
+			t.Errorf("orders %q are accepted as %+v", bad, os)
 		}
 	}
 }
 
-// TestUnsound: lines that no relay sends are errors, and nothing after them counts
-// until the next session.
-func TestUnsound(t *testing.T) {
-	who := &Identity{Host: "h"}
-	for name, it := range map[string]Delta{
+// TestInvalidMessages checks that an invalid delta is an error that invalidates the session until
+// a new one is opened, and that invalid replies are rejected.
+func TestInvalidMessages(t *testing.T) {
+	identity := &Identity{Host: "h"}
+	for name, delta := range map[string]Delta{
 		"unknown machine": {Handle: 2},
 		"dropped":         {Handle: 1, Dropped: []int{0}},
-		"dropped below":   {Handle: 1, Identity: who, Dropped: []int{-1}},
+		"dropped below":   {Handle: 1, Identity: identity, Dropped: []int{-1}},
 		"changed":         {Handle: 1, Changed: []TaskChange{{Index: 0, Phase: heartbeat.Exited}}},
 		"no phase":        {Handle: 1, Added: Tasks{{Task: heartbeat.TaskID{Job: "wk-1"}, Phase: "?"}}},
 		"no job":          {Handle: 1, Added: Tasks{{Phase: heartbeat.Exited}}},
 	} {
-		var u Decoder
-		if _, _, err := u.Decode(&Batch{Session: 5, Number: 1, Reports: []Delta{{Ref: 1, Handle: 1, Identity: who}}}); err != nil {
+		var decoder Decoder
+		if _, _, err := decoder.Decode(&Batch{Session: 5, Number: 1, Reports: []Delta{{Ref: 1, Handle: 1, Identity: identity}}}); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := u.Decode(&Batch{Session: 5, Number: 2, Reports: []Delta{it}}); err == nil {
-			t.Errorf("%s: taken", name)
+		if _, _, err := decoder.Decode(&Batch{Session: 5, Number: 2, Reports: []Delta{delta}}); err == nil {
+			t.Errorf("%s: the batch was accepted", name)
 		}
-		if _, _, err := u.Decode(&Batch{Session: 5, Number: 3}); err == nil {
-			t.Errorf("%s: the session goes on", name)
+		if _, _, err := decoder.Decode(&Batch{Session: 5, Number: 3}); err == nil {
+			t.Errorf("%s: the session remains open after an error", name)
 		}
-		if _, begun, err := u.Decode(&Batch{Session: 6, Number: 1}); err != nil || !begun {
-			t.Errorf("%s: no new session: %v", name, err)
+		if _, opened, err := decoder.Decode(&Batch{Session: 6, Number: 1}); err != nil || !opened {
+			t.Errorf("%s: opening a new session failed: %v", name, err)
 		}
 	}
 	for i, r := range []Replies{
@@ -166,13 +167,13 @@
 		{List: []Reply{{Orders: Orders{{Verb: "sing", Task: heartbeat.TaskID{Job: "wk-1"}}}}}}, {List: []Reply{{Orders: Orders{{Verb: heartbeat.Start}}}}},
 	} {
 		if r.Valid() {
-			t.Errorf("replies %d pass", i)
+			t.Errorf("replies %d are valid, want invalid", i)
 		}
 	}
 }
 
-// TestLeastLoaded: a fleet that is spread one by one fills nodes evenly, its own zone's
-// first, never above what they take; and no worker moves for a small difference.
+// TestLeastLoaded checks that workers are assigned evenly with a preference for their own zone and
+// never above a node's capacity, and that a small imbalance does not redirect a worker.
 func TestLeastLoaded(t *testing.T) {
 	nodes := []Node{{"a1", "a", 0, 300}, {"a2", "a", 0, 300}, {"b1", "b", 0, 300}}
 	for range 400 {
@@ -184,7 +185,7 @@
 		}
 	}
 	if a, b, c := nodes[0].Workers, nodes[1].Workers, nodes[2].Workers; a != b || a != 160 || c != 80 {
-		t.Errorf("%d %d %d", a, b, c)
+		t.Errorf("nodes have %d, %d and %d workers, want 160, 160 and 80", a, b, c)
 	}
 	for range 600 {
 		to := LeastLoaded(nodes, "a")
@@ -199,11 +200,11 @@
 	}
 	for _, n := range nodes {
 		if n.Workers != n.Capacity {
-			t.Errorf("%+v", n)
+			t.Errorf("node is not filled to its capacity: %+v", n)
 		}
 	}
 	if LeastLoaded(nodes, "a") != "" || LeastLoaded(nil, "a") != "" {
-		t.Error("room where there is none")
+		t.Error("LeastLoaded chose a node although none has capacity")
 	}
 	for _, x := range []struct {
 		from, to int
@@ -212,10 +213,10 @@
 	}{{100, 96, "a", false}, {100, 60, "a", true}, {20, 12, "c", false}, {301, 290, "a", true}, {100, 60, "b", false}} {
 		two := []Node{{"a1", "a", x.from, 300}, {"a2", "a", x.to, 300}}
 		if x.zone == "b" {
-			two[0].Zone = "b" // it would leave its own zone
+			two[0].Zone = "b" // the worker would leave its own zone
 		}
 		if got := Imbalanced(two, "a1", "a2", x.zone); got != x.want {
-			t.Errorf("%+v: %v", x, got)
+			t.Errorf("%+v: Imbalanced() = %v", x, got)
 		}
 	}
 }
@@ -231,19 +232,19 @@
 	return rs
 }
 
-// BenchmarkLine is a report on its way over a link, with all that is done to the line
-// at each end: at the relay (fold, marshal) and at the leader (unmarshal, unfold).
+// BenchmarkLine measures the processing of one forwarded report, either at the relay (encode and
+// marshal) or at the leader (unmarshal and decode).
 func BenchmarkLine(b *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		for _, changes := range []bool{false, true} {
 			for _, end := range []string{"relay", "leader"} {
 				b.Run(fmt.Sprintf("machines=%d/changes=%v/at=%s", n, changes, end), func(b *testing.B) {
 					rs := benchmarkReports(n)
-					f := NewEncoder(1)
-					var u Decoder
+					encoder := NewEncoder(1)
+					var decoder Decoder
 					bytes := 0
 					for i := range rs {
-						u.Decode(f.Batch([]Delta{f.Encode(1, &rs[i])}, nil))
+						decoder.Decode(encoder.Batch([]Delta{encoder.Encode(1, &rs[i])}, nil))
 					}
 					b.ReportAllocs()
 					i := 0
@@ -260,7 +261,7 @@
 						if end == "leader" {
 							b.StopTimer()
 						}
-						line, _ := json.Marshal(f.Batch([]Delta{f.Encode(uint64(i), r)}, nil))
+						line, _ := json.Marshal(encoder.Batch([]Delta{encoder.Encode(uint64(i), r)}, nil))
 						bytes += len(line)
 						if end == "leader" {
 							b.StartTimer()
@@ -269,7 +270,7 @@
 						}
 						var x Batch
 						json.Unmarshal(line, &x)
-						if _, _, err := u.Decode(&x); err != nil {
+						if _, _, err := decoder.Decode(&x); err != nil {
 							b.Fatal(err)
 						}
 						b.StartTimer()
@@ -281,19 +282,20 @@
 	}
 }
 
-// TestFormerSession: what was held on the way since a session that is over ends none.
-func TestFormerSession(t *testing.T) {
+// TestStaleSession checks that a delayed batch of a closed session is rejected without closing the
+// current one.
+func TestStaleSession(t *testing.T) {
 	r := heartbeat.Report{Host: "host-1", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: 1}
 	first, next := NewEncoder(1), NewEncoder(2)
-	held := first.Batch([]Delta{first.Encode(1, &r)}, nil)
-	var u Decoder
-	for i, b := range []*Batch{held, next.Batch(nil, nil), held, next.Batch([]Delta{next.Encode(1, &r)}, nil)} {
-		_, _, err := u.Decode(b)
+	delayed := first.Batch([]Delta{first.Encode(1, &r)}, nil)
+	var decoder Decoder
+	for i, b := range []*Batch{delayed, next.Batch(nil, nil), delayed, next.Batch([]Delta{next.Encode(1, &r)}, nil)} {
+		_, _, err := decoder.Decode(b)
 		if want := i == 2; (err == ErrStaleSession) != want || !want && err != nil {
-			t.Errorf("line %d: %v", i, err)
+			t.Errorf("batch %d: Decode returned error %v", i, err)
 		}
 	}
-	if u.Session() != 2 {
-		t.Errorf("session %d", u.Session())
+	if decoder.Session() != 2 {
+		t.Errorf("current session is %d, want 2", decoder.Session())
 	}
 }
--- a/internal/relay/text.go
+++ b/internal/relay/text.go
@@ -10,14 +10,14 @@
 	"yewpass/internal/heartbeat"
 )
 
-// Tasks and orders are most of the traffic between controllers, a hundred thousand of
-// them when a large fleet changes its leader. As JSON objects each costs the leader more
-// to decode than to process, so a list is one string: fields separated by spaces, list
-// members by commas, and names escaped as in a URL's query.
+// Lists of tasks and orders make up most of the traffic between controllers, especially after a
+// failover. Decoding JSON objects would cost the leader more than processing them, so each list
+// is encoded as one string. Fields are separated by spaces and list members by commas, and
+// names are escaped as in a URL query.
 
-var errMalformedList = errors.New("a list of tasks that no controller writes")
+var errMalformedList = errors.New("malformed list of tasks or orders")
 
-// Tasks is a list of tasks on the wire: "JOB INDEX TRY PHASE CAUSE,…".
+// Tasks is a list of tasks that is encoded as "JOB INDEX TRY PHASE CAUSE,…".
 type Tasks []heartbeat.Task
 
 // MarshalText implements encoding.TextMarshaler.
@@ -31,7 +31,7 @@
 	}), nil
 }
 
-// encodeList encodes a list, each of its members with appendMember.
+// encodeList encodes a list, using appendMember for each member.
 func encodeList[T any](list []T, appendMember func(b []byte, x *T) []byte) []byte {
 	b := make([]byte, 0, 40*len(list))
 	for i := range list {
@@ -43,7 +43,7 @@
 	return b
 }
 
-// decodeList decodes a list, each of its members with readMember.
+// decodeList decodes a list, using readMember for each member.
 func decodeList[T any](text []byte, readMember func(f *fields) T) ([]T, error) {
 	f := fields{rest: string(text)}
 	list := make([]T, 0, 1+strings.Count(f.rest, ","))
@@ -61,8 +61,8 @@
 	return strconv.AppendUint(b, try, 10)
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. It checks the syntax only; whether
-// a phase is one of the protocol is for the caller to check.
+// UnmarshalText implements encoding.TextUnmarshaler. It validates only the syntax. The caller must
+// check that the phases are known.
 func (ts *Tasks) UnmarshalText(text []byte) (err error) {
 	*ts, err = decodeList(text, func(f *fields) heartbeat.Task {
 		t := heartbeat.Task{Task: heartbeat.TaskID{Job: f.text(' '), Index: f.index(' ')}, Try: f.number(' ')}
@@ -73,8 +73,8 @@
 	return err
 }
 
-// Orders is a list of orders on the wire: "VERB JOB INDEX TRY DRAIN,…", the drain in
-// milliseconds.
+// Orders is a list of orders that is encoded as "VERB JOB INDEX TRY DRAIN,…", with the drain time
+// in milliseconds.
 type Orders []heartbeat.Order
 
 // MarshalText implements encoding.TextMarshaler.
@@ -88,7 +88,8 @@
 	}), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. It validates the syntax and the range of the
+// drain time. The caller must check that the verbs are known.
 func (os *Orders) UnmarshalText(text []byte) (err error) {
 	*os, err = decodeList(text, func(f *fields) heartbeat.Order {
 		o := heartbeat.Order{Verb: heartbeat.Verb(f.text(' ')), Task: heartbeat.TaskID{Job: f.text(' '), Index: f.index(' ')}, Try: f.number(' ')}
@@ -102,10 +103,10 @@
 	return err
 }
 
-// maxDrain is far above any time that a task is given to save its checkpoint.
+// maxDrain bounds the time that an order may give a task to save its checkpoint.
 const maxDrain = 30 * 24 * time.Hour
 
-// fields reads the fields of a text one by one. After an error more reports false.
+// fields reads the fields of an encoded list one by one. After an error hasNext returns false.
 type fields struct {
 	rest string
 	err  error
@@ -113,10 +114,12 @@
 
 func (f *fields) hasNext() bool { return f.rest != "" && f.err == nil }
 
+// next returns the next field, which must be terminated by sep or, if sep is a comma, by the end
+// of the list.
 func (f *fields) next(sep byte) string {
 	i := strings.IndexByte(f.rest, sep)
 	if i < 0 {
-		if sep != ',' { // only the last field of the last member ends with the text
+		if sep != ',' { // only the last field of a member may end the list
 			f.err = errMalformedList
 		}
 		s := f.rest
@@ -125,11 +128,12 @@
 	}
 	s := f.rest[:i]
 	if f.rest = f.rest[i+1:]; sep == ',' && f.rest == "" {
-		f.err = errMalformedList // something had to follow
+		f.err = errMalformedList // trailing comma
 	}
 	return s
 }
 
+// text returns the next field unescaped.
 func (f *fields) text(sep byte) string {
 	s := f.next(sep)
 	if strings.IndexByte(s, '%') < 0 && strings.IndexByte(s, '+') < 0 {
@@ -150,6 +154,7 @@
 	return n
 }
 
+// index returns the next field as a non-negative number that fits into 31 bits.
 func (f *fields) index(sep byte) int {
 	n, err := strconv.ParseUint(f.next(sep), 10, 31)
 	if err != nil {
--- a/internal/relaylinks/links.go
+++ b/internal/relaylinks/links.go
@@ -1,7 +1,7 @@
-// Package relaylinks is the leader's end of its links to relays: the controllers that do
-// not lead and forward their workers' heartbeats. It decodes what relays send, collects
-// the replies to it, decides which controller a worker should report to, and tells how
-// long a worker may be silent after its relay has failed.
+// Package relaylinks manages the leader's links to relays. A relay is a controller that is not
+// the leader and forwards heartbeats of its workers to the leader. The package decodes relayed
+// heartbeats, batches the replies to them, decides which controller a worker should report to,
+// and determines how long a worker may be silent after its relay has failed.
 package relaylinks
 
 import (
@@ -17,18 +17,19 @@
 	"yewpass/internal/relay"
 )
 
-// Leader is what the links need of the leadership that they are part of.
+// Leader is the view that Links has of the leader.
 type Leader interface {
-	// IsLinked reports whether there is a link to another controller.
+	// IsLinked reports whether the link to a controller is up.
 	IsLinked(name string) bool
-	// MayRedirect reports whether workers may be redirected at all: the leader has
-	// authority and failover is complete.
+	// MayRedirect reports whether workers may be redirected. This requires that the leader
+	// has authority and that failover is complete.
 	MayRedirect() bool
-	// FleetSize returns the number of machines.
+	// FleetSize returns the number of machines in the inventory.
 	FleetSize() int
 }
 
-// Links is the links of one leadership, and its own socket under the name "".
+// Links holds the links to relays for one leadership term. The name "" stands for the leader's
+// own socket, to which workers report directly.
 type Links struct {
 	engine *engine.Engine
 	cfg    *config.Config
@@ -36,42 +37,44 @@
 	term   uint64
 
 	byName         map[string]*fleet.RelayLink
-	nodes          []relay.Node // scratch space
-	nextRedirectAt time.Time    // of a worker that need not be redirected at once
+	nodes          []relay.Node // buffer reused by Nodes
+	nextRedirectAt time.Time    // earliest time of the next rate-limited redirect
 }
 
-// New returns the links of a leadership that has begun.
+// New returns a Links without any link, for the leadership of a term.
 func New(e *engine.Engine, cfg *config.Config, leader Leader, term uint64) *Links {
 	return &Links{engine: e, cfg: cfg, leader: leader, term: term, byName: map[string]*fleet.RelayLink{}}
 }
 
-// Link returns the link to a relay, or "" for our own socket; a new one if there was none.
+// Link returns the link to a relay, or to the leader's own socket if name is "". It creates the
+// link if it does not exist.
 func (l *Links) Link(name string) *fleet.RelayLink {
-	p := l.byName[name]
-	if p == nil {
-		p = &fleet.RelayLink{}
-		l.byName[name] = p
+	link := l.byName[name]
+	if link == nil {
+		link = &fleet.RelayLink{}
+		l.byName[name] = link
 	}
-	return p
+	return link
 }
 
-// Lookup returns the link to a relay, or nil if there was none in this leadership.
+// Lookup returns the link to a relay, or nil if there has been none in this term.
 func (l *Links) Lookup(name string) *fleet.RelayLink { return l.byName[name] }
 
-// DirectWorkers returns the number of workers that report to the leader itself.
+// DirectWorkers returns the number of workers that report to the leader directly.
 func (l *Links) DirectWorkers() int { return l.Link("").Workers }
 
-// Decode decodes a batch from a relay. begun says that the batch opens a session: the
-// heartbeats that waited in the previous one are all sent again, and replies to those
-// mean nothing any more. Unless ok, the batch holds nothing that counts.
-func (l *Links) Decode(from string, batch *relay.Batch) (reports []heartbeat.Report, begun, ok bool) {
+// Decode decodes a batch from a relay. opened reports whether the batch opens a new session. The
+// relay then sends all pending heartbeats again, and replies to those of the previous session
+// must be discarded. If ok is false, the batch must be ignored; Decode has asked the relay for
+// a new session unless the batch belongs to a closed one.
+func (l *Links) Decode(from string, batch *relay.Batch) (reports []heartbeat.Report, opened, ok bool) {
 	link := l.Link(from)
-	former := link.Decoder.Session()
-	reports, begun, err := link.Decoder.Decode(batch)
-	if begun {
-		if former != 0 {
-			// Maybe another process, back so soon that its end went unnoticed. Those who
-			// reported to the one before look for another controller first.
+	previousSession := link.Decoder.Session()
+	reports, opened, err := link.Decoder.Decode(batch)
+	if opened {
+		if previousSession != 0 {
+			// The relay may have restarted without having been detected as silent. Its workers
+			// may then try another controller before they report here again.
 			link.LastSilent = l.engine.Now
 		}
 		link.Replies, link.Weight = nil, 0
@@ -79,17 +82,18 @@
 	switch {
 	case err == nil:
 		link.LastBatch = l.engine.Now
-		return reports, begun, true
+		return reports, opened, true
 	case errors.Is(err, relay.ErrStaleSession):
-		return nil, begun, false
+		return nil, opened, false
 	case !errors.Is(err, relay.ErrSequenceGap):
-		l.engine.Log(slog.LevelWarn, "malformed heartbeats from relay", "relay", from, "reason", err)
+		l.engine.Log(slog.LevelWarn, "malformed heartbeat batch from relay, requesting a new session", "relay", from, "reason", err)
 	}
 	l.send(from, &relay.Replies{Session: batch.Session, Resync: true})
-	return nil, begun, false
+	return nil, opened, false
 }
 
-// Reply answers a heartbeat the way it came. Replies through relays go out with Flush.
+// Reply sends a reply along the path of its heartbeat. Replies through relays are buffered until
+// Flush is called or a message is full. Replies to an earlier session of the relay are dropped.
 func (l *Links) Reply(via heartbeat.RelaySession, reply heartbeat.Reply) {
 	if via.Relay == "" {
 		l.engine.Emit(reply)
@@ -97,7 +101,7 @@
 	}
 	link := l.Link(via.Relay)
 	if via.Session != link.Decoder.Session() {
-		return // nobody waits for it there
+		return // the session of the heartbeat is closed
 	}
 	r := relay.Reply{Ref: reply.Ref, Upstream: reply.Upstream, Orders: reply.Orders}
 	if reply.Status != 200 {
@@ -110,7 +114,7 @@
 	}
 }
 
-// Flush sends the replies that have been given in this step to the relays.
+// Flush sends the buffered replies to the relays. It is called at the end of each step.
 func (l *Links) Flush() {
 	if len(l.byName) == 0 {
 		return
@@ -134,7 +138,8 @@
 	l.engine.Emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: l.term, Replies: replies}})
 }
 
-// Attach counts a machine among the workers of the relay that it reports through.
+// Attach records that a machine reports through a relay, and updates the worker counts of this
+// and the previous relay.
 func (l *Links) Attach(m *fleet.Machine, name string) {
 	if link := l.Link(name); m.ReportsVia != link {
 		Detach(m)
@@ -143,7 +148,7 @@
 	}
 }
 
-// Detach counts a machine among the workers of no relay any more.
+// Detach records that a machine reports through no relay, and updates the relay's worker count.
 func Detach(m *fleet.Machine) {
 	if m.ReportsVia != nil {
 		m.ReportsVia.Workers--
--- a/internal/relaylinks/redirect.go
+++ b/internal/relaylinks/redirect.go
@@ -8,12 +8,12 @@
 	"yewpass/internal/relay"
 )
 
-// relayTimeout is after which time without a batch from a relay no worker is redirected
-// to it.
+// relayTimeout is the time since a relay's last batch after which workers are no longer
+// redirected to it.
 const relayTimeout = 3 * time.Second
 
-// Nodes returns the relays that can take workers now. The slice is valid until the next
-// call.
+// Nodes returns the relays to which workers can be redirected now. The slice is valid until the
+// next call.
 func (l *Links) Nodes() []relay.Node {
 	l.nodes = l.nodes[:0]
 	for _, s := range l.cfg.Seeds {
@@ -24,14 +24,15 @@
 	return l.nodes
 }
 
-// AcceptsWorkers reports whether workers can report through a relay now.
+// AcceptsWorkers reports whether workers can be redirected to a relay now: it is linked, has an
+// open session and has sent a batch recently.
 func (l *Links) AcceptsWorkers(name string) bool {
 	link := l.byName[name]
 	return link != nil && l.leader.IsLinked(name) && link.Decoder.Session() != 0 && l.engine.Now.Sub(link.LastBatch) < relayTimeout
 }
 
-// nodeCapacity returns how many workers a controller takes: their part of the
-// connections that it accepts. The rest is for users.
+// nodeCapacity returns the number of workers that a controller can serve. The remaining
+// connections are reserved for users.
 func nodeCapacity(cfg *config.Config) int {
 	if n := cfg.Settings.Limits.MaxConnections; n > 0 {
 		return max(4, relay.MaxClientConnections(n)*5/6)
@@ -39,19 +40,21 @@
 	return 1 << 30
 }
 
-// MaxFleetSize returns how many machines the controllers can serve together. The leader
-// takes no workers itself while there are others, and one of those may be away.
+// MaxFleetSize returns the number of machines that the controllers can serve together. It counts
+// neither the leader, which redirects workers to the others, nor one other controller, which may
+// be down.
 func MaxFleetSize(cfg *config.Config) int {
 	return nodeCapacity(cfg) * max(1, len(cfg.Seeds)-1)
 }
 
-// RedirectTarget returns to which controller a machine that has just reported through a
-// relay should be redirected, or "" while it stays. first says that the machine was
-// heard of for the first time.
+// RedirectTarget returns the controller to which a machine that has just reported through the
+// relay via should be redirected, or "" if it should stay. first is true for the first
+// heartbeat ever received from the machine.
 //
-// Workers are redirected one at a time, so that no storm comes of it. Only a machine
-// that nobody has heard of before is redirected at once, as it has nothing to lose. A
-// machine that comes back had a reason: the other controller is out of its reach.
+// Redirects are rate-limited so that workers do not reconnect all at once. A new machine that
+// reports directly to the leader is exempt, since it has no tasks that a failed redirect could
+// cost. A machine redirected recently is not redirected again, since it may have returned because
+// it cannot reach the other controller.
 func (l *Links) RedirectTarget(m *fleet.Machine, via string, first bool) string {
 	now := l.engine.Now
 	if len(l.cfg.Seeds) == 0 || !l.leader.MayRedirect() || m.Releasing || now.Sub(m.LastMoved) < 3*l.cfg.Settings.Workers.Lease.Duration() {
--- a/internal/relaylinks/silence.go
+++ b/internal/relaylinks/silence.go
@@ -7,21 +7,23 @@
 	"yewpass/internal/forwarder"
 )
 
-// WorkerRetryTimeout is how long a worker waits for a reply, and until it then asks the
-// next controller: it may have sent its heartbeat to a relay that had just gone silent.
+// WorkerRetryTimeout is the time until a worker tries the next controller after it has sent a
+// heartbeat to a relay that has just failed. It consists of the reply timeout and the delay
+// before the retry.
 const WorkerRetryTimeout = 4*time.Second + time.Second
 
-// MaxReconnectTime returns within which time a worker that is well is heard again although
-// its next heartbeat has no reply and the one after goes to another controller.
+// MaxReconnectTime returns the time within which a healthy worker is heard from again after its
+// relay has failed: its next heartbeat gets no reply and the one after goes to another
+// controller.
 func (l *Links) MaxReconnectTime() time.Duration {
 	return l.heartbeatInterval()*5/4 + WorkerRetryTimeout
 }
 
 func (l *Links) heartbeatInterval() time.Duration { return l.cfg.Settings.Workers.Report.Duration() }
 
-// MarkSilentRelays notes which relays are silent. A worker of theirs is not silent by itself:
-// it finds out when its next heartbeat has had no reply for long, and goes elsewhere
-// then. Released before that it would have lost its tasks for nothing.
+// MarkSilentRelays updates LastSilent of the relays that have missed their keep-alive batches.
+// A healthy worker of such a relay reports to another controller only after its next heartbeat
+// has timed out. It must not be released before that, or its tasks would be lost needlessly.
 func (l *Links) MarkSilentRelays() {
 	for _, s := range l.cfg.Seeds {
 		if link := l.byName[s.HostName]; link != nil && l.engine.Now.Sub(link.LastBatch) > 3*forwarder.KeepAliveInterval {
@@ -30,16 +32,16 @@
 	}
 }
 
-// IsOverdue reports whether a machine's heartbeat is overdue: they come up to a quarter
-// late, and have waited for their replies before.
+// IsOverdue reports whether a machine's next heartbeat is overdue. The limit allows for jitter of
+// a quarter of the interval and for the time until the previous reply.
 func (l *Links) IsOverdue(m *fleet.Machine) bool {
 	return l.engine.Now.Sub(m.LastHeartbeat) > l.heartbeatInterval()*3/2
 }
 
-// MarkIsolatedRelays notes which relays have lost their workers while we hear the relays
-// themselves, given how many of the workers of each are overdue. One machine of many is
-// rather gone itself. A quarter of a relay's falling silent together have lost the relay,
-// and find out as those of a silent one do.
+// MarkIsolatedRelays updates LastSilent of the relays that seem to be cut off from their workers
+// while the leader still receives batches from them. overdue is the number of overdue workers
+// per relay. If more than a quarter of a relay's workers, and at least three, are overdue, they
+// have probably lost the relay. Fewer are assumed to have failed themselves.
 func (l *Links) MarkIsolatedRelays(overdue map[*fleet.RelayLink]int) {
 	for link, n := range overdue {
 		if n > 2 && 4*n > link.Workers {
@@ -48,8 +50,8 @@
 	}
 }
 
-// SilenceLimit returns how long a machine may be silent, given how long one with a relay
-// in order may be.
+// SilenceLimit returns how long a machine may be silent. It extends limit to cover
+// MaxReconnectTime if the machine's relay has been silent since the machine's last heartbeat.
 func (l *Links) SilenceLimit(m *fleet.Machine, limit time.Duration) time.Duration {
 	if m.ReportsVia != nil && m.ReportsVia.LastSilent.After(m.LastHeartbeat) {
 		return max(limit, l.MaxReconnectTime()+time.Second)
