--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -128,7 +128,7 @@
 // not receive them. Its heartbeats then do not count, or it would block the failover for as long as
 // that lasts.
 func (c *Core) lastHeard(m *fleet.Machine) time.Time {
-	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.leadership.relays.RecoveryTime() {
+	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.leadership.relays.MaxReconnectTime() {
 		return m.UnacknowledgedSince
 	}
 	return m.LastHeartbeat
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -133,7 +133,7 @@
 		return
 	}
 	c.tickFleet()
-	c.leadership.publisher.SupplyFollowers()
+	c.leadership.publisher.StartStreams()
 	c.leadership.recurring.Tick()
 	c.afterWhileLeading(tickInterval, c.tickLeader)
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -105,7 +105,7 @@
 type replicationState struct {
 	publisher *replication.Publisher
 	scrubber  *replication.Scrubber
-	finals    replication.FinalsFetch
+	finals    replication.FinalRecordFetch
 }
 
 // startComponents constructs the components of a leadership. The outage monitor, autoscaler, write
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -27,8 +27,8 @@
 	leadership *leadership
 }
 
-// Linked implements relaylinks.Leader.
-func (v relayLinksLeader) Linked(name string) bool { return v.core.election.IsLinked(name) }
+// IsLinked implements relaylinks.Leader.
+func (v relayLinksLeader) IsLinked(name string) bool { return v.core.election.IsLinked(name) }
 
 // MayRedirect implements relaylinks.Leader. Workers are redirected only once the failover is
 // complete.
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -66,14 +66,14 @@
 // is not the leader.
 func (c *Core) replicate(e kv.Entry) {
 	if c.leadership != nil {
-		c.leadership.publisher.PutRead(e)
+		c.leadership.publisher.PublishRead(e)
 	}
 }
 
 // replicateDrop publishes the deletion of a record to the followers.
 func (c *Core) replicateDrop(key string) {
 	if c.leadership != nil {
-		c.leadership.publisher.Drop(key)
+		c.leadership.publisher.PublishDelete(key)
 	}
 }
 
@@ -122,8 +122,8 @@
 	if c.ownReplica() == nil || line.Term >= l.term {
 		return
 	}
-	if fetched := l.finals.Receive(line, replication.FinalsLimit(c.cfg)); fetched != nil {
-		l.publisher.Adopt(fetched)
+	if fetched := l.finals.Receive(line, replication.MaxFinalRecords(c.cfg)); fetched != nil {
+		l.publisher.MergeFetched(fetched)
 		c.rememberFinals(fetched)
 		if l.recurring.Loaded() {
 			l.restorer.RestoreMissingSchedules()
@@ -133,7 +133,7 @@
 
 // rememberFinals caches the final states of the jobs in a replica.
 func (c *Core) rememberFinals(r *replica.Replica) {
-	for id, final := range replication.Finals(r) {
+	for id, final := range replication.FinalRecords(r) {
 		c.jobReader.CacheFinal(id, final)
 	}
 }
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -27,7 +27,7 @@
 
 // ReplicateBatch publishes a committed batch to the replicas.
 func (b writeBatchLeader) ReplicateBatch(batch []*writebatch.Change, rev uint64) {
-	b.c.leadership.publisher.PutCommitted(batch, rev)
+	b.c.leadership.publisher.PublishCommitted(batch, rev)
 }
 
 // ReplicateEntry publishes an entry that was read to the replicas.
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -164,7 +164,7 @@
 func (m *Manager) onFinalCommitted(j *fleet.Job, final record.Final) {
 	id := j.Spec.ID
 	m.Store.CacheFinal(id, final)
-	m.Replicas.Drop(record.JobPrefix + id) // also needed if another leader wrote the final record
+	m.Replicas.PublishDelete(record.JobPrefix + id) // also needed if another leader wrote the final record
 	delete(m.Jobs, id)
 	j.Team.JobCount--
 	m.Placement.DropReservations(j)
