--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -14,8 +14,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// SetupLog sends structured logs to standard error at the level that LOG_LEVEL
-// names.
+// SetupLog configures the default logger to write text records to standard error at the level that
+// LOG_LEVEL names (default info). It also ignores SIGPIPE for the whole process.
 func SetupLog() {
 	level := slog.LevelInfo
 	if s := os.Getenv("LOG_LEVEL"); s != "" {
@@ -23,43 +23,45 @@
 			level = slog.LevelInfo
 		}
 	}
-	// Whoever reads our log may go away; the runtime would end the process with it.
+	// If the reader of standard error exits, the next write raises SIGPIPE, which the Go
+	// runtime would turn into process termination.
 	signal.Ignore(syscall.SIGPIPE)
 	slog.SetDefault(slog.New(slog.NewTextHandler(newLogWriter(os.Stderr), &slog.HandlerOptions{Level: level})))
 }
 
-// maxQueuedLines is how many lines wait for standard error at the most.
+// maxQueuedLines bounds the log lines that are buffered for standard error.
 const maxQueuedLines = 512
 
 var droppedLines = metrics.NewCounter(`yewpass_log_lines_lost_total`)
 
-// logWriter is the actor that writes the log. Standard error may be a pipe that
-// nobody reads: what logs must not wait for it, least of all the core, which would
-// renew no lease and answer no heartbeat. What does not fit is counted and reported later.
+// logWriter writes log lines in its own goroutine. Standard error may be a pipe that nobody reads,
+// and a blocked write must not stop the core from renewing leases and answering heartbeats. Lines
+// that exceed the queue are dropped and counted; the count is logged with the next line.
 type logWriter struct {
-	lines chan []byte
-	lost  atomic.Int64
+	queue   chan []byte
+	dropped atomic.Int64
 }
 
 func newLogWriter(to io.Writer) *logWriter {
-	w := &logWriter{lines: make(chan []byte, maxQueuedLines)}
+	w := &logWriter{queue: make(chan []byte, maxQueuedLines)}
 	go func() {
-		for line := range w.lines {
-			if n := w.lost.Swap(0); n > 0 {
+		for line := range w.queue {
+			if n := w.dropped.Swap(0); n > 0 {
 				line = append(fmt.Appendf(nil, "level=WARN msg=\"log lines lost\" lines=%d\n", n), line...)
 			}
-			to.Write(line) // what fails, fails: there is nowhere to say so
+			to.Write(line) // a write error cannot be reported anywhere
 		}
 	}()
 	return w
 }
 
-// Write queues a copy of the line. It never waits: a line that finds no room is lost and counted.
+// Write queues a copy of the line without blocking. It drops and counts the line when the queue is
+// full, and never returns an error.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
-	case w.lines <- bytes.Clone(line):
+	case w.queue <- bytes.Clone(line):
 	default:
-		w.lost.Add(1)
+		w.dropped.Add(1)
 		droppedLines.Inc()
 	}
 	return len(line), nil
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -8,12 +8,12 @@
 	"yewpass/internal/view"
 )
 
-// gauges shows the core's figures on the metrics page.
-type gauges struct{ now atomic.Pointer[view.Stats] }
+// gauges exports the latest core statistics as Prometheus metrics.
+type gauges struct{ stats atomic.Pointer[view.Stats] }
 
 func newGauges() *gauges {
 	g := &gauges{}
-	g.now.Store(&view.Stats{})
+	g.stats.Store(&view.Stats{})
 	flag := func(b bool) float64 {
 		if b {
 			return 1
@@ -54,7 +54,7 @@
 		"yewpass_occurrences_missed":      func(s *view.Stats) float64 { return float64(s.OccurrencesMissed) },
 		"yewpass_occurrences_late":        func(s *view.Stats) float64 { return float64(s.OccurrencesLate) },
 	} {
-		metrics.NewGauge(name, func() float64 { return f(g.now.Load()) })
+		metrics.NewGauge(name, func() float64 { return f(g.stats.Load()) })
 	}
 	return g
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,5 @@
-// Package node wires the core to its sockets and timers.
+// Package node runs a controller: it connects the core to the network listeners, clients, timers
+// and signals.
 package node
 
 import (
@@ -32,93 +33,96 @@
 	"yewpass/internal/request"
 )
 
-// limitRuntime makes the runtime keep to the machine. The collector runs rarely while
-// the heap is small, and as often as it must near the limit.
+// limitRuntime configures the Go runtime for the memory limit of the settings. The garbage
+// collector runs rarely while the heap is small and more often near the limit.
 func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(cfg.Settings.Limits.MemMB * 0.65 * (1 << 20)))
 	debug.SetGCPercent(400)
 }
 
-// Run runs a node until it fails.
+// Run starts a controller and blocks until it is told to stop, in which case it returns nil, or
+// until the client listener fails.
 func Run(cfg *config.Config, ops *operators.File) error {
 	limitRuntime(cfg)
-	clients, err := net.Listen("tcp", cfg.ClientListen)
+	clientListener, err := net.Listen("tcp", cfg.ClientListen)
 	if err != nil {
-		return fmt.Errorf("client_listen: %w", err)
+		return fmt.Errorf("listen on client_listen: %w", err)
 	}
-	peers, err := net.Listen("tcp", cfg.PeerBind)
+	peerListener, err := net.Listen("tcp", cfg.PeerBind)
 	if err != nil {
-		return fmt.Errorf("peer_bind: %w", err)
+		return fmt.Errorf("listen on peer_bind: %w", err)
 	}
 	var seed [8]byte
 	if _, err := rand.Read(seed[:]); err != nil {
 		return err
 	}
-	inbox, urgent := make(chan any, 1024), make(chan any, 256)
-	leaving := make(chan os.Signal, 1)
-	signal.Notify(leaving, syscall.SIGTERM, syscall.SIGINT)
+	inbox, kvInbox := make(chan any, 1024), make(chan any, 256)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	n := &node{
 		core:      core.New(cfg, ops.Policy, ops.Calendars, binary.LittleEndian.Uint64(seed[:])),
-		store:     kvclient.New(cfg.External.State, urgent),
+		store:     kvclient.New(cfg.External.State, kvInbox),
 		cloud:     cloud.New(cfg.External.Cloud, inbox),
 		prober:    api.NewProber(inbox),
-		mesh:      peer.New(cfg.HostName, cfg.Seeds, peers, inbox),
+		mesh:      peer.New(cfg.HostName, cfg.Seeds, peerListener, inbox),
 		replies:   map[uint64]chan<- any{},
 		refs:      map[chan<- any]uint64{},
 		gauges:    newGauges(),
 		startedAt: time.Now(),
 	}
 	n.core.SetRegions(ops.Regions)
-	failed := make(chan error, 1)
+	serveErr := make(chan error, 1)
 	go func() {
-		failed <- api.Serve(clients, relay.MaxClientConnections(maxSockets(cfg)), inbox, n.isReady)
+		serveErr <- api.Serve(clientListener, relay.MaxClientConnections(maxSockets(cfg)), inbox, n.isReady)
 	}()
 	slog.Info("node started", "node", cfg.HostName, "zone", cfg.Site)
-	return n.loop(urgent, inbox, failed, leaving)
+	return n.loop(kvInbox, inbox, serveErr, signals)
 }
 
+// node connects the core to its I/O. Only the goroutine that runs loop accesses its fields; the
+// atomic ones are also read by isReady.
 type node struct {
-	core        *core.Core
-	store       *kvclient.Client
-	cloud       *cloud.Client
-	prober      *api.Prober
-	mesh        *peer.Mesh
-	lastRef     uint64
-	replies     map[uint64]chan<- any // whom to answer
-	refs        map[chan<- any]uint64
-	ready       atomic.Bool
-	lastStep    atomic.Int64 // when the core last took an input, since began
-	startedAt   time.Time
-	gauges      *gauges
-	gaugesSetAt time.Time // when the gauges were last set
-	userQueue   userQueue
+	core           *core.Core
+	store          *kvclient.Client
+	cloud          *cloud.Client
+	prober         *api.Prober
+	mesh           *peer.Mesh
+	lastRef        uint64
+	replies        map[uint64]chan<- any // by request reference
+	refs           map[chan<- any]uint64 // inverse of replies
+	ready          atomic.Bool
+	lastStepOffset atomic.Int64 // time of the last core step, as an offset from startedAt
+	startedAt      time.Time
+	gauges         *gauges
+	gaugesSetAt    time.Time
+	userQueue      userQueue
 }
 
-// loop takes inputs until the node fails or is told to end. What the state service says
-// goes first: on a node that has fallen behind, the leader lease would run out while its
-// renewal waits in line, and the next leader would have all the more to catch up with.
-func (n *node) loop(urgent, inbox <-chan any, failed <-chan error, leaving <-chan os.Signal) error {
+// loop feeds inputs to the core until the client listener fails or a signal stops the node.
+// Responses of the key-value store take precedence: on an overloaded node the leader lease would
+// otherwise expire while the response to its renewal waits in the queue.
+func (n *node) loop(kvInbox, inbox <-chan any, serveErr <-chan error, signals <-chan os.Signal) error {
 	timer := time.NewTimer(0)
 	var shutdown <-chan time.Time
 	for {
 		var in any
 		select {
-		case in = <-urgent:
+		case in = <-kvInbox:
 		default:
 			in = n.userQueue.next(len(inbox) == 0)
 		}
 		if in == nil {
 			select {
-			case in = <-urgent:
+			case in = <-kvInbox:
 			case in = <-inbox:
 			case <-timer.C:
 				in = core.Tick{}
-			case err := <-failed:
+			case err := <-serveErr:
 				return err
-			case s := <-leaving:
-				// What is on its way has shutdownGrace to go out; a second signal does
-				// not wait for that.
+			case s := <-signals:
+				// Pending responses have shutdownGrace to be sent; a second signal stops
+				// the node at once.
 				if shutdown != nil {
 					return nil
 				}
@@ -137,14 +141,14 @@
 	}
 }
 
-// queueRequest keeps a user's request until it is its turn.
+// queueRequest queues a user request, or rejects it with status 503 when the queue is full.
 func (n *node) queueRequest(in any) {
 	if !n.userQueue.add(in) {
 		n.rejectOverload(in)
 	}
 }
 
-// step has the core take an input, and performs what follows from it.
+// step passes an input to the core and performs the outputs that the core returns.
 func (n *node) step(in any) {
 	switch x := in.(type) {
 	case api.Exchange:
@@ -159,61 +163,61 @@
 		n.perform(output)
 	}
 	n.ready.Store(n.core.Ready())
-	n.lastStep.Store(int64(now.Sub(n.startedAt)))
+	n.lastStepOffset.Store(int64(now.Sub(n.startedAt)))
 	if now.Sub(n.gaugesSetAt) >= gaugesInterval {
 		n.gaugesSetAt = now
 		stats := n.core.Stats()
-		n.gauges.now.Store(&stats)
+		n.gauges.stats.Store(&stats)
 	}
 }
 
-// gaugesInterval is how often the figures of the metrics page are set.
+// gaugesInterval is the minimum time between updates of the metrics.
 const gaugesInterval = time.Second
 
-// shutdownGrace is how long a node that was told to end goes on, to give its leadership
-// back and to answer who waits.
+// shutdownGrace is the time between a stop signal and the exit of the process, in which the node
+// gives up its leadership and answers pending requests.
 const shutdownGrace = 400 * time.Millisecond
 
-// stallThreshold is how long the core may stand still and the node still counts as
-// ready. It takes an input every second at the least.
+// stallThreshold is the time without a core step after which the node is no longer ready. The core
+// takes an input at least once a second.
 const stallThreshold = 4 * time.Second
 
-// isReady is what the load balancer is told. It is asked beside the core, which
-// must not be said to be ready when it has not said so itself for a while.
+// isReady reports whether the load balancer should send requests to this node. It runs outside the
+// core loop, so it also checks that the loop has not stalled.
 func (n *node) isReady() bool {
-	return n.ready.Load() && time.Since(n.startedAt)-time.Duration(n.lastStep.Load()) < stallThreshold
+	return n.ready.Load() && time.Since(n.startedAt)-time.Duration(n.lastStepOffset.Load()) < stallThreshold
 }
 
-// maxSockets is how many sockets the node may have: what its settings say, or less
-// where the system lets a process open fewer files.
+// maxSockets returns the maximum number of open sockets: max_connections of the settings, or the
+// limit of open files of the process if that is lower.
 func maxSockets(cfg *config.Config) int {
-	most := cfg.Settings.Limits.MaxConnections
+	limit := cfg.Settings.Limits.MaxConnections
 	var files syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files) != nil || files.Cur >= uint64(most) {
-		return most
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files) != nil || files.Cur >= uint64(limit) {
+		return limit
 	}
-	slog.Warn("the system allows fewer open files than max_connections", "max_connections", most, "files", files.Cur)
+	slog.Warn("open file limit is lower than max_connections", "max_connections", limit, "files", files.Cur)
 	return int(files.Cur)
 }
 
-// rejectOverload tells a user at once to come back: more calls wait than can be taken
-// in time.
+// rejectOverload answers a user request with status 503 and a retry delay, because the queue of
+// user requests is full.
 func (n *node) rejectOverload(in any) {
 	busy := request.Response{Status: 503, RetryAfter: 2 * time.Second, Reason: "the service is behind"}
 	switch x := in.(type) {
 	case api.Exchange:
-		x.Reply <- busy // has room for its one answer
+		x.Reply <- busy // buffered for exactly one response
 	case peermsg.Received:
 		n.mesh.Send(peermsg.Outgoing{To: x.From, Msg: peermsg.Message{Kind: peermsg.Response, Ref: x.Msg.Ref, Answer: &busy}})
 	}
 }
 
-// register gives a request its number.
-func (n *node) register(c api.Exchange) any {
+// register assigns a reference number to a request, under which answer finds its reply channel.
+func (n *node) register(x api.Exchange) any {
 	n.lastRef++
-	n.replies[n.lastRef] = c.Reply
-	n.refs[c.Reply] = n.lastRef
-	switch in := c.Input.(type) {
+	n.replies[n.lastRef] = x.Reply
+	n.refs[x.Reply] = n.lastRef
+	switch in := x.Input.(type) {
 	case request.Request:
 		in.Ref = n.lastRef
 		return in
@@ -231,13 +235,14 @@
 	}
 }
 
-func (n *node) answer(ref uint64, a any) {
+func (n *node) answer(ref uint64, response any) {
 	if ch := n.replies[ref]; ch != nil {
 		n.forget(ref)
-		ch <- a // has room for its one answer
+		ch <- response // buffered for exactly one response
 	}
 }
 
+// perform carries out one output of the core. None of its cases blocks.
 func (n *node) perform(o any) {
 	switch o := o.(type) {
 	case request.Response:
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -5,17 +5,16 @@
 	"time"
 )
 
-// TestReadyNeedsBeat: a node whose core stands still is not ready, whatever the core
-// said last.
-func TestReadyNeedsBeat(t *testing.T) {
+// TestStalledCoreIsNotReady guards against reporting a node as ready after its core loop stalled.
+func TestStalledCoreIsNotReady(t *testing.T) {
 	n := &node{startedAt: time.Now().Add(-time.Hour)}
 	n.ready.Store(true)
-	n.lastStep.Store(int64(time.Hour - stallThreshold - time.Second))
+	n.lastStepOffset.Store(int64(time.Hour - stallThreshold - time.Second))
 	if n.isReady() {
-		t.Error("ready, and stuck")
+		t.Error("isReady() = true with a stalled core, want false")
 	}
-	n.lastStep.Store(int64(time.Hour))
+	n.lastStepOffset.Store(int64(time.Hour))
 	if !n.isReady() {
-		t.Error("not ready, and well")
+		t.Error("isReady() = false after a recent step, want true")
 	}
 }
--- a/internal/node/user_queue.go
+++ b/internal/node/user_queue.go
@@ -6,20 +6,21 @@
 	"yewpass/internal/request"
 )
 
-// userQueue holds users' calls back behind everything else. When the node falls
-// behind, heartbeats keep worker leases, the store's responses keep the leader lease, and
-// what either of them waits for must not stand behind submissions and polls.
+// userQueue gives user requests a lower priority than all other inputs. When the node is
+// overloaded, heartbeats, which renew worker leases, and responses of the key-value store, which
+// renew the leader lease, must not wait behind submissions and status polls.
 type userQueue struct {
-	requests      []any
-	servedBetween int // other inputs since a call was last taken
+	requests           []any
+	inputsSinceRequest int // other inputs since the last user request was served
 }
 
 const (
-	maxQueuedRequests = 256 // calls that wait; more are sent away at once
-	inputsPerRequest  = 8   // other inputs that go before a call at the most
+	maxQueuedRequests = 256 // further requests are rejected
+	inputsPerRequest  = 8   // other inputs served before a waiting user request gets its turn
 )
 
-// isUserRequest reports whether an input is a user's call, our own or a peer's.
+// isUserRequest reports whether an input is a user's request, received directly or forwarded by a
+// peer.
 func isUserRequest(in any) bool {
 	switch x := in.(type) {
 	case api.Exchange:
@@ -31,25 +32,26 @@
 	return false
 }
 
-// add keeps a call; false when too many wait.
-func (l *userQueue) add(in any) bool {
-	if len(l.requests) >= maxQueuedRequests {
+// add queues a request. It returns false when the queue is full.
+func (q *userQueue) add(in any) bool {
+	if len(q.requests) >= maxQueuedRequests {
 		return false
 	}
-	l.requests = append(l.requests, in)
+	q.requests = append(q.requests, in)
 	return true
 }
 
-// next returns the call whose turn it is, or nil while other inputs go first.
-func (l *userQueue) next(nothingElse bool) any {
-	if len(l.requests) == 0 {
+// next returns the request to serve now, or nil while other inputs take precedence or the queue is
+// empty. inboxEmpty means that no other input is waiting.
+func (q *userQueue) next(inboxEmpty bool) any {
+	if len(q.requests) == 0 {
 		return nil
 	}
-	if l.servedBetween++; !nothingElse && l.servedBetween <= inputsPerRequest {
+	if q.inputsSinceRequest++; !inboxEmpty && q.inputsSinceRequest <= inputsPerRequest {
 		return nil
 	}
-	in := l.requests[0]
-	l.requests[0] = nil
-	l.requests, l.servedBetween = l.requests[1:], 0
+	in := q.requests[0]
+	q.requests[0] = nil
+	q.requests, q.inputsSinceRequest = q.requests[1:], 0
 	return in
 }
--- a/internal/node/user_queue_test.go
+++ b/internal/node/user_queue_test.go
@@ -10,9 +10,9 @@
 	"yewpass/internal/request"
 )
 
-// TestLater: users' calls wait behind other inputs, in order, not for ever, and
-// not without bound.
-func TestLater(t *testing.T) {
+// TestUserQueue checks that user requests yield to other inputs, keep their order, are never
+// starved, and are bounded in number.
+func TestUserQueue(t *testing.T) {
 	for in, want := range map[any]bool{
 		api.Exchange{Input: heartbeat.Received{}.Ref}:                  false,
 		peermsg.Received{Msg: peermsg.Message{Kind: peermsg.Request}}:  true,
@@ -21,36 +21,36 @@
 		core.Tick{}: false,
 	} {
 		if isUserRequest(in) != want {
-			t.Errorf("%T %v: not %v", in, in, want)
+			t.Errorf("isUserRequest(%T %v) is not %v", in, in, want)
 		}
 	}
 	if !isUserRequest(api.Exchange{Input: request.Request{Op: request.Get}}) {
-		t.Error("a poll is no user's call")
+		t.Error("isUserRequest = false for a get request, want true")
 	}
-	var l userQueue
-	if l.next(true) != nil {
-		t.Error("due before anything waits")
+	var q userQueue
+	if q.next(true) != nil {
+		t.Error("next returned a request from an empty queue")
 	}
 	for i := range maxQueuedRequests {
-		if !l.add(i) {
-			t.Fatal("turned away at", i)
+		if !q.add(i) {
+			t.Fatalf("add rejected request %d, want it queued", i)
 		}
 	}
-	if l.add(maxQueuedRequests) {
-		t.Error("no bound")
+	if q.add(maxQueuedRequests) {
+		t.Error("add accepted a request beyond maxQueuedRequests")
 	}
-	if got := l.next(true); got != 0 {
-		t.Error("first", got)
+	if got := q.next(true); got != 0 {
+		t.Errorf("first request is %v, want 0", got)
 	}
 	for i := range inputsPerRequest {
-		if got := l.next(false); got != nil {
-			t.Errorf("%v goes before input %d", got, i)
+		if got := q.next(false); got != nil {
+			t.Errorf("next returned %v before other input %d, want nil", got, i)
 		}
 	}
-	if got := l.next(false); got != 1 {
-		t.Error("starved:", got)
+	if got := q.next(false); got != 1 {
+		t.Errorf("next returned %v after inputsPerRequest other inputs, want 1", got)
 	}
-	if !l.add(0) {
-		t.Error("room that came free is not used")
+	if !q.add(0) {
+		t.Error("add rejected a request although the queue has room")
 	}
 }
