--- a/cmd/yewlab/main.go
+++ b/cmd/yewlab/main.go
@@ -1,5 +1,5 @@
-// Command yewlab plays yewpass at a planned size: real controllers on the loopback
-// interface against the stand-ins of the scenarios.
+// Command yewlab runs load tests of yewpass at a planned cluster size: real controllers on the
+// loopback interface against simulated external services, users and workers.
 package main
 
 import (
@@ -16,14 +16,14 @@
 	"yewpass/internal/scenario"
 )
 
-// errBroken ends a run in which a rule was broken or something was lost.
-var errBroken = errors.New("a rule was broken, or the run itself failed")
+// errRunFailed is returned after a run that violated an invariant or reported errors.
+var errRunFailed = errors.New("the run violated an invariant or reported errors")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	root := &cobra.Command{Use: "yewlab", Short: "Play yewpass at a planned size", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(scaleCommand(), slopesCommand(), reportsCommand())
+	root.AddCommand(scaleCommand(), slopesCommand(), heartbeatLoadCommand())
 	if err := root.ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "yewlab:", err)
 		stop()
@@ -31,7 +31,7 @@
 	}
 }
 
-// slopesCommand fits lines through reports of several sizes.
+// slopesCommand fits linear trends to the reports of scale runs of several sizes.
 func slopesCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "slopes REPORT...", Short: "Fit lines through JSON reports of scale runs of several sizes", Args: cobra.MinimumNArgs(3),
@@ -61,20 +61,22 @@
 	return cmd
 }
 
-// reportCost measures what a report takes of a worker, in a process of this program.
-func reportCost(ctx context.Context) (cost scenario.ReportCost, err error) {
+// measureHeartbeatCost measures what sending a heartbeat costs a worker. It runs this program again
+// with the heartbeat load command as a separate process.
+func measureHeartbeatCost(ctx context.Context) (cost scenario.ReportCost, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return cost, err
 	}
-	return scenario.MeasureReportCost(ctx, self, reportsName)
+	return scenario.MeasureReportCost(ctx, self, heartbeatLoadName)
 }
 
-const reportsName = "make-reports"
+// heartbeatLoadName is the name of the hidden command that measureHeartbeatCost runs.
+const heartbeatLoadName = "make-reports"
 
-// reportsCommand is the other side of reportCost.
-func reportsCommand() *cobra.Command {
-	return &cobra.Command{Use: reportsName + " ADDRESS", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
+// heartbeatLoadCommand sends heartbeats to an address and prints their cost as JSON.
+func heartbeatLoadCommand() *cobra.Command {
+	return &cobra.Command{Use: heartbeatLoadName + " ADDRESS", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 		cost, err := scenario.MakeReports(args[0])
 		if err != nil {
 			return err
@@ -100,7 +102,7 @@
 			if err != nil {
 				return err
 			}
-			if report.Worker.Cost, err = reportCost(cmd.Context()); err != nil {
+			if report.Worker.Cost, err = measureHeartbeatCost(cmd.Context()); err != nil {
 				return err
 			}
 			if asJSON {
@@ -113,7 +115,7 @@
 				report.Print(cmd.OutOrStdout())
 			}
 			if report.Broken() {
-				return errBroken
+				return errRunFailed
 			}
 			return nil
 		},
--- a/cmd/yewpass/client.go
+++ b/cmd/yewpass/client.go
@@ -19,22 +19,22 @@
 // Exit codes of the client commands.
 const (
 	exitUsage       = 1 // bad arguments, files or an unreachable node
-	exitRejected    = 2 // the node says no for good: 400, 404, 422
-	exitUnavailable = 3 // the node says to come back later: 429, 503
+	exitRejected    = 2 // permanent rejection by the node, such as 400, 404 or 422
+	exitUnavailable = 3 // temporary failure of the node: 429 or 5xx
 )
 
-// statusError is an answer that is not a success.
+// statusError is an HTTP response whose status is not a success.
 type statusError struct {
-	status int
-	reason string
-	after  string
+	status     int
+	reason     string
+	retryAfter string
 }
 
-// Error gives the status, the reason and, where the node named one, the time to wait.
+// Error returns the status, the reason and, if the node sent one, the retry delay.
 func (e *statusError) Error() string {
 	s := fmt.Sprintf("%d %s: %s", e.status, http.StatusText(e.status), e.reason)
-	if e.after != "" {
-		s += " (retry after " + e.after + " s)"
+	if e.retryAfter != "" {
+		s += " (retry after " + e.retryAfter + " s)"
 	}
 	return s
 }
@@ -89,11 +89,11 @@
 	}
 	node := nodeFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		data, err := readFile(cmd, args[0])
+		data, err := readInput(cmd, args[0])
 		if err != nil {
 			return err
 		}
-		return call(cmd, http.MethodPost, *node, "/v2/runs", data)
+		return callAndPrint(cmd, http.MethodPost, *node, "/v2/runs", data)
 	}
 	return cmd
 }
@@ -102,7 +102,7 @@
 	cmd := &cobra.Command{Use: "status ID", Short: "Show a job's state", Args: cobra.ExactArgs(1)}
 	node := nodeFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		return call(cmd, http.MethodGet, *node, "/v2/runs/"+args[0], nil)
+		return callAndPrint(cmd, http.MethodGet, *node, "/v2/runs/"+args[0], nil)
 	}
 	return cmd
 }
@@ -111,30 +111,31 @@
 	cmd := &cobra.Command{Use: "cancel ID", Short: "Cancel a job", Args: cobra.ExactArgs(1)}
 	node := nodeFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		return call(cmd, http.MethodPost, *node, "/v2/runs/"+args[0]+"/cancel", nil)
+		return callAndPrint(cmd, http.MethodPost, *node, "/v2/runs/"+args[0]+"/cancel", nil)
 	}
 	return cmd
 }
 
-// call makes a request and prints the answer.
-func call(cmd *cobra.Command, method, node, path string, body []byte) error {
+// callAndPrint sends a request and prints the JSON response.
+func callAndPrint(cmd *cobra.Command, method, node, path string, body []byte) error {
 	var v json.RawMessage
-	if err := exchange(method, node, path, body, nil, &v); err != nil {
+	if err := doRequest(method, node, path, body, nil, &v); err != nil {
 		return err
 	}
 	fmt.Fprintln(cmd.OutOrStdout(), string(bytes.TrimSpace(v)))
 	return nil
 }
 
-// exchange makes a request and reads the answer into v.
-func exchange(method, node, path string, body []byte, head http.Header, v any) error {
+// doRequest sends a request to a node and decodes the JSON response into v. It returns a
+// *statusError if the node reports a failure.
+func doRequest(method, node, path string, body []byte, header http.Header, v any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	for k, vs := range head {
+	for k, vs := range header {
 		req.Header[k] = vs
 	}
 	resp, err := http.DefaultClient.Do(req)
@@ -156,7 +157,7 @@
 		return &statusError{resp.StatusCode, e.Error, resp.Header.Get("Retry-After")}
 	}
 	if err := json.Unmarshal(data, v); err != nil {
-		return fmt.Errorf("the node's answer is not JSON: %w", err)
+		return fmt.Errorf("decode the node's response: %w", err)
 	}
 	return nil
 }
--- a/cmd/yewpass/cluster.go
+++ b/cmd/yewpass/cluster.go
@@ -13,7 +13,7 @@
 	"yewpass/internal/view"
 )
 
-// clusterCommand shows the controllers and hands the leadership over.
+// clusterCommand shows the state of the controllers; its subcommand transfers the leadership.
 func clusterCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "cluster", Short: "Show who leads, and by which node machines report", Args: cobra.NoArgs,
@@ -22,24 +22,24 @@
 			"  yewpass cluster hand-over",
 	}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
-	cmd.PersistentFlags().AddFlagSet(cmd.Flags()) // hand-over has them as well
-	ask := func(cmd *cobra.Command, method, path string) error {
+	cmd.PersistentFlags().AddFlagSet(cmd.Flags()) // inherited by hand-over
+	fetch := func(cmd *cobra.Command, method, path string) error {
 		if *asJSON {
-			return call(cmd, method, *node, path, nil)
+			return callAndPrint(cmd, method, *node, path, nil)
 		}
 		var v view.Cluster
-		if err := exchange(method, *node, path, nil, nil, &v); err != nil {
+		if err := doRequest(method, *node, path, nil, nil, &v); err != nil {
 			return err
 		}
 		printCluster(cmd, &v)
 		return nil
 	}
-	cmd.RunE = func(cmd *cobra.Command, _ []string) error { return ask(cmd, http.MethodGet, "/v2/cluster") }
+	cmd.RunE = func(cmd *cobra.Command, _ []string) error { return fetch(cmd, http.MethodGet, "/v2/cluster") }
 	cmd.AddCommand(&cobra.Command{
 		Use: "hand-over", Short: "Have the leader give its leadership to another node", Args: cobra.NoArgs,
 		Long: "The leader ends its term and another controller begins the next at once. Refused while no other is in reach or a take-over is not complete. Prints what the leader knew last.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return ask(cmd, http.MethodPost, "/v2/cluster/hand-over")
+			return fetch(cmd, http.MethodPost, "/v2/cluster/hand-over")
 		},
 	})
 	return cmd
--- a/cmd/yewpass/config.go
+++ b/cmd/yewpass/config.go
@@ -37,10 +37,10 @@
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		var v view.Team
-		if err := exchange(http.MethodGet, *node, teamsPath+"/"+url.PathEscape(args[0]), nil, nil, &v); err != nil {
+		if err := doRequest(http.MethodGet, *node, teamsPath+"/"+url.PathEscape(args[0]), nil, nil, &v); err != nil {
 			return err
 		}
-		return show(cmd, *asJSON, v, func(w io.Writer) { teamsText(w, []view.Team{v}) })
+		return printResult(cmd, *asJSON, v, func(w io.Writer) { printTeams(w, []view.Team{v}) })
 	}
 	return cmd
 }
@@ -49,24 +49,24 @@
 	cmd := &cobra.Command{Use: "list", Short: "List all teams", Args: cobra.NoArgs}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		all, err := allTeams(*node)
+		all, err := listTeams(*node)
 		if err != nil {
 			return err
 		}
-		return show(cmd, *asJSON, all, func(w io.Writer) {
+		return printResult(cmd, *asJSON, all, func(w io.Writer) {
 			fmt.Fprintf(w, "revision %d\n", all.Revision)
-			teamsText(w, all.Teams)
+			printTeams(w, all.Teams)
 		})
 	}
 	return cmd
 }
 
-// allTeams reads the list page by page.
-func allTeams(node string) (all view.TeamPage, err error) {
+// listTeams fetches all pages of the list of teams.
+func listTeams(node string) (all view.TeamPage, err error) {
 	query := url.Values{"limit": {strconv.Itoa(request.MaxCount)}}
 	for {
 		var page view.TeamPage
-		if err := exchange(http.MethodGet, node, teamsPath+"?"+query.Encode(), nil, nil, &page); err != nil {
+		if err := doRequest(http.MethodGet, node, teamsPath+"?"+query.Encode(), nil, nil, &page); err != nil {
 			return all, err
 		}
 		all.Revision, all.Teams = page.Revision, append(all.Teams, page.Teams...)
@@ -77,7 +77,7 @@
 	}
 }
 
-func teamsText(out io.Writer, teams []view.Team) {
+func printTeams(out io.Writer, teams []view.Team) {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "TEAM\tCPUS\tCPUS MAX\tGPUS\tGPUS MAX\tIN USE\tREVISION\tREMARK")
 	for _, t := range teams {
@@ -93,13 +93,13 @@
 	w.Flush()
 }
 
-// teamsFile is the file of a change.
+// teamsFile is the TOML file of a configuration change.
 type teamsFile struct {
 	Teams []liveconfig.TeamChange `toml:"teams" json:"teams"`
 }
 
-// readTeams reads the file of a change and checks what needs no server.
-func readTeams(data []byte) (f teamsFile, err error) {
+// parseTeamsFile decodes a teams file and checks what can be checked without a server.
+func parseTeamsFile(data []byte) (f teamsFile, err error) {
 	if err := tomltext.Decode(data, &f, true); err != nil {
 		return f, err
 	}
@@ -116,11 +116,11 @@
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	revision := cmd.Flags().Uint64("if-revision", 0, "only if the configuration as a whole still has this revision; by default the teams must be as they are when the command begins")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		data, err := readFile(cmd, args[0])
+		data, err := readInput(cmd, args[0])
 		if err != nil {
 			return err
 		}
-		file, err := readTeams(data)
+		file, err := parseTeamsFile(data)
 		if err != nil {
 			return fmt.Errorf("%s: %w", args[0], err)
 		}
@@ -130,7 +130,7 @@
 		}{teamsFile: file}
 		if cmd.Flags().Changed("if-revision") {
 			change.IfRevision = revision
-		} else if err := asTheyAre(*node, change.Teams); err != nil {
+		} else if err := requireCurrentRevisions(*node, change.Teams); err != nil {
 			return err
 		}
 		body, err := json.Marshal(change)
@@ -138,18 +138,18 @@
 			return err
 		}
 		var made view.ConfigChanged
-		if err := exchange(http.MethodPost, *node, "/v2/config", body, nil, &made); err != nil {
+		if err := doRequest(http.MethodPost, *node, "/v2/config", body, nil, &made); err != nil {
 			return err
 		}
-		return show(cmd, *asJSON, made, func(w io.Writer) { fmt.Fprintf(w, "revision %d\n", made.Revision) })
+		return printResult(cmd, *asJSON, made, func(w io.Writer) { fmt.Fprintf(w, "revision %d\n", made.Revision) })
 	}
 	return cmd
 }
 
-// asTheyAre makes a change conditional on the revisions that its teams have now: should it be
-// carried out late, it does not undo what has come after it.
-func asTheyAre(node string, changes []liveconfig.TeamChange) error {
-	all, err := allTeams(node)
+// requireCurrentRevisions makes a change conditional on the current revisions of its teams, so that
+// a delayed request cannot overwrite a later change.
+func requireCurrentRevisions(node string, changes []liveconfig.TeamChange) error {
+	all, err := listTeams(node)
 	if err != nil {
 		return err
 	}
@@ -169,15 +169,15 @@
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		var v view.ConfigStatus
-		if err := exchange(http.MethodGet, *node, "/v2/config", nil, nil, &v); err != nil {
+		if err := doRequest(http.MethodGet, *node, "/v2/config", nil, nil, &v); err != nil {
 			return err
 		}
-		return show(cmd, *asJSON, v, func(w io.Writer) { configStatusText(w, &v) })
+		return printResult(cmd, *asJSON, v, func(w io.Writer) { printConfigStatus(w, &v) })
 	}
 	return cmd
 }
 
-func configStatusText(out io.Writer, v *view.ConfigStatus) {
+func printConfigStatus(out io.Writer, v *view.ConfigStatus) {
 	fmt.Fprintf(out, "revision %d, %d changes under this leader, %d waiting, the last one known everywhere after %s\n",
 		v.Revision, v.Changes, v.Waiting, time.Duration(v.PropagationSeconds*float64(time.Second)).Round(time.Millisecond))
 	if v.Refusal != "" {
--- a/cmd/yewpass/main.go
+++ b/cmd/yewpass/main.go
@@ -1,4 +1,4 @@
-// Command yewpass runs a controller of the yewpass scheduler and talks to one.
+// Command yewpass runs a controller of the yewpass scheduler, and is its command-line client.
 package main
 
 import (
@@ -16,27 +16,28 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
-		lastWords(err)
+	if err := rootCommand().Execute(); err != nil {
+		reportFailure(err)
 		os.Exit(exitCode(err))
 	}
 }
 
-// lastWords says what ended the program, if standard error takes it: a pipe that
-// nobody reads must not keep a process that has failed from being started again.
-func lastWords(err error) {
-	said := make(chan struct{})
+// reportFailure prints the final error to standard error. It waits at most a second, because
+// writing to a pipe that nobody reads would block and keep a supervisor from restarting the failed
+// process.
+func reportFailure(err error) {
+	printed := make(chan struct{})
 	go func() {
 		fmt.Fprintln(os.Stderr, "yewpass:", err)
-		close(said)
+		close(printed)
 	}()
 	select {
-	case <-said:
+	case <-printed:
 	case <-time.After(time.Second):
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var settings, ops string
 	cmd := &cobra.Command{
 		Use:   "yewpass",
@@ -71,7 +72,7 @@
 	return cmd
 }
 
-// version tells what this program was built from.
+// version returns the module version, the VCS revision and the Go version of the build.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/yewpass/preview.go
+++ b/cmd/yewpass/preview.go
@@ -12,12 +12,12 @@
 	"yewpass/internal/schedule"
 )
 
-func previewCommand() *cobra.Command {
+func schedulePreviewCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "preview FILE", Short: "Show when a schedule file would run, without a server", Args: cobra.ExactArgs(1),
 		Long: "One line an occurrence: start, due (or -), job id and a remark, separated by tabs. Of the id the part that the server gives is shown as ?.",
 		Example: "  yewpass schedule preview nightly.toml --operators deploy/operators.toml --from 2027-01-01T00:00:00Z --count 12\n" +
 			"  yewpass schedule preview nightly.toml --all"}
-	var p preview
+	var p previewOptions
 	cmd.Flags().StringVar(&p.operators, "operators", "", "operators' file with the calendars")
 	cmd.Flags().StringVar(&p.from, "from", "", "show what starts at or after this time (RFC 3339); now by default")
 	cmd.Flags().IntVar(&p.count, "count", 10, "how many occurrences")
@@ -29,37 +29,37 @@
 			return err
 		}
 		if *asJSON {
-			return show(cmd, true, lines, nil)
+			return printResult(cmd, true, lines, nil)
 		}
 		for _, l := range lines {
-			fmt.Fprintf(cmd.OutOrStdout(), "%s\t%s\t%s\t%s\n", l.Start.Format(time.RFC3339), stamp(l.Due), l.ID, l.Remark)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s\t%s\t%s\t%s\n", l.Start.Format(time.RFC3339), formatTime(l.Due), l.ID, l.Remark)
 		}
 		return nil
 	}
 	return cmd
 }
 
-// preview is what the command was asked for.
-type preview struct {
+// previewOptions holds the flags of the preview command.
+type previewOptions struct {
 	operators string
 	from      string
 	count     int
 	all       bool
 }
 
-// previewLine is an occurrence of a preview.
+// previewLine is an occurrence as the preview prints it.
 type previewLine struct {
 	schedule.Upcoming
 	Skipped bool `json:"skipped,omitempty"`
 }
 
 // run returns the occurrences of a schedule file.
-func (p *preview) run(cmd *cobra.Command, path string) ([]previewLine, error) {
+func (p *previewOptions) run(cmd *cobra.Command, path string) ([]previewLine, error) {
 	file, err := operators.Load(p.operators)
 	if err != nil {
 		return nil, err
 	}
-	f, err := scheduleFile(cmd, path)
+	f, err := readScheduleFile(cmd, path)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	at, err := p.start()
+	at, err := p.startTime()
 	if err != nil {
 		return nil, err
 	}
@@ -78,13 +78,13 @@
 		return nil, fmt.Errorf("%s: rule: never occurs from %s on", path, at.Format(time.RFC3339))
 	}
 	if p.all {
-		return p.withSkipped(def, at), nil
+		return p.allOccurrences(def, at), nil
 	}
-	return p.occurring(def, at), nil
+	return p.scheduledOccurrences(def, at), nil
 }
 
-// start returns the time that the preview starts at.
-func (p *preview) start() (time.Time, error) {
+// startTime returns the time of --from, or the current time by default.
+func (p *previewOptions) startTime() (time.Time, error) {
 	if p.from == "" {
 		return time.Now(), nil
 	}
@@ -95,25 +95,25 @@
 	return at, nil
 }
 
-// occurring returns the occurrences that would run.
-func (p *preview) occurring(def *schedule.Def, at time.Time) (lines []previewLine) {
+// scheduledOccurrences returns the next occurrences that would run.
+func (p *previewOptions) scheduledOccurrences(def *schedule.Def, at time.Time) (lines []previewLine) {
 	cursor := def.From(at.Add(-time.Nanosecond))
 	for range p.count {
 		o, ok := def.Next(cursor)
 		if !ok {
 			break
 		}
-		lines = append(lines, previewed(def, o))
+		lines = append(lines, newPreviewLine(def, o))
 		cursor = cursor.Past(o)
 	}
 	return lines
 }
 
-// maxMoveDays is how far a holiday can move an occurrence, with room to spare.
+// maxMoveDays is an upper bound of the days by which the holiday rule moves an occurrence.
 const maxMoveDays = 31
 
-// withSkipped returns the occurrences that would run and those that are skipped between them.
-func (p *preview) withSkipped(def *schedule.Def, at time.Time) (lines []previewLine) {
+// allOccurrences returns the next occurrences that would run and the skipped ones between them.
+func (p *previewOptions) allOccurrences(def *schedule.Def, at time.Time) (lines []previewLine) {
 	first := calendar.DateOf(calendar.Wall(at, def.Timing.Zone())).AddDate(0, 0, -maxMoveDays)
 	running := 0
 	for o := range def.Timing.All(first) {
@@ -126,13 +126,14 @@
 		if !o.Skipped {
 			running++
 		}
-		lines = append(lines, previewed(def, o))
+		lines = append(lines, newPreviewLine(def, o))
 	}
 	return lines
 }
 
-// previewed returns an occurrence with the id that its job would have, as far as it is known.
-func previewed(def *schedule.Def, o calendar.Occurrence) previewLine {
+// newPreviewLine returns the line of an occurrence. The part of the job id that the server assigns
+// is unknown.
+func newPreviewLine(def *schedule.Def, o calendar.Occurrence) previewLine {
 	u := *def.Tell(0, o)
 	u.ID = schedule.UnknownID(o.Nominal)
 	return previewLine{u, o.Skipped}
--- a/cmd/yewpass/schedule.go
+++ b/cmd/yewpass/schedule.go
@@ -25,24 +25,24 @@
 			"  yewpass schedule add nightly.toml --node 10.0.0.1:8080\n" +
 			"  yewpass schedule history nightly --json",
 	}
-	cmd.AddCommand(previewCommand(), putCommand("add", "Add the schedule that a TOML file describes; - reads standard input"),
-		putCommand("edit", "Replace the definition of the schedule that a TOML file names; - reads standard input"),
-		listCommand(), showCommand(), historyCommand(), upcomingCommand(), runCommand(),
-		scheduleAction("pause", "Make no jobs until resumed", http.MethodPost, "/pause"),
-		scheduleAction("resume", "Make jobs again; what was due meanwhile does not run", http.MethodPost, "/resume"),
-		scheduleAction("remove", "Remove a schedule; jobs that it has made go on", http.MethodDelete, ""))
+	cmd.AddCommand(schedulePreviewCommand(), schedulePutCommand("add", "Add the schedule that a TOML file describes; - reads standard input"),
+		schedulePutCommand("edit", "Replace the definition of the schedule that a TOML file names; - reads standard input"),
+		scheduleListCommand(), scheduleShowCommand(), scheduleHistoryCommand(), scheduleUpcomingCommand(), scheduleRunCommand(),
+		scheduleActionCommand("pause", "Make no jobs until resumed", http.MethodPost, "/pause"),
+		scheduleActionCommand("resume", "Make jobs again; what was due meanwhile does not run", http.MethodPost, "/resume"),
+		scheduleActionCommand("remove", "Remove a schedule; jobs that it has made go on", http.MethodDelete, ""))
 	return cmd
 }
 
-func readFile(cmd *cobra.Command, path string) ([]byte, error) {
+func readInput(cmd *cobra.Command, path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(cmd.InOrStdin())
 	}
 	return os.ReadFile(path)
 }
 
-func scheduleFile(cmd *cobra.Command, path string) (*schedule.File, error) {
-	data, err := readFile(cmd, path)
+func readScheduleFile(cmd *cobra.Command, path string) (*schedule.File, error) {
+	data, err := readInput(cmd, path)
 	if err != nil {
 		return nil, err
 	}
@@ -55,7 +55,7 @@
 
 func schedulePath(name string) string { return "/v2/schedules/" + url.PathEscape(name) }
 
-func putCommand(verb, short string) *cobra.Command {
+func schedulePutCommand(verb, short string) *cobra.Command {
 	cmd := &cobra.Command{Use: verb + " FILE", Short: short, Args: cobra.ExactArgs(1), Example: "  yewpass schedule " + verb + " nightly.toml"}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	match := new(string)
@@ -63,30 +63,30 @@
 		match = cmd.Flags().String("if-match", "", "the ETag that the edit is based on; by default the one that the schedule has now")
 	}
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		f, err := scheduleFile(cmd, args[0])
+		f, err := readScheduleFile(cmd, args[0])
 		if err != nil {
 			return err
 		}
-		head := http.Header{"If-None-Match": {"*"}}
+		header := http.Header{"If-None-Match": {"*"}}
 		if verb == "edit" {
 			if *match == "" {
 				var v schedule.View
-				if err := exchange(http.MethodGet, *node, schedulePath(f.Name), nil, nil, &v); err != nil {
+				if err := doRequest(http.MethodGet, *node, schedulePath(f.Name), nil, nil, &v); err != nil {
 					return err
 				}
 				*match = v.ETag
 			}
-			head = http.Header{"If-Match": {*match}}
+			header = http.Header{"If-Match": {*match}}
 		}
 		data, err := json.Marshal(f)
 		if err != nil {
 			return err
 		}
 		var v schedule.View
-		if err := exchange(http.MethodPut, *node, schedulePath(f.Name), data, head, &v); err != nil {
+		if err := doRequest(http.MethodPut, *node, schedulePath(f.Name), data, header, &v); err != nil {
 			return err
 		}
-		return show(cmd, *asJSON, v, func(w io.Writer) { viewText(w, &v) })
+		return printResult(cmd, *asJSON, v, func(w io.Writer) { printSchedule(w, &v) })
 	}
 	return cmd
 }
@@ -95,8 +95,9 @@
 	return cmd.Flags().Bool("json", false, "print JSON")
 }
 
-// show prints a document, as JSON or as text.
-func show(cmd *cobra.Command, asJSON bool, v any, text func(w io.Writer)) error {
+// printResult prints v as JSON, or as the text that the given function writes in tab-separated
+// columns.
+func printResult(cmd *cobra.Command, asJSON bool, v any, text func(w io.Writer)) error {
 	if asJSON {
 		enc := json.NewEncoder(cmd.OutOrStdout())
 		enc.SetEscapeHTML(false)
@@ -108,21 +109,21 @@
 	return w.Flush()
 }
 
-func stamp(t *time.Time) string {
+func formatTime(t *time.Time) string {
 	if t == nil || t.IsZero() {
 		return "-"
 	}
 	return t.Format(time.RFC3339)
 }
 
-func next(u *schedule.Upcoming) string {
+func formatNextStart(u *schedule.Upcoming) string {
 	if u == nil {
 		return "-"
 	}
 	return u.Start.Format(time.RFC3339)
 }
 
-func viewText(w io.Writer, v *schedule.View) {
+func printSchedule(w io.Writer, v *schedule.View) {
 	var f schedule.File
 	if json.Unmarshal(v.Schedule, &f) != nil {
 		return
@@ -142,33 +143,33 @@
 	}
 	fmt.Fprintf(w, "name\t%s\nstate\t%s\nnumber\t%d\netag\t%s\nrule\t%s\nat\t%s %s\ncalendar\t%s %s\n", f.Name, state, v.Number, v.ETag, f.Rule,
 		strings.Join(f.At, " "), f.Zone, orNone(f.Calendar), f.OnHoliday)
-	fmt.Fprintf(w, "due at\t%s\noverlap\t%s\ncatch up\t%s\nmade\t%d\nmissed\t%d\nlate\t%d\nnext\t%s\n", orNone(f.DueAt), orNone(f.Overlap), orNone(f.CatchUp), v.Made, v.Missed, v.Late, next(v.Next))
+	fmt.Fprintf(w, "due at\t%s\noverlap\t%s\ncatch up\t%s\nmade\t%d\nmissed\t%d\nlate\t%d\nnext\t%s\n", orNone(f.DueAt), orNone(f.Overlap), orNone(f.CatchUp), v.Made, v.Missed, v.Late, formatNextStart(v.Next))
 	if v.Next != nil {
 		fmt.Fprintf(w, "next job\t%s\n", v.Next.ID)
 	}
 }
 
-func showCommand() *cobra.Command {
+func scheduleShowCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "show NAME", Short: "Show a schedule", Args: cobra.ExactArgs(1)}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		var v schedule.View
-		if err := exchange(http.MethodGet, *node, schedulePath(args[0]), nil, nil, &v); err != nil {
+		if err := doRequest(http.MethodGet, *node, schedulePath(args[0]), nil, nil, &v); err != nil {
 			return err
 		}
-		return show(cmd, *asJSON, v, func(w io.Writer) { viewText(w, &v) })
+		return printResult(cmd, *asJSON, v, func(w io.Writer) { printSchedule(w, &v) })
 	}
 	return cmd
 }
 
-func listCommand() *cobra.Command {
+func scheduleListCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "list", Short: "List all schedules", Args: cobra.NoArgs}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		all := schedule.Page{Schedules: []schedule.Brief{}}
 		for after := ""; ; {
 			var p schedule.Page
-			if err := exchange(http.MethodGet, *node, "/v2/schedules?limit=200&after="+url.QueryEscape(after), nil, nil, &p); err != nil {
+			if err := doRequest(http.MethodGet, *node, "/v2/schedules?limit=200&after="+url.QueryEscape(after), nil, nil, &p); err != nil {
 				return err
 			}
 			all.Schedules = append(all.Schedules, p.Schedules...)
@@ -177,10 +178,10 @@
 			}
 			after = p.Schedules[len(p.Schedules)-1].Name
 		}
-		return show(cmd, *asJSON, all, func(w io.Writer) {
+		return printResult(cmd, *asJSON, all, func(w io.Writer) {
 			fmt.Fprintln(w, "NAME\tNEXT\tMADE\tMISSED\tLATE\tRULE")
 			for _, s := range all.Schedules {
-				when := next(s.Next)
+				when := formatNextStart(s.Next)
 				if s.Paused {
 					when = "paused"
 				}
@@ -194,52 +195,52 @@
 	return cmd
 }
 
-func historyCommand() *cobra.Command {
+func scheduleHistoryCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "history NAME", Short: "Show the last occurrences, the latest first", Args: cobra.ExactArgs(1)}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		var h schedule.History
-		if err := exchange(http.MethodGet, *node, schedulePath(args[0])+"/history", nil, nil, &h); err != nil {
+		if err := doRequest(http.MethodGet, *node, schedulePath(args[0])+"/history", nil, nil, &h); err != nil {
 			return err
 		}
-		return show(cmd, *asJSON, h, func(w io.Writer) {
+		return printResult(cmd, *asJSON, h, func(w io.Writer) {
 			fmt.Fprintln(w, "PLANNED\tSTATE\tMADE\tSTARTED\tDONE\tDUE\tJOB\tREASON")
 			for _, p := range h.History {
 				state := p.State
 				if p.Late {
 					state += ", late"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", stamp(p.Planned), state, stamp(p.Made), stamp(p.Started), stamp(p.Done), stamp(p.Due), p.ID, p.Reason)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", formatTime(p.Planned), state, formatTime(p.Made), formatTime(p.Started), formatTime(p.Done), formatTime(p.Due), p.ID, p.Reason)
 			}
 		})
 	}
 	return cmd
 }
 
-func upcomingCommand() *cobra.Command {
+func scheduleUpcomingCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "upcoming NAME", Short: "Show the next occurrences and the ids of their jobs", Args: cobra.ExactArgs(1)}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	count := cmd.Flags().Int("count", 10, "how many, 100 at the most")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		var c schedule.Coming
-		if err := exchange(http.MethodGet, *node, schedulePath(args[0])+"/upcoming?count="+strconv.Itoa(*count), nil, nil, &c); err != nil {
+		if err := doRequest(http.MethodGet, *node, schedulePath(args[0])+"/upcoming?count="+strconv.Itoa(*count), nil, nil, &c); err != nil {
 			return err
 		}
-		return show(cmd, *asJSON, c, func(w io.Writer) {
+		return printResult(cmd, *asJSON, c, func(w io.Writer) {
 			fmt.Fprintln(w, "START\tDUE\tJOB\tREMARK")
 			for _, u := range c.Upcoming {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", u.Start.Format(time.RFC3339), stamp(u.Due), u.ID, u.Remark)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", u.Start.Format(time.RFC3339), formatTime(u.Due), u.ID, u.Remark)
 			}
 		})
 	}
 	return cmd
 }
 
-func runCommand() *cobra.Command {
+func scheduleRunCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "run NAME", Short: "Run a schedule's job now, once for each name of a request", Args: cobra.ExactArgs(1),
 		Example: "  yewpass schedule run nightly --request ticket-4711"}
 	node := nodeFlag(cmd)
-	jsonFlag(cmd) // the answer is JSON either way, as that of submit
+	jsonFlag(cmd) // accepted for consistency; the output is always JSON, as for submit
 	request := cmd.Flags().String("request", "", "your name for this request: made again, it runs nothing again")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if *request == "" {
@@ -249,25 +250,25 @@
 		if err != nil {
 			return err
 		}
-		return call(cmd, http.MethodPost, *node, schedulePath(args[0])+"/run", data)
+		return callAndPrint(cmd, http.MethodPost, *node, schedulePath(args[0])+"/run", data)
 	}
 	return cmd
 }
 
-func scheduleAction(verb, short, method, path string) *cobra.Command {
+func scheduleActionCommand(verb, short, method, path string) *cobra.Command {
 	cmd := &cobra.Command{Use: verb + " NAME", Short: short, Args: cobra.ExactArgs(1)}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	match := cmd.Flags().String("if-match", "", "only if the schedule still has this ETag")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		head := http.Header{}
+		header := http.Header{}
 		if *match != "" {
-			head.Set("If-Match", *match)
+			header.Set("If-Match", *match)
 		}
 		var v json.RawMessage
-		if err := exchange(method, *node, schedulePath(args[0])+path, nil, head, &v); err != nil {
+		if err := doRequest(method, *node, schedulePath(args[0])+path, nil, header, &v); err != nil {
 			return err
 		}
-		return show(cmd, *asJSON, v, func(w io.Writer) { fmt.Fprintf(w, "%s: %sd\n", args[0], verb) })
+		return printResult(cmd, *asJSON, v, func(w io.Writer) { fmt.Fprintf(w, "%s: %sd\n", args[0], verb) })
 	}
 	return cmd
 }
