--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api serves users and workers over HTTP. Each request becomes an input
-// of the core and waits for its answer on a channel of its own.
+// Package api serves the HTTP interface for users and workers. Each request becomes an input of the
+// core, and its handler waits for the response on a channel of its own.
 package api
 
 import (
@@ -19,50 +19,51 @@
 	"yewpass/internal/spec"
 )
 
-// Exchange is a request on its way to the core: a core.UserCall or core.ReportIn
-// whose Ref the receiver sets. Exactly one answer is sent to Reply, which never
-// blocks.
+// Exchange is a request that is passed to the core: a request.Request or a heartbeat.Received,
+// whose Ref the receiver sets. The receiver sends exactly one response to Reply, which is buffered,
+// so that the send never blocks.
 type Exchange struct {
 	Input any
 	Reply chan<- any
 }
 
-// Abandoned says that the caller of Reply has left.
+// Abandoned reports that the handler that waits on Reply has given up, because of a timeout or
+// because the client disconnected.
 type Abandoned struct{ Reply chan<- any }
 
 const (
-	maxBody = 64 << 10
-	// A user's request is answered at once in the ordinary case; this bounds it
-	// when the core is behind.
+	maxBody = 64 << 10 // bytes of a request body
+	// userTimeout bounds the response time of a user's request when the core is overloaded.
 	userTimeout = 4500 * time.Millisecond
-	// Workers give up on a reply after 4 s.
+	// heartbeatTimeout is shorter than the 4 s after which workers stop waiting for a reply.
 	heartbeatTimeout = 3900 * time.Millisecond
-	// transferTimeout bounds how long a request may take to come in, and its answer
-	// to be taken: whoever is slower does not keep a connection.
+	// transferTimeout bounds the time to read a request and the time to write its response, so
+	// that slow clients do not hold connections.
 	transferTimeout = 10 * time.Second
 )
 
-// Server is the actor that serves client_listen.
+// Server serves HTTP requests on client_listen.
 type Server struct {
 	inbox chan<- any
 	ready func() bool
 	conns *connectionLimiter
 }
 
-// Serve serves on ln until it fails. At most maxConns connections are open at a
-// time.
+// Serve accepts connections on ln until accepting fails and returns the error. At most maxConns
+// connections are open at a time. It sends an Exchange to inbox for each request, and calls ready
+// to answer GET /ready.
 func Serve(ln net.Listener, maxConns int, inbox chan<- any, ready func() bool) error {
 	s := &Server{inbox, ready, newConnectionLimiter(maxConns)}
 	r := httprouter.New()
-	r.POST("/v2/runs", s.submit)
-	r.GET("/v2/runs/:id", s.get)
-	r.POST("/v2/runs/:id/cancel", s.cancel)
-	s.schedules(r)
-	s.configuration(r)
-	r.GET("/v2/cluster", s.cluster(request.Cluster))
-	r.POST("/v2/cluster/hand-over", s.cluster(request.HandOver))
+	r.POST("/v2/runs", s.submitJob)
+	r.GET("/v2/runs/:id", s.getJob)
+	r.POST("/v2/runs/:id/cancel", s.cancelJob)
+	s.registerScheduleRoutes(r)
+	s.registerConfigRoutes(r)
+	r.GET("/v2/cluster", s.clusterHandler(request.Cluster))
+	r.POST("/v2/cluster/hand-over", s.clusterHandler(request.HandOver))
 	r.POST("/hello", s.handleHeartbeat)
-	r.GET("/ready", s.isReady)
+	r.GET("/ready", s.handleReady)
 	r.GET("/metrics", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		metrics.WritePrometheus(w, true)
 	})
@@ -76,7 +77,7 @@
 	srv := &http.Server{
 		Handler: r, ReadTimeout: transferTimeout, WriteTimeout: transferTimeout, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 8 << 10,
 	}
-	s.conns.watch(srv)
+	s.conns.attach(srv)
 	return srv.Serve(ln)
 }
 
@@ -104,7 +105,7 @@
 	writeJSON(w, status, errorJSON{reason, field})
 }
 
-func (s *Server) isReady(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (s *Server) handleReady(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if s.ready() {
 		writeJSON(w, http.StatusOK, struct{}{})
 		return
@@ -112,7 +113,7 @@
 	writeError(w, http.StatusServiceUnavailable, "", "not ready", time.Second)
 }
 
-// readBody reads a request's body; false if an answer has been sent.
+// readBody reads the body of a request. It returns false after it has sent an error response.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
 	switch {
@@ -126,7 +127,8 @@
 	return nil, false
 }
 
-// readJSON reads a request's body into v; false if an answer has been sent.
+// readJSON decodes the body of a request into v. It returns false after it has sent an error
+// response.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	data, ok := readBody(w, r)
 	if !ok {
@@ -151,7 +153,7 @@
 	Status  spec.JobState `json:"status"`
 	Done    int           `json:"done"`
 	Running int           `json:"running"`
-	Reason  string        `json:"reason,omitempty"` // what the job waits for, where that is known
+	Reason  string        `json:"reason,omitempty"` // why the job is waiting, if known
 }
 
 var (
@@ -159,14 +161,15 @@
 	heartbeatsReceived = metrics.NewCounter(`yewpass_reports_total`)
 )
 
-func (s *Server) answerUser(w http.ResponseWriter, r *http.Request, call request.Request) {
-	began := time.Now()
-	s.conns.hasRequest(r, false)
+// answerUser passes a user's request to the core and writes the response.
+func (s *Server) answerUser(w http.ResponseWriter, r *http.Request, req request.Request) {
+	start := time.Now()
+	s.conns.markBusy(r, false)
 	reply := make(chan any, 1)
-	s.inbox <- Exchange{call, reply}
+	s.inbox <- Exchange{req, reply}
 	t := time.NewTimer(userTimeout)
 	defer t.Stop()
-	defer userRequestSeconds.UpdateDuration(began)
+	defer userRequestSeconds.UpdateDuration(start)
 	select {
 	case v := <-reply:
 		a := v.(request.Response)
@@ -181,10 +184,10 @@
 			writeJSON(w, a.Status, a.Doc)
 			return
 		}
-		if call.Schedule != nil {
-			call.ID = a.View.ID // the job that a request to run has made
+		if req.Schedule != nil {
+			req.ID = a.View.ID // the job that a ScheduleRun request created
 		}
-		writeJSON(w, a.Status, jobJSON{call.ID, a.View.State, a.View.Done, a.View.Running, a.Reason})
+		writeJSON(w, a.Status, jobJSON{req.ID, a.View.State, a.View.Done, a.View.Running, a.Reason})
 	case <-t.C:
 		s.inbox <- Abandoned{reply}
 		writeError(w, http.StatusServiceUnavailable, "", "the service is behind", time.Second)
@@ -193,7 +196,7 @@
 	}
 }
 
-func (s *Server) submit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (s *Server) submitJob(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var j spec.Submission
 	if !readJSON(w, r, &j) {
 		return
@@ -206,16 +209,16 @@
 	s.answerUser(w, r, request.Request{Op: request.Submit, ID: job.ID, Spec: job})
 }
 
-func (s *Server) get(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+func (s *Server) getJob(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	s.answerJobRequest(w, r, request.Get, p.ByName("id"))
 }
 
-func (s *Server) cancel(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+func (s *Server) cancelJob(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	s.answerJobRequest(w, r, request.Cancel, p.ByName("id"))
 }
 
-// cluster serves what operators ask of the controllers.
-func (s *Server) cluster(op request.Operation) httprouter.Handle {
+// clusterHandler returns a handler for an operation on the controllers.
+func (s *Server) clusterHandler(op request.Operation) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		s.answerUser(w, r, request.Request{Op: op})
 	}
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -16,7 +16,7 @@
 	"yewpass/internal/spec"
 )
 
-// serve runs a server whose core is answered by f, and returns its address.
+// serve starts a server whose core inputs are answered by f, and returns its base URL.
 func serve(t *testing.T, f func(in any) any) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +37,7 @@
 	return "http://" + ln.Addr().String()
 }
 
-const good = `{"id":"wk-000412","jobclass":"train","owner":"vision","shape":"array","urgency":"urgent","shards":16,
+const validSubmission = `{"id":"wk-000412","jobclass":"train","owner":"vision","shape":"array","urgency":"urgent","shards":16,
 "vcpus":8.0,"gpus":1.0,"memGb":64.0,"bundle":"img-07","sizeGb":6.2,"flavors":["g8"],"hall":null,"samePlace":true,
 "apart":false,"reclaimable":true,"runtimeS":240.0,"snapshotEveryS":30.0,"snapshotS":4.0,"dueS":900.0,"new":[1]}`
 
@@ -51,7 +51,7 @@
 	data, _ := io.ReadAll(resp.Body)
 	var v map[string]any
 	if err := json.Unmarshal(data, &v); err != nil {
-		t.Errorf("answer is not JSON: %q", data)
+		t.Errorf("response is not JSON: %q", data)
 	}
 	return resp.StatusCode, v, resp.Header
 }
@@ -62,25 +62,25 @@
 		got = in.(request.Request).Spec
 		return request.Response{Status: 201, View: request.JobStatus{State: spec.Queued}}
 	})
-	status, v, _ := post(t, url+"/v2/runs", good)
+	status, v, _ := post(t, url+"/v2/runs", validSubmission)
 	if status != 201 || v["id"] != "wk-000412" || v["status"] != "queued" {
-		t.Fatal(status, v)
+		t.Fatalf("submit: %d %v, want 201 for wk-000412 in state queued", status, v)
 	}
 	if got.Tasks != 16 || got.Urgency != spec.Urgent || got.Deadline != 900*time.Second || !got.HasDeadline || got.Zone != "" || got.Runtime != 240*time.Second {
-		t.Errorf("%+v", got)
+		t.Errorf("decoded job %+v", got)
 	}
 	edit := func(from, to string) string {
-		if !strings.Contains(good, from) {
-			t.Fatal("no", from)
+		if !strings.Contains(validSubmission, from) {
+			t.Fatalf("%q is not in the submission", from)
 		}
-		return strings.Replace(good, from, to, 1)
+		return strings.Replace(validSubmission, from, to, 1)
 	}
 	for _, c := range []struct{ name, body, field string }{
 		{"not JSON", `{"id":`, ""},
 		{"no object", `[1]`, ""},
 		{"null", `null`, "id"},
 		{"empty", ``, ""},
-		{"too large", good[:len(good)-1] + `,"x":"` + strings.Repeat("y", 64<<10) + `"}`, ""},
+		{"too large", validSubmission[:len(validSubmission)-1] + `,"x":"` + strings.Repeat("y", 64<<10) + `"}`, ""},
 		{"no id", edit(`"id":"wk-000412",`, ``), "id"},
 		{"bad id", edit(`wk-000412`, `job-1`), "id"},
 		{"bad digits", edit(`wk-000412`, `wk-0x1`), "id"},
@@ -104,7 +104,7 @@
 	}
 	for _, omit := range []string{`"flavors":["g8"],`, `"hall":null,`, `,"dueS":900.0`} {
 		if status, v, _ := post(t, url+"/v2/runs", edit(omit, ``)); status != 201 {
-			t.Errorf("without %s: %d %v", omit, status, v)
+			t.Errorf("without %s: %d %v, want 201", omit, status, v)
 		}
 	}
 }
@@ -137,11 +137,11 @@
 		}
 	}
 	if status, _, h := post(t, url+"/v2/runs/wk-1/cancel", ""); status != 429 || h.Get("Retry-After") != "2" {
-		t.Errorf("cancel: %d, Retry-After %q", status, h.Get("Retry-After"))
+		t.Errorf("cancel: %d, Retry-After %q, want 429 and 2", status, h.Get("Retry-After"))
 	}
 }
 
-func TestReport(t *testing.T) {
+func TestHeartbeat(t *testing.T) {
 	var got heartbeat.Report
 	url := serve(t, func(in any) any {
 		got = in.(heartbeat.Received).Report
@@ -157,28 +157,28 @@
 	status, v, _ := post(t, url+"/hello", body)
 	orders, _ := v["orders"].([]any)
 	if status != 200 || v["epoch"] != 41.0 || len(orders) != 2 {
-		t.Fatal(status, v)
+		t.Fatalf("heartbeat: %d %v, want 200 with epoch 41 and 2 orders", status, v)
 	}
 	if stop := orders[1].(map[string]any); stop["drainS"] != 10.0 || stop["shard"] != "wk-2/1" {
-		t.Error(stop)
+		t.Errorf("stop order is %v, want task wk-2/1 with drainS 10", stop)
 	}
 	if len(got.Tasks) != 2 || got.Tasks[0].Task != (heartbeat.TaskID{Job: "wk-000412", Index: 3}) || got.HasNotice || got.Counter != 88 {
-		t.Errorf("%+v", got)
+		t.Errorf("decoded heartbeat %+v", got)
 	}
 	if status, v, _ := post(t, url+"/hello", strings.Replace(body, "host-000231", "elsewhere", 1)); status != 421 || v["upstream"] != "n2" {
-		t.Error(status, v)
+		t.Errorf("heartbeat to the wrong node: %d %v, want 421 with upstream n2", status, v)
 	}
 	for _, c := range [][2]string{{`"tenure":1,`, ``}, {`"counter":88,`, ``}, {`"tenure":1`, `"tenure":"x"`}, {`"host":"host-000231"`, `"host":""`},
 		{`wk-000412/3`, `wk-000412`}, {`wk-000412/3`, `wk-000412/-1`}, {`"try":2`, `"try":-2`}, {`"hall":"a"`, `"hall":null`}, {`"hall":"a"`, `"hall":"` + strings.Repeat("a", 600) + `"`},
 		{`"flavor":"g8"`, `"flavor":"` + strings.Repeat("a", 600) + `"`}, {`10.1.0.232:9000`, strings.Repeat("1", 200)}} {
 		if status, v, _ := post(t, url+"/hello", strings.Replace(body, c[0], c[1], 1)); status != 400 {
-			t.Errorf("%s: %d %v", c[1], status, v)
+			t.Errorf("%s: %d %v, want 400", c[1], status, v)
 		}
 	}
 }
 
-// TestSchedules: each request reaches the core as what it is, what is wrong with
-// it is said with the field, and ETags go both ways.
+// TestSchedules checks that each request reaches the core as the right operation, that errors name
+// the invalid field, and that ETags pass in both directions.
 func TestSchedules(t *testing.T) {
 	var got *request.ScheduleParams
 	var op request.Operation
@@ -219,17 +219,17 @@
 		var e errorJSON
 		json.Unmarshal(data, &e)
 		if resp.StatusCode != c.status || op != c.op || e.Field != c.field {
-			t.Errorf("%s %s %.60s: %d %s %s", c.method, c.path, c.body, resp.StatusCode, op, data)
+			t.Errorf("%s %s %.60s: unexpected response %d for operation %q: %s", c.method, c.path, c.body, resp.StatusCode, op, data)
 			continue
 		}
 		switch {
 		case got == nil:
 		case c.head == "If-None-Match: *" && got.IfMatch != request.NewOnly, strings.HasPrefix(c.head, "If-Match") && got.IfMatch != `"1-1"`:
-			t.Errorf("%s %s %s: %+v", c.method, c.path, c.head, got)
+			t.Errorf("%s %s %s: wrong IfMatch in %+v", c.method, c.path, c.head, got)
 		case op == request.SchedulePut && got.File.Name != "n", op == request.ScheduleUpcoming && got.Count != 3, op == request.ScheduleRun && !strings.Contains(string(data), "wk-9"):
-			t.Errorf("%s %s: %+v %s", c.method, c.path, got, data)
+			t.Errorf("%s %s: core received %+v, client received %s", c.method, c.path, got, data)
 		case op != request.ScheduleRun && resp.Header.Get("ETag") != `"1-2"`:
-			t.Errorf("%s %s: no ETag", c.method, c.path)
+			t.Errorf("%s %s: wrong ETag", c.method, c.path)
 		}
 	}
 }
--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -21,12 +21,11 @@
 	"yewpass/internal/view"
 )
 
-// goldenExchanges holds requests of users and workers, and what version 5990396 answers to
-// them. It is never written anew: users and workers speak to that version and to this one
-// alike.
+// goldenExchanges holds requests of users and workers and the responses of version 5990396. The
+// file must not be regenerated: clients depend on these exact responses.
 const goldenExchanges = "testdata/exchanges-5990396.jsonl"
 
-// goldenExchange is a request and its answer.
+// goldenExchange is a request and its response.
 type goldenExchange struct {
 	Name       string          `json:"name"`
 	Method     string          `json:"method"`
@@ -56,29 +55,29 @@
 	return all
 }
 
-// exchange is what the core is asked by a request, and how it answers.
-type exchange struct {
+// coreExchange is the input that the core receives for a request, and the output that it returns.
+type coreExchange struct {
 	input  any
 	output any
 }
 
 func pointer[T any](v T) *T { return &v }
 
-// exchanges are those of the golden file, by name.
-func exchanges() map[string]exchange {
-	scheduled := func(op request.Operation, call request.ScheduleParams, doc any) exchange {
-		return exchange{request.Request{Op: op, Schedule: &call}, request.Response{Status: 200, Doc: doc}}
+// goldenCoreExchanges returns the core exchanges of the golden file by name.
+func goldenCoreExchanges() map[string]coreExchange {
+	scheduled := func(op request.Operation, call request.ScheduleParams, doc any) coreExchange {
+		return coreExchange{request.Request{Op: op, Schedule: &call}, request.Response{Status: 200, Doc: doc}}
 	}
-	configured := func(op request.Operation, call request.ConfigParams, doc any) exchange {
-		return exchange{request.Request{Op: op, Config: &call}, request.Response{Status: 200, Doc: doc}}
+	configured := func(op request.Operation, call request.ConfigParams, doc any) coreExchange {
+		return coreExchange{request.Request{Op: op, Config: &call}, request.Response{Status: 200, Doc: doc}}
 	}
 	nightly := request.ScheduleParams{Name: "nightly"}
 	based := request.ScheduleParams{Name: "nightly", IfMatch: `"7-4"`}
 	put := based
-	put.File = wholeFile()
-	all := map[string]exchange{
+	put.File = fullScheduleFile()
+	all := map[string]coreExchange{
 		"submit": {
-			request.Request{Op: request.Submit, ID: "wk-000412", Spec: wholeSpec()},
+			request.Request{Op: request.Submit, ID: "wk-000412", Spec: fullSpec()},
 			request.Response{Status: 201, View: request.JobStatus{State: spec.Queued}},
 		},
 		"get job": {
@@ -91,54 +90,54 @@
 		},
 		"cluster": {
 			request.Request{Op: request.Cluster},
-			request.Response{Status: 200, Doc: wholeCluster()},
+			request.Response{Status: 200, Doc: fullCluster()},
 		},
 		"hand over": {
 			request.Request{Op: request.HandOver},
 			request.Response{Status: 200, Doc: &view.Cluster{Node: "n2"}},
 		},
-		"schedule: put":      scheduled(request.SchedulePut, put, wholeScheduleView()),
+		"schedule: put":      scheduled(request.SchedulePut, put, fullScheduleView()),
 		"schedule: get":      scheduled(request.ScheduleGet, nightly, schedule.View{Schedule: json.RawMessage(`{"name":"nightly"}`)}),
 		"schedule: delete":   scheduled(request.ScheduleDelete, based, map[string]string{"name": "nightly", "status": "removed"}),
 		"schedule: pause":    scheduled(request.SchedulePause, based, schedule.View{Schedule: json.RawMessage(`{"name":"nightly"}`), Paused: true}),
 		"schedule: resume":   scheduled(request.ScheduleResume, nightly, schedule.View{Schedule: json.RawMessage(`{"name":"nightly"}`)}),
-		"schedule: list":     scheduled(request.ScheduleList, request.ScheduleParams{After: "n", Count: 5}, wholeSchedulePage()),
-		"schedule: upcoming": scheduled(request.ScheduleUpcoming, request.ScheduleParams{Name: "nightly", Count: 3}, schedule.Coming{Upcoming: []schedule.Upcoming{wholeUpcoming()}}),
-		"schedule: history":  scheduled(request.ScheduleHistory, nightly, wholeHistory()),
+		"schedule: list":     scheduled(request.ScheduleList, request.ScheduleParams{After: "n", Count: 5}, fullSchedulePage()),
+		"schedule: upcoming": scheduled(request.ScheduleUpcoming, request.ScheduleParams{Name: "nightly", Count: 3}, schedule.Coming{Upcoming: []schedule.Upcoming{fullUpcoming()}}),
+		"schedule: history":  scheduled(request.ScheduleHistory, nightly, fullHistory()),
 		"schedule: run": {
 			request.Request{Op: request.ScheduleRun, Schedule: &request.ScheduleParams{Name: "nightly", Request: "r-1"}},
 			request.Response{Status: 201, View: request.JobStatus{ID: "wk-9", State: spec.Queued}},
 		},
-		"configuration: status": configured(request.ConfigStatus, request.ConfigParams{}, wholeConfigStatus()),
+		"configuration: status": configured(request.ConfigStatus, request.ConfigParams{}, fullConfigStatus()),
 		"configuration: here":   configured(request.ConfigHere, request.ConfigParams{}, view.LocalConfig{Revision: 12, AgeSeconds: 0.5}),
-		"configuration: change": configured(request.ConfigSet, wholeChange(), view.ConfigChanged{Revision: 13}),
-		"configuration: teams":  configured(request.ConfigList, request.ConfigParams{After: "tools", Count: 5}, wholeTeamPage()),
-		"configuration: team":   configured(request.ConfigGet, request.ConfigParams{Name: "vision"}, wholeTeamView()),
+		"configuration: change": configured(request.ConfigSet, fullConfigChange(), view.ConfigChanged{Revision: 13}),
+		"configuration: teams":  configured(request.ConfigList, request.ConfigParams{After: "tools", Count: 5}, fullTeamPage()),
+		"configuration: team":   configured(request.ConfigGet, request.ConfigParams{Name: "vision"}, fullTeamView()),
 		"configuration: change one team": configured(request.ConfigSet, request.ConfigParams{
-			Teams: []liveconfig.TeamChange{{Team: wholeTeam(), IfRevision: pointer(uint64(3))}},
+			Teams: []liveconfig.TeamChange{{Team: fullTeam(), IfRevision: pointer(uint64(3))}},
 		}, view.ConfigChanged{Revision: 13}),
 		"worker: report": {
-			heartbeat.Received{Report: wholeReport()},
+			heartbeat.Received{Report: fullReport()},
 			heartbeat.Reply{Status: 200, FencingToken: 41, Orders: []heartbeat.Order{
 				{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-7", Index: 3}, Try: 18_000_000_000_000_000_001},
 				{Verb: heartbeat.Stop, Task: heartbeat.TaskID{Job: "wk-8"}, Try: 1, Drain: 10500 * time.Millisecond},
 				{Verb: heartbeat.Reap, Task: heartbeat.TaskID{Job: "wk-9"}, Try: 2},
 			}},
 		},
-		"worker: nothing to do": {heartbeat.Received{Report: leastReport()}, heartbeat.Reply{Status: 200, FencingToken: 41}},
+		"worker: nothing to do": {heartbeat.Received{Report: minimalReport()}, heartbeat.Reply{Status: 200, FencingToken: 41}},
 		"worker: report elsewhere": {
-			heartbeat.Received{Report: leastReport()},
+			heartbeat.Received{Report: minimalReport()},
 			heartbeat.Reply{Status: 421, Upstream: "n3"},
 		},
-		"worker: no leader": {heartbeat.Received{Report: leastReport()}, heartbeat.Reply{Status: 503}},
+		"worker: no leader": {heartbeat.Received{Report: minimalReport()}, heartbeat.Reply{Status: 503}},
 	}
 	withETag := all["schedule: put"]
-	withETag.output = request.Response{Status: 201, Doc: wholeScheduleView(), ETag: `"7-5"`}
+	withETag.output = request.Response{Status: 201, Doc: fullScheduleView(), ETag: `"7-5"`}
 	all["schedule: put"] = withETag
 	return all
 }
 
-func wholeSpec() *spec.Job {
+func fullSpec() *spec.Job {
 	return &spec.Job{
 		ID:                 "wk-000412",
 		Class:              "train",
@@ -164,7 +163,7 @@
 	}
 }
 
-func wholeFile() *schedule.File {
+func fullScheduleFile() *schedule.File {
 	return &schedule.File{
 		Name:           "nightly",
 		Zone:           "Europe/Berlin",
@@ -182,26 +181,26 @@
 	}
 }
 
-func wholeUpcoming() schedule.Upcoming {
+func fullUpcoming() schedule.Upcoming {
 	start := time.Date(2027, time.January, 31, 1, 0, 0, 0, time.UTC)
 	return schedule.Upcoming{ID: "wk-00000007202701310100", Start: start, Due: pointer(start.Add(5 * time.Hour)), Remark: "moved"}
 }
 
-func wholeScheduleView() schedule.View {
+func fullScheduleView() schedule.View {
 	return schedule.View{
 		Schedule: json.RawMessage(`{"name":"nightly"}`),
 		Number:   7,
 		ETag:     `"7-5"`,
 		Paused:   true,
 		Problem:  "no such calendar",
-		Next:     pointer(wholeUpcoming()),
+		Next:     pointer(fullUpcoming()),
 		Made:     4,
 		Missed:   2,
 		Late:     1,
 	}
 }
 
-func wholeSchedulePage() schedule.Page {
+func fullSchedulePage() schedule.Page {
 	brief := schedule.Brief{
 		Name:     "nightly",
 		Zone:     "Europe/Berlin",
@@ -209,7 +208,7 @@
 		Calendar: "de",
 		Paused:   true,
 		Problem:  "no such calendar",
-		Next:     pointer(wholeUpcoming()),
+		Next:     pointer(fullUpcoming()),
 		Made:     4,
 		Missed:   2,
 		Late:     1,
@@ -217,7 +216,7 @@
 	return schedule.Page{Schedules: []schedule.Brief{brief, {Name: "weekly"}}, Truncated: true}
 }
 
-func wholeHistory() schedule.History {
+func fullHistory() schedule.History {
 	at := func(hour int) *time.Time {
 		return pointer(time.Date(2027, time.January, 31, hour, 0, 0, 0, time.UTC))
 	}
@@ -227,21 +226,21 @@
 	}}
 }
 
-func wholeTeam() liveconfig.Team {
+func fullTeam() liveconfig.Team {
 	return liveconfig.Team{Name: "vision", CPUs: 10.5, CPUsMax: 20, GPUs: 4, GPUsMax: 8.25, Retired: true}
 }
 
-func wholeTeamView() view.Team {
-	v := view.Team{Team: wholeTeam(), Revision: 12, Damaged: true}
+func fullTeamView() view.Team {
+	v := view.Team{Team: fullTeam(), Revision: 12, Damaged: true}
 	v.InUse.CPUs, v.InUse.GPUs = 3.5, 2
 	return v
 }
 
-func wholeTeamPage() view.TeamPage {
-	return view.TeamPage{Revision: 12, Teams: []view.Team{wholeTeamView(), {}}, Truncated: true}
+func fullTeamPage() view.TeamPage {
+	return view.TeamPage{Revision: 12, Teams: []view.Team{fullTeamView(), {}}, Truncated: true}
 }
 
-func wholeConfigStatus() view.ConfigStatus {
+func fullConfigStatus() view.ConfigStatus {
 	return view.ConfigStatus{
 		Revision:           12,
 		Changes:            5,
@@ -253,14 +252,14 @@
 	}
 }
 
-func wholeChange() request.ConfigParams {
+func fullConfigChange() request.ConfigParams {
 	return request.ConfigParams{
-		Teams:      []liveconfig.TeamChange{{Team: wholeTeam(), IfRevision: pointer(uint64(3))}, {Team: liveconfig.Team{Name: "tools"}}},
+		Teams:      []liveconfig.TeamChange{{Team: fullTeam(), IfRevision: pointer(uint64(3))}, {Team: liveconfig.Team{Name: "tools"}}},
 		IfRevision: pointer(uint64(12)),
 	}
 }
 
-func wholeCluster() *view.Cluster {
+func fullCluster() *view.Cluster {
 	return &view.Cluster{
 		Node:             "n1",
 		Leader:           "n2",
@@ -287,7 +286,7 @@
 	}
 }
 
-func wholeReport() heartbeat.Report {
+func fullReport() heartbeat.Report {
 	return heartbeat.Report{
 		Host:         "host-000231",
 		Address:      "10.1.0.232:9000",
@@ -308,14 +307,14 @@
 	}
 }
 
-func leastReport() heartbeat.Report {
+func minimalReport() heartbeat.Report {
 	return heartbeat.Report{Host: "host-1", InstanceType: "g8", Zone: "hall-a", Incarnation: 1, Tasks: []heartbeat.Task{}}
 }
 
-// TestExchangesOf5990396 guards the interface to users and workers: what they send to
-// version 5990396 must mean the same to this one, and be answered with the same bytes.
+// TestExchangesOf5990396 guards compatibility with users and workers: requests must be decoded as
+// in version 5990396 and be answered with the same bytes.
 func TestExchangesOf5990396(t *testing.T) {
-	wants := exchanges()
+	wants := goldenCoreExchanges()
 	golden := readGoldenExchanges(t)
 	if len(golden) != len(wants) {
 		t.Errorf("%d golden exchanges, want %d", len(golden), len(wants))
@@ -332,10 +331,10 @@
 			select {
 			case got := <-inputs:
 				if !reflect.DeepEqual(got, want.input) {
-					t.Errorf("read\n%+v, want\n%+v", got, want.input)
+					t.Errorf("decoded\n%+v, want\n%+v", got, want.input)
 				}
 			default:
-				t.Error("the request does not come to the core")
+				t.Error("the core received no input")
 			}
 			if !reflect.DeepEqual(answer, g) {
 				t.Errorf("answered\n%+v %s, want\n%+v %s", answer, answer.Answer, g, g.Answer)
@@ -344,7 +343,8 @@
 	}
 }
 
-// perform makes the request of a golden exchange and returns it with the answer.
+// perform sends the request of a golden exchange and returns the exchange with the response
+// received.
 func perform(t *testing.T, url string, g goldenExchange) goldenExchange {
 	t.Helper()
 	request, err := http.NewRequest(g.Method, url+g.Path, strings.NewReader(string(g.Body)))
--- a/internal/api/config.go
+++ b/internal/api/config.go
@@ -9,24 +9,26 @@
 	"yewpass/internal/request"
 )
 
-// configuration serves the configuration that changes while the service runs, from any node.
-func (s *Server) configuration(r *httprouter.Router) {
-	r.GET("/v2/config", s.configCall(request.ConfigStatus, nil))
-	r.POST("/v2/config", s.configCall(request.ConfigSet, readChange))
-	r.GET("/v2/config/here", s.configCall(request.ConfigHere, nil))
-	r.GET("/v2/config/teams", s.configCall(request.ConfigList, func(w http.ResponseWriter, r *http.Request, _ httprouter.Params, q *request.ConfigParams) bool {
+// registerConfigRoutes adds the routes of the live configuration. Every node serves them.
+func (s *Server) registerConfigRoutes(r *httprouter.Router) {
+	r.GET("/v2/config", s.configHandler(request.ConfigStatus, nil))
+	r.POST("/v2/config", s.configHandler(request.ConfigSet, readConfigChange))
+	r.GET("/v2/config/here", s.configHandler(request.ConfigHere, nil))
+	r.GET("/v2/config/teams", s.configHandler(request.ConfigList, func(w http.ResponseWriter, r *http.Request, _ httprouter.Params, q *request.ConfigParams) bool {
 		q.After = r.URL.Query().Get("after")
-		return count(w, r, "limit", maxListed, &q.Count)
+		return readCount(w, r, "limit", maxListed, &q.Count)
 	}))
-	r.GET("/v2/config/teams/:name", s.configCall(request.ConfigGet, teamName))
-	r.PUT("/v2/config/teams/:name", s.configCall(request.ConfigSet, readTeam))
+	r.GET("/v2/config/teams/:name", s.configHandler(request.ConfigGet, readTeamName))
+	r.PUT("/v2/config/teams/:name", s.configHandler(request.ConfigSet, readTeamChange))
 }
 
-// configReader reads what an operation needs of a request; false if an answer has been sent.
+// configReader reads the parameters of an operation from a request. It returns false after it has
+// sent an error response.
 type configReader func(http.ResponseWriter, *http.Request, httprouter.Params, *request.ConfigParams) bool
 
-// configCall serves an operation on the configuration.
-func (s *Server) configCall(op request.Operation, read configReader) httprouter.Handle {
+// configHandler returns a handler for an operation on the configuration. A nil read means that the
+// operation has no parameters.
+func (s *Server) configHandler(op request.Operation, read configReader) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		q := &request.ConfigParams{}
 		if read == nil || read(w, r, p, q) {
@@ -35,7 +37,7 @@
 	}
 }
 
-func teamName(w http.ResponseWriter, _ *http.Request, p httprouter.Params, q *request.ConfigParams) bool {
+func readTeamName(w http.ResponseWriter, _ *http.Request, p httprouter.Params, q *request.ConfigParams) bool {
 	q.Name = p.ByName("name")
 	if !liveconfig.ValidName(q.Name) {
 		writeError(w, http.StatusNotFound, "name", "no such team", 0)
@@ -44,13 +46,13 @@
 	return true
 }
 
-// changeJSON is a change of the configuration.
+// changeJSON is the request body of a configuration change.
 type changeJSON struct {
 	Teams      []liveconfig.TeamChange `json:"teams"`
 	IfRevision *uint64                 `json:"ifRevision"`
 }
 
-func readChange(w http.ResponseWriter, r *http.Request, _ httprouter.Params, q *request.ConfigParams) bool {
+func readConfigChange(w http.ResponseWriter, r *http.Request, _ httprouter.Params, q *request.ConfigParams) bool {
 	var c changeJSON
 	if !readJSON(w, r, &c) {
 		return false
@@ -59,10 +61,10 @@
 	return true
 }
 
-// readTeam reads a change of one team, which the path names.
-func readTeam(w http.ResponseWriter, r *http.Request, p httprouter.Params, q *request.ConfigParams) bool {
+// readTeamChange reads a change of the team that the path names.
+func readTeamChange(w http.ResponseWriter, r *http.Request, p httprouter.Params, q *request.ConfigParams) bool {
 	var c liveconfig.TeamChange
-	if !teamName(w, r, p, q) || !readJSON(w, r, &c) {
+	if !readTeamName(w, r, p, q) || !readJSON(w, r, &c) {
 		return false
 	}
 	if c.Name != "" && c.Name != q.Name {
--- a/internal/api/connection_limiter.go
+++ b/internal/api/connection_limiter.go
@@ -8,89 +8,91 @@
 	"time"
 )
 
-// connectionLimiter bounds how many connections of users and workers are open. All of them
-// come in by one port, and until it has sent a request nothing tells a worker whose
-// lease runs out from a client that sends a byte a minute. So a new connection is
-// always let in, and when there are too many the one goes that is worth the least:
-// never one on which a worker has reported or a request is being answered.
+// connectionLimiter bounds the number of open connections. Users and workers connect to the same
+// port, and a connection cannot be attributed to a worker before its first request. A new
+// connection is therefore always accepted if possible; at the limit, an existing one is evicted.
+// Connections on which a worker has sent a heartbeat or a request is in progress are never evicted.
 type connectionLimiter struct {
 	mu   sync.Mutex
 	max  int
 	open map[net.Conn]*connection
 }
 
-// connection is an open connection.
 type connection struct {
-	worker bool // a report has come on it
-	busy   bool // a whole request of it is being answered
-	idle   bool // between requests
-	since  time.Time
+	worker bool      // has carried a heartbeat
+	busy   bool      // a complete request is being answered
+	idle   bool      // between requests
+	since  time.Time // of the last state change
 }
 
 type connectionKey struct{}
 
-func newConnectionLimiter(most int) *connectionLimiter {
-	return &connectionLimiter{max: most, open: map[net.Conn]*connection{}}
+func newConnectionLimiter(limit int) *connectionLimiter {
+	return &connectionLimiter{max: limit, open: map[net.Conn]*connection{}}
 }
 
-// watch has the server tell of its connections.
-func (cs *connectionLimiter) watch(srv *http.Server) {
-	srv.ConnState = cs.stateChanged
+// attach installs the limiter in a server that has not started to serve.
+func (l *connectionLimiter) attach(srv *http.Server) {
+	srv.ConnState = l.stateChanged
 	srv.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
-		return context.WithValue(ctx, connectionKey{}, cs.accept(c))
+		return context.WithValue(ctx, connectionKey{}, l.add(c))
 	}
 }
 
-func (cs *connectionLimiter) accept(c net.Conn) *connection {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	if len(cs.open) >= cs.max && !cs.evict() {
-		c.Close() // all are in use by those who need them
+// add registers a new connection. If the limit is reached and no connection can be evicted, it
+// closes c and returns nil.
+func (l *connectionLimiter) add(c net.Conn) *connection {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.open) >= l.max && !l.evict() {
+		c.Close()
 		return nil
 	}
 	x := &connection{since: time.Now()}
-	cs.open[c] = x
+	l.open[c] = x
 	return x
 }
 
-func (cs *connectionLimiter) stateChanged(c net.Conn, state http.ConnState) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
+func (l *connectionLimiter) stateChanged(c net.Conn, state http.ConnState) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch state {
 	case http.StateActive, http.StateIdle:
-		if x := cs.open[c]; x != nil {
+		if x := l.open[c]; x != nil {
 			x.idle, x.busy, x.since = state == http.StateIdle, false, time.Now()
 		}
 	case http.StateClosed, http.StateHijacked:
-		delete(cs.open, c)
+		delete(l.open, c)
 	}
 }
 
-// evict closes the connection that has been between requests for longest, or else
-// the one that has been sending its request for longest.
-func (cs *connectionLimiter) evict() bool {
-	var worst net.Conn
-	for c, x := range cs.open {
+// evict closes the connection that has been idle the longest or, if none is idle, the one that has
+// been sending its request the longest. It returns false if every connection is in use. The caller
+// holds the lock.
+func (l *connectionLimiter) evict() bool {
+	var victim net.Conn
+	for c, x := range l.open {
 		if x.worker || x.busy {
 			continue
 		}
-		if y := cs.open[worst]; y == nil || x.idle && !y.idle || x.idle == y.idle && x.since.Before(y.since) {
-			worst = c
+		if y := l.open[victim]; y == nil || x.idle && !y.idle || x.idle == y.idle && x.since.Before(y.since) {
+			victim = c
 		}
 	}
-	if worst == nil {
+	if victim == nil {
 		return false
 	}
-	delete(cs.open, worst)
-	worst.Close()
+	delete(l.open, victim)
+	victim.Close()
 	return true
 }
 
-// hasRequest notes that a whole request has come on the connection that r came by.
-func (cs *connectionLimiter) hasRequest(r *http.Request, worker bool) {
+// markBusy records that the connection of r has received a complete request, sent by a worker if
+// worker is set.
+func (l *connectionLimiter) markBusy(r *http.Request, worker bool) {
 	if x, _ := r.Context().Value(connectionKey{}).(*connection); x != nil {
-		cs.mu.Lock()
-		defer cs.mu.Unlock()
+		l.mu.Lock()
+		defer l.mu.Unlock()
 		x.busy, x.worker = true, x.worker || worker
 	}
 }
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -9,8 +9,8 @@
 	"yewpass/internal/spec"
 )
 
-// FuzzBody: the body of a report, of a probe's answer or of a submission is refused
-// with the name of a field, or is within bounds.
+// FuzzBody checks that the body of a heartbeat, probe reply or submission is either rejected with
+// the name of a field or decoded to values within bounds.
 func FuzzBody(f *testing.F) {
 	for _, s := range []string{
 		`{"host":"h","address":"h:1","flavor":"s","hall":"a","tenure":1,"counter":18446744073709551615,"epoch":18446744073709551615,"warningS":1e308,"shards":[{"shard":"wk-1/0","try":1,"status":"running"},{"shard":"wk-1/0","try":1,"status":"?"}]}`,
@@ -27,11 +27,11 @@
 		if json.Unmarshal(data, &r) == nil {
 			if rep, bad := r.decode(); bad == "" {
 				if rep.Host == "" || rep.InstanceType == "" || rep.Incarnation == 0 || rep.Notice > 200*365*24*time.Hour || rep.Notice < -200*365*24*time.Hour {
-					t.Fatalf("%+v", rep)
+					t.Fatalf("decode accepted %+v", rep)
 				}
 				for _, x := range rep.Tasks {
 					if x.Task.Index < 0 || x.Task.Index >= spec.MaxTasks || x.Task.Job == "" {
-						t.Fatalf("%+v", x)
+						t.Fatalf("decode accepted task %+v", x)
 					}
 				}
 			}
@@ -40,7 +40,7 @@
 		if json.Unmarshal(data, &s) == nil {
 			job, field, reason := s.Job()
 			if job == nil && (field == "" || reason == "") || job != nil && !job.Sound() {
-				t.Fatalf("%+v %q %q", job, field, reason)
+				t.Fatalf("Job() = %+v, %q, %q, want a valid job, or a field and a reason", job, field, reason)
 			}
 		}
 	})
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -46,10 +46,11 @@
 	Upstream string `json:"upstream,omitempty"`
 }
 
-// maxNotice bounds the seconds of a notice. One that has run out may be below 0.
+// maxNotice bounds the seconds until the termination of a spot machine that a heartbeat announces.
+// The value is negative once that time has passed.
 const maxNotice = 1e8
 
-// decode checks a report; "" or what is wrong with it.
+// decode validates a heartbeat. Its second result is the name of the invalid field, or empty.
 func (j *heartbeatJSON) decode() (heartbeat.Report, string) {
 	r := heartbeat.Report{Host: j.Host, Address: j.Address, InstanceType: j.InstanceType, Zone: j.Zone, Spot: j.Spot, FencingToken: j.FencingToken}
 	switch {
@@ -86,7 +87,8 @@
 			return r, "shards.shard"
 		}
 		if !s.Phase.Known() {
-			// A state that we do not know is one in which the task is there.
+			// Unknown states come from newer workers. Pulling means that the task occupies the
+			// machine without running.
 			s.Phase = heartbeat.Pulling
 		}
 		r.Tasks = append(r.Tasks, heartbeat.Task{Task: id, Try: s.Attempt, Phase: s.Phase, Cause: s.Cause})
@@ -94,6 +96,8 @@
 	return r, ""
 }
 
+// handleHeartbeat serves POST /hello: it passes a heartbeat to the core and writes the orders for
+// the worker, or status 421 with the name of the node that the worker must report to.
 func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var j heartbeatJSON
 	if !readJSON(w, r, &j) {
@@ -105,7 +109,7 @@
 		return
 	}
 	heartbeatsReceived.Inc()
-	s.conns.hasRequest(r, true)
+	s.conns.markBusy(r, true)
 	reply := make(chan any, 1)
 	s.inbox <- Exchange{heartbeat.Received{Report: rep}, reply}
 	t := time.NewTimer(heartbeatTimeout)
--- a/internal/api/probe.go
+++ b/internal/api/probe.go
@@ -10,17 +10,17 @@
 	"yewpass/internal/rpc"
 )
 
-// Prober is the actor that sends commands to workers. The core bounds how many
-// are on their way.
+// Prober sends status requests to workers. It does not limit the number of concurrent requests; the
+// core does.
 type Prober struct {
-	caller *httpjson.Caller
+	client *httpjson.Client
 	inbox  chan<- any
 }
 
-// NewProber returns a prober that delivers to inbox. Workers are many and seldom
-// probed, so no connection is kept.
+// NewProber returns a prober that delivers replies to inbox. It keeps no idle connections, because
+// there are many workers and each is probed rarely.
 func NewProber(inbox chan<- any) *Prober {
-	return &Prober{httpjson.NewCaller("", time.Second, -1, 4*maxBody), inbox}
+	return &Prober{httpjson.NewClient("", time.Second, -1, 4*maxBody), inbox}
 }
 
 type commandJSON struct {
@@ -29,12 +29,13 @@
 	Orders       []orderJSON `json:"orders"`
 }
 
-// Do makes the call and delivers its reply.
+// Do sends a probe in a goroutine of its own and delivers its heartbeat.ProbeReply to the inbox.
+// The outcome is rpc.Unknown unless the worker answers with a valid heartbeat.
 func (p *Prober) Do(call heartbeat.Probe) {
 	go func() {
 		r := heartbeat.ProbeReply{Outcome: rpc.Unknown}
-		body, _ := json.Marshal(commandJSON{call.FencingToken, call.Incarnation, []orderJSON{}}) // plain struct: cannot fail
-		status, data, ok := p.caller.Call(http.MethodPost, call.Address+"/do", body, call.Timeout)
+		body, _ := json.Marshal(commandJSON{call.FencingToken, call.Incarnation, []orderJSON{}}) // a plain struct, which never fails to encode
+		status, data, ok := p.client.Call(http.MethodPost, call.Address+"/do", body, call.Timeout)
 		var j heartbeatJSON
 		if ok && (status == http.StatusOK || status == http.StatusConflict) && json.Unmarshal(data, &j) == nil {
 			if rep, bad := j.decode(); bad == "" {
--- a/internal/api/probe_test.go
+++ b/internal/api/probe_test.go
@@ -20,9 +20,9 @@
 		body    string
 		outcome rpc.Outcome
 	}{
-		{"noted", 200, report, rpc.OK},
-		{"another session or a newer epoch", 409, report, rpc.Conflict},
-		{"no report", 200, `{}`, rpc.Unknown},
+		{"accepted", 200, report, rpc.OK},
+		{"newer incarnation or fencing token", 409, report, rpc.Conflict},
+		{"no heartbeat", 200, `{}`, rpc.Unknown},
 		{"not JSON", 200, `<`, rpc.Unknown},
 		{"refused", 400, report, rpc.Unknown},
 		{"too large", 200, report + strings.Repeat(" ", 4*maxBody), rpc.Unknown},
@@ -39,7 +39,7 @@
 		got := (<-inbox).(heartbeat.ProbeReply)
 		srv.Close()
 		if got.Ref != 5 || got.Outcome != c.outcome || got.Outcome != rpc.Unknown && (got.Report.Host != "host-1" || len(got.Report.Tasks) != 1) {
-			t.Errorf("%s: %+v", c.name, got)
+			t.Errorf("%s: unexpected reply %+v", c.name, got)
 		}
 		if want := `POST/do{"epoch":7,"tenure":2,"orders":[]}`; sent != want {
 			t.Errorf("%s: sent %s, want %s", c.name, sent, want)
--- a/internal/api/schedules.go
+++ b/internal/api/schedules.go
@@ -12,75 +12,77 @@
 	"yewpass/internal/schedule"
 )
 
-// Bounds of what one answer lists.
+// Limits of list requests and of request parameters.
 const (
-	defaultCount = 20
-	maxUpcoming  = 100
-	maxListed    = request.MaxCount
-	maxRequest   = 200 // bytes of a request's name
+	defaultCount   = 20
+	maxUpcoming    = 100
+	maxListed      = request.MaxCount
+	maxRequestName = 200 // bytes of the name of a run request
 )
 
-// schedules serves recurring work, from any node.
-func (s *Server) schedules(r *httprouter.Router) {
+// registerScheduleRoutes adds the routes of recurring jobs. Every node serves them.
+func (s *Server) registerScheduleRoutes(r *httprouter.Router) {
 	const one = "/v2/schedules/:name"
 	r.GET("/v2/schedules", s.listSchedules)
 	r.PUT(one, s.putSchedule)
-	r.GET(one, s.schedule(request.ScheduleGet, nil))
-	r.DELETE(one, s.schedule(request.ScheduleDelete, ifMatch))
-	r.POST(one+"/pause", s.schedule(request.SchedulePause, ifMatch))
-	r.POST(one+"/resume", s.schedule(request.ScheduleResume, ifMatch))
-	r.POST(one+"/run", s.schedule(request.ScheduleRun, runRequest))
-	r.GET(one+"/upcoming", s.schedule(request.ScheduleUpcoming, func(w http.ResponseWriter, r *http.Request, q *request.ScheduleParams) bool {
-		return count(w, r, "count", maxUpcoming, &q.Count)
+	r.GET(one, s.scheduleHandler(request.ScheduleGet, nil))
+	r.DELETE(one, s.scheduleHandler(request.ScheduleDelete, readIfMatch))
+	r.POST(one+"/pause", s.scheduleHandler(request.SchedulePause, readIfMatch))
+	r.POST(one+"/resume", s.scheduleHandler(request.ScheduleResume, readIfMatch))
+	r.POST(one+"/run", s.scheduleHandler(request.ScheduleRun, readRunRequest))
+	r.GET(one+"/upcoming", s.scheduleHandler(request.ScheduleUpcoming, func(w http.ResponseWriter, r *http.Request, q *request.ScheduleParams) bool {
+		return readCount(w, r, "count", maxUpcoming, &q.Count)
 	}))
-	r.GET(one+"/history", s.schedule(request.ScheduleHistory, nil))
+	r.GET(one+"/history", s.scheduleHandler(request.ScheduleHistory, nil))
 }
 
-// schedule serves an operation on one schedule; more reads what it needs besides
-// the name and is false if an answer has been sent.
-func (s *Server) schedule(op request.Operation, more func(http.ResponseWriter, *http.Request, *request.ScheduleParams) bool) httprouter.Handle {
+// scheduleHandler returns a handler for an operation on one schedule. read, if not nil, reads
+// further parameters and returns false after it has sent an error response.
+func (s *Server) scheduleHandler(op request.Operation, read func(http.ResponseWriter, *http.Request, *request.ScheduleParams) bool) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		q := &request.ScheduleParams{Name: p.ByName("name")}
 		if !schedule.ValidName(q.Name) {
 			writeError(w, http.StatusNotFound, "name", "no such schedule", 0)
 			return
 		}
-		if more == nil || more(w, r, q) {
+		if read == nil || read(w, r, q) {
 			s.answerUser(w, r, request.Request{Op: op, Schedule: q})
 		}
 	}
 }
 
-func ifMatch(_ http.ResponseWriter, r *http.Request, q *request.ScheduleParams) bool {
+// readIfMatch reads the If-Match header. "*" means no condition.
+func readIfMatch(_ http.ResponseWriter, r *http.Request, q *request.ScheduleParams) bool {
 	if q.IfMatch = r.Header.Get("If-Match"); q.IfMatch == "*" {
 		q.IfMatch = ""
 	}
 	return true
 }
 
-// runRequest reads the caller's name for a request to run now, without which a
-// repetition could not be told from another request.
-func runRequest(w http.ResponseWriter, r *http.Request, q *request.ScheduleParams) bool {
+// readRunRequest reads the caller's name for a run request, which makes the request idempotent.
+func readRunRequest(w http.ResponseWriter, r *http.Request, q *request.ScheduleParams) bool {
 	var v struct {
 		Request string `json:"request"`
 	}
 	if !readJSON(w, r, &v) {
 		return false
 	}
-	if v.Request == "" || len(v.Request) > maxRequest {
-		writeError(w, http.StatusBadRequest, "request", "request: missing, empty or longer than "+strconv.Itoa(maxRequest)+" bytes", 0)
+	if v.Request == "" || len(v.Request) > maxRequestName {
+		writeError(w, http.StatusBadRequest, "request", "request: missing, empty or longer than "+strconv.Itoa(maxRequestName)+" bytes", 0)
 		return false
 	}
 	q.Request = v.Request
 	return true
 }
 
-func count(w http.ResponseWriter, r *http.Request, name string, most int, n *int) bool {
+// readCount reads a query parameter that is a number from 1 to limit. It returns false after it has
+// sent an error response.
+func readCount(w http.ResponseWriter, r *http.Request, name string, limit int, n *int) bool {
 	*n = defaultCount
 	if text := r.URL.Query().Get(name); text != "" {
 		k, err := strconv.Atoi(text)
-		if err != nil || k < 1 || k > most {
-			writeError(w, http.StatusBadRequest, name, name+": not a number from 1 to "+strconv.Itoa(most), 0)
+		if err != nil || k < 1 || k > limit {
+			writeError(w, http.StatusBadRequest, name, name+": not a number from 1 to "+strconv.Itoa(limit), 0)
 			return false
 		}
 		*n = k
@@ -90,11 +92,13 @@
 
 func (s *Server) listSchedules(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	q := &request.ScheduleParams{After: r.URL.Query().Get("after")}
-	if count(w, r, "limit", maxListed, &q.Count) {
+	if readCount(w, r, "limit", maxListed, &q.Count) {
 		s.answerUser(w, r, request.Request{Op: request.ScheduleList, Schedule: q})
 	}
 }
 
+// putSchedule creates or replaces a schedule. If-None-Match: * refuses to replace one, and If-Match
+// names the ETag of the version to replace.
 func (s *Server) putSchedule(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	data, ok := readBody(w, r)
 	if !ok {
@@ -117,7 +121,7 @@
 		writeError(w, http.StatusBadRequest, "name", "name: not the one in the path, or not of lower-case letters, digits, dots, underscores and hyphens", 0)
 		return
 	}
-	ifMatch(w, r, q)
+	readIfMatch(w, r, q)
 	if r.Header.Get("If-None-Match") == "*" {
 		q.IfMatch = request.NewOnly
 	}
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,5 +1,5 @@
-// Package cloud speaks the protocol of the cloud API. Names of the protocol, such as flavor
-// for an instance type and reclaimable for a spot instance, stand in this package alone.
+// Package cloud implements the protocol of the cloud API. The names of the protocol, such as flavor
+// for an instance type and reclaimable for a spot instance, are used only in this package.
 package cloud
 
 import (
@@ -16,18 +16,20 @@
 	maxResponseBytes   = 1 << 20
 )
 
-// Client is the actor that calls the cloud; its responses go to the inbox.
+// Client sends requests to the cloud API. Each request runs in its own goroutine, and its response
+// is delivered to the inbox.
 type Client struct {
-	caller *httpjson.Caller
-	inbox  chan<- any
+	http  *httpjson.Client
+	inbox chan<- any
 }
 
-// New returns a client of the cloud at an address that delivers to inbox.
+// New returns a client of the cloud API at address that delivers each provider.Response to inbox.
 func New(address string, inbox chan<- any) *Client {
-	return &Client{httpjson.NewCaller(address, dialTimeout, maxIdleConnections, maxResponseBytes), inbox}
+	return &Client{httpjson.NewClient(address, dialTimeout, maxIdleConnections, maxResponseBytes), inbox}
 }
 
-// Do makes the call and delivers its response.
+// Do sends a request without blocking. Its response has the same Ref; the outcome is rpc.Unknown if
+// no valid response arrives within the timeout of the request.
 func (c *Client) Do(call provider.Request) {
 	go func() {
 		response := c.call(call)
@@ -37,10 +39,10 @@
 }
 
 func (c *Client) call(call provider.Request) provider.Response {
-	method, path, body := Request(call)
-	status, data, ok := c.caller.Call(method, path, body, call.Timeout)
+	method, path, body := EncodeRequest(call)
+	status, data, ok := c.http.Call(method, path, body, call.Timeout)
 	if !ok {
 		return provider.Response{Outcome: rpc.Unknown}
 	}
-	return Decode(call, status, data)
+	return DecodeResponse(call, status, data)
 }
--- a/internal/cloud/compatibility_test.go
+++ b/internal/cloud/compatibility_test.go
@@ -13,11 +13,11 @@
 	"yewpass/internal/timeline"
 )
 
-// goldenCalls holds the requests that version 5990396 sends and answers that it reads. It
-// is never written anew: the cloud speaks to that version and to this one alike.
+// goldenCalls holds requests that version 5990396 sends to the cloud and responses that it reads.
+// The file must not be regenerated: the cloud API is the same for that version and this one.
 const goldenCalls = "testdata/calls-5990396.jsonl"
 
-// goldenCall is a request to the cloud and its answer.
+// goldenCall is a request to the cloud and its response.
 type goldenCall struct {
 	Name   string          `json:"name"`
 	Method string          `json:"method"`
@@ -44,14 +44,14 @@
 	return all
 }
 
-// answeredCall is what is asked of the cloud, and what the golden answer to it says.
+// answeredCall is a request and the decoded golden response to it.
 type answeredCall struct {
 	call  provider.Request
 	reply provider.Response
 }
 
 func answeredCalls() map[string]answeredCall {
-	rent := provider.Request{Op: provider.ScaleOut, RequestName: "r-41-7", InstanceType: "g8", Zone: "hall-a", Spot: true, Count: 2}
+	scaleOut := provider.Request{Op: provider.ScaleOut, RequestName: "r-41-7", InstanceType: "g8", Zone: "hall-a", Spot: true, Count: 2}
 	return map[string]answeredCall{
 		"catalog": {
 			provider.Request{Op: provider.Catalog},
@@ -67,8 +67,8 @@
 				Zones:        []string{"hall-a", "hall-b"},
 			}}},
 		},
-		"rent":              {rent, provider.Response{Hosts: []string{"host-1", "host-2"}}},
-		"rent: no capacity": {rent, provider.Response{Outcome: rpc.Refused}},
+		"rent":              {scaleOut, provider.Response{Hosts: []string{"host-1", "host-2"}}},
+		"rent: no capacity": {scaleOut, provider.Response{Outcome: rpc.Refused}},
 		"release":           {provider.Request{Op: provider.Release, Hosts: []string{"host-1", "host-2"}}, provider.Response{}},
 		"list": {
 			provider.Request{Op: provider.List},
@@ -80,26 +80,26 @@
 	}
 }
 
-// TestCallsOf5990396 guards the requests to the cloud and the reading of its answers,
-// which must stay what they were with version 5990396.
+// TestCallsOf5990396 guards compatibility with the cloud API: requests must be encoded, and
+// responses decoded, as in version 5990396.
 func TestCallsOf5990396(t *testing.T) {
 	calls := answeredCalls()
 	golden := readGoldenCalls(t)
 	if len(golden) != len(calls) {
-		t.Errorf("%d golden calls, %d calls", len(golden), len(calls))
+		t.Errorf("%d golden calls, want %d", len(golden), len(calls))
 	}
 	for _, g := range golden {
 		t.Run(g.Name, func(t *testing.T) {
 			want := calls[g.Name]
-			method, path, body := Request(want.call)
+			method, path, body := EncodeRequest(want.call)
 			if method != g.Method || path != g.Path {
 				t.Errorf("%s %s, want %s %s", method, path, g.Method, g.Path)
 			}
 			if string(body) != string(g.Body) {
 				t.Errorf("body\n%s, want\n%s", body, g.Body)
 			}
-			if got := Decode(want.call, g.Status, g.Answer); !reflect.DeepEqual(got, want.reply) {
-				t.Errorf("read\n%+v, want\n%+v", got, want.reply)
+			if got := DecodeResponse(want.call, g.Status, g.Answer); !reflect.DeepEqual(got, want.reply) {
+				t.Errorf("decoded\n%+v, want\n%+v", got, want.reply)
 			}
 		})
 	}
--- a/internal/cloud/fuzz_test.go
+++ b/internal/cloud/fuzz_test.go
@@ -8,7 +8,8 @@
 	"yewpass/internal/timeline"
 )
 
-// FuzzDecode: an answer of the cloud is an unknown outcome or something a cloud has.
+// FuzzDecode checks that a response is either decoded to plausible values or has an unknown
+// outcome.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{
 		`{"flavors":[{"name":"s","vcpus":8,"gpus":1,"memGb":64,"fetchGbPerS":0.5,"rate":1,"lowPrice":0.3,"readyS":20,"halls":["a"]}]}`,
@@ -21,19 +22,19 @@
 		f.Add(int(provider.ScaleOut), 503, []byte(s))
 	}
 	f.Fuzz(func(t *testing.T, op, status int, data []byte) {
-		r := Decode(provider.Request{Op: provider.Op(op), Count: 2, After: "h1"}, status, data)
+		r := DecodeResponse(provider.Request{Op: provider.Op(op), Count: 2, After: "h1"}, status, data)
 		if r.Outcome == rpc.OK && status != 200 || len(r.Hosts) > 2 {
-			t.Fatalf("%+v", r)
+			t.Fatalf("unexpected response %+v", r)
 		}
 		for _, x := range r.InstanceTypes {
 			if x.Name == "" || x.Capacity.CPU <= 0 || x.Capacity.GPU < 0 || x.Capacity.Mem < 0 || x.BootTime < 0 || x.BootTime > timeline.Forever || !(x.OnDemandRate >= 0) || !(x.ImageGBps >= 0) {
-				t.Fatalf("%+v", x)
+				t.Fatalf("accepted instance type %+v", x)
 			}
 		}
 		last := "h1"
 		for _, x := range r.Instances {
 			if x.Host <= last || x.Age > timeline.Forever || x.Age < -timeline.Forever {
-				t.Fatalf("%+v after %s", x, last)
+				t.Fatalf("accepted instance %+v after %s", x, last)
 			}
 			last = x.Host
 		}
--- a/internal/cloud/request.go
+++ b/internal/cloud/request.go
@@ -8,8 +8,8 @@
 	"yewpass/internal/provider"
 )
 
-// listLimit is how many machines a page of the list has.
-const listLimit = "500"
+// listPageSize is the number of machines in a page of the list.
+const listPageSize = "500"
 
 type instanceRequestJSON struct {
 	Name         string `json:"rental"`
@@ -23,8 +23,9 @@
 	Hosts []string `json:"hosts"`
 }
 
-// Request returns a call as the cloud's protocol has it.
-func Request(call provider.Request) (method, path string, body []byte) {
+// EncodeRequest returns the HTTP method, path and body of a request. All are empty for an unknown
+// operation.
+func EncodeRequest(call provider.Request) (method, path string, body []byte) {
 	switch call.Op {
 	case provider.Catalog:
 		return http.MethodGet, "/catalog", nil
@@ -39,7 +40,7 @@
 	case provider.Release:
 		return http.MethodPost, "/machines/release", encode(hostsJSON{call.Hosts})
 	case provider.List:
-		query := url.Values{"limit": {listLimit}}
+		query := url.Values{"limit": {listPageSize}}
 		if call.After != "" {
 			query.Set("from", call.After)
 		}
@@ -48,7 +49,7 @@
 	return "", "", nil
 }
 
-// encode returns the JSON of a plain struct of this package, which always has one.
+// encode returns the JSON of a plain struct of this package, which never fails to encode.
 func encode(v any) []byte {
 	data, _ := json.Marshal(v)
 	return data
--- a/internal/cloud/response.go
+++ b/internal/cloud/response.go
@@ -11,15 +11,16 @@
 	"yewpass/internal/timeline"
 )
 
-// Bounds of the amounts that an instance type can have.
+// Limits for the plausible values of an instance type.
 const (
-	minCPUs   = 0.001
-	maxAmount = 1e6
-	maxLarge  = 1e7 // of memory, prices and boot times
+	minCPUs        = 0.001
+	maxAmount      = 1e6
+	maxLargeAmount = 1e7 // for memory, prices and boot times
 )
 
-// noCapacity is what the cloud says when it has no instance of the kind that was asked for.
-const noCapacity = "capacity"
+// noCapacityError is part of the error text with which the cloud reports that no instance of the
+// requested type is available.
+const noCapacityError = "capacity"
 
 type instanceTypeJSON struct {
 	Name         string   `json:"name"`
@@ -58,25 +59,25 @@
 
 var unknown = provider.Response{Outcome: rpc.Unknown}
 
-// Decode reads a response. Whatever is not what the protocol promises is an unknown
-// outcome.
-func Decode(call provider.Request, status int, data []byte) provider.Response {
+// DecodeResponse decodes the response to a request. A response that the protocol does not allow for
+// this request has the outcome rpc.Unknown.
+func DecodeResponse(call provider.Request, status int, data []byte) provider.Response {
 	switch status {
 	case http.StatusOK:
 		return decodeSuccess(call, data)
 	case http.StatusServiceUnavailable:
 		var body errorJSON
-		if json.Unmarshal(data, &body) == nil && strings.Contains(body.Error, noCapacity) {
+		if json.Unmarshal(data, &body) == nil && strings.Contains(body.Error, noCapacityError) {
 			return provider.Response{Outcome: rpc.Refused}
 		}
-		return unknown // an outage: the same request is sent again
+		return unknown // an outage; the caller repeats the request
 	case http.StatusBadRequest:
 		return provider.Response{Outcome: rpc.Invalid}
 	}
 	return unknown
 }
 
-// decodeSuccess reads a response with status 200.
+// decodeSuccess decodes a response with status 200.
 func decodeSuccess(call provider.Request, data []byte) provider.Response {
 	switch call.Op {
 	case provider.Catalog:
@@ -113,8 +114,8 @@
 	return provider.Response{Outcome: rpc.OK, Hosts: body.Hosts}
 }
 
-// decodeList reads a page of the list of machines. Its hosts are in order and behind the
-// one that was asked for, or the list might never end.
+// decodeList decodes a page of the list of machines. It checks that the hosts are in ascending
+// order and after call.After, because listing might never end otherwise.
 func decodeList(call provider.Request, data []byte) provider.Response {
 	var body listJSON
 	if json.Unmarshal(data, &body) != nil {
@@ -153,14 +154,14 @@
 	}
 }
 
-// valid reports whether an instance type has amounts that a machine can have.
+// valid reports whether an instance type has a name and plausible values.
 func (t *instanceTypeJSON) valid() bool {
 	return t.Name != "" && t.CPUs >= minCPUs &&
 		allWithin(maxAmount, t.CPUs, t.GPUs, t.ImageGBps, t.LocalGB) &&
-		allWithin(maxLarge, t.MemGB, t.BootSeconds, t.OnDemandRate, t.SpotRate)
+		allWithin(maxLargeAmount, t.MemGB, t.BootSeconds, t.OnDemandRate, t.SpotRate)
 }
 
-// allWithin reports whether all amounts are numbers between 0 and a limit.
+// allWithin reports whether all amounts are between 0 and limit. It is false for NaN.
 func allWithin(limit float64, amounts ...float64) bool {
 	return !slices.ContainsFunc(amounts, func(amount float64) bool { return !(amount >= 0 && amount <= limit) })
 }
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,4 +1,4 @@
-// Package httpjson makes JSON calls to an outside service over HTTP.
+// Package httpjson sends JSON requests to an external service over HTTP.
 package httpjson
 
 import (
@@ -10,31 +10,32 @@
 	"time"
 )
 
-// Caller calls one service.
-type Caller struct {
+// Client sends requests to one service. It is safe for concurrent use.
+type Client struct {
 	base        string
 	http        *http.Client
-	maxResponse int64 // bytes read of an answer
+	maxResponse int64 // bytes of a response body
 }
 
-// NewCaller returns a caller of the service at addr (empty: paths begin with an
-// address) that keeps at most idle connections (below 0: none) and reads at most
-// most bytes of an answer.
-func NewCaller(addr string, dial time.Duration, idle int, most int64) *Caller {
-	return &Caller{
+// NewClient returns a client of the service at addr. If addr is empty, the paths passed to Call
+// must begin with an address. The client keeps at most maxIdle idle connections, or none if maxIdle
+// is negative, and treats a response body of more than maxResponse bytes as a failure.
+func NewClient(addr string, dialTimeout time.Duration, maxIdle int, maxResponse int64) *Client {
+	return &Client{
 		base: "http://" + addr,
 		http: &http.Client{Transport: &http.Transport{
-			DialContext:         (&net.Dialer{Timeout: dial}).DialContext,
-			MaxIdleConnsPerHost: idle, IdleConnTimeout: time.Minute, DisableCompression: true,
+			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+			MaxIdleConnsPerHost: maxIdle, IdleConnTimeout: time.Minute, DisableCompression: true,
 		}},
-		maxResponse: most,
+		maxResponse: maxResponse,
 	}
 }
 
-// Call makes a request and returns the answer's status and body; false if there
-// was none that is whole.
-func (c *Caller) Call(method, path string, body []byte, within time.Duration) (int, []byte, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// Call sends a request and returns the status and body of the response. It returns false if no
+// complete response arrived within the timeout, in which case the service may or may not have
+// processed the request.
+func (c *Client) Call(method, path string, body []byte, timeout time.Duration) (int, []byte, bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -1,5 +1,5 @@
-// Package kvclient speaks the protocol of the key-value store, which the protocol's pages
-// call the state service. Names of the protocol stand in this package alone.
+// Package kvclient implements the protocol of the key-value store, which the protocol documentation
+// calls the state service. The names of the protocol are used only in this package.
 package kvclient
 
 import (
@@ -13,24 +13,26 @@
 const (
 	dialTimeout        = time.Second
 	maxIdleConnections = 8
-	// maxResponseBytes bounds what is read of a response; a list has at most 512 KiB of
-	// items.
+	// maxResponseBytes bounds the size of a response. A page of a list has at most 512 KiB of
+	// entries.
 	maxResponseBytes = 2 << 20
 )
 
-// Client is the actor that calls the store: each call runs in its own goroutine and its
-// response goes to the inbox. The caller bounds how many are on their way.
+// Client sends requests to the key-value store. Each request runs in its own goroutine, and its
+// response is delivered to the inbox. The client does not limit the number of concurrent requests;
+// the caller does.
 type Client struct {
-	caller *httpjson.Caller
-	inbox  chan<- any
+	http  *httpjson.Client
+	inbox chan<- any
 }
 
-// New returns a client of the store at an address that delivers to inbox.
+// New returns a client of the store at address that delivers each kv.Response to inbox.
 func New(address string, inbox chan<- any) *Client {
-	return &Client{httpjson.NewCaller(address, dialTimeout, maxIdleConnections, maxResponseBytes), inbox}
+	return &Client{httpjson.NewClient(address, dialTimeout, maxIdleConnections, maxResponseBytes), inbox}
 }
 
-// Do makes the call and delivers its response.
+// Do sends a request without blocking. Its response has the same Ref; the outcome is rpc.Unknown if
+// no valid response arrives within the timeout of the request.
 func (c *Client) Do(call kv.Request) {
 	go func() {
 		response := c.call(call)
@@ -40,10 +42,10 @@
 }
 
 func (c *Client) call(call kv.Request) kv.Response {
-	method, path, body := Request(call)
-	status, data, ok := c.caller.Call(method, path, body, call.Timeout)
+	method, path, body := EncodeRequest(call)
+	status, data, ok := c.http.Call(method, path, body, call.Timeout)
 	if !ok {
 		return kv.Response{Outcome: rpc.Unknown}
 	}
-	return Decode(call, status, data)
+	return DecodeResponse(call, status, data)
 }
--- a/internal/kvclient/client_test.go
+++ b/internal/kvclient/client_test.go
@@ -7,8 +7,8 @@
 	"yewpass/internal/rpc"
 )
 
-// TestDecode: what is malformed or unexpected is an unknown outcome, never a
-// success.
+// TestDecode checks that a malformed or unexpected response has an unknown outcome and is never
+// taken as a success.
 func TestDecode(t *testing.T) {
 	for _, c := range []struct {
 		op     kv.Op
@@ -48,7 +48,7 @@
 		{kv.List, 200, `{"entries":[],"truncated":true,"storeRev":1}`, rpc.Unknown},
 		{kv.Watch, 410, ``, rpc.NotFound},
 	} {
-		if got := Decode(kv.Request{Op: c.op, Key: "a", From: "a/5", LeaseID: 7}, c.status, []byte(c.body)); got.Outcome != c.want {
+		if got := DecodeResponse(kv.Request{Op: c.op, Key: "a", From: "a/5", LeaseID: 7}, c.status, []byte(c.body)); got.Outcome != c.want {
 			t.Errorf("%v %d %s: %v, want %v", c.op, c.status, c.body, got.Outcome, c.want)
 		}
 	}
--- a/internal/kvclient/compatibility_test.go
+++ b/internal/kvclient/compatibility_test.go
@@ -14,15 +14,15 @@
 	"yewpass/internal/spec"
 )
 
-// The files under testdata were written by version 5990396. They are never written anew:
-// a version that cannot read them, or writes other bytes, cannot run beside that version
-// or on the data that it left.
+// The files under testdata were written by version 5990396. They must not be regenerated: a version
+// that cannot read them, or writes other bytes, cannot run in a cluster with that version or on its
+// stored data.
 const (
 	goldenRequests = "testdata/requests-5990396.jsonl"
 	goldenAnswers  = "testdata/answers-5990396.jsonl"
 )
 
-// readGolden reads a file of JSON lines.
+// readGolden decodes a file of JSON lines.
 func readGolden[T any](t *testing.T, path string) []T {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -40,12 +40,12 @@
 	return all
 }
 
-// leastSpec is the shortest description of a job.
-func leastSpec() spec.Job {
+// minimalSpec returns a job with only the required fields.
+func minimalSpec() spec.Job {
 	return spec.Job{ID: "wk-7", Class: "build", Owner: "tools", Tasks: 1}
 }
 
-// goldenRequest is a request to the state service.
+// goldenRequest is a request to the key-value store.
 type goldenRequest struct {
 	Name   string          `json:"name"`
 	Method string          `json:"method"`
@@ -53,8 +53,8 @@
 	Body   json.RawMessage `json:"body,omitempty"`
 }
 
-// requestCalls are the calls of the golden requests, by name.
-func requestCalls() map[string]kv.Request {
+// goldenRequestCalls returns the requests of the golden file by name.
+func goldenRequestCalls() map[string]kv.Request {
 	return map[string]kv.Request{
 		"get":               {Op: kv.Get, Key: "yewpass/term"},
 		"list":              {Op: kv.List, Key: "yewpass/live/", Limit: 400},
@@ -70,23 +70,23 @@
 			Conditions: []kv.Condition{{Key: "yewpass/leader", Rev: 40}, {Key: "yewpass/live/job/wk-7"}},
 			Writes: []kv.Write{
 				{Key: "yewpass/leader", Value: &record.Leader{Node: "n1", Term: 41, ProcessID: 6, Era: 8}, LeaseID: 5},
-				{Key: "yewpass/live/job/wk-7", Value: &record.Job{Spec: leastSpec(), Submitted: time.UnixMilli(1_801_386_061_234)}},
+				{Key: "yewpass/live/job/wk-7", Value: &record.Job{Spec: minimalSpec(), Submitted: time.UnixMilli(1_801_386_061_234)}},
 				{Key: "yewpass/live/job/wk-8"},
 			}},
 	}
 }
 
-// TestRequestsOf5990396 guards the requests to the state service, which speaks to version
-// 5990396 and to this one alike.
+// TestRequestsOf5990396 guards compatibility with the key-value store: requests must be encoded to
+// the same bytes as in version 5990396.
 func TestRequestsOf5990396(t *testing.T) {
-	calls := requestCalls()
+	calls := goldenRequestCalls()
 	golden := readGolden[goldenRequest](t, goldenRequests)
 	if len(golden) != len(calls) {
-		t.Errorf("%d golden requests, %d calls", len(golden), len(calls))
+		t.Errorf("%d golden requests, want %d", len(golden), len(calls))
 	}
 	for _, g := range golden {
 		t.Run(g.Name, func(t *testing.T) {
-			method, path, body := Request(calls[g.Name])
+			method, path, body := EncodeRequest(calls[g.Name])
 			if method != g.Method || path != g.Path {
 				t.Errorf("%s %s, want %s %s", method, path, g.Method, g.Path)
 			}
@@ -97,21 +97,21 @@
 	}
 }
 
-// goldenAnswer is an answer of the state service.
+// goldenAnswer is a response of the key-value store.
 type goldenAnswer struct {
 	Name   string          `json:"name"`
 	Status int             `json:"status"`
 	Answer json.RawMessage `json:"answer"`
 }
 
-// answeredCall is what was asked, and what the golden answer to it says.
+// answeredCall is a request and the decoded golden response to it.
 type answeredCall struct {
 	call  kv.Request
 	reply kv.Response
 }
 
-// answeredCalls are the calls of the golden answers, by name.
-func answeredCalls() map[string]answeredCall {
+// goldenAnswerCalls returns the requests and responses of the golden file by name.
+func goldenAnswerCalls() map[string]answeredCall {
 	final := &record.Final{State: spec.Done, Done: 1}
 	return map[string]answeredCall{
 		"get": {
@@ -138,19 +138,19 @@
 	}
 }
 
-// TestAnswersReadBy5990396 guards the reading of the state service's answers, which are
-// the same to version 5990396 and to this one.
+// TestAnswersReadBy5990396 guards compatibility with the key-value store: responses must be decoded
+// as in version 5990396.
 func TestAnswersReadBy5990396(t *testing.T) {
-	calls := answeredCalls()
+	calls := goldenAnswerCalls()
 	golden := readGolden[goldenAnswer](t, goldenAnswers)
 	if len(golden) != len(calls) {
-		t.Errorf("%d golden answers, %d calls", len(golden), len(calls))
+		t.Errorf("%d golden responses, want %d", len(golden), len(calls))
 	}
 	for _, g := range golden {
 		t.Run(g.Name, func(t *testing.T) {
 			want := calls[g.Name]
-			if got := Decode(want.call, g.Status, g.Answer); !reflect.DeepEqual(got, want.reply) {
-				t.Errorf("read %+v, want %+v", got, want.reply)
+			if got := DecodeResponse(want.call, g.Status, g.Answer); !reflect.DeepEqual(got, want.reply) {
+				t.Errorf("decoded %+v, want %+v", got, want.reply)
 			}
 		})
 	}
--- a/internal/kvclient/fuzz_test.go
+++ b/internal/kvclient/fuzz_test.go
@@ -11,8 +11,8 @@
 	"yewpass/internal/spec"
 )
 
-// FuzzDecode: an answer of the state service is an unknown outcome, or what the
-// protocol promises for the call; a record is one of ours, whole, or none.
+// FuzzDecode checks that a response is either decoded as the protocol allows for the request or has
+// an unknown outcome, and that each decoded record is valid.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{
 		`{"k":"a/wk-1","v":{"type":"job","spec":{"id":"wk-1","tasks":2,"cpus":1},"submittedMs":5},"keyRev":4,"grant":7}`,
@@ -33,36 +33,36 @@
 		if call.Op == kv.Get {
 			call.Key = "a/wk-1"
 		}
-		r := Decode(call, status, data)
+		r := DecodeResponse(call, status, data)
 		if r.Outcome == rpc.OK && status != 200 || r.Outcome == rpc.NotFound && status != 404 && status != 410 {
-			t.Fatalf("%v for %d", r.Outcome, status)
+			t.Fatalf("outcome %v for status %d", r.Outcome, status)
 		}
 		last := ""
 		for _, e := range r.Entries {
 			if !strings.HasPrefix(e.Key, call.Key) || e.Key <= last {
-				t.Fatalf("%q after %q", e.Key, last)
+				t.Fatalf("accepted key %q after %q", e.Key, last)
 			}
 			last = e.Key
 			switch v := e.Value.(type) {
 			case *record.Job:
 				if !v.Spec.Sound() || !strings.HasSuffix(e.Key, v.Spec.ID) {
-					t.Fatalf("%+v", v)
+					t.Fatalf("accepted record %+v", v)
 				}
 			case *record.Final:
 				if v.Done < 0 || v.State != spec.Done && v.State != spec.Cancelled {
-					t.Fatalf("%+v", v)
+					t.Fatalf("accepted record %+v", v)
 				}
 			case *record.Term:
 				if v.Term == 0 || v.Term > record.MaxTerm {
-					t.Fatalf("%+v", v)
+					t.Fatalf("accepted record %+v", v)
 				}
 			case *record.Machines:
 				if len(v.Machines) == 0 {
-					t.Fatal("a record of no machines")
+					t.Fatal("accepted a record without machines")
 				}
 			case *schedule.Record:
 				if _, ok := v.Entries(); !ok {
-					t.Fatalf("%+v", v)
+					t.Fatalf("accepted record %+v", v)
 				}
 			}
 		}
--- a/internal/kvclient/request.go
+++ b/internal/kvclient/request.go
@@ -11,8 +11,8 @@
 	"yewpass/internal/recordcodec"
 )
 
-// transactionJSON is a transaction: the writes are applied if all keys have the revisions
-// of the conditions.
+// transactionJSON is a compare-and-swap transaction: the writes are applied atomically if each key
+// of the conditions has the given revision.
 type transactionJSON struct {
 	Conditions []conditionJSON `json:"when"`
 	Writes     []writeJSON     `json:"then"`
@@ -23,7 +23,7 @@
 	Revision uint64 `json:"keyRev"`
 }
 
-// writeJSON sets a key, under a lease if there is one, or removes it.
+// writeJSON sets a key, optionally attached to a lease, or removes a key.
 type writeJSON struct {
 	Write   string `json:"write,omitempty"`
 	Value   any    `json:"v,omitempty"`
@@ -31,13 +31,14 @@
 	Remove  string `json:"drop,omitempty"`
 }
 
-// leaseJSON asks for a lease, which the protocol calls a grant, or for its renewal.
+// leaseJSON requests a lease, which the protocol calls a grant, or its renewal.
 type leaseJSON struct {
 	TTLMS int64 `json:"ttlMs"`
 }
 
-// Request returns a call as the store's protocol has it.
-func Request(call kv.Request) (method, path string, body []byte) {
+// EncodeRequest returns the HTTP method, path and body of a request. All are empty for an unknown
+// operation.
+func EncodeRequest(call kv.Request) (method, path string, body []byte) {
 	switch call.Op {
 	case kv.Get:
 		return http.MethodGet, "/store/" + call.Key, nil
@@ -91,7 +92,7 @@
 	return t
 }
 
-// encode returns the JSON of a plain struct of this package, which always has one.
+// encode returns the JSON of a plain struct of this package, which never fails to encode.
 func encode(v any) []byte {
 	data, _ := json.Marshal(v)
 	return data
--- a/internal/kvclient/response.go
+++ b/internal/kvclient/response.go
@@ -16,8 +16,8 @@
 	Revision uint64          `json:"keyRev"`
 }
 
-// responseJSON is the union of the store's responses. Pointers tell what is missing,
-// because a response without what it must hold is no success.
+// responseJSON has the fields of all responses of the store. Pointers distinguish missing fields,
+// because a response without a required field is not a success.
 type responseJSON struct {
 	entryJSON
 	StoreRevision *uint64     `json:"storeRev"`
@@ -32,10 +32,10 @@
 	success = kv.Response{Outcome: rpc.OK}
 )
 
-// Decode reads a response. Whatever is not what the protocol promises for this very call
-// is an unknown outcome: between us and the store there may be something that answers in
-// its place, and what is believed here decides who leads and what exists.
-func Decode(call kv.Request, status int, data []byte) kv.Response {
+// DecodeResponse decodes the response to a request. A response that the protocol does not allow for
+// this request has the outcome rpc.Unknown: it may come from a proxy instead of the store, and
+// acting on it could elect a second leader or lose records.
+func DecodeResponse(call kv.Request, status int, data []byte) kv.Response {
 	var body responseJSON
 	parsed := json.Unmarshal(data, &body) == nil
 	switch status {
@@ -63,8 +63,8 @@
 	return unknown
 }
 
-// decodeNotFound reads a response with status 404. That a record does not exist is
-// believed from the store alone, which adds its revision.
+// decodeNotFound decodes a response with status 404. A missing key is reported only if the response
+// has the store revision, which shows that it comes from the store and not from a proxy.
 func decodeNotFound(call kv.Request, body *responseJSON, parsed bool) kv.Response {
 	if call.Op != kv.Get {
 		return kv.Response{Outcome: rpc.NotFound}
@@ -75,7 +75,7 @@
 	return kv.Response{Outcome: rpc.NotFound, Rev: *body.StoreRevision}
 }
 
-// decodeSuccess reads a response with status 200.
+// decodeSuccess decodes a response with status 200.
 func decodeSuccess(call kv.Request, body *responseJSON) kv.Response {
 	response := kv.Response{Outcome: rpc.OK, More: body.Truncated}
 	if body.StoreRevision != nil {
@@ -108,8 +108,9 @@
 	return response
 }
 
-// decodeList reads a page of a list. Its keys are in order and behind the key that was
-// asked for: a page that is not would have us read for ever, or pass records over.
+// decodeList decodes a page of a list. It checks that the keys are in ascending order, after
+// call.From and under the prefix, because a wrong page could make the caller read forever or skip
+// records.
 func decodeList(call kv.Request, body *responseJSON, response kv.Response) kv.Response {
 	if body.Entries == nil && body.StoreRevision == nil {
 		return unknown
@@ -137,7 +138,7 @@
 	return response
 }
 
-// decode reads an entry; its value is nil when it is no record of ours.
+// decode returns an entry. Its value is nil if it is not a known record.
 func (e *entryJSON) decode() kv.Entry {
 	return kv.Entry{Key: e.Key, Value: recordcodec.Decode(e.Key, e.Value), Rev: e.Revision}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,8 +80,8 @@
 	return n.loop(kvInbox, inbox, serveErr, signals)
 }
 
-// node connects the core to its I/O. Only the goroutine that runs loop accesses its fields; the
-// atomic ones are also read by isReady.
+// node connects the core to its I/O. Only the goroutine that runs loop modifies its fields; the
+// atomic ones are also read by isReady, in other goroutines.
 type node struct {
 	core           *core.Core
 	store          *kvclient.Client
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -27,12 +27,12 @@
 	"yewpass/internal/spec"
 )
 
-// goldenLines was written by version 5990396, by the controller "a". It is never written
-// anew: a version that cannot read these lines, or writes other bytes, cannot run beside
-// that version.
+// goldenLines was written by the controller "a" of version 5990396. The file must not be
+// regenerated: a version that cannot read these lines, or writes other bytes, cannot run in a
+// cluster with that version.
 const goldenLines = "testdata/lines-5990396.jsonl"
 
-// goldenLine is a line between controllers.
+// goldenLine is a line of the peer protocol.
 type goldenLine struct {
 	Name string          `json:"name"`
 	Line json.RawMessage `json:"line"`
@@ -73,46 +73,46 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	go func() {
-		for { // shows the sender that the peer is there
+		for { // keeps the link alive
 			if _, err := io.WriteString(conn, "\n"); err != nil {
 				return
 			}
-			time.Sleep(pingEvery)
+			time.Sleep(pingInterval)
 		}
 	}()
 	conn.SetReadDeadline(time.Now().Add(time.Minute))
 	s.lines = bufio.NewScanner(conn)
-	s.lines.Buffer(nil, maxLine)
-	return s, s.next(t)
+	s.lines.Buffer(nil, maxLineBytes)
+	return s, s.nextLine(t)
 }
 
-func (s *sender) next(t *testing.T) string {
+func (s *sender) nextLine(t *testing.T) string {
 	t.Helper()
 	if !s.lines.Scan() {
-		t.Fatal("no line: ", s.lines.Err())
+		t.Fatalf("no line received: %v", s.lines.Err())
 	}
 	return s.lines.Text()
 }
 
-// write returns the line that a message becomes.
-func (s *sender) write(t *testing.T, message peermsg.Message) string {
+// encode returns the line that the controller sends for a message.
+func (s *sender) encode(t *testing.T, message peermsg.Message) string {
 	t.Helper()
 	s.mesh.Send(peermsg.Outgoing{To: "b", Msg: message})
 	for {
-		if line := s.next(t); line != pingLine {
+		if line := s.nextLine(t); line != pingLine {
 			return line
 		}
 	}
 }
 
-// pingLine keeps a link alive while there is nothing to say.
+// pingLine is the keep-alive line of the controller "a".
 const pingLine = `{"from":"a","kind":"ping"}`
 
 // receiver is the controller "b", whose only peer, "a", is the test.
 type receiver struct {
 	conn   net.Conn
 	inbox  chan any
-	closed chan struct{} // by the controller, which ends a connection with a line that is none
+	closed chan struct{} // closed when the controller closes the connection
 }
 
 func newReceiver(t *testing.T) *receiver {
@@ -132,8 +132,8 @@
 	return r
 }
 
-// read returns the message that a line is read as.
-func (r *receiver) read(t *testing.T, line []byte) peermsg.Message {
+// decode sends a line to the controller and returns the message that it delivers.
+func (r *receiver) decode(t *testing.T, line []byte) peermsg.Message {
 	t.Helper()
 	if _, err := r.conn.Write(append(bytes.Clone(line), '\n')); err != nil {
 		t.Fatal(err)
@@ -143,24 +143,24 @@
 		case input := <-r.inbox:
 			in, ok := input.(peermsg.Received)
 			if !ok {
-				continue // about a link
+				continue // a link change
 			}
 			if in.From != "a" {
-				t.Errorf("from %q, want a", in.From)
+				t.Errorf("message is from %q, want a", in.From)
 			}
 			return in.Msg
 		case <-r.closed:
-			t.Fatal("the line is refused")
+			t.Fatal("the controller closed the connection instead of delivering the line")
 		case <-time.After(5 * time.Second):
-			t.Fatal("no message")
+			t.Fatal("no message within 5 s")
 		}
 	}
 }
 
 func pointer[T any](v T) *T { return &v }
 
-// messages are the messages of the golden lines, by name.
-func messages() map[string]peermsg.Message {
+// goldenMessages returns the messages of the golden lines by name.
+func goldenMessages() map[string]peermsg.Message {
 	all := map[string]peermsg.Message{
 		"leader":              {Kind: peermsg.Leader, Term: 41, Version: 1},
 		"leader: no version":  {Kind: peermsg.Leader, Term: record.MaxTerm},
@@ -181,25 +181,25 @@
 		"alone": {Kind: peermsg.LeaderlessJob, Replica: &replica.Line{Term: 41, Session: 7, Puts: []replica.Record{
 			{Key: "yewpass/live/job/wk-7", Value: jobRecord(), Rev: 90},
 		}}},
-		"copy: every field":     {Kind: peermsg.Replica, Replica: wholeCopy()},
+		"copy: every field":     {Kind: peermsg.Replica, Replica: fullReplicaLine()},
 		"copy: least":           {Kind: peermsg.Replica, Replica: &replica.Line{Term: 41, Session: 7, Number: 1}},
-		"reports: every field":  {Kind: peermsg.Heartbeats, Term: 41, Reports: wholeBatch()},
+		"reports: every field":  {Kind: peermsg.Heartbeats, Term: 41, Reports: fullBatch()},
 		"reports: nothing":      {Kind: peermsg.Heartbeats, Term: 41, Reports: &relay.Batch{Session: 6, Number: 2}},
-		"replies: every field":  {Kind: peermsg.HeartbeatReplies, Term: 41, Replies: wholeReplies()},
+		"replies: every field":  {Kind: peermsg.HeartbeatReplies, Term: 41, Replies: fullReplies()},
 		"replies: begin again":  {Kind: peermsg.HeartbeatReplies, Term: 41, Replies: &relay.Replies{Session: 6, Resync: true}},
-		"answer: every field":   {Kind: peermsg.Response, Ref: 5, Answer: wholeAnswer()},
+		"answer: every field":   {Kind: peermsg.Response, Ref: 5, Answer: fullResponse()},
 		"answer: status alone":  {Kind: peermsg.Response, Ref: 5, Answer: &request.Response{Status: 204}},
-		"call: submit":          {Kind: peermsg.Request, Ref: 5, Op: request.Submit, ID: "wk-000412", Spec: wholeSpec()},
+		"call: submit":          {Kind: peermsg.Request, Ref: 5, Op: request.Submit, ID: "wk-000412", Spec: fullSpec()},
 		"call: get":             {Kind: peermsg.Request, Ref: 5, Op: request.Get, ID: "wk-7"},
 		"call: cancel":          {Kind: peermsg.Request, Ref: 5, Op: request.Cancel, ID: "wk-7"},
 		"call: cluster":         {Kind: peermsg.Request, Ref: 5, Op: request.Cluster},
 		"call: hand over":       {Kind: peermsg.Request, Ref: 5, Op: request.HandOver},
-		"call: set teams":       {Kind: peermsg.Request, Ref: 5, Op: request.ConfigSet, Config: wholeChange()},
+		"call: set teams":       {Kind: peermsg.Request, Ref: 5, Op: request.ConfigSet, Config: fullConfigChange()},
 		"call: get team":        {Kind: peermsg.Request, Ref: 5, Op: request.ConfigGet, Config: &request.ConfigParams{Name: "vision"}},
 		"call: list teams":      {Kind: peermsg.Request, Ref: 5, Op: request.ConfigList, Config: &request.ConfigParams{After: "tools", Count: 20}},
 		"call: config status":   {Kind: peermsg.Request, Ref: 5, Op: request.ConfigStatus, Config: &request.ConfigParams{}},
-		"call: put schedule":    {Kind: peermsg.Request, Ref: 5, Op: request.SchedulePut, Schedule: &request.ScheduleParams{Name: "nightly", File: wholeFile(), IfMatch: `"7-4"`}},
-		"call: put new":         {Kind: peermsg.Request, Ref: 5, Op: request.SchedulePut, Schedule: &request.ScheduleParams{Name: "n", File: leastFile(), IfMatch: request.NewOnly}},
+		"call: put schedule":    {Kind: peermsg.Request, Ref: 5, Op: request.SchedulePut, Schedule: &request.ScheduleParams{Name: "nightly", File: fullScheduleFile(), IfMatch: `"7-4"`}},
+		"call: put new":         {Kind: peermsg.Request, Ref: 5, Op: request.SchedulePut, Schedule: &request.ScheduleParams{Name: "n", File: minimalScheduleFile(), IfMatch: request.NewOnly}},
 		"call: get schedule":    {Kind: peermsg.Request, Ref: 5, Op: request.ScheduleGet, Schedule: &request.ScheduleParams{Name: "nightly"}},
 		"call: list schedules":  {Kind: peermsg.Request, Ref: 5, Op: request.ScheduleList, Schedule: &request.ScheduleParams{After: "n", Count: 20}},
 		"call: delete schedule": {Kind: peermsg.Request, Ref: 5, Op: request.ScheduleDelete, Schedule: &request.ScheduleParams{Name: "nightly", IfMatch: `"7-4"`}},
@@ -212,7 +212,7 @@
 	return all
 }
 
-func wholeSpec() *spec.Job {
+func fullSpec() *spec.Job {
 	return &spec.Job{
 		ID:                 "wk-000412",
 		Class:              "train <a&b>",
@@ -242,8 +242,8 @@
 	return &record.Job{Spec: spec.Job{ID: "wk-7", Class: "build", Owner: "tools", Tasks: 1}, Submitted: time.UnixMilli(1_801_386_061_234)}
 }
 
-// wholeCopy is a line of a copy with a record of each kind.
-func wholeCopy() *replica.Line {
+// fullReplicaLine returns a line of a replica with a record of each kind.
+func fullReplicaLine() *replica.Line {
 	nominal := time.UnixMilli(60_000).UTC()
 	return &replica.Line{
 		Era:      9_000_000_000_000_000_002,
@@ -268,7 +268,7 @@
 	}
 }
 
-func wholeBatch() *relay.Batch {
+func fullBatch() *relay.Batch {
 	return &relay.Batch{
 		Session: 6,
 		Number:  2,
@@ -303,7 +303,7 @@
 	}
 }
 
-func wholeReplies() *relay.Replies {
+func fullReplies() *relay.Replies {
 	return &relay.Replies{
 		Session: 6,
 		List: []relay.Reply{
@@ -319,7 +319,7 @@
 	}
 }
 
-func wholeAnswer() *request.Response {
+func fullResponse() *request.Response {
 	return &request.Response{
 		Status:     429,
 		RetryAfter: 1500 * time.Millisecond,
@@ -331,7 +331,7 @@
 	}
 }
 
-func wholeChange() *request.ConfigParams {
+func fullConfigChange() *request.ConfigParams {
 	return &request.ConfigParams{
 		Teams: []liveconfig.TeamChange{
 			{Team: liveconfig.Team{Name: "vision", CPUs: 10.5, CPUsMax: 20, GPUs: 4, GPUsMax: 8.25, Retired: true}, IfRevision: pointer(uint64(0))},
@@ -341,7 +341,7 @@
 	}
 }
 
-func wholeFile() *schedule.File {
+func fullScheduleFile() *schedule.File {
 	return &schedule.File{
 		Name:           "nightly",
 		Zone:           "Europe/Berlin",
@@ -380,18 +380,18 @@
 	}
 }
 
-func leastFile() *schedule.File {
+func minimalScheduleFile() *schedule.File {
 	return &schedule.File{Name: "n", Zone: "UTC", Rule: "FREQ=DAILY"}
 }
 
-// TestLinesOf5990396 guards the lines between controllers: those written by version
-// 5990396 must stay readable, and the reverse.
+// TestLinesOf5990396 guards compatibility of the peer protocol: lines of version 5990396 must be
+// decoded correctly, and messages must be encoded to the same bytes.
 func TestLinesOf5990396(t *testing.T) {
 	sender, first := newSender(t)
 	if first != pingLine {
-		t.Errorf("the first line is %s, want %s", first, pingLine)
+		t.Errorf("first line is %s, want %s", first, pingLine)
 	}
-	wants := messages()
+	wants := goldenMessages()
 	golden := readGoldenLines(t)
 	if len(golden) != len(wants) {
 		t.Errorf("%d golden lines, %d messages", len(golden), len(wants))
@@ -399,24 +399,24 @@
 	for _, g := range golden {
 		t.Run(g.Name, func(t *testing.T) {
 			want := wants[g.Name]
-			got := newReceiver(t).read(t, g.Line)
+			got := newReceiver(t).decode(t, g.Line)
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("read\n%+v, want\n%+v", got, want)
+				t.Errorf("decoded\n%+v, want\n%+v", got, want)
 			}
-			if line := sender.write(t, got); line != string(g.Line) {
-				t.Errorf("written again\n%s, want\n%s", line, g.Line)
+			if line := sender.encode(t, got); line != string(g.Line) {
+				t.Errorf("encoded again\n%s, want\n%s", line, g.Line)
 			}
-			if line := sender.write(t, want); line != string(g.Line) {
-				t.Errorf("written\n%s, want\n%s", line, g.Line)
+			if line := sender.encode(t, want); line != string(g.Line) {
+				t.Errorf("encoded\n%s, want\n%s", line, g.Line)
 			}
 		})
 	}
 }
 
-// TestLinesCoverEveryKind: no kind of message is missing among the golden lines.
+// TestLinesCoverEveryKind checks that the golden lines include every kind of message.
 func TestLinesCoverEveryKind(t *testing.T) {
 	seen := map[peermsg.Kind]bool{}
-	for _, m := range messages() {
+	for _, m := range goldenMessages() {
 		seen[m.Kind] = true
 	}
 	for _, kind := range []peermsg.Kind{
@@ -424,26 +424,26 @@
 		peermsg.AskKnowledge, peermsg.TellKnowledge, peermsg.WantReplica, peermsg.ConfigRevision, peermsg.Heartbeats, peermsg.HeartbeatReplies,
 	} {
 		if !seen[kind] {
-			t.Errorf("no line of the kind %q", kind)
+			t.Errorf("no golden line of kind %q", kind)
 		}
 	}
 }
 
-// TestDamagedCopyIsRefused: a copy's line whose records are not those that its checksum
-// was made of, as version 5990396 makes it, is no line.
-func TestDamagedCopyIsRefused(t *testing.T) {
+// TestDamagedReplicaLineIsRejected checks that a replica line whose records do not match its
+// checksum is rejected.
+func TestDamagedReplicaLineIsRejected(t *testing.T) {
 	for _, g := range readGoldenLines(t) {
 		if g.Name != "copy: every field" {
 			continue
 		}
 		damaged := strings.Replace(string(g.Line), `"ranges":"0-5,9"`, `"ranges":"0-5,8"`, 1)
 		if damaged == string(g.Line) {
-			t.Fatal("nothing is damaged")
+			t.Fatal("the golden line has no progress record to damage")
 		}
 		if _, err := decodeMessage([]byte(damaged), map[string]bool{"a": true}); err == nil {
-			t.Error("a damaged line is taken")
+			t.Error("decodeMessage accepted a damaged line, want an error")
 		}
 		return
 	}
-	t.Fatal("no line of a copy")
+	t.Fatal("no golden line of a replica")
 }
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -12,31 +12,31 @@
 	"yewpass/internal/request"
 )
 
-// maxRetryAfter is far above any time that an answer says to come back after.
+// maxRetryAfter bounds the retry delay of a response; valid responses stay far below it.
 const maxRetryAfter = time.Hour
 
-// errPing says that a line is a ping, which is answered and not delivered.
+// errPing is returned for a ping, which is answered at once and not delivered.
 var errPing = errors.New("ping")
 
-// malformedError says why a line is none that a controller sends.
+// malformedError describes why a line is not a valid message.
 type malformedError struct {
 	field  string
 	reason string
 }
 
-// Error implements error.
+// Error names the invalid field and the reason.
 func (e *malformedError) Error() string { return e.field + ": " + e.reason }
 
-// decodeMessage reads a line. The core takes what passes as it is: a request without what
-// its operation needs, or an answer that HTTP has no status for, would end the process
-// that serves it.
-func decodeMessage(line []byte, known map[string]bool) (peermsg.Received, error) {
+// decodeMessage decodes and validates a line from one of the known peers. The core relies on this
+// validation: a request without the parameters of its operation, or a response with an invalid HTTP
+// status, would crash the process that serves it.
+func decodeMessage(line []byte, knownPeers map[string]bool) (peermsg.Received, error) {
 	var j messageJSON
 	if err := json.Unmarshal(line, &j); err != nil {
-		return peermsg.Received{}, &malformedError{"not a message", err.Error()}
+		return peermsg.Received{}, &malformedError{"message", err.Error()}
 	}
-	if !known[j.From] {
-		return peermsg.Received{}, &malformedError{"from", "not one of the seeds"}
+	if !knownPeers[j.From] {
+		return peermsg.Received{}, &malformedError{"from", "not a known peer"}
 	}
 	message := peermsg.Message{
 		Kind:      j.Kind,
@@ -57,7 +57,8 @@
 	return peermsg.Received{From: j.From, Msg: message}, nil
 }
 
-// decodeInto checks a line by its kind and adds what has a form of its own on the wire.
+// decodeInto validates a line by its kind and decodes the parts whose wire format differs from
+// peermsg.Message.
 func (j *messageJSON) decodeInto(message *peermsg.Message) (err error) {
 	switch j.Kind {
 	case kindPing:
@@ -66,7 +67,7 @@
 		message.Replica, err = j.Replica.decode()
 		return err
 	case peermsg.TellKnowledge:
-		return j.checkKnowledge()
+		return j.validateKnowledge()
 	case peermsg.Leader, peermsg.Ack, peermsg.AskKnowledge, peermsg.WantReplica, peermsg.ReplicaRestart, peermsg.ConfigRevision:
 		if !validTerm(j.Term) {
 			return &malformedError{"term", "out of range"}
@@ -79,24 +80,24 @@
 		return err
 	case peermsg.Heartbeats:
 		if j.Reports == nil || !validTerm(j.Term) {
-			return &malformedError{"reports", "none of a term"}
+			return &malformedError{"reports", "missing, or term out of range"}
 		}
 		return nil
 	case peermsg.HeartbeatReplies:
 		if j.Replies == nil || !validTerm(j.Term) || !j.Replies.Valid() {
-			return &malformedError{"replies", "not what a leader says"}
+			return &malformedError{"replies", "missing or invalid, or term out of range"}
 		}
 		return nil
 	}
-	return &malformedError{"kind", "no such kind"}
+	return &malformedError{"kind", "unknown message kind"}
 }
 
 func validTerm(term uint64) bool { return term > 0 && term <= record.MaxTerm }
 
-func (j *messageJSON) checkKnowledge() error {
+func (j *messageJSON) validateKnowledge() error {
 	k := j.Knowledge
 	if k == nil || !validTerm(j.Term) || k.Term > record.MaxTerm || k.ReplicaTerm > record.MaxTerm {
-		return &malformedError{"tell", "out of range"}
+		return &malformedError{"know", "missing, or term out of range"}
 	}
 	return nil
 }
@@ -105,19 +106,19 @@
 	if j.Spec != nil {
 		job, ok := j.Spec.Decode()
 		if !ok {
-			return &malformedError{"spec", "not a job"}
+			return &malformedError{"spec", "not a valid job"}
 		}
 		message.Spec = &job
 	}
 	if !message.Sound() {
-		return &malformedError{"op", "not a call that a node forwards"}
+		return &malformedError{"op", "unknown operation or invalid parameters"}
 	}
 	return nil
 }
 
 func (r *responseJSON) decode() (*request.Response, error) {
 	if !r.valid() {
-		return nil, &malformedError{"answer", "not one that a node gives"}
+		return nil, &malformedError{"answer", "missing or out of range"}
 	}
 	response := &request.Response{
 		Status:     r.Status,
@@ -143,11 +144,11 @@
 
 func (l *replicaLineJSON) decode() (*replica.Line, error) {
 	if l == nil {
-		return nil, &malformedError{"copy", "no line"}
+		return nil, &malformedError{"copy", "missing"}
 	}
-	damaged := &malformedError{"copy", "damaged"}
+	invalid := &malformedError{"copy", "invalid record, session, term or checksum"}
 	if !validTerm(l.Term) || l.Session == 0 || l.Checksum != l.checksum() {
-		return nil, damaged
+		return nil, invalid
 	}
 	line := &replica.Line{
 		Era:      l.Era,
@@ -161,7 +162,7 @@
 	for _, r := range l.Puts {
 		value := recordcodec.Decode(r.Key, r.Value)
 		if value == nil {
-			return nil, damaged
+			return nil, invalid
 		}
 		line.Puts = append(line.Puts, replica.Record{Key: r.Key, Value: value, Rev: r.Revision})
 	}
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -13,10 +13,11 @@
 	"yewpass/internal/spec"
 )
 
-// kindPing keeps an idle link known to be alive.
+// kindPing is the kind of the keep-alive message, which is sent on idle links.
 const kindPing peermsg.Kind = "ping"
 
-// messageJSON is a line. The names in the JSON tags are those of all versions.
+// messageJSON is one line of the peer protocol. All versions of the program use the same JSON
+// names.
 type messageJSON struct {
 	From   string            `json:"from"`
 	Kind   peermsg.Kind      `json:"kind"`
@@ -37,7 +38,7 @@
 	Replies   *relay.Replies          `json:"replies,omitempty"`
 }
 
-// responseJSON is the answer to a user's request.
+// responseJSON is the response to a user's request.
 type responseJSON struct {
 	Status  int           `json:"status"`
 	RetryMS int64         `json:"retryMs,omitempty"`
@@ -52,8 +53,8 @@
 	ETag     string          `json:"etag,omitempty"`
 }
 
-// replicaLineJSON is a line of a replica. Its checksum is that of the records as they are
-// written: what is damaged on the way, or by us, must not become a record.
+// replicaLineJSON is a line of a replica stream. The checksum covers the encoded records, so that
+// corruption in transit or in this program cannot create a false record.
 type replicaLineJSON struct {
 	Era      uint64       `json:"e,omitempty"`
 	Term     uint64       `json:"t"`
@@ -113,7 +114,7 @@
 		ETag:    r.ETag,
 	}
 	if r.Doc != nil {
-		j.Document, _ = json.Marshal(r.Doc) // plain structs of ours: cannot fail
+		j.Document, _ = json.Marshal(r.Doc) // plain structs, which never fail to encode
 	}
 	return j
 }
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -8,7 +8,7 @@
 	"yewpass/internal/request"
 )
 
-// FuzzLine: what passes as a message is one that the core can take.
+// FuzzLine checks that decodeMessage accepts only messages that the core can process.
 func FuzzLine(f *testing.F) {
 	for _, s := range []string{
 		`{"from":"a","kind":"ping"}`, `{"from":"a","kind":"leader","term":18446744073709551615}`, `{"from":"a","kind":"ack","term":7}`,
@@ -29,18 +29,18 @@
 		switch m.Kind {
 		case peermsg.Leader, peermsg.Ack:
 			if m.Term == 0 || m.Term > record.MaxTerm {
-				t.Fatal(m.Term)
+				t.Fatalf("accepted term %d", m.Term)
 			}
 		case peermsg.Request:
 			if !m.Sound() || m.Op == request.Submit && !m.Spec.Sound() {
-				t.Fatalf("%+v", m)
+				t.Fatalf("accepted request %+v", m)
 			}
 		case peermsg.Response:
 			if m.Answer.Status < 200 || m.Answer.RetryAfter < 0 || !m.Answer.View.State.Known() {
-				t.Fatalf("%+v", m.Answer)
+				t.Fatalf("accepted response %+v", m.Answer)
 			}
 		default:
-			t.Fatal(m.Kind)
+			t.Fatalf("accepted kind %q", m.Kind)
 		}
 	})
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	maxLine     = 512 << 10 // of heartbeats, with names as long as may be
-	pingEvery   = 500 * time.Millisecond
-	deadAfter   = 2500 * time.Millisecond // without a sign of life
-	dialTimeout = time.Second
-	redialDelay = 300 * time.Millisecond
+	maxLineBytes = 512 << 10 // fits a full batch of heartbeats with names of maximum length
+	pingInterval = 500 * time.Millisecond
+	linkTimeout  = 2500 * time.Millisecond // for reads and writes; several ping intervals
+	dialTimeout  = time.Second
+	redialDelay  = 300 * time.Millisecond
 )
 
-// dial keeps a link to one peer.
-func (m *Mesh) dial(peer config.Seed, queue chan messageJSON) {
+// maintainLink dials a peer, sends the queued messages, and reconnects when the connection fails.
+// It never returns.
+func (m *Mesh) maintainLink(peer config.Seed, queue chan messageJSON) {
 	for {
 		conn, err := net.DialTimeout("tcp", peer.Endpoint, dialTimeout)
 		if err == nil {
@@ -33,14 +34,14 @@
 	}
 }
 
-// send writes what is queued until the link breaks. The other end answers pings, which
-// shows that it is there.
+// send writes queued messages and pings until the connection fails. The peer answers each ping with
+// an empty line, by which awaitDisconnect detects a dead connection.
 func (m *Mesh) send(name string, conn net.Conn, queue chan messageJSON) {
-	discard(queue)
+	drainQueue(queue)
 	broken := make(chan struct{})
 	go func() {
 		defer close(broken)
-		awaitSilence(conn)
+		awaitDisconnect(conn)
 	}()
 	writer := bufio.NewWriter(conn)
 	encoder := json.NewEncoder(writer)
@@ -50,12 +51,12 @@
 			m.inbox <- peermsg.LinkChange{Name: name}
 		}
 	}()
-	ticker := time.NewTicker(pingEvery)
+	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
 	ping := messageJSON{From: m.self, Kind: kindPing}
 	message := ping
 	for {
-		conn.SetWriteDeadline(time.Now().Add(deadAfter))
+		conn.SetWriteDeadline(time.Now().Add(linkTimeout))
 		if encoder.Encode(message) != nil {
 			return
 		}
@@ -76,40 +77,42 @@
 	}
 }
 
-// discard empties a queue of what was meant for a link that has broken.
-func discard(queue chan messageJSON) {
+// drainQueue drops the messages that were queued while the link was down, since they are stale.
+func drainQueue(queue chan messageJSON) {
 	for len(queue) > 0 {
 		<-queue
 	}
 }
 
-// awaitSilence returns when the other end has closed the connection or been silent for long.
-func awaitSilence(conn net.Conn) {
+// awaitDisconnect returns when the peer has closed the connection or has sent nothing for
+// linkTimeout.
+func awaitDisconnect(conn net.Conn) {
 	buffer := make([]byte, 64)
 	for {
-		conn.SetReadDeadline(time.Now().Add(deadAfter))
+		conn.SetReadDeadline(time.Now().Add(linkTimeout))
 		if _, err := conn.Read(buffer); err != nil {
 			return
 		}
 	}
 }
 
-// receive delivers messages until the connection ends. Anything that is no message ends it.
-func (m *Mesh) receive(conn net.Conn, known map[string]bool) {
+// receive delivers messages until the connection ends. It returns, and so closes the connection, at
+// the first malformed message.
+func (m *Mesh) receive(conn net.Conn, knownPeers map[string]bool) {
 	scanner := bufio.NewScanner(conn)
-	scanner.Buffer(make([]byte, 0, 4<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 4<<10), maxLineBytes)
 	for {
-		conn.SetReadDeadline(time.Now().Add(deadAfter))
+		conn.SetReadDeadline(time.Now().Add(linkTimeout))
 		if !scanner.Scan() {
 			if err := scanner.Err(); errors.Is(err, bufio.ErrTooLong) {
 				warnMalformed(conn, err)
 			}
 			return
 		}
-		message, err := decodeMessage(scanner.Bytes(), known)
+		message, err := decodeMessage(scanner.Bytes(), knownPeers)
 		switch {
 		case errors.Is(err, errPing):
-			conn.SetWriteDeadline(time.Now().Add(deadAfter))
+			conn.SetWriteDeadline(time.Now().Add(linkTimeout))
 			if _, err := io.WriteString(conn, "\n"); err != nil {
 				return
 			}
@@ -123,5 +126,5 @@
 }
 
 func warnMalformed(conn net.Conn, err error) {
-	slog.Warn("malformed message on the peer port, connection closed", "remote", conn.RemoteAddr().String(), "reason", err)
+	slog.Warn("malformed message from peer; closing the connection", "remote", conn.RemoteAddr().String(), "reason", err)
 }
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -1,6 +1,6 @@
-// Package peer carries messages between controllers: JSON lines over TCP. Each node dials
-// every other one and sends on the connection that it dialled; it receives on those that
-// the others dialled.
+// Package peer exchanges messages between controllers as JSON lines over TCP. Each node dials every
+// other node and sends on the connections that it dialed; it receives on the connections that it
+// accepted.
 package peer
 
 import (
@@ -12,21 +12,21 @@
 )
 
 const (
-	// queueLength is how many messages wait for a link; more are lost.
+	// queueLength bounds the messages queued per peer; further ones are dropped.
 	queueLength = 1024
-	// acceptRetryDelay follows a failure to accept a connection.
+	// acceptRetryDelay is the delay after a failed accept.
 	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// Mesh is the actor that holds the links to the other controllers.
+// Mesh holds the connections to the other controllers. It is safe for concurrent use.
 type Mesh struct {
 	self   string
 	inbox  chan<- any
-	queues map[string]chan messageJSON // by peer
+	queues map[string]chan messageJSON // by host name of the peer
 }
 
-// New starts links to the peers and accepts theirs on a listener. Messages and changes of
-// links are delivered to inbox.
+// New starts dialing the peers and accepting their connections on listener. It delivers messages as
+// peermsg.Received and connection changes as peermsg.LinkChange to inbox.
 func New(self string, peers []config.Seed, listener net.Listener, inbox chan<- any) *Mesh {
 	m := &Mesh{self: self, inbox: inbox, queues: map[string]chan messageJSON{}}
 	known := map[string]bool{}
@@ -34,13 +34,14 @@
 		known[peer.HostName] = true
 		queue := make(chan messageJSON, queueLength)
 		m.queues[peer.HostName] = queue
-		go m.dial(peer, queue)
+		go m.maintainLink(peer, queue)
 	}
 	go m.accept(listener, known)
 	return m
 }
 
-// Send queues a message. It is lost when the link is down or the queue is full.
+// Send queues a message without blocking. The message is lost if the peer is unknown, its link is
+// down or its queue is full.
 func (m *Mesh) Send(out peermsg.Outgoing) {
 	queue := m.queues[out.To]
 	if queue == nil {
@@ -52,7 +53,8 @@
 	}
 }
 
-// accept takes connections of the known peers, each in a goroutine of its own.
+// accept serves each incoming connection in its own goroutine. It closes connections beyond a limit
+// that leaves several per peer, for reconnects that overlap.
 func (m *Mesh) accept(listener net.Listener, known map[string]bool) {
 	slots := make(chan struct{}, 4*len(known)+4)
 	for {
--- a/internal/scenario/node.go
+++ b/internal/scenario/node.go
@@ -288,7 +288,7 @@
 
 // callStore sends a call to the state service over the network.
 func (n *node) callStore(call kv.Request) {
-	method, path, body := kvclient.Request(call)
+	method, path, body := kvclient.EncodeRequest(call)
 	kind := "state"
 	if call.Op == kv.Txn && len(call.Writes) > 0 {
 		kind = "txn"
@@ -298,7 +298,7 @@
 	}, func(status int, data []byte) any {
 		r := kv.Response{Outcome: rpc.Unknown}
 		if status != 0 {
-			r = kvclient.Decode(call, status, data)
+			r = kvclient.DecodeResponse(call, status, data)
 		}
 		r.Ref = call.Ref
 		return r
@@ -307,7 +307,7 @@
 
 // callCloud sends a call to the cloud over the network.
 func (n *node) callCloud(call provider.Request) {
-	method, path, body := cloud.Request(call)
+	method, path, body := cloud.EncodeRequest(call)
 	kind := "cloud"
 	if call.Op == provider.Release {
 		kind = "release"
@@ -317,7 +317,7 @@
 	}, func(status int, data []byte) any {
 		r := provider.Response{Outcome: rpc.Unknown}
 		if status != 0 {
-			r = cloud.Decode(call, status, data)
+			r = cloud.DecodeResponse(call, status, data)
 		}
 		r.Ref = call.Ref
 		return r
--- a/internal/scenario/schedule_scale_test.go
+++ b/internal/scenario/schedule_scale_test.go
@@ -43,7 +43,7 @@
 		for d := range schedule.HistoryLength {
 			rec.Add(schedule.Entry{Job: schedule.JobID(c.number, begin.AddDate(0, 0, d-30)), Planned: begin, Due: begin, Made: begin, Started: begin, Ended: begin, State: schedule.StateDone})
 		}
-		_, _, body := kvclient.Request(kv.Request{Op: kv.Txn, Writes: []kv.Write{{Key: "yewpass/schedule/" + name, Value: rec}}})
+		_, _, body := kvclient.EncodeRequest(kv.Request{Op: kv.Txn, Writes: []kv.Write{{Key: "yewpass/schedule/" + name, Value: rec}}})
 		var t txn
 		if err := json.Unmarshal(body, &t); err != nil {
 			tb.Fatal(err)
@@ -163,12 +163,12 @@
 	w.store.requestAllowance = 1
 	w.store.serve("n0", "GET", "/store?under=yewpass/schedule/&limit=100", nil, func(_ int, data []byte) { page = data })
 	set := w.calendars()
-	if n := len(kvclient.Decode(kv.Request{Op: kv.List}, 200, page).Entries); n != 100 {
+	if n := len(kvclient.DecodeResponse(kv.Request{Op: kv.List}, 200, page).Entries); n != 100 {
 		b.Fatal(n, "records in a page")
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		for _, e := range kvclient.Decode(kv.Request{Op: kv.List}, 200, page).Entries {
+		for _, e := range kvclient.DecodeResponse(kv.Request{Op: kv.List}, 200, page).Entries {
 			f, err := schedule.ParseJSON(e.Value.(*schedule.Record).File)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/scenario/schedules.go
+++ b/internal/scenario/schedules.go
@@ -159,7 +159,7 @@
 	if k == nil {
 		return &schedule.Record{}, false
 	}
-	r, ok := kvclient.Decode(kv.Request{Op: kv.Get, Key: key}, 200, encode(object{"k": key, "v": k.value, "keyRev": k.rev})).Entries[0].Value.(*schedule.Record)
+	r, ok := kvclient.DecodeResponse(kv.Request{Op: kv.Get, Key: key}, 200, encode(object{"k": key, "v": k.value, "keyRev": k.rev})).Entries[0].Value.(*schedule.Record)
 	return r, ok
 }
 
