--- a/cmd/yewpass/config.go
+++ b/cmd/yewpass/config.go
@@ -137,11 +137,11 @@
 		if err != nil {
 			return err
 		}
-		var made view.ConfigChanged
-		if err := doRequest(http.MethodPost, *node, "/v2/config", body, nil, &made); err != nil {
+		var changed view.ConfigChanged
+		if err := doRequest(http.MethodPost, *node, "/v2/config", body, nil, &changed); err != nil {
 			return err
 		}
-		return printResult(cmd, *asJSON, made, func(w io.Writer) { fmt.Fprintf(w, "revision %d\n", made.Revision) })
+		return printResult(cmd, *asJSON, changed, func(w io.Writer) { fmt.Fprintf(w, "revision %d\n", changed.Revision) })
 	}
 	return cmd
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -32,7 +32,7 @@
 type Abandoned struct{ Reply chan<- any }
 
 const (
-	maxBody = 64 << 10 // bytes of a request body
+	maxBodyBytes = 64 << 10 // bytes of a request body
 	// userTimeout bounds the response time of a user's request when the core is overloaded.
 	userTimeout = 4500 * time.Millisecond
 	// heartbeatTimeout is shorter than the 4 s after which workers stop waiting for a reply.
@@ -115,11 +115,11 @@
 
 // readBody reads the body of a request. It returns false after it has sent an error response.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	switch {
 	case err != nil:
 		writeError(w, http.StatusBadRequest, "", "the body cannot be read", 0)
-	case len(data) > maxBody:
+	case len(data) > maxBodyBytes:
 		writeError(w, http.StatusBadRequest, "", "the body is larger than 64 KiB", 0)
 	default:
 		return data, true
@@ -161,8 +161,8 @@
 	heartbeatsReceived = metrics.NewCounter(`yewpass_reports_total`)
 )
 
-// answerUser passes a user's request to the core and writes the response.
-func (s *Server) answerUser(w http.ResponseWriter, r *http.Request, req request.Request) {
+// serveUserRequest passes a user's request to the core and writes the response.
+func (s *Server) serveUserRequest(w http.ResponseWriter, r *http.Request, req request.Request) {
 	start := time.Now()
 	s.conns.markBusy(r, false)
 	reply := make(chan any, 1)
@@ -172,22 +172,22 @@
 	defer userRequestSeconds.UpdateDuration(start)
 	select {
 	case v := <-reply:
-		a := v.(request.Response)
-		if a.Status >= 400 {
-			writeError(w, a.Status, a.Field, a.Reason, a.RetryAfter)
+		resp := v.(request.Response)
+		if resp.Status >= 400 {
+			writeError(w, resp.Status, resp.Field, resp.Reason, resp.RetryAfter)
 			return
 		}
-		if a.ETag != "" {
-			w.Header().Set("ETag", a.ETag)
+		if resp.ETag != "" {
+			w.Header().Set("ETag", resp.ETag)
 		}
-		if a.Doc != nil {
-			writeJSON(w, a.Status, a.Doc)
+		if resp.Doc != nil {
+			writeJSON(w, resp.Status, resp.Doc)
 			return
 		}
 		if req.Schedule != nil {
-			req.ID = a.View.ID // the job that a ScheduleRun request created
+			req.ID = resp.View.ID // the job that a ScheduleRun request created
 		}
-		writeJSON(w, a.Status, jobJSON{req.ID, a.View.State, a.View.Done, a.View.Running, a.Reason})
+		writeJSON(w, resp.Status, jobJSON{req.ID, resp.View.State, resp.View.Done, resp.View.Running, resp.Reason})
 	case <-t.C:
 		s.inbox <- Abandoned{reply}
 		writeError(w, http.StatusServiceUnavailable, "", "the service is behind", time.Second)
@@ -206,28 +206,28 @@
 		writeError(w, http.StatusBadRequest, field, field+": "+reason, 0)
 		return
 	}
-	s.answerUser(w, r, request.Request{Op: request.Submit, ID: job.ID, Spec: job})
+	s.serveUserRequest(w, r, request.Request{Op: request.Submit, ID: job.ID, Spec: job})
 }
 
 func (s *Server) getJob(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	s.answerJobRequest(w, r, request.Get, p.ByName("id"))
+	s.serveJobRequest(w, r, request.Get, p.ByName("id"))
 }
 
 func (s *Server) cancelJob(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	s.answerJobRequest(w, r, request.Cancel, p.ByName("id"))
+	s.serveJobRequest(w, r, request.Cancel, p.ByName("id"))
 }
 
 // clusterHandler returns a handler for an operation on the controllers.
 func (s *Server) clusterHandler(op request.Operation) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-		s.answerUser(w, r, request.Request{Op: op})
+		s.serveUserRequest(w, r, request.Request{Op: op})
 	}
 }
 
-func (s *Server) answerJobRequest(w http.ResponseWriter, r *http.Request, op request.Operation, id string) {
+func (s *Server) serveJobRequest(w http.ResponseWriter, r *http.Request, op request.Operation, id string) {
 	if !spec.ValidID(id) {
 		writeError(w, http.StatusNotFound, "id", "no such job", 0)
 		return
 	}
-	s.answerUser(w, r, request.Request{Op: op, ID: id})
+	s.serveUserRequest(w, r, request.Request{Op: op, ID: id})
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -77,16 +77,16 @@
 	}
 	for _, c := range []struct{ name, body, field string }{
 		{"not JSON", `{"id":`, ""},
-		{"no object", `[1]`, ""},
+		{"not an object", `[1]`, ""},
 		{"null", `null`, "id"},
 		{"empty", ``, ""},
 		{"too large", validSubmission[:len(validSubmission)-1] + `,"x":"` + strings.Repeat("y", 64<<10) + `"}`, ""},
 		{"no id", edit(`"id":"wk-000412",`, ``), "id"},
 		{"bad id", edit(`wk-000412`, `job-1`), "id"},
 		{"bad digits", edit(`wk-000412`, `wk-0x1`), "id"},
-		{"null where it may not be", edit(`"owner":"vision"`, `"owner":null`), "owner"},
+		{"null in a required field", edit(`"owner":"vision"`, `"owner":null`), "owner"},
 		{"wrong type", edit(`"shards":16`, `"shards":"16"`), "shards"},
-		{"no whole number", edit(`"shards":16`, `"shards":1.5`), "shards"},
+		{"not a whole number", edit(`"shards":16`, `"shards":1.5`), "shards"},
 		{"no tasks", edit(`"shards":16`, `"shards":0`), "shards"},
 		{"too many tasks", edit(`"shards":16`, `"shards":100001`), "shards"},
 		{"unknown shape", edit(`"array"`, `"ensemble"`), "shape"},
@@ -199,7 +199,7 @@
 	}{
 		{"PUT", "/n", file, "", 200, request.SchedulePut, ""}, {"PUT", "/n", strings.Replace(file, `"name":"n",`, "", 1), "If-Match: \"1-1\"", 200, request.SchedulePut, ""},
 		{"PUT", "/n", file, "If-None-Match: *", 200, request.SchedulePut, ""}, {"PUT", "/other", file, "", 400, "", "name"}, {"PUT", "/n", `{"rules":"x"}`, "", 400, "", "rules"},
-		{"PUT", "/n", `{`, "", 400, "", ""}, {"PUT", "/n", strings.Repeat("x", maxBody+1), "", 400, "", ""}, {"GET", "/n", "", "", 200, request.ScheduleGet, ""},
+		{"PUT", "/n", `{`, "", 400, "", ""}, {"PUT", "/n", strings.Repeat("x", maxBodyBytes+1), "", 400, "", ""}, {"GET", "/n", "", "", 200, request.ScheduleGet, ""},
 		{"GET", "/N", "", "", 404, "", "name"}, {"DELETE", "/n", "", "If-Match: \"1-1\"", 200, request.ScheduleDelete, ""}, {"POST", "/n/pause", "", "", 200, request.SchedulePause, ""},
 		{"POST", "/n/resume", "", "", 200, request.ScheduleResume, ""}, {"POST", "/n/run", `{"request":"r"}`, "", 201, request.ScheduleRun, ""}, {"POST", "/n/run", `{}`, "", 400, "", "request"},
 		{"GET", "/n/upcoming?count=3", "", "", 200, request.ScheduleUpcoming, ""}, {"GET", "/n/upcoming?count=3000", "", "", 400, "", "count"}, {"GET", "/n/history", "", "", 200, request.ScheduleHistory, ""},
--- a/internal/api/config.go
+++ b/internal/api/config.go
@@ -32,7 +32,7 @@
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		q := &request.ConfigParams{}
 		if read == nil || read(w, r, p, q) {
-			s.answerUser(w, r, request.Request{Op: op, Config: q})
+			s.serveUserRequest(w, r, request.Request{Op: op, Config: q})
 		}
 	}
 }
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -25,11 +25,11 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var r heartbeatJSON
 		if json.Unmarshal(data, &r) == nil {
-			if rep, bad := r.decode(); bad == "" {
-				if rep.Host == "" || rep.InstanceType == "" || rep.Incarnation == 0 || rep.Notice > 200*365*24*time.Hour || rep.Notice < -200*365*24*time.Hour {
-					t.Fatalf("decode accepted %+v", rep)
+			if report, invalid := r.decode(); invalid == "" {
+				if report.Host == "" || report.InstanceType == "" || report.Incarnation == 0 || report.Notice > 200*365*24*time.Hour || report.Notice < -200*365*24*time.Hour {
+					t.Fatalf("decode accepted %+v", report)
 				}
-				for _, x := range rep.Tasks {
+				for _, x := range report.Tasks {
 					if x.Task.Index < 0 || x.Task.Index >= spec.MaxTasks || x.Task.Job == "" {
 						t.Fatalf("decode accepted task %+v", x)
 					}
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -103,24 +103,24 @@
 	if !readJSON(w, r, &j) {
 		return
 	}
-	rep, bad := j.decode()
-	if bad != "" {
-		writeError(w, http.StatusBadRequest, bad, bad+": missing or malformed", 0)
+	report, invalid := j.decode()
+	if invalid != "" {
+		writeError(w, http.StatusBadRequest, invalid, invalid+": missing or malformed", 0)
 		return
 	}
 	heartbeatsReceived.Inc()
 	s.conns.markBusy(r, true)
 	reply := make(chan any, 1)
-	s.inbox <- Exchange{heartbeat.Received{Report: rep}, reply}
+	s.inbox <- Exchange{heartbeat.Received{Report: report}, reply}
 	t := time.NewTimer(heartbeatTimeout)
 	defer t.Stop()
 	select {
 	case v := <-reply:
-		a := v.(heartbeat.Reply)
-		switch a.Status {
+		answer := v.(heartbeat.Reply)
+		switch answer.Status {
 		case http.StatusOK:
-			out := replyJSON{a.FencingToken, make([]orderJSON, 0, len(a.Orders))}
-			for _, o := range a.Orders {
+			out := replyJSON{answer.FencingToken, make([]orderJSON, 0, len(answer.Orders))}
+			for _, o := range answer.Orders {
 				oj := orderJSON{Verb: o.Verb, Task: o.Task.String(), Attempt: o.Try}
 				if o.Verb == heartbeat.Stop {
 					d := o.Drain.Seconds()
@@ -130,9 +130,9 @@
 			}
 			writeJSON(w, http.StatusOK, out)
 		case http.StatusMisdirectedRequest:
-			writeJSON(w, a.Status, upstreamJSON{a.Upstream})
+			writeJSON(w, answer.Status, upstreamJSON{answer.Upstream})
 		default:
-			writeError(w, a.Status, "", "not entitled to act", 0)
+			writeError(w, answer.Status, "", "not entitled to act", 0)
 		}
 	case <-t.C:
 		s.inbox <- Abandoned{reply}
--- a/internal/api/probe.go
+++ b/internal/api/probe.go
@@ -20,7 +20,7 @@
 // NewProber returns a prober that delivers replies to inbox. It keeps no idle connections, because
 // there are many workers and each is probed rarely.
 func NewProber(inbox chan<- any) *Prober {
-	return &Prober{httpjson.NewClient("", time.Second, -1, 4*maxBody), inbox}
+	return &Prober{httpjson.NewClient("", time.Second, -1, 4*maxBodyBytes), inbox}
 }
 
 type commandJSON struct {
@@ -31,21 +31,21 @@
 
 // Do sends a probe in a goroutine of its own and delivers its heartbeat.ProbeReply to the inbox.
 // The outcome is rpc.Unknown unless the worker answers with a valid heartbeat.
-func (p *Prober) Do(call heartbeat.Probe) {
+func (p *Prober) Do(probe heartbeat.Probe) {
 	go func() {
 		r := heartbeat.ProbeReply{Outcome: rpc.Unknown}
-		body, _ := json.Marshal(commandJSON{call.FencingToken, call.Incarnation, []orderJSON{}}) // a plain struct, which never fails to encode
-		status, data, ok := p.client.Call(http.MethodPost, call.Address+"/do", body, call.Timeout)
+		body, _ := json.Marshal(commandJSON{probe.FencingToken, probe.Incarnation, []orderJSON{}}) // a plain struct, which never fails to encode
+		status, data, ok := p.client.Call(http.MethodPost, probe.Address+"/do", body, probe.Timeout)
 		var j heartbeatJSON
 		if ok && (status == http.StatusOK || status == http.StatusConflict) && json.Unmarshal(data, &j) == nil {
-			if rep, bad := j.decode(); bad == "" {
-				r.Outcome, r.Report = rpc.OK, rep
+			if report, invalid := j.decode(); invalid == "" {
+				r.Outcome, r.Report = rpc.OK, report
 				if status == http.StatusConflict {
 					r.Outcome = rpc.Conflict
 				}
 			}
 		}
-		r.Ref = call.Ref
+		r.Ref = probe.Ref
 		p.inbox <- r
 	}()
 }
--- a/internal/api/probe_test.go
+++ b/internal/api/probe_test.go
@@ -25,7 +25,7 @@
 		{"no heartbeat", 200, `{}`, rpc.Unknown},
 		{"not JSON", 200, `<`, rpc.Unknown},
 		{"refused", 400, report, rpc.Unknown},
-		{"too large", 200, report + strings.Repeat(" ", 4*maxBody), rpc.Unknown},
+		{"too large", 200, report + strings.Repeat(" ", 4*maxBodyBytes), rpc.Unknown},
 	} {
 		var sent string
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/api/schedules.go
+++ b/internal/api/schedules.go
@@ -46,7 +46,7 @@
 			return
 		}
 		if read == nil || read(w, r, q) {
-			s.answerUser(w, r, request.Request{Op: op, Schedule: q})
+			s.serveUserRequest(w, r, request.Request{Op: op, Schedule: q})
 		}
 	}
 }
@@ -93,7 +93,7 @@
 func (s *Server) listSchedules(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	q := &request.ScheduleParams{After: r.URL.Query().Get("after")}
 	if readCount(w, r, "limit", maxListed, &q.Count) {
-		s.answerUser(w, r, request.Request{Op: request.ScheduleList, Schedule: q})
+		s.serveUserRequest(w, r, request.Request{Op: request.ScheduleList, Schedule: q})
 	}
 }
 
@@ -125,5 +125,5 @@
 	if r.Header.Get("If-None-Match") == "*" {
 		q.IfMatch = request.NewOnly
 	}
-	s.answerUser(w, r, request.Request{Op: request.SchedulePut, Schedule: q})
+	s.serveUserRequest(w, r, request.Request{Op: request.SchedulePut, Schedule: q})
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -30,19 +30,19 @@
 
 // Do sends a request without blocking. Its response has the same Ref; the outcome is rpc.Unknown if
 // no valid response arrives within the timeout of the request.
-func (c *Client) Do(call provider.Request) {
+func (c *Client) Do(req provider.Request) {
 	go func() {
-		response := c.call(call)
-		response.Ref = call.Ref
+		response := c.call(req)
+		response.Ref = req.Ref
 		c.inbox <- response
 	}()
 }
 
-func (c *Client) call(call provider.Request) provider.Response {
-	method, path, body := EncodeRequest(call)
-	status, data, ok := c.http.Call(method, path, body, call.Timeout)
+func (c *Client) call(req provider.Request) provider.Response {
+	method, path, body := EncodeRequest(req)
+	status, data, ok := c.http.Call(method, path, body, req.Timeout)
 	if !ok {
 		return provider.Response{Outcome: rpc.Unknown}
 	}
-	return DecodeResponse(call, status, data)
+	return DecodeResponse(req, status, data)
 }
--- a/internal/cloud/compatibility_test.go
+++ b/internal/cloud/compatibility_test.go
@@ -44,15 +44,15 @@
 	return all
 }
 
-// answeredCall is a request and the decoded golden response to it.
-type answeredCall struct {
-	call  provider.Request
-	reply provider.Response
+// goldenExchange is a request and the decoded golden response to it.
+type goldenExchange struct {
+	request  provider.Request
+	response provider.Response
 }
 
-func answeredCalls() map[string]answeredCall {
+func goldenExchanges() map[string]goldenExchange {
 	scaleOut := provider.Request{Op: provider.ScaleOut, RequestName: "r-41-7", InstanceType: "g8", Zone: "hall-a", Spot: true, Count: 2}
-	return map[string]answeredCall{
+	return map[string]goldenExchange{
 		"catalog": {
 			provider.Request{Op: provider.Catalog},
 			provider.Response{InstanceTypes: []provider.InstanceType{{
@@ -83,7 +83,7 @@
 // TestCallsOf5990396 guards compatibility with the cloud API: requests must be encoded, and
 // responses decoded, as in version 5990396.
 func TestCallsOf5990396(t *testing.T) {
-	calls := answeredCalls()
+	calls := goldenExchanges()
 	golden := readGoldenCalls(t)
 	if len(golden) != len(calls) {
 		t.Errorf("%d golden calls, want %d", len(golden), len(calls))
@@ -91,15 +91,15 @@
 	for _, g := range golden {
 		t.Run(g.Name, func(t *testing.T) {
 			want := calls[g.Name]
-			method, path, body := EncodeRequest(want.call)
+			method, path, body := EncodeRequest(want.request)
 			if method != g.Method || path != g.Path {
 				t.Errorf("%s %s, want %s %s", method, path, g.Method, g.Path)
 			}
 			if string(body) != string(g.Body) {
 				t.Errorf("body\n%s, want\n%s", body, g.Body)
 			}
-			if got := DecodeResponse(want.call, g.Status, g.Answer); !reflect.DeepEqual(got, want.reply) {
-				t.Errorf("decoded\n%+v, want\n%+v", got, want.reply)
+			if got := DecodeResponse(want.request, g.Status, g.Answer); !reflect.DeepEqual(got, want.response) {
+				t.Errorf("decoded\n%+v, want\n%+v", got, want.response)
 			}
 		})
 	}
--- a/internal/cloud/request.go
+++ b/internal/cloud/request.go
@@ -25,24 +25,24 @@
 
 // EncodeRequest returns the HTTP method, path and body of a request. All are empty for an unknown
 // operation.
-func EncodeRequest(call provider.Request) (method, path string, body []byte) {
-	switch call.Op {
+func EncodeRequest(req provider.Request) (method, path string, body []byte) {
+	switch req.Op {
 	case provider.Catalog:
 		return http.MethodGet, "/catalog", nil
 	case provider.ScaleOut:
 		return http.MethodPost, "/machines", encode(instanceRequestJSON{
-			Name:         call.RequestName,
-			InstanceType: call.InstanceType,
-			Zone:         call.Zone,
-			Spot:         call.Spot,
-			Count:        call.Count,
+			Name:         req.RequestName,
+			InstanceType: req.InstanceType,
+			Zone:         req.Zone,
+			Spot:         req.Spot,
+			Count:        req.Count,
 		})
 	case provider.Release:
-		return http.MethodPost, "/machines/release", encode(hostsJSON{call.Hosts})
+		return http.MethodPost, "/machines/release", encode(hostsJSON{req.Hosts})
 	case provider.List:
 		query := url.Values{"limit": {listPageSize}}
-		if call.After != "" {
-			query.Set("from", call.After)
+		if req.After != "" {
+			query.Set("from", req.After)
 		}
 		return http.MethodGet, "/machines?" + query.Encode(), nil
 	}
--- a/internal/cloud/response.go
+++ b/internal/cloud/response.go
@@ -61,10 +61,10 @@
 
 // DecodeResponse decodes the response to a request. A response that the protocol does not allow for
 // this request has the outcome rpc.Unknown.
-func DecodeResponse(call provider.Request, status int, data []byte) provider.Response {
+func DecodeResponse(req provider.Request, status int, data []byte) provider.Response {
 	switch status {
 	case http.StatusOK:
-		return decodeSuccess(call, data)
+		return decodeSuccess(req, data)
 	case http.StatusServiceUnavailable:
 		var body errorJSON
 		if json.Unmarshal(data, &body) == nil && strings.Contains(body.Error, noCapacityError) {
@@ -78,14 +78,14 @@
 }
 
 // decodeSuccess decodes a response with status 200.
-func decodeSuccess(call provider.Request, data []byte) provider.Response {
-	switch call.Op {
+func decodeSuccess(req provider.Request, data []byte) provider.Response {
+	switch req.Op {
 	case provider.Catalog:
 		return decodeCatalog(data)
 	case provider.ScaleOut:
-		return decodeScaleOut(call, data)
+		return decodeScaleOut(req, data)
 	case provider.List:
-		return decodeList(call, data)
+		return decodeList(req, data)
 	}
 	return provider.Response{Outcome: rpc.OK}
 }
@@ -106,23 +106,23 @@
 	return response
 }
 
-func decodeScaleOut(call provider.Request, data []byte) provider.Response {
+func decodeScaleOut(req provider.Request, data []byte) provider.Response {
 	var body hostsJSON
-	if json.Unmarshal(data, &body) != nil || len(body.Hosts) > call.Count {
+	if json.Unmarshal(data, &body) != nil || len(body.Hosts) > req.Count {
 		return unknown
 	}
 	return provider.Response{Outcome: rpc.OK, Hosts: body.Hosts}
 }
 
 // decodeList decodes a page of the list of machines. It checks that the hosts are in ascending
-// order and after call.After, because listing might never end otherwise.
-func decodeList(call provider.Request, data []byte) provider.Response {
+// order and after req.After, because listing might never end otherwise.
+func decodeList(req provider.Request, data []byte) provider.Response {
 	var body listJSON
 	if json.Unmarshal(data, &body) != nil {
 		return unknown
 	}
 	response := provider.Response{Outcome: rpc.OK, More: body.Truncated && len(body.Instances) > 0}
-	previous := call.After
+	previous := req.After
 	for _, instance := range body.Instances {
 		if instance.Host <= previous {
 			return unknown
--- a/internal/kvclient/compatibility_test.go
+++ b/internal/kvclient/compatibility_test.go
@@ -104,16 +104,16 @@
 	Answer json.RawMessage `json:"answer"`
 }
 
-// answeredCall is a request and the decoded golden response to it.
-type answeredCall struct {
-	call  kv.Request
-	reply kv.Response
+// goldenExchange is a request and the decoded golden response to it.
+type goldenExchange struct {
+	request  kv.Request
+	response kv.Response
 }
 
-// goldenAnswerCalls returns the requests and responses of the golden file by name.
-func goldenAnswerCalls() map[string]answeredCall {
+// goldenExchanges returns the requests and responses of the golden file by name.
+func goldenExchanges() map[string]goldenExchange {
 	final := &record.Final{State: spec.Done, Done: 1}
-	return map[string]answeredCall{
+	return map[string]goldenExchange{
 		"get": {
 			kv.Request{Op: kv.Get, Key: "yewpass/final/wk-7"},
 			kv.Response{Rev: 90, Entries: []kv.Entry{{Key: "yewpass/final/wk-7", Value: final, Rev: 88, LeaseID: 5}}},
@@ -141,7 +141,7 @@
 // TestAnswersReadBy5990396 guards compatibility with the key-value store: responses must be decoded
 // as in version 5990396.
 func TestAnswersReadBy5990396(t *testing.T) {
-	calls := goldenAnswerCalls()
+	calls := goldenExchanges()
 	golden := readGolden[goldenAnswer](t, goldenAnswers)
 	if len(golden) != len(calls) {
 		t.Errorf("%d golden responses, want %d", len(golden), len(calls))
@@ -149,8 +149,8 @@
 	for _, g := range golden {
 		t.Run(g.Name, func(t *testing.T) {
 			want := calls[g.Name]
-			if got := DecodeResponse(want.call, g.Status, g.Answer); !reflect.DeepEqual(got, want.reply) {
-				t.Errorf("decoded %+v, want %+v", got, want.reply)
+			if got := DecodeResponse(want.request, g.Status, g.Answer); !reflect.DeepEqual(got, want.response) {
+				t.Errorf("decoded %+v, want %+v", got, want.response)
 			}
 		})
 	}
--- a/internal/kvclient/request.go
+++ b/internal/kvclient/request.go
@@ -38,51 +38,51 @@
 
 // EncodeRequest returns the HTTP method, path and body of a request. All are empty for an unknown
 // operation.
-func EncodeRequest(call kv.Request) (method, path string, body []byte) {
-	switch call.Op {
+func EncodeRequest(req kv.Request) (method, path string, body []byte) {
+	switch req.Op {
 	case kv.Get:
-		return http.MethodGet, "/store/" + call.Key, nil
+		return http.MethodGet, "/store/" + req.Key, nil
 	case kv.List:
-		return http.MethodGet, "/store?" + listQuery(call).Encode(), nil
+		return http.MethodGet, "/store?" + listQuery(req).Encode(), nil
 	case kv.Watch:
-		return http.MethodGet, "/follow?" + watchQuery(call).Encode(), nil
+		return http.MethodGet, "/follow?" + watchQuery(req).Encode(), nil
 	case kv.Txn:
-		return http.MethodPost, "/multi", encode(encodeTransaction(call))
+		return http.MethodPost, "/multi", encode(encodeTransaction(req))
 	case kv.GrantLease:
-		return http.MethodPost, "/grants", encode(leaseJSON{call.TTL.Milliseconds()})
+		return http.MethodPost, "/grants", encode(leaseJSON{req.TTL.Milliseconds()})
 	case kv.KeepAlive:
-		return http.MethodPost, fmt.Sprintf("/grants/%d/extend", call.LeaseID), encode(leaseJSON{call.TTL.Milliseconds()})
+		return http.MethodPost, fmt.Sprintf("/grants/%d/extend", req.LeaseID), encode(leaseJSON{req.TTL.Milliseconds()})
 	case kv.RevokeLease:
-		return http.MethodDelete, fmt.Sprintf("/grants/%d", call.LeaseID), nil
+		return http.MethodDelete, fmt.Sprintf("/grants/%d", req.LeaseID), nil
 	}
 	return "", "", nil
 }
 
-func listQuery(call kv.Request) url.Values {
-	query := url.Values{"under": {call.Key}, "limit": {strconv.Itoa(call.Limit)}}
-	if call.From != "" {
-		query.Set("from", call.From)
+func listQuery(req kv.Request) url.Values {
+	query := url.Values{"under": {req.Key}, "limit": {strconv.Itoa(req.Limit)}}
+	if req.From != "" {
+		query.Set("from", req.From)
 	}
 	return query
 }
 
-func watchQuery(call kv.Request) url.Values {
+func watchQuery(req kv.Request) url.Values {
 	return url.Values{
-		"under":   {call.Key},
-		"from":    {strconv.FormatUint(call.FromRev, 10)},
-		"blockMs": {strconv.FormatInt(call.Block.Milliseconds(), 10)},
+		"under":   {req.Key},
+		"from":    {strconv.FormatUint(req.FromRev, 10)},
+		"blockMs": {strconv.FormatInt(req.Block.Milliseconds(), 10)},
 	}
 }
 
-func encodeTransaction(call kv.Request) transactionJSON {
+func encodeTransaction(req kv.Request) transactionJSON {
 	t := transactionJSON{
-		Conditions: make([]conditionJSON, 0, len(call.Conditions)),
-		Writes:     make([]writeJSON, 0, len(call.Writes)),
+		Conditions: make([]conditionJSON, 0, len(req.Conditions)),
+		Writes:     make([]writeJSON, 0, len(req.Writes)),
 	}
-	for _, condition := range call.Conditions {
+	for _, condition := range req.Conditions {
 		t.Conditions = append(t.Conditions, conditionJSON{condition.Key, condition.Rev})
 	}
-	for _, write := range call.Writes {
+	for _, write := range req.Writes {
 		if write.Value == nil {
 			t.Writes = append(t.Writes, writeJSON{Remove: write.Key})
 		} else {
--- a/internal/kvclient/response.go
+++ b/internal/kvclient/response.go
@@ -35,24 +35,24 @@
 // DecodeResponse decodes the response to a request. A response that the protocol does not allow for
 // this request has the outcome rpc.Unknown: it may come from a proxy instead of the store, and
 // acting on it could elect a second leader or lose records.
-func DecodeResponse(call kv.Request, status int, data []byte) kv.Response {
+func DecodeResponse(req kv.Request, status int, data []byte) kv.Response {
 	var body responseJSON
 	parsed := json.Unmarshal(data, &body) == nil
 	switch status {
 	case http.StatusOK:
-		if call.Op == kv.RevokeLease {
+		if req.Op == kv.RevokeLease {
 			return success
 		}
 		if !parsed {
 			return unknown
 		}
-		return decodeSuccess(call, &body)
+		return decodeSuccess(req, &body)
 	case http.StatusConflict:
-		if call.Op == kv.Txn && parsed && len(body.Failed) > 0 {
+		if req.Op == kv.Txn && parsed && len(body.Failed) > 0 {
 			return kv.Response{Outcome: rpc.Conflict, FailedKeys: body.Failed}
 		}
 	case http.StatusNotFound:
-		return decodeNotFound(call, &body, parsed)
+		return decodeNotFound(req, &body, parsed)
 	case http.StatusGone:
 		return kv.Response{Outcome: rpc.NotFound}
 	case http.StatusBadRequest:
@@ -65,8 +65,8 @@
 
 // decodeNotFound decodes a response with status 404. A missing key is reported only if the response
 // has the store revision, which shows that it comes from the store and not from a proxy.
-func decodeNotFound(call kv.Request, body *responseJSON, parsed bool) kv.Response {
-	if call.Op != kv.Get {
+func decodeNotFound(req kv.Request, body *responseJSON, parsed bool) kv.Response {
+	if req.Op != kv.Get {
 		return kv.Response{Outcome: rpc.NotFound}
 	}
 	if !parsed || body.StoreRevision == nil {
@@ -76,18 +76,18 @@
 }
 
 // decodeSuccess decodes a response with status 200.
-func decodeSuccess(call kv.Request, body *responseJSON) kv.Response {
+func decodeSuccess(req kv.Request, body *responseJSON) kv.Response {
 	response := kv.Response{Outcome: rpc.OK, More: body.Truncated}
 	if body.StoreRevision != nil {
 		response.Rev = *body.StoreRevision
 	}
-	switch call.Op {
+	switch req.Op {
 	case kv.Get:
-		return decodeGet(call, body, response)
+		return decodeGet(req, body, response)
 	case kv.List:
-		return decodeList(call, body, response)
+		return decodeList(req, body, response)
 	case kv.GrantLease, kv.KeepAlive:
-		return decodeLease(call, body, response)
+		return decodeLease(req, body, response)
 	case kv.Txn, kv.Watch:
 		if body.StoreRevision == nil {
 			return unknown
@@ -96,8 +96,8 @@
 	return response
 }
 
-func decodeGet(call kv.Request, body *responseJSON, response kv.Response) kv.Response {
-	if body.Key != call.Key || body.Revision == 0 {
+func decodeGet(req kv.Request, body *responseJSON, response kv.Response) kv.Response {
+	if body.Key != req.Key || body.Revision == 0 {
 		return unknown
 	}
 	entry := body.decode()
@@ -109,16 +109,16 @@
 }
 
 // decodeList decodes a page of a list. It checks that the keys are in ascending order, after
-// call.From and under the prefix, because a wrong page could make the caller read forever or skip
+// req.From and under the prefix, because a wrong page could make the caller read forever or skip
 // records.
-func decodeList(call kv.Request, body *responseJSON, response kv.Response) kv.Response {
+func decodeList(req kv.Request, body *responseJSON, response kv.Response) kv.Response {
 	if body.Entries == nil && body.StoreRevision == nil {
 		return unknown
 	}
-	previous := call.From
+	previous := req.From
 	for i := range body.Entries {
 		entry := &body.Entries[i]
-		if entry.Key <= previous || !strings.HasPrefix(entry.Key, call.Key) {
+		if entry.Key <= previous || !strings.HasPrefix(entry.Key, req.Key) {
 			return unknown
 		}
 		previous = entry.Key
@@ -130,8 +130,8 @@
 	return response
 }
 
-func decodeLease(call kv.Request, body *responseJSON, response kv.Response) kv.Response {
-	if body.LeaseID == nil || call.Op == kv.KeepAlive && *body.LeaseID != call.LeaseID {
+func decodeLease(req kv.Request, body *responseJSON, response kv.Response) kv.Response {
+	if body.LeaseID == nil || req.Op == kv.KeepAlive && *body.LeaseID != req.LeaseID {
 		return unknown
 	}
 	response.LeaseID = *body.LeaseID
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -155,7 +155,7 @@
 		in = n.register(x)
 	case api.Abandoned:
 		ref := n.refs[x.Reply]
-		n.forget(ref)
+		n.unregister(ref)
 		in = heartbeat.Abandoned{Ref: ref}
 	}
 	now := time.Now()
@@ -228,16 +228,16 @@
 	return core.Tick{}
 }
 
-func (n *node) forget(ref uint64) {
+func (n *node) unregister(ref uint64) {
 	if ch := n.replies[ref]; ch != nil {
 		delete(n.refs, ch)
 		delete(n.replies, ref)
 	}
 }
 
-func (n *node) answer(ref uint64, response any) {
+func (n *node) respond(ref uint64, response any) {
 	if ch := n.replies[ref]; ch != nil {
-		n.forget(ref)
+		n.unregister(ref)
 		ch <- response // buffered for exactly one response
 	}
 }
@@ -246,9 +246,9 @@
 func (n *node) perform(o any) {
 	switch o := o.(type) {
 	case request.Response:
-		n.answer(o.Ref, o)
+		n.respond(o.Ref, o)
 	case heartbeat.Reply:
-		n.answer(o.Ref, o)
+		n.respond(o.Ref, o)
 	case kv.Request:
 		n.store.Do(o)
 	case provider.Request:
