--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -46,10 +46,11 @@
 	Upstream string `json:"upstream,omitempty"`
 }
 
-// maxNotice bounds the seconds of a notice. One that has run out may be below 0.
+// maxNotice bounds the seconds until the termination of a spot machine that a heartbeat announces.
+// The value is negative once that time has passed.
 const maxNotice = 1e8
 
-// decode checks a report; "" or what is wrong with it.
+// decode validates a heartbeat. Its second result is the name of the invalid field, or empty.
 func (j *heartbeatJSON) decode() (heartbeat.Report, string) {
 	r := heartbeat.Report{Host: j.Host, Address: j.Address, InstanceType: j.InstanceType, Zone: j.Zone, Spot: j.Spot, FencingToken: j.FencingToken}
 	switch {
@@ -86,7 +87,8 @@
 			return r, "shards.shard"
 		}
 		if !s.Phase.Known() {
-			// A state that we do not know is one in which the task is there.
+			// Unknown states come from newer workers. Pulling means that the task occupies the
+			// machine without running.
 			s.Phase = heartbeat.Pulling
 		}
 		r.Tasks = append(r.Tasks, heartbeat.Task{Task: id, Try: s.Attempt, Phase: s.Phase, Cause: s.Cause})
@@ -94,29 +96,31 @@
 	return r, ""
 }
 
+// handleHeartbeat serves POST /hello: it passes a heartbeat to the core and writes the orders for
+// the worker, or status 421 with the name of the node that the worker must report to.
 func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var j heartbeatJSON
 	if !readJSON(w, r, &j) {
 		return
 	}
-	rep, bad := j.decode()
-	if bad != "" {
-		writeError(w, http.StatusBadRequest, bad, bad+": missing or malformed", 0)
+	report, invalid := j.decode()
+	if invalid != "" {
+		writeError(w, http.StatusBadRequest, invalid, invalid+": missing or malformed", 0)
 		return
 	}
 	heartbeatsReceived.Inc()
-	s.conns.hasRequest(r, true)
+	s.conns.markBusy(r, true)
 	reply := make(chan any, 1)
-	s.inbox <- Exchange{heartbeat.Received{Report: rep}, reply}
+	s.inbox <- Exchange{heartbeat.Received{Report: report}, reply}
 	t := time.NewTimer(heartbeatTimeout)
 	defer t.Stop()
 	select {
 	case v := <-reply:
-		a := v.(heartbeat.Reply)
-		switch a.Status {
+		answer := v.(heartbeat.Reply)
+		switch answer.Status {
 		case http.StatusOK:
-			out := replyJSON{a.FencingToken, make([]orderJSON, 0, len(a.Orders))}
-			for _, o := range a.Orders {
+			out := replyJSON{answer.FencingToken, make([]orderJSON, 0, len(answer.Orders))}
+			for _, o := range answer.Orders {
 				oj := orderJSON{Verb: o.Verb, Task: o.Task.String(), Attempt: o.Try}
 				if o.Verb == heartbeat.Stop {
 					d := o.Drain.Seconds()
@@ -126,9 +130,9 @@
 			}
 			writeJSON(w, http.StatusOK, out)
 		case http.StatusMisdirectedRequest:
-			writeJSON(w, a.Status, upstreamJSON{a.Upstream})
+			writeJSON(w, answer.Status, upstreamJSON{answer.Upstream})
 		default:
-			writeError(w, a.Status, "", "not entitled to act", 0)
+			writeError(w, answer.Status, "", "not entitled to act", 0)
 		}
 	case <-t.C:
 		s.inbox <- Abandoned{reply}
--- a/internal/cloud/request.go
+++ b/internal/cloud/request.go
@@ -8,8 +8,8 @@
 	"yewpass/internal/provider"
 )
 
-// listLimit is how many machines a page of the list has.
-const listLimit = "500"
+// listPageSize is the number of machines in a page of the list.
+const listPageSize = "500"
 
 type instanceRequestJSON struct {
 	Name         string `json:"rental"`
@@ -23,32 +23,33 @@
 	Hosts []string `json:"hosts"`
 }
 
-// Request returns a call as the cloud's protocol has it.
-func Request(call provider.Request) (method, path string, body []byte) {
-	switch call.Op {
+// EncodeRequest returns the HTTP method, path and body of a request. All are empty for an unknown
+// operation.
+func EncodeRequest(req provider.Request) (method, path string, body []byte) {
+	switch req.Op {
 	case provider.Catalog:
 		return http.MethodGet, "/catalog", nil
 	case provider.ScaleOut:
 		return http.MethodPost, "/machines", encode(instanceRequestJSON{
-			Name:         call.RequestName,
-			InstanceType: call.InstanceType,
-			Zone:         call.Zone,
-			Spot:         call.Spot,
-			Count:        call.Count,
+			Name:         req.RequestName,
+			InstanceType: req.InstanceType,
+			Zone:         req.Zone,
+			Spot:         req.Spot,
+			Count:        req.Count,
 		})
 	case provider.Release:
-		return http.MethodPost, "/machines/release", encode(hostsJSON{call.Hosts})
+		return http.MethodPost, "/machines/release", encode(hostsJSON{req.Hosts})
 	case provider.List:
-		query := url.Values{"limit": {listLimit}}
-		if call.After != "" {
-			query.Set("from", call.After)
+		query := url.Values{"limit": {listPageSize}}
+		if req.After != "" {
+			query.Set("from", req.After)
 		}
 		return http.MethodGet, "/machines?" + query.Encode(), nil
 	}
 	return "", "", nil
 }
 
-// encode returns the JSON of a plain struct of this package, which always has one.
+// encode returns the JSON of a plain struct of this package, which never fails to encode.
 func encode(v any) []byte {
 	data, _ := json.Marshal(v)
 	return data
--- a/internal/kvclient/response.go
+++ b/internal/kvclient/response.go
@@ -16,8 +16,8 @@
 	Revision uint64          `json:"keyRev"`
 }
 
-// responseJSON is the union of the store's responses. Pointers tell what is missing,
-// because a response without what it must hold is no success.
+// responseJSON has the fields of all responses of the store. Pointers distinguish missing fields,
+// because a response without a required field is not a success.
 type responseJSON struct {
 	entryJSON
 	StoreRevision *uint64     `json:"storeRev"`
@@ -32,27 +32,27 @@
 	success = kv.Response{Outcome: rpc.OK}
 )
 
-// Decode reads a response. Whatever is not what the protocol promises for this very call
-// is an unknown outcome: between us and the store there may be something that answers in
-// its place, and what is believed here decides who leads and what exists.
-func Decode(call kv.Request, status int, data []byte) kv.Response {
+// DecodeResponse decodes the response to a request. A response that the protocol does not allow for
+// this request has the outcome rpc.Unknown: it may come from a proxy instead of the store, and
+// acting on it could elect a second leader or lose records.
+func DecodeResponse(req kv.Request, status int, data []byte) kv.Response {
 	var body responseJSON
 	parsed := json.Unmarshal(data, &body) == nil
 	switch status {
 	case http.StatusOK:
-		if call.Op == kv.RevokeLease {
+		if req.Op == kv.RevokeLease {
 			return success
 		}
 		if !parsed {
 			return unknown
 		}
-		return decodeSuccess(call, &body)
+		return decodeSuccess(req, &body)
 	case http.StatusConflict:
-		if call.Op == kv.Txn && parsed && len(body.Failed) > 0 {
+		if req.Op == kv.Txn && parsed && len(body.Failed) > 0 {
 			return kv.Response{Outcome: rpc.Conflict, FailedKeys: body.Failed}
 		}
 	case http.StatusNotFound:
-		return decodeNotFound(call, &body, parsed)
+		return decodeNotFound(req, &body, parsed)
 	case http.StatusGone:
 		return kv.Response{Outcome: rpc.NotFound}
 	case http.StatusBadRequest:
@@ -63,10 +63,10 @@
 	return unknown
 }
 
-// decodeNotFound reads a response with status 404. That a record does not exist is
-// believed from the store alone, which adds its revision.
-func decodeNotFound(call kv.Request, body *responseJSON, parsed bool) kv.Response {
-	if call.Op != kv.Get {
+// decodeNotFound decodes a response with status 404. A missing key is reported only if the response
+// has the store revision, which shows that it comes from the store and not from a proxy.
+func decodeNotFound(req kv.Request, body *responseJSON, parsed bool) kv.Response {
+	if req.Op != kv.Get {
 		return kv.Response{Outcome: rpc.NotFound}
 	}
 	if !parsed || body.StoreRevision == nil {
@@ -75,19 +75,19 @@
 	return kv.Response{Outcome: rpc.NotFound, Rev: *body.StoreRevision}
 }
 
-// decodeSuccess reads a response with status 200.
-func decodeSuccess(call kv.Request, body *responseJSON) kv.Response {
+// decodeSuccess decodes a response with status 200.
+func decodeSuccess(req kv.Request, body *responseJSON) kv.Response {
 	response := kv.Response{Outcome: rpc.OK, More: body.Truncated}
 	if body.StoreRevision != nil {
 		response.Rev = *body.StoreRevision
 	}
-	switch call.Op {
+	switch req.Op {
 	case kv.Get:
-		return decodeGet(call, body, response)
+		return decodeGet(req, body, response)
 	case kv.List:
-		return decodeList(call, body, response)
+		return decodeList(req, body, response)
 	case kv.GrantLease, kv.KeepAlive:
-		return decodeLease(call, body, response)
+		return decodeLease(req, body, response)
 	case kv.Txn, kv.Watch:
 		if body.StoreRevision == nil {
 			return unknown
@@ -96,8 +96,8 @@
 	return response
 }
 
-func decodeGet(call kv.Request, body *responseJSON, response kv.Response) kv.Response {
-	if body.Key != call.Key || body.Revision == 0 {
+func decodeGet(req kv.Request, body *responseJSON, response kv.Response) kv.Response {
+	if body.Key != req.Key || body.Revision == 0 {
 		return unknown
 	}
 	entry := body.decode()
@@ -108,16 +108,17 @@
 	return response
 }
 
-// decodeList reads a page of a list. Its keys are in order and behind the key that was
-// asked for: a page that is not would have us read for ever, or pass records over.
-func decodeList(call kv.Request, body *responseJSON, response kv.Response) kv.Response {
+// decodeList decodes a page of a list. It checks that the keys are in ascending order, after
+// req.From and under the prefix, because a wrong page could make the caller read forever or skip
+// records.
+func decodeList(req kv.Request, body *responseJSON, response kv.Response) kv.Response {
 	if body.Entries == nil && body.StoreRevision == nil {
 		return unknown
 	}
-	previous := call.From
+	previous := req.From
 	for i := range body.Entries {
 		entry := &body.Entries[i]
-		if entry.Key <= previous || !strings.HasPrefix(entry.Key, call.Key) {
+		if entry.Key <= previous || !strings.HasPrefix(entry.Key, req.Key) {
 			return unknown
 		}
 		previous = entry.Key
@@ -129,15 +130,15 @@
 	return response
 }
 
-func decodeLease(call kv.Request, body *responseJSON, response kv.Response) kv.Response {
-	if body.LeaseID == nil || call.Op == kv.KeepAlive && *body.LeaseID != call.LeaseID {
+func decodeLease(req kv.Request, body *responseJSON, response kv.Response) kv.Response {
+	if body.LeaseID == nil || req.Op == kv.KeepAlive && *body.LeaseID != req.LeaseID {
 		return unknown
 	}
 	response.LeaseID = *body.LeaseID
 	return response
 }
 
-// decode reads an entry; its value is nil when it is no record of ours.
+// decode returns an entry. Its value is nil if it is not a known record.
 func (e *entryJSON) decode() kv.Entry {
 	return kv.Entry{Key: e.Key, Value: recordcodec.Decode(e.Key, e.Value), Rev: e.Revision}
 }
