--- a/cmd/yewpass/preview.go
+++ b/cmd/yewpass/preview.go
@@ -74,7 +74,7 @@
 	if p.count < 1 {
 		return nil, errors.New("--count: must be at least 1")
 	}
-	if !def.Timing.Occurs(calendar.Wall(at, def.Timing.Zone())) {
+	if !def.Timing.OccursAfter(calendar.WallClock(at, def.Timing.Zone())) {
 		return nil, fmt.Errorf("%s: rule: never occurs from %s on", path, at.Format(time.RFC3339))
 	}
 	if p.all {
@@ -96,15 +96,15 @@
 }
 
 // occurring returns the occurrences that would run.
-func (p *preview) occurring(def *schedule.Def, at time.Time) (lines []previewLine) {
-	cursor := def.From(at.Add(-time.Nanosecond))
+func (p *preview) occurring(def *schedule.Definition, at time.Time) (lines []previewLine) {
+	cursor := def.CursorAt(at.Add(-time.Nanosecond))
 	for range p.count {
 		o, ok := def.Next(cursor)
 		if !ok {
 			break
 		}
 		lines = append(lines, previewed(def, o))
-		cursor = cursor.Past(o)
+		cursor = cursor.AdvanceTo(o)
 	}
 	return lines
 }
@@ -113,8 +113,8 @@
 const maxMoveDays = 31
 
 // withSkipped returns the occurrences that would run and those that are skipped between them.
-func (p *preview) withSkipped(def *schedule.Def, at time.Time) (lines []previewLine) {
-	first := calendar.DateOf(calendar.Wall(at, def.Timing.Zone())).AddDate(0, 0, -maxMoveDays)
+func (p *preview) withSkipped(def *schedule.Definition, at time.Time) (lines []previewLine) {
+	first := calendar.DateOf(calendar.WallClock(at, def.Timing.Zone())).AddDate(0, 0, -maxMoveDays)
 	running := 0
 	for o := range def.Timing.All(first) {
 		if o.Start.Before(at) {
@@ -132,8 +132,8 @@
 }
 
 // previewed returns an occurrence with the id that its job would have, as far as it is known.
-func previewed(def *schedule.Def, o calendar.Occurrence) previewLine {
-	u := *def.Tell(0, o)
-	u.ID = schedule.UnknownID(o.Nominal)
+func previewed(def *schedule.Definition, o calendar.Occurrence) previewLine {
+	u := *def.Upcoming(0, o)
+	u.ID = schedule.PlaceholderJobID(o.Nominal)
 	return previewLine{u, o.Skipped}
 }
--- a/cmd/yewpass/schedule.go
+++ b/cmd/yewpass/schedule.go
@@ -165,9 +165,9 @@
 	cmd := &cobra.Command{Use: "list", Short: "List all schedules", Args: cobra.NoArgs}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		all := schedule.Page{Schedules: []schedule.Brief{}}
+		all := schedule.ListPage{Schedules: []schedule.Summary{}}
 		for after := ""; ; {
-			var p schedule.Page
+			var p schedule.ListPage
 			if err := exchange(http.MethodGet, *node, "/v2/schedules?limit=200&after="+url.QueryEscape(after), nil, nil, &p); err != nil {
 				return err
 			}
@@ -221,7 +221,7 @@
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	count := cmd.Flags().Int("count", 10, "how many, 100 at the most")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		var c schedule.Coming
+		var c schedule.UpcomingList
 		if err := exchange(http.MethodGet, *node, schedulePath(args[0])+"/upcoming?count="+strconv.Itoa(*count), nil, nil, &c); err != nil {
 			return err
 		}
--- a/internal/admission/unschedulable.go
+++ b/internal/admission/unschedulable.go
@@ -43,7 +43,7 @@
 	if job.Service {
 		atOnce = job.Tasks
 	}
-	need := job.Need()
+	need := job.TaskResources()
 	if team.FitsLimit(need, atOnce) {
 		return nil
 	}
@@ -57,7 +57,7 @@
 // checkInstanceTypes looks for a type that a task of the job fits. Without one it blames
 // the field that rules out the last of the allowed types in the job's zone.
 func checkInstanceTypes(job *spec.Job, types []provider.InstanceType) *Refusal {
-	need, field := job.Need(), "flavors"
+	need, field := job.TaskResources(), "flavors"
 	for i := range types {
 		t := &types[i]
 		switch {
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -188,7 +188,7 @@
 		if op == request.ScheduleRun {
 			return request.Response{Status: 201, View: request.JobStatus{ID: "wk-9", State: spec.Queued}}
 		}
-		return request.Response{Status: 200, ETag: `"1-2"`, Doc: schedule.Coming{}}
+		return request.Response{Status: 200, ETag: `"1-2"`, Doc: schedule.UpcomingList{}}
 	})
 	file := `{"name":"n","zone":"UTC","rule":"FREQ=DAILY","at":["01:00"],"job":{}}`
 	for _, c := range []struct {
--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -103,7 +103,7 @@
 		"schedule: pause":    scheduled(request.SchedulePause, based, schedule.View{Schedule: json.RawMessage(`{"name":"nightly"}`), Paused: true}),
 		"schedule: resume":   scheduled(request.ScheduleResume, nightly, schedule.View{Schedule: json.RawMessage(`{"name":"nightly"}`)}),
 		"schedule: list":     scheduled(request.ScheduleList, request.ScheduleParams{After: "n", Count: 5}, wholeSchedulePage()),
-		"schedule: upcoming": scheduled(request.ScheduleUpcoming, request.ScheduleParams{Name: "nightly", Count: 3}, schedule.Coming{Upcoming: []schedule.Upcoming{wholeUpcoming()}}),
+		"schedule: upcoming": scheduled(request.ScheduleUpcoming, request.ScheduleParams{Name: "nightly", Count: 3}, schedule.UpcomingList{Upcoming: []schedule.Upcoming{wholeUpcoming()}}),
 		"schedule: history":  scheduled(request.ScheduleHistory, nightly, wholeHistory()),
 		"schedule: run": {
 			request.Request{Op: request.ScheduleRun, Schedule: &request.ScheduleParams{Name: "nightly", Request: "r-1"}},
@@ -175,8 +175,8 @@
 		Starts:         &toml.LocalDate{Year: 2027, Month: 1, Day: 31},
 		Ends:           &toml.LocalDate{Year: 2028, Month: 12, Day: 1},
 		DueAt:          "06:00",
-		Overlap:        string(schedule.WaitOverlap),
-		CatchUp:        string(schedule.Latest),
+		Overlap:        string(schedule.OverlapWait),
+		CatchUp:        string(schedule.CatchUpLatest),
 		CatchUpWithinS: pointer(3600.5),
 		Job:            spec.Submission{JobClass: pointer("train"), Shards: pointer(16)},
 	}
@@ -201,8 +201,8 @@
 	}
 }
 
-func wholeSchedulePage() schedule.Page {
-	brief := schedule.Brief{
+func wholeSchedulePage() schedule.ListPage {
+	brief := schedule.Summary{
 		Name:     "nightly",
 		Zone:     "Europe/Berlin",
 		Rule:     "FREQ=DAILY",
@@ -214,14 +214,14 @@
 		Missed:   2,
 		Late:     1,
 	}
-	return schedule.Page{Schedules: []schedule.Brief{brief, {Name: "weekly"}}, Truncated: true}
+	return schedule.ListPage{Schedules: []schedule.Summary{brief, {Name: "weekly"}}, Truncated: true}
 }
 
 func wholeHistory() schedule.History {
 	at := func(hour int) *time.Time {
 		return pointer(time.Date(2027, time.January, 31, hour, 0, 0, 0, time.UTC))
 	}
-	return schedule.History{History: []schedule.Past{
+	return schedule.History{History: []schedule.HistoryEntry{
 		{ID: "wk-1", Planned: at(1), Due: at(2), Made: at(3), Started: at(4), Done: at(5), State: schedule.StateDone, Late: true},
 		{ID: "wk-2", State: schedule.StateMissed, Reason: "late"},
 	}}
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -39,7 +39,7 @@
 		var s spec.Submission
 		if json.Unmarshal(data, &s) == nil {
 			job, field, reason := s.Job()
-			if job == nil && (field == "" || reason == "") || job != nil && !job.Sound() {
+			if job == nil && (field == "" || reason == "") || job != nil && !job.Valid() {
 				t.Fatalf("%+v %q %q", job, field, reason)
 			}
 		}
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -57,9 +57,9 @@
 		return r, "host"
 	case len(j.Address) > 128:
 		return r, "address"
-	case j.InstanceType == "" || len(j.InstanceType) > spec.MaxName:
+	case j.InstanceType == "" || len(j.InstanceType) > spec.MaxNameBytes:
 		return r, "flavor"
-	case j.Zone == "" || len(j.Zone) > spec.MaxName:
+	case j.Zone == "" || len(j.Zone) > spec.MaxNameBytes:
 		return r, "hall"
 	case j.Incarnation == nil || *j.Incarnation == 0:
 		return r, "tenure"
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -68,7 +68,7 @@
 		Spec: spec.Job{ID: "wk-1", Tasks: 4, CPUs: 1, Image: "img", Runtime: time.Minute},
 		Team: &quota.Account{}, Progress: fleet.NewProgress(4), FailureHistory: fleet.FailureHistory{FailedOn: map[string]bool{}},
 	}
-	j.Need = j.Spec.Need()
+	j.Need = j.Spec.TaskResources()
 	l := &fakeLeader{jobs: map[string]*fleet.Job{"wk-1": j}, unreadable: map[string]bool{}}
 	p := placement.New(e, e.NewScope(), &config.Config{}, l, 1)
 	return &world{Tracker: New(e, p, l), leader: l, engine: e, placement: p, job: j}
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -74,7 +74,7 @@
 // addJob adds a job of tasks of one CPU that wait without a machine.
 func (l *leader) addJob(tasks int, runtime time.Duration, s spec.Job) *fleet.Job {
 	s.Tasks, s.CPUs, s.Runtime = tasks, 1, runtime
-	j := &fleet.Job{Spec: s, Need: s.Need(), Team: &quota.Account{}}
+	j := &fleet.Job{Spec: s, Need: s.TaskResources(), Team: &quota.Account{}}
 	j.Waiting = tasks
 	j.Reservations = []*fleet.Reservation{{Job: j}}
 	l.queue = append(l.queue, j)
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -141,7 +141,7 @@
 	}
 	for i := range a.InstanceTypes {
 		t := &a.InstanceTypes[i]
-		if !fleet.AllowsInstanceType(s, t.Name) || !(s.Need() == timeline.Resources{} || s.Need().Fits(t.Capacity)) || t.CPUs <= 0 {
+		if !fleet.AllowsInstanceType(s, t.Name) || !(s.TaskResources() == timeline.Resources{} || s.TaskResources().Fits(t.Capacity)) || t.CPUs <= 0 {
 			continue
 		}
 		for _, z := range t.Zones {
--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -1,8 +1,8 @@
-// Package calendar computes when recurring jobs are due, from calendars of
-// business days, recurrence rules (RFC 5545), and wall-clock times in time zones
-// with daylight saving. It does no I/O and reads no clock.
+// Package calendar computes the start times of recurring jobs from recurrence
+// rules (RFC 5545), calendars of business days, and times of day in time zones with
+// daylight saving time. It does no I/O and reads no clock.
 //
-// Three kinds of time have a representation of their own:
+// Three kinds of time are represented as follows:
 //   - A civil date is midnight of that date in UTC.
 //   - A wall-clock time is a time in UTC with the same fields.
 //   - A time of day is a duration since midnight.
@@ -24,8 +24,8 @@
 	"github.com/rickar/cal/v2/us"
 )
 
-// countries maps ISO 3166 codes to public holidays. Each country costs start-up
-// time and memory, so only those that the documentation names are included.
+// countries maps ISO 3166 codes to public holidays. It contains only the documented
+// countries, because each one adds start-up time and memory.
 var countries = map[string]*[]*cal.Holiday{
 	"BG": &bg.Holidays,
 	"DE": &de.Holidays,
@@ -35,56 +35,57 @@
 	"US": &us.Holidays,
 }
 
-// Countries returns the ISO 3166 codes of the supported countries, sorted.
+// Countries returns the ISO 3166 codes of the countries whose public holidays are
+// known, sorted.
 func Countries() []string { return slices.Sorted(maps.Keys(countries)) }
 
-// FieldError reports an invalid field and the reason.
+// FieldError reports which field of a schedule or calendar is invalid and why.
 type FieldError struct{ Field, Reason string }
 
-// Error returns the field and the reason on one line.
+// Error returns the field and the reason, separated by a colon.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{field, fmt.Sprintf(format, args...)}
 }
 
-// Definition describes a calendar as operators configure it.
+// Definition is a calendar as configured by operators.
 type Definition struct {
-	Country  string         // whose public holidays apply; empty: none
-	Holidays []time.Time    // additional holidays
-	Worked   []time.Time    // business days, whatever the other fields say
-	Weekend  []time.Weekday // nil: Saturday and Sunday
-	Events   []Event        // additional holidays from iCalendar files
+	Country      string         // ISO 3166 code of the country whose public holidays apply; empty means none
+	Holidays     []time.Time    // additional holidays
+	BusinessDays []time.Time    // business days, which override the other fields
+	Weekend      []time.Weekday // nil means Saturday and Sunday
+	Events       []Event        // additional holidays from iCalendar files
 }
 
 // Calendar distinguishes business days from other days. It is not safe for
-// concurrent use, because it caches the holidays of the years it was asked for.
+// concurrent use, because it caches the holidays of recently requested years.
 type Calendar struct {
-	weekend   [7]bool // indexed by time.Weekday
-	country   []*cal.Holiday
-	holidays  map[time.Time]string // names of holidays on fixed dates
-	worked    map[time.Time]bool
-	recurring []Event
-	years     map[int]map[time.Time]string // cache of holidaysIn
+	weekend      [7]bool // indexed by time.Weekday
+	country      []*cal.Holiday
+	holidays     map[time.Time]string // names of holidays that do not recur, by date
+	businessDays map[time.Time]bool
+	recurring    []Event
+	years        map[int]map[time.Time]string // cache of holidaysIn, by year
 }
 
 const (
-	// maxSearchDays limits the search for a business day.
+	// maxSearchDays limits how many days the search for a business day examines.
 	maxSearchDays = 400
-	// maxCachedYears limits the years whose holidays a calendar caches.
+	// maxCachedYears limits the number of years whose holidays a calendar caches.
 	maxCachedYears = 16
 )
 
-// defaultHolidayName names holidays that have no name of their own.
+// defaultHolidayName is the name of holidays that are configured without a name.
 const defaultHolidayName = "holiday"
 
-// New returns the calendar that a definition describes. The error is a
-// *FieldError.
+// New returns the calendar for a definition. The error is a *FieldError for the
+// country or the weekend.
 func New(definition Definition) (*Calendar, error) {
 	c := &Calendar{
-		holidays: map[time.Time]string{},
-		worked:   map[time.Time]bool{},
-		years:    map[int]map[time.Time]string{},
+		holidays:     map[time.Time]string{},
+		businessDays: map[time.Time]bool{},
+		years:        map[int]map[time.Time]string{},
 	}
 	if err := c.setCountry(definition.Country); err != nil {
 		return nil, err
@@ -95,8 +96,8 @@
 	for _, date := range definition.Holidays {
 		c.holidays[date] = defaultHolidayName
 	}
-	for _, date := range definition.Worked {
-		c.worked[date] = true
+	for _, date := range definition.BusinessDays {
+		c.businessDays[date] = true
 	}
 	for _, event := range definition.Events {
 		c.addEvent(event)
@@ -135,14 +136,15 @@
 		return
 	}
 	event.mark(event.Date, c.holidays)
-	for _, date := range event.Extra {
+	for _, date := range event.ExtraDates {
 		event.mark(date, c.holidays)
 	}
 }
 
-// Day reports whether a date is a business day and, if it is not, why.
-func (c *Calendar) Day(date time.Time) (business bool, why string) {
-	if c.worked[date] {
+// IsBusinessDay reports whether a date is a business day. If it is not, why is the
+// name of the holiday or of the weekday.
+func (c *Calendar) IsBusinessDay(date time.Time) (business bool, why string) {
+	if c.businessDays[date] {
 		return true, ""
 	}
 	if name, ok := c.holidays[date]; ok {
@@ -157,7 +159,8 @@
 	return true, ""
 }
 
-// holidaysIn returns the public holidays and recurring events of a year.
+// holidaysIn returns the names of public holidays and recurring events in a year,
+// by date.
 func (c *Calendar) holidaysIn(year int) map[time.Time]string {
 	if holidays, ok := c.years[year]; ok {
 		return holidays
@@ -178,9 +181,9 @@
 	return holidays
 }
 
-// markHoliday adds the dates of a public holiday that lie in the year: the actual
-// one and the one on which it is observed. The latter may belong to the holiday of
-// the year before or after.
+// markHoliday adds the dates of a public holiday that are in the year: the actual
+// date and the date on which it is observed. The holiday of an adjacent year may be
+// observed in this year.
 func markHoliday(holiday *cal.Holiday, year int, holidays map[time.Time]string) {
 	for holidayYear := year - 1; holidayYear <= year+1; holidayYear++ {
 		actual, observed := holiday.Calc(holidayYear)
@@ -192,17 +195,17 @@
 	}
 }
 
-// onOrAfter returns the first business day on or after a date; false if there is
+// onOrAfter returns the first business day on or after a date, or false if there is
 // none within maxSearchDays.
 func (c *Calendar) onOrAfter(date time.Time) (time.Time, bool) { return c.search(date, Day) }
 
-// onOrBefore returns the last business day on or before a date; false if there is
-// none within maxSearchDays.
+// onOrBefore returns the last business day on or before a date, or false if there
+// is none within maxSearchDays.
 func (c *Calendar) onOrBefore(date time.Time) (time.Time, bool) { return c.search(date, -Day) }
 
 func (c *Calendar) search(date time.Time, step time.Duration) (time.Time, bool) {
 	for range maxSearchDays {
-		if business, _ := c.Day(date); business {
+		if business, _ := c.IsBusinessDay(date); business {
 			return date, true
 		}
 		date = date.Add(step)
--- a/internal/calendar/ical.go
+++ b/internal/calendar/ical.go
@@ -11,65 +11,64 @@
 	ics "github.com/arran4/golang-ical"
 )
 
-// Event is an event of an iCalendar file. The days that it covers are no business
-// days.
+// Event is an event of an iCalendar file. The days that it covers are holidays.
 type Event struct {
-	Name   string
-	Date   time.Time   // the first day
-	Days   int         // how many days it covers, at least 1
-	Rule   *Rule       // the recurrence; nil: none
-	Except []time.Time // dates on which it does not recur
-	Extra  []time.Time // first days of further occurrences
+	Name          string
+	Date          time.Time   // first day
+	Days          int         // number of days, at least 1
+	Rule          *Rule       // recurrence; nil means none
+	ExcludedDates []time.Time // first days of occurrences that Rule must not produce
+	ExtraDates    []time.Time // first days of occurrences in addition to Rule
 }
 
-// mark adds the days of the occurrence that begins on a date.
+// mark adds the days of the occurrence that begins on first.
 func (e *Event) mark(first time.Time, holidays map[time.Time]string) {
 	for i := range e.Days {
 		holidays[first.AddDate(0, 0, i)] = e.Name
 	}
 }
 
-// markYear adds the days of a recurring event's occurrences that touch the year.
+// markYear adds the days of those occurrences of a recurring event that overlap with
+// the year.
 func (e *Event) markYear(year int, holidays map[time.Time]string) {
 	from := Date(year, time.January, 1).AddDate(0, 0, -e.Days)
 	last := Date(year, time.December, 31)
 	for date, ok := e.Rule.Next(from); ok && !date.After(last); date, ok = e.Rule.Next(date.Add(Day)) {
-		if !slices.Contains(e.Except, date) {
+		if !slices.Contains(e.ExcludedDates, date) {
 			e.mark(date, holidays)
 		}
 	}
-	for _, date := range e.Extra {
+	for _, date := range e.ExtraDates {
 		e.mark(date, holidays)
 	}
 }
 
 const (
-	// MaxICalendar is the largest size of an iCalendar file, in bytes.
-	MaxICalendar = 1 << 20
-	// maxEventDays is the largest number of days that an event may cover.
+	// MaxICalendarBytes limits the size of an iCalendar file.
+	MaxICalendarBytes = 1 << 20
+	// maxEventDays limits the number of days that an event may cover.
 	maxEventDays = 366
 )
 
-// icalDateFormat is the form of DATE values.
+// icalDateFormat is the format of DATE values.
 const icalDateFormat = "20060102"
 
-// propertyRecurrenceID has no constant in the library.
+// propertyRecurrenceID is a property for which the library has no constant.
 const propertyRecurrenceID ics.ComponentProperty = "RECURRENCE-ID"
 
 // ParseICalendar returns the events of an iCalendar file (RFC 5545). Times of day
-// are ignored: an event covers every day that it touches. Cancelled events are
-// left out; RRULE, RDATE and EXDATE are supported. RECURRENCE-ID, which moves a
-// single occurrence, is an error rather than misinterpreted.
+// are ignored: an event covers every day that it overlaps with. Cancelled events are
+// omitted. RRULE, RDATE and EXDATE are supported. RECURRENCE-ID, which moves a
+// single occurrence, is not supported and returns an error.
 func ParseICalendar(data []byte) (events []Event, err error) {
-	// The library limits neither its input nor its memory, and arbitrary input can
-	// make it panic.
+	// The library panics on some malformed input and does not limit its memory.
 	defer func() {
 		if recover() != nil {
 			events, err = nil, errors.New("malformed iCalendar file")
 		}
 	}()
-	if len(data) > MaxICalendar {
-		return nil, fmt.Errorf("larger than %d bytes", MaxICalendar)
+	if len(data) > MaxICalendarBytes {
+		return nil, fmt.Errorf("larger than %d bytes", MaxICalendarBytes)
 	}
 	file, err := ics.ParseCalendar(bytes.NewReader(data))
 	if err != nil {
@@ -106,23 +105,23 @@
 		return nil, fmt.Errorf("event %q: %s: %s", event.Name, property, fmt.Sprintf(format, args...))
 	}
 	if propertyValue(component, propertyRecurrenceID) != "" {
-		return fail("RECURRENCE-ID", "is not supported; write the date as an event of its own")
+		return fail("RECURRENCE-ID", "is not supported; add a separate event for the date")
 	}
 	var ok bool
 	if event.Date, _, ok = parseICalDate(propertyValue(component, ics.ComponentPropertyDtStart)); !ok {
 		return fail("DTSTART", "missing or no date")
 	}
 	if event.Days, ok = eventDays(component, event.Date); !ok {
-		return fail("DTEND", "no date")
+		return fail("DTEND", "not a date")
 	}
 	if event.Days < 1 || event.Days > maxEventDays {
-		return fail("DTEND", "covers %d days, not 1 to %d", event.Days, maxEventDays)
+		return fail("DTEND", "event covers %d days; must be 1 to %d", event.Days, maxEventDays)
 	}
-	if event.Except, ok = propertyDates(component, ics.ComponentPropertyExdate); !ok {
-		return fail("EXDATE", "no date")
+	if event.ExcludedDates, ok = propertyDates(component, ics.ComponentPropertyExdate); !ok {
+		return fail("EXDATE", "not a date")
 	}
-	if event.Extra, ok = propertyDates(component, ics.ComponentPropertyRdate); !ok {
-		return fail("RDATE", "no date")
+	if event.ExtraDates, ok = propertyDates(component, ics.ComponentPropertyRdate); !ok {
+		return fail("RDATE", "not a date")
 	}
 	if text := propertyValue(component, ics.ComponentPropertyRrule); text != "" {
 		var err error
@@ -133,8 +132,8 @@
 	return event, nil
 }
 
-// eventName returns the summary with white space collapsed, because names appear
-// in output that programs split at tabs and line ends.
+// eventName returns the summary with white space collapsed, because names appear in
+// tab-separated command output.
 func eventName(component *ics.VEvent) string {
 	summary := ics.FromText(propertyValue(component, ics.ComponentPropertySummary))
 	name := strings.Join(strings.Fields(summary), " ")
@@ -144,15 +143,15 @@
 	return name
 }
 
-// eventDays returns how many days an event covers, from DTEND or DURATION. It
-// fails if DTEND is malformed; the number is not checked.
+// eventDays returns the number of days that an event covers, from DTEND or DURATION.
+// It returns false if DTEND is malformed. The caller validates the number.
 func eventDays(component *ics.VEvent, start time.Time) (days int, ok bool) {
 	if text := propertyValue(component, ics.ComponentPropertyDtEnd); text != "" {
 		end, timed, ok := parseICalDate(text)
 		if !ok {
 			return 0, false
 		}
-		days = int(end.Sub(start) / Day) // a DATE is exclusive
+		days = int(end.Sub(start) / Day) // DTEND is exclusive if it is a DATE
 		if timed || days == 0 {
 			days++
 		}
@@ -161,8 +160,8 @@
 	return durationDays(propertyValue(component, ics.ComponentPropertyDuration)), true
 }
 
-// durationDays returns the days of a DURATION such as P3D or P2W. Others, which
-// include times of day, count as one day.
+// durationDays returns the number of days of a DURATION such as P3D or P2W. All other
+// durations, which include times of day, count as one day.
 func durationDays(text string) int {
 	var count int
 	var unit byte
@@ -178,8 +177,8 @@
 	return 1
 }
 
-// propertyDates returns the dates of all properties with a name, each of which
-// may be a list.
+// propertyDates returns the dates of all instances of a property, each of which may
+// be a comma-separated list. It returns false if one of them is malformed.
 func propertyDates(component *ics.VEvent, property ics.ComponentProperty) (dates []time.Time, ok bool) {
 	for _, list := range component.GetProperties(property) {
 		for text := range strings.SplitSeq(list.Value, ",") {
@@ -193,7 +192,7 @@
 	return dates, true
 }
 
-// parseICalDate parses a DATE, or the date of a DATE-TIME, in which case timed is
+// parseICalDate parses a DATE or the date of a DATE-TIME. For a DATE-TIME, timed is
 // true.
 func parseICalDate(text string) (date time.Time, timed, ok bool) {
 	text, _, timed = strings.Cut(text, "T")
--- a/internal/calendar/ical_test.go
+++ b/internal/calendar/ical_test.go
@@ -15,7 +15,7 @@
 func TestICalendar(t *testing.T) {
 	events, err := ParseICalendar([]byte(icalendar))
 	if err != nil || len(events) != 3 {
-		t.Fatal(events, err)
+		t.Fatalf("got %+v, error %v; want 3 events", events, err)
 	}
 	c, err := New(Definition{Events: events})
 	if err != nil {
@@ -23,28 +23,28 @@
 	}
 	for day, want := range map[string]string{"2027-05-07": "", "2027-05-10": "Inventory", "2027-05-11": "Inventory", "2027-05-12": "", "2027-06-15": "Founders",
 		"2027-05-20": "", "2027-05-24": "Half day", "2028-06-15": "", "2028-06-16": "Founders", "2027-05-08": "Saturday", "2020-06-15": "Founders", "2019-06-14": ""} {
-		if ok, why := c.Day(date(day)); why != want || ok != (want == "") {
-			t.Errorf("%s: %v %q, want %q", day, ok, why, want)
+		if ok, why := c.IsBusinessDay(date(day)); why != want || ok != (want == "") {
+			t.Errorf("IsBusinessDay(%s) = %v, %q, want reason %q", day, ok, why, want)
 		}
 	}
 	for text, want := range map[string]string{"BEGIN:VCALENDAR\r\nBEGIN:VEVENT\r\nSUMMARY:x\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n": "DTSTART",
 		strings.Replace(icalendar, "FREQ=YEARLY", "FREQ=OFTEN", 1): "RRULE", strings.Replace(icalendar, "20270512", "20290512", 1): "DTEND"} {
 		if _, err := ParseICalendar([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", text, err, want)
+			t.Errorf("%q: got error %v, want one that contains %s", text, err, want)
 		}
 	}
 }
 
-// TestICalendarErrors pins the texts that operators see for an invalid event.
+// TestICalendarErrors checks the errors that operators get for an invalid event.
 func TestICalendarErrors(t *testing.T) {
 	for _, test := range []struct{ old, new, want string }{
 		{"DTSTART;VALUE=DATE:20270510", "DTSTART;VALUE=DATE:soon", `event "Inventory": DTSTART: missing or no date`},
-		{"DTEND;VALUE=DATE:20270512", "DTEND;VALUE=DATE:soon", `event "Inventory": DTEND: no date`},
-		{"DTEND;VALUE=DATE:20270512", "DTEND;VALUE=DATE:20270509", `event "Inventory": DTEND: covers -1 days, not 1 to 366`},
-		{"DTEND;VALUE=DATE:20270512", "DURATION:P0D", `event "Inventory": DTEND: covers 0 days, not 1 to 366`},
-		{"DTEND;VALUE=DATE:20270512", "RECURRENCE-ID;VALUE=DATE:20270512", `event "Inventory": RECURRENCE-ID: is not supported; write the date as an event of its own`},
-		{"EXDATE;VALUE=DATE:20280615", "EXDATE;VALUE=DATE:20280615,x", `event "Founders": EXDATE: no date`},
-		{"RDATE;VALUE=DATE:20280616", "RDATE;VALUE=DATE:x", `event "Founders": RDATE: no date`},
+		{"DTEND;VALUE=DATE:20270512", "DTEND;VALUE=DATE:soon", `event "Inventory": DTEND: not a date`},
+		{"DTEND;VALUE=DATE:20270512", "DTEND;VALUE=DATE:20270509", `event "Inventory": DTEND: event covers -1 days; must be 1 to 366`},
+		{"DTEND;VALUE=DATE:20270512", "DURATION:P0D", `event "Inventory": DTEND: event covers 0 days; must be 1 to 366`},
+		{"DTEND;VALUE=DATE:20270512", "RECURRENCE-ID;VALUE=DATE:20270512", `event "Inventory": RECURRENCE-ID: is not supported; add a separate event for the date`},
+		{"EXDATE;VALUE=DATE:20280615", "EXDATE;VALUE=DATE:20280615,x", `event "Founders": EXDATE: not a date`},
+		{"RDATE;VALUE=DATE:20280616", "RDATE;VALUE=DATE:x", `event "Founders": RDATE: not a date`},
 		{"FREQ=YEARLY", "FREQ=OFTEN", `event "Founders": RRULE: unknown FREQ=OFTEN`},
 		{"SUMMARY:Inventory\r\nDTSTART;VALUE=DATE:20270510", "X-A:b", `event "holiday": DTSTART: missing or no date`},
 	} {
@@ -55,8 +55,8 @@
 			}
 		})
 	}
-	if _, err := ParseICalendar(make([]byte, MaxICalendar+1)); err == nil || err.Error() != "larger than 1048576 bytes" {
-		t.Error(err)
+	if _, err := ParseICalendar(make([]byte, MaxICalendarBytes+1)); err == nil || err.Error() != "larger than 1048576 bytes" {
+		t.Errorf("file above the size limit: got error %v", err)
 	}
 }
 
@@ -66,12 +66,12 @@
 		text := strings.Replace(icalendar, "DTEND;VALUE=DATE:20270512", "DURATION:"+duration, 1)
 		events, err := ParseICalendar([]byte(text))
 		if err != nil || events[0].Days != want {
-			t.Errorf("%s: %+v, %v; want %d days", duration, events, err, want)
+			t.Errorf("%s: got %+v, error %v; want %d days", duration, events, err, want)
 		}
 	}
 }
 
-// FuzzICalendar checks that arbitrary input is rejected or makes a usable calendar.
+// FuzzICalendar checks that arbitrary input is rejected or yields a usable calendar.
 func FuzzICalendar(f *testing.F) {
 	f.Add([]byte(icalendar))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -84,7 +84,7 @@
 			t.Fatal(err)
 		}
 		for i := range 3 {
-			c.Day(Date(2027, 1, 1).AddDate(i, i, i))
+			c.IsBusinessDay(Date(2027, 1, 1).AddDate(i, i, i))
 		}
 	})
 }
--- a/internal/calendar/occurrence.go
+++ b/internal/calendar/occurrence.go
@@ -10,42 +10,42 @@
 
 // Occurrence is one run of a schedule.
 type Occurrence struct {
-	// Nominal is the wall-clock time that identifies the occurrence. It is what the
-	// scheduler stores, because it stays the same if the offsets of the zone change,
-	// so that no occurrence runs twice.
+	// Nominal is the wall-clock time that identifies the occurrence. The scheduler
+	// stores it instead of Start, because it does not change with the UTC offsets of
+	// the zone, so that no occurrence runs twice.
 	Nominal time.Time
-	// Rule is the wall-clock time of the rule that the occurrence stands for, before
-	// any move because of a holiday. If several dates fall together, it is the latest.
+	// Rule is the wall-clock time according to the recurrence rule, before any move
+	// because of a holiday. If several dates are moved to one day, it is the latest.
 	Rule    time.Time
-	Start   time.Time // the instant at which it starts
-	Due     time.Time // the deadline; zero: none
-	Remark  string    // from where and why it was moved, or why it is skipped
-	Skipped bool      // it does not run; set by All only
+	Start   time.Time // start as an instant
+	Due     time.Time // deadline as an instant; zero means none
+	Remark  string    // why the occurrence is moved or skipped, for users
+	Skipped bool      // does not run; set by All only
 }
 
-// plannedDate is a date of the rule and the date on which the schedule runs for
-// it. They differ if the date was moved because of a holiday.
+// plannedDate is a date of the rule, and the date on which the schedule runs. They
+// differ if the run is moved because of a holiday.
 type plannedDate struct {
 	run, rule time.Time
 }
 
-// maxRuleDates limits the dates of the rule that are examined for one occurrence,
+// maxRuleDates limits how many dates of the rule are examined to find one occurrence,
 // in case every date of the rule is a holiday.
 const maxRuleDates = 2_000
 
-// Occurs reports whether there is an occurrence within 50 years of a wall-clock
-// time.
-func (t *Timing) Occurs(from time.Time) bool {
+// OccursAfter reports whether there is an occurrence in the 50 years after a
+// wall-clock time.
+func (t *Timing) OccursAfter(from time.Time) bool {
 	_, ok := t.Next(from)
 	return ok
 }
 
-// Next returns the first occurrence whose nominal time lies after a wall-clock
-// time; false if there is none within 50 years. The cost does not depend on how
-// long ago the schedule began.
+// Next returns the first occurrence whose nominal time is after a wall-clock time,
+// or false if there is none within 50 years. Its cost does not depend on the age of
+// the schedule.
 func (t *Timing) Next(after time.Time) (Occurrence, bool) {
 	day := DateOf(after)
-	date, ok := t.firstDate(day)
+	date, ok := t.firstRunDate(day)
 	if ok && date.run.Equal(day) {
 		index, found := slices.BinarySearch(t.at, after.Sub(day))
 		if found {
@@ -54,7 +54,7 @@
 		if index < len(t.at) {
 			return t.occurrence(date, t.at[index]), true
 		}
-		date, ok = t.firstDate(day.Add(Day))
+		date, ok = t.firstRunDate(day.Add(Day))
 	}
 	if !ok {
 		return Occurrence{}, false
@@ -62,14 +62,15 @@
 	return t.occurrence(date, t.at[0]), true
 }
 
-// Has reports whether the schedule has an occurrence with this nominal time.
-func (t *Timing) Has(nominal time.Time) bool {
+// HasOccurrence reports whether an occurrence has the given nominal time.
+func (t *Timing) HasOccurrence(nominal time.Time) bool {
 	occurrence, ok := t.Next(nominal.Add(-time.Nanosecond))
 	return ok && occurrence.Nominal.Equal(nominal)
 }
 
-// All yields an occurrence for every date and time of the rule from a date on, in
-// the order of the rule. Those that do not run are marked as skipped.
+// All yields an occurrence for every date of the rule on or after from and every
+// time of day, in the order of the rule. Occurrences that do not run because of a
+// holiday have Skipped set.
 func (t *Timing) All(from time.Time) iter.Seq[Occurrence] {
 	return func(yield func(Occurrence) bool) {
 		for rule, ok := t.rule.Next(from); ok; rule, ok = t.rule.Next(rule.Add(Day)) {
@@ -91,50 +92,51 @@
 	}
 }
 
-// planOrSkip returns when the schedule runs for a date of the rule. If it does not
-// run, skipped is the reason. It fails if there is no business day to move to.
+// planOrSkip returns the date on which the schedule runs for a date of the rule. If
+// it does not run, skipped is the reason. It returns false if there is no business
+// day to move to.
 func (t *Timing) planOrSkip(rule time.Time) (date plannedDate, skipped string, ok bool) {
 	date = plannedDate{run: rule, rule: rule}
-	if t.calendar == nil || t.onHoliday == Run {
+	if t.calendar == nil || t.onHoliday == HolidayRun {
 		return date, "", true
 	}
-	business, why := t.calendar.Day(rule)
+	business, why := t.calendar.IsBusinessDay(rule)
 	if business {
 		return date, "", true
 	}
-	if t.onHoliday == Skip {
+	if t.onHoliday == HolidaySkip {
 		return date, "skipped: " + why, true
 	}
 	if date.run, ok = t.runDate(rule); !ok {
 		return date, "", false
 	}
-	if first, _ := t.firstDate(date.run); !first.rule.Equal(rule) {
+	if first, _ := t.firstRunDate(date.run); !first.rule.Equal(rule) {
 		skipped = fmt.Sprintf("skipped: %s, falls together with %s", why, date.run.Format(time.DateOnly))
 	}
 	return date, skipped, true
 }
 
-// runDate returns the date on which the schedule runs for a date of the rule;
+// runDate returns the date on which the schedule runs for a date of the rule, or
 // false if it does not run.
 func (t *Timing) runDate(rule time.Time) (run time.Time, ok bool) {
 	switch t.onHoliday {
-	case Skip:
-		business, _ := t.calendar.Day(rule)
+	case HolidaySkip:
+		business, _ := t.calendar.IsBusinessDay(rule)
 		return rule, business
-	case Next:
+	case HolidayNext:
 		return t.calendar.onOrAfter(rule)
-	case Previous:
+	case HolidayPrevious:
 		return t.calendar.onOrBefore(rule)
 	}
 	return rule, true
 }
 
-// firstDate returns the first date on or after a day on which the schedule runs;
-// false if there is none. If several dates of the rule fall together on one
-// business day, they are one run: for that day itself if it is a date of the rule,
-// and otherwise for the first of them.
-func (t *Timing) firstDate(day time.Time) (date plannedDate, ok bool) {
-	from, ok := t.firstRelevantDate(day)
+// firstRunDate returns the first date on or after day on which the schedule runs, or
+// false if there is none. Dates of the rule that are moved to the same business day
+// are merged into one run: its rule date is that day itself if it is a date of the
+// rule, and otherwise the first of the merged dates.
+func (t *Timing) firstRunDate(day time.Time) (date plannedDate, ok bool) {
+	from, ok := t.earliestRuleDate(day)
 	if !ok {
 		return plannedDate{}, false
 	}
@@ -144,7 +146,7 @@
 			return plannedDate{}, false
 		}
 		if run, ok := t.runDate(rule); ok && !run.Before(day) {
-			if t.onHoliday == Next && t.rule.Has(run) {
+			if t.onHoliday == HolidayNext && t.rule.Contains(run) {
 				rule = run
 			}
 			return plannedDate{run: run, rule: rule}, true
@@ -154,26 +156,26 @@
 	return plannedDate{}, false
 }
 
-// firstRelevantDate returns the first date that can be moved to the day or later:
-// with Next, the day after the last business day before it.
-func (t *Timing) firstRelevantDate(day time.Time) (time.Time, bool) {
-	if t.onHoliday != Next {
+// earliestRuleDate returns the first date that can be moved to day or later. With
+// HolidayNext, it is the day after the last business day before day.
+func (t *Timing) earliestRuleDate(day time.Time) (time.Time, bool) {
+	if t.onHoliday != HolidayNext {
 		return day, true
 	}
 	businessDay, ok := t.calendar.onOrBefore(day.Add(-Day))
 	return businessDay.Add(Day), ok
 }
 
-// latestRuleDate returns the latest date of the rule that the schedule runs for on
-// the date's day.
+// latestRuleDate returns the latest of the dates of the rule that are merged into
+// the run on date.run.
 func (t *Timing) latestRuleDate(date plannedDate) time.Time {
 	latest := date.rule
-	if t.onHoliday != Next && t.onHoliday != Previous {
+	if t.onHoliday != HolidayNext && t.onHoliday != HolidayPrevious {
 		return latest
 	}
 	end := date.run
-	if t.onHoliday == Previous {
-		// Every date before the next business day is moved back to this one.
+	if t.onHoliday == HolidayPrevious {
+		// Every date before the next business day is moved back to date.run.
 		if businessDay, ok := t.calendar.onOrAfter(date.run.Add(Day)); ok {
 			end = businessDay.Add(-Day)
 		}
@@ -184,13 +186,13 @@
 	return latest
 }
 
-// occurrence returns the occurrence on a date at a time of day.
+// occurrence returns the occurrence on date.run at a time of day.
 func (t *Timing) occurrence(date plannedDate, at time.Duration) Occurrence {
 	nominal := date.run.Add(at)
 	start, exists := Instant(nominal, t.zone)
 	var remarks []string
 	if !date.run.Equal(date.rule) {
-		_, why := t.calendar.Day(date.rule)
+		_, why := t.calendar.IsBusinessDay(date.rule)
 		remarks = append(remarks, fmt.Sprintf("moved from %s: %s", date.rule.Format(time.DateOnly), why))
 	}
 	if !exists {
--- a/internal/calendar/rule.go
+++ b/internal/calendar/rule.go
@@ -7,30 +7,31 @@
 	"github.com/teambition/rrule-go"
 )
 
-// Rule is a recurrence rule of RFC 5545 that yields dates. It is not safe for
+// Rule is a recurrence rule (RFC 5545) that yields dates. It is not safe for
 // concurrent use, because it caches the dates that it computed last.
 //
-// The library expands a rule from its start, so finding a date takes longer the
-// older the rule is. A Rule therefore starts the library at a period of the rule
-// shortly before the requested date, and the cost does not depend on the age.
+// The rrule library expands a rule from its start, which is slow for old rules. Rule
+// therefore starts the expansion at a period shortly before the requested date.
 type Rule struct {
 	option      rrule.ROption // without start, end and count, and with an explicit day part
-	anchor      time.Time     // the beginning of a period of the rule
-	from, until time.Time     // the first and the last date allowed; zero: no limit
+	anchor      time.Time     // beginning of a period of the rule
+	from, until time.Time     // first and last allowed date; zero means no limit
 
-	// The cache: every date of the rule from cacheStart to the last of dates.
+	// Cache of all dates of the rule from cacheStart to the last element of dates.
 	cacheStart time.Time
 	dates      []time.Time // ascending
-	exhausted  time.Time   // no date was found on or after this one; zero: unknown
+	exhausted  time.Time   // the rule has no date on or after this one; zero means unknown
 }
 
 const (
-	// horizonYears limits the search for a date. The rarest useful date, 29 February
-	// on a given weekday across a century without a leap day, recurs within 40 years.
+	// horizonYears limits the search for a date. The rarest useful rule, 29 February
+	// on a given weekday, recurs within 40 years even across a century without a leap
+	// day.
 	horizonYears = 50
-	// cacheLookback is how many days before the requested date the cache begins.
+	// cacheLookback is the number of days before the requested date at which the cache
+	// begins. It is rounded down to the beginning of a period.
 	cacheLookback = 10
-	// cacheAhead is how many dates from the requested one on are cached.
+	// cacheAhead is the number of cached dates on or after the requested date.
 	cacheAhead = 24
 )
 
@@ -39,11 +40,11 @@
 	monthsPerYear = 12
 )
 
-// rruleWeekdays maps time.Weekday to the library's weekdays.
+// rruleWeekdays maps time.Weekday to the weekdays of the rrule library.
 var rruleWeekdays = [...]rrule.Weekday{rrule.SU, rrule.MO, rrule.TU, rrule.WE, rrule.TH, rrule.FR, rrule.SA}
 
-// setImplicitDay makes explicit the day that RFC 5545 takes from the start of a
-// rule without a day part, so that the expansion may begin anywhere.
+// setImplicitDay adds a day part to a rule without one. RFC 5545 takes the day from
+// the start of the rule; with an explicit day, the expansion can begin in any period.
 func (r *Rule) setImplicitDay(starts time.Time) {
 	option := &r.option
 	if len(option.Byweekno)+len(option.Byyearday)+len(option.Bymonthday)+len(option.Byweekday) > 0 {
@@ -62,8 +63,8 @@
 	}
 }
 
-// alignAnchor moves the anchor to the beginning of the period that contains
-// starts, or the present anchor if starts is zero.
+// alignAnchor sets the anchor to the beginning of the period that contains starts
+// or, if starts is zero, the current anchor.
 func (r *Rule) alignAnchor(starts time.Time) {
 	if !starts.IsZero() {
 		r.anchor = starts
@@ -80,11 +81,12 @@
 	}
 }
 
-// mondayBased returns the weekday in the library's numbering, where Monday is 0.
+// mondayBased returns the weekday in the numbering of the rrule library, where Monday
+// is 0.
 func mondayBased(weekday time.Weekday) int { return (int(weekday) + daysPerWeek - 1) % daysPerWeek }
 
-// periodStart returns the beginning of the rule's period that contains a date. A
-// period is FREQ times INTERVAL long.
+// periodStart returns the beginning of the rule's period that contains a date. The
+// length of a period is INTERVAL times the unit of FREQ.
 func (r *Rule) periodStart(date time.Time) time.Time {
 	interval := r.option.Interval
 	days := int(date.Sub(r.anchor) / Day)
@@ -101,10 +103,10 @@
 	}
 }
 
-// floorToMultiple returns the largest multiple of factor that is at most n.
+// floorToMultiple returns the largest multiple of factor that is not greater than n.
 func floorToMultiple(n, factor int) int { return n - ((n%factor)+factor)%factor }
 
-// fillCache computes the dates around the given one.
+// fillCache replaces the cache by the dates around the given date.
 func (r *Rule) fillCache(date time.Time) {
 	r.cacheStart = r.periodStart(date.AddDate(0, 0, -cacheLookback))
 	r.dates = r.dates[:0]
@@ -112,10 +114,10 @@
 	option.Dtstart = r.cacheStart
 	expansion, err := rrule.NewRRule(option)
 	if err != nil {
-		return // ParseRule has excluded it
+		return // not reached: ParseRule rejects invalid options
 	}
-	// The limit is enforced here and not by the library: given UNTIL, it searches
-	// for a date that does not exist up to the year 9999.
+	// The limit is enforced here because the library, even with UNTIL, searches up to
+	// the year 9999 if the rule has no further dates.
 	next, limit := expansion.Iterator(), date.AddDate(horizonYears, 0, 0)
 	for ahead := 0; ahead < cacheAhead; {
 		found, ok := next()
@@ -129,13 +131,13 @@
 	}
 }
 
-// isCached reports whether the cache can tell the first date on or after the given
-// one.
+// isCached reports whether the cache contains the first date of the rule on or after
+// the given date.
 func (r *Rule) isCached(date time.Time) bool {
 	return len(r.dates) > 0 && !date.Before(r.cacheStart) && !date.After(r.dates[len(r.dates)-1])
 }
 
-// Next returns the first date of the rule on or after the given one; false if
+// Next returns the first date of the rule on or after the given date, or false if
 // there is none within 50 years.
 func (r *Rule) Next(date time.Time) (time.Time, bool) {
 	if date.Before(r.from) {
@@ -160,8 +162,8 @@
 
 func (r *Rule) isAfterEnd(date time.Time) bool { return !r.until.IsZero() && date.After(r.until) }
 
-// Has reports whether the rule yields the date.
-func (r *Rule) Has(date time.Time) bool {
+// Contains reports whether date is one of the dates of the rule.
+func (r *Rule) Contains(date time.Time) bool {
 	next, ok := r.Next(date)
 	return ok && next.Equal(date)
 }
--- a/internal/calendar/rule_test.go
+++ b/internal/calendar/rule_test.go
@@ -8,8 +8,8 @@
 	"github.com/teambition/rrule-go"
 )
 
-// TestRulesAsPlain compares Rule with the library's own expansion from the start of
-// the rule, for random rules, from early and late dates.
+// TestRulesAsPlain compares Rule.Next with the library's expansion from the start of
+// the rule, for random rules and for dates soon and long after the start.
 func TestRulesAsPlain(t *testing.T) {
 	rules := []string{
 		"FREQ=DAILY",
@@ -52,11 +52,11 @@
 		}
 	}
 	if compared < 4000 {
-		t.Error("too few dates were compared:", compared)
+		t.Errorf("%d dates were compared, want at least 4000", compared)
 	}
 }
 
-// expandFromStart returns the library's expansion of a rule from its start.
+// expandFromStart returns the expansion of a rule by the library, from its start.
 func expandFromStart(t *testing.T, text string, starts time.Time) *rrule.RRule {
 	t.Helper()
 	option, err := rrule.StrToROption(text)
@@ -95,7 +95,7 @@
 				return
 			}
 			if next.Before(date) || !next.Equal(DateOf(next)) {
-				t.Fatalf("%s: after %s comes %s", text, date, next)
+				t.Fatalf("%s: Next(%s) = %s, want a date on or after it", text, date, next)
 			}
 			date = next.Add(Day)
 		}
--- a/internal/calendar/ruleparse.go
+++ b/internal/calendar/ruleparse.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// maxRuleBytes is the largest length of a rule's text.
+	// maxRuleBytes limits the length of a rule's text.
 	maxRuleBytes = 512
-	// maxCount is the largest COUNT. The last date is computed when a rule is parsed.
+	// maxCount is the largest COUNT. ParseRule computes all COUNT dates.
 	maxCount = 10_000
 	// maxInterval is the largest INTERVAL.
 	maxInterval = 1000
@@ -23,8 +23,7 @@
 	maxWeekdaysPerYear  = 53
 )
 
-// untilDateFormat and untilTimeFormat are the forms of UNTIL, whose time is
-// optional and ignored.
+// Formats of the date and the time in UNTIL. The time is optional and ignored.
 const (
 	untilDateFormat = "20060102"
 	untilTimeFormat = "150405"
@@ -36,17 +35,17 @@
 // numericParts are the parts whose values are lists of numbers other than 0.
 var numericParts = []string{"BYSETPOS", "BYMONTH", "BYMONTHDAY", "BYYEARDAY", "BYWEEKNO"}
 
-// defaultAnchor anchors rules without a start. It is a Monday and the first day of
-// a year, so it begins a period of every frequency.
+// defaultAnchor is the anchor of rules without a start. It is a Monday and the first
+// day of a year, and therefore the beginning of a period for every frequency.
 var defaultAnchor = Date(2001, time.January, 1)
 
-// ParseRule parses a rule such as FREQ=MONTHLY;BYMONTHDAY=-1. Its dates lie
-// between starts and ends, both included; zero means no limit. Of UNTIL only the
-// date counts.
+// ParseRule parses a rule such as FREQ=MONTHLY;BYMONTHDAY=-1. The rule yields dates
+// from starts to ends, both inclusive; zero means no limit. The time of day in UNTIL
+// is ignored.
 //
-// Rules yield dates, so BYHOUR and the other parts for times of day are errors.
-// Without starts, so is every part that refers to the start of the rule: an
-// INTERVAL above 1, COUNT, and a missing day.
+// BYHOUR and the other parts for times of day are rejected, because rules yield
+// dates. Without starts, rules that depend on their start are rejected too: those
+// with COUNT, with INTERVAL above 1, or without a day part unless FREQ is DAILY.
 func ParseRule(text string, starts, ends time.Time) (*Rule, error) {
 	text = strings.TrimPrefix(strings.ToUpper(strings.TrimSpace(text)), "RRULE:")
 	if text == "" {
@@ -72,8 +71,7 @@
 	return newRule(option, starts, ends)
 }
 
-// newRule returns the rule that the option describes, between the dates starts and
-// ends.
+// newRule returns the rule for the option, limited to the dates from starts to ends.
 func newRule(option *rrule.ROption, starts, ends time.Time) (*Rule, error) {
 	count := option.Count
 	r := &Rule{option: *option, anchor: defaultAnchor, from: starts, until: ends}
@@ -82,13 +80,13 @@
 	r.setImplicitDay(starts)
 	r.alignAnchor(starts)
 	if !r.from.IsZero() && !r.until.IsZero() && r.until.Before(r.from) {
-		return nil, errors.New("ends before it starts")
+		return nil, errors.New("UNTIL or ends is before starts")
 	}
-	if r.missesItsWeekdays(starts) {
-		return nil, fmt.Errorf("never occurs: INTERVAL=%d keeps to the weekday of starts", r.option.Interval)
+	if r.neverMatchesWeekday(starts) {
+		return nil, fmt.Errorf("never occurs: with INTERVAL=%d, every date has the weekday of starts, which BYDAY excludes", r.option.Interval)
 	}
 	if count > 0 {
-		last, err := r.lastOf(count)
+		last, err := r.lastCountedDate(count)
 		if err != nil {
 			return nil, err
 		}
@@ -97,9 +95,10 @@
 	return r, nil
 }
 
-// missesItsWeekdays reports whether a daily rule recurs every so many weeks, on a
-// weekday that BYDAY excludes. The library would search for a date for too long.
-func (r *Rule) missesItsWeekdays(starts time.Time) bool {
+// neverMatchesWeekday reports whether the interval of a daily rule is a multiple of
+// 7 and BYDAY excludes the weekday of starts. Such a rule has no dates, and the
+// library would search for one for too long.
+func (r *Rule) neverMatchesWeekday(starts time.Time) bool {
 	option := &r.option
 	if option.Freq != rrule.DAILY || option.Interval%daysPerWeek != 0 || len(option.Byweekday) == 0 {
 		return false
@@ -109,14 +108,14 @@
 	})
 }
 
-// lastOf returns the date after which a rule with COUNT ends. It is the last one
-// within the horizon if the rule yields fewer dates.
-func (r *Rule) lastOf(count int) (time.Time, error) {
+// lastCountedDate returns the last date of a rule with the given COUNT, or the last
+// date within horizonYears if the rule has fewer dates.
+func (r *Rule) lastCountedDate(count int) (time.Time, error) {
 	var last time.Time
 	limit := r.from.AddDate(horizonYears, 0, 0)
 	for date, ok := r.Next(r.from); ok && count > 0; date, ok = r.Next(date.Add(Day)) {
 		if date.After(limit) {
-			return time.Time{}, fmt.Errorf("COUNT reaches further than %d years", horizonYears)
+			return time.Time{}, fmt.Errorf("COUNT extends beyond %d years", horizonYears)
 		}
 		last = date
 		count--
@@ -127,14 +126,15 @@
 	return last, nil
 }
 
-// ruleParts is a rule split into its parts.
+// ruleParts holds the NAME=VALUE parts of a rule.
 type ruleParts struct {
-	values    map[string]string // by name, UNTIL included
-	supported []string          // the parts that the library is given, as NAME=VALUE
-	until     time.Time         // the date of UNTIL, if present
+	values    map[string]string // by name, including UNTIL
+	supported []string          // parts to be parsed by the rrule library, as NAME=VALUE
+	until     time.Time         // date of UNTIL, if present
 }
 
-// splitRule splits a rule and checks the form of each part.
+// splitRule splits a rule into parts. It rejects malformed, duplicate and unsupported
+// parts.
 func splitRule(text string) (*ruleParts, error) {
 	parts := &ruleParts{values: map[string]string{}}
 	for part := range strings.SplitSeq(text, ";") {
@@ -143,7 +143,7 @@
 			return nil, fmt.Errorf("%q is not of the form PART=VALUE", part)
 		}
 		if parts.has(name) {
-			return nil, fmt.Errorf("%s stands twice", name)
+			return nil, fmt.Errorf("%s is present twice", name)
 		}
 		parts.values[name] = value
 		switch name {
@@ -151,10 +151,10 @@
 			parts.supported = append(parts.supported, part)
 		case "UNTIL":
 			if parts.until, ok = parseUntil(value); !ok {
-				return nil, fmt.Errorf("UNTIL=%s is no date like 20271231", value)
+				return nil, fmt.Errorf("UNTIL=%s is not a date such as 20271231", value)
 			}
 		case "BYHOUR", "BYMINUTE", "BYSECOND":
-			return nil, fmt.Errorf("%s: times of day belong in at", name)
+			return nil, fmt.Errorf("%s is not supported: specify times of day in at", name)
 		default:
 			return nil, fmt.Errorf("unknown part %s", name)
 		}
@@ -180,7 +180,7 @@
 
 func (p *ruleParts) frequency() string { return p.values["FREQ"] }
 
-// option returns the rule in the library's form.
+// option returns the rule in the form of the rrule library.
 func (p *ruleParts) option() (*rrule.ROption, error) {
 	option, err := rrule.StrToROption(strings.Join(p.supported, ";"))
 	if err != nil {
@@ -192,9 +192,9 @@
 	return option, nil
 }
 
-// check rejects what RFC 5545 forbids, and what the library interprets differently
-// or panics on, such as BYDAY=53MO of a month. hasStart tells whether the rule has
-// a start that parts may refer to.
+// check rejects rules that RFC 5545 forbids, and rules that the library interprets
+// differently or panics on, such as BYDAY=53MO with FREQ=MONTHLY. hasStart reports
+// whether the rule has a start, on which some parts depend.
 func (p *ruleParts) check(hasStart bool) error {
 	checks := []func() error{
 		p.checkFrequency,
@@ -206,7 +206,7 @@
 		p.checkSetPosition,
 	}
 	if !hasStart {
-		checks = append(checks, p.checkNeedsNoStart)
+		checks = append(checks, p.checkWithoutStart)
 	}
 	for _, check := range checks {
 		if err := check(); err != nil {
@@ -223,23 +223,24 @@
 	case "":
 		return errors.New("FREQ is missing")
 	case "HOURLY", "MINUTELY", "SECONDLY":
-		return fmt.Errorf("FREQ=%s: a rule yields dates, times of day belong in at", frequency)
+		return fmt.Errorf("FREQ=%s is not supported: a rule yields dates, specify times of day in at", frequency)
 	default:
 		return fmt.Errorf("unknown FREQ=%s", frequency)
 	}
 }
 
-// checkMonthDays rejects dates such as 30 February.
+// checkMonthDays rejects rules whose dates do not exist, such as 30 February.
 func (p *ruleParts) checkMonthDays() error {
 	months, days := p.values["BYMONTH"], p.values["BYMONTHDAY"]
 	if months != "" && days != "" && !anyMonthHasDay(months, days) {
-		return errors.New("never occurs: none of these months has such a day")
+		return errors.New("never occurs: no month in BYMONTH has a day in BYMONTHDAY")
 	}
 	return nil
 }
 
-// anyMonthHasDay reports whether any of the listed months has, in a leap year, any
-// of the listed days. Values that are not numbers are left to checkNumericLists.
+// anyMonthHasDay reports whether, in a leap year, any of the listed months has any of
+// the listed days. It returns true for values that are not numbers, which
+// checkNumericLists rejects.
 func anyMonthHasDay(months, days string) bool {
 	for monthText := range strings.SplitSeq(months, ",") {
 		month, err := strconv.Atoi(monthText)
@@ -256,7 +257,7 @@
 	return false
 }
 
-// daysInMonth returns the days of a month in a leap year.
+// daysInMonth returns the number of days of a month in a leap year.
 func daysInMonth(month int) int {
 	return Date(2028, time.Month(month+1), 1).AddDate(0, 0, -1).Day()
 }
@@ -273,7 +274,7 @@
 		{"BYSETPOS", []string{"DAILY"}},
 	} {
 		if p.has(forbidden.part) && slices.Contains(forbidden.frequencies, p.frequency()) {
-			return fmt.Errorf("%s does not go with FREQ=%s", forbidden.part, p.frequency())
+			return fmt.Errorf("%s is not allowed with FREQ=%s", forbidden.part, p.frequency())
 		}
 	}
 	return nil
@@ -313,8 +314,8 @@
 	return nil
 }
 
-// checkWeekdays rejects ordinals in BYDAY, such as the 6 of 6MO, that the period
-// does not have. The library checks the weekdays.
+// checkWeekdays rejects ordinals in BYDAY that are out of range for the period, such
+// as 6MO with FREQ=MONTHLY. The library validates the names of weekdays.
 func (p *ruleParts) checkWeekdays() error {
 	list, ok := p.values["BYDAY"]
 	if !ok {
@@ -327,14 +328,14 @@
 			continue
 		}
 		if n, err := strconv.Atoi(ordinal); err != nil || n == 0 || n > limit || n < -limit {
-			return fmt.Errorf("BYDAY=%s: no %s in a period of this rule", list, value)
+			return fmt.Errorf("BYDAY=%s: %s does not exist in a period of this rule", list, value)
 		}
 	}
 	return nil
 }
 
-// maxWeekdayOrdinal returns how often a weekday can occur in the period that
-// ordinals in BYDAY count in; 0 if they are not allowed.
+// maxWeekdayOrdinal returns the largest ordinal that is allowed in BYDAY, or 0 if
+// ordinals are not allowed.
 func (p *ruleParts) maxWeekdayOrdinal() int {
 	frequency := p.frequency()
 	switch {
@@ -350,21 +351,21 @@
 
 func (p *ruleParts) checkSetPosition() error {
 	if p.has("BYSETPOS") && !p.hasDay() && !p.has("BYMONTH") {
-		return errors.New("BYSETPOS needs another BY part")
+		return errors.New("BYSETPOS requires another BY part")
 	}
 	return nil
 }
 
-// checkNeedsNoStart rejects parts that refer to the start of the rule.
-func (p *ruleParts) checkNeedsNoStart() error {
+// checkWithoutStart rejects a rule that depends on its start.
+func (p *ruleParts) checkWithoutStart() error {
 	interval := p.values["INTERVAL"]
 	switch {
 	case p.has("COUNT"):
-		return errors.New("COUNT needs starts, to count from")
+		return errors.New("COUNT requires starts")
 	case interval != "" && interval != "1":
-		return errors.New("INTERVAL above 1 needs starts, to count from")
+		return errors.New("INTERVAL above 1 requires starts")
 	case !p.hasDay() && p.frequency() != "DAILY":
-		return fmt.Errorf("FREQ=%s without a day (BYDAY, BYMONTHDAY…) needs starts, whose day it takes", p.frequency())
+		return fmt.Errorf("FREQ=%s without a day part (BYDAY, BYMONTHDAY…) requires starts, which determines the day", p.frequency())
 	}
 	return nil
 }
--- a/internal/calendar/set.go
+++ b/internal/calendar/set.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Set holds the calendars that operators have defined, by name, and caches zones
-// and rules that schedules share. It is not safe for concurrent use.
+// Set holds the calendars defined by operators, by name, and caches the time zones
+// and rules of schedules. It is not safe for concurrent use.
 type Set struct {
 	calendars map[string]*Calendar
 	zones     map[string]*time.Location
@@ -20,10 +20,10 @@
 	starts, ends time.Time
 }
 
-// maxCachedRules limits the rules that a set caches.
+// maxCachedRules limits the number of rules that a set caches.
 const maxCachedRules = 4096
 
-// NewSet returns a set of calendars.
+// NewSet returns a set of calendars, given by name. It keeps a reference to the map.
 func NewSet(calendars map[string]*Calendar) *Set {
 	return &Set{
 		calendars: calendars,
@@ -35,7 +35,7 @@
 // Names returns the names of the calendars, sorted.
 func (s *Set) Names() []string { return slices.Sorted(maps.Keys(s.calendars)) }
 
-// zone returns the time zone with an IANA name.
+// zone returns the time zone with the given IANA name. The error is a *FieldError.
 func (s *Set) zone(name string) (*time.Location, error) {
 	if zone := s.zones[name]; zone != nil {
 		return zone, nil
@@ -43,18 +43,19 @@
 	switch name {
 	case "":
 		return nil, fieldErrorf("zone", "missing")
-	case "Local": // time.LoadLocation accepts it, but it differs between machines
-		return nil, fieldErrorf("zone", "Local is no zone; give an IANA name such as Europe/Sofia")
+	case "Local": // time.LoadLocation accepts it, but its meaning differs between machines
+		return nil, fieldErrorf("zone", "Local is not a time zone; use an IANA name such as Europe/Sofia")
 	}
 	zone, err := time.LoadLocation(name)
 	if err != nil {
-		return nil, fieldErrorf("zone", "unknown zone %q; give an IANA name such as Europe/Sofia", name)
+		return nil, fieldErrorf("zone", "unknown zone %q; use an IANA name such as Europe/Sofia", name)
 	}
 	s.zones[name] = zone
 	return zone, nil
 }
 
-// rule returns the parsed rule. Schedules with the same rule share it.
+// rule returns the parsed rule. Schedules with equal rules share one *Rule, unless
+// the cache was cleared in between. The error is a *FieldError.
 func (s *Set) rule(text string, starts, ends time.Time) (*Rule, error) {
 	key := ruleKey{text, starts, ends}
 	if rule := s.rules[key]; rule != nil {
@@ -71,7 +72,8 @@
 	return rule, nil
 }
 
-// calendar returns the calendar with a name, or nil for the empty name.
+// calendar returns the calendar with the given name, or nil for the empty name. The
+// error is a *FieldError.
 func (s *Set) calendar(name string) (*Calendar, error) {
 	if name == "" {
 		return nil, nil
@@ -79,9 +81,9 @@
 	if calendar := s.calendars[name]; calendar != nil {
 		return calendar, nil
 	}
-	known := "none is defined, see [calendars] in the operators' file"
+	known := "no calendars are defined, see [calendars] in the operators' file"
 	if names := s.Names(); len(names) > 0 {
-		known = "known are " + strings.Join(names, ", ")
+		known = "defined calendars are " + strings.Join(names, ", ")
 	}
 	return nil, fieldErrorf("calendar", "unknown calendar %q; %s", name, known)
 }
--- a/internal/calendar/timing.go
+++ b/internal/calendar/timing.go
@@ -5,57 +5,59 @@
 	"time"
 )
 
-// OnHoliday says what happens to a date of the rule that is not a business day.
+// OnHoliday determines what happens if a date of the rule is not a business day.
 type OnHoliday string
 
 // The values of the field on_holiday.
 const (
-	Run      OnHoliday = "run"      // the schedule runs all the same
-	Skip     OnHoliday = "skip"     // it does not run
-	Next     OnHoliday = "next"     // it runs on the next business day
-	Previous OnHoliday = "previous" // it runs on the previous business day
+	HolidayRun      OnHoliday = "run"      // run on that date
+	HolidaySkip     OnHoliday = "skip"     // do not run
+	HolidayNext     OnHoliday = "next"     // run on the next business day
+	HolidayPrevious OnHoliday = "previous" // run on the previous business day
 )
 
-// Times holds the fields of a schedule that determine when it runs, unchecked.
-type Times struct {
+// TimingSpec holds the fields of a schedule that determine when it runs, before
+// ParseTiming validates them.
+type TimingSpec struct {
 	Zone      string
 	Rule      string
 	At        []string // times of day
 	Calendar  string
 	OnHoliday string
-	Starts    time.Time // a date; zero: none
-	Ends      time.Time // a date; zero: none
-	DueAt     string    // a time of day; empty: no deadline
+	Starts    time.Time // date; zero means no limit
+	Ends      time.Time // date; zero means no limit
+	DueAt     string    // time of day; empty means no deadline
 }
 
-// Timing determines when a schedule runs. It is not safe for concurrent use.
+// Timing computes when a schedule runs. It is not safe for concurrent use, because
+// its rule and calendar cache dates.
 type Timing struct {
 	zone      *time.Location
 	rule      *Rule
-	at        []time.Duration // times of day, ascending
-	calendar  *Calendar       // nil: every day is a business day
+	at        []time.Duration // times of day in ascending order
+	calendar  *Calendar       // nil means that every day is a business day
 	onHoliday OnHoliday
 	dueAt     time.Duration // time of day, or noDueTime
 }
 
-// noDueTime is the due time of a schedule without a deadline.
-const noDueTime time.Duration = -1
+// noDeadline is the value of Timing.dueAt for a schedule without a deadline.
+const noDeadline time.Duration = -1
 
-// MaxAt is the largest number of times of day in a schedule: one per minute.
-const MaxAt = 24 * 60
+// MaxTimesOfDay limits the times of day in a schedule to one per minute.
+const MaxTimesOfDay = 24 * 60
 
-// timeOfDayFormat is the form of times of day.
+// timeOfDayFormat is the format of times of day in a schedule.
 const timeOfDayFormat = "15:04"
 
-// Timing checks the fields of a schedule. The error is a *FieldError for the first
-// invalid field.
-func (s *Set) Timing(times Times) (*Timing, error) {
+// ParseTiming validates the fields and returns the Timing that they describe. The
+// error is a *FieldError for the first invalid field.
+func (s *Set) ParseTiming(times TimingSpec) (*Timing, error) {
 	zone, err := s.zone(times.Zone)
 	if err != nil {
 		return nil, err
 	}
 	if !times.Starts.IsZero() && !times.Ends.IsZero() && times.Ends.Before(times.Starts) {
-		return nil, fieldErrorf("ends", "lies before starts")
+		return nil, fieldErrorf("ends", "is before starts")
 	}
 	rule, err := s.rule(times.Rule, times.Starts, times.Ends)
 	if err != nil {
@@ -80,42 +82,42 @@
 	return &Timing{zone: zone, rule: rule, at: at, calendar: calendar, onHoliday: onHoliday, dueAt: dueAt}, nil
 }
 
-// parseTimesOfDay returns the times of day in ascending order.
+// parseTimesOfDay returns the times of day in ascending order. Duplicates are an error.
 func parseTimesOfDay(texts []string) ([]time.Duration, error) {
 	if len(texts) == 0 {
-		return nil, fieldErrorf("at", "missing; give times of day such as [\"03:30\"]")
+		return nil, fieldErrorf("at", "missing; must be a list of times of day such as [\"03:30\"]")
 	}
-	if len(texts) > MaxAt {
-		return nil, fieldErrorf("at", "more than %d times", MaxAt)
+	if len(texts) > MaxTimesOfDay {
+		return nil, fieldErrorf("at", "has more than %d times of day", MaxTimesOfDay)
 	}
 	at := make([]time.Duration, 0, len(texts))
 	for _, text := range texts {
 		timeOfDay, ok := parseTimeOfDay(text)
 		if !ok {
-			return nil, fieldErrorf("at", "%q is no time of day such as 03:30", text)
+			return nil, fieldErrorf("at", "%q is not a time of day such as 03:30", text)
 		}
 		at = append(at, timeOfDay)
 	}
 	slices.Sort(at)
 	if len(slices.Compact(slices.Clone(at))) < len(at) {
-		return nil, fieldErrorf("at", "a time stands twice; a schedule runs once a minute at the most")
+		return nil, fieldErrorf("at", "contains a time of day twice; a schedule runs at most once a minute")
 	}
 	return at, nil
 }
 
 func parseDueAt(text string) (time.Duration, error) {
 	if text == "" {
-		return noDueTime, nil
+		return noDeadline, nil
 	}
 	timeOfDay, ok := parseTimeOfDay(text)
 	if !ok {
-		return 0, fieldErrorf("due_at", "%q is no time of day such as 06:00", text)
+		return 0, fieldErrorf("due_at", "%q is not a time of day such as 06:00", text)
 	}
 	return timeOfDay, nil
 }
 
-// parseTimeOfDay parses a time of day. Both digits of the hour are required, which
-// time.Parse does not enforce.
+// parseTimeOfDay parses a time of day. It requires two digits for the hour, which
+// time.Parse does not.
 func parseTimeOfDay(text string) (timeOfDay time.Duration, ok bool) {
 	t, err := time.Parse(timeOfDayFormat, text)
 	if err != nil || len(text) != len(timeOfDayFormat) {
@@ -124,43 +126,43 @@
 	return t.Sub(DateOf(t)), true
 }
 
-// parseOnHoliday requires an explicit value for a schedule with a calendar. Values
-// other than run require a calendar.
+// parseOnHoliday parses the field on_holiday, which is required for a schedule with a
+// calendar. Values other than run are only allowed with a calendar.
 func parseOnHoliday(text string, hasCalendar bool) (OnHoliday, error) {
 	switch onHoliday := OnHoliday(text); onHoliday {
 	case "":
 		if hasCalendar {
-			return "", fieldErrorf("on_holiday", "missing; say what becomes of an occurrence on a day that is no business day")
+			return "", fieldErrorf("on_holiday", "missing; required with a calendar, must be one of run, skip, next, previous")
 		}
-		return Run, nil
-	case Run:
+		return HolidayRun, nil
+	case HolidayRun:
 		return onHoliday, nil
-	case Skip, Next, Previous:
+	case HolidaySkip, HolidayNext, HolidayPrevious:
 		if !hasCalendar {
-			return "", fieldErrorf("on_holiday", "%s needs a calendar", text)
+			return "", fieldErrorf("on_holiday", "%s requires a calendar", text)
 		}
 		return onHoliday, nil
 	}
-	return "", fieldErrorf("on_holiday", "%q is none of run, skip, next, previous", text)
+	return "", fieldErrorf("on_holiday", "%q is not one of run, skip, next, previous", text)
 }
 
-// Zone returns the schedule's time zone.
+// Zone returns the schedule's time zone, in which its times of day are interpreted.
 func (t *Timing) Zone() *time.Location { return t.zone }
 
-// Same reports whether two timings of one Set have the same fields, apart from the
-// due time, and so yield the same occurrences.
-func (t *Timing) Same(other *Timing) bool {
+// SameOccurrences reports whether two timings from the same Set have equal fields
+// except for the due time, and therefore yield the same occurrences.
+func (t *Timing) SameOccurrences(other *Timing) bool {
 	return t.zone.String() == other.zone.String() &&
-		t.rule == other.rule && // the set shares equal rules
+		t.rule == other.rule && // the set returns the same *Rule for equal rules
 		slices.Equal(t.at, other.at) &&
 		t.calendar == other.calendar &&
 		t.onHoliday == other.onHoliday
 }
 
-// DueAfter returns the deadline of a run that starts at the given instant: the
-// first due time after it. It is zero if the schedule has no deadline.
+// DueAfter returns the deadline of an occurrence that starts at the given instant:
+// the first due time after it, or zero if the schedule has no deadline.
 func (t *Timing) DueAfter(start time.Time) time.Time {
-	if t.dueAt == noDueTime {
+	if t.dueAt == noDeadline {
 		return time.Time{}
 	}
 	return FirstAfter(start, t.dueAt, t.zone)
--- a/internal/calendar/zone.go
+++ b/internal/calendar/zone.go
@@ -2,14 +2,15 @@
 
 import (
 	"time"
-	_ "time/tzdata" // controllers run on machines without zone files
+	_ "time/tzdata" // controllers may run on machines without time zone files
 )
 
-// Day is the length of a civil date. Dates are midnights in UTC, so it is always
-// 24 hours; Instant and FirstAfter account for the changes of a zone's clocks.
+// Day is the difference between consecutive civil dates. It is always 24 hours,
+// because civil dates are in UTC.
 const Day = 24 * time.Hour
 
-// Date returns a civil date.
+// Date returns a civil date, which is midnight UTC. Out-of-range values are
+// normalized as in time.Date.
 func Date(year int, month time.Month, day int) time.Time {
 	return time.Date(year, month, day, 0, 0, 0, 0, time.UTC)
 }
@@ -17,8 +18,8 @@
 // DateOf returns the civil date of t in its own location.
 func DateOf(t time.Time) time.Time { return Date(t.Date()) }
 
-// Wall returns the wall-clock time in the zone at an instant.
-func Wall(instant time.Time, zone *time.Location) time.Time {
+// WallClock returns the wall-clock time in the zone at an instant, as a time in UTC.
+func WallClock(instant time.Time, zone *time.Location) time.Time {
 	return instant.UTC().Add(offsetAt(instant, zone))
 }
 
@@ -28,21 +29,20 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// instantsOf returns the first and the last instant at which clocks in the zone
-// show the wall-clock time. They differ only in an hour that is repeated because
-// clocks are set back. A time that is skipped because clocks are set forward has
-// no instant: exists is false, and both results are the first instant after the
-// gap.
+// instantsOf returns the first and the last instant of a wall-clock time in the zone.
+// They differ only if the time is repeated because clocks are set back. If the time
+// is skipped because clocks are set forward, exists is false, and both results are
+// the first instant after the gap.
 //
-// time.Date does not specify which of two instants it returns, nor what it makes
-// of a skipped time. Therefore the offsets before and after the change are tried.
+// It tries the offsets before and after the transition, because time.Date does not
+// specify its result for repeated and skipped times.
 func instantsOf(wall time.Time, zone *time.Location) (first, last time.Time, exists bool) {
 	before := offsetAt(wall.Add(-Day), zone)
 	after := offsetAt(wall.Add(Day), zone)
 	early := wall.Add(-max(before, after))
 	late := wall.Add(-min(before, after))
-	earlyMatches := Wall(early, zone).Equal(wall)
-	lateMatches := Wall(late, zone).Equal(wall)
+	earlyMatches := WallClock(early, zone).Equal(wall)
+	lateMatches := WallClock(late, zone).Equal(wall)
 	switch {
 	case earlyMatches && lateMatches:
 		return early, late, true
@@ -55,23 +55,24 @@
 	return gapEnd.UTC(), gapEnd.UTC(), false
 }
 
-// Instant returns the first instant at which clocks in the zone show a wall-clock
-// time. If clocks skip that time, exists is false, and the result is the first
-// instant after the gap.
+// Instant returns the first instant of a wall-clock time in the zone. If the time is
+// skipped because clocks are set forward, exists is false, and the result is the
+// first instant after the gap.
 func Instant(wall time.Time, zone *time.Location) (instant time.Time, exists bool) {
 	instant, _, exists = instantsOf(wall, zone)
 	return instant, exists
 }
 
-// FirstAfter returns the first instant after t at which clocks in the zone show a
-// time of day. If clocks skip that time, it is the first instant after the gap.
+// FirstAfter returns the first instant after t that has the given time of day in the
+// zone. On a date on which the time is skipped because clocks are set forward, the
+// first instant after the gap counts as that time.
 func FirstAfter(t time.Time, timeOfDay time.Duration, zone *time.Location) time.Time {
-	for date := DateOf(Wall(t, zone)).Add(-Day); ; date = date.Add(Day) {
+	for date := DateOf(WallClock(t, zone)).Add(-Day); ; date = date.Add(Day) {
 		first, last, _ := instantsOf(date.Add(timeOfDay), zone)
 		if first.After(t) {
 			return first
 		}
-		if last.After(t) { // the time is repeated, and only its first pass is over
+		if last.After(t) { // the time is repeated, and t is after the first one
 			return last
 		}
 	}
--- a/internal/calendar/zone_test.go
+++ b/internal/calendar/zone_test.go
@@ -19,7 +19,7 @@
 		name, zone, wall, want string
 		exists                 bool
 	}{
-		{"plain", "Europe/Sofia", "2027-02-02T03:30:00Z", "2027-02-02T01:30:00Z", true},
+		{"ordinary time", "Europe/Sofia", "2027-02-02T03:30:00Z", "2027-02-02T01:30:00Z", true},
 		{"skipped hour", "Europe/Sofia", "2027-03-28T03:30:00Z", "2027-03-28T01:00:00Z", false},
 		{"repeated hour", "Europe/Sofia", "2027-10-31T03:30:00Z", "2027-10-31T00:30:00Z", true},
 		{"after the repeated hour", "Europe/Sofia", "2027-10-31T04:00:00Z", "2027-10-31T02:00:00Z", true},
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -35,7 +35,7 @@
 	run := l.placement.PaddedSpecEstimate(s)
 	for i := range l.autoscaler.InstanceTypes {
 		f := &l.autoscaler.InstanceTypes[i]
-		if fleet.AllowsInstanceType(s, f.Name) && s.Need().Fits(f.Capacity) && (s.Zone == "" || fleet.OfferedIn(f, s.Zone)) && l.autoscaler.MayHaveCapacity(f, s.AllowSpot) {
+		if fleet.AllowsInstanceType(s, f.Name) && s.TaskResources().Fits(f.Capacity) && (s.Zone == "" || fleet.OfferedIn(f, s.Zone)) && l.autoscaler.MayHaveCapacity(f, s.AllowSpot) {
 			best = min(best, f.BootTime+estimate.ImageFetch(s, f)+run)
 		}
 	}
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -21,7 +21,7 @@
 		m := c.leadership.inventory.Machines()[0]
 		long := newJob(c, 1, 1, rng)
 		long.Spec.CPUs, long.Spec.Runtime = 4, 10*time.Minute
-		long.Need = long.Spec.Need()
+		long.Need = long.Spec.TaskResources()
 		rep := reportOf(m)
 		rep.Tasks = []heartbeat.Task{{Task: heartbeat.TaskID{Job: long.Spec.ID}, Try: 1, Phase: phase}}
 		c.leadership.reconciler.Reconcile(m, &rep)
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -29,7 +29,7 @@
 			m := c.leadership.inventory.Machines()[2]
 			j := newJob(c, 1, x.tasks, testRand())
 			j.Spec.CPUs, j.Spec.Class, j.AnyCompleted = 1, "c", true
-			j.Need = j.Spec.Need()
+			j.Need = j.Spec.TaskResources()
 			rep := reportOf(m)
 			for i := range x.tasks {
 				rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Try: uint64(i) + 1, Phase: heartbeat.TaskRuns})
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -21,7 +21,7 @@
 
 func newJob() *Job {
 	j := &Job{Spec: spec.Job{ID: "wk-1", Tasks: 4, CPUs: 2, Image: "img", ImageGB: 1}, Progress: NewProgress(4), FailureHistory: FailureHistory{FailedOn: map[string]bool{}}}
-	j.Need = j.Spec.Need()
+	j.Need = j.Spec.TaskResources()
 	return j
 }
 
--- a/internal/kvclient/fuzz_test.go
+++ b/internal/kvclient/fuzz_test.go
@@ -45,7 +45,7 @@
 			last = e.Key
 			switch v := e.Value.(type) {
 			case *record.Job:
-				if !v.Spec.Sound() || !strings.HasSuffix(e.Key, v.Spec.ID) {
+				if !v.Spec.Valid() || !strings.HasSuffix(e.Key, v.Spec.ID) {
 					t.Fatalf("%+v", v)
 				}
 			case *record.Final:
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -70,7 +70,7 @@
 	now := m.engine.Now
 	j := &fleet.Job{
 		Spec:            s,
-		Need:            s.Need(),
+		Need:            s.TaskResources(),
 		Record:          rec,
 		FromEarlierTerm: earlier,
 		Submitted:       now.Add(rec.Submitted.Sub(now.Round(0))),
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -119,11 +119,11 @@
 		return nil, err
 	}
 	return calendar.New(calendar.Definition{
-		Country:  c.Country,
-		Holidays: dates(c.Holidays),
-		Worked:   dates(c.Worked),
-		Weekend:  weekend,
-		Events:   events,
+		Country:      c.Country,
+		Holidays:     dates(c.Holidays),
+		BusinessDays: dates(c.Worked),
+		Weekend:      weekend,
+		Events:       events,
 	})
 }
 
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -352,8 +352,8 @@
 		Starts:         &toml.LocalDate{Year: 2027, Month: 1, Day: 31},
 		Ends:           &toml.LocalDate{Year: 2028, Month: 12, Day: 1},
 		DueAt:          "06:00",
-		Overlap:        string(schedule.WaitOverlap),
-		CatchUp:        string(schedule.Latest),
+		Overlap:        string(schedule.OverlapWait),
+		CatchUp:        string(schedule.CatchUpLatest),
 		CatchUpWithinS: pointer(3600.5),
 		Job: spec.Submission{
 			ID:             pointer("wk-1"),
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -32,7 +32,7 @@
 				t.Fatal(m.Term)
 			}
 		case peermsg.Request:
-			if !m.Sound() || m.Op == request.Submit && !m.Spec.Sound() {
+			if !m.Sound() || m.Op == request.Submit && !m.Spec.Valid() {
 				t.Fatalf("%+v", m)
 			}
 		case peermsg.Response:
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -83,7 +83,7 @@
 	if p := next(t, ib); p.Msg.Schedule == nil || p.Msg.Schedule.File.Rule != "FREQ=DAILY" || p.Msg.Schedule.IfMatch != "e" {
 		t.Errorf("%+v", p)
 	}
-	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Response, Ref: 9, Answer: &request.Response{Status: 201, ETag: "e2", Doc: schedule.Page{Truncated: true}}}})
+	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Response, Ref: 9, Answer: &request.Response{Status: 201, ETag: "e2", Doc: schedule.ListPage{Truncated: true}}}})
 	if p := next(t, ib); p.Msg.Answer.ETag != "e2" || fmt.Sprintf("%s", p.Msg.Answer.Doc) != `{"schedules":null,"truncated":true}` {
 		t.Errorf("%+v", p.Msg.Answer)
 	}
--- a/internal/placement/cluster_test.go
+++ b/internal/placement/cluster_test.go
@@ -68,7 +68,7 @@
 // addJob takes on a job none of whose tasks waits.
 func (c *cluster) addJob(job spec.Job) *fleet.Job {
 	j := &fleet.Job{
-		Spec: job, Need: job.Need(), Submitted: c.engine.Now, Team: c.teams[job.Owner], StartsAtOnce: c.MustStartAtOnce(job.Class),
+		Spec: job, Need: job.TaskResources(), Submitted: c.engine.Now, Team: c.teams[job.Owner], StartsAtOnce: c.MustStartAtOnce(job.Class),
 		Progress: fleet.NewProgress(job.Tasks), FailureHistory: fleet.FailureHistory{FailedOn: map[string]bool{}},
 		Placement: topology.Job{Key: job.ID, Tasks: job.Tasks},
 	}
--- a/internal/placement/estimates.go
+++ b/internal/placement/estimates.go
@@ -74,7 +74,7 @@
 // EarliestFinish returns how soon a task of a job that is not accepted yet could be over on
 // the machines at hand, or the longest duration if it fits on none of them.
 func (s *Scheduler) EarliestFinish(job *spec.Job) time.Duration {
-	j := &fleet.Job{Spec: *job, Need: job.Need()}
+	j := &fleet.Job{Spec: *job, Need: job.TaskResources()}
 	run := s.PaddedSpecEstimate(job)
 	best := time.Duration(1<<63 - 1)
 	for _, m := range s.leader.Machines() {
--- a/internal/placement/starts_test.go
+++ b/internal/placement/starts_test.go
@@ -57,7 +57,7 @@
 		add := func(i int, cpus float64, submitted time.Duration) {
 			j := c.newJob(i, 1, rng)
 			j.Spec.CPUs, j.Spec.HasDeadline, j.Spec.Class, j.Spec.Image, j.Spec.Runtime = cpus, false, "x", "img0", time.Hour
-			j.Need, j.Submitted, j.AnyCompleted = j.Spec.Need(), t0.Add(submitted), true
+			j.Need, j.Submitted, j.AnyCompleted = j.Spec.TaskResources(), t0.Add(submitted), true
 			c.Reserve(j)
 		}
 		m.Images.Add("img0", struct{}{})
--- a/internal/recordcodec/codec_test.go
+++ b/internal/recordcodec/codec_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("%+v", out)
 	}
 	rec := &schedule.Record{Number: 7, Seq: 3, Edition: 2, File: json.RawMessage(`{"name":"n"}`), Paused: true, Cursor: schedule.Cursor{Nominal: time.UnixMilli(60000).UTC(), Rule: time.UnixMilli(90000).UTC()}, LastJob: "wk-2"}
-	rec.Add(schedule.Entry{Job: "wk-2", Planned: time.UnixMilli(5000).UTC(), State: schedule.StateMade})
+	rec.AddOccurrence(schedule.Entry{Job: "wk-2", Planned: time.UnixMilli(5000).UTC(), State: schedule.StateMade})
 	if data, err = json.Marshal(Stored(rec)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/recordcodec/compatibility_test.go
+++ b/internal/recordcodec/compatibility_test.go
@@ -93,11 +93,11 @@
 		LastJob: "wk-00000007202701310901",
 		Late:    2,
 	}
-	r.Add(schedule.Entry{Job: "wk-1", Planned: at(3), Due: at(4), Made: at(5), Started: at(6), Ended: at(7), State: schedule.StateDone, Late: true})
-	r.Add(schedule.Entry{Job: "wk-2", Planned: at(8), State: schedule.StateMissed, Reason: "late, by 5;00 & more"})
-	r.Add(schedule.Entry{Job: "wk-3", Made: at(9), State: schedule.StateMade})
-	r.Add(schedule.Entry{Job: "wk-4", State: schedule.StateCancelled})
-	r.Add(schedule.Entry{Job: "wk-5", State: schedule.StateFailed, Reason: "taken"})
+	r.AddOccurrence(schedule.Entry{Job: "wk-1", Planned: at(3), Due: at(4), Made: at(5), Started: at(6), Ended: at(7), State: schedule.StateDone, Late: true})
+	r.AddOccurrence(schedule.Entry{Job: "wk-2", Planned: at(8), State: schedule.StateMissed, Reason: "late, by 5;00 & more"})
+	r.AddOccurrence(schedule.Entry{Job: "wk-3", Made: at(9), State: schedule.StateMade})
+	r.AddOccurrence(schedule.Entry{Job: "wk-4", State: schedule.StateCancelled})
+	r.AddOccurrence(schedule.Entry{Job: "wk-5", State: schedule.StateFailed, Reason: "taken"})
 	return r
 }
 
--- a/internal/recordcodec/job.go
+++ b/internal/recordcodec/job.go
@@ -137,7 +137,7 @@
 		Deadline:           milliseconds(r.DeadlineMS),
 		HasDeadline:        r.HasDeadline,
 	}
-	return s, s.Sound()
+	return s, s.Valid()
 }
 
 // milliseconds returns a duration, or -1 for a number that would overflow one.
--- a/internal/recordcodec/schedule.go
+++ b/internal/recordcodec/schedule.go
@@ -62,7 +62,7 @@
 		Made:    r.Made,
 		Missed:  r.Missed,
 		Late:    r.Late,
-		Past:    r.Past,
+		Past:    r.EncodedHistory,
 	}
 }
 
@@ -72,17 +72,17 @@
 		return nil
 	}
 	r := &schedule.Record{
-		Number:  j.Number,
-		Seq:     j.Seq,
-		Edition: j.Edition,
-		File:    j.File,
-		Paused:  j.Paused,
-		Cursor:  schedule.Cursor{Nominal: fromMS(j.Cursor), Rule: fromMS(j.Rule)},
-		LastJob: j.LastJob,
-		Made:    j.Made,
-		Missed:  j.Missed,
-		Late:    j.Late,
-		Past:    j.Past,
+		Number:         j.Number,
+		Seq:            j.Seq,
+		Edition:        j.Edition,
+		File:           j.File,
+		Paused:         j.Paused,
+		Cursor:         schedule.Cursor{Nominal: fromMS(j.Cursor), Rule: fromMS(j.Rule)},
+		LastJob:        j.LastJob,
+		Made:           j.Made,
+		Missed:         j.Missed,
+		Late:           j.Late,
+		EncodedHistory: j.Past,
 	}
 	if !j.valid() {
 		return nil
--- a/internal/recurring/edit.go
+++ b/internal/recurring/edit.go
@@ -15,7 +15,7 @@
 
 // definition is what a user has sent for a schedule, compiled and in its stored form.
 type definition struct {
-	compiled *schedule.Def
+	compiled *schedule.Definition
 	file     json.RawMessage
 }
 
@@ -41,7 +41,7 @@
 		return definition{}, &request.Response{Status: 400, Field: "name", Reason: "no schedule in the request"}
 	}
 	compiled, err := file.Compile(s.settings.Calendars)
-	if err == nil && !compiled.Timing.Occurs(calendar.Wall(s.engine.TimeOfDay(), compiled.Timing.Zone())) {
+	if err == nil && !compiled.Timing.OccursAfter(calendar.WallClock(s.engine.TimeOfDay(), compiled.Timing.Zone())) {
 		err = &calendar.FieldError{Field: "rule", Reason: "never occurs from now on"}
 	}
 	if fe := (*calendar.FieldError)(nil); errors.As(err, &fe) {
@@ -58,7 +58,7 @@
 }
 
 // checkJob checks whether the jobs of a schedule can run at all.
-func (s *Scheduler) checkJob(compiled *schedule.Def) (refusal *request.Response) {
+func (s *Scheduler) checkJob(compiled *schedule.Definition) (refusal *request.Response) {
 	if !s.leader.CatalogRead() {
 		response := request.Unavailable("the machine types are not known yet")
 		return &response
@@ -75,14 +75,14 @@
 
 // replace writes a new definition of a schedule.
 func (s *Scheduler) replace(job *recurringJob, def definition, call request.Request) {
-	cursor, missed := def.compiled.Edited(job.definition, job.record.Cursor, s.engine.TimeOfDay())
+	cursor, missed := def.compiled.CursorAfterEdit(job.definition, job.record.Cursor, s.engine.TimeOfDay())
 	job.requester = &call
 	s.write(job, recordChange{
 		priority: writebatch.Urgent,
 		apply: func(r *schedule.Record) {
 			r.File = def.file
 			r.Edition++
-			r.Pass(cursor, missed)
+			r.AddMissed(cursor, missed)
 		},
 		done: func() {
 			s.reportMissed(job, missed)
@@ -109,7 +109,7 @@
 			return
 		}
 		rec := firstRecord(def.file)
-		rec.Number, rec.Cursor = number, def.compiled.From(s.engine.TimeOfDay())
+		rec.Number, rec.Cursor = number, def.compiled.CursorAt(s.engine.TimeOfDay())
 		s.writeFirst(job, rec)
 	})
 }
@@ -209,9 +209,9 @@
 		return
 	}
 	cursor := job.record.Cursor
-	var missed []schedule.Passed
+	var missed []schedule.MissedOccurrence
 	if !paused && job.definition != nil {
-		cursor, missed = job.definition.Resumed(cursor, s.engine.TimeOfDay())
+		cursor, missed = job.definition.CursorAfterPause(cursor, s.engine.TimeOfDay())
 	}
 	job.requester = &call
 	s.write(job, recordChange{
@@ -219,7 +219,7 @@
 		apply: func(r *schedule.Record) {
 			r.Paused = paused
 			r.Edition++
-			r.Pass(cursor, missed)
+			r.AddMissed(cursor, missed)
 		},
 		done: func() {
 			s.reportMissed(job, missed)
--- a/internal/recurring/history.go
+++ b/internal/recurring/history.go
@@ -41,7 +41,7 @@
 // would have replaced it.
 func (s *Scheduler) applyPendingEntries(job *recurringJob) {
 	for _, entry := range job.pendingEntries {
-		job.record.Note(entry)
+		job.record.AddEntry(entry)
 		if live := s.leader.Job(entry.Job); live != nil {
 			s.watchDeadline(job, live, entry.Due)
 		} else if state, ok := s.leader.FinalState(entry.Job); ok {
@@ -70,7 +70,7 @@
 
 // noteLate notes that an occurrence has missed its deadline.
 func (s *Scheduler) noteLate(job *recurringJob, entry schedule.Entry) {
-	job.record.Update(entry.Job, func(entry *schedule.Entry) { entry.Late = true })
+	job.record.UpdateEntry(entry.Job, func(entry *schedule.Entry) { entry.Late = true })
 	job.record.Late++
 	s.flushHistory(job)
 	s.late++
@@ -85,7 +85,7 @@
 	}
 	live.StartNoted = true
 	if entry, ok := job.record.Entry(live.Spec.ID); ok && entry.Started.IsZero() {
-		job.record.Update(live.Spec.ID, func(entry *schedule.Entry) { entry.Started = s.engine.TimeOfDay() })
+		job.record.UpdateEntry(live.Spec.ID, func(entry *schedule.Entry) { entry.Started = s.engine.TimeOfDay() })
 		s.flushHistory(job)
 	}
 }
@@ -105,7 +105,7 @@
 		return
 	}
 	if entry, ok := job.record.Entry(id); ok && entry.State == schedule.StateMade {
-		job.record.Update(id, func(entry *schedule.Entry) {
+		job.record.UpdateEntry(id, func(entry *schedule.Entry) {
 			entry.Ended, entry.State = at, schedule.StateDone
 			if state == spec.Cancelled {
 				entry.State = schedule.StateCancelled
--- a/internal/recurring/job.go
+++ b/internal/recurring/job.go
@@ -17,7 +17,7 @@
 	name       string
 	record     *schedule.Record // nil while it is being created
 	revision   uint64
-	definition *schedule.Def // nil if this leader cannot use it, see problem
+	definition *schedule.Definition // nil if this leader cannot use it, see problem
 	problem    string
 	removed    bool
 
@@ -51,7 +51,7 @@
 	if !ok {
 		return nil
 	}
-	return job.definition.Tell(job.record.Number, occurrence)
+	return job.definition.Upcoming(job.record.Number, occurrence)
 }
 
 // compile reads the definition in a schedule's record. One that this leader cannot read,
@@ -70,7 +70,7 @@
 
 // parse compiles a stored definition. A panic of the library that reads the rule becomes
 // an error, so that one schedule cannot stop all of them.
-func (s *Scheduler) parse(data []byte) (definition *schedule.Def, err error) {
+func (s *Scheduler) parse(data []byte) (definition *schedule.Definition, err error) {
 	file, err := schedule.ParseJSON(data)
 	if err != nil {
 		return nil, err
--- a/internal/recurring/occurrences_test.go
+++ b/internal/recurring/occurrences_test.go
@@ -166,7 +166,7 @@
 	l.storeNightly()
 	l.load()
 	l.ask(request.ScheduleRun, request.ScheduleParams{Name: "nightly", Request: "r"})
-	id := schedule.RequestID(7, "r")
+	id := schedule.RequestJobID(7, "r")
 	if !slices.Equal(l.submitted, []string{id}) {
 		t.Fatalf("submitted %v", l.submitted)
 	}
--- a/internal/recurring/requests.go
+++ b/internal/recurring/requests.go
@@ -113,7 +113,7 @@
 		if job.definition != nil {
 			zone = job.definition.Timing.Zone()
 		}
-		s.leader.Answer(call, request.Response{Status: 200, Doc: job.record.Told(zone)})
+		s.leader.Answer(call, request.Response{Status: 200, Doc: job.record.HistoryView(zone)})
 	case request.ScheduleDelete:
 		s.remove(job, call)
 	case request.SchedulePause, request.ScheduleResume:
@@ -131,7 +131,7 @@
 		return
 	}
 	jobSpec := job.definition.Template()
-	jobSpec.ID = schedule.RequestID(job.record.Number, call.Schedule.Request)
+	jobSpec.ID = schedule.RequestJobID(job.record.Number, call.Schedule.Request)
 	now := s.engine.TimeOfDay()
 	if due := job.definition.Timing.DueAfter(now); !due.IsZero() {
 		jobSpec.Deadline, jobSpec.HasDeadline = due.Sub(now), true
--- a/internal/recurring/requests_test.go
+++ b/internal/recurring/requests_test.go
@@ -185,7 +185,7 @@
 	var names []string
 	after := ""
 	for range 3 {
-		page := l.ask(request.ScheduleList, request.ScheduleParams{After: after, Count: 2}).Doc.(schedule.Page)
+		page := l.ask(request.ScheduleList, request.ScheduleParams{After: after, Count: 2}).Doc.(schedule.ListPage)
 		for _, brief := range page.Schedules {
 			names = append(names, brief.Name)
 			after = brief.Name
--- a/internal/recurring/views.go
+++ b/internal/recurring/views.go
@@ -29,22 +29,22 @@
 }
 
 // upcoming lists the next occurrences of a schedule, count at the most.
-func upcoming(job *recurringJob, count int) schedule.Coming {
-	doc := schedule.Coming{Upcoming: []schedule.Upcoming{}}
+func upcoming(job *recurringJob, count int) schedule.UpcomingList {
+	doc := schedule.UpcomingList{Upcoming: []schedule.Upcoming{}}
 	for cursor := job.record.Cursor; job.definition != nil && !job.record.Paused && len(doc.Upcoming) < count; {
 		occurrence, ok := job.definition.Next(cursor)
 		if !ok {
 			break
 		}
-		doc.Upcoming = append(doc.Upcoming, *job.definition.Tell(job.record.Number, occurrence))
-		cursor = cursor.Past(occurrence)
+		doc.Upcoming = append(doc.Upcoming, *job.definition.Upcoming(job.record.Number, occurrence))
+		cursor = cursor.AdvanceTo(occurrence)
 	}
 	return doc
 }
 
 // list returns a page of the schedules by name.
-func (s *Scheduler) list(params *request.ScheduleParams) schedule.Page {
-	page := schedule.Page{Schedules: []schedule.Brief{}}
+func (s *Scheduler) list(params *request.ScheduleParams) schedule.ListPage {
+	page := schedule.ListPage{Schedules: []schedule.Summary{}}
 	i, found := slices.BinarySearch(s.names, params.After)
 	if found {
 		i++
@@ -61,7 +61,7 @@
 			page.Truncated = true
 			break
 		}
-		page.Schedules = append(page.Schedules, schedule.Brief{
+		page.Schedules = append(page.Schedules, schedule.Summary{
 			Name:     job.name,
 			Zone:     file.Zone,
 			Rule:     file.Rule,
--- a/internal/recurring/write.go
+++ b/internal/recurring/write.go
@@ -52,7 +52,7 @@
 		// News of jobs that came meanwhile are in memory only and go with the next write.
 		// The value that was written must not change.
 		rec := rec.Clone()
-		rec.Follow(job.record)
+		rec.MergeUpdates(job.record)
 		job.record, job.revision = rec, revision
 		s.finishWrite(job, rc.done)
 	}
--- a/internal/scenario/schedules.go
+++ b/internal/scenario/schedules.go
@@ -38,7 +38,7 @@
 		}
 		return ds
 	}
-	def.Holidays, def.Worked = list("holidays"), list("worked")
+	def.Holidays, def.BusinessDays = list("holidays"), list("worked")
 	if a["weekend"] == "none" {
 		def.Weekend = []time.Weekday{}
 	}
@@ -216,7 +216,7 @@
 func (c *scheduleClient) jobsMade() (ids []string) {
 	for _, under := range []string{"yewpass/live/job/", "yewpass/final/"} {
 		for _, k := range c.s.store.sorted(under + fmt.Sprintf("%s%08d", spec.IDPrefix, c.number)) {
-			if id := strings.TrimPrefix(k, under); len(id) == len(schedule.UnknownID(time.Time{})) {
+			if id := strings.TrimPrefix(k, under); len(id) == len(schedule.PlaceholderJobID(time.Time{})) {
 				ids = append(ids, id)
 			}
 		}
--- a/internal/scenario/year_test.go
+++ b/internal/scenario/year_test.go
@@ -146,7 +146,7 @@
 				continue
 			}
 			open := func(e time.Time) bool {
-				ok, _ := days[calName].Day(e)
+				ok, _ := days[calName].IsBusinessDay(e)
 				return ok
 			}
 			runs := d
--- a/internal/schedule/decide.go
+++ b/internal/schedule/decide.go
@@ -7,42 +7,42 @@
 	"yewpass/internal/calendar"
 )
 
-// Verdict is the decision on the next occurrence of a schedule.
-type Verdict int
+// Decision says what to do about the next occurrence of a schedule.
+type Decision int
 
-// The verdicts.
+// The results of Decide.
 const (
-	Never Verdict = iota // there are no further occurrences
-	Later                // the occurrence is not due yet
-	Make                 // the occurrence becomes a job
-	Miss                 // the occurrence does not run
-	Hold                 // the occurrence waits for the previous job to end
+	NoOccurrence   Decision = iota // the schedule has no further occurrences
+	NotDue                         // the occurrence is not due yet
+	CreateJob                      // create the job of the occurrence
+	MissOccurrence                 // do not run the occurrence; record it as missed
+	AwaitPrevious                  // decide again after the previous job has ended
 )
 
-var verdictNames = [...]string{"never", "later", "make", "miss", "hold"}
+var decisionNames = [...]string{"never", "later", "make", "miss", "hold"}
 
-// String returns the name of the verdict, for diagnostics.
-func (v Verdict) String() string {
-	if v < 0 || int(v) >= len(verdictNames) {
-		return fmt.Sprintf("Verdict(%d)", int(v))
+// String returns the name of the decision for diagnostics.
+func (d Decision) String() string {
+	if d < 0 || int(d) >= len(decisionNames) {
+		return fmt.Sprintf("Decision(%d)", int(d))
 	}
-	return verdictNames[v]
+	return decisionNames[d]
 }
 
-// Cursor marks the position up to which the occurrences of a schedule have been
-// decided. Both fields are wall-clock times, see calendar.Occurrence.
+// Cursor is the position in the sequence of a schedule's occurrences up to which
+// all have been decided. Both fields are wall-clock times, see calendar.Occurrence.
 type Cursor struct {
 	// Nominal is the nominal time of the last decided occurrence.
 	Nominal time.Time
-	// Rule is the latest time of the recurrence rule that has been decided, before
-	// any move because of a holiday. An occurrence that ran ahead of a holiday must
-	// not run again if the holiday is removed or the schedule is edited to run on
-	// holidays.
+	// Rule is the latest decided time of the recurrence rule, before it was moved
+	// because of a holiday. It prevents an occurrence that ran ahead of a holiday
+	// from running again if the holiday is removed or the schedule is edited to run
+	// on holidays.
 	Rule time.Time
 }
 
-// Past returns the cursor after the occurrence has been decided.
-func (c Cursor) Past(occurrence calendar.Occurrence) Cursor {
+// AdvanceTo returns the cursor after occurrence has been decided.
+func (c Cursor) AdvanceTo(occurrence calendar.Occurrence) Cursor {
 	c.Nominal = occurrence.Nominal
 	if occurrence.Rule.After(c.Rule) {
 		c.Rule = occurrence.Rule
@@ -50,8 +50,8 @@
 	return c
 }
 
-// Next returns the first undecided occurrence; false if there is none.
-func (d *Def) Next(cursor Cursor) (calendar.Occurrence, bool) {
+// Next returns the first undecided occurrence, or false if there is none.
+func (d *Definition) Next(cursor Cursor) (calendar.Occurrence, bool) {
 	occurrence, ok := d.Timing.Next(cursor.Nominal)
 	for ok && !occurrence.Rule.After(cursor.Rule) {
 		occurrence, ok = d.Timing.Next(occurrence.Nominal)
@@ -59,66 +59,66 @@
 	return occurrence, ok
 }
 
-// nextDue returns the first undecided occurrence that starts at or before now;
-// false if there is none.
-func (d *Def) nextDue(cursor Cursor, now time.Time) (calendar.Occurrence, bool) {
+// nextDue returns the first undecided occurrence and whether it starts at or
+// before now.
+func (d *Definition) nextDue(cursor Cursor, now time.Time) (calendar.Occurrence, bool) {
 	occurrence, ok := d.Next(cursor)
 	return occurrence, ok && !occurrence.Start.After(now)
 }
 
-// Before describes the job of the previous occurrence.
-type Before struct {
-	Live  bool      // the job has not ended
-	Ended time.Time // when the job ended; zero: unknown, or there was no job
+// PreviousJob is the state of the job of the previous occurrence.
+type PreviousJob struct {
+	Running bool      // the job exists and has not ended
+	Ended   time.Time // zero if unknown or if there was no job
 }
 
-// Decide decides on the first occurrence after the cursor. The reason is set if
-// the verdict is Miss.
-func (d *Def) Decide(cursor Cursor, now time.Time, before Before) (occurrence calendar.Occurrence, verdict Verdict, reason string) {
+// Decide returns the first occurrence after the cursor and what to do about it at
+// the time now. The reason is set if the decision is MissOccurrence.
+func (d *Definition) Decide(cursor Cursor, now time.Time, previous PreviousJob) (occurrence calendar.Occurrence, decision Decision, reason string) {
 	occurrence, ok := d.Next(cursor)
 	switch {
 	case !ok:
-		return occurrence, Never, ""
+		return occurrence, NoOccurrence, ""
 	case occurrence.Start.After(now):
-		return occurrence, Later, ""
+		return occurrence, NotDue, ""
 	}
-	if before.Live {
+	if previous.Running {
 		switch d.Overlap {
-		case SkipOverlap:
-			return occurrence, Miss, "the one before was not over"
-		case WaitOverlap:
-			return occurrence, Hold, ""
+		case OverlapSkip:
+			return occurrence, MissOccurrence, "the one before was not over"
+		case OverlapWait:
+			return occurrence, AwaitPrevious, ""
 		}
 	}
-	late := now.Sub(d.ready(occurrence, before))
-	verdict, reason = d.decideLate(cursor.Past(occurrence), now, late)
-	return occurrence, verdict, reason
+	late := now.Sub(d.eligibleAt(occurrence, previous))
+	decision, reason = d.decideByDelay(cursor.AdvanceTo(occurrence), now, late)
+	return occurrence, decision, reason
 }
 
-// ready returns the time from which the delay of an occurrence counts: its start
-// or, if it had to wait for the previous job, the end of that job.
-func (d *Def) ready(occurrence calendar.Occurrence, before Before) time.Time {
-	waited := d.Overlap == WaitOverlap && !before.Live && before.Ended.After(occurrence.Start)
+// eligibleAt returns the time from which the delay of an occurrence is measured: its
+// start or, if it had to wait for the previous job, the end of that job.
+func (d *Definition) eligibleAt(occurrence calendar.Occurrence, previous PreviousJob) time.Time {
+	waited := d.Overlap == OverlapWait && !previous.Running && previous.Ended.After(occurrence.Start)
 	if waited {
-		return before.Ended
+		return previous.Ended
 	}
 	return occurrence.Start
 }
 
-// decideLate decides on a due occurrence by its delay. The cursor is the position
-// after the occurrence.
-func (d *Def) decideLate(after Cursor, now time.Time, late time.Duration) (verdict Verdict, reason string) {
+// decideByDelay applies the catch-up policy to a due occurrence that is late by the
+// given delay. The cursor after is the position that follows the occurrence.
+func (d *Definition) decideByDelay(after Cursor, now time.Time, late time.Duration) (decision Decision, reason string) {
 	switch {
-	case late <= OnTime:
-		return Make, ""
-	case d.CatchUp == None:
-		return Miss, "could not be made in time"
-	case late > d.Within:
-		return Miss, "could not be made within catch_up_within_s"
-	case d.CatchUp == Latest:
+	case late <= OnTimeTolerance:
+		return CreateJob, ""
+	case d.CatchUp == CatchUpNone:
+		return MissOccurrence, "could not be made in time"
+	case late > d.CatchUpWindow:
+		return MissOccurrence, "could not be made within catch_up_within_s"
+	case d.CatchUp == CatchUpLatest:
 		if _, due := d.nextDue(after, now); due {
-			return Miss, "a later one was due as well"
+			return MissOccurrence, "a later one was due as well"
 		}
 	}
-	return Make, ""
+	return CreateJob, ""
 }
--- a/internal/schedule/definition.go
+++ b/internal/schedule/definition.go
@@ -9,56 +9,55 @@
 	"yewpass/internal/spec"
 )
 
-// OverlapPolicy says what happens to an occurrence that is due while the job of
-// the previous one is still running.
+// OverlapPolicy determines what happens to an occurrence that becomes due while
+// the job of the previous occurrence has not ended.
 type OverlapPolicy string
 
-// The values of the field overlap. Allow is the default.
+// The values of the field overlap. OverlapAllow is the default.
 const (
-	Allow       OverlapPolicy = "allow" // it runs in parallel
-	SkipOverlap OverlapPolicy = "skip"  // it does not run
-	WaitOverlap OverlapPolicy = "wait"  // it runs once the previous one has ended
+	OverlapAllow OverlapPolicy = "allow" // run in parallel
+	OverlapSkip  OverlapPolicy = "skip"  // do not run
+	OverlapWait  OverlapPolicy = "wait"  // run after the previous job has ended
 )
 
-// CatchUpPolicy says what happens to occurrences that are late, for instance
-// because there was no leader when they were due.
+// CatchUpPolicy determines what happens to occurrences that are late, for instance
+// because no leader was elected when they became due.
 type CatchUpPolicy string
 
-// The values of the field catch_up. Latest is the default.
+// The values of the field catch_up. CatchUpLatest is the default.
 const (
-	Latest CatchUpPolicy = "latest" // only the latest of them runs
-	None   CatchUpPolicy = "none"   // none of them runs
-	All    CatchUpPolicy = "all"    // all of them run
+	CatchUpLatest CatchUpPolicy = "latest" // run only the latest of them
+	CatchUpNone   CatchUpPolicy = "none"   // run none of them
+	CatchUpAll    CatchUpPolicy = "all"    // run all of them
 )
 
 const (
-	// OnTime is the delay up to which an occurrence does not count as late, and
-	// CatchUpPolicy does not apply. A change of leader that coincides with a
-	// thousand due occurrences is over within this time.
-	OnTime = time.Minute
-	// defaultWithin and maxWithin are the default and the upper limit of
-	// catch_up_within_s.
-	defaultWithin = 24 * time.Hour
-	maxWithin     = 366 * 24 * time.Hour
+	// OnTimeTolerance is the delay up to which an occurrence counts as on time, so
+	// that CatchUpPolicy does not apply. It is longer than a failover of the leader.
+	OnTimeTolerance = time.Minute
+	// defaultCatchUpWindow and maxCatchUpWindow are the default and the upper limit
+	// of the field catch_up_within_s.
+	defaultCatchUpWindow = 24 * time.Hour
+	maxCatchUpWindow     = 366 * 24 * time.Hour
 )
 
-// Def is the definition of a schedule after it has been checked. It is not safe
-// for concurrent use.
-type Def struct {
-	Timing  *calendar.Timing
-	Overlap OverlapPolicy
-	CatchUp CatchUpPolicy
-	Within  time.Duration // an occurrence later than this does not run
-	job     spec.Job      // the template, without ID and deadline
+// Definition is a validated schedule. It is not safe for concurrent use, because
+// its Timing caches dates.
+type Definition struct {
+	Timing        *calendar.Timing
+	Overlap       OverlapPolicy
+	CatchUp       CatchUpPolicy
+	CatchUpWindow time.Duration // occurrences with a longer delay do not run
+	job           spec.Job      // template; see Template
 }
 
-// Compile checks the schedule. The set holds the calendars that it may refer to.
-// The error is a *calendar.FieldError for the first invalid field.
-func (f *File) Compile(set *calendar.Set) (*Def, error) {
+// Compile validates the schedule, which may refer to the calendars in set. The
+// error is a *calendar.FieldError for the first invalid field.
+func (f *File) Compile(set *calendar.Set) (*Definition, error) {
 	if !ValidName(f.Name) {
-		return nil, fieldErrorf("name", "%q is not of lower-case letters, digits, dots, underscores and hyphens, %d at the most", f.Name, maxNameBytes)
+		return nil, fieldErrorf("name", "%q must consist of at most %d lower-case letters, digits, dots, underscores and hyphens", f.Name, maxNameBytes)
 	}
-	timing, err := set.Timing(f.times())
+	timing, err := set.ParseTiming(f.timingSpec())
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	within, err := f.catchUpWithin()
+	within, err := f.catchUpWindow()
 	if err != nil {
 		return nil, err
 	}
@@ -78,12 +77,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Def{Timing: timing, Overlap: overlap, CatchUp: catchUp, Within: within, job: *job}, nil
+	return &Definition{Timing: timing, Overlap: overlap, CatchUp: catchUp, CatchUpWindow: within, job: *job}, nil
 }
 
-// times returns the fields that determine when the schedule runs.
-func (f *File) times() calendar.Times {
-	times := calendar.Times{
+// timingSpec returns the fields that determine when the schedule runs, not validated.
+func (f *File) timingSpec() calendar.TimingSpec {
+	times := calendar.TimingSpec{
 		Zone:      f.Zone,
 		Rule:      f.Rule,
 		At:        f.At,
@@ -103,42 +102,42 @@
 func (f *File) overlapPolicy() (OverlapPolicy, error) {
 	switch policy := OverlapPolicy(f.Overlap); policy {
 	case "":
-		return Allow, nil
-	case Allow, SkipOverlap, WaitOverlap:
+		return OverlapAllow, nil
+	case OverlapAllow, OverlapSkip, OverlapWait:
 		return policy, nil
 	}
-	return "", fieldErrorf("overlap", "%q is none of allow, skip, wait", f.Overlap)
+	return "", fieldErrorf("overlap", "%q is not one of allow, skip, wait", f.Overlap)
 }
 
 func (f *File) catchUpPolicy() (CatchUpPolicy, error) {
 	switch policy := CatchUpPolicy(f.CatchUp); policy {
 	case "":
-		return Latest, nil
-	case None, Latest, All:
+		return CatchUpLatest, nil
+	case CatchUpNone, CatchUpLatest, CatchUpAll:
 		return policy, nil
 	}
-	return "", fieldErrorf("catch_up", "%q is none of none, latest, all", f.CatchUp)
+	return "", fieldErrorf("catch_up", "%q is not one of none, latest, all", f.CatchUp)
 }
 
-func (f *File) catchUpWithin() (time.Duration, error) {
+func (f *File) catchUpWindow() (time.Duration, error) {
 	if f.CatchUpWithinS == nil {
-		return defaultWithin, nil
+		return defaultCatchUpWindow, nil
 	}
 	seconds := *f.CatchUpWithinS
-	if !(seconds >= 0 && seconds <= maxWithin.Seconds()) { // also true for NaN
+	if !(seconds >= 0 && seconds <= maxCatchUpWindow.Seconds()) { // rejects NaN too
 		return 0, fieldErrorf("catch_up_within_s", "out of range")
 	}
 	return time.Duration(math.Round(seconds*1000)) * time.Millisecond, nil
 }
 
-// jobTemplate checks the [job] table. The ID of the result is a placeholder.
+// jobTemplate validates the [job] table. The ID of the result is a placeholder.
 func (f *File) jobTemplate() (*spec.Job, error) {
 	submission := f.Job
 	if submission.ID != nil {
-		return nil, fieldErrorf("job.id", "not in a schedule: each occurrence has an id of its own")
+		return nil, fieldErrorf("job.id", "not allowed in a schedule: each occurrence gets its own id")
 	}
 	if submission.DueS != nil {
-		return nil, fieldErrorf("job.dueS", "not in a schedule: say due_at")
+		return nil, fieldErrorf("job.dueS", "not allowed in a schedule: use due_at")
 	}
 	placeholder := spec.IDPrefix + "0"
 	submission.ID = &placeholder
@@ -153,12 +152,13 @@
 	return &calendar.FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Template returns the job that occurrences are made from. Its ID is a
-// placeholder, and it has no deadline.
-func (d *Def) Template() spec.Job { return d.job }
+// Template returns the job description that Job completes for each occurrence. Its
+// ID is a placeholder, and it has no deadline.
+func (d *Definition) Template() spec.Job { return d.job }
 
-// Job returns the job of an occurrence, for the schedule with the given number.
-func (d *Def) Job(number uint64, occurrence calendar.Occurrence) spec.Job {
+// Job returns the job of an occurrence, with its ID and deadline set. The number is
+// the Number of the schedule's record.
+func (d *Definition) Job(number uint64, occurrence calendar.Occurrence) spec.Job {
 	job := d.job
 	job.ID = JobID(number, occurrence.Nominal)
 	if !occurrence.Due.IsZero() {
--- a/internal/schedule/edit.go
+++ b/internal/schedule/edit.go
@@ -6,23 +6,22 @@
 	"yewpass/internal/calendar"
 )
 
-// maxPassedOver limits how many due occurrences Edited and Resumed pass over one
-// by one. Occurrences beyond it are passed over without an entry in the history.
-const maxPassedOver = 256
+// maxMissedRecorded limits how many missed occurrences CursorAfterEdit and
+// CursorAfterPause return. Further ones are skipped without an entry in the history.
+const maxMissedRecorded = 256
 
-// The reasons that users see for occurrences that are passed over.
+// Reasons in the history for occurrences that were due but do not run.
 const (
 	reasonEdited = "the schedule was edited"
 	reasonPaused = "the schedule was paused"
 )
 
-// From returns the cursor of a schedule that begins now: occurrences that start
-// at or before now do not run.
-func (d *Def) From(now time.Time) Cursor {
-	nominal := calendar.Wall(now, d.Timing.Zone())
-	// During the second pass of the hour that is repeated when clocks are set back,
-	// the wall-clock time lies before occurrences of the first pass. Skip these:
-	// they have started already.
+// CursorAt returns the initial cursor of a schedule that is created now: occurrences
+// that start at or before now do not run.
+func (d *Definition) CursorAt(now time.Time) Cursor {
+	nominal := calendar.WallClock(now, d.Timing.Zone())
+	// When clocks are set back, an hour is repeated. In its second pass, the
+	// wall-clock time is before occurrences that started in the first pass.
 	for {
 		occurrence, ok := d.Timing.Next(nominal)
 		if !ok || occurrence.Start.After(now) {
@@ -32,43 +31,43 @@
 	}
 }
 
-// Edited returns the cursor of a schedule whose definition changes from old to d,
-// so that no occurrence runs twice. Due occurrences that did not become jobs yet
-// still run if the new definition has them too; the others are returned as missed.
-func (d *Def) Edited(old *Def, cursor Cursor, now time.Time) (next Cursor, missed []Passed) {
-	if old == nil || d.Timing.Same(old.Timing) {
+// CursorAfterEdit returns the cursor of a schedule whose definition changes from old
+// to d, so that no occurrence runs twice. Due occurrences of old for which no job
+// exists yet still run if d has them too; the others are returned as missed.
+func (d *Definition) CursorAfterEdit(old *Definition, cursor Cursor, now time.Time) (next Cursor, missed []MissedOccurrence) {
+	if old == nil || d.Timing.SameOccurrences(old.Timing) {
 		return cursor, nil
 	}
 	position := cursor
-	for len(missed) < maxPassedOver {
+	for len(missed) < maxMissedRecorded {
 		occurrence, due := old.nextDue(position, now)
 		if !due {
 			break
 		}
-		if d.keeps(old, occurrence) {
+		if d.retains(old, occurrence) {
 			return Cursor{Nominal: justBefore(occurrence, position), Rule: cursor.Rule}, missed
 		}
-		missed = append(missed, Passed{occurrence, StateMissed, reasonEdited})
-		position = position.Past(occurrence)
+		missed = append(missed, MissedOccurrence{occurrence, StateMissed, reasonEdited})
+		position = position.AdvanceTo(occurrence)
 	}
-	next = Cursor{Nominal: d.From(now).Nominal, Rule: cursor.Rule}
+	next = Cursor{Nominal: d.CursorAt(now).Nominal, Rule: cursor.Rule}
 	if cursor.Nominal.After(next.Nominal) {
-		// The zone has moved west, so its wall-clock time lies before occurrences that
-		// have been decided.
+		// The new zone is west of the old one, so its wall-clock time is before
+		// occurrences that have been decided.
 		next = cursor
 	}
 	return next, missed
 }
 
-// keeps reports whether d has an occurrence of the definition old too.
-func (d *Def) keeps(old *Def, occurrence calendar.Occurrence) bool {
+// retains reports whether d still has an occurrence of the definition old.
+func (d *Definition) retains(old *Definition, occurrence calendar.Occurrence) bool {
 	sameZone := d.Timing.Zone().String() == old.Timing.Zone().String()
-	return sameZone && d.Timing.Has(occurrence.Nominal)
+	return sameZone && d.Timing.HasOccurrence(occurrence.Nominal)
 }
 
 // justBefore returns a nominal time shortly before the occurrence, but not before
-// the position. Continuing from the position itself would run occurrences between
-// the two that only the new definition has, and these must not run late.
+// the position. Between the two, the new definition may have occurrences that the
+// old one lacks; continuing from the position itself would run them late.
 func justBefore(occurrence calendar.Occurrence, position Cursor) time.Time {
 	before := occurrence.Nominal.Add(-time.Second)
 	if before.After(position.Nominal) {
@@ -77,16 +76,16 @@
 	return position.Nominal
 }
 
-// Resumed returns the cursor of a schedule that has been paused until now, after
-// every due occurrence, and the occurrences that it passed over.
-func (d *Def) Resumed(cursor Cursor, now time.Time) (next Cursor, missed []Passed) {
-	for len(missed) < maxPassedOver {
+// CursorAfterPause returns the cursor of a schedule that is resumed now. The cursor
+// is after every due occurrence; these are returned as missed.
+func (d *Definition) CursorAfterPause(cursor Cursor, now time.Time) (next Cursor, missed []MissedOccurrence) {
+	for len(missed) < maxMissedRecorded {
 		occurrence, due := d.nextDue(cursor, now)
 		if !due {
 			return cursor, missed
 		}
-		missed = append(missed, Passed{occurrence, StateMissed, reasonPaused})
-		cursor = cursor.Past(occurrence)
+		missed = append(missed, MissedOccurrence{occurrence, StateMissed, reasonPaused})
+		cursor = cursor.AdvanceTo(occurrence)
 	}
-	return Cursor{Nominal: d.From(now).Nominal, Rule: cursor.Rule}, missed
+	return Cursor{Nominal: d.CursorAt(now).Nominal, Rule: cursor.Rule}, missed
 }
--- a/internal/schedule/file.go
+++ b/internal/schedule/file.go
@@ -1,7 +1,7 @@
-// Package schedule implements recurring jobs: it checks schedule files, decides
-// which occurrence of a schedule becomes a job and when, and keeps the record of
-// what happened to each. It does no I/O and reads no clock: the leader stores the
-// records and submits the jobs.
+// Package schedule implements recurring jobs. It validates schedule files, decides
+// which occurrences of a schedule become jobs and when, and maintains the history
+// of each schedule. It does no I/O and reads no clock: the leader passes in the
+// time, stores the records and creates the jobs.
 package schedule
 
 import (
@@ -18,8 +18,8 @@
 	"yewpass/internal/tomltext"
 )
 
-// File is a schedule as its owner writes it: TOML on the command line, and the
-// same fields as JSON over HTTP.
+// File is a schedule as submitted by a user: a TOML file on the command line, or
+// the same fields as JSON over HTTP. Its fields are not validated until Compile.
 type File struct {
 	Name           string          `toml:"name" json:"name"`
 	Zone           string          `toml:"zone" json:"zone"`
@@ -36,12 +36,11 @@
 	Job            spec.Submission `toml:"job" json:"job"`
 }
 
-// maxNameBytes is the largest length of a schedule's name.
+// maxNameBytes limits the length of a schedule's name.
 const maxNameBytes = 63
 
 // ValidName reports whether name is allowed for a schedule: 1 to 63 lower-case
-// letters, digits, dots, underscores and hyphens, beginning with a letter or
-// digit.
+// letters, digits, dots, underscores and hyphens, starting with a letter or digit.
 func ValidName(name string) bool {
 	for i, r := range name {
 		alphanumeric := r >= 'a' && r <= 'z' || r >= '0' && r <= '9'
@@ -53,8 +52,8 @@
 	return name != "" && len(name) <= maxNameBytes
 }
 
-// ParseTOML decodes a schedule file. The error is one line that names the line
-// and the field.
+// ParseTOML decodes a schedule file. The error is a single line of text that
+// contains the line number and the field.
 func ParseTOML(data []byte) (*File, error) {
 	file := &File{}
 	if err := tomltext.Decode(data, file, true); err != nil {
@@ -63,8 +62,8 @@
 	return file, nil
 }
 
-// ParseJSON decodes a schedule from an HTTP body. The error is a
-// *calendar.FieldError, whose Field is empty if the body as a whole is invalid.
+// ParseJSON decodes a schedule from an HTTP request body. The error is a
+// *calendar.FieldError, whose Field is empty if the whole body is invalid.
 func ParseJSON(data []byte) (*File, error) {
 	file := &File{}
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -78,14 +77,14 @@
 	return file, nil
 }
 
-// jsonFieldError translates an error of encoding/json into one that users are
-// shown.
+// jsonFieldError converts an error of encoding/json to a *calendar.FieldError for
+// the response to the user.
 func jsonFieldError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) && typeError.Field != "" {
 		return &calendar.FieldError{Field: typeError.Field, Reason: "wrong type or out of range"}
 	}
-	// encoding/json has no type for this error.
+	// encoding/json has no error type for unknown fields.
 	if _, name, ok := strings.Cut(err.Error(), "unknown field "); ok {
 		return &calendar.FieldError{Field: strings.Trim(name, `"`), Reason: "no such field"}
 	}
@@ -93,7 +92,7 @@
 	if errors.As(err, &typeError) || errors.As(err, &syntaxError) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return invalidJSON()
 	}
-	// What remains comes from the only type with an unmarshaler, toml.LocalDate.
+	// All other errors come from toml.LocalDate, the only type with an unmarshaler.
 	return &calendar.FieldError{Field: "starts or ends", Reason: "no date such as 2027-01-31"}
 }
 
--- a/internal/schedule/file_test.go
+++ b/internal/schedule/file_test.go
@@ -10,19 +10,19 @@
 	"yewpass/internal/calendar"
 )
 
-// TestCompileErrors pins the texts that users see for an invalid schedule.
+// TestCompileErrors checks the errors that users get for an invalid schedule.
 func TestCompileErrors(t *testing.T) {
 	for _, test := range []struct{ old, new, want string }{
-		{`name = "t`, `name = "T`, `name: "Tariff-recalculation" is not of lower-case letters, digits, dots, underscores and hyphens, 63 at the most`},
-		{`overlap = "skip"`, `overlap = "stop"`, `overlap: "stop" is none of allow, skip, wait`},
-		{`catch_up = "latest"`, `catch_up = "some"`, `catch_up: "some" is none of none, latest, all`},
+		{`name = "t`, `name = "T`, `name: "Tariff-recalculation" must consist of at most 63 lower-case letters, digits, dots, underscores and hyphens`},
+		{`overlap = "skip"`, `overlap = "stop"`, `overlap: "stop" is not one of allow, skip, wait`},
+		{`catch_up = "latest"`, `catch_up = "some"`, `catch_up: "some" is not one of none, latest, all`},
 		{`7200.0`, `-1.0`, `catch_up_within_s: out of range`},
 		{`7200.0`, `nan`, `catch_up_within_s: out of range`},
 		{`7200.0`, `31622401.0`, `catch_up_within_s: out of range`},
-		{`[job]`, "[job]\nid = \"wk-1\"", `job.id: not in a schedule: each occurrence has an id of its own`},
-		{`[job]`, "[job]\ndueS = 4.0", `job.dueS: not in a schedule: say due_at`},
+		{`[job]`, "[job]\nid = \"wk-1\"", `job.id: not allowed in a schedule: each occurrence gets its own id`},
+		{`[job]`, "[job]\ndueS = 4.0", `job.dueS: not allowed in a schedule: use due_at`},
 		{`shards = 16`, `shards = 0`, `job.shards: out of range`},
-		{`2027-01-01`, "2027-01-01\nends = 2026-01-01", `ends: lies before starts`},
+		{`2027-01-01`, "2027-01-01\nends = 2026-01-01", `ends: is before starts`},
 	} {
 		t.Run(test.want, func(t *testing.T) {
 			_, err := compile(t, test.old, test.new)
@@ -39,13 +39,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if def.Overlap != Allow || def.CatchUp != Latest || def.Within != 24*time.Hour {
-		t.Errorf("overlap %q, catch_up %q within %s", def.Overlap, def.CatchUp, def.Within)
+	if def.Overlap != OverlapAllow || def.CatchUp != CatchUpLatest || def.CatchUpWindow != 24*time.Hour {
+		t.Errorf("got overlap %q, catch_up %q within %s; want the defaults", def.Overlap, def.CatchUp, def.CatchUpWindow)
 	}
 }
 
-// TestParseJSONErrors pins the field and the reason that users see for a body that
-// is not a schedule.
+// TestParseJSONErrors checks the field and the reason that users get for a request
+// body that is not a valid schedule.
 func TestParseJSONErrors(t *testing.T) {
 	const notASchedule = "the body is not a schedule in JSON"
 	for _, test := range []struct{ body, field, reason string }{
@@ -65,7 +65,7 @@
 			_, err := ParseJSON([]byte(test.body))
 			var fieldError *calendar.FieldError
 			if !errors.As(err, &fieldError) || fieldError.Field != test.field || fieldError.Reason != test.reason {
-				t.Errorf("got %v, want %s: %s", err, test.field, test.reason)
+				t.Errorf("got error %v, want %s: %s", err, test.field, test.reason)
 			}
 		})
 	}
@@ -90,7 +90,8 @@
 	}
 }
 
-// TestFormsAgree checks that a schedule survives the way from TOML to JSON and back.
+// TestFormsAgree checks that a schedule read from TOML is unchanged by encoding it to
+// JSON and decoding it.
 func TestFormsAgree(t *testing.T) {
 	file, err := ParseTOML([]byte(validFile))
 	if err != nil {
@@ -102,7 +103,7 @@
 		t.Fatal(err)
 	}
 	if again := mustMarshal(t, decoded); string(again) != string(data) {
-		t.Errorf("%s\nbecomes\n%s", data, again)
+		t.Errorf("got  %s\nwant %s", again, data)
 	}
 }
 
@@ -115,8 +116,8 @@
 	return data
 }
 
-// TestInvalidFieldIsNamed checks that the error is one line that names the invalid
-// field, or the line if the syntax is wrong.
+// TestInvalidFieldIsNamed checks that the error is a single line that contains the
+// invalid field, or the line number if the syntax is invalid.
 func TestInvalidFieldIsNamed(t *testing.T) {
 	for _, test := range []struct{ old, new, want string }{
 		{`name = "t`, `name = "T`, "name"},
@@ -139,13 +140,14 @@
 		t.Run(test.new, func(t *testing.T) {
 			_, err := compile(t, test.old, test.new)
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want one line that names %s", err, test.want)
+				t.Errorf("got error %v, want a single line that contains %s", err, test.want)
 			}
 		})
 	}
 }
 
-// TestInvalidJSONFieldIsNamed does the same for the JSON form.
+// TestInvalidJSONFieldIsNamed checks that the error for invalid JSON contains the
+// invalid field.
 func TestInvalidJSONFieldIsNamed(t *testing.T) {
 	file, err := ParseTOML([]byte(validFile))
 	if err != nil {
@@ -162,14 +164,14 @@
 			_, err := ParseJSON([]byte(strings.Replace(data, test.old, test.new, 1)))
 			var fieldError *calendar.FieldError
 			if !errors.As(err, &fieldError) || fieldError.Field != test.want {
-				t.Errorf("%v, want field %q", err, test.want)
+				t.Errorf("got error %v, want field %q", err, test.want)
 			}
 		})
 	}
 }
 
-// FuzzFile checks that arbitrary input is rejected or yields occurrences in
-// ascending order.
+// FuzzFile checks that arbitrary input is rejected or yields occurrences in ascending
+// order, each of which starts before its deadline.
 func FuzzFile(f *testing.F) {
 	f.Add([]byte(validFile))
 	f.Add([]byte(strings.Replace(validFile, "FREQ=DAILY", "FREQ=MONTHLY;BYDAY=MO,-1FR;BYSETPOS=-1", 1)))
@@ -192,7 +194,7 @@
 				return
 			}
 			if !occurrence.Nominal.After(cursor) || occurrence.Start.Before(start) || !occurrence.Due.IsZero() && !occurrence.Due.After(occurrence.Start) {
-				t.Fatalf("after %s: %+v", cursor, occurrence)
+				t.Fatalf("Next(%s) = %+v, want a later occurrence that starts before its deadline", cursor, occurrence)
 			}
 			cursor, start = occurrence.Nominal, occurrence.Start
 		}
--- a/internal/schedule/helpers_test.go
+++ b/internal/schedule/helpers_test.go
@@ -8,7 +8,7 @@
 	"yewpass/internal/calendar"
 )
 
-// validFile is a schedule with every field.
+// validFile is a valid schedule with all optional fields except ends.
 const validFile = `
 name = "tariff-recalculation"
 zone = "Europe/Sofia"
@@ -50,9 +50,9 @@
 	return calendar.NewSet(map[string]*calendar.Calendar{"bg": bulgaria})
 }
 
-// compile checks validFile after replacing text in it; replacements are pairs of
-// old and new text.
-func compile(tb testing.TB, replacements ...string) (*Def, error) {
+// compile parses and compiles validFile after replacing text in it. The replacements
+// are pairs of old and new text.
+func compile(tb testing.TB, replacements ...string) (*Definition, error) {
 	tb.Helper()
 	file, err := ParseTOML([]byte(strings.NewReplacer(replacements...).Replace(validFile)))
 	if err != nil {
@@ -61,8 +61,8 @@
 	return file.Compile(calendarSet(tb))
 }
 
-// mustCompile is compile for a valid schedule.
-func mustCompile(tb testing.TB, replacements ...string) *Def {
+// mustCompile is like compile but fails the test on an error.
+func mustCompile(tb testing.TB, replacements ...string) *Definition {
 	tb.Helper()
 	def, err := compile(tb, replacements...)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return def
 }
 
-// at parses a time in the form of RFC 3339.
+// at parses a time in RFC 3339 format.
 func at(s string) time.Time {
 	t, err := time.Parse(time.RFC3339, s)
 	if err != nil {
--- a/internal/schedule/history.go
+++ b/internal/schedule/history.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// HistoryLength is the number of entries that a record keeps.
+	// HistoryLength is the number of entries that a record keeps. Older ones are dropped.
 	HistoryLength = 12
-	// maxReasonBytes limits a reason in the history, to keep records small.
+	// maxReasonBytes limits the length of a reason in the history.
 	maxReasonBytes = 120
 )
 
@@ -19,8 +19,8 @@
 // late, and the query-escaped reason. Times are milliseconds since the Unix epoch
 // in base 36; an unknown time is empty.
 //
-// A leader holds thousands of histories and a new leader reads all of them. As a
-// slice of structs they took half of the memory and half of the time.
+// A leader holds the histories of thousands of schedules in this form, because it
+// takes less memory and decoding time than a slice of structs.
 const (
 	entryEnd       = ";"
 	fieldSeparator = ","
@@ -33,13 +33,13 @@
 	return [...]*time.Time{&entry.Planned, &entry.Due, &entry.Made, &entry.Started, &entry.Ended}
 }
 
-// setEntries encodes the history.
+// setEntries encodes entries, oldest first, as the history of r.
 func (r *Record) setEntries(entries []Entry) {
 	var encoded []byte
 	for i := range entries {
 		encoded = appendEntry(encoded, &entries[i])
 	}
-	r.Past = string(encoded)
+	r.EncodedHistory = string(encoded)
 }
 
 func appendEntry(encoded []byte, entry *Entry) []byte {
@@ -61,13 +61,14 @@
 	return append(encoded, entryEnd...)
 }
 
-// Entries decodes the history, oldest entry first; false if it is malformed.
+// Entries decodes the history, oldest entry first. It returns false if the history
+// is malformed.
 func (r *Record) Entries() (entries []Entry, ok bool) {
-	if r.Past == "" {
+	if r.EncodedHistory == "" {
 		return nil, true
 	}
-	entries = make([]Entry, 0, strings.Count(r.Past, entryEnd)+1)
-	for remaining := r.Past; remaining != ""; {
+	entries = make([]Entry, 0, strings.Count(r.EncodedHistory, entryEnd)+1)
+	for remaining := r.EncodedHistory; remaining != ""; {
 		var encoded string
 		if encoded, remaining, ok = strings.Cut(remaining, entryEnd); !ok {
 			return nil, false
@@ -102,7 +103,7 @@
 	return entry, true
 }
 
-// parseTime decodes a time of an entry; an empty field is the zero time.
+// parseTime decodes a time of an entry. An empty field is the zero time.
 func parseTime(field string) (t time.Time, ok bool) {
 	if field == "" {
 		return time.Time{}, true
--- a/internal/schedule/record.go
+++ b/internal/schedule/record.go
@@ -8,28 +8,28 @@
 	"yewpass/internal/calendar"
 )
 
-// Record is the stored state of a schedule. It is written in the same transaction
-// as the job that an occurrence becomes, so that neither exists without the other.
+// Record is the stored state of a schedule. The transaction that creates the job of
+// an occurrence also writes the record, so that the two are always consistent.
 type Record struct {
-	Number  uint64          // part of job IDs; never reused
-	Seq     uint64          // incremented with every write
-	Edition uint64          // incremented with every change by a user
-	File    json.RawMessage // the definition
-	Paused  bool
-	Cursor  Cursor // every occurrence up to it has been decided
-	LastJob string // the job of the last occurrence that became one
-	Made    int64  // occurrences that became jobs
-	Missed  int64  // occurrences that did not
-	Late    int64  // jobs that missed their deadline
-	Past    string // the encoded history, see Entries
+	Number         uint64          // part of job IDs; never reused
+	Seq            uint64          // incremented with every write
+	Edition        uint64          // incremented with every change by a user
+	File           json.RawMessage // the definition, a File as JSON
+	Paused         bool
+	Cursor         Cursor // position of the last decided occurrence
+	LastJob        string // ID of the latest job of an occurrence
+	Made           int64  // number of occurrences for which a job was created
+	Missed         int64  // number of occurrences that did not run
+	Late           int64  // number of jobs that missed their deadline
+	EncodedHistory string // see Entries
 }
 
-// Entry describes a job or a missed occurrence in a record's history. Unknown
-// times are zero.
+// Entry is a job or a missed occurrence in the history of a record. Unknown times
+// are zero.
 type Entry struct {
 	Job     string
-	Planned time.Time // when the occurrence was to start
-	Due     time.Time // its deadline
+	Planned time.Time // scheduled start
+	Due     time.Time // deadline
 	Made    time.Time // when the job was created
 	Started time.Time // when the first task started
 	Ended   time.Time
@@ -38,25 +38,27 @@
 	Reason  string // why the occurrence was missed
 }
 
-// The states of an entry. They are part of the stored record.
+// The states of an Entry. They are stored.
 const (
 	StateMade      = "made"
 	StateDone      = "done"
 	StateCancelled = "cancelled"
 	StateMissed    = "missed"
-	StateFailed    = "failed" // another job has the ID
+	StateFailed    = "failed" // another job already has the ID
 )
 
-// Clone returns a copy of the record, for a change that may fail to be written.
-// The copy shares File, which is never modified in place.
+// Clone returns a copy of the record. Callers modify and write the copy, so that
+// the original is unchanged if the write fails. The copy shares File, which is
+// never modified in place.
 func (r *Record) Clone() *Record {
 	clone := *r
 	return &clone
 }
 
-// Add appends an occurrence to the history and counts it as made or missed.
-func (r *Record) Add(entry Entry) {
-	r.Note(entry)
+// AddOccurrence appends an occurrence to the history and increments Made or Missed,
+// depending on its state.
+func (r *Record) AddOccurrence(entry Entry) {
+	r.AddEntry(entry)
 	if entry.State == StateMade {
 		r.Made++
 	} else {
@@ -64,9 +66,10 @@
 	}
 }
 
-// Note appends an entry to the history without counting it. It is meant for jobs
-// that a user requested, which are no occurrences.
-func (r *Record) Note(entry Entry) {
+// AddEntry appends an entry to the history and drops the oldest if there are more
+// than HistoryLength. It changes no counter: call it directly for jobs that a user
+// requested, which are not occurrences.
+func (r *Record) AddEntry(entry Entry) {
 	if len(entry.Reason) > maxReasonBytes {
 		entry.Reason = entry.Reason[:maxReasonBytes]
 	}
@@ -75,17 +78,18 @@
 	r.setEntries(entries[max(0, len(entries)-HistoryLength):])
 }
 
-// Passed is an occurrence that does not run, and the reason.
-type Passed struct {
+// MissedOccurrence is an occurrence that does not run, with the reason.
+type MissedOccurrence struct {
 	calendar.Occurrence
 	State  string // StateMissed or StateFailed
 	Reason string
 }
 
-// Pass appends occurrences that do not run to the history and moves the cursor.
-func (r *Record) Pass(cursor Cursor, passed []Passed) {
+// AddMissed appends missed occurrences to the history, counts them as missed and
+// sets the cursor.
+func (r *Record) AddMissed(cursor Cursor, passed []MissedOccurrence) {
 	for _, occurrence := range passed {
-		r.Add(Entry{
+		r.AddOccurrence(Entry{
 			Job:     JobID(r.Number, occurrence.Nominal),
 			Planned: occurrence.Start,
 			Due:     occurrence.Due,
@@ -96,7 +100,7 @@
 	r.Cursor = cursor
 }
 
-// Entry returns the history's entry of a job; false if there is none.
+// Entry returns the entry of a job in the history, or false if there is none.
 func (r *Record) Entry(job string) (Entry, bool) {
 	entries, _ := r.Entries()
 	for _, entry := range entries {
@@ -107,8 +111,9 @@
 	return Entry{}, false
 }
 
-// Update applies change to the history's entry of a job, if there is one.
-func (r *Record) Update(job string, change func(entry *Entry)) {
+// UpdateEntry applies change to the entry of a job in the history. It has no effect
+// if there is none.
+func (r *Record) UpdateEntry(job string, change func(entry *Entry)) {
 	entries, _ := r.Entries()
 	for i := range entries {
 		if entries[i].Job == job {
@@ -119,11 +124,12 @@
 	}
 }
 
-// Follow brings a changed clone of a record up to date with what the original has
-// learnt about its jobs since it was cloned.
-func (r *Record) Follow(original *Record) {
+// MergeUpdates copies updates of existing history entries and of Late from original,
+// of which r is a modified clone, to r. Call it when original was updated while r
+// was being written.
+func (r *Record) MergeUpdates(original *Record) {
 	r.Late = max(r.Late, original.Late)
-	if r.Past == original.Past {
+	if r.EncodedHistory == original.EncodedHistory {
 		return
 	}
 	entries, _ := r.Entries()
@@ -135,8 +141,8 @@
 	r.setEntries(entries)
 }
 
-// ETag returns the HTTP entity tag of the record's current edition. An edit names
-// the one that it is based on.
+// ETag returns the HTTP entity tag of the record's edition. Clients send it in
+// If-Match, so that an edit based on an outdated edition is rejected.
 func (r *Record) ETag() string { return fmt.Sprintf(`"%d-%d"`, r.Number, r.Edition) }
 
 // Estimates of the encoded size of a record, in bytes.
@@ -145,8 +151,8 @@
 	entryOverhead  = 160
 )
 
-// Size returns an upper estimate of the record's stored size in bytes, with space
-// for a full history.
+// Size returns an upper bound estimate of the stored size in bytes, which includes
+// a full history.
 func (r *Record) Size() int {
 	return recordOverhead + len(r.File) + HistoryLength*(entryOverhead+maxReasonBytes)
 }
--- a/internal/schedule/view.go
+++ b/internal/schedule/view.go
@@ -8,20 +8,20 @@
 	"yewpass/internal/calendar"
 )
 
-// View is the JSON form of a schedule that users see.
+// View is a schedule in JSON responses to users.
 type View struct {
 	Schedule json.RawMessage `json:"schedule"`
 	Number   uint64          `json:"number"`
 	ETag     string          `json:"etag"`
 	Paused   bool            `json:"paused"`
-	Problem  string          `json:"problem,omitempty"` // why the schedule creates no jobs
+	Problem  string          `json:"problem,omitempty"` // why the leader cannot run the schedule
 	Next     *Upcoming       `json:"next,omitempty"`
 	Made     int64           `json:"made"`
 	Missed   int64           `json:"missed"`
 	Late     int64           `json:"late"`
 }
 
-// Upcoming is the JSON form of an occurrence that is planned.
+// Upcoming is a planned occurrence in JSON responses.
 type Upcoming struct {
 	ID     string     `json:"id"`
 	Start  time.Time  `json:"start"`
@@ -29,14 +29,14 @@
 	Remark string     `json:"remark,omitempty"`
 }
 
-// Page is the JSON form of a part of the list of schedules, sorted by name.
-type Page struct {
-	Schedules []Brief `json:"schedules"`
-	Truncated bool    `json:"truncated"`
+// ListPage is one page of the list of schedules in JSON responses, sorted by name.
+type ListPage struct {
+	Schedules []Summary `json:"schedules"`
+	Truncated bool      `json:"truncated"`
 }
 
-// Brief is the JSON form of a schedule in a list.
-type Brief struct {
+// Summary is a schedule in a ListPage.
+type Summary struct {
 	Name     string    `json:"name"`
 	Zone     string    `json:"zone"`
 	Rule     string    `json:"rule"`
@@ -49,18 +49,18 @@
 	Late     int64     `json:"late"`
 }
 
-// Coming is the JSON form of the list of planned occurrences.
-type Coming struct {
+// UpcomingList is a list of planned occurrences in JSON responses, earliest first.
+type UpcomingList struct {
 	Upcoming []Upcoming `json:"upcoming"`
 }
 
-// History is the JSON form of a record's history, latest entry first.
+// History is the history of a schedule in JSON responses, latest entry first.
 type History struct {
-	History []Past `json:"history"`
+	History []HistoryEntry `json:"history"`
 }
 
-// Past is the JSON form of an Entry.
-type Past struct {
+// HistoryEntry is an Entry in JSON responses. Unknown times are null.
+type HistoryEntry struct {
 	ID      string     `json:"id"`
 	Planned *time.Time `json:"planned"`
 	Due     *time.Time `json:"due"`
@@ -72,7 +72,7 @@
 	Reason  string     `json:"reason,omitempty"`
 }
 
-// timeOrNull returns t in the zone, or nil, which is null in JSON, if t is zero.
+// timeOrNull returns t in the zone, or nil (JSON null) if t is zero.
 func timeOrNull(t time.Time, zone *time.Location) *time.Time {
 	if t.IsZero() {
 		return nil
@@ -81,9 +81,9 @@
 	return &t
 }
 
-// Tell returns the form of an occurrence that users see, with times in the
-// schedule's zone. The number is the schedule's.
-func (d *Def) Tell(number uint64, occurrence calendar.Occurrence) *Upcoming {
+// Upcoming returns an occurrence in its JSON form, with times in the schedule's
+// zone. The number is the Number of the schedule's record.
+func (d *Definition) Upcoming(number uint64, occurrence calendar.Occurrence) *Upcoming {
 	zone := d.Timing.Zone()
 	return &Upcoming{
 		ID:     JobID(number, occurrence.Nominal),
@@ -93,13 +93,13 @@
 	}
 }
 
-// Told returns the form of the record's history that users see, with times in the
-// zone.
-func (r *Record) Told(zone *time.Location) History {
-	history := History{History: []Past{}} // an empty list, not null, in JSON
+// HistoryView returns the history in its JSON form, with times in the zone. It is
+// empty if the stored history is malformed.
+func (r *Record) HistoryView(zone *time.Location) History {
+	history := History{History: []HistoryEntry{}} // encoded as [] instead of null if empty
 	entries, _ := r.Entries()
 	for _, entry := range slices.Backward(entries) {
-		history.History = append(history.History, Past{
+		history.History = append(history.History, HistoryEntry{
 			ID:      entry.Job,
 			Planned: timeOrNull(entry.Planned, zone),
 			Due:     timeOrNull(entry.Due, zone),
--- a/internal/spec/job.go
+++ b/internal/spec/job.go
@@ -1,5 +1,5 @@
-// Package spec defines the description of a job: the form in which users submit
-// it (Submission) and the checked form that the scheduler works with (Job).
+// Package spec defines the description of a job: Submission is the form that users
+// submit, and Job is the validated form that the scheduler works with.
 package spec
 
 import (
@@ -9,11 +9,11 @@
 	"yewpass/internal/timeline"
 )
 
-// Urgency orders jobs for preemption: a job of a higher urgency may preempt one
-// of a lower urgency.
+// Urgency is the priority class of a job. A job may preempt jobs of a lower
+// urgency.
 type Urgency int
 
-// The urgencies of the user protocol, in ascending order.
+// The urgencies of the user API, in ascending order of priority.
 const (
 	Idle Urgency = iota
 	Standard
@@ -21,44 +21,44 @@
 	Production
 )
 
-// UrgencyNames holds the urgencies as users write them, indexed by Urgency.
+// UrgencyNames holds the names of the urgencies in the user API, indexed by Urgency.
 var UrgencyNames = [...]string{"idle", "standard", "urgent", "production"}
 
-// String returns the urgency as users write it. It panics if u is not one of the
-// constants above.
+// String returns the name of the urgency in the user API. It panics if u is not
+// one of the declared constants.
 func (u Urgency) String() string { return UrgencyNames[u] }
 
-// Job is the description of a job after it has been checked.
+// Job is a validated job description.
 type Job struct {
 	ID                 string
 	Class, Owner       string
 	Service            bool // false: an array job
 	Urgency            Urgency
 	Tasks              int
-	CPUs               float64 // per task, as are the following amounts
+	CPUs               float64 // per task, like GPUs and MemGB
 	GPUs               float64
 	MemGB              float64
 	Image              string
 	ImageGB            float64
-	InstanceTypes      []string // machine types that may run the job; nil: any
-	Zone               string   // the zone that must run the job; empty: any
-	SamePlace          bool     // all tasks must run in one place, see topology.SamePlace
-	Apart              bool     // no place may run more than half of the tasks, see topology.Apart
-	AllowSpot          bool     // tasks may run on machines that the cloud can reclaim
+	InstanceTypes      []string // machine types that may run the job; nil means any
+	Zone               string   // zone that must run the job; empty means any
+	SamePlace          bool     // affinity: all tasks must run in one place, see topology.SamePlace
+	Apart              bool     // anti-affinity: no place may run more than half of the tasks, see topology.Apart
+	AllowSpot          bool     // tasks may run on spot instances, which the cloud can reclaim
 	Runtime            time.Duration
 	CheckpointInterval time.Duration
-	CheckpointTime     time.Duration // how long writing a snapshot takes
-	Deadline           time.Duration // deadline, relative to the submission
-	HasDeadline        bool          // whether the job has a deadline; Due may be 0 then
+	CheckpointTime     time.Duration // how long writing a checkpoint takes
+	Deadline           time.Duration // relative to the submission
+	HasDeadline        bool          // distinguishes a Deadline of 0 from no deadline
 }
 
-// Need returns the resources that each task of the job occupies.
-func (j *Job) Need() timeline.Resources { return timeline.Need(j.CPUs, j.GPUs, j.MemGB) }
+// TaskResources returns the resources that each task of the job requests.
+func (j *Job) TaskResources() timeline.Resources { return timeline.Need(j.CPUs, j.GPUs, j.MemGB) }
 
 const (
-	// IDPrefix is the prefix of every job ID.
+	// IDPrefix is the prefix of every job ID. Decimal digits follow it.
 	IDPrefix = "wk-"
-	// maxIDDigits is the largest number of digits after IDPrefix.
+	// maxIDDigits limits the number of digits after IDPrefix.
 	maxIDDigits = 32
 )
 
@@ -70,17 +70,17 @@
 }
 
 const (
-	// MaxTasks is the largest number of tasks of a job in the user protocol.
+	// MaxTasks limits the number of tasks of a job.
 	MaxTasks = 100_000
-	// MaxName is the largest length of a name in a submission, in bytes. It keeps
-	// a job's record far below the size limit of the state service.
-	MaxName = 512
-	// maxFlavors is the largest number of machine types that a job may list.
-	maxFlavors = 100
+	// MaxNameBytes limits the length of a name in a submission, so that a job's
+	// record fits into a value of the key-value store.
+	MaxNameBytes = 512
+	// maxInstanceTypes limits the number of machine types that a job may list.
+	maxInstanceTypes = 100
 )
 
-// Limits of what one task may request. They are small enough that the sum over
-// MaxTasks tasks, counted in thousandths, does not overflow.
+// Limits of what one task may request. The sum over MaxTasks tasks, counted in
+// thousandths, must not overflow an int64.
 const (
 	maxCPUs     = 1e6
 	maxGPUs     = 1e6
@@ -89,10 +89,10 @@
 	maxDuration = 1e8 * time.Second
 )
 
-// Sound reports whether j is within the limits that Submission.Job enforces. It
-// is the check for jobs that did not come through a submission, but from a stored
-// record or from a peer.
-func (j *Job) Sound() bool {
+// Valid reports whether j is within the limits that Submission.Job enforces. Call
+// it for jobs that were decoded from a stored record or from a peer's message
+// instead of a submission.
+func (j *Job) Valid() bool {
 	return ValidID(j.ID) &&
 		j.Tasks > 0 && j.Tasks <= MaxTasks &&
 		j.Urgency >= Idle && j.Urgency <= Production &&
@@ -106,7 +106,7 @@
 		validDuration(j.Deadline)
 }
 
-// validAmount reports whether amount lies in [0, limit]; NaN does not.
+// validAmount reports whether amount lies in [0, limit]. NaN is invalid.
 func validAmount(amount, limit float64) bool { return amount >= 0 && amount <= limit }
 
 func validDuration(d time.Duration) bool { return d >= 0 && d <= maxDuration }
--- a/internal/spec/submission.go
+++ b/internal/spec/submission.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Submission is a job as users write it: the body of POST /v2/runs, or the [job]
-// table of a schedule file. A nil pointer means that the field is absent.
+// Submission is a job as submitted by a user: the body of POST /v2/runs, or the
+// [job] table of a schedule file. A nil pointer means that the field is absent.
 type Submission struct {
 	ID             *string   `json:"id,omitempty" toml:"id"`
 	JobClass       *string   `json:"jobclass,omitempty" toml:"jobclass"`
@@ -37,16 +37,16 @@
 	shapeService = "service"
 )
 
-// Reasons that several fields share. Users see them.
+// Reasons that apply to several fields. They are part of error responses to users.
 const (
 	reasonMissing        = "missing"
 	reasonOutOfRange     = "out of range"
 	reasonEmptyOrTooLong = "empty or too long"
 )
 
-// Job checks the submission and returns the job that it describes. If a field is
-// invalid, job is nil, and field and reason tell the first one in protocol order
-// and what is wrong with it.
+// Job validates the submission and converts it to a Job. If any field is invalid,
+// job is nil, field is the API name of the first invalid field in the order of
+// Submission, and reason says why it is invalid.
 func (s *Submission) Job() (job *Job, field, reason string) {
 	var check fieldChecker
 	job = &Job{ID: check.id(s.ID)}
@@ -82,14 +82,13 @@
 	return job, "", ""
 }
 
-// fieldChecker reads the fields of a submission one after the other and records
-// the first that is invalid. Its methods return the zero value, or one that must
-// not be used, for an invalid field.
+// fieldChecker validates the fields of a submission in order and records the first
+// invalid one. For an invalid field, the result of its methods must not be used.
 type fieldChecker struct {
 	field, reason string
 }
 
-// fail records an invalid field, unless an earlier one has been recorded.
+// fail records an invalid field unless an earlier one has been recorded.
 func (c *fieldChecker) fail(field, reason string) {
 	if c.field == "" {
 		c.field, c.reason = field, reason
@@ -101,7 +100,7 @@
 	case value == nil:
 		c.fail(field, reasonMissing)
 		return ""
-	case len(*value) == 0 || len(*value) > MaxName:
+	case len(*value) == 0 || len(*value) > MaxNameBytes:
 		c.fail(field, reasonEmptyOrTooLong)
 		return ""
 	}
@@ -120,7 +119,7 @@
 	return *value
 }
 
-// duration converts seconds to a duration, rounded to milliseconds.
+// duration converts seconds to a duration rounded to milliseconds.
 func (c *fieldChecker) duration(field string, seconds *float64) time.Duration {
 	milliseconds := math.Round(c.number(field, seconds, maxDuration.Seconds()) * 1000)
 	return time.Duration(milliseconds) * time.Millisecond
@@ -174,7 +173,7 @@
 }
 
 func (c *fieldChecker) flavors(names []string) []string {
-	if len(names) == 0 || len(names) > maxFlavors {
+	if len(names) == 0 || len(names) > maxInstanceTypes {
 		c.fail("flavors", reasonEmptyOrTooLong)
 	}
 	for i := range names {
--- a/internal/spec/submission_test.go
+++ b/internal/spec/submission_test.go
@@ -64,8 +64,8 @@
 	if !reflect.DeepEqual(got, want) || field != "" || reason != "" {
 		t.Errorf("got %+v, field %q, reason %q\nwant %+v", got, field, reason, want)
 	}
-	if !got.Sound() {
-		t.Error("a job that a submission describes is not sound")
+	if !got.Valid() {
+		t.Errorf("Valid() = false for the job of a valid submission: %+v", got)
 	}
 }
 
@@ -75,15 +75,15 @@
 	submission.Shape = pointer("array")
 	job, field, reason := submission.Job()
 	if job == nil {
-		t.Fatalf("%s: %s", field, reason)
+		t.Fatalf("submission rejected: %s: %s", field, reason)
 	}
 	if job.InstanceTypes != nil || job.Zone != "" || job.HasDeadline || job.Deadline != 0 || job.Service {
-		t.Errorf("%+v", job)
+		t.Errorf("got %+v, want no instance types, zone or deadline, and an array job", job)
 	}
 }
 
 func TestSubmissionJobNamesFirstInvalidField(t *testing.T) {
-	tooLong := strings.Repeat("x", MaxName+1)
+	tooLong := strings.Repeat("x", MaxNameBytes+1)
 	for _, test := range []struct {
 		name          string
 		edit          func(s *Submission)
@@ -147,17 +147,17 @@
 		{"memory", func(j *Job) { j.MemGB = 1e7 + 1 }},
 		{"image", func(j *Job) { j.ImageGB = math.NaN() }},
 		{"runtime", func(j *Job) { j.Runtime = -1 }},
-		{"snapshot interval", func(j *Job) { j.CheckpointInterval = 1e8*time.Second + 1 }},
-		{"snapshot", func(j *Job) { j.CheckpointTime = -1 }},
+		{"checkpoint interval", func(j *Job) { j.CheckpointInterval = 1e8*time.Second + 1 }},
+		{"checkpoint time", func(j *Job) { j.CheckpointTime = -1 }},
 		{"deadline", func(j *Job) { j.Deadline = -1 }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			job := Job{ID: "wk-1", Tasks: 1}
-			if !job.Sound() {
-				t.Fatal("the job is not sound before the edit")
+			if !job.Valid() {
+				t.Fatalf("%+v is invalid before the edit", job)
 			}
-			if test.edit(&job); job.Sound() {
-				t.Errorf("%+v is sound", job)
+			if test.edit(&job); job.Valid() {
+				t.Errorf("Valid() = true for %+v", job)
 			}
 		})
 	}
--- a/internal/tomltext/tomltext.go
+++ b/internal/tomltext/tomltext.go
@@ -1,4 +1,5 @@
-// Package tomltext decodes TOML with errors of one line, which users can be shown.
+// Package tomltext decodes TOML and returns single-line errors that are suitable for
+// users.
 package tomltext
 
 import (
@@ -10,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode decodes data into v. If strict, fields that v does not have are an error.
-// The error is one line that names the position and the field.
+// Decode decodes data into v. If strict is true, fields that v does not have are an
+// error. The error is a single line that contains the position and the field.
 func Decode(data []byte, v any, strict bool) error {
 	decoder := toml.NewDecoder(bytes.NewReader(data))
 	if strict {
@@ -31,7 +32,7 @@
 }
 
 // unknownFieldError returns the error for a field that the destination does not
-// have. At the top level it may be a section.
+// have. At the top level, the field may be a section.
 func unknownFieldError(unknown *toml.DecodeError) error {
 	row, _ := unknown.Position()
 	reason := "no such field"
--- a/internal/tomltext/tomltext_test.go
+++ b/internal/tomltext/tomltext_test.go
@@ -17,14 +17,14 @@
 		t.Fatal(err)
 	}
 	if got.Count != 3 || got.Section.Name != "x" {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want count 3 and name x", got)
 	}
 	if err := Decode([]byte("unknown = 3\n"), &got, false); err != nil {
-		t.Errorf("an unknown field: %v", err)
+		t.Errorf("unknown field, not strict: got error %v", err)
 	}
 }
 
-// TestDecodeErrors pins the texts that users see for invalid TOML.
+// TestDecodeErrors checks the errors that users get for invalid TOML.
 func TestDecodeErrors(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
