--- a/internal/calendar/occurrence.go
+++ b/internal/calendar/occurrence.go
@@ -16,11 +16,11 @@
 	Nominal time.Time
 	// Rule is the wall-clock time according to the recurrence rule, before any move
 	// because of a holiday. If several dates are moved to one day, it is the latest.
-	Rule    time.Time
-	Start   time.Time // start as an instant
-	Due     time.Time // deadline as an instant; zero means none
-	Remark  string    // why the occurrence is moved or skipped, for users
-	Skipped bool      // does not run; set by All only
+	Rule     time.Time
+	Start    time.Time // start as an instant
+	Deadline time.Time // deadline as an instant; zero means none
+	Remark   string    // why the occurrence is moved or skipped, for users
+	Skipped  bool      // does not run; set by All only
 }
 
 // plannedDate is a date of the rule, and the date on which the schedule runs. They
@@ -199,10 +199,10 @@
 		remarks = append(remarks, "clocks skip "+nominal.Format(timeOfDayFormat))
 	}
 	return Occurrence{
-		Nominal: nominal,
-		Rule:    t.latestRuleDate(date).Add(at),
-		Start:   start,
-		Due:     t.DueAfter(start),
-		Remark:  strings.Join(remarks, "; "),
+		Nominal:  nominal,
+		Rule:     t.latestRuleDate(date).Add(at),
+		Start:    start,
+		Deadline: t.DeadlineAfter(start),
+		Remark:   strings.Join(remarks, "; "),
 	}
 }
--- a/internal/calendar/occurrence_test.go
+++ b/internal/calendar/occurrence_test.go
@@ -95,15 +95,15 @@
 // describe formats the start, deadline and remark of an occurrence.
 func describe(occurrence Occurrence, zone *time.Location) string {
 	due := "-"
-	if !occurrence.Due.IsZero() {
-		due = occurrence.Due.In(zone).Format(time.RFC3339)
+	if !occurrence.Deadline.IsZero() {
+		due = occurrence.Deadline.In(zone).Format(time.RFC3339)
 	}
 	return occurrence.Start.In(zone).Format(time.RFC3339) + " " + due + " " + occurrence.Remark
 }
 
-// TestNextAsAll checks that Next returns the same occurrences as All, except for the
+// TestNextMatchesAll checks that Next returns the same occurrences as All, except for the
 // skipped ones.
-func TestNextAsAll(t *testing.T) {
+func TestNextMatchesAll(t *testing.T) {
 	set := calendars(t)
 	for _, rule := range []string{"FREQ=DAILY", "FREQ=WEEKLY;BYDAY=SA,SU,MO", "FREQ=MONTHLY;BYMONTHDAY=1,-1", "FREQ=MONTHLY;BYDAY=1MO"} {
 		for _, onHoliday := range []OnHoliday{HolidayRun, HolidaySkip, HolidayNext, HolidayPrevious} {
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestOffsetsChange checks that no occurrence runs twice if an update of the time zone
+// TestZoneOffsetChange checks that no occurrence runs twice if an update of the time zone
 // data changes the UTC offset of a zone.
-func TestOffsetsChange(t *testing.T) {
+func TestZoneOffsetChange(t *testing.T) {
 	set := calendars(t)
 	timing := mustTiming(t, set, TimingSpec{Zone: "Europe/Sofia", Rule: "FREQ=DAILY", At: []string{"03:30"}})
 	cursor := date("2027-07-01")
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestOccurs(t *testing.T) {
+func TestOccursAfter(t *testing.T) {
 	set := calendars(t)
 	from := date("2027-01-01")
 	week53InJune := TimingSpec{Zone: "UTC", Rule: "FREQ=YEARLY;BYWEEKNO=53;BYMONTH=6", At: []string{"01:00"}}
--- a/internal/calendar/rule_test.go
+++ b/internal/calendar/rule_test.go
@@ -8,9 +8,9 @@
 	"github.com/teambition/rrule-go"
 )
 
-// TestRulesAsPlain compares Rule.Next with the library's expansion from the start of
+// TestNextMatchesLibrary compares Rule.Next with the library's expansion from the start of
 // the rule, for random rules and for dates soon and long after the start.
-func TestRulesAsPlain(t *testing.T) {
+func TestNextMatchesLibrary(t *testing.T) {
 	rules := []string{
 		"FREQ=DAILY",
 		"FREQ=DAILY;BYMONTH=2,7",
--- a/internal/calendar/ruleparse.go
+++ b/internal/calendar/ruleparse.go
@@ -80,7 +80,7 @@
 	r.setImplicitDay(starts)
 	r.alignAnchor(starts)
 	if !r.from.IsZero() && !r.until.IsZero() && r.until.Before(r.from) {
-		return nil, errors.New("UNTIL or ends is before starts")
+		return nil, errors.New("UNTIL or ends is before the start of the rule")
 	}
 	if r.neverMatchesWeekday(starts) {
 		return nil, fmt.Errorf("never occurs: with INTERVAL=%d, every date has the weekday of starts, which BYDAY excludes", r.option.Interval)
--- a/internal/calendar/ruleparse_test.go
+++ b/internal/calendar/ruleparse_test.go
@@ -43,7 +43,7 @@
 		{rule: "FREQ=DAILY;COUNT=2", want: "COUNT requires starts"},
 		{rule: "FREQ=DAILY;INTERVAL=2", want: "INTERVAL above 1 requires starts"},
 		{rule: "FREQ=MONTHLY", want: "FREQ=MONTHLY without a day part (BYDAY, BYMONTHDAY…) requires starts, which determines the day"},
-		{rule: "FREQ=DAILY", starts: monday, ends: monday.Add(-Day), want: "UNTIL or ends is before starts"},
+		{rule: "FREQ=DAILY", starts: monday, ends: monday.Add(-Day), want: "UNTIL or ends is before the start of the rule"},
 		{rule: "FREQ=DAILY;INTERVAL=14;BYDAY=TU", starts: monday, want: "never occurs: with INTERVAL=14, every date has the weekday of starts, which BYDAY excludes"},
 		{rule: "FREQ=DAILY;INTERVAL=1000;COUNT=9999", starts: monday, want: "COUNT extends beyond 50 years"},
 		{rule: "FREQ=YEARLY;BYWEEKNO=53;BYMONTH=6;COUNT=1", starts: monday, want: "never occurs within 50 years"},
--- a/internal/calendar/timing.go
+++ b/internal/calendar/timing.go
@@ -159,9 +159,9 @@
 		t.onHoliday == other.onHoliday
 }
 
-// DueAfter returns the deadline of an occurrence that starts at the given instant:
+// DeadlineAfter returns the deadline of an occurrence that starts at the given instant:
 // the first due time after it, or zero if the schedule has no deadline.
-func (t *Timing) DueAfter(start time.Time) time.Time {
+func (t *Timing) DeadlineAfter(start time.Time) time.Time {
 	if t.dueAt == noDeadline {
 		return time.Time{}
 	}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -199,7 +199,7 @@
 "runtimeS":60,"snapshotEveryS":0,"snapshotS":0}}`, i, at)
 	rec := &schedule.Record{Number: uint64(i + 1), Seq: 1, File: []byte(file), Cursor: schedule.Cursor{Nominal: t0.UTC()}}
 	for range schedule.HistoryLength {
-		rec.AddOccurrence(schedule.Entry{Job: schedule.JobID(rec.Number, t0), Planned: t0, Due: t0, Made: t0, Started: t0, Ended: t0, State: schedule.StateDone})
+		rec.AddOccurrence(schedule.Entry{Job: schedule.JobID(rec.Number, t0), Planned: t0, Deadline: t0, Made: t0, Started: t0, Ended: t0, State: schedule.StateDone})
 	}
 	name := fmt.Sprintf("s%05d", i)
 	outputs := len(c.Outputs)
--- a/internal/recordcodec/compatibility_test.go
+++ b/internal/recordcodec/compatibility_test.go
@@ -93,7 +93,7 @@
 		LastJob: "wk-00000007202701310901",
 		Late:    2,
 	}
-	r.AddOccurrence(schedule.Entry{Job: "wk-1", Planned: at(3), Due: at(4), Made: at(5), Started: at(6), Ended: at(7), State: schedule.StateDone, Late: true})
+	r.AddOccurrence(schedule.Entry{Job: "wk-1", Planned: at(3), Deadline: at(4), Made: at(5), Started: at(6), Ended: at(7), State: schedule.StateDone, Late: true})
 	r.AddOccurrence(schedule.Entry{Job: "wk-2", Planned: at(8), State: schedule.StateMissed, Reason: "late, by 5;00 & more"})
 	r.AddOccurrence(schedule.Entry{Job: "wk-3", Made: at(9), State: schedule.StateMade})
 	r.AddOccurrence(schedule.Entry{Job: "wk-4", State: schedule.StateCancelled})
--- a/internal/recurring/decide.go
+++ b/internal/recurring/decide.go
@@ -52,7 +52,7 @@
 
 // previous returns what is known of the job of the previous occurrence.
 func (s *Scheduler) previous(job *recurringJob) schedule.PreviousJob {
-	before := schedule.PreviousJob{Running: s.leader.Job(job.record.LastJob) != nil}
+	before := schedule.PreviousJob{Active: s.leader.Job(job.record.LastJob) != nil}
 	if entry, ok := job.record.Entry(job.record.LastJob); ok {
 		before.Ended = entry.Ended
 	}
@@ -85,7 +85,7 @@
 		apply: func(r *schedule.Record) {
 			r.AddMissed(past, missed)
 			r.LastJob = id
-			r.AddOccurrence(schedule.Entry{Job: id, Planned: occurrence.Start, Due: occurrence.Due, Made: s.engine.TimeOfDay(), State: schedule.StateMade})
+			r.AddOccurrence(schedule.Entry{Job: id, Planned: occurrence.Start, Deadline: occurrence.Deadline, Made: s.engine.TimeOfDay(), State: schedule.StateMade})
 		},
 		job: rec,
 		done: func() {
@@ -99,7 +99,7 @@
 			}
 			live := s.leader.Job(id)
 			s.byJob[live] = job
-			s.watchDeadline(job, live, occurrence.Due)
+			s.watchDeadline(job, live, occurrence.Deadline)
 		},
 		idTaken: func() {
 			s.engine.Log(slog.LevelError, "occurrence failed, job id already in use", "schedule", job.name, "planned", occurrence.Start, "job", id)
--- a/internal/recurring/due.go
+++ b/internal/recurring/due.go
@@ -40,7 +40,7 @@
 // enqueueReady queues a schedule whose next occurrence is due: by deadline, and behind
 // them those whose deadline has passed or that have none.
 func (s *Scheduler) enqueueReady(job *recurringJob, occurrence calendar.Occurrence) {
-	at := occurrence.Due
+	at := occurrence.Deadline
 	if !at.After(s.engine.TimeOfDay()) {
 		at = occurrence.Start.Add(undatedDelay)
 	}
--- a/internal/recurring/history.go
+++ b/internal/recurring/history.go
@@ -28,7 +28,7 @@
 	now := s.engine.TimeOfDay()
 	entry := schedule.Entry{Job: live.Spec.ID, Planned: now, Made: now, State: schedule.StateMade}
 	if live.Spec.HasDeadline {
-		entry.Due = entry.Made.Add(live.Spec.Deadline)
+		entry.Deadline = entry.Made.Add(live.Spec.Deadline)
 	}
 	s.byJob[live] = job
 	job.pendingEntries = append(job.pendingEntries, entry)
@@ -43,7 +43,7 @@
 	for _, entry := range job.pendingEntries {
 		job.record.AddEntry(entry)
 		if live := s.leader.Job(entry.Job); live != nil {
-			s.watchDeadline(job, live, entry.Due)
+			s.watchDeadline(job, live, entry.Deadline)
 		} else if state, ok := s.leader.FinalState(entry.Job); ok {
 			s.finishOccurrence(job, entry.Job, state, s.engine.TimeOfDay())
 		}
@@ -74,7 +74,7 @@
 	job.record.Late++
 	s.flushHistory(job)
 	s.late++
-	s.engine.Log(slog.LevelWarn, "occurrence missed its deadline", "schedule", job.name, "planned", entry.Planned, "due", entry.Due, "job", entry.Job)
+	s.engine.Log(slog.LevelWarn, "occurrence missed its deadline", "schedule", job.name, "planned", entry.Planned, "due", entry.Deadline, "job", entry.Job)
 }
 
 // JobStarted is called when a task of a job has started.
@@ -111,7 +111,7 @@
 				entry.State = schedule.StateCancelled
 			}
 		})
-		if state != spec.Cancelled && !entry.Due.IsZero() && at.After(entry.Due) && !entry.Late {
+		if state != spec.Cancelled && !entry.Deadline.IsZero() && at.After(entry.Deadline) && !entry.Late {
 			s.noteLate(job, entry)
 		}
 		s.flushHistory(job)
--- a/internal/recurring/load.go
+++ b/internal/recurring/load.go
@@ -83,7 +83,7 @@
 		}
 		if live := s.leader.Job(entry.Job); live != nil {
 			s.byJob[live] = job
-			s.watchDeadline(job, live, entry.Due)
+			s.watchDeadline(job, live, entry.Deadline)
 		} else {
 			s.unresolved = append(s.unresolved, unresolvedOccurrence{schedule: job, jobID: entry.Job})
 		}
@@ -116,8 +116,8 @@
 
 func (s *Scheduler) resolve(occurrence unresolvedOccurrence, state spec.JobState) {
 	at := s.engine.TimeOfDay()
-	if entry, ok := occurrence.schedule.record.Entry(occurrence.jobID); ok && !entry.Due.IsZero() && !entry.Late && at.After(entry.Due) {
-		at = entry.Due // no leader saw it miss the deadline
+	if entry, ok := occurrence.schedule.record.Entry(occurrence.jobID); ok && !entry.Deadline.IsZero() && !entry.Late && at.After(entry.Deadline) {
+		at = entry.Deadline // no leader saw it miss the deadline
 	}
 	s.finishOccurrence(occurrence.schedule, occurrence.jobID, state, at)
 }
--- a/internal/recurring/requests.go
+++ b/internal/recurring/requests.go
@@ -133,7 +133,7 @@
 	jobSpec := job.definition.Template()
 	jobSpec.ID = schedule.RequestJobID(job.record.Number, call.Schedule.Request)
 	now := s.engine.TimeOfDay()
-	if due := job.definition.Timing.DueAfter(now); !due.IsZero() {
+	if due := job.definition.Timing.DeadlineAfter(now); !due.IsZero() {
 		jobSpec.Deadline, jobSpec.HasDeadline = due.Sub(now), true
 	}
 	if len(s.manualRuns) >= maxManualRuns { // refused ones that nobody has asked for again
--- a/internal/scenario/schedule_scale_test.go
+++ b/internal/scenario/schedule_scale_test.go
@@ -41,7 +41,7 @@
 		}
 		rec := &schedule.Record{Number: c.number, Seq: 1, Edition: 1, File: file, Cursor: schedule.Cursor{Nominal: begin}}
 		for d := range schedule.HistoryLength {
-			rec.AddOccurrence(schedule.Entry{Job: schedule.JobID(c.number, begin.AddDate(0, 0, d-30)), Planned: begin, Due: begin, Made: begin, Started: begin, Ended: begin, State: schedule.StateDone})
+			rec.AddOccurrence(schedule.Entry{Job: schedule.JobID(c.number, begin.AddDate(0, 0, d-30)), Planned: begin, Deadline: begin, Made: begin, Started: begin, Ended: begin, State: schedule.StateDone})
 		}
 		_, _, body := kvclient.Request(kv.Request{Op: kv.Txn, Writes: []kv.Write{{Key: "yewpass/schedule/" + name, Value: rec}}})
 		var t txn
--- a/internal/schedule/decide.go
+++ b/internal/schedule/decide.go
@@ -68,8 +68,8 @@
 
 // PreviousJob is the state of the job of the previous occurrence.
 type PreviousJob struct {
-	Running bool      // the job exists and has not ended
-	Ended   time.Time // zero if unknown or if there was no job
+	Active bool      // the job exists and has not ended
+	Ended  time.Time // zero if unknown or if there was no job
 }
 
 // Decide returns the first occurrence after the cursor and what to do about it at
@@ -82,7 +82,7 @@
 	case occurrence.Start.After(now):
 		return occurrence, NotDue, ""
 	}
-	if previous.Running {
+	if previous.Active {
 		switch d.Overlap {
 		case OverlapSkip:
 			return occurrence, MissOccurrence, "the one before was not over"
@@ -98,7 +98,7 @@
 // eligibleAt returns the time from which the delay of an occurrence is measured: its
 // start or, if it had to wait for the previous job, the end of that job.
 func (d *Definition) eligibleAt(occurrence calendar.Occurrence, previous PreviousJob) time.Time {
-	waited := d.Overlap == OverlapWait && !previous.Running && previous.Ended.After(occurrence.Start)
+	waited := d.Overlap == OverlapWait && !previous.Active && previous.Ended.After(occurrence.Start)
 	if waited {
 		return previous.Ended
 	}
--- a/internal/schedule/decide_test.go
+++ b/internal/schedule/decide_test.go
@@ -28,8 +28,8 @@
 		{"late, latest, a later one is due", OverlapSkip, CatchUpLatest, 61 * time.Minute, PreviousJob{}, MissOccurrence, "a later one"},
 		{"late, all", OverlapSkip, CatchUpAll, 61 * time.Minute, PreviousJob{}, CreateJob, ""},
 		{"too late", OverlapSkip, CatchUpAll, 121 * time.Minute, PreviousJob{}, MissOccurrence, "catch_up_within_s"},
-		{"skip, previous job running", OverlapSkip, CatchUpAll, 0, PreviousJob{Running: true}, MissOccurrence, "not over"},
-		{"wait, previous job running", OverlapWait, CatchUpNone, 0, PreviousJob{Running: true}, AwaitPrevious, ""},
+		{"skip, previous job active", OverlapSkip, CatchUpAll, 0, PreviousJob{Active: true}, MissOccurrence, "not over"},
+		{"wait, previous job active", OverlapWait, CatchUpNone, 0, PreviousJob{Active: true}, AwaitPrevious, ""},
 		{"has waited for the previous job", OverlapWait, CatchUpNone, 50 * time.Minute, PreviousJob{Ended: due.Add(49*time.Minute + 30*time.Second)}, CreateJob, ""},
 		{"has waited, late without a leader", OverlapWait, CatchUpNone, 50 * time.Minute, PreviousJob{Ended: due.Add(40 * time.Minute)}, MissOccurrence, "in time"},
 	} {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestVerdictString(t *testing.T) {
+func TestDecisionString(t *testing.T) {
 	for decision, want := range map[Decision]string{NoOccurrence: "never", NotDue: "later", CreateJob: "make", MissOccurrence: "miss", AwaitPrevious: "hold", AwaitPrevious + 1: "Decision(5)", -1: "Decision(-1)"} {
 		if got := decision.String(); got != want {
 			t.Errorf("got %s, want %s", got, want)
--- a/internal/schedule/definition.go
+++ b/internal/schedule/definition.go
@@ -161,8 +161,8 @@
 func (d *Definition) Job(number uint64, occurrence calendar.Occurrence) spec.Job {
 	job := d.job
 	job.ID = JobID(number, occurrence.Nominal)
-	if !occurrence.Due.IsZero() {
-		job.Deadline = occurrence.Due.Sub(occurrence.Start)
+	if !occurrence.Deadline.IsZero() {
+		job.Deadline = occurrence.Deadline.Sub(occurrence.Start)
 		job.HasDeadline = true
 	}
 	return job
--- a/internal/schedule/edit_test.go
+++ b/internal/schedule/edit_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestEdited checks that an edit neither repeats an occurrence nor drops a due one
-// that is also part of the new definition.
-func TestEdited(t *testing.T) {
+// TestCursorAfterEdit checks that an edit neither repeats an occurrence nor drops a
+// due one that is also part of the new definition.
+func TestCursorAfterEdit(t *testing.T) {
 	old := mustCompile(t)
 	now := at("2027-02-02T01:30:20Z") // 03:30:20 local time: 03:30 is due, and its job is not created yet
 	cursor := at("2027-02-01T04:30:00Z")
@@ -38,9 +38,10 @@
 	}
 }
 
-// TestMovedOnce checks that an occurrence that was moved ahead of a holiday does not
-// run again on its original date after an edit or a change of the calendar.
-func TestMovedOnce(t *testing.T) {
+// TestMovedOccurrenceRunsOnce checks that an occurrence that was moved ahead of a
+// holiday does not run again on its original date after an edit or a change of the
+// calendar.
+func TestMovedOccurrenceRunsOnce(t *testing.T) {
 	previous := mustCompile(t, `"FREQ=DAILY"`, `"FREQ=WEEKLY;BYDAY=FR,SU"`, `"run"`, `"previous"`, `"03:30", "04:30"`, `"03:30"`)
 	cursor := previous.CursorAt(at("2027-02-04T10:00:00Z")) // a Thursday
 	moved, _ := previous.Next(cursor)
@@ -60,9 +61,9 @@
 	}
 }
 
-// TestFrom checks that a new schedule runs no past occurrence, also if it is created
+// TestCursorAt checks that a new schedule runs no past occurrence, also if it is created
 // during the second pass of an hour that is repeated because clocks are set back.
-func TestFrom(t *testing.T) {
+func TestCursorAt(t *testing.T) {
 	def := mustCompile(t)
 	for now, want := range map[string]string{
 		"2027-10-31T00:29:00Z": "2027-10-31T00:30:00Z",
@@ -76,7 +77,7 @@
 	}
 }
 
-func TestResumed(t *testing.T) {
+func TestCursorAfterPause(t *testing.T) {
 	def := mustCompile(t)
 	start := Cursor{Nominal: at("2027-02-01T04:30:00Z")}
 	for _, test := range []struct {
--- a/internal/schedule/file_test.go
+++ b/internal/schedule/file_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestFormsAgree checks that a schedule read from TOML is unchanged by encoding it to
+// TestJSONRoundTrip checks that a schedule read from TOML is unchanged by encoding it to
 // JSON and decoding it.
-func TestFormsAgree(t *testing.T) {
+func TestJSONRoundTrip(t *testing.T) {
 	file, err := ParseTOML([]byte(validFile))
 	if err != nil {
 		t.Fatal(err)
@@ -193,7 +193,7 @@
 			if !ok {
 				return
 			}
-			if !occurrence.Nominal.After(cursor) || occurrence.Start.Before(start) || !occurrence.Due.IsZero() && !occurrence.Due.After(occurrence.Start) {
+			if !occurrence.Nominal.After(cursor) || occurrence.Start.Before(start) || !occurrence.Deadline.IsZero() && !occurrence.Deadline.After(occurrence.Start) {
 				t.Fatalf("Next(%s) = %+v, want a later occurrence that starts before its deadline", cursor, occurrence)
 			}
 			cursor, start = occurrence.Nominal, occurrence.Start
--- a/internal/schedule/helpers_test.go
+++ b/internal/schedule/helpers_test.go
@@ -8,7 +8,7 @@
 	"yewpass/internal/calendar"
 )
 
-// validFile is a valid schedule with all optional fields except ends.
+// validFile is a valid schedule with every top-level field except ends.
 const validFile = `
 name = "tariff-recalculation"
 zone = "Europe/Sofia"
--- a/internal/schedule/history.go
+++ b/internal/schedule/history.go
@@ -30,7 +30,7 @@
 
 // entryTimes returns the times of an entry in the order of their encoding.
 func entryTimes(entry *Entry) [5]*time.Time {
-	return [...]*time.Time{&entry.Planned, &entry.Due, &entry.Made, &entry.Started, &entry.Ended}
+	return [...]*time.Time{&entry.Planned, &entry.Deadline, &entry.Made, &entry.Started, &entry.Ended}
 }
 
 // setEntries encodes entries, oldest first, as the history of r.
--- a/internal/schedule/history_test.go
+++ b/internal/schedule/history_test.go
@@ -30,12 +30,12 @@
 		record.AddOccurrence(Entry{Job: JobID(7, planned), Planned: planned, State: StateMade})
 	}
 	last := Entry{
-		Job:     "wk-1",
-		Planned: at("2027-01-01T00:00:00.123Z"),
-		Due:     at("1960-01-01T00:00:00Z"),
-		State:   StateMissed,
-		Late:    true,
-		Reason:  "a, b; \"c\" % \n ü" + strings.Repeat("x", 200),
+		Job:      "wk-1",
+		Planned:  at("2027-01-01T00:00:00.123Z"),
+		Deadline: at("1960-01-01T00:00:00Z"),
+		State:    StateMissed,
+		Late:     true,
+		Reason:   "a, b; \"c\" % \n ü" + strings.Repeat("x", 200),
 	}
 	record.AddOccurrence(last)
 	entries, ok := record.Entries()
--- a/internal/schedule/jobid_test.go
+++ b/internal/schedule/jobid_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestUnknownID(t *testing.T) {
+func TestPlaceholderJobID(t *testing.T) {
 	if got, want := PlaceholderJobID(at("2027-03-28T03:30:00Z")), "wk-????????202703280330"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
--- a/internal/schedule/record.go
+++ b/internal/schedule/record.go
@@ -27,15 +27,15 @@
 // Entry is a job or a missed occurrence in the history of a record. Unknown times
 // are zero.
 type Entry struct {
-	Job     string
-	Planned time.Time // scheduled start
-	Due     time.Time // deadline
-	Made    time.Time // when the job was created
-	Started time.Time // when the first task started
-	Ended   time.Time
-	State   string // one of the State constants
-	Late    bool   // the deadline passed before the job ended
-	Reason  string // why the occurrence was missed
+	Job      string
+	Planned  time.Time // scheduled start
+	Deadline time.Time
+	Made     time.Time // when the job was created
+	Started  time.Time // when the first task started
+	Ended    time.Time
+	State    string // one of the State constants
+	Late     bool   // the deadline passed before the job ended
+	Reason   string // why the occurrence was missed
 }
 
 // The states of an Entry. They are stored.
@@ -90,11 +90,11 @@
 func (r *Record) AddMissed(cursor Cursor, passed []MissedOccurrence) {
 	for _, occurrence := range passed {
 		r.AddOccurrence(Entry{
-			Job:     JobID(r.Number, occurrence.Nominal),
-			Planned: occurrence.Start,
-			Due:     occurrence.Due,
-			State:   occurrence.State,
-			Reason:  occurrence.Reason,
+			Job:      JobID(r.Number, occurrence.Nominal),
+			Planned:  occurrence.Start,
+			Deadline: occurrence.Deadline,
+			State:    occurrence.State,
+			Reason:   occurrence.Reason,
 		})
 	}
 	r.Cursor = cursor
--- a/internal/schedule/record_test.go
+++ b/internal/schedule/record_test.go
@@ -6,9 +6,9 @@
 	"yewpass/internal/calendar"
 )
 
-// TestFollow checks that a modified clone receives updates that the original record
+// TestMergeUpdates checks that a modified clone receives updates that the original record
 // got while the clone was being written.
-func TestFollow(t *testing.T) {
+func TestMergeUpdates(t *testing.T) {
 	changed := &Record{Number: 7}
 	changed.AddOccurrence(Entry{Job: "wk-1", State: StateMade})
 	stored := changed.Clone()
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestPass(t *testing.T) {
+func TestAddMissed(t *testing.T) {
 	record := &Record{Number: 7}
 	nominal := at("2027-02-02T03:30:00Z")
 	occurrence := calendar.Occurrence{Nominal: nominal, Start: at("2027-02-02T01:30:00Z")}
--- a/internal/schedule/view.go
+++ b/internal/schedule/view.go
@@ -88,7 +88,7 @@
 	return &Upcoming{
 		ID:     JobID(number, occurrence.Nominal),
 		Start:  occurrence.Start.In(zone),
-		Due:    timeOrNull(occurrence.Due, zone),
+		Due:    timeOrNull(occurrence.Deadline, zone),
 		Remark: occurrence.Remark,
 	}
 }
@@ -102,7 +102,7 @@
 		history.History = append(history.History, HistoryEntry{
 			ID:      entry.Job,
 			Planned: timeOrNull(entry.Planned, zone),
-			Due:     timeOrNull(entry.Due, zone),
+			Due:     timeOrNull(entry.Deadline, zone),
 			Made:    timeOrNull(entry.Made, zone),
 			Started: timeOrNull(entry.Started, zone),
 			Done:    timeOrNull(entry.Ended, zone),
--- a/internal/schedule/view_test.go
+++ b/internal/schedule/view_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestViews checks the JSON form of an occurrence and of a history.
-func TestViews(t *testing.T) {
+// TestJSONViews checks the JSON form of an occurrence and of a history.
+func TestJSONViews(t *testing.T) {
 	def := mustCompile(t)
 	occurrence, _ := def.Timing.Next(at("2027-02-02T03:00:00Z"))
 	record := &Record{Number: 7}
--- a/internal/spec/job.go
+++ b/internal/spec/job.go
@@ -43,7 +43,7 @@
 	InstanceTypes      []string // machine types that may run the job; nil means any
 	Zone               string   // zone that must run the job; empty means any
 	SamePlace          bool     // affinity: all tasks must run in one place, see topology.SamePlace
-	Apart              bool     // anti-affinity: no place may run more than half of the tasks, see topology.Apart
+	Apart              bool     // anti-affinity: at most half of the tasks per place, see topology.Apart
 	AllowSpot          bool     // tasks may run on spot instances, which the cloud can reclaim
 	Runtime            time.Duration
 	CheckpointInterval time.Duration
--- a/internal/spec/submission_test.go
+++ b/internal/spec/submission_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestJobSound(t *testing.T) {
+func TestJobValid(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		edit func(j *Job)
