--- a/cmd/yewpass/preview.go
+++ b/cmd/yewpass/preview.go
@@ -74,7 +74,7 @@
 	if p.count < 1 {
 		return nil, errors.New("--count: must be at least 1")
 	}
-	if !def.Timing.Occurs(calendar.Wall(at, def.Timing.Zone())) {
+	if !def.Timing.OccursAfter(calendar.WallClock(at, def.Timing.Zone())) {
 		return nil, fmt.Errorf("%s: rule: never occurs from %s on", path, at.Format(time.RFC3339))
 	}
 	if p.all {
@@ -96,15 +96,15 @@
 }
 
 // scheduledOccurrences returns the next occurrences that would run.
-func (p *previewOptions) scheduledOccurrences(def *schedule.Def, at time.Time) (lines []previewLine) {
-	cursor := def.From(at.Add(-time.Nanosecond))
+func (p *previewOptions) scheduledOccurrences(def *schedule.Definition, at time.Time) (lines []previewLine) {
+	cursor := def.CursorAt(at.Add(-time.Nanosecond))
 	for range p.count {
 		o, ok := def.Next(cursor)
 		if !ok {
 			break
 		}
 		lines = append(lines, newPreviewLine(def, o))
-		cursor = cursor.Past(o)
+		cursor = cursor.AdvanceTo(o)
 	}
 	return lines
 }
@@ -113,8 +113,8 @@
 const maxMoveDays = 31
 
 // allOccurrences returns the next occurrences that would run and the skipped ones between them.
-func (p *previewOptions) allOccurrences(def *schedule.Def, at time.Time) (lines []previewLine) {
-	first := calendar.DateOf(calendar.Wall(at, def.Timing.Zone())).AddDate(0, 0, -maxMoveDays)
+func (p *previewOptions) allOccurrences(def *schedule.Definition, at time.Time) (lines []previewLine) {
+	first := calendar.DateOf(calendar.WallClock(at, def.Timing.Zone())).AddDate(0, 0, -maxMoveDays)
 	running := 0
 	for o := range def.Timing.All(first) {
 		if o.Start.Before(at) {
@@ -133,8 +133,8 @@
 
 // newPreviewLine returns the line of an occurrence. The part of the job id that the server assigns
 // is unknown.
-func newPreviewLine(def *schedule.Def, o calendar.Occurrence) previewLine {
-	u := *def.Tell(0, o)
-	u.ID = schedule.UnknownID(o.Nominal)
+func newPreviewLine(def *schedule.Definition, o calendar.Occurrence) previewLine {
+	u := *def.Upcoming(0, o)
+	u.ID = schedule.PlaceholderJobID(o.Nominal)
 	return previewLine{u, o.Skipped}
 }
--- a/internal/admission/unschedulable.go
+++ b/internal/admission/unschedulable.go
@@ -44,7 +44,7 @@
 	if job.Service {
 		atOnce = job.Tasks
 	}
-	need := job.Need()
+	need := job.TaskResources()
 	if team.FitsLimit(need, atOnce) {
 		return nil
 	}
@@ -58,7 +58,7 @@
 // checkInstanceTypes checks that a task of the job fits on some instance type. If none fits,
 // the refusal names the field that rules out the last of the allowed types in the job's zone.
 func checkInstanceTypes(job *spec.Job, types []provider.InstanceType) *Refusal {
-	need, field := job.Need(), "flavors"
+	need, field := job.TaskResources(), "flavors"
 	for i := range types {
 		t := &types[i]
 		switch {
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -74,7 +74,7 @@
 // addJob adds a job with the given number of waiting one-CPU tasks and no eligible machine.
 func (l *fakeLeader) addJob(tasks int, runtime time.Duration, s spec.Job) *fleet.Job {
 	s.Tasks, s.CPUs, s.Runtime = tasks, 1, runtime
-	j := &fleet.Job{Spec: s, Need: s.Need(), Team: &quota.Account{}}
+	j := &fleet.Job{Spec: s, Need: s.TaskResources(), Team: &quota.Account{}}
 	j.Waiting = tasks
 	j.Reservations = []*fleet.Reservation{{Job: j}}
 	l.queue = append(l.queue, j)
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -71,7 +71,7 @@
 	now := m.engine.Now
 	j := &fleet.Job{
 		Spec:             s,
-		Need:             s.Need(),
+		Need:             s.TaskResources(),
 		Record:           rec,
 		FromEarlierTerm:  fromEarlierTerm,
 		Submitted:        now.Add(rec.Submitted.Sub(now.Round(0))),
--- a/internal/placement/estimates.go
+++ b/internal/placement/estimates.go
@@ -76,7 +76,7 @@
 // EarliestFinish returns how soon a task of a job that has not been accepted yet could finish on
 // the current machines, or the longest duration if it fits on none of them.
 func (s *Scheduler) EarliestFinish(job *spec.Job) time.Duration {
-	j := &fleet.Job{Spec: *job, Need: job.Need()}
+	j := &fleet.Job{Spec: *job, Need: job.TaskResources()}
 	run := s.PaddedSpecEstimate(job)
 	best := time.Duration(1<<63 - 1)
 	for _, m := range s.leader.Machines() {
--- a/internal/recurring/history.go
+++ b/internal/recurring/history.go
@@ -28,7 +28,7 @@
 	now := s.engine.TimeOfDay()
 	entry := schedule.Entry{Job: live.Spec.ID, Planned: now, Made: now, State: schedule.StateMade}
 	if live.Spec.HasDeadline {
-		entry.Due = entry.Made.Add(live.Spec.Deadline)
+		entry.Deadline = entry.Made.Add(live.Spec.Deadline)
 	}
 	s.byJob[live] = job
 	job.pendingEntries = append(job.pendingEntries, entry)
@@ -41,9 +41,9 @@
 // would have replaced it.
 func (s *Scheduler) applyPendingEntries(job *recurringJob) {
 	for _, entry := range job.pendingEntries {
-		job.record.Note(entry)
+		job.record.AddEntry(entry)
 		if live := s.leader.Job(entry.Job); live != nil {
-			s.watchDeadline(job, live, entry.Due)
+			s.watchDeadline(job, live, entry.Deadline)
 		} else if state, ok := s.leader.FinalState(entry.Job); ok {
 			s.finishOccurrence(job, entry.Job, state, s.engine.TimeOfDay())
 		}
@@ -70,11 +70,11 @@
 
 // noteLate notes that an occurrence has missed its deadline.
 func (s *Scheduler) noteLate(job *recurringJob, entry schedule.Entry) {
-	job.record.Update(entry.Job, func(entry *schedule.Entry) { entry.Late = true })
+	job.record.UpdateEntry(entry.Job, func(entry *schedule.Entry) { entry.Late = true })
 	job.record.Late++
 	s.flushHistory(job)
 	s.late++
-	s.engine.Log(slog.LevelWarn, "occurrence missed its deadline", "schedule", job.name, "planned", entry.Planned, "due", entry.Due, "job", entry.Job)
+	s.engine.Log(slog.LevelWarn, "occurrence missed its deadline", "schedule", job.name, "planned", entry.Planned, "due", entry.Deadline, "job", entry.Job)
 }
 
 // JobStarted is called when a task of a job has started.
@@ -85,7 +85,7 @@
 	}
 	live.StartRecorded = true
 	if entry, ok := job.record.Entry(live.Spec.ID); ok && entry.Started.IsZero() {
-		job.record.Update(live.Spec.ID, func(entry *schedule.Entry) { entry.Started = s.engine.TimeOfDay() })
+		job.record.UpdateEntry(live.Spec.ID, func(entry *schedule.Entry) { entry.Started = s.engine.TimeOfDay() })
 		s.flushHistory(job)
 	}
 }
@@ -105,13 +105,13 @@
 		return
 	}
 	if entry, ok := job.record.Entry(id); ok && entry.State == schedule.StateMade {
-		job.record.Update(id, func(entry *schedule.Entry) {
+		job.record.UpdateEntry(id, func(entry *schedule.Entry) {
 			entry.Ended, entry.State = at, schedule.StateDone
 			if state == spec.Cancelled {
 				entry.State = schedule.StateCancelled
 			}
 		})
-		if state != spec.Cancelled && !entry.Due.IsZero() && at.After(entry.Due) && !entry.Late {
+		if state != spec.Cancelled && !entry.Deadline.IsZero() && at.After(entry.Deadline) && !entry.Late {
 			s.noteLate(job, entry)
 		}
 		s.flushHistory(job)
