--- a/cmd/yewpass/cluster.go
+++ b/cmd/yewpass/cluster.go
@@ -51,9 +51,9 @@
 		fmt.Fprintf(out, "no leader is known to %s\n", v.Node)
 	} else {
 		fmt.Fprintf(out, "leader %s, term %d", v.Leader, v.Term)
-		if v.LeadsSeconds > 0 {
+		if v.LeadingSeconds > 0 {
 			fmt.Fprintf(out, ", for %s, authority %v, take-over complete %v, %d machines of at most %d, %d unaccounted",
-				(time.Duration(v.LeadsSeconds * float64(time.Second))).Round(time.Second), v.Authority, v.FailoverComplete, v.Machines, v.MaxMachines, v.Unaccounted)
+				(time.Duration(v.LeadingSeconds * float64(time.Second))).Round(time.Second), v.Authority, v.FailoverComplete, v.Machines, v.MaxMachines, v.Unaccounted)
 		}
 		fmt.Fprintf(out, ", told by %s\n", v.Node)
 	}
@@ -71,14 +71,14 @@
 	}
 	for _, r := range v.Regions {
 		since := time.Duration(r.StateSeconds * float64(time.Second)).Round(time.Second)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d of %d\t%d\t%d\n", r.Name, r.State, since, r.ZonesAway, r.Zones, r.Heard, r.Silent)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d of %d\t%d\t%d\n", r.Name, r.State, since, r.ZonesUnreachable, r.Zones, r.Reporting, r.Silent)
 	}
 	if len(v.Zones) > 0 {
 		fmt.Fprintln(w, "\nZONE\tSTATE\tFOR\tHEARD\tSILENT\tTASKS AWAITING PROOF")
 	}
 	for _, z := range v.Zones {
 		since := time.Duration(z.StateSeconds * float64(time.Second)).Round(time.Second)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\n", z.Name, z.State, since, z.Heard, z.Silent, z.UnconfirmedTasks)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\n", z.Name, z.State, since, z.Reporting, z.Silent, z.UnconfirmedTasks)
 	}
 	w.Flush()
 	if r := v.Records; r != nil {
--- a/internal/admission/admitter.go
+++ b/internal/admission/admitter.go
@@ -157,12 +157,12 @@
 	rec := &record.Job{Spec: *job, Submitted: a.engine.Now.Round(0)}
 	a.Writes.Add(&writebatch.Change{
 		Size:       record.JobSize(job),
-		Conditions: record.NoJob(job.ID),
+		Conditions: record.JobAbsent(job.ID),
 		Writes:     []kv.Write{{Key: record.JobPrefix + job.ID, Value: rec}},
 		OnCommit: func(uint64) {
 			delete(a.pending, job.ID)
 			j := a.AddCommitted(rec)
-			a.answerWaiters(s, request.Response{Status: 201, View: j.View()})
+			a.answerWaiters(s, request.Response{Status: 201, Job: j.View()})
 		},
 		OnConflict: func() { a.resolveConflict(s) },
 		OnReject: func() {
@@ -197,12 +197,12 @@
 			retry()
 		case status.State.Final():
 			delete(a.pending, id)
-			a.answerWaiters(s, request.Response{Status: 200, View: *status})
+			a.answerWaiters(s, request.Response{Status: 200, Job: *status})
 		default:
 			a.adopt(id, func() {
 				delete(a.pending, id)
 				if j := a.Lifecycle.Jobs[id]; j != nil {
-					a.answerWaiters(s, request.Response{Status: 200, View: j.View()})
+					a.answerWaiters(s, request.Response{Status: 200, Job: j.View()})
 				}
 			}, retry)
 		}
--- a/internal/admission/admitter_test.go
+++ b/internal/admission/admitter_test.go
@@ -180,7 +180,7 @@
 func TestSubmission(t *testing.T) {
 	l := newLeader(t, "false")
 	call := l.submit()
-	for _, want := range record.NoJob("wk-1") {
+	for _, want := range record.JobAbsent("wk-1") {
 		if !slices.Contains(call.Conditions, want) {
 			t.Errorf("no condition %+v", want)
 		}
--- a/internal/admission/records.go
+++ b/internal/admission/records.go
@@ -30,7 +30,7 @@
 		case status == nil && a.leader.MayHaveLostJobs():
 			a.answer(r, request.Unavailable("data was lost, and what there is is being looked for"))
 		case status == nil:
-			a.leader.ConfirmTerm(record.NoJob(r.ID), func(reply kv.Response) {
+			a.leader.ConfirmTerm(record.JobAbsent(r.ID), func(reply kv.Response) {
 				if reply.Outcome == rpc.OK && a.leader.CanAct() {
 					missing()
 				} else {
@@ -38,7 +38,7 @@
 				}
 			})
 		case status.State.Final():
-			a.answer(r, request.Response{Status: 200, View: *status})
+			a.answer(r, request.Response{Status: 200, Job: *status})
 		default:
 			a.adopt(r.ID, func() { a.leader.Serve(r) }, no)
 		}
@@ -59,7 +59,7 @@
 			j := a.Lifecycle.Add(rec, false)
 			a.Lifecycle.Queue(j)
 			if s != nil { // accepted by another controller meanwhile: nobody else tells them
-				a.answerWaiters(s, request.Response{Status: 200, View: j.View()})
+				a.answerWaiters(s, request.Response{Status: 200, Job: j.View()})
 			}
 		}
 		if a.Lifecycle.Jobs[id] == nil {
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -60,7 +60,7 @@
 	s.schedules(r)
 	s.configuration(r)
 	r.GET("/v2/cluster", s.cluster(request.Cluster))
-	r.POST("/v2/cluster/hand-over", s.cluster(request.HandOver))
+	r.POST("/v2/cluster/hand-over", s.cluster(request.TransferLeadership))
 	r.POST("/hello", s.handleHeartbeat)
 	r.GET("/ready", s.isReady)
 	r.GET("/metrics", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -177,14 +177,14 @@
 		if a.ETag != "" {
 			w.Header().Set("ETag", a.ETag)
 		}
-		if a.Doc != nil {
-			writeJSON(w, a.Status, a.Doc)
+		if a.Document != nil {
+			writeJSON(w, a.Status, a.Document)
 			return
 		}
 		if call.Schedule != nil {
-			call.ID = a.View.ID // the job that a request to run has made
+			call.ID = a.Job.ID // the job that a request to run has made
 		}
-		writeJSON(w, a.Status, jobJSON{call.ID, a.View.State, a.View.Done, a.View.Running, a.Reason})
+		writeJSON(w, a.Status, jobJSON{call.ID, a.Job.State, a.Job.Done, a.Job.Running, a.Reason})
 	case <-t.C:
 		s.inbox <- Abandoned{reply}
 		writeError(w, http.StatusServiceUnavailable, "", "the service is behind", time.Second)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -60,7 +60,7 @@
 	var got *spec.Job
 	url := serve(t, func(in any) any {
 		got = in.(request.Request).Spec
-		return request.Response{Status: 201, View: request.JobStatus{State: spec.Queued}}
+		return request.Response{Status: 201, Job: request.JobStatus{State: spec.Queued}}
 	})
 	status, v, _ := post(t, url+"/v2/runs", good)
 	if status != 201 || v["id"] != "wk-000412" || v["status"] != "queued" {
@@ -114,7 +114,7 @@
 		if in.(request.Request).Op == request.Cancel {
 			return request.Response{Status: 429, RetryAfter: 1500 * time.Millisecond, Reason: "later"}
 		}
-		return request.Response{Status: 200, View: request.JobStatus{State: spec.Running, Done: 3, Running: 13}}
+		return request.Response{Status: 200, Job: request.JobStatus{State: spec.Running, Done: 3, Running: 13}}
 	})
 	get := func(method, path string) int {
 		req, _ := http.NewRequest(method, url+path, nil)
@@ -149,8 +149,8 @@
 			return heartbeat.Reply{Status: 421, Upstream: "n2"}
 		}
 		return heartbeat.Reply{Status: 200, FencingToken: 41, Orders: []heartbeat.Order{
-			{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-1", Index: 4}, Try: 2},
-			{Verb: heartbeat.Stop, Task: heartbeat.TaskID{Job: "wk-2", Index: 1}, Try: 1, Drain: 10 * time.Second}}}
+			{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-1", Index: 4}, Attempt: 2},
+			{Verb: heartbeat.Stop, Task: heartbeat.TaskID{Job: "wk-2", Index: 1}, Attempt: 1, Drain: 10 * time.Second}}}
 	})
 	body := `{"host":"host-000231","address":"10.1.0.232:9000","flavor":"g8","hall":"a","reclaimable":true,"tenure":1,"counter":88,
 "epoch":41,"warningS":null,"shards":[{"shard":"wk-000412/3","try":2,"status":"running"},{"shard":"wk-000398/0","try":1,"status":"exited","cause":"done"}]}`
@@ -162,7 +162,7 @@
 	if stop := orders[1].(map[string]any); stop["drainS"] != 10.0 || stop["shard"] != "wk-2/1" {
 		t.Error(stop)
 	}
-	if len(got.Tasks) != 2 || got.Tasks[0].Task != (heartbeat.TaskID{Job: "wk-000412", Index: 3}) || got.HasNotice || got.Counter != 88 {
+	if len(got.Tasks) != 2 || got.Tasks[0].ID != (heartbeat.TaskID{Job: "wk-000412", Index: 3}) || got.HasNotice || got.Counter != 88 {
 		t.Errorf("%+v", got)
 	}
 	if status, v, _ := post(t, url+"/hello", strings.Replace(body, "host-000231", "elsewhere", 1)); status != 421 || v["upstream"] != "n2" {
@@ -186,9 +186,9 @@
 		c := in.(request.Request)
 		got, op = c.Schedule, c.Op
 		if op == request.ScheduleRun {
-			return request.Response{Status: 201, View: request.JobStatus{ID: "wk-9", State: spec.Queued}}
+			return request.Response{Status: 201, Job: request.JobStatus{ID: "wk-9", State: spec.Queued}}
 		}
-		return request.Response{Status: 200, ETag: `"1-2"`, Doc: schedule.Coming{}}
+		return request.Response{Status: 200, ETag: `"1-2"`, Document: schedule.Coming{}}
 	})
 	file := `{"name":"n","zone":"UTC","rule":"FREQ=DAILY","at":["01:00"],"job":{}}`
 	for _, c := range []struct {
@@ -224,7 +224,7 @@
 		}
 		switch {
 		case got == nil:
-		case c.head == "If-None-Match: *" && got.IfMatch != request.NewOnly, strings.HasPrefix(c.head, "If-Match") && got.IfMatch != `"1-1"`:
+		case c.head == "If-None-Match: *" && got.IfMatch != request.IfAbsent, strings.HasPrefix(c.head, "If-Match") && got.IfMatch != `"1-1"`:
 			t.Errorf("%s %s %s: %+v", c.method, c.path, c.head, got)
 		case op == request.SchedulePut && got.File.Name != "n", op == request.ScheduleUpcoming && got.Count != 3, op == request.ScheduleRun && !strings.Contains(string(data), "wk-9"):
 			t.Errorf("%s %s: %+v %s", c.method, c.path, got, data)
--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -67,10 +67,10 @@
 // exchanges are those of the golden file, by name.
 func exchanges() map[string]exchange {
 	scheduled := func(op request.Operation, call request.ScheduleParams, doc any) exchange {
-		return exchange{request.Request{Op: op, Schedule: &call}, request.Response{Status: 200, Doc: doc}}
+		return exchange{request.Request{Op: op, Schedule: &call}, request.Response{Status: 200, Document: doc}}
 	}
 	configured := func(op request.Operation, call request.ConfigParams, doc any) exchange {
-		return exchange{request.Request{Op: op, Config: &call}, request.Response{Status: 200, Doc: doc}}
+		return exchange{request.Request{Op: op, Config: &call}, request.Response{Status: 200, Document: doc}}
 	}
 	nightly := request.ScheduleParams{Name: "nightly"}
 	based := request.ScheduleParams{Name: "nightly", IfMatch: `"7-4"`}
@@ -79,11 +79,11 @@
 	all := map[string]exchange{
 		"submit": {
 			request.Request{Op: request.Submit, ID: "wk-000412", Spec: wholeSpec()},
-			request.Response{Status: 201, View: request.JobStatus{State: spec.Queued}},
+			request.Response{Status: 201, Job: request.JobStatus{State: spec.Queued}},
 		},
 		"get job": {
 			request.Request{Op: request.Get, ID: "wk-7"},
-			request.Response{Status: 200, View: request.JobStatus{State: spec.Running, Done: 3, Running: 13}, Reason: "room on g8"},
+			request.Response{Status: 200, Job: request.JobStatus{State: spec.Running, Done: 3, Running: 13}, Reason: "room on g8"},
 		},
 		"cancel job": {
 			request.Request{Op: request.Cancel, ID: "wk-7"},
@@ -91,11 +91,11 @@
 		},
 		"cluster": {
 			request.Request{Op: request.Cluster},
-			request.Response{Status: 200, Doc: wholeCluster()},
+			request.Response{Status: 200, Document: wholeCluster()},
 		},
 		"hand over": {
-			request.Request{Op: request.HandOver},
-			request.Response{Status: 200, Doc: &view.Cluster{Node: "n2"}},
+			request.Request{Op: request.TransferLeadership},
+			request.Response{Status: 200, Document: &view.Cluster{Node: "n2"}},
 		},
 		"schedule: put":      scheduled(request.SchedulePut, put, wholeScheduleView()),
 		"schedule: get":      scheduled(request.ScheduleGet, nightly, schedule.View{Schedule: json.RawMessage(`{"name":"nightly"}`)}),
@@ -106,11 +106,11 @@
 		"schedule: upcoming": scheduled(request.ScheduleUpcoming, request.ScheduleParams{Name: "nightly", Count: 3}, schedule.Coming{Upcoming: []schedule.Upcoming{wholeUpcoming()}}),
 		"schedule: history":  scheduled(request.ScheduleHistory, nightly, wholeHistory()),
 		"schedule: run": {
-			request.Request{Op: request.ScheduleRun, Schedule: &request.ScheduleParams{Name: "nightly", Request: "r-1"}},
-			request.Response{Status: 201, View: request.JobStatus{ID: "wk-9", State: spec.Queued}},
+			request.Request{Op: request.ScheduleRun, Schedule: &request.ScheduleParams{Name: "nightly", IdempotencyKey: "r-1"}},
+			request.Response{Status: 201, Job: request.JobStatus{ID: "wk-9", State: spec.Queued}},
 		},
 		"configuration: status": configured(request.ConfigStatus, request.ConfigParams{}, wholeConfigStatus()),
-		"configuration: here":   configured(request.ConfigHere, request.ConfigParams{}, view.LocalConfig{Revision: 12, AgeSeconds: 0.5}),
+		"configuration: here":   configured(request.ConfigLocal, request.ConfigParams{}, view.LocalConfig{Revision: 12, AgeSeconds: 0.5}),
 		"configuration: change": configured(request.ConfigSet, wholeChange(), view.ConfigChanged{Revision: 13}),
 		"configuration: teams":  configured(request.ConfigList, request.ConfigParams{After: "tools", Count: 5}, wholeTeamPage()),
 		"configuration: team":   configured(request.ConfigGet, request.ConfigParams{Name: "vision"}, wholeTeamView()),
@@ -120,9 +120,9 @@
 		"worker: report": {
 			heartbeat.Received{Report: wholeReport()},
 			heartbeat.Reply{Status: 200, FencingToken: 41, Orders: []heartbeat.Order{
-				{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-7", Index: 3}, Try: 18_000_000_000_000_000_001},
-				{Verb: heartbeat.Stop, Task: heartbeat.TaskID{Job: "wk-8"}, Try: 1, Drain: 10500 * time.Millisecond},
-				{Verb: heartbeat.Reap, Task: heartbeat.TaskID{Job: "wk-9"}, Try: 2},
+				{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-7", Index: 3}, Attempt: 18_000_000_000_000_000_001},
+				{Verb: heartbeat.Stop, Task: heartbeat.TaskID{Job: "wk-8"}, Attempt: 1, Drain: 10500 * time.Millisecond},
+				{Verb: heartbeat.Reap, Task: heartbeat.TaskID{Job: "wk-9"}, Attempt: 2},
 			}},
 		},
 		"worker: nothing to do": {heartbeat.Received{Report: leastReport()}, heartbeat.Reply{Status: 200, FencingToken: 41}},
@@ -133,7 +133,7 @@
 		"worker: no leader": {heartbeat.Received{Report: leastReport()}, heartbeat.Reply{Status: 503}},
 	}
 	withETag := all["schedule: put"]
-	withETag.output = request.Response{Status: 201, Doc: wholeScheduleView(), ETag: `"7-5"`}
+	withETag.output = request.Response{Status: 201, Document: wholeScheduleView(), ETag: `"7-5"`}
 	all["schedule: put"] = withETag
 	return all
 }
@@ -265,15 +265,15 @@
 		Node:             "n1",
 		Leader:           "n2",
 		Term:             41,
-		LeadsSeconds:     12.5,
+		LeadingSeconds:   12.5,
 		Authority:        true,
 		FailoverComplete: true,
 		Machines:         100,
 		Unaccounted:      3,
 		MaxMachines:      5000,
 		Nodes:            []view.ClusterNode{{Name: "n1", Zone: "hall-a", Role: "relay", Link: true, Workers: 40, LagSeconds: 0.5}},
-		Zones:            []view.ClusterZone{{Name: "hall-a", State: "doubtful", StateSeconds: 3.5, Heard: 60, Silent: 40, UnconfirmedTasks: 7}},
-		Regions:          []view.ClusterRegion{{Name: "north", State: "up", StateSeconds: 4.5, Zones: 3, ZonesAway: 1, Heard: 60, Silent: 40}},
+		Zones:            []view.ClusterZone{{Name: "hall-a", State: "doubtful", StateSeconds: 3.5, Reporting: 60, Silent: 40, UnconfirmedTasks: 7}},
+		Regions:          []view.ClusterRegion{{Name: "north", State: "up", StateSeconds: 4.5, Zones: 3, ZonesUnreachable: 1, Reporting: 60, Silent: 40}},
 		Records: &view.Records{
 			Era:            9,
 			LossReason:     "the state service's revision has fallen",
@@ -300,10 +300,10 @@
 		Notice:       119500 * time.Millisecond,
 		HasNotice:    true,
 		Tasks: []heartbeat.Task{
-			{Task: heartbeat.TaskID{Job: "wk-7", Index: 3}, Try: 18_000_000_000_000_000_001, Phase: heartbeat.TaskRuns},
-			{Task: heartbeat.TaskID{Job: "wk-8"}, Try: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone},
-			{Task: heartbeat.TaskID{Job: "wk-9"}, Try: 2, Phase: heartbeat.Pulling},
-			{Task: heartbeat.TaskID{Job: "wk-9", Index: 1}, Try: 2, Phase: heartbeat.Checkpointing},
+			{ID: heartbeat.TaskID{Job: "wk-7", Index: 3}, Attempt: 18_000_000_000_000_000_001, Phase: heartbeat.Running},
+			{ID: heartbeat.TaskID{Job: "wk-8"}, Attempt: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone},
+			{ID: heartbeat.TaskID{Job: "wk-9"}, Attempt: 2, Phase: heartbeat.Pulling},
+			{ID: heartbeat.TaskID{Job: "wk-9", Index: 1}, Attempt: 2, Phase: heartbeat.Checkpointing},
 		},
 	}
 }
--- a/internal/api/config.go
+++ b/internal/api/config.go
@@ -13,7 +13,7 @@
 func (s *Server) configuration(r *httprouter.Router) {
 	r.GET("/v2/config", s.configCall(request.ConfigStatus, nil))
 	r.POST("/v2/config", s.configCall(request.ConfigSet, readChange))
-	r.GET("/v2/config/here", s.configCall(request.ConfigHere, nil))
+	r.GET("/v2/config/here", s.configCall(request.ConfigLocal, nil))
 	r.GET("/v2/config/teams", s.configCall(request.ConfigList, func(w http.ResponseWriter, r *http.Request, _ httprouter.Params, q *request.ConfigParams) bool {
 		q.After = r.URL.Query().Get("after")
 		return count(w, r, "limit", maxListed, &q.Count)
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -30,7 +30,7 @@
 					t.Fatalf("%+v", rep)
 				}
 				for _, x := range rep.Tasks {
-					if x.Task.Index < 0 || x.Task.Index >= spec.MaxTasks || x.Task.Job == "" {
+					if x.ID.Index < 0 || x.ID.Index >= spec.MaxTasks || x.ID.Job == "" {
 						t.Fatalf("%+v", x)
 					}
 				}
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -89,7 +89,7 @@
 			// A state that we do not know is one in which the task is there.
 			s.Phase = heartbeat.Pulling
 		}
-		r.Tasks = append(r.Tasks, heartbeat.Task{Task: id, Try: s.Attempt, Phase: s.Phase, Cause: s.Cause})
+		r.Tasks = append(r.Tasks, heartbeat.Task{ID: id, Attempt: s.Attempt, Phase: s.Phase, Cause: s.Cause})
 	}
 	return r, ""
 }
@@ -117,7 +117,7 @@
 		case http.StatusOK:
 			out := replyJSON{a.FencingToken, make([]orderJSON, 0, len(a.Orders))}
 			for _, o := range a.Orders {
-				oj := orderJSON{Verb: o.Verb, Task: o.Task.String(), Attempt: o.Try}
+				oj := orderJSON{Verb: o.Verb, Task: o.Task.String(), Attempt: o.Attempt}
 				if o.Verb == heartbeat.Stop {
 					d := o.Drain.Seconds()
 					oj.DrainSeconds = &d
--- a/internal/api/schedules.go
+++ b/internal/api/schedules.go
@@ -71,7 +71,7 @@
 		writeError(w, http.StatusBadRequest, "request", "request: missing, empty or longer than "+strconv.Itoa(maxRequest)+" bytes", 0)
 		return false
 	}
-	q.Request = v.Request
+	q.IdempotencyKey = v.Request
 	return true
 }
 
@@ -119,7 +119,7 @@
 	}
 	ifMatch(w, r, q)
 	if r.Header.Get("If-None-Match") == "*" {
-		q.IfMatch = request.NewOnly
+		q.IfMatch = request.IfAbsent
 	}
 	s.answerUser(w, r, request.Request{Op: request.SchedulePut, Schedule: q})
 }
--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -45,7 +45,7 @@
 // Adopt makes a task known that a worker lists and the leader did not start: of an earlier
 // term, or of a job that is over.
 func (t *Tracker) Adopt(m *fleet.Machine, task *heartbeat.Task) *fleet.Attempt {
-	a := &fleet.Attempt{ID: task.Task, Number: task.Try, Machine: m, Phase: fleet.Ordered, OrderedAt: t.engine.Now}
+	a := &fleet.Attempt{ID: task.ID, Number: task.Attempt, Machine: m, Phase: fleet.Ordered, OrderedAt: t.engine.Now}
 	m.Attempts = append(m.Attempts, a)
 	j := t.jobs.Find(a.ID.Job)
 	if j != nil && a.ID.Index >= j.Spec.Tasks {
@@ -126,7 +126,7 @@
 
 // present takes in that a task is on its machine.
 func (t *Tracker) present(a *fleet.Attempt, phase heartbeat.Phase) {
-	if phase == heartbeat.TaskRuns && a.Phase != heartbeat.TaskRuns {
+	if phase == heartbeat.Running && a.Phase != heartbeat.Running {
 		a.StartedAt = t.engine.Now
 		if a.Job != nil {
 			a.Machine.Images.Add(a.Job.Spec.Image, struct{}{})
@@ -134,7 +134,7 @@
 		}
 	}
 	a.Phase = phase
-	runs := phase == heartbeat.TaskRuns || phase == heartbeat.Checkpointing
+	runs := phase == heartbeat.Running || phase == heartbeat.Checkpointing
 	if a.Occupies && a.CountRunning(runs) && runs {
 		t.jobs.TaskStarted(a.Job)
 	}
@@ -167,7 +167,7 @@
 		// tells a successor that the task is done.
 		j.Completed = append(j.Completed, a)
 	case !a.Forgettable && !j.Halted():
-		if was == heartbeat.TaskRuns && !a.StartedAt.IsZero() && !a.FoundRunning {
+		if was == heartbeat.Running && !a.StartedAt.IsZero() && !a.FoundRunning {
 			t.placement.RecordRuntime(j, t.engine.Now.Sub(a.StartedAt))
 		}
 		j.Completed = append(j.Completed, a)
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -82,13 +82,13 @@
 }
 
 func task(index int, try uint64, phase heartbeat.Phase, cause string) *heartbeat.Task {
-	return &heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-1", Index: index}, Try: try, Phase: phase, Cause: cause}
+	return &heartbeat.Task{ID: heartbeat.TaskID{Job: "wk-1", Index: index}, Attempt: try, Phase: phase, Cause: cause}
 }
 
 // run has a task of the job run on the machine.
 func (w *world) run(m *fleet.Machine, index int, try uint64) *fleet.Attempt {
 	a := w.Adopt(m, task(index, try, heartbeat.Pulling, ""))
-	w.Update(a, task(index, try, heartbeat.TaskRuns, ""))
+	w.Update(a, task(index, try, heartbeat.Running, ""))
 	w.leader.log = nil
 	return a
 }
@@ -96,7 +96,7 @@
 func TestAdopt(t *testing.T) {
 	t.Run("waited for", func(t *testing.T) {
 		w, m := newWorld(t), newMachine("h1")
-		a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
+		a := w.Adopt(m, task(1, 1, heartbeat.Running, ""))
 		if a.StopRequested || !a.Occupies || !a.FoundRunning || w.job.Attempts[1] != a || m.Allocated != w.job.Need {
 			t.Errorf("%+v", a)
 		}
@@ -110,13 +110,13 @@
 	t.Run("done already", func(t *testing.T) {
 		w, m := newWorld(t), newMachine("h1")
 		w.job.Done.Add(1)
-		if a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Occupies || a.Job != nil {
+		if a := w.Adopt(m, task(1, 1, heartbeat.Running, "")); !a.StopRequested || a.Occupies || a.Job != nil {
 			t.Errorf("%+v", a)
 		}
 	})
 	t.Run("no such task", func(t *testing.T) {
 		w, m := newWorld(t), newMachine("h1")
-		if a := w.Adopt(m, task(4, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Orphaned || a.Occupies {
+		if a := w.Adopt(m, task(4, 1, heartbeat.Running, "")); !a.StopRequested || a.Orphaned || a.Occupies {
 			t.Errorf("%+v", a)
 		}
 	})
@@ -124,7 +124,7 @@
 		w, m := newWorld(t), newMachine("h1")
 		delete(w.leader.jobs, "wk-1")
 		w.leader.unreadable["wk-1"] = true
-		a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
+		a := w.Adopt(m, task(1, 1, heartbeat.Running, ""))
 		if !a.StopRequested || !a.Orphaned || w.placement.OrphanedTasks != 1 {
 			t.Errorf("%+v, %d orphaned", a, w.placement.OrphanedTasks)
 		}
@@ -135,7 +135,7 @@
 	t.Run("later attempt", func(t *testing.T) {
 		w, m := newWorld(t), newMachine("h1")
 		earlier := w.run(newMachine("h2"), 1, 1)
-		a := w.Adopt(m, task(1, 2, heartbeat.TaskRuns, ""))
+		a := w.Adopt(m, task(1, 2, heartbeat.Running, ""))
 		if !earlier.StopRequested || earlier.Occupies || a.StopRequested || !a.Occupies {
 			t.Errorf("earlier %+v, later %+v", earlier, a)
 		}
@@ -143,7 +143,7 @@
 	t.Run("earlier attempt", func(t *testing.T) {
 		w, m := newWorld(t), newMachine("h1")
 		later := w.run(newMachine("h2"), 1, 2)
-		a := w.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
+		a := w.Adopt(m, task(1, 1, heartbeat.Running, ""))
 		if later.StopRequested || !later.Occupies || !a.StopRequested || a.Occupies {
 			t.Errorf("earlier %+v, later %+v", a, later)
 		}
@@ -156,7 +156,7 @@
 	w.Update(a, task(1, 1, heartbeat.Pulling, ""))
 	w.leader.logged(t)
 	w.engine.Now = t0.Add(time.Second)
-	w.Update(a, task(1, 1, heartbeat.TaskRuns, ""))
+	w.Update(a, task(1, 1, heartbeat.Running, ""))
 	w.leader.logged(t, "started")
 	if !a.StartedAt.Equal(w.engine.Now) || !m.Images.Contains("img") || w.job.Running != 1 {
 		t.Errorf("%+v", a)
@@ -181,14 +181,14 @@
 		first, last heartbeat.Phase
 		want        int
 	}{
-		{"seen to begin", heartbeat.Pulling, heartbeat.TaskRuns, 1},
-		{"found running", heartbeat.TaskRuns, heartbeat.TaskRuns, 0},
+		{"seen to begin", heartbeat.Pulling, heartbeat.Running, 1},
+		{"found running", heartbeat.Running, heartbeat.Running, 0},
 		{"checkpointing at last", heartbeat.Pulling, heartbeat.Checkpointing, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			w, m := newWorld(t), newMachine("h1")
 			a := w.Adopt(m, task(1, 1, test.first, ""))
-			w.Update(a, task(1, 1, heartbeat.TaskRuns, ""))
+			w.Update(a, task(1, 1, heartbeat.Running, ""))
 			w.Update(a, task(1, 1, test.last, ""))
 			w.engine.Now = t0.Add(20 * time.Second)
 			w.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -127,8 +127,8 @@
 					t.Errorf("request %d: %+v", i, r)
 				}
 			}
-			if len(list) > 0 && list[0].RequestName != "t3-1-a" {
-				t.Errorf("named %q", list[0].RequestName)
+			if len(list) > 0 && list[0].IdempotencyKey != "t3-1-a" {
+				t.Errorf("named %q", list[0].IdempotencyKey)
 			}
 		})
 	}
@@ -162,7 +162,7 @@
 	a.Begin(start.Add(4 * time.Second))
 	a.RunTimers()
 	again := calls(a, provider.ScaleOut)
-	if len(again) != 1 || again[0].RequestName != second.RequestName {
+	if len(again) != 1 || again[0].IdempotencyKey != second.IdempotencyKey {
 		t.Fatalf("sent again: %+v", again)
 	}
 	a.HandleCloud(provider.Response{Ref: again[0].Ref, Outcome: rpc.OK, Hosts: []string{"x", "y"}})
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -197,7 +197,7 @@
 // sendRequest sends a request, and again under the same name while its outcome is unknown.
 func (a *Autoscaler) sendRequest(name string) {
 	p := a.pending[name]
-	call := provider.Request{Op: provider.ScaleOut, RequestName: name, InstanceType: p.InstanceType, Zone: p.Zone, Spot: p.Spot, Count: p.count}
+	call := provider.Request{Op: provider.ScaleOut, IdempotencyKey: name, InstanceType: p.InstanceType, Zone: p.Zone, Spot: p.Spot, Count: p.count}
 	a.scope.CallCloud(call, func(r provider.Response) { a.handleOutcome(name, p, r) })
 }
 
--- a/internal/cloud/compatibility_test.go
+++ b/internal/cloud/compatibility_test.go
@@ -51,7 +51,7 @@
 }
 
 func answeredCalls() map[string]answeredCall {
-	rent := provider.Request{Op: provider.ScaleOut, RequestName: "r-41-7", InstanceType: "g8", Zone: "hall-a", Spot: true, Count: 2}
+	rent := provider.Request{Op: provider.ScaleOut, IdempotencyKey: "r-41-7", InstanceType: "g8", Zone: "hall-a", Spot: true, Count: 2}
 	return map[string]answeredCall{
 		"catalog": {
 			provider.Request{Op: provider.Catalog},
--- a/internal/cloud/request.go
+++ b/internal/cloud/request.go
@@ -30,7 +30,7 @@
 		return http.MethodGet, "/catalog", nil
 	case provider.ScaleOut:
 		return http.MethodPost, "/machines", encode(instanceRequestJSON{
-			Name:         call.RequestName,
+			Name:         call.IdempotencyKey,
 			InstanceType: call.InstanceType,
 			Zone:         call.Zone,
 			Spot:         call.Spot,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -125,9 +125,9 @@
 // it, and sums and products of numbers up to it do not overflow.
 const maxNumber = 1e8
 
-// isAmount reports whether value lies in [0, maxNumber]. NaN and infinity, which
+// inRange reports whether value lies in [0, maxNumber]. NaN and infinity, which
 // TOML allows, do not: as a limit they would have no effect.
-func isAmount(value float64) bool { return value >= 0 && value <= maxNumber }
+func inRange(value float64) bool { return value >= 0 && value <= maxNumber }
 
 // number is a numeric field of the file.
 type number struct {
@@ -206,7 +206,7 @@
 			{"gpus", team.GPUs},
 			{"gpus_max", team.GPUsMax},
 		} {
-			if !isAmount(amount.value) {
+			if !inRange(amount.value) {
 				return fmt.Errorf("settings.teams[%d].%s: must be 0 to %g", i, amount.field, maxNumber)
 			}
 		}
@@ -231,11 +231,11 @@
 		{"machine_limits.mem_mb", settings.Limits.MemMB},
 		{"machine_limits.max_connections", float64(settings.Limits.MaxConnections)},
 	} {
-		if !isAmount(limit.value) || limit.value == 0 {
+		if !inRange(limit.value) || limit.value == 0 {
 			return fmt.Errorf("settings.%s: must be more than 0, at most %g", limit.field, maxNumber)
 		}
 	}
-	if !isAmount(float64(settings.Cloud.ListLag)) {
+	if !inRange(float64(settings.Cloud.ListLag)) {
 		return fmt.Errorf("settings.cloud.list_lag_s: must be 0 to %g", maxNumber)
 	}
 	return nil
@@ -243,7 +243,7 @@
 
 func (c *Config) checkObjectives() error {
 	for i, objective := range c.Settings.Objectives {
-		if !isAmount(float64(objective.Within)) || !isAmount(objective.Times) || !isAmount(objective.Share) {
+		if !inRange(float64(objective.Within)) || !inRange(objective.Times) || !inRange(objective.Share) {
 			return fmt.Errorf("settings.objectives[%d]: a number is not from 0 to %g", i, maxNumber)
 		}
 	}
--- a/internal/configmanager/batch.go
+++ b/internal/configmanager/batch.go
@@ -171,7 +171,7 @@
 		if result.Err != nil {
 			return rejection(result.Err)
 		}
-		return request.Response{Status: 200, Doc: view.ConfigChanged{Revision: result.Revision}}
+		return request.Response{Status: 200, Document: view.ConfigChanged{Revision: result.Revision}}
 	})
 }
 
--- a/internal/configmanager/node.go
+++ b/internal/configmanager/node.go
@@ -29,7 +29,7 @@
 // AskLeaderVersion asks the known leader for its protocol version. This node may know of
 // it only from its record, or the leader has told an earlier process of this node.
 func (n *Node) AskLeaderVersion(leader string, highestTerm uint64) {
-	n.engine.Emit(peermsg.Outgoing{To: leader, Msg: peermsg.Message{Kind: peermsg.Ack, Term: max(1, highestTerm), Ref: peermsg.AskVersion, Version: peermsg.Version}})
+	n.engine.Emit(peermsg.Outgoing{To: leader, Msg: peermsg.Message{Kind: peermsg.Ack, Term: max(1, highestTerm), Ref: peermsg.VersionRequest, Version: peermsg.Version}})
 }
 
 // HandleLeaderRevision handles the leader's news of the revision that is in force, and
--- a/internal/configmanager/serve.go
+++ b/internal/configmanager/serve.go
@@ -13,16 +13,16 @@
 	switch r.Op {
 	case request.ConfigStatus:
 		m.askPeerVersions()
-		m.leader.Answer(r, request.Response{Status: 200, Doc: m.status()})
+		m.leader.Answer(r, request.Response{Status: 200, Document: m.status()})
 	case request.ConfigGet:
 		team, ok := m.team(r.Config.Name)
 		if !ok {
 			m.leader.Answer(r, request.Response{Status: 404, Field: "name", Reason: "no team " + r.Config.Name})
 			return
 		}
-		m.leader.Answer(r, request.Response{Status: 200, Doc: team})
+		m.leader.Answer(r, request.Response{Status: 200, Document: team})
 	case request.ConfigList:
-		m.leader.Answer(r, request.Response{Status: 200, Doc: m.teams(r.Config)})
+		m.leader.Answer(r, request.Response{Status: 200, Document: m.teams(r.Config)})
 	case request.ConfigSet:
 		m.acceptChange(r)
 	}
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -136,7 +136,7 @@
 	d.finish()
 	var ts []heartbeat.Task
 	for _, o := range verbs(d.report("host-000000", 10), heartbeat.Start) {
-		ts = append(ts, heartbeat.Task{Task: o.Task, Try: o.Try, Phase: heartbeat.TaskRuns})
+		ts = append(ts, heartbeat.Task{ID: o.Task, Attempt: o.Attempt, Phase: heartbeat.Running})
 	}
 	if len(ts) != tasks {
 		d.Fatalf("%d of %d tasks start", len(ts), tasks)
@@ -166,7 +166,7 @@
 		return func(d *desk) func() bool {
 			d.user(request.SchedulePut, "", nil, nightly())
 			d.finish()
-			return ok(d, d.user(op, "", nil, &request.ScheduleParams{Name: "n", Request: "r"}))
+			return ok(d, d.user(op, "", nil, &request.ScheduleParams{Name: "n", IdempotencyKey: "r"}))
 		}
 	}
 	for name, promise := range map[string]func(d *desk) (promised func() bool){
@@ -179,7 +179,7 @@
 			return func() bool {
 				return slices.ContainsFunc(d.said, func(o any) bool {
 					p, ok := o.(peermsg.Outgoing)
-					return ok && p.Msg.Kind == peermsg.Response && p.Msg.Answer.Status == 201
+					return ok && p.Msg.Kind == peermsg.Response && p.Msg.Response.Status == 201
 				})
 			}
 		},
@@ -193,13 +193,13 @@
 			d.running("wk-1", 1)
 			ref := d.user(request.Cancel, "wk-1", nil, nil)
 			poll := d.user(request.Get, "wk-1", nil, nil)
-			return func() bool { return ok(d, ref)() || d.answer(poll).View.State == spec.Cancelled }
+			return func() bool { return ok(d, ref)() || d.answer(poll).Job.State == spec.Cancelled }
 		},
 		"done": func(d *desk) func() bool {
 			ts := d.running("wk-1", 1)
 			ts[0].Phase, ts[0].Cause = heartbeat.Exited, heartbeat.CauseDone
 			d.report("host-000000", 12, ts...)
-			return func() bool { return d.answer(d.user(request.Get, "wk-1", nil, nil)).View.State == spec.Done }
+			return func() bool { return d.answer(d.user(request.Get, "wk-1", nil, nil)).Job.State == spec.Done }
 		},
 		"a reap at the end of a job": func(d *desk) func() bool {
 			ts := d.running("wk-1", 1)
@@ -214,7 +214,7 @@
 			n := uint64(1)
 			return func() bool { // another attempt of an earlier term ends as well
 				n++
-				return len(verbs(d.report("host-2", n, heartbeat.Task{Task: ts[0].Task, Try: 3, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}), heartbeat.Reap)) > 0
+				return len(verbs(d.report("host-2", n, heartbeat.Task{ID: ts[0].ID, Attempt: 3, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}), heartbeat.Reap)) > 0
 			}
 		},
 		"a reap in the middle of a job": func(d *desk) func() bool {
@@ -315,7 +315,7 @@
 			d.in(kv.Response{Ref: call.Ref, Rev: 90, Entries: []kv.Entry{{Key: call.Key, Value: rec, Rev: 90}}})
 		}
 	}
-	if a := d.answer(ref); a.Status != 200 || a.View.State != spec.Queued {
+	if a := d.answer(ref); a.Status != 200 || a.Job.State != spec.Queued {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -29,7 +29,7 @@
 	l := c.leadership
 	v.Leader = c.cfg.HostName
 	v.Term = l.term
-	v.LeadsSeconds = c.Now.Sub(l.electedAt).Seconds()
+	v.LeadingSeconds = c.Now.Sub(l.electedAt).Seconds()
 	v.Authority = c.hasAuthority()
 	v.FailoverComplete = l.loaded && l.allAccounted()
 	v.Machines = len(l.inventory.Machines())
@@ -100,13 +100,13 @@
 	var views []view.ClusterRegion
 	for _, r := range c.leadership.outages.Regions.All() {
 		views = append(views, view.ClusterRegion{
-			Name:         r.Name,
-			State:        r.State.String(),
-			StateSeconds: c.Now.Sub(r.Since).Seconds(),
-			Zones:        r.Zones,
-			ZonesAway:    r.UnreachableZones,
-			Heard:        r.Seen.Heard,
-			Silent:       r.Seen.Silent,
+			Name:             r.Name,
+			State:            r.State.String(),
+			StateSeconds:     c.Now.Sub(r.Since).Seconds(),
+			Zones:            r.Zones,
+			ZonesUnreachable: r.UnreachableZones,
+			Reporting:        r.Seen.Heard,
+			Silent:           r.Seen.Silent,
 		})
 	}
 	return views
@@ -121,7 +121,7 @@
 			Name:             z.Name,
 			State:            z.State.String(),
 			StateSeconds:     c.Now.Sub(z.Since).Seconds(),
-			Heard:            z.Seen.Heard,
+			Reporting:        z.Seen.Heard,
 			Silent:           z.Seen.Silent,
 			UnconfirmedTasks: unconfirmed[z],
 		})
--- a/internal/core/compatibility_test.go
+++ b/internal/core/compatibility_test.go
@@ -77,10 +77,10 @@
 		got, want uint64
 	}{
 		{"tasks of a progress record", bitset.ChunkSize, 16384},
-		{"bits of an attempt that count the starts of a term", record.AttemptBits, 28},
+		{"bits of an attempt that count the starts of a term", record.AttemptCounterBits, 28},
 		{"highest term", record.MaxTerm, 1<<36 - 1},
 		{"version of the talk between controllers", peermsg.Version, 1},
-		{"reference that asks for the leader's version", peermsg.AskVersion, 1},
+		{"reference that asks for the leader's version", peermsg.VersionRequest, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.got != c.want {
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -49,7 +49,7 @@
 	t.Helper()
 	for _, o := range c.Step(c.Now, request.Request{Ref: 1, Op: op, Config: &request.ConfigParams{Name: name}}) {
 		if a, ok := o.(request.Response); ok && a.Status == 200 {
-			return a.Doc
+			return a.Document
 		}
 	}
 	t.Fatalf("%s is not answered", op)
@@ -88,7 +88,7 @@
 	answered := false
 	for _, o := range outs {
 		if a, ok := o.(request.Response); ok && a.Ref == 3 {
-			answered = a.Status == 200 && a.Doc == view.ConfigChanged{Revision: 1}
+			answered = a.Status == 200 && a.Document == view.ConfigChanged{Revision: 1}
 		}
 	}
 	if !answered || c.leadership.config.HeadRevision() != 40 {
@@ -206,7 +206,7 @@
 				t.Errorf("the leader tells version %d", p.Msg.Version)
 			}
 			for _, o := range other.Step(other.Now, peermsg.Received{From: "n0", Msg: p.Msg}) {
-				if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Ack && p.Msg.Ref == peermsg.AskVersion {
+				if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Ack && p.Msg.Ref == peermsg.VersionRequest {
 					t.Error("the answer is answered with a question")
 				}
 			}
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -62,8 +62,8 @@
 }
 
 // knowledge is what we tell a new leader.
-func (c *Core) knowledge() *peermsg.Knowledge {
-	k := &peermsg.Knowledge{Observed: c.observed}
+func (c *Core) knowledge() *peermsg.PeerState {
+	k := &peermsg.PeerState{Observed: c.observed}
 	if newest := c.newestReplica(); newest != nil {
 		k.ReplicaEra, k.ReplicaTerm, k.ReplicaSeq, k.LiveDigest = newest.Era, newest.Term, newest.Seq, newest.Digest(record.LivePrefix)
 	}
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -25,10 +25,10 @@
 // ends before it has none left.
 func TestAttemptsOfATerm(t *testing.T) {
 	const term = 7
-	if last, next := uint64(term)<<record.AttemptBits+placement.MaxAttempts, uint64(term+1)<<record.AttemptBits+1; last >= next {
+	if last, next := uint64(term)<<record.AttemptCounterBits+placement.MaxAttempts, uint64(term+1)<<record.AttemptCounterBits+1; last >= next {
 		t.Errorf("the last attempt of a term is %d, the first of the next %d", last, next)
 	}
-	if first := uint64(record.MaxTerm)<<record.AttemptBits + 1; first>>record.AttemptBits != record.MaxTerm {
+	if first := uint64(record.MaxTerm)<<record.AttemptCounterBits + 1; first>>record.AttemptCounterBits != record.MaxTerm {
 		t.Error("the last term's attempts turn round")
 	}
 	c := leaderOf(t, 1)
@@ -191,17 +191,17 @@
 			for k := range r.Tasks { // what was told to run runs, and is done
 				r.Tasks[k].Phase, r.Tasks[k].Cause = heartbeat.Exited, heartbeat.CauseDone
 				if round == 1 {
-					r.Tasks[k].Phase = heartbeat.TaskRuns
+					r.Tasks[k].Phase = heartbeat.Running
 				}
 			}
 			for _, o := range orders[ref] {
 				switch o.Verb {
 				case heartbeat.Start:
 					ran++
-					r.Tasks = append(r.Tasks, heartbeat.Task{Task: o.Task, Try: o.Try, Phase: heartbeat.TaskRuns})
+					r.Tasks = append(r.Tasks, heartbeat.Task{ID: o.Task, Attempt: o.Attempt, Phase: heartbeat.Running})
 				case heartbeat.Reap:
 					for k := range r.Tasks {
-						if r.Tasks[k].Try == o.Try {
+						if r.Tasks[k].Attempt == o.Attempt {
 							r.Tasks = append(r.Tasks[:k], r.Tasks[k+1:]...)
 							break
 						}
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -83,12 +83,12 @@
 				r.FencingToken = num()
 			}
 			for range next() % 4 {
-				r.Tasks = append(r.Tasks, heartbeat.Task{Task: task(), Try: num(), Phase: []heartbeat.Phase{heartbeat.Pulling, heartbeat.TaskRuns, heartbeat.Checkpointing, heartbeat.Exited}[next()%4], Cause: pick(heartbeat.CauseDone, heartbeat.CauseError, heartbeat.CauseNoRoom, heartbeat.CauseStopped, "?", "")})
+				r.Tasks = append(r.Tasks, heartbeat.Task{ID: task(), Attempt: num(), Phase: []heartbeat.Phase{heartbeat.Pulling, heartbeat.Running, heartbeat.Checkpointing, heartbeat.Exited}[next()%4], Cause: pick(heartbeat.CauseDone, heartbeat.CauseError, heartbeat.CauseNoRoom, heartbeat.CauseStopped, "?", "")})
 			}
 			for range next() % 3 { // what it was told to start
 				if m := c.leadership; m != nil && len(m.inventory.Machines()) > 0 {
 					for _, x := range m.inventory.Machines()[next()%len(m.inventory.Machines())].Attempts {
-						r.Tasks = append(r.Tasks, heartbeat.Task{Task: x.ID, Try: x.Number, Phase: []heartbeat.Phase{heartbeat.TaskRuns, heartbeat.Exited}[next()%2], Cause: heartbeat.CauseDone})
+						r.Tasks = append(r.Tasks, heartbeat.Task{ID: x.ID, Attempt: x.Number, Phase: []heartbeat.Phase{heartbeat.Running, heartbeat.Exited}[next()%2], Cause: heartbeat.CauseDone})
 					}
 				}
 			}
@@ -135,11 +135,11 @@
 				step(call)
 			case 4:
 				step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: []peermsg.Kind{peermsg.Ack, peermsg.Response, peermsg.Ack, peermsg.Response, peermsg.Leader}[next()%5], Term: max(1, min(num(), record.MaxTerm)), Ref: ref,
-					Answer: &request.Response{Status: 200, View: request.JobStatus{ID: "wk-1", State: spec.Done}}}})
+					Response: &request.Response{Status: 200, Job: request.JobStatus{ID: "wk-1", State: spec.Done}}}})
 			case 5:
 				if q := nightly(); next()%2 == 0 {
 					ops := []request.Operation{request.SchedulePut, request.SchedulePut, request.ScheduleGet, request.ScheduleList, request.ScheduleDelete, request.SchedulePause, request.ScheduleResume, request.ScheduleRun, request.ScheduleUpcoming, request.ScheduleHistory}
-					q.Name, q.Request, q.Count = pick("n", "m"), pick("r", "s"), next()%request.MaxCount
+					q.Name, q.IdempotencyKey, q.Count = pick("n", "m"), pick("r", "s"), next()%request.MaxCount
 					step(request.Request{Ref: ref, Op: ops[next()%len(ops)], Schedule: q})
 					continue
 				}
@@ -149,18 +149,18 @@
 				case 0: // a relay that is in order
 					fold := relay.NewEncoder(uint64(next()) + 1)
 					for range 1 + next()%3 {
-						step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.election.HighestTerm()), Reports: fold.Batch([]relay.Delta{fold.Encode(uint64(next()%3), &rep)}, []uint64{uint64(next() % 3)})}})
+						step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.election.HighestTerm()), Heartbeats: fold.Batch([]relay.Delta{fold.Encode(uint64(next()%3), &rep)}, []uint64{uint64(next() % 3)})}})
 						rep.Counter++
 					}
 				case 1: // one that is not
-					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.election.HighestTerm()), Reports: &relay.Batch{Session: num(), Number: num(), Released: []uint64{num()},
+					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: max(1, c.election.HighestTerm()), Heartbeats: &relay.Batch{Session: num(), Number: num(), Released: []uint64{num()},
 						Reports: []relay.Delta{{Ref: num(), Handle: num(), Incarnation: num(), Counter: num(), FencingToken: num(), Dropped: []int{next() - 9}}}}}})
 				case 2: // a leader's replies
 					rs := &relay.Replies{Session: num(), Resync: next()%4 == 0, List: []relay.Reply{{Ref: ref - uint64(next()%9)}, {Ref: ref, Status: 421, Upstream: "n2"}}}
 					if s := c.forwarder.Session(); s != 0 && next()%2 == 0 {
 						rs.Session = s
 					}
-					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: max(1, c.election.HighestTerm()), Replies: rs}})
+					step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: max(1, c.election.HighestTerm()), HeartbeatReplies: rs}})
 				}
 			default:
 				if len(calls) == 0 {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -10,14 +10,14 @@
 // serveCluster serves an operator's request about the controllers, as the leader.
 func (c *Core) serveCluster(call request.Request) {
 	if call.Op == request.Cluster {
-		c.answer(call, request.Response{Status: 200, Doc: c.clusterView()})
+		c.answer(call, request.Response{Status: 200, Document: c.clusterView()})
 		return
 	}
 	if err := c.checkHandOver(); err != nil {
 		c.answer(call, request.Response{Status: 409, Reason: err.Error()})
 		return
 	}
-	c.answer(call, request.Response{Status: 200, Doc: c.clusterView()})
+	c.answer(call, request.Response{Status: 200, Document: c.clusterView()})
 	c.handOver("asked for by an operator")
 }
 
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -165,8 +165,8 @@
 		return true
 	case m.InterruptionAt.IsZero():
 		// Only tasks that take checkpoints are moved, and only if they have long to go.
-		return r.Phase == heartbeat.TaskRuns && s.CheckpointInterval > 0 && c.remaining(r) >= 2*s.CheckpointTime+minMoveGain
-	case r.Phase != heartbeat.TaskRuns || s.Service:
+		return r.Phase == heartbeat.Running && s.CheckpointInterval > 0 && c.remaining(r) >= 2*s.CheckpointTime+minMoveGain
+	case r.Phase != heartbeat.Running || s.Service:
 		return true
 	case r.StartedAt.Add(c.leadership.placement.Estimate(r.Job)).Before(m.InterruptionAt):
 		return false
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -87,7 +87,7 @@
 		}
 		get = d.user(request.Get, "wk-1", nil, nil)
 		d.settle(rpc.OK)
-		if a := d.answer(get); a.Status != 200 || a.View.State != spec.Cancelled {
+		if a := d.answer(get); a.Status != 200 || a.Job.State != spec.Cancelled {
 			t.Errorf("told %+v once it is committed", a)
 		}
 	}
@@ -111,7 +111,7 @@
 	d.report("host-000000", 20, ts...)
 	again := d.user(request.Cancel, "wk-1", nil, nil)
 	d.finish()
-	if a := d.answer(again); a.Status != 200 || a.View.State != spec.Cancelled {
+	if a := d.answer(again); a.Status != 200 || a.Job.State != spec.Cancelled {
 		t.Errorf("told %+v once its task is gone", a)
 	}
 }
@@ -151,7 +151,7 @@
 	d.c.leadership.lifecycle.Queue(j)
 	at := func(host string, try uint64) *fleet.Attempt {
 		m := d.c.leadership.inventory.Ensure(host, "f2", "a", true)
-		d.c.leadership.reconciler.Reconcile(m, &heartbeat.Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []heartbeat.Task{{Task: heartbeat.TaskID{Job: "wk-1"}, Try: try, Phase: heartbeat.TaskRuns}}})
+		d.c.leadership.reconciler.Reconcile(m, &heartbeat.Report{Host: host, Incarnation: 1, Counter: 5, Tasks: []heartbeat.Task{{ID: heartbeat.TaskID{Job: "wk-1"}, Attempt: try, Phase: heartbeat.Running}}})
 		return m.Attempts[0]
 	}
 	old := at("host-x", 3)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -27,18 +27,18 @@
 		c.handleReplicaLine(p.From, p.Msg.Replica)
 	case peermsg.ReplicaRestart:
 		c.restartReplica(p.From, p.Msg.Ref)
-	case peermsg.WantReplica:
+	case peermsg.ReplicaRequest:
 		c.handleReplicaWanted(p.From)
 	case peermsg.LeaderlessJob:
 		c.handleLeaderlessJob(p.Msg.Replica)
-	case peermsg.AskKnowledge:
+	case peermsg.PeerStateRequest:
 		c.tellKnowledge(p.From, p.Msg.Term)
-	case peermsg.TellKnowledge:
+	case peermsg.PeerStateResponse:
 		c.handleKnowledgeTold(p.From, p.Msg)
 	case peermsg.Heartbeats:
 		c.handleRelayedHeartbeats(p.From, p.Msg)
 	case peermsg.HeartbeatReplies:
-		c.forwarder.HandleReplies(p.From, p.Msg.Term, p.Msg.Replies)
+		c.forwarder.HandleReplies(p.From, p.Msg.Term, p.Msg.HeartbeatReplies)
 	}
 }
 
@@ -51,7 +51,7 @@
 		// Also to one that has acknowledged the term: it may be a new process.
 		c.announceTermTo(p.Name)
 		if l.noEarlierTerm {
-			c.Emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.AskKnowledge, Term: l.term}})
+			c.Emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.PeerStateRequest, Term: l.term}})
 		}
 	case !p.Up && l != nil:
 		l.publisher.DropFollower(p.Name)
@@ -82,7 +82,7 @@
 		return
 	}
 	l.config.NotePeerVersion(from, m.Version)
-	if m.Ref == peermsg.AskVersion {
+	if m.Ref == peermsg.VersionRequest {
 		c.announceTermTo(from)
 	}
 	if l.acknowledged[from] {
@@ -109,14 +109,14 @@
 // tellKnowledge answers a new leader that asks what we know of earlier terms.
 func (c *Core) tellKnowledge(to string, term uint64) {
 	if c.leadership == nil {
-		c.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.TellKnowledge, Term: term, Knowledge: c.knowledge()}})
+		c.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.PeerStateResponse, Term: term, PeerState: c.knowledge()}})
 	}
 }
 
 // handleKnowledgeTold takes in what a peer knows, if we asked in this term.
 func (c *Core) handleKnowledgeTold(from string, m peermsg.Message) {
 	if l := c.leadership; l != nil && m.Term == l.term {
-		c.handleKnowledge(from, m.Knowledge)
+		c.handleKnowledge(from, m.PeerState)
 	}
 }
 
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -14,7 +14,7 @@
 // tells nothing of how long tasks take, and is not stopped as hardly begun.
 func TestFoundMidway(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	for _, phase := range []heartbeat.Phase{heartbeat.Pulling, heartbeat.TaskRuns} {
+	for _, phase := range []heartbeat.Phase{heartbeat.Pulling, heartbeat.Running} {
 		c := leaderOf(t, 1)
 		c.leadership.teams["u"] = &quota.Account{Guaranteed: timeline.Capacity(100, 0, 0)}
 		c.leadership.teams["t"].Guaranteed = timeline.Resources{}
@@ -23,10 +23,10 @@
 		long.Spec.CPUs, long.Spec.Runtime = 4, 10*time.Minute
 		long.Need = long.Spec.Need()
 		rep := reportOf(m)
-		rep.Tasks = []heartbeat.Task{{Task: heartbeat.TaskID{Job: long.Spec.ID}, Try: 1, Phase: phase}}
+		rep.Tasks = []heartbeat.Task{{ID: heartbeat.TaskID{Job: long.Spec.ID}, Attempt: 1, Phase: phase}}
 		c.leadership.reconciler.Reconcile(m, &rep)
 		rep.Counter++
-		rep.Tasks = []heartbeat.Task{{Task: heartbeat.TaskID{Job: long.Spec.ID}, Try: 1, Phase: heartbeat.TaskRuns}}
+		rep.Tasks = []heartbeat.Task{{ID: heartbeat.TaskID{Job: long.Spec.ID}, Attempt: 1, Phase: heartbeat.Running}}
 		c.leadership.reconciler.Reconcile(m, &rep)
 		waits := newJob(c, 2, 1, rng)
 		waits.Spec.Owner, waits.Team = "u", c.leadership.teams["u"]
@@ -38,7 +38,7 @@
 		}
 		c.Now = c.Now.Add(3 * time.Second)
 		rep.Counter++
-		rep.Tasks[0] = heartbeat.Task{Task: heartbeat.TaskID{Job: long.Spec.ID}, Try: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}
+		rep.Tasks[0] = heartbeat.Task{ID: heartbeat.TaskID{Job: long.Spec.ID}, Attempt: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}
 		c.leadership.reconciler.Reconcile(m, &rep)
 		if seen := c.leadership.placement.HasRuntimes(&long.Spec); seen != (phase == heartbeat.Pulling) {
 			t.Errorf("found %s: counts for estimates %v", phase, seen)
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -48,7 +48,7 @@
 }
 
 // handleKnowledge takes in what a peer knows.
-func (c *Core) handleKnowledge(from string, k *peermsg.Knowledge) {
+func (c *Core) handleKnowledge(from string, k *peermsg.PeerState) {
 	l := c.leadership
 	switch {
 	case l.recovery != nil:
@@ -111,7 +111,7 @@
 	l.recovery = nil
 	l.machineRecords.Restore(l.restorer.Prepare())
 	if source := l.finals.Source(); source != "" {
-		c.Emit(peermsg.Outgoing{To: source, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
+		c.Emit(peermsg.Outgoing{To: source, Msg: peermsg.Message{Kind: peermsg.ReplicaRequest, Term: l.term}})
 	}
 	c.startWork()
 }
--- a/internal/core/regions_test.go
+++ b/internal/core/regions_test.go
@@ -41,10 +41,10 @@
 	if strings.Join(warned, ",") != "region doubtful" {
 		t.Errorf("warned of %v", warned)
 	}
-	if v := c.regionViews(); len(v) != 1 || v[0].State != "doubtful" || v[0].ZonesAway != 4 || v[0].Silent != 12 {
+	if v := c.regionViews(); len(v) != 1 || v[0].State != "doubtful" || v[0].ZonesUnreachable != 4 || v[0].Silent != 12 {
 		t.Errorf("%+v", v)
 	}
-	if s := c.Stats(); s.RegionsAway != 1 || s.ZonesAway != 4 {
-		t.Errorf("%d regions, %d zones away", s.RegionsAway, s.ZonesAway)
+	if s := c.Stats(); s.RegionsUnreachable != 1 || s.ZonesUnreachable != 4 {
+		t.Errorf("%d regions, %d zones away", s.RegionsUnreachable, s.ZonesUnreachable)
 	}
 }
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -42,16 +42,16 @@
 	if l == nil || m.Term != l.term {
 		return // the relay will hear of the newest term, and forward to its leader
 	}
-	reports, begun, ok := l.relays.Decode(from, m.Reports)
+	reports, begun, ok := l.relays.Decode(from, m.Heartbeats)
 	if begun {
 		c.forgetHeldFrom(from)
 	}
 	if !ok {
 		return
 	}
-	via := heartbeat.RelaySession{Relay: from, Session: m.Reports.Session}
+	via := heartbeat.RelaySession{Relay: from, Session: m.Heartbeats.Session}
 	for i := range reports {
-		if ref := m.Reports.Reports[i].Ref; ref != 0 {
+		if ref := m.Heartbeats.Reports[i].Ref; ref != 0 {
 			c.handleHeartbeat(heartbeat.Received{Ref: ref, Via: via, Report: reports[i]})
 		} else if l.loaded {
 			l.prober.HandleAnswer(&reports[i])
@@ -60,7 +60,7 @@
 			return
 		}
 	}
-	for _, ref := range m.Reports.Abandoned {
+	for _, ref := range m.Heartbeats.Abandoned {
 		c.abandonHeartbeat(fleet.HeartbeatKey{Via: via, Ref: ref})
 	}
 }
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -47,7 +47,7 @@
 // and that has not been answered.
 func (n *relayNode) calls(key string) (call kv.Request) {
 	for _, o := range n.outs {
-		if s, ok := o.(kv.Request); ok && s.Key == key && n.AwaitsStore(s.Ref) {
+		if s, ok := o.(kv.Request); ok && s.Key == key && n.StoreCallPending(s.Ref) {
 			call = s
 		}
 	}
@@ -83,7 +83,7 @@
 func (n *relayNode) sent(to string) (bs []*relay.Batch) {
 	for i, o := range n.outs {
 		if p, ok := o.(peermsg.Outgoing); ok && p.To == to && p.Msg.Kind == peermsg.Heartbeats {
-			bs = append(bs, p.Msg.Reports)
+			bs = append(bs, p.Msg.Heartbeats)
 			n.outs[i] = nil
 		}
 	}
@@ -101,8 +101,8 @@
 }
 
 func (n *relayNode) reply(from string, term, session, ref uint64) {
-	n.in(peermsg.Received{From: from, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: term, Replies: &relay.Replies{Session: session,
-		List: []relay.Reply{{Ref: ref, Orders: relay.Orders{{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-1"}, Try: 9}}}}}}})
+	n.in(peermsg.Received{From: from, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: term, HeartbeatReplies: &relay.Replies{Session: session,
+		List: []relay.Reply{{Ref: ref, Orders: relay.Orders{{Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: "wk-1"}, Attempt: 9}}}}}}})
 }
 
 func (n *relayNode) expect(what string, ref uint64, want ...int) {
@@ -148,7 +148,7 @@
 	second := bs[0].Session
 
 	// Lines were lost: all that waits is told again, in a session of its own.
-	n.in(peermsg.Received{From: "n2", Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: 6, Replies: &relay.Replies{Session: second, Resync: true}}})
+	n.in(peermsg.Received{From: "n2", Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: 6, HeartbeatReplies: &relay.Replies{Session: second, Resync: true}}})
 	bs = n.sent("n2")
 	if len(bs) != 1 || len(bs[0].Reports) != 1 || bs[0].Session == second || bs[0].Number != 1 {
 		t.Fatalf("not told again: %+v", bs)
@@ -195,14 +195,14 @@
 	c.leadership.placement.Reserve(j)
 	rep := reportOf(m)
 	send := func(session, number, ref uint64, f *relay.Encoder, r heartbeat.Report) (orders int, answered bool) {
-		for _, o := range c.Step(c.Now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch([]relay.Delta{f.Encode(ref, &r)}, nil)}}) {
+		for _, o := range c.Step(c.Now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Heartbeats: f.Batch([]relay.Delta{f.Encode(ref, &r)}, nil)}}) {
 			p, ok := o.(peermsg.Outgoing)
-			if !ok || p.Msg.Kind != peermsg.HeartbeatReplies || len(p.Msg.Replies.List) == 0 {
+			if !ok || p.Msg.Kind != peermsg.HeartbeatReplies || len(p.Msg.HeartbeatReplies.List) == 0 {
 				continue
 			}
-			x := p.Msg.Replies.List[0]
-			if x.Ref != ref || x.Status != 0 || p.Msg.Replies.Session != session {
-				t.Errorf("%+v in session %d", x, p.Msg.Replies.Session)
+			x := p.Msg.HeartbeatReplies.List[0]
+			if x.Ref != ref || x.Status != 0 || p.Msg.HeartbeatReplies.Session != session {
+				t.Errorf("%+v in session %d", x, p.Msg.HeartbeatReplies.Session)
 			}
 			return len(x.Orders), true
 		}
@@ -245,21 +245,21 @@
 	n.worker(1, 1)
 	n.in(peermsg.LinkChange{Name: "n1"})
 	a, _ := ask(n.Core, request.Cluster)
-	if v, _ := a.Doc.(*view.Cluster); v == nil || v.Leader != "n1" || v.Term != 5 || v.Nodes[0].Workers != 1 || v.Nodes[0].Role != "away" {
-		t.Errorf("%+v", a.Doc)
+	if v, _ := a.Document.(*view.Cluster); v == nil || v.Leader != "n1" || v.Term != 5 || v.Nodes[0].Workers != 1 || v.Nodes[0].Role != "away" {
+		t.Errorf("%+v", a.Document)
 	}
 	c := leaderOf(t, 2)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1", Site: "b"}}
 	a, _ = ask(c, request.Cluster)
-	if v, _ := a.Doc.(*view.Cluster); v == nil || v.Leader != "n0" || !v.Authority || v.Machines != 2 || len(v.Nodes) != 2 || v.Nodes[1].Role != "away" {
-		t.Errorf("%+v", a.Doc)
+	if v, _ := a.Document.(*view.Cluster); v == nil || v.Leader != "n0" || !v.Authority || v.Machines != 2 || len(v.Nodes) != 2 || v.Nodes[1].Role != "away" {
+		t.Errorf("%+v", a.Document)
 	}
-	if a, dropped := ask(c, request.HandOver); a.Status != 409 || dropped || c.leadership == nil {
+	if a, dropped := ask(c, request.TransferLeadership); a.Status != 409 || dropped || c.leadership == nil {
 		t.Errorf("handed over to nobody: %d %s", a.Status, a.Reason)
 	}
 	c.Step(c.Now, peermsg.LinkChange{Name: "n1", Up: true})
-	c.Step(c.Now, peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: relay.NewEncoder(3).Batch(nil, nil)}})
-	if a, dropped := ask(c, request.HandOver); a.Status != 200 || !dropped || c.leadership != nil {
+	c.Step(c.Now, peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Heartbeats: relay.NewEncoder(3).Batch(nil, nil)}})
+	if a, dropped := ask(c, request.TransferLeadership); a.Status != 200 || !dropped || c.leadership != nil {
 		t.Errorf("not handed over: %d %s", a.Status, a.Reason)
 	}
 }
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -32,7 +32,7 @@
 			j.Need = j.Spec.Need()
 			rep := reportOf(m)
 			for i := range x.tasks {
-				rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Try: uint64(i) + 1, Phase: heartbeat.TaskRuns})
+				rep.Tasks = append(rep.Tasks, heartbeat.Task{ID: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Attempt: uint64(i) + 1, Phase: heartbeat.Running})
 			}
 			c.leadership.dispatcher.Pacing.BytesPerSecond = x.budget
 			answeredAfter := func(rep heartbeat.Report) time.Duration {
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -12,8 +12,8 @@
 // handleRequest serves a request of a user, or one that another controller has forwarded.
 func (c *Core) handleRequest(r request.Request) {
 	switch {
-	case r.Op == request.ConfigHere:
-		c.answer(r, request.Response{Status: 200, Doc: c.LocalConfig()})
+	case r.Op == request.ConfigLocal:
+		c.answer(r, request.Response{Status: 200, Document: c.LocalConfig()})
 	case c.canAct():
 		c.serve(r)
 	default:
@@ -46,12 +46,12 @@
 		if r.Op == request.Cancel {
 			l.lifecycle.Cancel(j, r)
 		} else if j.Cancelled || !l.lifecycle.WaitForEnding(j, r) {
-			c.answer(r, request.Response{Status: 200, View: j.View(), Reason: l.outages.WaitReason(j)})
+			c.answer(r, request.Response{Status: 200, Job: j.View(), Reason: l.outages.WaitReason(j)})
 		}
 		return
 	}
 	if final, ok := c.jobs.Final(r.ID); ok {
-		c.answer(r, request.Response{Status: 200, View: jobstore.FinalStatus(r.ID, final)})
+		c.answer(r, request.Response{Status: 200, Job: jobstore.FinalStatus(r.ID, final)})
 		return
 	}
 	l.admitter.Serve(r)
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -51,7 +51,7 @@
 	// Not even by chance.
 	ref = forwards(n, "wk-2")
 	n.outs = nil
-	n.in(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Response, Ref: ref, Answer: &request.Response{Status: 200, View: request.JobStatus{ID: "wk-1", State: spec.Done}}}})
+	n.in(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Response, Ref: ref, Response: &request.Response{Status: 200, Job: request.JobStatus{ID: "wk-1", State: spec.Done}}}})
 	for _, o := range n.outs {
 		if a, ok := o.(request.Response); ok {
 			t.Errorf("whoever asked about wk-2 is told %+v", a)
@@ -222,7 +222,7 @@
 	m := c.leadership.inventory.Machines()[0]
 	rep := reportOf(m)
 	send := func(f *relay.Encoder, items ...relay.Delta) {
-		c.Step(c.Now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Reports: f.Batch(items, nil)}})
+		c.Step(c.Now.Add(time.Second), peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Heartbeats: f.Batch(items, nil)}})
 	}
 	f := relay.NewEncoder(3)
 	send(f, f.Encode(17, &rep))
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -106,7 +106,7 @@
 		j.AnyCompleted = true
 	}
 	for range m.Room().CPU / 1000 {
-		r := &fleet.Attempt{ID: heartbeat.TaskID{Job: "wk-1", Index: len(j.Attempts)}, Number: uint64(len(j.Attempts) + 1), Machine: m, Phase: heartbeat.TaskRuns, OrderedAt: c.Now, StartedAt: c.Now}
+		r := &fleet.Attempt{ID: heartbeat.TaskID{Job: "wk-1", Index: len(j.Attempts)}, Number: uint64(len(j.Attempts) + 1), Machine: m, Phase: heartbeat.Running, OrderedAt: c.Now, StartedAt: c.Now}
 		m.Attempts = append(m.Attempts, r)
 		c.leadership.placement.Occupy(r, j)
 	}
@@ -115,7 +115,7 @@
 func reportOf(m *fleet.Machine) heartbeat.Report {
 	r := heartbeat.Report{Host: m.Host, Address: m.Address, InstanceType: m.TypeName, Zone: m.Zone, Spot: true, Incarnation: m.Incarnation, Counter: m.Counter + 1, FencingToken: 1}
 	for _, x := range m.Attempts {
-		r.Tasks = append(r.Tasks, heartbeat.Task{Task: x.ID, Try: x.Number, Phase: x.Phase})
+		r.Tasks = append(r.Tasks, heartbeat.Task{ID: x.ID, Attempt: x.Number, Phase: x.Phase})
 	}
 	return r
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -14,7 +14,7 @@
 	if l == nil {
 		return s
 	}
-	s.Leads, s.Authority = true, c.hasAuthority()
+	s.IsLeader, s.Authority = true, c.hasAuthority()
 	s.WorkStats = l.workStats()
 	s.FleetStats = c.fleetStats()
 	s.RecordStats = c.recordStats()
@@ -34,25 +34,25 @@
 func (c *Core) fleetStats() view.FleetStats {
 	l := c.leadership
 	s := view.FleetStats{
-		Machines:    len(l.inventory.Machines()),
-		Unaccounted: l.inventory.UnaccountedCount(),
-		Direct:      l.relays.Direct(),
-		Relays:      len(l.relays.Nodes()),
-		FleetFull:   l.autoscaler.AtCapacity(),
+		Machines:       len(l.inventory.Machines()),
+		Unaccounted:    l.inventory.UnaccountedCount(),
+		Direct:         l.relays.Direct(),
+		Relays:         len(l.relays.Nodes()),
+		AtMachineLimit: l.autoscaler.AtCapacity(),
 	}
 	for _, r := range l.outages.Regions.All() {
 		if r.Unreachable() {
-			s.RegionsAway++
+			s.RegionsUnreachable++
 		}
 	}
 	for _, z := range l.outages.Zones.All() {
 		if z.Unreachable() {
-			s.ZonesAway++
+			s.ZonesUnreachable++
 		}
 	}
 	for _, m := range l.inventory.Machines() {
 		if m.Unreachable {
-			s.MachinesAway++
+			s.MachinesUnreachable++
 		}
 		if m.Reported {
 			s.Reporting++
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -131,7 +131,7 @@
 		switch {
 		case a.Phase == heartbeat.Exited:
 			if d.mayForget(a) {
-				orders = append(orders, heartbeat.Order{Verb: heartbeat.Reap, Task: a.ID, Try: a.Number})
+				orders = append(orders, heartbeat.Order{Verb: heartbeat.Reap, Task: a.ID, Attempt: a.Number})
 			}
 		case a.StopRequested || isCancelled(a.Job):
 			drain := a.DrainTime
@@ -141,7 +141,7 @@
 			if a.StopSentAt.IsZero() {
 				a.StopSentAt = d.engine.Now
 			}
-			orders = append(orders, heartbeat.Order{Verb: heartbeat.Stop, Task: a.ID, Try: a.Number, Drain: drain})
+			orders = append(orders, heartbeat.Order{Verb: heartbeat.Stop, Task: a.ID, Attempt: a.Number, Drain: drain})
 		}
 	}
 	return orders
--- a/internal/election/watch.go
+++ b/internal/election/watch.go
@@ -124,7 +124,7 @@
 // watchKey waits for a change of the leader's key after a revision.
 func (e *Election) watchKey(from uint64) {
 	call := kv.WatchPrefix(record.LeaderKey, from)
-	call.Block = leaderWatchTimeout
+	call.WatchTimeout = leaderWatchTimeout
 	e.engine.CallStore(call, func(r kv.Response) {
 		if r.Outcome == rpc.OK {
 			e.Watch()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -114,8 +114,8 @@
 // of day that is set back moves by itself.
 func (e *Engine) SetClockOffset(d time.Duration) { e.clockOffset = d }
 
-// TimeOfDay returns the wall-clock time of the current step.
-func (e *Engine) TimeOfDay() time.Time { return e.Now.Round(0).Add(e.clockOffset) }
+// WallClock returns the wall-clock time of the current step.
+func (e *Engine) WallClock() time.Time { return e.Now.Round(0).Add(e.clockOffset) }
 
 // ClockSkew returns how far the time of day has run ahead of the steady clock since the
 // first step. A machine that was suspended wakes with a steady clock that has stood still.
@@ -145,27 +145,27 @@
 	e.Emit(call)
 }
 
-// CallWorker probes a worker and has f called with the reply.
-func (e *Engine) CallWorker(probe heartbeat.Probe, f func(heartbeat.ProbeReply)) {
+// ProbeWorker probes a worker and has f called with the reply.
+func (e *Engine) ProbeWorker(probe heartbeat.Probe, f func(heartbeat.ProbeReply)) {
 	probe.Ref = e.NextRef()
 	e.pendingProbes[probe.Ref] = f
 	e.Emit(probe)
 }
 
 // HandleStore passes a response of the key-value store on to the caller.
-func (e *Engine) HandleStore(r kv.Response) { settle(e.pendingStore, r.Ref, r) }
+func (e *Engine) HandleStore(r kv.Response) { deliver(e.pendingStore, r.Ref, r) }
 
-// AwaitsStore reports whether a call to the key-value store waits for its response.
-func (e *Engine) AwaitsStore(ref uint64) bool { return e.pendingStore[ref] != nil }
+// StoreCallPending reports whether a call to the key-value store waits for its response.
+func (e *Engine) StoreCallPending(ref uint64) bool { return e.pendingStore[ref] != nil }
 
 // HandleCloud passes a response of the cloud on to the caller.
-func (e *Engine) HandleCloud(r provider.Response) { settle(e.pendingCloud, r.Ref, r) }
+func (e *Engine) HandleCloud(r provider.Response) { deliver(e.pendingCloud, r.Ref, r) }
 
 // HandleProbe passes a worker's reply on to the caller.
-func (e *Engine) HandleProbe(r heartbeat.ProbeReply) { settle(e.pendingProbes, r.Ref, r) }
+func (e *Engine) HandleProbe(r heartbeat.ProbeReply) { deliver(e.pendingProbes, r.Ref, r) }
 
-// settle hands a reply to the function that waits for it, once.
-func settle[R any](pending map[uint64]func(R), ref uint64, r R) {
+// deliver hands a reply to the function that waits for it, once.
+func deliver[R any](pending map[uint64]func(R), ref uint64, r R) {
 	if f := pending[ref]; f != nil {
 		delete(pending, ref)
 		f(r)
--- a/internal/failover/advance.go
+++ b/internal/failover/advance.go
@@ -127,7 +127,7 @@
 // request requests the replica of a peer.
 func (r *Recovery) request(source string) {
 	r.fetch.source, r.fetch.deadline, r.fetch.receiver = source, r.engine.Now.Add(replicaTimeout), replica.Receiver{}
-	r.send(source, peermsg.WantReplica)
+	r.send(source, peermsg.ReplicaRequest)
 	r.scope.After(replicaTimeout+timerMargin, r.advance)
 }
 
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -66,7 +66,7 @@
 	startedAt time.Time
 	stored    []replica.Record // that were read from the store
 	allStored bool             // those are all of them
-	knowledge map[string]*peermsg.Knowledge
+	knowledge map[string]*peermsg.PeerState
 	phase     phase
 
 	fetch            fetch
@@ -102,7 +102,7 @@
 		leader:    leader,
 		term:      term,
 		startedAt: e.Now,
-		knowledge: map[string]*peermsg.Knowledge{},
+		knowledge: map[string]*peermsg.PeerState{},
 		fetch:     fetch{failed: map[string]bool{}},
 	}
 }
@@ -124,7 +124,7 @@
 	}
 	for _, seed := range r.cfg.Seeds {
 		if r.knowledge[seed.HostName] == nil {
-			r.send(seed.HostName, peermsg.AskKnowledge)
+			r.send(seed.HostName, peermsg.PeerStateRequest)
 		}
 	}
 	r.scope.After(askInterval, r.askPeers)
@@ -135,7 +135,7 @@
 }
 
 // HandleKnowledge takes in what a peer knows.
-func (r *Recovery) HandleKnowledge(from string, k *peermsg.Knowledge) {
+func (r *Recovery) HandleKnowledge(from string, k *peermsg.PeerState) {
 	if r.knowledge[from] == nil && k.ReplicaTerm == 0 {
 		r.replicas.StartTransfer(from)
 	}
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -66,7 +66,7 @@
 	b.t.Helper()
 	i := slices.IndexFunc(b.engine.Outputs, func(o any) bool {
 		call, ok := o.(kv.Request)
-		return ok && call.Op == op && b.engine.AwaitsStore(call.Ref)
+		return ok && call.Op == op && b.engine.StoreCallPending(call.Ref)
 	})
 	if i < 0 {
 		b.t.Fatalf("no call of kind %v waits", op)
@@ -78,7 +78,7 @@
 // wants returns whose replica was requested in this step.
 func (b *bench) wants() (names []string) {
 	for _, o := range b.engine.Outputs {
-		if m, ok := o.(peermsg.Outgoing); ok && m.Msg.Kind == peermsg.WantReplica {
+		if m, ok := o.(peermsg.Outgoing); ok && m.Msg.Kind == peermsg.ReplicaRequest {
 			names = append(names, m.To)
 		}
 	}
@@ -138,8 +138,8 @@
 func TestFetchFromNextPeer(t *testing.T) {
 	b := begin(t, Term{Read: recovery.TermRead{Missing: true}, Observed: recovery.Observed{Era: 8, Term: 6}}, nil)
 	b.answer(kv.List, page())
-	b.HandleKnowledge("n1", &peermsg.Knowledge{ReplicaTerm: 4})
-	b.HandleKnowledge("n2", &peermsg.Knowledge{ReplicaTerm: 5})
+	b.HandleKnowledge("n1", &peermsg.PeerState{ReplicaTerm: 4})
+	b.HandleKnowledge("n2", &peermsg.PeerState{ReplicaTerm: 5})
 	if got := b.wants(); !slices.Equal(got, []string{"n2"}) {
 		t.Fatalf("wants %v", got)
 	}
@@ -185,7 +185,7 @@
 func TestStoreSuffices(t *testing.T) {
 	b := begin(t, Term{Read: recovery.TermRead{Era: era, Term: 6}}, nil)
 	b.answer(kv.List, page(job("a")))
-	b.HandleKnowledge("n1", &peermsg.Knowledge{ReplicaEra: era, ReplicaTerm: 6, LiveDigest: replica.DigestOf([]replica.Record{job("a")})})
+	b.HandleKnowledge("n1", &peermsg.PeerState{ReplicaEra: era, ReplicaTerm: 6, LiveDigest: replica.DigestOf([]replica.Record{job("a")})})
 	o := b.outcome
 	if o == nil || o.FinalsSource != "n1" || o.Restored != nil || o.LossReason != "" || len(o.Records) != 1 || len(b.wants()) != 0 {
 		t.Fatalf("%+v, wants %v", o, b.wants())
@@ -196,8 +196,8 @@
 func TestHigherTermEndsOurs(t *testing.T) {
 	b := begin(t, Term{Read: recovery.TermRead{Missing: true}}, nil)
 	b.answer(kv.List, page())
-	b.HandleKnowledge("n1", &peermsg.Knowledge{Observed: recovery.Observed{Era: 8, Term: 12}})
-	b.HandleKnowledge("n2", &peermsg.Knowledge{})
+	b.HandleKnowledge("n1", &peermsg.PeerState{Observed: recovery.Observed{Era: 8, Term: 12}})
+	b.HandleKnowledge("n2", &peermsg.PeerState{})
 	if b.higher != 12 || b.outcome != nil {
 		t.Errorf("ended by %d, outcome %+v", b.higher, b.outcome)
 	}
--- a/internal/forwarder/session.go
+++ b/internal/forwarder/session.go
@@ -66,7 +66,7 @@
 			abandoned, f.abandoned = f.abandoned, nil
 		}
 		batch := f.encoder.Batch(f.unsent[:n:n], abandoned)
-		f.engine.Emit(peermsg.Outgoing{To: f.leader, Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: f.term, Reports: batch}})
+		f.engine.Emit(peermsg.Outgoing{To: f.leader, Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: f.term, Heartbeats: batch}})
 		f.unsent = f.unsent[n:]
 	}
 	f.unsent, f.weight, f.flushedAt = nil, 0, f.engine.Now
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -108,7 +108,7 @@
 		return
 	}
 	if final, ok := g.jobs.Final(r.ID); ok {
-		g.answer(r, request.Response{Status: 200, View: jobstore.FinalStatus(r.ID, final)})
+		g.answer(r, request.Response{Status: 200, Job: jobstore.FinalStatus(r.ID, final)})
 		return
 	}
 	upstream := g.controller.Upstream()
@@ -155,11 +155,11 @@
 // HandleResponse takes in the leader's answer to a forwarded request.
 func (g *Gateway) HandleResponse(from string, m peermsg.Message) {
 	f := g.forwarded[m.Ref]
-	if f == nil || f.leader != from || m.Answer == nil {
+	if f == nil || f.leader != from || m.Response == nil {
 		return
 	}
-	answer, op := m.Answer, f.request.Op
-	if id := answer.View.ID; id != "" && id != f.request.ID && f.request.IsJob() {
+	answer, op := m.Response, f.request.Op
+	if id := answer.Job.ID; id != "" && id != f.request.ID && f.request.IsJob() {
 		return // about another job: meant for somebody else
 	}
 	delete(g.forwarded, m.Ref)
@@ -167,10 +167,10 @@
 		g.serveWithoutLeader(f.request)
 		return
 	}
-	if answer.Status == 200 && op == request.Get && answer.View.State.Final() {
+	if answer.Status == 200 && op == request.Get && answer.Job.State.Final() {
 		// Only a final answer to a poll: the answer to a cancellation may tell of a job
 		// that is cancelled and still on record, with tasks that are not yet stopped.
-		g.jobs.Remember(f.request.ID, record.Final{State: answer.View.State, Done: answer.View.Done})
+		g.jobs.Remember(f.request.ID, record.Final{State: answer.Job.State, Done: answer.Job.Done})
 	}
 	g.answer(f.request, *answer)
 }
@@ -193,7 +193,7 @@
 	case request.Submit:
 		g.submit(r)
 	case request.Cluster:
-		g.answer(r, request.Response{Status: 200, Doc: g.controller.Cluster()})
+		g.answer(r, request.Response{Status: 200, Document: g.controller.Cluster()})
 	default:
 		g.answer(r, request.Unavailable(noLeader))
 	}
@@ -213,7 +213,7 @@
 			g.answer(r, request.Unavailable(noLeader))
 			return
 		}
-		g.answer(r, request.Response{Status: 200, View: *status})
+		g.answer(r, request.Response{Status: 200, Job: *status})
 	})
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -121,16 +121,16 @@
 	if sent.To != "n1" || sent.Msg.Kind != peermsg.Request || sent.Msg.Op != request.Cancel || sent.Msg.ID != "wk-1" {
 		t.Fatalf("%+v", sent)
 	}
-	answer := peermsg.Message{Ref: sent.Msg.Ref, Answer: &request.Response{Status: 200, View: request.JobStatus{ID: "wk-1", State: spec.Cancelled}}}
+	answer := peermsg.Message{Ref: sent.Msg.Ref, Response: &request.Response{Status: 200, Job: request.JobStatus{ID: "wk-1", State: spec.Cancelled}}}
 	n.HandleResponse("n2", answer)
 	other := answer
-	other.Answer = &request.Response{Status: 200, View: request.JobStatus{ID: "wk-2"}}
+	other.Response = &request.Response{Status: 200, Job: request.JobStatus{ID: "wk-2"}}
 	n.HandleResponse("n1", other)
 	if got := take[request.Response](n); len(got) != 0 {
 		t.Fatalf("answered by another controller, or about another job: %+v", got)
 	}
 	n.HandleResponse("n1", answer)
-	if got := one[request.Response](n); got.Ref != 9 || got.Status != 200 || got.View.State != spec.Cancelled {
+	if got := one[request.Response](n); got.Ref != 9 || got.Status != 200 || got.Job.State != spec.Cancelled {
 		t.Errorf("%+v", got)
 	}
 	if _, ok := n.jobs.Final("wk-1"); ok {
@@ -190,7 +190,7 @@
 func TestServeWithoutForwarding(t *testing.T) {
 	n := newNode(t)
 	n.Serve(request.Request{Ref: 9, From: "n2", Op: request.Get, ID: "wk-1"})
-	if got := one[peermsg.Outgoing](n); got.To != "n2" || got.Msg.Ref != 9 || got.Msg.Answer.Status != 503 || got.Msg.Answer.Reason != "not the leader" {
+	if got := one[peermsg.Outgoing](n); got.To != "n2" || got.Msg.Ref != 9 || got.Msg.Response.Status != 503 || got.Msg.Response.Reason != "not the leader" {
 		t.Errorf("to one that took us for the leader: %+v", got)
 	}
 	n.Serve(request.Request{Ref: 9, Op: request.ConfigSet, Config: &request.ConfigParams{}})
@@ -202,7 +202,7 @@
 	one[peermsg.Outgoing](n)
 	n.jobs.Remember("wk-1", record.Final{State: spec.Done, Done: 3})
 	n.Serve(request.Request{Ref: 9, Op: request.Get, ID: "wk-1"})
-	if got := one[request.Response](n); got.Status != 200 || got.View.State != spec.Done || got.View.Done != 3 {
+	if got := one[request.Response](n); got.Status != 200 || got.Job.State != spec.Done || got.Job.Done != 3 {
 		t.Errorf("the end of a job, remembered: %+v", got)
 	}
 }
@@ -255,14 +255,14 @@
 	if len(call.Writes) != 2 || call.Writes[0].Key != liveKey || call.Writes[1].Key != record.LeaderlessPrefix+"wk-1" {
 		t.Errorf("%+v", call.Writes)
 	}
-	if got := take[request.Response](n); len(got) != 1 || got[0].Status != 201 || got[0].View.State != spec.Queued {
+	if got := take[request.Response](n); len(got) != 1 || got[0].Status != 201 || got[0].Job.State != spec.Queued {
 		t.Errorf("%+v", got)
 	}
 
 	n.Serve(submission("wk-1"))
 	n.reply(kv.Response{Outcome: rpc.Conflict})
 	n.reply(kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{{Key: liveKey, Value: &record.Job{}}}})
-	if got := one[request.Response](n); got.Status != 200 || got.View.State != spec.Queued {
+	if got := one[request.Response](n); got.Status != 200 || got.Job.State != spec.Queued {
 		t.Errorf("a job that has a record: %+v", got)
 	}
 }
--- a/internal/gateway/leaderless.go
+++ b/internal/gateway/leaderless.go
@@ -118,7 +118,7 @@
 // changed since the replica.
 func (g *Gateway) conditions(id string, k *replica.Replica) []kv.Condition {
 	config, _ := k.Get(record.ConfigHeadKey)
-	return append(record.NoJob(id),
+	return append(record.JobAbsent(id),
 		kv.Condition{Key: record.TermKey, Rev: g.controller.Upstream().TermRevision},
 		kv.Condition{Key: record.ConfigHeadKey, Rev: config.Rev})
 }
@@ -137,7 +137,7 @@
 		case rpc.OK:
 			g.engine.Log(slog.LevelInfo, "job accepted without a leader", "job", id)
 			g.replicas.SendLeaderlessJob(job, reply.Rev)
-			g.answer(r, request.Response{Status: 201, View: request.JobStatus{ID: id, State: spec.Queued}})
+			g.answer(r, request.Response{Status: 201, Job: request.JobStatus{ID: id, State: spec.Queued}})
 		case rpc.Conflict, rpc.Unknown:
 			g.answerExisting(r)
 		default:
@@ -151,7 +151,7 @@
 func (g *Gateway) answerExisting(r request.Request) {
 	g.jobs.Read(r.Spec.ID, func(status *request.JobStatus, known bool) {
 		if known && status != nil {
-			g.answer(r, request.Response{Status: 200, View: *status})
+			g.answer(r, request.Response{Status: 200, Job: *status})
 		} else {
 			g.answer(r, request.Unavailable(noLeader))
 		}
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -32,22 +32,22 @@
 // The phases that workers report.
 const (
 	Pulling       Phase = "pulling"
-	TaskRuns      Phase = "running"
+	Running       Phase = "running"
 	Checkpointing Phase = "saving"
 	Exited        Phase = "exited"
 )
 
 // Known reports whether p is a phase of the protocol.
 func (p Phase) Known() bool {
-	return p == Pulling || p == TaskRuns || p == Checkpointing || p == Exited
+	return p == Pulling || p == Running || p == Checkpointing || p == Exited
 }
 
 // Task is one attempt of a task in a report.
 type Task struct {
-	Task  TaskID
-	Try   uint64 // number of the attempt
-	Phase Phase
-	Cause string // of its exit
+	ID      TaskID
+	Attempt uint64 // number of the attempt
+	Phase   Phase
+	Cause   string // of its exit
 }
 
 // Report is the state of a worker and its tasks, as it sends it with each heartbeat.
@@ -81,8 +81,8 @@
 
 // Order is one command to a worker.
 type Order struct {
-	Verb  Verb
-	Task  TaskID
-	Try   uint64
-	Drain time.Duration // with Stop: how long the task may take to save its checkpoint
+	Verb    Verb
+	Task    TaskID
+	Attempt uint64
+	Drain   time.Duration // with Stop: how long the task may take to save its checkpoint
 }
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -26,18 +26,18 @@
 
 // Request is a call to the store.
 type Request struct {
-	Ref        uint64
-	Op         Op
-	Key        string        // of Get; of List and Watch, the prefix
-	From       string        // of List: the last key of the page before
-	FromRev    uint64        // of Watch: the revision after which changes count
-	Limit      int           // of List: how many keys at most
-	Block      time.Duration // of Watch: how long the store waits for a change
-	TTL        time.Duration // of GrantLease and KeepAlive
-	LeaseID    uint64        // of KeepAlive and RevokeLease
-	Conditions []Condition   // of Txn
-	Writes     []Write       // of Txn; without any, the conditions are checked alone
-	Timeout    time.Duration // after which the outcome is unknown
+	Ref          uint64
+	Op           Op
+	Key          string        // of Get; of List and Watch, the prefix
+	From         string        // of List: the last key of the page before
+	FromRev      uint64        // of Watch: the revision after which changes count
+	Limit        int           // of List: how many keys at most
+	WatchTimeout time.Duration // of Watch: how long the store waits for a change
+	TTL          time.Duration // of GrantLease and KeepAlive
+	LeaseID      uint64        // of KeepAlive and RevokeLease
+	Conditions   []Condition   // of Txn
+	Writes       []Write       // of Txn; without any, the conditions are checked alone
+	Timeout      time.Duration // after which the outcome is unknown
 }
 
 // Condition is a condition of a transaction.
@@ -78,5 +78,5 @@
 // WatchPrefix returns the request that waits until a key below the prefix has changed after
 // a revision, or for long.
 func WatchPrefix(prefix string, after uint64) Request {
-	return Request{Op: Watch, Key: prefix, FromRev: after, Block: 20 * time.Second, Timeout: 25 * time.Second}
+	return Request{Op: Watch, Key: prefix, FromRev: after, WatchTimeout: 20 * time.Second, Timeout: 25 * time.Second}
 }
--- a/internal/kvclient/compatibility_test.go
+++ b/internal/kvclient/compatibility_test.go
@@ -59,7 +59,7 @@
 		"get":               {Op: kv.Get, Key: "yewpass/term"},
 		"list":              {Op: kv.List, Key: "yewpass/live/", Limit: 400},
 		"list: a next page": {Op: kv.List, Key: "yewpass/live/", From: "yewpass/live/job/wk-7", Limit: 400},
-		"follow":            {Op: kv.Watch, Key: "yewpass/alone/", FromRev: 77, Block: 2500 * time.Millisecond},
+		"follow":            {Op: kv.Watch, Key: "yewpass/alone/", FromRev: 77, WatchTimeout: 2500 * time.Millisecond},
 		"grant":             {Op: kv.GrantLease, TTL: 3 * time.Second},
 		"extend":            {Op: kv.KeepAlive, LeaseID: 5, TTL: 3 * time.Second},
 		"drop grant":        {Op: kv.RevokeLease, LeaseID: 5},
--- a/internal/kvclient/request.go
+++ b/internal/kvclient/request.go
@@ -69,7 +69,7 @@
 	return url.Values{
 		"under":   {call.Key},
 		"from":    {strconv.FormatUint(call.FromRev, 10)},
-		"blockMs": {strconv.FormatInt(call.Block.Milliseconds(), 10)},
+		"blockMs": {strconv.FormatInt(call.WatchTimeout.Milliseconds(), 10)},
 	}
 }
 
@@ -85,7 +85,7 @@
 		if write.Value == nil {
 			t.Writes = append(t.Writes, writeJSON{Remove: write.Key})
 		} else {
-			t.Writes = append(t.Writes, writeJSON{Write: write.Key, Value: recordcodec.Stored(write.Value), LeaseID: write.LeaseID})
+			t.Writes = append(t.Writes, writeJSON{Write: write.Key, Value: recordcodec.StoredForm(write.Value), LeaseID: write.LeaseID})
 		}
 	}
 	return t
--- a/internal/lifecycle/cancel.go
+++ b/internal/lifecycle/cancel.go
@@ -24,7 +24,7 @@
 // Cancel records a cancellation and answers once it is committed.
 func (m *Manager) Cancel(j *fleet.Job, r request.Request) {
 	if j.Cancelled {
-		m.answer(r, request.Response{Status: 200, View: j.View()})
+		m.answer(r, request.Response{Status: 200, Job: j.View()})
 		return
 	}
 	j.EndingWaiters = append(j.EndingWaiters, r)
@@ -71,7 +71,7 @@
 	j.Cancelling, j.Cancelled, j.Record, j.EndingChange = false, true, rec, nil
 	m.Placement.DropReservations(j)
 	m.engine.Log(slog.LevelDebug, "job cancelled", "job", j.Spec.ID)
-	m.AnswerWaiters(j, request.Response{Status: 200, View: j.View()})
+	m.AnswerWaiters(j, request.Response{Status: 200, Job: j.View()})
 	m.FinishIfOver(j)
 }
 
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -169,7 +169,7 @@
 		a.Forgettable = true
 	}
 	j.Completed = nil
-	m.AnswerWaiters(j, request.Response{Status: 200, View: jobstore.FinalStatus(id, final)})
+	m.AnswerWaiters(j, request.Response{Status: 200, Job: jobstore.FinalStatus(id, final)})
 	m.leader.JobFinished(j, final.State)
 	m.engine.Log(slog.LevelDebug, "job finished", "job", id, "state", final.State)
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -21,7 +21,7 @@
 		return 0
 	}
 	for name, f := range map[string]func(s *view.Stats) float64{
-		"yewpass_leader":                  func(s *view.Stats) float64 { return flag(s.Leads) },
+		"yewpass_leader":                  func(s *view.Stats) float64 { return flag(s.IsLeader) },
 		"yewpass_authority":               func(s *view.Stats) float64 { return flag(s.Authority) },
 		"yewpass_term":                    func(s *view.Stats) float64 { return float64(s.Term) },
 		"yewpass_jobs":                    func(s *view.Stats) float64 { return float64(s.Jobs) },
@@ -36,14 +36,14 @@
 		"yewpass_workers_direct":          func(s *view.Stats) float64 { return float64(s.Direct) },
 		"yewpass_workers_passed_on":       func(s *view.Stats) float64 { return float64(s.Relayed) },
 		"yewpass_relays":                  func(s *view.Stats) float64 { return float64(s.Relays) },
-		"yewpass_regions_away":            func(s *view.Stats) float64 { return float64(s.RegionsAway) },
-		"yewpass_zones_away":              func(s *view.Stats) float64 { return float64(s.ZonesAway) },
-		"yewpass_machines_away":           func(s *view.Stats) float64 { return float64(s.MachinesAway) },
+		"yewpass_regions_away":            func(s *view.Stats) float64 { return float64(s.RegionsUnreachable) },
+		"yewpass_zones_away":              func(s *view.Stats) float64 { return float64(s.ZonesUnreachable) },
+		"yewpass_machines_away":           func(s *view.Stats) float64 { return float64(s.MachinesUnreachable) },
 		"yewpass_reports_late_total":      func(s *view.Stats) float64 { return float64(s.StaleHeartbeats) },
 		"yewpass_records_to_restore":      func(s *view.Stats) float64 { return float64(s.RecordsPending) },
 		"yewpass_jobs_unreadable":         func(s *view.Stats) float64 { return float64(s.UnreadableJobs) },
 		"yewpass_copies":                  func(s *view.Stats) float64 { return float64(s.Replicas) },
-		"yewpass_fleet_full":              func(s *view.Stats) float64 { return flag(s.FleetFull) },
+		"yewpass_fleet_full":              func(s *view.Stats) float64 { return flag(s.AtMachineLimit) },
 		"yewpass_config_revision":         func(s *view.Stats) float64 { return float64(s.ConfigRevision) },
 		"yewpass_config_age_seconds":      func(s *view.Stats) float64 { return s.ConfigAge },
 		"yewpass_config_in_force_seconds": func(s *view.Stats) float64 { return s.ConfigPropagation },
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -204,7 +204,7 @@
 	case api.Exchange:
 		x.Reply <- busy // has room for its one answer
 	case peermsg.Received:
-		n.mesh.Send(peermsg.Outgoing{To: x.From, Msg: peermsg.Message{Kind: peermsg.Response, Ref: x.Msg.Ref, Answer: &busy}})
+		n.mesh.Send(peermsg.Outgoing{To: x.From, Msg: peermsg.Message{Kind: peermsg.Response, Ref: x.Msg.Ref, Response: &busy}})
 	}
 }
 
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -39,17 +39,17 @@
 		return peermsg.Received{}, &malformedError{"from", "not one of the seeds"}
 	}
 	message := peermsg.Message{
-		Kind:      j.Kind,
-		Term:      j.Term,
-		Ref:       j.Ref,
-		Op:        j.Op,
-		ID:        j.ID,
-		Version:   j.Version,
-		Schedule:  j.Schedule,
-		Config:    j.Config,
-		Knowledge: j.Knowledge,
-		Reports:   j.Reports,
-		Replies:   j.Replies,
+		Kind:             j.Kind,
+		Term:             j.Term,
+		Ref:              j.Ref,
+		Op:               j.Op,
+		ID:               j.ID,
+		Version:          j.Version,
+		Schedule:         j.Schedule,
+		Config:           j.Config,
+		PeerState:        j.Knowledge,
+		Heartbeats:       j.Reports,
+		HeartbeatReplies: j.Replies,
 	}
 	if err := j.decodeInto(&message); err != nil {
 		return peermsg.Received{}, err
@@ -65,9 +65,9 @@
 	case peermsg.Replica, peermsg.LeaderlessJob:
 		message.Replica, err = j.Replica.decode()
 		return err
-	case peermsg.TellKnowledge:
+	case peermsg.PeerStateResponse:
 		return j.checkKnowledge()
-	case peermsg.Leader, peermsg.Ack, peermsg.AskKnowledge, peermsg.WantReplica, peermsg.ReplicaRestart, peermsg.ConfigRevision:
+	case peermsg.Leader, peermsg.Ack, peermsg.PeerStateRequest, peermsg.ReplicaRequest, peermsg.ReplicaRestart, peermsg.ConfigRevision:
 		if !validTerm(j.Term) {
 			return &malformedError{"term", "out of range"}
 		}
@@ -75,7 +75,7 @@
 	case peermsg.Request:
 		return j.decodeRequest(message)
 	case peermsg.Response:
-		message.Answer, err = j.Answer.decode()
+		message.Response, err = j.Answer.decode()
 		return err
 	case peermsg.Heartbeats:
 		if j.Reports == nil || !validTerm(j.Term) {
@@ -109,7 +109,7 @@
 		}
 		message.Spec = &job
 	}
-	if !message.Sound() {
+	if !message.Valid() {
 		return &malformedError{"op", "not a call that a node forwards"}
 	}
 	return nil
@@ -122,13 +122,13 @@
 	response := &request.Response{
 		Status:     r.Status,
 		RetryAfter: time.Duration(r.RetryMS) * time.Millisecond,
-		View:       request.JobStatus{ID: r.ViewID, State: r.State, Done: r.Done, Running: r.Running},
+		Job:        request.JobStatus{ID: r.ViewID, State: r.State, Done: r.Done, Running: r.Running},
 		Field:      r.Field,
 		Reason:     r.Reason,
 		ETag:       r.ETag,
 	}
 	if len(r.Document) > 0 {
-		response.Doc = r.Document
+		response.Document = r.Document
 	}
 	return response, nil
 }
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -32,7 +32,7 @@
 	Schedule  *request.ScheduleParams `json:"schedule,omitempty"`
 	Config    *request.ConfigParams   `json:"config,omitempty"`
 	Replica   *replicaLineJSON        `json:"copy,omitempty"`
-	Knowledge *peermsg.Knowledge      `json:"know,omitempty"`
+	Knowledge *peermsg.PeerState      `json:"know,omitempty"`
 	Reports   *relay.Batch            `json:"reports,omitempty"`
 	Replies   *relay.Replies          `json:"replies,omitempty"`
 }
@@ -83,9 +83,9 @@
 		Version:   m.Version,
 		Schedule:  m.Schedule,
 		Config:    m.Config,
-		Knowledge: m.Knowledge,
-		Reports:   m.Reports,
-		Replies:   m.Replies,
+		Knowledge: m.PeerState,
+		Reports:   m.Heartbeats,
+		Replies:   m.HeartbeatReplies,
 	}
 	if m.Replica != nil {
 		j.Replica = encodeReplicaLine(m.Replica)
@@ -94,8 +94,8 @@
 		encoded := recordcodec.EncodeSpec(m.Spec)
 		j.Spec = &encoded
 	}
-	if m.Answer != nil {
-		j.Answer = encodeResponse(m.Answer)
+	if m.Response != nil {
+		j.Answer = encodeResponse(m.Response)
 	}
 	return j
 }
@@ -104,16 +104,16 @@
 	j := &responseJSON{
 		Status:  r.Status,
 		RetryMS: r.RetryAfter.Milliseconds(),
-		State:   r.View.State,
-		Done:    r.View.Done,
-		Running: r.View.Running,
+		State:   r.Job.State,
+		Done:    r.Job.Done,
+		Running: r.Job.Running,
 		Field:   r.Field,
 		Reason:  r.Reason,
-		ViewID:  r.View.ID,
+		ViewID:  r.Job.ID,
 		ETag:    r.ETag,
 	}
-	if r.Doc != nil {
-		j.Document, _ = json.Marshal(r.Doc) // plain structs of ours: cannot fail
+	if r.Document != nil {
+		j.Document, _ = json.Marshal(r.Document) // plain structs of ours: cannot fail
 	}
 	return j
 }
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -32,12 +32,12 @@
 				t.Fatal(m.Term)
 			}
 		case peermsg.Request:
-			if !m.Sound() || m.Op == request.Submit && !m.Spec.Sound() {
+			if !m.Valid() || m.Op == request.Submit && !m.Spec.Sound() {
 				t.Fatalf("%+v", m)
 			}
 		case peermsg.Response:
-			if m.Answer.Status < 200 || m.Answer.RetryAfter < 0 || !m.Answer.View.State.Known() {
-				t.Fatalf("%+v", m.Answer)
+			if m.Response.Status < 200 || m.Response.RetryAfter < 0 || !m.Response.Job.State.Known() {
+				t.Fatalf("%+v", m.Response)
 			}
 		default:
 			t.Fatal(m.Kind)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -75,17 +75,17 @@
 	if p := next(t, ib); p.From != "a" || p.Msg.Ref != 7 || p.Msg.Spec.Tasks != 3 || p.Msg.Spec.Deadline != time.Minute {
 		t.Errorf("%+v", p)
 	}
-	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Response, Ref: 8, Answer: &request.Response{Status: 503, RetryAfter: time.Second, Reason: "x"}}})
-	if p := next(t, ib); p.Msg.Answer == nil || p.Msg.Answer.Status != 503 || p.Msg.Answer.RetryAfter != time.Second {
+	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Response, Ref: 8, Response: &request.Response{Status: 503, RetryAfter: time.Second, Reason: "x"}}})
+	if p := next(t, ib); p.Msg.Response == nil || p.Msg.Response.Status != 503 || p.Msg.Response.RetryAfter != time.Second {
 		t.Errorf("%+v", p)
 	}
 	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Request, Ref: 9, Op: request.SchedulePut, Schedule: &request.ScheduleParams{Name: "n", IfMatch: "e", File: &schedule.File{Rule: "FREQ=DAILY"}}}})
 	if p := next(t, ib); p.Msg.Schedule == nil || p.Msg.Schedule.File.Rule != "FREQ=DAILY" || p.Msg.Schedule.IfMatch != "e" {
 		t.Errorf("%+v", p)
 	}
-	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Response, Ref: 9, Answer: &request.Response{Status: 201, ETag: "e2", Doc: schedule.Page{Truncated: true}}}})
-	if p := next(t, ib); p.Msg.Answer.ETag != "e2" || fmt.Sprintf("%s", p.Msg.Answer.Doc) != `{"schedules":null,"truncated":true}` {
-		t.Errorf("%+v", p.Msg.Answer)
+	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Response, Ref: 9, Response: &request.Response{Status: 201, ETag: "e2", Document: schedule.Page{Truncated: true}}}})
+	if p := next(t, ib); p.Msg.Response.ETag != "e2" || fmt.Sprintf("%s", p.Msg.Response.Document) != `{"schedules":null,"truncated":true}` {
+		t.Errorf("%+v", p.Msg.Response)
 	}
 	a.Send(peermsg.Outgoing{To: "b", Msg: peermsg.Message{Kind: peermsg.Ack, Term: 3, Version: 1}})
 	if p := next(t, ib); p.Msg.Version != 1 {
--- a/internal/peermsg/peermsg.go
+++ b/internal/peermsg/peermsg.go
@@ -33,12 +33,12 @@
 	Request  Kind = "call"   // a user's request, forwarded
 	Response Kind = "answer" // its answer
 
-	Replica        Kind = "copy"  // a line of a copy of the records
-	LeaderlessJob  Kind = "alone" // a job that the sender has accepted without a leader
-	ReplicaRestart Kind = "again" // lines of that stream are missing: the copy is wanted anew
-	AskKnowledge   Kind = "ask"   // the sender has begun the term, and asks what is known
-	TellKnowledge  Kind = "tell"  // the answer
-	WantReplica    Kind = "want"  // the copy that was told of is wanted
+	Replica           Kind = "copy"  // a line of a copy of the records
+	LeaderlessJob     Kind = "alone" // a job that the sender has accepted without a leader
+	ReplicaRestart    Kind = "again" // lines of that stream are missing: the copy is wanted anew
+	PeerStateRequest  Kind = "ask"   // the sender has begun the term, and asks what is known
+	PeerStateResponse Kind = "tell"  // the answer
+	ReplicaRequest    Kind = "want"  // the copy that was told of is wanted
 
 	ConfigRevision Kind = "config" // which revision of the configuration is in force, and which one the other has
 
@@ -50,32 +50,32 @@
 // than its first version tell none, which counts as 0.
 const Version = 1
 
-// AskVersion as the reference of an Ack asks the leader to tell its version again.
+// VersionRequest as the reference of an Ack asks the leader to tell its version again.
 // Leaders that tell none take it for an ordinary one.
-const AskVersion = 1
+const VersionRequest = 1
 
 // Message is what controllers say to each other.
 type Message struct {
-	Kind   Kind
-	Term   uint64
-	Ref    uint64
-	Op     request.Operation
-	ID     string
-	Spec   *spec.Job
-	Answer *request.Response
+	Kind     Kind
+	Term     uint64
+	Ref      uint64
+	Op       request.Operation
+	ID       string
+	Spec     *spec.Job
+	Response *request.Response
 
 	Version uint64 // of leader and ack: the version that the sender talks in
 
-	Schedule  *request.ScheduleParams
-	Config    *request.ConfigParams
-	Reports   *relay.Batch
-	Replies   *relay.Replies
-	Replica   *replica.Line
-	Knowledge *Knowledge
+	Schedule         *request.ScheduleParams
+	Config           *request.ConfigParams
+	Heartbeats       *relay.Batch
+	HeartbeatReplies *relay.Replies
+	Replica          *replica.Line
+	PeerState        *PeerState
 }
 
-// Knowledge is what a controller tells a new leader of the state service's past.
-type Knowledge struct {
+// PeerState is what a controller tells a new leader of the state service's past.
+type PeerState struct {
 	recovery.Observed
 	ReplicaEra  uint64         `json:"copyEra,omitempty"` // of the copy that it has
 	ReplicaTerm uint64         `json:"copyTerm,omitempty"`
@@ -83,11 +83,11 @@
 	LiveDigest  replica.Digest `json:"live"` // of its records under LivePrefix
 }
 
-// Sound reports whether a call of a peer carries what its operation asks for, as the
+// Valid reports whether a call of a peer carries what its operation asks for, as the
 // interface to users makes sure of for our own.
-func (m *Message) Sound() bool {
+func (m *Message) Valid() bool {
 	if request.IsConfig(m.Op) {
-		return m.soundConfig()
+		return m.validConfig()
 	}
 	if m.Config != nil {
 		return false
@@ -111,14 +111,14 @@
 	case request.SchedulePut:
 		return schedule.ValidName(q.Name) && q.File != nil
 	case request.ScheduleRun:
-		return schedule.ValidName(q.Name) && q.Request != ""
+		return schedule.ValidName(q.Name) && q.IdempotencyKey != ""
 	case request.ScheduleGet, request.ScheduleDelete, request.SchedulePause, request.ScheduleResume, request.ScheduleUpcoming, request.ScheduleHistory:
 		return schedule.ValidName(q.Name)
 	}
 	return false
 }
 
-func (m *Message) soundConfig() bool {
+func (m *Message) validConfig() bool {
 	q := m.Config
 	if q == nil || m.Spec != nil || m.Schedule != nil || m.ID != "" || q.Count < 0 || q.Count > request.MaxCount {
 		return false
--- a/internal/peermsg/reply.go
+++ b/internal/peermsg/reply.go
@@ -9,5 +9,5 @@
 	if r.From == "" {
 		return answer
 	}
-	return Outgoing{To: r.From, Msg: Message{Kind: Response, Ref: r.Ref, Answer: &answer}}
+	return Outgoing{To: r.From, Msg: Message{Kind: Response, Ref: r.Ref, Response: &answer}}
 }
--- a/internal/placement/cluster_test.go
+++ b/internal/placement/cluster_test.go
@@ -101,7 +101,7 @@
 		j.AnyCompleted = true
 	}
 	for range m.Room().CPU / 1000 {
-		a := &fleet.Attempt{ID: heartbeat.TaskID{Job: "wk-1", Index: len(j.Attempts)}, Number: uint64(len(j.Attempts) + 1), Machine: m, Phase: heartbeat.TaskRuns, OrderedAt: t0, StartedAt: t0}
+		a := &fleet.Attempt{ID: heartbeat.TaskID{Job: "wk-1", Index: len(j.Attempts)}, Number: uint64(len(j.Attempts) + 1), Machine: m, Phase: heartbeat.Running, OrderedAt: t0, StartedAt: t0}
 		m.Attempts = append(m.Attempts, a)
 		c.Occupy(a, j)
 	}
--- a/internal/placement/starts.go
+++ b/internal/placement/starts.go
@@ -11,7 +11,7 @@
 
 const (
 	// MaxAttempts is how many attempts a term has numbers for.
-	MaxAttempts = 1<<record.AttemptBits - 1
+	MaxAttempts = 1<<record.AttemptCounterBits - 1
 	// maxBlockedJobs is how many jobs one reply finds in the way of something larger before it
 	// leaves the rest of the queue to later ones. Each look goes over the machine's timeline:
 	// with hundreds of small jobs waiting on full machines (a guest's many single tasks) that
@@ -235,10 +235,10 @@
 	// Attempt numbers rise across terms as well: the term comes first.
 	s.Attempts++
 	a := &fleet.Attempt{
-		ID: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Number: s.term<<record.AttemptBits + s.Attempts,
+		ID: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Number: s.term<<record.AttemptCounterBits + s.Attempts,
 		Machine: m, Phase: fleet.Ordered, OrderedCounter: m.Counter, OrderedAt: s.now(),
 	}
 	m.Attempts = append(m.Attempts, a)
 	s.Occupy(a, j)
-	return heartbeat.Order{Verb: heartbeat.Start, Task: a.ID, Try: a.Number}
+	return heartbeat.Order{Verb: heartbeat.Start, Task: a.ID, Attempt: a.Number}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -113,7 +113,7 @@
 	if err := p.compile(expressions); err != nil {
 		return nil, err
 	}
-	if err := p.tryAll(); err != nil {
+	if err := p.evaluateAll(); err != nil {
 		return nil, err
 	}
 	return p, nil
@@ -130,10 +130,10 @@
 	return nil
 }
 
-// tryAll evaluates each expression once. One that compiles can still fail, for
+// evaluateAll evaluates each expression once. One that compiles can still fail, for
 // instance because an index is out of range; an invalid policy must be rejected
 // when it is loaded and not fail a decision later.
-func (p *Policy) tryAll() error {
+func (p *Policy) evaluateAll() error {
 	for s := range settingCount {
 		if _, err := expr.Run(p.programs[s], Env{}); err != nil {
 			return settingError(s, err)
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -125,7 +125,7 @@
 			continue
 		}
 		for _, r := range m.Attempts {
-			if !r.Occupies || r.StopRequested || r.Phase != heartbeat.TaskRuns || r.Job.Team.Allocated.CPU <= r.Job.Team.Guaranteed.CPU {
+			if !r.Occupies || r.StopRequested || r.Phase != heartbeat.Running || r.Job.Team.Allocated.CPU <= r.Job.Team.Guaranteed.CPU {
 				continue
 			}
 			if loss, ok := c.loss(r, estimates); ok {
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -23,7 +23,7 @@
 	m.Timeline = timeline.New(timeline.Capacity(8, 0, 0))
 	borrower := &quota.Account{}
 	for _, r := range running {
-		r.Need, r.Occupies, r.Phase, r.Machine = timeline.Capacity(2, 0, 0), true, heartbeat.TaskRuns, m
+		r.Need, r.Occupies, r.Phase, r.Machine = timeline.Capacity(2, 0, 0), true, heartbeat.Running, m
 		r.Job.Team = borrower
 		m.Attempts = append(m.Attempts, r)
 		m.Allocated = m.Allocated.Add(r.Need, 1)
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -22,5 +22,5 @@
 
 // Send probes the worker at an address and has f called with its answer.
 func Send(e *engine.Engine, address string, token, incarnation uint64, f func(heartbeat.ProbeReply)) {
-	e.CallWorker(heartbeat.Probe{Address: address, FencingToken: token, Incarnation: incarnation, Timeout: timeout}, f)
+	e.ProbeWorker(heartbeat.Probe{Address: address, FencingToken: token, Incarnation: incarnation, Timeout: timeout}, f)
 }
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -52,14 +52,14 @@
 
 // Request is a request to the provider. Which fields it uses depends on Op.
 type Request struct {
-	Ref          uint64
-	Op           Op
-	RequestName  string // of a ScaleOut: a repeated name gets the instances of the first time
-	InstanceType string
-	Zone         string
-	Spot         bool
-	Count        int
-	Hosts        []string
-	After        string // List begins after this host
-	Timeout      time.Duration
+	Ref            uint64
+	Op             Op
+	IdempotencyKey string // of a ScaleOut: a repeated name gets the instances of the first time
+	InstanceType   string
+	Zone           string
+	Spot           bool
+	Count          int
+	Hosts          []string
+	After          string // List begins after this host
+	Timeout        time.Duration
 }
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -84,7 +84,7 @@
 	r.reports++
 	for i := range report.Tasks {
 		t := &report.Tasks[i]
-		a := m.FindAttempt(t.Task, t.Try, i)
+		a := m.FindAttempt(t.ID, t.Attempt, i)
 		if a == nil {
 			a = r.attempts.Adopt(m, t)
 		}
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -10,13 +10,13 @@
 	"yewpass/internal/spec"
 )
 
-// AttemptBits is how many bits of an attempt's number count the starts of a term. The
+// AttemptCounterBits is how many bits of an attempt's number count the starts of a term. The
 // upper bits are the term, so that attempts rise across terms.
-const AttemptBits = 28
+const AttemptCounterBits = 28
 
 // MaxTerm is the highest term: an attempt's number carries the term in its upper bits. A
 // larger number was never a term.
-const MaxTerm = 1<<(64-AttemptBits) - 1
+const MaxTerm = 1<<(64-AttemptCounterBits) - 1
 
 // Leader names the leader. Its key hangs on the leader lease.
 type Leader struct {
@@ -67,7 +67,7 @@
 	Number uint64
 }
 
-// NoJob returns the conditions that a job has neither a live nor a final record.
-func NoJob(id string) []kv.Condition {
+// JobAbsent returns the conditions that a job has neither a live nor a final record.
+func JobAbsent(id string) []kv.Condition {
 	return []kv.Condition{{Key: JobPrefix + id, Rev: 0}, {Key: FinalPrefix + id, Rev: 0}}
 }
--- a/internal/recordcodec/codec.go
+++ b/internal/recordcodec/codec.go
@@ -45,13 +45,13 @@
 
 // Encode returns the stored form of a record.
 func Encode(value any) json.RawMessage {
-	data, _ := json.Marshal(Stored(value)) // plain structs of this package: cannot fail
+	data, _ := json.Marshal(StoredForm(value)) // plain structs of this package: cannot fail
 	return data
 }
 
-// Stored returns the value whose JSON is the stored form of a record, or nil for a value
+// StoredForm returns the value whose JSON is the stored form of a record, or nil for a value
 // that is no record.
-func Stored(value any) any {
+func StoredForm(value any) any {
 	switch v := value.(type) {
 	case *record.Job:
 		return encodeJob(v)
--- a/internal/recordcodec/codec_test.go
+++ b/internal/recordcodec/codec_test.go
@@ -17,7 +17,7 @@
 func TestRecords(t *testing.T) {
 	in := &record.Job{Spec: spec.Job{ID: "wk-1", Class: "c", Owner: "o", Tasks: 5, CPUs: 1.5, Urgency: spec.Urgent, Image: "i",
 		InstanceTypes: []string{"f"}, Runtime: 90 * time.Second, Deadline: time.Minute, HasDeadline: true}, Submitted: time.UnixMilli(1234567), Cancelled: true}
-	data, err := json.Marshal(Stored(in))
+	data, err := json.Marshal(StoredForm(in))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 	}
 	rec := &schedule.Record{Number: 7, Seq: 3, Edition: 2, File: json.RawMessage(`{"name":"n"}`), Paused: true, Cursor: schedule.Cursor{Nominal: time.UnixMilli(60000).UTC(), Rule: time.UnixMilli(90000).UTC()}, LastJob: "wk-2"}
 	rec.Add(schedule.Entry{Job: "wk-2", Planned: time.UnixMilli(5000).UTC(), State: schedule.StateMade})
-	if data, err = json.Marshal(Stored(rec)); err != nil {
+	if data, err = json.Marshal(StoredForm(rec)); err != nil {
 		t.Fatal(err)
 	}
 	for _, data := range [][]byte{data, bytes.Replace(data, []byte(`"schedule",`), []byte(`"schedule" ,`), 1)} { // written by us, and as a store may write it
--- a/internal/recordcodec/compatibility_test.go
+++ b/internal/recordcodec/compatibility_test.go
@@ -46,8 +46,8 @@
 	Value json.RawMessage `json:"value"`
 }
 
-// wholeSpec is a job's description in which every field is set.
-func wholeSpec() spec.Job {
+// fullSpec is a job's description in which every field is set.
+func fullSpec() spec.Job {
 	return spec.Job{
 		ID:                 "wk-000412",
 		Class:              "train <a&b>",
@@ -73,13 +73,13 @@
 	}
 }
 
-// leastSpec is the shortest description of a job.
-func leastSpec() spec.Job {
+// minimalSpec is the shortest description of a job.
+func minimalSpec() spec.Job {
 	return spec.Job{ID: "wk-7", Class: "build", Owner: "tools", Tasks: 1}
 }
 
-// wholeSchedule is a schedule in which every field is set, with a history of every state.
-func wholeSchedule() *schedule.Record {
+// fullSchedule is a schedule in which every field is set, with a history of every state.
+func fullSchedule() *schedule.Record {
 	at := func(minute int) time.Time {
 		return time.Date(2027, time.January, 31, 9, minute, 0, 0, time.UTC)
 	}
@@ -104,12 +104,12 @@
 // recordValues are the values of the golden records, by name.
 func recordValues() map[string]any {
 	submitted := time.UnixMilli(1_801_386_061_234)
-	array := wholeSpec()
+	array := fullSpec()
 	array.Service = false
 	return map[string]any{
-		"job: service, every field, cancelled": &record.Job{Spec: wholeSpec(), Submitted: submitted, Cancelled: true},
+		"job: service, every field, cancelled": &record.Job{Spec: fullSpec(), Submitted: submitted, Cancelled: true},
 		"job: array, every field":              &record.Job{Spec: array, Submitted: submitted},
-		"job: no optional field":               &record.Job{Spec: leastSpec(), Submitted: submitted},
+		"job: no optional field":               &record.Job{Spec: minimalSpec(), Submitted: submitted},
 		"job: due at once":                     &record.Job{Spec: spec.Job{ID: "wk-8", Urgency: spec.Urgent, Tasks: 100_000, HasDeadline: true}, Submitted: submitted},
 		"final: done":                          &record.Final{State: spec.Done, Done: 16},
 		"final: cancelled":                     &record.Final{State: spec.Cancelled},
@@ -126,7 +126,7 @@
 		"term":                             &record.Term{Term: record.MaxTerm, Era: 9_000_000_000_000_000_002},
 		"term: of a version without era":   &record.Term{Term: 41},
 		"number":                           &record.ScheduleNumber{Number: 99},
-		"schedule: every field":            wholeSchedule(),
+		"schedule: every field":            fullSchedule(),
 		"schedule: no optional field":      &schedule.Record{Number: 1, Seq: 1, Edition: 1, File: json.RawMessage(`{"name":"n"}`), Cursor: schedule.Cursor{Nominal: time.UnixMilli(60_000).UTC()}},
 		"configuration: head":              &liveconfig.HeadRecord{Revision: 12},
 		"configuration: team, every field": &liveconfig.TeamRecord{Team: liveconfig.Team{Name: "vision", CPUs: 10.5, CPUsMax: 20, GPUs: 4, GPUsMax: 8.25, Retired: true}, Revision: 12},
--- a/internal/recurring/decide.go
+++ b/internal/recurring/decide.go
@@ -20,7 +20,7 @@
 // decide decides on the next occurrences of a schedule, up to one that becomes a job, and
 // has the outcome written.
 func (s *Scheduler) decide(job *recurringJob) {
-	now := s.engine.TimeOfDay()
+	now := s.engine.WallClock()
 	job.generation++
 	if job.writing {
 		return // planned again after the write
@@ -68,7 +68,7 @@
 	if !refused {
 		return schedule.Make, ""
 	}
-	now := s.engine.TimeOfDay()
+	now := s.engine.WallClock()
 	if now.Sub(start) > max(job.definition.Within, schedule.OnTime) {
 		return schedule.Miss, "refused for as long as it could be made"
 	}
@@ -85,13 +85,13 @@
 		apply: func(r *schedule.Record) {
 			r.Pass(past, missed)
 			r.LastJob = id
-			r.Add(schedule.Entry{Job: id, Planned: occurrence.Start, Due: occurrence.Due, Made: s.engine.TimeOfDay(), State: schedule.StateMade})
+			r.Add(schedule.Entry{Job: id, Planned: occurrence.Start, Due: occurrence.Due, Made: s.engine.WallClock(), State: schedule.StateMade})
 		},
 		job: rec,
 		done: func() {
 			s.reportMissed(job, missed)
 			s.created++
-			if late := s.engine.TimeOfDay().Sub(occurrence.Start); late > schedule.OnTime {
+			if late := s.engine.WallClock().Sub(occurrence.Start); late > schedule.OnTime {
 				s.engine.Log(slog.LevelWarn, "occurrence submitted late", "schedule", job.name, "planned", occurrence.Start, "job", id, "late", late)
 			}
 			if s.leader.Job(id) == nil { // otherwise a user submitted the ID at the same time
--- a/internal/recurring/due.go
+++ b/internal/recurring/due.go
@@ -26,7 +26,7 @@
 	if job.notBefore.After(at) {
 		at = job.notBefore
 	}
-	now := s.engine.TimeOfDay()
+	now := s.engine.WallClock()
 	if !at.After(now) {
 		s.enqueueReady(job, occurrence)
 		return
@@ -41,7 +41,7 @@
 // them those whose deadline has passed or that have none.
 func (s *Scheduler) enqueueReady(job *recurringJob, occurrence calendar.Occurrence) {
 	at := occurrence.Due
-	if !at.After(s.engine.TimeOfDay()) {
+	if !at.After(s.engine.WallClock()) {
 		at = occurrence.Start.Add(undatedDelay)
 	}
 	s.ready.Push(at, queueEntry{schedule: job, generation: job.generation})
@@ -53,7 +53,7 @@
 // Tick finds the occurrences that have become due. It goes by the time of day each time
 // anew, so that a clock that is set back or forward only changes when they are found.
 func (s *Scheduler) Tick() {
-	now := s.engine.TimeOfDay()
+	now := s.engine.WallClock()
 	for n := 0; s.upcoming.Len() > 0; {
 		at, first := s.upcoming.First()
 		if first.generation != first.schedule.generation {
--- a/internal/recurring/edit.go
+++ b/internal/recurring/edit.go
@@ -28,7 +28,7 @@
 		s.leader.Answer(call, *refusal)
 	case job != nil:
 		s.replace(job, def, call)
-	case params.IfMatch != "" && params.IfMatch != request.NewOnly:
+	case params.IfMatch != "" && params.IfMatch != request.IfAbsent:
 		s.leader.Answer(call, request.Response{Status: 412, Field: "name", Reason: "there is no schedule of this name"})
 	default:
 		s.createSchedule(def, call)
@@ -41,7 +41,7 @@
 		return definition{}, &request.Response{Status: 400, Field: "name", Reason: "no schedule in the request"}
 	}
 	compiled, err := file.Compile(s.settings.Calendars)
-	if err == nil && !compiled.Timing.Occurs(calendar.Wall(s.engine.TimeOfDay(), compiled.Timing.Zone())) {
+	if err == nil && !compiled.Timing.Occurs(calendar.Wall(s.engine.WallClock(), compiled.Timing.Zone())) {
 		err = &calendar.FieldError{Field: "rule", Reason: "never occurs from now on"}
 	}
 	if fe := (*calendar.FieldError)(nil); errors.As(err, &fe) {
@@ -75,7 +75,7 @@
 
 // replace writes a new definition of a schedule.
 func (s *Scheduler) replace(job *recurringJob, def definition, call request.Request) {
-	cursor, missed := def.compiled.Edited(job.definition, job.record.Cursor, s.engine.TimeOfDay())
+	cursor, missed := def.compiled.Edited(job.definition, job.record.Cursor, s.engine.WallClock())
 	job.requester = &call
 	s.write(job, recordChange{
 		priority: writebatch.Urgent,
@@ -109,7 +109,7 @@
 			return
 		}
 		rec := firstRecord(def.file)
-		rec.Number, rec.Cursor = number, def.compiled.From(s.engine.TimeOfDay())
+		rec.Number, rec.Cursor = number, def.compiled.From(s.engine.WallClock())
 		s.writeFirst(job, rec)
 	})
 }
@@ -196,7 +196,7 @@
 func (s *Scheduler) finishRemoval(job *recurringJob) {
 	s.leader.DropReplica(job.key())
 	s.engine.Log(slog.LevelInfo, "schedule removed", "schedule", job.name)
-	s.reply(job, request.Response{Status: 200, Doc: map[string]string{"name": job.name, "status": "removed"}})
+	s.reply(job, request.Response{Status: 200, Document: map[string]string{"name": job.name, "status": "removed"}})
 	s.forget(job)
 }
 
@@ -211,7 +211,7 @@
 	cursor := job.record.Cursor
 	var missed []schedule.Passed
 	if !paused && job.definition != nil {
-		cursor, missed = job.definition.Resumed(cursor, s.engine.TimeOfDay())
+		cursor, missed = job.definition.Resumed(cursor, s.engine.WallClock())
 	}
 	job.requester = &call
 	s.write(job, recordChange{
--- a/internal/recurring/history.go
+++ b/internal/recurring/history.go
@@ -25,7 +25,7 @@
 	if job.removed {
 		return
 	}
-	now := s.engine.TimeOfDay()
+	now := s.engine.WallClock()
 	entry := schedule.Entry{Job: live.Spec.ID, Planned: now, Made: now, State: schedule.StateMade}
 	if live.Spec.HasDeadline {
 		entry.Due = entry.Made.Add(live.Spec.Deadline)
@@ -45,7 +45,7 @@
 		if live := s.leader.Job(entry.Job); live != nil {
 			s.watchDeadline(job, live, entry.Due)
 		} else if state, ok := s.leader.FinalState(entry.Job); ok {
-			s.finishOccurrence(job, entry.Job, state, s.engine.TimeOfDay())
+			s.finishOccurrence(job, entry.Job, state, s.engine.WallClock())
 		}
 		s.flushHistory(job)
 	}
@@ -58,7 +58,7 @@
 		return
 	}
 	id := live.Spec.ID
-	s.scope.After(max(0, due.Sub(s.engine.TimeOfDay())), func() {
+	s.scope.After(max(0, due.Sub(s.engine.WallClock())), func() {
 		if s.leader.Job(id) != live || live.Cancelled || job.removed {
 			return
 		}
@@ -85,7 +85,7 @@
 	}
 	live.StartNoted = true
 	if entry, ok := job.record.Entry(live.Spec.ID); ok && entry.Started.IsZero() {
-		job.record.Update(live.Spec.ID, func(entry *schedule.Entry) { entry.Started = s.engine.TimeOfDay() })
+		job.record.Update(live.Spec.ID, func(entry *schedule.Entry) { entry.Started = s.engine.WallClock() })
 		s.flushHistory(job)
 	}
 }
@@ -94,7 +94,7 @@
 func (s *Scheduler) JobFinished(live *fleet.Job, state spec.JobState) {
 	if job := s.byJob[live]; job != nil {
 		delete(s.byJob, live)
-		s.finishOccurrence(job, live.Spec.ID, state, s.engine.TimeOfDay())
+		s.finishOccurrence(job, live.Spec.ID, state, s.engine.WallClock())
 	}
 }
 
--- a/internal/recurring/load.go
+++ b/internal/recurring/load.go
@@ -115,7 +115,7 @@
 }
 
 func (s *Scheduler) resolve(occurrence unresolvedOccurrence, state spec.JobState) {
-	at := s.engine.TimeOfDay()
+	at := s.engine.WallClock()
 	if entry, ok := occurrence.schedule.record.Entry(occurrence.jobID); ok && !entry.Due.IsZero() && !entry.Late && at.After(entry.Due) {
 		at = entry.Due // no leader saw it miss the deadline
 	}
--- a/internal/recurring/occurrences_test.go
+++ b/internal/recurring/occurrences_test.go
@@ -165,7 +165,7 @@
 	l := newLeader(t)
 	l.storeNightly()
 	l.load()
-	l.ask(request.ScheduleRun, request.ScheduleParams{Name: "nightly", Request: "r"})
+	l.ask(request.ScheduleRun, request.ScheduleParams{Name: "nightly", IdempotencyKey: "r"})
 	id := schedule.RequestID(7, "r")
 	if !slices.Equal(l.submitted, []string{id}) {
 		t.Fatalf("submitted %v", l.submitted)
--- a/internal/recurring/requests.go
+++ b/internal/recurring/requests.go
@@ -43,7 +43,7 @@
 		return
 	}
 	if call.Op == request.ScheduleList {
-		s.leader.Answer(call, request.Response{Status: 200, Doc: s.list(params)})
+		s.leader.Answer(call, request.Response{Status: 200, Document: s.list(params)})
 		return
 	}
 	if s.unreadable[params.Name] {
@@ -76,7 +76,7 @@
 	}
 	if !reads && params.IfMatch != "" && params.IfMatch != job.record.ETag() {
 		reason := "the schedule has changed since it was read; its ETag is " + job.record.ETag()
-		if params.IfMatch == request.NewOnly {
+		if params.IfMatch == request.IfAbsent {
 			reason = "there is a schedule of this name"
 		}
 		s.leader.Answer(call, request.Response{Status: 412, Field: "name", Reason: reason})
@@ -107,13 +107,13 @@
 	case request.ScheduleGet:
 		s.leader.Answer(call, describe(job, 200))
 	case request.ScheduleUpcoming:
-		s.leader.Answer(call, request.Response{Status: 200, Doc: upcoming(job, call.Schedule.Count)})
+		s.leader.Answer(call, request.Response{Status: 200, Document: upcoming(job, call.Schedule.Count)})
 	case request.ScheduleHistory:
 		zone := time.UTC
 		if job.definition != nil {
 			zone = job.definition.Timing.Zone()
 		}
-		s.leader.Answer(call, request.Response{Status: 200, Doc: job.record.Told(zone)})
+		s.leader.Answer(call, request.Response{Status: 200, Document: job.record.Told(zone)})
 	case request.ScheduleDelete:
 		s.remove(job, call)
 	case request.SchedulePause, request.ScheduleResume:
@@ -131,8 +131,8 @@
 		return
 	}
 	jobSpec := job.definition.Template()
-	jobSpec.ID = schedule.RequestID(job.record.Number, call.Schedule.Request)
-	now := s.engine.TimeOfDay()
+	jobSpec.ID = schedule.RequestID(job.record.Number, call.Schedule.IdempotencyKey)
+	now := s.engine.WallClock()
 	if due := job.definition.Timing.DueAfter(now); !due.IsZero() {
 		jobSpec.Deadline, jobSpec.HasDeadline = due.Sub(now), true
 	}
--- a/internal/recurring/requests_test.go
+++ b/internal/recurring/requests_test.go
@@ -45,7 +45,7 @@
 		l.commit() // a block of numbers; the second time a conflict, as the removal has written their record
 		l.commit()
 		wantStatus(t, &l.responses[n+1], 201)
-		if view := l.responses[n+1].Doc.(schedule.View); view.Number != number {
+		if view := l.responses[n+1].Document.(schedule.View); view.Number != number {
 			t.Errorf("number %d, want %d", view.Number, number)
 		}
 		wantStatus(t, l.ask(request.SchedulePut, put), 200) // a retry
@@ -144,7 +144,7 @@
 		"no definition":           {request.SchedulePut, request.ScheduleParams{Name: "other"}, 400},
 		"no rule":                 {request.SchedulePut, request.ScheduleParams{Name: "other", File: daily}, 400},
 		"changed since":           {request.SchedulePause, request.ScheduleParams{Name: "nightly", IfMatch: `"7-9"`}, 412},
-		"exists":                  {request.SchedulePause, request.ScheduleParams{Name: "nightly", IfMatch: request.NewOnly}, 412},
+		"exists":                  {request.SchedulePause, request.ScheduleParams{Name: "nightly", IfMatch: request.IfAbsent}, 412},
 		"does not exist":          {request.SchedulePut, request.ScheduleParams{Name: "other", File: nightlyFile(t), IfMatch: `"7-1"`}, 412},
 		"unknown":                 {request.SchedulePause, request.ScheduleParams{Name: "other"}, 404},
 		"resumed while it is not": {request.ScheduleResume, request.ScheduleParams{Name: "nightly"}, 200},
@@ -185,7 +185,7 @@
 	var names []string
 	after := ""
 	for range 3 {
-		page := l.ask(request.ScheduleList, request.ScheduleParams{After: after, Count: 2}).Doc.(schedule.Page)
+		page := l.ask(request.ScheduleList, request.ScheduleParams{After: after, Count: 2}).Document.(schedule.Page)
 		for _, brief := range page.Schedules {
 			names = append(names, brief.Name)
 			after = brief.Name
--- a/internal/recurring/views.go
+++ b/internal/recurring/views.go
@@ -25,7 +25,7 @@
 		Missed:   job.record.Missed,
 		Late:     job.record.Late,
 	}
-	return request.Response{Status: status, Doc: doc, ETag: doc.ETag}
+	return request.Response{Status: status, Document: doc, ETag: doc.ETag}
 }
 
 // upcoming lists the next occurrences of a schedule, count at the most.
--- a/internal/recurring/write.go
+++ b/internal/recurring/write.go
@@ -45,7 +45,7 @@
 	if rc.job != nil {
 		id := rc.job.Spec.ID
 		change.Size += record.JobSize(&rc.job.Spec)
-		change.Conditions = append(change.Conditions, record.NoJob(id)...)
+		change.Conditions = append(change.Conditions, record.JobAbsent(id)...)
 		change.Writes = append(change.Writes, kv.Write{Key: record.JobPrefix + id, Value: rc.job})
 	}
 	change.OnCommit = func(revision uint64) {
--- a/internal/relay/compatibility_test.go
+++ b/internal/relay/compatibility_test.go
@@ -18,7 +18,7 @@
 // relayedReports are the reports that went into each golden batch.
 func relayedReports() [][]heartbeat.Report {
 	task := func(index int, phase heartbeat.Phase, cause string) heartbeat.Task {
-		return heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-7", Index: index}, Try: 5, Phase: phase, Cause: cause}
+		return heartbeat.Task{ID: heartbeat.TaskID{Job: "wk-7", Index: index}, Attempt: 5, Phase: phase, Cause: cause}
 	}
 	machine := func(counter uint64, tasks ...heartbeat.Task) heartbeat.Report {
 		return heartbeat.Report{
@@ -30,9 +30,9 @@
 	warned.HasNotice, warned.Notice = true, 119500*time.Millisecond
 	other := heartbeat.Report{Host: "host-2", InstanceType: "c4", Zone: "hall-b", Incarnation: 1, Counter: 1}
 	return [][]heartbeat.Report{
-		{machine(1, task(0, heartbeat.Pulling, ""), task(1, heartbeat.TaskRuns, ""), task(2, heartbeat.Checkpointing, "")), other},
-		{machine(2, task(0, heartbeat.TaskRuns, ""), task(1, heartbeat.TaskRuns, ""), task(2, heartbeat.Exited, "stopped"))},
-		{machine(3, task(0, heartbeat.TaskRuns, ""), task(1, heartbeat.TaskRuns, ""), task(2, heartbeat.Exited, "stopped"))},
+		{machine(1, task(0, heartbeat.Pulling, ""), task(1, heartbeat.Running, ""), task(2, heartbeat.Checkpointing, "")), other},
+		{machine(2, task(0, heartbeat.Running, ""), task(1, heartbeat.Running, ""), task(2, heartbeat.Exited, "stopped"))},
+		{machine(3, task(0, heartbeat.Running, ""), task(1, heartbeat.Running, ""), task(2, heartbeat.Exited, "stopped"))},
 		{warned},
 		{}, // host-2 has left
 	}
--- a/internal/relay/decoder.go
+++ b/internal/relay/decoder.go
@@ -139,7 +139,7 @@
 		tasks[c.At].Phase, tasks[c.At].Cause = c.Phase, c.Cause
 	}
 	for _, a := range d.Added {
-		if a.Task.Job == "" || !a.Phase.Known() {
+		if a.ID.Job == "" || !a.Phase.Known() {
 			return nil, errInvalidTask
 		}
 		tasks = append(tasks, a)
--- a/internal/relay/encoder.go
+++ b/internal/relay/encoder.go
@@ -62,7 +62,7 @@
 	matched := 0 // tasks of the new list that were found in the previous one, in order
 	for i := range previous {
 		p := &previous[i]
-		if matched < len(tasks) && tasks[matched].Try == p.Try && tasks[matched].Task == p.Task {
+		if matched < len(tasks) && tasks[matched].Attempt == p.Attempt && tasks[matched].ID == p.ID {
 			if t := &tasks[matched]; t.Phase != p.Phase || t.Cause != p.Cause {
 				d.Changed = append(d.Changed, TaskChange{At: matched, Phase: t.Phase, Cause: t.Cause})
 			}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,12 +25,12 @@
 		case 1:
 			t.Phase, t.Cause = heartbeat.Exited, "done"
 		case 2:
-			t.Phase = heartbeat.TaskRuns
+			t.Phase = heartbeat.Running
 		}
 		ts = append(ts, t)
 	}
 	for range rng.IntN(3) {
-		ts = append(ts, heartbeat.Task{Task: heartbeat.TaskID{Job: fmt.Sprint("wk-", rng.IntN(5)), Index: rng.IntN(4)}, Try: rng.Uint64N(9), Phase: heartbeat.Pulling})
+		ts = append(ts, heartbeat.Task{ID: heartbeat.TaskID{Job: fmt.Sprint("wk-", rng.IntN(5)), Index: rng.IntN(4)}, Attempt: rng.Uint64N(9), Phase: heartbeat.Pulling})
 	}
 	if strange && rng.IntN(3) == 0 {
 		rng.Shuffle(len(ts), func(i, j int) { ts[i], ts[j] = ts[j], ts[i] })
@@ -110,8 +110,8 @@
 
 // TestText: lists come back as they were, and texts that nobody writes do not pass.
 func TestText(t *testing.T) {
-	ts := Tasks{{Task: heartbeat.TaskID{Job: "wk-1", Index: 3}, Try: 1<<64 - 1, Phase: heartbeat.Exited, Cause: "done"}, {Task: heartbeat.TaskID{Job: "a b,c/ü+%", Index: 0}, Phase: "?", Cause: "no room, none"}}
-	os := Orders{{Verb: heartbeat.Stop, Task: heartbeat.TaskID{Job: "wk-1", Index: 7}, Try: 9, Drain: 2500 * time.Millisecond}, {Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: ",", Index: 1}}}
+	ts := Tasks{{ID: heartbeat.TaskID{Job: "wk-1", Index: 3}, Attempt: 1<<64 - 1, Phase: heartbeat.Exited, Cause: "done"}, {ID: heartbeat.TaskID{Job: "a b,c/ü+%", Index: 0}, Phase: "?", Cause: "no room, none"}}
+	os := Orders{{Verb: heartbeat.Stop, Task: heartbeat.TaskID{Job: "wk-1", Index: 7}, Attempt: 9, Drain: 2500 * time.Millisecond}, {Verb: heartbeat.Start, Task: heartbeat.TaskID{Job: ",", Index: 1}}}
 	line, err := json.Marshal(struct {
 		T Tasks
 		O Orders
@@ -144,7 +144,7 @@
 		"dropped":         {Handle: 1, Dropped: []int{0}},
 		"dropped below":   {Handle: 1, Identity: who, Dropped: []int{-1}},
 		"changed":         {Handle: 1, Changed: []TaskChange{{At: 0, Phase: heartbeat.Exited}}},
-		"no phase":        {Handle: 1, Added: Tasks{{Task: heartbeat.TaskID{Job: "wk-1"}, Phase: "?"}}},
+		"no phase":        {Handle: 1, Added: Tasks{{ID: heartbeat.TaskID{Job: "wk-1"}, Phase: "?"}}},
 		"no job":          {Handle: 1, Added: Tasks{{Phase: heartbeat.Exited}}},
 	} {
 		var u Decoder
@@ -225,7 +225,7 @@
 	for i := range rs {
 		rs[i] = heartbeat.Report{Host: fmt.Sprintf("host-%06d", i), Address: "10.1.0.1:9000", InstanceType: "f", Zone: "a", Incarnation: 1, Counter: 1, FencingToken: 41}
 		for k := range 16 {
-			rs[i].Tasks = append(rs[i].Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-000412", Index: k}, Try: 41<<28 + uint64(k), Phase: heartbeat.TaskRuns})
+			rs[i].Tasks = append(rs[i].Tasks, heartbeat.Task{ID: heartbeat.TaskID{Job: "wk-000412", Index: k}, Attempt: 41<<28 + uint64(k), Phase: heartbeat.Running})
 		}
 	}
 	return rs
@@ -254,7 +254,7 @@
 						if changes {
 							b.StopTimer()
 							r.Tasks = append([]heartbeat.Task(nil), r.Tasks[1:]...)
-							r.Tasks = append(r.Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-000413", Index: i % 90}, Try: 41<<28 + uint64(i), Phase: heartbeat.Pulling})
+							r.Tasks = append(r.Tasks, heartbeat.Task{ID: heartbeat.TaskID{Job: "wk-000413", Index: i % 90}, Attempt: 41<<28 + uint64(i), Phase: heartbeat.Pulling})
 							b.StartTimer()
 						}
 						if end == "leader" {
--- a/internal/relay/text.go
+++ b/internal/relay/text.go
@@ -23,7 +23,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (ts Tasks) MarshalText() ([]byte, error) {
 	return encodeList(ts, func(b []byte, t *heartbeat.Task) []byte {
-		b = appendTask(b, t.Task, t.Try)
+		b = appendTask(b, t.ID, t.Attempt)
 		b = append(b, ' ')
 		b = append(b, url.QueryEscape(string(t.Phase))...)
 		b = append(b, ' ')
@@ -65,7 +65,7 @@
 // a phase is one of the protocol is for the caller to check.
 func (ts *Tasks) UnmarshalText(text []byte) (err error) {
 	*ts, err = decodeList(text, func(f *fields) heartbeat.Task {
-		t := heartbeat.Task{Task: heartbeat.TaskID{Job: f.name(' '), Index: f.index(' ')}, Try: f.number(' ')}
+		t := heartbeat.Task{ID: heartbeat.TaskID{Job: f.name(' '), Index: f.index(' ')}, Attempt: f.number(' ')}
 		t.Phase = heartbeat.Phase(f.name(' '))
 		t.Cause = f.name(',')
 		return t
@@ -82,7 +82,7 @@
 	return encodeList(os, func(b []byte, o *heartbeat.Order) []byte {
 		b = append(b, url.QueryEscape(string(o.Verb))...)
 		b = append(b, ' ')
-		b = appendTask(b, o.Task, o.Try)
+		b = appendTask(b, o.Task, o.Attempt)
 		b = append(b, ' ')
 		return strconv.AppendInt(b, o.Drain.Milliseconds(), 10)
 	}), nil
@@ -91,7 +91,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (os *Orders) UnmarshalText(text []byte) (err error) {
 	*os, err = decodeList(text, func(f *fields) heartbeat.Order {
-		o := heartbeat.Order{Verb: heartbeat.Verb(f.name(' ')), Task: heartbeat.TaskID{Job: f.name(' '), Index: f.index(' ')}, Try: f.number(' ')}
+		o := heartbeat.Order{Verb: heartbeat.Verb(f.name(' ')), Task: heartbeat.TaskID{Job: f.name(' '), Index: f.index(' ')}, Attempt: f.number(' ')}
 		ms := f.number(',')
 		if ms > uint64(maxDrain.Milliseconds()) {
 			f.err = errMalformedList
--- a/internal/relaylinks/links.go
+++ b/internal/relaylinks/links.go
@@ -131,7 +131,7 @@
 }
 
 func (l *Links) send(name string, replies *relay.Replies) {
-	l.engine.Emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: l.term, Replies: replies}})
+	l.engine.Emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: l.term, HeartbeatReplies: replies}})
 }
 
 // Attach counts a machine among the workers of the relay that it reports through.
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -22,8 +22,8 @@
 
 // The operations on the controllers themselves.
 const (
-	Cluster  Operation = "cluster"
-	HandOver Operation = "hand over"
+	Cluster            Operation = "cluster"
+	TransferLeadership Operation = "hand over"
 )
 
 // The operations on the live configuration.
@@ -32,7 +32,7 @@
 	ConfigGet    Operation = "config get"
 	ConfigList   Operation = "config list"
 	ConfigStatus Operation = "config status"
-	ConfigHere   Operation = "config here" // what the node that is asked has, whoever leads
+	ConfigLocal  Operation = "config here" // what the node that is asked has, whoever leads
 )
 
 // The operations on schedules.
@@ -49,7 +49,7 @@
 )
 
 // IsCluster reports whether an operation is about the controllers and not about jobs.
-func IsCluster(op Operation) bool { return op == Cluster || op == HandOver }
+func IsCluster(op Operation) bool { return op == Cluster || op == TransferLeadership }
 
 // IsConfig reports whether an operation is about the configuration and served by the leader.
 func IsConfig(op Operation) bool {
@@ -59,8 +59,8 @@
 // MaxCount bounds how many items one answer lists.
 const MaxCount = 200
 
-// NewOnly stands in ScheduleParams.IfMatch for a schedule that does not exist yet.
-const NewOnly = "new"
+// IfAbsent stands in ScheduleParams.IfMatch for a schedule that does not exist yet.
+const IfAbsent = "new"
 
 // Request is a user's request, from this node's own socket or forwarded by a peer.
 type Request struct {
@@ -79,12 +79,12 @@
 
 // ScheduleParams are the parameters of an operation on schedules.
 type ScheduleParams struct {
-	Name    string         `json:"name,omitempty"`
-	File    *schedule.File `json:"file,omitempty"`    // of put
-	IfMatch string         `json:"ifMatch,omitempty"` // the ETag that the request is based on, NewOnly, or empty for any
-	After   string         `json:"after,omitempty"`   // of list: the last name of the page before
-	Count   int            `json:"count,omitempty"`   // of list and upcoming: how many at most
-	Request string         `json:"request,omitempty"` // of run: the caller's name for it, which makes it idempotent
+	Name           string         `json:"name,omitempty"`
+	File           *schedule.File `json:"file,omitempty"`    // of put
+	IfMatch        string         `json:"ifMatch,omitempty"` // the ETag that the request is based on, NewOnly, or empty for any
+	After          string         `json:"after,omitempty"`   // of list: the last name of the page before
+	Count          int            `json:"count,omitempty"`   // of list and upcoming: how many at most
+	IdempotencyKey string         `json:"request,omitempty"` // of run: the caller's name for it, which makes it idempotent
 }
 
 // ConfigParams are the parameters of an operation on the configuration.
@@ -101,10 +101,10 @@
 	Ref        uint64
 	Status     int           // of HTTP
 	RetryAfter time.Duration // with 503 and 429
-	View       JobStatus
+	Job        JobStatus
 	Field      string // that is wrong
 	Reason     string
-	Doc        any    // a document in JSON in place of View
+	Document   any    // a document in JSON in place of View
 	ETag       string // of the document
 }
 
--- a/internal/scenario/configure.go
+++ b/internal/scenario/configure.go
@@ -85,7 +85,7 @@
 
 // madeOf reads the answer to a change, which a process gives as JSON.
 func madeOf(ans request.Response) (view.ConfigChanged, bool) {
-	made, ok := ans.Doc.(view.ConfigChanged)
+	made, ok := ans.Document.(view.ConfigChanged)
 	return made, ok
 }
 
--- a/internal/scenario/cost_test.go
+++ b/internal/scenario/cost_test.go
@@ -40,12 +40,12 @@
 	k.count[key]++
 	for _, o := range outs {
 		p, ok := o.(peermsg.Outgoing)
-		if !ok || p.Msg.Reports == nil && p.Msg.Replies == nil {
+		if !ok || p.Msg.Heartbeats == nil && p.Msg.HeartbeatReplies == nil {
 			continue
 		}
 		began := time.Now()
-		a, _ := json.Marshal(p.Msg.Reports)
-		b, _ := json.Marshal(p.Msg.Replies)
+		a, _ := json.Marshal(p.Msg.Heartbeats)
+		b, _ := json.Marshal(p.Msg.HeartbeatReplies)
 		key := [2]string{n.name, "line out"}
 		k.spent[key] += time.Since(began)
 		k.count[key]++
@@ -53,8 +53,8 @@
 		key = [2]string{p.To, "line in"}
 		began = time.Now()
 		var in peermsg.Message
-		json.Unmarshal(a, &in.Reports)
-		json.Unmarshal(b, &in.Replies)
+		json.Unmarshal(a, &in.Heartbeats)
+		json.Unmarshal(b, &in.HeartbeatReplies)
 		k.spent[key] += time.Since(began)
 		k.count[key]++
 	}
--- a/internal/scenario/loopback.go
+++ b/internal/scenario/loopback.go
@@ -192,7 +192,7 @@
 func reportBody(r heartbeat.Report) []byte {
 	tasks := []object{}
 	for _, t := range r.Tasks {
-		tasks = append(tasks, object{"shard": t.Task.String(), "try": t.Try, "status": t.Phase, "cause": t.Cause})
+		tasks = append(tasks, object{"shard": t.ID.String(), "try": t.Attempt, "status": t.Phase, "cause": t.Cause})
 	}
 	o := object{"host": r.Host, "address": r.Address, "flavor": r.InstanceType, "hall": r.Zone, "reclaimable": r.Spot,
 		"tenure": r.Incarnation, "counter": r.Counter, "epoch": r.FencingToken, "shards": tasks}
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -189,7 +189,7 @@
 run 250s`, "no order", func(s *script) {
 			s.alterOutput = func(n *node, out any) any { // a poll does not wait for a record that may be there
 				if a, ok := out.(request.Response); ok && a.Reason == "its end is being recorded" {
-					a.Status, a.View = 200, request.JobStatus{State: spec.Running}
+					a.Status, a.Job = 200, request.JobStatus{State: spec.Running}
 					return a
 				}
 				return out
@@ -229,10 +229,10 @@
 					in.Report.Tasks = nil
 					return in
 				case peermsg.Received:
-					if in.Msg.Reports != nil {
-						b := *in.Msg.Reports
+					if in.Msg.Heartbeats != nil {
+						b := *in.Msg.Heartbeats
 						b.Reports = slices.DeleteFunc(slices.Clone(b.Reports), func(x relay.Delta) bool { return x.Ref == 0 })
-						in.Msg.Reports = &b
+						in.Msg.Heartbeats = &b
 					}
 					return in
 				}
@@ -263,8 +263,8 @@
 expect over
 run 150s`, "went_back", func(s *script) {
 			s.alterOutput = func(n *node, out any) any { // whoever called it off is told that it is cancelled
-				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && s.jobs[a.View.ID].wantsCancel && s.jobs[a.View.ID].told == "" {
-					a.View.State = spec.Cancelled
+				if a, ok := out.(request.Response); ok && a.Job.State == spec.Done && s.jobs[a.Job.ID].wantsCancel && s.jobs[a.Job.ID].told == "" {
+					a.Job.State = spec.Cancelled
 					return a
 				}
 				return out
@@ -305,14 +305,14 @@
 			first := map[string]request.JobStatus{}
 			s.alterOutput = func(n *node, out any) any { // a node tells for a second what it has told before
 				a, ok := out.(request.Response)
-				if !ok || a.Status != 200 && a.Status != 201 || a.View.ID == "" {
+				if !ok || a.Status != 200 && a.Status != 201 || a.Job.ID == "" {
 					return out
 				}
-				key := fmt.Sprint(n.name, a.View.ID, int(n.elapsed().Seconds()))
+				key := fmt.Sprint(n.name, a.Job.ID, int(n.elapsed().Seconds()))
 				if v, told := first[key]; told {
-					a.View = v
+					a.Job = v
 				} else {
-					first[key] = a.View
+					first[key] = a.Job
 				}
 				return a
 			}
--- a/internal/scenario/observations.go
+++ b/internal/scenario/observations.go
@@ -33,7 +33,7 @@
 	i := len(w.history[id]) - 1
 	return func(status int, a request.Response) {
 		x := &w.history[id][i]
-		x.ended, x.status, x.state = w.now, status, a.View.State
+		x.ended, x.status, x.state = w.now, status, a.Job.State
 	}
 }
 
@@ -85,7 +85,7 @@
 func (w *world) repeatSubmission(j *userJob, status int, a request.Response) {
 	switch status {
 	case 200, 201:
-		w.hear(j, a.View)
+		w.hear(j, a.Job)
 	default:
 		w.refused(j, status)
 	}
@@ -163,7 +163,7 @@
 		w.request(request.Cancel, nil, j.spec.ID, 5*time.Second, func(status int, a request.Response) {
 			switch status {
 			case 200:
-				w.hear(j, a.View)
+				w.hear(j, a.Job)
 			case 404:
 				w.fail("forgotten", "cancellation of %s, which is over, gets 404", j.spec.ID)
 			}
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -475,7 +475,7 @@
 			if a, ok := out.(heartbeat.Reply); ok {
 				a.Orders = slices.Clone(a.Orders)
 				for i := range a.Orders {
-					a.Orders[i].Try = a.Orders[i].Try&0xffff + 100/a.FencingToken
+					a.Orders[i].Attempt = a.Orders[i].Attempt&0xffff + 100/a.FencingToken
 				}
 				return a
 			}
@@ -490,13 +490,13 @@
 			first := map[string]request.JobStatus{}
 			return func(n *node, out any) any { // a node tells again what it has told once
 				a, ok := out.(request.Response)
-				if !ok || a.Status != 200 && a.Status != 201 || a.View.ID == "" {
+				if !ok || a.Status != 200 && a.Status != 201 || a.Job.ID == "" {
 					return out
 				}
 				if v, told := first[n.name]; told {
-					a.View = v
+					a.Job = v
 				} else {
-					first[n.name] = a.View
+					first[n.name] = a.Job
 				}
 				return a
 			}
@@ -504,7 +504,7 @@
 		{"an answer lost after a cancellation", "no order", func() func(n *node, out any) any {
 			return func(n *node, out any) any { // a poll does not wait for a record that may be there
 				if a, ok := out.(request.Response); ok && a.Reason == "its end is being recorded" {
-					a.Status, a.View = 200, request.JobStatus{ID: "wk-1", State: spec.Running}
+					a.Status, a.Job = 200, request.JobStatus{ID: "wk-1", State: spec.Running}
 					return a
 				}
 				return out
@@ -522,8 +522,8 @@
 		{"a cancellation at the end of the last task", "went_back", func() func(n *node, out any) any {
 			told := false
 			return func(n *node, out any) any { // whoever asks first after the end is told that it is cancelled
-				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && n.jobs["wk-1"].wantsCancel && !told {
-					told, a.View.State = true, spec.Cancelled
+				if a, ok := out.(request.Response); ok && a.Job.State == spec.Done && n.jobs["wk-1"].wantsCancel && !told {
+					told, a.Job.State = true, spec.Cancelled
 					return a
 				}
 				return out
@@ -535,7 +535,7 @@
 					for _, w := range call.Writes {
 						if rec, ok := w.Value.(*record.Job); ok && !rec.Cancelled {
 							for _, x := range n.nodes { // whichever the user has asked
-								x.answer(x.submission, request.Response{Ref: x.submission, Status: 201, View: request.JobStatus{ID: rec.Spec.ID, State: spec.Queued}})
+								x.answer(x.submission, request.Response{Ref: x.submission, Status: 201, Job: request.JobStatus{ID: rec.Spec.ID, State: spec.Queued}})
 							}
 						}
 					}
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -314,7 +314,7 @@
 		if !ok {
 			p.complain("an order for %q", o.Shard)
 		}
-		a.Orders = append(a.Orders, heartbeat.Order{Verb: o.Verb, Task: id, Try: o.Try, Drain: time.Duration(o.DrainS * float64(time.Second))})
+		a.Orders = append(a.Orders, heartbeat.Order{Verb: o.Verb, Task: id, Attempt: o.Try, Drain: time.Duration(o.DrainS * float64(time.Second))})
 	}
 	return a
 }
@@ -332,12 +332,12 @@
 		status, head, data = p.do("POST", "/v2/runs/"+in.ID+"/cancel", nil)
 	case request.ConfigSet:
 		status, head, data = p.do("POST", "/v2/config", encode(in.Config))
-	case request.ConfigHere:
+	case request.ConfigLocal:
 		status, head, data = p.do("GET", "/v2/config/here", nil)
 	}
 	after, _ := strconv.Atoi(head.Get("Retry-After"))
 	if in.Config != nil {
-		return request.Response{Status: status, RetryAfter: time.Duration(after) * time.Second, Reason: string(data), Doc: configDoc(in.Op, data)}
+		return request.Response{Status: status, RetryAfter: time.Duration(after) * time.Second, Reason: string(data), Document: configDoc(in.Op, data)}
 	}
 	var v struct {
 		ID            string
@@ -345,7 +345,7 @@
 		Done, Running int
 	}
 	json.Unmarshal(data, &v)
-	return request.Response{Status: status, RetryAfter: time.Duration(after) * time.Second, View: request.JobStatus{ID: v.ID, State: v.Status, Done: v.Done, Running: v.Running}}
+	return request.Response{Status: status, RetryAfter: time.Duration(after) * time.Second, Job: request.JobStatus{ID: v.ID, State: v.Status, Done: v.Done, Running: v.Running}}
 }
 
 // configDoc reads an answer about the configuration; nil if it is none.
@@ -355,7 +355,7 @@
 	if op == request.ConfigSet && json.Unmarshal(data, &made) == nil {
 		return made
 	}
-	if op == request.ConfigHere && json.Unmarshal(data, &here) == nil {
+	if op == request.ConfigLocal && json.Unmarshal(data, &here) == nil {
 		return here
 	}
 	return nil
--- a/internal/scenario/report_cost.go
+++ b/internal/scenario/report_cost.go
@@ -62,7 +62,7 @@
 	link := newWorkerLink()
 	rep := heartbeat.Report{Host: "host-000231", Address: "10.1.0.232:9000", InstanceType: "node", Zone: "r1-z1", Incarnation: 1, FencingToken: 7}
 	for i := range costTasks {
-		rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-0000412", Index: 100 + i}, Try: 7<<28 + uint64(i), Phase: heartbeat.TaskRuns})
+		rep.Tasks = append(rep.Tasks, heartbeat.Task{ID: heartbeat.TaskID{Job: "wk-0000412", Index: 100 + i}, Attempt: 7<<28 + uint64(i), Phase: heartbeat.Running})
 	}
 	before := processorTime()
 	for range costReports {
--- a/internal/scenario/scale_config.go
+++ b/internal/scenario/scale_config.go
@@ -55,9 +55,9 @@
 
 // awaitRevision calls then once a controller has a revision, or is away.
 func (r *scaleRun) awaitRevision(n *node, revision uint64, then func()) {
-	call := request.Request{Op: request.ConfigHere, Config: &request.ConfigParams{}}
+	call := request.Request{Op: request.ConfigLocal, Config: &request.ConfigParams{}}
 	r.callAt(n, call, time.Second, func(status int, a request.Response) {
-		here, _ := a.Doc.(view.LocalConfig)
+		here, _ := a.Document.(view.LocalConfig)
 		if status == 200 && here.Revision >= revision || !n.alive || !r.net.open(n.name, outsider) {
 			then()
 			return
--- a/internal/scenario/schedules.go
+++ b/internal/scenario/schedules.go
@@ -75,7 +75,7 @@
 // ask repeats a call until it is answered for good.
 func (c *scheduleClient) ask(op request.Operation, a map[string]string) {
 	w := c.s.world
-	q := &request.ScheduleParams{Name: c.file.Name, Request: a["request"]}
+	q := &request.ScheduleParams{Name: c.file.Name, IdempotencyKey: a["request"]}
 	if op == request.SchedulePut {
 		f := c.file
 		q.File = &f
@@ -84,7 +84,7 @@
 		switch {
 		case status == 200 || status == 201:
 			if op == request.SchedulePut && c.number == 0 {
-				v := reread[schedule.View](ans.Doc)
+				v := reread[schedule.View](ans.Document)
 				c.number, c.since = v.Number, w.now
 				if !c.begun {
 					c.begun = true
@@ -92,9 +92,9 @@
 				}
 			}
 			if op == request.ScheduleRun {
-				c.s.described(ans.View.ID)
-				w.hear(w.jobs[ans.View.ID], ans.View)
-				w.poll(w.jobs[ans.View.ID])
+				c.s.described(ans.Job.ID)
+				w.hear(w.jobs[ans.Job.ID], ans.Job)
+				w.poll(w.jobs[ans.Job.ID])
 			}
 		case status >= 400 && status < 429:
 			c.refused = status
@@ -117,7 +117,7 @@
 	w := c.s.world
 	w.call(request.Request{Op: request.ScheduleHistory, Schedule: &request.ScheduleParams{Name: c.file.Name}}, 2*time.Second, func(status int, ans request.Response) {
 		if status == 200 {
-			for _, e := range reread[schedule.History](ans.Doc).History {
+			for _, e := range reread[schedule.History](ans.Document).History {
 				if e.Made == nil {
 					continue
 				}
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -141,7 +141,7 @@
 func (w *world) submitted(j *userJob, status int, a request.Response) {
 	switch status {
 	case 200, 201:
-		w.hear(j, a.View)
+		w.hear(j, a.Job)
 		if j.status == 0 {
 			j.status = status
 			w.checkAdmitted(j, true)
@@ -256,7 +256,7 @@
 		case 200:
 			j.reached, j.failing = w.now, 0
 			w.answerTimes = append(w.answerTimes, w.now)
-			w.hear(j, a.View)
+			w.hear(j, a.Job)
 		case 404:
 			if j.accepted && w.answeredAt.After(j.since) {
 				w.fail("forgotten", "accepted job %s gets 404", j.spec.ID)
@@ -302,7 +302,7 @@
 	w.request(request.Cancel, nil, j.spec.ID, 5*time.Second, func(status int, a request.Response) {
 		switch status {
 		case 200:
-			w.hear(j, a.View)
+			w.hear(j, a.Job)
 		case 404:
 			if j.accepted && w.answeredAt.After(j.since) {
 				w.fail("forgotten", "cancellation of accepted job %s gets 404", j.spec.ID)
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -64,7 +64,7 @@
 
 // on reports whether the task is on the machine in the sense of the rules: it
 // has its image and has not exited.
-func (t *task) on() bool { return t.phase == heartbeat.TaskRuns || t.phase == heartbeat.Checkpointing }
+func (t *task) on() bool { return t.phase == heartbeat.Running || t.phase == heartbeat.Checkpointing }
 
 // do runs f when the machine executes: not before a hang is over, never once it
 // is gone, and after the lease has been looked at.
@@ -288,7 +288,7 @@
 		rep.HasNotice, rep.Notice = true, m.leaves.Sub(m.now)
 	}
 	for _, t := range m.tasks {
-		rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: t.id, Try: t.try, Phase: t.phase, Cause: t.cause})
+		rep.Tasks = append(rep.Tasks, heartbeat.Task{ID: t.id, Attempt: t.try, Phase: t.phase, Cause: t.cause})
 	}
 	return rep
 }
--- a/internal/scenario/worker_tasks.go
+++ b/internal/scenario/worker_tasks.go
@@ -18,16 +18,16 @@
 
 // execute carries out an order of the answer to a report that was sent at a time.
 func (m *worker) execute(o heartbeat.Order, reported time.Time) {
-	t := m.find(o.Task, o.Try)
+	t := m.find(o.Task, o.Attempt)
 	m.news = true
 	m.dirty = true
 	switch o.Verb {
 	case heartbeat.Start:
 		if t == nil {
-			if o.Try <= m.lastAttempts[o.Task] {
-				m.fail("misuse", "%s starts as attempt %d after %d", o.Task, o.Try, m.lastAttempts[o.Task])
+			if o.Attempt <= m.lastAttempts[o.Task] {
+				m.fail("misuse", "%s starts as attempt %d after %d", o.Task, o.Attempt, m.lastAttempts[o.Task])
 			}
-			m.lastAttempts[o.Task] = o.Try
+			m.lastAttempts[o.Task] = o.Attempt
 			m.start(o, reported)
 		}
 	case heartbeat.Stop:
@@ -38,7 +38,7 @@
 		if t.phase == heartbeat.Checkpointing && o.Drain > 0 {
 			return
 		}
-		if t.phase == heartbeat.TaskRuns && s.CheckpointInterval > 0 && o.Drain >= s.CheckpointTime {
+		if t.phase == heartbeat.Running && s.CheckpointInterval > 0 && o.Drain >= s.CheckpointTime {
 			t.phase = heartbeat.Checkpointing
 			m.later(t, s.CheckpointTime, func() {
 				t.job.progress[t.id.Index] += m.now.Sub(t.began)
@@ -82,7 +82,7 @@
 }
 
 func (m *worker) start(o heartbeat.Order, reported time.Time) {
-	t := &task{id: o.Task, try: o.Try, phase: heartbeat.Pulling}
+	t := &task{id: o.Task, try: o.Attempt, phase: heartbeat.Pulling}
 	t.job = m.described(o.Task.Job)
 	refuse := ""
 	cpus, gpus, mem := 0.0, 0.0, 0.0
@@ -123,7 +123,7 @@
 // begin: the task has its image and is on the machine from now on.
 func (m *worker) begin(t *task) {
 	m.checkStart(m, t)
-	t.phase, t.began = heartbeat.TaskRuns, m.now
+	t.phase, t.began = heartbeat.Running, m.now
 	if t.job.begun.IsZero() {
 		t.job.begun = m.now
 	}
--- a/internal/view/cluster.go
+++ b/internal/view/cluster.go
@@ -6,7 +6,7 @@
 	Node             string          `json:"node"`                // that answers
 	Leader           string          `json:"leader"`              // empty while none is known
 	Term             uint64          `json:"term"`                //
-	LeadsSeconds     float64         `json:"leadsSeconds"`        // since the election; 0 unless the leader answers
+	LeadingSeconds   float64         `json:"leadsSeconds"`        // since the election; 0 unless the leader answers
 	Authority        bool            `json:"authority"`           // the leader lease is valid
 	FailoverComplete bool            `json:"takeOverComplete"`    // every machine of earlier terms is accounted for
 	Machines         int             `json:"machines"`            //
@@ -35,7 +35,7 @@
 	Name             string  `json:"name"`
 	State            string  `json:"state"`        // up, doubtful, lost, returning
 	StateSeconds     float64 `json:"stateSeconds"` // since it is in this state
-	Heard            int     `json:"machinesHeard"`
+	Reporting        int     `json:"machinesHeard"`
 	Silent           int     `json:"machinesSilent"`
 	UnconfirmedTasks int     `json:"tasksAwaitingProof"` // on its silent machines, not yet proven over
 }
@@ -59,11 +59,11 @@
 
 // ClusterRegion is a region of zones.
 type ClusterRegion struct {
-	Name         string  `json:"name"`
-	State        string  `json:"state"`        // up, doubtful, lost, returning
-	StateSeconds float64 `json:"stateSeconds"` // since it is in this state
-	Zones        int     `json:"zones"`        // with machines
-	ZonesAway    int     `json:"zonesAway"`    // of these, doubtful or lost
-	Heard        int     `json:"machinesHeard"`
-	Silent       int     `json:"machinesSilent"`
+	Name             string  `json:"name"`
+	State            string  `json:"state"`        // up, doubtful, lost, returning
+	StateSeconds     float64 `json:"stateSeconds"` // since it is in this state
+	Zones            int     `json:"zones"`        // with machines
+	ZonesUnreachable int     `json:"zonesAway"`    // of these, doubtful or lost
+	Reporting        int     `json:"machinesHeard"`
+	Silent           int     `json:"machinesSilent"`
 }
--- a/internal/view/stats.go
+++ b/internal/view/stats.go
@@ -3,10 +3,10 @@
 // Stats holds the figures of the metrics page. Only a leader knows those of its parts;
 // elsewhere they are zero, but for the revision and the age of the configuration.
 type Stats struct {
-	Leads, Authority bool
-	Term             uint64
-	Relayed          int   // workers that report here, to be passed on to the leader
-	StaleHeartbeats  int64 // heartbeats older than what was known, which changed nothing
+	IsLeader, Authority bool
+	Term                uint64
+	Relayed             int   // workers that report here, to be passed on to the leader
+	StaleHeartbeats     int64 // heartbeats older than what was known, which changed nothing
 
 	WorkStats
 	FleetStats
@@ -25,17 +25,17 @@
 
 // FleetStats holds the figures of machines and of how they are reached.
 type FleetStats struct {
-	Machines     int     // known
-	Reporting    int     // that have reported to this leader
-	CPUs         float64 // of the reporting machines
-	CPUsUsed     float64
-	Unaccounted  int  // machines that may hold tasks of an earlier term
-	Direct       int  // machines that report to the leader itself
-	Relays       int  // controllers that relay heartbeats of others
-	RegionsAway  int  // regions that are doubtful or lost as a whole
-	ZonesAway    int  // zones that are doubtful or lost
-	MachinesAway int  // silent machines there
-	FleetFull    bool // the controllers could serve no more machines, so none are rented
+	Machines            int     // known
+	Reporting           int     // that have reported to this leader
+	CPUs                float64 // of the reporting machines
+	CPUsUsed            float64
+	Unaccounted         int  // machines that may hold tasks of an earlier term
+	Direct              int  // machines that report to the leader itself
+	Relays              int  // controllers that relay heartbeats of others
+	RegionsUnreachable  int  // regions that are doubtful or lost as a whole
+	ZonesUnreachable    int  // zones that are doubtful or lost
+	MachinesUnreachable int  // silent machines there
+	AtMachineLimit      bool // the controllers could serve no more machines, so none are rented
 }
 
 // RecordStats holds the figures of the stored records.
