--- a/internal/bitset/bitset.go
+++ b/internal/bitset/bitset.go
@@ -8,22 +8,22 @@
 	"strings"
 )
 
-// Set is a set of small numbers, as a bitmap. Its capacity is fixed by New.
+// Set is a set of small non-negative numbers, stored as a bitmap. Its capacity is fixed by New.
 type Set []uint64
 
-// New returns an empty set of numbers below n, rounded up to a whole word.
+// New returns an empty set for numbers below n, rounded up to a multiple of 64.
 func New(n int) Set { return make(Set, (n+63)/64) }
 
-// Has reports whether i is in the set.
+// Has reports whether i is in the set. It panics if i is beyond the capacity.
 func (b Set) Has(i int) bool { return b[i/64]&(1<<(i%64)) != 0 }
 
-// Add adds i.
+// Add adds i to the set. It panics if i is beyond the capacity.
 func (b Set) Add(i int) { b[i/64] |= 1 << (i % 64) }
 
-// Remove removes i.
+// Remove removes i from the set. It panics if i is beyond the capacity.
 func (b Set) Remove(i int) { b[i/64] &^= 1 << (i % 64) }
 
-// First returns the lowest member, or -1.
+// First returns the lowest member, or -1 if the set is empty.
 func (b Set) First() int {
 	for w, x := range b {
 		if x != 0 {
@@ -33,12 +33,12 @@
 	return -1
 }
 
-// ChunkSize is how many tasks one progress record covers: its bitmap stays
-// far below any value limit, however scattered the finished tasks are.
+// ChunkSize is the number of tasks that one progress record covers. It keeps the largest
+// encoded chunk, a bitmap, far below the store's value size limit.
 const ChunkSize = 16384
 
-// EncodeChunk writes the members in [from, from+ChunkSize) relative to from:
-// as ranges "0-5,9" or as a bitmap "=base64", whichever is shorter.
+// EncodeChunk encodes the members in [from, from+ChunkSize) relative to from, either as ranges
+// like "0-5,9" or as a bitmap like "=base64", whichever is shorter.
 func (b Set) EncodeChunk(from int) string {
 	words := b[from/64 : min(len(b), (from+ChunkSize)/64)]
 	var sb strings.Builder
@@ -77,8 +77,8 @@
 	return "=" + base64.RawStdEncoding.EncodeToString(raw)
 }
 
-// DecodeChunk adds the members that EncodeChunk wrote. If s is malformed it is false
-// and adds none: part of a damaged record would call tasks done that are not.
+// DecodeChunk adds the members that EncodeChunk encoded. If s is malformed, it returns false
+// and adds none, because a damaged record must not mark incomplete tasks as complete.
 func (b Set) DecodeChunk(from, tasks int, s string) bool {
 	read := New(ChunkSize)
 	if !read.decode(min(ChunkSize, tasks-from), s) {
@@ -92,7 +92,8 @@
 	return true
 }
 
-// decode reads members below n from a string.
+// decode adds the members encoded in s. It returns false if s is malformed or has a member
+// that is not below n; some members may have been added then.
 func (b Set) decode(n int, s string) bool {
 	add := func(i int) bool {
 		if i < 0 || i >= n {
@@ -138,7 +139,7 @@
 	return true
 }
 
-// CloneChunk copies one chunk's members.
+// CloneChunk returns a copy of the members of one chunk, relative to the start of the chunk.
 func (b Set) CloneChunk(chunk int) Set {
 	from := chunk * ChunkSize / 64
 	return append(Set(nil), b[from:min(len(b), from+ChunkSize/64)]...)
--- a/internal/bitset/doc.go
+++ b/internal/bitset/doc.go
@@ -1,3 +1,3 @@
-// Package bitset holds sets of task numbers and the text in which stored records
-// keep them, one chunk of a job at a time.
+// Package bitset implements sets of task indexes and their encoding in progress records, each
+// of which covers one chunk of a job's tasks.
 package bitset
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads the settings file that the platform provides to a node.
+// Package config reads and validates the settings file of a node, which the platform provides.
 package config
 
 import (
@@ -19,54 +19,53 @@
 	Endpoint string `toml:"endpoint"`
 }
 
-// Team holds the guaranteed and the maximum resources of a team; 0 means no
+// Team holds the quota of a team: the guaranteed and the maximum resources. 0 means no
 // guarantee or no limit.
 type Team struct {
 	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`     // guaranteed
-	CPUsMax float64 `toml:"cpus_max"` // the limit
+	CPUs    float64 `toml:"cpus"`     // guaranteed CPUs
+	CPUsMax float64 `toml:"cpus_max"` // maximum CPUs
 	GPUs    float64 `toml:"gpus"`
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective for starting or finishing the jobs of a
-// class.
+// Objective is a service-level objective for starting or finishing the jobs of a class.
 type Objective struct {
 	Kind   string  `toml:"kind"`     // wait, finished, deadline or guarantee
-	Class  string  `toml:"class"`    // the job class; empty: all
-	Within Seconds `toml:"within_s"` // after the submission
-	Share  float64 `toml:"share"`    // the part of the jobs that must meet it
-	Times  float64 `toml:"times"`    // kind deadline: the multiple of the time until the deadline
+	Class  string  `toml:"class"`    // job class; empty: all classes
+	Within Seconds `toml:"within_s"` // time since the submission
+	Share  float64 `toml:"share"`    // fraction of the jobs that must meet the objective
+	Times  float64 `toml:"times"`    // kind deadline: multiple of the time until the deadline
 }
 
-// Seconds is a duration in the file: a decimal number of seconds.
+// Seconds is a duration as a decimal number of seconds.
 type Seconds float64
 
-// Duration returns s as a duration.
+// Duration converts s to a time.Duration. Values that are out of range are clamped.
 func (s Seconds) Duration() time.Duration { return timeline.Seconds(float64(s)) }
 
 // Workers holds the timing of the worker protocol.
 type Workers struct {
-	Report Seconds `toml:"report_s"` // the interval of reports
-	Lease  Seconds `toml:"lease_s"`  // the duration of a lease
-	Cancel Seconds `toml:"cancel_s"` // within which the tasks of a cancelled job must have ended
+	Report Seconds `toml:"report_s"` // interval of heartbeats
+	Lease  Seconds `toml:"lease_s"`  // duration of a lease
+	Cancel Seconds `toml:"cancel_s"` // time within which the tasks of a cancelled job must end
 }
 
-// State holds the limits of the state service.
+// State holds the limits of the key-value store.
 type State struct {
 	RPS      float64 `toml:"rps"`       // requests per second
 	WriteRPS float64 `toml:"write_rps"` // writes per second
-	ValueKB  float64 `toml:"value_kb"`  // the size of a value
-	TxnOps   int     `toml:"txn_ops"`   // the operations of a transaction
+	ValueKB  float64 `toml:"value_kb"`  // maximum size of a value
+	TxnOps   int     `toml:"txn_ops"`   // maximum number of operations in a transaction
 }
 
 // Cloud holds the limits of the cloud API.
 type Cloud struct {
 	RPS     float64 `toml:"rps"`        // requests per second
-	ListLag Seconds `toml:"list_lag_s"` // how far the list of machines may lag behind
+	ListLag Seconds `toml:"list_lag_s"` // maximum staleness of the list of machines
 }
 
-// Limits holds the limits of the machine that the node runs on.
+// Limits holds the resource limits of the node's own process.
 type Limits struct {
 	CPUShare       float64 `toml:"cpu_share"`
 	MemMB          float64 `toml:"mem_mb"`
@@ -97,8 +96,8 @@
 	} `toml:"settings"`
 }
 
-// Load reads and checks the file at path. The error is one line that names the
-// file, the field and the reason.
+// Load reads and validates the file at path. The error is one line that names the file, the
+// field and the reason.
 func Load(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -111,8 +110,8 @@
 	return config, nil
 }
 
-// Parse decodes and checks settings. The error is one line that names the field
-// and the reason.
+// Parse decodes and validates settings. The error is one line that names the field and the
+// reason.
 func Parse(data []byte) (*Config, error) {
 	var config Config
 	if err := tomltext.Decode(data, &config, false); err != nil {
@@ -121,15 +120,15 @@
 	return &config, config.check()
 }
 
-// maxNumber is the largest number allowed in the file. No deployment comes near
-// it, and sums and products of numbers up to it do not overflow.
+// maxNumber is the largest number allowed in the file. Sums and products of numbers up to it
+// do not overflow.
 const maxNumber = 1e8
 
-// inRange reports whether value lies in [0, maxNumber]. NaN and infinity, which
-// TOML allows, do not: as a limit they would have no effect.
+// inRange reports whether value is in [0, maxNumber]. It rejects NaN and infinity, which TOML
+// allows but which would disable a limit.
 func inRange(value float64) bool { return value >= 0 && value <= maxNumber }
 
-// number is a numeric field of the file.
+// number is the name and value of a numeric field.
 type number struct {
 	field string
 	value float64
@@ -161,7 +160,7 @@
 			return fmt.Errorf("seeds[%d].host_name: missing", i)
 		}
 		if names[seed.HostName] {
-			return fmt.Errorf("seeds[%d].host_name: %q is named twice", i, seed.HostName)
+			return fmt.Errorf("seeds[%d].host_name: duplicate name %q", i, seed.HostName)
 		}
 		names[seed.HostName] = true
 	}
@@ -197,7 +196,7 @@
 			return fmt.Errorf("settings.teams[%d].name: missing", i)
 		}
 		if names[team.Name] {
-			return fmt.Errorf("settings.teams[%d].name: %q is named twice", i, team.Name)
+			return fmt.Errorf("settings.teams[%d].name: duplicate name %q", i, team.Name)
 		}
 		names[team.Name] = true
 		for _, amount := range []number{
@@ -214,8 +213,8 @@
 	return nil
 }
 
-// checkLimits checks the times and limits of the worker protocol, the state
-// service, the cloud API and the machine. All but one must be above 0.
+// checkLimits validates the times and limits of the worker protocol, the key-value store, the
+// cloud API and the node. All except list_lag_s must be positive.
 func (c *Config) checkLimits() error {
 	settings := &c.Settings
 	for _, limit := range []number{
@@ -244,7 +243,7 @@
 func (c *Config) checkObjectives() error {
 	for i, objective := range c.Settings.Objectives {
 		if !inRange(float64(objective.Within)) || !inRange(objective.Times) || !inRange(objective.Share) {
-			return fmt.Errorf("settings.objectives[%d]: a number is not from 0 to %g", i, maxNumber)
+			return fmt.Errorf("settings.objectives[%d]: numbers must be 0 to %g", i, maxNumber)
 		}
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// validSettings is a valid settings file.
+// validSettings is a valid settings file with an unknown field.
 const validSettings = `
 host_name = "hostbox-0"
 site = "north"
@@ -47,12 +47,12 @@
 		t.Fatal(err)
 	}
 	if c.Settings.Workers.Lease.Duration().Seconds() != 20 || c.Settings.Teams[0].CPUs != 5 || c.Seeds[0].HostName != "hostbox-1" {
-		t.Errorf("%+v", c)
+		t.Errorf("parsed %+v, want the lease, team and seed of validSettings", c)
 	}
 }
 
-// TestInvalidFieldIsNamed checks that the error is one line that names the invalid
-// field, or the line if the syntax is wrong.
+// TestInvalidFieldIsNamed checks that the error is one line that names the invalid field, or
+// the line of a syntax error.
 func TestInvalidFieldIsNamed(t *testing.T) {
 	for _, test := range []struct{ old, new, field string }{
 		{`host_name = "hostbox-0"`, ``, "host_name"},
@@ -64,7 +64,7 @@
 		{`lease_s = 20.0`, ``, "settings.workers.lease_s"},
 		{`txn_ops = 48`, `txn_ops = "x"`, "settings.state.txn_ops"},
 		{`mem_mb = 98.0`, `mem_mb = nan`, "settings.machine_limits.mem_mb"},
-		{`cpus = 5.0`, `cpus_max = nan`, "settings.teams[0].cpus_max"}, // would have been no limit
+		{`cpus = 5.0`, `cpus_max = nan`, "settings.teams[0].cpus_max"}, // NaN would disable the limit
 		{`cpus = 5.0`, `gpus_max = inf`, "settings.teams[0].gpus_max"},
 		{`[settings.workers]`, "[[settings.teams]]\nname = \"ops\"\n[settings.workers]", "settings.teams[1].name"},
 		{`lease_s = 20.0`, `lease_s = 1e300`, "settings.workers.lease_s"},
@@ -78,7 +78,7 @@
 		t.Run(test.new, func(t *testing.T) {
 			_, err := Parse([]byte(strings.Replace(validSettings, test.old, test.new, 1)))
 			if err == nil || !strings.Contains(err.Error(), test.field) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want one line that names %s", err, test.field)
+				t.Errorf("error %v, want one line that names %s", err, test.field)
 			}
 		})
 	}
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -45,7 +45,7 @@
 	if c.leadership != nil {
 		n.Role, n.Workers = view.RoleLeader, c.leadership.relays.Direct()
 	} else if !c.election.IsLinkedToLeader() {
-		n.Role = view.RoleAway
+		n.Role = view.RoleDisconnected
 	}
 	return n
 }
@@ -61,7 +61,7 @@
 		return n
 	}
 	relays := c.leadership.relays
-	n.Role = view.RoleAway
+	n.Role = view.RoleDisconnected
 	if link := relays.Lookup(s.HostName); link != nil {
 		n.Workers = link.Workers
 		if !link.LastBatch.IsZero() {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is what the parts of the controller's state machine share: the time
-// of the current step, the outputs of that step, timers, random numbers, and calls to
-// outside services that wait for their replies. It does no I/O and reads no clock.
+// Package engine runs the steps of the controller's state machine. It provides the time and
+// the outputs of the current step, timers, random numbers and asynchronous calls to external
+// services. It does no I/O and does not read the clock, so that runs are deterministic.
 package engine
 
 import (
@@ -15,22 +15,21 @@
 )
 
 const (
-	storeTimeout    = 1500 * time.Millisecond // of a call to the key-value store that names none
+	storeTimeout    = 1500 * time.Millisecond // default for calls to the key-value store
 	providerTimeout = 4 * time.Second
-	// maxIdle is how long the state machine goes without a step.
-	maxIdle = time.Second
+	maxIdle         = time.Second // maximum interval between steps
 )
 
 // Engine runs the steps of a state machine. It is not safe for concurrent use.
 type Engine struct {
-	Now       time.Time // of the current step, with a steady reading
-	StartedAt time.Time // the first step
+	Now       time.Time // time of the current step, with a monotonic clock reading
+	StartedAt time.Time // time of the first step
 	Rand      *rand.Rand
-	Outputs   []any  // of the current step
-	LastRef   uint64 // the number of the last call
+	Outputs   []any  // outputs of the current step
+	LastRef   uint64 // reference of the last call
 
-	// ObserveStore is called with each call to the key-value store as it is sent. The
-	// function that it returns sees the response before the caller does.
+	// ObserveStore is called before each call to the key-value store. The function that it
+	// returns receives the response before the caller does.
 	ObserveStore func() func(kv.Response)
 
 	clockOffset   time.Duration
@@ -40,7 +39,7 @@
 	pendingProbes map[uint64]func(heartbeat.ProbeReply)
 }
 
-// New returns an engine whose calls are numbered from firstRef on.
+// New returns an engine whose first call has the reference firstRef+1.
 func New(rng *rand.Rand, firstRef uint64) *Engine {
 	return &Engine{
 		Rand:          rng,
@@ -52,7 +51,8 @@
 	}
 }
 
-// Begin begins a step at the given time and reports whether it is the first one.
+// Begin starts a step at the given time, discards the outputs of the previous step and
+// reports whether it is the first one.
 func (e *Engine) Begin(now time.Time) (first bool) {
 	first = e.Now.IsZero()
 	e.Now = now
@@ -63,29 +63,30 @@
 	return first
 }
 
-// Emit adds an output to the current step.
+// Emit appends an output to those of the current step.
 func (e *Engine) Emit(output any) { e.Outputs = append(e.Outputs, output) }
 
-// Log adds a line for the operators' log to the current step.
+// Log emits a LogEntry.
 func (e *Engine) Log(level slog.Level, text string, attrs ...any) {
 	e.Emit(LogEntry{Level: level, Text: text, Attrs: attrs})
 }
 
-// NextRef returns a number that no call of this process has had.
+// NextRef returns a call reference that this process has not used before.
 func (e *Engine) NextRef() uint64 {
 	e.LastRef++
 	return e.LastRef
 }
 
-// Jitter returns a random duration between half of d and one and a half of it.
+// Jitter returns a random duration in [d/2, 3d/2].
 func (e *Engine) Jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(e.Rand.Int64N(int64(d)+1))
 }
 
-// RandomID returns a random number above 0 that JSON readers of any kind take whole.
+// RandomID returns a random positive number of at most 53 bits, which JSON decoders that use
+// floating-point numbers read exactly.
 func (e *Engine) RandomID() uint64 { return e.Rand.Uint64()>>11 | 1 }
 
-// After has f called in the first step at or after d from now.
+// After calls f in the first step that is at least d after the current one.
 func (e *Engine) After(d time.Duration, f func()) { e.timers.Push(e.Now.Add(d), f) }
 
 // RunTimers calls the functions of all timers that are due.
@@ -98,7 +99,7 @@
 	}
 }
 
-// NextWake returns the time by which the next step is wanted.
+// NextWake returns the time by which the driver must run the next step.
 func (e *Engine) NextWake() time.Time {
 	at := e.Now.Add(maxIdle)
 	if e.timers.Len() > 0 {
@@ -109,21 +110,21 @@
 	return at
 }
 
-// SetClockOffset moves the time of day against the time of the steps, for drivers whose
-// times carry no separate steady reading. In a process a time carries both, and a time
-// of day that is set back moves by itself.
+// SetClockOffset sets the difference between the wall clock and the time of the steps. It is
+// for simulations, whose times have no separate monotonic reading. In a real process the time
+// of a step has both readings and no offset is needed.
 func (e *Engine) SetClockOffset(d time.Duration) { e.clockOffset = d }
 
 // WallClock returns the wall-clock time of the current step.
 func (e *Engine) WallClock() time.Time { return e.Now.Round(0).Add(e.clockOffset) }
 
-// ClockSkew returns how far the time of day has run ahead of the steady clock since the
-// first step. A machine that was suspended wakes with a steady clock that has stood still.
+// ClockSkew returns how far the wall clock has advanced beyond the monotonic clock since the
+// first step. It reveals a suspension of the machine, during which the monotonic clock stops.
 func (e *Engine) ClockSkew(now time.Time) time.Duration {
 	return now.Round(0).Add(e.clockOffset).Sub(e.StartedAt.Round(0)) - now.Sub(e.StartedAt)
 }
 
-// CallStore calls the key-value store and has f called with the response.
+// CallStore emits a request to the key-value store and calls f with the response.
 func (e *Engine) CallStore(call kv.Request, f func(kv.Response)) {
 	call.Ref = e.NextRef()
 	if call.Timeout == 0 {
@@ -137,7 +138,7 @@
 	e.Emit(call)
 }
 
-// CallCloud calls the cloud and has f called with the response.
+// CallCloud emits a request to the cloud provider and calls f with the response.
 func (e *Engine) CallCloud(call provider.Request, f func(provider.Response)) {
 	call.Ref = e.NextRef()
 	call.Timeout = providerTimeout
@@ -145,26 +146,26 @@
 	e.Emit(call)
 }
 
-// ProbeWorker probes a worker and has f called with the reply.
+// ProbeWorker emits a probe of a worker and calls f with the reply.
 func (e *Engine) ProbeWorker(probe heartbeat.Probe, f func(heartbeat.ProbeReply)) {
 	probe.Ref = e.NextRef()
 	e.pendingProbes[probe.Ref] = f
 	e.Emit(probe)
 }
 
-// HandleStore passes a response of the key-value store on to the caller.
+// HandleStore calls the callback of the request that r answers. It ignores unknown references.
 func (e *Engine) HandleStore(r kv.Response) { deliver(e.pendingStore, r.Ref, r) }
 
-// StoreCallPending reports whether a call to the key-value store waits for its response.
+// StoreCallPending reports whether the request with the given reference has no response yet.
 func (e *Engine) StoreCallPending(ref uint64) bool { return e.pendingStore[ref] != nil }
 
-// HandleCloud passes a response of the cloud on to the caller.
+// HandleCloud calls the callback of the request that r answers. It ignores unknown references.
 func (e *Engine) HandleCloud(r provider.Response) { deliver(e.pendingCloud, r.Ref, r) }
 
-// HandleProbe passes a worker's reply on to the caller.
+// HandleProbe calls the callback of the probe that r answers. It ignores unknown references.
 func (e *Engine) HandleProbe(r heartbeat.ProbeReply) { deliver(e.pendingProbes, r.Ref, r) }
 
-// deliver hands a reply to the function that waits for it, once.
+// deliver removes the callback for ref and calls it with r. It does nothing if there is none.
 func deliver[R any](pending map[uint64]func(R), ref uint64, r R) {
 	if f := pending[ref]; f != nil {
 		delete(pending, ref)
--- a/internal/engine/log.go
+++ b/internal/engine/log.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// LogEntry is a line for the operators' log.
+// LogEntry is an output that the driver writes to the operators' log.
 type LogEntry struct {
 	Level slog.Level
 	Text  string
--- a/internal/engine/scope.go
+++ b/internal/engine/scope.go
@@ -7,8 +7,8 @@
 	"yewpass/internal/provider"
 )
 
-// Scope bounds timers and calls to a period such as one leadership: once it is closed,
-// what it has started is dropped when it comes due or is answered.
+// Scope limits timers and calls to a period, such as one term as leader. After it is closed,
+// the callbacks of its timers and calls are not called any more.
 type Scope struct {
 	engine *Engine
 	closed bool
@@ -17,13 +17,13 @@
 // NewScope returns an open scope.
 func (e *Engine) NewScope() *Scope { return &Scope{engine: e} }
 
-// Close ends the scope.
+// Close closes the scope for good.
 func (s *Scope) Close() { s.closed = true }
 
-// Closed reports whether the scope has ended.
+// Closed reports whether Close was called.
 func (s *Scope) Closed() bool { return s.closed }
 
-// After has f called after d unless the scope has ended by then.
+// After calls f after d unless the scope is closed by then.
 func (s *Scope) After(d time.Duration, f func()) {
 	s.engine.After(d, func() {
 		if !s.closed {
@@ -32,8 +32,8 @@
 	})
 }
 
-// CallStore calls the key-value store; f is not called if the scope has ended by the
-// time of the response.
+// CallStore sends a request to the key-value store and calls f with the response unless the
+// scope is closed by then.
 func (s *Scope) CallStore(call kv.Request, f func(kv.Response)) {
 	s.engine.CallStore(call, func(r kv.Response) {
 		if !s.closed {
@@ -42,8 +42,8 @@
 	})
 }
 
-// CallCloud calls the cloud; f is not called if the scope has ended by the time of the
-// response.
+// CallCloud sends a request to the cloud provider and calls f with the response unless the
+// scope is closed by then.
 func (s *Scope) CallCloud(call provider.Request, f func(provider.Response)) {
 	s.engine.CallCloud(call, func(r provider.Response) {
 		if !s.closed {
--- a/internal/expiringset/expiringset.go
+++ b/internal/expiringset/expiringset.go
@@ -1,31 +1,31 @@
-// Package expiringset implements sets of names that forget their members after a while.
+// Package expiringset implements a set of names that expire.
 package expiringset
 
 import "time"
 
-// Set is a set of names that forgets each after Retention, twice that at the
-// latest. A leadership may last for years, and a machine comes and goes every minute.
+// Set is a set of names that bounds its memory by expiration. It keeps a name for at least
+// Retention. Old names are dropped in batches, and only when a name is added.
 //
-// What is forgotten could be told to us once more by a report or a list that is older
-// still. That breaks no rule: the machine then counts as holding what the report says
-// until it has been silent, and goes back, once more, to a cloud that does not know it.
+// A released machine that has expired from the set may reappear in a delayed heartbeat or
+// list. This is safe: the machine is considered to have the reported tasks until it has been
+// silent for long enough, and is then released a second time, which has no effect.
 type Set struct {
 	Recent, Previous map[string]bool
 	RotatedAt        time.Time
 }
 
-// Retention is far longer than anything is held up on its way.
+// Retention is the minimum time that a name is kept. It is far longer than any message delay.
 const Retention = time.Hour
 
-// New returns an empty set.
+// New returns an empty set whose first retention period starts at now.
 func New(now time.Time) Set {
 	return Set{map[string]bool{}, map[string]bool{}, now}
 }
 
-// Has reports whether the set contains the name.
+// Has reports whether the name is in the set and has not been dropped.
 func (f *Set) Has(name string) bool { return f.Recent[name] || f.Previous[name] }
 
-// Add adds a name to the set.
+// Add adds a name or renews its retention. It may drop expired names.
 func (f *Set) Add(name string, now time.Time) {
 	if now.Sub(f.RotatedAt) >= Retention {
 		f.Recent, f.Previous, f.RotatedAt = map[string]bool{}, f.Recent, now
--- a/internal/heartbeat/exchange.go
+++ b/internal/heartbeat/exchange.go
@@ -6,7 +6,7 @@
 	"yewpass/internal/rpc"
 )
 
-// Causes of a task's exit.
+// Causes of a task's exit, as reported by workers.
 const (
 	CauseDone        = "done"
 	CauseStopped     = "stopped"
@@ -16,28 +16,27 @@
 	CauseUnknownTask = "no_such"
 )
 
-// Received is a worker's report that waits for its reply. It came in on this
-// controller's own socket or was forwarded by a relay.
+// Received is a worker's report that needs a reply. The worker sent it to this controller
+// directly or through a relay.
 type Received struct {
 	Ref    uint64
-	Via    RelaySession // zero: this controller's own socket
+	Via    RelaySession // zero if the worker sent the report to this controller directly
 	Report Report
 }
 
-// Abandoned says that a worker no longer waits for the reply to its report.
+// Abandoned is an input that says that a worker no longer waits for the reply to its report.
 type Abandoned struct{ Ref uint64 }
 
-// Reply answers a Received.
+// Reply is the reply to the Received with the same Ref.
 type Reply struct {
 	Ref          uint64
-	Status       int
+	Status       int // HTTP status
 	FencingToken uint64
 	Orders       []Order
-	Upstream     string // with status 421, the controller to report to; "" for any other
+	Upstream     string // with status 421: the controller to report to; "" for any
 }
 
-// Probe shows a worker a leader's fencing token, without orders, and asks for its
-// report.
+// Probe sends a worker the leader's fencing token without orders and requests a report.
 type Probe struct {
 	Ref                       uint64
 	Address                   string
@@ -45,19 +44,18 @@
 	Timeout                   time.Duration
 }
 
-// ProbeReply answers a Probe: OK when the worker has accepted the fencing token,
-// Conflict when its incarnation is another or it has seen a newer fencing token.
+// ProbeReply is the reply to a Probe. The outcome is OK if the worker has accepted the fencing
+// token, and Conflict if its incarnation differs or it has seen a newer fencing token.
 type ProbeReply struct {
 	Ref     uint64
 	Outcome rpc.Outcome
 	Report  Report
 }
 
-// RelaySession is one uninterrupted stream of batches from a relay to a leader. A relay
-// draws a new number for every leader, every term and every interruption, so that what
-// was meant for an earlier stream, or an earlier process of the relay, is told from what
-// is meant for this one.
+// RelaySession identifies one uninterrupted stream of batches from a relay to a leader. A relay
+// draws a new session number for every leader, every term and after every interruption, so
+// that messages of an earlier stream or an earlier process of the relay can be rejected.
 type RelaySession struct {
-	Relay   string // the relay's name
+	Relay   string // name of the relaying controller
 	Session uint64
 }
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -1,5 +1,5 @@
-// Package heartbeat defines the messages between workers and controllers: reports,
-// replies and probes. It holds no logic beyond reading and comparing them.
+// Package heartbeat defines the messages between workers and controllers: reports, replies
+// and probes.
 package heartbeat
 
 import (
@@ -10,7 +10,7 @@
 	"yewpass/internal/spec"
 )
 
-// TaskID identifies a task by its job and its index.
+// TaskID identifies a task by its job and its index in the job, starting at 0.
 type TaskID struct {
 	Job   string
 	Index int
@@ -19,7 +19,7 @@
 // String returns the form that ParseTaskID parses: JOB/INDEX.
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID parses JOB/INDEX.
+// ParseTaskID parses JOB/INDEX. It returns false if the job is empty or the index out of range.
 func ParseTaskID(s string) (TaskID, bool) {
 	job, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
@@ -29,7 +29,7 @@
 // Phase is the state of a task on a machine.
 type Phase string
 
-// The phases that workers report.
+// Phases reported by workers.
 const (
 	Pulling       Phase = "pulling"
 	Running       Phase = "running"
@@ -37,7 +37,7 @@
 	Exited        Phase = "exited"
 )
 
-// Known reports whether p is a phase of the protocol.
+// Known reports whether p is one of the defined phases.
 func (p Phase) Known() bool {
 	return p == Pulling || p == Running || p == Checkpointing || p == Exited
 }
@@ -45,38 +45,38 @@
 // Task is one attempt of a task in a report.
 type Task struct {
 	ID      TaskID
-	Attempt uint64 // number of the attempt
+	Attempt uint64 // attempt number
 	Phase   Phase
-	Cause   string // of its exit
+	Cause   string // why it exited; only in phase Exited
 }
 
-// Report is the state of a worker and its tasks, as it sends it with each heartbeat.
+// Report is the state of a worker and its tasks, sent with each heartbeat.
 type Report struct {
 	Host, Address, InstanceType, Zone  string
 	Spot                               bool
 	Incarnation, Counter, FencingToken uint64
-	Notice                             time.Duration // until the cloud interrupts the machine
+	Notice                             time.Duration // until the provider reclaims the instance
 	HasNotice                          bool
 	Tasks                              []Task
 }
 
-// Newer reports whether r was made after the report of the same machine with the given
-// incarnation and counter.
+// Newer reports whether r is newer than the same machine's report with the given incarnation
+// and counter.
 func (r *Report) Newer(incarnation, counter uint64) bool {
 	return r.Incarnation > incarnation || r.Incarnation == incarnation && r.Counter > counter
 }
 
-// Verb is what an order tells a worker to do.
+// Verb is the action that an order requests from a worker.
 type Verb string
 
-// The verbs of the worker protocol.
+// Verbs of the worker protocol.
 const (
 	Start Verb = "start"
 	Stop  Verb = "stop"
-	Reap  Verb = "reap"
+	Reap  Verb = "reap" // forget an exited task
 )
 
-// Known reports whether v is a verb of the protocol.
+// Known reports whether v is one of the defined verbs.
 func (v Verb) Known() bool { return v == Start || v == Stop || v == Reap }
 
 // Order is one command to a worker.
@@ -84,5 +84,5 @@
 	Verb    Verb
 	Task    TaskID
 	Attempt uint64
-	Drain   time.Duration // with Stop: how long the task may take to save its checkpoint
+	Drain   time.Duration // with Stop: time that the task has to save a checkpoint
 }
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,7 +1,7 @@
-// Package kv holds the requests to the key-value store that keeps the cluster's durable
-// state, and its responses. The store is consensus-backed and not part of this program:
-// transactions compare revisions and set, keys may hang on a lease, prefixes can be watched.
-// Package kvclient maps them to the store's protocol.
+// Package kv defines the requests to the consensus-backed key-value store that holds the
+// cluster's durable state, and its responses. The store is an external service. It supports
+// compare-and-swap transactions, keys attached to leases, and watches on key prefixes.
+// Package kvclient implements its protocol.
 package kv
 
 import (
@@ -10,73 +10,73 @@
 	"yewpass/internal/rpc"
 )
 
-// Op is a kind of call to the store.
+// Op is a kind of request to the store.
 type Op int
 
-// The calls to the store.
+// Kinds of requests.
 const (
-	Get         Op = iota
-	List           // keys with a prefix, in order, a page at a time
-	Txn            // writes on conditions: compare-and-swap over several keys
-	GrantLease     // a lease with a TTL, for keys to hang on
-	KeepAlive      // renews a lease
-	RevokeLease    // ends a lease, and with it its keys
-	Watch          // returns when a key with a prefix has changed after a revision
+	Get         Op = iota // reads one key
+	List                  // reads a page of the keys with a prefix, in key order
+	Txn                   // compare-and-swap over several keys
+	GrantLease            // creates a lease with a TTL
+	KeepAlive             // renews a lease
+	RevokeLease           // revokes a lease and removes the keys attached to it
+	Watch                 // waits until a key with a prefix changes after a revision
 )
 
-// Request is a call to the store.
+// Request is a request to the store. Which fields it uses depends on Op.
 type Request struct {
-	Ref          uint64
+	Ref          uint64 // matches the response to the request
 	Op           Op
-	Key          string        // of Get; of List and Watch, the prefix
-	From         string        // of List: the last key of the page before
-	FromRev      uint64        // of Watch: the revision after which changes count
-	Limit        int           // of List: how many keys at most
-	WatchTimeout time.Duration // of Watch: how long the store waits for a change
-	TTL          time.Duration // of GrantLease and KeepAlive
-	LeaseID      uint64        // of KeepAlive and RevokeLease
-	Conditions   []Condition   // of Txn
-	Writes       []Write       // of Txn; without any, the conditions are checked alone
-	Timeout      time.Duration // after which the outcome is unknown
+	Key          string        // Get: the key; List and Watch: the prefix
+	From         string        // List: the last key of the previous page
+	FromRev      uint64        // Watch: only changes after this revision are reported
+	Limit        int           // List: maximum number of keys
+	WatchTimeout time.Duration // Watch: how long the store waits for a change
+	TTL          time.Duration // GrantLease and KeepAlive
+	LeaseID      uint64        // KeepAlive and RevokeLease
+	Conditions   []Condition   // Txn
+	Writes       []Write       // Txn; if empty, it only checks the conditions
+	Timeout      time.Duration // after this time the outcome is rpc.Unknown
 }
 
 // Condition is a condition of a transaction.
 type Condition struct {
 	Key string
-	Rev uint64 // that the key must have; 0: there is no such key
+	Rev uint64 // revision that the key must have; 0: the key must not exist
 }
 
-// Write is one change of a transaction.
+// Write sets or deletes one key in a transaction.
 type Write struct {
 	Key     string
-	Value   any    // a record, see Entry; nil removes the key
-	LeaseID uint64 // that the key hangs on, or 0
+	Value   any    // a record, see Entry; nil deletes the key
+	LeaseID uint64 // lease to attach the key to, or 0
 }
 
 // Response is the store's answer to a Request.
 type Response struct {
 	Ref        uint64
 	Outcome    rpc.Outcome
-	Rev        uint64   // of the whole store; 0 where the response does not tell
-	LeaseID    uint64   // of GrantLease and KeepAlive
-	FailedKeys []string // of Txn with the outcome Conflict: whose conditions did not hold
-	Entries    []Entry  // of Get and List
-	More       bool     // of List: there are further pages
+	Rev        uint64   // revision of the whole store; 0 if the response has none
+	LeaseID    uint64   // GrantLease and KeepAlive
+	FailedKeys []string // Txn with rpc.Conflict: keys whose condition failed
+	Entries    []Entry  // Get and List
+	More       bool     // List: there are more pages
 }
 
-// Entry is a key of the store.
+// Entry is a key in the store with its value.
 type Entry struct {
 	Key string
 	// Value is a pointer to one of the types of package record, schedule.Record,
-	// liveconfig.HeadRecord or liveconfig.TeamRecord. It is nil if the record cannot be
-	// read.
+	// liveconfig.HeadRecord or liveconfig.TeamRecord. It is nil if the stored value is not
+	// a valid record.
 	Value   any
 	Rev     uint64
-	LeaseID uint64 // that the key hangs on; known from Get alone
+	LeaseID uint64 // lease that the key is attached to; only set by Get
 }
 
-// WatchPrefix returns the request that waits until a key below the prefix has changed after
-// a revision, or for long.
+// WatchPrefix returns a Watch request that waits up to 20 seconds for a key with the prefix to
+// change after the given revision.
 func WatchPrefix(prefix string, after uint64) Request {
 	return Request{Op: Watch, Key: prefix, FromRev: after, WatchTimeout: 20 * time.Second, Timeout: 25 * time.Second}
 }
--- a/internal/operators/fuzz_test.go
+++ b/internal/operators/fuzz_test.go
@@ -9,8 +9,8 @@
 	"yewpass/internal/policy"
 )
 
-// FuzzParse checks that arbitrary input is rejected with an error of one line, or
-// its expressions yield numbers that the scheduler can use.
+// FuzzParse checks that arbitrary input is rejected with an error of one line, or that its
+// expressions yield numbers in range.
 func FuzzParse(f *testing.F) {
 	if data, err := os.ReadFile("../../deploy/operators.toml"); err == nil {
 		f.Add(data)
@@ -25,19 +25,19 @@
 	f.Add([]byte("\xff"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if strings.Contains(string(data), "icalendar") && strings.Contains(string(data), "/") {
-			return // the test must not read arbitrary files
+			return // do not read arbitrary files
 		}
 		x, err := Parse(data, t.TempDir())
 		if err != nil {
 			if strings.Contains(strings.TrimSpace(err.Error()), "\n") {
-				t.Fatalf("more than a line: %q", err)
+				t.Fatalf("error has more than one line: %q", err)
 			}
 			return
 		}
 		for _, e := range []policy.Env{{}, {Class: "c", Dated: true, LateS: 1e18, BacklogS: math.MaxFloat64, ReportS: 3, LeaseS: 20}} {
 			for _, v := range []float64{x.Policy.Margin(e), x.Policy.Warm(e), x.Policy.HoldIdle(e), x.Policy.SilentRelease(e)} {
 				if !(v >= 0 && v <= 1e8) {
-					t.Fatal(v)
+					t.Fatalf("policy value %g, want 0 to 1e8", v)
 				}
 			}
 			x.Policy.Refuse(e)
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -1,5 +1,5 @@
-// Package operators reads the operators' file, which has one section per subsystem.
-// A subsystem whose section is absent is off or has its defaults.
+// Package operators reads and validates the operators' file, which has one section for each
+// subsystem. A subsystem without a section is disabled or uses its defaults.
 package operators
 
 import (
@@ -19,22 +19,22 @@
 	"yewpass/internal/zones"
 )
 
-// File is a checked operators' file.
+// File is a validated operators' file.
 type File struct {
 	Policy    *policy.Policy
 	Calendars *calendar.Set
 	Regions   *zones.Regions
 }
 
-// sections is the file as it is decoded. Users see the names of this type and of
-// calendarTOML in errors about a value of the wrong type.
+// sections is the decoded file. The names of this type and of calendarTOML appear in error
+// messages about values of the wrong type.
 type sections struct {
 	Policy    map[string]any          `toml:"policy"`
 	Calendars map[string]calendarTOML `toml:"calendars"`
 	Regions   map[string][]string     `toml:"regions"`
 }
 
-// calendarTOML is a table [calendars.NAME].
+// calendarTOML is the decoded table [calendars.NAME].
 type calendarTOML struct {
 	Country   string           `toml:"country"`
 	Holidays  []toml.LocalDate `toml:"holidays"`
@@ -43,8 +43,8 @@
 	ICalendar []string         `toml:"icalendar"`
 }
 
-// Load reads and checks the file at path; an empty path means an empty file. The
-// error is one line that names the file, the field and the reason.
+// Load reads and validates the file at path. An empty path means an empty file. The error is
+// one line that names the file, the field and the reason.
 func Load(path string) (*File, error) {
 	if path == "" {
 		return Parse(nil, "")
@@ -60,8 +60,8 @@
 	return file, nil
 }
 
-// Parse decodes and checks the text of a file. Relative paths in it refer to the
-// directory dir.
+// Parse decodes and validates the text of a file. Relative paths in it are resolved against
+// the directory dir.
 func Parse(data []byte, dir string) (*File, error) {
 	var s sections
 	if err := tomltext.Decode(data, &s, true); err != nil {
@@ -82,14 +82,14 @@
 	return &File{Policy: checkedPolicy, Calendars: calendars, Regions: regions}, nil
 }
 
-// newPolicy checks the section [policy]. Its values are expressions, so a number
-// without quotes is an error.
+// newPolicy compiles the section [policy]. Its values are expressions in strings, so a TOML
+// number is an error.
 func newPolicy(section map[string]any) (*policy.Policy, error) {
 	expressions := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(section)) {
 		expression, ok := section[name].(string)
 		if !ok {
-			return nil, fmt.Errorf("%s: an expression stands in quotes", name)
+			return nil, fmt.Errorf("%s: expression must be a string in quotes", name)
 		}
 		expressions[name] = expression
 	}
@@ -127,8 +127,8 @@
 	})
 }
 
-// weekend returns nil, which means the default, if the field is absent. An empty
-// list means that there is no weekend.
+// weekend returns the days of the weekend. It returns nil, which means the default, if the
+// field is absent, and an empty list if there is no weekend.
 func (c *calendarTOML) weekend() ([]time.Weekday, error) {
 	if c.Weekend == nil {
 		return nil, nil
@@ -137,14 +137,14 @@
 	for _, name := range *c.Weekend {
 		weekday, ok := parseWeekday(name)
 		if !ok {
-			return nil, &calendar.FieldError{Field: "weekend", Reason: fmt.Sprintf("%q is no day of the week such as saturday", name)}
+			return nil, &calendar.FieldError{Field: "weekend", Reason: fmt.Sprintf("%q is not a day of the week such as saturday", name)}
 		}
 		weekend = append(weekend, weekday)
 	}
 	return weekend, nil
 }
 
-// parseWeekday returns the weekday with an English name, in any case.
+// parseWeekday parses the English name of a weekday. Case is ignored.
 func parseWeekday(name string) (weekday time.Weekday, ok bool) {
 	for weekday = time.Sunday; weekday <= time.Saturday; weekday++ {
 		if strings.EqualFold(name, weekday.String()) {
@@ -154,7 +154,7 @@
 	return 0, false
 }
 
-// events returns the events of all iCalendar files.
+// events reads the events of all iCalendar files of the calendar.
 func (c *calendarTOML) events(dir string) ([]calendar.Event, error) {
 	var events []calendar.Event
 	for _, path := range c.ICalendar {
@@ -173,7 +173,7 @@
 func readICalendar(path string) ([]calendar.Event, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err // names the path
+		return nil, err // already names the path
 	}
 	events, err := calendar.ParseICalendar(data)
 	if err != nil {
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -18,15 +18,15 @@
 		t.Fatal(err)
 	}
 	if names := f.Calendars.Names(); len(names) != 2 || names[1] != "bg" {
-		t.Error(names)
+		t.Errorf("calendars %v, want all and bg", names)
 	}
 	if f.Policy == nil {
-		t.Error("no policy")
+		t.Error("Policy is nil")
 	}
 }
 
-// TestInvalidFieldIsNamed checks that the error is one line that names the invalid
-// field, or the line if the syntax is wrong.
+// TestInvalidFieldIsNamed checks that the error is one line that names the invalid field, or
+// the line of a syntax error.
 func TestInvalidFieldIsNamed(t *testing.T) {
 	dir := t.TempDir()
 	for _, test := range []struct{ text, want string }{
@@ -46,19 +46,19 @@
 		t.Run(test.text, func(t *testing.T) {
 			_, err := Parse([]byte(test.text), dir)
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want one line that names %s", err, test.want)
+				t.Errorf("error %v, want one line that names %s", err, test.want)
 			}
 		})
 	}
 }
 
-// TestExample checks that the example file has no effect as it is, and is valid
-// once its examples are uncommented.
+// TestExample checks that the example file in deploy defines nothing as shipped and is valid
+// with all its examples uncommented.
 func TestExample(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "operators.toml")
 	f, err := Load(path)
 	if err != nil || len(f.Calendars.Names()) > 0 {
-		t.Fatal(f, err)
+		t.Fatalf("example file as shipped: %+v, %v", f, err)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -72,6 +72,6 @@
 	}
 	f, err = Parse([]byte(strings.Join(examples, "")), ".")
 	if err != nil || len(f.Calendars.Names()) < 2 {
-		t.Error(f, err)
+		t.Errorf("uncommented example file: %+v, %v", f, err)
 	}
 }
--- a/internal/peermsg/peermsg.go
+++ b/internal/peermsg/peermsg.go
@@ -1,4 +1,4 @@
-// Package peermsg holds the messages between controllers. Package peer puts them on the wire.
+// Package peermsg defines the messages between controllers. Package peer encodes and sends them.
 package peermsg
 
 import (
@@ -17,44 +17,44 @@
 	Msg  Message
 }
 
-// LinkChange tells that our link to a peer came up or went down.
+// LinkChange is an input that says that the connection to a peer was established or lost.
 type LinkChange struct {
 	Name string
 	Up   bool
 }
 
-// Kind says what a peer message is.
+// Kind is the type of a message.
 type Kind string
 
-// The kinds of peer messages.
+// Kinds of messages. The values are sent on the wire.
 const (
-	Leader   Kind = "leader" // the sender leads the term
-	Ack      Kind = "ack"    // the sender has taken note of the term
-	Request  Kind = "call"   // a user's request, forwarded
-	Response Kind = "answer" // its answer
-
-	Replica           Kind = "copy"  // a line of a copy of the records
-	LeaderlessJob     Kind = "alone" // a job that the sender has accepted without a leader
-	ReplicaRestart    Kind = "again" // lines of that stream are missing: the copy is wanted anew
-	PeerStateRequest  Kind = "ask"   // the sender has begun the term, and asks what is known
-	PeerStateResponse Kind = "tell"  // the answer
-	ReplicaRequest    Kind = "want"  // the copy that was told of is wanted
-
-	ConfigRevision Kind = "config" // which revision of the configuration is in force, and which one the other has
-
-	Heartbeats       Kind = "reports" // of workers, from a relay to the leader
-	HeartbeatReplies Kind = "replies" // to them
+	Leader   Kind = "leader" // the sender is the leader of the term
+	Ack      Kind = "ack"    // the sender acknowledges the term
+	Request  Kind = "call"   // a forwarded user request
+	Response Kind = "answer" // the response to a Request
+
+	Replica           Kind = "copy"  // a part of a replica of the records
+	LeaderlessJob     Kind = "alone" // a job that the sender accepted while it knew no leader
+	ReplicaRestart    Kind = "again" // the sender misses parts of the replica stream and requests a new one
+	PeerStateRequest  Kind = "ask"   // a new leader requests the PeerState of the receiver
+	PeerStateResponse Kind = "tell"  // the response to a PeerStateRequest
+	ReplicaRequest    Kind = "want"  // the sender requests the replica announced in the PeerState
+
+	ConfigRevision Kind = "config" // the revision of the configuration in force, or the one that the sender has
+
+	Heartbeats       Kind = "reports" // worker heartbeats, from a relay to the leader
+	HeartbeatReplies Kind = "replies" // the replies to Heartbeats
 )
 
-// Version is the version of the protocol between controllers. Controllers that are older
-// than its first version tell none, which counts as 0.
+// Version is the version of the protocol between controllers. Older controllers send no
+// version, which is decoded as 0.
 const Version = 1
 
-// VersionRequest as the reference of an Ack asks the leader to tell its version again.
-// Leaders that tell none take it for an ordinary one.
+// VersionRequest is a value of Message.Ref in an Ack. It requests that the leader sends its
+// version again. Leaders without a version treat the message as an ordinary Ack.
 const VersionRequest = 1
 
-// Message is what controllers say to each other.
+// Message is a message between controllers. Which fields it uses depends on Kind.
 type Message struct {
 	Kind     Kind
 	Term     uint64
@@ -64,7 +64,7 @@
 	Spec     *spec.Job
 	Response *request.Response
 
-	Version uint64 // of leader and ack: the version that the sender talks in
+	Version uint64 // Leader and Ack: protocol version of the sender
 
 	Schedule         *request.ScheduleParams
 	Config           *request.ConfigParams
@@ -74,17 +74,18 @@
 	PeerState        *PeerState
 }
 
-// PeerState is what a controller tells a new leader of the state service's past.
+// PeerState is what a controller knows about earlier states of the key-value store. A new
+// leader uses it to detect and repair data loss in the store.
 type PeerState struct {
 	recovery.Observed
-	ReplicaEra  uint64         `json:"copyEra,omitempty"` // of the copy that it has
+	ReplicaEra  uint64         `json:"copyEra,omitempty"` // era of the controller's replica; 0 if it has none
 	ReplicaTerm uint64         `json:"copyTerm,omitempty"`
 	ReplicaSeq  uint64         `json:"copySeq,omitempty"`
-	LiveDigest  replica.Digest `json:"live"` // of its records under LivePrefix
+	LiveDigest  replica.Digest `json:"live"` // digest of the replica's records under record.LivePrefix
 }
 
-// Valid reports whether a call of a peer carries what its operation asks for, as the
-// interface to users makes sure of for our own.
+// Valid reports whether a forwarded request has valid parameters for its operation. Requests
+// that this node receives from users are validated by the API instead.
 func (m *Message) Valid() bool {
 	if request.IsConfig(m.Op) {
 		return m.validConfig()
@@ -126,7 +127,7 @@
 	return m.Op != request.ConfigGet || liveconfig.ValidName(q.Name)
 }
 
-// Outgoing sends a message to a peer.
+// Outgoing is an output that sends a message to a peer.
 type Outgoing struct {
 	To  string
 	Msg Message
--- a/internal/peermsg/reply.go
+++ b/internal/peermsg/reply.go
@@ -2,8 +2,8 @@
 
 import "yewpass/internal/request"
 
-// Reply returns the output that takes the answer to a request to where it came from: this
-// controller's own user, or the controller that forwarded it.
+// Reply returns the output that sends the response to a request back to its origin: the user
+// of this controller or the controller that forwarded the request.
 func Reply(r request.Request, answer request.Response) any {
 	answer.Ref = r.Ref
 	if r.From == "" {
--- a/internal/policy/errors_test.go
+++ b/internal/policy/errors_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestNewErrors pins the texts that operators see for an invalid expression.
+// TestNewErrors checks the error messages for invalid expressions.
 func TestNewErrors(t *testing.T) {
 	for _, test := range []struct{ name, expression, want string }{
 		{"nonsense", "1.0", "nonsense: no such setting"},
@@ -13,13 +13,13 @@
 		{"refuse", "1.0", "refuse: expected bool, but got float64"},
 		{"margin", "no_such", "margin: unknown name no_such (1:1)"},
 		{"hold_busy_s", "1.0 +", "hold_busy_s: unexpected token EOF (1:5)"},
-		{"refuse", "class[0:1][0] == ''", ""}, // the text is the library's
+		{"refuse", "class[0:1][0] == ''", ""}, // the rest of the message is the library's
 	} {
 		t.Run(test.name+" = "+test.expression, func(t *testing.T) {
 			_, err := New(map[string]string{test.name: test.expression})
 			if test.want == "" {
 				if err == nil || !strings.HasPrefix(err.Error(), test.name+": ") || strings.Contains(err.Error(), "\n") {
-					t.Errorf("%v, want one line that names %s", err, test.name)
+					t.Errorf("error %v, want one line that begins with %s", err, test.name)
 				}
 				return
 			}
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestSettings checks that each expression answers to its name.
+// TestSettings checks that each method evaluates the setting of its name.
 func TestSettings(t *testing.T) {
 	for name, value := range map[string]func(*Policy, Env) float64{
 		"margin":             (*Policy).Margin,
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestValueBounds checks that every value is a number that can be used.
+// TestValueBounds checks that results are clamped to [0, maxValue] and that NaN becomes 0.
 func TestValueBounds(t *testing.T) {
 	for expression, want := range map[string]float64{
 		"-1.0":                      0,
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy evaluates the operators' policy: expressions that replace the
-// embedded defaults, checked when they are loaded.
+// Package policy evaluates the operators' policy: expressions that override the embedded
+// defaults. They are validated when they are loaded.
 package policy
 
 import (
@@ -18,20 +18,20 @@
 //go:embed default.toml
 var defaults []byte
 
-// Env holds the variables of expressions. Times are in seconds.
+// Env holds the variables that expressions can use. Times are in seconds.
 type Env struct {
 	Class    string  `expr:"class"`
 	Owner    string  `expr:"owner"`
 	Urgency  string  `expr:"urgency"`
 	Dated    bool    `expr:"dated"`
-	LateS    float64 `expr:"late_s"`    // estimated completion minus the deadline
-	BacklogS float64 `expr:"backlog_s"` // waiting work divided by the present CPUs
-	ReportS  float64 `expr:"report_s"`  // the interval of worker reports
-	LeaseS   float64 `expr:"lease_s"`   // the duration of worker leases
+	LateS    float64 `expr:"late_s"`    // estimated completion minus the deadline, positive if late
+	BacklogS float64 `expr:"backlog_s"` // waiting work divided by the number of present CPUs
+	ReportS  float64 `expr:"report_s"`  // interval of heartbeats
+	LeaseS   float64 `expr:"lease_s"`   // duration of worker leases
 }
 
-// setting identifies an expression. The order is that of the names, in which
-// errors are looked for.
+// setting identifies an expression. The constants are in the order of the setting names, in
+// which expressions are compiled and errors are found.
 type setting int
 
 const (
@@ -51,7 +51,7 @@
 	settingCount
 )
 
-// settingNames are the names of the settings in the operators' file.
+// settingNames holds the names of the settings in the operators' file.
 var settingNames = [settingCount]string{
 	beginWithin:     "begin_within_s",
 	holdBusy:        "hold_busy_s",
@@ -71,8 +71,7 @@
 // String returns the name of the setting in the operators' file.
 func (s setting) String() string { return settingNames[s] }
 
-// resultType returns the compiler option that enforces the type of the setting's
-// value.
+// resultType returns the compiler option that enforces the type of the setting's result.
 func (s setting) resultType() expr.Option {
 	if s == refuse {
 		return expr.AsBool()
@@ -80,14 +79,13 @@
 	return expr.AsFloat64()
 }
 
-// Policy is a checked set of expressions. It is not safe for concurrent use.
+// Policy is a validated set of compiled expressions. It is not safe for concurrent use.
 type Policy struct {
-	neverRefuses bool // the expression refuse is the literal false
+	neverRefuses bool // the expression of refuse is the literal false
 	programs     [settingCount]*vm.Program
 }
 
-// Parse returns the policy with the expressions in data, which is TOML, in place of
-// defaults.
+// Parse returns the policy in which the expressions of a TOML document override the defaults.
 func Parse(data []byte) (*Policy, error) {
 	overrides := map[string]string{}
 	if err := toml.Unmarshal(data, &overrides); err != nil {
@@ -96,8 +94,8 @@
 	return New(overrides)
 }
 
-// New returns the policy with the given expressions, by name, in place of defaults.
-// The error is one line that begins with the name of the invalid expression.
+// New returns the policy in which the given expressions, by setting name, override the
+// defaults. The error is one line that begins with the name of the invalid expression.
 func New(overrides map[string]string) (*Policy, error) {
 	expressions := map[string]string{}
 	if err := toml.Unmarshal(defaults, &expressions); err != nil {
@@ -130,9 +128,9 @@
 	return nil
 }
 
-// evaluateAll evaluates each expression once. One that compiles can still fail, for
-// instance because an index is out of range; an invalid policy must be rejected
-// when it is loaded and not fail a decision later.
+// evaluateAll evaluates each expression once. An expression that compiles can still fail, for
+// example because an index is out of range. Evaluating it here rejects the policy when it is
+// loaded.
 func (p *Policy) evaluateAll() error {
 	for s := range settingCount {
 		if _, err := expr.Run(p.programs[s], Env{}); err != nil {
@@ -142,18 +140,18 @@
 	return nil
 }
 
-// settingError returns an error with the first line of the library's, which goes on
-// to print the expression.
+// settingError returns an error with the setting's name and the first line of err. The
+// following lines only repeat the expression.
 func settingError(s setting, err error) error {
 	firstLine, _, _ := strings.Cut(err.Error(), "\n")
 	return fmt.Errorf("%s: %s", s, firstLine)
 }
 
-// maxValue is the largest value of an expression. A division by zero, for instance,
-// would otherwise yield infinity.
+// maxValue is the largest result of a numeric expression. Larger results are clamped, such as
+// the infinity that a division by zero yields.
 const maxValue = 1e8
 
-// number evaluates a numeric setting. The result lies in [0, maxValue]; it is 0 if
+// number evaluates a numeric setting and clamps the result to [0, maxValue]. It returns 0 if
 // the evaluation fails or yields NaN.
 func (p *Policy) number(s setting, env Env) float64 {
 	result, err := expr.Run(p.programs[s], env)
@@ -167,11 +165,11 @@
 	return min(max(value, 0), maxValue)
 }
 
-// NeverRefuses reports whether Refuse is false for every Env, so that callers need
-// not compute one.
+// NeverRefuses reports whether Refuse returns false for every Env. Callers can then avoid
+// computing an Env.
 func (p *Policy) NeverRefuses() bool { return p.neverRefuses }
 
-// Refuse reports whether to refuse a submission for now. It is false if the
+// Refuse reports whether to refuse a job submission for now. It returns false if the
 // evaluation fails.
 func (p *Policy) Refuse(env Env) bool {
 	result, err := expr.Run(p.programs[refuse], env)
@@ -179,47 +177,46 @@
 	return err == nil && refused
 }
 
-// Margin returns the part that is added to an estimated runtime.
+// Margin returns the safety margin of an estimated runtime as a fraction of it.
 func (p *Policy) Margin(env Env) float64 { return p.number(margin, env) }
 
-// Warm returns how much capacity is kept free for jobs that must start at once, as
-// a multiple of what such a job usually takes.
+// Warm returns the capacity to keep free for jobs with a waiting-time objective, as a multiple
+// of what such a job usually takes.
 func (p *Policy) Warm(env Env) float64 { return p.number(warm, env) }
 
 // RentBacklog returns the backlog in seconds above which machines are rented.
 func (p *Policy) RentBacklog(env Env) float64 { return p.number(rentBacklog, env) }
 
-// OrdinaryBacklog returns the backlog in seconds above which ordinary (on-demand)
-// machines are rented if cheap (spot) ones are not available.
+// OrdinaryBacklog returns the backlog in seconds above which on-demand machines are rented if
+// no spot machines are available.
 func (p *Policy) OrdinaryBacklog(env Env) float64 { return p.number(ordinaryBacklog, env) }
 
-// IdleReturn returns the idle time in seconds after which a machine is returned to
-// the cloud.
+// IdleReturn returns the idle time in seconds after which a machine is returned to the cloud.
 func (p *Policy) IdleReturn(env Env) float64 { return p.number(idleReturn, env) }
 
-// SilentRelease returns for how many seconds a machine with tasks may fail to
-// report before it is released.
+// SilentRelease returns the time in seconds without a heartbeat after which a machine with
+// tasks is released.
 func (p *Policy) SilentRelease(env Env) float64 { return p.number(silentRelease, env) }
 
-// TakeoverRelease returns the same, in seconds since the change of leader, for a
-// machine that has not reported to the new leader while most others have.
+// TakeoverRelease returns the time in seconds since a failover after which a machine is
+// released that may have tasks and has not reported to the new leader, while most others have.
 func (p *Policy) TakeoverRelease(env Env) float64 { return p.number(takeoverRelease, env) }
 
-// ZoneKeep returns for how many seconds the machines of an unreachable zone are all
-// kept.
+// ZoneKeep returns for how many seconds all machines of an unreachable zone are kept.
 func (p *Policy) ZoneKeep(env Env) float64 { return p.number(zoneKeep, env) }
 
-// BeginWithin returns for how many seconds a job may wait before its first task is
-// started ahead of its turn.
+// BeginWithin returns the waiting time in seconds after which one task of a job is started
+// ahead of its turn to prevent starvation.
 func (p *Policy) BeginWithin(env Env) float64 { return p.number(beginWithin, env) }
 
-// HoldIdle returns for how many seconds the reply to a report is held while the
-// machine has free capacity.
+// HoldIdle returns for how many seconds the reply to a heartbeat is delayed (long polling)
+// while the machine has free capacity and runs no tasks.
 func (p *Policy) HoldIdle(env Env) float64 { return p.number(holdIdle, env) }
 
-// HoldBusy returns the same for a machine that runs tasks.
+// HoldBusy returns for how many seconds the reply to a heartbeat is delayed while the machine
+// has free capacity and runs tasks.
 func (p *Policy) HoldBusy(env Env) float64 { return p.number(holdBusy, env) }
 
-// ReportBytes returns how many bytes per second reports and replies may take of a
-// worker's network; 0 means no limit.
+// ReportBytes returns the limit in bytes per second of heartbeats and replies on a worker's
+// network. 0 means no limit.
 func (p *Policy) ReportBytes(env Env) float64 { return p.number(reportBytes, env) }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -12,21 +12,21 @@
 		t.Fatal(err)
 	}
 	if !p.Refuse(Env{Dated: true, LateS: 11}) {
-		t.Error("a late job is not refused")
+		t.Error("Refuse returned false for a late job")
 	}
 	if p.Refuse(Env{Dated: true, LateS: 11, Class: "x"}) || p.Refuse(Env{Dated: true}) {
-		t.Error("a job that is exempt, or not late, is refused")
+		t.Error("Refuse returned true for an exempt job or for a job that is not late")
 	}
 	if p.IdleReturn(Env{BacklogS: 2}) != 30 || p.IdleReturn(Env{}) != 0 {
-		t.Error("idle_return_s")
+		t.Error("IdleReturn did not return 30 with a backlog and 0 without one")
 	}
 	if p.Margin(Env{}) <= 0 {
-		t.Error("a default is lost")
+		t.Error("Margin is not the positive default")
 	}
 }
 
-// TestInvalidExpressionIsNamed checks that the error is one line that names the
-// invalid expression.
+// TestInvalidExpressionIsNamed checks that the error is one line that names the invalid
+// expression.
 func TestInvalidExpressionIsNamed(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{`refuse = "late_s + 1"`, "refuse"},
@@ -39,13 +39,14 @@
 		t.Run(test.text, func(t *testing.T) {
 			_, err := Parse([]byte(test.text))
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want one line that names %s", err, test.want)
+				t.Errorf("error %v, want one line that names %s", err, test.want)
 			}
 		})
 	}
 }
 
-// TestSettingsAreSorted checks the order in which errors are looked for.
+// TestSettingsAreSorted checks that settings are in the order of their names, which determines
+// the error that is reported first.
 func TestSettingsAreSorted(t *testing.T) {
 	if !slices.IsSorted(settingNames[:]) {
 		t.Error(settingNames)
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -1,5 +1,5 @@
-// Package provider defines the requests to the cloud provider that instances are rented from,
-// and its responses. Package cloud maps them to the provider's protocol.
+// Package provider defines the requests to the cloud provider that machines are rented from,
+// and its responses. Package cloud implements the provider's protocol.
 package provider
 
 import (
@@ -9,27 +9,27 @@
 	"yewpass/internal/timeline"
 )
 
-// InstanceType is an instance type of the catalog.
+// InstanceType is an entry of the provider's catalog of instance types.
 type InstanceType struct {
 	Name         string
 	Capacity     timeline.Resources
 	CPUs         float64
-	LocalGB      float64 // of local storage
-	ImageGBps    float64 // at which images are fetched
-	OnDemandRate float64 // per hour, of an on-demand instance
-	SpotRate     float64 // per hour, of a spot instance
+	LocalGB      float64 // local storage
+	ImageGBps    float64 // image download rate in GB per second
+	OnDemandRate float64 // price per hour of an on-demand instance
+	SpotRate     float64 // price per hour of a spot instance
 	BootTime     time.Duration
 	Zones        []string
 }
 
-// Instance is an instance in the provider's list.
+// Instance is a rented instance as listed by the provider.
 type Instance struct {
 	Host, InstanceType, Zone, Status string
 	Spot                             bool
 	Age                              time.Duration
 }
 
-// Response answers a Request.
+// Response is the provider's response to the Request with the same Ref.
 type Response struct {
 	Ref           uint64
 	Outcome       rpc.Outcome
@@ -42,24 +42,24 @@
 // Op is a kind of request.
 type Op int
 
-// The kinds of requests.
+// Kinds of requests.
 const (
-	Catalog  Op = iota // read the instance types
-	ScaleOut           // start instances
+	Catalog  Op = iota // list the instance types
+	ScaleOut           // rent instances
 	Release            // return instances
-	List               // list the instances
+	List               // list the rented instances
 )
 
 // Request is a request to the provider. Which fields it uses depends on Op.
 type Request struct {
 	Ref            uint64
 	Op             Op
-	IdempotencyKey string // of a ScaleOut: a repeated name gets the instances of the first time
+	IdempotencyKey string // ScaleOut: a repeated key returns the instances of the first request
 	InstanceType   string
 	Zone           string
 	Spot           bool
 	Count          int
 	Hosts          []string
-	After          string // List begins after this host
+	After          string // List: the last host of the previous page
 	Timeout        time.Duration
 }
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// The keys and prefixes of the records. Everything that a new leader reads lies under
-// LivePrefix; how jobs ended lies apart, so that a failover never reads it.
+// Keys and key prefixes of the records. A new leader reads everything under LivePrefix.
+// The results of finished jobs have their own prefix, so that failover does not read them.
 const (
 	Root             = "yewpass/"
 	LeaderKey        = Root + "leader"
@@ -16,35 +16,35 @@
 	MachinePrefix    = LivePrefix + "machine/"
 	ProgressPrefix   = LivePrefix + "progress/"
 	FinalPrefix      = Root + "final/"
-	LeaderlessPrefix = Root + "alone/" // notes of jobs that were accepted without a leader
+	LeaderlessPrefix = Root + "alone/" // markers of jobs accepted while no leader was known
 
-	// Schedules lie apart: a failover does not wait for them.
-	SchedulesPrefix   = Root + "schedule" // of everything below
+	// Schedules are not under LivePrefix, because failover does not wait for them.
+	SchedulesPrefix   = Root + "schedule" // common prefix of the two keys below
 	SchedulePrefix    = Root + "schedule/"
-	ScheduleNumberKey = Root + "schedules" // the numbers given to schedules
+	ScheduleNumberKey = Root + "schedules" // highest schedule number in use
 
-	// The configuration lies with the live records, so that no leader decides before it
-	// has read it.
+	// The live configuration is under LivePrefix, so that a leader has read it before it
+	// makes any decision.
 	ConfigPrefix     = LivePrefix + "config/"
 	ConfigHeadKey    = ConfigPrefix + "head"
 	ConfigTeamPrefix = ConfigPrefix + "team/"
 )
 
-// IsConfigKey reports whether a key belongs to the live configuration.
+// IsConfigKey reports whether key is under ConfigPrefix.
 func IsConfigKey(key string) bool { return strings.HasPrefix(key, ConfigPrefix) }
 
-// IsScheduleKey reports whether a key belongs to the schedules.
+// IsScheduleKey reports whether key holds a schedule or the highest schedule number.
 func IsScheduleKey(key string) bool {
 	return strings.HasPrefix(key, SchedulePrefix) || key == ScheduleNumberKey
 }
 
-// ProgressKey returns the key of the progress of one chunk of a job.
+// ProgressKey returns the key of the progress record of one chunk of a job's tasks.
 func ProgressKey(id string, chunk int) string {
 	return ProgressPrefix + id + "/" + strconv.Itoa(chunk)
 }
 
-// SplitProgressKey returns the job and the chunk that a key names, without ProgressPrefix. The
-// chunk is -1 if the key has none.
+// SplitProgressKey parses a progress key without its ProgressPrefix. The chunk is -1 if the
+// key has no valid chunk number.
 func SplitProgressKey(name string) (id string, chunk int) {
 	id, number, _ := strings.Cut(name, "/")
 	chunk, err := strconv.Atoi(number)
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,6 +1,6 @@
-// Package record holds the records in the key-value store: their keys and their values.
-// Package recordcodec has the form in which they are stored. Schedules and the live
-// configuration have their records in packages schedule and liveconfig.
+// Package record defines the keys and values of the records in the key-value store.
+// Package recordcodec encodes and decodes them. The records of schedules and of the live
+// configuration are defined in packages schedule and liveconfig.
 package record
 
 import (
@@ -10,64 +10,65 @@
 	"yewpass/internal/spec"
 )
 
-// AttemptCounterBits is how many bits of an attempt's number count the starts of a term. The
-// upper bits are the term, so that attempts rise across terms.
+// AttemptCounterBits is the width of the counter in the lower bits of an attempt number. The
+// upper bits hold the term, so that attempt numbers increase across terms.
 const AttemptCounterBits = 28
 
-// MaxTerm is the highest term: an attempt's number carries the term in its upper bits. A
-// larger number was never a term.
+// MaxTerm is the highest term that fits into the upper bits of an attempt number. Records
+// with a higher term are rejected as invalid.
 const MaxTerm = 1<<(64-AttemptCounterBits) - 1
 
-// Leader names the leader. Its key hangs on the leader lease.
+// Leader identifies the current leader. Its key is attached to the leader lease.
 type Leader struct {
 	Node      string
 	Term      uint64
-	ProcessID uint64 // of the node's process; 0 in records of versions that had none
+	ProcessID uint64 // random ID of the node's process; 0 in records of older versions
 	Era       uint64 // see Term
 }
 
-// Term counts the terms. A term is the fencing token that workers go by.
+// Term holds the highest term. Workers use the term as the fencing token.
 type Term struct {
 	Term uint64
-	Era  uint64 // drawn anew whenever data was found to be lost; 0 in records of versions that had none
+	Era  uint64 // random ID, replaced after each data loss; 0 in records of older versions
 }
 
-// Job keeps an accepted job until it has ended.
+// Job is the record of an accepted job. It is replaced by a Final when the job ends.
 type Job struct {
 	Spec      spec.Job
 	Submitted time.Time // wall-clock time
 	Cancelled bool
 }
 
-// Final keeps how a job ended, for good.
+// Final is the permanent record of how a job ended.
 type Final struct {
 	State spec.JobState
-	Done  int // tasks
+	Done  int // number of completed tasks
 }
 
-// Progress keeps which tasks of one chunk of a job are done, see package bitset.
+// Progress records which tasks of one chunk of a job are complete.
 type Progress struct {
-	Ranges string
+	Ranges string // in the format of bitset.Set.EncodeChunk
 }
 
-// Machines names machines that may hold tasks, many in one record: a large fleet would
-// otherwise spend the store's allowance on them alone.
+// Machines lists machines that may have tasks. One record holds many machines, because one
+// record for each would exceed the store's write rate limit in a large fleet.
 type Machines struct {
 	Machines []Machine
 }
 
-// Machine is a machine that may hold tasks.
+// Machine is a machine that may have tasks.
 type Machine struct {
 	Host, Address, InstanceType, Zone string
 	Spot                              bool
 }
 
-// ScheduleNumber is the highest number that may have been given to a schedule.
+// ScheduleNumber is an upper bound of the numbers assigned to schedules.
 type ScheduleNumber struct {
 	Number uint64
 }
 
-// JobAbsent returns the conditions that a job has neither a live nor a final record.
+// JobAbsent returns the conditions of a transaction that fails if the job has a live or a
+// final record.
 func JobAbsent(id string) []kv.Condition {
 	return []kv.Condition{{Key: JobPrefix + id, Rev: 0}, {Key: FinalPrefix + id, Rev: 0}}
 }
--- a/internal/record/size.go
+++ b/internal/record/size.go
@@ -2,17 +2,17 @@
 
 import "yewpass/internal/spec"
 
-// Estimates of stored sizes, with room to spare. What workers and users say may be
-// anything, and JSON can take six bytes for one: one long name must not spoil the record
-// of many, or a transaction.
+// Upper bounds of stored sizes in bytes. Names come from users and workers and may need
+// escaping in JSON, so they are counted at their longest: one long name must not push a
+// record or a transaction over the store's limits.
 const (
 	jobBaseBytes     = 700
 	machineBaseBytes = 90
 	maxEscapedBytes  = 6
-	separatorBytes   = 4 // of quotes and commas
+	separatorBytes   = 4 // quotes and comma around one instance type
 )
 
-// JobSize bounds the bytes of a job's record.
+// JobSize returns an upper bound of the stored size of a job's record in bytes.
 func JobSize(s *spec.Job) int {
 	n := jobBaseBytes + maxEscapedBytes*(len(s.Class)+len(s.Owner)+len(s.Image)+len(s.Zone))
 	for _, name := range s.InstanceTypes {
@@ -21,7 +21,7 @@
 	return n
 }
 
-// Size bounds the bytes of a machine in a record.
+// Size returns an upper bound of the machine's share of a stored Machines record in bytes.
 func (m *Machine) Size() int {
 	return machineBaseBytes + len(m.Host) + maxEscapedBytes*(len(m.Address)+len(m.InstanceType)+len(m.Zone))
 }
--- a/internal/recordcodec/codec.go
+++ b/internal/recordcodec/codec.go
@@ -1,6 +1,6 @@
-// Package recordcodec has the form in which records are stored in the key-value store and
-// copied between controllers: JSON objects that carry their type. The names in the JSON
-// tags are those of stored data and must stay; versions read each other's records.
+// Package recordcodec encodes and decodes records as they are stored in the key-value store
+// and replicated between controllers: JSON objects with a type field. The names in JSON tags
+// must not change, because different versions read each other's records.
 package recordcodec
 
 import (
@@ -12,12 +12,12 @@
 	"yewpass/internal/schedule"
 )
 
-// The types of stored records, by which a reader knows a record without its key.
+// Values of the type field of stored records.
 const (
 	typeJob            = "job"
 	typeFinal          = "final"
 	typeProgress       = "progress"
-	typeMachine        = "machine" // one machine named by its key, as the first version wrote it
+	typeMachine        = "machine" // written by the first version: one machine, whose host name is in the key
 	typeMachines       = "machines"
 	typeLeader         = "leader"
 	typeTerm           = "term"
@@ -27,8 +27,8 @@
 	typeConfigTeam     = "configTeam"
 )
 
-// decoders read records by their type. Each returns nil for what cannot be a record of
-// that type under that key.
+// decoders maps record types to decoders. A decoder returns nil if the data is not a valid
+// record of its type for the given key.
 var decoders = map[string]func(key string, data []byte) any{
 	typeJob:            decodeJob,
 	typeFinal:          decodeFinal,
@@ -43,14 +43,14 @@
 	typeConfigTeam:     decodeConfigTeam,
 }
 
-// Encode returns the stored form of a record.
+// Encode returns the JSON of a record, or null if value is not a record.
 func Encode(value any) json.RawMessage {
-	data, _ := json.Marshal(StoredForm(value)) // plain structs of this package: cannot fail
+	data, _ := json.Marshal(StoredForm(value)) // cannot fail: plain structs of this package
 	return data
 }
 
-// StoredForm returns the value whose JSON is the stored form of a record, or nil for a value
-// that is no record.
+// StoredForm returns a struct that encodes to the JSON of a record, or nil if value is not a
+// record.
 func StoredForm(value any) any {
 	switch v := value.(type) {
 	case *record.Job:
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// Decode returns the record that is stored under a key, or nil if it cannot be read.
+// Decode returns the record stored under key, or nil if data is not a valid record.
 func Decode(key string, data json.RawMessage) any {
 	decode := decoders[typeOf(data)]
 	if decode == nil {
@@ -86,12 +86,12 @@
 	return decode(key, data)
 }
 
-// schedulePrefix is how the stored form of a schedule begins as this package writes it.
+// schedulePrefix is the beginning of a schedule record that this package has encoded.
 var schedulePrefix = []byte(`{"type":"schedule",`)
 
-// typeOf returns the type that a stored record carries, or "".
+// typeOf returns the type of a stored record, or "" if it has none.
 func typeOf(data []byte) string {
-	// There may be thousands of schedules, which are large: they are not parsed twice.
+	// Schedules are large and may number in the thousands; avoid parsing them twice.
 	if bytes.HasPrefix(data, schedulePrefix) {
 		return typeSchedule
 	}
--- a/internal/recordcodec/codec_test.go
+++ b/internal/recordcodec/codec_test.go
@@ -13,7 +13,8 @@
 	"yewpass/internal/spec"
 )
 
-// TestRecords: what is written is read back; what is not a record is none.
+// TestRecords checks that encoded records decode to equal records and that invalid records
+// are rejected.
 func TestRecords(t *testing.T) {
 	in := &record.Job{Spec: spec.Job{ID: "wk-1", Class: "c", Owner: "o", Tasks: 5, CPUs: 1.5, Urgency: spec.Urgent, Image: "i",
 		InstanceTypes: []string{"f"}, Runtime: 90 * time.Second, Deadline: time.Minute, HasDeadline: true}, Submitted: time.UnixMilli(1234567), Cancelled: true}
@@ -23,28 +24,28 @@
 	}
 	out, ok := Decode("live/job/wk-1", data).(*record.Job)
 	if !ok || out.Spec.Runtime != in.Spec.Runtime || out.Spec.InstanceTypes[0] != "f" || !out.Cancelled || !out.Submitted.Equal(in.Submitted) || !out.Spec.HasDeadline {
-		t.Errorf("%+v", out)
+		t.Errorf("decoded %+v, want a record equal to the encoded one", out)
 	}
 	rec := &schedule.Record{Number: 7, Seq: 3, Edition: 2, File: json.RawMessage(`{"name":"n"}`), Paused: true, Cursor: schedule.Cursor{Nominal: time.UnixMilli(60000).UTC(), Rule: time.UnixMilli(90000).UTC()}, LastJob: "wk-2"}
 	rec.Add(schedule.Entry{Job: "wk-2", Planned: time.UnixMilli(5000).UTC(), State: schedule.StateMade})
 	if data, err = json.Marshal(StoredForm(rec)); err != nil {
 		t.Fatal(err)
 	}
-	for _, data := range [][]byte{data, bytes.Replace(data, []byte(`"schedule",`), []byte(`"schedule" ,`), 1)} { // written by us, and as a store may write it
+	for _, data := range [][]byte{data, bytes.Replace(data, []byte(`"schedule",`), []byte(`"schedule" ,`), 1)} { // as encoded here, and as the store may reformat it
 		if got, _ := Decode("schedule/n", data).(*schedule.Record); got == nil || !reflect.DeepEqual(got, rec) {
-			t.Errorf("%+v became %+v", rec, got)
+			t.Errorf("decoded %+v, want %+v", got, rec)
 		}
 	}
 	for _, bad := range []string{`{}`, `{"type":"schedule"}`, `{"type":"schedule","number":1,"file":{},"past":"x"}`, `{"type":"schedule","number":0,"file":{}}`, `[]`, `{"type":"job"}`, `{"type":"job","spec":{"id":"wk-1","tasks":0}}`, `{"type":"job","spec":{"id":"wk-2","tasks":1}}`,
 		`{"type":"final","state":"queued"}`, `{"type":"leader"}`} {
 		if got := Decode("live/job/wk-1", []byte(bad)); got != nil {
-			t.Errorf("%s is taken for a record", bad)
+			t.Errorf("%s: decoded %+v, want nil", bad, got)
 		}
 	}
 }
 
-// TestConfigRecords: what is written of the configuration is read back, and what cannot be
-// one is none.
+// TestConfigRecords checks that encoded configuration records decode to equal records and
+// that invalid ones are rejected.
 func TestConfigRecords(t *testing.T) {
 	const key = "yewpass/live/config/team/vision"
 	for k, v := range map[string]any{
@@ -52,7 +53,7 @@
 		"yewpass/live/config/head": &liveconfig.HeadRecord{Revision: 12},
 	} {
 		if got := Decode(k, Encode(v)); !reflect.DeepEqual(got, v) {
-			t.Errorf("%s: %+v is read as %+v", k, v, got)
+			t.Errorf("%s: decoded %+v, want %+v", k, got, v)
 		}
 	}
 	for _, text := range []string{
@@ -61,7 +62,7 @@
 		`{"type":"configHead","revision":0}`, `{"type":"configHead","revision":"x"}`, `7`,
 	} {
 		if got := Decode(key, json.RawMessage(text)); got != nil {
-			t.Errorf("%s is read as %+v", text, got)
+			t.Errorf("%s: decoded %+v, want nil", text, got)
 		}
 	}
 }
--- a/internal/recordcodec/compatibility_test.go
+++ b/internal/recordcodec/compatibility_test.go
@@ -14,14 +14,14 @@
 	"yewpass/internal/spec"
 )
 
-// The files under testdata were written by version 5990396. They are never written anew:
-// a version that cannot read them, or writes other bytes, cannot run beside that version
-// or on the data that it left.
+// The files under testdata were written by version 5990396 and must not be regenerated. A
+// version that fails to decode them, or encodes different bytes, cannot run in one cluster
+// with that version or on its data.
 const (
 	goldenRecords = "testdata/records-5990396.jsonl"
 )
 
-// readGolden reads a file of JSON lines.
+// readGolden decodes a file of JSON lines.
 func readGolden[T any](t *testing.T, path string) []T {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -39,14 +39,14 @@
 	return all
 }
 
-// goldenRecord is a record as the state service has it.
+// goldenRecord is a record as stored in the key-value store.
 type goldenRecord struct {
 	Name  string          `json:"name"`
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
 }
 
-// fullSpec is a job's description in which every field is set.
+// fullSpec returns a job specification with every field set.
 func fullSpec() spec.Job {
 	return spec.Job{
 		ID:                 "wk-000412",
@@ -73,12 +73,12 @@
 	}
 }
 
-// minimalSpec is the shortest description of a job.
+// minimalSpec returns a job specification with only the required fields.
 func minimalSpec() spec.Job {
 	return spec.Job{ID: "wk-7", Class: "build", Owner: "tools", Tasks: 1}
 }
 
-// fullSchedule is a schedule in which every field is set, with a history of every state.
+// fullSchedule returns a schedule with every field set and an entry of each state.
 func fullSchedule() *schedule.Record {
 	at := func(minute int) time.Time {
 		return time.Date(2027, time.January, 31, 9, minute, 0, 0, time.UTC)
@@ -101,7 +101,7 @@
 	return r
 }
 
-// recordValues are the values of the golden records, by name.
+// recordValues returns the values of the golden records by name.
 func recordValues() map[string]any {
 	submitted := time.UnixMilli(1_801_386_061_234)
 	array := fullSpec()
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestRecordsOf5990396 guards the records in the state service: those written by version
-// 5990396 must stay readable, and the reverse.
+// TestRecordsOf5990396 checks that records of version 5990396 can be decoded and that
+// encoding them yields the same bytes.
 func TestRecordsOf5990396(t *testing.T) {
 	values := recordValues()
 	golden := readGolden[goldenRecord](t, goldenRecords)
@@ -147,24 +147,24 @@
 			want := values[g.Name]
 			got := Decode(g.Key, g.Value)
 			if got == nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("read\n%+v, want\n%+v", got, want)
+				t.Errorf("decoded\n%+v, want\n%+v", got, want)
 			}
 			if data := Encode(got); string(data) != string(g.Value) {
-				t.Errorf("written again\n%s, want\n%s", data, g.Value)
+				t.Errorf("decoded record encodes to\n%s, want\n%s", data, g.Value)
 			}
 			if data := Encode(want); string(data) != string(g.Value) {
-				t.Errorf("written\n%s, want\n%s", data, g.Value)
+				t.Errorf("encoded\n%s, want\n%s", data, g.Value)
 			}
 		})
 	}
 }
 
-// TestMachineRecordOfFirstVersion: the first version named one machine in a record, by its
-// key. Such a record must stay readable; it is written as a list of one.
+// TestMachineRecordOfFirstVersion checks that a record of the first version, which has one
+// machine and its host name in the key, decodes to a list of one machine.
 func TestMachineRecordOfFirstVersion(t *testing.T) {
 	got := Decode("yewpass/live/machine/host-000231", json.RawMessage(`{"type":"machine","flavor":"g8","zone":"hall-a","reclaimable":true}`))
 	want := &record.Machines{Machines: []record.Machine{{Host: "host-000231", InstanceType: "g8", Zone: "hall-a", Spot: true}}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, want %+v", got, want)
+		t.Errorf("decoded %+v, want %+v", got, want)
 	}
 }
--- a/internal/recordcodec/config.go
+++ b/internal/recordcodec/config.go
@@ -7,13 +7,13 @@
 	"yewpass/internal/liveconfig"
 )
 
-// configHeadJSON is the revision of the configuration as a whole.
+// configHeadJSON holds the revision of the whole configuration.
 type configHeadJSON struct {
 	Type     string `json:"type"` // typeConfigHead
 	Revision uint64 `json:"revision"`
 }
 
-// configTeamJSON is a team's configuration as it was last changed.
+// configTeamJSON is a team's configuration as of its last change.
 type configTeamJSON struct {
 	Type     string  `json:"type"` // typeConfigTeam
 	Revision uint64  `json:"revision"`
@@ -44,7 +44,7 @@
 		return nil
 	}
 	team := liveconfig.Team{Name: j.Name, CPUs: j.CPUs, CPUsMax: j.CPUsMax, GPUs: j.GPUs, GPUsMax: j.GPUsMax, Retired: j.Retired}
-	// What a user could not have set was not written either.
+	// A team that fails the validation of user requests cannot have been written.
 	change := liveconfig.Change{Teams: []liveconfig.TeamChange{{Team: team}}}
 	if change.Check(1) != nil {
 		return nil
--- a/internal/recordcodec/job.go
+++ b/internal/recordcodec/job.go
@@ -60,7 +60,7 @@
 	return &record.Progress{Ranges: p.Ranges}
 }
 
-// Spec is a job's description as records and controllers carry it.
+// Spec is the encoded job specification in records and in messages between controllers.
 type Spec struct {
 	ID                   string       `json:"id"`
 	Class                string       `json:"class"`
@@ -85,7 +85,7 @@
 	HasDeadline          bool         `json:"dated,omitempty"`
 }
 
-// EncodeSpec returns the stored form of a job's description.
+// EncodeSpec converts a job specification for encoding. Durations are cut to milliseconds.
 func EncodeSpec(s *spec.Job) Spec {
 	return Spec{
 		ID:                   s.ID,
@@ -112,7 +112,7 @@
 	}
 }
 
-// Decode returns the description, or false if no submission could have made it.
+// Decode returns the job specification, or false if it is invalid.
 func (r Spec) Decode() (spec.Job, bool) {
 	s := spec.Job{
 		ID:                 r.ID,
@@ -140,7 +140,7 @@
 	return s, s.Sound()
 }
 
-// milliseconds returns a duration, or -1 for a number that would overflow one.
+// milliseconds returns a duration of n milliseconds, or -1 if n is negative or overflows.
 func milliseconds(n int64) time.Duration {
 	if n < 0 || n > int64(math.MaxInt64/time.Millisecond) {
 		return -1
--- a/internal/recordcodec/machines.go
+++ b/internal/recordcodec/machines.go
@@ -7,7 +7,8 @@
 	"yewpass/internal/record"
 )
 
-// machinesJSON names machines: many, or one by its key as the first version wrote it.
+// machinesJSON lists machines. The fields after Machines are only used by typeMachine, the
+// format of the first version, which has one machine and its host name in the key.
 type machinesJSON struct {
 	Type         string        `json:"type"` // typeMachine or typeMachines
 	Machines     []machineJSON `json:"machines,omitempty"`
@@ -34,7 +35,7 @@
 
 func decodeMachines(_ string, data []byte) any {
 	var j machinesJSON
-	// A record that names nobody is never written: it is removed instead.
+	// An empty list is invalid: the writer deletes the record instead.
 	if json.Unmarshal(data, &j) != nil || len(j.Machines) == 0 {
 		return nil
 	}
--- a/internal/recordcodec/schedule.go
+++ b/internal/recordcodec/schedule.go
@@ -8,7 +8,7 @@
 	"yewpass/internal/schedule"
 )
 
-// scheduleJSON is a schedule. Times are in milliseconds, 0 where unknown.
+// scheduleJSON is an encoded schedule.Record. Times are Unix milliseconds, 0 if unknown.
 type scheduleJSON struct {
 	Type    string          `json:"type"` // typeSchedule
 	Number  uint64          `json:"number"`
@@ -25,13 +25,13 @@
 	Past    string          `json:"past,omitempty"`
 }
 
-// scheduleNumberJSON is the highest number that may have been given to a schedule.
+// scheduleNumberJSON is an encoded record.ScheduleNumber.
 type scheduleNumberJSON struct {
 	Type   string `json:"type"` // typeScheduleNumber
 	Number uint64 `json:"number"`
 }
 
-// maxTimeMS is in the year 2500: no schedule was ever written with a later time.
+// maxTimeMS bounds the valid times of a schedule, in Unix milliseconds (the year 2500).
 const maxTimeMS = 16_725_225_600_000
 
 func toMS(t time.Time) int64 {
@@ -93,7 +93,7 @@
 	return r
 }
 
-// valid reports whether the numbers of a schedule are such as were ever written.
+// valid reports whether the times and the number are in range and the file is present.
 func (j *scheduleJSON) valid() bool {
 	validTime := func(ms int64) bool { return ms >= 0 && ms < maxTimeMS }
 	return validTime(j.Cursor) && validTime(j.Rule) && j.Number > 0 && j.Number <= schedule.MaxNumber && len(j.File) > 0
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,5 @@
-// Package request holds what users and operators ask of a controller, and the answers.
-// Package api maps them to HTTP, package peer to lines between controllers.
+// Package request defines the requests of users and operators to a controller, and the
+// responses. Package api maps them to HTTP, package peer to messages between controllers.
 package request
 
 import (
@@ -10,32 +10,32 @@
 	"yewpass/internal/spec"
 )
 
-// Operation is what a request asks for. The texts are those of lines between controllers.
+// Operation is the kind of a request. Its values are sent in messages between controllers.
 type Operation string
 
-// The operations on jobs.
+// Operations on jobs.
 const (
 	Submit Operation = "submit"
 	Get    Operation = "get"
 	Cancel Operation = "cancel"
 )
 
-// The operations on the controllers themselves.
+// Operations on the cluster of controllers.
 const (
-	Cluster            Operation = "cluster"
-	TransferLeadership Operation = "hand over"
+	Cluster            Operation = "cluster"   // returns the state of the cluster
+	TransferLeadership Operation = "hand over" // makes the leader step down
 )
 
-// The operations on the live configuration.
+// Operations on the live configuration.
 const (
 	ConfigSet    Operation = "config set"
 	ConfigGet    Operation = "config get"
 	ConfigList   Operation = "config list"
 	ConfigStatus Operation = "config status"
-	ConfigLocal  Operation = "config here" // what the node that is asked has, whoever leads
+	ConfigLocal  Operation = "config here" // returns the configuration of the receiving node; not forwarded to the leader
 )
 
-// The operations on schedules.
+// Operations on schedules.
 const (
 	SchedulePut      Operation = "schedule put"
 	ScheduleGet      Operation = "schedule get"
@@ -48,90 +48,91 @@
 	ScheduleHistory  Operation = "schedule history"
 )
 
-// IsCluster reports whether an operation is about the controllers and not about jobs.
+// IsCluster reports whether op is an operation on the cluster of controllers.
 func IsCluster(op Operation) bool { return op == Cluster || op == TransferLeadership }
 
-// IsConfig reports whether an operation is about the configuration and served by the leader.
+// IsConfig reports whether op is an operation on the live configuration that the leader serves.
+// It is false for ConfigLocal, which every node serves.
 func IsConfig(op Operation) bool {
 	return op == ConfigSet || op == ConfigGet || op == ConfigList || op == ConfigStatus
 }
 
-// MaxCount bounds how many items one answer lists.
+// MaxCount is the maximum number of items in one page of a response.
 const MaxCount = 200
 
-// IfAbsent stands in ScheduleParams.IfMatch for a schedule that does not exist yet.
+// IfAbsent is a value of ScheduleParams.IfMatch. It requires that the schedule does not exist.
 const IfAbsent = "new"
 
-// Request is a user's request, from this node's own socket or forwarded by a peer.
+// Request is a user's request. It was received by this node or forwarded by a peer.
 type Request struct {
 	Ref  uint64
-	From string // the peer that forwarded it; empty for our own user
+	From string // the peer that forwarded it; empty if this node received it
 	Op   Operation
-	ID   string    // of the job
-	Spec *spec.Job // of Submit
+	ID   string    // job ID
+	Spec *spec.Job // Submit only
 
-	Schedule *ScheduleParams // of operations on schedules
-	Config   *ConfigParams   // of operations on the configuration
+	Schedule *ScheduleParams // operations on schedules only
+	Config   *ConfigParams   // operations on the configuration only
 }
 
-// IsJob reports whether the request is about one job.
+// IsJob reports whether the request is an operation on a job.
 func (r *Request) IsJob() bool { return r.Schedule == nil && r.Config == nil && !IsCluster(r.Op) }
 
 // ScheduleParams are the parameters of an operation on schedules.
 type ScheduleParams struct {
 	Name           string         `json:"name,omitempty"`
-	File           *schedule.File `json:"file,omitempty"`    // of put
-	IfMatch        string         `json:"ifMatch,omitempty"` // the ETag that the request is based on, NewOnly, or empty for any
-	After          string         `json:"after,omitempty"`   // of list: the last name of the page before
-	Count          int            `json:"count,omitempty"`   // of list and upcoming: how many at most
-	IdempotencyKey string         `json:"request,omitempty"` // of run: the caller's name for it, which makes it idempotent
+	File           *schedule.File `json:"file,omitempty"`    // put only
+	IfMatch        string         `json:"ifMatch,omitempty"` // required ETag, IfAbsent, or empty for no condition
+	After          string         `json:"after,omitempty"`   // list: the last name of the previous page
+	Count          int            `json:"count,omitempty"`   // list and upcoming: maximum number of items
+	IdempotencyKey string         `json:"request,omitempty"` // run: chosen by the caller
 }
 
 // ConfigParams are the parameters of an operation on the configuration.
 type ConfigParams struct {
-	Name       string                  `json:"name,omitempty"`       // of get
-	Teams      []liveconfig.TeamChange `json:"teams,omitempty"`      // of set
-	IfRevision *uint64                 `json:"ifRevision,omitempty"` // of set: the revision that it is based on
-	After      string                  `json:"after,omitempty"`      // of list: the last name of the page before
-	Count      int                     `json:"count,omitempty"`      // of list: how many at most
+	Name       string                  `json:"name,omitempty"`       // get only
+	Teams      []liveconfig.TeamChange `json:"teams,omitempty"`      // set only
+	IfRevision *uint64                 `json:"ifRevision,omitempty"` // set: required current revision; nil for no condition
+	After      string                  `json:"after,omitempty"`      // list: the last name of the previous page
+	Count      int                     `json:"count,omitempty"`      // list: maximum number of items
 }
 
-// Response is the answer to a Request.
+// Response is the response to the Request with the same Ref.
 type Response struct {
 	Ref        uint64
-	Status     int           // of HTTP
+	Status     int           // HTTP status
 	RetryAfter time.Duration // with 503 and 429
 	Job        JobStatus
-	Field      string // that is wrong
+	Field      string // name of the invalid field, if any
 	Reason     string
-	Document   any    // a document in JSON in place of View
-	ETag       string // of the document
+	Document   any    // if not nil, returned as JSON instead of Job
+	ETag       string // entity tag of Document
 }
 
-// JobStatus is what a user is told of a job.
+// JobStatus is the status of a job as returned to users.
 type JobStatus struct {
 	ID      string
 	State   spec.JobState
-	Done    int // tasks
-	Running int // tasks
+	Done    int // number of completed tasks
+	Running int // number of running tasks
 }
 
-// Statuses of HTTP, on which this package does not depend.
+// HTTP statuses. They are defined here to avoid a dependency on net/http.
 const (
 	statusUnprocessable = 422
 	statusUnavailable   = 503
 )
 
-// retryAfter is when a request that cannot be served for now may be tried again.
+// retryAfter is the delay after which a client should retry an unavailable response.
 const retryAfter = time.Second
 
-// Unavailable returns the response to a request that cannot be served for now.
+// Unavailable returns a response with status 503, which tells the client to retry later.
 func Unavailable(reason string) Response {
 	return Response{Status: statusUnavailable, RetryAfter: retryAfter, Reason: reason}
 }
 
-// Unprocessable returns the response to a request that is refused for good because of a
-// field of what it describes.
+// Unprocessable returns a response with status 422 that names the invalid field. A retry of
+// the same request fails again.
 func Unprocessable(field, reason string) Response {
 	return Response{Status: statusUnprocessable, Field: field, Reason: field + ": " + reason}
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,22 +1,22 @@
-// Package rpc holds what calls to all outside services have in common.
+// Package rpc defines the outcomes of calls to external services.
 package rpc
 
-// Outcome tells what is known of a call to an outside service.
+// Outcome is what the caller knows about a call to an external service.
 type Outcome int
 
-// The outcomes. Anything malformed or unexpected counts as Unknown, never as OK.
+// Outcomes. A malformed or unexpected response is Unknown, never OK.
 const (
-	OK       Outcome = iota
-	Conflict         // a condition of a transaction did not hold
-	NotFound         // 404
-	Refused          // known not to have been executed: 429, 503
-	Invalid          // 400
-	Unknown          // may have been executed, or may be executed later
+	OK       Outcome = iota // executed
+	Conflict                // a condition of a transaction failed
+	NotFound                // 404
+	Refused                 // not executed: 429 or 503
+	Invalid                 // 400
+	Unknown                 // may have been executed or may still be executed
 )
 
 var outcomeNames = [...]string{"ok", "conflict", "not found", "refused", "invalid", "unknown"}
 
-// String returns the name of the outcome.
+// String returns the name of the outcome for logs, or "no outcome" for an undefined value.
 func (o Outcome) String() string {
 	if o < 0 || int(o) >= len(outcomeNames) {
 		return "no outcome"
--- a/internal/timerheap/doc.go
+++ b/internal/timerheap/doc.go
@@ -1,2 +1,2 @@
-// Package timerheap is a priority queue of values by time.
+// Package timerheap implements a priority queue of values ordered by time.
 package timerheap
--- a/internal/timerheap/timerheap.go
+++ b/internal/timerheap/timerheap.go
@@ -5,17 +5,16 @@
 	"time"
 )
 
-// entry is a value and its time.
 type entry[T any] struct {
 	at    time.Time
-	seq   uint64 // order of insertion, which breaks ties
+	seq   uint64 // insertion order, breaks ties
 	value T
 }
 
-// Heap is a priority queue of values by time, the earliest first. The zero value is empty.
+// Heap is a priority queue of values, the earliest first. The zero value is an empty heap.
 type Heap[T any] struct {
 	entries entries[T]
-	seq     uint64
+	seq     uint64 // of the last pushed entry
 }
 
 type entries[T any] []entry[T]
@@ -46,18 +45,18 @@
 	return x
 }
 
-// Len returns the number of values.
+// Len returns the number of values in the heap.
 func (h *Heap[T]) Len() int { return len(h.entries) }
 
-// Push adds a value at a time. Values of the same time are popped in the order in
-// which they were pushed.
+// Push adds a value with a time. Values with equal times are popped in insertion order.
 func (h *Heap[T]) Push(at time.Time, value T) {
 	h.seq++
 	heap.Push(&h.entries, entry[T]{at, h.seq, value})
 }
 
-// First returns the earliest value and its time. The heap must not be empty.
+// First returns the earliest value and its time without removing it. It panics if the heap is
+// empty.
 func (h *Heap[T]) First() (time.Time, T) { return h.entries[0].at, h.entries[0].value }
 
-// Pop removes and returns the earliest value. The heap must not be empty.
+// Pop removes and returns the earliest value. It panics if the heap is empty.
 func (h *Heap[T]) Pop() T { return heap.Pop(&h.entries).(entry[T]).value }
--- a/internal/view/cluster.go
+++ b/internal/view/cluster.go
@@ -1,69 +1,70 @@
 package view
 
-// Cluster is what a node knows of the controllers. The numbers of machines are the
-// leader's; a node that cannot reach the leader tells what it knows itself.
+// Cluster is the status of the controllers and machines. The leader answers the request; a
+// node that cannot reach the leader answers with what it knows itself.
 type Cluster struct {
-	Node             string          `json:"node"`                // that answers
-	Leader           string          `json:"leader"`              // empty while none is known
-	Term             uint64          `json:"term"`                //
-	LeadingSeconds   float64         `json:"leadsSeconds"`        // since the election; 0 unless the leader answers
-	Authority        bool            `json:"authority"`           // the leader lease is valid
-	FailoverComplete bool            `json:"takeOverComplete"`    // every machine of earlier terms is accounted for
-	Machines         int             `json:"machines"`            //
-	Unaccounted      int             `json:"machinesUnaccounted"` //
-	MaxMachines      int             `json:"machinesMost"`        // that the controllers can serve
+	Node             string          `json:"node"`   // the node that answers
+	Leader           string          `json:"leader"` // empty if unknown
+	Term             uint64          `json:"term"`
+	LeadingSeconds   float64         `json:"leadsSeconds"`     // since the election; 0 if the answering node is not the leader
+	Authority        bool            `json:"authority"`        // whether the leader lease is valid
+	FailoverComplete bool            `json:"takeOverComplete"` // whether all machines of earlier terms are accounted for
+	Machines         int             `json:"machines"`
+	Unaccounted      int             `json:"machinesUnaccounted"` // may have tasks of an earlier term
+	MaxMachines      int             `json:"machinesMost"`        // maximum number that the controllers can serve
 	Nodes            []ClusterNode   `json:"nodes"`
-	Zones            []ClusterZone   `json:"zones,omitempty"`   // only from the leader
-	Regions          []ClusterRegion `json:"regions,omitempty"` // likewise
-	Records          *Records        `json:"records,omitempty"` // likewise
+	Zones            []ClusterZone   `json:"zones,omitempty"`   // leader only
+	Regions          []ClusterRegion `json:"regions,omitempty"` // leader only
+	Records          *Records        `json:"records,omitempty"` // leader only
 }
 
-// Records tells how complete the records in the state service are.
+// Records is the status of the records in the key-value store: data loss, restoration and
+// replicas.
 type Records struct {
-	Era            uint64   `json:"era"`                  // drawn anew after each loss of data
-	LossReason     string   `json:"lost,omitempty"`       // what revealed the last loss under this leader
-	Source         string   `json:"from,omitempty"`       // whose replica was used; empty if there was none
-	SinceSeconds   float64  `json:"sinceSeconds"`         // since the loss was found
-	Restored       int      `json:"restored"`             // records that were lost or older
-	Pending        int      `json:"left"`                 // of these, not written back yet
+	Era            uint64   `json:"era"`                  // random ID, replaced after each data loss
+	LossReason     string   `json:"lost,omitempty"`       // how the last data loss under this leader was detected
+	Source         string   `json:"from,omitempty"`       // controller whose replica is used for restoring; empty if none
+	SinceSeconds   float64  `json:"sinceSeconds"`         // since the data loss was detected
+	Restored       int      `json:"restored"`             // records that were missing or outdated
+	Pending        int      `json:"left"`                 // of these, records not yet written back
 	UnreadableJobs []string `json:"unreadable,omitempty"` // jobs whose records cannot be read, at most ten
 	Replicas       []string `json:"copies,omitempty"`     // other controllers with a complete replica
 }
 
-// ClusterZone is a zone of machines.
+// ClusterZone is the status of the machines of a zone.
 type ClusterZone struct {
 	Name             string  `json:"name"`
-	State            string  `json:"state"`        // up, doubtful, lost, returning
-	StateSeconds     float64 `json:"stateSeconds"` // since it is in this state
+	State            string  `json:"state"`        // up, doubtful, lost or returning
+	StateSeconds     float64 `json:"stateSeconds"` // since the last change of State
 	Reporting        int     `json:"machinesHeard"`
 	Silent           int     `json:"machinesSilent"`
-	UnconfirmedTasks int     `json:"tasksAwaitingProof"` // on its silent machines, not yet proven over
+	UnconfirmedTasks int     `json:"tasksAwaitingProof"` // on silent machines; not yet known to have ended
 }
 
 // Roles of controllers.
 const (
-	RoleLeader = "leader"
-	RoleRelay  = "relay" // relays heartbeats to the leader
-	RoleAway   = "away"  // relays none
+	RoleLeader       = "leader"
+	RoleRelay        = "relay" // relays heartbeats to the leader
+	RoleDisconnected = "away"  // relays no heartbeats
 )
 
-// ClusterNode is a controller.
+// ClusterNode is the status of a controller.
 type ClusterNode struct {
 	Name       string  `json:"name"`
 	Zone       string  `json:"zone"`
-	Role       string  `json:"role"`       // RoleLeader, RoleRelay or RoleAway; empty if not known
-	Link       bool    `json:"link"`       // from the answering node
-	Workers    int     `json:"workers"`    // that report to it
+	Role       string  `json:"role"`       // RoleLeader, RoleRelay or RoleAway; empty if unknown
+	Link       bool    `json:"link"`       // whether the answering node is connected to it
+	Workers    int     `json:"workers"`    // number of workers that report to it
 	LagSeconds float64 `json:"lagSeconds"` // since its last batch of heartbeats; 0 for the leader
 }
 
-// ClusterRegion is a region of zones.
+// ClusterRegion is the status of the machines of a region.
 type ClusterRegion struct {
 	Name             string  `json:"name"`
-	State            string  `json:"state"`        // up, doubtful, lost, returning
-	StateSeconds     float64 `json:"stateSeconds"` // since it is in this state
-	Zones            int     `json:"zones"`        // with machines
-	ZonesUnreachable int     `json:"zonesAway"`    // of these, doubtful or lost
+	State            string  `json:"state"`        // up, doubtful, lost or returning
+	StateSeconds     float64 `json:"stateSeconds"` // since the last change of State
+	Zones            int     `json:"zones"`        // zones with machines
+	ZonesUnreachable int     `json:"zonesAway"`    // of these, zones that are doubtful or lost
 	Reporting        int     `json:"machinesHeard"`
 	Silent           int     `json:"machinesSilent"`
 }
--- a/internal/view/config.go
+++ b/internal/view/config.go
@@ -2,18 +2,18 @@
 
 import "yewpass/internal/liveconfig"
 
-// ConfigChanged is the answer to a change of the configuration.
+// ConfigChanged is the response to a change of the live configuration.
 type ConfigChanged struct {
-	// Revision is the revision that contains the change. If the configuration had
-	// everything that was requested before, it is an earlier one.
+	// Revision is the first revision that contains the change. If the request changed
+	// nothing, it is an earlier revision.
 	Revision uint64 `json:"revision"`
 }
 
-// Team is the configuration of a team and what the team uses.
+// Team is the configuration and the resource usage of a team.
 type Team struct {
 	liveconfig.Team
-	Revision uint64 `json:"revision"`          // of its last change; 0: as in the settings
-	Damaged  bool   `json:"damaged,omitempty"` // its record cannot be read; this is what was known before
+	Revision uint64 `json:"revision"`          // revision of its last change; 0 if it is only in the settings file
+	Damaged  bool   `json:"damaged,omitempty"` // its record cannot be read; the last known configuration is shown
 	InUse    struct {
 		CPUs float64 `json:"cpus"`
 		GPUs float64 `json:"gpus"`
@@ -22,32 +22,32 @@
 
 // TeamPage is a page of the list of teams.
 type TeamPage struct {
-	Revision  uint64 `json:"revision"` // of the configuration as a whole
+	Revision  uint64 `json:"revision"` // revision of the whole configuration
 	Teams     []Team `json:"teams"`
 	Truncated bool   `json:"truncated,omitempty"`
 }
 
-// ConfigStatus tells which revision of the configuration is in force where.
+// ConfigStatus is the status of the live configuration on all controllers.
 type ConfigStatus struct {
 	Revision           uint64             `json:"revision"`
-	Changes            int64              `json:"changes"`                  // made by this leader
-	Waiting            int                `json:"waiting"`                  // changes that are being written
-	PropagationSeconds float64            `json:"lastInForceSeconds"`       // until all controllers in reach knew the last revision
-	Damaged            []string           `json:"damaged,omitempty"`        // objects whose records cannot be read
-	Refusal            string             `json:"refusesChanges,omitempty"` // why no change is accepted at present
+	Changes            int64              `json:"changes"`                  // number of changes made by this leader
+	Waiting            int                `json:"waiting"`                  // number of changes being written
+	PropagationSeconds float64            `json:"lastInForceSeconds"`       // time until all reachable controllers had the last revision
+	Damaged            []string           `json:"damaged,omitempty"`        // names of objects whose records cannot be read
+	Refusal            string             `json:"refusesChanges,omitempty"` // why changes are refused at present; empty if they are accepted
 	Nodes              []ConfigNodeStatus `json:"nodes"`
 }
 
-// ConfigNodeStatus tells which revision a controller has.
+// ConfigNodeStatus is the status of the live configuration on one controller.
 type ConfigNodeStatus struct {
 	Name               string  `json:"name"`
 	Revision           uint64  `json:"revision"`
-	AgeSeconds         float64 `json:"ageSeconds"` // since it was last known to be the newest there; -1: never
+	AgeSeconds         float64 `json:"ageSeconds"` // since Revision was last known to be the newest; -1: never
 	SupportsLiveConfig bool    `json:"knowsLiveConfiguration"`
 }
 
-// LocalConfig is the configuration that the answering node has, whoever leads.
+// LocalConfig is the status of the live configuration on the answering node.
 type LocalConfig struct {
 	Revision   uint64  `json:"revision"`
-	AgeSeconds float64 `json:"ageSeconds"` // since it was last known to be the newest
+	AgeSeconds float64 `json:"ageSeconds"` // since Revision was last known to be the newest
 }
--- a/internal/view/doc.go
+++ b/internal/view/doc.go
@@ -1,3 +1,3 @@
-// Package view holds the answers about the cluster, its configuration and its figures
-// that controllers give to users and to the metrics page. It has no logic.
+// Package view defines the status documents about the cluster and its configuration that
+// controllers return to users, and the values of the metrics page.
 package view
--- a/internal/view/stats.go
+++ b/internal/view/stats.go
@@ -1,12 +1,12 @@
 package view
 
-// Stats holds the figures of the metrics page. Only a leader knows those of its parts;
-// elsewhere they are zero, but for the revision and the age of the configuration.
+// Stats holds the values of the metrics page. The embedded structs are only set by the leader,
+// except for ConfigRevision and ConfigAge.
 type Stats struct {
 	IsLeader, Authority bool
 	Term                uint64
-	Relayed             int   // workers that report here, to be passed on to the leader
-	StaleHeartbeats     int64 // heartbeats older than what was known, which changed nothing
+	Relayed             int   // workers whose heartbeats this node relays to the leader
+	StaleHeartbeats     int64 // heartbeats ignored because a newer one was received before
 
 	WorkStats
 	FleetStats
@@ -15,46 +15,46 @@
 	ScheduleStats
 }
 
-// WorkStats holds the figures of jobs and their tasks.
+// WorkStats holds the metrics of jobs and tasks.
 type WorkStats struct {
-	Jobs            int // that are not over
+	Jobs            int // that have not ended
 	WaitingTasks    int
 	TasksOnMachines int
-	BacklogSeconds  float64
+	BacklogSeconds  float64 // time that the present machines need for the waiting tasks
 }
 
-// FleetStats holds the figures of machines and of how they are reached.
+// FleetStats holds the metrics of machines, relays, zones and regions.
 type FleetStats struct {
-	Machines            int     // known
-	Reporting           int     // that have reported to this leader
-	CPUs                float64 // of the reporting machines
+	Machines            int     // known machines
+	Reporting           int     // machines that have reported to this leader
+	CPUs                float64 // CPUs of the reporting machines
 	CPUsUsed            float64
 	Unaccounted         int  // machines that may hold tasks of an earlier term
-	Direct              int  // machines that report to the leader itself
-	Relays              int  // controllers that relay heartbeats of others
-	RegionsUnreachable  int  // regions that are doubtful or lost as a whole
+	Direct              int  // machines that report directly to the leader
+	Relays              int  // controllers that relay heartbeats
+	RegionsUnreachable  int  // regions that are doubtful or lost
 	ZonesUnreachable    int  // zones that are doubtful or lost
-	MachinesUnreachable int  // silent machines there
-	AtMachineLimit      bool // the controllers could serve no more machines, so none are rented
+	MachinesUnreachable int  // silent machines in zones that are doubtful or lost
+	AtMachineLimit      bool // no more machines are rented, because the controllers cannot serve more
 }
 
-// RecordStats holds the figures of the stored records.
+// RecordStats holds the metrics of records in the key-value store.
 type RecordStats struct {
-	RecordsPending int // records lost with data of the state service, still to be restored
+	RecordsPending int // records lost by the store that are not yet restored
 	UnreadableJobs int // jobs whose records cannot be read
-	Replicas       int // other controllers with a complete replica of the records
+	Replicas       int // number of other controllers with a complete replica
 }
 
-// ConfigStats holds the figures of the live configuration.
+// ConfigStats holds the metrics of the live configuration.
 type ConfigStats struct {
-	ConfigRevision    uint64  // that this node has
-	ConfigAge         float64 // seconds since that was last known to be the newest
-	ConfigPropagation float64 // seconds until all controllers in reach knew the last change
-	ConfigChanges     int64   // made by this leader
-	ConfigDamaged     int     // objects whose records cannot be read
+	ConfigRevision    uint64  // revision on this node
+	ConfigAge         float64 // seconds since ConfigRevision was last known to be the newest
+	ConfigPropagation float64 // seconds until all reachable controllers had the last change
+	ConfigChanges     int64   // changes made by this leader
+	ConfigDamaged     int     // number of objects whose records cannot be read
 }
 
-// ScheduleStats holds the figures of schedules under this leader.
+// ScheduleStats holds the metrics of schedules. The counters start at 0 with each leader.
 type ScheduleStats struct {
 	Schedules          int
 	OccurrencesCreated int64
