--- a/internal/admission/admitter.go
+++ b/internal/admission/admitter.go
@@ -223,6 +223,6 @@
 	}
 	late = a.leader.Lateness(job)
 	env := a.leader.PolicyEnv()
-	env.Class, env.Owner, env.Urgency, env.Dated, env.LateS = job.Class, job.Owner, job.Urgency.String(), true, late.Seconds()
+	env.Class, env.Owner, env.Urgency, env.HasDeadline, env.LateSeconds = job.Class, job.Owner, job.Urgency.String(), true, late.Seconds()
 	return late, a.Policy.Refuse(env)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -128,8 +128,8 @@
 // allows but which would disable a limit.
 func inRange(value float64) bool { return value >= 0 && value <= maxNumber }
 
-// number is the name and value of a numeric field.
-type number struct {
+// numericField is the name and value of a numeric field.
+type numericField struct {
 	field string
 	value float64
 }
@@ -199,7 +199,7 @@
 			return fmt.Errorf("settings.teams[%d].name: duplicate name %q", i, team.Name)
 		}
 		names[team.Name] = true
-		for _, amount := range []number{
+		for _, amount := range []numericField{
 			{"cpus", team.CPUs},
 			{"cpus_max", team.CPUsMax},
 			{"gpus", team.GPUs},
@@ -217,7 +217,7 @@
 // cloud API and the node. All except list_lag_s must be positive.
 func (c *Config) checkLimits() error {
 	settings := &c.Settings
-	for _, limit := range []number{
+	for _, limit := range []numericField{
 		{"workers.report_s", float64(settings.Workers.Report)},
 		{"workers.lease_s", float64(settings.Workers.Lease)},
 		{"workers.cancel_s", float64(settings.Workers.Cancel)},
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -51,9 +51,9 @@
 
 // policyEnv returns what policies are given of the cluster's state.
 func (c *Core) policyEnv() policy.Env {
-	e := policy.Env{ReportS: c.heartbeatInterval.Seconds(), LeaseS: c.workerLease.Seconds()}
+	e := policy.Env{ReportSeconds: c.heartbeatInterval.Seconds(), LeaseSeconds: c.workerLease.Seconds()}
 	if c.leadership != nil {
-		e.BacklogS = c.leadership.autoscaler.Backlog().Seconds()
+		e.BacklogSeconds = c.leadership.autoscaler.Backlog().Seconds()
 	}
 	return e
 }
--- a/internal/expiringset/expiringset.go
+++ b/internal/expiringset/expiringset.go
@@ -23,12 +23,12 @@
 }
 
 // Has reports whether the name is in the set and has not been dropped.
-func (f *Set) Has(name string) bool { return f.Recent[name] || f.Previous[name] }
+func (s *Set) Has(name string) bool { return s.Recent[name] || s.Previous[name] }
 
 // Add adds a name or renews its retention. It may drop expired names.
-func (f *Set) Add(name string, now time.Time) {
-	if now.Sub(f.RotatedAt) >= Retention {
-		f.Recent, f.Previous, f.RotatedAt = map[string]bool{}, f.Recent, now
+func (s *Set) Add(name string, now time.Time) {
+	if now.Sub(s.RotatedAt) >= Retention {
+		s.Recent, s.Previous, s.RotatedAt = map[string]bool{}, s.Recent, now
 	}
-	f.Recent[name] = true
+	s.Recent[name] = true
 }
--- a/internal/policy/errors_test.go
+++ b/internal/policy/errors_test.go
@@ -51,7 +51,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := value(p, Env{ReportS: 3}); got != 4324 {
+			if got := value(p, Env{ReportSeconds: 3}); got != 4324 {
 				t.Errorf("got %g, want 4324", got)
 			}
 		})
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -20,14 +20,14 @@
 
 // Env holds the variables that expressions can use. Times are in seconds.
 type Env struct {
-	Class    string  `expr:"class"`
-	Owner    string  `expr:"owner"`
-	Urgency  string  `expr:"urgency"`
-	Dated    bool    `expr:"dated"`
-	LateS    float64 `expr:"late_s"`    // estimated completion minus the deadline, positive if late
-	BacklogS float64 `expr:"backlog_s"` // waiting work divided by the number of present CPUs
-	ReportS  float64 `expr:"report_s"`  // interval of heartbeats
-	LeaseS   float64 `expr:"lease_s"`   // duration of worker leases
+	Class          string  `expr:"class"`
+	Owner          string  `expr:"owner"`
+	Urgency        string  `expr:"urgency"`
+	HasDeadline    bool    `expr:"dated"`
+	LateSeconds    float64 `expr:"late_s"`    // estimated completion minus the deadline, positive if late
+	BacklogSeconds float64 `expr:"backlog_s"` // waiting work divided by the number of present CPUs
+	ReportSeconds  float64 `expr:"report_s"`  // interval of heartbeats
+	LeaseSeconds   float64 `expr:"lease_s"`   // duration of worker leases
 }
 
 // setting identifies an expression. The constants are in the order of the setting names, in
@@ -210,11 +210,11 @@
 func (p *Policy) BeginWithin(env Env) float64 { return p.number(beginWithin, env) }
 
 // HoldIdle returns for how many seconds the reply to a heartbeat is delayed (long polling)
-// while the machine has free capacity and runs no tasks.
+// while the machine runs no tasks or has room for jobs with a waiting-time objective.
 func (p *Policy) HoldIdle(env Env) float64 { return p.number(holdIdle, env) }
 
 // HoldBusy returns for how many seconds the reply to a heartbeat is delayed while the machine
-// has free capacity and runs tasks.
+// runs tasks and has other free capacity.
 func (p *Policy) HoldBusy(env Env) float64 { return p.number(holdBusy, env) }
 
 // ReportBytes returns the limit in bytes per second of heartbeats and replies on a worker's
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -11,13 +11,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !p.Refuse(Env{Dated: true, LateS: 11}) {
+	if !p.Refuse(Env{HasDeadline: true, LateSeconds: 11}) {
 		t.Error("Refuse returned false for a late job")
 	}
-	if p.Refuse(Env{Dated: true, LateS: 11, Class: "x"}) || p.Refuse(Env{Dated: true}) {
+	if p.Refuse(Env{HasDeadline: true, LateSeconds: 11, Class: "x"}) || p.Refuse(Env{HasDeadline: true}) {
 		t.Error("Refuse returned true for an exempt job or for a job that is not late")
 	}
-	if p.IdleReturn(Env{BacklogS: 2}) != 30 || p.IdleReturn(Env{}) != 0 {
+	if p.IdleReturn(Env{BacklogSeconds: 2}) != 30 || p.IdleReturn(Env{}) != 0 {
 		t.Error("IdleReturn did not return 30 with a backlog and 0 without one")
 	}
 	if p.Margin(Env{}) <= 0 {
--- a/internal/recordcodec/codec_test.go
+++ b/internal/recordcodec/codec_test.go
@@ -33,13 +33,13 @@
 	}
 	for _, data := range [][]byte{data, bytes.Replace(data, []byte(`"schedule",`), []byte(`"schedule" ,`), 1)} { // as encoded here, and as the store may reformat it
 		if got, _ := Decode("schedule/n", data).(*schedule.Record); got == nil || !reflect.DeepEqual(got, rec) {
-			t.Errorf("decoded %+v, want %+v", got, rec)
+			t.Errorf("%+v is decoded as %+v", rec, got)
 		}
 	}
 	for _, bad := range []string{`{}`, `{"type":"schedule"}`, `{"type":"schedule","number":1,"file":{},"past":"x"}`, `{"type":"schedule","number":0,"file":{}}`, `[]`, `{"type":"job"}`, `{"type":"job","spec":{"id":"wk-1","tasks":0}}`, `{"type":"job","spec":{"id":"wk-2","tasks":1}}`,
 		`{"type":"final","state":"queued"}`, `{"type":"leader"}`} {
 		if got := Decode("live/job/wk-1", []byte(bad)); got != nil {
-			t.Errorf("%s: decoded %+v, want nil", bad, got)
+			t.Errorf("%s: decoded as a record, want nil", bad)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 		"yewpass/live/config/head": &liveconfig.HeadRecord{Revision: 12},
 	} {
 		if got := Decode(k, Encode(v)); !reflect.DeepEqual(got, v) {
-			t.Errorf("%s: decoded %+v, want %+v", k, got, v)
+			t.Errorf("%s: %+v is decoded as %+v", k, v, got)
 		}
 	}
 	for _, text := range []string{
--- a/internal/view/cluster.go
+++ b/internal/view/cluster.go
@@ -52,7 +52,7 @@
 type ClusterNode struct {
 	Name       string  `json:"name"`
 	Zone       string  `json:"zone"`
-	Role       string  `json:"role"`       // RoleLeader, RoleRelay or RoleAway; empty if unknown
+	Role       string  `json:"role"`       // RoleLeader, RoleRelay or RoleDisconnected; empty if unknown
 	Link       bool    `json:"link"`       // whether the answering node is connected to it
 	Workers    int     `json:"workers"`    // number of workers that report to it
 	LagSeconds float64 `json:"lagSeconds"` // since its last batch of heartbeats; 0 for the leader
