--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -156,7 +156,7 @@
 // HandleStore calls the callback of the request that r answers. It ignores unknown references.
 func (e *Engine) HandleStore(r kv.Response) { deliver(e.pendingStore, r.Ref, r) }
 
-// StoreCallPending reports whether the request with the given reference has no response yet.
+// StoreCallPending reports whether a request with the given reference was sent and not answered.
 func (e *Engine) StoreCallPending(ref uint64) bool { return e.pendingStore[ref] != nil }
 
 // HandleCloud calls the callback of the request that r answers. It ignores unknown references.
--- a/internal/heartbeat/exchange.go
+++ b/internal/heartbeat/exchange.go
@@ -33,7 +33,7 @@
 	Status       int // HTTP status
 	FencingToken uint64
 	Orders       []Order
-	Upstream     string // with status 421: the controller to report to; "" for any
+	Upstream     string // with status 421: the controller to report to; "" means any other
 }
 
 // Probe sends a worker the leader's fencing token without orders and requests a report.
--- a/internal/peermsg/peermsg.go
+++ b/internal/peermsg/peermsg.go
@@ -78,8 +78,8 @@
 // leader uses it to detect and repair data loss in the store.
 type PeerState struct {
 	recovery.Observed
-	ReplicaEra  uint64         `json:"copyEra,omitempty"` // era of the controller's replica; 0 if it has none
-	ReplicaTerm uint64         `json:"copyTerm,omitempty"`
+	ReplicaEra  uint64         `json:"copyEra,omitempty"`  // era, term and sequence number of its replica
+	ReplicaTerm uint64         `json:"copyTerm,omitempty"` // 0 if it has no replica
 	ReplicaSeq  uint64         `json:"copySeq,omitempty"`
 	LiveDigest  replica.Digest `json:"live"` // digest of the replica's records under record.LivePrefix
 }
