--- a/internal/admission/admitter.go
+++ b/internal/admission/admitter.go
@@ -159,12 +159,12 @@
 	rec := &record.Job{Spec: *job, Submitted: a.engine.Now.Round(0)}
 	a.Writes.Add(&writebatch.Change{
 		Size:       record.JobSize(job),
-		Conditions: record.NoJob(job.ID),
+		Conditions: record.JobAbsent(job.ID),
 		Writes:     []kv.Write{{Key: record.JobPrefix + job.ID, Value: rec}},
 		OnCommit: func(uint64) {
 			delete(a.pending, job.ID)
 			j := a.AddCommitted(rec)
-			a.answerWaiters(s, request.Response{Status: 201, View: j.View()})
+			a.answerWaiters(s, request.Response{Status: 201, Job: j.View()})
 		},
 		OnConflict: func() { a.resolveConflict(s) },
 		OnReject: func() {
@@ -199,12 +199,12 @@
 			retry()
 		case status.State.Final():
 			delete(a.pending, id)
-			a.answerWaiters(s, request.Response{Status: 200, View: *status})
+			a.answerWaiters(s, request.Response{Status: 200, Job: *status})
 		default:
 			a.adopt(id, func() {
 				delete(a.pending, id)
 				if j := a.Lifecycle.Jobs[id]; j != nil {
-					a.answerWaiters(s, request.Response{Status: 200, View: j.View()})
+					a.answerWaiters(s, request.Response{Status: 200, Job: j.View()})
 				}
 			}, retry)
 		}
@@ -226,6 +226,6 @@
 	}
 	late = a.leader.Lateness(job)
 	env := a.leader.PolicyEnv()
-	env.Class, env.Owner, env.Urgency, env.Dated, env.LateS = job.Class, job.Owner, job.Urgency.String(), true, late.Seconds()
+	env.Class, env.Owner, env.Urgency, env.HasDeadline, env.LateSeconds = job.Class, job.Owner, job.Urgency.String(), true, late.Seconds()
 	return late, a.Policy.Refuse(env)
 }
--- a/internal/admission/admitter_test.go
+++ b/internal/admission/admitter_test.go
@@ -183,7 +183,7 @@
 func TestSubmission(t *testing.T) {
 	l := newLeader(t, "false")
 	call := l.submit()
-	for _, want := range record.NoJob("wk-1") {
+	for _, want := range record.JobAbsent("wk-1") {
 		if !slices.Contains(call.Conditions, want) {
 			t.Errorf("write lacks the condition %+v", want)
 		}
--- a/internal/admission/records.go
+++ b/internal/admission/records.go
@@ -31,7 +31,7 @@
 		case status == nil && a.leader.MayHaveLostJobs():
 			a.answer(r, request.Unavailable("data was lost, and what there is is being looked for"))
 		case status == nil:
-			a.leader.ConfirmTerm(record.NoJob(r.ID), func(reply kv.Response) {
+			a.leader.ConfirmTerm(record.JobAbsent(r.ID), func(reply kv.Response) {
 				if reply.Outcome == rpc.OK && a.leader.CanAct() {
 					missing()
 				} else {
@@ -39,7 +39,7 @@
 				}
 			})
 		case status.State.Final():
-			a.answer(r, request.Response{Status: 200, View: *status})
+			a.answer(r, request.Response{Status: 200, Job: *status})
 		default:
 			a.adopt(r.ID, func() { a.leader.Serve(r) }, unavailable)
 		}
@@ -61,7 +61,7 @@
 			j := a.Lifecycle.Add(rec, false)
 			a.Lifecycle.Queue(j)
 			if s != nil { // another controller wrote the record; no callback responds to the waiters
-				a.answerWaiters(s, request.Response{Status: 200, View: j.View()})
+				a.answerWaiters(s, request.Response{Status: 200, Job: j.View()})
 			}
 		}
 		if a.Lifecycle.Jobs[id] == nil {
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -61,7 +61,7 @@
 	s.registerScheduleRoutes(r)
 	s.registerConfigRoutes(r)
 	r.GET("/v2/cluster", s.clusterHandler(request.Cluster))
-	r.POST("/v2/cluster/hand-over", s.clusterHandler(request.HandOver))
+	r.POST("/v2/cluster/hand-over", s.clusterHandler(request.TransferLeadership))
 	r.POST("/hello", s.handleHeartbeat)
 	r.GET("/ready", s.handleReady)
 	r.GET("/metrics", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -180,14 +180,14 @@
 		if resp.ETag != "" {
 			w.Header().Set("ETag", resp.ETag)
 		}
-		if resp.Doc != nil {
-			writeJSON(w, resp.Status, resp.Doc)
+		if resp.Document != nil {
+			writeJSON(w, resp.Status, resp.Document)
 			return
 		}
 		if req.Schedule != nil {
-			req.ID = resp.View.ID // the job that a ScheduleRun request created
+			req.ID = resp.Job.ID // the job that a ScheduleRun request created
 		}
-		writeJSON(w, resp.Status, jobJSON{req.ID, resp.View.State, resp.View.Done, resp.View.Running, resp.Reason})
+		writeJSON(w, resp.Status, jobJSON{req.ID, resp.Job.State, resp.Job.Done, resp.Job.Running, resp.Reason})
 	case <-t.C:
 		s.inbox <- Abandoned{reply}
 		writeError(w, http.StatusServiceUnavailable, "", "the service is behind", time.Second)
--- a/internal/api/config.go
+++ b/internal/api/config.go
@@ -13,7 +13,7 @@
 func (s *Server) registerConfigRoutes(r *httprouter.Router) {
 	r.GET("/v2/config", s.configHandler(request.ConfigStatus, nil))
 	r.POST("/v2/config", s.configHandler(request.ConfigSet, readConfigChange))
-	r.GET("/v2/config/here", s.configHandler(request.ConfigHere, nil))
+	r.GET("/v2/config/here", s.configHandler(request.ConfigLocal, nil))
 	r.GET("/v2/config/teams", s.configHandler(request.ConfigList, func(w http.ResponseWriter, r *http.Request, _ httprouter.Params, q *request.ConfigParams) bool {
 		q.After = r.URL.Query().Get("after")
 		return readCount(w, r, "limit", maxListed, &q.Count)
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -30,7 +30,7 @@
 					t.Fatalf("decode accepted %+v", report)
 				}
 				for _, x := range report.Tasks {
-					if x.Task.Index < 0 || x.Task.Index >= spec.MaxTasks || x.Task.Job == "" {
+					if x.ID.Index < 0 || x.ID.Index >= spec.MaxTasks || x.ID.Job == "" {
 						t.Fatalf("decode accepted task %+v", x)
 					}
 				}
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -91,7 +91,7 @@
 			// machine without running.
 			s.Phase = heartbeat.Pulling
 		}
-		r.Tasks = append(r.Tasks, heartbeat.Task{Task: id, Try: s.Attempt, Phase: s.Phase, Cause: s.Cause})
+		r.Tasks = append(r.Tasks, heartbeat.Task{ID: id, Attempt: s.Attempt, Phase: s.Phase, Cause: s.Cause})
 	}
 	return r, ""
 }
@@ -121,7 +121,7 @@
 		case http.StatusOK:
 			out := replyJSON{answer.FencingToken, make([]orderJSON, 0, len(answer.Orders))}
 			for _, o := range answer.Orders {
-				oj := orderJSON{Verb: o.Verb, Task: o.Task.String(), Attempt: o.Try}
+				oj := orderJSON{Verb: o.Verb, Task: o.Task.String(), Attempt: o.Attempt}
 				if o.Verb == heartbeat.Stop {
 					d := o.Drain.Seconds()
 					oj.DrainSeconds = &d
--- a/internal/api/schedules.go
+++ b/internal/api/schedules.go
@@ -71,7 +71,7 @@
 		writeError(w, http.StatusBadRequest, "request", "request: missing, empty or longer than "+strconv.Itoa(maxRequestName)+" bytes", 0)
 		return false
 	}
-	q.Request = v.Request
+	q.IdempotencyKey = v.Request
 	return true
 }
 
@@ -123,7 +123,7 @@
 	}
 	readIfMatch(w, r, q)
 	if r.Header.Get("If-None-Match") == "*" {
-		q.IfMatch = request.NewOnly
+		q.IfMatch = request.IfAbsent
 	}
 	s.serveUserRequest(w, r, request.Request{Op: request.SchedulePut, Schedule: q})
 }
--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -46,7 +46,7 @@
 // instance one started in an earlier term or one of an ended job. An attempt that is running
 // and not needed is marked to be stopped.
 func (t *Tracker) Adopt(m *fleet.Machine, task *heartbeat.Task) *fleet.Attempt {
-	a := &fleet.Attempt{ID: task.Task, Number: task.Try, Machine: m, Phase: fleet.Ordered, OrderedAt: t.engine.Now}
+	a := &fleet.Attempt{ID: task.ID, Number: task.Attempt, Machine: m, Phase: fleet.Ordered, OrderedAt: t.engine.Now}
 	m.Attempts = append(m.Attempts, a)
 	j := t.jobs.Find(a.ID.Job)
 	if j != nil && a.ID.Index >= j.Spec.Tasks {
@@ -129,7 +129,7 @@
 
 // onListed updates an attempt whose task has not exited.
 func (t *Tracker) onListed(a *fleet.Attempt, phase heartbeat.Phase) {
-	if phase == heartbeat.TaskRuns && a.Phase != heartbeat.TaskRuns {
+	if phase == heartbeat.Running && a.Phase != heartbeat.Running {
 		a.StartedAt = t.engine.Now
 		if a.Job != nil {
 			a.Machine.Images.Add(a.Job.Spec.Image, struct{}{})
@@ -137,7 +137,7 @@
 		}
 	}
 	a.Phase = phase
-	runs := phase == heartbeat.TaskRuns || phase == heartbeat.Checkpointing
+	runs := phase == heartbeat.Running || phase == heartbeat.Checkpointing
 	if a.HoldsResources && a.SetRunning(runs) && runs {
 		t.jobs.TaskStarted(a.Job)
 	}
@@ -171,7 +171,7 @@
 		// only information from which a new leader learns that the task has completed.
 		j.UnrecordedCompletions = append(j.UnrecordedCompletions, a)
 	case !a.Forgettable && !j.Halted():
-		if previous == heartbeat.TaskRuns && !a.StartedAt.IsZero() && !a.StartTimeUnknown {
+		if previous == heartbeat.Running && !a.StartedAt.IsZero() && !a.StartTimeUnknown {
 			t.placement.RecordRuntime(j, t.engine.Now.Sub(a.StartedAt))
 		}
 		j.UnrecordedCompletions = append(j.UnrecordedCompletions, a)
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -82,13 +82,13 @@
 }
 
 func task(index int, try uint64, phase heartbeat.Phase, cause string) *heartbeat.Task {
-	return &heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-1", Index: index}, Try: try, Phase: phase, Cause: cause}
+	return &heartbeat.Task{ID: heartbeat.TaskID{Job: "wk-1", Index: index}, Attempt: try, Phase: phase, Cause: cause}
 }
 
 // startTask adopts an attempt of a task of the job and reports it as running.
 func (f *fixture) startTask(m *fleet.Machine, index int, try uint64) *fleet.Attempt {
 	a := f.Adopt(m, task(index, try, heartbeat.Pulling, ""))
-	f.Update(a, task(index, try, heartbeat.TaskRuns, ""))
+	f.Update(a, task(index, try, heartbeat.Running, ""))
 	f.leader.calls = nil
 	return a
 }
@@ -96,7 +96,7 @@
 func TestAdopt(t *testing.T) {
 	t.Run("pending task", func(t *testing.T) {
 		f, m := newFixture(t), newMachine("h1")
-		a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
+		a := f.Adopt(m, task(1, 1, heartbeat.Running, ""))
 		if a.StopRequested || !a.HoldsResources || !a.StartTimeUnknown || f.job.Attempts[1] != a || m.Allocated != f.job.Need {
 			t.Errorf("unexpected attempt state %+v", a)
 		}
@@ -110,13 +110,13 @@
 	t.Run("completed task", func(t *testing.T) {
 		f, m := newFixture(t), newMachine("h1")
 		f.job.Done.Add(1)
-		if a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.HoldsResources || a.Job != nil {
+		if a := f.Adopt(m, task(1, 1, heartbeat.Running, "")); !a.StopRequested || a.HoldsResources || a.Job != nil {
 			t.Errorf("unexpected attempt state %+v", a)
 		}
 	})
 	t.Run("no such task", func(t *testing.T) {
 		f, m := newFixture(t), newMachine("h1")
-		if a := f.Adopt(m, task(4, 1, heartbeat.TaskRuns, "")); !a.StopRequested || a.Orphaned || a.HoldsResources {
+		if a := f.Adopt(m, task(4, 1, heartbeat.Running, "")); !a.StopRequested || a.Orphaned || a.HoldsResources {
 			t.Errorf("unexpected attempt state %+v", a)
 		}
 	})
@@ -124,7 +124,7 @@
 		f, m := newFixture(t), newMachine("h1")
 		delete(f.leader.jobs, "wk-1")
 		f.leader.unreadable["wk-1"] = true
-		a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
+		a := f.Adopt(m, task(1, 1, heartbeat.Running, ""))
 		if !a.StopRequested || !a.Orphaned || f.placement.OrphanedTasks != 1 {
 			t.Errorf("attempt %+v, %d orphaned tasks, want 1", a, f.placement.OrphanedTasks)
 		}
@@ -135,7 +135,7 @@
 	t.Run("later attempt", func(t *testing.T) {
 		f, m := newFixture(t), newMachine("h1")
 		earlier := f.startTask(newMachine("h2"), 1, 1)
-		a := f.Adopt(m, task(1, 2, heartbeat.TaskRuns, ""))
+		a := f.Adopt(m, task(1, 2, heartbeat.Running, ""))
 		if !earlier.StopRequested || earlier.HoldsResources || a.StopRequested || !a.HoldsResources {
 			t.Errorf("earlier %+v, later %+v", earlier, a)
 		}
@@ -143,7 +143,7 @@
 	t.Run("earlier attempt", func(t *testing.T) {
 		f, m := newFixture(t), newMachine("h1")
 		later := f.startTask(newMachine("h2"), 1, 2)
-		a := f.Adopt(m, task(1, 1, heartbeat.TaskRuns, ""))
+		a := f.Adopt(m, task(1, 1, heartbeat.Running, ""))
 		if later.StopRequested || !later.HoldsResources || !a.StopRequested || a.HoldsResources {
 			t.Errorf("earlier %+v, later %+v", a, later)
 		}
@@ -156,7 +156,7 @@
 	f.Update(a, task(1, 1, heartbeat.Pulling, ""))
 	f.leader.wantCalls(t)
 	f.engine.Now = t0.Add(time.Second)
-	f.Update(a, task(1, 1, heartbeat.TaskRuns, ""))
+	f.Update(a, task(1, 1, heartbeat.Running, ""))
 	f.leader.wantCalls(t, "started")
 	if !a.StartedAt.Equal(f.engine.Now) || !m.Images.Contains("img") || f.job.Running != 1 {
 		t.Errorf("unexpected attempt state %+v", a)
@@ -181,14 +181,14 @@
 		first, last heartbeat.Phase
 		want        int
 	}{
-		{"seen to begin", heartbeat.Pulling, heartbeat.TaskRuns, 1},
-		{"found running", heartbeat.TaskRuns, heartbeat.TaskRuns, 0},
+		{"seen to begin", heartbeat.Pulling, heartbeat.Running, 1},
+		{"found running", heartbeat.Running, heartbeat.Running, 0},
 		{"checkpointing at last", heartbeat.Pulling, heartbeat.Checkpointing, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f, m := newFixture(t), newMachine("h1")
 			a := f.Adopt(m, task(1, 1, test.first, ""))
-			f.Update(a, task(1, 1, heartbeat.TaskRuns, ""))
+			f.Update(a, task(1, 1, heartbeat.Running, ""))
 			f.Update(a, task(1, 1, test.last, ""))
 			f.engine.Now = t0.Add(20 * time.Second)
 			f.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -128,8 +128,8 @@
 					t.Errorf("request %d has an unwanted type or price model: %+v", i, r)
 				}
 			}
-			if len(list) > 0 && list[0].RequestName != "t3-1-a" {
-				t.Errorf("first request is named %q, want t3-1-a", list[0].RequestName)
+			if len(list) > 0 && list[0].IdempotencyKey != "t3-1-a" {
+				t.Errorf("first request is named %q, want t3-1-a", list[0].IdempotencyKey)
 			}
 		})
 	}
@@ -163,7 +163,7 @@
 	a.Begin(start.Add(4 * time.Second))
 	a.RunTimers()
 	resent := takeCloudRequests(a, provider.ScaleOut)
-	if len(resent) != 1 || resent[0].RequestName != second.RequestName {
+	if len(resent) != 1 || resent[0].IdempotencyKey != second.IdempotencyKey {
 		t.Fatalf("got %+v, want the second request resent under its name", resent)
 	}
 	a.HandleCloud(provider.Response{Ref: resent[0].Ref, Outcome: rpc.OK, Hosts: []string{"x", "y"}})
--- a/internal/cloud/compatibility_test.go
+++ b/internal/cloud/compatibility_test.go
@@ -51,7 +51,7 @@
 }
 
 func goldenExchanges() map[string]goldenExchange {
-	scaleOut := provider.Request{Op: provider.ScaleOut, RequestName: "r-41-7", InstanceType: "g8", Zone: "hall-a", Spot: true, Count: 2}
+	scaleOut := provider.Request{Op: provider.ScaleOut, IdempotencyKey: "r-41-7", InstanceType: "g8", Zone: "hall-a", Spot: true, Count: 2}
 	return map[string]goldenExchange{
 		"catalog": {
 			provider.Request{Op: provider.Catalog},
--- a/internal/cloud/request.go
+++ b/internal/cloud/request.go
@@ -31,7 +31,7 @@
 		return http.MethodGet, "/catalog", nil
 	case provider.ScaleOut:
 		return http.MethodPost, "/machines", encode(instanceRequestJSON{
-			Name:         req.RequestName,
+			Name:         req.IdempotencyKey,
 			InstanceType: req.InstanceType,
 			Zone:         req.Zone,
 			Spot:         req.Spot,
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -52,9 +52,9 @@
 // policyEnv returns the variables that policy expressions can use. The backlog is 0 on a node that
 // is not the leader.
 func (c *Core) policyEnv() policy.Env {
-	e := policy.Env{ReportS: c.heartbeatInterval.Seconds(), LeaseS: c.workerLease.Seconds()}
+	e := policy.Env{ReportSeconds: c.heartbeatInterval.Seconds(), LeaseSeconds: c.workerLease.Seconds()}
 	if c.leadership != nil {
-		e.BacklogS = c.leadership.autoscaler.Backlog().Seconds()
+		e.BacklogSeconds = c.leadership.autoscaler.Backlog().Seconds()
 	}
 	return e
 }
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -30,7 +30,7 @@
 	l := c.leadership
 	v.Leader = c.cfg.HostName
 	v.Term = l.term
-	v.LeadsSeconds = c.Now.Sub(l.electedAt).Seconds()
+	v.LeadingSeconds = c.Now.Sub(l.electedAt).Seconds()
 	v.Authority = c.hasAuthority()
 	v.FailoverComplete = l.loaded && l.allAccounted()
 	v.Machines = len(l.inventory.Machines())
@@ -46,7 +46,7 @@
 	if c.leadership != nil {
 		n.Role, n.Workers = view.RoleLeader, c.leadership.relays.DirectWorkers()
 	} else if !c.election.IsLinkedToLeader() {
-		n.Role = view.RoleAway
+		n.Role = view.RoleDisconnected
 	}
 	return n
 }
@@ -62,7 +62,7 @@
 		return n
 	}
 	relays := c.leadership.relays
-	n.Role = view.RoleAway
+	n.Role = view.RoleDisconnected
 	if link := relays.Lookup(s.HostName); link != nil {
 		n.Workers = link.Workers
 		if !link.LastBatch.IsZero() {
@@ -102,13 +102,13 @@
 	var views []view.ClusterRegion
 	for _, r := range c.leadership.outages.Regions.All() {
 		views = append(views, view.ClusterRegion{
-			Name:         r.Name,
-			State:        r.State.String(),
-			StateSeconds: c.Now.Sub(r.Since).Seconds(),
-			Zones:        r.Zones,
-			ZonesAway:    r.UnreachableZones,
-			Heard:        r.Counts.Reporting,
-			Silent:       r.Counts.Silent,
+			Name:             r.Name,
+			State:            r.State.String(),
+			StateSeconds:     c.Now.Sub(r.Since).Seconds(),
+			Zones:            r.Zones,
+			ZonesUnreachable: r.UnreachableZones,
+			Reporting:        r.Counts.Reporting,
+			Silent:           r.Counts.Silent,
 		})
 	}
 	return views
@@ -123,7 +123,7 @@
 			Name:             z.Name,
 			State:            z.State.String(),
 			StateSeconds:     c.Now.Sub(z.Since).Seconds(),
-			Heard:            z.Counts.Reporting,
+			Reporting:        z.Counts.Reporting,
 			Silent:           z.Counts.Silent,
 			UnconfirmedTasks: unconfirmed[z],
 		})
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -11,14 +11,14 @@
 // hand-over of the leadership.
 func (c *Core) serveCluster(call request.Request) {
 	if call.Op == request.Cluster {
-		c.answer(call, request.Response{Status: 200, Doc: c.clusterView()})
+		c.answer(call, request.Response{Status: 200, Document: c.clusterView()})
 		return
 	}
 	if err := c.checkHandOver(); err != nil {
 		c.answer(call, request.Response{Status: 409, Reason: err.Error()})
 		return
 	}
-	c.answer(call, request.Response{Status: 200, Doc: c.clusterView()})
+	c.answer(call, request.Response{Status: 200, Document: c.clusterView()})
 	c.handOver("handed over at an operator's request")
 }
 
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -168,8 +168,8 @@
 		return true
 	case m.InterruptionAt.IsZero():
 		// On a draining machine, move only tasks with checkpoints that still run for long.
-		return r.Phase == heartbeat.TaskRuns && s.CheckpointInterval > 0 && c.remainingRuntime(r) >= 2*s.CheckpointTime+minRuntimeGainToMove
-	case r.Phase != heartbeat.TaskRuns || s.Service:
+		return r.Phase == heartbeat.Running && s.CheckpointInterval > 0 && c.remainingRuntime(r) >= 2*s.CheckpointTime+minRuntimeGainToMove
+	case r.Phase != heartbeat.Running || s.Service:
 		return true
 	case r.StartedAt.Add(c.leadership.placement.Estimate(r.Job)).Before(m.InterruptionAt):
 		return false
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -27,18 +27,18 @@
 		c.handleReplicaLine(p.From, p.Msg.Replica)
 	case peermsg.ReplicaRestart:
 		c.restartReplica(p.From, p.Msg.Ref)
-	case peermsg.WantReplica:
+	case peermsg.ReplicaRequest:
 		c.handleReplicaRequest(p.From)
 	case peermsg.LeaderlessJob:
 		c.handleLeaderlessJob(p.Msg.Replica)
-	case peermsg.AskKnowledge:
+	case peermsg.PeerStateRequest:
 		c.sendKnowledge(p.From, p.Msg.Term)
-	case peermsg.TellKnowledge:
+	case peermsg.PeerStateResponse:
 		c.handleKnowledgeReply(p.From, p.Msg)
 	case peermsg.Heartbeats:
 		c.handleRelayedHeartbeats(p.From, p.Msg)
 	case peermsg.HeartbeatReplies:
-		c.forwarder.HandleReplies(p.From, p.Msg.Term, p.Msg.Replies)
+		c.forwarder.HandleReplies(p.From, p.Msg.Term, p.Msg.HeartbeatReplies)
 	}
 }
 
@@ -51,7 +51,7 @@
 		// Announce the term even to a peer that has acknowledged it: it may have restarted.
 		c.announceTermTo(p.Name)
 		if l.noEarlierTerm {
-			c.Emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.AskKnowledge, Term: l.term}})
+			c.Emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.PeerStateRequest, Term: l.term}})
 		}
 	case !p.Up && l != nil:
 		l.publisher.DropFollower(p.Name)
@@ -82,7 +82,7 @@
 		return
 	}
 	l.config.NotePeerVersion(from, m.Version)
-	if m.Ref == peermsg.AskVersion {
+	if m.Ref == peermsg.VersionRequest {
 		c.announceTermTo(from)
 	}
 	if l.termAcks[from] {
@@ -109,7 +109,7 @@
 // sendKnowledge tells a new leader what this node knows of earlier terms.
 func (c *Core) sendKnowledge(to string, term uint64) {
 	if c.leadership == nil {
-		c.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.TellKnowledge, Term: term, Knowledge: c.knowledge()}})
+		c.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.PeerStateResponse, Term: term, PeerState: c.knowledge()}})
 	}
 }
 
@@ -117,7 +117,7 @@
 // request of another term.
 func (c *Core) handleKnowledgeReply(from string, m peermsg.Message) {
 	if l := c.leadership; l != nil && m.Term == l.term {
-		c.handleKnowledge(from, m.Knowledge)
+		c.handleKnowledge(from, m.PeerState)
 	}
 }
 
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -49,7 +49,7 @@
 
 // handleKnowledge processes what a peer knows of earlier terms. After the recovery it matters only
 // to a leader that found no earlier term on record: the peer may know of one.
-func (c *Core) handleKnowledge(from string, k *peermsg.Knowledge) {
+func (c *Core) handleKnowledge(from string, k *peermsg.PeerState) {
 	l := c.leadership
 	switch {
 	case l.recovery != nil:
@@ -114,7 +114,7 @@
 	l.recovery = nil
 	l.machineRecords.Restore(l.restorer.Prepare())
 	if source := l.finals.Source(); source != "" {
-		c.Emit(peermsg.Outgoing{To: source, Msg: peermsg.Message{Kind: peermsg.WantReplica, Term: l.term}})
+		c.Emit(peermsg.Outgoing{To: source, Msg: peermsg.Message{Kind: peermsg.ReplicaRequest, Term: l.term}})
 	}
 	c.startTermWork()
 }
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -46,16 +46,16 @@
 	if l == nil || m.Term != l.term {
 		return // the relay forwards to the right leader once it learns of the newest term
 	}
-	reports, sessionStarted, ok := l.relays.Decode(from, m.Reports)
+	reports, sessionStarted, ok := l.relays.Decode(from, m.Heartbeats)
 	if sessionStarted {
 		c.dropRelayHeartbeats(from)
 	}
 	if !ok {
 		return
 	}
-	via := heartbeat.RelaySession{Relay: from, Session: m.Reports.Session}
+	via := heartbeat.RelaySession{Relay: from, Session: m.Heartbeats.Session}
 	for i := range reports {
-		if ref := m.Reports.Reports[i].Ref; ref != 0 {
+		if ref := m.Heartbeats.Reports[i].Ref; ref != 0 {
 			c.handleHeartbeat(heartbeat.Received{Ref: ref, Via: via, Report: reports[i]})
 		} else if l.loaded {
 			l.prober.HandleRelayedReply(&reports[i])
@@ -64,7 +64,7 @@
 			return
 		}
 	}
-	for _, ref := range m.Reports.Abandoned {
+	for _, ref := range m.Heartbeats.Abandoned {
 		c.abandonHeartbeat(fleet.HeartbeatKey{Via: via, Ref: ref})
 	}
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -15,8 +15,8 @@
 // Without an active leader on this node, the gateway serves it.
 func (c *Core) handleRequest(r request.Request) {
 	switch {
-	case r.Op == request.ConfigHere:
-		c.answer(r, request.Response{Status: 200, Doc: c.LocalConfig()})
+	case r.Op == request.ConfigLocal:
+		c.answer(r, request.Response{Status: 200, Document: c.LocalConfig()})
 	case c.canAct():
 		c.serveAsLeader(r)
 	default:
@@ -49,12 +49,12 @@
 		if r.Op == request.Cancel {
 			l.lifecycle.Cancel(j, r)
 		} else if j.Cancelled || !l.lifecycle.WaitForEnding(j, r) {
-			c.answer(r, request.Response{Status: 200, View: j.View(), Reason: l.outages.WaitReason(j)})
+			c.answer(r, request.Response{Status: 200, Job: j.View(), Reason: l.outages.WaitReason(j)})
 		}
 		return
 	}
 	if final, ok := c.jobReader.Final(r.ID); ok {
-		c.answer(r, request.Response{Status: 200, View: jobstore.FinalStatus(r.ID, final)})
+		c.answer(r, request.Response{Status: 200, Job: jobstore.FinalStatus(r.ID, final)})
 		return
 	}
 	l.admitter.Serve(r)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -133,7 +133,7 @@
 		switch {
 		case a.Phase == heartbeat.Exited:
 			if d.mayReap(a) {
-				orders = append(orders, heartbeat.Order{Verb: heartbeat.Reap, Task: a.ID, Try: a.Number})
+				orders = append(orders, heartbeat.Order{Verb: heartbeat.Reap, Task: a.ID, Attempt: a.Number})
 			}
 		case a.StopRequested || isCancelledOrCancelling(a.Job):
 			drain := a.DrainTime
@@ -143,7 +143,7 @@
 			if a.StopSentAt.IsZero() {
 				a.StopSentAt = d.engine.Now
 			}
-			orders = append(orders, heartbeat.Order{Verb: heartbeat.Stop, Task: a.ID, Try: a.Number, Drain: drain})
+			orders = append(orders, heartbeat.Order{Verb: heartbeat.Stop, Task: a.ID, Attempt: a.Number, Drain: drain})
 		}
 	}
 	return orders
--- a/internal/election/watch.go
+++ b/internal/election/watch.go
@@ -126,7 +126,7 @@
 // watchKey waits for a change of the leader key after revision from and then calls Watch.
 func (e *Election) watchKey(from uint64) {
 	call := kv.WatchPrefix(record.LeaderKey, from)
-	call.Block = leaderKeyWatchTimeout
+	call.WatchTimeout = leaderKeyWatchTimeout
 	e.engine.CallStore(call, func(r kv.Response) {
 		if r.Outcome == rpc.OK {
 			e.Watch()
--- a/internal/failover/advance.go
+++ b/internal/failover/advance.go
@@ -128,7 +128,7 @@
 // requestReplica requests the replica of source and schedules a check for its timeout.
 func (r *Recovery) requestReplica(source string) {
 	r.fetch.source, r.fetch.deadline, r.fetch.receiver = source, r.engine.Now.Add(replicaTimeout), replica.Receiver{}
-	r.send(source, peermsg.WantReplica)
+	r.send(source, peermsg.ReplicaRequest)
 	r.scope.After(replicaTimeout+timerMargin, r.advance)
 }
 
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -67,7 +67,7 @@
 	startedAt     time.Time
 	stored        []replica.Record              // live records read from the store
 	allStored     bool                          // stored is complete
-	peerKnowledge map[string]*peermsg.Knowledge // responses by peer
+	peerKnowledge map[string]*peermsg.PeerState // responses by peer
 	phase         phase
 
 	fetch                fetch
@@ -103,7 +103,7 @@
 		leader:        leader,
 		term:          term,
 		startedAt:     e.Now,
-		peerKnowledge: map[string]*peermsg.Knowledge{},
+		peerKnowledge: map[string]*peermsg.PeerState{},
 		fetch:         fetch{failed: map[string]bool{}},
 	}
 }
@@ -126,7 +126,7 @@
 	}
 	for _, seed := range r.cfg.Seeds {
 		if r.peerKnowledge[seed.HostName] == nil {
-			r.send(seed.HostName, peermsg.AskKnowledge)
+			r.send(seed.HostName, peermsg.PeerStateRequest)
 		}
 	}
 	r.scope.After(askInterval, r.askPeers)
@@ -137,7 +137,7 @@
 }
 
 // HandleKnowledge handles a peer's response to the query for its knowledge of earlier terms.
-func (r *Recovery) HandleKnowledge(from string, k *peermsg.Knowledge) {
+func (r *Recovery) HandleKnowledge(from string, k *peermsg.PeerState) {
 	if r.peerKnowledge[from] == nil && k.ReplicaTerm == 0 {
 		r.replicas.StartTransfer(from)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -109,7 +109,7 @@
 		return
 	}
 	if final, ok := g.jobs.Final(r.ID); ok {
-		g.respond(r, request.Response{Status: 200, View: jobstore.FinalStatus(r.ID, final)})
+		g.respond(r, request.Response{Status: 200, Job: jobstore.FinalStatus(r.ID, final)})
 		return
 	}
 	upstream := g.controller.Upstream()
@@ -158,11 +158,11 @@
 // other controllers and to requests that are no longer pending.
 func (g *Gateway) HandleResponse(from string, m peermsg.Message) {
 	f := g.forwarded[m.Ref]
-	if f == nil || f.leader != from || m.Answer == nil {
+	if f == nil || f.leader != from || m.Response == nil {
 		return
 	}
-	answer, op := m.Answer, f.request.Op
-	if id := answer.View.ID; id != "" && id != f.request.ID && f.request.IsJob() {
+	answer, op := m.Response, f.request.Op
+	if id := answer.Job.ID; id != "" && id != f.request.ID && f.request.IsJob() {
 		return // concerns another job, so it answers another request
 	}
 	delete(g.forwarded, m.Ref)
@@ -170,10 +170,10 @@
 		g.serveWithoutLeader(f.request)
 		return
 	}
-	if answer.Status == 200 && op == request.Get && answer.View.State.Final() {
+	if answer.Status == 200 && op == request.Get && answer.Job.State.Final() {
 		// Remembers only answers to polls: a cancellation may be answered while the job's
 		// record still exists and its tasks have not stopped.
-		g.jobs.CacheFinal(f.request.ID, record.Final{State: answer.View.State, Done: answer.View.Done})
+		g.jobs.CacheFinal(f.request.ID, record.Final{State: answer.Job.State, Done: answer.Job.Done})
 	}
 	g.respond(f.request, *answer)
 }
@@ -198,7 +198,7 @@
 	case request.Submit:
 		g.admitLeaderless(r)
 	case request.Cluster:
-		g.respond(r, request.Response{Status: 200, Doc: g.controller.Cluster()})
+		g.respond(r, request.Response{Status: 200, Document: g.controller.Cluster()})
 	default:
 		g.respond(r, request.Unavailable(noLeader))
 	}
@@ -219,7 +219,7 @@
 			g.respond(r, request.Unavailable(noLeader))
 			return
 		}
-		g.respond(r, request.Response{Status: 200, View: *status})
+		g.respond(r, request.Response{Status: 200, Job: *status})
 	})
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -121,16 +121,16 @@
 	if sent.To != "n1" || sent.Msg.Kind != peermsg.Request || sent.Msg.Op != request.Cancel || sent.Msg.ID != "wk-1" {
 		t.Fatalf("got message %+v, want the cancellation forwarded to n1", sent)
 	}
-	answer := peermsg.Message{Ref: sent.Msg.Ref, Answer: &request.Response{Status: 200, View: request.JobStatus{ID: "wk-1", State: spec.Cancelled}}}
+	answer := peermsg.Message{Ref: sent.Msg.Ref, Response: &request.Response{Status: 200, Job: request.JobStatus{ID: "wk-1", State: spec.Cancelled}}}
 	n.HandleResponse("n2", answer)
 	other := answer
-	other.Answer = &request.Response{Status: 200, View: request.JobStatus{ID: "wk-2"}}
+	other.Response = &request.Response{Status: 200, Job: request.JobStatus{ID: "wk-2"}}
 	n.HandleResponse("n1", other)
 	if got := takeOutputs[request.Response](n); len(got) != 0 {
 		t.Fatalf("accepted an answer from another controller or about another job: %+v", got)
 	}
 	n.HandleResponse("n1", answer)
-	if got := takeOutput[request.Response](n); got.Ref != 9 || got.Status != 200 || got.View.State != spec.Cancelled {
+	if got := takeOutput[request.Response](n); got.Ref != 9 || got.Status != 200 || got.Job.State != spec.Cancelled {
 		t.Errorf("got response %+v, want the leader's answer for ref 9", got)
 	}
 	if _, ok := n.jobs.Final("wk-1"); ok {
@@ -190,7 +190,7 @@
 func TestServeWithoutForwarding(t *testing.T) {
 	n := newNode(t)
 	n.Serve(request.Request{Ref: 9, From: "n2", Op: request.Get, ID: "wk-1"})
-	if got := takeOutput[peermsg.Outgoing](n); got.To != "n2" || got.Msg.Ref != 9 || got.Msg.Answer.Status != 503 || got.Msg.Answer.Reason != "not the leader" {
+	if got := takeOutput[peermsg.Outgoing](n); got.To != "n2" || got.Msg.Ref != 9 || got.Msg.Response.Status != 503 || got.Msg.Response.Reason != "not the leader" {
 		t.Errorf("forwarded request: got %+v, want status 503 sent to n2", got)
 	}
 	n.Serve(request.Request{Ref: 9, Op: request.ConfigSet, Config: &request.ConfigParams{}})
@@ -202,7 +202,7 @@
 	takeOutput[peermsg.Outgoing](n)
 	n.jobs.CacheFinal("wk-1", record.Final{State: spec.Done, Done: 3})
 	n.Serve(request.Request{Ref: 9, Op: request.Get, ID: "wk-1"})
-	if got := takeOutput[request.Response](n); got.Status != 200 || got.View.State != spec.Done || got.View.Done != 3 {
+	if got := takeOutput[request.Response](n); got.Status != 200 || got.Job.State != spec.Done || got.Job.Done != 3 {
 		t.Errorf("remembered final state: got %+v, want status 200 with a done job", got)
 	}
 }
@@ -255,14 +255,14 @@
 	if len(call.Writes) != 2 || call.Writes[0].Key != liveKey || call.Writes[1].Key != record.LeaderlessPrefix+"wk-1" {
 		t.Errorf("got writes %+v, want the job record and the note", call.Writes)
 	}
-	if got := takeOutputs[request.Response](n); len(got) != 1 || got[0].Status != 201 || got[0].View.State != spec.Queued {
+	if got := takeOutputs[request.Response](n); len(got) != 1 || got[0].Status != 201 || got[0].Job.State != spec.Queued {
 		t.Errorf("got responses %+v, want one with status 201 and a queued job", got)
 	}
 
 	n.Serve(submission("wk-1"))
 	n.replyFromStore(kv.Response{Outcome: rpc.Conflict})
 	n.replyFromStore(kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{{Key: liveKey, Value: &record.Job{}}}})
-	if got := takeOutput[request.Response](n); got.Status != 200 || got.View.State != spec.Queued {
+	if got := takeOutput[request.Response](n); got.Status != 200 || got.Job.State != spec.Queued {
 		t.Errorf("existing job: got %+v, want status 200 with a queued job", got)
 	}
 }
--- a/internal/gateway/leaderless.go
+++ b/internal/gateway/leaderless.go
@@ -116,7 +116,7 @@
 // not have changed since the replica was updated.
 func (g *Gateway) admissionConditions(id string, lastReplica *replica.Replica) []kv.Condition {
 	config, _ := lastReplica.Get(record.ConfigHeadKey)
-	return append(record.NoJob(id),
+	return append(record.JobAbsent(id),
 		kv.Condition{Key: record.TermKey, Rev: g.controller.Upstream().TermRevision},
 		kv.Condition{Key: record.ConfigHeadKey, Rev: config.Rev})
 }
@@ -135,7 +135,7 @@
 		case rpc.OK:
 			g.engine.Log(slog.LevelInfo, "job accepted without a leader", "job", id)
 			g.replicas.SendLeaderlessJob(job, reply.Rev)
-			g.respond(r, request.Response{Status: 201, View: request.JobStatus{ID: id, State: spec.Queued}})
+			g.respond(r, request.Response{Status: 201, Job: request.JobStatus{ID: id, State: spec.Queued}})
 		case rpc.Conflict, rpc.Unknown:
 			g.respondWithExisting(r)
 		default:
@@ -149,7 +149,7 @@
 func (g *Gateway) respondWithExisting(r request.Request) {
 	g.jobs.Read(r.Spec.ID, func(status *request.JobStatus, known bool) {
 		if known && status != nil {
-			g.respond(r, request.Response{Status: 200, View: *status})
+			g.respond(r, request.Response{Status: 200, Job: *status})
 		} else {
 			g.respond(r, request.Unavailable(noLeader))
 		}
--- a/internal/kvclient/request.go
+++ b/internal/kvclient/request.go
@@ -70,7 +70,7 @@
 	return url.Values{
 		"under":   {req.Key},
 		"from":    {strconv.FormatUint(req.FromRev, 10)},
-		"blockMs": {strconv.FormatInt(req.Block.Milliseconds(), 10)},
+		"blockMs": {strconv.FormatInt(req.WatchTimeout.Milliseconds(), 10)},
 	}
 }
 
@@ -86,7 +86,7 @@
 		if write.Value == nil {
 			t.Writes = append(t.Writes, writeJSON{Remove: write.Key})
 		} else {
-			t.Writes = append(t.Writes, writeJSON{Write: write.Key, Value: recordcodec.Stored(write.Value), LeaseID: write.LeaseID})
+			t.Writes = append(t.Writes, writeJSON{Write: write.Key, Value: recordcodec.StoredForm(write.Value), LeaseID: write.LeaseID})
 		}
 	}
 	return t
--- a/internal/lifecycle/cancel.go
+++ b/internal/lifecycle/cancel.go
@@ -25,7 +25,7 @@
 // job's tasks are told to stop at once.
 func (m *Manager) Cancel(j *fleet.Job, r request.Request) {
 	if j.Cancelled {
-		m.answer(r, request.Response{Status: 200, View: j.View()})
+		m.answer(r, request.Response{Status: 200, Job: j.View()})
 		return
 	}
 	j.FinalWaiters = append(j.FinalWaiters, r)
@@ -72,7 +72,7 @@
 	j.Cancelling, j.Cancelled, j.Record, j.FinalChange = false, true, rec, nil
 	m.Placement.DropReservations(j)
 	m.engine.Log(slog.LevelDebug, "job cancelled", "job", j.Spec.ID)
-	m.AnswerWaiters(j, request.Response{Status: 200, View: j.View()})
+	m.AnswerWaiters(j, request.Response{Status: 200, Job: j.View()})
 	m.FinishIfEnded(j)
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -208,7 +208,7 @@
 	case api.Exchange:
 		x.Reply <- busy // buffered for exactly one response
 	case peermsg.Received:
-		n.mesh.Send(peermsg.Outgoing{To: x.From, Msg: peermsg.Message{Kind: peermsg.Response, Ref: x.Msg.Ref, Answer: &busy}})
+		n.mesh.Send(peermsg.Outgoing{To: x.From, Msg: peermsg.Message{Kind: peermsg.Response, Ref: x.Msg.Ref, Response: &busy}})
 	}
 }
 
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -32,12 +32,12 @@
 				t.Fatalf("accepted term %d", m.Term)
 			}
 		case peermsg.Request:
-			if !m.Sound() || m.Op == request.Submit && !m.Spec.Valid() {
+			if !m.Valid() || m.Op == request.Submit && !m.Spec.Valid() {
 				t.Fatalf("accepted request %+v", m)
 			}
 		case peermsg.Response:
-			if m.Answer.Status < 200 || m.Answer.RetryAfter < 0 || !m.Answer.View.State.Known() {
-				t.Fatalf("accepted response %+v", m.Answer)
+			if m.Response.Status < 200 || m.Response.RetryAfter < 0 || !m.Response.Job.State.Known() {
+				t.Fatalf("accepted response %+v", m.Response)
 			}
 		default:
 			t.Fatalf("accepted kind %q", m.Kind)
--- a/internal/placement/starts.go
+++ b/internal/placement/starts.go
@@ -11,7 +11,7 @@
 
 const (
 	// MaxAttempts is the number of attempt numbers available in one term.
-	MaxAttempts = 1<<record.AttemptBits - 1
+	MaxAttempts = 1<<record.AttemptCounterBits - 1
 	// maxBackfillConflicts bounds how many backfill checks may fail during one reply before the
 	// rest of the queue is left to later replies. Each check scans the machine's timeline, which is
 	// expensive with hundreds of small jobs pending on full machines.
@@ -237,10 +237,10 @@
 	// The term occupies the high bits, so attempt numbers also increase across terms.
 	s.AttemptCount++
 	a := &fleet.Attempt{
-		ID: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Number: s.term<<record.AttemptBits + s.AttemptCount,
+		ID: heartbeat.TaskID{Job: j.Spec.ID, Index: i}, Number: s.term<<record.AttemptCounterBits + s.AttemptCount,
 		Machine: m, Phase: fleet.Ordered, OrderedCounter: m.Counter, OrderedAt: s.now(),
 	}
 	m.Attempts = append(m.Attempts, a)
 	s.Allocate(a, j)
-	return heartbeat.Order{Verb: heartbeat.Start, Task: a.ID, Try: a.Number}
+	return heartbeat.Order{Verb: heartbeat.Start, Task: a.ID, Attempt: a.Number}
 }
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -125,7 +125,7 @@
 			continue
 		}
 		for _, a := range m.Attempts {
-			if !a.HoldsResources || a.StopRequested || a.Phase != heartbeat.TaskRuns || a.Job.Team.Allocated.CPU <= a.Job.Team.Guaranteed.CPU {
+			if !a.HoldsResources || a.StopRequested || a.Phase != heartbeat.Running || a.Job.Team.Allocated.CPU <= a.Job.Team.Guaranteed.CPU {
 				continue
 			}
 			if loss, ok := s.loss(a, estimates); ok {
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -23,5 +23,5 @@
 // Send probes the worker at an address and calls f with the reply. The outcome of the reply is
 // rpc.Unknown if none arrives within the timeout.
 func Send(e *engine.Engine, address string, token, incarnation uint64, f func(heartbeat.ProbeReply)) {
-	e.CallWorker(heartbeat.Probe{Address: address, FencingToken: token, Incarnation: incarnation, Timeout: replyTimeout}, f)
+	e.ProbeWorker(heartbeat.Probe{Address: address, FencingToken: token, Incarnation: incarnation, Timeout: replyTimeout}, f)
 }
--- a/internal/recurring/load.go
+++ b/internal/recurring/load.go
@@ -115,7 +115,7 @@
 }
 
 func (s *Scheduler) resolve(occurrence unresolvedOccurrence, state spec.JobState) {
-	at := s.engine.TimeOfDay()
+	at := s.engine.WallClock()
 	if entry, ok := occurrence.schedule.record.Entry(occurrence.jobID); ok && !entry.Deadline.IsZero() && !entry.Late && at.After(entry.Deadline) {
 		at = entry.Deadline // no leader saw it miss the deadline
 	}
--- a/internal/relay/text.go
+++ b/internal/relay/text.go
@@ -23,7 +23,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (ts Tasks) MarshalText() ([]byte, error) {
 	return encodeList(ts, func(b []byte, t *heartbeat.Task) []byte {
-		b = appendTask(b, t.Task, t.Try)
+		b = appendTask(b, t.ID, t.Attempt)
 		b = append(b, ' ')
 		b = append(b, url.QueryEscape(string(t.Phase))...)
 		b = append(b, ' ')
@@ -65,7 +65,7 @@
 // check that the phases are known.
 func (ts *Tasks) UnmarshalText(text []byte) (err error) {
 	*ts, err = decodeList(text, func(f *fields) heartbeat.Task {
-		t := heartbeat.Task{Task: heartbeat.TaskID{Job: f.text(' '), Index: f.index(' ')}, Try: f.number(' ')}
+		t := heartbeat.Task{ID: heartbeat.TaskID{Job: f.text(' '), Index: f.index(' ')}, Attempt: f.number(' ')}
 		t.Phase = heartbeat.Phase(f.text(' '))
 		t.Cause = f.text(',')
 		return t
@@ -82,7 +82,7 @@
 	return encodeList(os, func(b []byte, o *heartbeat.Order) []byte {
 		b = append(b, url.QueryEscape(string(o.Verb))...)
 		b = append(b, ' ')
-		b = appendTask(b, o.Task, o.Try)
+		b = appendTask(b, o.Task, o.Attempt)
 		b = append(b, ' ')
 		return strconv.AppendInt(b, o.Drain.Milliseconds(), 10)
 	}), nil
@@ -92,7 +92,7 @@
 // drain time. The caller must check that the verbs are known.
 func (os *Orders) UnmarshalText(text []byte) (err error) {
 	*os, err = decodeList(text, func(f *fields) heartbeat.Order {
-		o := heartbeat.Order{Verb: heartbeat.Verb(f.text(' ')), Task: heartbeat.TaskID{Job: f.text(' '), Index: f.index(' ')}, Try: f.number(' ')}
+		o := heartbeat.Order{Verb: heartbeat.Verb(f.text(' ')), Task: heartbeat.TaskID{Job: f.text(' '), Index: f.index(' ')}, Attempt: f.number(' ')}
 		ms := f.number(',')
 		if ms > uint64(maxDrain.Milliseconds()) {
 			f.err = errMalformedList
