--- a/cmd/yewpass/config.go
+++ b/cmd/yewpass/config.go
@@ -104,7 +104,7 @@
 		return f, err
 	}
 	change := liveconfig.Change{Teams: f.Teams}
-	return f, change.Check(len(f.Teams))
+	return f, change.Validate(len(f.Teams))
 }
 
 func configSetCommand() *cobra.Command {
--- a/internal/configmanager/batch.go
+++ b/internal/configmanager/batch.go
@@ -15,37 +15,38 @@
 )
 
 const (
-	// maxWaitingChanges bounds the changes that wait to be written.
+	// maxWaitingChanges bounds the queue of changes that are not in a batch yet.
 	maxWaitingChanges = 2000
-	// batchInterval is how long after the one before a batch may wait to become larger.
-	// It does not count from when the changes came: once those are old, each batch would
-	// go with as little as there is room for, spend half of it on the head record, and
-	// never catch up.
+	// batchInterval is how long a batch may wait for more changes, counted from the
+	// previous batch. Counting from the arrival of the changes would make every batch of
+	// a backlog as small as the write limits allow, with half of the writes being head
+	// records, so that the backlog would never shrink.
 	batchInterval = 700 * time.Millisecond
 )
 
-// changeQueue holds the changes that users wait for.
+// changeQueue holds the changes whose requesters wait for a response.
 type changeQueue struct {
-	waiting   []*change // in no batch yet
-	batch     *batch    // being written
-	batchedAt time.Time // when the last batch was decided
-	committed int64     // changes committed by this leader
+	waiting     []*change // not in a batch yet
+	batch       *batch    // in flight; nil if none
+	lastBatchAt time.Time // when the last batch was prepared
+	committed   int64     // number of changes committed by this leader
 }
 
-// change is a change with the request that asks for it.
+// change is a configuration change and the request that submitted it.
 type change struct {
 	liveconfig.Change
 	request request.Request
 }
 
-// batch is a transaction of changes until its outcome is known.
+// batch is a transaction of changes whose outcome is not known yet.
 type batch struct {
-	*liveconfig.Batch // nil until it is decided
+	*liveconfig.Batch // nil until prepareBatch
 	changes           []*change
-	over              bool
+	finished          bool // the requesters have been answered
 }
 
-// queueBatch has the waiting changes written, with as many others as come until then.
+// queueBatch queues a write for the waiting changes, unless one is in flight. The batch
+// is filled when the write is sent, so that it includes changes that arrive until then.
 func (m *Manager) queueBatch() {
 	if m.batch != nil || len(m.waiting) == 0 {
 		return
@@ -57,49 +58,50 @@
 		if b.Batch == nil {
 			m.prepareBatch(b, w)
 		}
-		return !b.over
+		return !b.finished
 	}
 	w.OnCommit = func(headRevision uint64) { m.batchCommitted(b, headRevision) }
 	w.OnConflict = func() { m.batchConflict(b, w) }
 	w.OnReject = func() {
-		m.failBatch(b, request.Response{Status: 400, Field: "teams", Reason: "teams: the state service rejects the records"})
+		m.failBatch(b, request.Response{Status: 400, Field: "teams", Reason: "teams: the state service rejected the records"})
 	}
 	m.writes.Add(w)
 }
 
-// BatchDue reports whether the waiting batch may be written: with all changes that wait
-// now, or after a while with as many as the limits leave room for. Small batches would
-// spend the allowance on head records.
+// BatchDue reports whether the queued batch may be sent: as soon as the write limits leave
+// room for all waiting changes, or after batchInterval with as many as fit. Smaller batches
+// would spend too much of the write limit on head records.
 func (m *Manager) BatchDue() bool {
 	b := m.batch
 	if b == nil || b.Batch != nil || len(m.waiting) == 0 {
 		return true
 	}
 	room := m.roomForBatch()
-	least := len(m.waiting[0].Teams) + 1 // with the head record; a change is not divided
+	least := len(m.waiting[0].Teams) + 1 // with the head record; a change is never split
 	if room < least {
 		return false
 	}
-	return room >= min(m.cfg.Settings.State.TxnOps, max(least, len(m.waiting)+1)) || m.engine.Now.Sub(m.batchedAt) >= batchInterval
+	return room >= min(m.cfg.Settings.State.TxnOps, max(least, len(m.waiting)+1)) || m.engine.Now.Sub(m.lastBatchAt) >= batchInterval
 }
 
-// roomForBatch returns how many writes a batch may have now.
+// roomForBatch returns the number of writes that a batch may contain now.
 func (m *Manager) roomForBatch() int {
 	return m.writes.RoomFor(writebatch.Config, m.engine.Now, m.cfg.Settings.State.TxnOps)
 }
 
-// prepareBatch decides which changes the batch holds, as it is about to be written.
+// prepareBatch selects the changes of a batch and fills in the transaction, right before
+// it is sent.
 func (m *Manager) prepareBatch(b *batch, w *writebatch.Change) {
-	m.batchedAt = m.engine.Now
+	m.lastBatchAt = m.engine.Now
 	waiting := make([]*liveconfig.Change, len(m.waiting))
 	for i, c := range m.waiting {
 		waiting[i] = &c.Change
 	}
 	b.Batch = liveconfig.NewBatch(m.state, waiting, m.roomForBatch())
-	b.changes = slices.Clone(m.waiting[:b.Taken])
-	m.waiting = slices.Delete(m.waiting, 0, b.Taken)
+	b.changes = slices.Clone(m.waiting[:b.Processed])
+	m.waiting = slices.Delete(m.waiting, 0, b.Processed)
 	records := b.Records()
-	if len(records) == 0 { // each change was rejected, or is in force already
+	if len(records) == 0 { // every change was rejected or is already in effect
 		m.answerBatch(b)
 		return
 	}
@@ -113,28 +115,28 @@
 	w.Size += 200
 }
 
-// batchCommitted puts a batch into force that is on record, and then answers its users.
+// batchCommitted applies a committed batch and then answers its requesters.
 func (m *Manager) batchCommitted(b *batch, headRevision uint64) {
-	if b.over {
+	if b.finished {
 		return
 	}
 	m.state, m.headRevision, m.inForceAt = b.After, headRevision, m.engine.Now
-	m.committed += int64(len(b.Each))
+	m.committed += int64(len(b.Results))
 	m.replicateBatch(b, headRevision)
 	m.measuring = len(m.cfg.Seeds) > 0
 	names := b.Names()
 	m.leader.ApplyTeams(m.state.Teams(names))
 	for _, name := range names {
-		delete(m.damaged, objectOf(record.ConfigTeamPrefix+name))
+		delete(m.damaged, objectName(record.ConfigTeamPrefix+name))
 	}
-	delete(m.damaged, objectOf(record.ConfigHeadKey))
+	delete(m.damaged, objectName(record.ConfigHeadKey))
 	m.engine.Log(slog.LevelInfo, "configuration changed", "revision", m.state.Revision, "teams", strings.Join(names, ","), "changes", len(b.changes))
 	m.sendRevision()
 	m.answerBatch(b)
 }
 
-// replicateBatch adds the records of a batch to the leader's replica, unless the
-// response to the transaction has already.
+// replicateBatch adds the records of a batch to the leader's replica, in case the
+// response to the transaction has not done so.
 func (m *Manager) replicateBatch(b *batch, headRevision uint64) {
 	m.leader.Replicate(kv.Entry{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}, Rev: headRevision})
 	for _, r := range b.Records() {
@@ -142,12 +144,12 @@
 	}
 }
 
-// batchConflict handles a batch for which the head record is not as expected. Either an
-// earlier attempt of this very batch was committed, or the record was written back after
-// a data loss.
+// batchConflict handles a batch whose condition on the head record failed. Either an
+// earlier attempt of the same batch was committed, or the record was restored after a
+// data loss. In any other case the configuration is reloaded.
 func (m *Manager) batchConflict(b *batch, w *writebatch.Change) {
 	m.writes.ReadBack(record.ConfigHeadKey, func(head kv.Entry, _ bool) {
-		if b.over {
+		if b.finished {
 			return
 		}
 		switch revision := revisionIn(head.Value); revision {
@@ -158,31 +160,32 @@
 			w.Conditions[0].Rev = head.Rev
 			m.writes.Add(w)
 		default:
-			m.failBatch(b, request.Unavailable("the configuration on record is being read"))
+			m.failBatch(b, request.Unavailable("the stored configuration is being reloaded"))
 			m.reconcile(revision, head.Rev)
 		}
 	})
 }
 
-// answerBatch ends a batch that is decided.
+// answerBatch finishes a batch and sends each requester the result of its change.
 func (m *Manager) answerBatch(b *batch) {
 	m.endBatch(b, func(i int) request.Response {
-		result := b.Each[i]
+		result := b.Results[i]
 		if result.Err != nil {
-			return rejection(result.Err)
+			return rejectionResponse(result.Err)
 		}
 		return request.Response{Status: 200, Doc: view.ConfigChanged{Revision: result.Revision}}
 	})
 }
 
-// failBatch ends a batch whose changes are not made.
+// failBatch finishes a batch that was not written and sends all requesters response.
 func (m *Manager) failBatch(b *batch, response request.Response) {
 	m.endBatch(b, func(int) request.Response { return response })
 }
 
-// endBatch ends a batch and answers the users of its changes, by their index.
+// endBatch finishes a batch, answers the requester of each change with the response for
+// its index, and queues the next batch.
 func (m *Manager) endBatch(b *batch, response func(i int) request.Response) {
-	b.over = true
+	b.finished = true
 	if m.batch == b {
 		m.batch = nil
 	}
@@ -190,12 +193,12 @@
 		m.leader.Answer(c.request, response(i))
 	}
 	b.changes = nil
-	// Not at once: the batcher may be going through its queues.
+	// Deferred, because the batcher may be iterating over its queues.
 	m.scope.After(0, m.queueBatch)
 }
 
-// AnswerWaiting answers all users who wait for a change. A batch that is being written
-// is followed up nevertheless: it may be committed.
+// AnswerWaiting sends response to every requester that waits for a change and clears the
+// queue. A batch in flight is still tracked, because it may be committed.
 func (m *Manager) AnswerWaiting(response request.Response) {
 	if b := m.batch; b != nil {
 		for _, c := range b.changes {
--- a/internal/configmanager/confirm.go
+++ b/internal/configmanager/confirm.go
@@ -9,26 +9,30 @@
 	"yewpass/internal/rpc"
 )
 
-// renewalRetryDelay is when the renewal of a lease is tried again that met a change of
-// the configuration.
+// renewalRetryDelay is the delay before a lease renewal is retried that failed because
+// this leader has changed the configuration at the same time.
 const renewalRetryDelay = 20 * time.Millisecond
 
-// HeadRevision returns the head record's revision in the state service, 0 without one.
+// HeadRevision returns the key-value store's revision of the head record, or 0 if there
+// is no head record.
 func (m *Manager) HeadRevision() uint64 { return m.headRevision }
 
-// SetHeadRevision sets the head record's revision once the record was written back.
+// SetHeadRevision sets the key-value store's revision of the head record. It is called
+// after the record has been restored following a data loss.
 func (m *Manager) SetHeadRevision(revision uint64) { m.headRevision = revision }
 
-// Condition returns the condition on which a renewal of the leader lease confirms that
-// the leader's configuration is the newest.
+// Condition returns the transaction condition that the head record is unchanged. A renewal
+// of the leader lease with this condition confirms that the leader's configuration is the
+// newest.
 func (m *Manager) Condition() kv.Condition {
 	return kv.Condition{Key: record.ConfigHeadKey, Rev: m.headRevision}
 }
 
-// HandleConflict handles a renewal on condition of a revision of the head record that the
-// state service does not have. Unless a change of this leader has been committed
-// meanwhile, the records are read, and the lease is not renewed until they have been.
-// Then confirm is called.
+// HandleConflict handles a lease renewal that failed because the head record is not at the
+// expected revision. If this leader has committed a change in the meantime, it retries the
+// renewal by calling confirm after a delay. Otherwise it reads the head record and, if
+// necessary, all records before it calls confirm, so that the lease is not renewed until
+// then.
 func (m *Manager) HandleConflict(expected uint64, confirm func()) {
 	if m.headRevision != expected {
 		m.scope.After(renewalRetryDelay, confirm)
@@ -37,8 +41,8 @@
 	m.rereadHead(confirm)
 }
 
-// rereadHead reads the head record to learn what became of a batch, and all records if
-// the head record is not one that is known.
+// rereadHead reads the head record, reconciles the state with it, and calls then. It does
+// nothing if a read is already in progress.
 func (m *Manager) rereadHead(then func()) {
 	if m.rereading {
 		return
@@ -47,7 +51,7 @@
 	m.scope.CallStore(kv.Request{Op: kv.Get, Key: record.ConfigHeadKey}, func(r kv.Response) {
 		m.rereading = false
 		if r.Outcome != rpc.OK && r.Outcome != rpc.NotFound {
-			return // the next renewal finds the same
+			return // the next renewal fails again and retries
 		}
 		var head kv.Entry
 		if r.Outcome == rpc.OK {
@@ -58,18 +62,19 @@
 	})
 }
 
-// reconcile adapts to a head record that was read: the configuration's revision in it,
-// and the record's own in the state service.
+// reconcile compares the state with a head record that was read. revision is the revision
+// of the configuration in the record; headRevision is the key-value store's revision of
+// the record itself. It reloads all records if the configuration's revision is unknown.
 func (m *Manager) reconcile(revision, headRevision uint64) {
 	b := m.batch
 	switch {
 	case headRevision == m.headRevision:
 	case b != nil && b.Batch != nil && revision == b.After.Revision:
-		m.batchCommitted(b, headRevision) // and the response was lost
+		m.batchCommitted(b, headRevision) // the response to the transaction was lost
 	case revision == m.state.Revision:
-		m.headRevision = headRevision // written back after a data loss
+		m.headRevision = headRevision // the record was restored after a data loss
 	default:
-		m.engine.Log(slog.LevelError, "stored configuration differs, reloading it", "revision", revision, "known", m.state.Revision)
+		m.engine.Log(slog.LevelError, "stored configuration has an unexpected revision, reloading", "revision", revision, "known", m.state.Revision)
 		m.reload(revision, headRevision)
 	}
 }
--- a/internal/configmanager/load.go
+++ b/internal/configmanager/load.go
@@ -11,13 +11,13 @@
 	"yewpass/internal/rpc"
 )
 
-// recordsPerPage is how many records are read at a time.
+// recordsPerPage is the maximum number of records in one list request.
 const recordsPerPage = 400
 
-// objectOf returns the name by which users know the object that a record holds.
-func objectOf(key string) string { return strings.TrimPrefix(key, record.ConfigPrefix) }
+// objectName returns the name of a record's object as operators see it, such as "team/a".
+func objectName(key string) string { return strings.TrimPrefix(key, record.ConfigPrefix) }
 
-// revisionIn returns the revision in a head record, or 0 if the value is not one.
+// revisionIn returns the revision in a head record, or 0 if value is not a head record.
 func revisionIn(value any) uint64 {
 	if head, _ := value.(*liveconfig.HeadRecord); head != nil {
 		return head.Revision
@@ -25,22 +25,22 @@
 	return 0
 }
 
-// Load adds a record that the new leader has read. One that cannot be read leaves its
-// object as a replica has it, or else as in the settings.
+// Load applies a record that a new leader has read. For a record that cannot be decoded it
+// falls back to the newest replica, or else to the settings.
 func (m *Manager) Load(entry kv.Entry) {
 	if entry.Key == record.ConfigHeadKey {
 		m.headRevision = entry.Rev
 	}
 	value := entry.Value
 	if value == nil {
-		m.damaged[objectOf(entry.Key)] = true
+		m.damaged[objectName(entry.Key)] = true
 		source := "the settings"
 		if newest := m.leader.NewestReplica(); newest != nil {
 			if r, ok := newest.Get(entry.Key); ok {
-				value, source = r.Value, "a copy"
+				value, source = r.Value, "a replica"
 			}
 		}
-		m.engine.Log(slog.LevelError, "record is unreadable", "key", entry.Key, "effect", "the object stays as "+source+" has it")
+		m.engine.Log(slog.LevelError, "record is unreadable", "key", entry.Key, "effect", "using the configuration from "+source)
 	}
 	switch v := value.(type) {
 	case *liveconfig.HeadRecord:
@@ -50,10 +50,11 @@
 	}
 }
 
-// Start puts into force what has been loaded.
+// Start applies the loaded configuration and begins to broadcast its revision to the other
+// controllers. Call it once, after all records have been loaded.
 func (m *Manager) Start() {
 	var teams []liveconfig.Team
-	for _, r := range m.state.Changed() {
+	for _, r := range m.state.ChangedTeams() {
 		teams = append(teams, r.Team)
 	}
 	m.leader.ApplyTeams(teams)
@@ -64,7 +65,8 @@
 	m.broadcastRevision()
 }
 
-// reload reads all records again, because the head record is not one that is known.
+// reload reads all records from the key-value store and replaces the state with them.
+// revision and headRevision are those of the head record, as for reconcile.
 func (m *Manager) reload(revision, headRevision uint64) {
 	state := baseState(m.cfg)
 	m.reloadPage("", state, func() {
@@ -74,7 +76,8 @@
 	})
 }
 
-// reloadPage reads the records after a key into state, page by page, and then calls done.
+// reloadPage loads the records whose keys follow after into state, page by page, and calls
+// done at the end. It retries failed reads.
 func (m *Manager) reloadPage(after string, state *liveconfig.State, done func()) {
 	m.scope.CallStore(kv.Request{Op: kv.List, Key: record.ConfigPrefix, From: after, Limit: recordsPerPage}, func(r kv.Response) {
 		if r.Outcome != rpc.OK {
--- a/internal/configmanager/manager.go
+++ b/internal/configmanager/manager.go
@@ -1,14 +1,14 @@
-// Package configmanager runs the live configuration: the part of the settings that
-// operators change while the service runs. Package liveconfig decides about changes;
-// this package has them written, puts them into force, and tells users and the other
-// controllers which revision is in force.
+// Package configmanager manages the live configuration: the part of the settings that
+// operators change at run time. Package liveconfig validates and applies changes; this
+// package writes them to the key-value store, applies them to the running leader, and
+// reports to users and the other controllers which revision is in effect.
 //
-// Its records are among those that a new leader reads, so that no leader decides before
-// it knows them. Only the leader writes them, on condition of its term and of the head
-// record's revision. A change that a user has been told of is on record, and in force at
-// the leader, before the answer goes out. Each renewal of the leader lease confirms that
-// the leader's configuration is the newest, and what a node accepts without a leader is
-// conditional on the head record. docs/design/configuration.md has the argument.
+// A new leader reads the configuration records before it makes any decision. Only the
+// leader writes them, conditional on its term and on the revision of the head record.
+// A change is stored and in effect at the leader before its requester is answered. Each
+// renewal of the leader lease confirms that the leader's configuration is the newest, and
+// jobs that a node accepts without a leader are conditional on the head record.
+// docs/design/configuration.md explains why this is correct.
 package configmanager
 
 import (
@@ -24,29 +24,29 @@
 	"yewpass/internal/writebatch"
 )
 
-// Leader is the leadership whose configuration a Manager runs.
+// Leader is the interface of a Manager to the leader that it belongs to.
 type Leader interface {
-	// Answer answers a user's request.
+	// Answer sends the response to a user's request.
 	Answer(to request.Request, response request.Response)
-	// ApplyTeams puts the configuration of teams into force.
+	// ApplyTeams applies the configuration of teams to scheduling.
 	ApplyTeams(teams []liveconfig.Team)
-	// TeamUsage returns what the tasks of a team have allocated.
+	// TeamUsage returns the resources that are allocated to the tasks of a team.
 	TeamUsage(name string) timeline.Resources
-	// SinceConfirmed returns how long ago the state service last confirmed that the
+	// SinceConfirmed returns the time since the key-value store last confirmed that the
 	// configuration is the newest.
 	SinceConfirmed() time.Duration
-	// HasLink reports whether there is a link to another controller.
+	// HasLink reports whether the leader has a connection to another controller.
 	HasLink(node string) bool
-	// NewestReplica returns the newest replica of the records, or nil.
+	// NewestReplica returns the newest replica of the stored records, or nil.
 	NewestReplica() *replica.Replica
-	// RestoresConfig reports whether records of the configuration are still to be written
-	// back after a data loss.
+	// RestoresConfig reports whether configuration records still have to be restored after
+	// a data loss.
 	RestoresConfig() bool
 	// Replicate adds a stored record to the leader's replica.
 	Replicate(entry kv.Entry)
 }
 
-// Manager is the leader's live configuration. It lasts as long as one leadership.
+// Manager holds the leader's live configuration for the duration of one leadership.
 type Manager struct {
 	engine *engine.Engine
 	scope  *engine.Scope
@@ -56,15 +56,16 @@
 	term   uint64
 
 	state        *liveconfig.State
-	headRevision uint64          // of the head record in the state service; 0: there is none
-	damaged      map[string]bool // objects whose records cannot be read
-	rereading    bool            // the head record is being read
+	headRevision uint64          // of the head record in the key-value store; 0 if there is none
+	damaged      map[string]bool // objects whose records cannot be decoded
+	rereading    bool            // a read of the head record is in progress
 
 	changeQueue
 	propagation
 }
 
-// New returns the configuration of a leader that has read no records yet.
+// New returns a Manager with the settings' configuration. Pass all stored records to Load
+// and then call Start.
 func New(e *engine.Engine, scope *engine.Scope, cfg *config.Config, writes *writebatch.Batcher, leader Leader, term uint64) *Manager {
 	return &Manager{
 		engine:      e,
@@ -79,7 +80,7 @@
 	}
 }
 
-// baseState returns the configuration as it is in the settings.
+// baseState returns the configuration from the settings, without any change.
 func baseState(cfg *config.Config) *liveconfig.State {
 	return liveconfig.New(liveconfig.BaseTeams(cfg.Settings.Teams))
 }
--- a/internal/configmanager/node.go
+++ b/internal/configmanager/node.go
@@ -13,27 +13,28 @@
 	"yewpass/internal/view"
 )
 
-// Node is what every controller knows of the configuration, whoever leads. It goes by
-// replicas of the leader's records.
+// Node is a controller's view of the configuration, independent of who leads. It is
+// based on the controller's replicas of the leader's records.
 type Node struct {
 	engine      *engine.Engine
-	base        *liveconfig.State // the settings
-	confirmedAt time.Time         // when the leader last told that the replica is the newest
+	base        *liveconfig.State // from the settings
+	confirmedAt time.Time         // when the leader last confirmed that the replica is the newest
 }
 
-// NewNode returns a node that has heard of no leader.
+// NewNode returns a Node that has not received any message from a leader.
 func NewNode(e *engine.Engine, cfg *config.Config) *Node {
 	return &Node{engine: e, base: baseState(cfg)}
 }
 
-// AskLeaderVersion asks the known leader for its protocol version. This node may know of
-// it only from its record, or the leader has told an earlier process of this node.
+// AskLeaderVersion asks the known leader for its protocol version. This process may not
+// have received it, because it knows the leader only from the leader's record or because
+// the node has restarted since.
 func (n *Node) AskLeaderVersion(leader string, highestTerm uint64) {
 	n.engine.Emit(peermsg.Outgoing{To: leader, Msg: peermsg.Message{Kind: peermsg.Ack, Term: max(1, highestTerm), Ref: peermsg.AskVersion, Version: peermsg.Version}})
 }
 
-// HandleLeaderRevision handles the leader's news of the revision that is in force, and
-// replies with the one of the newest replica here.
+// HandleLeaderRevision handles the leader's message with the revision that is in effect
+// and replies with the revision of this node's newest replica.
 func (n *Node) HandleLeaderRevision(leader string, m peermsg.Message, newest *replica.Replica) {
 	revision := replicatedRevision(newest)
 	if revision >= m.Ref {
@@ -42,8 +43,9 @@
 	n.engine.Emit(peermsg.Outgoing{To: leader, Msg: peermsg.Message{Kind: peermsg.ConfigRevision, Term: m.Term, Ref: revision}})
 }
 
-// Local returns which configuration this node has by its newest replica.
-func (n *Node) Local(newest *replica.Replica) view.LocalConfig {
+// LocalConfig returns the revision of the configuration in this node's newest replica, and
+// the time since the leader confirmed it.
+func (n *Node) LocalConfig(newest *replica.Replica) view.LocalConfig {
 	since := n.confirmedAt
 	if since.IsZero() {
 		since = n.engine.StartedAt
@@ -51,8 +53,8 @@
 	return view.LocalConfig{Revision: replicatedRevision(newest), AgeSeconds: n.engine.Now.Sub(since).Seconds()}
 }
 
-// replicatedRevision returns the revision of the configuration in a replica, which may
-// be nil.
+// replicatedRevision returns the revision of the configuration in a replica. It is 0 if
+// the replica is nil or has no head record.
 func replicatedRevision(newest *replica.Replica) uint64 {
 	if newest == nil {
 		return 0
@@ -61,10 +63,10 @@
 	return revisionIn(head.Value)
 }
 
-// Team returns an empty account of a team as it is configured in a replica of the last
-// leader's records, or else in the settings; nil if there is no such team. A decision
-// by it must be conditional on the head record in that replica.
-func (n *Node) Team(last *replica.Replica, name string) *quota.Account {
+// TeamAccount returns an account without usage for a team, configured as in a replica of the
+// last leader's records or else as in the settings. It returns nil for an unknown team. A
+// write that is based on it must be conditional on the head record in that replica.
+func (n *Node) TeamAccount(last *replica.Replica, name string) *quota.Account {
 	if r, ok := last.Get(record.ConfigTeamPrefix + name); ok {
 		if changed, _ := r.Value.(*liveconfig.TeamRecord); changed != nil {
 			return quota.New(changed.Team)
--- a/internal/configmanager/peers.go
+++ b/internal/configmanager/peers.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// broadcastInterval is how often the leader tells the other controllers which
-	// revision is in force.
+	// broadcastInterval is the interval at which the leader sends the current revision to
+	// the other controllers.
 	broadcastInterval = time.Second
-	// propagationTarget is within what time a change is to be in force at every controller.
+	// propagationTarget is the time within which a change should reach every controller.
 	propagationTarget = 3 * time.Second
 )
 
-// propagation is how revisions become known to the other controllers.
+// propagation tracks which revisions the other controllers have.
 type propagation struct {
-	peers        map[string]*peer
-	inForceAt    time.Time     // when the present revision came into force here
-	propagatedIn time.Duration // how long the last one took to be known to all in reach
-	measuring    bool          // the present revision has not become known to all yet
+	peers           map[string]*peer // by host name
+	inForceAt       time.Time        // when the current revision was applied at the leader
+	propagationTime time.Duration    // from then until all reachable controllers had it, for the last measured revision
+	measuring       bool             // some reachable controller does not have the current revision yet
 }
 
-// peer is what the leader knows of another controller.
+// peer is the last known state of another controller.
 type peer struct {
-	version  uint64 // of the protocol between controllers
-	revision uint64 // of the configuration that it has
-	newestAt time.Time
+	version    uint64    // of the protocol between controllers
+	revision   uint64    // of its replica of the configuration
+	upToDateAt time.Time // when it last reported the current revision
 }
 
-// broadcastRevision tells the other controllers which revision is in force, now and
-// regularly.
+// broadcastRevision sends the current revision to the other controllers, now and at every
+// broadcastInterval.
 func (m *Manager) broadcastRevision() {
 	m.sendRevision()
 	m.scope.After(broadcastInterval, m.broadcastRevision)
 }
 
-// sendRevision tells the other controllers which revision is in force, unless nothing
-// was ever changed.
+// sendRevision sends the current revision to all connected controllers that support live
+// configuration. It sends nothing if the configuration was never changed.
 func (m *Manager) sendRevision() {
 	if m.state.Revision == 0 {
 		return
@@ -51,8 +51,9 @@
 	}
 }
 
-// askPeerVersions asks the controllers for their version that have not acknowledged this
-// leader's term: their link to the leader may have come up after the leader's to them.
+// askPeerVersions announces the leader again to connected controllers whose protocol version
+// is unknown. Their acknowledgement may have been lost because their connection to the
+// leader was established after the leader's connection to them.
 func (m *Manager) askPeerVersions() {
 	for _, seed := range m.cfg.Seeds {
 		if m.peers[seed.HostName] == nil && m.leader.HasLink(seed.HostName) {
@@ -61,27 +62,28 @@
 	}
 }
 
-// NotePeerVersion notes the protocol version of another controller.
-func (m *Manager) NotePeerVersion(node string, version uint64) {
+// RecordPeerVersion records the protocol version that another controller reported.
+func (m *Manager) RecordPeerVersion(node string, version uint64) {
 	if m.peers[node] == nil {
 		m.peers[node] = &peer{}
 	}
 	m.peers[node].version = version
 }
 
-// NotePeerRevision notes the revision of the configuration that another controller has.
-func (m *Manager) NotePeerRevision(node string, revision uint64) {
+// RecordPeerRevision records the configuration revision that another controller reported.
+// It ignores controllers whose protocol version is unknown.
+func (m *Manager) RecordPeerRevision(node string, revision uint64) {
 	if p := m.peers[node]; p != nil {
 		p.revision = revision
 		if p.revision >= m.state.Revision {
-			p.newestAt = m.engine.Now
+			p.upToDateAt = m.engine.Now
 		}
 		m.measurePropagation()
 	}
 }
 
-// measurePropagation measures how long a revision takes to be known to all controllers
-// in reach.
+// measurePropagation records the propagation time once all reachable controllers have the
+// current revision.
 func (m *Manager) measurePropagation() {
 	if !m.measuring {
 		return
@@ -91,8 +93,8 @@
 			return
 		}
 	}
-	m.measuring, m.propagatedIn = false, m.engine.Now.Sub(m.inForceAt)
-	if m.propagatedIn > propagationTarget {
-		m.engine.Log(slog.LevelWarn, "configuration change propagated slowly", "revision", m.state.Revision, "after", m.propagatedIn)
+	m.measuring, m.propagationTime = false, m.engine.Now.Sub(m.inForceAt)
+	if m.propagationTime > propagationTarget {
+		m.engine.Log(slog.LevelWarn, "configuration change exceeded the propagation target", "revision", m.state.Revision, "after", m.propagationTime)
 	}
 }
--- a/internal/configmanager/serve.go
+++ b/internal/configmanager/serve.go
@@ -8,7 +8,7 @@
 	"yewpass/internal/request"
 )
 
-// Serve serves a user's request about the configuration.
+// Serve handles a user's request to read or change the configuration.
 func (m *Manager) Serve(r request.Request) {
 	switch r.Op {
 	case request.ConfigStatus:
@@ -28,14 +28,15 @@
 	}
 }
 
-// acceptChange queues a change to be written, if one is accepted at present.
+// acceptChange validates a change and queues it for writing, or answers the request with
+// an error.
 func (m *Manager) acceptChange(r request.Request) {
 	c := &change{request: r, Change: liveconfig.Change{Teams: r.Config.Teams, IfRevision: r.Config.IfRevision}}
-	if err := c.Check(m.cfg.Settings.State.TxnOps - 1); err != nil {
-		m.leader.Answer(r, rejection(err))
+	if err := c.Validate(m.cfg.Settings.State.TxnOps - 1); err != nil {
+		m.leader.Answer(r, rejectionResponse(err))
 		return
 	}
-	if reason := m.refusal(); reason != "" {
+	if reason := m.refusalReason(); reason != "" {
 		m.askPeerVersions()
 		m.leader.Answer(r, request.Unavailable(reason))
 		return
@@ -44,29 +45,30 @@
 	m.queueBatch()
 }
 
-// refusal returns why no change is accepted at present, or an empty string.
-func (m *Manager) refusal() string {
+// refusalReason returns the reason why changes cannot be accepted now, or an empty string.
+func (m *Manager) refusalReason() string {
 	switch {
 	case m.leader.RestoresConfig():
-		return "the configuration is being written back after a loss of data"
+		return "the configuration is being restored after a data loss"
 	case len(m.waiting) >= maxWaitingChanges:
-		return "too many changes wait"
+		return "too many configuration changes are pending"
 	case m.state.Revision > 0:
 		return ""
 	}
-	// A controller of a version without live configuration knows only the settings, and
-	// would go by them if it came to lead after a change. So the first change has to wait
-	// until all controllers have told that they support it.
+	// A controller whose version lacks live configuration would use only the settings if
+	// it became leader. The first change is therefore refused until all controllers have
+	// confirmed that they support live configuration.
 	for _, seed := range m.cfg.Seeds {
 		if p := m.peers[seed.HostName]; p == nil || p.version < peermsg.Version {
-			return "controller " + seed.HostName + " has not said that it knows live configuration"
+			return "controller " + seed.HostName + " has not confirmed that it supports live configuration"
 		}
 	}
 	return ""
 }
 
-// rejection is the response to a change that cannot be made.
-func rejection(err error) request.Response {
+// rejectionResponse returns the response to a change that was rejected with err. The status
+// is 412 for a failed revision precondition and 400 otherwise.
+func rejectionResponse(err error) request.Response {
 	var invalid *liveconfig.Error
 	if !errors.As(err, &invalid) {
 		return request.Response{Status: 400, Reason: err.Error()}
--- a/internal/configmanager/views.go
+++ b/internal/configmanager/views.go
@@ -10,18 +10,18 @@
 	"yewpass/internal/view"
 )
 
-// team returns the configuration of a team and what the team uses.
+// team returns the configuration and the current resource usage of a team.
 func (m *Manager) team(name string) (v view.Team, ok bool) {
 	if v.Team, v.Revision, ok = m.state.Team(name); !ok {
 		return v, false
 	}
-	v.Damaged = m.damaged[objectOf(record.ConfigTeamPrefix+name)]
+	v.Damaged = m.damaged[objectName(record.ConfigTeamPrefix+name)]
 	used := m.leader.TeamUsage(name)
 	v.InUse.CPUs, v.InUse.GPUs = float64(used.CPU)/1000, float64(used.GPU)/1000
 	return v, true
 }
 
-// teams returns the requested page of the list of teams.
+// teams returns one page of the list of teams, sorted by name.
 func (m *Manager) teams(params *request.ConfigParams) view.TeamPage {
 	page := view.TeamPage{Revision: m.state.Revision, Teams: []view.Team{}}
 	names := m.state.Names()
@@ -40,20 +40,20 @@
 	return page
 }
 
-// status tells which revision is in force where, as far as the leader knows.
+// status returns the current revision and the last known revision of each controller.
 func (m *Manager) status() view.ConfigStatus {
 	v := view.ConfigStatus{
 		Revision:           m.state.Revision,
 		Changes:            m.committed,
 		Waiting:            len(m.waiting),
-		PropagationSeconds: m.propagatedIn.Seconds(),
+		PropagationSeconds: m.propagationTime.Seconds(),
 		Damaged:            slices.Sorted(maps.Keys(m.damaged)),
-		Refusal:            m.refusal(),
+		Refusal:            m.refusalReason(),
 	}
 	if m.batch != nil {
 		v.Waiting += len(m.batch.changes)
 	}
-	local := m.Local()
+	local := m.LocalConfig()
 	v.Nodes = append(v.Nodes, view.ConfigNodeStatus{Name: m.cfg.HostName, Revision: local.Revision, AgeSeconds: local.AgeSeconds, SupportsLiveConfig: true})
 	for _, seed := range m.cfg.Seeds {
 		v.Nodes = append(v.Nodes, m.nodeStatus(seed.HostName))
@@ -61,27 +61,29 @@
 	return v
 }
 
-// nodeStatus tells which revision another controller has.
+// nodeStatus returns the last known revision of another controller. AgeSeconds is -1 if
+// the controller has never reported the current revision.
 func (m *Manager) nodeStatus(name string) view.ConfigNodeStatus {
 	v := view.ConfigNodeStatus{Name: name, AgeSeconds: -1}
 	if p := m.peers[name]; p != nil {
 		v.Revision, v.SupportsLiveConfig = p.revision, p.version >= peermsg.Version
-		if !p.newestAt.IsZero() {
-			v.AgeSeconds = m.engine.Now.Sub(p.newestAt).Seconds()
+		if !p.upToDateAt.IsZero() {
+			v.AgeSeconds = m.engine.Now.Sub(p.upToDateAt).Seconds()
 		}
 	}
 	return v
 }
 
-// Local returns which configuration the leader has.
-func (m *Manager) Local() view.LocalConfig {
+// LocalConfig returns the leader's revision and the time since it was last confirmed to be
+// the newest.
+func (m *Manager) LocalConfig() view.LocalConfig {
 	return view.LocalConfig{Revision: m.state.Revision, AgeSeconds: m.leader.SinceConfirmed().Seconds()}
 }
 
-// Stats returns those figures of the configuration that only a leader has.
+// Stats returns the configuration metrics that only the leader reports.
 func (m *Manager) Stats() view.ConfigStats {
 	return view.ConfigStats{
-		ConfigPropagation: m.propagatedIn.Seconds(),
+		ConfigPropagation: m.propagationTime.Seconds(),
 		ConfigChanges:     m.committed,
 		ConfigDamaged:     len(m.damaged),
 	}
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -65,9 +65,9 @@
 // LocalConfig returns which configuration this node has, whoever leads.
 func (c *Core) LocalConfig() view.LocalConfig {
 	if l := c.leadership; l != nil && l.loaded {
-		return l.config.Local()
+		return l.config.LocalConfig()
 	}
-	return c.config.Local(c.newestReplica())
+	return c.config.LocalConfig(c.newestReplica())
 }
 
 // handleConfigRevision handles news of the revision that is in force, if from the leader,
@@ -75,7 +75,7 @@
 func (c *Core) handleConfigRevision(from string, m peermsg.Message) {
 	switch l := c.leadership; {
 	case l != nil && m.Term == l.term:
-		l.config.NotePeerRevision(from, m.Ref)
+		l.config.RecordPeerRevision(from, m.Ref)
 	case l == nil && from == c.election.Leader() && m.Term == c.election.HighestTerm():
 		c.config.HandleLeaderRevision(from, m, c.newestReplica())
 	}
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -40,5 +40,5 @@
 
 // Team implements gateway.Controller.
 func (g gatewayController) Team(k *replica.Replica, name string) *quota.Account {
-	return g.core.config.Team(k, name)
+	return g.core.config.TeamAccount(k, name)
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -81,7 +81,7 @@
 	if l == nil || m.Term != l.term {
 		return
 	}
-	l.config.NotePeerVersion(from, m.Version)
+	l.config.RecordPeerVersion(from, m.Version)
 	if m.Ref == peermsg.AskVersion {
 		c.announceTermTo(from)
 	}
--- a/internal/liveconfig/batch.go
+++ b/internal/liveconfig/batch.go
@@ -5,37 +5,37 @@
 	"slices"
 )
 
-// Batch is the result of several changes that are written in one transaction.
+// Batch is a group of changes that are written in one transaction.
 type Batch struct {
-	After   *State // the state once the batch has been written
-	Taken   int    // how many changes, from the first on, have been decided
-	Each    []Made // the result of each of these
-	changed map[string]bool
+	After     *State          // the state once the batch has been written
+	Processed int             // number of changes, in order, that were applied or rejected
+	Results   []ChangeResult  // one per processed change
+	changed   map[string]bool // names of the teams to write
 }
 
-// Made is the result of a change in a batch.
-type Made struct {
-	// Revision is the revision that contains the change. If the state had everything
-	// that it requests before, it is an earlier one.
+// ChangeResult is the outcome of one change in a batch.
+type ChangeResult struct {
+	// Revision is the revision that contains the change. It is an earlier one if the
+	// state already contained everything that the change requests.
 	Revision uint64
 	Err      error // an *Error if the change was rejected
 }
 
-// NewBatch applies waiting changes in their order, as many as fit into the given
-// number of writes: one for the head record, and one for each team that changes,
-// even if several changes change it. The first change is applied in any case.
+// NewBatch applies waiting changes in order, as many as fit into the given number of
+// writes: one for the head record and one for each changed team, even if several
+// changes affect the same team. The first change is applied regardless of its size.
 func NewBatch(state *State, waiting []*Change, writes int) *Batch {
 	batch := &Batch{After: state.Clone(), changed: map[string]bool{}}
 	for _, change := range waiting {
-		if batch.Taken > 0 && batch.writesWith(change) > writes {
+		if batch.Processed > 0 && batch.writesWith(change) > writes {
 			break
 		}
-		batch.take(change)
+		batch.apply(change)
 	}
 	return batch
 }
 
-// writesWith returns how many writes the batch would need with one more change.
+// writesWith returns the number of writes that the batch needs if change is added.
 func (b *Batch) writesWith(change *Change) int {
 	writes := len(b.changed) + 1 // the head record
 	for _, team := range change.Teams {
@@ -46,21 +46,22 @@
 	return writes
 }
 
-func (b *Batch) take(change *Change) {
-	b.Taken++
-	if b.After.Says(change) { // a repeated request, perhaps because the reply was lost
-		b.Each = append(b.Each, Made{Revision: b.After.lastRevision(change)})
+// apply applies a change to the state after the batch and appends the result.
+func (b *Batch) apply(change *Change) {
+	b.Processed++
+	if b.After.IsSatisfied(change) { // a retry, for example because the reply was lost
+		b.Results = append(b.Results, ChangeResult{Revision: b.After.lastRevision(change)})
 		return
 	}
 	names, err := b.After.Apply(change)
 	for _, name := range names {
 		b.changed[name] = true
 	}
-	b.Each = append(b.Each, Made{Revision: b.After.Revision, Err: err})
+	b.Results = append(b.Results, ChangeResult{Revision: b.After.Revision, Err: err})
 }
 
-// Records returns the team records to write, sorted by name; none if the batch
-// changes nothing.
+// Records returns the team records to write, sorted by name. It is empty if the
+// batch changes nothing.
 func (b *Batch) Records() (records []TeamRecord) {
 	for _, name := range b.Names() {
 		records = append(records, b.After.changed[name])
--- a/internal/liveconfig/errors_test.go
+++ b/internal/liveconfig/errors_test.go
@@ -6,33 +6,33 @@
 	"testing"
 )
 
-// TestCheckErrors pins the texts that operators see for an invalid change.
-func TestCheckErrors(t *testing.T) {
+// TestValidateErrors checks the error messages that operators see for an invalid change.
+func TestValidateErrors(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change Change
 		want   string
 	}{
-		{"empty", Change{}, "teams: the change names none"},
-		{"too many", Change{Teams: teams(Team{Name: "a"}, Team{Name: "b"}, Team{Name: "c"})}, "teams: 3 in one change, at most 2 go into a transaction"},
-		{"name", Change{Teams: teams(Team{Name: "a b"})}, `teams[0].name: "a b" is not a name of letters, digits, dots, underscores and hyphens, at most 100 bytes`},
-		{"twice", Change{Teams: teams(Team{Name: "a"}, Team{Name: "a"})}, `teams[1].name: "a" is named twice`},
-		{"negative", Change{Teams: teams(Team{Name: "a", CPUs: -1})}, "teams[0].cpus: must be 0 to 1e+08"},
-		{"not a number", Change{Teams: teams(Team{Name: "a", GPUsMax: math.NaN()})}, "teams[0].gpusMax: must be 0 to 1e+08"},
-		{"guarantee above limit", Change{Teams: teams(Team{Name: "a", GPUs: 3, GPUsMax: 2})}, "teams[0].gpus: 3 is more than gpusMax, 2"},
+		{"empty", Change{}, "teams: the change contains no team"},
+		{"too many", Change{Teams: teams(Team{Name: "a"}, Team{Name: "b"}, Team{Name: "c"})}, "teams: 3 teams in one change, at most 2 fit into a transaction"},
+		{"name", Change{Teams: teams(Team{Name: "a b"})}, `teams[0].name: "a b" is invalid: use at most 100 letters, digits, dots, underscores and hyphens, starting with a letter or digit`},
+		{"twice", Change{Teams: teams(Team{Name: "a"}, Team{Name: "a"})}, `teams[1].name: "a" occurs more than once`},
+		{"negative", Change{Teams: teams(Team{Name: "a", CPUs: -1})}, "teams[0].cpus: must be between 0 and 1e+08"},
+		{"not a number", Change{Teams: teams(Team{Name: "a", GPUsMax: math.NaN()})}, "teams[0].gpusMax: must be between 0 and 1e+08"},
+		{"guarantee above limit", Change{Teams: teams(Team{Name: "a", GPUs: 3, GPUsMax: 2})}, "teams[0].gpus: 3 exceeds gpusMax, which is 2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if err := test.change.Check(2); err == nil || err.Error() != test.want {
+			if err := test.change.Validate(2); err == nil || err.Error() != test.want {
 				t.Errorf("got  %v\nwant %s", err, test.want)
 			}
 		})
 	}
 }
 
-// TestApplyErrors pins the texts that operators see for a change that does not fit
-// the present state.
+// TestApplyErrors checks the error messages that operators see for a change that
+// conflicts with the current state.
 func TestApplyErrors(t *testing.T) {
-	ghost := Team{Name: "ghost", Retired: true}
+	unknown := Team{Name: "unknown", Retired: true}
 	full := base()
 	for i := range MaxTeams {
 		full.LoadTeam(TeamRecord{Team: Team{Name: "t" + strconv.Itoa(i)}, Revision: 1})
@@ -45,9 +45,9 @@
 		stale  bool
 	}{
 		{"revision", base(), Change{Teams: teams(Team{Name: "a"}), IfRevision: revision(4)}, "ifRevision: the configuration is at revision 0, not 4", true},
-		{"team's revision", base(), Change{Teams: []TeamChange{{Team: Team{Name: "a"}, IfRevision: revision(4)}}}, "team a.ifRevision: the team was changed last at revision 0, not 4", true},
-		{"unknown team", base(), Change{Teams: teams(ghost)}, "team ghost.retired: there is no such team", false},
-		{"too many", full, Change{Teams: teams(Team{Name: "a"})}, "teams: more than 2000 teams would have been changed", false},
+		{"team's revision", base(), Change{Teams: []TeamChange{{Team: Team{Name: "a"}, IfRevision: revision(4)}}}, "team a.ifRevision: the team was last changed at revision 0, not 4", true},
+		{"unknown team", base(), Change{Teams: teams(unknown)}, "team unknown.retired: the team does not exist", false},
+		{"too many", full, Change{Teams: teams(Team{Name: "a"})}, "teams: the change would exceed the maximum of 2000 changed teams", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			before := test.state.Revision
@@ -56,12 +56,12 @@
 				t.Errorf("got  %v\nwant %s", err, test.want)
 			}
 			if test.state.Revision != before {
-				t.Error("a rejected change has changed the revision")
+				t.Errorf("revision %d after a rejected change, want %d", test.state.Revision, before)
 			}
 		})
 	}
 	if _, err := full.Apply(&Change{Teams: teams(Team{Name: "t0", CPUs: 1})}); err != nil {
-		t.Errorf("a team that has been changed before needs no further record: %v", err)
+		t.Errorf("changing a team that already has a record: %v, want no error", err)
 	}
 }
 
@@ -79,7 +79,7 @@
 		"teams[0].gpu": {Object: "teams[0]", Field: "gpu"},
 	} {
 		if got := err.Path(); got != want {
-			t.Errorf("got %s, want %s", got, want)
+			t.Errorf("Path() = %s, want %s", got, want)
 		}
 	}
 }
--- a/internal/liveconfig/state.go
+++ b/internal/liveconfig/state.go
@@ -8,26 +8,25 @@
 	"yewpass/internal/config"
 )
 
-// TeamRecord is the stored record of a team that has been changed.
+// TeamRecord is the stored record of a team whose configuration an operator has changed.
 type TeamRecord struct {
 	Team     Team
-	Revision uint64 // of the configuration, as of the change
+	Revision uint64 // revision of the configuration that made this change
 }
 
-// HeadRecord is the stored record of the configuration's revision.
+// HeadRecord is the stored record of the configuration's current revision.
 type HeadRecord struct {
 	Revision uint64
 }
 
-// State is the configuration at a revision. The zero State has no teams and accepts
-// no changes; use New.
+// State is the configuration at a revision. The zero State must not be changed; use New.
 type State struct {
-	Revision uint64 // incremented with every change
-	base     map[string]Team
-	changed  map[string]TeamRecord
+	Revision uint64                // incremented with every change
+	base     map[string]Team       // from the settings
+	changed  map[string]TeamRecord // teams that override or extend the base
 }
 
-// BaseTeams returns the teams of the settings, on which a State is based.
+// BaseTeams converts the teams of the settings to the base of a State.
 func BaseTeams(settings []config.Team) (teams []Team) {
 	for _, t := range settings {
 		teams = append(teams, Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
@@ -35,7 +34,7 @@
 	return teams
 }
 
-// New returns the state before any change, with the teams of the settings.
+// New returns a state at revision 0 that contains only the base teams.
 func New(base []Team) *State {
 	s := &State{base: map[string]Team{}, changed: map[string]TeamRecord{}}
 	for _, team := range base {
@@ -44,17 +43,17 @@
 	return s
 }
 
-// Clone returns an independent copy. It shares the base, which is never modified.
+// Clone returns an independent copy. The base is shared, since it is never modified.
 func (s *State) Clone() *State {
 	return &State{Revision: s.Revision, base: s.base, changed: maps.Clone(s.changed)}
 }
 
-// LoadHead adds a head record that has been read.
+// LoadHead applies a stored head record. It never lowers the revision.
 func (s *State) LoadHead(record HeadRecord) { s.Revision = max(s.Revision, record.Revision) }
 
-// LoadTeam adds a team record that has been read, unless a newer one is known. It
-// also raises the revision of the configuration to that of the record, in case the
-// head record cannot be read.
+// LoadTeam applies a stored team record unless a newer one is already loaded. It also
+// raises the revision of the configuration to that of the record, in case the head
+// record is unreadable.
 func (s *State) LoadTeam(record TeamRecord) {
 	name := record.Team.Name
 	if known, ok := s.changed[name]; ok && known.Revision > record.Revision {
@@ -64,8 +63,8 @@
 	s.Revision = max(s.Revision, record.Revision)
 }
 
-// Team returns the present configuration of a team and the revision of its last
-// change, which is 0 for a team that is as in the settings.
+// Team returns the current configuration of a team and the revision of its last
+// change, which is 0 for a team that was never changed.
 func (s *State) Team(name string) (team Team, revision uint64, ok bool) {
 	if record, ok := s.changed[name]; ok {
 		return record.Team, record.Revision, true
@@ -74,7 +73,7 @@
 	return team, 0, ok
 }
 
-// Teams returns the present configuration of the named teams, which must exist.
+// Teams returns the current configuration of the named teams, which must exist.
 func (s *State) Teams(names []string) (teams []Team) {
 	for _, name := range names {
 		team, _, _ := s.Team(name)
@@ -83,7 +82,7 @@
 	return teams
 }
 
-// Names returns the names of all teams, sorted.
+// Names returns the sorted names of all teams, from the base and from changes.
 func (s *State) Names() []string {
 	names := map[string]bool{}
 	for name := range s.base {
@@ -95,16 +94,15 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// Changed returns the records of the teams that have been changed, sorted by name.
-func (s *State) Changed() (records []TeamRecord) {
+// ChangedTeams returns the records of all changed teams, sorted by name.
+func (s *State) ChangedTeams() (records []TeamRecord) {
 	for _, name := range slices.Sorted(maps.Keys(s.changed)) {
 		records = append(records, s.changed[name])
 	}
 	return records
 }
 
-// lastRevision returns the revision at which any team of the change was changed
-// last.
+// lastRevision returns the highest revision of the teams in the change.
 func (s *State) lastRevision(change *Change) (revision uint64) {
 	for _, team := range change.Teams {
 		_, teamRevision, _ := s.Team(team.Name)
@@ -113,8 +111,9 @@
 	return revision
 }
 
-// Says reports whether the state already has everything that the change requests.
-func (s *State) Says(change *Change) bool {
+// IsSatisfied reports whether the state already contains everything that the change
+// requests, so that applying it would have no effect.
+func (s *State) IsSatisfied(change *Change) bool {
 	for _, team := range change.Teams {
 		if present, _, ok := s.Team(team.Name); !ok || present != team.Team {
 			return false
@@ -123,11 +122,10 @@
 	return true
 }
 
-// Apply applies a change that has passed Change.Check, and returns the names of the
-// teams that it changes. If the error, an *Error, is not nil, the state has not
-// changed.
+// Apply applies a change that has passed Change.Validate and returns the names of the
+// changed teams. If it returns an error, an *Error, the state is unchanged.
 func (s *State) Apply(change *Change) (names []string, err error) {
-	if err := s.accepts(change); err != nil {
+	if err := s.validate(change); err != nil {
 		return nil, err
 	}
 	s.Revision++
@@ -138,8 +136,8 @@
 	return names, nil
 }
 
-// accepts returns an *Error if the change does not fit the state.
-func (s *State) accepts(change *Change) error {
+// validate returns an *Error if the change conflicts with the current state.
+func (s *State) validate(change *Change) error {
 	if change.IfRevision != nil && *change.IfRevision != s.Revision {
 		reason := fmt.Sprintf("the configuration is at revision %d, not %d", s.Revision, *change.IfRevision)
 		return &Error{Field: "ifRevision", Reason: reason, Stale: true}
@@ -147,7 +145,7 @@
 	newRecords := 0
 	for i := range change.Teams {
 		team := &change.Teams[i]
-		if err := s.acceptsTeam(team); err != nil {
+		if err := s.validateTeam(team); err != nil {
 			return err
 		}
 		if _, ok := s.changed[team.Name]; !ok {
@@ -155,20 +153,21 @@
 		}
 	}
 	if len(s.changed)+newRecords > MaxTeams {
-		return &Error{Field: "teams", Reason: fmt.Sprintf("more than %d teams would have been changed", MaxTeams)}
+		return &Error{Field: "teams", Reason: fmt.Sprintf("the change would exceed the maximum of %d changed teams", MaxTeams)}
 	}
 	return nil
 }
 
-func (s *State) acceptsTeam(team *TeamChange) error {
+// validateTeam checks the precondition of a team change and that a retired team exists.
+func (s *State) validateTeam(team *TeamChange) error {
 	object := "team " + team.Name
 	_, revision, exists := s.Team(team.Name)
 	if team.IfRevision != nil && *team.IfRevision != revision {
-		reason := fmt.Sprintf("the team was changed last at revision %d, not %d", revision, *team.IfRevision)
+		reason := fmt.Sprintf("the team was last changed at revision %d, not %d", revision, *team.IfRevision)
 		return &Error{Object: object, Field: "ifRevision", Reason: reason, Stale: true}
 	}
 	if team.Retired && !exists {
-		return &Error{Object: object, Field: "retired", Reason: "there is no such team"}
+		return &Error{Object: object, Field: "retired", Reason: "the team does not exist"}
 	}
 	return nil
 }
--- a/internal/recordcodec/config.go
+++ b/internal/recordcodec/config.go
@@ -46,7 +46,7 @@
 	team := liveconfig.Team{Name: j.Name, CPUs: j.CPUs, CPUsMax: j.CPUsMax, GPUs: j.GPUs, GPUsMax: j.GPUsMax, Retired: j.Retired}
 	// What a user could not have set was not written either.
 	change := liveconfig.Change{Teams: []liveconfig.TeamChange{{Team: team}}}
-	if change.Check(1) != nil {
+	if change.Validate(1) != nil {
 		return nil
 	}
 	return &liveconfig.TeamRecord{Team: team, Revision: j.Revision}
