--- a/internal/configmanager/batch.go
+++ b/internal/configmanager/batch.go
@@ -60,8 +60,8 @@
 		}
 		return !b.finished
 	}
-	w.OnCommit = func(headRevision uint64) { m.batchCommitted(b, headRevision) }
-	w.OnConflict = func() { m.batchConflict(b, w) }
+	w.OnCommit = func(headRevision uint64) { m.handleBatchCommit(b, headRevision) }
+	w.OnConflict = func() { m.handleBatchConflict(b, w) }
 	w.OnReject = func() {
 		m.failBatch(b, request.Response{Status: 400, Field: "teams", Reason: "teams: the state service rejected the records"})
 	}
@@ -77,11 +77,11 @@
 		return true
 	}
 	room := m.roomForBatch()
-	least := len(m.waiting[0].Teams) + 1 // with the head record; a change is never split
-	if room < least {
+	minWrites := len(m.waiting[0].Teams) + 1 // with the head record; a change is never split
+	if room < minWrites {
 		return false
 	}
-	return room >= min(m.cfg.Settings.State.TxnOps, max(least, len(m.waiting)+1)) || m.engine.Now.Sub(m.lastBatchAt) >= batchInterval
+	return room >= min(m.cfg.Settings.State.TxnOps, max(minWrites, len(m.waiting)+1)) || m.engine.Now.Sub(m.lastBatchAt) >= batchInterval
 }
 
 // roomForBatch returns the number of writes that a batch may contain now.
@@ -111,12 +111,12 @@
 		w.Size += 200 + 2*len(r.Team.Name)
 	}
 	w.Writes = append(w.Writes, kv.Write{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}})
-	w.Conditions = []kv.Condition{m.Condition()}
+	w.Conditions = []kv.Condition{m.HeadCondition()}
 	w.Size += 200
 }
 
-// batchCommitted applies a committed batch and then answers its requesters.
-func (m *Manager) batchCommitted(b *batch, headRevision uint64) {
+// handleBatchCommit applies a committed batch and then answers its requesters.
+func (m *Manager) handleBatchCommit(b *batch, headRevision uint64) {
 	if b.finished {
 		return
 	}
@@ -144,17 +144,17 @@
 	}
 }
 
-// batchConflict handles a batch whose condition on the head record failed. Either an
+// handleBatchConflict handles a batch whose condition on the head record failed. Either an
 // earlier attempt of the same batch was committed, or the record was restored after a
 // data loss. In any other case the configuration is reloaded.
-func (m *Manager) batchConflict(b *batch, w *writebatch.Change) {
+func (m *Manager) handleBatchConflict(b *batch, w *writebatch.Change) {
 	m.writes.ReadBack(record.ConfigHeadKey, func(head kv.Entry, _ bool) {
 		if b.finished {
 			return
 		}
 		switch revision := revisionIn(head.Value); revision {
 		case b.After.Revision:
-			m.batchCommitted(b, head.Rev)
+			m.handleBatchCommit(b, head.Rev)
 		case m.state.Revision:
 			m.headRevision = head.Rev
 			w.Conditions[0].Rev = head.Rev
--- a/internal/configmanager/confirm.go
+++ b/internal/configmanager/confirm.go
@@ -21,10 +21,10 @@
 // after the record has been restored following a data loss.
 func (m *Manager) SetHeadRevision(revision uint64) { m.headRevision = revision }
 
-// Condition returns the transaction condition that the head record is unchanged. A renewal
+// HeadCondition returns the transaction condition that the head record is unchanged. A renewal
 // of the leader lease with this condition confirms that the leader's configuration is the
 // newest.
-func (m *Manager) Condition() kv.Condition {
+func (m *Manager) HeadCondition() kv.Condition {
 	return kv.Condition{Key: record.ConfigHeadKey, Rev: m.headRevision}
 }
 
@@ -70,7 +70,7 @@
 	switch {
 	case headRevision == m.headRevision:
 	case b != nil && b.Batch != nil && revision == b.After.Revision:
-		m.batchCommitted(b, headRevision) // the response to the transaction was lost
+		m.handleBatchCommit(b, headRevision) // the response to the transaction was lost
 	case revision == m.state.Revision:
 		m.headRevision = headRevision // the record was restored after a data loss
 	default:
--- a/internal/core/leader_lease.go
+++ b/internal/core/leader_lease.go
@@ -43,7 +43,7 @@
 	head := r.l.config.HeadRevision()
 	var conditions []kv.Condition
 	if r.l.loaded {
-		conditions = append(conditions, r.l.config.Condition())
+		conditions = append(conditions, r.l.config.HeadCondition())
 	}
 	c.confirmTerm(conditions, func(res kv.Response) {
 		r.confirmed = res.Outcome == rpc.OK
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -36,7 +36,7 @@
 // occurrencesWait reports whether some could be made if the allowance let them.
 func (c *Core) occurrencesWait() bool {
 	l := c.leadership
-	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.Due() && l.autoscaler.Loaded
+	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.HasDue() && l.autoscaler.Loaded
 }
 
 // recurringLeader is the leader as the scheduler of recurring jobs sees it.
--- a/internal/liveconfig/errors_test.go
+++ b/internal/liveconfig/errors_test.go
@@ -32,7 +32,7 @@
 // TestApplyErrors checks the error messages that operators see for a change that
 // conflicts with the current state.
 func TestApplyErrors(t *testing.T) {
-	unknown := Team{Name: "unknown", Retired: true}
+	unknown := Team{Name: "ghost", Retired: true}
 	full := base()
 	for i := range MaxTeams {
 		full.LoadTeam(TeamRecord{Team: Team{Name: "t" + strconv.Itoa(i)}, Revision: 1})
@@ -46,7 +46,7 @@
 	}{
 		{"revision", base(), Change{Teams: teams(Team{Name: "a"}), IfRevision: revision(4)}, "ifRevision: the configuration is at revision 0, not 4", true},
 		{"team's revision", base(), Change{Teams: []TeamChange{{Team: Team{Name: "a"}, IfRevision: revision(4)}}}, "team a.ifRevision: the team was last changed at revision 0, not 4", true},
-		{"unknown team", base(), Change{Teams: teams(unknown)}, "team unknown.retired: the team does not exist", false},
+		{"unknown team", base(), Change{Teams: teams(unknown)}, "team ghost.retired: the team does not exist", false},
 		{"too many", full, Change{Teams: teams(Team{Name: "a"})}, "teams: the change would exceed the maximum of 2000 changed teams", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 				t.Errorf("got  %v\nwant %s", err, test.want)
 			}
 			if test.state.Revision != before {
-				t.Errorf("revision %d after a rejected change, want %d", test.state.Revision, before)
+				t.Error("a rejected change has modified the revision")
 			}
 		})
 	}
--- a/internal/liveconfig/liveconfig_test.go
+++ b/internal/liveconfig/liveconfig_test.go
@@ -34,13 +34,13 @@
 		t.Run(path, func(t *testing.T) {
 			var invalid *Error
 			if err := c.Validate(3); !errors.As(err, &invalid) || invalid.Path() != path {
-				t.Errorf("Validate() = %v, want an error for %s", err, path)
+				t.Error(err)
 			}
 		})
 	}
 	many := Change{Teams: teams(Team{Name: "a"}, Team{Name: "b"}, Team{Name: "c"})}
 	if err := many.Validate(3); err != nil {
-		t.Errorf("a change of as many teams as the limit: %v", err)
+		t.Error(err)
 	}
 	if err := many.Validate(2); err == nil {
 		t.Error("a change that exceeds the limit is accepted")
@@ -54,11 +54,11 @@
 	if team, at, ok := s.Team("a"); !ok || at != 0 || team.CPUsMax != 20 {
 		t.Errorf("base team a: got %v, revision %d, found %v", team, at, ok)
 	}
-	if _, err := s.Apply(&Change{Teams: teams(Team{Name: "a", CPUsMax: 5}, Team{Name: "unknown", Retired: true})}); err == nil || s.Revision != 0 {
+	if _, err := s.Apply(&Change{Teams: teams(Team{Name: "a", CPUsMax: 5}, Team{Name: "ghost", Retired: true})}); err == nil || s.Revision != 0 {
 		t.Errorf("retiring an unknown team: error %v, revision %d, want an error and revision 0", err, s.Revision)
 	}
 	if team, _, _ := s.Team("a"); team.CPUsMax != 20 {
-		t.Errorf("cpusMax is %v after a rejected change, want 20", team.CPUsMax)
+		t.Error("a rejected change has modified the team")
 	}
 	if _, err := s.Apply(&Change{Teams: teams(Team{Name: "a", CPUsMax: 5}, Team{Name: "c", CPUs: 1}), IfRevision: revision(0)}); err != nil {
 		t.Fatal(err)
@@ -91,9 +91,7 @@
 // is changed twice is written once, and that a rejected change does not block later
 // ones.
 func TestBatch(t *testing.T) {
-	set := func(name string, limit float64) *Change {
-		return &Change{Teams: teams(Team{Name: name, CPUsMax: limit})}
-	}
+	set := func(name string, cpus float64) *Change { return &Change{Teams: teams(Team{Name: name, CPUsMax: cpus})} }
 	stale := set("b", 3)
 	stale.IfRevision = revision(77)
 	waiting := []*Change{set("a", 1), set("a", 2), stale, set("b", 4), set("c", 5), set("d", 6)}
@@ -136,6 +134,6 @@
 		t.Errorf("a late repetition of an older request: got %+v, want a stale error", b.Results[3])
 	}
 	if team, _, _ := b.After.Team("a"); team.CPUsMax != 9 {
-		t.Errorf("cpusMax %v, want 9", team.CPUsMax)
+		t.Errorf("team %+v, want cpusMax 9", team)
 	}
 }
--- a/internal/liveconfig/state.go
+++ b/internal/liveconfig/state.go
@@ -115,7 +115,7 @@
 // requests, so that applying it would have no effect.
 func (s *State) IsSatisfied(change *Change) bool {
 	for _, team := range change.Teams {
-		if present, _, ok := s.Team(team.Name); !ok || present != team.Team {
+		if current, _, ok := s.Team(team.Name); !ok || current != team.Team {
 			return false
 		}
 	}
--- a/internal/recurring/decide.go
+++ b/internal/recurring/decide.go
@@ -13,54 +13,55 @@
 
 const (
 	maxDecisionsPerStep = 256              // occurrences of one schedule
-	minRetryDelay       = time.Second      // after a refusal
-	maxRetryDelay       = 30 * time.Second // likewise
+	minRetryDelay       = time.Second      // after a refused admission
+	maxRetryDelay       = 30 * time.Second // after a refused admission
 )
 
-// decide decides on the next occurrences of a schedule, up to one that becomes a job, and
-// has the outcome written.
-func (s *Scheduler) decide(job *recurringJob) {
+// decide processes the due occurrences of a schedule, up to the first one that becomes a
+// job, and queues a write of the outcome.
+func (s *Scheduler) decide(sched *scheduleState) {
 	now := s.engine.TimeOfDay()
-	job.generation++
-	if job.writing {
-		return // planned again after the write
+	sched.generation++
+	if sched.writeInFlight {
+		return // finishWrite queues the schedule again
 	}
 	var missed []schedule.Passed
-	cursor := job.record.Cursor
+	cursor := sched.record.Cursor
 	for range maxDecisionsPerStep {
-		occurrence, verdict, reason := job.definition.Decide(cursor, now, s.previous(job))
+		occurrence, verdict, reason := sched.definition.Decide(cursor, now, s.previousJob(sched))
 		if verdict == schedule.Make {
-			jobSpec := job.definition.Job(job.record.Number, occurrence)
-			if verdict, reason = s.admit(job, &jobSpec, occurrence.Start); verdict == schedule.Make {
-				s.create(job, cursor.Past(occurrence), occurrence, &record.Job{Spec: jobSpec, Submitted: occurrence.Start}, missed)
+			jobSpec := sched.definition.Job(sched.record.Number, occurrence)
+			if verdict, reason = s.admit(sched, &jobSpec, occurrence.Start); verdict == schedule.Make {
+				s.create(sched, cursor.Past(occurrence), occurrence, &record.Job{Spec: jobSpec, Submitted: occurrence.Start}, missed)
 				return
 			}
 		}
 		if verdict != schedule.Miss {
-			job.awaitingPrevious = verdict == schedule.Hold
+			sched.awaitingPrevious = verdict == schedule.Hold
 			break
 		}
 		missed = append(missed, schedule.Passed{Occurrence: occurrence, State: schedule.StateMissed, Reason: reason})
 		cursor = cursor.Past(occurrence)
 	}
 	if len(missed) > 0 {
-		s.writeMissed(job, cursor, missed)
+		s.writeMissed(sched, cursor, missed)
 		return
 	}
-	s.planNext(job)
+	s.planNext(sched)
 }
 
-// previous returns what is known of the job of the previous occurrence.
-func (s *Scheduler) previous(job *recurringJob) schedule.Before {
-	before := schedule.Before{Live: s.leader.Job(job.record.LastJob) != nil}
-	if entry, ok := job.record.Entry(job.record.LastJob); ok {
+// previousJob returns the state of the job of the previous occurrence.
+func (s *Scheduler) previousJob(sched *scheduleState) schedule.Before {
+	before := schedule.Before{Live: s.leader.Job(sched.record.LastJob) != nil}
+	if entry, ok := sched.record.Entry(sched.record.LastJob); ok {
 		before.Ended = entry.Ended
 	}
 	return before
 }
 
-// admit decides whether the job of an occurrence is accepted now, later or never.
-func (s *Scheduler) admit(job *recurringJob, jobSpec *spec.Job, start time.Time) (schedule.Verdict, string) {
+// admit decides whether the job of an occurrence is created now, later or never. For a job
+// that is refused for now it sets the time of the next attempt.
+func (s *Scheduler) admit(sched *scheduleState, jobSpec *spec.Job, start time.Time) (schedule.Verdict, string) {
 	if _, reason := s.leader.Unschedulable(jobSpec); reason != "" {
 		return schedule.Miss, "can never run: " + reason
 	}
@@ -69,18 +70,19 @@
 		return schedule.Make, ""
 	}
 	now := s.engine.TimeOfDay()
-	if now.Sub(start) > max(job.definition.Within, schedule.OnTime) {
+	if now.Sub(start) > max(sched.definition.Within, schedule.OnTime) {
 		return schedule.Miss, "refused for as long as it could be made"
 	}
-	job.notBefore = now.Add(min(max(lateness, minRetryDelay), maxRetryDelay))
+	sched.notBefore = now.Add(min(max(lateness, minRetryDelay), maxRetryDelay))
 	return schedule.Later, ""
 }
 
-// create turns an occurrence into a job; past is the cursor after it.
-func (s *Scheduler) create(job *recurringJob, past schedule.Cursor, occurrence calendar.Occurrence, rec *record.Job, missed []schedule.Passed) {
+// create writes the job of an occurrence in one transaction with the schedule's record;
+// past is the cursor after the occurrence.
+func (s *Scheduler) create(sched *scheduleState, past schedule.Cursor, occurrence calendar.Occurrence, rec *record.Job, missed []schedule.Passed) {
 	id := rec.Spec.ID
-	job.notBefore = time.Time{}
-	s.write(job, recordChange{
+	sched.notBefore = time.Time{}
+	s.write(sched, recordChange{
 		priority: writebatch.Occurrence,
 		apply: func(r *schedule.Record) {
 			r.Pass(past, missed)
@@ -88,39 +90,39 @@
 			r.Add(schedule.Entry{Job: id, Planned: occurrence.Start, Due: occurrence.Due, Made: s.engine.TimeOfDay(), State: schedule.StateMade})
 		},
 		job: rec,
-		done: func() {
-			s.reportMissed(job, missed)
+		onCommit: func() {
+			s.reportMissed(sched, missed)
 			s.created++
 			if late := s.engine.TimeOfDay().Sub(occurrence.Start); late > schedule.OnTime {
-				s.engine.Log(slog.LevelWarn, "occurrence submitted late", "schedule", job.name, "planned", occurrence.Start, "job", id, "late", late)
+				s.engine.Log(slog.LevelWarn, "occurrence submitted late", "schedule", sched.name, "planned", occurrence.Start, "job", id, "late", late)
 			}
-			if s.leader.Job(id) == nil { // otherwise a user submitted the ID at the same time
+			if s.leader.Job(id) == nil { // otherwise a user has submitted a job with this ID
 				s.leader.AddJob(rec)
 			}
 			live := s.leader.Job(id)
-			s.byJob[live] = job
-			s.watchDeadline(job, live, occurrence.Due)
+			s.byJob[live] = sched
+			s.watchDeadline(sched, live, occurrence.Due)
 		},
-		idTaken: func() {
-			s.engine.Log(slog.LevelError, "occurrence failed, job id already in use", "schedule", job.name, "planned", occurrence.Start, "job", id)
-			s.writeMissed(job, past, append(missed, schedule.Passed{Occurrence: occurrence, State: schedule.StateFailed, Reason: "job id " + id + " is taken"}))
+		onIDTaken: func() {
+			s.engine.Log(slog.LevelError, "occurrence failed: job ID is already in use", "schedule", sched.name, "planned", occurrence.Start, "job", id)
+			s.writeMissed(sched, past, append(missed, schedule.Passed{Occurrence: occurrence, State: schedule.StateFailed, Reason: "job id " + id + " is taken"}))
 		},
 	})
 }
 
-// writeMissed records that occurrences do not run.
-func (s *Scheduler) writeMissed(job *recurringJob, cursor schedule.Cursor, missed []schedule.Passed) {
-	s.write(job, recordChange{
+// writeMissed writes to the schedule's record that occurrences were skipped or failed.
+func (s *Scheduler) writeMissed(sched *scheduleState, cursor schedule.Cursor, missed []schedule.Passed) {
+	s.write(sched, recordChange{
 		priority: writebatch.Occurrence,
 		apply:    func(r *schedule.Record) { r.Pass(cursor, missed) },
-		done:     func() { s.reportMissed(job, missed) },
+		onCommit: func() { s.reportMissed(sched, missed) },
 	})
 }
 
-// reportMissed logs and counts occurrences that do not run.
-func (s *Scheduler) reportMissed(job *recurringJob, missed []schedule.Passed) {
+// reportMissed logs and counts occurrences that were skipped or failed.
+func (s *Scheduler) reportMissed(sched *scheduleState, missed []schedule.Passed) {
 	s.missed += int64(len(missed))
 	for _, occurrence := range missed {
-		s.engine.Log(slog.LevelWarn, "occurrence skipped", "schedule", job.name, "planned", occurrence.Start, "job", schedule.JobID(job.record.Number, occurrence.Nominal), "reason", occurrence.Reason)
+		s.engine.Log(slog.LevelWarn, "occurrence skipped", "schedule", sched.name, "planned", occurrence.Start, "job", schedule.JobID(sched.record.Number, occurrence.Nominal), "reason", occurrence.Reason)
 	}
 }
--- a/internal/recurring/due.go
+++ b/internal/recurring/due.go
@@ -7,56 +7,60 @@
 )
 
 const (
-	maxDuePerTick   = 500                   // schedules that become due in one step
-	dueBacklogDelay = 10 * time.Millisecond // until the rest of them do
-	undatedDelay    = 100 * 365 * 24 * time.Hour
+	maxDuePerTick   = 500                        // schedules moved to the ready queue in one step
+	nextTickDelay   = 10 * time.Millisecond      // until the next step, if more are due
+	noDeadlineDelay = 100 * 365 * 24 * time.Hour // sorts occurrences without a deadline last
 )
 
-// planNext queues a schedule by when its next occurrence is due.
-func (s *Scheduler) planNext(job *recurringJob) {
-	job.generation++
-	if job.removed || job.writing || job.awaitingPrevious || job.record == nil || job.record.Paused || job.definition == nil {
+// planNext queues a schedule by the time of its next occurrence. It does nothing for a
+// schedule that is paused, disabled or removed, or that waits for a write or for the
+// previous job.
+func (s *Scheduler) planNext(sched *scheduleState) {
+	sched.generation++
+	if sched.removed || sched.writeInFlight || sched.awaitingPrevious || sched.record == nil || sched.record.Paused || sched.definition == nil {
 		return
 	}
-	occurrence, ok := job.definition.Next(job.record.Cursor)
+	occurrence, ok := sched.definition.Next(sched.record.Cursor)
 	if !ok {
 		return
 	}
 	at := occurrence.Start
-	if job.notBefore.After(at) {
-		at = job.notBefore
+	if sched.notBefore.After(at) {
+		at = sched.notBefore
 	}
 	now := s.engine.TimeOfDay()
 	if !at.After(now) {
-		s.enqueueReady(job, occurrence)
+		s.enqueueReady(sched, occurrence)
 		return
 	}
-	s.upcoming.Push(at, queueEntry{schedule: job, generation: job.generation})
+	s.upcoming.Push(at, queueEntry{sched: sched, generation: sched.generation})
 	if wait := at.Sub(now); wait < s.settings.TickInterval {
 		s.scope.After(wait, s.Tick)
 	}
 }
 
-// enqueueReady queues a schedule whose next occurrence is due: by deadline, and behind
-// them those whose deadline has passed or that have none.
-func (s *Scheduler) enqueueReady(job *recurringJob, occurrence calendar.Occurrence) {
+// enqueueReady queues a schedule whose next occurrence is due. Occurrences with a future
+// deadline come first, ordered by deadline; those without one, or whose deadline has
+// passed, follow.
+func (s *Scheduler) enqueueReady(sched *scheduleState, occurrence calendar.Occurrence) {
 	at := occurrence.Due
 	if !at.After(s.engine.TimeOfDay()) {
-		at = occurrence.Start.Add(undatedDelay)
+		at = occurrence.Start.Add(noDeadlineDelay)
 	}
-	s.ready.Push(at, queueEntry{schedule: job, generation: job.generation})
+	s.ready.Push(at, queueEntry{sched: sched, generation: sched.generation})
 	if s.ready.Len() == 1 {
 		s.leader.WakeWriter()
 	}
 }
 
-// Tick finds the occurrences that have become due. It goes by the time of day each time
-// anew, so that a clock that is set back or forward only changes when they are found.
+// Tick moves the schedules whose next occurrence is due to the ready queue. It compares
+// with the current time of day on each call, so a clock that is set back or forward only
+// changes when occurrences are found.
 func (s *Scheduler) Tick() {
 	now := s.engine.TimeOfDay()
 	for n := 0; s.upcoming.Len() > 0; {
 		at, first := s.upcoming.First()
-		if first.generation != first.schedule.generation {
+		if first.generation != first.sched.generation {
 			s.upcoming.Pop()
 			continue
 		}
@@ -67,27 +71,27 @@
 			return
 		}
 		if n++; n > maxDuePerTick {
-			s.scope.After(dueBacklogDelay, s.Tick)
+			s.scope.After(nextTickDelay, s.Tick)
 			return
 		}
 		s.upcoming.Pop()
-		if occurrence, ok := first.schedule.definition.Next(first.schedule.record.Cursor); ok {
-			s.enqueueReady(first.schedule, occurrence)
+		if occurrence, ok := first.sched.definition.Next(first.sched.record.Cursor); ok {
+			s.enqueueReady(first.sched, occurrence)
 		}
 	}
 }
 
-// Due reports whether occurrences wait to be created.
-func (s *Scheduler) Due() bool { return s.ready.Len() > 0 }
+// HasDue reports whether occurrences are due and wait to be created.
+func (s *Scheduler) HasDue() bool { return s.ready.Len() > 0 }
 
-// CreateDue decides on occurrences that are due, the most pressing first, as long as there
-// is room for the two writes of each: the record of the schedule and that of the job.
-// Deciding as late as this takes account of all that is known when the writes go.
+// CreateDue decides on due occurrences in deadline order, as long as room allows the two
+// writes of each: the schedule's record and the job's record. It is called right before
+// the writes are sent, so that decisions use the latest state.
 func (s *Scheduler) CreateDue(room int) {
 	for room >= 2 && s.ready.Len() > 0 {
 		first := s.ready.Pop()
-		if first.generation == first.schedule.generation {
-			s.decide(first.schedule)
+		if first.generation == first.sched.generation {
+			s.decide(first.sched)
 			room -= 2
 		}
 	}
--- a/internal/recurring/edit.go
+++ b/internal/recurring/edit.go
@@ -13,52 +13,53 @@
 	"yewpass/internal/writebatch"
 )
 
-// definition is what a user has sent for a schedule, compiled and in its stored form.
+// definition is a schedule definition that a user has submitted, compiled and as stored.
 type definition struct {
 	compiled *schedule.Def
 	file     json.RawMessage
 }
 
-// put creates a schedule, or replaces the definition of job if that is not nil.
-func (s *Scheduler) put(job *recurringJob, call request.Request) {
+// put creates a schedule, or replaces the definition of sched if that is not nil.
+func (s *Scheduler) put(sched *scheduleState, call request.Request) {
 	params := call.Schedule
-	def, refusal := s.check(params.File)
+	def, refusal := s.validate(params.File)
 	switch {
 	case refusal != nil:
 		s.leader.Answer(call, *refusal)
-	case job != nil:
-		s.replace(job, def, call)
+	case sched != nil:
+		s.replace(sched, def, call)
 	case params.IfMatch != "" && params.IfMatch != request.NewOnly:
-		s.leader.Answer(call, request.Response{Status: 412, Field: "name", Reason: "there is no schedule of this name"})
+		s.leader.Answer(call, request.Response{Status: 412, Field: "name", Reason: "no schedule with this name exists"})
 	default:
 		s.createSchedule(def, call)
 	}
 }
 
-// check compiles a definition; refusal is the response to one that is not accepted, or nil.
-func (s *Scheduler) check(file *schedule.File) (def definition, refusal *request.Response) {
-	if file == nil { // from a controller of another version
-		return definition{}, &request.Response{Status: 400, Field: "name", Reason: "no schedule in the request"}
+// validate compiles a definition. If it is not accepted, refusal is the error response;
+// otherwise refusal is nil.
+func (s *Scheduler) validate(file *schedule.File) (def definition, refusal *request.Response) {
+	if file == nil { // possible if the request comes from a controller of another version
+		return definition{}, &request.Response{Status: 400, Field: "name", Reason: "the request contains no schedule definition"}
 	}
 	compiled, err := file.Compile(s.settings.Calendars)
 	if err == nil && !compiled.Timing.Occurs(calendar.Wall(s.engine.TimeOfDay(), compiled.Timing.Zone())) {
-		err = &calendar.FieldError{Field: "rule", Reason: "never occurs from now on"}
+		err = &calendar.FieldError{Field: "rule", Reason: "has no future occurrence"}
 	}
 	if fe := (*calendar.FieldError)(nil); errors.As(err, &fe) {
 		return definition{}, &request.Response{Status: 400, Field: fe.Field, Reason: fe.Error()}
 	}
 	data, err := json.Marshal(file)
-	if err != nil || !s.leader.FitsValue(firstRecord(data).Size()) {
-		return definition{}, &request.Response{Status: 400, Field: "at", Reason: "at, rule or job: the description is too long"}
+	if err != nil || !s.leader.FitsValue(initialRecord(data).Size()) {
+		return definition{}, &request.Response{Status: 400, Field: "at", Reason: "at, rule or job: the definition is too long"}
 	}
-	if refusal := s.checkJob(compiled); refusal != nil {
+	if refusal := s.validateJob(compiled); refusal != nil {
 		return definition{}, refusal
 	}
 	return definition{compiled: compiled, file: data}, nil
 }
 
-// checkJob checks whether the jobs of a schedule can run at all.
-func (s *Scheduler) checkJob(compiled *schedule.Def) (refusal *request.Response) {
+// validateJob checks that the cluster can run the jobs of a schedule.
+func (s *Scheduler) validateJob(compiled *schedule.Def) (refusal *request.Response) {
 	if !s.leader.CatalogRead() {
 		response := request.Unavailable("the machine types are not known yet")
 		return &response
@@ -73,118 +74,119 @@
 	return nil
 }
 
-// replace writes a new definition of a schedule.
-func (s *Scheduler) replace(job *recurringJob, def definition, call request.Request) {
-	cursor, missed := def.compiled.Edited(job.definition, job.record.Cursor, s.engine.TimeOfDay())
-	job.requester = &call
-	s.write(job, recordChange{
+// replace writes a new definition of an existing schedule.
+func (s *Scheduler) replace(sched *scheduleState, def definition, call request.Request) {
+	cursor, missed := def.compiled.Edited(sched.definition, sched.record.Cursor, s.engine.TimeOfDay())
+	sched.requester = &call
+	s.write(sched, recordChange{
 		priority: writebatch.Urgent,
 		apply: func(r *schedule.Record) {
 			r.File = def.file
 			r.Edition++
 			r.Pass(cursor, missed)
 		},
-		done: func() {
-			s.reportMissed(job, missed)
-			job.definition, job.problem, job.awaitingPrevious = def.compiled, "", false
-			s.engine.Log(slog.LevelInfo, "schedule edited", "schedule", job.name, "edition", job.record.Edition)
-			s.reply(job, describe(job, 200))
+		onCommit: func() {
+			s.reportMissed(sched, missed)
+			sched.definition, sched.disabledReason, sched.awaitingPrevious = def.compiled, "", false
+			s.engine.Log(slog.LevelInfo, "schedule edited", "schedule", sched.name, "edition", sched.record.Edition)
+			s.reply(sched, scheduleResponse(sched, 200))
 		},
 	})
 }
 
-// firstRecord returns the first record of a schedule, without number and cursor.
-func firstRecord(file json.RawMessage) *schedule.Record {
+// initialRecord returns the first record of a schedule, without its number and cursor.
+func initialRecord(file json.RawMessage) *schedule.Record {
 	return &schedule.Record{File: file, Edition: 1}
 }
 
-// createSchedule gives a new schedule its number and writes its first record.
+// createSchedule allocates a number for a new schedule and writes its first record.
 func (s *Scheduler) createSchedule(def definition, call request.Request) {
-	job := &recurringJob{name: call.Schedule.Name, writing: true, requester: &call}
-	s.byName[job.name] = job
+	sched := &scheduleState{name: call.Schedule.Name, writeInFlight: true, requester: &call}
+	s.byName[sched.name] = sched
 	s.numbers.allocate(func(number uint64, ok bool) {
 		if !ok {
-			delete(s.byName, job.name)
-			s.reply(job, request.Unavailable("the state service does not answer"))
+			delete(s.byName, sched.name)
+			s.reply(sched, request.Unavailable("no schedule number could be reserved in the state service"))
 			return
 		}
-		rec := firstRecord(def.file)
+		rec := initialRecord(def.file)
 		rec.Number, rec.Cursor = number, def.compiled.From(s.engine.TimeOfDay())
-		s.writeFirst(job, rec)
+		s.writeInitialRecord(sched, rec)
 	})
 }
 
-// writeFirst writes the first record of a schedule.
-func (s *Scheduler) writeFirst(job *recurringJob, rec *schedule.Record) {
+// writeInitialRecord writes the first record of a schedule.
+func (s *Scheduler) writeInitialRecord(sched *scheduleState, rec *schedule.Record) {
 	change := &writebatch.Change{
 		Size:       rec.Size(),
-		Conditions: s.isNew(job),
-		Writes:     []kv.Write{{Key: job.key(), Value: rec}},
+		Conditions: s.creationConditions(sched),
+		Writes:     []kv.Write{{Key: sched.key(), Value: rec}},
 	}
 	change.OnCommit = func(revision uint64) {
-		s.engine.Log(slog.LevelInfo, "schedule created", "schedule", job.name, "number", rec.Number)
-		s.finishCreation(job, rec, revision)
+		s.engine.Log(slog.LevelInfo, "schedule created", "schedule", sched.name, "number", rec.Number)
+		s.finishCreation(sched, rec, revision)
 	}
-	change.OnConflict = func() { // an earlier try whose outcome was not known may have been applied
-		s.readRecord(job, func(found *schedule.Record, revision uint64) {
+	change.OnConflict = func() { // an earlier attempt with an unknown outcome may have been applied
+		s.readRecord(sched, func(found *schedule.Record, revision uint64) {
 			if found != nil {
-				s.finishCreation(job, found, revision)
+				s.finishCreation(sched, found, revision)
 				return
 			}
-			// Another schedule was removed meanwhile.
+			// Another schedule has been removed in the meantime.
 			s.leader.ReadBack(record.ScheduleNumberKey, func(numbers kv.Entry, _ bool) {
 				s.numbers.revision = numbers.Rev
-				change.Conditions = s.isNew(job)
+				change.Conditions = s.creationConditions(sched)
 				s.leader.Write(change)
 			})
 		})
 	}
 	change.OnReject = func() {
-		delete(s.byName, job.name)
-		s.reply(job, request.Response{Status: 400, Field: "name", Reason: "the state service rejects the record"})
+		delete(s.byName, sched.name)
+		s.reply(sched, request.Response{Status: 400, Field: "name", Reason: "the state service rejected the record"})
 	}
 	s.leader.Write(change)
 }
 
-// finishCreation takes a schedule whose first record is written into use.
-func (s *Scheduler) finishCreation(job *recurringJob, rec *schedule.Record, revision uint64) {
-	job.record, job.revision = rec, revision
-	s.add(job)
-	s.finishWrite(job, func() { s.reply(job, describe(job, 201)) })
+// finishCreation adds a schedule whose first record has been committed and answers the
+// requester.
+func (s *Scheduler) finishCreation(sched *scheduleState, rec *schedule.Record, revision uint64) {
+	sched.record, sched.revision = rec, revision
+	s.addToMemory(sched)
+	s.finishWrite(sched, func() { s.reply(sched, scheduleResponse(sched, 201)) })
 }
 
-// isNew returns the conditions on which the first record of a schedule is written. A try
-// that was not answered may be carried out late, after the schedule was removed again: with
-// every removal the record of the numbers is written as well, so that such a try finds
-// another revision of it.
-func (s *Scheduler) isNew(job *recurringJob) []kv.Condition {
-	return []kv.Condition{{Key: job.key(), Rev: 0}, {Key: record.ScheduleNumberKey, Rev: s.numbers.revision}}
+// creationConditions returns the conditions on the write of a schedule's first record. An
+// attempt without a response may be applied late, after the schedule has been removed
+// again. Every removal therefore also writes the record of schedule numbers, which changes
+// its revision and makes such an attempt fail.
+func (s *Scheduler) creationConditions(sched *scheduleState) []kv.Condition {
+	return []kv.Condition{{Key: sched.key(), Rev: 0}, {Key: record.ScheduleNumberKey, Rev: s.numbers.revision}}
 }
 
-// remove removes a schedule.
-func (s *Scheduler) remove(job *recurringJob, call request.Request) {
-	job.writing, job.requester = true, &call
-	job.generation++
+// remove deletes a schedule's record and, once that is committed, the schedule itself.
+func (s *Scheduler) remove(sched *scheduleState, call request.Request) {
+	sched.writeInFlight, sched.requester = true, &call
+	sched.generation++
 	change := &writebatch.Change{}
-	change.OnCommit = func(uint64) { s.finishRemoval(job) }
+	change.OnCommit = func(uint64) { s.finishRemoval(sched) }
 	change.OnConflict = func() {
-		s.readRecord(job, func(found *schedule.Record, revision uint64) {
+		s.readRecord(sched, func(found *schedule.Record, revision uint64) {
 			if found == nil {
-				s.finishRemoval(job)
+				s.finishRemoval(sched)
 				return
 			}
-			s.writeRemoval(job, change, revision)
+			s.writeRemoval(sched, change, revision)
 		})
 	}
-	s.writeRemoval(job, change, job.revision)
+	s.writeRemoval(sched, change, sched.revision)
 }
 
-// writeRemoval queues the change that removes a record of the given revision, and writes
-// the record of the numbers with it, see isNew.
-func (s *Scheduler) writeRemoval(job *recurringJob, change *writebatch.Change, revision uint64) {
+// writeRemoval queues the deletion of a schedule's record at the given revision. It also
+// rewrites the record of schedule numbers; creationConditions explains why.
+func (s *Scheduler) writeRemoval(sched *scheduleState, change *writebatch.Change, revision uint64) {
 	s.leader.ReadBack(record.ScheduleNumberKey, func(numbers kv.Entry, found bool) {
-		change.Conditions = []kv.Condition{{Key: job.key(), Rev: revision}, {Key: record.ScheduleNumberKey, Rev: numbers.Rev}}
-		change.Writes = []kv.Write{{Key: job.key()}}
+		change.Conditions = []kv.Condition{{Key: sched.key(), Rev: revision}, {Key: record.ScheduleNumberKey, Rev: numbers.Rev}}
+		change.Writes = []kv.Write{{Key: sched.key()}}
 		if found && numbers.Value != nil {
 			change.Writes = append(change.Writes, kv.Write{Key: record.ScheduleNumberKey, Value: numbers.Value})
 		}
@@ -192,39 +194,39 @@
 	})
 }
 
-// finishRemoval drops a schedule whose record is gone.
-func (s *Scheduler) finishRemoval(job *recurringJob) {
-	s.leader.DropReplica(job.key())
-	s.engine.Log(slog.LevelInfo, "schedule removed", "schedule", job.name)
-	s.reply(job, request.Response{Status: 200, Doc: map[string]string{"name": job.name, "status": "removed"}})
-	s.forget(job)
+// finishRemoval removes a schedule whose record has been deleted and answers the requester.
+func (s *Scheduler) finishRemoval(sched *scheduleState) {
+	s.leader.DropReplica(sched.key())
+	s.engine.Log(slog.LevelInfo, "schedule removed", "schedule", sched.name)
+	s.reply(sched, request.Response{Status: 200, Doc: map[string]string{"name": sched.name, "status": "removed"}})
+	s.removeFromMemory(sched)
 }
 
-// pause pauses a schedule or resumes it. Occurrences that would have run in between do
-// not run.
-func (s *Scheduler) pause(job *recurringJob, call request.Request) {
+// pause pauses or resumes a schedule, depending on the operation of the request. Occurrences
+// in between are skipped.
+func (s *Scheduler) pause(sched *scheduleState, call request.Request) {
 	paused := call.Op == request.SchedulePause
-	if job.record.Paused == paused {
-		s.leader.Answer(call, describe(job, 200))
+	if sched.record.Paused == paused {
+		s.leader.Answer(call, scheduleResponse(sched, 200))
 		return
 	}
-	cursor := job.record.Cursor
+	cursor := sched.record.Cursor
 	var missed []schedule.Passed
-	if !paused && job.definition != nil {
-		cursor, missed = job.definition.Resumed(cursor, s.engine.TimeOfDay())
+	if !paused && sched.definition != nil {
+		cursor, missed = sched.definition.Resumed(cursor, s.engine.TimeOfDay())
 	}
-	job.requester = &call
-	s.write(job, recordChange{
+	sched.requester = &call
+	s.write(sched, recordChange{
 		priority: writebatch.Urgent,
 		apply: func(r *schedule.Record) {
 			r.Paused = paused
 			r.Edition++
 			r.Pass(cursor, missed)
 		},
-		done: func() {
-			s.reportMissed(job, missed)
-			job.awaitingPrevious = false
-			s.reply(job, describe(job, 200))
+		onCommit: func() {
+			s.reportMissed(sched, missed)
+			sched.awaitingPrevious = false
+			s.reply(sched, scheduleResponse(sched, 200))
 		},
 	})
 }
--- a/internal/recurring/helpers_test.go
+++ b/internal/recurring/helpers_test.go
@@ -21,57 +21,57 @@
 	"yewpass/internal/writebatch"
 )
 
-// begin is half an hour before the nightly schedule's next occurrence.
-var begin = time.Date(2030, 6, 3, 0, 30, 0, 0, time.UTC)
+// startTime is half an hour before the nightly schedule's next occurrence.
+var startTime = time.Date(2030, 6, 3, 0, 30, 0, 0, time.UTC)
 
 const nightly = `{"name":"nightly","zone":"UTC","rule":"FREQ=DAILY","at":["01:00"],"due_at":"03:00","job":{"jobclass":"c","owner":"t",
 "shape":"array","urgency":"urgent","shards":1,"vcpus":1,"gpus":0,"memGb":1,"bundle":"img","sizeGb":1,"samePlace":false,"apart":false,"reclaimable":true,
 "runtimeS":60,"snapshotEveryS":0,"snapshotS":0}}`
 
-// leader is a leader whose writes are applied, or not, by the test.
-type leader struct {
+// fakeLeader implements recurring.Leader. The test decides which queued writes are applied.
+type fakeLeader struct {
 	testing.TB
 	*engine.Engine
 	scope     *engine.Scope
 	scheduler *recurring.Scheduler
 
-	jobs       map[string]*fleet.Job
-	stored     map[string]kv.Entry
-	revision   uint64
-	writes     []*writebatch.Change
-	responses  []request.Response
-	submitted  []string
-	refused    bool // admission refuses all jobs for now
-	impossible string
+	jobs      map[string]*fleet.Job
+	stored    map[string]kv.Entry
+	revision  uint64
+	writes    []*writebatch.Change
+	responses []request.Response
+	submitted []string
+	refused   bool   // if true, admission refuses all jobs for now
+	reason    string // returned by Unschedulable
 }
 
-func newLeader(t *testing.T) *leader {
+func newLeader(t *testing.T) *fakeLeader {
 	t.Helper()
-	l := &leader{
+	l := &fakeLeader{
 		TB:     t,
 		Engine: engine.New(rand.New(rand.NewPCG(1, 2)), 0),
 		jobs:   map[string]*fleet.Job{},
 		stored: map[string]kv.Entry{},
 	}
-	l.Begin(begin)
+	l.Begin(startTime)
 	l.scope = l.NewScope()
 	settings := recurring.Settings{Calendars: calendar.NewSet(nil), Term: 1, TickInterval: 500 * time.Millisecond}
 	l.scheduler = recurring.New(l.Engine, l.scope, settings, l)
 	return l
 }
 
-// load has the scheduler read what is stored.
-func (l *leader) load() {
+// load makes the scheduler load the stored schedules.
+func (l *fakeLeader) load() {
 	l.Helper()
 	l.scheduler.Load(func() {})
 	l.serveStore()
 	if !l.scheduler.Loaded() {
-		l.Fatal("the schedules are not loaded")
+		l.Fatal("Loaded() = false after the schedules were read")
 	}
 }
 
-// serveStore answers the calls to the store of this step.
-func (l *leader) serveStore() {
+// serveStore answers the key-value store calls of the current step.
+func (l *fakeLeader) serveStore() {
 	outputs := slices.Clone(l.Outputs)
 	l.Outputs = l.Outputs[:0]
 	for _, output := range outputs {
@@ -95,8 +95,8 @@
 	}
 }
 
-// advance lets time pass in steps of the tick interval.
-func (l *leader) advance(d time.Duration) {
+// advance moves the clock forward in steps of the tick interval.
+func (l *fakeLeader) advance(d time.Duration) {
 	for end := l.Now.Add(d); l.Now.Before(end); {
 		l.Begin(l.Now.Add(500 * time.Millisecond))
 		l.RunTimers()
@@ -105,19 +105,19 @@
 	}
 }
 
-// store puts a record into the store as an earlier leader has left it.
-func (l *leader) store(key string, value any) {
+// store puts a record into the key-value store, as an earlier leader would have written it.
+func (l *fakeLeader) store(key string, value any) {
 	l.revision++
 	l.stored[key] = kv.Entry{Key: key, Value: value, Rev: l.revision}
 }
 
-// storeNightly stores the nightly schedule, decided up to now.
-func (l *leader) storeNightly() {
+// storeNightly stores the nightly schedule with its cursor at the current time.
+func (l *fakeLeader) storeNightly() {
 	l.store(record.SchedulePrefix+"nightly", &schedule.Record{Number: 7, Seq: 1, Edition: 1, File: json.RawMessage(nightly), Cursor: schedule.Cursor{Nominal: l.Now}})
 }
 
-// takeWrite removes the only queued change from the queue.
-func (l *leader) takeWrite() *writebatch.Change {
+// takeWrite removes the only queued change from the queue and returns it.
+func (l *fakeLeader) takeWrite() *writebatch.Change {
 	l.Helper()
 	if len(l.writes) != 1 {
 		l.Fatalf("%d changes are queued, want 1", len(l.writes))
@@ -125,13 +125,13 @@
 	change := l.writes[0]
 	l.writes = nil
 	if change.Prepare != nil && !change.Prepare() {
-		l.Fatal("the change is void")
+		l.Fatal("Prepare() = false, want a change to write")
 	}
 	return change
 }
 
-// apply writes a change into the store if its conditions hold.
-func (l *leader) apply(change *writebatch.Change) bool {
+// apply writes a change to the store and reports whether its conditions were met.
+func (l *fakeLeader) apply(change *writebatch.Change) bool {
 	for _, condition := range change.Conditions {
 		if l.stored[condition.Key].Rev != condition.Rev {
 			return false
@@ -148,8 +148,8 @@
 	return true
 }
 
-// commit applies the only queued change and reports the outcome.
-func (l *leader) commit() {
+// commit applies the only queued change and reports the outcome to its callbacks.
+func (l *fakeLeader) commit() {
 	l.Helper()
 	change := l.takeWrite()
 	if l.apply(change) {
@@ -160,8 +160,8 @@
 	l.serveStore()
 }
 
-// ask serves a request and returns its response, or nil if it waits.
-func (l *leader) ask(op request.Operation, params request.ScheduleParams) *request.Response {
+// send serves a request and returns its response, or nil if the request waits.
+func (l *fakeLeader) send(op request.Operation, params request.ScheduleParams) *request.Response {
 	n := len(l.responses)
 	l.scheduler.Serve(request.Request{Ref: uint64(n), Op: op, Schedule: &params})
 	l.serveStore()
@@ -171,8 +171,8 @@
 	return &l.responses[n]
 }
 
-// history returns the states of the nightly schedule's stored history.
-func (l *leader) history() (states []string) {
+// history returns the states of the entries in the nightly schedule's stored history.
+func (l *fakeLeader) history() (states []string) {
 	entries, _ := l.stored[record.SchedulePrefix+"nightly"].Value.(*schedule.Record).Entries()
 	for _, entry := range entries {
 		states = append(states, entry.State)
@@ -182,44 +182,44 @@
 
 // The methods below implement recurring.Leader.
 
-func (l *leader) Job(id string) *fleet.Job { return l.jobs[id] }
+func (l *fakeLeader) Job(id string) *fleet.Job { return l.jobs[id] }
 
-func (l *leader) FinalState(string) (spec.JobState, bool) { return "", false }
+func (l *fakeLeader) FinalState(string) (spec.JobState, bool) { return "", false }
 
-func (l *leader) ReadJob(id string, f func(status *request.JobStatus, known bool)) { f(nil, true) }
+func (l *fakeLeader) ReadJob(id string, f func(status *request.JobStatus, known bool)) { f(nil, true) }
 
-func (l *leader) AddJob(rec *record.Job) {
+func (l *fakeLeader) AddJob(rec *record.Job) {
 	l.Helper()
 	if l.jobs[rec.Spec.ID] != nil {
-		l.Fatalf("%s is added twice", rec.Spec.ID)
+		l.Fatalf("job %s is added twice", rec.Spec.ID)
 	}
 	l.jobs[rec.Spec.ID] = &fleet.Job{Spec: rec.Spec}
 	l.scheduler.JobAdded(l.jobs[rec.Spec.ID])
 }
 
-func (l *leader) CatalogRead() bool { return true }
+func (l *fakeLeader) CatalogRead() bool { return true }
 
-func (l *leader) Unschedulable(*spec.Job) (field, reason string) { return "vcpus", l.impossible }
+func (l *fakeLeader) Unschedulable(*spec.Job) (field, reason string) { return "vcpus", l.reason }
 
-func (l *leader) AdmissionRefused(*spec.Job) (time.Duration, bool) { return 0, l.refused }
+func (l *fakeLeader) AdmissionRefused(*spec.Job) (time.Duration, bool) { return 0, l.refused }
 
-func (l *leader) FitsValue(size int) bool { return size <= 16<<10 }
+func (l *fakeLeader) FitsValue(size int) bool { return size <= 16<<10 }
 
-func (l *leader) Write(change *writebatch.Change) { l.writes = append(l.writes, change) }
+func (l *fakeLeader) Write(change *writebatch.Change) { l.writes = append(l.writes, change) }
 
-func (l *leader) WakeWriter() {}
+func (l *fakeLeader) WakeWriter() {}
 
-func (l *leader) ReadBack(key string, f func(entry kv.Entry, found bool)) {
+func (l *fakeLeader) ReadBack(key string, f func(entry kv.Entry, found bool)) {
 	entry, found := l.stored[key]
 	f(entry, found)
 }
 
-func (l *leader) Replicate(kv.Entry) {}
+func (l *fakeLeader) Replicate(kv.Entry) {}
 
-func (l *leader) DropReplica(string) {}
+func (l *fakeLeader) DropReplica(string) {}
 
-func (l *leader) Answer(_ request.Request, response request.Response) {
+func (l *fakeLeader) Answer(_ request.Request, response request.Response) {
 	l.responses = append(l.responses, response)
 }
 
-func (l *leader) Serve(call request.Request) { l.submitted = append(l.submitted, call.ID) }
+func (l *fakeLeader) Serve(call request.Request) { l.submitted = append(l.submitted, call.ID) }
--- a/internal/recurring/history.go
+++ b/internal/recurring/history.go
@@ -11,18 +11,18 @@
 	"yewpass/internal/writebatch"
 )
 
-// historyDelay is how long changes of a history are collected before they are written.
+// historyDelay is how long history changes are collected before they are written.
 const historyDelay = 2 * time.Second
 
-// JobAdded is called when the leader has taken on a new job. One that a user has asked a
-// schedule for goes into the schedule's history.
+// JobAdded is called when the leader has accepted a new job. If a user has requested it as
+// a manual run of a schedule, it is added to the schedule's history.
 func (s *Scheduler) JobAdded(live *fleet.Job) {
-	job := s.manualRuns[live.Spec.ID]
-	if job == nil {
+	sched := s.manualRuns[live.Spec.ID]
+	if sched == nil {
 		return
 	}
 	delete(s.manualRuns, live.Spec.ID)
-	if job.removed {
+	if sched.removed {
 		return
 	}
 	now := s.engine.TimeOfDay()
@@ -30,124 +30,126 @@
 	if live.Spec.HasDeadline {
 		entry.Due = entry.Made.Add(live.Spec.Deadline)
 	}
-	s.byJob[live] = job
-	job.pendingEntries = append(job.pendingEntries, entry)
-	if !job.writing {
-		s.applyPendingEntries(job)
+	s.byJob[live] = sched
+	sched.pendingEntries = append(sched.pendingEntries, entry)
+	if !sched.writeInFlight {
+		s.applyPendingEntries(sched)
 	}
 }
 
-// applyPendingEntries adds to the history what came up while a write was in flight, which
-// would have replaced it.
-func (s *Scheduler) applyPendingEntries(job *recurringJob) {
-	for _, entry := range job.pendingEntries {
-		job.record.Note(entry)
+// applyPendingEntries adds the entries that arrived while a write was in flight to the
+// history. Adding them earlier would have lost them when the committed record replaced the
+// one in memory.
+func (s *Scheduler) applyPendingEntries(sched *scheduleState) {
+	for _, entry := range sched.pendingEntries {
+		sched.record.Note(entry)
 		if live := s.leader.Job(entry.Job); live != nil {
-			s.watchDeadline(job, live, entry.Due)
+			s.watchDeadline(sched, live, entry.Due)
 		} else if state, ok := s.leader.FinalState(entry.Job); ok {
-			s.finishOccurrence(job, entry.Job, state, s.engine.TimeOfDay())
+			s.finishOccurrence(sched, entry.Job, state, s.engine.TimeOfDay())
 		}
-		s.flushHistory(job)
+		s.flushHistory(sched)
 	}
-	job.pendingEntries = nil
+	sched.pendingEntries = nil
 }
 
-// watchDeadline notes when the deadline of an occurrence passes before its job has ended.
-func (s *Scheduler) watchDeadline(job *recurringJob, live *fleet.Job, due time.Time) {
+// watchDeadline sets a timer that records a missed deadline if the job has not ended by due.
+func (s *Scheduler) watchDeadline(sched *scheduleState, live *fleet.Job, due time.Time) {
 	if due.IsZero() {
 		return
 	}
 	id := live.Spec.ID
 	s.scope.After(max(0, due.Sub(s.engine.TimeOfDay())), func() {
-		if s.leader.Job(id) != live || live.Cancelled || job.removed {
+		if s.leader.Job(id) != live || live.Cancelled || sched.removed {
 			return
 		}
-		if entry, ok := job.record.Entry(id); ok && !entry.Late {
-			s.noteLate(job, entry)
+		if entry, ok := sched.record.Entry(id); ok && !entry.Late {
+			s.recordDeadlineMiss(sched, entry)
 		}
 	})
 }
 
-// noteLate notes that an occurrence has missed its deadline.
-func (s *Scheduler) noteLate(job *recurringJob, entry schedule.Entry) {
-	job.record.Update(entry.Job, func(entry *schedule.Entry) { entry.Late = true })
-	job.record.Late++
-	s.flushHistory(job)
+// recordDeadlineMiss marks an occurrence as late in the history, and logs and counts it.
+func (s *Scheduler) recordDeadlineMiss(sched *scheduleState, entry schedule.Entry) {
+	sched.record.Update(entry.Job, func(entry *schedule.Entry) { entry.Late = true })
+	sched.record.Late++
+	s.flushHistory(sched)
 	s.late++
-	s.engine.Log(slog.LevelWarn, "occurrence missed its deadline", "schedule", job.name, "planned", entry.Planned, "due", entry.Due, "job", entry.Job)
+	s.engine.Log(slog.LevelWarn, "occurrence missed its deadline", "schedule", sched.name, "planned", entry.Planned, "due", entry.Due, "job", entry.Job)
 }
 
-// JobStarted is called when a task of a job has started.
+// JobStarted is called when a task of a job has started. It records the start time of the
+// occurrence once.
 func (s *Scheduler) JobStarted(live *fleet.Job) {
-	job := s.byJob[live]
-	if job == nil || live.StartNoted || job.removed {
+	sched := s.byJob[live]
+	if sched == nil || live.StartNoted || sched.removed {
 		return
 	}
 	live.StartNoted = true
-	if entry, ok := job.record.Entry(live.Spec.ID); ok && entry.Started.IsZero() {
-		job.record.Update(live.Spec.ID, func(entry *schedule.Entry) { entry.Started = s.engine.TimeOfDay() })
-		s.flushHistory(job)
+	if entry, ok := sched.record.Entry(live.Spec.ID); ok && entry.Started.IsZero() {
+		sched.record.Update(live.Spec.ID, func(entry *schedule.Entry) { entry.Started = s.engine.TimeOfDay() })
+		s.flushHistory(sched)
 	}
 }
 
-// JobFinished is called when the end of a job has been recorded.
+// JobFinished is called when the final state of a job has been recorded.
 func (s *Scheduler) JobFinished(live *fleet.Job, state spec.JobState) {
-	if job := s.byJob[live]; job != nil {
+	if sched := s.byJob[live]; sched != nil {
 		delete(s.byJob, live)
-		s.finishOccurrence(job, live.Spec.ID, state, s.engine.TimeOfDay())
+		s.finishOccurrence(sched, live.Spec.ID, state, s.engine.TimeOfDay())
 	}
 }
 
-// finishOccurrence notes that the job of an occurrence has ended; a schedule that waited
-// for it goes on.
-func (s *Scheduler) finishOccurrence(job *recurringJob, id string, state spec.JobState, at time.Time) {
-	if job.removed {
+// finishOccurrence records the end of an occurrence's job. A schedule that waited for this
+// job is queued again.
+func (s *Scheduler) finishOccurrence(sched *scheduleState, id string, state spec.JobState, at time.Time) {
+	if sched.removed {
 		return
 	}
-	if entry, ok := job.record.Entry(id); ok && entry.State == schedule.StateMade {
-		job.record.Update(id, func(entry *schedule.Entry) {
+	if entry, ok := sched.record.Entry(id); ok && entry.State == schedule.StateMade {
+		sched.record.Update(id, func(entry *schedule.Entry) {
 			entry.Ended, entry.State = at, schedule.StateDone
 			if state == spec.Cancelled {
 				entry.State = schedule.StateCancelled
 			}
 		})
 		if state != spec.Cancelled && !entry.Due.IsZero() && at.After(entry.Due) && !entry.Late {
-			s.noteLate(job, entry)
+			s.recordDeadlineMiss(sched, entry)
 		}
-		s.flushHistory(job)
+		s.flushHistory(sched)
 	}
-	if job.awaitingPrevious && id == job.record.LastJob {
-		job.awaitingPrevious = false
-		s.planNext(job)
+	if sched.awaitingPrevious && id == sched.record.LastJob {
+		sched.awaitingPrevious = false
+		s.planNext(sched)
 	}
 }
 
-// flushHistory has a changed history written after a delay, unless another write of the
-// schedule takes it along before.
-func (s *Scheduler) flushHistory(job *recurringJob) {
-	job.historyDirty = true
-	if job.flushScheduled {
+// flushHistory schedules a write of a changed history after historyDelay. The write is
+// dropped if another write of the schedule includes the change before.
+func (s *Scheduler) flushHistory(sched *scheduleState) {
+	sched.historyChanged = true
+	if sched.flushScheduled {
 		return
 	}
-	job.flushScheduled = true
-	s.scope.After(historyDelay, func() { s.leader.Write(s.historyChange(job)) })
+	sched.flushScheduled = true
+	s.scope.After(historyDelay, func() { s.leader.Write(s.historyChange(sched)) })
 }
 
-// historyChange returns a change that takes up the history as it is when the change goes.
-func (s *Scheduler) historyChange(job *recurringJob) *writebatch.Change {
-	change := &writebatch.Change{Priority: writebatch.Bulk, Writes: []kv.Write{{Key: job.key()}}, Size: job.record.Size()}
+// historyChange returns a change that writes the history as of when the change is sent.
+func (s *Scheduler) historyChange(sched *scheduleState) *writebatch.Change {
+	change := &writebatch.Change{Priority: writebatch.Bulk, Writes: []kv.Write{{Key: sched.key()}}, Size: sched.record.Size()}
 	prepared := false
 	change.Prepare = func() bool {
 		if prepared {
-			return true // it may have been executed: a retry has to be the same
+			return true // the write may have been applied, so a retry must be identical
 		}
-		job.flushScheduled = false
-		if job.removed || !job.historyDirty || job.writing {
-			return false // the end of the write in flight sees to it
+		sched.flushScheduled = false
+		if sched.removed || !sched.historyChanged || sched.writeInFlight {
+			return false // finishWrite flushes the history if a write is in flight
 		}
-		prepared, job.writing, job.historyDirty = true, true, false
-		job.generation++
-		s.prepare(job, change, recordChange{apply: func(*schedule.Record) {}, done: func() {}})
+		prepared, sched.writeInFlight, sched.historyChanged = true, true, false
+		sched.generation++
+		s.prepare(sched, change, recordChange{apply: func(*schedule.Record) {}, onCommit: func() {}})
 		return true
 	}
 	return change
--- a/internal/recurring/job.go
+++ b/internal/recurring/job.go
@@ -12,64 +12,64 @@
 	"yewpass/internal/schedule"
 )
 
-// recurringJob is one schedule.
-type recurringJob struct {
-	name       string
-	record     *schedule.Record // nil while it is being created
-	revision   uint64
-	definition *schedule.Def // nil if this leader cannot use it, see problem
-	problem    string
-	removed    bool
+// scheduleState is the in-memory state of one schedule.
+type scheduleState struct {
+	name           string
+	record         *schedule.Record // nil while it is being created
+	revision       uint64           // of the record in the key-value store
+	definition     *schedule.Def    // nil if it cannot be compiled, see disabledReason
+	disabledReason string
+	removed        bool
 
-	writing   bool              // a write is in flight: other changes wait for it
-	requester *request.Request  // the user who waits for that write, or nil
-	waiting   []request.Request // requests to be served after it
+	writeInFlight   bool              // other changes wait until it is finished
+	requester       *request.Request  // the request that caused the write, or nil
+	waitingRequests []request.Request // served after the write
 
-	generation       uint64    // of its entry in a queue
-	awaitingPrevious bool      // the job of the previous occurrence has to end first
-	notBefore        time.Time // admission was refused until then
+	generation       uint64    // of its current queue entry
+	awaitingPrevious bool      // the next occurrence waits for the job of the previous one
+	notBefore        time.Time // earliest time of the next attempt after a refused admission
 
-	pendingEntries []schedule.Entry // history entries that came up while a write was in flight
-	historyDirty   bool             // the history has changed since it was written
+	pendingEntries []schedule.Entry // history entries that arrived while a write was in flight
+	historyChanged bool             // since the last write
 	flushScheduled bool
 }
 
-func (job *recurringJob) key() string { return record.SchedulePrefix + job.name }
+func (sched *scheduleState) key() string { return record.SchedulePrefix + sched.name }
 
-// hasDefinition reports whether the schedule has this definition already.
-func (job *recurringJob) hasDefinition(file *schedule.File) bool {
+// hasDefinition reports whether the stored definition is identical to file.
+func (sched *scheduleState) hasDefinition(file *schedule.File) bool {
 	data, err := json.Marshal(file)
-	return err == nil && bytes.Equal(data, job.record.File)
+	return err == nil && bytes.Equal(data, sched.record.File)
 }
 
-// nextOccurrence returns the next occurrence as users see it, or nil.
-func (job *recurringJob) nextOccurrence() *schedule.Upcoming {
-	if job.definition == nil || job.record.Paused {
+// nextOccurrence returns the next occurrence as shown to users, or nil if there is none.
+func (sched *scheduleState) nextOccurrence() *schedule.Upcoming {
+	if sched.definition == nil || sched.record.Paused {
 		return nil
 	}
-	occurrence, ok := job.definition.Next(job.record.Cursor)
+	occurrence, ok := sched.definition.Next(sched.record.Cursor)
 	if !ok {
 		return nil
 	}
-	return job.definition.Tell(job.record.Number, occurrence)
+	return sched.definition.Tell(sched.record.Number, occurrence)
 }
 
-// compile reads the definition in a schedule's record. One that this leader cannot read,
-// perhaps because its operators' file lacks the calendar, creates no jobs: none is better
-// than one on a holiday.
-func (s *Scheduler) compile(job *recurringJob) {
-	job.definition, job.problem = nil, ""
-	definition, err := s.parse(job.record.File)
+// compile compiles the definition in a schedule's record. A definition that this leader
+// cannot compile, for example because its calendar is missing from the operators' file,
+// disables the schedule: creating no job is safer than creating one on a holiday.
+func (s *Scheduler) compile(sched *scheduleState) {
+	sched.definition, sched.disabledReason = nil, ""
+	definition, err := s.parse(sched.record.File)
 	if err != nil {
-		job.problem = err.Error()
-		s.engine.Log(slog.LevelError, "schedule disabled", "schedule", job.name, "reason", job.problem)
+		sched.disabledReason = err.Error()
+		s.engine.Log(slog.LevelError, "schedule disabled", "schedule", sched.name, "reason", sched.disabledReason)
 		return
 	}
-	job.definition = definition
+	sched.definition = definition
 }
 
-// parse compiles a stored definition. A panic of the library that reads the rule becomes
-// an error, so that one schedule cannot stop all of them.
+// parse compiles a stored definition. It converts a panic of the recurrence rule library
+// to an error, so that one bad schedule does not stop the others.
 func (s *Scheduler) parse(data []byte) (definition *schedule.Def, err error) {
 	file, err := schedule.ParseJSON(data)
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("cannot be read: %v", p)
+			err = fmt.Errorf("compiling the definition: %v", p)
 		}
 	}()
 	return file.Compile(s.settings.Calendars)
--- a/internal/recurring/leader.go
+++ b/internal/recurring/leader.go
@@ -11,7 +11,7 @@
 	"yewpass/internal/writebatch"
 )
 
-// Leader is what a Scheduler needs of the leader.
+// Leader is the interface of a Scheduler to the leader that it belongs to.
 type Leader interface {
 	Jobs
 	Admission
@@ -21,14 +21,14 @@
 
 // Jobs gives access to the leader's jobs.
 type Jobs interface {
-	// Job returns the live job of an ID, or nil.
+	// Job returns the live job with an ID, or nil.
 	Job(id string) *fleet.Job
-	// FinalState returns how a recent job ended; false if that is not known.
+	// FinalState returns how a recently finished job ended, or false if that is unknown.
 	FinalState(id string) (spec.JobState, bool)
-	// ReadJob reads a job's state from the key-value store; status is nil for a job that
-	// does not exist.
+	// ReadJob reads a job's state from the key-value store and passes it to f. status is nil
+	// if the job does not exist; known is false if the state could not be determined.
 	ReadJob(id string, f func(status *request.JobStatus, known bool))
-	// AddJob takes on a job whose record has just been committed.
+	// AddJob starts to schedule a job whose record has just been committed.
 	AddJob(rec *record.Job)
 }
 
@@ -36,33 +36,35 @@
 type Admission interface {
 	// CatalogRead reports whether the instance types are known.
 	CatalogRead() bool
-	// Unschedulable returns the reason why a job can never run, and the field that causes
-	// it; "" if it can.
+	// Unschedulable returns the reason why a job can never run and the field that causes it.
+	// The reason is empty for a job that can run.
 	Unschedulable(job *spec.Job) (field, reason string)
-	// AdmissionRefused reports whether a job is refused for now, and how late it would be.
+	// AdmissionRefused reports whether a job is refused for now because of the backlog, and how
+	// late it would be.
 	AdmissionRefused(job *spec.Job) (lateness time.Duration, refused bool)
-	// FitsValue reports whether a record of a size in bytes fits into a value of the store.
+	// FitsValue reports whether a record of size bytes fits into a value of the key-value store.
 	FitsValue(size int) bool
 }
 
-// Records writes to the key-value store on the condition of the leader's term, and keeps
-// the replicas of the records.
+// Records writes to the key-value store on the condition of the leader's term, and
+// maintains the replicas of the records.
 type Records interface {
 	// Write queues a change.
 	Write(change *writebatch.Change)
-	// WakeWriter has the queue looked at again soon.
+	// WakeWriter makes the writer check its queue soon.
 	WakeWriter()
-	// ReadBack reads a record, however often it takes; found is false if there is none.
+	// ReadBack reads a record and retries until it succeeds. found is false if the record does
+	// not exist.
 	ReadBack(key string, f func(entry kv.Entry, found bool))
-	// Replicate takes a record that was read into the replicas.
+	// Replicate adds a record that was read to the replicas.
 	Replicate(entry kv.Entry)
-	// DropReplica takes a record that was deleted out of the replicas.
+	// DropReplica removes a deleted record from the replicas.
 	DropReplica(key string)
 }
 
-// Requests serves users.
+// Requests answers and forwards users' requests.
 type Requests interface {
-	// Answer sends a response to where the request came from.
+	// Answer sends a response to the sender of a request.
 	Answer(call request.Request, response request.Response)
 	// Serve serves a request of any kind.
 	Serve(call request.Request)
--- a/internal/recurring/load.go
+++ b/internal/recurring/load.go
@@ -15,22 +15,23 @@
 )
 
 const (
-	loadPageSize    = 100                    // records read at a time
-	loadPageGap     = 100 * time.Millisecond // between pages: the other work of a new leader goes first
+	loadPageSize    = 100                    // records per list request
+	loadPageGap     = 100 * time.Millisecond // pause between pages, which leaves capacity for the new leader's other work
 	loadRetryDelay  = 200 * time.Millisecond
 	resolveInterval = 50 * time.Millisecond
 )
 
-// unresolvedOccurrence is an occurrence whose job ended before this leader began, without
-// the schedule's record saying how.
+// unresolvedOccurrence is an occurrence whose job ended before this leadership began and
+// whose final state is missing from the schedule's record.
 type unresolvedOccurrence struct {
-	schedule *recurringJob
-	jobID    string
+	sched *scheduleState
+	jobID string
 }
 
-// Load reads the schedules, page by page, and calls after once they are read.
+// Load reads all schedules from the key-value store, page by page, and calls after when
+// they are loaded.
 func (s *Scheduler) Load(after func()) {
-	s.afterLoading = after
+	s.onLoaded = after
 	s.loadPage("")
 }
 
@@ -49,7 +50,7 @@
 			return
 		}
 		s.loaded = true
-		s.afterLoading()
+		s.onLoaded()
 		if n := len(s.names); n > 0 {
 			s.engine.Log(slog.LevelInfo, "schedules loaded", "term", s.settings.Term, "schedules", n)
 			s.resolveNext()
@@ -57,44 +58,45 @@
 	})
 }
 
-// LoadRecord takes in a schedule's record that was read.
+// LoadRecord adds a schedule from a record that was read. A record that cannot be decoded
+// makes requests for the schedule fail.
 func (s *Scheduler) LoadRecord(entry kv.Entry) {
 	name := strings.TrimPrefix(entry.Key, record.SchedulePrefix)
 	rec, _ := entry.Value.(*schedule.Record)
 	if rec == nil {
-		s.engine.Log(slog.LevelError, "record is unreadable", "key", entry.Key, "effect", "the schedule makes no jobs and is not served")
+		s.engine.Log(slog.LevelError, "record is unreadable", "key", entry.Key, "effect", "the schedule creates no jobs and requests for it fail")
 		s.unreadable[name] = true
 		return
 	}
 	s.leader.Replicate(entry)
-	job := &recurringJob{name: name, record: rec, revision: entry.Rev}
-	s.add(job)
-	s.findJobs(job)
-	s.planNext(job)
+	sched := &scheduleState{name: name, record: rec, revision: entry.Rev}
+	s.addToMemory(sched)
+	s.trackUnfinishedJobs(sched)
+	s.planNext(sched)
 }
 
-// findJobs looks up the jobs of a schedule's occurrences that had not ended when its
-// record was written.
-func (s *Scheduler) findJobs(job *recurringJob) {
-	entries, _ := job.record.Entries()
+// trackUnfinishedJobs finds the jobs of a schedule's occurrences that had not ended when the
+// record was written. Live jobs are tracked; the others are added to the unresolved list.
+func (s *Scheduler) trackUnfinishedJobs(sched *scheduleState) {
+	entries, _ := sched.record.Entries()
 	for _, entry := range entries {
 		if entry.State != schedule.StateMade {
 			continue
 		}
 		if live := s.leader.Job(entry.Job); live != nil {
-			s.byJob[live] = job
-			s.watchDeadline(job, live, entry.Due)
+			s.byJob[live] = sched
+			s.watchDeadline(sched, live, entry.Due)
 		} else {
-			s.unresolved = append(s.unresolved, unresolvedOccurrence{schedule: job, jobID: entry.Job})
+			s.unresolved = append(s.unresolved, unresolvedOccurrence{sched: sched, jobID: entry.Job})
 		}
 	}
-	if live := s.leader.Job(job.record.LastJob); live != nil {
-		s.byJob[live] = job
+	if live := s.leader.Job(sched.record.LastJob); live != nil {
+		s.byJob[live] = sched
 	}
 }
 
-// resolveNext looks up how an occurrence ended whose job was over when this leader began.
-// When it ended is not known: the time of the finding stands for it.
+// resolveNext reads the final state of the job of one unresolved occurrence. The job's end
+// time is unknown, so the current time is recorded instead.
 func (s *Scheduler) resolveNext() {
 	if len(s.unresolved) == 0 {
 		return
@@ -114,10 +116,11 @@
 	})
 }
 
+// resolve records the final state of an unresolved occurrence.
 func (s *Scheduler) resolve(occurrence unresolvedOccurrence, state spec.JobState) {
 	at := s.engine.TimeOfDay()
-	if entry, ok := occurrence.schedule.record.Entry(occurrence.jobID); ok && !entry.Due.IsZero() && !entry.Late && at.After(entry.Due) {
-		at = entry.Due // no leader saw it miss the deadline
+	if entry, ok := occurrence.sched.record.Entry(occurrence.jobID); ok && !entry.Due.IsZero() && !entry.Late && at.After(entry.Due) {
+		at = entry.Due // no leader recorded a missed deadline, so assume that it was met
 	}
-	s.finishOccurrence(occurrence.schedule, occurrence.jobID, state, at)
+	s.finishOccurrence(occurrence.sched, occurrence.jobID, state, at)
 }
--- a/internal/recurring/requests.go
+++ b/internal/recurring/requests.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	maxWaiting    = 8   // requests that wait for a write of a schedule
-	maxManualRuns = 256 // jobs that users have asked for and that are not accepted yet
+	maxWaitingRequests = 8   // requests that wait for a write, per schedule
+	maxManualRuns      = 256 // manual runs that have not been accepted yet
 )
 
-// reply answers the user who waits for the write in flight.
-func (s *Scheduler) reply(job *recurringJob, response request.Response) {
-	if job.requester != nil {
-		s.leader.Answer(*job.requester, response)
-		job.requester = nil
+// reply answers the requester of the write in flight, if there is one.
+func (s *Scheduler) reply(sched *scheduleState, response request.Response) {
+	if sched.requester != nil {
+		s.leader.Answer(*sched.requester, response)
+		sched.requester = nil
 	}
 }
 
-// AnswerWaiting answers everybody who waits for a write of a schedule.
+// AnswerWaiting sends response to all users whose requests wait for a write of a schedule.
 func (s *Scheduler) AnswerWaiting(response request.Response) {
-	for _, job := range s.byName {
-		s.reply(job, response)
-		for _, call := range job.waiting {
+	for _, sched := range s.byName {
+		s.reply(sched, response)
+		for _, call := range sched.waitingRequests {
 			s.leader.Answer(call, response)
 		}
-		job.waiting = nil
+		sched.waitingRequests = nil
 	}
 }
 
-func noSchedule(name string) request.Response {
+// notFound returns the response to a request for an unknown schedule.
+func notFound(name string) request.Response {
 	return request.Response{Status: 404, Field: "name", Reason: "no schedule " + name}
 }
 
-// Serve serves a user's request about schedules.
+// Serve handles a user's request about schedules.
 func (s *Scheduler) Serve(call request.Request) {
 	params := call.Schedule
 	if !s.loaded {
-		s.leader.Answer(call, request.Unavailable("the schedules are being read"))
+		s.leader.Answer(call, request.Unavailable("the schedules are being loaded"))
 		return
 	}
 	if call.Op == request.ScheduleList {
@@ -47,98 +48,98 @@
 		return
 	}
 	if s.unreadable[params.Name] {
-		s.leader.Answer(call, request.Unavailable("the schedule's record cannot be read"))
+		s.leader.Answer(call, request.Unavailable("the schedule's record is unreadable"))
 		return
 	}
-	job := s.byName[params.Name]
+	sched := s.byName[params.Name]
 	switch {
-	case job != nil:
-		s.serveKnown(job, call)
+	case sched != nil:
+		s.serveExisting(sched, call)
 	case call.Op == request.SchedulePut:
 		s.put(nil, call)
 	default:
-		s.leader.Answer(call, noSchedule(params.Name))
+		s.leader.Answer(call, notFound(params.Name))
 	}
 }
 
-// serveKnown serves a request about a schedule that exists or is being created.
-func (s *Scheduler) serveKnown(job *recurringJob, call request.Request) {
+// serveExisting handles a request about a schedule that exists or is being created.
+func (s *Scheduler) serveExisting(sched *scheduleState, call request.Request) {
 	params := call.Schedule
-	if call.Op == request.SchedulePut && !job.writing && job.definition != nil && params.File != nil && job.hasDefinition(params.File) {
-		// A retry, perhaps because the answer was lost: nothing is left to do.
-		s.leader.Answer(call, describe(job, 200))
+	if call.Op == request.SchedulePut && !sched.writeInFlight && sched.definition != nil && params.File != nil && sched.hasDefinition(params.File) {
+		// A retry, for example after a lost response: there is nothing to do.
+		s.leader.Answer(call, scheduleResponse(sched, 200))
 		return
 	}
-	reads := isRead(call.Op)
-	if job.writing && (!reads || job.record == nil) {
-		s.awaitWrite(job, call)
+	readOnly := isReadOnly(call.Op)
+	if sched.writeInFlight && (!readOnly || sched.record == nil) {
+		s.queueRequest(sched, call)
 		return
 	}
-	if !reads && params.IfMatch != "" && params.IfMatch != job.record.ETag() {
-		reason := "the schedule has changed since it was read; its ETag is " + job.record.ETag()
+	if !readOnly && params.IfMatch != "" && params.IfMatch != sched.record.ETag() {
+		reason := "the schedule has been modified; its current ETag is " + sched.record.ETag()
 		if params.IfMatch == request.NewOnly {
-			reason = "there is a schedule of this name"
+			reason = "a schedule with this name already exists"
 		}
 		s.leader.Answer(call, request.Response{Status: 412, Field: "name", Reason: reason})
 		return
 	}
-	s.perform(job, call)
+	s.execute(sched, call)
 }
 
-// isRead reports whether an operation only reads a schedule.
-func isRead(op request.Operation) bool {
+// isReadOnly reports whether an operation does not modify the schedule.
+func isReadOnly(op request.Operation) bool {
 	return op == request.ScheduleGet || op == request.ScheduleUpcoming || op == request.ScheduleHistory
 }
 
-// awaitWrite has a request wait until the write in flight is over.
-func (s *Scheduler) awaitWrite(job *recurringJob, call request.Request) {
-	if len(job.waiting) >= maxWaiting || job.record == nil {
+// queueRequest queues a request until the write in flight is finished.
+func (s *Scheduler) queueRequest(sched *scheduleState, call request.Request) {
+	if len(sched.waitingRequests) >= maxWaitingRequests || sched.record == nil {
 		s.leader.Answer(call, request.Unavailable("the schedule is being changed"))
 		return
 	}
-	job.waiting = append(job.waiting, call)
+	sched.waitingRequests = append(sched.waitingRequests, call)
 }
 
-// perform carries out a request about a schedule.
-func (s *Scheduler) perform(job *recurringJob, call request.Request) {
+// execute performs the operation of a request on a schedule.
+func (s *Scheduler) execute(sched *scheduleState, call request.Request) {
 	switch call.Op {
 	case request.SchedulePut:
-		s.put(job, call)
+		s.put(sched, call)
 	case request.ScheduleGet:
-		s.leader.Answer(call, describe(job, 200))
+		s.leader.Answer(call, scheduleResponse(sched, 200))
 	case request.ScheduleUpcoming:
-		s.leader.Answer(call, request.Response{Status: 200, Doc: upcoming(job, call.Schedule.Count)})
+		s.leader.Answer(call, request.Response{Status: 200, Doc: upcoming(sched, call.Schedule.Count)})
 	case request.ScheduleHistory:
 		zone := time.UTC
-		if job.definition != nil {
-			zone = job.definition.Timing.Zone()
+		if sched.definition != nil {
+			zone = sched.definition.Timing.Zone()
 		}
-		s.leader.Answer(call, request.Response{Status: 200, Doc: job.record.Told(zone)})
+		s.leader.Answer(call, request.Response{Status: 200, Doc: sched.record.Told(zone)})
 	case request.ScheduleDelete:
-		s.remove(job, call)
+		s.remove(sched, call)
 	case request.SchedulePause, request.ScheduleResume:
-		s.pause(job, call)
+		s.pause(sched, call)
 	case request.ScheduleRun:
-		s.run(job, call)
+		s.runNow(sched, call)
 	}
 }
 
-// run submits a job of the schedule now, besides its occurrences. The name that the user
-// has given to the request makes the job's ID, so that a retry submits no second one.
-func (s *Scheduler) run(job *recurringJob, call request.Request) {
-	if job.definition == nil {
-		s.leader.Answer(call, request.Response{Status: 422, Reason: job.problem})
+// runNow submits a job of the schedule immediately, in addition to its occurrences. The job
+// ID is derived from the user's request name, so that a retry does not submit a second job.
+func (s *Scheduler) runNow(sched *scheduleState, call request.Request) {
+	if sched.definition == nil {
+		s.leader.Answer(call, request.Response{Status: 422, Reason: sched.disabledReason})
 		return
 	}
-	jobSpec := job.definition.Template()
-	jobSpec.ID = schedule.RequestID(job.record.Number, call.Schedule.Request)
+	jobSpec := sched.definition.Template()
+	jobSpec.ID = schedule.RequestID(sched.record.Number, call.Schedule.Request)
 	now := s.engine.TimeOfDay()
-	if due := job.definition.Timing.DueAfter(now); !due.IsZero() {
+	if due := sched.definition.Timing.DueAfter(now); !due.IsZero() {
 		jobSpec.Deadline, jobSpec.HasDeadline = due.Sub(now), true
 	}
-	if len(s.manualRuns) >= maxManualRuns { // refused ones that nobody has asked for again
+	if len(s.manualRuns) >= maxManualRuns { // full of refused runs that were not retried
 		clear(s.manualRuns)
 	}
-	s.manualRuns[jobSpec.ID] = job
+	s.manualRuns[jobSpec.ID] = sched
 	s.leader.Serve(request.Request{Ref: call.Ref, From: call.From, Op: request.Submit, ID: jobSpec.ID, Spec: &jobSpec})
 }
--- a/internal/recurring/requests_test.go
+++ b/internal/recurring/requests_test.go
@@ -22,73 +22,73 @@
 	t.Helper()
 	switch {
 	case response == nil:
-		t.Errorf("no response, want status %d", want)
+		t.Errorf("got no response, want status %d", want)
 	case response.Status != want:
-		t.Errorf("%+v, want status %d", *response, want)
+		t.Errorf("response %+v, want status %d", *response, want)
 	}
 }
 
-// TestCreateAndRemove: users hear of a schedule's creation and removal once they are on
-// record, and a schedule that is created again has another number.
+// TestCreateAndRemove checks that creation and removal are confirmed to users only after
+// they are committed, and that a schedule that is created again has a new number.
 func TestCreateAndRemove(t *testing.T) {
 	l := newLeader(t)
-	wantStatus(t, l.ask(request.ScheduleGet, request.ScheduleParams{Name: "nightly"}), 503)
+	wantStatus(t, l.send(request.ScheduleGet, request.ScheduleParams{Name: "nightly"}), 503)
 	l.load()
-	wantStatus(t, l.ask(request.ScheduleGet, request.ScheduleParams{Name: "nightly"}), 404)
+	wantStatus(t, l.send(request.ScheduleGet, request.ScheduleParams{Name: "nightly"}), 404)
 	put := request.ScheduleParams{Name: "nightly", File: nightlyFile(t)}
 	for _, number := range []uint64{1, 2} {
 		n := len(l.responses)
-		if response := l.ask(request.SchedulePut, put); response != nil {
-			t.Fatalf("%+v before the record is written", *response)
+		if response := l.send(request.SchedulePut, put); response != nil {
+			t.Fatalf("response %+v before the record is written, want none", *response)
 		}
-		wantStatus(t, l.ask(request.ScheduleGet, request.ScheduleParams{Name: "nightly"}), 503)
-		l.commit() // a block of numbers; the second time a conflict, as the removal has written their record
+		wantStatus(t, l.send(request.ScheduleGet, request.ScheduleParams{Name: "nightly"}), 503)
+		l.commit() // reserves a block of numbers; conflicts the second time, since the removal wrote their record
 		l.commit()
 		wantStatus(t, &l.responses[n+1], 201)
 		if view := l.responses[n+1].Doc.(schedule.View); view.Number != number {
 			t.Errorf("number %d, want %d", view.Number, number)
 		}
-		wantStatus(t, l.ask(request.SchedulePut, put), 200) // a retry
+		wantStatus(t, l.send(request.SchedulePut, put), 200) // a retry
 		if len(l.writes) > 0 {
-			t.Error("a retry writes")
+			t.Error("a retry of the creation queued a write")
 		}
-		if response := l.ask(request.ScheduleDelete, request.ScheduleParams{Name: "nightly"}); response != nil {
-			t.Fatalf("%+v before the record is deleted", *response)
+		if response := l.send(request.ScheduleDelete, request.ScheduleParams{Name: "nightly"}); response != nil {
+			t.Fatalf("response %+v before the record is deleted, want none", *response)
 		}
 		l.commit()
 		wantStatus(t, &l.responses[len(l.responses)-1], 200)
 		if l.scheduler.Has("nightly") {
-			t.Error("the schedule is still known")
+			t.Error("Has() = true after the removal")
 		}
 	}
 }
 
-// TestLateCreation: a try to create a schedule that is carried out late, after the schedule
-// was removed again, meets another revision of the numbers.
+// TestLateCreation checks that an attempt to create a schedule fails if it is applied after
+// the schedule has been removed again.
 func TestLateCreation(t *testing.T) {
 	l := newLeader(t)
 	l.load()
-	l.ask(request.SchedulePut, request.ScheduleParams{Name: "nightly", File: nightlyFile(t)})
-	l.commit() // a block of numbers
+	l.send(request.SchedulePut, request.ScheduleParams{Name: "nightly", File: nightlyFile(t)})
+	l.commit() // reserves a block of numbers
 	creation := l.writes[0]
 	l.commit()
-	l.ask(request.ScheduleDelete, request.ScheduleParams{Name: "nightly"})
+	l.send(request.ScheduleDelete, request.ScheduleParams{Name: "nightly"})
 	l.commit()
 	if l.apply(creation) {
-		t.Error("the removed schedule is back")
+		t.Error("a late attempt created the removed schedule again")
 	}
 }
 
-// TestNumbers: a block that another try has taken is passed over.
+// TestNumbers checks that a block of numbers is skipped if an earlier attempt reserved it.
 func TestNumbers(t *testing.T) {
 	l := newLeader(t)
 	l.load()
-	l.ask(request.SchedulePut, request.ScheduleParams{Name: "nightly", File: nightlyFile(t)})
+	l.send(request.SchedulePut, request.ScheduleParams{Name: "nightly", File: nightlyFile(t)})
 	block := l.takeWrite()
 	if !l.apply(block) {
-		t.Fatal("the conditions do not hold")
+		t.Fatal("apply() = false, want the conditions to be met")
 	}
-	block.OnConflict() // of the second try
+	block.OnConflict() // response to the second attempt
 	l.serveStore()
 	l.commit()
 	l.commit()
@@ -96,27 +96,27 @@
 		t.Errorf("number %d, want 51", rec.Number)
 	}
 	if got, want := l.scheduler.NumberRevision(), l.stored[record.ScheduleNumberKey].Rev; got != want {
-		t.Errorf("revision %d of the numbers, want %d", got, want)
+		t.Errorf("NumberRevision() = %d, want %d", got, want)
 	}
 }
 
-// TestRequestsWait: while a schedule is written, reads are served, changes wait, and what
-// would wait too long is sent away.
+// TestRequestsWait checks that reads are served and changes wait while a write is in flight,
+// and that changes beyond the queue limit are refused.
 func TestRequestsWait(t *testing.T) {
 	l := newLeader(t)
 	l.storeNightly()
 	l.load()
 	name := request.ScheduleParams{Name: "nightly"}
-	if l.ask(request.SchedulePause, name) != nil {
-		t.Fatal("paused before it is on record")
+	if l.send(request.SchedulePause, name) != nil {
+		t.Fatal("pausing was answered before the record was written")
 	}
-	wantStatus(t, l.ask(request.ScheduleGet, name), 200)
+	wantStatus(t, l.send(request.ScheduleGet, name), 200)
 	for range 8 {
-		if response := l.ask(request.SchedulePause, name); response != nil {
-			t.Fatalf("%+v while a write is in flight", *response)
+		if response := l.send(request.SchedulePause, name); response != nil {
+			t.Fatalf("response %+v while a write is in flight, want none", *response)
 		}
 	}
-	wantStatus(t, l.ask(request.SchedulePause, name), 503)
+	wantStatus(t, l.send(request.SchedulePause, name), 503)
 	n := len(l.responses)
 	l.commit()
 	if got := len(l.responses) - n; got != 9 {
@@ -127,11 +127,11 @@
 	}
 }
 
-// TestRefusals: requests that are refused, and by which status.
+// TestRefusals checks the status of requests that change nothing.
 func TestRefusals(t *testing.T) {
 	l := newLeader(t)
 	l.storeNightly()
-	l.store(record.SchedulePrefix+"broken", kv.Entry{}) // no schedule
+	l.store(record.SchedulePrefix+"broken", kv.Entry{}) // not a schedule record
 	l.load()
 	daily := nightlyFile(t)
 	daily.Rule = "FREQ=DAILY;COUNT=0x"
@@ -150,21 +150,21 @@
 		"resumed while it is not": {request.ScheduleResume, request.ScheduleParams{Name: "nightly"}, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			wantStatus(t, l.ask(x.op, x.params), x.want)
+			wantStatus(t, l.send(x.op, x.params), x.want)
 			if len(l.writes) > 0 {
-				t.Error("a write is queued")
+				t.Error("a write is queued, want none")
 			}
 		})
 	}
 }
 
-// TestAnswerWaiting: whoever waits hears at the end of the leader's authority.
+// TestAnswerWaiting checks that all waiting requests are answered when leadership is lost.
 func TestAnswerWaiting(t *testing.T) {
 	l := newLeader(t)
 	l.storeNightly()
 	l.load()
 	for range 3 {
-		l.ask(request.SchedulePause, request.ScheduleParams{Name: "nightly"})
+		l.send(request.SchedulePause, request.ScheduleParams{Name: "nightly"})
 	}
 	l.scheduler.AnswerWaiting(request.Unavailable("leadership was lost"))
 	if len(l.responses) != 3 {
@@ -175,17 +175,17 @@
 	}
 }
 
-// TestList: pages of the list follow one another by name.
+// TestList checks that consecutive pages list all schedules in order of their names.
 func TestList(t *testing.T) {
 	l := newLeader(t)
 	for _, name := range []string{"c", "a", "b"} {
-		l.store(record.SchedulePrefix+name, &schedule.Record{Number: 1, Seq: 1, Edition: 1, File: []byte(nightly), Cursor: schedule.Cursor{Nominal: begin}})
+		l.store(record.SchedulePrefix+name, &schedule.Record{Number: 1, Seq: 1, Edition: 1, File: []byte(nightly), Cursor: schedule.Cursor{Nominal: startTime}})
 	}
 	l.load()
 	var names []string
 	after := ""
 	for range 3 {
-		page := l.ask(request.ScheduleList, request.ScheduleParams{After: after, Count: 2}).Doc.(schedule.Page)
+		page := l.send(request.ScheduleList, request.ScheduleParams{After: after, Count: 2}).Doc.(schedule.Page)
 		for _, brief := range page.Schedules {
 			names = append(names, brief.Name)
 			after = brief.Name
@@ -195,6 +195,6 @@
 		}
 	}
 	if len(names) != 3 || names[0] != "a" || names[1] != "b" || names[2] != "c" {
-		t.Errorf("names %v", names)
+		t.Errorf("names %v, want a, b, c", names)
 	}
 }
--- a/internal/recurring/scheduler.go
+++ b/internal/recurring/scheduler.go
@@ -1,7 +1,7 @@
-// Package recurring runs schedules while a controller leads: it reads their records,
-// decides on the occurrences that are due, turns them into jobs, keeps their history and
-// serves users' requests about them. Package schedule has the definitions, the stored
-// record and the decision on one occurrence.
+// Package recurring runs schedules at the leader: it loads their records, creates jobs for
+// the occurrences that are due, maintains their histories and serves users' requests about
+// them. Package schedule contains the definitions, the stored record and the decision on a
+// single occurrence.
 package recurring
 
 import (
@@ -15,17 +15,18 @@
 	"yewpass/internal/view"
 )
 
-// Settings are the parameters of a Scheduler.
+// Settings are the parameters of a Scheduler. They do not change during a leadership.
 type Settings struct {
 	Calendars    *calendar.Set
 	Term         uint64        // of the leadership, for the log
 	TickInterval time.Duration // how often Tick is called
 }
 
-// Scheduler turns the occurrences of schedules into jobs. A schedule's cursor changes in
-// one transaction with the job that an occurrence becomes, on the condition of the term
-// and of the record's own revision: neither a leader that fails, nor a transaction that is
-// applied late, nor the next leader can run an occurrence twice or leave one out.
+// Scheduler creates jobs for the occurrences of schedules. A schedule's cursor advances in
+// the same transaction that creates the job of an occurrence, conditional on the leader's
+// term and on the revision of the schedule's record. Therefore an occurrence is neither run
+// twice nor skipped when a leader fails, a transaction is applied late, or the next leader
+// takes over.
 type Scheduler struct {
 	engine   *engine.Engine
 	scope    *engine.Scope
@@ -36,37 +37,37 @@
 	queues
 	numbers numberAllocator
 
-	manualRuns map[string]*recurringJob // by the ID of the job that a user has asked for
-	unresolved []unresolvedOccurrence   // created by an earlier leader; how they ended is not known
+	manualRuns map[string]*scheduleState // by job ID; submitted and not accepted yet
+	unresolved []unresolvedOccurrence    // created by an earlier leader, with an unknown final state
 
-	created, missed, late int64 // occurrences, by this leader
+	created, missed, late int64 // occurrence counters of this leadership
 }
 
-// registry is the schedules that the leader knows.
+// registry holds the schedules that the leader has loaded.
 type registry struct {
-	byName       map[string]*recurringJob
-	byJob        map[*fleet.Job]*recurringJob // by the live jobs of their occurrences
-	names        []string                     // sorted
-	unreadable   map[string]bool              // names of schedules whose records cannot be read
-	loaded       bool
-	afterLoading func()
+	byName     map[string]*scheduleState
+	byJob      map[*fleet.Job]*scheduleState // by live jobs of the schedules
+	names      []string                      // sorted
+	unreadable map[string]bool               // names of schedules whose records cannot be decoded
+	loaded     bool
+	onLoaded   func() // called when all schedules are loaded
 }
 
-// queues orders the schedules by their next occurrence. An entry whose generation is not
-// the schedule's own is stale.
+// queues orders the schedules by their next occurrence. An entry is stale if its generation
+// differs from that of its schedule.
 type queues struct {
-	upcoming timerheap.Heap[queueEntry] // by the time at which the next occurrence is due
-	ready    timerheap.Heap[queueEntry] // due ones, by deadline
+	upcoming timerheap.Heap[queueEntry] // by the time of the next occurrence
+	ready    timerheap.Heap[queueEntry] // schedules with a due occurrence, by deadline
 }
 
-// queueEntry is a schedule's place in a queue.
+// queueEntry is an entry for a schedule in one of the queues.
 type queueEntry struct {
-	schedule   *recurringJob
+	sched      *scheduleState
 	generation uint64
 }
 
-// New returns a Scheduler for one leadership, which scope bounds. It knows no schedules
-// until Load.
+// New returns a Scheduler for the leadership that scope belongs to. It has no schedules
+// until Load is called.
 func New(e *engine.Engine, scope *engine.Scope, settings Settings, leader Leader) *Scheduler {
 	return &Scheduler{
 		engine:   e,
@@ -74,16 +75,16 @@
 		leader:   leader,
 		settings: settings,
 		registry: registry{
-			byName:     map[string]*recurringJob{},
-			byJob:      map[*fleet.Job]*recurringJob{},
+			byName:     map[string]*scheduleState{},
+			byJob:      map[*fleet.Job]*scheduleState{},
 			unreadable: map[string]bool{},
 		},
 		numbers:    numberAllocator{engine: e, scope: scope, records: leader},
-		manualRuns: map[string]*recurringJob{},
+		manualRuns: map[string]*scheduleState{},
 	}
 }
 
-// Stats returns the figures for the metrics page.
+// Stats returns the number of schedules and the occurrence counters of this leadership.
 func (s *Scheduler) Stats() view.ScheduleStats {
 	return view.ScheduleStats{
 		Schedules:          len(s.names),
@@ -96,34 +97,35 @@
 // Loaded reports whether all schedules have been read.
 func (s *Scheduler) Loaded() bool { return s.loaded }
 
-// Has reports whether there is a schedule of this name, or one is being created.
+// Has reports whether a schedule with this name exists or is being created.
 func (s *Scheduler) Has(name string) bool { return s.byName[name] != nil }
 
 // NumberRevision returns the last known revision of the record of schedule numbers. The
-// first record of a schedule is written on the condition that it is unchanged.
+// first record of a schedule is written on the condition that this revision is unchanged.
 func (s *Scheduler) NumberRevision() uint64 { return s.numbers.revision }
 
-// SetNumberRevision notes the revision of the record of schedule numbers.
+// SetNumberRevision sets the last known revision of the record of schedule numbers, after
+// the record was read or restored following a data loss.
 func (s *Scheduler) SetNumberRevision(revision uint64) { s.numbers.revision = revision }
 
-// add takes a schedule whose record is known into memory.
-func (s *Scheduler) add(job *recurringJob) {
-	s.byName[job.name] = job
-	if i, found := slices.BinarySearch(s.names, job.name); !found {
-		s.names = slices.Insert(s.names, i, job.name)
+// addToMemory registers a schedule whose record is known and compiles its definition.
+func (s *Scheduler) addToMemory(sched *scheduleState) {
+	s.byName[sched.name] = sched
+	if i, found := slices.BinarySearch(s.names, sched.name); !found {
+		s.names = slices.Insert(s.names, i, sched.name)
 	}
-	s.compile(job)
+	s.compile(sched)
 }
 
-// forget drops a schedule that has been removed.
-func (s *Scheduler) forget(job *recurringJob) {
-	job.removed = true
-	job.generation++
-	if s.byName[job.name] == job {
-		delete(s.byName, job.name)
-		if i, found := slices.BinarySearch(s.names, job.name); found {
+// removeFromMemory removes a schedule whose record has been deleted.
+func (s *Scheduler) removeFromMemory(sched *scheduleState) {
+	sched.removed = true
+	sched.generation++
+	if s.byName[sched.name] == sched {
+		delete(s.byName, sched.name)
+		if i, found := slices.BinarySearch(s.names, sched.name); found {
 			s.names = slices.Delete(s.names, i, i+1)
 		}
 	}
-	s.finishWrite(job, func() {})
+	s.finishWrite(sched, func() {})
 }
--- a/internal/recurring/views.go
+++ b/internal/recurring/views.go
@@ -8,41 +8,42 @@
 	"yewpass/internal/schedule"
 )
 
-// maxPageBytes keeps a page of the list below 64 KiB, the bound of a line between
+// maxPageBytes keeps a page of the list below 64 KiB, the maximum size of a message between
 // controllers.
 const maxPageBytes = 48 << 10
 
-// describe returns the response that describes a schedule.
-func describe(job *recurringJob, status int) request.Response {
+// scheduleResponse returns a response that contains the description of a schedule.
+func scheduleResponse(sched *scheduleState, status int) request.Response {
 	doc := schedule.View{
-		Schedule: job.record.File,
-		Number:   job.record.Number,
-		ETag:     job.record.ETag(),
-		Paused:   job.record.Paused,
-		Problem:  job.problem,
-		Next:     job.nextOccurrence(),
-		Made:     job.record.Made,
-		Missed:   job.record.Missed,
-		Late:     job.record.Late,
+		Schedule: sched.record.File,
+		Number:   sched.record.Number,
+		ETag:     sched.record.ETag(),
+		Paused:   sched.record.Paused,
+		Problem:  sched.disabledReason,
+		Next:     sched.nextOccurrence(),
+		Made:     sched.record.Made,
+		Missed:   sched.record.Missed,
+		Late:     sched.record.Late,
 	}
 	return request.Response{Status: status, Doc: doc, ETag: doc.ETag}
 }
 
-// upcoming lists the next occurrences of a schedule, count at the most.
-func upcoming(job *recurringJob, count int) schedule.Coming {
+// upcoming returns at most count future occurrences of a schedule.
+func upcoming(sched *scheduleState, count int) schedule.Coming {
 	doc := schedule.Coming{Upcoming: []schedule.Upcoming{}}
-	for cursor := job.record.Cursor; job.definition != nil && !job.record.Paused && len(doc.Upcoming) < count; {
-		occurrence, ok := job.definition.Next(cursor)
+	for cursor := sched.record.Cursor; sched.definition != nil && !sched.record.Paused && len(doc.Upcoming) < count; {
+		occurrence, ok := sched.definition.Next(cursor)
 		if !ok {
 			break
 		}
-		doc.Upcoming = append(doc.Upcoming, *job.definition.Tell(job.record.Number, occurrence))
+		doc.Upcoming = append(doc.Upcoming, *sched.definition.Tell(sched.record.Number, occurrence))
 		cursor = cursor.Past(occurrence)
 	}
 	return doc
 }
 
-// list returns a page of the schedules by name.
+// list returns one page of the schedules, sorted by name. Its size is bounded by both
+// params.Count and maxPageBytes.
 func (s *Scheduler) list(params *request.ScheduleParams) schedule.Page {
 	page := schedule.Page{Schedules: []schedule.Brief{}}
 	i, found := slices.BinarySearch(s.names, params.After)
@@ -51,27 +52,27 @@
 	}
 	size := 0
 	for _, name := range s.names[i:] {
-		job := s.byName[name]
+		sched := s.byName[name]
 		var file schedule.File
-		if job.record == nil || json.Unmarshal(job.record.File, &file) != nil {
+		if sched.record == nil || json.Unmarshal(sched.record.File, &file) != nil {
 			continue
 		}
-		size += 400 + 6*len(file.Rule) + len(file.Calendar) + len(file.Zone) + len(job.problem)
+		size += 400 + 6*len(file.Rule) + len(file.Calendar) + len(file.Zone) + len(sched.disabledReason)
 		if len(page.Schedules) == params.Count || size > maxPageBytes && len(page.Schedules) > 0 {
 			page.Truncated = true
 			break
 		}
 		page.Schedules = append(page.Schedules, schedule.Brief{
-			Name:     job.name,
+			Name:     sched.name,
 			Zone:     file.Zone,
 			Rule:     file.Rule,
 			Calendar: file.Calendar,
-			Paused:   job.record.Paused,
-			Problem:  job.problem,
-			Next:     job.nextOccurrence(),
-			Made:     job.record.Made,
-			Missed:   job.record.Missed,
-			Late:     job.record.Late,
+			Paused:   sched.record.Paused,
+			Problem:  sched.disabledReason,
+			Next:     sched.nextOccurrence(),
+			Made:     sched.record.Made,
+			Missed:   sched.record.Missed,
+			Late:     sched.record.Late,
 		})
 	}
 	return page
--- a/internal/recurring/write.go
+++ b/internal/recurring/write.go
@@ -12,36 +12,36 @@
 	"yewpass/internal/writebatch"
 )
 
-// unreadableRetryDelay is how long a record that cannot be read is left alone.
+// unreadableRetryDelay is the delay before a record that cannot be decoded is read again.
 const unreadableRetryDelay = time.Second
 
-// recordChange is a change of a schedule's record.
+// recordChange is a modification of a schedule's record.
 type recordChange struct {
-	priority writebatch.Priority
-	apply    func(r *schedule.Record)
-	job      *record.Job // written with it, or nil
-	done     func()      // called once it is committed
-	idTaken  func()      // called if the ID of job has a record already; nil without a job
+	priority  writebatch.Priority
+	apply     func(r *schedule.Record)
+	job       *record.Job // job to create in the same transaction, or nil
+	onCommit  func()      // called after the commit
+	onIDTaken func()      // called if the job's ID is already in use; nil if job is nil
 }
 
-// write queues a change of a schedule's record.
-func (s *Scheduler) write(job *recurringJob, rc recordChange) {
-	job.writing = true
-	job.generation++
+// write queues a modification of a schedule's record.
+func (s *Scheduler) write(sched *scheduleState, rc recordChange) {
+	sched.writeInFlight = true
+	sched.generation++
 	change := &writebatch.Change{Priority: rc.priority}
-	s.prepare(job, change, rc)
+	s.prepare(sched, change, rc)
 	s.leader.Write(change)
 }
 
-// prepare fills in a change. The record is built here, so that memory takes on what was
-// written, times included.
-func (s *Scheduler) prepare(job *recurringJob, change *writebatch.Change, rc recordChange) {
-	rec := job.record.Clone()
+// prepare fills in a change with the modified record. The record in memory is replaced by
+// exactly this value once the change is committed.
+func (s *Scheduler) prepare(sched *scheduleState, change *writebatch.Change, rc recordChange) {
+	rec := sched.record.Clone()
 	rc.apply(rec)
 	rec.Seq++
 	change.Size = rec.Size()
-	change.Conditions = []kv.Condition{{Key: job.key(), Rev: job.revision}}
-	change.Writes = []kv.Write{{Key: job.key(), Value: rec}}
+	change.Conditions = []kv.Condition{{Key: sched.key(), Rev: sched.revision}}
+	change.Writes = []kv.Write{{Key: sched.key(), Value: rec}}
 	if rc.job != nil {
 		id := rc.job.Spec.ID
 		change.Size += record.JobSize(&rc.job.Spec)
@@ -49,71 +49,73 @@
 		change.Writes = append(change.Writes, kv.Write{Key: record.JobPrefix + id, Value: rc.job})
 	}
 	change.OnCommit = func(revision uint64) {
-		// News of jobs that came meanwhile are in memory only and go with the next write.
-		// The value that was written must not change.
+		// History changes since the write was prepared exist only in memory; keep them for
+		// the next write. The written value is shared and must not be modified.
 		rec := rec.Clone()
-		rec.Follow(job.record)
-		job.record, job.revision = rec, revision
-		s.finishWrite(job, rc.done)
+		rec.Follow(sched.record)
+		sched.record, sched.revision = rec, revision
+		s.finishWrite(sched, rc.onCommit)
 	}
-	change.OnConflict = func() { s.resolveConflict(job, change, rec.Seq, rc.idTaken) }
+	change.OnConflict = func() { s.resolveConflict(sched, change, rec.Seq, rc.onIDTaken) }
 	change.OnReject = func() {
-		job.definition, job.problem = nil, "the state service rejects its record"
-		s.reply(job, request.Unavailable(job.problem))
-		s.finishWrite(job, func() {})
+		sched.definition, sched.disabledReason = nil, "the state service rejected its record"
+		s.reply(sched, request.Unavailable(sched.disabledReason))
+		s.finishWrite(sched, func() {})
 	}
 }
 
-// resolveConflict follows a condition that did not hold. The leader alone writes the
-// record: either an earlier try of this change has been applied, or the job's ID is taken.
-func (s *Scheduler) resolveConflict(job *recurringJob, change *writebatch.Change, seq uint64, idTaken func()) {
-	s.readRecord(job, func(found *schedule.Record, revision uint64) {
+// resolveConflict handles a failed condition. Only the leader writes the record, so either
+// an earlier attempt of the same change was applied, or the job's ID is already in use, or
+// the record was removed or restored.
+func (s *Scheduler) resolveConflict(sched *scheduleState, change *writebatch.Change, seq uint64, onIDTaken func()) {
+	s.readRecord(sched, func(found *schedule.Record, revision uint64) {
 		switch {
 		case found == nil:
-			s.reply(job, noSchedule(job.name))
-			s.forget(job)
+			s.reply(sched, notFound(sched.name))
+			s.removeFromMemory(sched)
 		case found.Seq == seq:
 			change.OnCommit(revision)
-		case revision != job.revision:
-			job.revision = revision
+		case revision != sched.revision:
+			sched.revision = revision
 			change.Conditions[0].Rev = revision
 			s.leader.Write(change)
-		case idTaken != nil:
-			s.finishWrite(job, idTaken)
+		case onIDTaken != nil:
+			s.finishWrite(sched, onIDTaken)
 		default:
 			s.leader.Write(change)
 		}
 	})
 }
 
-// readRecord reads a schedule's record back; found is nil if there is none.
-func (s *Scheduler) readRecord(job *recurringJob, f func(found *schedule.Record, revision uint64)) {
-	s.leader.ReadBack(job.key(), func(entry kv.Entry, found bool) {
+// readRecord reads a schedule's record and passes it to f; found is nil if it does not exist.
+func (s *Scheduler) readRecord(sched *scheduleState, f func(found *schedule.Record, revision uint64)) {
+	s.leader.ReadBack(sched.key(), func(entry kv.Entry, found bool) {
 		rec, _ := entry.Value.(*schedule.Record)
 		if found && rec == nil {
 			s.engine.Log(slog.LevelError, "record is unreadable", "key", entry.Key)
-			s.scope.After(s.engine.Jitter(unreadableRetryDelay), func() { s.readRecord(job, f) })
+			s.scope.After(s.engine.Jitter(unreadableRetryDelay), func() { s.readRecord(sched, f) })
 			return
 		}
 		f(rec, entry.Rev)
 	})
 }
 
-// finishWrite follows a write: what waited for it goes on.
-func (s *Scheduler) finishWrite(job *recurringJob, then func()) {
-	job.writing = false
+// finishWrite ends a write: it calls then, serves the requests that waited for the write, and
+// queues the next occurrence and history change.
+func (s *Scheduler) finishWrite(sched *scheduleState, then func()) {
+	sched.writeInFlight = false
 	then()
-	for !job.writing && len(job.waiting) > 0 {
-		call := job.waiting[0]
-		job.waiting = slices.Delete(job.waiting, 0, 1)
+	for !sched.writeInFlight && len(sched.waitingRequests) > 0 {
+		call := sched.waitingRequests[0]
+		sched.waitingRequests = slices.Delete(sched.waitingRequests, 0, 1)
 		s.Serve(call)
 	}
-	if job.writing || job.removed {
+	if sched.writeInFlight || sched.removed {
 		return
 	}
-	s.applyPendingEntries(job)
-	if job.historyDirty {
-		s.flushHistory(job)
+	s.applyPendingEntries(sched)
+	if sched.historyChanged {
+		s.flushHistory(sched)
 	}
-	s.planNext(job)
+	s.planNext(sched)
 }
