--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -66,9 +66,9 @@
 // it is the leader.
 func (c *Core) LocalConfig() view.LocalConfig {
 	if l := c.leadership; l != nil && l.loaded {
-		return l.config.Local()
+		return l.config.LocalConfig()
 	}
-	return c.config.Local(c.newestReplica())
+	return c.config.LocalConfig(c.newestReplica())
 }
 
 // handleConfigRevision handles a message about a configuration revision: on the leader, which
@@ -76,7 +76,7 @@
 func (c *Core) handleConfigRevision(from string, m peermsg.Message) {
 	switch l := c.leadership; {
 	case l != nil && m.Term == l.term:
-		l.config.NotePeerRevision(from, m.Ref)
+		l.config.RecordPeerRevision(from, m.Ref)
 	case l == nil && from == c.election.Leader() && m.Term == c.election.HighestTerm():
 		c.config.HandleLeaderRevision(from, m, c.newestReplica())
 	}
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -37,7 +37,7 @@
 // rate limit.
 func (c *Core) occurrencesPending() bool {
 	l := c.leadership
-	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.Due() && l.autoscaler.Loaded
+	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.HasDue() && l.autoscaler.Loaded
 }
 
 // recurringLeader implements recurring.Leader for the current leadership.
