--- a/internal/lint/doc_comments_test.go
+++ b/internal/lint/doc_comments_test.go
@@ -1,4 +1,4 @@
-// Package lint holds rules of this repository's source that no linter it uses checks.
+// Package lint checks rules for this repository's source that its linters do not cover.
 package lint
 
 import (
@@ -13,15 +13,14 @@
 	"testing"
 )
 
-// root is the root of the repository, from where the tests of this package run.
+// root is the root of the repository, relative to this package.
 const root = "../.."
 
-// TestExportedNamesHaveDocComments looks at every file under cmd and internal that is no test.
-// Each package needs a package comment, and each exported function, method (of an unexported type
-// too), type, constant, variable and method of an exported interface its own; a group of types,
-// constants or variables may have one for all, as go doc shows it. That a comment starts with its
-// name is staticcheck's to check (ST1000, ST1020, ST1021 and ST1022), which passes over comments
-// that aren't there.
+// TestExportedNamesHaveDocComments checks every non-test file under cmd and internal. Every
+// package, exported function, type, constant, variable, method (also of an unexported type) and
+// method of an exported interface needs a doc comment. A group of types, constants or variables
+// may share one. staticcheck checks that a comment starts with the name (ST1000, ST1020, ST1021
+// and ST1022), but accepts a missing comment.
 func TestExportedNamesHaveDocComments(t *testing.T) {
 	for _, dir := range []string{"cmd", "internal"} {
 		files := 0
@@ -29,28 +28,28 @@
 			t.Error(finding)
 		}
 		if files == 0 {
-			t.Errorf("no file of Go under %s", dir)
+			t.Errorf("no Go files under %s", dir)
 		}
 	}
 }
 
-// TestMissingDocCommentsAreFound plants each kind of missing comment beside its documented or
-// unexported like.
+// TestMissingDocCommentsAreFound checks the findings in a source that has each kind of missing
+// comment beside documented and unexported declarations.
 func TestMissingDocCommentsAreFound(t *testing.T) {
-	const source = `package planted
+	const source = `package example
 
-func Bare() {}
+func Uncommented() {}
 
-// Told is documented.
-func Told() {}
+// Documented is documented.
+func Documented() {}
 
 func hidden() {}
 
 //go:noinline
-func Directed() {}
+func DirectiveOnly() {}
 
 //
-func Empty() {}
+func EmptyComment() {}
 
 type Thing struct{ Field int }
 
@@ -58,10 +57,10 @@
 
 func (*Thing) Pointer() {}
 
-// Said is documented.
-func (*Thing) Said() {}
+// DocumentedMethod is documented.
+func (*Thing) DocumentedMethod() {}
 
-func (t *Thing) silent() {}
+func (t *Thing) unexported() {}
 
 type List[T any] []T
 
@@ -80,9 +79,9 @@
 	Call()
 	// Answer is documented.
 	Answer()
-	Stop() // after the line
+	Stop() // a trailing comment
 	error
-	quiet()
+	unexported()
 }
 
 type (
@@ -109,7 +108,7 @@
 	// Third is documented.
 	Third = 3
 	Fourth = 4
-	Fifth = 5 // after the line
+	Fifth = 5 // a trailing comment
 	sixth, Seventh = 6, 7
 )
 
@@ -118,28 +117,28 @@
 var _, unshared = 1, 2
 `
 	fset := token.NewFileSet()
-	file, err := parser.ParseFile(fset, "planted.go", source, parser.ParseComments)
+	file, err := parser.ParseFile(fset, "example.go", source, parser.ParseComments)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []string{
-		"planted.go:1: package planted",
-		"planted.go:3: func Bare",
-		"planted.go:11: func Directed",
-		"planted.go:14: func Empty",
-		"planted.go:16: type Thing",
-		"planted.go:18: method Thing.Method",
-		"planted.go:20: method Thing.Pointer",
-		"planted.go:27: type List",
-		"planted.go:29: method List.Push",
-		"planted.go:31: method pairs.Push",
-		"planted.go:35: method private.Method",
-		"planted.go:41: method Caller.Call",
-		"planted.go:52: type Two",
-		"planted.go:61: const Limit",
-		"planted.go:72: const Fourth",
-		"planted.go:74: const Seventh",
-		"planted.go:77: var Shared",
+		"example.go:1: package example",
+		"example.go:3: func Uncommented",
+		"example.go:11: func DirectiveOnly",
+		"example.go:14: func EmptyComment",
+		"example.go:16: type Thing",
+		"example.go:18: method Thing.Method",
+		"example.go:20: method Thing.Pointer",
+		"example.go:27: type List",
+		"example.go:29: method List.Push",
+		"example.go:31: method pairs.Push",
+		"example.go:35: method private.Method",
+		"example.go:41: method Caller.Call",
+		"example.go:52: type Two",
+		"example.go:61: const Limit",
+		"example.go:72: const Fourth",
+		"example.go:74: const Seventh",
+		"example.go:77: var Shared",
 	}
 	var got []string
 	for _, finding := range undocumented(fset, []*ast.File{file}) {
@@ -150,8 +149,8 @@
 	}
 }
 
-// undocumentedUnder tells what has no doc comment in the packages at and below dir and counts
-// the files it read.
+// undocumentedUnder returns the findings in the packages at and below dir and adds the number of
+// files read to files.
 func undocumentedUnder(t *testing.T, dir string, files *int) []string {
 	t.Helper()
 	fset := token.NewFileSet()
@@ -174,8 +173,8 @@
 			return err
 		}
 		*files++
-		at := filepath.Dir(path)
-		packages[at] = append(packages[at], file)
+		dir := filepath.Dir(path)
+		packages[dir] = append(packages[dir], file)
 		return nil
 	})
 	if err != nil {
@@ -189,11 +188,12 @@
 	return findings
 }
 
-// undocumented tells what has no doc comment in the files of one package, in their order.
+// undocumented returns a finding for each declaration without a doc comment in the files of one
+// package, in source order.
 func undocumented(fset *token.FileSet, files []*ast.File) []string {
 	var findings []string
-	missing := func(at ast.Node, kind, name string) {
-		position := fset.Position(at.Pos())
+	missing := func(node ast.Node, kind, name string) {
+		position := fset.Position(node.Pos())
 		path := strings.TrimPrefix(filepath.ToSlash(position.Filename), root+"/")
 		findings = append(findings, fmt.Sprintf("%s:%d: %s %s has no doc comment", path, position.Line, kind, name))
 	}
@@ -234,8 +234,8 @@
 	return findings
 }
 
-// undocumentedType reports a type without a doc comment and, where it is an interface, its
-// methods without one.
+// undocumentedType reports an exported type without a doc comment and, if it is an interface, its
+// exported methods without one.
 func undocumentedType(group *ast.GenDecl, spec *ast.TypeSpec, missing func(ast.Node, string, string)) {
 	if !spec.Name.IsExported() {
 		return
@@ -256,12 +256,12 @@
 	}
 }
 
-// documented tells whether a comment has words; directives as //go:embed have none.
+// documented reports whether a comment has text. Directives such as //go:embed are not text.
 func documented(comment *ast.CommentGroup) bool {
 	return strings.TrimSpace(comment.Text()) != ""
 }
 
-// receiverName is the name of the type that a method belongs to.
+// receiverName returns the name of a method's receiver type.
 func receiverName(method *ast.FuncDecl) string {
 	expression := method.Recv.List[0].Type
 	for {
--- a/internal/lint/sizes_test.go
+++ b/internal/lint/sizes_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// Limits on what one reader has to hold in mind at a time.
+// Size limits that keep functions, files, structs and packages readable.
 const (
 	maxFunctionLines = 60
 	maxFileLines     = 500
@@ -19,16 +19,16 @@
 	maxPackageLines  = 2500
 )
 
-// largePackages may have more than maxPackageLines lines, but no more than these: core, which
-// composes the others and is to come down to it, and the stand-ins, which are one world.
+// largePackages has the limits of packages that may exceed maxPackageLines: core, which combines
+// the other packages and is to be reduced, and scenario, which simulates a whole cluster.
 var largePackages = map[string]int{"core": 3200, "scenario": 7000}
 
-// wideStructs may have more than maxStructFields fields: they are descriptions of a job as
-// users and stored records have it.
+// wideStructs are the structs that may exceed maxStructFields, because they hold the complete
+// description of a job as users submit it or as it is stored.
 var wideStructs = map[string]bool{"spec.Job": true, "recordcodec.Spec": true}
 
-// TestSizes looks at every file under cmd and internal that is no test, for functions,
-// files, structs and packages that have grown too large.
+// TestSizes checks the non-test files under cmd and internal for functions, files, structs and
+// packages that exceed the limits.
 func TestSizes(t *testing.T) {
 	for _, dir := range []string{"cmd", "internal"} {
 		for _, finding := range oversized(t, filepath.Join(root, dir)) {
@@ -37,15 +37,15 @@
 	}
 }
 
-// TestOversizedAreFound plants a function and a struct that are one line and one field too
-// large beside others that are not.
+// TestOversizedAreFound checks that a function and a struct that exceed their limit by one are
+// found, and others that are at the limit are not.
 func TestOversizedAreFound(t *testing.T) {
 	fields := "\tA, B int\n" + strings.Repeat("\tF int\n", maxStructFields-2)
 	lines := strings.Repeat("\t_ = 1\n", maxFunctionLines-2)
-	source := "package planted\n\ntype fits struct {\n" + fields + "}\n\ntype wide struct {\n" + fields + "\tG int\n}\n\n" +
+	source := "package example\n\ntype fits struct {\n" + fields + "}\n\ntype wide struct {\n" + fields + "\tG int\n}\n\n" +
 		"func short() {\n" + lines + "}\n\nfunc long() {\n" + lines + "\t_ = 2\n}\n"
 	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, "planted.go", source, 0)
+	file, err := parser.ParseFile(files, "example.go", source, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-// oversized returns the findings in all files below a directory.
+// oversized returns the findings in all non-test files below a directory.
 func oversized(t *testing.T, dir string) (findings []string) {
 	t.Helper()
 	packages := map[string]int{}
@@ -87,7 +87,7 @@
 	return findings
 }
 
-// oversizedIn returns the functions and structs of a file that are too large.
+// oversizedIn returns a finding for each function and struct of a file that exceeds its limit.
 func oversizedIn(files *token.FileSet, file *ast.File) (findings []string) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch node := node.(type) {
@@ -107,7 +107,7 @@
 	return findings
 }
 
-// fieldCount returns the number of a struct's own fields; an embedded struct counts as one.
+// fieldCount returns the number of a struct's own fields. An embedded struct counts as one field.
 func fieldCount(structure *ast.StructType) (count int) {
 	for _, field := range structure.Fields.List {
 		count += max(1, len(field.Names))
