--- a/internal/scenario/allocations.go
+++ b/internal/scenario/allocations.go
@@ -2,18 +2,17 @@
 
 import "slices"
 
-// allocations keeps what the tasks that machines hold take of each team's limit, and which
-// tasks of each job those are. The rules are looked at after every event, and a look at
-// all tasks of all machines would cost more than everything else.
+// allocations tracks the resources that each team's tasks hold. It is updated incrementally because
+// the rules are checked after every event, and scanning all tasks would dominate the run time.
 type allocations map[string]*usage
 
-// usage is what a team's tasks take.
+// usage is the resources that a team's tasks hold.
 type usage struct{ cpus, gpus float64 }
 
-// hold takes in a task that a machine has accepted.
-func (l allocations) hold(m *worker, t *task) {
+// allocate adds a task that a machine has accepted.
+func (l allocations) allocate(m *worker, t *task) {
 	t.machine = m
-	t.job.held = append(t.job.held, t)
+	t.job.heldTasks = append(t.job.heldTasks, t)
 	s := &t.job.spec
 	u := l[s.Owner]
 	if u == nil {
@@ -24,17 +23,17 @@
 	u.gpus += s.GPUs
 }
 
-// release takes out a task that has exited or is gone with its session.
+// release removes a task that has exited or whose session has ended.
 func (l allocations) release(t *task) {
 	if t.machine == nil {
 		return
 	}
 	t.machine = nil
-	if i := slices.Index(t.job.held, t); i >= 0 {
-		last := len(t.job.held) - 1
-		t.job.held[i] = t.job.held[last]
-		t.job.held[last] = nil
-		t.job.held = t.job.held[:last]
+	if i := slices.Index(t.job.heldTasks, t); i >= 0 {
+		last := len(t.job.heldTasks) - 1
+		t.job.heldTasks[i] = t.job.heldTasks[last]
+		t.job.heldTasks[last] = nil
+		t.job.heldTasks = t.job.heldTasks[:last]
 	}
 	s := &t.job.spec
 	u := l[s.Owner]
@@ -42,7 +41,7 @@
 	u.gpus -= s.GPUs
 }
 
-// used is what a team's tasks take now.
+// used returns the resources that a team's tasks hold now.
 func (l allocations) used(team string) usage {
 	if u := l[team]; u != nil {
 		return *u
@@ -50,11 +49,11 @@
 	return usage{}
 }
 
-// forgetTasks drops every task of a machine, whatever its state.
+// forgetTasks drops all tasks of a machine and releases their resources.
 func (m *worker) forgetTasks() {
 	for _, t := range m.tasks {
 		m.allocations.release(t)
 	}
 	m.tasks = nil
-	m.dirty = true
+	m.needsCheck = true
 }
--- a/internal/scenario/clock.go
+++ b/internal/scenario/clock.go
@@ -1,6 +1,6 @@
-// Package scenario plays small text files against controllers in virtual time,
-// with a state service, a cloud, workers, users and a network of its own, and
-// checks every rule after every event.
+// Package scenario runs scripted failure scenarios against controllers in virtual time. It
+// simulates the key-value store, the cloud, the workers, the users and the network, and checks
+// the rules of the service after every event.
 package scenario
 
 import (
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a callback scheduled at a virtual time.
 type event struct {
 	at  time.Time
 	seq uint64
 	do  func()
 }
 
-// events is a heap of events, the earliest at the top.
+// events is a min-heap of events, ordered by time and then by sequence number.
 type events []event
 
-// Len is the number of events waiting.
+// Len returns the number of pending events.
 func (e events) Len() int { return len(e) }
 
-// Less puts the earlier event first and, of two at one time, the one with the lower number.
+// Less orders events by time; events at the same time run in the order they were scheduled.
 func (e events) Less(i, j int) bool {
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
@@ -31,13 +31,13 @@
 	return e[i].seq < e[j].seq
 }
 
-// Swap exchanges two events.
+// Swap exchanges the events at two indexes, for container/heap.
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push appends an event; heap.Push then moves it to its place.
+// Push appends an event. Callers use heap.Push, which restores the heap order.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop takes the last event off, where heap.Pop has put the earliest.
+// Pop removes the last event. Callers use heap.Pop, which moves the earliest event there first.
 func (e *events) Pop() any {
 	old := *e
 	x := old[len(old)-1]
@@ -45,7 +45,7 @@
 	return x
 }
 
-// clock is virtual time.
+// clock is a virtual clock with its event queue and the world's seeded random source.
 type clock struct {
 	start, now time.Time
 	queue      events
@@ -68,10 +68,10 @@
 
 func (c *clock) after(d time.Duration, f func()) { c.at(c.now.Add(d), f) }
 
-// elapsed is the time since the start.
+// elapsed returns the virtual time since the start of the scenario.
 func (c *clock) elapsed() time.Duration { return c.now.Sub(c.start) }
 
-// step runs the next event, unless it comes after end.
+// step runs the next event and returns true, or returns false if none is due by end.
 func (c *clock) step(end time.Time) bool {
 	if len(c.queue) == 0 || c.queue[0].at.After(end) {
 		return false
@@ -82,93 +82,93 @@
 	return true
 }
 
-// spread returns d give or take part of it.
-func (c *clock) spread(d time.Duration, part float64) time.Duration {
+// jitter returns a random duration within d*(1±part).
+func (c *clock) jitter(d time.Duration, part float64) time.Duration {
 	return time.Duration(float64(d) * (1 + part*(2*c.rng.Float64()-1)))
 }
 
-// network carries messages between hosts, named by strings. The outside
-// services and users are hosts too.
+// network delivers messages between named hosts. The store, the cloud and the users are hosts
+// too.
 type network struct {
 	*clock
-	latency time.Duration
-	cuts    []*cut
-	last    map[[2]string]time.Time                // messages of a pair stay in order
-	take    func(kind, a, b string, f func()) bool // takes a message out of the ordinary way
+	latency      time.Duration
+	partitions   []*partition
+	lastDelivery map[[2]string]time.Time                // delivery time of the latest message of a pair, which keeps them in order
+	intercept    func(kind, a, b string, f func()) bool // takes over a message's delivery if it returns true, unless nil
 }
 
-// cut separates some hosts from all others: messages across are held back until
-// it ends, or lost.
-type cut struct {
+// partition separates some hosts from all others. Messages across it are dropped, or held until
+// it ends.
+type partition struct {
 	hosts map[string]bool
-	only  map[string]bool // when set, only from these
+	peers map[string]bool // if set, only messages to and from these hosts are blocked
 	hold  bool
-	zones []string // whose machines it parts, new ones as well
+	zones []string // new machines in these zones join hosts
 	held  []func()
 }
 
-func (c *cut) parts(a, b string) bool {
+func (c *partition) blocks(a, b string) bool {
 	if c.hosts[a] == c.hosts[b] {
 		return false
 	}
-	// Of those behind the cut one may be among those it is from, a leader among all nodes:
-	// only the other side says whether this message is concerned.
+	// peers may contain the separated host too (a leader, when peers are all nodes), so only the
+	// other end decides.
 	other := a
 	if c.hosts[a] {
 		other = b
 	}
-	return c.only == nil || c.only[other]
+	return c.peers == nil || c.peers[other]
 }
 
-// open reports whether a message could pass now.
-func (n *network) open(a, b string) bool {
-	for _, c := range n.cuts {
-		if c.parts(a, b) {
+// reachable reports whether no partition blocks messages between two hosts.
+func (n *network) reachable(a, b string) bool {
+	for _, c := range n.partitions {
+		if c.blocks(a, b) {
 			return false
 		}
 	}
 	return true
 }
 
-// send has a message of a kind on its way from a to b; f is its arrival.
+// send delivers a message of a kind from a to b after the network latency, by calling f.
 func (n *network) send(kind, a, b string, f func()) {
-	for _, c := range n.cuts {
-		if c.parts(a, b) {
+	for _, c := range n.partitions {
+		if c.blocks(a, b) {
 			if c.hold {
 				c.held = append(c.held, func() { n.send(kind, a, b, f) })
 			}
 			return
 		}
 	}
-	if n.take != nil && n.take(kind, a, b, f) {
+	if n.intercept != nil && n.intercept(kind, a, b, f) {
 		return
 	}
 	key := [2]string{a, b}
-	at := n.now.Add(n.spread(n.latency, 0.5))
-	if last := n.last[key]; at.Before(last) {
+	at := n.now.Add(n.jitter(n.latency, 0.5))
+	if last := n.lastDelivery[key]; at.Before(last) {
 		at = last
 	}
-	n.last[key] = at
+	n.lastDelivery[key] = at
 	n.at(at, f)
 }
 
-// joins puts a new host behind the cuts of its zone.
-func (n *network) joins(host, zone string) {
-	for _, c := range n.cuts {
+// addHost adds a new host to the partitions of its zone.
+func (n *network) addHost(host, zone string) {
+	for _, c := range n.partitions {
 		if slices.Contains(c.zones, zone) {
 			c.hosts[host] = true
 		}
 	}
 }
 
-// split begins a cut that ends after d; machines that come up in the zones are behind it too.
-func (n *network) split(hosts, only map[string]bool, hold bool, d time.Duration, zones ...string) {
-	c := &cut{hosts: hosts, only: only, hold: hold, zones: zones}
-	n.cuts = append(n.cuts, c)
+// addPartition starts a partition that ends after d. Machines created in the zones join it.
+func (n *network) addPartition(hosts, only map[string]bool, hold bool, d time.Duration, zones ...string) {
+	c := &partition{hosts: hosts, peers: only, hold: hold, zones: zones}
+	n.partitions = append(n.partitions, c)
 	n.after(d, func() {
-		for i, x := range n.cuts {
+		for i, x := range n.partitions {
 			if x == c {
-				n.cuts = append(n.cuts[:i:i], n.cuts[i+1:]...)
+				n.partitions = append(n.partitions[:i:i], n.partitions[i+1:]...)
 				break
 			}
 		}
--- a/internal/scenario/cloud.go
+++ b/internal/scenario/cloud.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// instanceType is a machine type of a scenario.
+// instanceType is a machine type of the simulated cloud.
 type instanceType struct {
-	name      string
-	cpus, mem float64
-	gpus      float64
-	rate, low float64
-	ready     time.Duration
-	fetch     float64
-	zones     []string
+	name             string
+	cpus, mem        float64
+	gpus             float64
+	price, spotPrice float64
+	bootTime         time.Duration
+	fetchRate        float64
+	zones            []string
 }
 
 type offerKey struct {
-	flavor, zone string
-	spot         bool
+	instanceType, zone string
+	spot               bool
 }
 
-// cloudSim is the stand-in of the cloud API. It speaks the protocol's JSON.
+// cloudSim simulates the cloud API, including the JSON of its protocol.
 type cloudSim struct {
 	*clock
-	w             *world
-	instanceTypes []*instanceType
-	capacity      map[offerKey]int
-	made          int
-	requests      map[string][]string // what a request name returned
-	asked         map[string]string   // and what it asked for
-	machines      []*worker           // all there ever were, in order
-	lag           time.Duration
-	down          time.Time
-	deaf          time.Time                    // until then it answers releases and carries none out
-	boots         func() (time.Duration, bool) // factor of the boot time in percent; false: never
-	calls         int
+	w                    *world
+	instanceTypes        []*instanceType
+	capacity             map[offerKey]int
+	machineCount         int
+	rentals              map[string][]string // hosts returned, by rental name
+	rentalBodies         map[string]string   // request bodies, by rental name
+	machines             []*worker           // all machines ever created, in order of creation
+	lag                  time.Duration
+	downUntil            time.Time
+	ignoresReleasesUntil time.Time                    // until then it answers releases without carrying them out
+	bootPercent          func() (time.Duration, bool) // returns the boot time as a percentage of the type's, or false if the machine never boots
+	calls                int
 }
 
 func (c *cloudSim) instanceType(name string) *instanceType {
@@ -51,23 +51,23 @@
 }
 
 func (c *cloudSim) create(k offerKey, ready time.Duration) *worker {
-	f := c.instanceType(k.flavor)
-	m := &worker{world: c.w, host: fmt.Sprintf("host-%06d", c.made), instanceType: f, zone: k.zone, spot: k.spot,
-		created: c.now, images: map[string]time.Time{}, workerFaults: workerFaults{speed: 1}, workerSession: workerSession{node: c.made}}
-	c.made++
+	f := c.instanceType(k.instanceType)
+	m := &worker{world: c.w, host: fmt.Sprintf("host-%06d", c.machineCount), instanceType: f, zone: k.zone, spot: k.spot,
+		created: c.now, images: map[string]time.Time{}, workerFaults: workerFaults{slowdown: 1}, workerSession: workerSession{nodeIndex: c.machineCount}}
+	c.machineCount++
 	c.machines = append(c.machines, m)
 	c.w.workers[m.host] = m
-	c.w.net.joins(m.host, m.zone)
+	c.w.net.addHost(m.host, m.zone)
 	if ready >= 0 {
 		c.after(ready, m.boot)
 	}
 	return m
 }
 
-func (c *cloudSim) live(k offerKey) int {
+func (c *cloudSim) liveCount(k offerKey) int {
 	n := 0
 	for _, m := range c.machines {
-		if m.gone.IsZero() && m.instanceType.name == k.flavor && m.zone == k.zone && m.spot == k.spot {
+		if m.terminatedAt.IsZero() && m.instanceType.name == k.instanceType && m.zone == k.zone && m.spot == k.spot {
 			n++
 		}
 	}
@@ -76,7 +76,7 @@
 
 func (c *cloudSim) serve(method, path string, body []byte, answer func(int, []byte)) {
 	c.calls++
-	if c.now.Before(c.down) {
+	if c.now.Before(c.downUntil) {
 		answer(503, encode(object{"error": "trouble"}))
 		return
 	}
@@ -85,8 +85,8 @@
 	case u.Path == "/catalog":
 		var fs []any
 		for _, f := range c.instanceTypes {
-			fs = append(fs, object{"name": f.name, "vcpus": f.cpus, "gpus": f.gpus, "memGb": f.mem, "localGb": 50, "fetchGbPerS": f.fetch,
-				"rate": f.rate, "lowPrice": f.low, "readyS": f.ready.Seconds(), "halls": f.zones})
+			fs = append(fs, object{"name": f.name, "vcpus": f.cpus, "gpus": f.gpus, "memGb": f.mem, "localGb": 50, "fetchGbPerS": f.fetchRate,
+				"rate": f.price, "lowPrice": f.spotPrice, "readyS": f.bootTime.Seconds(), "halls": f.zones})
 		}
 		answer(200, encode(object{"flavors": fs}))
 	case u.Path == "/machines" && method == "POST":
@@ -98,8 +98,8 @@
 			return
 		}
 		for _, h := range r.Hosts {
-			if m := c.w.workers[h]; m != nil && !c.now.Before(c.deaf) {
-				m.end()
+			if m := c.w.workers[h]; m != nil && !c.now.Before(c.ignoresReleasesUntil) {
+				m.terminate()
 			}
 		}
 		answer(200, encode(object{}))
@@ -107,11 +107,11 @@
 		seen := c.now.Add(-time.Duration(float64(c.lag) * 2 * c.rng.Float64()))
 		hosts := []any{}
 		for _, m := range c.machines {
-			if m.created.After(seen) || !m.gone.IsZero() && m.gone.Before(seen) || m.host <= u.Query().Get("from") {
+			if m.created.After(seen) || !m.terminatedAt.IsZero() && m.terminatedAt.Before(seen) || m.host <= u.Query().Get("from") {
 				continue
 			}
 			status := "starting"
-			if !m.up.IsZero() && m.up.Before(seen) {
+			if !m.bootedAt.IsZero() && m.bootedAt.Before(seen) {
 				status = "running"
 			}
 			hosts = append(hosts, object{"id": m.host, "address": "10.1.0.1:9000", "flavor": m.instanceType.name, "hall": m.zone,
@@ -135,16 +135,16 @@
 		answer(400, nil)
 		return
 	}
-	if was, ok := c.asked[r.Rental]; ok && was != string(body) {
-		c.w.fail("misuse", "a rental's name is used again: %s, before: %s", body, was)
+	if was, ok := c.rentalBodies[r.Rental]; ok && was != string(body) {
+		c.w.fail("misuse", "rental name reused for a different request: %s, before: %s", body, was)
 	}
-	c.asked[r.Rental] = string(body)
-	if got, ok := c.requests[r.Rental]; ok {
+	c.rentalBodies[r.Rental] = string(body)
+	if got, ok := c.rentals[r.Rental]; ok {
 		answer(200, encode(object{"hosts": got}))
 		return
 	}
 	k := offerKey{r.Flavor, r.Hall, r.Reclaimable}
-	n := min(r.HowMany, c.capacity[k]-c.live(k))
+	n := min(r.HowMany, c.capacity[k]-c.liveCount(k))
 	if n <= 0 {
 		answer(503, encode(object{"error": "no capacity"}))
 		return
@@ -152,11 +152,11 @@
 	hosts := []string{}
 	for range n {
 		ready := time.Duration(-1)
-		if part, ok := c.boots(); ok {
-			ready = c.instanceType(r.Flavor).ready * part / 100
+		if part, ok := c.bootPercent(); ok {
+			ready = c.instanceType(r.Flavor).bootTime * part / 100
 		}
 		hosts = append(hosts, c.create(k, ready).host)
 	}
-	c.requests[r.Rental] = hosts
+	c.rentals[r.Rental] = hosts
 	answer(200, encode(object{"hosts": hosts}))
 }
--- a/internal/scenario/config_drill_test.go
+++ b/internal/scenario/config_drill_test.go
@@ -11,7 +11,7 @@
 
 // yewpass runs the program as operators do and returns what it prints: again, as it is told
 // to, while it ends with 503.
-func (f *front) yewpass(input string, words ...string) (out string) {
+func (f *testCluster) yewpass(input string, words ...string) (out string) {
 	f.t.Helper()
 	path, err := program()
 	if err != nil {
@@ -32,9 +32,9 @@
 // file names what is wrong, a change that is based on an older revision is refused, and the
 // next leader goes by what was changed.
 func TestDrillConfig(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(3, nil)
-	f.leader()
+	f := newTestCluster(t, site)
+	ps := f.startNodes(3, nil)
+	f.waitLeader()
 	node := func(i int) []string { return []string{"--node", ps[i].clients} }
 	run := func(want, input string, words ...string) {
 		t.Helper()
@@ -50,15 +50,15 @@
 	run("revision 2", "[[teams]]\nname = \"u\"\nretired = true\n", append([]string{"config", "set", "-"}, node(2)...)...)
 	run("revision 2", "", append([]string{"config", "status"}, node(1)...)...)
 	j := f.job("wk-1", "tasks=9", "run=2s")
-	f.until("tasks run", func() bool { return f.on("wk-1") > 0 })
+	f.waitFor("tasks run", func() bool { return f.activeTasks("wk-1") > 0 })
 	f.with(func() { f.cfg.Settings.Teams[0].CPUsMax = 3 }) // what the rules go by: the settings said 40
-	l := f.leader()
+	l := f.waitLeader()
 	l.kill()
-	f.until("the job is done", told(spec.Done, j))
+	f.waitFor("the job is done", allInState(spec.Done, j))
 	refused := f.job("wk-2", "tasks=1", "owner=u", "run=1s")
-	f.until("a job of the retired team is refused", func() bool { return refused.status == 422 })
+	f.waitFor("a job of the retired team is refused", func() bool { return refused.status == 422 })
 	l.start()
-	f.until("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
+	f.waitFor("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
 	run("retired", "", append([]string{"config", "get", "u"}, node(0)...)...)
 	f.works("wk-3")
 }
--- a/internal/scenario/configure.go
+++ b/internal/scenario/configure.go
@@ -11,47 +11,48 @@
 	"yewpass/internal/view"
 )
 
-// configWithin is within what time a change that its user was told of is in force.
-const configWithin = 3 * time.Second
+// configDeadline is how soon an acknowledged configuration change must be in force.
+const configDeadline = 3 * time.Second
 
-// teamChange is a change of a team's configuration and what its user knows of it. The
-// changes of one team go one after the other.
+// teamChange is a change of a team's configuration and what its user knows about it. Changes of one
+// team are sent one at a time.
 type teamChange struct {
-	team     liveconfig.Team
-	before   uint64 // the revision at which the team was changed last
-	sent     time.Time
-	told     time.Time // when its user heard that it is on record; zero until then
-	revision uint64
+	team           liveconfig.Team
+	baseRevision   uint64 // revision of the team's previous change
+	sent           time.Time
+	acknowledgedAt time.Time // when its user received the acknowledgement, or zero
+	revision       uint64
 }
 
-// inForce reports whether the change is surely in force.
+// inForce reports whether the change must be in force by now.
 func (c *teamChange) inForce(now time.Time) bool {
-	return !c.told.IsZero() && now.Sub(c.told) >= configWithin
+	return !c.acknowledgedAt.IsZero() && now.Sub(c.acknowledgedAt) >= configDeadline
 }
 
-// configAdmin changes teams as operators do, and knows what may be in force.
+// configAdmin simulates an operator who changes teams, and tracks which configurations may be in
+// force.
 type configAdmin struct {
-	w       *world
-	changes map[string][]*teamChange
-	waiting map[string][]liveconfig.Team // behind the change that is on its way
-	highest uint64                       // revision that anybody was told of
-	onTold  func(*teamChange)            // called when a change is told of, unless it is nil
+	w               *world
+	changes         map[string][]*teamChange
+	queued          map[string][]liveconfig.Team // by team, to be sent after the pending change
+	highestRevision uint64                       // highest acknowledged revision
+	onAcknowledged  func(*teamChange)            // called when a change is acknowledged, unless nil
 }
 
 func newConfigAdmin(w *world) *configAdmin {
-	return &configAdmin{w: w, changes: map[string][]*teamChange{}, waiting: map[string][]liveconfig.Team{}}
+	return &configAdmin{w: w, changes: map[string][]*teamChange{}, queued: map[string][]liveconfig.Team{}}
 }
 
-// set has a team changed, after what is on its way for it.
+// set changes a team, after its pending changes.
 func (a *configAdmin) set(t liveconfig.Team) {
 	last := a.latest(t.Name)
-	if last != nil && last.told.IsZero() {
-		a.waiting[t.Name] = append(a.waiting[t.Name], t)
+	if last != nil && last.acknowledgedAt.IsZero() {
+		a.queued[t.Name] = append(a.queued[t.Name], t)
 		return
 	}
 	c := &teamChange{team: t, sent: a.w.now}
 	if last != nil {
-		c.before = last.revision
+		c.baseRevision = last.revision
 	}
 	a.changes[t.Name] = append(a.changes[t.Name], c)
 	a.send(c)
@@ -65,56 +66,56 @@
 	return cs[len(cs)-1]
 }
 
-// send asks until the change is on record.
+// send sends a change and retries it until it is acknowledged.
 func (a *configAdmin) send(c *teamChange) {
 	w := a.w
-	call := request.Request{Op: request.ConfigSet, Config: &request.ConfigParams{Teams: []liveconfig.TeamChange{{Team: c.team, IfRevision: &c.before}}}}
+	call := request.Request{Op: request.ConfigSet, Config: &request.ConfigParams{Teams: []liveconfig.TeamChange{{Team: c.team, IfRevision: &c.baseRevision}}}}
 	w.call(call, 5*time.Second, func(status int, ans request.Response) {
-		made, ok := madeOf(ans)
+		made, ok := changedDoc(ans)
 		switch {
 		case status == 200 && ok:
 			a.changeApplied(c, made.Revision)
 		case status == 0 || status == 503:
 			w.occurrences["config-again"]++
-			w.after(again(ans), func() { a.send(c) })
+			w.after(retryDelay(ans), func() { a.send(c) })
 		default:
-			w.fail("misuse", "a change of team %s gets %d %s", c.team.Name, status, ans.Reason)
+			w.fail("misuse", "a change of team %s gets status %d: %s", c.team.Name, status, ans.Reason)
 		}
 	})
 }
 
-// madeOf reads the answer to a change, which a process gives as JSON.
-func madeOf(ans request.Response) (view.ConfigChanged, bool) {
+// changedDoc returns the document in the answer to a configuration change.
+func changedDoc(ans request.Response) (view.ConfigChanged, bool) {
 	made, ok := ans.Doc.(view.ConfigChanged)
 	return made, ok
 }
 
 func (a *configAdmin) changeApplied(c *teamChange, revision uint64) {
 	w := a.w
-	if revision == 0 && !slices.Contains(w.baseTeam(c.team.Name), c.team) { // which alone is so without a change
-		w.fail("went_back", "a change of team %s is on record at no revision", c.team.Name)
+	if revision == 0 && !slices.Contains(w.baseTeam(c.team.Name), c.team) { // only a change without effect has revision 0
+		w.fail("went_back", "a change of team %s is acknowledged without a revision", c.team.Name)
 	}
-	c.told, c.revision = w.now, revision
-	a.highest = max(a.highest, revision)
+	c.acknowledgedAt, c.revision = w.now, revision
+	a.highestRevision = max(a.highestRevision, revision)
 	w.occurrences["config-told"]++
-	w.after(configWithin, func() { w.checkLeads(revision) })
-	if a.onTold != nil {
-		a.onTold(c)
+	w.after(configDeadline, func() { w.checkLeaderRevision(revision) })
+	if a.onAcknowledged != nil {
+		a.onAcknowledged(c)
 	}
-	if next := a.waiting[c.team.Name]; len(next) > 0 {
-		a.waiting[c.team.Name] = next[1:]
+	if next := a.queued[c.team.Name]; len(next) > 0 {
+		a.queued[c.team.Name] = next[1:]
 		a.set(next[0])
 	}
 }
 
-// settled reports whether every change was told of.
+// settled reports whether every change has been acknowledged.
 func (a *configAdmin) settled() bool {
 	for _, cs := range a.changes {
-		if slices.ContainsFunc(cs, func(c *teamChange) bool { return c.told.IsZero() }) {
+		if slices.ContainsFunc(cs, func(c *teamChange) bool { return c.acknowledgedAt.IsZero() }) {
 			return false
 		}
 	}
-	for _, ts := range a.waiting {
+	for _, ts := range a.queued {
 		if len(ts) > 0 {
 			return false
 		}
@@ -122,8 +123,8 @@
 	return true
 }
 
-// possibleTeams returns what of a team may be in force for a decision that was made at a time or
-// later: from the latest change that surely was on.
+// possibleTeams returns the configurations of a team that may be in force for a decision made at the
+// given time or later: those from the latest change that must be in force by then.
 func (a *configAdmin) possibleTeams(name string, at time.Time) []liveconfig.Team {
 	cs := a.changes[name]
 	from := -1
@@ -143,7 +144,7 @@
 	return teams
 }
 
-// baseTeam is the team as the settings have it; none if they have not.
+// baseTeam returns the team of the settings, or none if the settings lack it.
 func (w *world) baseTeam(name string) []liveconfig.Team {
 	for _, t := range w.cfg.Settings.Teams {
 		if t.Name == name {
@@ -153,15 +154,15 @@
 	return nil
 }
 
-// changedLive reports whether a team was ever changed: its limit is then looked at as tasks
-// start, since what runs goes on under a lower one.
-func (w *world) changedLive(name string) bool { return len(w.admin.changes[name]) > 0 }
+// changedAtRuntime reports whether a team was ever changed. Its limit is then checked as tasks start,
+// since running tasks continue under a lower limit.
+func (w *world) changedAtRuntime(name string) bool { return len(w.admin.changes[name]) > 0 }
 
-// checkLiveLimit holds that a start keeps to a limit that may be in force. The decision is
-// not older than the report that it answers.
+// checkLiveLimit checks that a task start respects a limit that may be in force. The decision is at
+// least as recent as the report that the order answers.
 func (w *world) checkLiveLimit(t *task, reported time.Time) {
 	name := t.job.spec.Owner
-	if w.unchecked || !w.changedLive(name) {
+	if w.checksOff || !w.changedAtRuntime(name) {
 		return
 	}
 	most := func(amount func(liveconfig.Team) float64) float64 {
@@ -179,58 +180,58 @@
 	u := w.allocations.used(name)
 	cpus, gpus := most(func(t liveconfig.Team) float64 { return t.CPUsMax }), most(func(t liveconfig.Team) float64 { return t.GPUsMax })
 	if t.job.spec.CPUs > 0 && u.cpus > cpus+eps || t.job.spec.GPUs > 0 && u.gpus > gpus+eps {
-		w.fail("stale_config", "%s starts with team %s at %.1f CPUs of %.1f", t.id, name, u.cpus, cpus)
+		w.fail("stale_config", "%s starts while team %s uses %.1f CPUs, limit %.1f", t.id, name, u.cpus, cpus)
 	}
 }
 
-// checkAdmitted holds that a new job was accepted, or refused for its team, by what may have
-// been in force since its user asked: for the first time, or for that answer.
+// checkAdmitted checks that a job was accepted or rejected by a team configuration that may have been
+// in force since its first submission (accepted) or its latest one (rejected).
 func (w *world) checkAdmitted(j *userJob, accepted bool) {
 	name := j.spec.Owner
-	if !w.changedLive(name) {
+	if !w.changedAtRuntime(name) {
 		return
 	}
 	retired := func(t liveconfig.Team) bool { return t.Retired }
 	if accepted {
-		if teams := w.admin.possibleTeams(name, j.first); len(teams) > 0 && !slices.ContainsFunc(teams, func(t liveconfig.Team) bool { return !t.Retired }) {
-			w.fail("stale_config", "%s is accepted for team %s, which is retired", j.spec.ID, name)
+		if teams := w.admin.possibleTeams(name, j.firstSubmitted); len(teams) > 0 && !slices.ContainsFunc(teams, func(t liveconfig.Team) bool { return !t.Retired }) {
+			w.fail("stale_config", "%s is accepted for retired team %s", j.spec.ID, name)
 		}
 		return
 	}
-	unknown := len(w.baseTeam(name)) == 0 && !slices.ContainsFunc(w.admin.changes[name], func(c *teamChange) bool { return c.inForce(j.asking) })
-	if !unknown && !slices.ContainsFunc(w.admin.possibleTeams(name, j.asking), retired) {
-		w.fail("stale_config", "%s is refused for team %s, which is there", j.spec.ID, name)
+	unknown := len(w.baseTeam(name)) == 0 && !slices.ContainsFunc(w.admin.changes[name], func(c *teamChange) bool { return c.inForce(j.lastSubmitted) })
+	if !unknown && !slices.ContainsFunc(w.admin.possibleTeams(name, j.lastSubmitted), retired) {
+		w.fail("stale_config", "%s is rejected for existing team %s", j.spec.ID, name)
 	}
 }
 
-// checkLeads holds that whoever leads in authority decides by a revision, or a newer one.
-func (w *world) checkLeads(revision uint64) {
+// checkLeaderRevision checks that a leader with authority uses the revision or a newer one.
+func (w *world) checkLeaderRevision(revision uint64) {
 	for _, n := range w.nodes {
-		if n.core == nil || !n.alive || w.now.Before(n.asleep) || !n.core.HasAuthority(n.local()) {
+		if n.core == nil || !n.alive || w.now.Before(n.stalledUntil) || !n.core.HasAuthority(n.localNow()) {
 			continue
 		}
 		if here := n.core.LocalConfig(); n.core.Ready() && here.Revision < revision {
-			w.fail("stale_config", "%s leads by revision %d, %d was told of %s ago", n.name, here.Revision, revision, configWithin)
+			w.fail("stale_config", "leader %s uses revision %d; revision %d was acknowledged %s ago", n.name, here.Revision, revision, configDeadline)
 		}
 	}
 }
 
-// configured reports whether all changes are told of and every controller in reach of the
-// leader has the newest revision.
-func (w *world) configured() bool {
+// configConverged reports whether all changes are acknowledged and every running controller has the
+// newest revision.
+func (w *world) configConverged() bool {
 	if !w.admin.settled() {
 		return false
 	}
 	for _, n := range w.nodes {
-		if n.core != nil && n.alive && n.core.LocalConfig().Revision < w.admin.highest {
+		if n.core != nil && n.alive && n.core.LocalConfig().Revision < w.admin.highestRevision {
 			return false
 		}
 	}
 	return true
 }
 
-// configure does what a script's word asks for: config TEAM [max=N] [cpus=N] [retired], or
-// configs N every=D teams=A,B max=LOW..HIGH: changes one after the other.
+// configure carries out an action: config TEAM [max=N] [cpus=N] [retired], or
+// configs N every=D teams=A,B max=LOW..HIGH, which sends N changes one after the other.
 func (s *script) configure(f []string) {
 	a := args(f[2:])
 	if f[0] == "config" {
--- a/internal/scenario/cost_test.go
+++ b/internal/scenario/cost_test.go
@@ -26,7 +26,7 @@
 
 func (k *costs) step(n *node, in any) []any {
 	began := time.Now()
-	outs := slices.Clone(n.core.Step(n.local(), in))
+	outs := slices.Clone(n.core.Step(n.localNow(), in))
 	spent := time.Since(began)
 	if n.now.Before(k.at) {
 		return outs
@@ -106,7 +106,7 @@
 		}
 	}
 	k := &costs{at: s.start.Add(20 * time.Second), spent: map[[2]string]time.Duration{}, count: map[[2]string]int{}, bytes: map[string]int{}}
-	s.measure, s.unchecked = k.step, true
+	s.stepCore, s.checksOff = k.step, true
 	s.begin()
 	for s.step(s.start.Add(s.end)) {
 	}
@@ -120,7 +120,7 @@
 	t.Logf("%d machines, %d tasks started, 100 s measured, %d bytes/s between controllers, heap of everything %d MB\n%s", n, s.started, sum(k.bytes)/100, m.HeapAlloc>>20, strings.Join(lines, "\n"))
 	by := map[string]int{}
 	for _, w := range s.workers {
-		by[s.nodes[w.node%len(s.nodes)].name]++
+		by[s.nodes[w.nodeIndex%len(s.nodes)].name]++
 	}
 	t.Log("workers by node", by)
 }
@@ -155,29 +155,29 @@
 			t.Log(x)
 		}
 	}
-	s.unchecked = true
+	s.checksOff = true
 	s.begin()
 	puts, requests := 0, 0
 	for s.step(s.start.Add(s.end)) {
 		if s.elapsed() < at {
-			puts, requests = s.store.puts, s.store.requests
+			puts, requests = s.store.writes, s.store.requests
 		}
 	}
 	accepted, started, inTime, of := time.Hour, time.Hour, 0, 0
-	for _, j := range s.order {
-		since := j.since.Sub(s.start)
-		if j.spec.Class == "new" && j.first.Sub(s.start) > at {
+	for _, j := range s.jobOrder {
+		since := j.acceptedAt.Sub(s.start)
+		if j.spec.Class == "new" && j.firstSubmitted.Sub(s.start) > at {
 			of++
 			accepted = min(accepted, since-at)
-			if j.accepted && j.since.Sub(j.first) < 300*time.Millisecond {
+			if j.accepted && j.acceptedAt.Sub(j.firstSubmitted) < 300*time.Millisecond {
 				inTime++
 			}
-			if !j.begun.IsZero() {
-				started = min(started, j.begun.Sub(s.start)-at)
+			if !j.firstStarted.IsZero() {
+				started = min(started, j.firstStarted.Sub(s.start)-at)
 			}
 		}
 	}
-	t.Logf("%d machines: %v to the first submission accepted, %v to the first start of one, %d of %d accepted within 300 ms; in 90 s %d requests, %d changes", n, accepted, started, inTime, of, s.store.requests-requests, s.store.puts-puts)
+	t.Logf("%d machines: %v to the first submission accepted, %v to the first start of one, %d of %d accepted within 300 ms; in 90 s %d requests, %d changes", n, accepted, started, inTime, of, s.store.requests-requests, s.store.writes-puts)
 }
 
 func sum(m map[string]int) (n int) {
--- a/internal/scenario/drill_test.go
+++ b/internal/scenario/drill_test.go
@@ -34,32 +34,32 @@
 // TestDrillLeaderKilled: the leader dies with tasks on machines, one of which
 // nobody can reach; the next one accounts for all of them.
 func TestDrillLeaderKilled(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(3, nil)
-	f.leader()
+	f := newTestCluster(t, site)
+	ps := f.startNodes(3, nil)
+	f.waitLeader()
 	j := f.job("wk-1", "tasks=20", "run=6s")
 	k := f.job("wk-2", "tasks=8", "owner=u", "run=5s")
-	f.until("tasks run", func() bool { return f.on("wk-1") > 5 })
-	l := f.leader()
+	f.waitFor("tasks run", func() bool { return f.activeTasks("wk-1") > 5 })
+	l := f.waitLeader()
 	f.with(func() {
 		ms := f.script.busiest(1)
-		f.net.split(map[string]bool{ms[0].host: true}, nil, true, 20*time.Second)
+		f.net.addPartition(map[string]bool{ms[0].host: true}, nil, true, 20*time.Second)
 	})
 	l.kill()
-	f.until("the jobs are done", told(spec.Done, j, k))
+	f.waitFor("the jobs are done", allInState(spec.Done, j, k))
 	l.start()
-	f.until("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
+	f.waitFor("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
 }
 
 // works checks that the cluster does what it is for: a new job is accepted and done.
-func (f *front) works(id string) {
+func (f *testCluster) works(id string) {
 	f.t.Helper()
 	j := f.job(id, "tasks=3", "run=500ms")
-	f.until(id+" is done", told(spec.Done, j))
+	f.waitFor(id+" is done", allInState(spec.Done, j))
 }
 
 // running checks that no process has ended by itself.
-func (f *front) running(ps []*proc) {
+func (f *testCluster) running(ps []*proc) {
 	f.t.Helper()
 	for _, p := range ps {
 		if !p.runs() {
@@ -88,9 +88,9 @@
 // TestDrillPeerLines: lines on the peer port that no controller would send end no
 // process, and leave no cluster without a leader.
 func TestDrillPeerLines(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(3, nil)
-	f.leader()
+	f := newTestCluster(t, site)
+	ps := f.startNodes(3, nil)
+	f.waitLeader()
 	f.works("wk-1")
 	claims := []string{`"kind":"leader","term":18446744073709551615}`, `"kind":"leader","term":4294967295}`, `"kind":"ack","term":18446744073709551615}`}
 	calls := []string{
@@ -115,7 +115,7 @@
 		f.running(ps)
 	}
 	f.works("wk-2")
-	l := f.leader()
+	l := f.waitLeader()
 	l.kill()
 	f.works("wk-3")
 }
@@ -123,9 +123,9 @@
 // TestDrillClaimedEpoch: a worker that says it has seen an epoch which no leader
 // ever had makes itself useless, and nobody else.
 func TestDrillClaimedEpoch(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(2, nil)
-	l := f.leader()
+	f := newTestCluster(t, site)
+	ps := f.startNodes(2, nil)
+	l := f.waitLeader()
 	f.works("wk-1")
 	term := l.metric("yewpass_term")
 	for i := range 12 {
@@ -138,7 +138,7 @@
 	}
 	f.running(ps)
 	f.works("wk-2")
-	if got := f.leader().metric("yewpass_term"); got != term {
+	if got := f.waitLeader().metric("yewpass_term"); got != term {
 		t.Errorf("term %g has become %g", term, got)
 	}
 }
@@ -156,40 +156,40 @@
 // that lives, then together with the leader. What the controllers know of goes on, is answered
 // and ends.
 func TestDrillDataLost(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(3, nil)
-	f.leader()
+	f := newTestCluster(t, site)
+	ps := f.startNodes(3, nil)
+	f.waitLeader()
 	f.works("wk-1")
 	lost := func(id string, kill func()) {
 		j := f.job(id, "tasks=12", "run=4s")
-		f.until("tasks run", func() bool { return f.on(id) > 5 })
+		f.waitFor("tasks run", func() bool { return f.activeTasks(id) > 5 })
 		f.with(func() { f.store.wipe("", true) })
 		kill()
-		f.until(id+" is done", told(spec.Done, j))
+		f.waitFor(id+" is done", allInState(spec.Done, j))
 	}
 	lost("wk-2", func() {})
 	f.running(ps)
-	f.until("an alert", func() bool { return saidAny(ps, "recovering from data loss") })
-	f.until("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
-	l := f.leader()
+	f.waitFor("an alert", func() bool { return saidAny(ps, "recovering from data loss") })
+	f.waitFor("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
+	l := f.waitLeader()
 	lost("wk-3", l.kill)
 	l.start()
-	f.until("all ready again", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
+	f.waitFor("all ready again", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
 }
 
 // TestDrillAllLost: the state service loses all that it had, and every controller is lost with
 // it. Terms go on above what the workers have seen, and the cluster works.
 func TestDrillAllLost(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(2, nil)
+	f := newTestCluster(t, site)
+	ps := f.startNodes(2, nil)
 	for range 2 {
-		l := f.leader()
+		l := f.waitLeader()
 		l.kill()
-		f.until("another leads", func() bool { n := f.leads(); return n != nil && n != l })
+		f.waitFor("another leads", func() bool { n := f.currentLeader(); return n != nil && n != l })
 		l.start()
-		f.until("both ready", func() bool { return ps[0].healthy && ps[1].healthy })
+		f.waitFor("both ready", func() bool { return ps[0].healthy && ps[1].healthy })
 	}
-	before := f.leader().metric("yewpass_term")
+	before := f.waitLeader().metric("yewpass_term")
 	for _, p := range ps {
 		p.kill()
 	}
@@ -197,9 +197,9 @@
 	for _, p := range ps {
 		p.start()
 	}
-	f.until("terms go on", func() bool { return saidAny(ps, "workers have seen newer terms") })
+	f.waitFor("terms go on", func() bool { return saidAny(ps, "workers have seen newer terms") })
 	f.works("wk-1")
-	if after := f.leader().metric("yewpass_term"); after <= before {
+	if after := f.waitLeader().metric("yewpass_term"); after <= before {
 		t.Errorf("term %g is followed by %g", before, after)
 	}
 }
@@ -209,15 +209,15 @@
 // TestDrillPaused: a leader stands still for longer than its grant while tasks
 // run, and goes on where it was. Another leads by then.
 func TestDrillPaused(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(3, nil)
-	l := f.leader()
+	f := newTestCluster(t, site)
+	ps := f.startNodes(3, nil)
+	l := f.waitLeader()
 	j := f.job("wk-1", "tasks=30", "run=4s", "owner=u")
-	f.until("tasks run", func() bool { return f.on("wk-1") > 5 })
+	f.waitFor("tasks run", func() bool { return f.activeTasks("wk-1") > 5 })
 	for range 2 {
-		l = f.leader()
+		l = f.waitLeader()
 		l.cmd.Process.Signal(syscall.SIGSTOP)
-		f.until("another leads", func() bool {
+		f.waitFor("another leads", func() bool {
 			for _, p := range ps {
 				if p != l && p.said("elected leader") && p.healthy {
 					return true
@@ -227,7 +227,7 @@
 		})
 		l.cmd.Process.Signal(syscall.SIGCONT)
 	}
-	f.until("the job is done", told(spec.Done, j))
+	f.waitFor("the job is done", allInState(spec.Done, j))
 	f.running(ps)
 }
 
@@ -238,10 +238,10 @@
 
 // answers, take all connections; reports, probes and users still get through.
 func TestDrillSlowClients(t *testing.T) {
-	f := newFront(t, site)
+	f := newTestCluster(t, site)
 	f.cfg.Settings.Limits.MaxConnections = 120
-	ps := f.controllers(2, nil)
-	l := f.leader()
+	ps := f.startNodes(2, nil)
+	l := f.waitLeader()
 	f.works("wk-1")
 	stop := make(chan struct{})
 	defer close(stop)
@@ -285,7 +285,7 @@
 	}
 	f.works("wk-2")
 	f.running(ps)
-	if f.leader() != l {
+	if f.waitLeader() != l {
 		t.Error("the leader has changed")
 	}
 }
@@ -294,9 +294,9 @@
 func TestDrillStandardError(t *testing.T) {
 	for _, how := range []string{"closed", "blocked"} {
 		t.Run(how, func(t *testing.T) {
-			f := newFront(t, site)
-			ps := f.controllers(1, func(p *proc) { p.stopReading = true })
-			f.leader()
+			f := newTestCluster(t, site)
+			ps := f.startNodes(1, func(p *proc) { p.stopReading = true })
+			f.waitLeader()
 			if how == "closed" {
 				ps[0].pipe.Close()
 			}
@@ -313,9 +313,9 @@
 
 // itself.
 func TestDrillOpenFiles(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(1, func(p *proc) { p.shell = "ulimit -n 96;" })
-	l := f.leader()
+	f := newTestCluster(t, site)
+	ps := f.startNodes(1, func(p *proc) { p.shell = "ulimit -n 96;" })
+	l := f.waitLeader()
 	f.works("wk-1")
 	term := l.metric("yewpass_term")
 	var held []net.Conn
@@ -339,12 +339,12 @@
 }
 
 // corrupt replaces what a key holds, as a fault of the disk below it might.
-func (f *front) corrupt(key, value string) {
+func (f *testCluster) corrupt(key, value string) {
 	f.t.Helper()
 	f.with(func() {
 		e := f.store.keys[key]
 		if e == nil {
-			f.t.Fatalf("no key %s in %q", key, f.store.sorted(""))
+			f.t.Fatalf("no key %s in %q", key, f.store.sortedKeys(""))
 		}
 		e.value = json.RawMessage(value)
 	})
@@ -352,9 +352,9 @@
 
 // above every earlier one.
 func TestDrillTermRecord(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(2, nil)
-	f.leader()
+	f := newTestCluster(t, site)
+	ps := f.startNodes(2, nil)
+	f.waitLeader()
 	f.works("wk-1")
 	for i, damage := range []func(){
 		func() { f.corrupt("yewpass/term", `{"type":"term","term":"x"}`) },
@@ -367,12 +367,12 @@
 			f.corrupt("yewpass/leader", `{"type":"leader","node":"n7","term":3}`)
 		},
 	} {
-		l := f.leader()
+		l := f.waitLeader()
 		before := l.metric("yewpass_term")
 		damage()
 		l.kill()
 		f.works("wk-" + strconv.Itoa(10+i))
-		n := f.leader()
+		n := f.waitLeader()
 		if after := n.metric("yewpass_term"); after <= before || after > 1e9 {
 			t.Errorf("damage %d: term %g is followed by %g", i, before, after)
 		}
@@ -380,20 +380,22 @@
 			t.Errorf("damage %d: no alert", i)
 		}
 		l.start()
-		f.until("both ready", func() bool { return ps[0].healthy && ps[1].healthy })
+		f.waitFor("both ready", func() bool { return ps[0].healthy && ps[1].healthy })
 	}
 }
 
 // cannot be read is no reason to believe that there are none.
 func TestDrillBadRecords(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(2, nil)
-	f.leader()
+	f := newTestCluster(t, site)
+	ps := f.startNodes(2, nil)
+	f.waitLeader()
 	j := f.job("wk-1", "tasks=12", "run=8s")
 	bad := f.job("wk-2", "tasks=2", "run=60s")
 	odd := f.job("wk-3", "tasks=2", "run=60s")
-	f.until("tasks run", func() bool { return f.on("wk-1") > 5 && f.on("wk-2") == 2 && f.on("wk-3") == 2 })
-	l := f.leader()
+	f.waitFor("tasks run", func() bool {
+		return f.activeTasks("wk-1") > 5 && f.activeTasks("wk-2") == 2 && f.activeTasks("wk-3") == 2
+	})
+	l := f.waitLeader()
 	var cut string
 	f.with(func() {
 		for _, m := range f.script.busiest(9) {
@@ -401,7 +403,7 @@
 				cut = m.host
 			}
 		}
-		f.net.split(map[string]bool{cut: true}, nil, true, 9*time.Second)
+		f.net.addPartition(map[string]bool{cut: true}, nil, true, 9*time.Second)
 	})
 	var job map[string]any
 	json.Unmarshal(submission(&j.spec), &job)
@@ -414,7 +416,7 @@
 	f.corrupt("yewpass/live/job/wk-2", `{"type":"job","spec":{"id":"wk-2","tasks":-1}}`)
 	f.corrupt("yewpass/live/job/wk-3", `{"type":"progress","ranges":"0-1"}`)
 	var key string
-	f.with(func() { key = f.store.sorted("yewpass/live/machine/")[0] })
+	f.with(func() { key = f.store.sortedKeys("yewpass/live/machine/")[0] })
 	f.corrupt(key, `{"type":"machines","machines":7}`)
 	// Nobody who has a copy lives on: it would put the records right.
 	for _, p := range ps {
@@ -423,7 +425,7 @@
 	for _, p := range ps {
 		p.start()
 	}
-	f.until("the readable job is done", told(spec.Done, j))
+	f.waitFor("the readable job is done", allInState(spec.Done, j))
 	f.running(ps)
 	for _, p := range ps {
 		for _, b := range []*userJob{bad, odd} {
@@ -446,11 +448,11 @@
 
 // loops nor believes it, and goes on when it is over.
 func TestDrillFaultyServices(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(2, nil)
-	f.leader()
+	f := newTestCluster(t, site)
+	ps := f.startNodes(2, nil)
+	f.waitLeader()
 	j := f.job("wk-1", "tasks=2", "run=25s")
-	f.until("wk-1 is accepted", func() bool { return j.accepted })
+	f.waitFor("wk-1 is accepted", func() bool { return j.accepted })
 	twist := func(what string, d time.Duration, g func(host, path string, status int, data []byte) (int, []byte)) {
 		calls := 0
 		f.with(func() {
@@ -474,7 +476,7 @@
 			t.Errorf("%s: %d calls to the cloud in %s", what, n, d)
 		}
 		f.running(ps)
-		if status, _, _ := f.leader().do("GET", "/v2/runs/wk-1", nil); status != 200 {
+		if status, _, _ := f.waitLeader().do("GET", "/v2/runs/wk-1", nil); status != 200 {
 			t.Errorf("%s: afterwards an accepted job gets %d", what, status)
 		}
 	}
@@ -490,21 +492,21 @@
 		}
 		return status, data
 	})
-	f.leader()
+	f.waitLeader()
 	twist("200 from a front", 4*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
 		if host == "state" {
 			return 200, []byte(`{}`)
 		}
 		return status, data
 	})
-	f.leader()
+	f.waitLeader()
 	twist("another key's answer", 3*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
 		if host == "state" && strings.HasPrefix(path, "/store/") {
 			return 200, []byte(`{"k":"yewpass/final/wk-1","v":{"type":"final","state":"cancelled","done":0},"keyRev":3}`)
 		}
 		return status, data
 	})
-	f.until("wk-1 is done", told(spec.Done, j))
+	f.waitFor("wk-1 is done", allInState(spec.Done, j))
 	f.works("wk-2")
 }
 
@@ -515,8 +517,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newFront(t, site)
-	p := f.controllers(1, nil)[0]
+	f := newTestCluster(t, site)
+	p := f.startNodes(1, nil)[0]
 	good, err := os.ReadFile(p.config)
 	if err != nil {
 		t.Fatal(err)
@@ -567,24 +569,24 @@
 // under submissions. Every accepted job is answered and done, and however many connect to
 // a process, nothing they do has it block one thread each.
 func TestDrillKilledAgain(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(3, nil)
-	f.leader()
+	f := newTestCluster(t, site)
+	ps := f.startNodes(3, nil)
+	f.waitLeader()
 	var jobs []*userJob
 	for i := range 20 {
 		jobs = append(jobs, f.job("wk-"+strconv.Itoa(100+i), "tasks=2", "run=300ms"))
 		p := ps[i%3]
 		if i%4 == 3 {
-			p = f.leader()
+			p = f.waitLeader()
 		}
 		p.kill()
 		p.start()
 	}
 	for i, j := range jobs {
-		f.until(j.spec.ID+" is done", told(spec.Done, j))
+		f.waitFor(j.spec.ID+" is done", allInState(spec.Done, j))
 		ps[i%3].knowsDone(j.spec.ID)
 	}
-	l := f.leader()
+	l := f.waitLeader()
 	var all sync.WaitGroup
 	for i := range 400 { // each with a connection of its own, half of them in the middle of a request
 		all.Go(func() {
--- a/internal/scenario/front_test.go
+++ b/internal/scenario/front_test.go
@@ -15,35 +15,35 @@
 	"yewpass/internal/spec"
 )
 
-// front is a loopback world of a test: the real program against the stand-ins.
-type front struct {
+// testCluster runs real controller processes against the simulated services over loopback.
+type testCluster struct {
 	*loopback
 	t *testing.T
 }
 
-// proc is a controller of a test.
+// proc is a controller process of a test cluster.
 type proc = process
 
-// built is the folder that the program is built into; it goes with the tests.
-var built string
+// buildDir is the directory that holds the built program; TestMain removes it.
+var buildDir string
 
 func TestMain(m *testing.M) {
-	// Worlds are begun anew tens of thousands of times, and little of each is live: the
-	// collector would take a fifth of the time.
+	// Tests create tens of thousands of short-lived worlds, with little live memory. A higher GC
+	// target saves a large part of the collector's time.
 	debug.SetGCPercent(800)
 	code := m.Run()
-	if built != "" {
-		os.RemoveAll(built)
+	if buildDir != "" {
+		os.RemoveAll(buildDir)
 	}
 	os.Exit(code)
 }
 
-// program builds the real program, once.
+// program builds the controller binary once and returns its path.
 var program = sync.OnceValues(func() (path string, err error) {
-	if built, err = os.MkdirTemp("", "yewpass-drill"); err != nil {
+	if buildDir, err = os.MkdirTemp("", "yewpass-drill"); err != nil {
 		return "", err
 	}
-	path = filepath.Join(built, "yewpass")
+	path = filepath.Join(buildDir, "yewpass")
 	out, err := exec.Command("go", "build", "-o", path, "yewpass/cmd/yewpass").CombinedOutput()
 	if err != nil {
 		err = fmt.Errorf("%w: %s", err, out)
@@ -51,11 +51,12 @@
 	return path, err
 })
 
-// newFront begins a world whose text is set up as a scenario's, without its times.
-func newFront(t *testing.T, text string) *front {
+// newTestCluster creates a cluster from the setup lines of a script. It skips the test in short
+// mode, and reports rule violations at the end of the test.
+func newTestCluster(t *testing.T, text string) *testCluster {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("drills take their time")
+		t.Skip("drills are skipped in short mode")
 	}
 	t.Parallel()
 	s, err := read(text)
@@ -64,7 +65,7 @@
 	}
 	w := s.world
 	w.cfg.Settings.Workers = config.Workers{Report: 1, Lease: 5, Cancel: 16}
-	f := &front{loopback: newLoopback(s, t.TempDir(), t.Errorf), t: t}
+	f := &testCluster{loopback: newLoopback(s, t.TempDir(), t.Errorf), t: t}
 	t.Cleanup(func() {
 		f.close()
 		f.mu.Lock()
@@ -76,8 +77,9 @@
 	return f
 }
 
-// until waits for something to become true.
-func (f *front) until(what string, cond func() bool) {
+// waitFor polls a condition for up to 90 s, and fails the test with the controllers' last log lines
+// if it does not become true.
+func (f *testCluster) waitFor(what string, cond func() bool) {
 	f.t.Helper()
 	ok := false
 	for end := time.Now().Add(90 * time.Second); time.Now().Before(end) && !ok; time.Sleep(10 * time.Millisecond) {
@@ -85,14 +87,14 @@
 	}
 	if !ok {
 		for _, n := range f.nodes {
-			f.t.Logf("%s said last:\n%s", n.name, strings.Join(n.process.(*proc).tail(25), "\n"))
+			f.t.Logf("last log lines of %s:\n%s", n.name, strings.Join(n.process.(*proc).tail(25), "\n"))
 		}
-		f.t.Fatalf("waited in vain: %s", what)
+		f.t.Fatalf("condition not met within 90 s: %s", what)
 	}
 }
 
-// controllers starts n nodes; change, unless it is nil, is called before each start.
-func (f *front) controllers(n int, change func(p *proc)) []*proc {
+// startNodes starts n controller processes. It calls change, unless nil, before each start.
+func (f *testCluster) startNodes(n int, change func(p *proc)) []*proc {
 	f.t.Helper()
 	path, err := program()
 	if err != nil {
@@ -101,8 +103,8 @@
 	return f.startControllers(launch{count: n, program: func(int) string { return path }, logLevel: "debug", site: func(int) string { return "a" }, change: change})
 }
 
-// job submits a job as a scenario does and returns what its user knows of it.
-func (f *front) job(id string, words ...string) *userJob {
+// job submits a job with the arguments of a script's submit action.
+func (f *testCluster) job(id string, words ...string) *userJob {
 	var j *userJob
 	f.with(func() {
 		j = f.script.job(id, args(words))
@@ -111,8 +113,8 @@
 	return j
 }
 
-// leads returns the process that leads in authority, or nil.
-func (f *front) leads() *proc {
+// currentLeader returns the process that is leader with authority, or nil.
+func (f *testCluster) currentLeader() *proc {
 	for _, n := range f.nodes {
 		if p := n.process.(*proc); p.leads() {
 			return p
@@ -121,24 +123,24 @@
 	return nil
 }
 
-// leader waits for a leader in authority.
-func (f *front) leader() *proc {
+// waitLeader waits up to 60 s for a leader with authority.
+func (f *testCluster) waitLeader() *proc {
 	f.t.Helper()
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if p := f.leads(); p != nil {
+		if p := f.currentLeader(); p != nil {
 			return p
 		}
 	}
-	f.until("a leader", func() bool { return false })
+	f.waitFor("a leader", func() bool { return false })
 	return nil
 }
 
-// on counts the tasks of a job on machines.
-func (f *front) on(id string) int {
+// activeTasks returns the number of active tasks of a job.
+func (f *testCluster) activeTasks(id string) int {
 	n := 0
 	for _, m := range f.cloud.machines {
 		for _, t := range m.tasks {
-			if t.on() && t.id.Job == id {
+			if t.active() && t.id.Job == id {
 				n++
 			}
 		}
@@ -146,11 +148,11 @@
 	return n
 }
 
-// told reports whether the jobs' users have all been told this state.
-func told(state spec.JobState, js ...*userJob) func() bool {
+// allInState returns a condition: the users of all jobs have been told the final state.
+func allInState(state spec.JobState, js ...*userJob) func() bool {
 	return func() bool {
 		for _, j := range js {
-			if j.told != state {
+			if j.finalState != state {
 				return false
 			}
 		}
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -16,13 +16,12 @@
 	"yewpass/internal/spec"
 )
 
-// All users' calls on a job are a history of invocations and responses, whichever node took
-// them. It must be linearizable: there is one order of the calls, each somewhere between its
-// invocation and its response, in which every answer is the state of a single job. A call
-// without a certain answer may have happened or not.
+// The users' calls on a job, at any node, must form a linearizable history: there is an order of
+// the calls, each between its invocation and its response, in which every answer matches the state
+// of a single job. A call without a definite answer may or may not have taken effect.
 
-// The states of a job in the order that PROTOCOL gives them. Queued and running are one: an
-// answer may call a running job queued.
+// The states of a job, in the order of the protocol. Queued and running are one state, because an
+// answer may report a running job as queued.
 const (
 	jobUnknown = iota
 	jobAccepted
@@ -30,8 +29,8 @@
 	jobCancelled
 )
 
-// stateOf is the state that an answer tells, or -1 when it tells none.
-func stateOf(x call) int {
+// answerState returns the job state that an answer implies, or -1 if it implies none.
+func answerState(x call) int {
 	switch {
 	case x.status == 404 || x.op == request.Submit && (x.status == 400 || x.status == 422):
 		return jobUnknown
@@ -45,8 +44,8 @@
 	return jobAccepted
 }
 
-// jobModel is one job, as it is specified. A call without a certain answer has all the time
-// there is to take effect, so one that never did comes after everything else.
+// jobModel is the sequential specification of a job. A call without a definite answer never
+// returns in the history, so one that took no effect is ordered after all others.
 var jobModel = porcupine.Model{
 	Init: func() interface{} { return jobUnknown },
 	Step: func(state, input, output interface{}) (bool, interface{}) {
@@ -63,18 +62,18 @@
 	},
 }
 
-// needed takes out of a history, in the order of invocations, what says nothing that the rest
-// does not: the search goes over the orders of all that overlaps. Each step is exact.
-func needed(calls []call) (rest []call) {
+// pruneCalls removes calls that add no constraint to a history sorted by invocation, since the
+// search covers all orders of overlapping calls. No step changes the verdict.
+func pruneCalls(calls []call) (rest []call) {
 	unsure := map[request.Operation]bool{}
-	known, over := time.Time{}, time.Time{} // when an answer first said that it is accepted, that it is over
+	known, over := time.Time{}, time.Time{} // first answers that report the job as accepted and as ended
 	first := func(t *time.Time, x call) {
 		if t.IsZero() || x.ended.Before(*t) {
 			*t = x.ended
 		}
 	}
 	for _, x := range calls {
-		if s := stateOf(x); s >= jobAccepted {
+		if s := answerState(x); s >= jobAccepted {
 			first(&known, x)
 			if s >= jobDone {
 				first(&over, x)
@@ -83,18 +82,18 @@
 	}
 	after := func(x call, t time.Time) bool { return !t.IsZero() && x.invoked.After(t) }
 	for i, x := range calls {
-		told := stateOf(x)
+		told := answerState(x)
 		if told < 0 {
-			// Of those that may have happened at any time from then on the first says it all,
-			// and one that can change nothing any more says nothing.
+			// Of several indefinite calls of one operation, the first subsumes the others. A
+			// call that can no longer change the state adds nothing.
 			if x.op == request.Get || unsure[x.op] || x.op == request.Submit && after(x, known) || x.op == request.Cancel && after(x, over) {
 				continue
 			}
 			unsure[x.op] = true
 		} else if x.op == request.Get || x.op == request.Submit && after(x, known) {
-			// It changes nothing, and another call in the midst of it was told the same.
+			// The call changes nothing, and a call within its interval got the same answer.
 			inside := func(k int, y call) bool {
-				return k != i && stateOf(y) == told && !y.invoked.Before(x.invoked) && !y.ended.After(x.ended) &&
+				return k != i && answerState(y) == told && !y.invoked.Before(x.invoked) && !y.ended.After(x.ended) &&
 					(k < i || y.invoked.After(x.invoked) || y.ended.Before(x.ended))
 			}
 			k := 0
@@ -107,13 +106,13 @@
 	return rest
 }
 
-// linear returns what is wrong with a job's history, or "".
-func linear(id string, calls []call) string {
+// checkLinearizable describes why a job's history is not linearizable, or returns "".
+func checkLinearizable(id string, calls []call) string {
 	var ops []porcupine.Operation
 	calls = slices.Clone(calls)
 	slices.SortStableFunc(calls, func(a, b call) int { return a.invoked.Compare(b.invoked) })
-	for _, x := range needed(calls) {
-		told, end := stateOf(x), int64(math.MaxInt64)
+	for _, x := range pruneCalls(calls) {
+		told, end := answerState(x), int64(math.MaxInt64)
 		if told >= 0 {
 			end = x.ended.UnixNano()
 		}
@@ -124,9 +123,9 @@
 	case porcupine.Ok:
 		return ""
 	case porcupine.Unknown:
-		fmt.Fprintf(&sb, "whether the answers about %s could be a single job's was not found out in time", id)
+		fmt.Fprintf(&sb, "linearizability check of the history of %s timed out", id)
 	default:
-		fmt.Fprintf(&sb, "the answers about %s are in no order: no single job could have given them", id)
+		fmt.Fprintf(&sb, "history of %s is not linearizable", id)
 	}
 	for _, x := range calls {
 		end := "never"
@@ -138,17 +137,18 @@
 	return sb.String()
 }
 
-// notLinear returns what is wrong with the histories of a play.
-func notLinear(res Result) (wrong []string) {
+// nonLinearizable describes the job histories of a scenario run that are not linearizable.
+func nonLinearizable(res Result) (wrong []string) {
 	for _, id := range slices.Sorted(maps.Keys(res.History)) {
-		if why := linear(id, res.History[id]); why != "" {
+		if why := checkLinearizable(id, res.History[id]); why != "" {
 			wrong = append(wrong, why)
 		}
 	}
 	return wrong
 }
 
-// TestLinear: the checker tells good histories from bad ones.
+// TestLinear checks that the linearizability checker accepts valid histories and rejects invalid
+// ones.
 func TestLinear(t *testing.T) {
 	at := func(ms int) time.Time { return newClock(0).start.Add(time.Duration(ms) * time.Millisecond) }
 	x := func(op request.Operation, from, to, status int, s spec.JobState) call {
@@ -177,8 +177,8 @@
 		"refused after an acceptance":    {false, []call{x(submit, 0, 2, 201, spec.Queued), x(submit, 3, 4, 422, "")}},
 		"known to nobody":                {false, []call{x(get, 5, 6, 200, spec.Queued)}},
 	} {
-		if got := linear("wk-1", h.calls) == ""; got != h.good {
-			t.Errorf("%s: %v, want %v", name, got, h.good)
+		if got := checkLinearizable("wk-1", h.calls) == ""; got != h.good {
+			t.Errorf("%s: linearizable = %v, want %v", name, got, h.good)
 		}
 	}
 }
--- a/internal/scenario/loopback.go
+++ b/internal/scenario/loopback.go
@@ -170,9 +170,9 @@
 	json.NewDecoder(r.Body).Decode(&c)
 	got := make(chan heartbeat.ProbeReply, 1)
 	l.with(func() {
-		if m := l.workers[strings.Split(r.URL.Path, "/")[1]]; m != nil && l.net.open(m.host, outsider) {
-			m.do(func() {
-				outcome, rep := m.command(c.Epoch, c.Tenure)
+		if m := l.workers[strings.Split(r.URL.Path, "/")[1]]; m != nil && l.net.reachable(m.host, outsider) {
+			m.whenRunning(func() {
+				outcome, rep := m.handleProbe(c.Epoch, c.Tenure)
 				got <- heartbeat.ProbeReply{Outcome: outcome, Report: rep}
 			})
 		}
--- a/internal/scenario/loss_test.go
+++ b/internal/scenario/loss_test.go
@@ -88,9 +88,9 @@
 						t.Fatal(err)
 					}
 					s.begin()
-					for s.store.puts < n && s.step(s.start.Add(s.end)) {
+					for s.store.writes < n && s.step(s.start.Add(s.end)) {
 					}
-					if s.store.puts < n {
+					if s.store.writes < n {
 						t.Logf("%d moments", n-3)
 						return
 					}
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -206,7 +206,7 @@
 expect done all
 run 250s`, "ran_twice", func(s *script) {
 			s.alterInput = func(n *node, in any) any { // every report counts as one of the term at hand
-				if r, ok := in.(heartbeat.Received); ok && n.core.HasAuthority(n.local()) {
+				if r, ok := in.(heartbeat.Received); ok && n.core.HasAuthority(n.localNow()) {
 					r.Report.FencingToken = n.core.Stats().Term
 					return r
 				}
@@ -263,7 +263,7 @@
 expect over
 run 150s`, "went_back", func(s *script) {
 			s.alterOutput = func(n *node, out any) any { // whoever called it off is told that it is cancelled
-				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && s.jobs[a.View.ID].wantsCancel && s.jobs[a.View.ID].told == "" {
+				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && s.jobs[a.View.ID].cancelRequested && s.jobs[a.View.ID].finalState == "" {
 					a.View.State = spec.Cancelled
 					return a
 				}
@@ -358,7 +358,7 @@
 				s.trace = func(s string) { t.Log(s) }
 			}
 			res, err := s.play()
-			found := slices.Concat(res.Violations, res.Unmet, notLinear(res))
+			found := slices.Concat(res.Violations, res.Unmet, nonLinearizable(res))
 			if err != nil || !slices.ContainsFunc(found, func(v string) bool { return strings.Contains(v, x.finds) }) {
 				t.Errorf("not found: %v %v", err, found)
 			}
--- a/internal/scenario/node.go
+++ b/internal/scenario/node.go
@@ -21,39 +21,40 @@
 	"yewpass/internal/rpc"
 )
 
-// node is a controller: the core, with the actors' work done by the world.
+// node is a controller. The world carries out the outputs of its core, or a real process
+// replaces the core.
 type node struct {
 	*world
-	name  string
-	core  *core.Core
-	alive bool
-	life  int
-	skew  time.Duration // of its time of day
-	drift float64       // of its steady clock
-	ref   uint64
-	reply map[uint64]func(any)
-	wake  time.Time
-	links map[string]*link
+	name       string
+	core       *core.Core
+	alive      bool
+	generation int
+	skew       time.Duration // offset of its clocks
+	drift      float64       // relative rate error of its clock
+	ref        uint64
+	callbacks  map[uint64]func(any)
+	wake       time.Time
+	links      map[string]*link
 
-	submission uint64 // number of the latest one
+	submission uint64 // reference number of the latest submission
 
-	wander time.Duration // of the time of day against the steady clock
+	wallOffset time.Duration // wall clock minus monotonic clock
 
-	leading bool // it was the leader when it last took an input
+	wasLeader bool // it was the leader after its last input
 
-	asleep time.Time // its process stands still until then
-	found  []any     // what it will find
+	stalledUntil time.Time // its process is paused until then
+	queuedInputs []any     // inputs that arrived during the pause
 
-	process remote // the real program, instead of a core
+	process remote // a real controller process that replaces the core
 }
 
-// remote is a node that runs as a process of its own.
+// remote is a node that runs as a separate process.
 type remote interface {
 	ready() bool
-	ask(in any, f func(any)) // f is called once, with an answer of status 0 if there is none
+	ask(in any, f func(any)) // f is called once; status 0 means no answer
 }
 
-// ready reports whether the load balancer would choose the node.
+// ready reports whether the node passes the load balancer's readiness check.
 func (n *node) ready() bool {
 	if n.process != nil {
 		return n.process.ready()
@@ -62,25 +63,25 @@
 }
 
 type link struct {
-	up     bool
-	life   int // of the process at its other end
-	broken time.Time
+	up          bool
+	generation  int // of the process at the other end
+	brokenSince time.Time
 }
 
-// local is the node's own clock.
-func (n *node) local() time.Time {
+// localNow returns the time on the node's own clock, with its skew and drift.
+func (n *node) localNow() time.Time {
 	d := n.now.Sub(n.start)
 	return n.now.Add(n.skew + time.Duration(float64(d)*n.drift))
 }
 
 func (n *node) boot() {
-	pol, err := policy.Parse(n.rules)
+	pol, err := policy.Parse(n.policyText)
 	if err != nil {
 		panic(err)
 	}
-	n.life++
+	n.generation++
 	n.alive = true
-	n.asleep, n.found = time.Time{}, nil
+	n.stalledUntil, n.queuedInputs = time.Time{}, nil
 	cfg := n.cfg
 	cfg.HostName = n.name
 	cfg.Seeds = nil
@@ -90,20 +91,20 @@
 		}
 	}
 	n.core = core.New(&cfg, pol, n.calendars(), n.rng.Uint64())
-	n.core.SetClockOffset(n.wander)
-	n.ref, n.reply = 0, map[uint64]func(any){} // a process numbers what it is asked from 1
+	n.core.SetClockOffset(n.wallOffset)
+	n.ref, n.callbacks = 0, map[uint64]func(any){} // each process numbers its requests from 1
 	n.links = map[string]*link{}
 	for _, o := range n.nodes {
 		n.links[o.name] = &link{}
 	}
 	n.wake = time.Time{}
 	n.input(core.Tick{})
-	n.checkLinks(n.life)
+	n.updateLinks(n.generation)
 }
 
 func (w *world) calendars() *calendar.Set {
 	set := map[string]*calendar.Calendar{}
-	for name, def := range w.cals {
+	for name, def := range w.calendarDefs {
 		c, err := calendar.New(def)
 		if err != nil {
 			panic(err)
@@ -118,7 +119,7 @@
 		return
 	}
 	n.alive = false
-	n.life++
+	n.generation++
 	n.after(back, func() {
 		if !n.alive {
 			n.boot()
@@ -126,10 +127,10 @@
 	})
 }
 
-// checkLinks tells the core which links to peers are up: a dead peer is noticed
-// at once, also when its next process is there already, one behind a cut after a while.
-func (n *node) checkLinks(life int) {
-	if n.life != life {
+// updateLinks tells the core which links to peers are up, every 300 ms. The end of a peer's
+// process takes its link down at the next check, a partition only after 2.5 s.
+func (n *node) updateLinks(life int) {
+	if n.generation != life {
 		return
 	}
 	for _, o := range n.nodes {
@@ -137,32 +138,32 @@
 			continue
 		}
 		l := n.links[o.name]
-		open := n.net.open(n.name, o.name)
+		open := n.net.reachable(n.name, o.name)
 		switch {
 		case o.alive && open && !l.up:
-			l.up, l.life, l.broken = true, o.life, time.Time{}
+			l.up, l.generation, l.brokenSince = true, o.generation, time.Time{}
 			n.input(peermsg.LinkChange{Name: o.name, Up: true})
-		case o.alive && open && l.life == o.life:
-			l.broken = time.Time{}
-		case l.up && l.broken.IsZero():
-			l.broken = n.now
+		case o.alive && open && l.generation == o.generation:
+			l.brokenSince = time.Time{}
+		case l.up && l.brokenSince.IsZero():
+			l.brokenSince = n.now
 		}
-		if l.up && !l.broken.IsZero() && (open || n.now.Sub(l.broken) > 2500*time.Millisecond) {
+		if l.up && !l.brokenSince.IsZero() && (open || n.now.Sub(l.brokenSince) > 2500*time.Millisecond) {
 			l.up = false
 			n.input(peermsg.LinkChange{Name: o.name})
 		}
 	}
-	n.after(300*time.Millisecond, func() { n.checkLinks(life) })
+	n.after(300*time.Millisecond, func() { n.updateLinks(life) })
 }
 
-// ask gives the core a request and has f called with its answer.
+// ask passes a request to the node and calls f with its answer.
 func (n *node) ask(in func(ref uint64) any, f func(any)) {
 	n.ref++
 	if n.process != nil {
 		n.process.ask(in(n.ref), f)
 		return
 	}
-	n.reply[n.ref] = f
+	n.callbacks[n.ref] = f
 	if call, ok := in(n.ref).(request.Request); ok && call.Op == request.Submit {
 		n.submission = n.ref
 	}
@@ -170,23 +171,23 @@
 }
 
 func (n *node) answer(ref uint64, a any) {
-	if f := n.reply[ref]; f != nil {
-		delete(n.reply, ref)
+	if f := n.callbacks[ref]; f != nil {
+		delete(n.callbacks, ref)
 		f(a)
 	}
 }
 
-// stall has the node's process stand still while its clocks run on. What came meanwhile
-// it finds when it wakes, the state service's word first, as a node takes its inputs.
+// stall pauses the node's process for d while its clocks keep running. Inputs that arrive during
+// the pause are processed afterwards, responses of the store first, as a real node does.
 func (n *node) stall(d time.Duration) {
-	life := n.life
-	n.asleep = n.now.Add(d)
+	life := n.generation
+	n.stalledUntil = n.now.Add(d)
 	n.after(d, func() {
-		found := n.found
-		n.found = nil
+		found := n.queuedInputs
+		n.queuedInputs = nil
 		for _, first := range []bool{true, false} {
 			for _, in := range found {
-				if _, ok := in.(kv.Response); ok == first && n.life == life && n.alive {
+				if _, ok := in.(kv.Response); ok == first && n.generation == life && n.alive {
 					n.input(in)
 				}
 			}
@@ -195,12 +196,12 @@
 }
 
 func (n *node) input(in any) {
-	if n.now.Before(n.asleep) {
+	if n.now.Before(n.stalledUntil) {
 		if _, ok := in.(core.Tick); !ok {
-			n.found = append(n.found, in)
+			n.queuedInputs = append(n.queuedInputs, in)
 		} else {
 			n.wake = time.Time{}
-			n.at(n.asleep, func() { n.input(core.Tick{}) })
+			n.at(n.stalledUntil, func() { n.input(core.Tick{}) })
 		}
 		return
 	}
@@ -208,42 +209,42 @@
 		in = n.alterInput(n, in)
 	}
 	var outs []any
-	if n.measure != nil {
-		outs = n.measure(n, in)
+	if n.stepCore != nil {
+		outs = n.stepCore(n, in)
 	} else {
-		outs = slices.Clone(n.core.Step(n.local(), in))
+		outs = slices.Clone(n.core.Step(n.localNow(), in))
 	}
 	for _, o := range outs {
-		n.do(o)
+		n.handleOutput(o)
 	}
-	if leads := n.core.HasAuthority(n.local()); leads != n.leading {
-		if n.leading = leads; leads {
-			n.tellKept()
+	if leads := n.core.HasAuthority(n.localNow()); leads != n.wasLeader {
+		if n.wasLeader = leads; leads {
+			n.deliverKeptReports()
 			n.countUnrecorded()
 		}
 	}
-	// The core speaks in its own time; drift is too small to matter here.
-	wake := n.now.Add(max(n.core.NextWake().Sub(n.local()), time.Millisecond))
+	// NextWake is in the node's local time; drift within one wait is negligible.
+	wake := n.now.Add(max(n.core.NextWake().Sub(n.localNow()), time.Millisecond))
 	if n.wake.IsZero() || wake.Before(n.wake) || !n.wake.After(n.now) {
 		n.wake = wake
-		life := n.life
+		life := n.generation
 		n.at(wake, func() {
-			if n.life == life && n.alive {
+			if n.generation == life && n.alive {
 				n.input(core.Tick{})
 			}
 		})
 	}
 }
 
-// roundTrip has a host serve a request and gives the core the input that answers
-// it, or none when that has not come within the time given.
+// roundTrip sends a request to a host and passes the answer to the core, or the input none if no
+// answer arrives within the timeout.
 func (n *node) roundTrip(kind, host string, within time.Duration, serve func(answer func(in any)), none any) {
-	// A reply to an earlier life of the node reaches nobody: its numbers would
-	// mean other calls to the next one.
-	over, life := false, n.life
+	// Drop replies to an earlier process of the node: their reference numbers belong to other
+	// calls of the current one.
+	over, life := false, n.generation
 	deliver := func(in any) func() {
 		return func() {
-			if n.alive && n.life == life && !over {
+			if n.alive && n.generation == life && !over {
 				over = true
 				n.input(in)
 			}
@@ -255,15 +256,15 @@
 	n.after(within, deliver(none))
 }
 
-// exchange is roundTrip with an outside service, whose protocol has a status and
-// a body; no answer has status 0.
+// exchange is roundTrip for a service that answers with a status and a body. Status 0 means that
+// no answer arrived.
 func (n *node) exchange(kind, host string, within time.Duration, serve func(answer func(int, []byte)), reply func(status int, data []byte) any) {
 	n.roundTrip(kind, host, within, func(answer func(any)) {
 		serve(func(status int, data []byte) { answer(reply(status, data)) })
 	}, reply(0, nil))
 }
 
-func (n *node) do(o any) {
+func (n *node) handleOutput(o any) {
 	if n.alterOutput != nil {
 		o = n.alterOutput(n, o)
 	}
@@ -278,15 +279,15 @@
 	case provider.Request:
 		n.callCloud(o)
 	case heartbeat.Probe:
-		n.callWorker(o)
+		n.probeWorker(o)
 	case peermsg.Outgoing:
 		n.sendPeer(o)
 	case engine.LogEntry:
-		n.logged(o)
+		n.handleLog(o)
 	}
 }
 
-// callStore sends a call to the state service over the network.
+// callStore sends a request to the store over the network.
 func (n *node) callStore(call kv.Request) {
 	method, path, body := kvclient.Request(call)
 	kind := "state"
@@ -305,7 +306,7 @@
 	})
 }
 
-// callCloud sends a call to the cloud over the network.
+// callCloud sends a request to the cloud over the network.
 func (n *node) callCloud(call provider.Request) {
 	method, path, body := cloud.Request(call)
 	kind := "cloud"
@@ -324,41 +325,42 @@
 	})
 }
 
-// callWorker sends a command to a worker over the network.
-func (n *node) callWorker(call heartbeat.Probe) {
+// probeWorker sends a probe to a worker over the network.
+func (n *node) probeWorker(call heartbeat.Probe) {
 	host := strings.TrimSuffix(call.Address, workerPort)
 	n.roundTrip("probe", host, call.Timeout, func(answer func(any)) {
 		m := n.workers[host]
-		if m == nil || n.now.Before(m.deaf) {
+		if m == nil || n.now.Before(m.inboundLostUntil) {
 			return
 		}
-		m.do(func() {
-			outcome, report := m.command(call.FencingToken, call.Incarnation)
+		m.whenRunning(func() {
+			outcome, report := m.handleProbe(call.FencingToken, call.Incarnation)
 			answer(heartbeat.ProbeReply{Ref: call.Ref, Outcome: outcome, Report: report})
 		})
 	}, heartbeat.ProbeReply{Ref: call.Ref, Outcome: rpc.Unknown})
 }
 
-// sendPeer sends a message to another controller if there is a link to it.
+// sendPeer sends a message to another controller, and drops it if the link is down.
 func (n *node) sendPeer(out peermsg.Outgoing) {
 	for _, p := range n.nodes {
 		l := n.links[p.name]
 		if p.name != out.To || !l.up {
 			continue
 		}
-		msg, life := out.Msg, l.life
+		msg, life := out.Msg, l.generation
 		n.net.send("peer", n.name, p.name, func() {
-			if p.alive && p.life == life { // else the connection has gone with it
+			if p.alive && p.generation == life { // otherwise the connection closed with the old process
 				p.input(peermsg.Received{From: n.name, Msg: msg})
 			}
 		})
 	}
 }
 
-// logged checks and traces a line of the controller's log.
-func (n *node) logged(entry engine.LogEntry) {
+// handleLog traces a log entry of the controller, and fails the scenario on a false report of
+// data loss.
+func (n *node) handleLog(entry engine.LogEntry) {
 	if entry.Text == core.DataLossDetected && !n.dataLost {
-		n.fail("misuse", "%s sees a loss of data where there was none: %v", n.name, entry.Attrs)
+		n.fail("misuse", "%s reports data loss although no data was lost: %v", n.name, entry.Attrs)
 	}
 	if n.trace != nil {
 		n.trace(fmt.Sprintf("%8.3f %s %s %s %v", n.elapsed().Seconds(), n.name, entry.Level, entry.Text, entry.Attrs))
--- a/internal/scenario/observations.go
+++ b/internal/scenario/observations.go
@@ -12,20 +12,20 @@
 	"yewpass/internal/spec"
 )
 
-// What users do besides the ordinary, as the operators' bench names it: they look closely,
-// call off just now or just at the end, and ask for what cannot be.
+// This file simulates unusual user behavior: polling every node at each state change, cancelling
+// running or just finishing jobs, and sending invalid requests.
 
-// call is a user's call on a job: an operation of the job's history.
+// call is a user's request about a job, as an operation in the job's history.
 type call struct {
-	op             request.Operation // OpSubmit, OpGet, OpCancel; "" is the end of its last task
-	invoked, ended time.Time         // ended is zero while there is no answer
-	status         int               // 0: none, it may have happened or not
+	op             request.Operation // Submit, Get or Cancel; "" is the completion of the job's last task
+	invoked, ended time.Time         // ended is zero until there is an answer
+	status         int               // 0: no answer; the operation may or may not have taken effect
 	state          spec.JobState
 }
 
-// recordCall notes a call and returns what notes its answer.
+// recordCall records a request in the job's history and returns a function that records its answer.
 func (w *world) recordCall(u request.Request) func(status int, a request.Response) {
-	if w.unchecked || u.Schedule != nil || u.Op != request.Submit && u.Op != request.Get && u.Op != request.Cancel {
+	if w.checksOff || u.Schedule != nil || u.Op != request.Submit && u.Op != request.Get && u.Op != request.Cancel {
 		return func(int, request.Response) {}
 	}
 	id := u.ID
@@ -37,12 +37,12 @@
 	}
 }
 
-// jobEnded: the last task of a job has just completed.
-func (w *world) jobEnded(j *userJob) {
-	if !w.unchecked {
+// jobFinished handles the completion of a job's last task.
+func (w *world) jobFinished(j *userJob) {
+	if !w.checksOff {
 		w.history[j.spec.ID] = append(w.history[j.spec.ID], call{invoked: w.now})
 	}
-	if j.accepted && !j.wantsCancel && w.cancelAtEnd.hits(w.clock) {
+	if j.accepted && !j.cancelRequested && w.cancelAtEnd.sample(w.clock) {
 		w.after([]time.Duration{0, time.Millisecond, 20 * time.Millisecond, 200 * time.Millisecond, time.Second}[w.rng.IntN(5)], func() {
 			w.occurrences["cancel-at-end"]++
 			w.cancel(j)
@@ -51,73 +51,74 @@
 	w.observeJob(j, true)
 }
 
-// lookTimes is when users look again.
-var lookTimes = []time.Duration{0, time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond}
+// observeDelays are the delays of the polls of observeJob.
+var observeDelays = []time.Duration{0, time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond}
 
-// observeJob has a job's user ask every node at once and again within milliseconds, and repeat
-// the submission; some also call the job off. During, as close_looks has it: only while that lasts.
+// observeJob polls a job at every node several times within 100 ms and repeats its submission. If
+// during is set, it acts only while the close_looks action is active, and also cancels one job in
+// eight.
 func (w *world) observeJob(j *userJob, during bool) {
-	if during && !w.now.Before(w.observeUntil) || w.unchecked || len(w.nodes) == 0 || w.nodes[0].process != nil {
+	if during && !w.now.Before(w.observeUntil) || w.checksOff || len(w.nodes) == 0 || w.nodes[0].process != nil {
 		return
 	}
 	w.occurrences["look"]++
-	for _, d := range lookTimes {
+	for _, d := range observeDelays {
 		for _, n := range w.nodes {
 			w.after(d, func() {
 				if n.alive {
-					w.requestAt(n, request.Get, nil, j.spec.ID, 2*time.Second, w.polled(j))
+					w.requestAt(n, request.Get, nil, j.spec.ID, 2*time.Second, w.pollHandler(j))
 				}
 			})
 		}
 		w.after(d, func() {
-			w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) { w.repeatSubmission(j, status, a) })
+			w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) { w.checkResubmission(j, status, a) })
 		})
 	}
-	if during && !j.wantsCancel && w.rng.IntN(8) == 0 {
-		w.after(lookTimes[w.rng.IntN(len(lookTimes))], func() {
+	if during && !j.cancelRequested && w.rng.IntN(8) == 0 {
+		w.after(observeDelays[w.rng.IntN(len(observeDelays))], func() {
 			w.occurrences["look-cancel"]++
 			w.cancel(j)
 		})
 	}
 }
 
-// repeatSubmission takes the answer to a repeated submission of an accepted job.
-func (w *world) repeatSubmission(j *userJob, status int, a request.Response) {
+// checkResubmission checks the answer to a repeated submission of an accepted job.
+func (w *world) checkResubmission(j *userJob, status int, a request.Response) {
 	switch status {
 	case 200, 201:
-		w.hear(j, a.View)
+		w.observeStatus(j, a.View)
 	default:
-		w.refused(j, status)
+		w.checkRefusal(j, status)
 	}
 }
 
-// hungMost is on how many machines a cancel_now falls that hang.
-const hungMost = 8
+// maxHungMachines bounds the machines that one cancel_now action hangs.
+const maxHungMachines = 8
 
-// cancelRunning has users call off the jobs that run and have the longest to go, within a fifth
-// of a second; up to eight of their machines hang.
+// cancelRunning cancels the n running jobs with the longest remaining run time, within 200 ms. If
+// hang is positive, up to maxHungMachines of their machines hang for that long.
 func (w *world) cancelRunning(n int, hang time.Duration) {
 	left := func(j *userJob) (d time.Duration) {
 		for _, m := range w.cloud.machines {
 			for _, t := range m.tasks {
-				if t.job == j && t.on() {
+				if t.job == j && t.active() {
 					if j.spec.Service {
 						return math.MaxInt64
 					}
-					d = max(d, j.runs-j.progress[t.id.Index]-w.now.Sub(t.began))
+					d = max(d, j.runtime-j.progress[t.id.Index]-w.now.Sub(t.startedAt))
 				}
 			}
 		}
 		return d
 	}
 	var js []*userJob
-	for _, j := range w.order {
-		if j.accepted && !j.wantsCancel && j.told == "" && left(j) > 0 {
+	for _, j := range w.jobOrder {
+		if j.accepted && !j.cancelRequested && j.finalState == "" && left(j) > 0 {
 			js = append(js, j)
 		}
 	}
 	for _, t := range w.cfg.Settings.Teams {
-		if cpus, gpus := w.uses(t.Name); t.CPUsMax > 0 && cpus+1 > t.CPUsMax || t.GPUsMax > 0 && gpus+1 > t.GPUsMax {
+		if cpus, gpus := w.teamUsage(t.Name); t.CPUsMax > 0 && cpus+1 > t.CPUsMax || t.GPUsMax > 0 && gpus+1 > t.GPUsMax {
 			w.occurrences["cancel-at-limit"]++
 		}
 	}
@@ -128,28 +129,29 @@
 		w.occurrences["cancel-now"]++
 		w.after(time.Duration(w.rng.IntN(200))*time.Millisecond, func() { w.cancel(j) })
 		for _, m := range w.cloud.machines {
-			on := slices.ContainsFunc(m.tasks, func(t *task) bool { return t.job == j && t.on() })
-			if hang > 0 && on && !w.now.Before(m.hung) && hung < hungMost {
+			on := slices.ContainsFunc(m.tasks, func(t *task) bool { return t.job == j && t.active() })
+			if hang > 0 && on && !w.now.Before(m.hungUntil) && hung < maxHungMachines {
 				hung++
 				w.occurrences["cancel-now-hung"]++
-				m.hung = w.now.Add(hang)
+				m.hungUntil = w.now.Add(hang)
 			}
 		}
 	}
 }
 
-// sendOddRequests has users make requests that are none of the ordinary, four a second.
+// sendOddRequests sends four unusual requests a second until end: repeated submissions, cancellations
+// of ended jobs, and jobs that are unschedulable or incomplete.
 func (w *world) sendOddRequests(end time.Time) {
 	if !w.now.Before(end) {
 		return
 	}
 	w.after(250*time.Millisecond, func() { w.sendOddRequests(end) })
 	var going, over []*userJob
-	for _, j := range w.order {
+	for _, j := range w.jobOrder {
 		switch {
-		case j.accepted && j.told == "":
+		case j.accepted && j.finalState == "":
 			going = append(going, j)
-		case j.told != "":
+		case j.finalState != "":
 			over = append(over, j)
 		}
 	}
@@ -157,28 +159,28 @@
 	switch k := w.rng.IntN(4); {
 	case k == 0 && len(going) > 0:
 		j := going[w.rng.IntN(len(going))]
-		w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) { w.repeatSubmission(j, status, a) })
+		w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) { w.checkResubmission(j, status, a) })
 	case k == 1 && len(over) > 0:
 		j := over[w.rng.IntN(len(over))]
 		w.request(request.Cancel, nil, j.spec.ID, 5*time.Second, func(status int, a request.Response) {
 			switch status {
 			case 200:
-				w.hear(j, a.View)
+				w.observeStatus(j, a.View)
 			case 404:
-				w.fail("forgotten", "cancellation of %s, which is over, gets 404", j.spec.ID)
+				w.fail("forgotten", "cancellation of ended job %s gets 404", j.spec.ID)
 			}
 		})
 	case k == 2:
-		w.submitUnfit()
+		w.submitUnschedulable()
 	default:
 		w.submitIncomplete()
 	}
 }
 
-// submitUnfit submits a job that can never run.
-func (w *world) submitUnfit() {
-	w.oddID++
-	s := spec.Job{ID: fmt.Sprintf("wk-8%07d", w.oddID), Class: "c", Owner: w.cfg.Settings.Teams[0].Name, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", AllowSpot: true}
+// submitUnschedulable submits a job that can never run.
+func (w *world) submitUnschedulable() {
+	w.lastOddID++
+	s := spec.Job{ID: fmt.Sprintf("wk-8%07d", w.lastOddID), Class: "c", Owner: w.cfg.Settings.Teams[0].Name, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", AllowSpot: true}
 	switch w.rng.IntN(4) {
 	case 0:
 		s.CPUs = 1e5
@@ -192,17 +194,17 @@
 	w.call(request.Request{Op: request.Submit, ID: s.ID, Spec: &s}, 5*time.Second, func(status int, a request.Response) {
 		switch status {
 		case 200, 201:
-			w.fail("unfit", "%s is accepted though it can never run", s.ID)
+			w.fail("unfit", "%s is accepted although it can never run", s.ID)
 		case 422:
 			w.occurrences["odd-unfit"]++
 		}
 	})
 }
 
-// submitIncomplete submits a job without one of the fields that it must have, as its JSON is read.
+// submitIncomplete parses a submission that lacks one required field.
 func (w *world) submitIncomplete() {
-	w.oddID++
-	id, text, zero, shards, no := fmt.Sprintf("wk-8%07d", w.oddID), "x", 1.0, 1, false
+	w.lastOddID++
+	id, text, zero, shards, no := fmt.Sprintf("wk-8%07d", w.lastOddID), "x", 1.0, 1, false
 	shape, urgency := "array", "standard"
 	sub := spec.Submission{ID: &id, JobClass: &text, Owner: &text, Shape: &shape, Urgency: &urgency, Shards: &shards, VCPUs: &zero, GPUs: &zero, MemGB: &zero,
 		Bundle: &text, SizeGB: &zero, SamePlace: &no, Apart: &no, Reclaimable: &no, RuntimeS: &zero, SnapshotEveryS: &zero, SnapshotS: &zero}
@@ -220,56 +222,58 @@
 		job = w.alterSubmission(job)
 	}
 	if job != nil || field == "" {
-		w.fail("unfit", "a job without %s is taken", v.Type().Field(i).Name)
+		w.fail("unfit", "a job without %s is accepted", v.Type().Field(i).Name)
 		return
 	}
 	w.occurrences["odd-lacks"]++
 }
 
-// waitsMost is for how long a job may wait once the troubles are over.
-const waitsMost = 90 * time.Second
+// maxWait bounds how long a job may wait, after the last fault has ended, while a machine fits.
+const maxWait = 90 * time.Second
 
-// roomLeast is how long a machine must have room for it to count.
-const roomLeast = 10 * time.Second
+// minFitTime is how long a job must have fit on its previous machine for its waiting time to
+// continue on another one.
+const minFitTime = 10 * time.Second
 
-// checkWaiting holds what the operators ask for once the troubles are over: no job waits for
-// long while a machine that fits has room and its team is under its limit.
+// checkWaiting checks, after the last fault has ended, that no job waits longer than maxWait while
+// a machine has room for it and its team is below its limit.
 func (w *world) checkWaiting() {
-	if w.unchecked || !w.now.After(w.faultsOverAt) {
+	if w.checksOff || !w.now.After(w.faultsOverAt) {
 		return
 	}
-	for _, j := range w.order {
+	for _, j := range w.jobOrder {
 		m := (*worker)(nil)
-		if j.accepted && !j.wantsCancel && j.told == "" && !j.faulty && !j.spec.Service {
-			m = w.hasRoom(j)
+		if j.accepted && !j.cancelRequested && j.finalState == "" && !j.faulty && !j.spec.Service {
+			m = w.findFittingWorker(j)
 		}
 		switch {
 		case m == nil:
-			j.waits, j.roomOn = time.Time{}, nil
-		case m != j.roomOn:
-			if j.roomOn == nil || w.now.Sub(j.roomFrom) < roomLeast {
-				j.waits = w.now // between one task and the next: no room to speak of
+			j.waitingSince, j.fitting = time.Time{}, nil
+		case m != j.fitting:
+			if j.fitting == nil || w.now.Sub(j.fittingSince) < minFitTime {
+				j.waitingSince = w.now // the gap between two tasks does not count
 			}
-			j.roomOn, j.roomFrom = m, w.now
-		case w.now.Sub(later(j.waits, w.faultsOverAt)) > waitsMost: // what was before a new trouble does not count
+			j.fitting, j.fittingSince = m, w.now
+		case w.now.Sub(laterOf(j.waitingSince, w.faultsOverAt)) > maxWait: // time before a new fault does not count
 			w.fail("waits", "%s waits for 90 s while %s has room", j.spec.ID, m.host)
 		}
 	}
 }
 
-// uses is what a team's tasks take.
-func (w *world) uses(team string) (cpus, gpus float64) {
+// teamUsage returns the CPUs and GPUs that a team's tasks hold.
+func (w *world) teamUsage(team string) (cpus, gpus float64) {
 	u := w.allocations.used(team)
 	return u.cpus, u.gpus
 }
 
-// hasRoom returns a machine on which a waiting task of the job could run now, or nil.
-func (w *world) hasRoom(j *userJob) *worker {
+// findFittingWorker returns a machine on which a waiting task of the job could run now, or nil. It
+// prefers the machine found before.
+func (w *world) findFittingWorker(j *userJob) *worker {
 	s := &j.spec
 	there := map[int]bool{}
 	zones := map[string]int{}
-	cpus, gpus := w.uses(s.Owner)
-	for _, t := range j.held {
+	cpus, gpus := w.teamUsage(s.Owner)
+	for _, t := range j.heldTasks {
 		there[t.id.Index] = true
 		zones[t.machine.zone]++
 	}
@@ -280,13 +284,13 @@
 	if !waits {
 		return nil
 	}
-	for _, t := range w.admin.possibleTeams(s.Owner, w.now) { // whichever of them is in force, it has to leave room
+	for _, t := range w.admin.possibleTeams(s.Owner, w.now) { // there must be room under every limit that may be in force
 		if t.CPUsMax > 0 && cpus+s.CPUs > t.CPUsMax || t.GPUsMax > 0 && gpus+s.GPUs > t.GPUsMax {
 			return nil
 		}
 	}
 	fits := func(m *worker) bool {
-		if !m.gone.IsZero() || m.up.IsZero() || !m.served || m.sick || !m.leaves.IsZero() || w.now.Before(m.hung) || w.now.Before(m.deaf) || w.now.Before(m.mute) ||
+		if !m.terminatedAt.IsZero() || m.bootedAt.IsZero() || !m.served || m.failsTasks || !m.preemptedAt.IsZero() || w.now.Before(m.hungUntil) || w.now.Before(m.inboundLostUntil) || w.now.Before(m.outboundLostUntil) ||
 			len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.instanceType.name) || s.Zone != "" && s.Zone != m.zone || m.spot && !s.AllowSpot {
 			return false
 		}
@@ -301,8 +305,8 @@
 		}
 		return s.CPUs <= have[0] && s.GPUs <= have[1] && s.MemGB <= have[2]
 	}
-	if j.roomOn != nil && fits(j.roomOn) {
-		return j.roomOn // the same as before
+	if j.fitting != nil && fits(j.fitting) {
+		return j.fitting
 	}
 	if i := slices.IndexFunc(w.cloud.machines, fits); i >= 0 {
 		return w.cloud.machines[i]
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -264,7 +264,7 @@
 	r.hand = slices.DeleteFunc(r.hand, func(y *waiting) bool { return y == x })
 	switch {
 	case !arrives:
-	case x.kind != "event" && !r.net.open(x.a, x.b):
+	case x.kind != "event" && !r.net.reachable(x.a, x.b):
 		r.net.send(x.kind, x.a, x.b, x.do) // into the cut
 	default:
 		x.do()
@@ -276,11 +276,11 @@
 // holds anything back.
 func (s *script) settled() bool {
 	for _, m := range s.cloud.machines {
-		if slices.ContainsFunc(m.tasks, (*task).on) {
+		if slices.ContainsFunc(m.tasks, (*task).active) {
 			return false
 		}
 	}
-	return len(s.net.cuts) == 0 && !slices.ContainsFunc(s.expects, func(e expect) bool { return !s.holds(e.what) })
+	return len(s.net.partitions) == 0 && !slices.ContainsFunc(s.expects, func(e expect) bool { return !s.holds(e.what) })
 }
 
 // playOrder plays one order of choices; choices beyond those given are the first
@@ -293,7 +293,7 @@
 	s.alterOutput, s.alterInput = lie, hears
 	s.begin()
 	r := &racing{script: s, o: o}
-	s.net.take = r.takes
+	s.net.intercept = r.takes
 	for s.step(s.start.Add(o.from)) {
 	}
 	r.on = true
@@ -328,7 +328,7 @@
 	// a cancellation where there is one, nothing is left that could still go wrong.
 	calm, calmFor := s.elapsed(), s.lease+8*time.Second
 	if slices.ContainsFunc(o.events, func(e string) bool { return strings.HasPrefix(e, "cancel") }) || strings.Contains(o.text, " cancel ") {
-		calmFor = s.cancelWithin + 20*time.Second
+		calmFor = s.cancelDeadline + 20*time.Second
 	}
 	for at := s.elapsed(); at < s.end; {
 		at = min(at+5*time.Second, s.end)
@@ -341,7 +341,7 @@
 	}
 	s.run(s.elapsed())
 	res = s.result()
-	res.Violations = append(res.Violations, notLinear(res)...)
+	res.Violations = append(res.Violations, nonLinearizable(res)...)
 	return widths, names, res
 }
 
@@ -512,7 +512,7 @@
 		}, honest},
 		{"an old report at the start of a term", "ran_twice", honest, func() func(n *node, in any) any {
 			return func(n *node, in any) any { // every report counts as one of the term at hand
-				if r, ok := in.(heartbeat.Received); ok && n.core.HasAuthority(n.local()) {
+				if r, ok := in.(heartbeat.Received); ok && n.core.HasAuthority(n.localNow()) {
 					r.Report.FencingToken = n.core.Stats().Term
 					return r
 				}
@@ -522,7 +522,7 @@
 		{"a cancellation at the end of the last task", "went_back", func() func(n *node, out any) any {
 			told := false
 			return func(n *node, out any) any { // whoever asks first after the end is told that it is cancelled
-				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && n.jobs["wk-1"].wantsCancel && !told {
+				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && n.jobs["wk-1"].cancelRequested && !told {
 					told, a.View.State = true, spec.Cancelled
 					return a
 				}
--- a/internal/scenario/scale.go
+++ b/internal/scenario/scale.go
@@ -89,7 +89,7 @@
 	from := time.Now()
 	r.began, r.ended = from.Add(r.plan.Ramp), from.Add(r.plan.Ramp+r.plan.Hold)
 	r.with(func() {
-		r.after(time.Second, r.askUnknown)
+		r.after(time.Second, r.pollUnknownJobs)
 		r.arrive(from)
 	})
 	r.progress("ramp of %s", r.plan.Ramp)
@@ -184,7 +184,7 @@
 
 // cancelAccepted has the user call a job off that is accepted and not known to be over.
 func (r *scaleRun) cancelAccepted(j *userJob) {
-	if j.accepted && j.told == "" {
+	if j.accepted && j.finalState == "" {
 		r.cancel(j)
 	}
 }
@@ -232,7 +232,7 @@
 				behind[p.n.name] = behind[p.n.name] || p.site == zone
 			}
 		}
-		r.net.split(behind, nil, true, r.plan.CutRegion, zones...)
+		r.net.addPartition(behind, nil, true, r.plan.CutRegion, zones...)
 	})
 	r.progress("region %s (%d zones) is cut off for %s", region, len(zones), r.plan.CutRegion)
 }
@@ -240,9 +240,9 @@
 // running counts the tasks on machines.
 func (r *scaleRun) running() (n int) {
 	r.with(func() {
-		for _, j := range r.order {
-			for _, t := range j.held {
-				if t.on() {
+		for _, j := range r.jobOrder {
+			for _, t := range j.heldTasks {
+				if t.active() {
 					n++
 				}
 			}
@@ -254,8 +254,8 @@
 // unfinished counts the accepted jobs whose users have not been told of their end.
 func (r *scaleRun) unfinished() (n int) {
 	r.with(func() {
-		for _, j := range r.order {
-			if j.accepted && j.told == "" || !j.accepted && j.status == 0 {
+		for _, j := range r.jobOrder {
+			if j.accepted && j.finalState == "" || !j.accepted && j.status == 0 {
 				n++
 			}
 		}
@@ -265,7 +265,7 @@
 
 // started takes note of a task's start.
 func (r *scaleRun) started(t *task) {
-	if t.job.first.Before(r.began) || t.job.first.After(r.ended) {
+	if t.job.firstSubmitted.Before(r.began) || t.job.firstSubmitted.After(r.ended) {
 		return
 	}
 	if t.job.startedTasks == nil {
@@ -273,8 +273,8 @@
 	}
 	if !t.job.startedTasks[t.id.Index] { // a task that is started again has been late already
 		t.job.startedTasks[t.id.Index] = true
-		r.measures.starts[t.job.spec.Urgency].record(r.now.Sub(t.job.first))
-		if t.job.spec.Urgency == spec.Urgent && r.now.Sub(t.job.first) > urgentWithin {
+		r.measures.starts[t.job.spec.Urgency].record(r.now.Sub(t.job.firstSubmitted))
+		if t.job.spec.Urgency == spec.Urgent && r.now.Sub(t.job.firstSubmitted) > urgentWithin {
 			r.measures.urgentLate++
 		}
 	}
--- a/internal/scenario/scale_config.go
+++ b/internal/scenario/scale_config.go
@@ -11,7 +11,7 @@
 
 // configure begins the plan's changes of configuration.
 func (r *scaleRun) configure() {
-	r.admin.onTold = r.toldOfChange
+	r.admin.onAcknowledged = r.toldOfChange
 	if r.plan.ChangesADay > 0 {
 		r.changeEvery(time.Duration(float64(24*time.Hour) / r.plan.ChangesADay))
 	}
@@ -38,16 +38,16 @@
 // toldOfChange measures how long a change takes to be in force at every controller that can
 // be reached.
 func (r *scaleRun) toldOfChange(c *teamChange) {
-	r.measures.changes.record(c.told.Sub(c.sent))
+	r.measures.changes.record(c.acknowledgedAt.Sub(c.sent))
 	waiting := 0
 	for _, n := range r.nodes {
-		if !n.alive || !r.net.open(n.name, outsider) {
+		if !n.alive || !r.net.reachable(n.name, outsider) {
 			continue
 		}
 		waiting++
 		r.awaitRevision(n, c.revision, func() {
 			if waiting--; waiting == 0 {
-				r.measures.inForce.record(r.now.Sub(c.told))
+				r.measures.inForce.record(r.now.Sub(c.acknowledgedAt))
 			}
 		})
 	}
@@ -58,7 +58,7 @@
 	call := request.Request{Op: request.ConfigHere, Config: &request.ConfigParams{}}
 	r.callAt(n, call, time.Second, func(status int, a request.Response) {
 		here, _ := a.Doc.(view.LocalConfig)
-		if status == 200 && here.Revision >= revision || !n.alive || !r.net.open(n.name, outsider) {
+		if status == 200 && here.Revision >= revision || !n.alive || !r.net.reachable(n.name, outsider) {
 			then()
 			return
 		}
--- a/internal/scenario/scale_measures.go
+++ b/internal/scenario/scale_measures.go
@@ -134,8 +134,8 @@
 	c := counters{running: r.running(), bytes: map[string]int64{}, reports: map[string]int64{}, traffic: r.traffic.byKind()}
 	r.with(func() {
 		c.at, c.started, c.killed = r.now, r.world.started, r.expiredTasks
-		c.requests, c.puts, c.refused = r.store.requests, r.store.puts, r.store.refused
-		c.records, c.changed = r.store.byKind(), maps.Clone(r.store.putsOf)
+		c.requests, c.puts, c.refused = r.store.requests, r.store.writes, r.store.refused
+		c.records, c.changed = r.store.byKind(), maps.Clone(r.store.writesByKind)
 	})
 	r.linksMu.Lock()
 	defer r.linksMu.Unlock()
--- a/internal/scenario/scale_plan.go
+++ b/internal/scenario/scale_plan.go
@@ -282,7 +282,7 @@
 	mean := p.Tasks / p.Jobs * class.share / class.jobs
 	tasks := max(1, min(spec.MaxTasks, int(math.Round(min(largestArray, g.rng.ExpFloat64())*mean))))
 	runs := time.Duration(class.seconds * p.stretch() * (0.7 + 0.6*g.rng.Float64()) * float64(time.Second))
-	j := &userJob{runs: runs, varies: taskSpread, jobProgress: newJobProgress()}
+	j := &userJob{runtime: runs, runtimeJitter: taskSpread, jobProgress: newJobProgress()}
 	j.spec = spec.Job{ID: fmt.Sprintf("wk-%07d", g.made), Class: class.name, Owner: p.teamName(g.rng.IntN(p.Teams)), Urgency: class.urgency,
 		Tasks: tasks, CPUs: class.cpus, MemGB: class.memory, Image: "image-" + class.name, ImageGB: imageGB, Runtime: runs.Round(time.Second)}
 	if class.due > 0 {
--- a/internal/scenario/scale_report.go
+++ b/internal/scenario/scale_report.go
@@ -82,17 +82,17 @@
 	out := &ScaleReport{Plan: r.plan, HoldSeconds: hold.Seconds(), Accept: map[string]Quantiles{}, Start: map[string]Quantiles{}, Messages: map[string]tally{}}
 	per := func(n int) float64 { return float64(n) / hold.Seconds() }
 	r.with(func() {
-		for _, j := range r.order {
+		for _, j := range r.jobOrder {
 			out.Jobs++
 			switch {
 			case !j.accepted:
 				out.NotAccepted++
-			case j.told == "":
+			case j.finalState == "":
 				out.Unfinished++
 				r.checkKnown(j)
 			}
-			if j.accepted && !j.first.Before(r.began) && j.first.Before(r.ended) {
-				m.accepts[j.spec.Urgency].record(j.since.Sub(j.first))
+			if j.accepted && !j.firstSubmitted.Before(r.began) && j.firstSubmitted.Before(r.ended) {
+				m.accepts[j.spec.Urgency].record(j.acceptedAt.Sub(j.firstSubmitted))
 			}
 		}
 		if r.world.started == 0 {
@@ -132,7 +132,7 @@
 
 // checkKnown holds that an accepted job that is not over is still known.
 func (r *scaleRun) checkKnown(j *userJob) {
-	if r.now.Sub(later(j.reached, j.since)) > knownWithin {
+	if r.now.Sub(laterOf(j.lastAnswered, j.acceptedAt)) > knownWithin {
 		r.fail("forgotten", "no poll of %s is answered any more", j.spec.ID)
 	}
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -32,7 +32,7 @@
 	for _, e := range res.Unmet {
 		t.Errorf("expected %s", e)
 	}
-	for _, why := range notLinear(res) {
+	for _, why := range nonLinearizable(res) {
 		t.Error(why)
 	}
 	t.Logf("%d tasks started, %d requests to the state service, met %v", res.Started, res.Requests, res.Met)
--- a/internal/scenario/schedule_scale_test.go
+++ b/internal/scenario/schedule_scale_test.go
@@ -15,8 +15,8 @@
 	"yewpass/internal/schedule"
 )
 
-// scheduledWorld returns a world with n schedules on record, due every day at the
-// times given, and controllers that are not up yet.
+// scheduledWorld returns a world with n stored schedules, due daily at the time that at returns, and
+// with controllers that are not started.
 func scheduledWorld(tb testing.TB, n int, limits config.State, at func(i int) string) *world {
 	tb.Helper()
 	w := newWorld()
@@ -25,14 +25,14 @@
 	w.clock.rng = rand.New(rand.NewPCG(3, 3))
 	w.cfg.Settings.Teams = []config.Team{{Name: "t"}}
 	w.cfg.Settings.State = limits
-	w.cals["bg"] = definition(map[string]string{"country": "BG"})
-	w.cloud.instanceTypes = append(w.cloud.instanceTypes, &instanceType{name: "s", cpus: 8, mem: 64, rate: 1, ready: time.Minute, fetch: 1, zones: []string{"a"}})
+	w.calendarDefs["bg"] = parseCalendar(map[string]string{"country": "BG"})
+	w.cloud.instanceTypes = append(w.cloud.instanceTypes, &instanceType{name: "s", cpus: 8, mem: 64, price: 1, bootTime: time.Minute, fetchRate: 1, zones: []string{"a"}})
 	w.adoptSettings(nil)
 	s := &script{world: w}
 	for i := range n {
 		name := fmt.Sprintf("s%05d", i)
 		s.putSchedule(name, args([]string{"tz=Europe/Sofia", "at=" + at(i), "calendar=bg", "on=next", "catch=all", "by=06:00"}))
-		w.queue = nil // nobody is up: the record is written here
+		w.queue = nil // no controller is running; write the record directly
 		c := s.scheduleClients[name]
 		c.number = uint64(i + 1)
 		file, err := json.Marshal(c.file)
@@ -48,7 +48,7 @@
 		if err := json.Unmarshal(body, &t); err != nil {
 			tb.Fatal(err)
 		}
-		w.store.multi(&t, func(int, []byte) {})
+		w.store.applyTxn(&t, func(int, []byte) {})
 	}
 	for i := range 3 {
 		w.nodes = append(w.nodes, &node{world: w, name: fmt.Sprintf("n%d", i)})
@@ -56,9 +56,9 @@
 	return w
 }
 
-// steadyUsers has a job submitted every 200 ms, and returns where the longest wait for
-// an acceptance is kept.
-func (w *world) steadyUsers() *time.Duration {
+// submitSteadily submits a job every 200 ms. The returned variable holds the longest time until
+// acceptance, or an hour after a failed submission.
+func (w *world) submitSteadily() *time.Duration {
 	longest := new(time.Duration)
 	n := 0
 	var submit func()
@@ -79,15 +79,15 @@
 	return longest
 }
 
-// small are the smaller deployment's allowances: what its bench gives.
-var small = config.State{RPS: 250, WriteRPS: 60, ValueKB: 16, TxnOps: 12}
+// smallLimits are the store limits of the smaller deployment.
+var smallLimits = config.State{RPS: 250, WriteRPS: 60, ValueKB: 16, TxnOps: 12}
 
-// TestTakeOverOf10000 has a leader take over 10,000 schedules: it serves from the
-// beginning, and makes the first occurrence in time.
+// TestTakeOverOf10000 checks that a new leader serves users while it loads 10,000 schedules, and
+// creates the first due occurrence.
 func TestTakeOverOf10000(t *testing.T) {
 	t.Parallel()
 	const n = 10_000
-	w := scheduledWorld(t, n, small, func(i int) string {
+	w := scheduledWorld(t, n, smallLimits, func(i int) string {
 		if i == n-1 {
 			return "03:01"
 		}
@@ -101,8 +101,8 @@
 	}
 	for !slices.ContainsFunc(w.nodes, leads) && w.step(w.start.Add(time.Minute)) {
 	}
-	w.step(w.now.Add(20 * time.Millisecond)) // the machine types are on their way
-	longest := w.steadyUsers()
+	w.step(w.now.Add(20 * time.Millisecond)) // wait for the machine types
+	longest := w.submitSteadily()
 	began, loaded := w.store.requests, time.Duration(0)
 	for w.step(w.start.Add(70 * time.Second)) {
 		if loaded == 0 {
@@ -115,56 +115,56 @@
 	}
 	c := &scheduleClient{s: &script{world: w}, number: n}
 	if made := c.jobsMade(); len(made) != 1 {
-		t.Error("the occurrence due after a minute has not been made:", made)
+		t.Error("want one job for the occurrence due after a minute, got", made)
 	}
 	if loaded == 0 || loaded > 20*time.Second || *longest > 500*time.Millisecond {
-		t.Errorf("read after %s; users waited for %s", loaded, *longest)
+		t.Errorf("schedules loaded after %s, want within 20s; longest user wait %s, want at most 500ms", loaded, *longest)
 	}
-	t.Logf("%d schedules read after %s of virtual time; users waited for %s at the most; %d requests in 70 s", n, loaded, *longest, w.store.requests-began)
+	t.Logf("%d schedules loaded after %s of virtual time; longest user wait %s; %d requests in 70 s", n, loaded, *longest, w.store.requests-began)
 }
 
-// TestThousandAtOnce makes 1,000 occurrences that are due in the same minute,
-// within the smaller deployment's allowances, while users submit.
+// TestThousandAtOnce checks that 1,000 occurrences due in the same minute are created within a
+// minute, without exceeding the store's limits or delaying users.
 func TestThousandAtOnce(t *testing.T) {
 	t.Parallel()
-	for _, limits := range []config.State{small, {RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 48}} {
+	for _, limits := range []config.State{smallLimits, {RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 48}} {
 		w := scheduledWorld(t, 1000, limits, func(int) string { return "03:01" })
 		for _, n := range w.nodes {
 			n.boot()
 		}
 		for w.step(w.start.Add(59 * time.Second)) {
 		}
-		longest := w.steadyUsers()
-		requests, refused, puts := w.store.requests, w.store.refused, w.store.puts
+		longest := w.submitSteadily()
+		requests, refused, puts := w.store.requests, w.store.refused, w.store.writes
 		took := time.Duration(0)
 		for w.step(w.start.Add(3 * time.Minute)) {
 			if took == 0 && w.elapsed() > time.Minute {
 				for _, n := range w.nodes {
 					if n.core.Stats().OccurrencesCreated == 1000 {
 						took = w.elapsed() - time.Minute
-						requests, puts = w.store.requests-requests, w.store.puts-puts
+						requests, puts = w.store.requests-requests, w.store.writes-puts
 					}
 				}
 			}
 		}
 		if took == 0 || took > time.Minute || *longest > 500*time.Millisecond || w.store.refused > refused || len(w.violations) > 0 {
-			t.Errorf("made within %s, users waited for %s, %d refused, %v", took, *longest, w.store.refused-refused, w.violations)
+			t.Errorf("created after %s, longest user wait %s, %d store requests refused, violations %v", took, *longest, w.store.refused-refused, w.violations)
 		}
-		t.Logf("%.0f changes a second, %d a transaction: 1,000 occurrences made within %s with %d requests and %d changes, five submissions a second among them; users waited for %s at the most",
+		t.Logf("%.0f writes/s, %d per transaction: 1,000 occurrences created within %s with %d requests and %d writes, including five submissions/s; longest user wait %s",
 			limits.WriteRPS, limits.TxnOps, took, requests, puts, *longest)
 	}
 }
 
-// BenchmarkLoadSchedules is the work of a take-over for 100 schedules: a page of
-// records read, checked, and put where they are due.
+// BenchmarkLoadSchedules measures the work of a failover per 100 schedules: decoding a page of
+// records, compiling them and finding the next occurrence.
 func BenchmarkLoadSchedules(b *testing.B) {
-	w := scheduledWorld(b, 100, small, func(i int) string { return fmt.Sprintf("%02d:30", i%24) })
+	w := scheduledWorld(b, 100, smallLimits, func(i int) string { return fmt.Sprintf("%02d:30", i%24) })
 	var page []byte
-	w.store.requestAllowance = 1
+	w.store.requestTokens = 1
 	w.store.serve("n0", "GET", "/store?under=yewpass/schedule/&limit=100", nil, func(_ int, data []byte) { page = data })
 	set := w.calendars()
 	if n := len(kvclient.Decode(kv.Request{Op: kv.List}, 200, page).Entries); n != 100 {
-		b.Fatal(n, "records in a page")
+		b.Fatal(n, "records in a page, want 100")
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/scenario/schedules.go
+++ b/internal/scenario/schedules.go
@@ -15,20 +15,20 @@
 	"yewpass/internal/spec"
 )
 
-// scheduleClient is the owner of a schedule: asks for it, reads its history, and has the
-// jobs described under the ids to come.
+// scheduleClient simulates the owner of a schedule: it creates the schedule, polls its history, and
+// provides the descriptions of the jobs of future occurrences.
 type scheduleClient struct {
-	s       *script
-	file    schedule.File
-	args    map[string]string
-	number  uint64    // 0: not yet accepted
-	since   time.Time // when it was accepted
-	refused int       // the status that refused it for good
-	begun   bool
+	s          *script
+	file       schedule.File
+	args       map[string]string
+	number     uint64    // 0 until accepted
+	acceptedAt time.Time // when it was accepted
+	refused    int       // status of a final rejection, or 0
+	polling    bool
 }
 
-// definition reads a calendar: country=BG holidays=2030-01-02,… worked=… weekend=none.
-func definition(a map[string]string) calendar.Definition {
+// parseCalendar parses a calendar: country=BG holidays=2030-01-02,… worked=… weekend=none.
+func parseCalendar(a map[string]string) calendar.Definition {
 	def := calendar.Definition{Country: a["country"]}
 	list := func(k string) (ds []time.Time) {
 		for s := range strings.SplitSeq(a[k], ",") {
@@ -47,8 +47,8 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// putSchedule creates or edits a schedule. The words are those of the file, and
-// those of submit for the job.
+// putSchedule creates or edits a schedule. The arguments are the fields of the schedule file and the
+// job arguments of the submit action.
 func (s *script) putSchedule(name string, a map[string]string) {
 	c := s.scheduleClients[name]
 	if c == nil {
@@ -69,11 +69,11 @@
 		Job: spec.Submission{JobClass: &sp.Class, Owner: &sp.Owner, Shape: &shape, Urgency: ptr(sp.Urgency.String()), Shards: &sp.Tasks, VCPUs: &sp.CPUs,
 			GPUs: &sp.GPUs, MemGB: &sp.MemGB, Bundle: &sp.Image, SizeGB: &sp.ImageGB, SamePlace: &sp.SamePlace, Apart: &sp.Apart, Reclaimable: &sp.AllowSpot,
 			RuntimeS: ptr(sp.Runtime.Seconds()), SnapshotEveryS: ptr(sp.CheckpointInterval.Seconds()), SnapshotS: ptr(sp.CheckpointTime.Seconds())}}
-	c.ask(request.SchedulePut, nil)
+	c.callUntilAnswered(request.SchedulePut, nil)
 }
 
-// ask repeats a call until it is answered for good.
-func (c *scheduleClient) ask(op request.Operation, a map[string]string) {
+// callUntilAnswered repeats a request until it gets a final answer.
+func (c *scheduleClient) callUntilAnswered(op request.Operation, a map[string]string) {
 	w := c.s.world
 	q := &request.ScheduleParams{Name: c.file.Name, Request: a["request"]}
 	if op == request.SchedulePut {
@@ -84,57 +84,57 @@
 		switch {
 		case status == 200 || status == 201:
 			if op == request.SchedulePut && c.number == 0 {
-				v := reread[schedule.View](ans.Doc)
-				c.number, c.since = v.Number, w.now
-				if !c.begun {
-					c.begun = true
+				v := decodeAs[schedule.View](ans.Doc)
+				c.number, c.acceptedAt = v.Number, w.now
+				if !c.polling {
+					c.polling = true
 					c.readHistory()
 				}
 			}
 			if op == request.ScheduleRun {
-				c.s.described(ans.View.ID)
-				w.hear(w.jobs[ans.View.ID], ans.View)
+				c.s.describedJob(ans.View.ID)
+				w.observeStatus(w.jobs[ans.View.ID], ans.View)
 				w.poll(w.jobs[ans.View.ID])
 			}
 		case status >= 400 && status < 429:
 			c.refused = status
 		default:
-			w.after(again(ans), func() { c.ask(op, a) })
+			w.after(retryDelay(ans), func() { c.callUntilAnswered(op, a) })
 		}
 	})
 }
 
-// reread has a document as it comes over the wire.
-func reread[T any](doc any) (v T) {
+// decodeAs converts a document to T by encoding it as JSON, as on the wire.
+func decodeAs[T any](doc any) (v T) {
 	if json.Unmarshal(encode(doc), &v) != nil {
-		panic("a document that is not JSON of its kind")
+		panic("document does not decode as the expected type")
 	}
 	return v
 }
 
-// readHistory polls for occurrences that have become jobs, and polls those.
+// readHistory polls the history of the schedule and starts polling the jobs that appear in it.
 func (c *scheduleClient) readHistory() {
 	w := c.s.world
 	w.call(request.Request{Op: request.ScheduleHistory, Schedule: &request.ScheduleParams{Name: c.file.Name}}, 2*time.Second, func(status int, ans request.Response) {
 		if status == 200 {
-			for _, e := range reread[schedule.History](ans.Doc).History {
+			for _, e := range decodeAs[schedule.History](ans.Doc).History {
 				if e.Made == nil {
 					continue
 				}
-				j := w.described(e.ID)
+				j := w.describedJob(e.ID)
 				if !j.accepted {
-					j.accepted, j.since, j.status = true, w.now, 201
+					j.accepted, j.acceptedAt, j.status = true, w.now, 201
 					w.poll(j)
 				}
 			}
 		}
-		w.after(w.spread(4*time.Second, 0.5), c.readHistory)
+		w.after(w.jitter(4*time.Second, 0.5), c.readHistory)
 	})
 }
 
-// described returns a job whose description a worker can fetch: submitted by its
-// user, or uploaded ahead under the id of an occurrence to come.
-func (w *world) described(id string) *userJob {
+// describedJob returns the job that a worker fetches by its id: one submitted by a user or one of a
+// schedule's occurrence, which is created here. It returns nil if there is none.
+func (w *world) describedJob(id string) *userJob {
 	if j := w.jobs[id]; j != nil {
 		return j
 	}
@@ -143,17 +143,17 @@
 			continue
 		}
 		j := c.s.job(id, c.args)
-		j.first = w.now
-		w.history[id] = append(w.history[id], call{op: request.Submit, invoked: w.start}) // the leader's own, at a time that no user sees
+		j.firstSubmitted = w.now
+		w.history[id] = append(w.history[id], call{op: request.Submit, invoked: w.start}) // the leader creates the job, so its submission precedes all calls
 		w.jobs[id] = j
-		w.order = append(w.order, j)
+		w.jobOrder = append(w.jobOrder, j)
 		return j
 	}
 	return nil
 }
 
-// kept is what the state service has of the schedule.
-func (c *scheduleClient) kept() (*schedule.Record, bool) {
+// storedRecord returns the schedule's record in the store, and whether there is one.
+func (c *scheduleClient) storedRecord() (*schedule.Record, bool) {
 	key := "yewpass/schedule/" + c.file.Name
 	k := c.s.store.keys[key]
 	if k == nil {
@@ -163,13 +163,13 @@
 	return r, ok
 }
 
-// holds reports on: made NAME N, missed NAME N, late NAME N, history NAME STATE N,
-// and whole NAME: every occurrence of a plain enumeration has become one job or
-// is counted as missed, and there are no others.
+// holds reports whether an expectation about the schedule holds: made NAME N, missed NAME N, late
+// NAME N, history NAME STATE N, removed NAME, or whole NAME. The last compares with a plain
+// enumeration: every occurrence is one job or counted as missed, and there are no other jobs.
 func (c *scheduleClient) holds(e []string) bool {
-	r, ok := c.kept()
+	r, ok := c.storedRecord()
 	switch e[0] {
-	case "removed": // and is not on record
+	case "removed":
 		return !ok
 	case "made":
 		return ok && compare(int(r.Made), e[2])
@@ -193,8 +193,8 @@
 		return false
 	}
 	expected := 0
-	for o := range def.Timing.All(calendar.DateOf(c.since.AddDate(0, 0, -3))) {
-		if o.Skipped || !o.Start.After(c.since) {
+	for o := range def.Timing.All(calendar.DateOf(c.acceptedAt.AddDate(0, 0, -3))) {
+		if o.Skipped || !o.Start.After(c.acceptedAt) {
 			continue
 		}
 		if o.Start.After(c.s.now.Add(-2 * time.Second)) {
@@ -206,16 +206,16 @@
 		}
 	}
 	if len(jobs) > 0 || int(r.Made+r.Missed) != expected {
-		c.s.fail("schedule", "%s: %d occurrences, %d made, %d missed, jobs that should not be: %v", c.file.Name, expected, r.Made, r.Missed, jobs)
+		c.s.fail("schedule", "%s: %d occurrences, %d made, %d missed, unexpected jobs: %v", c.file.Name, expected, r.Made, r.Missed, jobs)
 		return false
 	}
 	return true
 }
 
-// jobsMade lists the occurrences that have a record as a job.
+// jobsMade returns the ids of the schedule's jobs that are on record.
 func (c *scheduleClient) jobsMade() (ids []string) {
 	for _, under := range []string{"yewpass/live/job/", "yewpass/final/"} {
-		for _, k := range c.s.store.sorted(under + fmt.Sprintf("%s%08d", spec.IDPrefix, c.number)) {
+		for _, k := range c.s.store.sortedKeys(under + fmt.Sprintf("%s%08d", spec.IDPrefix, c.number)) {
 			if id := strings.TrimPrefix(k, under); len(id) == len(schedule.UnknownID(time.Time{})) {
 				ids = append(ids, id)
 			}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -99,7 +99,7 @@
 	for _, n := range w.nodes {
 		w.after(time.Duration(w.rng.IntN(50))*time.Millisecond, n.boot)
 	}
-	w.after(time.Second, w.askUnknown)
+	w.after(time.Second, w.pollUnknownJobs)
 	for i := range s.expects {
 		e := &s.expects[i]
 		if k := slices.Index(e.what, "by"); k >= 0 {
@@ -131,8 +131,8 @@
 // unfinished names the accepted jobs that are not over.
 func (s *script) unfinished() string {
 	var sb strings.Builder
-	for _, j := range s.order {
-		if j.accepted && j.told == "" {
+	for _, j := range s.jobOrder {
+		if j.accepted && j.finalState == "" {
 			fmt.Fprintf(&sb, " [%s: %d of %d tasks done]", j.spec.ID, len(j.done), j.spec.Tasks)
 		}
 	}
@@ -144,13 +144,13 @@
 	st, wk := w.cfg.Settings.State, w.cfg.Settings.Workers
 	w.trace = trace
 	w.store.rps, w.store.writeRPS, w.store.valueKB, w.store.txnOps = st.RPS, st.WriteRPS, st.ValueKB, st.TxnOps
-	w.reportEvery, w.lease, w.cancelWithin = wk.Report.Duration(), wk.Lease.Duration(), wk.Cancel.Duration()
+	w.reportInterval, w.lease, w.cancelDeadline = wk.Report.Duration(), wk.Lease.Duration(), wk.Cancel.Duration()
 }
 
 // job reads a job's description.
 func (s *script) job(id string, a map[string]string) *userJob {
 	run := dur(a, "run", 20*time.Second)
-	j := &userJob{runs: run, faulty: a["faulty"] != "", jobProgress: newJobProgress()}
+	j := &userJob{runtime: run, faulty: a["faulty"] != "", jobProgress: newJobProgress()}
 	sp := &j.spec
 	*sp = spec.Job{ID: id, Class: a["class"], Owner: "t", Service: a["service"] != "", Urgency: spec.Standard, Tasks: int(num(a, "tasks", 1)),
 		CPUs: num(a, "cpus", 1), GPUs: num(a, "gpus", 0), MemGB: num(a, "mem", 1), Image: "img", ImageGB: num(a, "gb", 1), AllowSpot: a["ordinary"] == "",
@@ -183,7 +183,7 @@
 // node returns the node that a word names, or nil.
 func (s *script) node(word string) *node {
 	for _, n := range s.nodes {
-		leads := n.alive && n.core.HasAuthority(n.local())
+		leads := n.alive && n.core.HasAuthority(n.localNow())
 		if n.name == word || word == "leader" && leads || word == "follower" && n.alive && !leads {
 			return n
 		}
@@ -195,7 +195,7 @@
 func (s *script) busiest(n int) []*worker {
 	var ms []*worker
 	for _, m := range s.cloud.machines {
-		if m.gone.IsZero() && !m.up.IsZero() {
+		if m.terminatedAt.IsZero() && !m.bootedAt.IsZero() {
 			ms = append(ms, m)
 		}
 	}
@@ -234,5 +234,5 @@
 	if f[0] == "roll" {
 		over += time.Duration(len(w.nodes)) * span(f[1])
 	}
-	w.faultsOverAt = later(w.faultsOverAt, w.now.Add(over))
+	w.faultsOverAt = laterOf(w.faultsOverAt, w.now.Add(over))
 }
--- a/internal/scenario/script_actions.go
+++ b/internal/scenario/script_actions.go
@@ -120,8 +120,8 @@
 	w := s.world
 	if f[1] == "first" {
 		n, _ := strconv.Atoi(f[2])
-		for _, j := range s.order[:min(n, len(s.order))] {
-			if !j.wantsCancel {
+		for _, j := range s.jobOrder[:min(n, len(s.jobOrder))] {
+			if !j.cancelRequested {
 				w.cancel(j)
 			}
 		}
@@ -186,7 +186,7 @@
 	case "state":
 		w.store.outage(span(f[2]))
 	case "cloud":
-		w.cloud.down = w.now.Add(span(f[2]))
+		w.cloud.downUntil = w.now.Add(span(f[2]))
 	}
 }
 
@@ -200,27 +200,27 @@
 // actSave carries out: save: what a later restore brings back.
 func (s *script) actSave(f []string) {
 	w := s.world
-	w.saved = w.store.save()
+	w.restoreSnapshot = w.store.snapshot()
 }
 
 // actRestore carries out the word restore.
 func (s *script) actRestore(f []string) {
 	w := s.world
 	w.dataLost = true
-	w.saved()
+	w.restoreSnapshot()
 }
 
 // actDeaf carries out: the cloud answers releases and carries none out.
 func (s *script) actDeaf(f []string) {
 	w := s.world
-	w.cloud.deaf = w.now.Add(span(f[1]))
+	w.cloud.ignoresReleasesUntil = w.now.Add(span(f[1]))
 }
 
 // actDeny carries out: only this node gets 503 from the state service.
 func (s *script) actDeny(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
-		w.store.denied[n.name] = w.now.Add(span(f[2]))
+		w.store.deniedUntil[n.name] = w.now.Add(span(f[2]))
 	}
 }
 
@@ -236,27 +236,27 @@
 func (s *script) actLateWrites(f []string) {
 	w := s.world
 	a := args(f[2:])
-	w.store.late = delayedShare{until: w.now.Add(span(f[1])), share: num(a, "share", 0.3), atOnce: a["at_once"] == "true"}
+	w.store.delayedWrites = delayedShare{until: w.now.Add(span(f[1])), share: num(a, "share", 0.3), atOnce: a["at_once"] == "true"}
 }
 
 // actLateReports carries out: late_reports D share=S [for_next=true]: copies that arrive from 2 s to two leases later.
 func (s *script) actLateReports(f []string) {
 	w := s.world
 	a := args(f[2:])
-	w.lateReports = delayedShare{until: w.now.Add(span(f[1])), share: num(a, "share", 0.3), next: a["for_next"] == "true"}
+	w.lateReports = delayedShare{until: w.now.Add(span(f[1])), share: num(a, "share", 0.3), forNextLeader: a["for_next"] == "true"}
 }
 
 // actSlowState carries out: slow_state D by=D: what is asked is carried out and answered late.
 func (s *script) actSlowState(f []string) {
 	w := s.world
-	w.store.slow, w.store.slowBy = w.now.Add(span(f[1])), dur(args(f[2:]), "by", 2*time.Second)
+	w.store.slowUntil, w.store.slowDelay = w.now.Add(span(f[1])), dur(args(f[2:]), "by", 2*time.Second)
 }
 
 // actMachineDeaf carries out: machine_deaf N|zone=Z D: answers and commands to them are lost.
 func (s *script) actMachineDeaf(f []string) {
 	w := s.world
 	for _, m := range s.some(f[1]) {
-		m.deaf = w.now.Add(span(f[2]))
+		m.inboundLostUntil = w.now.Add(span(f[2]))
 	}
 }
 
@@ -264,7 +264,7 @@
 func (s *script) actMachineMute(f []string) {
 	w := s.world
 	for _, m := range s.some(f[1]) {
-		m.mute = w.now.Add(span(f[2]))
+		m.outboundLostUntil = w.now.Add(span(f[2]))
 	}
 }
 
@@ -309,7 +309,7 @@
 func (s *script) actCut(f []string) {
 	hosts, zone := s.cutHosts(f)
 	only := s.cutFrom(args(f[3:])["only"])
-	s.net.split(hosts, only, f[3] == "hold", span(f[2]), zone)
+	s.net.addPartition(hosts, only, f[3] == "hold", span(f[2]), zone)
 }
 
 // cutHosts returns the hosts that a cut names, and their zone if it names one.
@@ -383,7 +383,7 @@
 // actStorm carries out: storm D rate=N: so many polls a second besides.
 func (s *script) actStorm(f []string) {
 	w := s.world
-	w.storm(num(args(f[2:]), "rate", 400), w.now.Add(span(f[1])))
+	w.pollStorm(num(args(f[2:]), "rate", 400), w.now.Add(span(f[1])))
 }
 
 // actHang carries out the word hang.
@@ -391,7 +391,7 @@
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
-		m.hung = w.now.Add(span(f[2]))
+		m.hungUntil = w.now.Add(span(f[2]))
 	}
 }
 
@@ -400,8 +400,8 @@
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
-		m.sick = true
-		w.after(span(f[2]), func() { m.sick = false })
+		m.failsTasks = true
+		w.after(span(f[2]), func() { m.failsTasks = false })
 	}
 }
 
@@ -409,7 +409,7 @@
 func (s *script) actSlow(f []string) {
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
-		m.speed = num(args(f[2:]), "factor", 3)
+		m.slowdown = num(args(f[2:]), "factor", 3)
 	}
 }
 
@@ -422,10 +422,10 @@
 		if n > 0 && m.spot {
 			n--
 			if notice > 0 {
-				m.leaves = w.now.Add(notice)
-				m.do(m.changed)
+				m.preemptedAt = w.now.Add(notice)
+				m.whenRunning(m.reportSoon)
 			}
-			w.after(notice, m.end)
+			w.after(notice, m.terminate)
 		}
 	}
 }
@@ -434,10 +434,10 @@
 func (s *script) actBoots(f []string) {
 	w := s.world
 	if f[1] == "never" {
-		w.cloud.boots = func() (time.Duration, bool) { return 100, w.rng.IntN(2) == 0 }
+		w.cloud.bootPercent = func() (time.Duration, bool) { return 100, w.rng.IntN(2) == 0 }
 	} else {
 		p, _ := strconv.Atoi(f[1])
-		w.cloud.boots = func() (time.Duration, bool) { return time.Duration(p), true }
+		w.cloud.bootPercent = func() (time.Duration, bool) { return time.Duration(p), true }
 	}
 }
 
@@ -454,32 +454,32 @@
 // actPause carries out the word pause or resume or remove or start.
 func (s *script) actPause(f []string) {
 	w := s.world
-	w.scheduleClients[f[1]].ask(map[string]request.Operation{"pause": request.SchedulePause, "resume": request.ScheduleResume, "remove": request.ScheduleDelete, "start": request.ScheduleRun}[f[0]], args(f[2:]))
+	w.scheduleClients[f[1]].callUntilAnswered(map[string]request.Operation{"pause": request.SchedulePause, "resume": request.ScheduleResume, "remove": request.ScheduleDelete, "start": request.ScheduleRun}[f[0]], args(f[2:]))
 }
 
 // actDamage carries out: damage PREFIX VALUE: what the first key below the prefix holds.
 func (s *script) actDamage(f []string) {
 	w := s.world
 	w.dataLost = true
-	for _, k := range w.store.sorted(f[1])[:1] {
+	for _, k := range w.store.sortedKeys(f[1])[:1] {
 		e := w.store.keys[k]
 		was := e.value
 		e.value = json.RawMessage(f[2])
-		w.repair = func() { e.value = was }
+		w.undoDamage = func() { e.value = was }
 	}
 }
 
 // actRepair carries out: what was damaged last is put right.
 func (s *script) actRepair(f []string) {
 	w := s.world
-	w.repair()
+	w.undoDamage()
 }
 
 // actWander carries out: wander NODE D: its time of day goes D wrong.
 func (s *script) actWander(f []string) {
 	if n := s.node(f[1]); n != nil {
-		n.wander = span(f[2])
-		n.core.SetClockOffset(n.wander)
+		n.wallOffset = span(f[2])
+		n.core.SetClockOffset(n.wallOffset)
 	}
 }
 
--- a/internal/scenario/script_expectations.go
+++ b/internal/scenario/script_expectations.go
@@ -53,8 +53,8 @@
 
 // holdsDone checks the word done or cancelled.
 func (s *script) holdsDone(e []string) bool {
-	for _, j := range s.order {
-		if (e[1] == "all" && j.accepted && !j.wantsCancel && !j.spec.Service && !j.faulty || e[1] == j.spec.ID) && string(j.told) != e[0] {
+	for _, j := range s.jobOrder {
+		if (e[1] == "all" && j.accepted && !j.cancelRequested && !j.spec.Service && !j.faulty || e[1] == j.spec.ID) && string(j.finalState) != e[0] {
 			return false
 		}
 	}
@@ -63,7 +63,7 @@
 
 // holdsOver checks: every accepted job, one way or the other.
 func (s *script) holdsOver(e []string) bool {
-	return !slices.ContainsFunc(s.order, func(j *userJob) bool { return j.accepted && j.told == "" })
+	return !slices.ContainsFunc(s.jobOrder, func(j *userJob) bool { return j.accepted && j.finalState == "" })
 }
 
 // holdsFinished checks: the tasks are done, whether or not the user has asked.
@@ -75,8 +75,8 @@
 // holdsSubmitted checks: submitted N: percent of the submissions that were accepted within a second.
 func (s *script) holdsSubmitted(e []string) bool {
 	n, in := 0, 0
-	for _, j := range s.order {
-		if n++; j.accepted && j.since.Sub(j.first) <= time.Second {
+	for _, j := range s.jobOrder {
+		if n++; j.accepted && j.acceptedAt.Sub(j.firstSubmitted) <= time.Second {
 			in++
 		}
 	}
@@ -100,12 +100,12 @@
 
 // holdsRule checks the word rule.
 func (s *script) holdsRule(e []string) bool {
-	return s.broken[e[1]]
+	return s.brokenRules[e[1]]
 }
 
 // holdsConfigured checks: all changes of configuration were told of, and are known everywhere.
 func (s *script) holdsConfigured(e []string) bool {
-	return s.world.configured()
+	return s.world.configConverged()
 }
 
 // holdsRunning checks: number of tasks of a job on machines, or of machines in use.
@@ -130,12 +130,12 @@
 // holdsLargest checks: seconds until the last of each class's largest jobs has begun.
 func (s *script) holdsLargest(e []string) bool {
 	worst := time.Duration(0)
-	for _, j := range s.order {
-		if begun := j.begun; s.asked(j) && s.largest(j) {
+	for _, j := range s.jobOrder {
+		if begun := j.firstStarted; s.asked(j) && s.largest(j) {
 			if begun.IsZero() {
 				begun = s.now
 			}
-			worst = max(worst, begun.Sub(j.first))
+			worst = max(worst, begun.Sub(j.firstSubmitted))
 		}
 	}
 	return compare(int(worst.Seconds()), e[1])
@@ -145,7 +145,7 @@
 func (s *script) holdsMachines(e []string) bool {
 	n := 0
 	for _, m := range s.cloud.machines {
-		if m.gone.IsZero() && (len(e) < 3 || m.instanceType.name == e[2]) {
+		if m.terminatedAt.IsZero() && (len(e) < 3 || m.instanceType.name == e[2]) {
 			n++
 		}
 	}
@@ -213,7 +213,7 @@
 func (s *script) holdsLeaders(e []string) bool {
 	n := 0
 	for _, x := range s.nodes {
-		if x.alive && x.core.HasAuthority(x.local()) {
+		if x.alive && x.core.HasAuthority(x.localNow()) {
 			n++
 		}
 	}
@@ -224,7 +224,7 @@
 func (w *world) tasksOn(id string) (n int) {
 	for _, m := range w.cloud.machines {
 		for _, t := range m.tasks {
-			if t.on() && t.id.Job == id {
+			if t.active() && t.id.Job == id {
 				n++
 			}
 		}
@@ -245,7 +245,7 @@
 // asked reports whether a job is one that must be served: not one that its user cancelled
 // or that fails everywhere, and no service.
 func (s *script) asked(j *userJob) bool {
-	return j.accepted && !j.wantsCancel && !j.faulty && !j.spec.Service
+	return j.accepted && !j.cancelRequested && !j.faulty && !j.spec.Service
 }
 
 // largest reports whether a job is among its class's largest: it takes no fewer CPUs, all
@@ -253,7 +253,7 @@
 func (s *script) largest(j *userJob) bool {
 	size := func(j *userJob) float64 { return float64(j.spec.Tasks) * j.spec.CPUs }
 	smaller, of := 0, 0
-	for _, x := range s.order {
+	for _, x := range s.jobOrder {
 		if x.spec.Class == j.spec.Class && s.asked(x) {
 			of++
 			if size(x) <= size(j) {
@@ -269,7 +269,7 @@
 func (s *script) served() map[string]int {
 	type tally struct{ jobs, jobsOf, tasks, tasksOf int }
 	of := map[string]*tally{}
-	for _, j := range s.order {
+	for _, j := range s.jobOrder {
 		if !s.asked(j) {
 			continue
 		}
--- a/internal/scenario/script_lines.go
+++ b/internal/scenario/script_lines.go
@@ -60,7 +60,7 @@
 
 // setCalendar reads a line "calendar".
 func (s *script) setCalendar(f []string) error {
-	s.cals[f[1]] = definition(args(f[2:]))
+	s.calendarDefs[f[1]] = parseCalendar(args(f[2:]))
 	return nil
 }
 
@@ -117,7 +117,7 @@
 func (s *script) setType(f []string) error {
 	a := args(f[1:])
 	s.cloud.instanceTypes = append(s.cloud.instanceTypes, &instanceType{name: f[1], cpus: num(a, "cpus", 8), gpus: num(a, "gpus", 0), mem: num(a, "mem", 64),
-		rate: num(a, "rate", 1), low: num(a, "low", 0.3), ready: dur(a, "ready", 20*time.Second), fetch: num(a, "fetch", 0.5)})
+		price: num(a, "rate", 1), spotPrice: num(a, "low", 0.3), bootTime: dur(a, "ready", 20*time.Second), fetchRate: num(a, "fetch", 0.5)})
 	return nil
 }
 
@@ -142,7 +142,7 @@
 
 // setPolicy reads a line "policy".
 func (s *script) setPolicy(f []string) error {
-	s.rules = append(s.rules, []byte(strings.Join(f[1:], " ")+"\n")...)
+	s.policyText = append(s.policyText, []byte(strings.Join(f[1:], " ")+"\n")...)
 	return nil
 }
 
--- a/internal/scenario/script_plants.go
+++ b/internal/scenario/script_plants.go
@@ -13,18 +13,18 @@
 func (s *script) plant(rule string) {
 	w := s.world
 	ms := s.busiest(len(w.cloud.machines))
-	j := w.order[0]
+	j := w.jobOrder[0]
 	force := func(m *worker, id heartbeat.TaskID) {
-		t := &task{id: id, try: 1, job: w.jobs[id.Job], phase: heartbeat.Pulling}
+		t := &task{id: id, attempt: 1, job: w.jobs[id.Job], phase: heartbeat.Pulling}
 		m.tasks = append(m.tasks, t)
-		w.allocations.hold(m, t)
-		w.dirty = true
-		m.begin(t)
+		w.allocations.allocate(m, t)
+		w.needsCheck = true
+		m.runTask(t)
 	}
 	switch rule {
 	case "ran_twice":
 		for _, t := range ms[0].tasks {
-			if t.on() {
+			if t.active() {
 				force(ms[1], t.id)
 				return
 			}
@@ -37,9 +37,9 @@
 		j.spec.Zone = "elsewhere"
 		force(ms[0], heartbeat.TaskID{Job: j.spec.ID})
 	case "ran_cancelled":
-		j.told, j.toldAt = spec.Cancelled, w.now.Add(-w.cancelWithin-time.Second)
+		j.finalState, j.cancelledAt = spec.Cancelled, w.now.Add(-w.cancelDeadline-time.Second)
 		w.cancelledJobs = append(w.cancelledJobs, j)
-		w.dirty = true
+		w.needsCheck = true
 	case "forgotten":
 		w.answeredAt = w.now
 		w.submitted(j, 422, request.Response{})
@@ -54,10 +54,10 @@
 		w.after(3*time.Second, func() { w.jobs[j.spec.ID] = j })
 	case "not_done":
 		w.answeredAt = w.now
-		w.hear(j, request.JobStatus{ID: j.spec.ID, State: spec.Done})
+		w.observeStatus(j, request.JobStatus{ID: j.spec.ID, State: spec.Done})
 	case "went_back":
 		w.answeredAt = w.now
-		w.hear(j, request.JobStatus{ID: j.spec.ID, State: spec.Cancelled})
+		w.observeStatus(j, request.JobStatus{ID: j.spec.ID, State: spec.Cancelled})
 	case "nothing_ran":
 		w.started = 0
 		w.at(w.start.Add(s.end), func() { w.started = 0 })
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -9,85 +9,85 @@
 	"time"
 )
 
-// store is the stand-in of the state service. It speaks the protocol's JSON.
+// store simulates the key-value store, including the JSON of its protocol.
 type store struct {
 	*clock
 	keys          map[string]*storedKey
 	rev           uint64
 	leases        map[uint64]*storedLease
-	next          uint64
+	lastLease     uint64
 	watchers      []*watcher
-	log           []logged // the latest changes
-	historyLength uint64   // how many revisions back one can watch from
+	log           []keyChange // recent changes, in order of revision
+	historyLength uint64      // how many revisions back a watch may start
 
 	storeFaults
 	storeAllowance
-	storeFigures
+	storeCounters
 }
 
-// storeFaults are those of the service that are under way.
+// storeFaults holds the active faults of the store.
 type storeFaults struct {
-	down       time.Time                   // an outage lasts until then
-	denied     map[string]time.Time        // nodes that get 503 until then
-	unanswered map[string]unansweredWrites // nodes whose transactions are applied and not answered
-	late       delayedShare                // that share of transactions is applied late and not answered
-	slow       time.Time                   // until then answers come late
-	slowBy     time.Duration
-	// Keys that a node has changed without hearing of it, until it may know.
+	downUntil     time.Time                   // end of the current outage
+	deniedUntil   map[string]time.Time        // by node: it gets 503 until then
+	unanswered    map[string]unansweredWrites // by node: its transactions are applied but not answered
+	delayedWrites delayedShare                // share of transactions applied but not answered
+	slowUntil     time.Time                   // until then requests are handled after slowDelay
+	slowDelay     time.Duration
+	// By key: the latest change whose writer got no answer.
 	unansweredChanges map[string]unansweredChange
 }
 
-// storeAllowance is what the service takes, and what is left of it.
+// storeAllowance holds the limits of the store and the token buckets of its rate limits.
 type storeAllowance struct {
-	rps, writeRPS                    float64
-	valueKB                          float64
-	txnOps                           int
-	requestAllowance, writeAllowance float64
-	refilled                         time.Time
+	rps, writeRPS              float64
+	valueKB                    float64
+	txnOps                     int
+	requestTokens, writeTokens float64
+	refilled                   time.Time
 }
 
-// storeFigures are counted for expectations and reports.
-type storeFigures struct {
-	met            map[string]int // see world
-	misuse         string         // a request beyond the protocol's limits
-	requests, puts int
-	putsOf         map[string]int // puts, by the kind of their keys
-	refused        int
+// storeCounters are compared by expectations and printed in reports.
+type storeCounters struct {
+	occurrences      map[string]int // shared with the world's counters
+	misuse           string         // description of a request beyond the protocol's limits
+	requests, writes int
+	writesByKind     map[string]int // written keys, by keyKind
+	refused          int
 }
 
-// unansweredWrites loses the answers to a node's transactions until a time; they are applied
-// at once or late.
+// unansweredWrites drops the answers to a node's transactions until a time. The transactions are
+// applied after the delay late.
 type unansweredWrites struct {
 	until time.Time
 	late  time.Duration
 }
 
-// delayedShare is a share of messages that are delayed, until a time.
+// delayedShare selects a random share of messages for a fault until a time.
 type delayedShare struct {
-	until  time.Time
-	share  float64
-	atOnce bool // of transactions: they are carried out at once, and only the answer is lost
-	next   bool // of reports: the copy is kept until the next leader begins
+	until         time.Time
+	share         float64
+	atOnce        bool // for transactions: apply at once and drop only the answer
+	forNextLeader bool // for reports: keep the copy until the next leader starts
 }
 
-// hits reports whether this one is delayed.
-func (l *delayedShare) hits(c *clock) bool {
+// sample reports whether the fault applies to the current message.
+func (l *delayedShare) sample(c *clock) bool {
 	return c.now.Before(l.until) && c.rng.Float64() < l.share
 }
 
-// unansweredChange is a change whose writer has not been answered.
+// unansweredChange is an applied change whose writer got no answer.
 type unansweredChange struct {
 	writer string
 	at     time.Time
 }
 
-// unansweredFor is for how long a writer does not know: core gives a call up after that.
+// unansweredFor is how long a writer stays unaware of its change: the timeout of the core's calls.
 const unansweredFor = 1500 * time.Millisecond
 
-// readMeanwhile counts reads of what another node has written and does not know of yet.
-func (s *store) readMeanwhile(node, key string) {
+// countUnansweredRead counts reads of a key that another node has changed without knowing it yet.
+func (s *store) countUnansweredRead(node, key string) {
 	if u, ok := s.unansweredChanges[key]; ok && u.writer != node && s.now.Sub(u.at) < unansweredFor {
-		s.met["read-unanswered"]++
+		s.occurrences["read-unanswered"]++
 	}
 }
 
@@ -98,8 +98,8 @@
 }
 
 type storedLease struct {
-	until time.Time
-	ttl   time.Duration
+	expiresAt time.Time
+	ttl       time.Duration
 }
 
 type watcher struct {
@@ -108,7 +108,7 @@
 	answer func(int, []byte)
 }
 
-type logged struct {
+type keyChange struct {
 	key string
 	rev uint64
 }
@@ -123,13 +123,13 @@
 	return data
 }
 
-// outage makes the service answer 503 to everybody. Every grant has its full
-// time again when it ends.
+// outage makes the store answer every request with 503 for d. Leases get their full TTL again when
+// it ends.
 func (s *store) outage(d time.Duration) {
-	s.down = s.now.Add(d)
+	s.downUntil = s.now.Add(d)
 	s.after(d, func() {
 		for _, g := range s.leases {
-			g.until = s.now.Add(g.ttl)
+			g.expiresAt = s.now.Add(g.ttl)
 		}
 		for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 			s.expireLease(id)
@@ -140,8 +140,8 @@
 
 func (s *store) expireLease(id uint64) {
 	g := s.leases[id]
-	s.at(g.until, func() {
-		if s.leases[id] == g && !s.now.Before(g.until) && !s.now.Before(s.down) {
+	s.at(g.expiresAt, func() {
+		if s.leases[id] == g && !s.now.Before(g.expiresAt) && !s.now.Before(s.downUntil) {
 			s.revokeLease(id)
 		}
 	})
@@ -149,17 +149,17 @@
 
 func (s *store) revokeLease(id uint64) {
 	delete(s.leases, id)
-	for _, k := range s.sorted("") {
+	for _, k := range s.sortedKeys("") {
 		if s.keys[k].lease == id {
 			s.rev++
 			delete(s.keys, k)
-			s.note(k)
+			s.recordChange(k)
 		}
 	}
 	s.notify()
 }
 
-func (s *store) sorted(prefix string) []string {
+func (s *store) sortedKeys(prefix string) []string {
 	var ks []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, prefix) {
@@ -170,15 +170,15 @@
 	return ks
 }
 
-// note logs a change; what is too old is forgotten.
-func (s *store) note(key string) {
-	s.log = append(s.log, logged{key, s.rev})
+// recordChange appends a change to the log and trims the log to the watch history.
+func (s *store) recordChange(key string) {
+	s.log = append(s.log, keyChange{key, s.rev})
 	if n := len(s.log) - 2*int(s.historyLength); n > 0 {
 		s.log = append(s.log[:0], s.log[n+int(s.historyLength):]...)
 	}
 }
 
-// changed reports whether a key with the prefix has changed after a revision.
+// changed reports whether a key with the prefix changed after a revision.
 func (s *store) changed(prefix string, from uint64) bool {
 	for i := len(s.log) - 1; i >= 0 && s.log[i].rev > from; i-- {
 		if strings.HasPrefix(s.log[i].key, prefix) {
@@ -188,9 +188,9 @@
 	return false
 }
 
-// notify answers the followers of what has changed.
+// notify answers the watchers whose prefix has changed.
 func (s *store) notify() {
-	if s.now.Before(s.down) {
+	if s.now.Before(s.downUntil) {
 		return
 	}
 	fs := s.watchers
@@ -207,13 +207,13 @@
 func (s *store) allow(writes int) bool {
 	dt := s.now.Sub(s.refilled).Seconds()
 	s.refilled = s.now
-	s.requestAllowance = min(s.rps, s.requestAllowance+dt*s.rps)
-	s.writeAllowance = min(s.writeRPS, s.writeAllowance+dt*s.writeRPS)
-	if s.requestAllowance < 1 || s.writeAllowance < float64(writes) {
+	s.requestTokens = min(s.rps, s.requestTokens+dt*s.rps)
+	s.writeTokens = min(s.writeRPS, s.writeTokens+dt*s.writeRPS)
+	if s.requestTokens < 1 || s.writeTokens < float64(writes) {
 		return false
 	}
-	s.requestAllowance--
-	s.writeAllowance -= float64(writes)
+	s.requestTokens--
+	s.writeTokens -= float64(writes)
 	return true
 }
 
@@ -232,17 +232,17 @@
 
 func (s *store) serve(node, method, path string, body []byte, answer func(int, []byte)) {
 	s.requests++
-	if s.now.Before(s.slow) && !strings.HasPrefix(path, "/follow") {
-		// Whatever is asked is looked at late, and the answer is as old as it is.
-		s.after(s.spread(s.slowBy, 0.3), func() { s.handle(node, method, path, body, answer) })
+	if s.now.Before(s.slowUntil) && !strings.HasPrefix(path, "/follow") {
+		// The request is handled after the delay, so its answer is current when it is sent.
+		s.after(s.jitter(s.slowDelay, 0.3), func() { s.handle(node, method, path, body, answer) })
 		return
 	}
 	s.handle(node, method, path, body, answer)
 }
 
-// checkTxn holds transactions to the protocol's limits; going beyond them is a
-// fault of ours and fails the scenario.
-func (s *store) checkTxn(t *txn, size int) bool {
+// validateTxn checks a transaction against the protocol's limits. Exceeding one is a fault of the
+// controller and fails the scenario.
+func (s *store) validateTxn(t *txn, size int) bool {
 	bad := ""
 	switch {
 	case len(t.Then) > s.txnOps:
@@ -259,7 +259,7 @@
 		}
 		k := w.Write + w.Drop
 		if len(k) == 0 || len(k) > 200 || strings.Contains(k, " ") || keys[k] {
-			bad = "a bad key, or one twice in a transaction"
+			bad = "an invalid or repeated key in a transaction"
 		}
 		keys[k] = true
 	}
@@ -269,9 +269,10 @@
 	return bad == ""
 }
 
-// wipe loses keys without a word; with revisions and grants it begins again from nothing.
+// wipe deletes the keys under a prefix without notifying watchers. If rev is set, the revision,
+// the change log and the leases are reset too.
 func (s *store) wipe(under string, rev bool) {
-	for _, k := range s.sorted(under) {
+	for _, k := range s.sortedKeys(under) {
 		delete(s.keys, k)
 	}
 	if rev {
@@ -280,9 +281,9 @@
 	}
 }
 
-// save returns what puts back the keys as they are now, without grants; revisions then go
-// on from where they are now.
-func (s *store) save() (restore func()) {
+// snapshot returns a function that restores the current keys, without leases, and the current
+// revision.
+func (s *store) snapshot() (restore func()) {
 	keys, rev := map[string]storedKey{}, s.rev
 	for k, e := range s.keys {
 		keys[k] = storedKey{e.value, e.rev, 0}
@@ -296,8 +297,8 @@
 	}
 }
 
-// kindOfKey is what a key is of: its path without the last part, and without a number before that.
-func kindOfKey(key string) string {
+// keyKind returns the kind of record under a key: the first path element after yewpass/ and live/.
+func keyKind(key string) string {
 	parts := strings.Split(strings.TrimPrefix(key, "yewpass/"), "/")
 	if len(parts) > 1 && parts[0] == "live" {
 		return parts[1]
@@ -305,7 +306,7 @@
 	return parts[0]
 }
 
-func (s *store) multi(t *txn, answer func(int, []byte)) {
+func (s *store) applyTxn(t *txn, answer func(int, []byte)) {
 	for _, w := range t.Then {
 		if w.Grant != 0 && s.leases[w.Grant] == nil {
 			answer(400, encode(object{"error": "no such lease"}))
@@ -330,9 +331,9 @@
 		s.rev++
 	}
 	for _, w := range t.Then {
-		s.puts++
-		s.putsOf[kindOfKey(w.Drop+w.Write)]++
-		s.note(w.Drop + w.Write)
+		s.writes++
+		s.writesByKind[keyKind(w.Drop+w.Write)]++
+		s.recordChange(w.Drop + w.Write)
 		if w.Drop != "" {
 			delete(s.keys, w.Drop)
 		} else {
--- a/internal/scenario/store_requests.go
+++ b/internal/scenario/store_requests.go
@@ -9,9 +9,9 @@
 )
 
 func (s *store) handle(node, method, path string, body []byte, answer func(int, []byte)) {
-	if s.now.Before(s.down) || s.now.Before(s.denied[node]) {
+	if s.now.Before(s.downUntil) || s.now.Before(s.deniedUntil[node]) {
 		if strings.HasPrefix(path, "/follow") {
-			return // open watches just wait
+			return // watches stay open without an answer
 		}
 		answer(503, nil)
 		return
@@ -48,10 +48,11 @@
 	}
 }
 
-// serveTransaction carries out a transaction, unless a fault has it late or unanswered.
+// serveTransaction validates, rate-limits and applies a transaction. Faults may delay it or drop
+// its answer.
 func (s *store) serveTransaction(node string, body []byte, answer func(int, []byte)) {
 	var t txn
-	if json.Unmarshal(body, &t) != nil || !s.checkTxn(&t, len(body)) {
+	if json.Unmarshal(body, &t) != nil || !s.validateTxn(&t, len(body)) {
 		answer(400, nil)
 		return
 	}
@@ -62,44 +63,44 @@
 	}
 	switch {
 	case len(t.Then) > 0 && s.now.Before(s.unanswered[node].until):
-		s.after(s.unanswered[node].late, func() { s.multi(&t, func(int, []byte) {}) })
-	case len(t.Then) > 0 && s.late.hits(s.clock):
+		s.after(s.unanswered[node].late, func() { s.applyTxn(&t, func(int, []byte) {}) })
+	case len(t.Then) > 0 && s.delayedWrites.sample(s.clock):
 		s.loseAnswer(node, &t)
 	default:
-		s.multi(&t, answer)
+		s.applyTxn(&t, answer)
 	}
 }
 
-// loseAnswer carries out a transaction at once or late, and answers nobody.
+// loseAnswer applies a transaction at once or late and drops its answer.
 func (s *store) loseAnswer(node string, t *txn) {
-	if s.late.atOnce {
-		s.multi(t, func(status int, _ []byte) {
+	if s.delayedWrites.atOnce {
+		s.applyTxn(t, func(status int, _ []byte) {
 			if status != 200 {
 				return
 			}
-			s.met["write-unanswered"]++
+			s.occurrences["write-unanswered"]++
 			for _, w := range t.Then {
 				s.unansweredChanges[w.Write+w.Drop] = unansweredChange{node, s.now}
 			}
 		})
 		return
 	}
-	s.after(s.spread(7*time.Second, 5./7), func() { // as the bench has it
-		s.multi(t, func(status int, _ []byte) {
-			s.met["late-write"]++
+	s.after(s.jitter(7*time.Second, 5./7), func() {
+		s.applyTxn(t, func(status int, _ []byte) {
+			s.occurrences["late-write"]++
 			if status == 200 {
-				s.met["late-write-done"]++
+				s.occurrences["late-write-done"]++
 			}
 		})
 	})
 }
 
-// serveList answers with a page of the keys under a prefix.
+// serveList answers with one page of the entries under a prefix.
 func (s *store) serveList(query url.Values, answer func(int, []byte)) {
 	limit, _ := strconv.Atoi(query.Get("limit"))
 	from := query.Get("from")
 	entries, more := []any{}, false
-	for _, k := range s.sorted(query.Get("under")) {
+	for _, k := range s.sortedKeys(query.Get("under")) {
 		if k <= from && from != "" {
 			continue
 		}
@@ -112,9 +113,9 @@
 	answer(200, encode(object{"entries": entries, "truncated": more, "storeRev": s.rev}))
 }
 
-// serveGet answers with a key.
+// serveGet answers with the entry of a key, or with 404.
 func (s *store) serveGet(node, key string, answer func(int, []byte)) {
-	s.readMeanwhile(node, key)
+	s.countUnansweredRead(node, key)
 	if e := s.keys[key]; e != nil {
 		answer(200, encode(object{"k": key, "v": e.value, "keyRev": e.rev, "grant": e.lease}))
 	} else {
@@ -122,8 +123,8 @@
 	}
 }
 
-// serveWatch answers when a key under a prefix has changed after a revision, or when the
-// caller waits no more.
+// serveWatch answers when a key under a prefix has changed after a revision, or when the caller's
+// blocking time is over. It answers 410 if the revision is older than the history.
 func (s *store) serveWatch(query url.Values, answer func(int, []byte)) {
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
 	block, _ := strconv.Atoi(query.Get("blockMs"))
@@ -148,15 +149,15 @@
 	})
 }
 
-// serveGrant grants a lease.
+// serveGrant creates a lease with the requested TTL.
 func (s *store) serveGrant(body []byte, answer func(int, []byte)) {
 	var g struct{ TTLMS int64 }
 	json.Unmarshal(body, &g)
-	s.next++
+	s.lastLease++
 	ttl := time.Duration(g.TTLMS) * time.Millisecond
-	s.leases[s.next] = &storedLease{s.now.Add(ttl), ttl}
-	s.expireLease(s.next)
-	answer(200, encode(object{"grant": s.next}))
+	s.leases[s.lastLease] = &storedLease{s.now.Add(ttl), ttl}
+	s.expireLease(s.lastLease)
+	answer(200, encode(object{"grant": s.lastLease}))
 }
 
 // serveLease renews or revokes a lease.
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -181,7 +181,7 @@
 func (p *process) awaitOpen(o *process) bool {
 	for {
 		open := false
-		p.with(func() { open = p.net.open(p.n.name, o.n.name) })
+		p.with(func() { open = p.net.reachable(p.n.name, o.n.name) })
 		if open {
 			return true
 		}
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -8,49 +8,49 @@
 	"yewpass/internal/spec"
 )
 
-// userJob is a job and what its user knows of it.
+// userJob is a job with its simulated behavior and what its user has been told about it.
 type userJob struct {
-	spec    spec.Job
-	runs    time.Duration // how long a task really takes
-	varies  float64       // give or take this part of it, each task for itself
-	faulty  bool          // every task fails
-	first   time.Time     // first attempt to submit
-	asking  time.Time     // when its user made the submission at hand
-	status  int           // the answer that ended the submission
-	asked   bool          // a repeated submission has been made
-	reached time.Time     // last answered poll
-	failing int
+	spec           spec.Job
+	runtime        time.Duration // actual run time of a task
+	runtimeJitter  float64       // relative deviation of the run time, drawn for each task
+	faulty         bool          // all its tasks fail
+	firstSubmitted time.Time     // time of the first submission
+	lastSubmitted  time.Time     // time of the latest submission
+	status         int           // status of the final answer to the submission, or 0
+	resubmitted    bool          // the user has repeated the submission after the end
+	lastAnswered   time.Time     // time of the last answered poll
+	failedPolls    int
 
 	userKnowledge
 	jobProgress
 	jobRoom
 }
 
-// userKnowledge is what a user was told of a job.
+// userKnowledge is what a user has been told about a job.
 type userKnowledge struct {
-	accepted    bool
-	since       time.Time     // when its user first heard that it is accepted
-	toldOn      time.Time     // when its user was told the state in told
-	told        spec.JobState // the last state of consequence: "", done or cancelled
-	wantsCancel bool          // its user asked to cancel it
-	toldAt      time.Time     // when it was told cancelled
+	accepted        bool
+	acceptedAt      time.Time     // when the user first received an acceptance
+	finalStateAt    time.Time     // when the user received finalState
+	finalState      spec.JobState // "", done or cancelled
+	cancelRequested bool          // the user has asked to cancel it
+	cancelledAt     time.Time     // when the user first received the state cancelled
 }
 
-// jobProgress is what has become of a job's tasks.
+// jobProgress is the actual progress of a job's tasks.
 type jobProgress struct {
 	done         map[int]bool
-	begun        time.Time // its first task has started
+	firstStarted time.Time // when its first task started
 	finished     time.Time
 	progress     map[int]time.Duration
-	held         []*task      // that machines hold: fetching, running or saving
-	startedTasks map[int]bool // that have started once, where that is measured
+	heldTasks    []*task      // on machines: pulling, running or checkpointing
+	startedTasks map[int]bool // indexes of tasks that have started, where measured
 }
 
-// jobRoom is what is known of machines that a waiting task could run on.
+// jobRoom tracks whether a waiting task of a job could run on some machine.
 type jobRoom struct {
-	waits    time.Time // since when a task of it could run on a machine that is there
-	roomOn   *worker   // which has room for it
-	roomFrom time.Time // and since when
+	waitingSince time.Time // since when a task has waited although a machine fits
+	fitting      *worker   // machine on which a waiting task fits
+	fittingSince time.Time // since when fitting has been that machine
 }
 
 func newJobProgress() jobProgress {
@@ -61,7 +61,7 @@
 	w.requestAt(w.pickNode(), op, j, id, timeout, f)
 }
 
-// requestAt is request at one node.
+// requestAt sends a user's request about a job to a node.
 func (w *world) requestAt(n *node, op request.Operation, j *userJob, id string, timeout time.Duration, f func(status int, a request.Response)) {
 	call := request.Request{Op: op, ID: id}
 	if op == request.Submit {
@@ -71,15 +71,16 @@
 	w.callAt(n, call, timeout, f)
 }
 
-// call makes a user's call through the load balancer.
+// call sends a user's request to a node chosen by the load balancer.
 func (w *world) call(call request.Request, timeout time.Duration, f func(status int, a request.Response)) {
 	w.callAt(w.pickNode(), call, timeout, f)
 }
 
-// callAt makes a user's call at a node, nil: none takes it.
+// callAt sends a user's request to a node. A nil node means that the load balancer has none to
+// choose. f is called once, with status 0 if there is no answer within the timeout.
 func (w *world) callAt(n *node, call request.Request, timeout time.Duration, f func(status int, a request.Response)) {
 	over, record := false, w.recordCall(call)
-	answer := func(status int, a request.Response) { // f learns in w.given when the node gave its answer
+	answer := func(status int, a request.Response) { // w.answeredAt tells f when the node answered
 		if !over {
 			over = true
 			record(status, a)
@@ -110,11 +111,11 @@
 	})
 }
 
-// pickNode chooses as the load balancer does: among the nodes that are up.
+// pickNode returns a random node that is ready and reachable, as the load balancer does, or nil.
 func (w *world) pickNode() *node {
 	var up []*node
 	for _, n := range w.nodes {
-		if n.alive && n.ready() && w.net.open("user", n.name) {
+		if n.alive && n.ready() && w.net.reachable("user", n.name) {
 			up = append(up, n)
 		}
 	}
@@ -124,15 +125,15 @@
 	return up[w.rng.IntN(len(up))]
 }
 
-func again(a request.Response) time.Duration { return max(time.Second, a.RetryAfter) }
+func retryDelay(a request.Response) time.Duration { return max(time.Second, a.RetryAfter) }
 
 func (w *world) submit(j *userJob) {
-	if j.first.IsZero() {
-		j.first = w.now
+	if j.firstSubmitted.IsZero() {
+		j.firstSubmitted = w.now
 		w.jobs[j.spec.ID] = j
-		w.order = append(w.order, j)
+		w.jobOrder = append(w.jobOrder, j)
 	}
-	j.asking = w.now
+	j.lastSubmitted = w.now
 	w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) {
 		w.submitted(j, status, a)
 	})
@@ -141,155 +142,155 @@
 func (w *world) submitted(j *userJob, status int, a request.Response) {
 	switch status {
 	case 200, 201:
-		w.hear(j, a.View)
+		w.observeStatus(j, a.View)
 		if j.status == 0 {
 			j.status = status
 			w.checkAdmitted(j, true)
-			w.after(w.spread(2500*time.Millisecond, 1), func() { w.poll(j) })
+			w.after(w.jitter(2500*time.Millisecond, 1), func() { w.poll(j) })
 		}
 	case 400, 422:
-		w.refused(j, status)
+		w.checkRefusal(j, status)
 		j.status = status
 		if a.Field == "owner" {
 			w.checkAdmitted(j, false)
 		}
 	default:
-		w.refused(j, status)
-		w.submitAgain(j, a)
+		w.checkRefusal(j, status)
+		w.retrySubmit(j, a)
 	}
 }
 
-// refused looks at an answer to a submission that is none of an accepted job's.
-func (w *world) refused(j *userJob, status int) {
+// checkRefusal checks that a submission of an already accepted job is not rejected.
+func (w *world) checkRefusal(j *userJob, status int) {
 	switch status {
 	case 400, 404, 422, 429:
-		if j.accepted && w.answeredAt.After(j.since) {
+		if j.accepted && w.answeredAt.After(j.acceptedAt) {
 			w.fail("forgotten", "repeated submission of %s gets %d", j.spec.ID, status)
 		}
 	}
 }
 
-// submitAgain is for a submission that has got no final answer.
-func (w *world) submitAgain(j *userJob, a request.Response) {
-	if !j.asked && j.status == 0 && w.now.Sub(j.first) < 60*time.Second {
-		w.after(again(a), func() { w.submit(j) })
+// retrySubmit retries a submission without a final answer, for up to 60 s.
+func (w *world) retrySubmit(j *userJob, a request.Response) {
+	if !j.resubmitted && j.status == 0 && w.now.Sub(j.firstSubmitted) < 60*time.Second {
+		w.after(retryDelay(a), func() { w.submit(j) })
 	}
 }
 
-// hear checks an answer against what the user was told before and against what
-// really happened.
-func (w *world) hear(j *userJob, v request.JobStatus) {
+// observeStatus checks a job's status against earlier answers to its user and against what its
+// tasks have actually done.
+func (w *world) observeStatus(j *userJob, v request.JobStatus) {
 	if !j.accepted {
-		j.accepted, j.since = true, w.now
+		j.accepted, j.acceptedAt = true, w.now
 		w.observeJob(j, true)
 	}
-	if j.told != "" && v.State != j.told {
-		if !w.answeredAt.After(j.toldOn) {
-			return // given before, and overtaken on the way
+	if j.finalState != "" && v.State != j.finalState {
+		if !w.answeredAt.After(j.finalStateAt) {
+			return // sent before the earlier answer and delivered after it
 		}
-		w.fail("went_back", "%s was called %s, then %s", j.spec.ID, j.told, v.State)
+		w.fail("went_back", "%s was reported %s, then %s", j.spec.ID, j.finalState, v.State)
 	}
 	switch v.State {
 	case spec.Done:
 		if len(j.done) < j.spec.Tasks {
-			w.fail("not_done", "%s is called done with %d of %d tasks", j.spec.ID, len(j.done), j.spec.Tasks)
+			w.fail("not_done", "%s is reported done with %d of %d tasks completed", j.spec.ID, len(j.done), j.spec.Tasks)
 		}
-		if j.told == "" {
+		if j.finalState == "" {
 			defer w.observeJob(j, true)
 		}
-		j.told, j.toldOn = v.State, w.now
+		j.finalState, j.finalStateAt = v.State, w.now
 	case spec.Cancelled:
-		if !j.wantsCancel {
-			w.fail("went_back", "%s is called cancelled, its user did not cancel it", j.spec.ID)
+		if !j.cancelRequested {
+			w.fail("went_back", "%s is reported cancelled but its user did not cancel it", j.spec.ID)
 		}
-		if j.told == "" {
-			j.toldAt, j.toldOn = w.now, w.now
+		if j.finalState == "" {
+			j.cancelledAt, j.finalStateAt = w.now, w.now
 			w.cancelledJobs = append(w.cancelledJobs, j)
 			defer w.observeJob(j, true)
 			w.occurrences["cancelled-on"] += w.tasksOn(j.spec.ID)
 		}
-		j.told = v.State
+		j.finalState = v.State
 	}
 }
 
 func (w *world) poll(j *userJob) {
 	w.pollOnce(j, func() {
-		if j.told == "" {
-			w.after(w.spread(5*time.Second, 0.2), func() { w.poll(j) })
-		} else if !j.asked {
-			// A late repetition, long after the end, and one more poll.
-			j.asked = true
-			w.after(w.spread(25*time.Second, 0.9), func() { w.submit(j) })
-			w.after(w.spread(40*time.Second, 0.9), func() { w.poll(j) })
+		if j.finalState == "" {
+			w.after(w.jitter(5*time.Second, 0.2), func() { w.poll(j) })
+		} else if !j.resubmitted {
+			// Repeat the submission and poll once more, long after the end of the job.
+			j.resubmitted = true
+			w.after(w.jitter(25*time.Second, 0.9), func() { w.submit(j) })
+			w.after(w.jitter(40*time.Second, 0.9), func() { w.poll(j) })
 		}
 	})
 }
 
-// storm has users ask many times as often: about jobs that there are or were, every
-// fourth time about one that there never was.
-func (w *world) storm(rate float64, end time.Time) {
+// pollStorm polls random jobs at a rate until end. One poll in four is for a job that does not
+// exist.
+func (w *world) pollStorm(rate float64, end time.Time) {
 	if !w.now.Before(end) {
 		return
 	}
-	if w.rng.IntN(4) == 0 || len(w.order) == 0 {
-		w.pollUnknown()
+	if w.rng.IntN(4) == 0 || len(w.jobOrder) == 0 {
+		w.pollUnknownJob()
 	} else {
-		w.pollOnce(w.order[w.rng.IntN(len(w.order))], func() {})
+		w.pollOnce(w.jobOrder[w.rng.IntN(len(w.jobOrder))], func() {})
 	}
-	w.after(time.Duration(1e9/rate), func() { w.storm(rate, end) })
+	w.after(time.Duration(1e9/rate), func() { w.pollStorm(rate, end) })
 }
 
-// pollOnce polls once and has then called after the answer.
+// pollOnce polls a job once and calls then after the answer.
 func (w *world) pollOnce(j *userJob, then func()) {
-	take := w.polled(j)
+	take := w.pollHandler(j)
 	w.request(request.Get, nil, j.spec.ID, 2*time.Second, func(status int, a request.Response) {
 		take(status, a)
 		then()
 	})
 }
 
-// polled returns what takes the answer to a poll.
-func (w *world) polled(j *userJob) func(status int, a request.Response) {
+// pollHandler returns the handler of the answer to a poll.
+func (w *world) pollHandler(j *userJob) func(status int, a request.Response) {
 	return func(status int, a request.Response) {
 		w.polls++
 		switch status {
 		case 200:
-			j.reached, j.failing = w.now, 0
+			j.lastAnswered, j.failedPolls = w.now, 0
 			w.answerTimes = append(w.answerTimes, w.now)
-			w.hear(j, a.View)
+			w.observeStatus(j, a.View)
 		case 404:
-			if j.accepted && w.answeredAt.After(j.since) {
+			if j.accepted && w.answeredAt.After(j.acceptedAt) {
 				w.fail("forgotten", "accepted job %s gets 404", j.spec.ID)
 			}
 		default:
-			if j.failing == 0 {
-				j.reached = w.now
+			if j.failedPolls == 0 {
+				j.lastAnswered = w.now
 			}
-			j.failing++
-			w.failures = append(w.failures, w.now)
-			if w.now.Sub(j.reached) > 90*time.Second && j.failing > 10 && w.since(w.answerTimes) > w.since(w.failures) {
+			j.failedPolls++
+			w.failureTimes = append(w.failureTimes, w.now)
+			if w.now.Sub(j.lastAnswered) > 90*time.Second && j.failedPolls > 10 && w.countRecent(w.answerTimes) > w.countRecent(w.failureTimes) {
 				w.fail("forgotten", "no poll of %s is answered for 90 s", j.spec.ID)
 			}
-			if since := later(j.reached, w.faultsOverAt); w.now.Sub(since) > unansweredMost {
-				w.fail("forgotten", "no poll of %s is answered for 75 s after the last trouble", j.spec.ID)
+			if since := laterOf(j.lastAnswered, w.faultsOverAt); w.now.Sub(since) > maxUnanswered {
+				w.fail("forgotten", "no poll of %s is answered for 75 s after the last fault", j.spec.ID)
 			}
 		}
 	}
 }
 
-// unansweredMost is for how long a job may go without an answer once all troubles are over,
-// however other jobs fare.
-const unansweredMost = 75 * time.Second
+// maxUnanswered bounds how long polls of one job may fail after the last fault has ended, even if
+// polls of other jobs are answered.
+const maxUnanswered = 75 * time.Second
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// since counts the entries of the last 90 s.
-func (w *world) since(ts []time.Time) int {
+// countRecent returns the number of times within the last 90 s; ts is in ascending order.
+func (w *world) countRecent(ts []time.Time) int {
 	n := 0
 	for i := len(ts) - 1; i >= 0 && w.now.Sub(ts[i]) < 90*time.Second; i-- {
 		n++
@@ -298,33 +299,33 @@
 }
 
 func (w *world) cancel(j *userJob) {
-	j.wantsCancel = true
+	j.cancelRequested = true
 	w.request(request.Cancel, nil, j.spec.ID, 5*time.Second, func(status int, a request.Response) {
 		switch status {
 		case 200:
-			w.hear(j, a.View)
+			w.observeStatus(j, a.View)
 		case 404:
-			if j.accepted && w.answeredAt.After(j.since) {
+			if j.accepted && w.answeredAt.After(j.acceptedAt) {
 				w.fail("forgotten", "cancellation of accepted job %s gets 404", j.spec.ID)
 			}
 		default:
 			w.occurrences["cancel-again"]++
-			w.after(again(a), func() { w.cancel(j) })
+			w.after(retryDelay(a), func() { w.cancel(j) })
 		}
 	})
 }
 
-// askUnknown polls for jobs that nobody has submitted.
-func (w *world) askUnknown() {
-	w.pollUnknown()
-	w.after(7*time.Second, w.askUnknown)
+// pollUnknownJobs polls for jobs that were never submitted, every 7 s.
+func (w *world) pollUnknownJobs() {
+	w.pollUnknownJob()
+	w.after(7*time.Second, w.pollUnknownJobs)
 }
 
-func (w *world) pollUnknown() {
+func (w *world) pollUnknownJob() {
 	id := fmt.Sprintf("wk-9%08d", w.rng.IntN(1e8))
 	w.request(request.Get, nil, id, 2*time.Second, func(status int, a request.Response) {
 		if status == 200 {
-			w.fail("invented", "%s, which nobody submitted, gets 200", id)
+			w.fail("invented", "%s was never submitted but gets 200", id)
 		}
 	})
 }
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -10,70 +10,72 @@
 	"yewpass/internal/spec"
 )
 
-// worker is the stand-in of a machine and its worker.
+// worker simulates a machine and the worker process on it.
 type worker struct {
 	*world
-	host              string
-	instanceType      *instanceType
-	zone              string
-	spot              bool
-	created, up, gone time.Time
-	tasks             []*task
-	images            map[string]time.Time // when each image is there
+	host                            string
+	instanceType                    *instanceType
+	zone                            string
+	spot                            bool
+	created, bootedAt, terminatedAt time.Time
+	tasks                           []*task
+	images                          map[string]time.Time // when the pull of each image completes
 
 	workerFaults
 	workerSession
 }
 
-// workerFaults are those of a machine.
+// workerFaults holds the active faults of a machine.
 type workerFaults struct {
-	speed  float64 // above 1: slower
-	sick   bool
-	hung   time.Time
-	leaves time.Time // notice of being taken
-	deaf   time.Time // until then its reports arrive, and no answer or command reaches it
-	mute   time.Time // until then it opens no connection to a controller
+	slowdown          float64 // factor on the run time of tasks
+	failsTasks        bool
+	hungUntil         time.Time
+	preemptedAt       time.Time // preemption time that the cloud has announced
+	inboundLostUntil  time.Time // until then it sends reports but receives no answers or probes
+	outboundLostUntil time.Time // until then it opens no connection to a controller, but answers probes
 }
 
-// workerSession is what a worker keeps of its exchange with the controllers.
+// workerSession is the state of a worker's exchange with the controllers.
 type workerSession struct {
-	tenure, counter, epoch uint64
-	node                   int
-	served                 bool      // by that node
-	flight                 int       // number of the report in flight, 0: none
-	flights                int       // reports so far
-	sent, answered         time.Time // last report; send time of the last answered one
-	told                   time.Time // last report for a higher epoch
-	news                   bool
-	plan                   int // number of the latest plan to report
+	incarnation, counter, fencingToken uint64
+	nodeIndex                          int
+	served                             bool      // that node has answered its reports
+	inFlight                           int       // number of the report in flight; 0 if none
+	reportCount                        int       // reports sent
+	lastSent, lastAnswered             time.Time // send times of the latest report and the latest answered one
+	tokenReportedAt                    time.Time // last time that a higher fencing token triggered a report
+	hasChanges                         bool
+	reportPlan                         int // number of the latest scheduled report; earlier ones are void
 }
 
-// task is an attempt on a machine.
+// task is one attempt at a task on a machine.
 type task struct {
-	id     heartbeat.TaskID
-	try    uint64
-	job    *userJob
-	phase  heartbeat.Phase
-	cause  string
-	began  time.Time
-	change int  // number of the latest planned change
-	outran bool // an older leader has kept it after its job was told cancelled
+	id                 heartbeat.TaskID
+	attempt            uint64
+	job                *userJob
+	phase              heartbeat.Phase
+	cause              string
+	startedAt          time.Time
+	timer              int  // number of the latest timer; earlier ones are void
+	renewedAfterCancel bool // a former leader renewed its lease after its job was reported cancelled
 
-	machine *worker // that holds it; nil once it has exited or is gone with its session
+	machine *worker // nil once it has exited or its session has ended
 }
 
-// on reports whether the task is on the machine in the sense of the rules: it
-// has its image and has not exited.
-func (t *task) on() bool { return t.phase == heartbeat.TaskRuns || t.phase == heartbeat.Checkpointing }
+// active reports whether the task counts as running for the rules: its image is pulled and it
+// has not exited.
+func (t *task) active() bool {
+	return t.phase == heartbeat.TaskRuns || t.phase == heartbeat.Checkpointing
+}
 
-// do runs f when the machine executes: not before a hang is over, never once it
-// is gone, and after the lease has been looked at.
-func (m *worker) do(f func()) {
-	if !m.gone.IsZero() || m.up.IsZero() {
+// whenRunning runs f after checking the lease. It defers f to the end of a hang and drops it if
+// the machine is terminated or not booted.
+func (m *worker) whenRunning(f func()) {
+	if !m.terminatedAt.IsZero() || m.bootedAt.IsZero() {
 		return
 	}
-	if m.now.Before(m.hung) {
-		m.at(m.hung, func() { m.do(f) })
+	if m.now.Before(m.hungUntil) {
+		m.at(m.hungUntil, func() { m.whenRunning(f) })
 		return
 	}
 	m.checkLease()
@@ -81,17 +83,17 @@
 }
 
 func (m *worker) boot() {
-	if !m.gone.IsZero() {
+	if !m.terminatedAt.IsZero() {
 		return
 	}
-	m.up = m.now
-	m.session()
-	m.report()
+	m.bootedAt = m.now
+	m.startSession()
+	m.sendReport()
 }
 
-func (m *worker) session() {
-	m.tenure++
-	m.answered = m.now
+func (m *worker) startSession() {
+	m.incarnation++
+	m.lastAnswered = m.now
 	for _, x := range m.tasks {
 		if x.phase != heartbeat.Exited {
 			m.expiredTasks++
@@ -99,135 +101,135 @@
 		}
 	}
 	m.forgetTasks()
-	m.watchLease()
+	m.scheduleLeaseCheck()
 }
 
-// watchLease ends the session when the lease does. A hanging machine can resume
-// only within its lease, so its tasks end with it all the same.
-func (m *worker) watchLease() {
-	m.at(m.answered.Add(m.lease+time.Millisecond), func() {
-		if m.gone.IsZero() {
+// scheduleLeaseCheck schedules a check just after the lease expires. The check also runs on a
+// hung machine, whose tasks end with the lease too.
+func (m *worker) scheduleLeaseCheck() {
+	m.at(m.lastAnswered.Add(m.lease+time.Millisecond), func() {
+		if m.terminatedAt.IsZero() {
 			m.checkLease()
 		}
 	})
 }
 
 func (m *worker) checkLease() {
-	if m.now.Sub(m.answered) > m.lease {
-		m.session()
-		m.changed()
+	if m.now.Sub(m.lastAnswered) > m.lease {
+		m.startSession()
+		m.reportSoon()
 	}
 }
 
-// end takes the machine away with everything on it.
-func (m *worker) end() {
-	if m.gone.IsZero() {
-		m.gone = m.now
+// terminate removes the machine and all its tasks.
+func (m *worker) terminate() {
+	if m.terminatedAt.IsZero() {
+		m.terminatedAt = m.now
 		m.forgetTasks()
 	}
 }
 
-// restart has the machine end and be back after a while, under its name and address: its
-// tasks are gone and its worker begins again, which has seen no epoch. Whether it counts
-// on or from 1 the protocol does not say.
+// restart reboots the machine after a delay, under the same host name and address. Its tasks,
+// images and fencing token are lost. If anew is set, its incarnation restarts from 1; the
+// protocol leaves this open.
 func (m *worker) restart(back time.Duration, anew bool) {
-	m.do(func() {
+	m.whenRunning(func() {
 		for _, t := range m.tasks {
-			t.change++ // nothing of it goes on
+			t.timer++ // cancels its timers
 		}
 		m.forgetTasks()
 		m.images = map[string]time.Time{}
-		m.flight, m.epoch, m.news, m.told = 0, 0, false, time.Time{}
-		m.plan++
-		m.up = time.Time{}
+		m.inFlight, m.fencingToken, m.hasChanges, m.tokenReportedAt = 0, 0, false, time.Time{}
+		m.reportPlan++
+		m.bootedAt = time.Time{}
 		m.after(back, func() {
-			if !m.gone.IsZero() {
+			if !m.terminatedAt.IsZero() {
 				return
 			}
-			m.up, m.answered = m.now, m.now
+			m.bootedAt, m.lastAnswered = m.now, m.now
 			if anew {
-				m.tenure, m.counter = 1, 0
+				m.incarnation, m.counter = 1, 0
 			}
-			m.watchLease()
-			m.report()
+			m.scheduleLeaseCheck()
+			m.sendReport()
 		})
 	})
 }
 
-// changed has a report sent soon.
-func (m *worker) changed() {
-	m.news = true
-	m.dirty = true
-	m.planReport(max(0, m.sent.Add(500*time.Millisecond).Sub(m.now)))
+// reportSoon schedules a report, at least 500 ms after the previous one.
+func (m *worker) reportSoon() {
+	m.hasChanges = true
+	m.needsCheck = true
+	m.scheduleReport(max(0, m.lastSent.Add(500*time.Millisecond).Sub(m.now)))
 }
 
-func (m *worker) planReport(d time.Duration) {
-	m.plan++
-	plan := m.plan
+func (m *worker) scheduleReport(d time.Duration) {
+	m.reportPlan++
+	plan := m.reportPlan
 	m.after(d, func() {
-		m.do(func() {
-			if m.plan == plan && m.flight == 0 {
-				m.report()
+		m.whenRunning(func() {
+			if m.reportPlan == plan && m.inFlight == 0 {
+				m.sendReport()
 			}
 		})
 	})
 }
 
-func (m *worker) report() {
+func (m *worker) sendReport() {
 	m.counter++
-	m.flights++
-	m.flight = m.flights
-	m.sent = m.now
-	m.news = false
-	m.plan++
-	id, tenure, sent := m.flight, m.tenure, m.now
-	if m.now.Before(m.mute) {
+	m.reportCount++
+	m.inFlight = m.reportCount
+	m.lastSent = m.now
+	m.hasChanges = false
+	m.reportPlan++
+	id, tenure, sent := m.inFlight, m.incarnation, m.now
+	if m.now.Before(m.outboundLostUntil) {
 		m.occurrences["mute-report"]++
-		m.after(500*time.Millisecond, func() { m.do(func() { m.failed(id) }) })
+		m.after(500*time.Millisecond, func() { m.whenRunning(func() { m.reportFailed(id) }) })
 		return
 	}
-	rep := m.describe()
-	n := m.nodes[m.node%len(m.nodes)]
-	back := func(f func()) { m.net.send("reply", n.name, m.host, func() { m.do(f) }) }
+	rep := m.buildReport()
+	n := m.nodes[m.nodeIndex%len(m.nodes)]
+	back := func(f func()) { m.net.send("reply", n.name, m.host, func() { m.whenRunning(f) }) }
 	m.net.send("report", m.host, n.name, func() {
 		if !n.alive {
-			back(func() { m.failed(id) })
+			back(func() { m.reportFailed(id) })
 			return
 		}
-		if m.now.Sub(sent) > 4*time.Second && n.process == nil && n.core.HasAuthority(n.local()) {
+		if m.now.Sub(sent) > 4*time.Second && n.process == nil && n.core.HasAuthority(n.localNow()) {
 			m.occurrences["held-report"]++
 		}
 		n.ask(func(ref uint64) any { return heartbeat.Received{Ref: ref, Report: rep} }, func(a any) {
 			ans := a.(heartbeat.Reply)
 			ans.Orders = slices.Clone(ans.Orders)
 			back(func() {
-				if m.now.Before(m.deaf) {
+				if m.now.Before(m.inboundLostUntil) {
 					m.occurrences["deaf-answer"]++
 					m.occurrences["deaf-start"] += len(slices.DeleteFunc(ans.Orders, func(o heartbeat.Order) bool { return o.Verb != heartbeat.Start }))
 					return
 				}
-				m.reply(id, tenure, sent, ans)
+				m.handleReply(id, tenure, sent, ans)
 			})
 		})
 	})
-	if m.lateReports.next && m.lateReports.hits(m.clock) {
+	if m.lateReports.forNextLeader && m.lateReports.sample(m.clock) {
 		m.keepReport(rep)
-	} else if m.lateReports.hits(m.clock) {
-		// What the network has kept arrives a second time; nobody waits for its answer.
-		m.after(m.spread(m.lease+2*time.Second, 1-4/(m.lease.Seconds()+2)), func() {
+	} else if m.lateReports.sample(m.clock) {
+		// The network delivers a duplicate later, and its answer is discarded.
+		m.after(m.jitter(m.lease+2*time.Second, 1-4/(m.lease.Seconds()+2)), func() {
 			if n.alive {
 				m.occurrences["late-report"]++
 				n.ask(func(ref uint64) any { return heartbeat.Received{Ref: ref, Report: rep} }, func(any) {})
 			}
 		})
 	}
-	m.after(4*time.Second, func() { m.do(func() { m.failed(id) }) })
+	m.after(4*time.Second, func() { m.whenRunning(func() { m.reportFailed(id) }) })
 }
 
-// keptMost bounds the copies of one machine's reports that are kept for the next leader.
-const keptMost = 3
+// maxKeptReports bounds the copies of one machine's reports kept for the next leader.
+const maxKeptReports = 3
 
-// keepReport keeps a copy for the next leader.
+// keepReport stores a copy of a report for delivery to the next leader.
 func (w *world) keepReport(rep heartbeat.Report) {
 	n := 0
 	for i := range w.keptReports {
@@ -235,14 +237,14 @@
 			n++
 		}
 	}
-	if n < keptMost {
+	if n < maxKeptReports {
 		w.keptReports = append(w.keptReports, rep)
 	}
 }
 
-// tellKept has every controller get the reports that were kept, as a leader begins: before
-// it has read the records, meanwhile and after.
-func (w *world) tellKept() {
+// deliverKeptReports delivers the kept reports to every controller when a leader starts: before,
+// while and after it loads the records.
+func (w *world) deliverKeptReports() {
 	kept := w.keptReports
 	w.keptReports = nil
 	for _, rep := range kept {
@@ -252,146 +254,147 @@
 					return
 				}
 				w.occurrences["report-for-next"]++
-				if m := w.workers[rep.Host]; !m.gone.IsZero() {
+				if m := w.workers[rep.Host]; !m.terminatedAt.IsZero() {
 					w.occurrences["report-of-gone"]++
 				}
 				n.ask(func(ref uint64) any { return heartbeat.Received{Ref: ref, Report: rep} }, func(any) {})
 			}
 			w.after([]time.Duration{0, time.Millisecond, 4 * time.Millisecond, 40 * time.Millisecond, 500 * time.Millisecond}[w.rng.IntN(5)], func() {
-				w.net.send("kept", "copy of "+rep.Host, n.name, arrive) // the network has it, not the machine
+				w.net.send("kept", "copy of "+rep.Host, n.name, arrive) // sent by the network: faults of the machine do not apply
 			})
 		}
 	}
 }
 
-// countUnrecorded counts the machines that are up as a leader begins and that no record names.
+// countUnrecorded counts machines that are up but not on record when a leader starts.
 func (w *world) countUnrecorded() {
-	if w.unchecked || w.elapsed() < 2*time.Second {
-		return // the first leader finds all machines so
+	if w.checksOff || w.elapsed() < 2*time.Second {
+		return // no machine is on record yet for the first leader
 	}
 	named := ""
-	for _, k := range w.store.sorted("yewpass/live/machine/") {
+	for _, k := range w.store.sortedKeys("yewpass/live/machine/") {
 		named += string(w.store.keys[k].value)
 	}
 	for _, m := range w.cloud.machines {
-		if m.gone.IsZero() && !m.up.IsZero() && !strings.Contains(named, `"`+m.host+`"`) {
+		if m.terminatedAt.IsZero() && !m.bootedAt.IsZero() && !strings.Contains(named, `"`+m.host+`"`) {
 			w.occurrences["unrecorded"]++
 		}
 	}
 }
 
-// describe is what the worker says of itself.
-func (m *worker) describe() heartbeat.Report {
+// buildReport returns the heartbeat of the worker in its current state.
+func (m *worker) buildReport() heartbeat.Report {
 	rep := heartbeat.Report{Host: m.host, Address: m.address(m.host), InstanceType: m.instanceType.name, Zone: m.zone, Spot: m.spot,
-		Incarnation: m.tenure, Counter: m.counter, FencingToken: m.epoch}
-	if !m.leaves.IsZero() {
-		rep.HasNotice, rep.Notice = true, m.leaves.Sub(m.now)
+		Incarnation: m.incarnation, Counter: m.counter, FencingToken: m.fencingToken}
+	if !m.preemptedAt.IsZero() {
+		rep.HasNotice, rep.Notice = true, m.preemptedAt.Sub(m.now)
 	}
 	for _, t := range m.tasks {
-		rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: t.id, Try: t.try, Phase: t.phase, Cause: t.cause})
+		rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: t.id, Try: t.attempt, Phase: t.phase, Cause: t.cause})
 	}
 	return rep
 }
 
-// workerPort ends a worker's address.
+// workerPort is the suffix of a worker's address.
 const workerPort = ":9000"
 
-// command is a direct command without orders.
-func (m *worker) command(epoch, tenure uint64) (rpc.Outcome, heartbeat.Report) {
-	if m.now.Before(m.mute) {
+// handleProbe answers a probe from a controller. It rejects a stale fencing token or another
+// incarnation as a conflict.
+func (m *worker) handleProbe(epoch, tenure uint64) (rpc.Outcome, heartbeat.Report) {
+	if m.now.Before(m.outboundLostUntil) {
 		m.occurrences["mute-command"]++
 	}
 	m.counter++
-	if epoch < m.epoch || tenure != m.tenure {
-		return rpc.Conflict, m.describe()
+	if epoch < m.fencingToken || tenure != m.incarnation {
+		return rpc.Conflict, m.buildReport()
 	}
-	m.sees(epoch)
-	if m.news && m.flight == 0 {
-		m.planReport(max(0, m.sent.Add(500*time.Millisecond).Sub(m.now)))
+	m.observeToken(epoch)
+	if m.hasChanges && m.inFlight == 0 {
+		m.scheduleReport(max(0, m.lastSent.Add(500*time.Millisecond).Sub(m.now)))
 	}
-	return rpc.OK, m.describe()
+	return rpc.OK, m.buildReport()
 }
 
-// sees takes note of an epoch; a higher one is news.
-func (m *worker) sees(epoch uint64) {
-	if epoch > m.epoch {
-		m.epoch = epoch
-		if m.now.Sub(m.told) >= m.lease/2 {
-			m.told = m.now
-			m.news = true
+// observeToken records a higher fencing token and requests a report, at most once per half lease.
+func (m *worker) observeToken(epoch uint64) {
+	if epoch > m.fencingToken {
+		m.fencingToken = epoch
+		if m.now.Sub(m.tokenReportedAt) >= m.lease/2 {
+			m.tokenReportedAt = m.now
+			m.hasChanges = true
 		}
 	}
 }
 
-// failed: no answer of use; the next node is tried a second later.
-func (m *worker) failed(id int) {
-	if m.flight != id {
+// reportFailed handles a report without a usable answer: the next node is tried after a second.
+func (m *worker) reportFailed(id int) {
+	if m.inFlight != id {
 		return
 	}
-	m.flight = 0
-	m.leave(m.node + 1)
-	m.planReport(time.Second)
+	m.inFlight = 0
+	m.switchNode(m.nodeIndex + 1)
+	m.scheduleReport(time.Second)
 }
 
-// leave has the worker report to another node from now on.
-func (m *worker) leave(node int) {
+// switchNode makes the worker report to another node.
+func (m *worker) switchNode(node int) {
 	if m.served {
 		m.workerMoves++
 		m.served = false
 	}
-	m.node = node
+	m.nodeIndex = node
 }
 
-func (m *worker) reply(id int, tenure uint64, sent time.Time, a heartbeat.Reply) {
-	if m.flight != id {
-		return // given up
+func (m *worker) handleReply(id int, tenure uint64, sent time.Time, a heartbeat.Reply) {
+	if m.inFlight != id {
+		return // already timed out
 	}
 	switch {
 	case a.Status == 421:
 		for i, n := range m.nodes {
-			if n.name == a.Upstream && i != m.node%len(m.nodes) {
-				m.flight = 0
-				m.leave(i)
-				m.planReport(time.Duration(m.rng.Int64N(int64(500 * time.Millisecond))))
+			if n.name == a.Upstream && i != m.nodeIndex%len(m.nodes) {
+				m.inFlight = 0
+				m.switchNode(i)
+				m.scheduleReport(time.Duration(m.rng.Int64N(int64(500 * time.Millisecond))))
 				return
 			}
 		}
 		fallthrough
 	default:
-		m.failed(id)
+		m.reportFailed(id)
 		return
 	case a.Status == 200:
 	}
-	m.flight = 0
-	if a.FencingToken < m.epoch || tenure != m.tenure {
-		m.planReport(m.spread(m.reportEvery, 0.25))
+	m.inFlight = 0
+	if a.FencingToken < m.fencingToken || tenure != m.incarnation {
+		m.scheduleReport(m.jitter(m.reportInterval, 0.25))
 		return
 	}
 	m.served = true
-	m.outrun(a.FencingToken)
-	if sent.After(m.answered) {
-		m.answered = sent
-		m.watchLease()
+	m.countStaleRenewals(a.FencingToken)
+	if sent.After(m.lastAnswered) {
+		m.lastAnswered = sent
+		m.scheduleLeaseCheck()
 	}
-	m.sees(a.FencingToken)
+	m.observeToken(a.FencingToken)
 	for _, o := range a.Orders {
-		m.execute(o, sent)
+		m.executeOrder(o, sent)
 	}
-	next := m.sent.Add(m.spread(m.reportEvery, 0.25)).Sub(m.now)
-	if m.news {
-		next = m.sent.Add(500 * time.Millisecond).Sub(m.now)
+	next := m.lastSent.Add(m.jitter(m.reportInterval, 0.25)).Sub(m.now)
+	if m.hasChanges {
+		next = m.lastSent.Add(500 * time.Millisecond).Sub(m.now)
 	}
-	m.planReport(max(next, 0))
+	m.scheduleReport(max(next, 0))
 }
 
-// outrun notes tasks of jobs that were told cancelled on a machine whose lease a leader
-// renews that is not the newest: the meeting that the bound on cancellations is about.
-func (m *worker) outrun(epoch uint64) {
+// countStaleRenewals counts tasks of jobs reported cancelled whose machine gets its lease renewed
+// by a former leader. The bound on cancellations covers this case.
+func (m *worker) countStaleRenewals(epoch uint64) {
 	for _, t := range m.tasks {
-		if t.outran || !t.on() || t.job.told != spec.Cancelled || epoch >= m.newestTerm() {
+		if t.renewedAfterCancel || !t.active() || t.job.finalState != spec.Cancelled || epoch >= m.newestTerm() {
 			continue
 		}
-		t.outran = true
+		t.renewedAfterCancel = true
 		m.occurrences["outrun-cancel"]++
 	}
 }
--- a/internal/scenario/worker_tasks.go
+++ b/internal/scenario/worker_tasks.go
@@ -7,20 +7,20 @@
 	"yewpass/internal/heartbeat"
 )
 
-func (m *worker) find(id heartbeat.TaskID, try uint64) *task {
+func (m *worker) findTask(id heartbeat.TaskID, try uint64) *task {
 	for _, t := range m.tasks {
-		if t.id == id && t.try == try {
+		if t.id == id && t.attempt == try {
 			return t
 		}
 	}
 	return nil
 }
 
-// execute carries out an order of the answer to a report that was sent at a time.
-func (m *worker) execute(o heartbeat.Order, reported time.Time) {
-	t := m.find(o.Task, o.Try)
-	m.news = true
-	m.dirty = true
+// executeOrder carries out an order from the answer to the report sent at the given time.
+func (m *worker) executeOrder(o heartbeat.Order, reported time.Time) {
+	t := m.findTask(o.Task, o.Try)
+	m.hasChanges = true
+	m.needsCheck = true
 	switch o.Verb {
 	case heartbeat.Start:
 		if t == nil {
@@ -28,7 +28,7 @@
 				m.fail("misuse", "%s starts as attempt %d after %d", o.Task, o.Try, m.lastAttempts[o.Task])
 			}
 			m.lastAttempts[o.Task] = o.Try
-			m.start(o, reported)
+			m.acceptTask(o, reported)
 		}
 	case heartbeat.Stop:
 		if t == nil || t.phase == heartbeat.Exited {
@@ -40,13 +40,13 @@
 		}
 		if t.phase == heartbeat.TaskRuns && s.CheckpointInterval > 0 && o.Drain >= s.CheckpointTime {
 			t.phase = heartbeat.Checkpointing
-			m.later(t, s.CheckpointTime, func() {
-				t.job.progress[t.id.Index] += m.now.Sub(t.began)
-				m.exit(t, heartbeat.CauseStopped)
+			m.startTimer(t, s.CheckpointTime, func() {
+				t.job.progress[t.id.Index] += m.now.Sub(t.startedAt)
+				m.exitTask(t, heartbeat.CauseStopped)
 			})
 			return
 		}
-		m.exit(t, heartbeat.CauseStopped)
+		m.exitTask(t, heartbeat.CauseStopped)
 	case heartbeat.Reap:
 		if t != nil && t.phase == heartbeat.Exited {
 			m.tasks = slices.DeleteFunc(m.tasks, func(x *task) bool { return x == t })
@@ -54,36 +54,36 @@
 	}
 }
 
-// later has f run after d unless the task changes before.
-func (m *worker) later(t *task, d time.Duration, f func()) {
-	t.change++
-	n, tenure := t.change, m.tenure
+// startTimer runs f after d unless the task has another timer, exits or loses its session first.
+func (m *worker) startTimer(t *task, d time.Duration, f func()) {
+	t.timer++
+	n, tenure := t.timer, m.incarnation
 	m.after(d, func() {
-		m.do(func() {
-			if t.change == n && m.tenure == tenure && t.phase != heartbeat.Exited {
+		m.whenRunning(func() {
+			if t.timer == n && m.incarnation == tenure && t.phase != heartbeat.Exited {
 				f()
 			}
 		})
 	})
 }
 
-func (m *worker) exit(t *task, cause string) {
-	t.change++
+func (m *worker) exitTask(t *task, cause string) {
+	t.timer++
 	t.phase, t.cause = heartbeat.Exited, cause
 	m.allocations.release(t)
 	if cause == heartbeat.CauseDone {
 		t.job.done[t.id.Index] = true
 		if len(t.job.done) == t.job.spec.Tasks && t.job.finished.IsZero() {
 			t.job.finished = m.now
-			m.jobEnded(t.job)
+			m.jobFinished(t.job)
 		}
 	}
-	m.changed()
+	m.reportSoon()
 }
 
-func (m *worker) start(o heartbeat.Order, reported time.Time) {
-	t := &task{id: o.Task, try: o.Try, phase: heartbeat.Pulling}
-	t.job = m.described(o.Task.Job)
+func (m *worker) acceptTask(o heartbeat.Order, reported time.Time) {
+	t := &task{id: o.Task, attempt: o.Try, phase: heartbeat.Pulling}
+	t.job = m.describedJob(o.Task.Job)
 	refuse := ""
 	cpus, gpus, mem := 0.0, 0.0, 0.0
 	for _, x := range m.tasks {
@@ -112,34 +112,34 @@
 	}
 	ready, ok := m.images[s.Image]
 	if !ok {
-		ready = m.now.Add(time.Duration(s.ImageGB / m.instanceType.fetch * float64(time.Second)))
+		ready = m.now.Add(time.Duration(s.ImageGB / m.instanceType.fetchRate * float64(time.Second)))
 		m.images[s.Image] = ready
 	}
-	m.allocations.hold(m, t)
+	m.allocations.allocate(m, t)
 	m.checkLiveLimit(t, reported)
-	m.later(t, max(0, ready.Sub(m.now)), func() { m.begin(t) })
+	m.startTimer(t, max(0, ready.Sub(m.now)), func() { m.runTask(t) })
 }
 
-// begin: the task has its image and is on the machine from now on.
-func (m *worker) begin(t *task) {
+// runTask starts a task whose image has been pulled.
+func (m *worker) runTask(t *task) {
 	m.checkStart(m, t)
-	t.phase, t.began = heartbeat.TaskRuns, m.now
-	if t.job.begun.IsZero() {
-		t.job.begun = m.now
+	t.phase, t.startedAt = heartbeat.TaskRuns, m.now
+	if t.job.firstStarted.IsZero() {
+		t.job.firstStarted = m.now
 	}
 	m.started++
 	if m.onStart != nil {
 		m.onStart(t)
 	}
-	m.changed()
+	m.reportSoon()
 	switch {
-	case m.sick || t.job.faulty:
-		m.later(t, 500*time.Millisecond, func() { m.exit(t, heartbeat.CauseError) })
+	case m.failsTasks || t.job.faulty:
+		m.startTimer(t, 500*time.Millisecond, func() { m.exitTask(t, heartbeat.CauseError) })
 	case !t.job.spec.Service:
-		left := max(0, t.job.runs-t.job.progress[t.id.Index])
-		if t.job.varies > 0 {
-			left = m.spread(left, t.job.varies)
+		left := max(0, t.job.runtime-t.job.progress[t.id.Index])
+		if t.job.runtimeJitter > 0 {
+			left = m.jitter(left, t.job.runtimeJitter)
 		}
-		m.later(t, time.Duration(float64(left)*m.speed), func() { m.exit(t, heartbeat.CauseDone) })
+		m.startTimer(t, time.Duration(float64(left)*m.slowdown), func() { m.exitTask(t, heartbeat.CauseDone) })
 	}
 }
