--- a/internal/scenario/clock.go
+++ b/internal/scenario/clock.go
@@ -162,8 +162,8 @@
 }
 
 // addPartition starts a partition that ends after d. Machines created in the zones join it.
-func (n *network) addPartition(hosts, only map[string]bool, hold bool, d time.Duration, zones ...string) {
-	c := &partition{hosts: hosts, peers: only, hold: hold, zones: zones}
+func (n *network) addPartition(hosts, peers map[string]bool, hold bool, d time.Duration, zones ...string) {
+	c := &partition{hosts: hosts, peers: peers, hold: hold, zones: zones}
 	n.partitions = append(n.partitions, c)
 	n.after(d, func() {
 		for i, x := range n.partitions {
--- a/internal/scenario/configure.go
+++ b/internal/scenario/configure.go
@@ -123,8 +123,8 @@
 	return true
 }
 
-// possibleTeams returns the configurations of a team that may be in force for a decision made at the
-// given time or later: those from the latest change that must be in force by then.
+// possibleTeams returns the configurations of a team that may be in force for a decision made at
+// the given time or later: those from the latest change that must be in force by then.
 func (a *configAdmin) possibleTeams(name string, at time.Time) []liveconfig.Team {
 	cs := a.changes[name]
 	from := -1
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// changedAtRuntime reports whether a team was ever changed. Its limit is then checked as tasks start,
-// since running tasks continue under a lower limit.
+// changedAtRuntime reports whether a team was ever changed. Its limit is then checked as tasks
+// start, since running tasks continue under a lower limit.
 func (w *world) changedAtRuntime(name string) bool { return len(w.admin.changes[name]) > 0 }
 
 // checkLiveLimit checks that a task start respects a limit that may be in force. The decision is at
@@ -184,8 +184,8 @@
 	}
 }
 
-// checkAdmitted checks that a job was accepted or rejected by a team configuration that may have been
-// in force since its first submission (accepted) or its latest one (rejected).
+// checkAdmitted checks that a job was accepted or rejected by a team configuration that may have
+// been in force since its first submission (accepted) or its latest one (rejected).
 func (w *world) checkAdmitted(j *userJob, accepted bool) {
 	name := j.spec.Owner
 	if !w.changedAtRuntime(name) {
--- a/internal/scenario/node.go
+++ b/internal/scenario/node.go
@@ -129,8 +129,8 @@
 
 // updateLinks tells the core which links to peers are up, every 300 ms. The end of a peer's
 // process takes its link down at the next check, a partition only after 2.5 s.
-func (n *node) updateLinks(life int) {
-	if n.generation != life {
+func (n *node) updateLinks(generation int) {
+	if n.generation != generation {
 		return
 	}
 	for _, o := range n.nodes {
@@ -153,7 +153,7 @@
 			n.input(peermsg.LinkChange{Name: o.name})
 		}
 	}
-	n.after(300*time.Millisecond, func() { n.updateLinks(life) })
+	n.after(300*time.Millisecond, func() { n.updateLinks(generation) })
 }
 
 // ask passes a request to the node and calls f with its answer.
@@ -180,14 +180,14 @@
 // stall pauses the node's process for d while its clocks keep running. Inputs that arrive during
 // the pause are processed afterwards, responses of the store first, as a real node does.
 func (n *node) stall(d time.Duration) {
-	life := n.generation
+	generation := n.generation
 	n.stalledUntil = n.now.Add(d)
 	n.after(d, func() {
-		found := n.queuedInputs
+		queued := n.queuedInputs
 		n.queuedInputs = nil
 		for _, first := range []bool{true, false} {
-			for _, in := range found {
-				if _, ok := in.(kv.Response); ok == first && n.generation == life && n.alive {
+			for _, in := range queued {
+				if _, ok := in.(kv.Response); ok == first && n.generation == generation && n.alive {
 					n.input(in)
 				}
 			}
@@ -227,9 +227,9 @@
 	wake := n.now.Add(max(n.core.NextWake().Sub(n.localNow()), time.Millisecond))
 	if n.wake.IsZero() || wake.Before(n.wake) || !n.wake.After(n.now) {
 		n.wake = wake
-		life := n.generation
+		generation := n.generation
 		n.at(wake, func() {
-			if n.generation == life && n.alive {
+			if n.generation == generation && n.alive {
 				n.input(core.Tick{})
 			}
 		})
@@ -241,10 +241,10 @@
 func (n *node) roundTrip(kind, host string, within time.Duration, serve func(answer func(in any)), none any) {
 	// Drop replies to an earlier process of the node: their reference numbers belong to other
 	// calls of the current one.
-	over, life := false, n.generation
+	over, generation := false, n.generation
 	deliver := func(in any) func() {
 		return func() {
-			if n.alive && n.generation == life && !over {
+			if n.alive && n.generation == generation && !over {
 				over = true
 				n.input(in)
 			}
@@ -347,9 +347,9 @@
 		if p.name != out.To || !l.up {
 			continue
 		}
-		msg, life := out.Msg, l.generation
+		msg, generation := out.Msg, l.generation
 		n.net.send("peer", n.name, p.name, func() {
-			if p.alive && p.generation == life { // otherwise the connection closed with the old process
+			if p.alive && p.generation == generation { // otherwise the connection closed with the old process
 				p.input(peermsg.Received{From: n.name, Msg: msg})
 			}
 		})
--- a/internal/scenario/observations.go
+++ b/internal/scenario/observations.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// sendOddRequests sends four unusual requests a second until end: repeated submissions, cancellations
-// of ended jobs, and jobs that are unschedulable or incomplete.
+// sendOddRequests sends four unusual requests a second until end: repeated submissions,
+// cancellations of ended jobs, and jobs that are unschedulable or incomplete.
 func (w *world) sendOddRequests(end time.Time) {
 	if !w.now.Before(end) {
 		return
--- a/internal/scenario/schedule_scale_test.go
+++ b/internal/scenario/schedule_scale_test.go
@@ -15,8 +15,8 @@
 	"yewpass/internal/schedule"
 )
 
-// scheduledWorld returns a world with n stored schedules, due daily at the time that at returns, and
-// with controllers that are not started.
+// scheduledWorld returns a world with n stored schedules, due daily at the time that at returns,
+// and with controllers that are not started.
 func scheduledWorld(tb testing.TB, n int, limits config.State, at func(i int) string) *world {
 	tb.Helper()
 	w := newWorld()
--- a/internal/scenario/schedules.go
+++ b/internal/scenario/schedules.go
@@ -47,8 +47,8 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// putSchedule creates or edits a schedule. The arguments are the fields of the schedule file and the
-// job arguments of the submit action.
+// putSchedule creates or edits a schedule. The arguments are the fields of the schedule file and
+// the job arguments of the submit action.
 func (s *script) putSchedule(name string, a map[string]string) {
 	c := s.scheduleClients[name]
 	if c == nil {
@@ -132,8 +132,8 @@
 	})
 }
 
-// describedJob returns the job that a worker fetches by its id: one submitted by a user or one of a
-// schedule's occurrence, which is created here. It returns nil if there is none.
+// describedJob returns the job that a worker fetches by its id: a user's submission or the
+// occurrence of a schedule, for which it creates the job. It returns nil if there is none.
 func (w *world) describedJob(id string) *userJob {
 	if j := w.jobs[id]; j != nil {
 		return j
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -46,7 +46,7 @@
 	refilled                   time.Time
 }
 
-// storeCounters are compared by expectations and printed in reports.
+// storeCounters counts what expectations compare and reports print.
 type storeCounters struct {
 	occurrences      map[string]int // shared with the world's counters
 	misuse           string         // description of a request beyond the protocol's limits
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -14,16 +14,16 @@
 	runtime        time.Duration // actual run time of a task
 	runtimeJitter  float64       // relative deviation of the run time, drawn for each task
 	faulty         bool          // all its tasks fail
-	firstSubmitted time.Time     // time of the first submission
-	lastSubmitted  time.Time     // time of the latest submission
-	status         int           // status of the final answer to the submission, or 0
-	resubmitted    bool          // the user has repeated the submission after the end
-	lastAnswered   time.Time     // time of the last answered poll
+	firstSubmitted time.Time
+	lastSubmitted  time.Time
+	status         int       // status of the final answer to the submission, or 0
+	resubmitted    bool      // the user has repeated the submission after the end
+	lastAnswered   time.Time // time of the last answered poll, or of the first failed one after it
 	failedPolls    int
 
 	userKnowledge
 	jobProgress
-	jobRoom
+	jobWait
 }
 
 // userKnowledge is what a user has been told about a job.
@@ -46,8 +46,8 @@
 	startedTasks map[int]bool // indexes of tasks that have started, where measured
 }
 
-// jobRoom tracks whether a waiting task of a job could run on some machine.
-type jobRoom struct {
+// jobWait tracks whether a waiting task of a job could run on some machine.
+type jobWait struct {
 	waitingSince time.Time // since when a task has waited although a machine fits
 	fitting      *worker   // machine on which a waiting task fits
 	fittingSince time.Time // since when fitting has been that machine
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -182,7 +182,7 @@
 	m.lastSent = m.now
 	m.hasChanges = false
 	m.reportPlan++
-	id, tenure, sent := m.inFlight, m.incarnation, m.now
+	id, incarnation, sent := m.inFlight, m.incarnation, m.now
 	if m.now.Before(m.outboundLostUntil) {
 		m.occurrences["mute-report"]++
 		m.after(500*time.Millisecond, func() { m.whenRunning(func() { m.reportFailed(id) }) })
@@ -208,7 +208,7 @@
 					m.occurrences["deaf-start"] += len(slices.DeleteFunc(ans.Orders, func(o heartbeat.Order) bool { return o.Verb != heartbeat.Start }))
 					return
 				}
-				m.handleReply(id, tenure, sent, ans)
+				m.handleReply(id, incarnation, sent, ans)
 			})
 		})
 	})
@@ -300,25 +300,26 @@
 
 // handleProbe answers a probe from a controller. It rejects a stale fencing token or another
 // incarnation as a conflict.
-func (m *worker) handleProbe(epoch, tenure uint64) (rpc.Outcome, heartbeat.Report) {
+func (m *worker) handleProbe(token, incarnation uint64) (rpc.Outcome, heartbeat.Report) {
 	if m.now.Before(m.outboundLostUntil) {
 		m.occurrences["mute-command"]++
 	}
 	m.counter++
-	if epoch < m.fencingToken || tenure != m.incarnation {
+	if token < m.fencingToken || incarnation != m.incarnation {
 		return rpc.Conflict, m.buildReport()
 	}
-	m.observeToken(epoch)
+	m.observeToken(token)
 	if m.hasChanges && m.inFlight == 0 {
 		m.scheduleReport(max(0, m.lastSent.Add(500*time.Millisecond).Sub(m.now)))
 	}
 	return rpc.OK, m.buildReport()
 }
 
-// observeToken records a higher fencing token and requests a report, at most once per half lease.
-func (m *worker) observeToken(epoch uint64) {
-	if epoch > m.fencingToken {
-		m.fencingToken = epoch
+// observeToken records a higher fencing token. It marks the worker for an early report, at most
+// once per half lease.
+func (m *worker) observeToken(token uint64) {
+	if token > m.fencingToken {
+		m.fencingToken = token
 		if m.now.Sub(m.tokenReportedAt) >= m.lease/2 {
 			m.tokenReportedAt = m.now
 			m.hasChanges = true
@@ -345,7 +346,7 @@
 	m.nodeIndex = node
 }
 
-func (m *worker) handleReply(id int, tenure uint64, sent time.Time, a heartbeat.Reply) {
+func (m *worker) handleReply(id int, incarnation uint64, sent time.Time, a heartbeat.Reply) {
 	if m.inFlight != id {
 		return // already timed out
 	}
@@ -366,7 +367,7 @@
 	case a.Status == 200:
 	}
 	m.inFlight = 0
-	if a.FencingToken < m.fencingToken || tenure != m.incarnation {
+	if a.FencingToken < m.fencingToken || incarnation != m.incarnation {
 		m.scheduleReport(m.jitter(m.reportInterval, 0.25))
 		return
 	}
@@ -389,9 +390,9 @@
 
 // countStaleRenewals counts tasks of jobs reported cancelled whose machine gets its lease renewed
 // by a former leader. The bound on cancellations covers this case.
-func (m *worker) countStaleRenewals(epoch uint64) {
+func (m *worker) countStaleRenewals(token uint64) {
 	for _, t := range m.tasks {
-		if t.renewedAfterCancel || !t.active() || t.job.finalState != spec.Cancelled || epoch >= m.newestTerm() {
+		if t.renewedAfterCancel || !t.active() || t.job.finalState != spec.Cancelled || token >= m.newestTerm() {
 			continue
 		}
 		t.renewedAfterCancel = true
--- a/internal/scenario/worker_tasks.go
+++ b/internal/scenario/worker_tasks.go
@@ -7,9 +7,9 @@
 	"yewpass/internal/heartbeat"
 )
 
-func (m *worker) findTask(id heartbeat.TaskID, try uint64) *task {
+func (m *worker) findTask(id heartbeat.TaskID, attempt uint64) *task {
 	for _, t := range m.tasks {
-		if t.id == id && t.attempt == try {
+		if t.id == id && t.attempt == attempt {
 			return t
 		}
 	}
@@ -57,10 +57,10 @@
 // startTimer runs f after d unless the task has another timer, exits or loses its session first.
 func (m *worker) startTimer(t *task, d time.Duration, f func()) {
 	t.timer++
-	n, tenure := t.timer, m.incarnation
+	n, incarnation := t.timer, m.incarnation
 	m.after(d, func() {
 		m.whenRunning(func() {
-			if t.timer == n && m.incarnation == tenure && t.phase != heartbeat.Exited {
+			if t.timer == n && m.incarnation == incarnation && t.phase != heartbeat.Exited {
 				f()
 			}
 		})
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -41,7 +41,7 @@
 	lateReports     delayedShare       // share of reports delivered a second time, late
 	keptReports     []heartbeat.Report // copies delivered when the next leader starts
 	cancelAtEnd     delayedShare       // share of jobs cancelled as their last task completes
-	observeUntil    time.Time          // until then users poll every state change at all nodes
+	observeUntil    time.Time          // until then users poll all nodes at every state change
 	lastOddID       int                // number of the latest unusual submission
 	dataLost        bool               // a fault has removed data from the store
 	restoreSnapshot func()             // restores the saved contents of the store
@@ -63,7 +63,7 @@
 	failureTimes  []time.Time
 }
 
-// worldCounters are compared by the expectations of scripts.
+// worldCounters counts what the expectations of scripts compare.
 type worldCounters struct {
 	occurrences  map[string]int // by event name; compared by "expect met"
 	started      int
--- a/internal/scenario/year_test.go
+++ b/internal/scenario/year_test.go
@@ -178,7 +178,8 @@
 	slices.SortFunc(dues, time.Time.Compare)
 	dues = slices.CompactFunc(dues, time.Time.Equal)
 
-	// Run the year. Daylight saving changes on these days; no due time near them is skipped.
+	// Run the year. Daylight saving changes on these days; each due time near them
+	// is handled on its own.
 	var shifts []time.Time
 	for _, d := range []string{"2027-03-14", "2027-03-28", "2027-04-03", "2027-10-02", "2027-10-31", "2027-11-07"} {
 		at, _ := time.Parse(time.DateOnly, d)
