--- a/cmd/yewlab/main.go
+++ b/cmd/yewlab/main.go
@@ -62,12 +62,12 @@
 }
 
 // reportCost measures what a report takes of a worker, in a process of this program.
-func reportCost(ctx context.Context) (cost scenario.ReportCost, err error) {
+func reportCost(ctx context.Context) (cost scenario.HeartbeatCost, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return cost, err
 	}
-	return scenario.MeasureReportCost(ctx, self, reportsName)
+	return scenario.MeasureHeartbeatCost(ctx, self, reportsName)
 }
 
 const reportsName = "make-reports"
@@ -75,7 +75,7 @@
 // reportsCommand is the other side of reportCost.
 func reportsCommand() *cobra.Command {
 	return &cobra.Command{Use: reportsName + " ADDRESS", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		cost, err := scenario.MakeReports(args[0])
+		cost, err := scenario.SendHeartbeats(args[0])
 		if err != nil {
 			return err
 		}
@@ -84,7 +84,7 @@
 }
 
 func scaleCommand() *cobra.Command {
-	plan := scenario.PlannedSize()
+	plan := scenario.DefaultScalePlan()
 	var programs []string
 	var asJSON bool
 	cmd := &cobra.Command{
@@ -96,7 +96,7 @@
 			"  yewlab scale --kill-leader --cut-region 90s",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			progress := func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
-			report, err := scenario.Scale(cmd.Context(), plan, programs, progress)
+			report, err := scenario.RunScaleTest(cmd.Context(), plan, programs, progress)
 			if err != nil {
 				return err
 			}
--- a/internal/scenario/config_drill_test.go
+++ b/internal/scenario/config_drill_test.go
@@ -9,9 +9,9 @@
 	"yewpass/internal/spec"
 )
 
-// yewpass runs the program as operators do and returns what it prints: again, as it is told
-// to, while it ends with 503.
-func (f *front) yewpass(input string, words ...string) (out string) {
+// runCLI runs the yewpass command and returns its output. It retries while the command fails with
+// status 503, as operators are told to.
+func (f *front) runCLI(input string, words ...string) (out string) {
 	f.t.Helper()
 	path, err := program()
 	if err != nil {
@@ -28,18 +28,18 @@
 	return out
 }
 
-// TestDrillConfig: teams are changed with the command line against real processes; a wrong
-// file names what is wrong, a change that is based on an older revision is refused, and the
-// next leader goes by what was changed.
+// TestDrillConfig changes teams with the command line while real processes run. Invalid files must
+// be rejected with the faulty field, a change based on an outdated revision must be rejected, and
+// the next leader must apply the changes.
 func TestDrillConfig(t *testing.T) {
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	ps := f.controllers(3, nil)
 	f.leader()
-	node := func(i int) []string { return []string{"--node", ps[i].clients} }
+	node := func(i int) []string { return []string{"--node", ps[i].clientAddr} }
 	run := func(want, input string, words ...string) {
 		t.Helper()
-		if out := f.yewpass(input, words...); !strings.Contains(out, want) {
-			t.Errorf("%v says %q, not %q", words, out, want)
+		if out := f.runCLI(input, words...); !strings.Contains(out, want) {
+			t.Errorf("%v: got output %q, want it to contain %q", words, out, want)
 		}
 	}
 	run("revision 1\n", "[[teams]]\nname = \"t\"\ncpus_max = 3.0\n", append([]string{"config", "set", "-"}, node(0)...)...)
@@ -51,7 +51,7 @@
 	run("revision 2", "", append([]string{"config", "status"}, node(1)...)...)
 	j := f.job("wk-1", "tasks=9", "run=2s")
 	f.until("tasks run", func() bool { return f.on("wk-1") > 0 })
-	f.with(func() { f.cfg.Settings.Teams[0].CPUsMax = 3 }) // what the rules go by: the settings said 40
+	f.with(func() { f.cfg.Settings.Teams[0].CPUsMax = 3 }) // the limit that the rule checks use; the settings file has 40
 	l := f.leader()
 	l.kill()
 	f.until("the job is done", told(spec.Done, j))
@@ -60,5 +60,5 @@
 	l.start()
 	f.until("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
 	run("retired", "", append([]string{"config", "get", "u"}, node(0)...)...)
-	f.works("wk-3")
+	f.checkJobCompletes("wk-3")
 }
--- a/internal/scenario/cost_test.go
+++ b/internal/scenario/cost_test.go
@@ -14,17 +14,17 @@
 	"yewpass/internal/peermsg"
 )
 
-var costOf = flag.Int("cost", 0, "measure what a fleet of so many machines costs its controllers")
+var costMachines = flag.Int("cost", 0, "measure what a fleet of so many machines costs its controllers")
 
-// costs is what the inputs of the controllers took, by node and kind.
-type costs struct {
-	at    time.Time // only from then on
+// stepCosts records how long the controllers' inputs take, by node and kind.
+type stepCosts struct {
+	at    time.Time // start of the measurement
 	spent map[[2]string]time.Duration
 	count map[[2]string]int
-	bytes map[string]int // of lines between controllers, by sender
+	bytes map[string]int // of messages between controllers, by sender
 }
 
-func (k *costs) step(n *node, in any) []any {
+func (k *stepCosts) step(n *node, in any) []any {
 	began := time.Now()
 	outs := slices.Clone(n.core.Step(n.local(), in))
 	spent := time.Since(began)
@@ -61,13 +61,13 @@
 	return outs
 }
 
-// TestCost is no test but a measurement, in virtual time with what the machine at hand
-// takes for the controllers' part: -run TestCost -cost 10000 -v.
+// TestCost measures how long the controllers' inputs take, in a world with virtual time. Run it
+// with -run TestCost -cost 10000 -v.
 func TestCost(t *testing.T) {
-	if *costOf == 0 {
-		t.Skip("asked for by -cost")
+	if *costMachines == 0 {
+		t.Skip("requires -cost")
 	}
-	n := *costOf
+	n := *costMachines
 	text := fmt.Sprintf(`
 seed 11
 nodes 7
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	k := &costs{at: s.start.Add(20 * time.Second), spent: map[[2]string]time.Duration{}, count: map[[2]string]int{}, bytes: map[string]int{}}
+	k := &stepCosts{at: s.start.Add(20 * time.Second), spent: map[[2]string]time.Duration{}, count: map[[2]string]int{}, bytes: map[string]int{}}
 	s.measure, s.unchecked = k.step, true
 	s.begin()
 	for s.step(s.start.Add(s.end)) {
@@ -117,7 +117,7 @@
 	slices.Sort(lines)
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	t.Logf("%d machines, %d tasks started, 100 s measured, %d bytes/s between controllers, heap of everything %d MB\n%s", n, s.started, sum(k.bytes)/100, m.HeapAlloc>>20, strings.Join(lines, "\n"))
+	t.Logf("%d machines, %d tasks started, 100 s measured, %d bytes/s between controllers, total heap %d MB\n%s", n, s.started, sum(k.bytes)/100, m.HeapAlloc>>20, strings.Join(lines, "\n"))
 	by := map[string]int{}
 	for _, w := range s.workers {
 		by[s.nodes[w.node%len(s.nodes)].name]++
@@ -125,13 +125,13 @@
 	t.Log("workers by node", by)
 }
 
-// TestLossCost measures, like TestCost, what follows when a fleet of -cost machines with 5,000
-// live jobs loses all data of its state service.
+// TestLossCost measures the recovery of a fleet of -cost machines with 5,000 live jobs after the
+// key-value store has lost all data.
 func TestLossCost(t *testing.T) {
-	if *costOf == 0 {
-		t.Skip("asked for by -cost")
+	if *costMachines == 0 {
+		t.Skip("requires -cost")
 	}
-	n, at := *costOf, 110*time.Second
+	n, at := *costMachines, 110*time.Second
 	s, err := read(fmt.Sprintf(`
 seed 12
 nodes 7
@@ -163,11 +163,11 @@
 			puts, requests = s.store.puts, s.store.requests
 		}
 	}
-	accepted, started, inTime, of := time.Hour, time.Hour, 0, 0
+	accepted, started, inTime, total := time.Hour, time.Hour, 0, 0
 	for _, j := range s.order {
 		since := j.since.Sub(s.start)
 		if j.spec.Class == "new" && j.first.Sub(s.start) > at {
-			of++
+			total++
 			accepted = min(accepted, since-at)
 			if j.accepted && j.since.Sub(j.first) < 300*time.Millisecond {
 				inTime++
@@ -177,7 +177,7 @@
 			}
 		}
 	}
-	t.Logf("%d machines: %v to the first submission accepted, %v to the first start of one, %d of %d accepted within 300 ms; in 90 s %d requests, %d changes", n, accepted, started, inTime, of, s.store.requests-requests, s.store.puts-puts)
+	t.Logf("%d machines: %v to the first submission accepted, %v to the first start of one, %d of %d accepted within 300 ms; in 90 s %d requests, %d changes", n, accepted, started, inTime, total, s.store.requests-requests, s.store.puts-puts)
 }
 
 func sum(m map[string]int) (n int) {
--- a/internal/scenario/drill_test.go
+++ b/internal/scenario/drill_test.go
@@ -20,8 +20,8 @@
 	"yewpass/internal/spec"
 )
 
-// site is what the drills play on: three machines up, more to be rented.
-const site = `
+// drillScript has three running machines and capacity for more.
+const drillScript = `
 team t max=40
 team u cpus=8 max=16
 type s cpus=8 mem=64 rate=0.4 low=0.1 ready=1s fetch=10
@@ -31,10 +31,10 @@
 machines s b n=1
 `
 
-// TestDrillLeaderKilled: the leader dies with tasks on machines, one of which
-// nobody can reach; the next one accounts for all of them.
+// TestDrillLeaderKilled kills the leader while tasks run, one machine being unreachable. The next
+// leader must account for all tasks.
 func TestDrillLeaderKilled(t *testing.T) {
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	ps := f.controllers(3, nil)
 	f.leader()
 	j := f.job("wk-1", "tasks=20", "run=6s")
@@ -51,47 +51,47 @@
 	f.until("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
 }
 
-// works checks that the cluster does what it is for: a new job is accepted and done.
-func (f *front) works(id string) {
+// checkJobCompletes checks that a new job is accepted and finishes.
+func (f *front) checkJobCompletes(id string) {
 	f.t.Helper()
 	j := f.job(id, "tasks=3", "run=500ms")
 	f.until(id+" is done", told(spec.Done, j))
 }
 
-// running checks that no process has ended by itself.
-func (f *front) running(ps []*proc) {
+// checkNoneExited checks that all processes are running.
+func (f *front) checkNoneExited(ps []*proc) {
 	f.t.Helper()
 	for _, p := range ps {
 		if !p.runs() {
-			f.t.Fatalf("%s has ended:\n%s", p.n.name, strings.Join(p.tail(30), "\n"))
+			f.t.Fatalf("%s has exited:\n%s", p.n.name, strings.Join(p.lastLogLines(30), "\n"))
 		}
 	}
 }
 
-// tell writes lines to a node's peer port, as whoever can reach it might.
-func (p *proc) tell(lines ...string) {
-	c, err := net.Dial("tcp", p.peers)
+// sendPeerLines writes lines to a node's peer port, as any host that can reach it could.
+func (p *proc) sendPeerLines(lines ...string) {
+	c, err := net.Dial("tcp", p.peerAddr)
 	if err != nil {
-		p.complain("%v", err)
+		p.errorf("%v", err)
 		return
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	for _, line := range lines {
 		if _, err := io.WriteString(c, line+"\n"); err != nil {
-			return // closed already, which is what is wanted
+			return // the node closed the connection, as expected
 		}
 	}
-	io.Copy(io.Discard, c) // until it is closed, by silence if by nothing else
+	io.Copy(io.Discard, c) // wait until the node closes the connection
 }
 
-// TestDrillPeerLines: lines on the peer port that no controller would send end no
-// process, and leave no cluster without a leader.
+// TestDrillPeerLines checks that invalid lines on the peer port neither stop a process nor leave
+// the cluster without a leader.
 func TestDrillPeerLines(t *testing.T) {
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	ps := f.controllers(3, nil)
 	f.leader()
-	f.works("wk-1")
+	f.checkJobCompletes("wk-1")
 	claims := []string{`"kind":"leader","term":18446744073709551615}`, `"kind":"leader","term":4294967295}`, `"kind":"ack","term":18446744073709551615}`}
 	calls := []string{
 		`"kind":"call","ref":1,"op":"submit","id":"wk-5"}`,
@@ -108,58 +108,53 @@
 		var all sync.WaitGroup
 		for i, p := range ps {
 			for _, line := range append([]string{"null", "{}"}, lines...) {
-				all.Go(func() { p.tell(`{"from":"` + ps[(i+1)%len(ps)].n.name + `",` + line) })
+				all.Go(func() { p.sendPeerLines(`{"from":"` + ps[(i+1)%len(ps)].n.name + `",` + line) })
 			}
 		}
 		all.Wait()
-		f.running(ps)
+		f.checkNoneExited(ps)
 	}
-	f.works("wk-2")
+	f.checkJobCompletes("wk-2")
 	l := f.leader()
 	l.kill()
-	f.works("wk-3")
+	f.checkJobCompletes("wk-3")
 }
 
-// TestDrillClaimedEpoch: a worker that says it has seen an epoch which no leader
-// ever had makes itself useless, and nobody else.
+// TestDrillClaimedEpoch checks that a worker with a fencing token that no leader had affects
+// nobody else.
 func TestDrillClaimedEpoch(t *testing.T) {
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	ps := f.controllers(2, nil)
 	l := f.leader()
-	f.works("wk-1")
+	f.checkJobCompletes("wk-1")
 	term := l.metric("yewpass_term")
 	for i := range 12 {
 		for _, p := range ps {
 			rep := heartbeat.Report{Host: "host-stray", Address: "127.0.0.1:9", InstanceType: "s", Zone: "a", Incarnation: 1, Counter: uint64(i), FencingToken: 1<<64 - 1}
-			if status, _, _ := p.do("POST", "/hello", reportBody(rep)); status == 200 {
-				t.Error("a report that will be dropped is answered with 200")
+			if status, _, _ := p.send("POST", "/hello", heartbeatBody(rep)); status == 200 {
+				t.Error("heartbeat with an unknown fencing token got status 200")
 			}
 		}
 	}
-	f.running(ps)
-	f.works("wk-2")
+	f.checkNoneExited(ps)
+	f.checkJobCompletes("wk-2")
 	if got := f.leader().metric("yewpass_term"); got != term {
-		t.Errorf("term %g has become %g", term, got)
+		t.Errorf("term changed from %g to %g", term, got)
 	}
 }
 
-// TestDrillSlowClients: clients that send a byte at a time, or never read their
-// TestDrillStandardError: whoever reads a controller's log goes away, or stays and
-// TestDrillTermRecord: what says which term it is cannot be read, or is gone, or
-// the leader's key stands without a grant. The cluster finds a leader, whose term is
-// saidAny reports whether one of the processes has logged an error with the text.
-func saidAny(ps []*proc, text string) bool {
-	return slices.ContainsFunc(ps, func(p *proc) bool { return p.said("level=ERROR", text) })
+// anyLoggedError reports whether a process has logged an error that contains the text.
+func anyLoggedError(ps []*proc, text string) bool {
+	return slices.ContainsFunc(ps, func(p *proc) bool { return p.logged("level=ERROR", text) })
 }
 
-// TestDrillDataLost: the state service loses all that it had while tasks run, under a leader
-// that lives, then together with the leader. What the controllers know of goes on, is answered
-// and ends.
+// TestDrillDataLost wipes the key-value store while tasks run, first under a running leader, then
+// together with the leader's failure. Jobs that controllers know of must continue and finish.
 func TestDrillDataLost(t *testing.T) {
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	ps := f.controllers(3, nil)
 	f.leader()
-	f.works("wk-1")
+	f.checkJobCompletes("wk-1")
 	lost := func(id string, kill func()) {
 		j := f.job(id, "tasks=12", "run=4s")
 		f.until("tasks run", func() bool { return f.on(id) > 5 })
@@ -168,8 +163,8 @@
 		f.until(id+" is done", told(spec.Done, j))
 	}
 	lost("wk-2", func() {})
-	f.running(ps)
-	f.until("an alert", func() bool { return saidAny(ps, "recovering from data loss") })
+	f.checkNoneExited(ps)
+	f.until("an alert", func() bool { return anyLoggedError(ps, "recovering from data loss") })
 	f.until("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
 	l := f.leader()
 	lost("wk-3", l.kill)
@@ -177,10 +172,10 @@
 	f.until("all ready again", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
 }
 
-// TestDrillAllLost: the state service loses all that it had, and every controller is lost with
-// it. Terms go on above what the workers have seen, and the cluster works.
+// TestDrillAllLost wipes the key-value store and kills all controllers. New terms must exceed
+// those that workers have seen.
 func TestDrillAllLost(t *testing.T) {
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	ps := f.controllers(2, nil)
 	for range 2 {
 		l := f.leader()
@@ -197,19 +192,17 @@
 	for _, p := range ps {
 		p.start()
 	}
-	f.until("terms go on", func() bool { return saidAny(ps, "workers have seen newer terms") })
-	f.works("wk-1")
+	f.until("terms go on", func() bool { return anyLoggedError(ps, "workers have seen newer terms") })
+	f.checkJobCompletes("wk-1")
 	if after := f.leader().metric("yewpass_term"); after <= before {
-		t.Errorf("term %g is followed by %g", before, after)
+		t.Errorf("term before the loss is %g, after it %g, want a larger one", before, after)
 	}
 }
 
-// TestDrillBadRecords: records that cannot be read are an alert each; their jobs
-// get 503, never 404, and all the others are served. A record of machines that
-// TestDrillPaused: a leader stands still for longer than its grant while tasks
-// run, and goes on where it was. Another leads by then.
+// TestDrillPaused suspends the leader for longer than its lease while tasks run. Another
+// controller must become leader, and the resumed process must keep running.
 func TestDrillPaused(t *testing.T) {
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	ps := f.controllers(3, nil)
 	l := f.leader()
 	j := f.job("wk-1", "tasks=30", "run=4s", "owner=u")
@@ -219,7 +212,7 @@
 		l.cmd.Process.Signal(syscall.SIGSTOP)
 		f.until("another leads", func() bool {
 			for _, p := range ps {
-				if p != l && p.said("elected leader") && p.healthy {
+				if p != l && p.logged("elected leader") && p.healthy {
 					return true
 				}
 			}
@@ -228,27 +221,23 @@
 		l.cmd.Process.Signal(syscall.SIGCONT)
 	}
 	f.until("the job is done", told(spec.Done, j))
-	f.running(ps)
+	f.checkNoneExited(ps)
 }
 
-// TestDrillOpenFiles: the system lets the process open fewer files than its
-// settings promise. Users are turned away, and the leader keeps what it needs for
-// TestDrillFaultyServices: a list that never ends, a catalog of amounts that no
-// machine has, a front that answers 404 or 200 to everything. The controller neither
-
-// answers, take all connections; reports, probes and users still get through.
+// TestDrillSlowClients checks that heartbeats, probes and users are served while slow clients,
+// which send one byte at a time, take all connections.
 func TestDrillSlowClients(t *testing.T) {
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	f.cfg.Settings.Limits.MaxConnections = 120
 	ps := f.controllers(2, nil)
 	l := f.leader()
-	f.works("wk-1")
+	f.checkJobCompletes("wk-1")
 	stop := make(chan struct{})
 	defer close(stop)
 	for i := range 200 {
 		go func() {
 			for {
-				c, err := net.DialTimeout("tcp", l.clients, time.Second)
+				c, err := net.DialTimeout("tcp", l.clientAddr, time.Second)
 				if err == nil {
 					io.WriteString(c, "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n")
 					for err == nil {
@@ -270,57 +259,59 @@
 			}
 		}()
 	}
-	time.Sleep(2 * time.Second) // as long as it takes them to be there
-	// New connections: a probe, a report, a poll.
+	time.Sleep(2 * time.Second) // until the clients are connected
+	// Each probe uses a new connection.
 	got, want := 0, 20
 	for range want {
 		c := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-		if r, err := c.Get("http://" + l.clients + "/ready"); err == nil {
+		if r, err := c.Get("http://" + l.clientAddr + "/ready"); err == nil {
 			r.Body.Close()
 			got++
 		}
 	}
 	if got < want*3/4 {
-		t.Errorf("%d of %d probes are answered", got, want)
+		t.Errorf("%d of %d readiness probes were answered, want at least three quarters", got, want)
 	}
-	f.works("wk-2")
-	f.running(ps)
+	f.checkJobCompletes("wk-2")
+	f.checkNoneExited(ps)
 	if f.leader() != l {
-		t.Error("the leader has changed")
+		t.Error("leadership changed while slow clients were connected")
 	}
 }
 
-// reads no more. Neither may end or hold up the controller.
+// TestDrillStandardError checks that a closed or blocked standard error neither stops nor delays a
+// controller.
 func TestDrillStandardError(t *testing.T) {
 	for _, how := range []string{"closed", "blocked"} {
 		t.Run(how, func(t *testing.T) {
-			f := newFront(t, site)
-			ps := f.controllers(1, func(p *proc) { p.stopReading = true })
+			f := newFront(t, drillScript)
+			ps := f.controllers(1, func(p *proc) { p.ignoreStderr = true })
 			f.leader()
 			if how == "closed" {
-				ps[0].pipe.Close()
+				ps[0].stderrPipe.Close()
 			}
-			for i := range 60 { // each is a line in the log, or two
-				ps[0].do("POST", "/hello", reportBody(heartbeat.Report{Host: "host-" + strconv.Itoa(i), Address: "127.0.0.1:9", InstanceType: "s", Zone: "a", Incarnation: 1, Counter: 1}))
+			for i := range 60 { // each adds one or two log lines
+				ps[0].send("POST", "/hello", heartbeatBody(heartbeat.Report{Host: "host-" + strconv.Itoa(i), Address: "127.0.0.1:9", InstanceType: "s", Zone: "a", Incarnation: 1, Counter: 1}))
 			}
 			for i := range 3 {
-				f.works("wk-" + strconv.Itoa(100+i))
+				f.checkJobCompletes("wk-" + strconv.Itoa(100+i))
 			}
-			f.running(ps)
+			f.checkNoneExited(ps)
 		})
 	}
 }
 
-// itself.
+// TestDrillOpenFiles checks that a leader whose open-file limit is below its connection limit
+// rejects users, but keeps its lease.
 func TestDrillOpenFiles(t *testing.T) {
-	f := newFront(t, site)
-	ps := f.controllers(1, func(p *proc) { p.shell = "ulimit -n 96;" })
+	f := newFront(t, drillScript)
+	ps := f.controllers(1, func(p *proc) { p.shellPrefix = "ulimit -n 96;" })
 	l := f.leader()
-	f.works("wk-1")
+	f.checkJobCompletes("wk-1")
 	term := l.metric("yewpass_term")
 	var held []net.Conn
-	for range 150 { // clients that are there, and idle
-		if c, err := net.DialTimeout("tcp", l.clients, time.Second); err == nil {
+	for range 150 { // idle clients
+		if c, err := net.DialTimeout("tcp", l.clientAddr, time.Second); err == nil {
 			held = append(held, c)
 			io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		}
@@ -330,15 +321,15 @@
 			c.Close()
 		}
 	}()
-	time.Sleep(4 * time.Second) // past the grant
-	f.works("wk-2")
-	f.running(ps)
+	time.Sleep(4 * time.Second) // longer than the lease
+	f.checkJobCompletes("wk-2")
+	f.checkNoneExited(ps)
 	if got := l.metric("yewpass_term"); got != term {
-		t.Errorf("term %g has become %g", term, got)
+		t.Errorf("term changed from %g to %g", term, got)
 	}
 }
 
-// corrupt replaces what a key holds, as a fault of the disk below it might.
+// corrupt overwrites the stored value of a key.
 func (f *front) corrupt(key, value string) {
 	f.t.Helper()
 	f.with(func() {
@@ -350,17 +341,18 @@
 	})
 }
 
-// above every earlier one.
+// TestDrillTermRecord damages or deletes the term record, or leaves the leader key without a
+// lease. A leader must still be elected, with a larger term.
 func TestDrillTermRecord(t *testing.T) {
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	ps := f.controllers(2, nil)
 	f.leader()
-	f.works("wk-1")
+	f.checkJobCompletes("wk-1")
 	for i, damage := range []func(){
 		func() { f.corrupt("yewpass/term", `{"type":"term","term":"x"}`) },
 		func() { f.corrupt("yewpass/term", `{"type":"term","term":18446744073709551615}`) },
 		func() { f.with(func() { delete(f.store.keys, "yewpass/term") }) },
-		func() { f.corrupt("yewpass/term", `{"type":"term","term":1}`) }, // from an old copy
+		func() { f.corrupt("yewpass/term", `{"type":"term","term":1}`) }, // outdated value
 		func() { f.corrupt("yewpass/leader", `7`) },
 		func() {
 			f.with(func() { f.store.keys["yewpass/leader"].lease = 0 })
@@ -371,22 +363,24 @@
 		before := l.metric("yewpass_term")
 		damage()
 		l.kill()
-		f.works("wk-" + strconv.Itoa(10+i))
+		f.checkJobCompletes("wk-" + strconv.Itoa(10+i))
 		n := f.leader()
 		if after := n.metric("yewpass_term"); after <= before || after > 1e9 {
-			t.Errorf("damage %d: term %g is followed by %g", i, before, after)
+			t.Errorf("damage %d: term changed from %g to %g, want a larger one, up to 1e9", i, before, after)
 		}
-		if i < 2 && !ps[0].said("level=ERROR", "unreadable") && !ps[1].said("level=ERROR", "unreadable") {
-			t.Errorf("damage %d: no alert", i)
+		if i < 2 && !ps[0].logged("level=ERROR", "unreadable") && !ps[1].logged("level=ERROR", "unreadable") {
+			t.Errorf("damage %d: no error about the unreadable record was logged", i)
 		}
 		l.start()
 		f.until("both ready", func() bool { return ps[0].healthy && ps[1].healthy })
 	}
 }
 
-// cannot be read is no reason to believe that there are none.
+// TestDrillBadRecords checks that jobs and schedules with unreadable records get status 503 rather
+// than 404 and that other jobs are served. An unreadable machine record must not be taken for an
+// empty one.
 func TestDrillBadRecords(t *testing.T) {
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	ps := f.controllers(2, nil)
 	f.leader()
 	j := f.job("wk-1", "tasks=12", "run=8s")
@@ -404,11 +398,11 @@
 		f.net.split(map[string]bool{cut: true}, nil, true, 9*time.Second)
 	})
 	var job map[string]any
-	json.Unmarshal(submission(&j.spec), &job)
+	json.Unmarshal(submissionBody(&j.spec), &job)
 	delete(job, "id")
 	nightly := encode(object{"name": "nightly", "zone": "UTC", "rule": "FREQ=DAILY", "at": []string{"01:00"}, "job": job})
-	if status, _, data := l.do("PUT", "/v2/schedules/nightly", nightly); status != 201 {
-		t.Fatalf("the schedule gets %d: %s", status, data)
+	if status, _, data := l.send("PUT", "/v2/schedules/nightly", nightly); status != 201 {
+		t.Fatalf("PUT of the schedule got status %d: %s", status, data)
 	}
 	f.corrupt("yewpass/schedule/nightly", `{"type":"schedule","number":0}`)
 	f.corrupt("yewpass/live/job/wk-2", `{"type":"job","spec":{"id":"wk-2","tasks":-1}}`)
@@ -416,7 +410,7 @@
 	var key string
 	f.with(func() { key = f.store.sorted("yewpass/live/machine/")[0] })
 	f.corrupt(key, `{"type":"machines","machines":7}`)
-	// Nobody who has a copy lives on: it would put the records right.
+	// All controllers are killed, since one with a copy would repair the records.
 	for _, p := range ps {
 		p.kill()
 	}
@@ -424,37 +418,38 @@
 		p.start()
 	}
 	f.until("the readable job is done", told(spec.Done, j))
-	f.running(ps)
+	f.checkNoneExited(ps)
 	for _, p := range ps {
 		for _, b := range []*userJob{bad, odd} {
-			if status, _, _ := p.do("GET", "/v2/runs/"+b.spec.ID, nil); status != 503 {
-				t.Errorf("%s gets %d", b.spec.ID, status)
+			if status, _, _ := p.send("GET", "/v2/runs/"+b.spec.ID, nil); status != 503 {
+				t.Errorf("GET of %s got status %d, want 503", b.spec.ID, status)
 			}
-			if status, _, _ := p.do("POST", "/v2/runs", submission(&b.spec)); status != 503 {
-				t.Errorf("%s submitted again gets %d", b.spec.ID, status)
+			if status, _, _ := p.send("POST", "/v2/runs", submissionBody(&b.spec)); status != 503 {
+				t.Errorf("resubmission of %s got status %d, want 503", b.spec.ID, status)
 			}
 		}
-		if status, _, _ := p.do("GET", "/v2/schedules/nightly", nil); status != 503 {
-			t.Errorf("the schedule gets %d", status)
+		if status, _, _ := p.send("GET", "/v2/schedules/nightly", nil); status != 503 {
+			t.Errorf("GET of the schedule got status %d, want 503", status)
 		}
-		if status, _, _ := p.do("PUT", "/v2/schedules/nightly", nightly); status != 503 {
-			t.Errorf("the schedule put again gets %d", status)
+		if status, _, _ := p.send("PUT", "/v2/schedules/nightly", nightly); status != 503 {
+			t.Errorf("PUT of the schedule got status %d, want 503", status)
 		}
 	}
-	f.works("wk-4")
+	f.checkJobCompletes("wk-4")
 }
 
-// loops nor believes it, and goes on when it is over.
+// TestDrillFaultyServices checks that implausible responses of the cloud and the key-value store
+// are rejected without a request loop, and that the cluster recovers afterwards.
 func TestDrillFaultyServices(t *testing.T) {
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	ps := f.controllers(2, nil)
 	f.leader()
 	j := f.job("wk-1", "tasks=2", "run=25s")
 	f.until("wk-1 is accepted", func() bool { return j.accepted })
-	twist := func(what string, d time.Duration, g func(host, path string, status int, data []byte) (int, []byte)) {
+	withFault := func(what string, d time.Duration, g func(host, path string, status int, data []byte) (int, []byte)) {
 		calls := 0
 		f.with(func() {
-			f.twist = func(host, path string, status int, data []byte) (int, []byte) {
+			f.alterResponse = func(host, path string, status int, data []byte) (int, []byte) {
 				if host == "cloud" {
 					calls++
 				}
@@ -463,59 +458,59 @@
 		})
 		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			for _, p := range ps {
-				if status, _, _ := p.do("GET", "/v2/runs/wk-1", nil); status != 200 && status != 503 && status != 0 {
-					t.Errorf("%s: an accepted job gets %d", what, status)
+				if status, _, _ := p.send("GET", "/v2/runs/wk-1", nil); status != 200 && status != 503 && status != 0 {
+					t.Errorf("%s: GET of an accepted job got status %d", what, status)
 				}
 			}
 		}
 		n := 0
-		f.with(func() { f.twist = nil; n = calls })
+		f.with(func() { f.alterResponse = nil; n = calls })
 		if most := int((d.Seconds() + 2) * f.cfg.Settings.Cloud.RPS); n > most {
 			t.Errorf("%s: %d calls to the cloud in %s", what, n, d)
 		}
-		f.running(ps)
-		if status, _, _ := f.leader().do("GET", "/v2/runs/wk-1", nil); status != 200 {
-			t.Errorf("%s: afterwards an accepted job gets %d", what, status)
+		f.checkNoneExited(ps)
+		if status, _, _ := f.leader().send("GET", "/v2/runs/wk-1", nil); status != 200 {
+			t.Errorf("%s: GET of an accepted job afterwards got status %d, want 200", what, status)
 		}
 	}
-	twist("an endless list of machines", 8*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
+	withFault("an endless list of machines", 8*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
 		if strings.HasPrefix(path, "/machines?") {
 			return 200, []byte(`{"hosts":[{"id":"host-zzz","flavor":"s","hall":"a","status":"running","ageS":1e300}],"truncated":true}`)
 		}
 		return status, data
 	})
-	twist("404 from a front", 4*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
+	withFault("404 from a front", 4*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
 		if host == "state" {
 			return 404, []byte("<html>no such host</html>")
 		}
 		return status, data
 	})
 	f.leader()
-	twist("200 from a front", 4*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
+	withFault("200 from a front", 4*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
 		if host == "state" {
 			return 200, []byte(`{}`)
 		}
 		return status, data
 	})
 	f.leader()
-	twist("another key's answer", 3*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
+	withFault("another key's answer", 3*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
 		if host == "state" && strings.HasPrefix(path, "/store/") {
 			return 200, []byte(`{"k":"yewpass/final/wk-1","v":{"type":"final","state":"cancelled","done":0},"keyRev":3}`)
 		}
 		return status, data
 	})
 	f.until("wk-1 is done", told(spec.Done, j))
-	f.works("wk-2")
+	f.checkJobCompletes("wk-2")
 }
 
-// TestDrillSettings: a file that cannot be right ends the start with one line that
-// names file, field and reason, before a port is opened.
+// TestDrillSettings checks that an invalid settings file stops the program before it opens a port,
+// with one line that names the file, the field and the reason.
 func TestDrillSettings(t *testing.T) {
 	path, err := program()
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	p := f.controllers(1, nil)[0]
 	good, err := os.ReadFile(p.config)
 	if err != nil {
@@ -536,38 +531,36 @@
 			t.Errorf("%s: %v, %q", x.to, err, text)
 		}
 	}
-	f.works("wk-1") // with the file as it was
+	f.checkJobCompletes("wk-1") // with the valid file
 }
 
-// answersWithin is how long after its start a process may answer 503: until then it may
-// neither know the leader nor have a copy of the records.
-const answersWithin = 10 * time.Second
+// maxUnavailable is how long after its start a process may answer with 503, as it may not know the
+// leader or have a copy of the records yet.
+const maxUnavailable = 10 * time.Second
 
-// knowsDone checks that the process says of a job whose user was told that it is done that
-// it is done. One that was started a moment ago may say 503, which the protocol allows and
-// the load balancer spares users, but not for long, and nothing else.
-func (p *proc) knowsDone(id string) {
+// checkJobDone checks that the process reports a finished job as done. The protocol allows status
+// 503 shortly after a start.
+func (p *proc) checkJobDone(id string) {
 	for {
-		status, _, data := p.do("GET", "/v2/runs/"+id, nil)
+		status, _, data := p.send("GET", "/v2/runs/"+id, nil)
 		var v struct{ Status spec.JobState }
 		json.Unmarshal(data, &v)
 		switch {
 		case status == 200 && v.Status == spec.Done:
 			return
-		case (status == 503 || status == 0) && time.Since(p.started) < answersWithin:
+		case (status == 503 || status == 0) && time.Since(p.started) < maxUnavailable:
 			time.Sleep(20 * time.Millisecond)
 		default:
-			p.complain("%s gets %d %s from %s, %s after its start", id, status, data, p.n.name, time.Since(p.started))
+			p.errorf("job %s: got status %d %s from %s %s after its start, want status 200 and done", id, status, data, p.n.name, time.Since(p.started))
 			return
 		}
 	}
 }
 
-// TestDrillKilledAgain: controllers are killed and started again at once, twenty times,
-// under submissions. Every accepted job is answered and done, and however many connect to
-// a process, nothing they do has it block one thread each.
+// TestDrillKilledAgain kills and restarts controllers twenty times while jobs are submitted. Every
+// accepted job must finish, and concurrent connections must not block one thread each.
 func TestDrillKilledAgain(t *testing.T) {
-	f := newFront(t, site)
+	f := newFront(t, drillScript)
 	ps := f.controllers(3, nil)
 	f.leader()
 	var jobs []*userJob
@@ -582,13 +575,13 @@
 	}
 	for i, j := range jobs {
 		f.until(j.spec.ID+" is done", told(spec.Done, j))
-		ps[i%3].knowsDone(j.spec.ID)
+		ps[i%3].checkJobDone(j.spec.ID)
 	}
 	l := f.leader()
 	var all sync.WaitGroup
-	for i := range 400 { // each with a connection of its own, half of them in the middle of a request
+	for i := range 400 { // separate connections, half of them with an incomplete request
 		all.Go(func() {
-			c, err := net.DialTimeout("tcp", l.clients, time.Second)
+			c, err := net.DialTimeout("tcp", l.clientAddr, time.Second)
 			if err != nil {
 				return
 			}
@@ -601,12 +594,12 @@
 	all.Wait()
 	data, err := os.ReadFile("/proc/" + strconv.Itoa(l.cmd.Process.Pid) + "/status")
 	if err != nil {
-		t.Skip("this system does not tell how many threads a process has")
+		t.Skip("cannot read the number of threads")
 	}
 	_, rest, _ := strings.Cut(string(data), "\nThreads:")
 	line, _, _ := strings.Cut(rest, "\n")
 	if n, err := strconv.Atoi(strings.TrimSpace(line)); err != nil || n > 64 {
-		t.Errorf("%s threads after 400 connections", line)
+		t.Errorf("%s threads after 400 connections, want at most 64", line)
 	}
-	f.running(ps)
+	f.checkNoneExited(ps)
 }
--- a/internal/scenario/front_test.go
+++ b/internal/scenario/front_test.go
@@ -85,7 +85,7 @@
 	}
 	if !ok {
 		for _, n := range f.nodes {
-			f.t.Logf("%s said last:\n%s", n.name, strings.Join(n.process.(*proc).tail(25), "\n"))
+			f.t.Logf("%s said last:\n%s", n.name, strings.Join(n.process.(*proc).lastLogLines(25), "\n"))
 		}
 		f.t.Fatalf("waited in vain: %s", what)
 	}
@@ -98,7 +98,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return f.startControllers(launch{count: n, program: func(int) string { return path }, logLevel: "debug", site: func(int) string { return "a" }, change: change})
+	return f.startControllers(launchOptions{count: n, program: func(int) string { return path }, logLevel: "debug", zone: func(int) string { return "a" }, beforeStart: change})
 }
 
 // job submits a job as a scenario does and returns what its user knows of it.
@@ -114,7 +114,7 @@
 // leads returns the process that leads in authority, or nil.
 func (f *front) leads() *proc {
 	for _, n := range f.nodes {
-		if p := n.process.(*proc); p.leads() {
+		if p := n.process.(*proc); p.isLeader() {
 			return p
 		}
 	}
--- a/internal/scenario/loopback.go
+++ b/internal/scenario/loopback.go
@@ -16,55 +16,55 @@
 	"yewpass/internal/rpc"
 )
 
-// A loopback drives a world in real time: its clock goes with the time of day, its
-// controllers are processes of the real program, and HTTP on the loopback interface
-// connects them with the stand-ins of the state service, the cloud, workers and users.
-// The stand-ins behave as in every scenario, and the same checker looks at every rule.
+// A loopback runs a world in real time. Its controllers are processes of the real program,
+// connected over HTTP on the loopback interface to the simulated key-value store, cloud, workers
+// and users. The simulators and the rule checks are those of the scripted scenarios.
 type loopback struct {
 	*world
-	script *script
-	mu     sync.Mutex // held by whoever touches the world
-	binds  []net.Listener
-	over   chan struct{}
-	dir    string // for the settings of the processes
-	// complain is told of what goes wrong on this side of the sockets.
-	complain func(format string, args ...any)
-	// twist is what a faulty service answers in place of its answer.
-	twist     func(host, path string, status int, data []byte) (int, []byte)
-	address   string // on which the controllers listen, without a port
-	processes []*process
+	script    *script
+	mu        sync.Mutex // guards the world
+	listeners []net.Listener
+	closed    chan struct{}
+	dir       string // contains the settings files of the processes
+	// errorf reports an error of the test driver.
+	errorf func(format string, args ...any)
+	// alterResponse, if not nil, replaces the responses of the simulated services, to simulate
+	// faults.
+	alterResponse func(host, path string, status int, data []byte) (int, []byte)
+	address       string // on which the controllers listen, without a port
+	processes     []*process
 
 	linksMu sync.Mutex
 	links   map[string]*workerLink
 	traffic traffic
 }
 
-// loopbacks counts the drivers of this process: each has addresses of its own.
-var loopbacks atomic.Int64
+// loopbackCount counts the loopbacks of this process, each of which has its own IP address.
+var loopbackCount atomic.Int64
 
-// newLoopback begins the world of a script whose settings are complete.
-func newLoopback(s *script, dir string, complain func(format string, args ...any)) *loopback {
+// newLoopback sets up the world of a script whose settings are complete.
+func newLoopback(s *script, dir string, errorf func(format string, args ...any)) *loopback {
 	w := s.world
 	w.adoptSettings(nil)
 	w.store.refilled = time.Now()
 	w.clock.start, w.clock.now = time.Now(), time.Now()
-	l := &loopback{world: w, script: s, over: make(chan struct{}), dir: dir, complain: complain, links: map[string]*workerLink{}}
-	// Whatever else opens ports at the same time does so on another address.
-	l.address = fmt.Sprintf("127.%d.%d.1", 20+os.Getpid()%200, 1+loopbacks.Add(1)%250)
-	workers := l.serve(l.worker)
+	l := &loopback{world: w, script: s, closed: make(chan struct{}), dir: dir, errorf: errorf, links: map[string]*workerLink{}}
+	// A separate IP address avoids port conflicts with other processes.
+	l.address = fmt.Sprintf("127.%d.%d.1", 20+os.Getpid()%200, 1+loopbackCount.Add(1)%250)
+	workers := l.serve(l.serveProbe)
 	w.address = func(host string) string { return workers + "/" + host }
 	return l
 }
 
-// close ends the processes and stops listening.
+// close stops the processes and closes the listeners.
 func (l *loopback) close() {
 	for _, p := range l.processes {
-		p.end()
+		p.stop()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	close(l.over)
-	for _, ln := range l.binds {
+	close(l.closed)
+	for _, ln := range l.listeners {
 		ln.Close()
 	}
 	l.linksMu.Lock()
@@ -74,13 +74,13 @@
 	}
 }
 
-// play lets the stand-ins' time go with time itself.
-func (l *loopback) play() {
+// runClock advances the world to the current time, until the loopback is closed.
+func (l *loopback) runClock() {
 	tick := time.NewTicker(2 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
-		case <-l.over:
+		case <-l.closed:
 			return
 		case <-tick.C:
 		}
@@ -98,7 +98,7 @@
 	l.check()
 }
 
-// with has do called while nothing else touches the world.
+// with advances the world to the current time and calls do while holding the lock.
 func (l *loopback) with(do func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,29 +106,29 @@
 	do()
 }
 
-// listen opens a port of the system's choice.
+// listen listens on a free port.
 func (l *loopback) listen() (net.Listener, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err == nil {
-		l.binds = append(l.binds, ln)
+		l.listeners = append(l.listeners, ln)
 	}
 	return ln, err
 }
 
-// serve answers HTTP on a port of its own and returns its address.
+// serve serves HTTP on a free port and returns its address.
 func (l *loopback) serve(h http.HandlerFunc) string {
 	ln, err := l.listen()
 	if err != nil {
-		l.complain("%v", err)
+		l.errorf("%v", err)
 		return ""
 	}
 	go http.Serve(ln, h)
 	return ln.Addr().String()
 }
 
-// outside is a service of the stand-ins as one node sees it: over the world's
-// network, with its cuts.
-func (l *loopback) outside(node, host string, serve func(method, path string, body []byte, answer func(int, []byte))) string {
+// serveExternal serves a simulated external service to one node over the simulated network, where
+// partitions can drop requests and responses.
+func (l *loopback) serveExternal(node, host string, serve func(method, path string, body []byte, answer func(int, []byte))) string {
 	return l.serve(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		type reply struct {
@@ -139,8 +139,8 @@
 		l.with(func() {
 			l.net.send(host, node, host, func() {
 				serve(r.Method, r.URL.RequestURI(), body, func(status int, data []byte) {
-					if l.twist != nil {
-						status, data = l.twist(host, r.URL.RequestURI(), status, data)
+					if l.alterResponse != nil {
+						status, data = l.alterResponse(host, r.URL.RequestURI(), status, data)
 					}
 					l.net.send(host+" answer", host, node, func() { got <- reply{status, data} })
 				})
@@ -148,29 +148,29 @@
 		})
 		select {
 		case a := <-got:
-			l.traffic.count(host, node, len(r.RequestURI)+len(body)+len(a.data)+2*headBytes)
+			l.traffic.count(host, node, len(r.RequestURI)+len(body)+len(a.data)+2*httpHeaderBytes)
 			rw.WriteHeader(a.status)
 			rw.Write(a.data)
 		case <-r.Context().Done():
-		case <-l.over:
+		case <-l.closed:
 		}
 	})
 }
 
-// headBytes is about what the headers of one HTTP message take, where they are not counted.
-const headBytes = 110
+// httpHeaderBytes estimates the size of an HTTP message's headers where they are not counted.
+const httpHeaderBytes = 110
 
-// outsider is a host that is behind no cut.
-const outsider = "outsider"
+// unpartitionedHost is the name of a host that no partition affects.
+const unpartitionedHost = "outsider"
 
-// worker takes direct commands for the machine that the path names. Whose command it is
-// cannot be seen: one that comes across a cut is lost, and so is one from inside of it.
-func (l *loopback) worker(rw http.ResponseWriter, r *http.Request) {
+// serveProbe handles direct commands to the worker that the path names. Their sender is unknown,
+// so a partitioned worker receives none, not even from its own side of the partition.
+func (l *loopback) serveProbe(rw http.ResponseWriter, r *http.Request) {
 	var c struct{ Epoch, Tenure uint64 }
 	json.NewDecoder(r.Body).Decode(&c)
 	got := make(chan heartbeat.ProbeReply, 1)
 	l.with(func() {
-		if m := l.workers[strings.Split(r.URL.Path, "/")[1]]; m != nil && l.net.open(m.host, outsider) {
+		if m := l.workers[strings.Split(r.URL.Path, "/")[1]]; m != nil && l.net.open(m.host, unpartitionedHost) {
 			m.do(func() {
 				outcome, rep := m.command(c.Epoch, c.Tenure)
 				got <- heartbeat.ProbeReply{Outcome: outcome, Report: rep}
@@ -182,14 +182,14 @@
 		if a.Outcome != rpc.OK {
 			rw.WriteHeader(http.StatusConflict)
 		}
-		rw.Write(reportBody(a.Report))
+		rw.Write(heartbeatBody(a.Report))
 	case <-r.Context().Done():
-	case <-l.over:
+	case <-l.closed:
 	}
 }
 
-// reportBody is a report as workers write it.
-func reportBody(r heartbeat.Report) []byte {
+// heartbeatBody encodes a heartbeat as workers send it.
+func heartbeatBody(r heartbeat.Report) []byte {
 	tasks := []object{}
 	for _, t := range r.Tasks {
 		tasks = append(tasks, object{"shard": t.Task.String(), "try": t.Try, "status": t.Phase, "cause": t.Cause})
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -27,49 +27,49 @@
 // process is a controller that runs as a process of the real program.
 type process struct {
 	*loopback
-	n              *node
-	site           string // its zone
-	program        string
-	arguments      []string // besides the settings
-	logLevel       string
-	cmd            *exec.Cmd
-	config         string
-	clients, peers string
-	healthy        bool
-	http           *http.Client
-	logMu          sync.Mutex
-	log            []string
-	exited         chan struct{}
-	started        time.Time
-	shell          string // set before what the process runs under, such as a limit
-	pipe           *os.File
-	stopReading    bool // its standard error stays open and is not read
+	n                    *node
+	zone                 string
+	program              string
+	arguments            []string // in addition to --config
+	logLevel             string
+	cmd                  *exec.Cmd
+	config               string
+	clientAddr, peerAddr string
+	healthy              bool
+	http                 *http.Client
+	logMu                sync.Mutex
+	log                  []string
+	exited               chan struct{}
+	started              time.Time
+	shellPrefix          string // shell commands to run before the program, such as a resource limit
+	stderrPipe           *os.File
+	ignoreStderr         bool // leave standard error open, but do not read it
 }
 
-// launch says how the controllers of a loopback are run.
-type launch struct {
-	count     int
-	program   func(i int) string // of a controller
-	arguments []string
-	logLevel  string
-	site      func(i int) string  // the zone of a controller
-	change    func(p *process)    // called before each first start, unless it is nil
-	relayed   bool                // the links between controllers can be cut and are measured
-	settings  func(*settingsFile) // changes the settings, unless it is nil
+// launchOptions configures the controllers of a loopback.
+type launchOptions struct {
+	count        int
+	program      func(i int) string // returns the program of controller i
+	arguments    []string
+	logLevel     string
+	zone         func(i int) string   // returns the zone of controller i
+	beforeStart  func(p *process)     // called before the first start of each controller, unless nil
+	relayPeers   bool                 // connect controllers through relays, which count messages and apply partitions
+	editSettings func(*extraSettings) // modifies the settings, unless nil
 }
 
-// settingsFile is what the settings have that the world does not say.
-type settingsFile struct {
+// extraSettings are settings that the world's configuration does not contain.
+type extraSettings struct {
 	cpuShare, memMB float64
 }
 
-// free returns addresses on which nobody listens, no two of them alike: a port that has been
-// closed may be given out again at once, so all are open before the first is closed.
-func (l *loopback) free(n int) (addresses []string) {
+// freeAddresses returns n different unused addresses. All listeners stay open until the last is
+// created, since the system may reuse a closed port at once.
+func (l *loopback) freeAddresses(n int) (addresses []string) {
 	for range n {
 		ln, err := net.Listen("tcp", net.JoinHostPort(l.address, "0"))
 		if err != nil {
-			l.complain("%v", err)
+			l.errorf("%v", err)
 			return make([]string, n)
 		}
 		defer ln.Close()
@@ -78,57 +78,57 @@
 	return addresses
 }
 
-// startControllers starts the controllers and the time of the world.
-func (l *loopback) startControllers(how launch) []*process {
-	addresses := l.free(2 * how.count)
+// startControllers starts the controllers and the world's clock.
+func (l *loopback) startControllers(how launchOptions) []*process {
+	addresses := l.freeAddresses(2 * how.count)
 	for i := range how.count {
-		p := &process{loopback: l, program: how.program(i), arguments: how.arguments, logLevel: how.logLevel, site: how.site(i),
-			clients: addresses[2*i], peers: addresses[2*i+1], http: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+		p := &process{loopback: l, program: how.program(i), arguments: how.arguments, logLevel: how.logLevel, zone: how.zone(i),
+			clientAddr: addresses[2*i], peerAddr: addresses[2*i+1], http: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 		p.n = &node{world: l.world, name: fmt.Sprintf("n%d", i), process: p}
 		l.processes = append(l.processes, p)
 		l.nodes = append(l.nodes, p.n)
 	}
-	for _, a := range l.script.actions { // machines that are up from the start
+	for _, a := range l.script.actions { // machines that run from the start
 		l.script.act(a.what)
 	}
-	go l.play()
+	go l.runClock()
 	for _, p := range l.processes {
 		p.config = filepath.Join(l.dir, p.n.name+".toml")
-		if err := os.WriteFile(p.config, p.settings(how), 0o644); err != nil {
-			l.complain("%v", err)
+		if err := os.WriteFile(p.config, p.settingsTOML(how), 0o644); err != nil {
+			l.errorf("%v", err)
 		}
-		if how.change != nil {
-			how.change(p)
+		if how.beforeStart != nil {
+			how.beforeStart(p)
 		}
 		p.start()
-		go p.probe()
+		go p.pollReady()
 	}
 	return l.processes
 }
 
-// settings is the process's settings file.
-func (p *process) settings(how launch) []byte {
-	extra := settingsFile{cpuShare: 0.5, memMB: 200}
-	if how.settings != nil {
-		how.settings(&extra)
+// settingsTOML returns the process's settings file.
+func (p *process) settingsTOML(how launchOptions) []byte {
+	extra := extraSettings{cpuShare: 0.5, memMB: 200}
+	if how.editSettings != nil {
+		how.editSettings(&extra)
 	}
 	s := p.cfg.Settings
 	var sb bytes.Buffer
-	fmt.Fprintf(&sb, "host_name = %q\nsite = %q\nclient_listen = %q\npeer_bind = %q\n", p.n.name, p.site, p.clients, p.peers)
+	fmt.Fprintf(&sb, "host_name = %q\nsite = %q\nclient_listen = %q\npeer_bind = %q\n", p.n.name, p.zone, p.clientAddr, p.peerAddr)
 	for _, o := range p.processes {
 		if o != p {
-			endpoint := o.peers
-			if how.relayed {
+			endpoint := o.peerAddr
+			if how.relayPeers {
 				endpoint = p.relayTo(o)
 			}
-			fmt.Fprintf(&sb, "[[seeds]]\nhost_name = %q\nsite = %q\nendpoint = %q\n", o.n.name, o.site, endpoint)
+			fmt.Fprintf(&sb, "[[seeds]]\nhost_name = %q\nsite = %q\nendpoint = %q\n", o.n.name, o.zone, endpoint)
 		}
 	}
-	state := p.outside(p.n.name, "state", func(method, path string, body []byte, answer func(int, []byte)) {
+	state := p.serveExternal(p.n.name, "state", func(method, path string, body []byte, answer func(int, []byte)) {
 		p.store.serve(p.n.name, method, path, body, answer)
 	})
 	fmt.Fprintf(&sb, "[external]\ncloud = %q\nstate = %q\n[settings]\nnodes = %d\nzones = [\"%s\"]\n",
-		p.outside(p.n.name, "cloud", p.cloud.serve), state, how.count, strings.Join(s.Zones, `", "`))
+		p.serveExternal(p.n.name, "cloud", p.cloud.serve), state, how.count, strings.Join(s.Zones, `", "`))
 	for _, t := range s.Teams {
 		fmt.Fprintf(&sb, "[[settings.teams]]\nname = %q\ncpus = %g\ncpus_max = %g\n", t.Name, t.CPUs, t.CPUsMax)
 	}
@@ -142,29 +142,29 @@
 	return sb.Bytes()
 }
 
-// start starts the process; its end and what it says are noted.
+// start starts the process, collects its log and records when it exits.
 func (p *process) start() {
 	words := append([]string{p.program}, p.arguments...)
-	p.cmd = exec.Command("/bin/sh", "-c", p.shell+" exec "+strings.Join(words, " ")+" --config "+p.config)
+	p.cmd = exec.Command("/bin/sh", "-c", p.shellPrefix+" exec "+strings.Join(words, " ")+" --config "+p.config)
 	p.cmd.Env = append(os.Environ(), "LOG_LEVEL="+p.logLevel)
 	r, w, err := os.Pipe()
 	if err != nil {
-		p.complain("%v", err)
+		p.errorf("%v", err)
 		return
 	}
-	p.cmd.Stderr, p.pipe = w, r
-	if p.stopReading { // a page is soon full
+	p.cmd.Stderr, p.stderrPipe = w, r
+	if p.ignoreStderr { // a small pipe buffer, which fills quickly
 		syscall.Syscall(syscall.SYS_FCNTL, w.Fd(), 1031 /* F_SETPIPE_SZ */, 4096)
 	}
 	if err := p.cmd.Start(); err != nil {
-		p.complain("%v", err)
+		p.errorf("%v", err)
 		return
 	}
 	w.Close()
 	cmd, exited := p.cmd, make(chan struct{})
 	p.exited, p.started = exited, time.Now()
 	p.with(func() { p.n.alive = true })
-	if !p.stopReading {
+	if !p.ignoreStderr {
 		go func() {
 			for sc := bufio.NewScanner(r); sc.Scan(); {
 				p.logMu.Lock()
@@ -180,7 +180,7 @@
 	}()
 }
 
-// runs reports whether the process has not ended.
+// runs reports whether the process has not exited.
 func (p *process) runs() bool {
 	select {
 	case <-p.exited:
@@ -195,23 +195,23 @@
 	<-p.exited
 }
 
-// end is kill for a process that may not have begun.
-func (p *process) end() {
+// stop kills the process if it was started.
+func (p *process) stop() {
 	if p.cmd != nil && p.cmd.Process != nil {
 		p.cmd.Process.Kill()
 		<-p.exited
 	}
 }
 
-// tail is what the process said last.
-func (p *process) tail(n int) []string {
+// lastLogLines returns the last n log lines.
+func (p *process) lastLogLines(n int) []string {
 	p.logMu.Lock()
 	defer p.logMu.Unlock()
 	return append([]string(nil), p.log[max(0, len(p.log)-n):]...)
 }
 
-// said reports whether the process has logged a line with all the words.
-func (p *process) said(words ...string) bool {
+// logged reports whether a log line contains all the words.
+func (p *process) logged(words ...string) bool {
 	p.logMu.Lock()
 	defer p.logMu.Unlock()
 	return slices.ContainsFunc(p.log, func(line string) bool {
@@ -219,16 +219,16 @@
 	})
 }
 
-// probe is the load balancer's look at the node.
-func (p *process) probe() {
+// pollReady polls the readiness endpoint, as a load balancer does.
+func (p *process) pollReady() {
 	c := &http.Client{Timeout: time.Second}
 	for {
 		select {
-		case <-p.over:
+		case <-p.closed:
 			return
 		case <-time.After(200 * time.Millisecond):
 		}
-		r, err := c.Get("http://" + p.clients + "/ready")
+		r, err := c.Get("http://" + p.clientAddr + "/ready")
 		ok := err == nil && r.StatusCode == 200
 		if err == nil {
 			r.Body.Close()
@@ -239,16 +239,16 @@
 
 func (p *process) ready() bool { return p.healthy }
 
-// do makes a request of the node; status 0 if it has none or no whole answer.
-func (p *process) do(method, path string, body []byte) (int, http.Header, []byte) {
-	return p.request(p.http, method, path, body)
+// send sends an HTTP request to the controller. The status is 0 if no complete response arrived.
+func (p *process) send(method, path string, body []byte) (int, http.Header, []byte) {
+	return p.sendWith(p.http, method, path, body)
 }
 
-// request is do by a client of the caller's.
-func (p *process) request(client *http.Client, method, path string, body []byte) (int, http.Header, []byte) {
-	req, err := http.NewRequest(method, "http://"+p.clients+path, bytes.NewReader(body))
+// sendWith is like send, but uses the given client.
+func (p *process) sendWith(client *http.Client, method, path string, body []byte) (int, http.Header, []byte) {
+	req, err := http.NewRequest(method, "http://"+p.clientAddr+path, bytes.NewReader(body))
 	if err != nil {
-		p.complain("%v", err)
+		p.errorf("%v", err)
 		return 0, nil, nil
 	}
 	resp, err := client.Do(req)
@@ -263,9 +263,9 @@
 	return resp.StatusCode, resp.Header, data
 }
 
-// metric reads a figure from the node's metrics page, or -1.
+// metric returns the value of a metric, or -1 if it is missing.
 func (p *process) metric(name string) float64 {
-	_, _, data := p.do("GET", "/metrics", nil)
+	_, _, data := p.send("GET", "/metrics", nil)
 	for line := range strings.Lines(string(data)) {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(line), name+" "); ok {
 			x, _ := strconv.ParseFloat(v, 64)
@@ -275,26 +275,27 @@
 	return -1
 }
 
-// leads reports whether the process leads in authority.
-func (p *process) leads() bool { return p.runs() && p.metric("yewpass_authority") == 1 }
+// isLeader reports whether the process is running as leader with authority to act.
+func (p *process) isLeader() bool { return p.runs() && p.metric("yewpass_authority") == 1 }
 
-// ask passes on what workers and users ask of the node.
+// ask sends a worker's heartbeat or a user's request to the controller and passes the response to
+// f.
 func (p *process) ask(in any, f func(any)) {
 	go func() {
 		var a any
 		switch in := in.(type) {
 		case heartbeat.Received:
-			a = p.answerReport(in.Report)
+			a = p.sendHeartbeat(in.Report)
 		case request.Request:
-			a = p.answerUser(in)
+			a = p.sendUserRequest(in)
 		}
 		p.with(func() { f(a) })
 	}()
 }
 
-// answerReport makes a worker's report on the worker's own connection.
-func (p *process) answerReport(rep heartbeat.Report) heartbeat.Reply {
-	status, _, data := p.request(p.link(rep.Host, p.n.name), "POST", "/hello", reportBody(rep))
+// sendHeartbeat sends a heartbeat over the worker's own connection.
+func (p *process) sendHeartbeat(rep heartbeat.Report) heartbeat.Reply {
+	status, _, data := p.sendWith(p.workerClient(rep.Host, p.n.name), "POST", "/hello", heartbeatBody(rep))
 	var r struct {
 		Epoch    uint64
 		Upstream string
@@ -312,32 +313,32 @@
 	for _, o := range r.Orders {
 		id, ok := heartbeat.ParseTaskID(o.Shard)
 		if !ok {
-			p.complain("an order for %q", o.Shard)
+			p.errorf("heartbeat reply contains an order for invalid task ID %q", o.Shard)
 		}
 		a.Orders = append(a.Orders, heartbeat.Order{Verb: o.Verb, Task: id, Try: o.Try, Drain: time.Duration(o.DrainS * float64(time.Second))})
 	}
 	return a
 }
 
-func (p *process) answerUser(in request.Request) request.Response {
+func (p *process) sendUserRequest(in request.Request) request.Response {
 	var status int
 	var head http.Header
 	var data []byte
 	switch in.Op {
 	case request.Submit:
-		status, head, data = p.do("POST", "/v2/runs", submission(in.Spec))
+		status, head, data = p.send("POST", "/v2/runs", submissionBody(in.Spec))
 	case request.Get:
-		status, head, data = p.do("GET", "/v2/runs/"+in.ID, nil)
+		status, head, data = p.send("GET", "/v2/runs/"+in.ID, nil)
 	case request.Cancel:
-		status, head, data = p.do("POST", "/v2/runs/"+in.ID+"/cancel", nil)
+		status, head, data = p.send("POST", "/v2/runs/"+in.ID+"/cancel", nil)
 	case request.ConfigSet:
-		status, head, data = p.do("POST", "/v2/config", encode(in.Config))
+		status, head, data = p.send("POST", "/v2/config", encode(in.Config))
 	case request.ConfigHere:
-		status, head, data = p.do("GET", "/v2/config/here", nil)
+		status, head, data = p.send("GET", "/v2/config/here", nil)
 	}
 	after, _ := strconv.Atoi(head.Get("Retry-After"))
 	if in.Config != nil {
-		return request.Response{Status: status, RetryAfter: time.Duration(after) * time.Second, Reason: string(data), Doc: configDoc(in.Op, data)}
+		return request.Response{Status: status, RetryAfter: time.Duration(after) * time.Second, Reason: string(data), Doc: parseConfigResponse(in.Op, data)}
 	}
 	var v struct {
 		ID            string
@@ -348,8 +349,8 @@
 	return request.Response{Status: status, RetryAfter: time.Duration(after) * time.Second, View: request.JobStatus{ID: v.ID, State: v.Status, Done: v.Done, Running: v.Running}}
 }
 
-// configDoc reads an answer about the configuration; nil if it is none.
-func configDoc(op request.Operation, data []byte) any {
+// parseConfigResponse decodes a response of the configuration API. It returns nil if that fails.
+func parseConfigResponse(op request.Operation, data []byte) any {
 	var made view.ConfigChanged
 	var here view.LocalConfig
 	if op == request.ConfigSet && json.Unmarshal(data, &made) == nil {
@@ -361,8 +362,8 @@
 	return nil
 }
 
-// submission is a job as its user writes it.
-func submission(s *spec.Job) []byte {
+// submissionBody encodes a job as users submit it.
+func submissionBody(s *spec.Job) []byte {
 	o := object{"id": s.ID, "jobclass": s.Class, "owner": s.Owner, "shape": "array", "urgency": s.Urgency.String(), "shards": s.Tasks,
 		"vcpus": s.CPUs, "gpus": s.GPUs, "memGb": s.MemGB, "bundle": s.Image, "sizeGb": s.ImageGB, "flavors": s.InstanceTypes,
 		"samePlace": s.SamePlace, "apart": s.Apart, "reclaimable": s.AllowSpot, "runtimeS": s.Runtime.Seconds(),
--- a/internal/scenario/report_cost.go
+++ b/internal/scenario/report_cost.go
@@ -16,25 +16,25 @@
 	"yewpass/internal/heartbeat"
 )
 
-// ReportCost is what one report takes of a worker's processor, all of HTTP and JSON
-// included, measured in a process that does nothing else.
-type ReportCost struct {
-	Tasks    int     `json:"tasks"` // in each report
-	Reports  int     `json:"reports"`
-	Seconds  float64 `json:"seconds"`  // of a core, a report
-	Bytes    float64 `json:"bytes"`    // both ways, a report
-	MemoryMB float64 `json:"memoryMB"` // resident, of the process
+// HeartbeatCost is what one heartbeat costs a worker, including HTTP and JSON, measured in a
+// process that does nothing else.
+type HeartbeatCost struct {
+	Tasks      int     `json:"tasks"` // in each heartbeat
+	Heartbeats int     `json:"reports"`
+	Seconds    float64 `json:"seconds"`  // CPU time per heartbeat
+	Bytes      float64 `json:"bytes"`    // both directions, per heartbeat
+	MemoryMB   float64 `json:"memoryMB"` // resident memory of the process
 }
 
-// costReports is how many reports are measured.
-const costReports = 4000
+// costHeartbeats is the number of heartbeats in a measurement.
+const costHeartbeats = 4000
 
-// costTasks is how many tasks they name: the plan's mean on a worker.
-const costTasks = 16
+// tasksPerHeartbeat is the planned mean number of tasks on a worker.
+const tasksPerHeartbeat = 16
 
-// MeasureReportCost measures in a process of its own: program and arguments have to call
-// MakeReports with the address that is appended to them.
-func MeasureReportCost(ctx context.Context, program string, arguments ...string) (cost ReportCost, err error) {
+// MeasureHeartbeatCost measures the cost of heartbeats in a child process. The program, run with
+// the arguments and a server's address, must call SendHeartbeats and print the result as JSON.
+func MeasureHeartbeatCost(ctx context.Context, program string, arguments ...string) (cost HeartbeatCost, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return cost, err
@@ -56,18 +56,18 @@
 	return cost, json.Unmarshal(out, &cost)
 }
 
-// MakeReports makes the reports that MeasureReportCost measures, to addr, and returns what
-// this process has taken for each.
-func MakeReports(addr string) (cost ReportCost, err error) {
+// SendHeartbeats sends the heartbeats of a measurement to addr and returns what each cost this
+// process.
+func SendHeartbeats(addr string) (cost HeartbeatCost, err error) {
 	link := newWorkerLink()
 	rep := heartbeat.Report{Host: "host-000231", Address: "10.1.0.232:9000", InstanceType: "node", Zone: "r1-z1", Incarnation: 1, FencingToken: 7}
-	for i := range costTasks {
+	for i := range tasksPerHeartbeat {
 		rep.Tasks = append(rep.Tasks, heartbeat.Task{Task: heartbeat.TaskID{Job: "wk-0000412", Index: 100 + i}, Try: 7<<28 + uint64(i), Phase: heartbeat.TaskRuns})
 	}
-	before := processorTime()
-	for range costReports {
+	before := processCPUTime()
+	for range costHeartbeats {
 		rep.Counter++
-		resp, err := link.client.Post("http://"+addr+"/hello", "application/json", bytes.NewReader(reportBody(rep)))
+		resp, err := link.client.Post("http://"+addr+"/hello", "application/json", bytes.NewReader(heartbeatBody(rep)))
 		if err != nil {
 			return cost, err
 		}
@@ -84,13 +84,13 @@
 			return cost, err
 		}
 	}
-	used := processorTime() - before
-	s, err := sampleProcess(os.Getpid())
-	return ReportCost{costTasks, costReports, used.Seconds() / costReports, float64(link.bytes.Load()) / costReports, megabytes(s.memory)}, err
+	used := processCPUTime() - before
+	s, err := readProcessUsage(os.Getpid())
+	return HeartbeatCost{tasksPerHeartbeat, costHeartbeats, used.Seconds() / costHeartbeats, float64(link.bytes.Load()) / costHeartbeats, megabytes(s.memory)}, err
 }
 
-// processorTime is what this process has used so far.
-func processorTime() time.Duration {
+// processCPUTime returns the CPU time used by this process.
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
--- a/internal/scenario/scale.go
+++ b/internal/scenario/scale.go
@@ -11,40 +11,40 @@
 	"yewpass/internal/spec"
 )
 
-// scaleRun is a plan as it is played.
+// scaleRun is a running load test.
 type scaleRun struct {
 	*loopback
-	plan     ScalePlan
-	gen      generator
-	progress func(format string, args ...any)
-	began    time.Time // of the hold
-	ended    time.Time
-	measures measures
-	errorsMu sync.Mutex
-	errors   []string // of this side of the sockets
+	plan      ScalePlan
+	gen       jobGenerator
+	progress  func(format string, args ...any)
+	holdStart time.Time
+	holdEnd   time.Time
+	measures  measurements
+	errorsMu  sync.Mutex
+	errors    []string // errors of the test driver, not of the controllers
 }
 
-// operatorsText keeps the fleet as large as planned: machines without work stay.
-const operatorsText = "[policy]\nidle_return_s = \"86400.0\"\n"
+// baseOperatorSettings keeps idle machines rented, so that the fleet keeps its planned size.
+const baseOperatorSettings = "[policy]\nidle_return_s = \"86400.0\"\n"
 
-// operatorsFile is the operators' file of a plan. Programs of versions that do not know a
-// setting refuse it, so only what the plan asks for is in it.
+// operatorsFile returns the operators' settings file of the plan. Older programs reject settings
+// that they do not know, so a setting is written only if the plan uses it.
 func (p *ScalePlan) operatorsFile() []byte {
-	text := operatorsText
+	text := baseOperatorSettings
 	if p.ReportBytes > 0 {
 		text += fmt.Sprintf("report_bytes_s = \"%.1f\"\n", p.ReportBytes)
 	}
 	return []byte(text)
 }
 
-// Scale plays a plan with real processes of the programs, which the controllers take in turn,
-// and returns what was measured.
-// It ends all processes that it has started, also when ctx ends.
-func Scale(ctx context.Context, plan ScalePlan, programs []string, progress func(format string, args ...any)) (*ScaleReport, error) {
-	if err := plan.Check(); err != nil {
+// RunScaleTest runs a load test with real controller processes and returns its measurements.
+// Controller i runs programs[i%len(programs)], which allows a mix of versions. All processes are
+// stopped before it returns, also when ctx is cancelled.
+func RunScaleTest(ctx context.Context, plan ScalePlan, programs []string, progress func(format string, args ...any)) (*ScaleReport, error) {
+	if err := plan.Validate(); err != nil {
 		return nil, err
 	}
-	if short := plan.Fit(machineBounds()); short != "" {
+	if short := plan.ShrinkToFit(machineLimits()); short != "" {
 		progress("%s", short)
 	}
 	s, err := plan.script()
@@ -61,58 +61,58 @@
 		return nil, err
 	}
 	r := &scaleRun{plan: plan, progress: progress}
-	r.gen = newGenerator(&r.plan, plan.Seed)
-	r.loopback = newLoopback(s, dir, r.complained)
+	r.gen = newJobGenerator(&r.plan, plan.Seed)
+	r.loopback = newLoopback(s, dir, r.recordError)
 	defer r.close()
-	r.startControllers(launch{count: plan.Controllers, arguments: []string{"--operators", operators}, logLevel: "error", relayed: true,
-		program:  func(i int) string { return programs[i%len(programs)] },
-		site:     func(i int) string { return plan.zoneName(i % plan.Zones) },
-		settings: func(f *settingsFile) { f.cpuShare, f.memMB = 1, plan.MemoryMB }})
-	r.measures.begin(r)
-	if err := r.play(ctx); err != nil {
+	r.startControllers(launchOptions{count: plan.Controllers, arguments: []string{"--operators", operators}, logLevel: "error", relayPeers: true,
+		program:      func(i int) string { return programs[i%len(programs)] },
+		zone:         func(i int) string { return plan.zoneName(i % plan.Zones) },
+		editSettings: func(f *extraSettings) { f.cpuShare, f.memMB = 1, plan.MemoryMB }})
+	r.measures.init(r)
+	if err := r.runPhases(ctx); err != nil {
 		return nil, err
 	}
 	return r.report(), nil
 }
 
-func (r *scaleRun) complained(format string, args ...any) {
+func (r *scaleRun) recordError(format string, args ...any) {
 	r.errorsMu.Lock()
 	defer r.errorsMu.Unlock()
 	r.errors = append(r.errors, fmt.Sprintf(format, args...))
 }
 
-// play plays ramp, hold and drain.
-func (r *scaleRun) play(ctx context.Context) error {
-	if err := r.await(ctx, time.Minute, "a leader and all controllers ready", r.allReady); err != nil {
+// runPhases runs the ramp, hold and drain phases.
+func (r *scaleRun) runPhases(ctx context.Context) error {
+	if err := r.waitFor(ctx, time.Minute, "a leader and all controllers ready", r.allReady); err != nil {
 		return err
 	}
 	from := time.Now()
-	r.began, r.ended = from.Add(r.plan.Ramp), from.Add(r.plan.Ramp+r.plan.Hold)
+	r.holdStart, r.holdEnd = from.Add(r.plan.Ramp), from.Add(r.plan.Ramp+r.plan.Hold)
 	r.with(func() {
 		r.after(time.Second, r.askUnknown)
-		r.arrive(from)
+		r.submitJobs(from)
 	})
-	r.progress("ramp of %s", r.plan.Ramp)
-	if err := r.pause(ctx, r.plan.Ramp); err != nil {
+	r.progress("ramp phase: %s", r.plan.Ramp)
+	if err := r.sampleFor(ctx, r.plan.Ramp); err != nil {
 		return err
 	}
-	r.progress("hold of %s: %d tasks on machines", r.plan.Hold, r.running())
-	r.measures.holdBegins(r)
-	r.with(r.configure)
-	if err := r.pause(ctx, r.plan.Hold/3); err != nil {
+	r.progress("hold phase: %s, %d tasks running", r.plan.Hold, r.runningTasks())
+	r.measures.startHold(r)
+	r.with(r.startConfigChanges)
+	if err := r.sampleFor(ctx, r.plan.Hold/3); err != nil {
 		return err
 	}
-	r.fault()
-	if err := r.pause(ctx, time.Until(r.ended)); err != nil {
+	r.injectFaults()
+	if err := r.sampleFor(ctx, time.Until(r.holdEnd)); err != nil {
 		return err
 	}
-	r.measures.holdEnds(r)
-	r.progress("drain of at most %s: %d tasks on machines", r.plan.Drain, r.running())
-	return r.await(ctx, r.plan.Drain, "", func() bool { return r.unfinished() == 0 })
+	r.measures.endHold(r)
+	r.progress("drain phase: at most %s, %d tasks running", r.plan.Drain, r.runningTasks())
+	return r.waitFor(ctx, r.plan.Drain, "", func() bool { return r.unfinishedJobs() == 0 })
 }
 
-// pause waits while the run is sampled.
-func (r *scaleRun) pause(ctx context.Context, d time.Duration) error {
+// sampleFor waits for d and samples the controllers' resource usage every second.
+func (r *scaleRun) sampleFor(ctx context.Context, d time.Duration) error {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
 		select {
@@ -125,14 +125,14 @@
 	return nil
 }
 
-// await waits until something is true; it is an error if that never comes, unless what is "".
-func (r *scaleRun) await(ctx context.Context, most time.Duration, what string, cond func() bool) error {
-	for end := time.Now().Add(most); !cond(); {
+// waitFor polls cond until it is true. On a timeout, it returns an error, or nil if what is empty.
+func (r *scaleRun) waitFor(ctx context.Context, timeout time.Duration, what string, cond func() bool) error {
+	for end := time.Now().Add(timeout); !cond(); {
 		if time.Now().After(end) {
 			if what == "" {
 				return nil
 			}
-			return fmt.Errorf("waited in vain for %s", what)
+			return fmt.Errorf("timed out waiting for %s", what)
 		}
 		select {
 		case <-ctx.Done():
@@ -155,24 +155,24 @@
 	return ready == len(r.processes) && r.leader() != nil
 }
 
-// leader returns the process that leads, or nil.
+// leader returns the first process that is leader, or nil.
 func (r *scaleRun) leader() *process {
 	for _, p := range r.processes {
-		if p.leads() {
+		if p.isLeader() {
 			return p
 		}
 	}
 	return nil
 }
 
-// arrive submits a job and plans the next. During the ramp only some of the arrivals of the
-// full rate come about.
-func (r *scaleRun) arrive(from time.Time) {
-	if !r.now.Before(r.ended) {
+// submitJobs submits a job and schedules the next submission. During the ramp, it skips jobs at
+// random, so that the rate rises linearly to the full rate.
+func (r *scaleRun) submitJobs(from time.Time) {
+	if !r.now.Before(r.holdEnd) {
 		return
 	}
 	j, gap := r.gen.next()
-	r.after(gap, func() { r.arrive(from) })
+	r.after(gap, func() { r.submitJobs(from) })
 	if r.rng.Float64()*r.plan.Ramp.Seconds() > r.now.Sub(from).Seconds() {
 		return
 	}
@@ -182,18 +182,19 @@
 	}
 }
 
-// cancelAccepted has the user call a job off that is accepted and not known to be over.
+// cancelAccepted cancels a job for its user if it was accepted and the user knows of no final
+// state.
 func (r *scaleRun) cancelAccepted(j *userJob) {
 	if j.accepted && j.told == "" {
 		r.cancel(j)
 	}
 }
 
-// fault brings the planned trouble about.
-func (r *scaleRun) fault() {
+// injectFaults injects the faults of the plan.
+func (r *scaleRun) injectFaults() {
 	l := r.leader()
 	if r.plan.KillLeader && l != nil {
-		r.progress("the leader, %s, is killed", l.n.name)
+		r.progress("killing the leader, %s", l.n.name)
 		l.kill()
 		go func() {
 			time.Sleep(3 * time.Second)
@@ -201,20 +202,20 @@
 		}()
 	}
 	if r.plan.CutRegion > 0 {
-		r.cutRegion(l)
+		r.partitionRegion(l)
 	}
 	if n := r.plan.ChangeBurst; n > 0 {
-		r.progress("%d changes of configuration within a minute", n)
+		r.progress("applying %d configuration changes within one minute", n)
 		r.with(func() {
 			for i := range n {
-				r.after(time.Duration(i)*time.Minute/time.Duration(n), r.changeTeam)
+				r.after(time.Duration(i)*time.Minute/time.Duration(n), r.changeTeamLimit)
 			}
 		})
 	}
 }
 
-// cutRegion cuts off a region in which a controller stands that does not lead, if there is one.
-func (r *scaleRun) cutRegion(leader *process) {
+// partitionRegion cuts off the first region, or the second one if the leader runs in the first.
+func (r *scaleRun) partitionRegion(leader *process) {
 	region := regionName(0)
 	if leader == r.processes[0] && r.plan.Regions > 1 {
 		region = regionName(1)
@@ -229,16 +230,16 @@
 		}
 		for _, p := range r.processes {
 			for _, zone := range zones {
-				behind[p.n.name] = behind[p.n.name] || p.site == zone
+				behind[p.n.name] = behind[p.n.name] || p.zone == zone
 			}
 		}
 		r.net.split(behind, nil, true, r.plan.CutRegion, zones...)
 	})
-	r.progress("region %s (%d zones) is cut off for %s", region, len(zones), r.plan.CutRegion)
+	r.progress("partitioning region %s (%d zones) for %s", region, len(zones), r.plan.CutRegion)
 }
 
-// running counts the tasks on machines.
-func (r *scaleRun) running() (n int) {
+// runningTasks returns the number of tasks on machines.
+func (r *scaleRun) runningTasks() (n int) {
 	r.with(func() {
 		for _, j := range r.order {
 			for _, t := range j.held {
@@ -251,8 +252,9 @@
 	return n
 }
 
-// unfinished counts the accepted jobs whose users have not been told of their end.
-func (r *scaleRun) unfinished() (n int) {
+// unfinishedJobs returns the number of jobs whose submission was not answered yet, or which were
+// accepted and whose users know of no final state.
+func (r *scaleRun) unfinishedJobs() (n int) {
 	r.with(func() {
 		for _, j := range r.order {
 			if j.accepted && j.told == "" || !j.accepted && j.status == 0 {
@@ -263,19 +265,19 @@
 	return n
 }
 
-// started takes note of a task's start.
-func (r *scaleRun) started(t *task) {
-	if t.job.first.Before(r.began) || t.job.first.After(r.ended) {
+// recordStart records the start latency of a task whose job was submitted during the hold.
+func (r *scaleRun) recordStart(t *task) {
+	if t.job.first.Before(r.holdStart) || t.job.first.After(r.holdEnd) {
 		return
 	}
 	if t.job.startedTasks == nil {
 		t.job.startedTasks = map[int]bool{}
 	}
-	if !t.job.startedTasks[t.id.Index] { // a task that is started again has been late already
+	if !t.job.startedTasks[t.id.Index] { // count only the first start of a task
 		t.job.startedTasks[t.id.Index] = true
-		r.measures.starts[t.job.spec.Urgency].record(r.now.Sub(t.job.first))
-		if t.job.spec.Urgency == spec.Urgent && r.now.Sub(t.job.first) > urgentWithin {
-			r.measures.urgentLate++
+		r.measures.startLatency[t.job.spec.Urgency].record(r.now.Sub(t.job.first))
+		if t.job.spec.Urgency == spec.Urgent && r.now.Sub(t.job.first) > urgentStartTarget {
+			r.measures.lateUrgentStarts++
 		}
 	}
 }
--- a/internal/scenario/scale_config.go
+++ b/internal/scenario/scale_config.go
@@ -9,59 +9,61 @@
 	"yewpass/internal/view"
 )
 
-// configure begins the plan's changes of configuration.
-func (r *scaleRun) configure() {
-	r.admin.onTold = r.toldOfChange
+// startConfigChanges starts the plan's periodic configuration changes.
+func (r *scaleRun) startConfigChanges() {
+	r.admin.onTold = r.recordConfigChange
 	if r.plan.ChangesADay > 0 {
-		r.changeEvery(time.Duration(float64(24*time.Hour) / r.plan.ChangesADay))
+		r.repeatTeamChange(time.Duration(float64(24*time.Hour) / r.plan.ChangesADay))
 	}
 }
 
-func (r *scaleRun) changeEvery(gap time.Duration) {
-	if !r.now.Before(r.ended) {
+func (r *scaleRun) repeatTeamChange(gap time.Duration) {
+	if !r.now.Before(r.holdEnd) {
 		return
 	}
-	r.changeTeam()
-	r.after(gap, func() { r.changeEvery(gap) })
+	r.changeTeamLimit()
+	r.after(gap, func() { r.repeatTeamChange(gap) })
 }
 
-// changeTeam moves a team's limit up or down.
-func (r *scaleRun) changeTeam() {
+// changeTeamLimit sets a random team's CPU limit to 0.5 to 1.5 times its configured value, but not
+// below its guarantee.
+func (r *scaleRun) changeTeamLimit() {
 	t := r.cfg.Settings.Teams[r.rng.IntN(len(r.cfg.Settings.Teams))]
-	most := math.Ceil(t.CPUsMax * (0.5 + r.rng.Float64()))
-	r.admin.set(liveconfig.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: max(most, t.CPUs)})
+	limit := math.Ceil(t.CPUsMax * (0.5 + r.rng.Float64()))
+	r.admin.set(liveconfig.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: max(limit, t.CPUs)})
 }
 
-// lookAgain is how often a controller is asked whether it has a revision.
-const lookAgain = 20 * time.Millisecond
+// revisionPollInterval is the interval at which a controller's configuration revision is polled.
+const revisionPollInterval = 20 * time.Millisecond
 
-// toldOfChange measures how long a change takes to be in force at every controller that can
-// be reached.
-func (r *scaleRun) toldOfChange(c *teamChange) {
-	r.measures.changes.record(c.told.Sub(c.sent))
+// recordConfigChange records how long a change took to be acknowledged, and how long until every
+// reachable controller applied it.
+func (r *scaleRun) recordConfigChange(c *teamChange) {
+	r.measures.configAccepted.record(c.told.Sub(c.sent))
 	waiting := 0
 	for _, n := range r.nodes {
-		if !n.alive || !r.net.open(n.name, outsider) {
+		if !n.alive || !r.net.open(n.name, unpartitionedHost) {
 			continue
 		}
 		waiting++
-		r.awaitRevision(n, c.revision, func() {
+		r.waitForRevision(n, c.revision, func() {
 			if waiting--; waiting == 0 {
-				r.measures.inForce.record(r.now.Sub(c.told))
+				r.measures.configApplied.record(r.now.Sub(c.told))
 			}
 		})
 	}
 }
 
-// awaitRevision calls then once a controller has a revision, or is away.
-func (r *scaleRun) awaitRevision(n *node, revision uint64, then func()) {
+// waitForRevision calls then when a controller has applied the revision, or is down or
+// unreachable.
+func (r *scaleRun) waitForRevision(n *node, revision uint64, then func()) {
 	call := request.Request{Op: request.ConfigHere, Config: &request.ConfigParams{}}
 	r.callAt(n, call, time.Second, func(status int, a request.Response) {
 		here, _ := a.Doc.(view.LocalConfig)
-		if status == 200 && here.Revision >= revision || !n.alive || !r.net.open(n.name, outsider) {
+		if status == 200 && here.Revision >= revision || !n.alive || !r.net.open(n.name, unpartitionedHost) {
 			then()
 			return
 		}
-		r.after(lookAgain, func() { r.awaitRevision(n, revision, then) })
+		r.after(revisionPollInterval, func() { r.waitForRevision(n, revision, then) })
 	})
 }
--- a/internal/scenario/scale_fit.go
+++ b/internal/scenario/scale_fit.go
@@ -7,31 +7,32 @@
 	"text/tabwriter"
 )
 
-// Slope is a line through what was measured at several sizes: Base + Each * workers.
+// Slope is a linear fit of a quantity measured at several sizes: Intercept + PerWorker*workers.
 type Slope struct {
 	Name       string    `json:"name"`
-	Base       float64   `json:"base"`
-	Each       float64   `json:"each"` // a worker
+	Intercept  float64   `json:"base"`
+	PerWorker  float64   `json:"each"`
 	Measured   []float64 `json:"measured"`
 	Workers    []int     `json:"workers"`
-	WorstError float64   `json:"worstError"` // of the line, as a part of what was measured
+	WorstError float64   `json:"worstError"` // largest relative error of the fit
 }
 
-// At is the line's value at a size.
-func (s *Slope) At(workers int) float64 { return s.Base + s.Each*float64(workers) }
+// At returns the fitted value for a number of workers.
+func (s *Slope) At(workers int) float64 { return s.Intercept + s.PerWorker*float64(workers) }
 
-// quantities are what is fitted, as they stand in a report.
-var quantities = []struct {
+// fittedQuantities are the figures of a report that FitSlopes fits. The names are part of the
+// printed form.
+var fittedQuantities = []struct {
 	name string
 	of   func(*ScaleReport) float64
 }{
 	{"leader, cores", func(r *ScaleReport) float64 { return r.leader().CPU }},
-	{"leader, cores at the peak", func(r *ScaleReport) float64 { return r.leader().CPUPeak }},
-	{"leader, MB", func(r *ScaleReport) float64 { return r.leader().MemoryHi }},
-	{"another controller, cores", func(r *ScaleReport) float64 { return r.relays(func(c ControllerUse) float64 { return c.CPU }) }},
-	{"another controller, MB", func(r *ScaleReport) float64 { return r.relays(func(c ControllerUse) float64 { return c.MemoryHi }) }},
+	{"leader, cores at the peak", func(r *ScaleReport) float64 { return r.leader().PeakCPU }},
+	{"leader, MB", func(r *ScaleReport) float64 { return r.leader().PeakMB }},
+	{"another controller, cores", func(r *ScaleReport) float64 { return r.followers(func(c ControllerUsage) float64 { return c.CPU }) }},
+	{"another controller, MB", func(r *ScaleReport) float64 { return r.followers(func(c ControllerUsage) float64 { return c.PeakMB }) }},
 	{"state service, requests a second", func(r *ScaleReport) float64 { return r.State.Requests }},
-	{"state service, changes a second", func(r *ScaleReport) float64 { return r.State.Changes }},
+	{"state service, changes a second", func(r *ScaleReport) float64 { return r.State.Writes }},
 	{"reports to the leader, KB a second", func(r *ScaleReport) float64 { return float64(r.Messages["peer reports"].Bytes) / 1024 }},
 	{"replies from the leader, KB a second", func(r *ScaleReport) float64 { return float64(r.Messages["peer replies"].Bytes) / 1024 }},
 	{"copies of records, KB a second", func(r *ScaleReport) float64 { return float64(r.Messages["peer copy"].Bytes) / 1024 }},
@@ -41,22 +42,22 @@
 	{"submission accepted, p99 s", func(r *ScaleReport) float64 { return r.Accept["urgent"].P99 }},
 }
 
-// leader is the controller that led for longest.
-func (r *ScaleReport) leader() ControllerUse {
-	var leader ControllerUse
+// leader returns the controller that was leader for the longest time.
+func (r *ScaleReport) leader() ControllerUsage {
+	var leader ControllerUsage
 	for _, c := range r.Controllers {
-		if c.Led >= leader.Led {
+		if c.LeaderSeconds >= leader.LeaderSeconds {
 			leader = c
 		}
 	}
 	return leader
 }
 
-// relays is the mean over the controllers that never led.
-func (r *ScaleReport) relays(of func(ControllerUse) float64) float64 {
+// followers returns the mean of a figure over the controllers that never were leader.
+func (r *ScaleReport) followers(of func(ControllerUsage) float64) float64 {
 	sum, n := 0.0, 0
 	for _, c := range r.Controllers {
-		if c.Led == 0 {
+		if c.LeaderSeconds == 0 {
 			sum += of(c)
 			n++
 		}
@@ -64,17 +65,18 @@
 	return sum / float64(max(1, n))
 }
 
-// FitSlopes fits lines through reports of at least three sizes.
+// FitSlopes fits each quantity to the number of workers. It returns an error if the reports have
+// fewer than three different numbers of workers.
 func FitSlopes(reports []*ScaleReport) ([]Slope, error) {
 	sizes := map[int]bool{}
 	for _, r := range reports {
 		sizes[r.Plan.Workers] = true
 	}
 	if len(sizes) < 3 {
-		return nil, fmt.Errorf("reports of %d sizes, at least three are needed", len(sizes))
+		return nil, fmt.Errorf("got reports of %d different sizes, need at least three", len(sizes))
 	}
 	var slopes []Slope
-	for _, q := range quantities {
+	for _, q := range fittedQuantities {
 		s := Slope{Name: q.name}
 		for _, r := range reports {
 			s.Workers = append(s.Workers, r.Plan.Workers)
@@ -86,7 +88,7 @@
 	return slopes, nil
 }
 
-// fit sets the line of least squares.
+// fit computes the least-squares fit and its largest relative error.
 func (s *Slope) fit() {
 	n := float64(len(s.Workers))
 	var x, y, xx, xy float64
@@ -94,8 +96,8 @@
 		v := float64(w)
 		x, y, xx, xy = x+v, y+s.Measured[i], xx+v*v, xy+v*s.Measured[i]
 	}
-	s.Each = (n*xy - x*y) / (n*xx - x*x)
-	s.Base = (y - s.Each*x) / n
+	s.PerWorker = (n*xy - x*y) / (n*xx - x*x)
+	s.Intercept = (y - s.PerWorker*x) / n
 	for i, w := range s.Workers {
 		if s.Measured[i] != 0 {
 			s.WorstError = max(s.WorstError, math.Abs(s.At(w)-s.Measured[i])/math.Abs(s.Measured[i]))
@@ -103,7 +105,7 @@
 	}
 }
 
-// PrintSlopes writes slopes as a table, with what they foretell for sizes.
+// PrintSlopes writes a table of the fits, with their predictions for the given numbers of workers.
 func PrintSlopes(out io.Writer, slopes []Slope, sizes []int) {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "\t")
@@ -122,7 +124,7 @@
 		for _, v := range s.Measured {
 			fmt.Fprintf(w, "%.4g\t", v)
 		}
-		fmt.Fprintf(w, "%.3g\t%.3g\t%.0f%%\t", s.Base, 1000*s.Each, 100*s.WorstError)
+		fmt.Fprintf(w, "%.3g\t%.3g\t%.0f%%\t", s.Intercept, 1000*s.PerWorker, 100*s.WorstError)
 		for _, n := range sizes {
 			fmt.Fprintf(w, "%.3g\t", s.At(n))
 		}
--- a/internal/scenario/scale_fit_test.go
+++ b/internal/scenario/scale_fit_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// TestFitSlopes: a line is found again, and two sizes make none.
+// TestFitSlopes checks that a linear relation is recovered and that reports of two sizes are
+// rejected.
 func TestFitSlopes(t *testing.T) {
 	var reports []*ScaleReport
 	for _, n := range []int{300, 600, 1200} {
-		r := &ScaleReport{Plan: ScalePlan{Workers: n}, State: StateUse{Changes: 3 + 0.02*float64(n)}}
-		r.Controllers = []ControllerUse{{Name: "n0", CPU: 9}, {Name: "n1", Led: 30, CPU: 0.01 + 0.0001*float64(n)}}
+		r := &ScaleReport{Plan: ScalePlan{Workers: n}, State: StoreUsage{Writes: 3 + 0.02*float64(n)}}
+		r.Controllers = []ControllerUsage{{Name: "n0", CPU: 9}, {Name: "n1", LeaderSeconds: 30, CPU: 0.01 + 0.0001*float64(n)}}
 		reports = append(reports, r)
 	}
 	slopes, err := FitSlopes(reports)
@@ -20,10 +21,10 @@
 	for _, s := range slopes {
 		want := map[string]float64{"leader, cores": 0.28, "another controller, cores": 9, "state service, changes a second": 57}[s.Name]
 		if want != 0 && math.Abs(s.At(2700)-want) > 1e-9 {
-			t.Errorf("%s: %g at 2700, not %g", s.Name, s.At(2700), want)
+			t.Errorf("%s: got %g at 2700 workers, want %g", s.Name, s.At(2700), want)
 		}
 	}
 	if _, err := FitSlopes(reports[:2]); err == nil {
-		t.Error("two sizes make a line")
+		t.Error("FitSlopes accepted reports of only two sizes")
 	}
 }
--- a/internal/scenario/scale_measures.go
+++ b/internal/scenario/scale_measures.go
@@ -15,16 +15,16 @@
 	"yewpass/internal/spec"
 )
 
-// latencies is a distribution of times.
-type latencies struct{ *hdrhistogram.Histogram }
+// latencyHistogram is a histogram of durations with a resolution of 1 ms.
+type latencyHistogram struct{ *hdrhistogram.Histogram }
 
-func newLatencies() latencies {
-	return latencies{hdrhistogram.New(1, int64(time.Hour/time.Millisecond), 3)}
+func newLatencyHistogram() latencyHistogram {
+	return latencyHistogram{hdrhistogram.New(1, int64(time.Hour/time.Millisecond), 3)}
 }
 
-func (l latencies) record(d time.Duration) { l.RecordValue(max(1, d.Milliseconds())) }
+func (l latencyHistogram) record(d time.Duration) { l.RecordValue(max(1, d.Milliseconds())) }
 
-// Quantiles are of a distribution, in seconds.
+// Quantiles summarizes a latency distribution, in seconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -33,23 +33,23 @@
 	Max   float64 `json:"max"`
 }
 
-func (l latencies) quantiles() Quantiles {
+func (l latencyHistogram) quantiles() Quantiles {
 	at := func(q float64) float64 { return float64(l.ValueAtQuantile(q)) / 1000 }
 	return Quantiles{l.TotalCount(), at(50), at(99), at(99.9), float64(l.Max()) / 1000}
 }
 
-// usageSample is what a process had used at a time.
-type usageSample struct {
+// processUsage is the resource usage of a process at one time.
+type processUsage struct {
 	pid    int
 	cpu    time.Duration
 	memory int64 // resident bytes
 }
 
-// clockTicks is how many ticks of processor time the system counts a second.
+// clockTicks is the number of ticks per second in which /proc reports CPU time.
 const clockTicks = 100
 
-// sampleProcess reads what a process of this system has used.
-func sampleProcess(pid int) (u usageSample, err error) {
+// readProcessUsage reads the resource usage of a process from /proc.
+func readProcessUsage(pid int) (u processUsage, err error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
@@ -57,10 +57,10 @@
 	_, rest, _ := strings.Cut(string(data), ") ")
 	f := strings.Fields(rest)
 	if len(f) < 22 {
-		return u, fmt.Errorf("/proc/%d/stat: too short", pid)
+		return u, fmt.Errorf("/proc/%d/stat has too few fields", pid)
 	}
 	ticks := 0
-	for _, field := range f[11:13] { // user and system time
+	for _, field := range f[11:13] { // utime and stime
 		n, err := strconv.Atoi(field)
 		if err != nil {
 			return u, err
@@ -68,74 +68,74 @@
 		ticks += n
 	}
 	pages, err := strconv.ParseInt(f[21], 10, 64)
-	return usageSample{pid, time.Duration(ticks) * time.Second / clockTicks, pages * int64(os.Getpagesize())}, err
+	return processUsage{pid, time.Duration(ticks) * time.Second / clockTicks, pages * int64(os.Getpagesize())}, err
 }
 
-// nodeUsage follows a controller's processor time and memory through the hold.
+// nodeUsage accumulates a controller's CPU time and memory during the hold.
 type nodeUsage struct {
-	last           usageSample
-	at             time.Time
-	used           time.Duration // in the hold, over all processes of that name
-	peak           float64       // cores, over a sample
-	memory, memMax int64
-	ledFor         time.Duration // of the hold
-}
-
-// measures is what a run measures.
-type measures struct {
-	accepts    map[spec.Urgency]latencies
-	starts     map[spec.Urgency]latencies
-	urgentLate int64
-	changes    latencies // of configuration, until their users are told
-	inForce    latencies // from then on, until every controller in reach has them
-	nodes      map[string]*nodeUsage
-	holding    bool
-	at         counters // as the hold began
-	over       counters // as it ended
-}
-
-// counters are those of the world at a time.
+	lastSample         processUsage
+	lastSampledAt      time.Time
+	cpuTime            time.Duration // during the hold, over all processes of this controller
+	peakCores          float64       // highest over one sample interval
+	memory, peakMemory int64
+	leaderTime         time.Duration // time as leader during the hold
+}
+
+// measurements are the raw data of a load test.
+type measurements struct {
+	acceptLatency    map[spec.Urgency]latencyHistogram
+	startLatency     map[spec.Urgency]latencyHistogram
+	lateUrgentStarts int64
+	configAccepted   latencyHistogram // from sending a configuration change to its acknowledgement
+	configApplied    latencyHistogram // from then until every reachable controller applied it
+	nodes            map[string]*nodeUsage
+	holding          bool
+	atHoldStart      counters
+	atHoldEnd        counters
+}
+
+// counters are the cumulative counts of the simulated services at one time.
 type counters struct {
-	at                       time.Time
-	started, killed, running int
-	requests, puts, refused  int
-	bytes, reports           map[string]int64 // by worker
-	traffic                  map[string]tally
-	records                  map[string]tally // in the state service, by kind
-	changed                  map[string]int   // changes there, by kind
+	at                         time.Time
+	started, killed, running   int
+	requests, writes, rejected int
+	bytes, reports             map[string]int64 // by worker
+	traffic                    map[string]tally
+	recordsByKind              map[string]tally // in the key-value store
+	writesByKind               map[string]int
 }
 
-func (m *measures) begin(r *scaleRun) {
-	m.accepts, m.starts = map[spec.Urgency]latencies{}, map[spec.Urgency]latencies{}
+func (m *measurements) init(r *scaleRun) {
+	m.acceptLatency, m.startLatency = map[spec.Urgency]latencyHistogram{}, map[spec.Urgency]latencyHistogram{}
 	for _, u := range []spec.Urgency{spec.Idle, spec.Standard, spec.Urgent} {
-		m.accepts[u], m.starts[u] = newLatencies(), newLatencies()
+		m.acceptLatency[u], m.startLatency[u] = newLatencyHistogram(), newLatencyHistogram()
 	}
-	m.changes, m.inForce = newLatencies(), newLatencies()
+	m.configAccepted, m.configApplied = newLatencyHistogram(), newLatencyHistogram()
 	m.nodes = map[string]*nodeUsage{}
 	for _, p := range r.processes {
 		m.nodes[p.n.name] = &nodeUsage{}
 	}
-	r.with(func() { r.world.onStart = r.started })
+	r.with(func() { r.world.onStart = r.recordStart })
 }
 
-func (m *measures) holdBegins(r *scaleRun) {
-	m.at = m.count(r)
+func (m *measurements) startHold(r *scaleRun) {
+	m.atHoldStart = m.readCounters(r)
 	m.holding = true
 	m.sample(r)
 }
 
-func (m *measures) holdEnds(r *scaleRun) {
+func (m *measurements) endHold(r *scaleRun) {
 	m.sample(r)
 	m.holding = false
-	m.over = m.count(r)
+	m.atHoldEnd = m.readCounters(r)
 }
 
-func (m *measures) count(r *scaleRun) counters {
-	c := counters{running: r.running(), bytes: map[string]int64{}, reports: map[string]int64{}, traffic: r.traffic.byKind()}
+func (m *measurements) readCounters(r *scaleRun) counters {
+	c := counters{running: r.runningTasks(), bytes: map[string]int64{}, reports: map[string]int64{}, traffic: r.traffic.byKind()}
 	r.with(func() {
 		c.at, c.started, c.killed = r.now, r.world.started, r.expiredTasks
-		c.requests, c.puts, c.refused = r.store.requests, r.store.puts, r.store.refused
-		c.records, c.changed = r.store.byKind(), maps.Clone(r.store.putsOf)
+		c.requests, c.writes, c.rejected = r.store.requests, r.store.puts, r.store.refused
+		c.recordsByKind, c.writesByKind = r.store.recordsByKind(), maps.Clone(r.store.putsOf)
 	})
 	r.linksMu.Lock()
 	defer r.linksMu.Unlock()
@@ -145,9 +145,8 @@
 	return c
 }
 
-// byKind counts the records that the service has, with their bytes, by the kind that they
-// say they are of.
-func (s *store) byKind() map[string]tally {
+// recordsByKind returns the number and size of the stored records by the type that they contain.
+func (s *store) recordsByKind() map[string]tally {
 	kinds := map[string]tally{}
 	for key, e := range s.keys {
 		var tag struct{ Type string }
@@ -162,8 +161,8 @@
 	return kinds
 }
 
-// sample reads what the controllers use.
-func (m *measures) sample(r *scaleRun) {
+// sample updates the controllers' resource usage. It does nothing outside the hold.
+func (m *measurements) sample(r *scaleRun) {
 	if !m.holding {
 		return
 	}
@@ -173,26 +172,26 @@
 			continue
 		}
 		now := time.Now()
-		s, err := sampleProcess(p.cmd.Process.Pid)
+		s, err := readProcessUsage(p.cmd.Process.Pid)
 		if err != nil {
-			continue // it has just ended
+			continue // the process has just exited
 		}
-		if s.pid == u.last.pid {
-			if d := now.Sub(u.at); d > 500*time.Millisecond {
-				u.peak = max(u.peak, (s.cpu-u.last.cpu).Seconds()/d.Seconds())
+		if s.pid == u.lastSample.pid {
+			if d := now.Sub(u.lastSampledAt); d > 500*time.Millisecond {
+				u.peakCores = max(u.peakCores, (s.cpu-u.lastSample.cpu).Seconds()/d.Seconds())
 			}
-			u.used += s.cpu - u.last.cpu
-			if p.leads() {
-				u.ledFor += now.Sub(u.at)
+			u.cpuTime += s.cpu - u.lastSample.cpu
+			if p.isLeader() {
+				u.leaderTime += now.Sub(u.lastSampledAt)
 			}
 		}
-		u.last, u.at = s, now
-		u.memory, u.memMax = s.memory, max(u.memMax, s.memory)
+		u.lastSample, u.lastSampledAt = s, now
+		u.memory, u.peakMemory = s.memory, max(u.peakMemory, s.memory)
 	}
 }
 
-// perSecond returns each worker's amount a second over the hold, sorted.
-func perSecond(from, to map[string]int64, d time.Duration) []float64 {
+// ratesPerWorker returns the increase per second of each worker's counter, in ascending order.
+func ratesPerWorker(from, to map[string]int64, d time.Duration) []float64 {
 	var out []float64
 	for host, n := range to {
 		out = append(out, float64(n-from[host])/d.Seconds())
@@ -209,7 +208,7 @@
 	return sum / float64(max(1, len(xs)))
 }
 
-// quantile is of sorted numbers.
+// quantile returns the q-quantile of sorted values, or 0 if there are none.
 func quantile(xs []float64, q float64) float64 {
 	if len(xs) == 0 {
 		return 0
--- a/internal/scenario/scale_plan.go
+++ b/internal/scenario/scale_plan.go
@@ -13,48 +13,48 @@
 	"yewpass/internal/spec"
 )
 
-// ScalePlan says what a scale run plays. The same plan with the same seed plays the same
-// jobs at the same times.
+// ScalePlan describes a load test. The same plan with the same seed generates the same jobs at the
+// same times.
 type ScalePlan struct {
-	Workers     int           // machines, all up from the start
-	Tasks       float64       // starts a second at the full rate
-	Jobs        float64       // submissions a second at the full rate
+	Workers     int           // machines, all running from the start
+	Tasks       float64       // task starts per second at the full rate
+	Jobs        float64       // submissions per second at the full rate
 	Running     int           // tasks running at the full rate
-	Teams       int           // with a guarantee and a limit each
-	Regions     int           // the zones are spread over them
-	Zones       int           // in all
-	Controllers int           // the first ones stand in a region each
-	Ramp        time.Duration // from nothing to the full rate
-	Hold        time.Duration // at the full rate, measured
-	Drain       time.Duration // at most, for what is left to end
-	StateRPS    float64       // requests a second that the state service takes
-	StateWrites float64       // changes a second that it takes
-	MemoryMB    float64       // of a controller
-	KillLeader  bool          // a third into the hold, back after three seconds
-	CutRegion   time.Duration // a region without the leader is cut off for so long; 0: none
-	ReportBytes float64       // a second that control may take of a worker; 0: no bound
-	ChangesADay float64       // of teams' limits, evenly through the hold
-	ChangeBurst int           // more of them within a minute, a third into the hold
+	Teams       int           // each with a CPU guarantee and limit
+	Regions     int           // over which the zones are spread
+	Zones       int           // in total
+	Controllers int           // spread over the zones, the first ones over the regions
+	Ramp        time.Duration // time to reach the full rate
+	Hold        time.Duration // measured time at the full rate
+	Drain       time.Duration // maximum time for the remaining jobs to finish
+	StateRPS    float64       // request rate limit of the key-value store, per second
+	StateWrites float64       // write rate limit of the key-value store, per second
+	MemoryMB    float64       // memory limit of a controller
+	KillLeader  bool          // after a third of the hold; it restarts after three seconds
+	CutRegion   time.Duration // how long a region without the leader is partitioned; 0: never
+	ReportBytes float64       // control traffic limit per worker, in bytes per second; 0: unlimited
+	ChangesADay float64       // changes of team limits, evenly spaced over the hold
+	ChangeBurst int           // more changes within one minute, after a third of the hold
 	Seed        uint64
 }
 
-// PlannedSize is the size that the operators plan for.
-func PlannedSize() ScalePlan {
+// DefaultScalePlan returns a plan of the size that operators plan for.
+func DefaultScalePlan() ScalePlan {
 	return ScalePlan{Workers: 2700, Tasks: 1100, Jobs: 4.4, Running: 43000, Teams: 110, Regions: 8, Zones: 30, Controllers: 6,
 		Ramp: 45 * time.Second, Hold: 2 * time.Minute, Drain: 3 * time.Minute, StateRPS: 350, StateWrites: 80, MemoryMB: 322, Seed: 1}
 }
 
-// PlanError names what is wrong with a plan.
+// PlanError reports an invalid plan. Field is the name of the flag.
 type PlanError struct {
 	Field  string
 	Reason string
 }
 
-// Error names the field, then the reason.
+// Error returns the field and the reason.
 func (e *PlanError) Error() string { return e.Field + ": " + e.Reason }
 
-// Check returns a *PlanError for a plan that cannot be played.
-func (p *ScalePlan) Check() error {
+// Validate returns a *PlanError if a field is out of range.
+func (p *ScalePlan) Validate() error {
 	between := func(field string, v, least, most float64) error {
 		if !(v >= least && v <= most) {
 			return &PlanError{field, fmt.Sprintf("must be %g to %g, is %g", least, most, v)}
@@ -86,30 +86,30 @@
 		}
 	}
 	if p.Jobs > p.Tasks {
-		return &PlanError{"jobs", "more jobs than tasks a second"}
+		return &PlanError{"jobs", "must not exceed the task rate"}
 	}
 	return nil
 }
 
-// Bounds of what a run may take of the machine.
+// Limits and estimates of a load test's use of the local machine.
 const (
-	memoryShare    = 0.5      // of the machine's memory
-	workerBytes    = 90 << 10 // of the stand-ins, for a worker with its connection
-	taskBytes      = 2 << 10  // of the stand-ins, for a task
-	standInBytes   = 200 << 20
-	filesPerWorker = 2 // in this process: its connection, and a command's
-	filesSpare     = 1000
+	maxMemoryFraction = 0.5      // fraction of the machine's memory
+	workerBytes       = 90 << 10 // of the simulator, per worker with its connection
+	taskBytes         = 2 << 10  // of the simulator, per task
+	simulatorBytes    = 200 << 20
+	filesPerWorker    = 2 // open in this process per worker: its connection, and one for commands
+	reservedFiles     = 1000
 )
 
-// Fit makes a plan smaller until the machine can carry it, and says in one line what did
-// not fit, or "".
-func (p *ScalePlan) Fit(memoryBytes uint64, files uint64) string {
+// ShrinkToFit reduces the plan until it fits the given memory and number of open files. It returns
+// a description of the reduction, or "" if the plan fits.
+func (p *ScalePlan) ShrinkToFit(memoryBytes uint64, files uint64) string {
 	asked := *p
 	for {
-		need := float64(standInBytes) + float64(p.Workers)*workerBytes + (float64(p.Running)+p.Tasks*p.Hold.Seconds())*taskBytes +
+		need := float64(simulatorBytes) + float64(p.Workers)*workerBytes + (float64(p.Running)+p.Tasks*p.Hold.Seconds())*taskBytes +
 			float64(p.Controllers)*p.MemoryMB*(1<<20)
-		open := uint64(p.Workers*filesPerWorker + filesSpare)
-		if need <= memoryShare*float64(memoryBytes) && open <= files || p.Workers == 1 {
+		open := uint64(p.Workers*filesPerWorker + reservedFiles)
+		if need <= maxMemoryFraction*float64(memoryBytes) && open <= files || p.Workers == 1 {
 			break
 		}
 		p.Workers = max(1, p.Workers*9/10)
@@ -120,12 +120,12 @@
 	if p.Workers == asked.Workers {
 		return ""
 	}
-	return fmt.Sprintf("%d workers do not fit into half of %d MB and %d open files: playing %d workers, %.0f tasks a second, %d running",
+	return fmt.Sprintf("%d workers exceed half of %d MB of memory or %d open files: reduced to %d workers, %.0f tasks per second, %d running tasks",
 		asked.Workers, memoryBytes>>20, files, p.Workers, p.Tasks, p.Running)
 }
 
-// machineBounds returns the memory of this machine and how many files this process may open.
-func machineBounds() (memory, files uint64) {
+// machineLimits returns the machine's memory in bytes and the open-file limit of this process.
+func machineLimits() (memory, files uint64) {
 	memory = 4 << 30
 	if data, err := os.ReadFile("/proc/meminfo"); err == nil {
 		var kb uint64
@@ -140,59 +140,60 @@
 	return memory, files
 }
 
-// scaleClass is a class of jobs of the generator.
+// scaleClass is a job class of the generated load.
 type scaleClass struct {
-	name    string
-	urgency spec.Urgency
-	share   float64 // of the tasks
-	jobs    float64 // of the jobs
-	cpus    float64
-	memory  float64 // GB
-	seconds float64 // of a task, before it is scaled to the plan
-	due     time.Duration
+	name      string
+	urgency   spec.Urgency
+	taskShare float64 // fraction of all tasks
+	jobShare  float64 // fraction of all jobs
+	cpus      float64
+	memory    float64 // GB
+	seconds   float64 // task run time, before scaling to the plan
+	deadline  time.Duration
 }
 
-// The classes have the proportions of a large deployment: few large arrays and many of
-// middling size, a part of them urgent.
+// The classes have the proportions of a large deployment: few large arrays and many medium ones,
+// some of them urgent.
 var scaleClasses = []scaleClass{
-	{name: "alert", urgency: spec.Urgent, share: 0.46, jobs: 0.65, cpus: 1, memory: 1.6, seconds: 18, due: 2 * time.Minute},
-	{name: "ingest", urgency: spec.Standard, share: 0.35, jobs: 0.09, cpus: 2, memory: 2.7, seconds: 25},
-	{name: "rollup", urgency: spec.Idle, share: 0.19, jobs: 0.26, cpus: 4, memory: 5.8, seconds: 50},
+	{name: "alert", urgency: spec.Urgent, taskShare: 0.46, jobShare: 0.65, cpus: 1, memory: 1.6, seconds: 18, deadline: 2 * time.Minute},
+	{name: "ingest", urgency: spec.Standard, taskShare: 0.35, jobShare: 0.09, cpus: 2, memory: 2.7, seconds: 25},
+	{name: "rollup", urgency: spec.Idle, taskShare: 0.19, jobShare: 0.26, cpus: 4, memory: 5.8, seconds: 50},
 }
 
-// urgentWithin is the plan's aim on the start of urgent tasks.
-const urgentWithin = 5600 * time.Millisecond
+// urgentStartTarget is the service-level objective for the start latency of urgent tasks.
+const urgentStartTarget = 5600 * time.Millisecond
 
 const (
-	cancelShare  = 0.02 // of the jobs are called off by their users
-	fullPart     = 0.75 // of the machines' CPUs is used at the full rate
-	limitFactor  = 10   // a team's limit, as a multiple of its mean use
-	taskSpread   = 0.25 // of the run times of an array's tasks
-	largestArray = 5    // a class's largest array, as a multiple of its mean
-	guaranteed   = 0.5  // a team's guarantee, likewise
-	imageGB      = 1.0
-	fetchGBps    = 0.4
-	reportEvery  = 5 * time.Second
-	leaseTime    = 29 * time.Second
-	cancelTime   = 54 * time.Second
-	cloudRPS     = 12
-	valueKB      = 16
-	changesInTxn = 12
+	cancelShare       = 0.02 // fraction of jobs that their users cancel
+	targetUtilization = 0.75 // fraction of the machines' CPUs in use at the full rate
+	quotaLimitFactor  = 10   // a team's limit, as a multiple of its mean usage
+	runtimeVariation  = 0.25 // of the run times of an array's tasks
+	maxArrayFactor    = 5    // a class's largest array, as a multiple of its mean
+	guaranteeFactor   = 0.5  // a team's guarantee, as a multiple of its mean usage
+	imageGB           = 1.0
+	fetchGBps         = 0.4
+	heartbeatInterval = 5 * time.Second
+	leaseDuration     = 29 * time.Second
+	cancelTimeout     = 54 * time.Second
+	cloudRPS          = 12
+	maxValueKB        = 16
+	maxTxnOps         = 12
 )
 
-// stretch is the factor on the classes' run times that makes the planned number run.
-func (p *ScalePlan) stretch() float64 {
+// runtimeFactor returns the factor on the classes' run times that yields the planned number of
+// running tasks.
+func (p *ScalePlan) runtimeFactor() float64 {
 	mean := 0.0
 	for _, c := range scaleClasses {
-		mean += c.share * c.seconds
+		mean += c.taskShare * c.seconds
 	}
 	return float64(p.Running) / p.Tasks / mean
 }
 
-// cpusInUse is what the tasks take at the full rate.
+// cpusInUse returns the number of CPUs that tasks use at the full rate.
 func (p *ScalePlan) cpusInUse() (cpus float64) {
 	for _, c := range scaleClasses {
-		cpus += c.share * p.Tasks * c.seconds * p.stretch() * c.cpus
+		cpus += c.taskShare * p.Tasks * c.seconds * p.runtimeFactor() * c.cpus
 	}
 	return cpus
 }
@@ -201,12 +202,12 @@
 
 func regionName(i int) string { return fmt.Sprintf("r%d", i+1) }
 
-// zoneName names a zone; they go round the regions.
+// zoneName returns the name of a zone. Zones are assigned to regions round-robin.
 func (p *ScalePlan) zoneName(i int) string {
 	return fmt.Sprintf("%s-z%d", regionName(i%p.Regions), i/p.Regions+1)
 }
 
-// zonesOf are the zones of a region.
+// zonesOf returns the zones of a region.
 func (p *ScalePlan) zonesOf(region string) (names []string) {
 	for i := range p.Zones {
 		if name := p.zoneName(i); strings.HasPrefix(name, region+"-") {
@@ -216,9 +217,9 @@
 	return names
 }
 
-// script returns the world of the plan.
+// script returns a scenario script with the plan's machines and settings.
 func (p *ScalePlan) script() (*script, error) {
-	cpus := math.Ceil(p.cpusInUse() / fullPart / float64(p.Workers))
+	cpus := math.Ceil(p.cpusInUse() / targetUtilization / float64(p.Workers))
 	var sb strings.Builder
 	fmt.Fprintf(&sb, "type node cpus=%g mem=%g rate=1 low=0.3 ready=20s fetch=%g\n", cpus, 4*cpus, fetchGBps)
 	for i := range p.Zones {
@@ -242,51 +243,51 @@
 	}
 	each := p.cpusInUse() / float64(p.Teams)
 	for i := range p.Teams {
-		set.Teams = append(set.Teams, config.Team{Name: p.teamName(i), CPUs: math.Ceil(each * guaranteed), CPUsMax: math.Ceil(each*limitFactor) + 64})
+		set.Teams = append(set.Teams, config.Team{Name: p.teamName(i), CPUs: math.Ceil(each * guaranteeFactor), CPUsMax: math.Ceil(each*quotaLimitFactor) + 64})
 	}
 	set.Objectives = []config.Objective{
 		{Kind: "deadline", Class: "alert", Share: 0.97, Times: 1},
-		{Kind: "wait", Class: "alert", Within: config.Seconds(urgentWithin.Seconds()), Share: 0.95},
+		{Kind: "wait", Class: "alert", Within: config.Seconds(urgentStartTarget.Seconds()), Share: 0.95},
 		{Kind: "finished", Class: "ingest", Within: 200, Share: 0.96},
 		{Kind: "finished", Class: "rollup", Within: 250, Share: 0.97},
 	}
-	set.Workers = config.Workers{Report: config.Seconds(reportEvery.Seconds()), Lease: config.Seconds(leaseTime.Seconds()), Cancel: config.Seconds(cancelTime.Seconds())}
-	set.State = config.State{RPS: p.StateRPS, WriteRPS: p.StateWrites, ValueKB: valueKB, TxnOps: changesInTxn}
+	set.Workers = config.Workers{Report: config.Seconds(heartbeatInterval.Seconds()), Lease: config.Seconds(leaseDuration.Seconds()), Cancel: config.Seconds(cancelTimeout.Seconds())}
+	set.State = config.State{RPS: p.StateRPS, WriteRPS: p.StateWrites, ValueKB: maxValueKB, TxnOps: maxTxnOps}
 	set.Cloud = config.Cloud{RPS: cloudRPS, ListLag: 0.5}
 	set.Limits.MaxConnections = p.Workers + 500
 	return s, nil
 }
 
-// generator makes the plan's jobs.
-type generator struct {
-	plan *ScalePlan
-	rng  *rand.Rand
-	made int
+// jobGenerator generates the plan's jobs from a seed.
+type jobGenerator struct {
+	plan      *ScalePlan
+	rng       *rand.Rand
+	generated int
 }
 
-func newGenerator(plan *ScalePlan, seed uint64) generator {
-	return generator{plan: plan, rng: rand.New(rand.NewPCG(seed, 7))}
+func newJobGenerator(plan *ScalePlan, seed uint64) jobGenerator {
+	return jobGenerator{plan: plan, rng: rand.New(rand.NewPCG(seed, 7))}
 }
 
-// next returns a job and the time until the one after it at the full rate.
-func (g *generator) next() (*userJob, time.Duration) {
+// next returns a job and the time until the next submission at the full rate.
+func (g *jobGenerator) next() (*userJob, time.Duration) {
 	p := g.plan
-	g.made++
+	g.generated++
 	x, class := g.rng.Float64(), &scaleClasses[0]
 	for i := range scaleClasses {
-		if class = &scaleClasses[i]; x < class.jobs {
+		if class = &scaleClasses[i]; x < class.jobShare {
 			break
 		}
-		x -= class.jobs
+		x -= class.jobShare
 	}
-	mean := p.Tasks / p.Jobs * class.share / class.jobs
-	tasks := max(1, min(spec.MaxTasks, int(math.Round(min(largestArray, g.rng.ExpFloat64())*mean))))
-	runs := time.Duration(class.seconds * p.stretch() * (0.7 + 0.6*g.rng.Float64()) * float64(time.Second))
-	j := &userJob{runs: runs, varies: taskSpread, jobProgress: newJobProgress()}
-	j.spec = spec.Job{ID: fmt.Sprintf("wk-%07d", g.made), Class: class.name, Owner: p.teamName(g.rng.IntN(p.Teams)), Urgency: class.urgency,
+	mean := p.Tasks / p.Jobs * class.taskShare / class.jobShare
+	tasks := max(1, min(spec.MaxTasks, int(math.Round(min(maxArrayFactor, g.rng.ExpFloat64())*mean))))
+	runs := time.Duration(class.seconds * p.runtimeFactor() * (0.7 + 0.6*g.rng.Float64()) * float64(time.Second))
+	j := &userJob{runs: runs, varies: runtimeVariation, jobProgress: newJobProgress()}
+	j.spec = spec.Job{ID: fmt.Sprintf("wk-%07d", g.generated), Class: class.name, Owner: p.teamName(g.rng.IntN(p.Teams)), Urgency: class.urgency,
 		Tasks: tasks, CPUs: class.cpus, MemGB: class.memory, Image: "image-" + class.name, ImageGB: imageGB, Runtime: runs.Round(time.Second)}
-	if class.due > 0 {
-		j.spec.Deadline, j.spec.HasDeadline = class.due+runs, true
+	if class.deadline > 0 {
+		j.spec.Deadline, j.spec.HasDeadline = class.deadline+runs, true
 	}
 	return j, time.Duration(g.rng.ExpFloat64() / p.Jobs * float64(time.Second))
 }
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// TestScaleRun plays a small plan with real processes whose leader is killed: everything is
-// accepted, runs and is measured, and no rule is broken.
+// TestScaleRun runs a small load test in which the leader is killed. All jobs must be accepted and
+// finish, every figure must be measured, and no rule may be broken.
 func TestScaleRun(t *testing.T) {
 	if testing.Short() {
-		t.Skip("takes its time")
+		t.Skip("starts real processes")
 	}
 	t.Parallel()
 	path, err := program()
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := PlannedSize()
+	plan := DefaultScalePlan()
 	plan.Workers, plan.Controllers, plan.Tasks, plan.Jobs, plan.Running, plan.Teams = 100, 3, 40, 4, 400, 8
 	plan.Ramp, plan.Hold, plan.Drain, plan.KillLeader = 3*time.Second, 15*time.Second, time.Minute, true
-	plan.ChangeBurst = 100 // of which the hold sees a sixth, and the drain the rest
-	r, err := Scale(context.Background(), plan, []string{path}, t.Logf)
+	plan.ChangeBurst = 100 // one sixth of them during the hold, the rest during the drain
+	r, err := RunScaleTest(context.Background(), plan, []string{path}, t.Logf)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,65 +30,67 @@
 		t.Errorf("violations %v, errors %v, %d of %d jobs not accepted, %d unfinished", r.Violations, r.Errors, r.NotAccepted, r.Jobs, r.Unfinished)
 	}
 	if r.Starts < plan.Tasks/4 || r.Accept["urgent"].Count == 0 || r.Worker.Bytes == 0 || r.State.Requests == 0 || r.Messages["peer reports"].Bytes == 0 {
-		t.Errorf("not measured: %+v", r)
+		t.Errorf("missing measurements: %+v", r)
 	}
 	led := 0
 	for _, c := range r.Controllers {
-		if c.Led > 0 {
+		if c.LeaderSeconds > 0 {
 			led++
 		}
 		if c.CPU <= 0 || c.Memory <= 0 {
-			t.Errorf("%s: not measured: %+v", c.Name, c)
+			t.Errorf("%s: missing measurements: %+v", c.Name, c)
 		}
 	}
-	if r.Changes.Count < 20 || r.InForce.Count < 20 || r.InForce.Max > 3 {
-		t.Errorf("changes of configuration: told %+v, in force %+v", r.Changes, r.InForce)
+	if r.ConfigAccepted.Count < 20 || r.ConfigApplied.Count < 20 || r.ConfigApplied.Max > 3 {
+		t.Errorf("configuration changes: acknowledged %+v, applied %+v", r.ConfigAccepted, r.ConfigApplied)
 	}
 	if led < 2 {
-		t.Errorf("%d controllers have led, though the leader was killed", led)
+		t.Errorf("%d controllers were leader, want at least 2 after a failover", led)
 	}
 }
 
-// TestScalePlanChecked: what cannot be played is refused by its flag's name.
-func TestScalePlanChecked(t *testing.T) {
+// TestScalePlanValidate checks that Validate names the flag of an invalid field.
+func TestScalePlanValidate(t *testing.T) {
 	for field, change := range map[string]func(*ScalePlan){
 		"workers": func(p *ScalePlan) { p.Workers = 0 }, "tasks": func(p *ScalePlan) { p.Tasks = -1 }, "jobs": func(p *ScalePlan) { p.Jobs = 2000 },
 		"zones": func(p *ScalePlan) { p.Zones = p.Regions - 1 }, "controllers": func(p *ScalePlan) { p.Controllers = 51 },
 		"cut-region": func(p *ScalePlan) { p.CutRegion = p.Hold + time.Second }, "hold": func(p *ScalePlan) { p.Hold = 0 },
 	} {
-		p := PlannedSize()
+		p := DefaultScalePlan()
 		change(&p)
 		var wrong *PlanError
-		if err := p.Check(); !errors.As(err, &wrong) || wrong.Field != field {
-			t.Errorf("%s: %v", field, err)
+		if err := p.Validate(); !errors.As(err, &wrong) || wrong.Field != field {
+			t.Errorf("invalid %s: Validate returned %v", field, err)
 		}
 	}
-	p := PlannedSize()
-	if err := p.Check(); err != nil {
+	p := DefaultScalePlan()
+	if err := p.Validate(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestScalePlanFits: a machine that is too small plays a part, and says so.
-func TestScalePlanFits(t *testing.T) {
-	p := PlannedSize()
-	if said := p.Fit(24<<30, 20000); said != "" || p.Workers != 2700 {
-		t.Errorf("%d workers: %s", p.Workers, said)
+// TestScalePlanShrinkToFit checks that a plan is reduced, with a message, if the machine is too
+// small.
+func TestScalePlanShrinkToFit(t *testing.T) {
+	p := DefaultScalePlan()
+	if message := p.ShrinkToFit(24<<30, 20000); message != "" || p.Workers != 2700 {
+		t.Errorf("want 2700 workers and no message, got %d: %q", p.Workers, message)
 	}
-	if said := p.Fit(24<<30, 3000); said == "" || p.Workers > 1000 || p.Workers < 500 {
-		t.Errorf("%d workers with few files: %s", p.Workers, said)
+	if message := p.ShrinkToFit(24<<30, 3000); message == "" || p.Workers > 1000 || p.Workers < 500 {
+		t.Errorf("few open files: want 500 to 1000 workers and a message, got %d: %q", p.Workers, message)
 	}
-	p = PlannedSize()
-	if said := p.Fit(4<<30, 20000); said == "" || p.Workers >= 2700 {
-		t.Errorf("%d workers with little memory: %s", p.Workers, said)
+	p = DefaultScalePlan()
+	if message := p.ShrinkToFit(4<<30, 20000); message == "" || p.Workers >= 2700 {
+		t.Errorf("little memory: want fewer than 2700 workers and a message, got %d: %q", p.Workers, message)
 	}
 }
 
-// TestScaleJobsFollowFromTheSeed: the same seed makes the same jobs, another one others.
-func TestScaleJobsFollowFromTheSeed(t *testing.T) {
+// TestScaleJobsDeterministic checks that equal seeds generate equal jobs and different seeds
+// different ones.
+func TestScaleJobsDeterministic(t *testing.T) {
 	jobs := func(seed uint64) (tasks []int) {
-		p := PlannedSize()
-		g := newGenerator(&p, seed)
+		p := DefaultScalePlan()
+		g := newJobGenerator(&p, seed)
 		for range 50 {
 			j, _ := g.next()
 			tasks = append(tasks, j.spec.Tasks)
@@ -106,6 +108,6 @@
 		}
 	}
 	if same != len(a) || other > len(a)/2 {
-		t.Errorf("%d of %d equal with the same seed, %d with another", same, len(a), other)
+		t.Errorf("%d of %d jobs are equal with the same seed, %d with another seed", same, len(a), other)
 	}
 }
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -10,36 +10,36 @@
 	"time"
 )
 
-// workerLink is a worker's own connection to the controller that it reports to.
+// workerLink is a worker's connection to the controller that receives its heartbeats.
 type workerLink struct {
 	client    *http.Client
 	transport *http.Transport
 	node      string
 	reports   atomic.Int64
-	bytes     atomic.Int64 // both ways, with HTTP's headers
+	bytes     atomic.Int64 // both directions, with HTTP headers
 }
 
-// countedConn counts the bytes of a connection, both ways.
+// countedConn counts the bytes of a connection in both directions.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-// Read reads from the connection and counts what came.
+// Read reads from the connection and counts the bytes read.
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write writes to the connection and counts what went.
+// Write writes to the connection and counts the bytes written.
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// newWorkerLink returns a link that dials when it is used.
+// newWorkerLink returns a link that connects on first use.
 func newWorkerLink() *workerLink {
 	link := &workerLink{}
 	var dialer net.Dialer
@@ -58,9 +58,9 @@
 	return link
 }
 
-// link returns the client on which a worker reports to a node. Its connection to another
-// node is closed.
-func (l *loopback) link(host, node string) *http.Client {
+// workerClient returns the client for a worker's heartbeats to a node. When the node changes, it
+// closes the connection to the previous one.
+func (l *loopback) workerClient(host, node string) *http.Client {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
 	link := l.links[host]
@@ -76,13 +76,13 @@
 	return link.client
 }
 
-// tally is a number of messages and their bytes.
+// tally is a number of messages or records and their total size.
 type tally struct {
 	Messages int64 `json:"messages"`
 	Bytes    int64 `json:"bytes"`
 }
 
-// traffic counts messages by kind and by the node that takes part.
+// traffic counts messages by kind and by node.
 type traffic struct {
 	mu    sync.Mutex
 	kinds map[string]*tally
@@ -117,12 +117,12 @@
 	return out
 }
 
-// relayTo returns the address of a relay to another controller's peer port, which counts
-// what passes and lets nothing through while the two are behind a cut.
+// relayTo starts a relay to another controller's peer port and returns its address. The relay
+// counts messages and stops forwarding while the two controllers are partitioned.
 func (p *process) relayTo(o *process) string {
 	ln, err := p.listen()
 	if err != nil {
-		p.complain("%v", err)
+		p.errorf("%v", err)
 		return ""
 	}
 	go func() {
@@ -139,32 +139,33 @@
 
 func (p *process) relayConn(o *process, in net.Conn) {
 	defer in.Close()
-	if !p.awaitOpen(o) {
+	if !p.waitReachable(o) {
 		return
 	}
-	out, err := net.DialTimeout("tcp", o.peers, time.Second)
+	out, err := net.DialTimeout("tcp", o.peerAddr, time.Second)
 	if err != nil {
 		return
 	}
 	defer out.Close()
 	go func() {
-		p.pass(o, out, in, func([]byte) {})
+		p.copyWhileReachable(o, out, in, func([]byte) {})
 		in.Close()
 	}()
 	var lines lineCounter
-	p.pass(o, in, out, func(b []byte) {
-		lines.take(b, func(kind string, size int) { p.traffic.count("peer "+kind, p.n.name, size) })
+	p.copyWhileReachable(o, in, out, func(b []byte) {
+		lines.add(b, func(kind string, size int) { p.traffic.count("peer "+kind, p.n.name, size) })
 	})
 }
 
-// pass copies from one connection to the other until one of them ends.
-func (p *process) pass(o *process, from, to net.Conn, seen func([]byte)) {
+// copyWhileReachable copies from one connection to the other until one of them is closed. It stops
+// copying while the two controllers are partitioned.
+func (p *process) copyWhileReachable(o *process, from, to net.Conn, seen func([]byte)) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
 			seen(buf[:n])
-			if !p.awaitOpen(o) {
+			if !p.waitReachable(o) {
 				return
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
@@ -177,8 +178,9 @@
 	}
 }
 
-// awaitOpen waits until no cut parts the two controllers; false once all is over.
-func (p *process) awaitOpen(o *process) bool {
+// waitReachable waits until the two controllers are not partitioned. It returns false if the
+// loopback is closed first.
+func (p *process) waitReachable(o *process) bool {
 	for {
 		open := false
 		p.with(func() { open = p.net.open(p.n.name, o.n.name) })
@@ -186,42 +188,42 @@
 			return true
 		}
 		select {
-		case <-p.over:
+		case <-p.closed:
 			return false
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-// lineCounter tells the kind and the size of JSON lines that come in pieces.
+// lineCounter determines the kind and size of JSON lines that arrive in pieces.
 type lineCounter struct {
-	head []byte // the beginning of the line
+	head []byte // prefix of the current line
 	size int
 }
 
-// lineHead is so much of a line as surely has its kind.
-const lineHead = 120
+// kindPrefixBytes is the length of a line prefix that always contains the message kind.
+const kindPrefixBytes = 120
 
-func (c *lineCounter) take(b []byte, tell func(kind string, size int)) {
+func (c *lineCounter) add(b []byte, emit func(kind string, size int)) {
 	for len(b) > 0 {
 		end := bytes.IndexByte(b, '\n')
 		part := b
 		if end >= 0 {
 			part = b[:end+1]
 		}
-		if room := lineHead - len(c.head); room > 0 {
+		if room := kindPrefixBytes - len(c.head); room > 0 {
 			c.head = append(c.head, part[:min(room, len(part))]...)
 		}
 		c.size += len(part)
 		b = b[len(part):]
 		if end >= 0 {
-			tell(kindOf(c.head), c.size)
+			emit(messageKind(c.head), c.size)
 			c.head, c.size = c.head[:0], 0
 		}
 	}
 }
 
-func kindOf(head []byte) string {
+func messageKind(head []byte) string {
 	_, rest, ok := bytes.Cut(head, []byte(`"kind":"`))
 	kind, _, end := bytes.Cut(rest, []byte(`"`))
 	if !ok || !end {
