--- a/internal/scenario/drill_test.go
+++ b/internal/scenario/drill_test.go
@@ -155,19 +155,19 @@
 	ps := f.controllers(3, nil)
 	f.leader()
 	f.checkJobCompletes("wk-1")
-	lost := func(id string, kill func()) {
+	loseData := func(id string, kill func()) {
 		j := f.job(id, "tasks=12", "run=4s")
 		f.until("tasks run", func() bool { return f.on(id) > 5 })
 		f.with(func() { f.store.wipe("", true) })
 		kill()
 		f.until(id+" is done", told(spec.Done, j))
 	}
-	lost("wk-2", func() {})
+	loseData("wk-2", func() {})
 	f.checkNoneExited(ps)
 	f.until("an alert", func() bool { return anyLoggedError(ps, "recovering from data loss") })
 	f.until("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
 	l := f.leader()
-	lost("wk-3", l.kill)
+	loseData("wk-3", l.kill)
 	l.start()
 	f.until("all ready again", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
 }
@@ -282,12 +282,12 @@
 // TestDrillStandardError checks that a closed or blocked standard error neither stops nor delays a
 // controller.
 func TestDrillStandardError(t *testing.T) {
-	for _, how := range []string{"closed", "blocked"} {
-		t.Run(how, func(t *testing.T) {
+	for _, mode := range []string{"closed", "blocked"} {
+		t.Run(mode, func(t *testing.T) {
 			f := newFront(t, drillScript)
 			ps := f.controllers(1, func(p *proc) { p.ignoreStderr = true })
 			f.leader()
-			if how == "closed" {
+			if mode == "closed" {
 				ps[0].stderrPipe.Close()
 			}
 			for i := range 60 { // each adds one or two log lines
@@ -385,17 +385,17 @@
 	f.leader()
 	j := f.job("wk-1", "tasks=12", "run=8s")
 	bad := f.job("wk-2", "tasks=2", "run=60s")
-	odd := f.job("wk-3", "tasks=2", "run=60s")
+	wrongType := f.job("wk-3", "tasks=2", "run=60s")
 	f.until("tasks run", func() bool { return f.on("wk-1") > 5 && f.on("wk-2") == 2 && f.on("wk-3") == 2 })
 	l := f.leader()
-	var cut string
+	var partitioned string
 	f.with(func() {
 		for _, m := range f.script.busiest(9) {
 			if len(m.tasks) > 0 && m.tasks[0].job == j {
-				cut = m.host
+				partitioned = m.host
 			}
 		}
-		f.net.split(map[string]bool{cut: true}, nil, true, 9*time.Second)
+		f.net.split(map[string]bool{partitioned: true}, nil, true, 9*time.Second)
 	})
 	var job map[string]any
 	json.Unmarshal(submissionBody(&j.spec), &job)
@@ -420,7 +420,7 @@
 	f.until("the readable job is done", told(spec.Done, j))
 	f.checkNoneExited(ps)
 	for _, p := range ps {
-		for _, b := range []*userJob{bad, odd} {
+		for _, b := range []*userJob{bad, wrongType} {
 			if status, _, _ := p.send("GET", "/v2/runs/"+b.spec.ID, nil); status != 503 {
 				t.Errorf("GET of %s got status %d, want 503", b.spec.ID, status)
 			}
--- a/internal/scenario/loopback.go
+++ b/internal/scenario/loopback.go
@@ -135,19 +135,19 @@
 			status int
 			data   []byte
 		}
-		got := make(chan reply, 8)
+		replies := make(chan reply, 8)
 		l.with(func() {
 			l.net.send(host, node, host, func() {
 				serve(r.Method, r.URL.RequestURI(), body, func(status int, data []byte) {
 					if l.alterResponse != nil {
 						status, data = l.alterResponse(host, r.URL.RequestURI(), status, data)
 					}
-					l.net.send(host+" answer", host, node, func() { got <- reply{status, data} })
+					l.net.send(host+" answer", host, node, func() { replies <- reply{status, data} })
 				})
 			})
 		})
 		select {
-		case a := <-got:
+		case a := <-replies:
 			l.traffic.count(host, node, len(r.RequestURI)+len(body)+len(a.data)+2*httpHeaderBytes)
 			rw.WriteHeader(a.status)
 			rw.Write(a.data)
@@ -168,17 +168,17 @@
 func (l *loopback) serveProbe(rw http.ResponseWriter, r *http.Request) {
 	var c struct{ Epoch, Tenure uint64 }
 	json.NewDecoder(r.Body).Decode(&c)
-	got := make(chan heartbeat.ProbeReply, 1)
+	replies := make(chan heartbeat.ProbeReply, 1)
 	l.with(func() {
 		if m := l.workers[strings.Split(r.URL.Path, "/")[1]]; m != nil && l.net.open(m.host, unpartitionedHost) {
 			m.do(func() {
 				outcome, rep := m.command(c.Epoch, c.Tenure)
-				got <- heartbeat.ProbeReply{Outcome: outcome, Report: rep}
+				replies <- heartbeat.ProbeReply{Outcome: outcome, Report: rep}
 			})
 		}
 	})
 	select {
-	case a := <-got:
+	case a := <-replies:
 		if a.Outcome != rpc.OK {
 			rw.WriteHeader(http.StatusConflict)
 		}
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -79,10 +79,10 @@
 }
 
 // startControllers starts the controllers and the world's clock.
-func (l *loopback) startControllers(how launchOptions) []*process {
-	addresses := l.freeAddresses(2 * how.count)
-	for i := range how.count {
-		p := &process{loopback: l, program: how.program(i), arguments: how.arguments, logLevel: how.logLevel, zone: how.zone(i),
+func (l *loopback) startControllers(opts launchOptions) []*process {
+	addresses := l.freeAddresses(2 * opts.count)
+	for i := range opts.count {
+		p := &process{loopback: l, program: opts.program(i), arguments: opts.arguments, logLevel: opts.logLevel, zone: opts.zone(i),
 			clientAddr: addresses[2*i], peerAddr: addresses[2*i+1], http: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 		p.n = &node{world: l.world, name: fmt.Sprintf("n%d", i), process: p}
 		l.processes = append(l.processes, p)
@@ -94,11 +94,11 @@
 	go l.runClock()
 	for _, p := range l.processes {
 		p.config = filepath.Join(l.dir, p.n.name+".toml")
-		if err := os.WriteFile(p.config, p.settingsTOML(how), 0o644); err != nil {
+		if err := os.WriteFile(p.config, p.settingsTOML(opts), 0o644); err != nil {
 			l.errorf("%v", err)
 		}
-		if how.beforeStart != nil {
-			how.beforeStart(p)
+		if opts.beforeStart != nil {
+			opts.beforeStart(p)
 		}
 		p.start()
 		go p.pollReady()
@@ -107,10 +107,10 @@
 }
 
 // settingsTOML returns the process's settings file.
-func (p *process) settingsTOML(how launchOptions) []byte {
+func (p *process) settingsTOML(opts launchOptions) []byte {
 	extra := extraSettings{cpuShare: 0.5, memMB: 200}
-	if how.editSettings != nil {
-		how.editSettings(&extra)
+	if opts.editSettings != nil {
+		opts.editSettings(&extra)
 	}
 	s := p.cfg.Settings
 	var sb bytes.Buffer
@@ -118,7 +118,7 @@
 	for _, o := range p.processes {
 		if o != p {
 			endpoint := o.peerAddr
-			if how.relayPeers {
+			if opts.relayPeers {
 				endpoint = p.relayTo(o)
 			}
 			fmt.Fprintf(&sb, "[[seeds]]\nhost_name = %q\nsite = %q\nendpoint = %q\n", o.n.name, o.zone, endpoint)
@@ -128,7 +128,7 @@
 		p.store.serve(p.n.name, method, path, body, answer)
 	})
 	fmt.Fprintf(&sb, "[external]\ncloud = %q\nstate = %q\n[settings]\nnodes = %d\nzones = [\"%s\"]\n",
-		p.serveExternal(p.n.name, "cloud", p.cloud.serve), state, how.count, strings.Join(s.Zones, `", "`))
+		p.serveExternal(p.n.name, "cloud", p.cloud.serve), state, opts.count, strings.Join(s.Zones, `", "`))
 	for _, t := range s.Teams {
 		fmt.Fprintf(&sb, "[[settings.teams]]\nname = %q\ncpus = %g\ncpus_max = %g\n", t.Name, t.CPUs, t.CPUsMax)
 	}
@@ -144,8 +144,8 @@
 
 // start starts the process, collects its log and records when it exits.
 func (p *process) start() {
-	words := append([]string{p.program}, p.arguments...)
-	p.cmd = exec.Command("/bin/sh", "-c", p.shellPrefix+" exec "+strings.Join(words, " ")+" --config "+p.config)
+	command := append([]string{p.program}, p.arguments...)
+	p.cmd = exec.Command("/bin/sh", "-c", p.shellPrefix+" exec "+strings.Join(command, " ")+" --config "+p.config)
 	p.cmd.Env = append(os.Environ(), "LOG_LEVEL="+p.logLevel)
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -322,21 +322,21 @@
 
 func (p *process) sendUserRequest(in request.Request) request.Response {
 	var status int
-	var head http.Header
+	var header http.Header
 	var data []byte
 	switch in.Op {
 	case request.Submit:
-		status, head, data = p.send("POST", "/v2/runs", submissionBody(in.Spec))
+		status, header, data = p.send("POST", "/v2/runs", submissionBody(in.Spec))
 	case request.Get:
-		status, head, data = p.send("GET", "/v2/runs/"+in.ID, nil)
+		status, header, data = p.send("GET", "/v2/runs/"+in.ID, nil)
 	case request.Cancel:
-		status, head, data = p.send("POST", "/v2/runs/"+in.ID+"/cancel", nil)
+		status, header, data = p.send("POST", "/v2/runs/"+in.ID+"/cancel", nil)
 	case request.ConfigSet:
-		status, head, data = p.send("POST", "/v2/config", encode(in.Config))
+		status, header, data = p.send("POST", "/v2/config", encode(in.Config))
 	case request.ConfigHere:
-		status, head, data = p.send("GET", "/v2/config/here", nil)
+		status, header, data = p.send("GET", "/v2/config/here", nil)
 	}
-	after, _ := strconv.Atoi(head.Get("Retry-After"))
+	after, _ := strconv.Atoi(header.Get("Retry-After"))
 	if in.Config != nil {
 		return request.Response{Status: status, RetryAfter: time.Duration(after) * time.Second, Reason: string(data), Doc: parseConfigResponse(in.Op, data)}
 	}
@@ -351,13 +351,13 @@
 
 // parseConfigResponse decodes a response of the configuration API. It returns nil if that fails.
 func parseConfigResponse(op request.Operation, data []byte) any {
-	var made view.ConfigChanged
-	var here view.LocalConfig
-	if op == request.ConfigSet && json.Unmarshal(data, &made) == nil {
-		return made
+	var changed view.ConfigChanged
+	var local view.LocalConfig
+	if op == request.ConfigSet && json.Unmarshal(data, &changed) == nil {
+		return changed
 	}
-	if op == request.ConfigHere && json.Unmarshal(data, &here) == nil {
-		return here
+	if op == request.ConfigHere && json.Unmarshal(data, &local) == nil {
+		return local
 	}
 	return nil
 }
--- a/internal/scenario/scale.go
+++ b/internal/scenario/scale.go
@@ -222,18 +222,18 @@
 	}
 	zones := r.plan.zonesOf(region)
 	r.with(func() {
-		behind := map[string]bool{}
+		isolated := map[string]bool{}
 		for _, m := range r.cloud.machines {
 			for _, zone := range zones {
-				behind[m.host] = behind[m.host] || m.zone == zone
+				isolated[m.host] = isolated[m.host] || m.zone == zone
 			}
 		}
 		for _, p := range r.processes {
 			for _, zone := range zones {
-				behind[p.n.name] = behind[p.n.name] || p.zone == zone
+				isolated[p.n.name] = isolated[p.n.name] || p.zone == zone
 			}
 		}
-		r.net.split(behind, nil, true, r.plan.CutRegion, zones...)
+		r.net.split(isolated, nil, true, r.plan.CutRegion, zones...)
 	})
 	r.progress("partitioning region %s (%d zones) for %s", region, len(zones), r.plan.CutRegion)
 }
--- a/internal/scenario/scale_plan.go
+++ b/internal/scenario/scale_plan.go
@@ -55,9 +55,9 @@
 
 // Validate returns a *PlanError if a field is out of range.
 func (p *ScalePlan) Validate() error {
-	between := func(field string, v, least, most float64) error {
-		if !(v >= least && v <= most) {
-			return &PlanError{field, fmt.Sprintf("must be %g to %g, is %g", least, most, v)}
+	between := func(field string, v, low, high float64) error {
+		if !(v >= low && v <= high) {
+			return &PlanError{field, fmt.Sprintf("must be %g to %g, is %g", low, high, v)}
 		}
 		return nil
 	}
@@ -104,12 +104,12 @@
 // ShrinkToFit reduces the plan until it fits the given memory and number of open files. It returns
 // a description of the reduction, or "" if the plan fits.
 func (p *ScalePlan) ShrinkToFit(memoryBytes uint64, files uint64) string {
-	asked := *p
+	requested := *p
 	for {
-		need := float64(simulatorBytes) + float64(p.Workers)*workerBytes + (float64(p.Running)+p.Tasks*p.Hold.Seconds())*taskBytes +
+		requiredBytes := float64(simulatorBytes) + float64(p.Workers)*workerBytes + (float64(p.Running)+p.Tasks*p.Hold.Seconds())*taskBytes +
 			float64(p.Controllers)*p.MemoryMB*(1<<20)
-		open := uint64(p.Workers*filesPerWorker + reservedFiles)
-		if need <= maxMemoryFraction*float64(memoryBytes) && open <= files || p.Workers == 1 {
+		openFiles := uint64(p.Workers*filesPerWorker + reservedFiles)
+		if requiredBytes <= maxMemoryFraction*float64(memoryBytes) && openFiles <= files || p.Workers == 1 {
 			break
 		}
 		p.Workers = max(1, p.Workers*9/10)
@@ -117,11 +117,11 @@
 		p.Jobs *= 0.9
 		p.Running = max(1, p.Running*9/10)
 	}
-	if p.Workers == asked.Workers {
+	if p.Workers == requested.Workers {
 		return ""
 	}
 	return fmt.Sprintf("%d workers exceed half of %d MB of memory or %d open files: reduced to %d workers, %.0f tasks per second, %d running tasks",
-		asked.Workers, memoryBytes>>20, files, p.Workers, p.Tasks, p.Running)
+		requested.Workers, memoryBytes>>20, files, p.Workers, p.Tasks, p.Running)
 }
 
 // machineLimits returns the machine's memory in bytes and the open-file limit of this process.
@@ -241,9 +241,9 @@
 	for i := range p.Zones {
 		set.Zones = append(set.Zones, p.zoneName(i))
 	}
-	each := p.cpusInUse() / float64(p.Teams)
+	cpusPerTeam := p.cpusInUse() / float64(p.Teams)
 	for i := range p.Teams {
-		set.Teams = append(set.Teams, config.Team{Name: p.teamName(i), CPUs: math.Ceil(each * guaranteeFactor), CPUsMax: math.Ceil(each*quotaLimitFactor) + 64})
+		set.Teams = append(set.Teams, config.Team{Name: p.teamName(i), CPUs: math.Ceil(cpusPerTeam * guaranteeFactor), CPUsMax: math.Ceil(cpusPerTeam*quotaLimitFactor) + 64})
 	}
 	set.Objectives = []config.Objective{
 		{Kind: "deadline", Class: "alert", Share: 0.97, Times: 1},
--- a/internal/scenario/scale_report.go
+++ b/internal/scenario/scale_report.go
@@ -80,7 +80,7 @@
 	m := &r.measures
 	hold := m.atHoldEnd.at.Sub(m.atHoldStart.at)
 	out := &ScaleReport{Plan: r.plan, HoldSeconds: hold.Seconds(), Accept: map[string]Quantiles{}, Start: map[string]Quantiles{}, Messages: map[string]tally{}}
-	per := func(n int) float64 { return float64(n) / hold.Seconds() }
+	perSecond := func(n int) float64 { return float64(n) / hold.Seconds() }
 	r.with(func() {
 		for _, j := range r.order {
 			out.Jobs++
@@ -105,21 +105,21 @@
 	}
 	out.UrgentLate = float64(m.lateUrgentStarts) / float64(max(1, m.startLatency[spec.Urgent].TotalCount()))
 	out.ConfigAccepted, out.ConfigApplied = m.configAccepted.quantiles(), m.configApplied.quantiles()
-	out.Starts, out.Running, out.Killed = per(m.atHoldEnd.started-m.atHoldStart.started), m.atHoldEnd.running, m.atHoldEnd.killed-m.atHoldStart.killed
+	out.Starts, out.Running, out.Killed = perSecond(m.atHoldEnd.started-m.atHoldStart.started), m.atHoldEnd.running, m.atHoldEnd.killed-m.atHoldStart.killed
 	for _, p := range r.processes {
 		u := m.nodes[p.n.name]
 		out.Controllers = append(out.Controllers, ControllerUsage{p.n.name, u.leaderTime.Seconds(), u.cpuTime.Seconds() / hold.Seconds(), u.peakCores, megabytes(u.memory), megabytes(u.peakMemory)})
 	}
-	out.State = StoreUsage{per(m.atHoldEnd.requests - m.atHoldStart.requests), per(m.atHoldEnd.writes - m.atHoldStart.writes), per(m.atHoldEnd.rejected - m.atHoldStart.rejected), map[string]float64{}}
+	out.State = StoreUsage{perSecond(m.atHoldEnd.requests - m.atHoldStart.requests), perSecond(m.atHoldEnd.writes - m.atHoldStart.writes), perSecond(m.atHoldEnd.rejected - m.atHoldStart.rejected), map[string]float64{}}
 	for kind, n := range m.atHoldEnd.writesByKind {
-		out.State.ByKind[kind] = per(n - m.atHoldStart.writesByKind[kind])
+		out.State.ByKind[kind] = perSecond(n - m.atHoldStart.writesByKind[kind])
 	}
 	out.Records = m.atHoldEnd.recordsByKind
 	bytes := ratesPerWorker(m.atHoldStart.bytes, m.atHoldEnd.bytes, hold)
 	out.Worker = WorkerUsage{Heartbeats: mean(ratesPerWorker(m.atHoldStart.reports, m.atHoldEnd.reports, hold)), Bytes: mean(bytes), BytesP99: quantile(bytes, 0.99), BytesMax: quantile(bytes, 1), OverBudget: fractionAbove(bytes, workerBytesBudget)}
 	for kind, x := range m.atHoldEnd.traffic {
-		was := m.atHoldStart.traffic[kind]
-		out.Messages[kind] = tally{int64(per(int(x.Messages - was.Messages))), int64(per(int(x.Bytes - was.Bytes)))}
+		before := m.atHoldStart.traffic[kind]
+		out.Messages[kind] = tally{int64(perSecond(int(x.Messages - before.Messages))), int64(perSecond(int(x.Bytes - before.Bytes)))}
 	}
 	r.errorsMu.Lock()
 	out.Errors = slices.Clone(r.errors)
