--- a/internal/scenario/drill_test.go
+++ b/internal/scenario/drill_test.go
@@ -63,7 +63,7 @@
 	f.t.Helper()
 	for _, p := range ps {
 		if !p.runs() {
-			f.t.Fatalf("%s has exited:\n%s", p.n.name, strings.Join(p.lastLogLines(30), "\n"))
+			f.t.Fatalf("%s has exited:\n%s", p.node.name, strings.Join(p.lastLogLines(30), "\n"))
 		}
 	}
 }
@@ -108,7 +108,7 @@
 		var all sync.WaitGroup
 		for i, p := range ps {
 			for _, line := range append([]string{"null", "{}"}, lines...) {
-				all.Go(func() { p.sendPeerLines(`{"from":"` + ps[(i+1)%len(ps)].n.name + `",` + line) })
+				all.Go(func() { p.sendPeerLines(`{"from":"` + ps[(i+1)%len(ps)].node.name + `",` + line) })
 			}
 		}
 		all.Wait()
@@ -551,7 +551,7 @@
 		case (status == 503 || status == 0) && time.Since(p.started) < maxUnavailable:
 			time.Sleep(20 * time.Millisecond)
 		default:
-			p.errorf("job %s: got status %d %s from %s %s after its start, want status 200 and done", id, status, data, p.n.name, time.Since(p.started))
+			p.errorf("job %s: got status %d %s from %s %s after its start, want status 200 and done", id, status, data, p.node.name, time.Since(p.started))
 			return
 		}
 	}
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -27,7 +27,7 @@
 // process is a controller that runs as a process of the real program.
 type process struct {
 	*loopback
-	n                    *node
+	node                 *node
 	zone                 string
 	program              string
 	arguments            []string // in addition to --config
@@ -84,16 +84,16 @@
 	for i := range opts.count {
 		p := &process{loopback: l, program: opts.program(i), arguments: opts.arguments, logLevel: opts.logLevel, zone: opts.zone(i),
 			clientAddr: addresses[2*i], peerAddr: addresses[2*i+1], http: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
-		p.n = &node{world: l.world, name: fmt.Sprintf("n%d", i), process: p}
+		p.node = &node{world: l.world, name: fmt.Sprintf("n%d", i), process: p}
 		l.processes = append(l.processes, p)
-		l.nodes = append(l.nodes, p.n)
+		l.nodes = append(l.nodes, p.node)
 	}
 	for _, a := range l.script.actions { // machines that run from the start
 		l.script.act(a.what)
 	}
 	go l.runClock()
 	for _, p := range l.processes {
-		p.config = filepath.Join(l.dir, p.n.name+".toml")
+		p.config = filepath.Join(l.dir, p.node.name+".toml")
 		if err := os.WriteFile(p.config, p.settingsTOML(opts), 0o644); err != nil {
 			l.errorf("%v", err)
 		}
@@ -114,21 +114,21 @@
 	}
 	s := p.cfg.Settings
 	var sb bytes.Buffer
-	fmt.Fprintf(&sb, "host_name = %q\nsite = %q\nclient_listen = %q\npeer_bind = %q\n", p.n.name, p.zone, p.clientAddr, p.peerAddr)
+	fmt.Fprintf(&sb, "host_name = %q\nsite = %q\nclient_listen = %q\npeer_bind = %q\n", p.node.name, p.zone, p.clientAddr, p.peerAddr)
 	for _, o := range p.processes {
 		if o != p {
 			endpoint := o.peerAddr
 			if opts.relayPeers {
 				endpoint = p.relayTo(o)
 			}
-			fmt.Fprintf(&sb, "[[seeds]]\nhost_name = %q\nsite = %q\nendpoint = %q\n", o.n.name, o.zone, endpoint)
+			fmt.Fprintf(&sb, "[[seeds]]\nhost_name = %q\nsite = %q\nendpoint = %q\n", o.node.name, o.zone, endpoint)
 		}
 	}
-	state := p.serveExternal(p.n.name, "state", func(method, path string, body []byte, answer func(int, []byte)) {
-		p.store.serve(p.n.name, method, path, body, answer)
+	state := p.serveExternal(p.node.name, "state", func(method, path string, body []byte, answer func(int, []byte)) {
+		p.store.serve(p.node.name, method, path, body, answer)
 	})
 	fmt.Fprintf(&sb, "[external]\ncloud = %q\nstate = %q\n[settings]\nnodes = %d\nzones = [\"%s\"]\n",
-		p.serveExternal(p.n.name, "cloud", p.cloud.serve), state, opts.count, strings.Join(s.Zones, `", "`))
+		p.serveExternal(p.node.name, "cloud", p.cloud.serve), state, opts.count, strings.Join(s.Zones, `", "`))
 	for _, t := range s.Teams {
 		fmt.Fprintf(&sb, "[[settings.teams]]\nname = %q\ncpus = %g\ncpus_max = %g\n", t.Name, t.CPUs, t.CPUsMax)
 	}
@@ -163,7 +163,7 @@
 	w.Close()
 	cmd, exited := p.cmd, make(chan struct{})
 	p.exited, p.started = exited, time.Now()
-	p.with(func() { p.n.alive = true })
+	p.with(func() { p.node.alive = true })
 	if !p.ignoreStderr {
 		go func() {
 			for sc := bufio.NewScanner(r); sc.Scan(); {
@@ -175,7 +175,7 @@
 	}
 	go func() {
 		cmd.Wait()
-		p.with(func() { p.n.alive = p.cmd != cmd && p.n.alive })
+		p.with(func() { p.node.alive = p.cmd != cmd && p.node.alive })
 		close(exited)
 	}()
 }
@@ -295,7 +295,7 @@
 
 // sendHeartbeat sends a heartbeat over the worker's own connection.
 func (p *process) sendHeartbeat(rep heartbeat.Report) heartbeat.Reply {
-	status, _, data := p.sendWith(p.workerClient(rep.Host, p.n.name), "POST", "/hello", heartbeatBody(rep))
+	status, _, data := p.sendWith(p.workerClient(rep.Host, p.node.name), "POST", "/hello", heartbeatBody(rep))
 	var r struct {
 		Epoch    uint64
 		Upstream string
--- a/internal/scenario/scale.go
+++ b/internal/scenario/scale.go
@@ -194,7 +194,7 @@
 func (r *scaleRun) injectFaults() {
 	l := r.leader()
 	if r.plan.KillLeader && l != nil {
-		r.progress("killing the leader, %s", l.n.name)
+		r.progress("killing the leader, %s", l.node.name)
 		l.kill()
 		go func() {
 			time.Sleep(3 * time.Second)
@@ -230,7 +230,7 @@
 		}
 		for _, p := range r.processes {
 			for _, zone := range zones {
-				isolated[p.n.name] = isolated[p.n.name] || p.zone == zone
+				isolated[p.node.name] = isolated[p.node.name] || p.zone == zone
 			}
 		}
 		r.net.split(isolated, nil, true, r.plan.CutRegion, zones...)
--- a/internal/scenario/scale_measures.go
+++ b/internal/scenario/scale_measures.go
@@ -113,7 +113,7 @@
 	m.configAccepted, m.configApplied = newLatencyHistogram(), newLatencyHistogram()
 	m.nodes = map[string]*nodeUsage{}
 	for _, p := range r.processes {
-		m.nodes[p.n.name] = &nodeUsage{}
+		m.nodes[p.node.name] = &nodeUsage{}
 	}
 	r.with(func() { r.world.onStart = r.recordStart })
 }
@@ -167,7 +167,7 @@
 		return
 	}
 	for _, p := range r.processes {
-		u := m.nodes[p.n.name]
+		u := m.nodes[p.node.name]
 		if !p.runs() {
 			continue
 		}
--- a/internal/scenario/scale_report.go
+++ b/internal/scenario/scale_report.go
@@ -107,8 +107,8 @@
 	out.ConfigAccepted, out.ConfigApplied = m.configAccepted.quantiles(), m.configApplied.quantiles()
 	out.Starts, out.Running, out.Killed = perSecond(m.atHoldEnd.started-m.atHoldStart.started), m.atHoldEnd.running, m.atHoldEnd.killed-m.atHoldStart.killed
 	for _, p := range r.processes {
-		u := m.nodes[p.n.name]
-		out.Controllers = append(out.Controllers, ControllerUsage{p.n.name, u.leaderTime.Seconds(), u.cpuTime.Seconds() / hold.Seconds(), u.peakCores, megabytes(u.memory), megabytes(u.peakMemory)})
+		u := m.nodes[p.node.name]
+		out.Controllers = append(out.Controllers, ControllerUsage{p.node.name, u.leaderTime.Seconds(), u.cpuTime.Seconds() / hold.Seconds(), u.peakCores, megabytes(u.memory), megabytes(u.peakMemory)})
 	}
 	out.State = StoreUsage{perSecond(m.atHoldEnd.requests - m.atHoldStart.requests), perSecond(m.atHoldEnd.writes - m.atHoldStart.writes), perSecond(m.atHoldEnd.rejected - m.atHoldStart.rejected), map[string]float64{}}
 	for kind, n := range m.atHoldEnd.writesByKind {
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -153,7 +153,7 @@
 	}()
 	var lines lineCounter
 	p.copyWhileReachable(o, in, out, func(b []byte) {
-		lines.add(b, func(kind string, size int) { p.traffic.count("peer "+kind, p.n.name, size) })
+		lines.add(b, func(kind string, size int) { p.traffic.count("peer "+kind, p.node.name, size) })
 	})
 }
 
@@ -183,7 +183,7 @@
 func (p *process) waitReachable(o *process) bool {
 	for {
 		open := false
-		p.with(func() { open = p.net.open(p.n.name, o.n.name) })
+		p.with(func() { open = p.net.open(p.node.name, o.node.name) })
 		if open {
 			return true
 		}
