--- a/cmd/yewlab/main.go
+++ b/cmd/yewlab/main.go
@@ -63,12 +63,12 @@
 
 // measureHeartbeatCost measures what sending a heartbeat costs a worker. It runs this program again
 // with the heartbeat load command as a separate process.
-func measureHeartbeatCost(ctx context.Context) (cost scenario.ReportCost, err error) {
+func measureHeartbeatCost(ctx context.Context) (cost scenario.HeartbeatCost, err error) {
 	self, err := os.Executable()
 	if err != nil {
 		return cost, err
 	}
-	return scenario.MeasureReportCost(ctx, self, heartbeatLoadName)
+	return scenario.MeasureHeartbeatCost(ctx, self, heartbeatLoadName)
 }
 
 // heartbeatLoadName is the name of the hidden command that measureHeartbeatCost runs.
@@ -77,7 +77,7 @@
 // heartbeatLoadCommand sends heartbeats to an address and prints their cost as JSON.
 func heartbeatLoadCommand() *cobra.Command {
 	return &cobra.Command{Use: heartbeatLoadName + " ADDRESS", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		cost, err := scenario.MakeReports(args[0])
+		cost, err := scenario.SendHeartbeats(args[0])
 		if err != nil {
 			return err
 		}
@@ -86,7 +86,7 @@
 }
 
 func scaleCommand() *cobra.Command {
-	plan := scenario.PlannedSize()
+	plan := scenario.DefaultScalePlan()
 	var programs []string
 	var asJSON bool
 	cmd := &cobra.Command{
@@ -98,7 +98,7 @@
 			"  yewlab scale --kill-leader --cut-region 90s",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			progress := func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
-			report, err := scenario.Scale(cmd.Context(), plan, programs, progress)
+			report, err := scenario.RunScaleTest(cmd.Context(), plan, programs, progress)
 			if err != nil {
 				return err
 			}
--- a/internal/scenario/front_test.go
+++ b/internal/scenario/front_test.go
@@ -87,7 +87,7 @@
 	}
 	if !ok {
 		for _, n := range f.nodes {
-			f.t.Logf("last log lines of %s:\n%s", n.name, strings.Join(n.process.(*proc).tail(25), "\n"))
+			f.t.Logf("last log lines of %s:\n%s", n.name, strings.Join(n.process.(*proc).lastLogLines(25), "\n"))
 		}
 		f.t.Fatalf("condition not met within 90 s: %s", what)
 	}
@@ -100,7 +100,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return f.startControllers(launch{count: n, program: func(int) string { return path }, logLevel: "debug", site: func(int) string { return "a" }, change: change})
+	return f.startControllers(launchOptions{count: n, program: func(int) string { return path }, logLevel: "debug", zone: func(int) string { return "a" }, beforeStart: change})
 }
 
 // job submits a job with the arguments of a script's submit action.
@@ -116,7 +116,7 @@
 // currentLeader returns the process that is leader with authority, or nil.
 func (f *testCluster) currentLeader() *proc {
 	for _, n := range f.nodes {
-		if p := n.process.(*proc); p.leads() {
+		if p := n.process.(*proc); p.isLeader() {
 			return p
 		}
 	}
