--- a/internal/scenario/config_drill_test.go
+++ b/internal/scenario/config_drill_test.go
@@ -44,7 +44,7 @@
 	}
 	run("revision 1\n", "[[teams]]\nname = \"t\"\ncpus_max = 3.0\n", append([]string{"config", "set", "-"}, node(0)...)...)
 	run("t     0     3", "", append([]string{"config", "list"}, node(1)...)...)
-	run("teams[0].cpus: 9 is more than cpusMax, 3", "[[teams]]\nname = \"t\"\ncpus = 9.0\ncpus_max = 3.0\n", append([]string{"config", "set", "-"}, node(1)...)...)
+	run("teams[0].cpus: 9 exceeds cpusMax, which is 3", "[[teams]]\nname = \"t\"\ncpus = 9.0\ncpus_max = 3.0\n", append([]string{"config", "set", "-"}, node(1)...)...)
 	run("cpux: no such", "[[teams]]\nname = \"t\"\ncpux = 9.0\n", append([]string{"config", "set", "-"}, node(1)...)...)
 	run("412", "[[teams]]\nname = \"t\"\ncpus_max = 5.0\n", append([]string{"config", "set", "-", "--if-revision", "0"}, node(2)...)...)
 	run("revision 2", "[[teams]]\nname = \"u\"\nretired = true\n", append([]string{"config", "set", "-"}, node(2)...)...)
