--- a/internal/admission/admitter.go
+++ b/internal/admission/admitter.go
@@ -35,8 +35,8 @@
 
 // Leader is implemented by the leader on whose behalf an Admitter accepts jobs.
 type Leader interface {
-	// CanAct reports whether the leader holds its lease and has loaded the stored records.
-	CanAct() bool
+	// IsActive reports whether the leader holds its lease and has loaded the stored records.
+	IsActive() bool
 	// Serve handles a client request of any kind.
 	Serve(r request.Request)
 	// Lateness returns by how much a job with a deadline is expected to miss it.
@@ -89,7 +89,7 @@
 	a.engine.Emit(peermsg.Reply(r, response))
 }
 
-func (a *Admitter) answerWaiters(s *submission, response request.Response) {
+func (a *Admitter) answerSubmission(s *submission, response request.Response) {
 	for _, r := range s.waiters {
 		a.answer(r, response)
 	}
@@ -100,7 +100,7 @@
 // in order of job ID.
 func (a *Admitter) AnswerWaiting(response request.Response) {
 	for _, id := range slices.Sorted(maps.Keys(a.pending)) {
-		a.answerWaiters(a.pending[id], response)
+		a.answerSubmission(a.pending[id], response)
 	}
 }
 
@@ -164,12 +164,12 @@
 		OnCommit: func(uint64) {
 			delete(a.pending, job.ID)
 			j := a.AddCommitted(rec)
-			a.answerWaiters(s, request.Response{Status: 201, Job: j.View()})
+			a.answerSubmission(s, request.Response{Status: 201, Job: j.View()})
 		},
 		OnConflict: func() { a.resolveConflict(s) },
 		OnReject: func() {
 			delete(a.pending, job.ID)
-			a.answerWaiters(s, request.Unavailable("the state service rejects the record"))
+			a.answerSubmission(s, request.Unavailable("the state service rejects the record"))
 		},
 	})
 }
@@ -189,7 +189,7 @@
 func (a *Admitter) resolveConflict(s *submission) {
 	id := s.job.ID
 	retry := func() {
-		a.answerWaiters(s, request.Unavailable(storeUnavailable))
+		a.answerSubmission(s, request.Unavailable(storeUnavailable))
 		a.scope.After(conflictRetryDelay, func() { a.resolveConflict(s) })
 	}
 	a.Lifecycle.Store.Read(id, func(status *request.JobStatus, known bool) {
@@ -199,12 +199,12 @@
 			retry()
 		case status.State.Final():
 			delete(a.pending, id)
-			a.answerWaiters(s, request.Response{Status: 200, Job: *status})
+			a.answerSubmission(s, request.Response{Status: 200, Job: *status})
 		default:
 			a.adopt(id, func() {
 				delete(a.pending, id)
 				if j := a.Lifecycle.Jobs[id]; j != nil {
-					a.answerWaiters(s, request.Response{Status: 200, Job: j.View()})
+					a.answerSubmission(s, request.Response{Status: 200, Job: j.View()})
 				}
 			}, retry)
 		}
--- a/internal/admission/records.go
+++ b/internal/admission/records.go
@@ -24,15 +24,15 @@
 	unavailable := func() { a.answer(r, request.Unavailable(storeUnavailable)) }
 	a.Lifecycle.Store.Read(r.ID, func(status *request.JobStatus, known bool) {
 		switch {
-		case a.scope.Closed() || !a.leader.CanAct() || !known:
+		case a.scope.Closed() || !a.leader.IsActive() || !known:
 			unavailable()
 		case a.Lifecycle.Jobs[r.ID] != nil || a.pending[r.ID] != nil:
 			a.leader.Serve(r) // accepted since the read was sent
 		case status == nil && a.leader.MayHaveLostJobs():
-			a.answer(r, request.Unavailable("data was lost, and what there is is being looked for"))
+			a.answer(r, request.Unavailable("the state service may have lost data, and jobs are still being restored"))
 		case status == nil:
 			a.leader.ConfirmTerm(record.JobAbsent(r.ID), func(reply kv.Response) {
-				if reply.Outcome == rpc.OK && a.leader.CanAct() {
+				if reply.Outcome == rpc.OK && a.leader.IsActive() {
 					missing()
 				} else {
 					unavailable()
@@ -61,7 +61,7 @@
 			j := a.Lifecycle.Add(rec, false)
 			a.Lifecycle.Queue(j)
 			if s != nil { // another controller wrote the record; no callback responds to the waiters
-				a.answerWaiters(s, request.Response{Status: 200, Job: j.View()})
+				a.answerSubmission(s, request.Response{Status: 200, Job: j.View()})
 			}
 		}
 		if a.Lifecycle.Jobs[id] == nil {
--- a/internal/autoscaler/arrivals.go
+++ b/internal/autoscaler/arrivals.go
@@ -40,7 +40,7 @@
 
 // BurstReserve returns the CPU capacity, in thousandths of a CPU, to keep free for jobs that
 // must start at once: the given share of their average size, or 0 if none arrived within
-// quota.ArrivalMemory.
+// quota.ArrivalTimeConstant.
 func (a *Autoscaler) BurstReserve(share float64) int64 {
 	if a.Now.Sub(a.lastBurstAt) > quota.ArrivalTimeConstant {
 		return 0
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -28,8 +28,8 @@
 	Zone(name string) *zones.Zone
 	// Estimate returns the expected runtime of one task of a job.
 	Estimate(j *fleet.Job) time.Duration
-	// CanAct reports whether the leader's lease is valid and the records are loaded.
-	CanAct() bool
+	// IsActive reports whether the leader's lease is valid and the records are loaded.
+	IsActive() bool
 	// MaxMachines returns the number of machines that the controllers can serve.
 	MaxMachines() int
 	// Term returns the leader's term and the era of the store's data in which it was elected.
@@ -50,8 +50,8 @@
 	// DropReservations cancels the reservations on a machine, so that the tasks are placed
 	// on other machines.
 	DropReservations(m *fleet.Machine)
-	// Dispatch requests that waiting tasks be started on the available machines.
-	Dispatch()
+	// RequestDispatchAll requests that waiting tasks be started on the available machines.
+	RequestDispatchAll()
 }
 
 // Config holds the dependencies and settings of an Autoscaler.
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -64,7 +64,7 @@
 // SendReleases asks the cloud to release queued machines, up to maxReleasesPerCall per call,
 // with one call in flight at a time. Unconfirmed releases are retried by the next call.
 func (a *Autoscaler) SendReleases() {
-	if a.releaseInFlight || len(a.toRelease) == 0 || !a.state.CanAct() || !a.callLimit.AllowN(a.Now, 1) {
+	if a.releaseInFlight || len(a.toRelease) == 0 || !a.state.IsActive() || !a.callLimit.AllowN(a.Now, 1) {
 		return
 	}
 	a.releaseInFlight = true
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -216,7 +216,7 @@
 		if len(r.Hosts) < p.count {
 			a.noCapacityUntil[p.Offer] = a.Now.Add(a.Jitter(noCapacityPause))
 		}
-		a.inventory.Dispatch()
+		a.inventory.RequestDispatchAll()
 	case rpc.Refused:
 		delete(a.pending, name)
 		a.state.Zone(p.Zone).ProbeRefused(a.Now)
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -20,7 +20,7 @@
 // onDemandBacklog, it also requests on-demand instances for work that allows spot instances if
 // no spot capacity is available.
 func (a *Autoscaler) ScaleOut(targetBacklog, onDemandBacklog time.Duration) {
-	if len(a.InstanceTypes) == 0 || !a.state.CanAct() {
+	if len(a.InstanceTypes) == 0 || !a.state.IsActive() {
 		return
 	}
 	if !a.requestForUnplaceableJob() {
--- a/internal/configmanager/manager.go
+++ b/internal/configmanager/manager.go
@@ -35,8 +35,8 @@
 	// SinceConfirmed returns the time since the key-value store last confirmed that the
 	// configuration is the newest.
 	SinceConfirmed() time.Duration
-	// HasLink reports whether the leader has a connection to another controller.
-	HasLink(node string) bool
+	// IsLinked reports whether the leader has a connection to another controller.
+	IsLinked(node string) bool
 	// NewestReplica returns the newest replica of the stored records, or nil.
 	NewestReplica() *replica.Replica
 	// RestoresConfig reports whether configuration records still have to be restored after
--- a/internal/configmanager/node.go
+++ b/internal/configmanager/node.go
@@ -26,10 +26,10 @@
 	return &Node{engine: e, base: baseState(cfg)}
 }
 
-// AskLeaderVersion asks the known leader for its protocol version. This process may not
+// RequestLeaderVersion asks the known leader for its protocol version. This process may not
 // have received it, because it knows the leader only from the leader's record or because
 // the node has restarted since.
-func (n *Node) AskLeaderVersion(leader string, highestTerm uint64) {
+func (n *Node) RequestLeaderVersion(leader string, highestTerm uint64) {
 	n.engine.Emit(peermsg.Outgoing{To: leader, Msg: peermsg.Message{Kind: peermsg.Ack, Term: max(1, highestTerm), Ref: peermsg.VersionRequest, Version: peermsg.Version}})
 }
 
--- a/internal/configmanager/peers.go
+++ b/internal/configmanager/peers.go
@@ -43,20 +43,20 @@
 	if m.state.Revision == 0 {
 		return
 	}
-	m.askPeerVersions()
+	m.requestPeerVersions()
 	for _, seed := range m.cfg.Seeds {
-		if p := m.peers[seed.HostName]; p != nil && p.version >= peermsg.Version && m.leader.HasLink(seed.HostName) {
+		if p := m.peers[seed.HostName]; p != nil && p.version >= peermsg.Version && m.leader.IsLinked(seed.HostName) {
 			m.engine.Emit(peermsg.Outgoing{To: seed.HostName, Msg: peermsg.Message{Kind: peermsg.ConfigRevision, Term: m.term, Ref: m.state.Revision}})
 		}
 	}
 }
 
-// askPeerVersions announces the leader again to connected controllers whose protocol version
+// requestPeerVersions announces the leader again to connected controllers whose protocol version
 // is unknown. Their acknowledgement may have been lost because their connection to the
 // leader was established after the leader's connection to them.
-func (m *Manager) askPeerVersions() {
+func (m *Manager) requestPeerVersions() {
 	for _, seed := range m.cfg.Seeds {
-		if m.peers[seed.HostName] == nil && m.leader.HasLink(seed.HostName) {
+		if m.peers[seed.HostName] == nil && m.leader.IsLinked(seed.HostName) {
 			m.engine.Emit(peermsg.Outgoing{To: seed.HostName, Msg: peermsg.Message{Kind: peermsg.Leader, Term: m.term, Version: peermsg.Version}})
 		}
 	}
@@ -89,7 +89,7 @@
 		return
 	}
 	for name, p := range m.peers {
-		if m.leader.HasLink(name) && p.version >= peermsg.Version && p.revision < m.state.Revision {
+		if m.leader.IsLinked(name) && p.version >= peermsg.Version && p.revision < m.state.Revision {
 			return
 		}
 	}
--- a/internal/configmanager/serve.go
+++ b/internal/configmanager/serve.go
@@ -12,7 +12,7 @@
 func (m *Manager) Serve(r request.Request) {
 	switch r.Op {
 	case request.ConfigStatus:
-		m.askPeerVersions()
+		m.requestPeerVersions()
 		m.leader.Answer(r, request.Response{Status: 200, Document: m.status()})
 	case request.ConfigGet:
 		team, ok := m.team(r.Config.Name)
@@ -37,7 +37,7 @@
 		return
 	}
 	if reason := m.refusalReason(); reason != "" {
-		m.askPeerVersions()
+		m.requestPeerVersions()
 		m.leader.Answer(r, request.Unavailable(reason))
 		return
 	}
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -21,8 +21,8 @@
 // admissionLeader implements admission.Leader for the current leadership.
 type admissionLeader struct{ core *Core }
 
-// CanAct implements admission.Leader.
-func (a admissionLeader) CanAct() bool { return a.core.canAct() }
+// IsActive implements admission.Leader.
+func (a admissionLeader) IsActive() bool { return a.core.isActive() }
 
 // Serve implements admission.Leader.
 func (a admissionLeader) Serve(call request.Request) { a.core.serveAsLeader(call) }
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -46,8 +46,8 @@
 	return s.c.leadership.placement.Estimate(j)
 }
 
-// CanAct implements autoscaler.State.
-func (s autoscalerState) CanAct() bool { return s.c.canAct() }
+// IsActive implements autoscaler.State.
+func (s autoscalerState) IsActive() bool { return s.c.isActive() }
 
 // MaxMachines implements autoscaler.State.
 func (s autoscalerState) MaxMachines() int { return relaylinks.MaxFleetSize(s.c.cfg) }
@@ -131,5 +131,5 @@
 	i.c.leadership.placement.DropMachineReservations(m)
 }
 
-// Dispatch implements autoscaler.Inventory.
-func (i autoscalerInventory) Dispatch() { i.c.leadership.dispatcher.EnqueueAll() }
+// RequestDispatchAll implements autoscaler.Inventory.
+func (i autoscalerInventory) RequestDispatchAll() { i.c.leadership.dispatcher.EnqueueAll() }
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -50,8 +50,8 @@
 	return max(0, l.core.leaseTiming.Authority()-l.leadership.expiresAt.Sub(l.core.Now))
 }
 
-// HasLink implements configmanager.Leader.
-func (l configLeader) HasLink(node string) bool { return l.core.election.IsLinked(node) }
+// IsLinked implements configmanager.Leader.
+func (l configLeader) IsLinked(node string) bool { return l.core.election.IsLinked(node) }
 
 // NewestReplica implements configmanager.Leader.
 func (l configLeader) NewestReplica() *replica.Replica { return l.core.newestReplica() }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -137,7 +137,7 @@
 	case heartbeat.Abandoned:
 		c.abandonLocalHeartbeat(in.Ref)
 	case kv.Response:
-		c.noteStoreOutcome(in.Outcome)
+		c.updateStoreHealth(in.Outcome)
 		c.HandleStore(in)
 	case provider.Response:
 		c.HandleCloud(in)
@@ -163,8 +163,8 @@
 // refusals are normal when calls exceed the rate limit.
 const storeOutageThreshold = 500 * time.Millisecond
 
-// noteStoreOutcome tracks the availability of the key-value store and logs when it changes.
-func (c *Core) noteStoreOutcome(o rpc.Outcome) {
+// updateStoreHealth tracks the availability of the key-value store and logs when it changes.
+func (c *Core) updateStoreHealth(o rpc.Outcome) {
 	up := o != rpc.Refused && o != rpc.Unknown
 	if up {
 		c.store.lastServedAt = c.Now
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// knowledge returns what this node tells a new leader: what it has seen of the store, and which
-// replica it has.
-func (c *Core) knowledge() *peermsg.PeerState {
+// peerState returns the state that this node sends to a new leader: what it has observed of the
+// store, and which replica it has.
+func (c *Core) peerState() *peermsg.PeerState {
 	k := &peermsg.PeerState{Observed: c.observed}
 	if newest := c.newestReplica(); newest != nil {
 		k.ReplicaEra, k.ReplicaTerm, k.ReplicaSeq, k.LiveDigest = newest.Era, newest.Term, newest.Seq, newest.Digest(record.LivePrefix)
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -9,8 +9,8 @@
 // electionHost implements election.Host for Core.
 type electionHost struct{ c *Core }
 
-// IsLeading reports whether this node is the leader, with or without authority.
-func (h electionHost) IsLeading() bool { return h.c.leadership != nil }
+// IsLeader reports whether this node is the leader, with or without authority.
+func (h electionHost) IsLeader() bool { return h.c.leadership != nil }
 
 // HasReplica reports whether this node has a replica of any term's records.
 func (h electionHost) HasReplica() bool { return h.c.newestReplica() != nil }
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -17,7 +17,7 @@
 	l.autoscaler.UpdateLoad()
 	e := c.policyEnv()
 	c.applyPolicy(e)
-	if !c.canAct() {
+	if !c.isActive() {
 		return
 	}
 	l.relays.MarkSilentRelays()
@@ -38,8 +38,8 @@
 func (c *Core) applyPolicy(e policy.Env) {
 	l := c.leadership
 	l.dispatcher.Pacing = dispatch.Pacing{
-		HoldIdle:       timeline.Seconds(c.pol.HoldIdle(e)),
-		HoldBusy:       timeline.Seconds(c.pol.HoldBusy(e)),
+		IdleReplyDelay: timeline.Seconds(c.pol.IdleReplyDelay(e)),
+		BusyReplyDelay: timeline.Seconds(c.pol.BusyReplyDelay(e)),
 		BytesPerSecond: c.pol.ReportBytes(e),
 	}
 	l.placement.EstimateMargin = c.pol.Margin(e)
@@ -79,7 +79,7 @@
 		if m.Relay != nil && c.leadership.relays.IsOverdue(m) {
 			overdue[m.Relay]++
 		}
-		if c.Now.Sub(c.lastHeard(m)) > limit {
+		if c.Now.Sub(c.lastContact(m)) > limit {
 			silent++
 		}
 	}
@@ -94,10 +94,10 @@
 // likely to be isolated.
 func (c *Core) isIsolated(reporting, silent int) bool {
 	if silent <= 2 || 2*silent <= reporting {
-		c.leadership.lastMajorityHeardAt = c.Now
+		c.leadership.lastMajorityReportingAt = c.Now
 		return false
 	}
 	// The assumption must end some time: machines that no longer exist, added by a late
 	// heartbeat, would otherwise count as capacity forever and prevent scaling out.
-	return c.Now.Sub(c.leadership.lastMajorityHeardAt) <= maxIsolatedLeases*c.workerLease
+	return c.Now.Sub(c.leadership.lastMajorityReportingAt) <= maxIsolatedLeases*c.workerLease
 }
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -11,8 +11,8 @@
 // gatewayController implements gateway.Controller for Core.
 type gatewayController struct{ core *Core }
 
-// Leads implements gateway.Controller.
-func (g gatewayController) Leads() bool { return g.core.leadership != nil }
+// IsLeader implements gateway.Controller.
+func (g gatewayController) IsLeader() bool { return g.core.leadership != nil }
 
 // Upstream implements gateway.Controller.
 func (g gatewayController) Upstream() gateway.Upstream {
@@ -29,7 +29,7 @@
 // RequestLeaderVersion implements gateway.Controller.
 func (g gatewayController) RequestLeaderVersion() {
 	c := g.core
-	c.config.AskLeaderVersion(c.election.Leader(), c.election.HighestTerm())
+	c.config.RequestLeaderVersion(c.election.Leader(), c.election.HighestTerm())
 }
 
 // Cluster implements gateway.Controller.
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -89,7 +89,7 @@
 func (c *Core) acceptHeartbeat(m *fleet.Machine, in heartbeat.Received, resent bool) {
 	l := c.leadership
 	l.dispatcher.Refuse(m) // the worker no longer waits for the reply to its previous heartbeat
-	first := !m.Reported && !l.inventory.Unaccounted(m.Host)
+	first := !m.Reported && !l.inventory.IsUnaccounted(m.Host)
 	if !resent {
 		m.Probed = false
 		l.reconciler.Reconcile(m, &in.Report)
@@ -123,11 +123,11 @@
 	}
 }
 
-// lastHeard returns when the machine was last known to receive our replies. If its heartbeats keep
-// coming but have not acknowledged a reply for longer than the recovery time of the relays, it does
-// not receive them. Its heartbeats then do not count, or it would block the failover for as long as
-// that lasts.
-func (c *Core) lastHeard(m *fleet.Machine) time.Time {
+// lastContact returns when the machine was last known to receive replies from this leader. If its
+// heartbeats arrive but have not acknowledged a reply for longer than the recovery time of the
+// relays, it receives none. Such heartbeats do not count, because the machine would otherwise block
+// the failover.
+func (c *Core) lastContact(m *fleet.Machine) time.Time {
 	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.leadership.relays.MaxReconnectTime() {
 		return m.UnacknowledgedSince
 	}
@@ -160,8 +160,8 @@
 	leadership *leadership
 }
 
-// OnBoot implements reconcile.Leader.
-func (v reconcileLeader) OnBoot(instanceType string) { v.leadership.autoscaler.Booted(instanceType) }
+// Booted implements reconcile.Leader.
+func (v reconcileLeader) Booted(instanceType string) { v.leadership.autoscaler.Booted(instanceType) }
 
 // MarkAccounted implements reconcile.Leader.
 func (v reconcileLeader) MarkAccounted(host string) { v.core.markAccounted(host) }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -14,10 +14,10 @@
 
 func (c *Core) hasAuthority() bool { return c.HasAuthority(c.Now) }
 
-// canAct reports whether this node is the leader, has authority and has loaded the records.
-func (c *Core) canAct() bool { return c.hasAuthority() && c.leadership.loaded }
+// isActive reports whether this node is the leader, has authority and has loaded the records.
+func (c *Core) isActive() bool { return c.hasAuthority() && c.leadership.loaded }
 
-// authorityExpiry returns when the authority ends that a lease renewal sent at sentAt gives.
+// authorityExpiry returns until when a lease renewal sent at sentAt extends the authority.
 func (c *Core) authorityExpiry(sentAt time.Time) time.Time {
 	return sentAt.Add(c.leaseTiming.Authority())
 }
@@ -45,8 +45,8 @@
 	if len(c.cfg.Seeds) == 0 {
 		c.leadership.allAcknowledgedAt = c.Now
 	}
-	// Heartbeats that the forwarder held for the next leader are now ours to answer.
-	c.leadership.pendingHeartbeats, c.leadership.knownReporters = c.forwarder.TakePending()
+	// This node now answers the heartbeats that the forwarder held for the next leader.
+	c.leadership.pendingHeartbeats, c.leadership.knownReporters = c.forwarder.ReleasePending()
 	c.renewLease()
 	c.leadership.autoscaler.RefreshCatalog()
 }
@@ -77,7 +77,7 @@
 func (c *Core) callStoreWhileLeadingOr(call kv.Request, otherwise func(), f func(kv.Response)) {
 	l := c.leadership
 	c.CallStore(call, func(r kv.Response) {
-		if c.leadership == l && c.canAct() {
+		if c.leadership == l && c.isActive() {
 			f(r)
 		} else {
 			otherwise()
@@ -113,14 +113,14 @@
 	c.election.WatchAfter(100 * time.Millisecond)
 }
 
-// answerWaiting sends a to every request that waits for a write.
-func (c *Core) answerWaiting(l *leadership, a request.Response) {
-	l.admitter.AnswerWaiting(a)
+// answerWaiting sends the response to every request that waits for a write.
+func (c *Core) answerWaiting(l *leadership, response request.Response) {
+	l.admitter.AnswerWaiting(response)
 	for _, j := range l.sortedJobs() {
-		l.lifecycle.AnswerWaiters(j, a)
+		l.lifecycle.AnswerWaiting(j, response)
 	}
-	l.recurring.AnswerWaiting(a)
-	l.config.AnswerWaiting(a)
+	l.recurring.AnswerWaiting(response)
+	l.config.AnswerWaiting(response)
 }
 
 const tickInterval = 500 * time.Millisecond
@@ -158,7 +158,7 @@
 			l.suspended = true
 			c.Log(slog.LevelWarn, "leader authority expired, keeping workers for the grace period", "term", l.term, "grace", c.leaseTiming.GracePeriod())
 			// The outcome of pending writes is unknown, and may stay so for long.
-			c.answerWaiting(l, request.Unavailable("the key-value store does not answer"))
+			c.answerWaiting(l, request.Unavailable("the state service does not answer"))
 			l.dispatcher.Flush()
 		}
 		return
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -55,18 +55,18 @@
 
 // authority holds the term, the leader lease and the time until which the leader may act.
 type authority struct {
-	term                uint64
-	termRevision        uint64 // of the term record; the condition of every write fences old leaders
-	leaseID             uint64
-	expiresAt           time.Time // end of the authority, extended by each lease renewal
-	electedAt           time.Time
-	clockSkew           time.Duration   // of the wall clock, when the last successful renewal was sent
-	termAcks            map[string]bool // peers that have acknowledged the term, by host name
-	allAcknowledgedAt   time.Time       // when all peers had acknowledged the term, or zero
-	suspended           bool            // authority has expired: heartbeats are answered, no tasks start
-	lastMajorityHeardAt time.Time       // last tick at which most machines were reporting
-	resumedAt           time.Time       // when authority was last regained
-	verifying           bool            // a read of the term record is in flight
+	term                    uint64
+	termRevision            uint64 // of the term record; the condition of every write fences old leaders
+	leaseID                 uint64
+	expiresAt               time.Time // end of the authority, extended by each lease renewal
+	electedAt               time.Time
+	clockSkew               time.Duration   // of the wall clock, when the last successful renewal was sent
+	termAcks                map[string]bool // peers that have acknowledged the term, by host name
+	allAcknowledgedAt       time.Time       // when all peers had acknowledged the term, or zero
+	suspended               bool            // authority has expired: heartbeats are answered, no tasks start
+	lastMajorityReportingAt time.Time       // last tick at which most machines were reporting
+	resumedAt               time.Time       // when authority was last regained
+	verifying               bool            // a read of the term record is in flight
 }
 
 func (a *authority) start(term, termRevision, leaseID uint64, expiresAt, now time.Time, clockSkew time.Duration) {
@@ -76,15 +76,15 @@
 // failoverState holds what a new leader takes over from earlier terms: the records to load or to
 // restore, and the heartbeats and requests that depend on them.
 type failoverState struct {
-	loaded            bool                 // all records have been loaded
-	recovery          *failover.Recovery   // determines which records exist; nil once they are loaded
-	restorer          *restore.Restorer    // writes lost records back to the store
-	pendingHeartbeats []heartbeat.Received // received before the records were loaded
-	pendingScheduled  bool                 // a step that processes more of them is scheduled
-	unreadableJobs    map[string]bool      // IDs of jobs whose records cannot be decoded
-	noEarlierTerm     bool                 // the store had no record of an earlier term
-	newerTokens       map[string]uint64    // fencing tokens above our term reported by workers, by host
-	earlierLeaderLag  time.Duration        // time after electedAt in which an earlier leader may have acted
+	loaded               bool                 // all records have been loaded
+	recovery             *failover.Recovery   // determines which records exist; nil once they are loaded
+	restorer             *restore.Restorer    // writes lost records back to the store
+	pendingHeartbeats    []heartbeat.Received // received before the records were loaded
+	pendingScheduled     bool                 // a step that processes more of them is scheduled
+	unreadableJobs       map[string]bool      // IDs of jobs whose records cannot be decoded
+	noEarlierTerm        bool                 // the store had no record of an earlier term
+	newerTokens          map[string]uint64    // fencing tokens above our term reported by workers, by host
+	earlierLeaderOverlap time.Duration        // time after electedAt in which an earlier leader may have acted
 }
 
 // workload holds the live jobs and the quota accounts of their teams.
@@ -95,17 +95,17 @@
 	teams     quota.Accounts
 }
 
-// heartbeatState holds what was known from heartbeats before this node was elected.
+// heartbeatState holds what this node knew from heartbeats before it was elected.
 type heartbeatState struct {
 	knownReporters map[string]*forwarder.Worker // workers that reported to this node before its election
 }
 
-// replicationState keeps the followers' replicas up to date and fetches from them the final states
-// of jobs that earlier terms recorded.
+// replicationState keeps the followers' replicas up to date and fetches from them the final records
+// of jobs that ended in earlier terms.
 type replicationState struct {
-	publisher *replication.Publisher
-	scrubber  *replication.Scrubber
-	finals    replication.FinalRecordFetch
+	publisher    *replication.Publisher
+	scrubber     *replication.Scrubber
+	finalRecords replication.FinalRecordFetch
 }
 
 // startComponents constructs the components of a leadership. The outage monitor, autoscaler, write
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -31,7 +31,7 @@
 // CancelSafeAt implements lifecycle.Leader.
 func (a lifecycleLeader) CancelSafeAt() time.Time {
 	l := a.core.leadership
-	return a.core.leaseTiming.CancelSafeAfter(a.core.Now, l.electedAt.Add(l.earlierLeaderLag))
+	return a.core.leaseTiming.CancelSafeAfter(a.core.Now, l.electedAt.Add(l.earlierLeaderOverlap))
 }
 
 // RequestDispatch implements lifecycle.Leader.
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -22,7 +22,7 @@
 
 // reviewMachine expires the machine's lease, drains the machine and releases it when these are due.
 func (c *Core) reviewMachine(m *fleet.Machine, limits reviewLimits) {
-	unaccounted := c.leadership.inventory.Unaccounted(m.Host)
+	unaccounted := c.leadership.inventory.IsUnaccounted(m.Host)
 	if unaccounted || m.Reported && len(m.Attempts) > 0 {
 		if at, ok := c.leadership.inventory.LeaseExpiry(m, c.earlierLeaseExpiry()); ok && c.Now.After(at) {
 			c.expireLease(m)
@@ -41,11 +41,11 @@
 // missing from the catalog. It reports whether it released the machine.
 func (c *Core) releaseIfLost(m *fleet.Machine, limits reviewLimits) bool {
 	l := c.leadership
-	booting := m.LastHeartbeat.IsZero() && !l.inventory.Unaccounted(m.Host)
+	booting := m.LastHeartbeat.IsZero() && !l.inventory.IsUnaccounted(m.Host)
 	since, limit := c.silenceLimits(m, limits, booting)
 	silent := c.Now.Sub(since)
 	switch {
-	case m.Unreachable && !l.inventory.Unaccounted(m.Host) && (!booting || silent <= 2*limit):
+	case m.Unreachable && !l.inventory.IsUnaccounted(m.Host) && (!booting || silent <= 2*limit):
 		return false // the outage monitor decides about the machines of an unreachable zone
 	case silent > limit && (!limits.isolated || booting):
 		c.Log(slog.LevelWarn, "releasing silent machine", "machine", m.Host, "type", m.TypeName, "silent", silent, "tasks", len(m.Attempts), "booted", !booting)
@@ -81,7 +81,7 @@
 // relay causes.
 func (c *Core) reportLimit(m *fleet.Machine, limits reviewLimits) time.Duration {
 	limit := limits.silent
-	if c.leadership.inventory.Unaccounted(m.Host) && (!m.Reported || c.lastHeard(m) != m.LastHeartbeat) && limits.unaccounted < limit {
+	if c.leadership.inventory.IsUnaccounted(m.Host) && (!m.Reported || c.lastContact(m) != m.LastHeartbeat) && limits.unaccounted < limit {
 		// The failover waits for this machine. Once most others report to this leader, a
 		// machine that does not is probably gone or unreachable.
 		limit = limits.unaccounted
@@ -101,7 +101,7 @@
 // machines need a heartbeat interval until all have reported again.
 func (c *Core) silentSince(m *fleet.Machine) time.Time {
 	l := c.leadership
-	since := latest(c.lastHeard(m), m.ZoneState.Since, l.resumedAt)
+	since := latest(c.lastContact(m), m.ZoneState.Since, l.resumedAt)
 	if !m.Reported {
 		since = latest(since, m.FirstSeen, l.electedAt)
 	}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -25,8 +25,8 @@
 	r.core.readBack(key, f)
 }
 
-// ReplicateDrop implements inventory.Leader.
-func (r inventoryLeader) ReplicateDrop(key string) { r.core.replicateDrop(key) }
+// ReplicateDelete implements inventory.Leader.
+func (r inventoryLeader) ReplicateDelete(key string) { r.core.replicateDelete(key) }
 
 // RequestDispatch implements inventory.Leader.
 func (r inventoryLeader) RequestDispatch(m *fleet.Machine) { r.leadership.dispatcher.Enqueue(m) }
@@ -57,7 +57,7 @@
 // own grace period ended, whichever came first.
 func (c *Core) earlierLeaseExpiry() time.Time {
 	l := c.leadership
-	expiry := c.leaseTiming.TasksEndedBy(l.electedAt.Add(l.earlierLeaderLag))
+	expiry := c.leaseTiming.TasksEndedBy(l.electedAt.Add(l.earlierLeaderOverlap))
 	if !l.allAcknowledgedAt.IsZero() {
 		if afterAcks := l.allAcknowledgedAt.Add(addClockDrift(c.workerLease)); afterAcks.Before(expiry) {
 			return afterAcks
--- a/internal/core/newer_tokens.go
+++ b/internal/core/newer_tokens.go
@@ -48,8 +48,8 @@
 	if len(l.newerTokens) >= minNewerTokenReports {
 		c.observed.Term = slices.Max(slices.Collect(maps.Values(l.newerTokens))) + termGapAfterTotalLoss
 		// Campaign at once: only this node knows of the higher terms, and another one would
-		// continue from the term on record.
-		c.reportDataLossThen("workers have seen newer terms than were on record", func() { c.election.Campaign(0) })
+		// continue from the stored term.
+		c.reportDataLossThen("workers have seen terms newer than the stored one", func() { c.election.Campaign(0) })
 	}
 	return true
 }
--- a/internal/core/outages.go
+++ b/internal/core/outages.go
@@ -29,9 +29,9 @@
 // Machines implements outage.Leader.
 func (o outageLeader) Machines() []*fleet.Machine { return o.c.leadership.inventory.Machines() }
 
-// Unaccounted implements outage.Leader.
-func (o outageLeader) Unaccounted(host string) bool {
-	return o.c.leadership.inventory.Unaccounted(host)
+// IsUnaccounted implements outage.Leader.
+func (o outageLeader) IsUnaccounted(host string) bool {
+	return o.c.leadership.inventory.IsUnaccounted(host)
 }
 
 // LeadershipTimes implements outage.Leader.
@@ -44,8 +44,8 @@
 	o.c.leadership.placement.DropMachineReservations(m)
 }
 
-// DispatchAll implements outage.Leader.
-func (o outageLeader) DispatchAll() { o.c.leadership.dispatcher.EnqueueAll() }
+// RequestDispatchAll implements outage.Leader.
+func (o outageLeader) RequestDispatchAll() { o.c.leadership.dispatcher.EnqueueAll() }
 
 // Release implements outage.Leader.
 func (o outageLeader) Release(m *fleet.Machine) { o.c.leadership.autoscaler.Release(m) }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -32,9 +32,9 @@
 	case peermsg.LeaderlessJob:
 		c.handleLeaderlessJob(p.Msg.Replica)
 	case peermsg.PeerStateRequest:
-		c.sendKnowledge(p.From, p.Msg.Term)
+		c.sendPeerState(p.From, p.Msg.Term)
 	case peermsg.PeerStateResponse:
-		c.handleKnowledgeReply(p.From, p.Msg)
+		c.handlePeerStateResponse(p.From, p.Msg)
 	case peermsg.Heartbeats:
 		c.handleRelayedHeartbeats(p.From, p.Msg)
 	case peermsg.HeartbeatReplies:
@@ -70,7 +70,7 @@
 	}
 }
 
-// announceTermTo tells a peer that this node leads the current term.
+// announceTermTo announces to a peer that this node leads the current term.
 func (c *Core) announceTermTo(peer string) {
 	c.Emit(peermsg.Outgoing{To: peer, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peermsg.Version}})
 }
@@ -106,18 +106,18 @@
 	}
 }
 
-// sendKnowledge tells a new leader what this node knows of earlier terms.
-func (c *Core) sendKnowledge(to string, term uint64) {
+// sendPeerState sends a new leader what this node knows of earlier terms.
+func (c *Core) sendPeerState(to string, term uint64) {
 	if c.leadership == nil {
-		c.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.PeerStateResponse, Term: term, PeerState: c.knowledge()}})
+		c.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: peermsg.PeerStateResponse, Term: term, PeerState: c.peerState()}})
 	}
 }
 
-// handleKnowledgeReply processes what a peer knows of earlier terms. It ignores replies to a
+// handlePeerStateResponse processes what a peer knows of earlier terms. It ignores replies to a
 // request of another term.
-func (c *Core) handleKnowledgeReply(from string, m peermsg.Message) {
+func (c *Core) handlePeerStateResponse(from string, m peermsg.Message) {
 	if l := c.leadership; l != nil && m.Term == l.term {
-		c.handleKnowledge(from, m.PeerState)
+		c.handlePeerState(from, m.PeerState)
 	}
 }
 
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -17,11 +17,11 @@
 	leadership *leadership
 }
 
-// CanAct implements placement.Leader.
-func (p placementLeader) CanAct() bool { return p.core.canAct() }
+// IsActive implements placement.Leader.
+func (p placementLeader) IsActive() bool { return p.core.isActive() }
 
-// DispatchAll implements placement.Leader.
-func (p placementLeader) DispatchAll() { p.leadership.dispatcher.EnqueueAll() }
+// RequestDispatchAll implements placement.Leader.
+func (p placementLeader) RequestDispatchAll() { p.leadership.dispatcher.EnqueueAll() }
 
 // Backlog implements placement.Leader.
 func (p placementLeader) Backlog() (work time.Duration, cpus float64) {
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -11,11 +11,11 @@
 	leadership *leadership
 }
 
-// CanAct implements probe.Leader.
-func (v probeLeader) CanAct() bool { return v.core.canAct() }
+// IsActive implements probe.Leader.
+func (v probeLeader) IsActive() bool { return v.core.isActive() }
 
-// Linked implements probe.Leader.
-func (v probeLeader) Linked() bool { return v.core.election.IsLinkedToAny() }
+// IsLinkedToAny implements probe.Leader.
+func (v probeLeader) IsLinkedToAny() bool { return v.core.election.IsLinkedToAny() }
 
 // Reconcile implements probe.Leader.
 func (v probeLeader) Reconcile(m *fleet.Machine, report *heartbeat.Report) {
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -25,7 +25,7 @@
 // IsLinked reports whether the link to a peer is up.
 func (h failoverLeader) IsLinked(peer string) bool { return h.c.election.IsLinked(peer) }
 
-// EndTerm resigns because a higher term than those on record is known, which shows a data loss.
+// EndTerm resigns because a term higher than the stored one is known, which proves a data loss.
 func (h failoverLeader) EndTerm(higher uint64) { h.c.handleHigherTerm(higher) }
 
 // Recovered starts loading the records that the recovery has found.
@@ -47,13 +47,13 @@
 	l.recovery.Start()
 }
 
-// handleKnowledge processes what a peer knows of earlier terms. After the recovery it matters only
+// handlePeerState processes what a peer knows of earlier terms. After the recovery it matters only
 // to a leader that found no earlier term on record: the peer may know of one.
-func (c *Core) handleKnowledge(from string, k *peermsg.PeerState) {
+func (c *Core) handlePeerState(from string, k *peermsg.PeerState) {
 	l := c.leadership
 	switch {
 	case l.recovery != nil:
-		l.recovery.HandleKnowledge(from, k)
+		l.recovery.HandlePeerState(from, k)
 	case l.noEarlierTerm && k.Era == c.observed.Era && k.Term > l.term && k.HighestPastTerm < l.term:
 		// The term is newer than ours and of the same data: a successor was elected while
 		// this node was isolated.
@@ -72,14 +72,14 @@
 // one that workers may have seen, and workers reject lower terms.
 func (c *Core) handleHigherTerm(term uint64) {
 	c.observed.Term = max(c.observed.Term, term)
-	c.reportDataLoss("a higher term is known than those on record")
+	c.reportDataLoss("a term higher than the stored one is known")
 }
 
 // handleRecovered applies the outcome of the recovery and starts loading the records.
 func (c *Core) handleRecovered(o *failover.Outcome) {
 	l := c.leadership
 	if o.Restored != nil {
-		c.rememberFinals(o.Restored)
+		c.cacheFinalRecords(o.Restored)
 	}
 	for _, key := range o.Deletes {
 		l.writes.Add(&writebatch.Change{Priority: writebatch.Bulk, Writes: []kv.Write{{Key: key}}})
@@ -93,8 +93,8 @@
 	}
 	c.dataLossReason = ""
 	c.replicas.SetOwn(o.Replica)
-	l.finals.SetSource(o.FinalsSource)
-	l.noEarlierTerm, l.earlierLeaderLag = o.NoEarlierTerm, o.EarlierLeaderOverlap
+	l.finalRecords.SetSource(o.FinalRecordsSource)
+	l.noEarlierTerm, l.earlierLeaderOverlap = o.NoEarlierTerm, o.EarlierLeaderOverlap
 	c.loadRecords(o.Records)
 }
 
@@ -113,7 +113,7 @@
 	l := c.leadership
 	l.recovery = nil
 	l.machineRecords.Restore(l.restorer.Prepare())
-	if source := l.finals.Source(); source != "" {
+	if source := l.finalRecords.Source(); source != "" {
 		c.Emit(peermsg.Outgoing{To: source, Msg: peermsg.Message{Kind: peermsg.ReplicaRequest, Term: l.term}})
 	}
 	c.startTermWork()
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -19,11 +19,11 @@
 	return recurring.New(c.Engine, l.scope, settings, recurringLeader{c})
 }
 
-// createOccurrences queues the writes of due occurrences, as many as fit into one transaction. The
-// write batcher calls it when the store's rate limit allows another transaction.
-func (c *Core) createOccurrences() {
+// queueDueOccurrences queues the writes of due occurrences, as many as fit into one transaction.
+// The write batcher calls it when the store's rate limit allows another transaction.
+func (c *Core) queueDueOccurrences() {
 	l := c.leadership
-	if !l.autoscaler.Loaded || !c.canAct() {
+	if !l.autoscaler.Loaded || !c.isActive() {
 		return
 	}
 	remainingOps := c.cfg.Settings.State.TxnOps
@@ -33,9 +33,9 @@
 	l.recurring.CreateDue(remainingOps)
 }
 
-// occurrencesPending reports whether occurrences are queued or due that wait only for the store's
+// hasDueOccurrences reports whether occurrences are queued or due that wait only for the store's
 // rate limit.
-func (c *Core) occurrencesPending() bool {
+func (c *Core) hasDueOccurrences() bool {
 	l := c.leadership
 	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.HasDue() && l.autoscaler.Loaded
 }
@@ -97,8 +97,8 @@
 // Replicate implements recurring.Leader.
 func (r recurringLeader) Replicate(entry kv.Entry) { r.core.replicate(entry) }
 
-// DropReplica implements recurring.Leader.
-func (r recurringLeader) DropReplica(key string) { r.core.replicateDrop(key) }
+// ReplicateDelete implements recurring.Leader.
+func (r recurringLeader) ReplicateDelete(key string) { r.core.replicateDelete(key) }
 
 // Answer implements recurring.Leader.
 func (r recurringLeader) Answer(call request.Request, response request.Response) {
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -12,8 +12,8 @@
 // forwarderController implements forwarder.Controller for Core.
 type forwarderController struct{ c *Core }
 
-// Leads implements forwarder.Controller.
-func (v forwarderController) Leads() bool { return v.c.leadership != nil }
+// IsLeader implements forwarder.Controller.
+func (v forwarderController) IsLeader() bool { return v.c.leadership != nil }
 
 // Upstream implements forwarder.Controller.
 func (v forwarderController) Upstream() forwarder.Upstream {
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -27,7 +27,7 @@
 // AdmitScrub reports whether the scrubber may read now. It counts two reads against the rate limit.
 func (h replicationController) AdmitScrub() bool {
 	c := h.c
-	return c.canAct() && c.leadership.restorer.IsDone() && c.jobReader.Allow(2)
+	return c.isActive() && c.leadership.restorer.IsDone() && c.jobReader.Allow(2)
 }
 
 // StoreRevision returns the highest revision of the store that this node has seen.
@@ -70,8 +70,8 @@
 	}
 }
 
-// replicateDrop publishes the deletion of a record to the followers.
-func (c *Core) replicateDrop(key string) {
+// replicateDelete publishes the deletion of a record to the followers.
+func (c *Core) replicateDelete(key string) {
 	if c.leadership != nil {
 		c.leadership.publisher.PublishDelete(key)
 	}
@@ -101,8 +101,8 @@
 		if !l.recovery.ReceiveReplica(from, line) {
 			return
 		}
-	case l.finals.Source() == from && from != "":
-		c.receiveFinals(line)
+	case l.finalRecords.Source() == from && from != "":
+		c.receiveFinalRecords(line)
 		return
 	default:
 		return
@@ -115,24 +115,24 @@
 	}
 }
 
-// receiveFinals processes a line of an earlier term's replica. Once it is complete, its final states
-// of jobs are added to our own replica.
-func (c *Core) receiveFinals(line *replica.Line) {
+// receiveFinalRecords processes a line of an earlier term's replica. Once that replica is complete,
+// its final records of jobs are added to this leader's replica.
+func (c *Core) receiveFinalRecords(line *replica.Line) {
 	l := c.leadership
 	if c.ownReplica() == nil || line.Term >= l.term {
 		return
 	}
-	if fetched := l.finals.Receive(line, replication.MaxFinalRecords(c.cfg)); fetched != nil {
+	if fetched := l.finalRecords.Receive(line, replication.MaxFinalRecords(c.cfg)); fetched != nil {
 		l.publisher.MergeFetched(fetched)
-		c.rememberFinals(fetched)
+		c.cacheFinalRecords(fetched)
 		if l.recurring.Loaded() {
 			l.restorer.RestoreMissingSchedules()
 		}
 	}
 }
 
-// rememberFinals caches the final states of the jobs in a replica.
-func (c *Core) rememberFinals(r *replica.Replica) {
+// cacheFinalRecords caches the final records of jobs in a replica.
+func (c *Core) cacheFinalRecords(r *replica.Replica) {
 	for id, final := range replication.FinalRecords(r) {
 		c.jobReader.CacheFinal(id, final)
 	}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -17,7 +17,7 @@
 	switch {
 	case r.Op == request.ConfigLocal:
 		c.answer(r, request.Response{Status: 200, Document: c.LocalConfig()})
-	case c.canAct():
+	case c.isActive():
 		c.serveAsLeader(r)
 	default:
 		c.gateway.Serve(r)
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -10,8 +10,8 @@
 // writeBatchLeader implements writebatch.Leader for the current leadership.
 type writeBatchLeader struct{ c *Core }
 
-// CanAct reports whether the leader has authority and has loaded the records.
-func (b writeBatchLeader) CanAct() bool { return b.c.canAct() }
+// IsActive reports whether the leader has authority and has loaded the records.
+func (b writeBatchLeader) IsActive() bool { return b.c.isActive() }
 
 // ConfigBatchDue reports whether the queued batch of configuration changes should be written now.
 func (b writeBatchLeader) ConfigBatchDue() bool { return b.c.leadership.config.BatchDue() }
@@ -20,10 +20,10 @@
 func (b writeBatchLeader) QueueRestores() { b.c.leadership.restorer.QueueNext() }
 
 // QueueDueOccurrences queues due occurrences of schedules, as many as fit into one transaction.
-func (b writeBatchLeader) QueueDueOccurrences() { b.c.createOccurrences() }
+func (b writeBatchLeader) QueueDueOccurrences() { b.c.queueDueOccurrences() }
 
 // HasDueOccurrences reports whether occurrences wait only for the store's rate limit.
-func (b writeBatchLeader) HasDueOccurrences() bool { return b.c.occurrencesPending() }
+func (b writeBatchLeader) HasDueOccurrences() bool { return b.c.hasDueOccurrences() }
 
 // ReplicateBatch publishes a committed batch to the replicas.
 func (b writeBatchLeader) ReplicateBatch(batch []*writebatch.Change, rev uint64) {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -27,8 +27,8 @@
 
 // Pacing configures how long replies are held. It is set from the operators' configuration.
 type Pacing struct {
-	HoldIdle, HoldBusy time.Duration // how long replies without orders are held; see holdDuration
-	BytesPerSecond     float64       // bandwidth of a worker's heartbeats; 0: unlimited
+	IdleReplyDelay, BusyReplyDelay time.Duration // how long replies without orders are delayed
+	BytesPerSecond                 float64       // bandwidth of a worker's heartbeats; 0: unlimited
 }
 
 // Dispatcher replies to the heartbeats of one leadership term.
--- a/internal/dispatch/replies.go
+++ b/internal/dispatch/replies.go
@@ -20,8 +20,8 @@
 	d.reply(m, false)
 }
 
-// takeHeld removes the held reply of a machine and returns its key. There must be one.
-func (d *Dispatcher) takeHeld(m *fleet.Machine) fleet.HeartbeatKey {
+// removeHeld removes the held reply of a machine and returns its key. There must be one.
+func (d *Dispatcher) removeHeld(m *fleet.Machine) fleet.HeartbeatKey {
 	key := m.HeldReply.HeartbeatKey
 	delete(d.held, key)
 	m.HeldReply = nil
@@ -31,7 +31,7 @@
 // Refuse sends the held reply of a machine, if there is one, with status 503.
 func (d *Dispatcher) Refuse(m *fleet.Machine) {
 	if m.HeldReply != nil {
-		key := d.takeHeld(m)
+		key := d.removeHeld(m)
 		d.relays.Reply(key.Via, heartbeat.Reply{Ref: key.Ref, Status: 503})
 	}
 }
@@ -39,7 +39,7 @@
 // Abandon discards a held reply that the worker or relay no longer waits for.
 func (d *Dispatcher) Abandon(key fleet.HeartbeatKey) {
 	if m := d.held[key]; m != nil {
-		d.takeHeld(m)
+		d.removeHeld(m)
 	}
 }
 
@@ -47,7 +47,7 @@
 func (d *Dispatcher) AbandonRelay(name string) {
 	for _, m := range d.leader.Machines() {
 		if m.HeldReply != nil && m.HeldReply.Via.Relay == name {
-			d.takeHeld(m)
+			d.removeHeld(m)
 		}
 	}
 }
@@ -60,8 +60,8 @@
 }
 
 // reply sends the held reply of a machine, or holds it longer while there are no orders.
-// holdExpired reports that it must not be held any longer for that reason.
-func (d *Dispatcher) reply(m *fleet.Machine, holdExpired bool) {
+// delayExpired reports that it must not be held any longer for that reason.
+func (d *Dispatcher) reply(m *fleet.Machine, delayExpired bool) {
 	if m.HeldReply == nil {
 		return
 	}
@@ -74,46 +74,46 @@
 		return
 	}
 	if wait := d.paceDelay(m, orders); wait > 0 {
-		d.replyAfter(wait, m, holdExpired)
+		d.replyAfter(wait, m, delayExpired)
 		return
 	}
 	if m.FencingToken == d.term {
 		orders = append(orders, d.placement.StartTasksOn(m)...)
 	}
-	if len(orders) > 0 || holdExpired || m.FencingToken != d.term || m.Releasing {
+	if len(orders) > 0 || delayExpired || m.FencingToken != d.term || m.Releasing {
 		d.send(m, orders)
 		return
 	}
-	if hold := d.holdDuration(m); hold > 0 {
-		d.replyAfter(hold, m, true)
+	if delay := d.replyDelay(m); delay > 0 {
+		d.replyAfter(delay, m, true)
 	} else {
 		d.send(m, nil)
 	}
 }
 
 // replyAfter calls reply after a delay, unless the held reply has been sent by then.
-func (d *Dispatcher) replyAfter(wait time.Duration, m *fleet.Machine, holdExpired bool) {
+func (d *Dispatcher) replyAfter(wait time.Duration, m *fleet.Machine, delayExpired bool) {
 	held := m.HeldReply
 	d.scope.After(wait, func() {
 		if m.HeldReply == held {
-			d.reply(m, holdExpired)
+			d.reply(m, delayExpired)
 		}
 	})
 }
 
-// holdDuration returns how long a reply without orders is held; 0 sends it at once.
-func (d *Dispatcher) holdDuration(m *fleet.Machine) time.Duration {
+// replyDelay returns how long a reply without orders is held; 0 sends it at once.
+func (d *Dispatcher) replyDelay(m *fleet.Machine) time.Duration {
 	if len(m.Attempts) == 0 || m.WarmReserve != 0 && m.FreeResources().CPU >= m.WarmReserve/2 {
-		return d.Pacing.HoldIdle
+		return d.Pacing.IdleReplyDelay
 	}
 	if !m.Schedulable() || m.FreeResources().CPU <= 0 {
 		return 0
 	}
-	return d.Pacing.HoldBusy
+	return d.Pacing.BusyReplyDelay
 }
 
 func (d *Dispatcher) send(m *fleet.Machine, orders []heartbeat.Order) {
-	key := d.takeHeld(m)
+	key := d.removeHeld(m)
 	if m.FencingToken != d.term && m.UnacknowledgedSince.IsZero() {
 		m.UnacknowledgedSince = d.engine.Now
 	}
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -45,7 +45,7 @@
 // lease and increments the term in one transaction. The transaction requires the leader key to
 // be at keyRevision, or not to exist if keyRevision is 0.
 func (e *Election) Campaign(keyRevision uint64) {
-	if e.host.IsLeading() {
+	if e.host.IsLeader() {
 		return
 	}
 	if wait := e.handedOverAt.Add(handOverCooldown).Sub(e.engine.Now); wait > 0 {
--- a/internal/election/claims.go
+++ b/internal/election/claims.go
@@ -29,13 +29,13 @@
 // does not confirm is discarded.
 func (e *Election) verifyClaim(term uint64) {
 	retry := func() {
-		if !e.host.IsLeading() && e.highestTerm == term && e.confirmedTerm != term {
+		if !e.host.IsLeader() && e.highestTerm == term && e.confirmedTerm != term {
 			e.verifyClaim(term)
 		}
 	}
 	lastRef := e.engine.LastRef
 	e.engine.CallStore(kv.Request{Op: kv.Get, Key: record.LeaderKey}, func(r kv.Response) {
-		if e.host.IsLeading() || e.highestTerm != term {
+		if e.host.IsLeader() || e.highestTerm != term {
 			return
 		}
 		var rec *record.Leader
@@ -58,7 +58,7 @@
 // that claims of older terms are still rejected.
 func (e *Election) verifyTermRecord(term uint64, retry func()) {
 	e.engine.CallStore(kv.Request{Op: kv.Get, Key: record.TermKey}, func(r kv.Response) {
-		if e.host.IsLeading() || e.highestTerm != term {
+		if e.host.IsLeader() || e.highestTerm != term {
 			return
 		}
 		var rec *record.Term
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -16,8 +16,8 @@
 
 // Host is the controller that an Election runs in.
 type Host interface {
-	// IsLeading reports whether this node is the leader, even if its authority has expired.
-	IsLeading() bool
+	// IsLeader reports whether this node is the leader, even if its authority has expired.
+	IsLeader() bool
 	// HasReplica reports whether this node holds a replica of the records.
 	HasReplica() bool
 	// Observed returns the state of the store that this node has observed.
--- a/internal/election/watch.go
+++ b/internal/election/watch.go
@@ -26,7 +26,7 @@
 // Watch reads the leader key and watches it for changes, and campaigns when the key does not
 // exist. It does nothing while this node is the leader.
 func (e *Election) Watch() {
-	if e.host.IsLeading() {
+	if e.host.IsLeader() {
 		return
 	}
 	// List returns the revision of the whole store, which the watch starts from. The revision
@@ -39,7 +39,7 @@
 			e.firstStoreRevision = max(1, r.Rev)
 		}
 		switch {
-		case e.host.IsLeading():
+		case e.host.IsLeader():
 		case r.Outcome != rpc.OK:
 			e.WatchAfter(watchRetryDelay)
 		case len(r.Entries) == 0 || r.Entries[0].Key != record.LeaderKey:
@@ -84,7 +84,7 @@
 	e.engine.CallStore(kv.Request{Op: kv.Get, Key: record.LeaderKey}, func(r kv.Response) {
 		unchanged := r.Outcome == rpc.OK && r.Entries[0].Rev == entry.Rev
 		switch {
-		case e.host.IsLeading():
+		case e.host.IsLeader():
 		case unchanged && r.Entries[0].LeaseID == 0:
 			e.engine.Log(slog.LevelError, "leader key has no lease; campaigning to replace it", "key", entry.Key)
 			e.engine.After(e.engine.Jitter(campaignDelay), func() { e.Campaign(entry.Rev) })
@@ -146,7 +146,7 @@
 			return
 		}
 		if seen := e.host.Observed(); rec.Term < seen.Term && rec.Era == seen.Era {
-			e.host.ReportDataLoss("the term on record is older than one that was")
+			e.host.ReportDataLoss("the stored term is older than an observed one")
 		}
 		e.engine.Log(slog.LevelWarn, "claimed term is not in the store; reverting to the stored term", "claimed", e.highestTerm, "term", rec.Term)
 		e.highestTerm = rec.Term
--- a/internal/failover/advance.go
+++ b/internal/failover/advance.go
@@ -10,10 +10,10 @@
 // advance continues the recovery as far as the gathered data allows. It is called whenever new
 // data arrives or a timeout expires.
 func (r *Recovery) advance() {
-	if r.phase != gathering || !r.allStored || r.awaitsPeerKnowledge() {
+	if r.phase != collecting || !r.allStored || r.awaitsPeerStates() {
 		return
 	}
-	past := r.collectPeerKnowledge()
+	past := r.collectPeerStates()
 	if past.higherTerm >= r.term.Number {
 		r.leader.EndTerm(past.higherTerm)
 		return
@@ -29,7 +29,7 @@
 		return
 	}
 	if read := r.term.Read; r.replica != nil && r.term.LossReason == "" && !read.Missing && r.replica.Era != 0 && r.replica.Era != read.Era {
-		r.term.LossReason = "a leader has found a loss and has not passed on what there is"
+		r.term.LossReason = "an earlier leader found a data loss and did not complete the recovery"
 	}
 	if r.term.LossReason != "" && r.earlierLeaderMayAct(past.observed) {
 		return
@@ -49,15 +49,15 @@
 	higherTerm uint64           // a term that conflicts with ours because it is not lower, or 0
 }
 
-// collectPeerKnowledge combines the responses of the peers with what this node knows.
-func (r *Recovery) collectPeerKnowledge() pastTerms {
+// collectPeerStates combines the responses of the peers with what this node knows.
+func (r *Recovery) collectPeerStates() pastTerms {
 	p := pastTerms{observed: r.term.Observed}
 	if newest := r.replicas.Newest(); newest != nil && newest.Term < r.term.Number {
 		p.offers = append(p.offers, recovery.Offer{Version: newest.Version})
 	}
 	era := r.leader.Observed().Era
 	for _, seed := range r.cfg.Seeds {
-		k := r.peerKnowledge[seed.HostName]
+		k := r.peerStates[seed.HostName]
 		if k == nil {
 			continue
 		}
@@ -67,7 +67,7 @@
 		if k.Era != era { // otherwise the peer has already observed our term
 			p.observed = p.observed.Merge(k.Observed)
 		} else if r.term.LossReason == "" && r.term.Read.Missing && k.HighestPastTerm > 0 {
-			r.term.LossReason = "no term is on record, and one was"
+			r.term.LossReason = "the term record is missing"
 		}
 		if !r.fetch.failed[seed.HostName] {
 			p.offers = append(p.offers, recovery.Offer{Source: seed.HostName, Version: replica.Version{Term: k.ReplicaTerm, Seq: k.ReplicaSeq}})
@@ -100,7 +100,7 @@
 		r.replica = r.replicas.Newest()
 		return replicaChosen
 	}
-	received, peer := r.fetch.receiver.Replica(), r.peerKnowledge[newest.Source]
+	received, peer := r.fetch.receiver.Replica(), r.peerStates[newest.Source]
 	switch {
 	case received != nil && r.fetch.source == newest.Source:
 		if newest.After(received.Version) {
@@ -113,7 +113,7 @@
 	case r.term.LossReason == "" && peer.LiveDigest == replica.DigestOf(r.stored) && peer.ReplicaEra == r.term.Read.Era:
 		// The digest of keys shows that no live record is missing. Final records are fetched
 		// later, while the leader is already serving.
-		r.finalsSource = newest.Source
+		r.finalRecordsSource = newest.Source
 		return storeIsComplete
 	case r.fetch.source != newest.Source:
 		r.requestReplica(newest.Source)
@@ -137,7 +137,7 @@
 // There is no such leader if this process led the last term.
 func (r *Recovery) earlierLeaderMayAct(observed recovery.Observed) bool {
 	lastTerm := max(observed.Term, r.term.Read.Term)
-	ledLastTerm := r.term.LedPreviousTerm && lastTerm == r.term.Observed.Term && len(r.peerKnowledge) == len(r.cfg.Seeds)
+	ledLastTerm := r.term.LedPreviousTerm && lastTerm == r.term.Observed.Term && len(r.peerStates) == len(r.cfg.Seeds)
 	if !ledLastTerm {
 		r.earlierLeaderOverlap = lease.WithDrift(r.term.LeaderLease)
 	}
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	askInterval         = 100 * time.Millisecond
+	queryInterval       = 100 * time.Millisecond
 	peerResponseTimeout = 300 * time.Millisecond
 	// UnknownHistoryTimeout is how long to wait for responses from peers if the store has lost
 	// data, or if this node knows of no earlier term.
@@ -63,16 +63,16 @@
 	replicas *replication.Replicas
 	leader   Leader
 
-	term          Term
-	startedAt     time.Time
-	stored        []replica.Record              // live records read from the store
-	allStored     bool                          // stored is complete
-	peerKnowledge map[string]*peermsg.PeerState // responses by peer
-	phase         phase
+	term       Term
+	startedAt  time.Time
+	stored     []replica.Record              // live records read from the store
+	allStored  bool                          // stored is complete
+	peerStates map[string]*peermsg.PeerState // responses by peer
+	phase      phase
 
 	fetch                fetch
 	replica              *replica.Replica // replica to restore from, or nil
-	finalsSource         string           // peer to fetch final records from, or ""
+	finalRecordsSource   string           // peer to fetch final records from, or ""
 	earlierLeaderOverlap time.Duration
 }
 
@@ -80,7 +80,7 @@
 type phase int
 
 const (
-	gathering     phase = iota // reading the store and waiting for the peers
+	collecting    phase = iota // reading the store and waiting for the peers
 	resolvingJobs              // looking up the final records of jobs that only the replica has
 	merged                     // the outcome has been passed to the leader
 )
@@ -96,52 +96,52 @@
 // New returns a Recovery of term. Call Start to begin.
 func New(e *engine.Engine, scope *engine.Scope, cfg *config.Config, replicas *replication.Replicas, leader Leader, term Term) *Recovery {
 	return &Recovery{
-		engine:        e,
-		scope:         scope,
-		cfg:           cfg,
-		replicas:      replicas,
-		leader:        leader,
-		term:          term,
-		startedAt:     e.Now,
-		peerKnowledge: map[string]*peermsg.PeerState{},
-		fetch:         fetch{failed: map[string]bool{}},
+		engine:     e,
+		scope:      scope,
+		cfg:        cfg,
+		replicas:   replicas,
+		leader:     leader,
+		term:       term,
+		startedAt:  e.Now,
+		peerStates: map[string]*peermsg.PeerState{},
+		fetch:      fetch{failed: map[string]bool{}},
 	}
 }
 
 // Start begins to read the store and to query the peers. Leader.Recovered or Leader.EndTerm is
 // called later.
 func (r *Recovery) Start() {
-	r.askPeers()
+	r.queryPeers()
 	r.scope.After(peerResponseTimeout, r.advance)
 	r.scope.After(UnknownHistoryTimeout, r.advance)
 	r.scope.After(lease.WithDrift(r.term.LeaderLease)+time.Millisecond, r.advance)
 	r.readStore("")
 }
 
-// askPeers queries the peers that have not responded, and repeats this every askInterval until
+// queryPeers queries the peers that have not responded, and repeats this every queryInterval until
 // the recovery is complete: the link to a peer that has just started may not be up yet.
-func (r *Recovery) askPeers() {
+func (r *Recovery) queryPeers() {
 	if r.phase == merged {
 		return
 	}
 	for _, seed := range r.cfg.Seeds {
-		if r.peerKnowledge[seed.HostName] == nil {
+		if r.peerStates[seed.HostName] == nil {
 			r.send(seed.HostName, peermsg.PeerStateRequest)
 		}
 	}
-	r.scope.After(askInterval, r.askPeers)
+	r.scope.After(queryInterval, r.queryPeers)
 }
 
 func (r *Recovery) send(to string, kind peermsg.Kind) {
 	r.engine.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: kind, Term: r.term.Number}})
 }
 
-// HandleKnowledge handles a peer's response to the query for its knowledge of earlier terms.
-func (r *Recovery) HandleKnowledge(from string, k *peermsg.PeerState) {
-	if r.peerKnowledge[from] == nil && k.ReplicaTerm == 0 {
+// HandlePeerState handles a peer's response to the query for what it knows of earlier terms.
+func (r *Recovery) HandlePeerState(from string, k *peermsg.PeerState) {
+	if r.peerStates[from] == nil && k.ReplicaTerm == 0 {
 		r.replicas.StartTransfer(from)
 	}
-	r.peerKnowledge[from] = k
+	r.peerStates[from] = k
 	r.advance()
 }
 
@@ -182,9 +182,9 @@
 	})
 }
 
-// awaitsPeerKnowledge reports whether to keep waiting for a peer that may know more than this
+// awaitsPeerStates reports whether to keep waiting for a peer that may know more than this
 // node.
-func (r *Recovery) awaitsPeerKnowledge() bool {
+func (r *Recovery) awaitsPeerStates() bool {
 	waited := r.engine.Now.Sub(r.startedAt)
 	newest, read := r.replicas.Newest(), r.term.Read
 	switch {
@@ -194,12 +194,12 @@
 	case newest == nil && waited < UnknownHistoryTimeout:
 		// This process has just started: peers may hold replicas, and their links to this node
 		// are still being established.
-		for _, k := range r.peerKnowledge {
+		for _, k := range r.peerStates {
 			if k.ReplicaTerm+1 >= read.Term {
 				return false
 			}
 		}
-		return len(r.peerKnowledge) < len(r.cfg.Seeds)
+		return len(r.peerStates) < len(r.cfg.Seeds)
 	}
 	timeout, includeUnlinked := peerResponseTimeout, false
 	if r.term.LossReason != "" || read.Missing && r.term.Observed.Term == 0 {
@@ -209,7 +209,7 @@
 		return false
 	}
 	for _, seed := range r.cfg.Seeds {
-		if r.peerKnowledge[seed.HostName] == nil && (includeUnlinked || r.leader.IsLinked(seed.HostName)) {
+		if r.peerStates[seed.HostName] == nil && (includeUnlinked || r.leader.IsLinked(seed.HostName)) {
 			return true
 		}
 	}
--- a/internal/failover/merge.go
+++ b/internal/failover/merge.go
@@ -23,7 +23,7 @@
 
 	LossReason           string        // evidence of a data loss, or ""
 	Source               string        // controller that supplied Restored, or ""
-	FinalsSource         string        // controller to fetch final records from, or ""
+	FinalRecordsSource   string        // controller to fetch final records from, or ""
 	NoEarlierTerm        bool          // the store had no term record before the new term
 	EarlierLeaderOverlap time.Duration // how long into the new term an earlier leader may have had authority
 }
@@ -36,7 +36,7 @@
 		Replica:              r.replicas.NewReplica(r.leader.Observed().Era, r.term.Number),
 		Restored:             r.replica,
 		LossReason:           r.term.LossReason,
-		FinalsSource:         r.finalsSource,
+		FinalRecordsSource:   r.finalRecordsSource,
 		NoEarlierTerm:        r.term.Read.Missing,
 		EarlierLeaderOverlap: r.earlierLeaderOverlap,
 	}
@@ -76,7 +76,7 @@
 		// The store's final records and schedules are newer than the replica's.
 		res.Writes = slices.DeleteFunc(res.Writes, notLive)
 		if len(res.Writes) > 0 {
-			o.LossReason = "records are missing that a copy has"
+			o.LossReason = "records are missing that a replica has"
 		}
 	}
 	o.Restore = res.Writes
--- a/internal/failover/missing_jobs.go
+++ b/internal/failover/missing_jobs.go
@@ -11,24 +11,24 @@
 const (
 	// maxFinalReads is the most final records that are read one by one. For more, all final
 	// records in the key range are listed.
-	maxFinalReads = 50
-	finalsPage    = 1000 // final records per page
+	maxFinalReads        = 50
+	finalRecordsPageSize = 1000 // final records per page
 )
 
 // resolveMissingJobs looks up the final records of jobs that the replica has and the store
 // lacks. Such a job either finished after the replica's last update or was lost. Final records
 // that exist are added to the replica; then the recovery merges.
 func (r *Recovery) resolveMissingJobs() {
-	finals := r.missingFinals()
+	finals := r.missingFinalKeys()
 	switch {
 	case len(finals) == 0:
 		r.merge()
 	case len(finals) > maxFinalReads:
-		r.listFinals(finals[0], finals[len(finals)-1])
+		r.listFinalRecords(finals[0], finals[len(finals)-1])
 	default:
 		remaining := len(finals)
 		for _, key := range finals {
-			r.readFinal(key, func() {
+			r.readFinalRecord(key, func() {
 				if remaining--; remaining == 0 {
 					r.merge()
 				}
@@ -37,9 +37,9 @@
 	}
 }
 
-// missingFinals returns the sorted keys under which the final records of the missing jobs would
+// missingFinalKeys returns the sorted keys under which the final records of the missing jobs would
 // be stored.
-func (r *Recovery) missingFinals() (finals []string) {
+func (r *Recovery) missingFinalKeys() (finals []string) {
 	stored := map[string]bool{}
 	for _, rec := range r.stored {
 		stored[rec.Key] = true
@@ -53,28 +53,28 @@
 	return finals
 }
 
-// readFinal reads a final record into the replica and then calls done. It retries until the
+// readFinalRecord reads a final record into the replica and then calls done. It retries until the
 // store responds.
-func (r *Recovery) readFinal(key string, done func()) {
+func (r *Recovery) readFinalRecord(key string, done func()) {
 	r.scope.CallStore(kv.Request{Op: kv.Get, Key: key}, func(got kv.Response) {
 		switch got.Outcome {
 		case rpc.OK:
 			r.replica.Put(key, got.Entries[0].Value, got.Entries[0].Rev)
 		case rpc.NotFound:
 		default:
-			r.scope.After(r.engine.Jitter(retryDelay), func() { r.readFinal(key, done) })
+			r.scope.After(r.engine.Jitter(retryDelay), func() { r.readFinalRecord(key, done) })
 			return
 		}
 		done()
 	})
 }
 
-// listFinals lists the final records from key from to key to, adds those of the replica's jobs
+// listFinalRecords lists the final records from key from to key to, adds those of the replica's jobs
 // to the replica, and then merges.
-func (r *Recovery) listFinals(from, to string) {
-	r.scope.CallStore(kv.Request{Op: kv.List, Key: record.FinalPrefix, From: from[:len(from)-1], Limit: finalsPage}, func(page kv.Response) {
+func (r *Recovery) listFinalRecords(from, to string) {
+	r.scope.CallStore(kv.Request{Op: kv.List, Key: record.FinalPrefix, From: from[:len(from)-1], Limit: finalRecordsPageSize}, func(page kv.Response) {
 		if page.Outcome != rpc.OK {
-			r.scope.After(r.engine.Jitter(retryDelay), func() { r.listFinals(from, to) })
+			r.scope.After(r.engine.Jitter(retryDelay), func() { r.listFinalRecords(from, to) })
 			return
 		}
 		for _, e := range page.Entries {
@@ -84,7 +84,7 @@
 			}
 		}
 		if n := len(page.Entries); page.More && n > 0 && page.Entries[n-1].Key < to {
-			r.listFinals(page.Entries[n-1].Key+"0", to)
+			r.listFinalRecords(page.Entries[n-1].Key+"0", to)
 			return
 		}
 		r.merge()
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -58,8 +58,8 @@
 
 // Controller provides the functions of the controller that a Forwarder uses.
 type Controller interface {
-	// Leads reports whether the controller is the leader, which forwards nothing.
-	Leads() bool
+	// IsLeader reports whether the controller is the leader, which forwards nothing.
+	IsLeader() bool
 	// Upstream returns what is known about the leader.
 	Upstream() Upstream
 }
@@ -139,10 +139,10 @@
 	return f.encoder.Session()
 }
 
-// TakePending resets the forwarder when its controller becomes the leader. It returns the
+// ReleasePending resets the forwarder when its controller becomes the leader. It returns the
 // heartbeats that await a reply, in order of arrival, and the workers that have reported to this
 // controller, by host.
-func (f *Forwarder) TakePending() ([]heartbeat.Received, map[string]*Worker) {
+func (f *Forwarder) ReleasePending() ([]heartbeat.Received, map[string]*Worker) {
 	var waiting []heartbeat.Received
 	for _, ref := range f.waitingRefs() {
 		waiting = append(waiting, heartbeat.Received{Ref: ref, Report: f.byRef[ref].report})
@@ -219,7 +219,7 @@
 // keep-alives. It reschedules itself every KeepAliveInterval.
 func (f *Forwarder) Tick() {
 	f.engine.After(KeepAliveInterval, f.Tick)
-	if f.controller.Leads() {
+	if f.controller.IsLeader() {
 		return
 	}
 	f.expire()
--- a/internal/forwarder/prober.go
+++ b/internal/forwarder/prober.go
@@ -35,7 +35,7 @@
 }
 
 func (f *Forwarder) probeNext() {
-	for f.probesInFlight < probe.MaxInFlight && len(f.queue) > 0 && !f.controller.Leads() {
+	for f.probesInFlight < probe.MaxInFlight && len(f.queue) > 0 && !f.controller.IsLeader() {
 		host := f.queue[0]
 		f.queue = f.queue[1:]
 		if w := f.workers[host]; w != nil && w.fencingToken < f.probedTerm && f.byHost[host] == nil {
@@ -56,7 +56,7 @@
 		f.probesInFlight--
 		report := &p.Report
 		switch {
-		case f.controller.Leads() || p.Outcome == rpc.Unknown || report.Host != host:
+		case f.controller.IsLeader() || p.Outcome == rpc.Unknown || report.Host != host:
 		case p.Outcome == rpc.Conflict && report.Incarnation != incarnation && report.Incarnation != w.incarnation:
 			w.incarnation = report.Incarnation
 			f.probeWorker(host, w, report.Incarnation)
--- a/internal/forwarder/session.go
+++ b/internal/forwarder/session.go
@@ -79,7 +79,7 @@
 // may denote other heartbeats.
 func (f *Forwarder) HandleReplies(from string, term uint64, replies *relay.Replies) {
 	upstream := f.controller.Upstream()
-	if f.controller.Leads() || f.encoder == nil || from != f.leader || from != upstream.Leader ||
+	if f.controller.IsLeader() || f.encoder == nil || from != f.leader || from != upstream.Leader ||
 		term != f.term || term != upstream.Term || replies.Session != f.encoder.Session() {
 		return
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,8 +48,8 @@
 
 // Controller provides the functions of the controller that a Gateway uses.
 type Controller interface {
-	// Leads reports whether the controller is the leader, even if its lease has lapsed.
-	Leads() bool
+	// IsLeader reports whether the controller is the leader, even if its lease has lapsed.
+	IsLeader() bool
 	// Upstream returns what is known about the leader.
 	Upstream() Upstream
 	// RequestLeaderVersion asks the leader for its protocol version.
@@ -113,13 +113,13 @@
 		return
 	}
 	upstream := g.controller.Upstream()
-	if g.controller.Leads() || !upstream.Linked {
+	if g.controller.IsLeader() || !upstream.Linked {
 		g.serveWithoutLeader(r)
 		return
 	}
 	if r.Config != nil && !upstream.KnowsConfig {
 		g.controller.RequestLeaderVersion()
-		g.respond(r, request.Unavailable("the leader has not said that it knows live configuration"))
+		g.respond(r, request.Unavailable("the leader is not known to support live configuration"))
 		return
 	}
 	g.forward(r, upstream.Leader)
--- a/internal/gateway/leaderless.go
+++ b/internal/gateway/leaderless.go
@@ -57,7 +57,7 @@
 // refreshInstanceTypes reads the instance types and schedules the next read. Leaderless admission
 // needs them to refuse jobs that can never be scheduled.
 func (g *Gateway) refreshInstanceTypes() {
-	if g.controller.Leads() { // the autoscaler of the leader reads them
+	if g.controller.IsLeader() { // the autoscaler of the leader reads them
 		g.engine.After(g.engine.Jitter(instanceTypesInterval), g.refreshInstanceTypes)
 		return
 	}
@@ -107,7 +107,7 @@
 // allowsLeaderlessAdmission reports whether this controller may accept a submission without a
 // leader.
 func (g *Gateway) allowsLeaderlessAdmission(r request.Request) bool {
-	return !g.controller.Leads() && r.From == "" && len(g.cfg.Seeds) > 0 && len(g.instanceTypes) > 0 && g.policy.NeverRefuses()
+	return !g.controller.IsLeader() && r.From == "" && len(g.cfg.Seeds) > 0 && len(g.instanceTypes) > 0 && g.policy.NeverRefuses()
 }
 
 // admissionConditions returns the conditions under which a decision on a job may be made without
--- a/internal/heartbeat/exchange.go
+++ b/internal/heartbeat/exchange.go
@@ -16,15 +16,15 @@
 	CauseUnknownTask = "no_such"
 )
 
-// Received is a worker's report that needs a reply. The worker sent it to this controller
+// Received is a worker's heartbeat that needs a reply. The worker sent it to this controller
 // directly or through a relay.
 type Received struct {
 	Ref    uint64
-	Via    RelaySession // zero if the worker sent the report to this controller directly
+	Via    RelaySession // zero if the worker sent the heartbeat to this controller directly
 	Report Report
 }
 
-// Abandoned is an input that says that a worker no longer waits for the reply to its report.
+// Abandoned is an input that says that a worker no longer waits for the reply to its heartbeat.
 type Abandoned struct{ Ref uint64 }
 
 // Reply is the reply to the Received with the same Ref.
@@ -33,7 +33,7 @@
 	Status       int // HTTP status
 	FencingToken uint64
 	Orders       []Order
-	Upstream     string // with status 421: the controller to report to; "" means any other
+	Upstream     string // with status 421: the controller to send heartbeats to; "" means any other
 }
 
 // Probe sends a worker the leader's fencing token without orders and requests a report.
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -1,5 +1,5 @@
-// Package heartbeat defines the messages between workers and controllers: reports, replies
-// and probes.
+// Package heartbeat defines the messages between workers and controllers: heartbeats, which carry
+// the Report of a worker, their replies, and probes.
 package heartbeat
 
 import (
@@ -50,7 +50,8 @@
 	Cause   string // why it exited; only in phase Exited
 }
 
-// Report is the state of a worker and its tasks, sent with each heartbeat.
+// Report is the state of a worker and its tasks. A worker sends it in every heartbeat and in the
+// reply to a probe.
 type Report struct {
 	Host, Address, InstanceType, Zone  string
 	Spot                               bool
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -23,7 +23,7 @@
 	byHost       map[string]*fleet.Machine
 	machines     []*fleet.Machine // the same machines, sorted by host name
 	released     expiringset.Set  // known to be terminated; their delayed heartbeats are ignored
-	unaccounted  map[string]bool  // hosts and unreadable record keys; see Unaccounted
+	unaccounted  map[string]bool  // hosts and unreadable record keys; see IsUnaccounted
 	places       *topology.Tree
 	zones        *zones.Tracker
 	instanceType func(name string) *provider.InstanceType
@@ -97,9 +97,9 @@
 // Released reports whether the machine was recently marked with MarkReleased.
 func (v *Inventory) Released(host string) bool { return v.released.Has(host) }
 
-// Unaccounted reports whether the machine may have tasks of an earlier term that the leader does
+// IsUnaccounted reports whether the machine may have tasks of an earlier term that the leader does
 // not know.
-func (v *Inventory) Unaccounted(host string) bool { return v.unaccounted[host] }
+func (v *Inventory) IsUnaccounted(host string) bool { return v.unaccounted[host] }
 
 // UnaccountedCount returns the number of machines that may have unknown tasks of an earlier term.
 // A machine record that cannot be read counts as one machine.
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -24,8 +24,8 @@
 	Write(change *writebatch.Change)
 	// ReadBack reads a record whose conditional write failed, and calls f with the result.
 	ReadBack(key string, f func(e kv.Entry, found bool))
-	// ReplicateDrop deletes a record from the replicas.
-	ReplicateDrop(key string)
+	// ReplicateDelete deletes a record from the replicas.
+	ReplicateDelete(key string)
 	// RequestDispatch schedules a check for tasks that can start on the machine.
 	RequestDispatch(m *fleet.Machine)
 	// MarkAccounted records that the machine has no unknown task of an earlier term.
@@ -166,7 +166,7 @@
 	rec, dropped := w.record, w.deletes()
 	w.records.leader.ReadBack(rec.Key, func(e kv.Entry, found bool) {
 		if dropped && !found {
-			w.records.leader.ReplicateDrop(rec.Key)
+			w.records.leader.ReplicateDelete(rec.Key)
 		}
 		rec.Revision = e.Rev // 0 if the record does not exist
 		w.records.write(rec, w.change.Priority)
--- a/internal/lifecycle/cancel.go
+++ b/internal/lifecycle/cancel.go
@@ -49,7 +49,7 @@
 	if wait := safeAt.Sub(m.engine.Now); wait > 0 && m.mayHaveAttempts(j) {
 		stopping := request.Unavailable("the tasks are being stopped")
 		stopping.RetryAfter = wait
-		m.AnswerWaiters(j, stopping) // each waiting client is told once and may retry
+		m.AnswerWaiting(j, stopping) // each waiting client is told once and may retry
 		m.scope.After(min(wait, cancelRetryInterval), func() { m.writeCancellation(j, safeAt) })
 		return
 	}
@@ -72,14 +72,14 @@
 	j.Cancelling, j.Cancelled, j.Record, j.FinalChange = false, true, rec, nil
 	m.Placement.DropReservations(j)
 	m.engine.Log(slog.LevelDebug, "job cancelled", "job", j.Spec.ID)
-	m.AnswerWaiters(j, request.Response{Status: 200, Job: j.View()})
+	m.AnswerWaiting(j, request.Response{Status: 200, Job: j.View()})
 	m.FinishIfEnded(j)
 }
 
 // readBackFinal handles a cancellation that was rejected because the job already has a final
 // record: it reads that record and finishes the job.
 func (m *Manager) readBackFinal(j *fleet.Job) {
-	m.AnswerWaiters(j, request.Unavailable("the job has just ended, try again"))
+	m.AnswerWaiting(j, request.Unavailable("the job has just ended, try again"))
 	m.Writes.ReadBack(record.FinalPrefix+j.Spec.ID, func(e kv.Entry, _ bool) {
 		if final, _ := e.Value.(*record.Final); final != nil && m.Jobs[j.Spec.ID] == j {
 			m.onFinalCommitted(j, *final)
@@ -87,9 +87,9 @@
 	})
 }
 
-// AnswerWaiters sends the response to every request that waits for the job's cancellation or
+// AnswerWaiting sends the response to every request that waits for the job's cancellation or
 // final record, and clears the list.
-func (m *Manager) AnswerWaiters(j *fleet.Job, response request.Response) {
+func (m *Manager) AnswerWaiting(j *fleet.Job, response request.Response) {
 	for _, r := range j.FinalWaiters {
 		m.answer(r, response)
 	}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -172,7 +172,7 @@
 		a.Forgettable = true
 	}
 	j.UnrecordedCompletions = nil
-	m.AnswerWaiters(j, request.Response{Status: 200, Job: jobstore.FinalStatus(id, final)})
+	m.AnswerWaiting(j, request.Response{Status: 200, Job: jobstore.FinalStatus(id, final)})
 	m.leader.JobFinished(j, final.State)
 	m.engine.Log(slog.LevelDebug, "job finished", "job", id, "state", final.State)
 }
--- a/internal/liveconfig/change.go
+++ b/internal/liveconfig/change.go
@@ -94,7 +94,7 @@
 		team := &c.Teams[i].Team
 		field, reason := team.validate()
 		if field == "" && names[team.Name] {
-			field, reason = "name", fmt.Sprintf("%q occurs more than once", team.Name)
+			field, reason = "name", fmt.Sprintf("duplicate name %q", team.Name)
 		}
 		if field != "" {
 			return &Error{Object: fmt.Sprintf("teams[%d]", i), Field: field, Reason: reason}
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -19,16 +19,16 @@
 type Leader interface {
 	// Machines returns all machines, sorted by host name.
 	Machines() []*fleet.Machine
-	// Unaccounted reports whether a machine may hold unknown tasks of an earlier term.
-	Unaccounted(host string) bool
+	// IsUnaccounted reports whether a machine may hold unknown tasks of an earlier term.
+	IsUnaccounted(host string) bool
 	// LeadershipTimes returns when the leader was elected and when it last regained its
 	// authority after its lease had lapsed.
 	LeadershipTimes() (electedAt, resumedAt time.Time)
 	// DropReservations cancels the reservations on a machine, so that the tasks are placed
 	// on other machines.
 	DropReservations(m *fleet.Machine)
-	// DispatchAll requests that waiting tasks be started on the available machines.
-	DispatchAll()
+	// RequestDispatchAll requests that waiting tasks be started on the available machines.
+	RequestDispatchAll()
 	// Release queues a machine to be released to the cloud.
 	Release(m *fleet.Machine)
 	// RequestProbe requests one instance in a lost zone.
@@ -62,7 +62,7 @@
 	o.observeRegions()
 	for _, x := range changes {
 		o.logZoneChange(x)
-		o.leader.DispatchAll()
+		o.leader.RequestDispatchAll()
 	}
 	o.markUnreachable()
 	o.handleLostZones()
@@ -74,7 +74,7 @@
 	electedAt, _ := o.leader.LeadershipTimes()
 	inElectionGrace := o.engine.Now.Sub(electedAt) <= min(o.silentAfter, electionGrace)
 	for _, m := range o.leader.Machines() {
-		if m.Releasing || !m.InterruptionAt.IsZero() || !m.Reported && !m.LeaseExpired && !o.leader.Unaccounted(m.Host) {
+		if m.Releasing || !m.InterruptionAt.IsZero() || !m.Reported && !m.LeaseExpired && !o.leader.IsUnaccounted(m.Host) {
 			continue // being released or interrupted, or not booted yet
 		}
 		c := counts[m.Zone]
@@ -104,14 +104,14 @@
 	if r := o.Regions.RegionOf(z.Name); r != nil && r.State != zones.Up {
 		level = slog.LevelDebug // the region's state change is already logged
 	}
-	o.engine.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.PreviousDuration, "heard", z.Counts.Reporting, "silent", z.Counts.Silent)
+	o.engine.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.PreviousDuration, "reporting", z.Counts.Reporting, "silent", z.Counts.Silent)
 }
 
 // observeRegions derives the states of regions from those of their zones and logs changes.
 func (o *Monitor) observeRegions() {
 	for _, x := range o.Regions.Observe(o.engine.Now, o.Zones.All()) {
 		r := x.Region
-		o.engine.Log(logLevel(x.To), "region "+x.To.String(), "region", r.Name, "before", x.From.String(), "after", x.PreviousDuration, "zones", r.Zones, "away", r.UnreachableZones, "heard", r.Counts.Reporting, "silent", r.Counts.Silent)
+		o.engine.Log(logLevel(x.To), "region "+x.To.String(), "region", r.Name, "before", x.From.String(), "after", x.PreviousDuration, "zones", r.Zones, "unreachable", r.UnreachableZones, "reporting", r.Counts.Reporting, "silent", r.Counts.Silent)
 	}
 }
 
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -47,7 +47,7 @@
 		Version:          j.Version,
 		Schedule:         j.Schedule,
 		Config:           j.Config,
-		PeerState:        j.Knowledge,
+		PeerState:        j.PeerState,
 		Heartbeats:       j.Reports,
 		HeartbeatReplies: j.Replies,
 	}
@@ -67,7 +67,7 @@
 		message.Replica, err = j.Replica.decode()
 		return err
 	case peermsg.PeerStateResponse:
-		return j.validateKnowledge()
+		return j.validatePeerState()
 	case peermsg.Leader, peermsg.Ack, peermsg.PeerStateRequest, peermsg.ReplicaRequest, peermsg.ReplicaRestart, peermsg.ConfigRevision:
 		if !validTerm(j.Term) {
 			return &malformedError{"term", "out of range"}
@@ -94,8 +94,8 @@
 
 func validTerm(term uint64) bool { return term > 0 && term <= record.MaxTerm }
 
-func (j *messageJSON) validateKnowledge() error {
-	k := j.Knowledge
+func (j *messageJSON) validatePeerState() error {
+	k := j.PeerState
 	if k == nil || !validTerm(j.Term) || k.Term > record.MaxTerm || k.ReplicaTerm > record.MaxTerm {
 		return &malformedError{"know", "missing, or term out of range"}
 	}
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -33,7 +33,7 @@
 	Schedule  *request.ScheduleParams `json:"schedule,omitempty"`
 	Config    *request.ConfigParams   `json:"config,omitempty"`
 	Replica   *replicaLineJSON        `json:"copy,omitempty"`
-	Knowledge *peermsg.PeerState      `json:"know,omitempty"`
+	PeerState *peermsg.PeerState      `json:"know,omitempty"`
 	Reports   *relay.Batch            `json:"reports,omitempty"`
 	Replies   *relay.Replies          `json:"replies,omitempty"`
 }
@@ -84,7 +84,7 @@
 		Version:   m.Version,
 		Schedule:  m.Schedule,
 		Config:    m.Config,
-		Knowledge: m.PeerState,
+		PeerState: m.PeerState,
 		Reports:   m.Heartbeats,
 		Replies:   m.HeartbeatReplies,
 	}
--- a/internal/placement/attempts.go
+++ b/internal/placement/attempts.go
@@ -38,7 +38,7 @@
 	if a.Orphaned {
 		a.Orphaned = false
 		s.OrphanedTasks--
-		s.leader.DispatchAll()
+		s.leader.RequestDispatchAll()
 	}
 	if !a.HoldsResources {
 		return
@@ -62,7 +62,7 @@
 	// failures.
 	if j.Team.LimitReached || j.Spec.SamePlace || j.Spec.Apart || j.Failures > 0 {
 		j.Team.LimitReached = false
-		s.leader.DispatchAll()
+		s.leader.RequestDispatchAll()
 	}
 }
 
--- a/internal/placement/locality.go
+++ b/internal/placement/locality.go
@@ -53,7 +53,7 @@
 		return
 	}
 	j.ImageLocalUntil = s.now().Add(imageLocalityWait)
-	s.scope.After(imageLocalityWait, s.leader.DispatchAll)
+	s.scope.After(imageLocalityWait, s.leader.RequestDispatchAll)
 }
 
 // maxReservationsScanned bounds how many reservations of a job are examined for a machine that
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -121,7 +121,7 @@
 	}
 	clear(s.pendingJobs[len(left):])
 	if s.pendingJobs = left; reserved > 0 {
-		s.leader.DispatchAll()
+		s.leader.RequestDispatchAll()
 	}
 	if len(left) > 0 && visits >= maxVisitsPerStep && !s.continuationQueued {
 		s.continuationQueued = true
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -15,17 +15,17 @@
 
 // Leader is the part of the elected leader that the scheduler depends on.
 type Leader interface {
-	// CanAct reports whether the leader holds its lease and has loaded the stored records.
-	CanAct() bool
+	// IsActive reports whether the leader holds its lease and has loaded the stored records.
+	IsActive() bool
 	// Machines returns all machines of the fleet, sorted by name.
 	Machines() []*fleet.Machine
-	// Unaccounted reports whether the machine may still run tasks of an earlier term that it has
+	// IsUnaccounted reports whether the machine may still run tasks of an earlier term that it has
 	// not reported yet.
-	Unaccounted(host string) bool
+	IsUnaccounted(host string) bool
 	// UnaccountedCount returns the number of unaccounted machines.
 	UnaccountedCount() int
-	// DispatchAll reconsiders all machines whose heartbeat replies are held.
-	DispatchAll()
+	// RequestDispatchAll reconsiders all machines whose heartbeat replies are held.
+	RequestDispatchAll()
 	// Backlog returns the pending work as time on all current CPUs, and the number of these CPUs.
 	Backlog() (work time.Duration, cpus float64)
 }
--- a/internal/placement/starts.go
+++ b/internal/placement/starts.go
@@ -45,9 +45,9 @@
 
 // acceptsTasks reports whether tasks may start on the machine now.
 func (s *Scheduler) acceptsTasks(m *fleet.Machine) bool {
-	return m.FreeResources().CPU > 0 && len(s.Queue) > 0 && s.leader.CanAct() &&
+	return m.FreeResources().CPU > 0 && len(s.Queue) > 0 && s.leader.IsActive() &&
 		m.Reported && m.Record == fleet.Recorded && m.Schedulable() && m.ZoneState.AllowsTaskStarts() &&
-		!s.now().Before(m.RetryAt) && !s.leader.Unaccounted(m.Host) && s.AttemptCount <= MaxAttempts-maxStartsPerReply
+		!s.now().Before(m.RetryAt) && !s.leader.IsUnaccounted(m.Host) && s.AttemptCount <= MaxAttempts-maxStartsPerReply
 }
 
 // StartTasksOn starts pending tasks on the machine in queue order while they fit, even before their
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -209,13 +209,13 @@
 // ahead of its turn to prevent starvation.
 func (p *Policy) BeginWithin(env Env) float64 { return p.number(beginWithin, env) }
 
-// HoldIdle returns for how many seconds the reply to a heartbeat is delayed (long polling)
+// IdleReplyDelay returns for how many seconds the reply to a heartbeat is delayed (long polling)
 // while the machine runs no tasks or has room for jobs with a waiting-time objective.
-func (p *Policy) HoldIdle(env Env) float64 { return p.number(holdIdle, env) }
+func (p *Policy) IdleReplyDelay(env Env) float64 { return p.number(holdIdle, env) }
 
-// HoldBusy returns for how many seconds the reply to a heartbeat is delayed while the machine
+// BusyReplyDelay returns for how many seconds the reply to a heartbeat is delayed while the machine
 // runs tasks and has other free capacity.
-func (p *Policy) HoldBusy(env Env) float64 { return p.number(holdBusy, env) }
+func (p *Policy) BusyReplyDelay(env Env) float64 { return p.number(holdBusy, env) }
 
 // ReportBytes returns the limit in bytes per second of heartbeats and replies on a worker's
 // network. 0 means no limit.
--- a/internal/probe/prober.go
+++ b/internal/probe/prober.go
@@ -20,10 +20,10 @@
 
 // Leader provides the functions of the leader that a Prober uses.
 type Leader interface {
-	// CanAct reports whether the leader's lease is valid and the records are loaded.
-	CanAct() bool
-	// Linked reports whether this controller is connected to any other controller.
-	Linked() bool
+	// IsActive reports whether the leader's lease is valid and the records are loaded.
+	IsActive() bool
+	// IsLinkedToAny reports whether this controller is connected to any other controller.
+	IsLinkedToAny() bool
 	// Reconcile updates the state of a machine from a valid report.
 	Reconcile(m *fleet.Machine, report *heartbeat.Report)
 	// HandleNewerToken is called when a worker claims to have seen a newer fencing token than
@@ -52,7 +52,7 @@
 // its election are probed at once, the others after relayDelay. Without a link to any relay, all
 // are probed at once.
 func (p *Prober) Start(reportedHere func(host string) bool) {
-	if !p.leader.Linked() {
+	if !p.leader.IsLinkedToAny() {
 		p.enqueue(func(string) bool { return true })
 		return
 	}
@@ -65,7 +65,7 @@
 // enqueue queues the unaccounted machines that match for probing.
 func (p *Prober) enqueue(match func(host string) bool) {
 	for _, m := range p.inventory.Machines() {
-		if p.inventory.Unaccounted(m.Host) && m.Address != "" && match(m.Host) {
+		if p.inventory.IsUnaccounted(m.Host) && m.Address != "" && match(m.Host) {
 			p.queue = append(p.queue, m)
 		}
 	}
@@ -73,7 +73,7 @@
 }
 
 func (p *Prober) sendNext() {
-	for p.inFlight < MaxInFlight && len(p.queue) > 0 && p.leader.CanAct() {
+	for p.inFlight < MaxInFlight && len(p.queue) > 0 && p.leader.IsActive() {
 		m := p.queue[0]
 		p.queue = p.queue[1:]
 		p.sendProbe(m, 1) // most machines are in their first incarnation
@@ -83,7 +83,7 @@
 // acceptsReplyFrom reports whether a machine's reply to a probe is still usable. It is not once
 // the machine has sent a heartbeat, since the reply may then predate tasks sent to the machine.
 func (p *Prober) acceptsReplyFrom(m *fleet.Machine) bool {
-	return p.inventory.Unaccounted(m.Host) && !m.Reported && !m.Releasing
+	return p.inventory.IsUnaccounted(m.Host) && !m.Reported && !m.Releasing
 }
 
 // HandleRelayedReply processes a report that a worker returned to a probe sent by a relay. It
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -17,8 +17,8 @@
 
 // Leader is implemented by the leader that a Reconciler belongs to.
 type Leader interface {
-	// OnBoot is called at the first heartbeat of a machine, with its instance type.
-	OnBoot(instanceType string)
+	// Booted is called at the first heartbeat of a machine, with its instance type.
+	Booted(instanceType string)
 	// MarkAccounted records that all tasks that earlier terms started on a machine are known.
 	MarkAccounted(host string)
 }
@@ -48,7 +48,7 @@
 	if r.releaseUnlisted(m, report) {
 		r.backOffAfterLostStart(m)
 	}
-	if report.FencingToken == r.term && r.inventory.Unaccounted(m.Host) {
+	if report.FencingToken == r.term && r.inventory.IsUnaccounted(m.Host) {
 		r.leader.MarkAccounted(m.Host)
 	}
 	r.placement.ExtendOverruns(m)
@@ -60,7 +60,7 @@
 	if !m.Reported {
 		r.engine.Log(slog.LevelDebug, "first heartbeat of machine", "machine", m.Host, "type", report.InstanceType, "zone", report.Zone, "tasks", len(report.Tasks))
 		m.IdleSince = now
-		r.leader.OnBoot(m.TypeName)
+		r.leader.Booted(m.TypeName)
 	}
 	if m.Reported && report.Incarnation > m.Incarnation {
 		// The worker starts a new incarnation after its lease has expired and it has killed
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -58,11 +58,11 @@
 	case read.StoreRevision > 0 && read.StoreRevision < o.Revision:
 		return "the state service's revision has fallen"
 	case read.Missing && o.Term > 0:
-		return "no term is on record, and one was"
+		return "the term record is missing"
 	case !read.Missing && read.Term > 0 && read.Term < o.Term:
-		return "the term on record is older than one that was"
+		return "the stored term is older than an observed one"
 	case !read.Missing && read.Era != 0 && o.Era != 0 && read.Era != o.Era && read.Term <= o.Term:
-		return "the era on record is another"
+		return "the stored era differs from the observed one"
 	}
 	return ""
 }
--- a/internal/recurring/edit.go
+++ b/internal/recurring/edit.go
@@ -196,7 +196,7 @@
 
 // finishRemoval removes a schedule whose record has been deleted and answers the requester.
 func (s *Scheduler) finishRemoval(sched *scheduleState) {
-	s.leader.DropReplica(sched.key())
+	s.leader.ReplicateDelete(sched.key())
 	s.engine.Log(slog.LevelInfo, "schedule removed", "schedule", sched.name)
 	s.reply(sched, request.Response{Status: 200, Document: map[string]string{"name": sched.name, "status": "removed"}})
 	s.removeFromMemory(sched)
--- a/internal/recurring/leader.go
+++ b/internal/recurring/leader.go
@@ -58,8 +58,8 @@
 	ReadBack(key string, f func(entry kv.Entry, found bool))
 	// Replicate adds a record that was read to the replicas.
 	Replicate(entry kv.Entry)
-	// DropReplica removes a deleted record from the replicas.
-	DropReplica(key string)
+	// ReplicateDelete removes a deleted record from the replicas.
+	ReplicateDelete(key string)
 }
 
 // Requests answers and forwards users' requests.
--- a/internal/relay/decoder.go
+++ b/internal/relay/decoder.go
@@ -44,18 +44,18 @@
 // Session returns the number of the current session, or 0 if there is none.
 func (dec *Decoder) Session() uint64 { return dec.session }
 
-// Decode restores the reports of a batch in their order. opened reports whether the batch opens
+// Decode restores the reports of a batch in their order. sessionStarted reports whether the batch starts
 // a new session. After an error other than ErrStaleSession the relay must open a new session.
-func (dec *Decoder) Decode(b *Batch) (reports []heartbeat.Report, opened bool, err error) {
+func (dec *Decoder) Decode(b *Batch) (reports []heartbeat.Report, sessionStarted bool, err error) {
 	if slices.Contains(dec.closedSessions, b.Session) {
 		return nil, false, ErrStaleSession
 	}
 	if b.Number == 1 && b.Session != 0 && b.Session != dec.session {
 		dec.openSession(b.Session)
-		opened = true
+		sessionStarted = true
 	}
 	if b.Session != dec.session || b.Session == 0 || b.Number != dec.number+1 {
-		return nil, opened, ErrSequenceGap
+		return nil, sessionStarted, ErrSequenceGap
 	}
 	dec.number++
 	reports = make([]heartbeat.Report, 0, len(b.Reports))
@@ -63,14 +63,14 @@
 		r, err := dec.decode(&b.Reports[i])
 		if err != nil {
 			dec.session = 0
-			return nil, opened, err
+			return nil, sessionStarted, err
 		}
 		reports = append(reports, r)
 	}
 	for _, h := range b.Released {
 		delete(dec.machines, h)
 	}
-	return reports, opened, nil
+	return reports, sessionStarted, nil
 }
 
 // openSession resets the decoder for a new session and remembers the previous one as closed.
--- a/internal/relaylinks/links.go
+++ b/internal/relaylinks/links.go
@@ -63,15 +63,15 @@
 // DirectWorkers returns the number of workers that report to the leader directly.
 func (l *Links) DirectWorkers() int { return l.Link("").Workers }
 
-// Decode decodes a batch from a relay. opened reports whether the batch opens a new session. The
+// Decode decodes a batch from a relay. sessionStarted reports whether the batch starts a new session. The
 // relay then sends all pending heartbeats again, and replies to those of the previous session
 // must be discarded. If ok is false, the batch must be ignored; Decode has asked the relay for
 // a new session unless the batch belongs to a closed one.
-func (l *Links) Decode(from string, batch *relay.Batch) (reports []heartbeat.Report, opened, ok bool) {
+func (l *Links) Decode(from string, batch *relay.Batch) (reports []heartbeat.Report, sessionStarted, ok bool) {
 	link := l.Link(from)
 	previousSession := link.Decoder.Session()
-	reports, opened, err := link.Decoder.Decode(batch)
-	if opened {
+	reports, sessionStarted, err := link.Decoder.Decode(batch)
+	if sessionStarted {
 		if previousSession != 0 {
 			// The relay may have restarted without having been detected as silent. Its workers
 			// may then try another controller before they report here again.
@@ -82,14 +82,14 @@
 	switch {
 	case err == nil:
 		link.LastBatch = l.engine.Now
-		return reports, opened, true
+		return reports, sessionStarted, true
 	case errors.Is(err, relay.ErrStaleSession):
-		return nil, opened, false
+		return nil, sessionStarted, false
 	case !errors.Is(err, relay.ErrSequenceGap):
 		l.engine.Log(slog.LevelWarn, "malformed heartbeat batch from relay, requesting a new session", "relay", from, "reason", err)
 	}
 	l.send(from, &relay.Replies{Session: batch.Session, Resync: true})
-	return nil, opened, false
+	return nil, sessionStarted, false
 }
 
 // Reply sends a reply along the path of its heartbeat. Replies through relays are buffered until
--- a/internal/writebatch/send.go
+++ b/internal/writebatch/send.go
@@ -22,7 +22,7 @@
 // Flush sends queued changes as far as the rate limits allow. It does nothing while the leader
 // cannot act or the batcher backs off.
 func (b *Batcher) Flush() {
-	if !b.leader.CanAct() || b.engine.Now.Before(b.pausedUntil) {
+	if !b.leader.IsActive() || b.engine.Now.Before(b.pausedUntil) {
 		return
 	}
 	b.flushConfig()
@@ -86,7 +86,7 @@
 		b.ScheduleFlush()
 		return false
 	}
-	batch := b.takeBatch(p, ops)
+	batch := b.dequeueBatch(p, ops)
 	if len(batch) == 0 {
 		return false
 	}
--- a/internal/writebatch/writebatch.go
+++ b/internal/writebatch/writebatch.go
@@ -45,8 +45,8 @@
 
 // Leader is the leader whose changes a Batcher writes.
 type Leader interface {
-	// CanAct reports whether the leader has authority and has loaded the records.
-	CanAct() bool
+	// IsActive reports whether the leader has authority and has loaded the records.
+	IsActive() bool
 	// ConfigBatchDue reports whether the queued configuration changes are to be sent now.
 	ConfigBatchDue() bool
 	// QueueRestores queues lost records to be written back, up to the limit of queued changes.
