--- a/internal/admission/admitter.go
+++ b/internal/admission/admitter.go
@@ -35,7 +35,7 @@
 
 // Leader is implemented by the leader on whose behalf an Admitter accepts jobs.
 type Leader interface {
-	// IsActive reports whether the leader holds its lease and has loaded the stored records.
+	// IsActive reports whether the leader has authority and has loaded the records.
 	IsActive() bool
 	// Serve handles a client request of any kind.
 	Serve(r request.Request)
@@ -144,7 +144,7 @@
 		a.answerFromStore(r, func() {
 			a.engine.Log(slog.LevelInfo, "job rejected: deadline cannot be met", "job", job.ID, "class", job.Class, "late", late)
 			wait := min(max(late, time.Second), maxRetryAfter)
-			a.answer(r, request.Response{Status: 429, RetryAfter: wait, Reason: "no timeline can complete the job in time at present"})
+			a.answer(r, request.Response{Status: 429, RetryAfter: wait, Reason: "the job cannot be completed by its deadline at present"})
 		})
 		return
 	}
@@ -169,7 +169,7 @@
 		OnConflict: func() { a.resolveConflict(s) },
 		OnReject: func() {
 			delete(a.pending, job.ID)
-			a.answerSubmission(s, request.Unavailable("the state service rejects the record"))
+			a.answerSubmission(s, request.Unavailable("the state service rejected the record"))
 		},
 	})
 }
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -81,14 +81,14 @@
 	return m
 }
 
-func task(index int, try uint64, phase heartbeat.Phase, cause string) *heartbeat.Task {
-	return &heartbeat.Task{ID: heartbeat.TaskID{Job: "wk-1", Index: index}, Attempt: try, Phase: phase, Cause: cause}
+func task(index int, number uint64, phase heartbeat.Phase, cause string) *heartbeat.Task {
+	return &heartbeat.Task{ID: heartbeat.TaskID{Job: "wk-1", Index: index}, Attempt: number, Phase: phase, Cause: cause}
 }
 
 // startTask adopts an attempt of a task of the job and reports it as running.
-func (f *fixture) startTask(m *fleet.Machine, index int, try uint64) *fleet.Attempt {
-	a := f.Adopt(m, task(index, try, heartbeat.Pulling, ""))
-	f.Update(a, task(index, try, heartbeat.Running, ""))
+func (f *fixture) startTask(m *fleet.Machine, index int, number uint64) *fleet.Attempt {
+	a := f.Adopt(m, task(index, number, heartbeat.Pulling, ""))
+	f.Update(a, task(index, number, heartbeat.Running, ""))
 	f.leader.calls = nil
 	return a
 }
@@ -256,9 +256,9 @@
 func TestFailures(t *testing.T) {
 	f, m := newFixture(t), newMachine("h1")
 	f.job.AnyCompleted = true
-	fail := func(m *fleet.Machine, try uint64) {
-		a := f.startTask(m, 1, try)
-		f.Update(a, task(1, try, heartbeat.Exited, heartbeat.CauseError))
+	fail := func(m *fleet.Machine, number uint64) {
+		a := f.startTask(m, 1, number)
+		f.Update(a, task(1, number, heartbeat.Exited, heartbeat.CauseError))
 	}
 	if fail(m, 1); m.Quarantined || !m.OnProbation || !f.job.FailedOn["h1"] {
 		t.Errorf("machine health after one failure: %+v", m.Health)
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -28,7 +28,7 @@
 	Zone(name string) *zones.Zone
 	// Estimate returns the expected runtime of one task of a job.
 	Estimate(j *fleet.Job) time.Duration
-	// IsActive reports whether the leader's lease is valid and the records are loaded.
+	// IsActive reports whether the leader has authority and has loaded the records.
 	IsActive() bool
 	// MaxMachines returns the number of machines that the controllers can serve.
 	MaxMachines() int
@@ -50,7 +50,7 @@
 	// DropReservations cancels the reservations on a machine, so that the tasks are placed
 	// on other machines.
 	DropReservations(m *fleet.Machine)
-	// RequestDispatchAll requests that waiting tasks be started on the available machines.
+	// RequestDispatchAll requests a check for tasks that can start on any machine.
 	RequestDispatchAll()
 }
 
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -19,8 +19,8 @@
 )
 
 // ListInstances reads the cloud's list of instances immediately and every listInterval after
-// that. The list reveals instances requested by an earlier leader or by a request that timed out, and
-// instances that have failed.
+// that. The list reveals instances requested by an earlier leader or by a request that timed out,
+// and instances that have failed.
 func (a *Autoscaler) ListInstances() { a.listInstances("", nil) }
 
 // listInstances reads the page of the list that follows the host after. The argument listed
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -23,8 +23,8 @@
 	l.core.answer(to, response)
 }
 
-// ApplyTeams implements configmanager.Leader. Running tasks are not stopped when a limit is lowered;
-// they still count, and no further tasks start until the team is below its limit.
+// ApplyTeams implements configmanager.Leader. Running tasks are not stopped when a limit is
+// lowered; they still count, and no further tasks start until the team is below its limit.
 func (l configLeader) ApplyTeams(teams []liveconfig.Team) {
 	if len(teams) == 0 {
 		return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -198,7 +198,7 @@
 const readyLinkLossGrace = 4 * time.Second
 
 // HasAuthority reports whether the node is the leader and may act as such at the given time: its
-// lease has not expired by the steady clock, and the wall clock shows no hidden pause of that clock.
+// lease has not expired, and the wall clock shows no pause that the steady clock has missed.
 func (c *Core) HasAuthority(now time.Time) bool {
 	return c.leadership != nil && now.Before(c.leadership.expiresAt) && c.ClockSkew(now)-c.leadership.clockSkew < lease.MaxHiddenPause
 }
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -61,7 +61,7 @@
 func (c *Core) observeTerm(era, term, processID uint64) {
 	before := c.observed.Era
 	if c.observed = c.observed.AdvanceTo(era, term, processID); c.observed.Era != before {
-		c.dataLossReason = "" // a leader has begun a new era and recovers the data
+		c.dataLossReason = "" // a leader has started a new era and recovers the data
 	}
 }
 
@@ -75,8 +75,8 @@
 	return k
 }
 
-// mayHaveLostJobs reports whether the record of an unknown job may have been lost, so that the job
-// must not be reported as nonexistent yet.
+// mayHaveLostJobs reports whether the record of an unknown job may have been lost. Such a job must
+// not be reported as nonexistent yet.
 func (l *leadership) mayHaveLostJobs(now time.Time) bool {
 	loss := l.restorer.Loss()
 	return loss != nil && now.Sub(loss.Since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*failover.UnknownHistoryTimeout
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -9,7 +9,7 @@
 // electionHost implements election.Host for Core.
 type electionHost struct{ c *Core }
 
-// IsLeader reports whether this node is the leader, with or without authority.
+// IsLeader reports whether this node is the leader, even if its authority has expired.
 func (h electionHost) IsLeader() bool { return h.c.leadership != nil }
 
 // HasReplica reports whether this node has a replica of any term's records.
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -97,7 +97,7 @@
 		c.leadership.lastMajorityReportingAt = c.Now
 		return false
 	}
-	// The assumption must end some time: machines that no longer exist, added by a late
+	// The assumption must be limited in time: machines that no longer exist, added by a late
 	// heartbeat, would otherwise count as capacity forever and prevent scaling out.
 	return c.Now.Sub(c.leadership.lastMajorityReportingAt) <= maxIsolatedLeases*c.workerLease
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -156,8 +156,8 @@
 	if !c.hasAuthority() {
 		if !l.suspended {
 			l.suspended = true
-			c.Log(slog.LevelWarn, "leader authority expired, keeping workers for the grace period", "term", l.term, "grace", c.leaseTiming.GracePeriod())
-			// The outcome of pending writes is unknown, and may stay so for long.
+			c.Log(slog.LevelWarn, "leader authority expired, answering workers during the grace period", "term", l.term, "grace", c.leaseTiming.GracePeriod())
+			// The outcome of pending writes may remain unknown for a long time.
 			c.answerWaiting(l, request.Unavailable("the state service does not answer"))
 			l.dispatcher.Flush()
 		}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -83,7 +83,7 @@
 	pendingScheduled     bool                 // a step that processes more of them is scheduled
 	unreadableJobs       map[string]bool      // IDs of jobs whose records cannot be decoded
 	noEarlierTerm        bool                 // the store had no record of an earlier term
-	newerTokens          map[string]uint64    // fencing tokens above our term reported by workers, by host
+	newerTokens          map[string]uint64    // fencing tokens above the term, reported by workers, by host
 	earlierLeaderOverlap time.Duration        // time after electedAt in which an earlier leader may have acted
 }
 
--- a/internal/core/load_records.go
+++ b/internal/core/load_records.go
@@ -103,7 +103,7 @@
 	}
 	c.Log(slog.LevelInfo, "records loaded", "term", l.term, "jobs", len(l.jobs), "machines", l.inventory.UnaccountedCount())
 	if c.processPendingHeartbeats(); c.leadership != l {
-		return // a worker has seen a newer fencing token, and we had no authority
+		return // stepped down: a worker has seen a newer fencing token
 	}
 	l.autoscaler.ListInstances()
 	l.prober.Start(func(host string) bool { return l.knownReporters[host] != nil })
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -53,8 +53,8 @@
 }
 
 // earlierLeaseExpiry returns the time by which all worker leases renewed by earlier leaders have
-// expired. An earlier leader may have answered workers until all peers acknowledged our term or its
-// own grace period ended, whichever came first.
+// expired. An earlier leader may have answered workers until all peers acknowledged the new term or
+// its grace period ended, whichever came first.
 func (c *Core) earlierLeaseExpiry() time.Time {
 	l := c.leadership
 	expiry := c.leaseTiming.TasksEndedBy(l.electedAt.Add(l.earlierLeaderOverlap))
--- a/internal/core/newer_tokens.go
+++ b/internal/core/newer_tokens.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// minNewerTokenReports is how many workers must report a fencing token above our term
-	// before the terms are taken to have restarted. A single worker is more likely faulty.
+	// minNewerTokenReports is how many workers must report a fencing token above the leader's
+	// term before the terms are taken to have restarted. A single worker is more likely faulty.
 	minNewerTokenReports = 2
 	// maxPlausibleFencingToken is the largest fencing token that is accepted as genuine. Terms
 	// grow by one per election, so a larger token is an error, and continuing above it could
@@ -19,9 +19,9 @@
 	termGapAfterTotalLoss = 1 << 10
 )
 
-// handleNewerToken checks a worker's claim to have seen a fencing token above our term. If the
-// store has no newer term, the claim must not end the leadership. The worker would reject all our
-// replies, so release is called to give up its machine.
+// handleNewerToken checks a worker's claim to have seen a fencing token above the leader's term. If the
+// store has no newer term, the claim must not end the leadership. The worker would reject all
+// replies of this leader, so release is called to give up its machine.
 func (c *Core) handleNewerToken(host string, token uint64, release func()) {
 	c.verifyTerm("a worker has seen a newer fencing token", func() {
 		if c.handlePossibleTermReset(host, token) {
@@ -36,7 +36,7 @@
 
 // handlePossibleTermReset reports whether a worker's newer fencing token may mean that the terms
 // have restarted from 1. This happens when the key-value store and the memory of every controller
-// are lost together: the workers then reject all our replies, and releasing them would lose the
+// are lost together: the workers then reject all replies, and releasing them would lose the
 // whole fleet. Once enough workers have reported such tokens, this node resigns and campaigns for a
 // term above them.
 func (c *Core) handlePossibleTermReset(host string, token uint64) bool {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// announceTerm announces our term to the peers that have not acknowledged it.
+// announceTerm announces this leader's term to the peers that have not acknowledged it.
 func (c *Core) announceTerm() {
 	for _, p := range c.cfg.Seeds {
 		if !c.leadership.termAcks[p.HostName] {
@@ -75,7 +75,7 @@
 	c.Emit(peermsg.Outgoing{To: peer, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peermsg.Version}})
 }
 
-// handleTermAck records that a peer has acknowledged our term.
+// handleTermAck records that a peer has acknowledged this leader's term.
 func (c *Core) handleTermAck(from string, m peermsg.Message) {
 	l := c.leadership
 	if l == nil || m.Term != l.term {
@@ -99,7 +99,7 @@
 	c.handleRequest(request.Request{Ref: m.Ref, From: from, Op: m.Op, ID: m.ID, Spec: m.Spec, Schedule: m.Schedule, Config: m.Config})
 }
 
-// handleReplicaRequest starts the transfer of our replica to a new leader.
+// handleReplicaRequest starts the transfer of this node's replica to a new leader.
 func (c *Core) handleReplicaRequest(from string) {
 	if c.leadership == nil {
 		c.replicas.StartTransfer(from)
@@ -132,7 +132,7 @@
 	case term == l.term:
 		c.Log(slog.LevelError, "peer claims the term that this node leads", "peer", from, "term", term)
 	case c.hasAuthority():
-		// By our clock the lease is valid and excludes another leader. The store decides.
+		// The lease is valid by this node's clock and excludes another leader. The store decides.
 		c.verifyTerm("a peer leads a newer term", func() {
 			c.Log(slog.LevelWarn, "peer claims a term that does not exist", "peer", from, "claimed", term, "term", l.term)
 		})
@@ -143,8 +143,8 @@
 }
 
 // verifyTerm reads the term record after a hint that a newer term exists. It steps down for the
-// given reason if the record has changed or is gone, and calls stillCurrent if our term is still
-// the newest. It does nothing while another check is in flight or the rate limit of reads is used
+// given reason if the record has changed or is gone, and calls stillCurrent if this leader's
+// term is still the newest. It does nothing while another check is in flight or the rate limit of reads is used
 // up; the sender of the hint is expected to repeat it.
 func (c *Core) verifyTerm(reason string, stillCurrent func()) {
 	l := c.leadership
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -55,8 +55,7 @@
 	case l.recovery != nil:
 		l.recovery.HandlePeerState(from, k)
 	case l.noEarlierTerm && k.Era == c.observed.Era && k.Term > l.term && k.HighestPastTerm < l.term:
-		// The term is newer than ours and of the same data: a successor was elected while
-		// this node was isolated.
+		// A successor was elected in the same era while this node was isolated.
 		if c.hasAuthority() {
 			c.verifyTerm("a peer knows of a newer term", func() {})
 		} else {
--- a/internal/core/unreadable.go
+++ b/internal/core/unreadable.go
@@ -64,8 +64,8 @@
 // maxProgressRecords limits the list of progress records of one job. No job has that many.
 const maxProgressRecords = 400
 
-// loadRereadJob loads a job whose record was unreadable, and reports whether it succeeded. The tasks
-// of the job were ordered to stop; those that may still run on machines are assigned to it again
+// loadRereadJob loads a job whose record was unreadable, and reports whether it succeeded. The
+// tasks of the job were ordered to stop; those that may still run on machines are assigned to it again
 // until they end. A record that makes loadRecord panic stays unreadable.
 func (c *Core) loadRereadJob(job kv.Entry, progress []kv.Entry) bool {
 	l, id := c.leadership, strings.TrimPrefix(job.Key, record.JobPrefix)
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -36,8 +36,8 @@
 // StepDown ends the leadership without revoking the lease.
 func (b writeBatchLeader) StepDown(reason string) { b.c.stepDown(reason) }
 
-// newWriteBatcher returns the write batcher of a leadership. Its transactions are conditional on the
-// term record having the given revision.
+// newWriteBatcher returns the write batcher of a leadership. Its transactions are conditional on
+// the term record having the given revision.
 func (c *Core) newWriteBatcher(scope *engine.Scope, termRevision uint64) *writebatch.Batcher {
 	term := kv.Condition{Key: record.TermKey, Rev: termRevision}
 	return writebatch.New(c.Engine, scope, c.cfg.Settings.State, term, writeBatchLeader{c})
--- a/internal/failover/advance.go
+++ b/internal/failover/advance.go
@@ -46,7 +46,7 @@
 type pastTerms struct {
 	observed   recovery.Observed
 	offers     []recovery.Offer // available replicas
-	higherTerm uint64           // a term that conflicts with ours because it is not lower, or 0
+	higherTerm uint64           // a known term that is not lower than the new one, or 0
 }
 
 // collectPeerStates combines the responses of the peers with what this node knows.
@@ -64,7 +64,7 @@
 		if k.HasHigherTerm(era, r.term.Number, r.term.ProcessID) {
 			p.higherTerm = max(p.higherTerm, k.HighestPastTerm, k.Term)
 		}
-		if k.Era != era { // otherwise the peer has already observed our term
+		if k.Era != era { // otherwise the peer has already observed the new term
 			p.observed = p.observed.Merge(k.Observed)
 		} else if r.term.LossReason == "" && r.term.Read.Missing && k.HighestPastTerm > 0 {
 			r.term.LossReason = "the term record is missing"
--- a/internal/failover/missing_jobs.go
+++ b/internal/failover/missing_jobs.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// listFinalRecords lists the final records from key from to key to, adds those of the replica's jobs
-// to the replica, and then merges.
+// listFinalRecords lists the final records from key from to key to, adds those of the replica's
+// jobs to the replica, and then merges.
 func (r *Recovery) listFinalRecords(from, to string) {
 	r.scope.CallStore(kv.Request{Op: kv.List, Key: record.FinalPrefix, From: from[:len(from)-1], Limit: finalRecordsPageSize}, func(page kv.Response) {
 		if page.Outcome != rpc.OK {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -155,10 +155,10 @@
 
 // FindAttempt returns the given attempt of a task, or nil. Workers list tasks in start order, like
 // Attempts, so the search begins at index from.
-func (m *Machine) FindAttempt(id heartbeat.TaskID, try uint64, from int) *Attempt {
+func (m *Machine) FindAttempt(id heartbeat.TaskID, attempt uint64, from int) *Attempt {
 	n := len(m.Attempts)
 	for i := range n {
-		if a := m.Attempts[(from+i)%n]; a.Number == try && a.ID == id {
+		if a := m.Attempts[(from+i)%n]; a.Number == attempt && a.ID == id {
 			return a
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,7 +48,7 @@
 
 // Controller provides the functions of the controller that a Gateway uses.
 type Controller interface {
-	// IsLeader reports whether the controller is the leader, even if its lease has lapsed.
+	// IsLeader reports whether the controller is the leader, even if its authority has expired.
 	IsLeader() bool
 	// Upstream returns what is known about the leader.
 	Upstream() Upstream
--- a/internal/lifecycle/cancel.go
+++ b/internal/lifecycle/cancel.go
@@ -22,7 +22,7 @@
 )
 
 // Cancel writes the cancellation of a job to the store and responds once it is committed. The
-// job's tasks are told to stop at once.
+// job's tasks are ordered to stop at once.
 func (m *Manager) Cancel(j *fleet.Job, r request.Request) {
 	if j.Cancelled {
 		m.answer(r, request.Response{Status: 200, Job: j.View()})
@@ -49,7 +49,7 @@
 	if wait := safeAt.Sub(m.engine.Now); wait > 0 && m.mayHaveAttempts(j) {
 		stopping := request.Unavailable("the tasks are being stopped")
 		stopping.RetryAfter = wait
-		m.AnswerWaiting(j, stopping) // each waiting client is told once and may retry
+		m.AnswerWaiting(j, stopping) // each waiting client is answered once and may retry
 		m.scope.After(min(wait, cancelRetryInterval), func() { m.writeCancellation(j, safeAt) })
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,8 +41,8 @@
 	debug.SetGCPercent(400)
 }
 
-// Run starts a controller and blocks until it is told to stop, in which case it returns nil, or
-// until the client listener fails.
+// Run starts a controller and blocks until it receives a stop signal, in which case it returns nil,
+// or until the client listener fails.
 func Run(cfg *config.Config, ops *operators.File) error {
 	limitRuntime(cfg)
 	clientListener, err := net.Listen("tcp", cfg.ClientListen)
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -19,15 +19,16 @@
 type Leader interface {
 	// Machines returns all machines, sorted by host name.
 	Machines() []*fleet.Machine
-	// IsUnaccounted reports whether a machine may hold unknown tasks of an earlier term.
+	// IsUnaccounted reports whether the machine may have tasks of an earlier term that the
+	// leader does not know.
 	IsUnaccounted(host string) bool
 	// LeadershipTimes returns when the leader was elected and when it last regained its
-	// authority after its lease had lapsed.
+	// authority after it had expired.
 	LeadershipTimes() (electedAt, resumedAt time.Time)
 	// DropReservations cancels the reservations on a machine, so that the tasks are placed
 	// on other machines.
 	DropReservations(m *fleet.Machine)
-	// RequestDispatchAll requests that waiting tasks be started on the available machines.
+	// RequestDispatchAll requests a check for tasks that can start on any machine.
 	RequestDispatchAll()
 	// Release queues a machine to be released to the cloud.
 	Release(m *fleet.Machine)
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -15,16 +15,16 @@
 
 // Leader is the part of the elected leader that the scheduler depends on.
 type Leader interface {
-	// IsActive reports whether the leader holds its lease and has loaded the stored records.
+	// IsActive reports whether the leader has authority and has loaded the records.
 	IsActive() bool
 	// Machines returns all machines of the fleet, sorted by name.
 	Machines() []*fleet.Machine
-	// IsUnaccounted reports whether the machine may still run tasks of an earlier term that it has
-	// not reported yet.
+	// IsUnaccounted reports whether the machine may have tasks of an earlier term that the
+	// leader does not know.
 	IsUnaccounted(host string) bool
 	// UnaccountedCount returns the number of unaccounted machines.
 	UnaccountedCount() int
-	// RequestDispatchAll reconsiders all machines whose heartbeat replies are held.
+	// RequestDispatchAll requests a check for tasks that can start on any machine.
 	RequestDispatchAll()
 	// Backlog returns the pending work as time on all current CPUs, and the number of these CPUs.
 	Backlog() (work time.Duration, cpus float64)
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -70,7 +70,7 @@
 }
 
 // shortage returns by how many millicores the demand within guarantees exceeds what is free or being
-// freed by tasks that have been told to stop.
+// freed by tasks that have been ordered to stop.
 func (s *State) shortage() int64 {
 	short := s.guaranteedDemand()
 	for _, m := range s.Machines {
--- a/internal/probe/prober.go
+++ b/internal/probe/prober.go
@@ -20,7 +20,7 @@
 
 // Leader provides the functions of the leader that a Prober uses.
 type Leader interface {
-	// IsActive reports whether the leader's lease is valid and the records are loaded.
+	// IsActive reports whether the leader has authority and has loaded the records.
 	IsActive() bool
 	// IsLinkedToAny reports whether this controller is connected to any other controller.
 	IsLinkedToAny() bool
--- a/internal/relay/decoder.go
+++ b/internal/relay/decoder.go
@@ -44,8 +44,8 @@
 // Session returns the number of the current session, or 0 if there is none.
 func (dec *Decoder) Session() uint64 { return dec.session }
 
-// Decode restores the reports of a batch in their order. sessionStarted reports whether the batch starts
-// a new session. After an error other than ErrStaleSession the relay must open a new session.
+// Decode restores the reports of a batch in their order. sessionStarted reports whether the batch
+// starts a new session. After an error other than ErrStaleSession the relay must open a new session.
 func (dec *Decoder) Decode(b *Batch) (reports []heartbeat.Report, sessionStarted bool, err error) {
 	if slices.Contains(dec.closedSessions, b.Session) {
 		return nil, false, ErrStaleSession
--- a/internal/relay/text.go
+++ b/internal/relay/text.go
@@ -53,12 +53,12 @@
 	return list, f.err
 }
 
-func appendTask(b []byte, id heartbeat.TaskID, try uint64) []byte {
+func appendTask(b []byte, id heartbeat.TaskID, attempt uint64) []byte {
 	b = append(b, url.QueryEscape(id.Job)...)
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, int64(id.Index), 10)
 	b = append(b, ' ')
-	return strconv.AppendUint(b, try, 10)
+	return strconv.AppendUint(b, attempt, 10)
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler. It validates only the syntax. The caller must
--- a/internal/relaylinks/links.go
+++ b/internal/relaylinks/links.go
@@ -63,10 +63,10 @@
 // DirectWorkers returns the number of workers that report to the leader directly.
 func (l *Links) DirectWorkers() int { return l.Link("").Workers }
 
-// Decode decodes a batch from a relay. sessionStarted reports whether the batch starts a new session. The
-// relay then sends all pending heartbeats again, and replies to those of the previous session
-// must be discarded. If ok is false, the batch must be ignored; Decode has asked the relay for
-// a new session unless the batch belongs to a closed one.
+// Decode decodes a batch from a relay. sessionStarted reports whether the batch starts a new
+// session. The relay then sends all pending heartbeats again, and replies to those of the previous
+// session must be discarded. If ok is false, the batch must be ignored; Decode has asked the relay
+// for a new session unless the batch belongs to a closed one.
 func (l *Links) Decode(from string, batch *relay.Batch) (reports []heartbeat.Report, sessionStarted, ok bool) {
 	link := l.Link(from)
 	previousSession := link.Decoder.Session()
--- a/internal/writebatch/queue.go
+++ b/internal/writebatch/queue.go
@@ -17,8 +17,8 @@
 	sendSingly   int             // number of changes to send one by one, to find a malformed one
 }
 
-// dequeueBatch removes and returns the next batch of a priority with at most ops writes, or a single
-// larger change. Changes to the same key stay in order: a change is left in the queue if one of
+// dequeueBatch removes and returns the next batch of a priority with at most ops writes, or a
+// single larger change. Changes to the same key stay in order: a change is left in the queue if one of
 // its keys is in flight or is written by an earlier change.
 func (q *queue) dequeueBatch(p Priority, ops int) []*Change {
 	var batch []*Change
--- a/internal/writebatch/writebatch.go
+++ b/internal/writebatch/writebatch.go
@@ -73,7 +73,7 @@
 	engine        *engine.Engine
 	scope         *engine.Scope
 	leader        Leader
-	termCondition kv.Condition // added to every transaction; fails once a newer term has begun
+	termCondition kv.Condition // added to every transaction; fails once a newer term has started
 	maxOps        int          // maximum number of writes in a transaction
 
 	bulkTurn       bool // the current turn is for bulk changes, not for occurrences
--- a/internal/zones/regions.go
+++ b/internal/zones/regions.go
@@ -26,7 +26,7 @@
 				return nil, fmt.Errorf("%s: a zone has no name", region)
 			}
 			if other, ok := r.regionOf[zone]; ok {
-				return nil, fmt.Errorf("%s: zone %q is in %s already", region, zone, other)
+				return nil, fmt.Errorf("%s: zone %q is already in %s", region, zone, other)
 			}
 			r.regionOf[zone] = region
 		}
--- a/internal/zones/regions_test.go
+++ b/internal/zones/regions_test.go
@@ -10,7 +10,7 @@
 func TestRegionsChecked(t *testing.T) {
 	for want, def := range map[string]map[string][]string{
 		"r1: has no zones":              {"r1": nil},
-		`r2: zone "a" is in r1 already`: {"r1": {"a"}, "r2": {"b", "a"}},
+		`r2: zone "a" is already in r1`: {"r1": {"a"}, "r2": {"b", "a"}},
 		"r1: a zone has no name":        {"r1": {""}},
 	} {
 		if _, err := NewRegions(def); err == nil || err.Error() != want {
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -12,7 +12,7 @@
 var testSettings = Settings{LostAfter: 20 * time.Second, StableFor: 8 * time.Second, KeepFor: 60 * time.Second, ProbeInterval: time.Minute}
 
 // observeTimeline feeds the tracker one observation of zones a and b per second and returns the
-// states that zone a enters, each with its second. A step is "until heard/silent heard/silent",
+// states that zone a enters, each with its second. A step is "until reporting/silent reporting/silent",
 // with the counts of a before those of b.
 func observeTimeline(tracker *Tracker, steps ...string) string {
 	var out []string
