--- a/internal/admission/admitter.go
+++ b/internal/admission/admitter.go
@@ -133,7 +133,7 @@
 	// A job that was accepted before must not be rejected when it is submitted again, so the
 	// stored records are checked before a rejection is sent.
 	if refusal := a.CheckSchedulable(job); refusal != nil {
-		if !a.Autoscaler.Loaded {
+		if !a.Autoscaler.CatalogLoaded {
 			a.answer(r, request.Unavailable(instanceTypesUnknown))
 			return
 		}
--- a/internal/admission/admitter_test.go
+++ b/internal/admission/admitter_test.go
@@ -70,7 +70,7 @@
 func (l *leader) QueueDueOccurrences()                        {}
 func (l *leader) HasDueOccurrences() bool                     { return false }
 func (l *leader) ReplicateBatch([]*writebatch.Change, uint64) {}
-func (l *leader) ReplicateEntry(kv.Entry)                     {}
+func (l *leader) Replicate(kv.Entry)                          {}
 func (l *leader) StepDown(why string)                         { l.t.Error("stepped down:", why) }
 func (l *leader) HighestTerm() uint64                         { return 5 }
 func (l *leader) ConfirmedTerm() uint64                       { return 5 }
@@ -98,7 +98,7 @@
 	replicas := replication.NewPublisher(replication.New(e, cfg, l), l.scope, 5)
 	types := []provider.InstanceType{{Name: "plain", Capacity: timeline.Capacity(8, 0, 32), Zones: []string{"a"}}}
 	scaler := autoscaler.New(autoscaler.Config{Engine: e, Scope: l.scope, State: l, Teams: teams, InstanceTypes: types, CloudRPS: 10})
-	scaler.Loaded = true
+	scaler.CatalogLoaded = true
 	jobs := lifecycle.New(e, l.scope, cfg.Settings.State, lifecycle.State{
 		Jobs:      map[string]*fleet.Job{},
 		Teams:     teams,
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -11,7 +11,7 @@
 // Catalog caches the cloud's instance types and prices.
 type Catalog struct {
 	InstanceTypes []provider.InstanceType
-	Loaded        bool // read during this term; until then a type may exist that is not listed here
+	CatalogLoaded bool // read during this term; until then a type may exist that is not listed here
 	unreadable    bool // the last read failed
 }
 
@@ -43,7 +43,7 @@
 			return
 		}
 		a.unreadable = false
-		a.InstanceTypes, a.Loaded = r.InstanceTypes, true
+		a.InstanceTypes, a.CatalogLoaded = r.InstanceTypes, true
 		a.inventory.InstanceTypesChanged()
 		a.scope.After(catalogInterval, a.RefreshCatalog)
 	})
--- a/internal/configmanager/manager.go
+++ b/internal/configmanager/manager.go
@@ -39,9 +39,9 @@
 	IsLinked(node string) bool
 	// NewestReplica returns the newest replica of the stored records, or nil.
 	NewestReplica() *replica.Replica
-	// RestoresConfig reports whether configuration records still have to be restored after
+	// ConfigPending reports whether configuration records still have to be restored after
 	// a data loss.
-	RestoresConfig() bool
+	ConfigPending() bool
 	// Replicate adds a stored record to the leader's replica.
 	Replicate(entry kv.Entry)
 }
--- a/internal/configmanager/serve.go
+++ b/internal/configmanager/serve.go
@@ -48,7 +48,7 @@
 // refusalReason returns the reason why changes cannot be accepted now, or an empty string.
 func (m *Manager) refusalReason() string {
 	switch {
-	case m.leader.RestoresConfig():
+	case m.leader.ConfigPending():
 		return "the configuration is being restored after a data loss"
 	case len(m.waiting) >= maxWaitingChanges:
 		return "too many configuration changes are pending"
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -56,8 +56,8 @@
 // NewestReplica implements configmanager.Leader.
 func (l configLeader) NewestReplica() *replica.Replica { return l.core.newestReplica() }
 
-// RestoresConfig implements configmanager.Leader.
-func (l configLeader) RestoresConfig() bool { return l.leadership.restorer.ConfigIsPending() }
+// ConfigPending implements configmanager.Leader.
+func (l configLeader) ConfigPending() bool { return l.leadership.restorer.ConfigPending() }
 
 // Replicate implements configmanager.Leader.
 func (l configLeader) Replicate(entry kv.Entry) { l.core.replicate(entry) }
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -52,7 +52,7 @@
 		if booting && !m.Unreachable {
 			l.autoscaler.BootTimedOut(m.TypeName)
 		}
-	case m.InstanceType == nil && l.autoscaler.Loaded: // the type is not in the catalog
+	case m.InstanceType == nil && l.autoscaler.CatalogLoaded: // the type is not in the catalog
 	default:
 		return false
 	}
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -130,8 +130,8 @@
 	return j != nil && !j.Finishing
 }
 
-// RecordProgress schedules a write of the progress of one chunk of a job, if the job is known.
-func (h restoreLeader) RecordProgress(job string, chunk int) {
+// ScheduleProgressWrite schedules a write of the progress of one chunk of a job if it is known.
+func (h restoreLeader) ScheduleProgressWrite(job string, chunk int) {
 	if j := h.l.jobs[job]; j != nil {
 		h.l.lifecycle.ScheduleProgressWrite(j, chunk*bitset.ChunkSize)
 	}
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -23,7 +23,7 @@
 // The write batcher calls it when the store's rate limit allows another transaction.
 func (c *Core) queueDueOccurrences() {
 	l := c.leadership
-	if !l.autoscaler.Loaded || !c.isActive() {
+	if !l.autoscaler.CatalogLoaded || !c.isActive() {
 		return
 	}
 	remainingOps := c.cfg.Settings.State.TxnOps
@@ -37,7 +37,7 @@
 // rate limit.
 func (c *Core) hasDueOccurrences() bool {
 	l := c.leadership
-	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.HasDue() && l.autoscaler.Loaded
+	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.HasDue() && l.autoscaler.CatalogLoaded
 }
 
 // recurringLeader implements recurring.Leader for the current leadership.
@@ -62,8 +62,8 @@
 // AddJob implements recurring.Leader.
 func (r recurringLeader) AddJob(rec *record.Job) { r.core.leadership.admitter.AddCommitted(rec) }
 
-// CatalogRead implements recurring.Leader.
-func (r recurringLeader) CatalogRead() bool { return r.core.leadership.autoscaler.Loaded }
+// CatalogLoaded implements recurring.Leader.
+func (r recurringLeader) CatalogLoaded() bool { return r.core.leadership.autoscaler.CatalogLoaded }
 
 // Unschedulable implements recurring.Leader.
 func (r recurringLeader) Unschedulable(job *spec.Job) (field, reason string) {
@@ -73,8 +73,8 @@
 	return "", ""
 }
 
-// AdmissionRefused implements recurring.Leader.
-func (r recurringLeader) AdmissionRefused(job *spec.Job) (lateness time.Duration, refused bool) {
+// CheckDeadline implements recurring.Leader.
+func (r recurringLeader) CheckDeadline(job *spec.Job) (lateness time.Duration, refused bool) {
 	return r.core.leadership.admitter.CheckDeadline(job)
 }
 
@@ -86,8 +86,8 @@
 // Write implements recurring.Leader.
 func (r recurringLeader) Write(change *writebatch.Change) { r.core.leadership.writes.Add(change) }
 
-// WakeWriter implements recurring.Leader.
-func (r recurringLeader) WakeWriter() { r.core.leadership.writes.ScheduleFlush() }
+// ScheduleFlush implements recurring.Leader.
+func (r recurringLeader) ScheduleFlush() { r.core.leadership.writes.ScheduleFlush() }
 
 // ReadBack implements recurring.Leader.
 func (r recurringLeader) ReadBack(key string, f func(entry kv.Entry, found bool)) {
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -54,7 +54,7 @@
 	for i, cpus := range []float64{4, 8, 32} {
 		l.autoscaler.InstanceTypes = append(l.autoscaler.InstanceTypes, provider.InstanceType{Name: fmt.Sprint("f", i), Capacity: timeline.Capacity(cpus, 0, 4*cpus), CPUs: cpus, ImageGBps: 0.4, OnDemandRate: cpus, SpotRate: cpus / 3, BootTime: 20 * time.Second, Zones: []string{"a"}})
 	}
-	l.autoscaler.Loaded = true
+	l.autoscaler.CatalogLoaded = true
 	for i := range n {
 		m := c.leadership.inventory.Ensure(fmt.Sprintf("host-%06d", i), fmt.Sprint("f", i%3), "a", true)
 		m.Reported, m.Record, m.Incarnation, m.FencingToken, m.LastHeartbeat = true, fleet.Recorded, 1, 1, t0
--- a/internal/core/unreadable.go
+++ b/internal/core/unreadable.go
@@ -65,8 +65,8 @@
 const maxProgressRecords = 400
 
 // loadRereadJob loads a job whose record was unreadable, and reports whether it succeeded. The
-// tasks of the job were ordered to stop; those that may still run on machines are assigned to it again
-// until they end. A record that makes loadRecord panic stays unreadable.
+// tasks of the job were ordered to stop; those that may still run are assigned to it again until
+// they end. A record that makes loadRecord panic stays unreadable.
 func (c *Core) loadRereadJob(job kv.Entry, progress []kv.Entry) bool {
 	l, id := c.leadership, strings.TrimPrefix(job.Key, record.JobPrefix)
 	delete(l.unreadableJobs, id)
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -30,8 +30,8 @@
 	b.c.leadership.publisher.PublishCommitted(batch, rev)
 }
 
-// ReplicateEntry publishes an entry that was read to the replicas.
-func (b writeBatchLeader) ReplicateEntry(e kv.Entry) { b.c.replicate(e) }
+// Replicate publishes an entry that was read to the replicas.
+func (b writeBatchLeader) Replicate(e kv.Entry) { b.c.replicate(e) }
 
 // StepDown ends the leadership without revoking the lease.
 func (b writeBatchLeader) StepDown(reason string) { b.c.stepDown(reason) }
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -49,7 +49,8 @@
 	Observed() recovery.Observed
 	// IsLinked reports whether the link to peer is up.
 	IsLinked(peer string) bool
-	// EndTerm ends the term because the term higher, which is not lower, is known.
+	// EndTerm ends the new term. It is called if a peer knows another term, higher, that is not
+	// below the new one.
 	EndTerm(higher uint64)
 	// Recovered is called once, when the recovery is complete.
 	Recovered(*Outcome)
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -58,7 +58,7 @@
 func (l *leader) QueueDueOccurrences()                        {}
 func (l *leader) HasDueOccurrences() bool                     { return false }
 func (l *leader) ReplicateBatch([]*writebatch.Change, uint64) {}
-func (l *leader) ReplicateEntry(kv.Entry)                     {}
+func (l *leader) Replicate(kv.Entry)                          {}
 func (l *leader) StepDown(why string)                         { l.t.Error("stepped down:", why) }
 func (l *leader) HighestTerm() uint64                         { return 5 }
 func (l *leader) ConfirmedTerm() uint64                       { return 5 }
--- a/internal/recurring/decide.go
+++ b/internal/recurring/decide.go
@@ -65,7 +65,7 @@
 	if _, reason := s.leader.Unschedulable(jobSpec); reason != "" {
 		return schedule.MissOccurrence, "can never run: " + reason
 	}
-	lateness, refused := s.leader.AdmissionRefused(jobSpec)
+	lateness, refused := s.leader.CheckDeadline(jobSpec)
 	if !refused {
 		return schedule.CreateJob, ""
 	}
--- a/internal/recurring/due.go
+++ b/internal/recurring/due.go
@@ -49,7 +49,7 @@
 	}
 	s.ready.Push(at, queueEntry{sched: sched, generation: sched.generation})
 	if s.ready.Len() == 1 {
-		s.leader.WakeWriter()
+		s.leader.ScheduleFlush()
 	}
 }
 
--- a/internal/recurring/edit.go
+++ b/internal/recurring/edit.go
@@ -60,7 +60,7 @@
 
 // validateJob checks that the cluster can run the jobs of a schedule.
 func (s *Scheduler) validateJob(compiled *schedule.Definition) (refusal *request.Response) {
-	if !s.leader.CatalogRead() {
+	if !s.leader.CatalogLoaded() {
 		response := request.Unavailable("the machine types are not known yet")
 		return &response
 	}
--- a/internal/recurring/helpers_test.go
+++ b/internal/recurring/helpers_test.go
@@ -197,17 +197,17 @@
 	l.scheduler.JobAdded(l.jobs[rec.Spec.ID])
 }
 
-func (l *fakeLeader) CatalogRead() bool { return true }
+func (l *fakeLeader) CatalogLoaded() bool { return true }
 
 func (l *fakeLeader) Unschedulable(*spec.Job) (field, reason string) { return "vcpus", l.reason }
 
-func (l *fakeLeader) AdmissionRefused(*spec.Job) (time.Duration, bool) { return 0, l.refused }
+func (l *fakeLeader) CheckDeadline(*spec.Job) (time.Duration, bool) { return 0, l.refused }
 
 func (l *fakeLeader) FitsValue(size int) bool { return size <= 16<<10 }
 
 func (l *fakeLeader) Write(change *writebatch.Change) { l.writes = append(l.writes, change) }
 
-func (l *fakeLeader) WakeWriter() {}
+func (l *fakeLeader) ScheduleFlush() {}
 
 func (l *fakeLeader) ReadBack(key string, f func(entry kv.Entry, found bool)) {
 	entry, found := l.stored[key]
--- a/internal/recurring/leader.go
+++ b/internal/recurring/leader.go
@@ -34,14 +34,14 @@
 
 // Admission decides which jobs the cluster accepts.
 type Admission interface {
-	// CatalogRead reports whether the instance types are known.
-	CatalogRead() bool
+	// CatalogLoaded reports whether the catalog of instance types was read in this term.
+	CatalogLoaded() bool
 	// Unschedulable returns the reason why a job can never run and the field that causes it.
 	// The reason is empty for a job that can run.
 	Unschedulable(job *spec.Job) (field, reason string)
-	// AdmissionRefused reports whether a job is refused for now because of the backlog, and how
+	// CheckDeadline reports whether a job is refused for now because of the backlog, and how
 	// late it would be.
-	AdmissionRefused(job *spec.Job) (lateness time.Duration, refused bool)
+	CheckDeadline(job *spec.Job) (lateness time.Duration, refused bool)
 	// FitsValue reports whether a record of size bytes fits into a value of the key-value store.
 	FitsValue(size int) bool
 }
@@ -51,8 +51,8 @@
 type Records interface {
 	// Write queues a change.
 	Write(change *writebatch.Change)
-	// WakeWriter makes the writer check its queue soon.
-	WakeWriter()
+	// ScheduleFlush requests that the queued changes be sent soon.
+	ScheduleFlush()
 	// ReadBack reads a record and retries until it succeeds. found is false if the record does
 	// not exist.
 	ReadBack(key string, f func(entry kv.Entry, found bool))
--- a/internal/restore/restore.go
+++ b/internal/restore/restore.go
@@ -27,8 +27,9 @@
 type Leader interface {
 	// IsUnfinished reports whether the job is known and its final record is not being written.
 	IsUnfinished(job string) bool
-	// RecordProgress queues a write of the progress of one chunk of a job, if the job is known.
-	RecordProgress(job string, chunk int)
+	// ScheduleProgressWrite queues a write of the progress of one chunk of a job if it is
+	// known.
+	ScheduleProgressWrite(job string, chunk int)
 	// SetConfigHeadRevision records the revision at which the head record of the configuration
 	// was written.
 	SetConfigHeadRevision(rev uint64)
@@ -109,8 +110,8 @@
 // IsDone reports whether no lost record is pending any more.
 func (r *Restorer) IsDone() bool { return len(r.queue) == 0 && (r.loss == nil || r.loss.Pending == 0) }
 
-// ConfigIsPending reports whether any configuration record is still to be written back.
-func (r *Restorer) ConfigIsPending() bool { return r.pendingConfig > 0 }
+// ConfigPending reports whether any configuration record is still to be written back.
+func (r *Restorer) ConfigPending() bool { return r.pendingConfig > 0 }
 
 // WhenSchedulesRestored calls f when no schedule record is pending, immediately or within
 // pollInterval of the last one.
@@ -175,7 +176,7 @@
 	if part, ok := strings.CutPrefix(rec.Key, record.ProgressPrefix); ok {
 		// Progress is written by the same path as new progress.
 		if job, chunk := record.SplitProgressKey(part); chunk >= 0 {
-			r.cfg.Leader.RecordProgress(job, chunk)
+			r.cfg.Leader.ScheduleProgressWrite(job, chunk)
 		}
 		r.markRestored(rec.Key)
 		return
--- a/internal/restore/restore_test.go
+++ b/internal/restore/restore_test.go
@@ -20,9 +20,9 @@
 // fakeLeader is a Leader with jobs a and b, where the final record of b is being written.
 type fakeLeader struct{ progress []string }
 
-func (f *fakeLeader) IsUnfinished(job string) bool     { return job == "a" }
-func (f *fakeLeader) RecordProgress(job string, _ int) { f.progress = append(f.progress, job) }
-func (f *fakeLeader) SetConfigHeadRevision(uint64)     {}
+func (f *fakeLeader) IsUnfinished(job string) bool            { return job == "a" }
+func (f *fakeLeader) ScheduleProgressWrite(job string, _ int) { f.progress = append(f.progress, job) }
+func (f *fakeLeader) SetConfigHeadRevision(uint64)            {}
 
 // noSchedules is a Schedules without any schedule.
 type noSchedules struct{}
--- a/internal/writebatch/writebatch.go
+++ b/internal/writebatch/writebatch.go
@@ -57,8 +57,8 @@
 	HasDueOccurrences() bool
 	// ReplicateBatch replicates a batch that was committed at revision rev.
 	ReplicateBatch(batch []*Change, rev uint64)
-	// ReplicateEntry replicates an entry that was read from the store.
-	ReplicateEntry(e kv.Entry)
+	// Replicate adds an entry that was read from the store to the replicas.
+	Replicate(e kv.Entry)
 	// StepDown ends the leadership for the reason why.
 	StepDown(why string)
 }
@@ -127,7 +127,7 @@
 	b.scope.CallStore(kv.Request{Op: kv.Get, Key: key}, func(r kv.Response) {
 		switch r.Outcome {
 		case rpc.OK:
-			b.leader.ReplicateEntry(r.Entries[0])
+			b.leader.Replicate(r.Entries[0])
 			f(r.Entries[0], true)
 		case rpc.NotFound:
 			f(kv.Entry{}, false)
--- a/internal/writebatch/writebatch_test.go
+++ b/internal/writebatch/writebatch_test.go
@@ -23,7 +23,7 @@
 func (idleLeader) QueueDueOccurrences()             {}
 func (idleLeader) HasDueOccurrences() bool          { return false }
 func (idleLeader) ReplicateBatch([]*Change, uint64) {}
-func (idleLeader) ReplicateEntry(kv.Entry)          {}
+func (idleLeader) Replicate(kv.Entry)               {}
 func (idleLeader) StepDown(string)                  {}
 
 func newBatcher(t *testing.T) (*Batcher, *engine.Engine) {
