--- a/internal/admission/admitter_test.go
+++ b/internal/admission/admitter_test.go
@@ -37,14 +37,14 @@
 	t         *testing.T
 	engine    *engine.Engine
 	scope     *engine.Scope
-	suspended bool // CanAct returns false
+	suspended bool // IsActive returns false
 	lostData  bool
 	late      time.Duration
 	served    []request.Request
 	added     []string
 }
 
-func (l *leader) CanAct() bool                     { return !l.suspended }
+func (l *leader) IsActive() bool                   { return !l.suspended }
 func (l *leader) Serve(r request.Request)          { l.served = append(l.served, r) }
 func (l *leader) Lateness(*spec.Job) time.Duration { return l.late }
 func (l *leader) PolicyEnv() policy.Env            { return policy.Env{} }
@@ -61,16 +61,16 @@
 func (l *leader) RequestDispatch(*fleet.Machine)              {}
 func (l *leader) JobFinished(*fleet.Job, spec.JobState)       {}
 func (l *leader) Machines() []*fleet.Machine                  { return nil }
-func (l *leader) Unaccounted(string) bool                     { return false }
+func (l *leader) IsUnaccounted(string) bool                   { return false }
 func (l *leader) UnaccountedCount() int                       { return 0 }
-func (l *leader) DispatchAll()                                {}
+func (l *leader) RequestDispatchAll()                         {}
 func (l *leader) Backlog() (time.Duration, float64)           { return 0, 0 }
 func (l *leader) ConfigBatchDue() bool                        { return false }
 func (l *leader) QueueRestores()                              {}
 func (l *leader) QueueDueOccurrences()                        {}
 func (l *leader) HasDueOccurrences() bool                     { return false }
 func (l *leader) ReplicateBatch([]*writebatch.Change, uint64) {}
-func (l *leader) ReplicateEntry(kv.Entry)                     {}
+func (l *leader) Replicate(kv.Entry)                          {}
 func (l *leader) StepDown(why string)                         { l.t.Error("stepped down:", why) }
 func (l *leader) HighestTerm() uint64                         { return 5 }
 func (l *leader) ConfirmedTerm() uint64                       { return 5 }
@@ -98,7 +98,7 @@
 	replicas := replication.NewPublisher(replication.New(e, cfg, l), l.scope, 5)
 	types := []provider.InstanceType{{Name: "plain", Capacity: timeline.Capacity(8, 0, 32), Zones: []string{"a"}}}
 	scaler := autoscaler.New(autoscaler.Config{Engine: e, Scope: l.scope, State: l, Teams: teams, InstanceTypes: types, CloudRPS: 10})
-	scaler.Loaded = true
+	scaler.CatalogLoaded = true
 	jobs := lifecycle.New(e, l.scope, cfg.Settings.State, lifecycle.State{
 		Jobs:      map[string]*fleet.Job{},
 		Teams:     teams,
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -19,8 +19,8 @@
 )
 
 // ListInstances reads the cloud's list of instances immediately and every listInterval after
-// that. The list reveals instances requested by an earlier leader or by a request that timed out, and
-// instances that have failed.
+// that. The list reveals instances requested by an earlier leader or by a request that timed out,
+// and instances that have failed.
 func (a *Autoscaler) ListInstances() { a.listInstances("", nil) }
 
 // listInstances reads the page of the list that follows the host after. The argument listed
@@ -64,7 +64,7 @@
 // SendReleases asks the cloud to release queued machines, up to maxReleasesPerCall per call,
 // with one call in flight at a time. Unconfirmed releases are retried by the next call.
 func (a *Autoscaler) SendReleases() {
-	if a.releaseInFlight || len(a.toRelease) == 0 || !a.state.CanAct() || !a.callLimit.AllowN(a.Now, 1) {
+	if a.releaseInFlight || len(a.toRelease) == 0 || !a.state.IsActive() || !a.callLimit.AllowN(a.Now, 1) {
 		return
 	}
 	a.releaseInFlight = true
--- a/internal/configmanager/serve.go
+++ b/internal/configmanager/serve.go
@@ -12,7 +12,7 @@
 func (m *Manager) Serve(r request.Request) {
 	switch r.Op {
 	case request.ConfigStatus:
-		m.askPeerVersions()
+		m.requestPeerVersions()
 		m.leader.Answer(r, request.Response{Status: 200, Document: m.status()})
 	case request.ConfigGet:
 		team, ok := m.team(r.Config.Name)
@@ -37,7 +37,7 @@
 		return
 	}
 	if reason := m.refusalReason(); reason != "" {
-		m.askPeerVersions()
+		m.requestPeerVersions()
 		m.leader.Answer(r, request.Unavailable(reason))
 		return
 	}
@@ -48,7 +48,7 @@
 // refusalReason returns the reason why changes cannot be accepted now, or an empty string.
 func (m *Manager) refusalReason() string {
 	switch {
-	case m.leader.RestoresConfig():
+	case m.leader.ConfigPending():
 		return "the configuration is being restored after a data loss"
 	case len(m.waiting) >= maxWaitingChanges:
 		return "too many configuration changes are pending"
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -23,8 +23,8 @@
 	l.core.answer(to, response)
 }
 
-// ApplyTeams implements configmanager.Leader. Running tasks are not stopped when a limit is lowered;
-// they still count, and no further tasks start until the team is below its limit.
+// ApplyTeams implements configmanager.Leader. Running tasks are not stopped when a limit is
+// lowered; they still count, and no further tasks start until the team is below its limit.
 func (l configLeader) ApplyTeams(teams []liveconfig.Team) {
 	if len(teams) == 0 {
 		return
@@ -50,14 +50,14 @@
 	return max(0, l.core.leaseTiming.Authority()-l.leadership.expiresAt.Sub(l.core.Now))
 }
 
-// HasLink implements configmanager.Leader.
-func (l configLeader) HasLink(node string) bool { return l.core.election.IsLinked(node) }
+// IsLinked implements configmanager.Leader.
+func (l configLeader) IsLinked(node string) bool { return l.core.election.IsLinked(node) }
 
 // NewestReplica implements configmanager.Leader.
 func (l configLeader) NewestReplica() *replica.Replica { return l.core.newestReplica() }
 
-// RestoresConfig implements configmanager.Leader.
-func (l configLeader) RestoresConfig() bool { return l.leadership.restorer.ConfigIsPending() }
+// ConfigPending implements configmanager.Leader.
+func (l configLeader) ConfigPending() bool { return l.leadership.restorer.ConfigPending() }
 
 // Replicate implements configmanager.Leader.
 func (l configLeader) Replicate(entry kv.Entry) { l.core.replicate(entry) }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -137,7 +137,7 @@
 	case heartbeat.Abandoned:
 		c.abandonLocalHeartbeat(in.Ref)
 	case kv.Response:
-		c.noteStoreOutcome(in.Outcome)
+		c.updateStoreHealth(in.Outcome)
 		c.HandleStore(in)
 	case provider.Response:
 		c.HandleCloud(in)
@@ -163,8 +163,8 @@
 // refusals are normal when calls exceed the rate limit.
 const storeOutageThreshold = 500 * time.Millisecond
 
-// noteStoreOutcome tracks the availability of the key-value store and logs when it changes.
-func (c *Core) noteStoreOutcome(o rpc.Outcome) {
+// updateStoreHealth tracks the availability of the key-value store and logs when it changes.
+func (c *Core) updateStoreHealth(o rpc.Outcome) {
 	up := o != rpc.Refused && o != rpc.Unknown
 	if up {
 		c.store.lastServedAt = c.Now
@@ -198,7 +198,7 @@
 const readyLinkLossGrace = 4 * time.Second
 
 // HasAuthority reports whether the node is the leader and may act as such at the given time: its
-// lease has not expired by the steady clock, and the wall clock shows no hidden pause of that clock.
+// lease has not expired, and the wall clock shows no pause that the steady clock has missed.
 func (c *Core) HasAuthority(now time.Time) bool {
 	return c.leadership != nil && now.Before(c.leadership.expiresAt) && c.ClockSkew(now)-c.leadership.clockSkew < lease.MaxHiddenPause
 }
--- a/internal/recurring/edit.go
+++ b/internal/recurring/edit.go
@@ -60,7 +60,7 @@
 
 // validateJob checks that the cluster can run the jobs of a schedule.
 func (s *Scheduler) validateJob(compiled *schedule.Definition) (refusal *request.Response) {
-	if !s.leader.CatalogRead() {
+	if !s.leader.CatalogLoaded() {
 		response := request.Unavailable("the machine types are not known yet")
 		return &response
 	}
@@ -196,7 +196,7 @@
 
 // finishRemoval removes a schedule whose record has been deleted and answers the requester.
 func (s *Scheduler) finishRemoval(sched *scheduleState) {
-	s.leader.DropReplica(sched.key())
+	s.leader.ReplicateDelete(sched.key())
 	s.engine.Log(slog.LevelInfo, "schedule removed", "schedule", sched.name)
 	s.reply(sched, request.Response{Status: 200, Document: map[string]string{"name": sched.name, "status": "removed"}})
 	s.removeFromMemory(sched)
--- a/internal/writebatch/writebatch.go
+++ b/internal/writebatch/writebatch.go
@@ -45,8 +45,8 @@
 
 // Leader is the leader whose changes a Batcher writes.
 type Leader interface {
-	// CanAct reports whether the leader has authority and has loaded the records.
-	CanAct() bool
+	// IsActive reports whether the leader has authority and has loaded the records.
+	IsActive() bool
 	// ConfigBatchDue reports whether the queued configuration changes are to be sent now.
 	ConfigBatchDue() bool
 	// QueueRestores queues lost records to be written back, up to the limit of queued changes.
@@ -57,8 +57,8 @@
 	HasDueOccurrences() bool
 	// ReplicateBatch replicates a batch that was committed at revision rev.
 	ReplicateBatch(batch []*Change, rev uint64)
-	// ReplicateEntry replicates an entry that was read from the store.
-	ReplicateEntry(e kv.Entry)
+	// Replicate adds an entry that was read from the store to the replicas.
+	Replicate(e kv.Entry)
 	// StepDown ends the leadership for the reason why.
 	StepDown(why string)
 }
@@ -73,7 +73,7 @@
 	engine        *engine.Engine
 	scope         *engine.Scope
 	leader        Leader
-	termCondition kv.Condition // added to every transaction; fails once a newer term has begun
+	termCondition kv.Condition // added to every transaction; fails once a newer term has started
 	maxOps        int          // maximum number of writes in a transaction
 
 	bulkTurn       bool // the current turn is for bulk changes, not for occurrences
@@ -127,7 +127,7 @@
 	b.scope.CallStore(kv.Request{Op: kv.Get, Key: key}, func(r kv.Response) {
 		switch r.Outcome {
 		case rpc.OK:
-			b.leader.ReplicateEntry(r.Entries[0])
+			b.leader.Replicate(r.Entries[0])
 			f(r.Entries[0], true)
 		case rpc.NotFound:
 			f(kv.Entry{}, false)
