--- a/internal/scenario/cancel_test.go
+++ b/internal/scenario/cancel_test.go
@@ -28,17 +28,17 @@
 		"restarted":          "at 29s crash n0 back=200ms\nat 30s crash n1 back=200ms\nat 31s crash n2 back=200ms",
 		"new leader lost":    "at OUT crash leader back=300ms",
 		"all lost":           "at OUT crash all back=2s",
-		"served and refused": "at 30s deny leader 4s\nat 34500ms deny leader 50s",
-		"three leaders":      "at 29s deny leader 60s",
-		"moved":              "at 26s cut 9 5s reset only=leader",
-		"late writes":        "at 24s late_writes 14s share=0.5",
-		"muted before":       "at 23s mute leader 3s late=5s",
+		"served and refused": "at 30s state_unavailable leader 4s\nat 34500ms state_unavailable leader 50s",
+		"three leaders":      "at 29s state_unavailable leader 60s",
+		"moved":              "at 26s partition 9 5s reset only=leader",
+		"late writes":        "at 24s delay_txns 14s share=0.5",
+		"muted before":       "at 23s drop_txn_responses leader 3s late=5s",
 		"slow state":         "at 26s slow_state 8s by=800ms",
-		"asleep":             "at 26s wander leader 2s",
-		"answers lost":       "at 24s late_writes 14s share=0.5 at_once=true",
-		"mute machines":      "at 26s machine_mute 14 40s",
+		"asleep":             "at 26s clock_offset leader 2s",
+		"answers lost":       "at 24s delay_txns 14s share=0.5 at_once=true",
+		"mute machines":      "at 26s block_reports 14 40s",
 		"hanging machines":   "at 27s hang 14 18s",
-		"looked at closely":  "at 24s close_looks 30s",
+		"looked at closely":  "at 24s observe_transitions 30s",
 	}
 	var met, played atomic.Int64
 	t.Run("variants", func(t *testing.T) {
@@ -63,9 +63,9 @@
 machines s a n=22
 machines s b n=22
 at 1s burst 44 gap=50ms tasks=3 run=600s
-at 10s cut zone=b 100s hold nodes=none only=leader
-at 10s cut zone=a 100s hold nodes=leader only=peers
-at %v deny leader 90s
+at 10s partition zone=b 100s hold nodes=none only=leader
+at 10s partition zone=a 100s hold nodes=leader only=peers
+at %v state_unavailable leader 90s
 at %v cancel first 12
 at %v cancel first 24
 at %v cancel first 30
--- a/internal/scenario/configure.go
+++ b/internal/scenario/configure.go
@@ -232,18 +232,18 @@
 // configure does what a script's word asks for: config TEAM [max=N] [cpus=N] [retired], or
 // configs N every=D teams=A,B max=LOW..HIGH: changes one after the other.
 func (s *script) configure(f []string) {
-	a := args(f[2:])
+	a := keyValues(f[2:])
 	if f[0] == "config" {
-		s.admin.set(liveconfig.Team{Name: f[1], CPUs: num(a, "cpus", 0), CPUsMax: num(a, "max", 0), GPUs: num(a, "gpus", 0), GPUsMax: num(a, "gpus_max", 0), Retired: a["retired"] != ""})
+		s.admin.set(liveconfig.Team{Name: f[1], CPUs: numberArg(a, "cpus", 0), CPUsMax: numberArg(a, "max", 0), GPUs: numberArg(a, "gpus", 0), GPUsMax: numberArg(a, "gpus_max", 0), Retired: a["retired"] != ""})
 		return
 	}
-	n := int(num(args([]string{"n=" + f[1]}), "n", 1))
+	n := int(numberArg(keyValues([]string{"n=" + f[1]}), "n", 1))
 	teams := strings.Split(a["teams"], ",")
 	low, high, _ := strings.Cut(a["max"], "..")
-	bounds := args([]string{"low=" + low, "high=" + high})
+	bounds := keyValues([]string{"low=" + low, "high=" + high})
 	for i := range n {
-		s.after(time.Duration(i)*dur(a, "every", time.Second), func() {
-			most := num(bounds, "low", 1) + float64(s.rng.IntN(1+int(num(bounds, "high", 1)-num(bounds, "low", 1))))
+		s.after(time.Duration(i)*durationArg(a, "every", time.Second), func() {
+			most := numberArg(bounds, "low", 1) + float64(s.rng.IntN(1+int(numberArg(bounds, "high", 1)-numberArg(bounds, "low", 1))))
 			s.admin.set(liveconfig.Team{Name: teams[i%len(teams)], CPUsMax: most})
 		})
 	}
--- a/internal/scenario/configure_test.go
+++ b/internal/scenario/configure_test.go
@@ -33,10 +33,10 @@
 // rule may break, every change is on record in the end, and every controller knows the last.
 func TestRandomConfig(t *testing.T) {
 	kinds := []string{
-		"crash leader", "crash all", "crash n1 back=3s", "roll 6s", "outage state 8s", "outage state 30s", "deny leader 9s", "cut leader 12s hold", "cut leader 12s reset",
-		"cut leader 9s hold only=state", "cut leader 15s hold only=n0,n1,n2", "cut 2 30s hold", "cut zone=b 40s reset", "hang 2 15s", "mute leader 4s", "mute leader 2s late=30s",
-		"stall leader 25s", "stall follower 40s", "crash leader back=50ms", "crash all back=200ms", "flap leader 8s every=900ms back=100ms", "late_writes 20s share=0.4 at_once=true",
-		"late_writes 20s share=0.4", "late_reports 40s share=0.3", "machine_deaf 2 20s", "wipe", "wipe rev", "config w max=9", "config u max=20 retired", "config u max=30",
+		"crash leader", "crash all", "crash n1 back=3s", "rolling_restart 6s", "outage state 8s", "outage state 30s", "state_unavailable leader 9s", "partition leader 12s hold", "partition leader 12s reset",
+		"partition leader 9s hold only=state", "partition leader 15s hold only=n0,n1,n2", "partition 2 30s hold", "partition zone=b 40s reset", "hang 2 15s", "drop_txn_responses leader 4s", "drop_txn_responses leader 2s late=30s",
+		"stall leader 25s", "stall follower 40s", "crash leader back=50ms", "crash all back=200ms", "crash_loop leader 8s every=900ms back=100ms", "delay_txns 20s share=0.4 at_once=true",
+		"delay_txns 20s share=0.4", "duplicate_reports 40s share=0.3", "block_inbound 2 20s", "wipe", "wipe rev", "config w max=9", "config u max=20 retired", "config u max=30",
 	}
 	// In the end there is room for all: what is left ends.
 	end := "at 200s config t max=90\nat 200s config u max=90\nat 200s config v max=90\nrun 420s\nexpect configured\nexpect over\nexpect leaders =1\n"
@@ -45,7 +45,7 @@
 		// forgotten shortly before, what a leader could not pass on, or never heard that it
 		// wrote. So losses meet troubles of machines and outages here; config-lost has them
 		// meet the end of a leader.
-		never := [][]string{{"wipe"}, {"crash", "roll", "flap", "stall", "cut leader", "late_writes", "mute", "deny"}}[rng.IntN(2)]
+		never := [][]string{{"wipe"}, {"crash", "rolling_restart", "crash_loop", "stall", "partition leader", "delay_txns", "drop_txn_responses", "state_unavailable"}}[rng.IntN(2)]
 		for n := 3 + rng.IntN(5); n > 0; {
 			kind := kinds[rng.IntN(len(kinds))]
 			if slices.ContainsFunc(never, func(prefix string) bool { return strings.HasPrefix(kind, prefix) }) {
@@ -85,7 +85,7 @@
 		"the next leader does not learn of it": {lowered, func(s *script) {
 			s.alterOutput = func(_ *node, out any) any { return withoutTeams(out) }
 		}},
-		"told before it is on record": {strings.Replace(lowered, "at 10s config", "at 9900ms deny leader 12s\nat 10s config", 1), func(s *script) {
+		"told before it is on record": {strings.Replace(lowered, "at 10s config", "at 9900ms state_unavailable leader 12s\nat 10s config", 1), func(s *script) {
 			changes := map[uint64]bool{}
 			s.alterOutput = func(_ *node, out any) any {
 				if call, ok := out.(kv.Request); ok && slices.ContainsFunc(call.Writes, func(w kv.Write) bool { return strings.HasSuffix(w.Key, "config/head") }) {
@@ -106,7 +106,7 @@
 team u max=20
 at 1s submit wk-1 tasks=2 run=3s
 at 5s config u max=19
-at 9s cut follower 60s reset only=peers
+at 9s partition follower 60s reset only=peers
 at 9500ms config u max=20 retired
 at 12600ms burst 60 gap=40ms owner=u tasks=2 run=5s
 expect configured
@@ -123,7 +123,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, planted := range []bool{false, true} {
-				s, err := read(few(3, 5) + x.text)
+				s, err := parseScript(few(3, 5) + x.text)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/scenario/cost_test.go
+++ b/internal/scenario/cost_test.go
@@ -93,7 +93,7 @@
 at 60s crash leader back=3s
 run 120s
 `, 2*n, 3*n, n*8/10, n*2/10, n*8/10, n*2/10, n/24, n/38, n/220, n/10, time.Duration(118e9*10/int64(n)), n/20, time.Duration(118e9*20/int64(n)), n/80, time.Duration(118e9*80/int64(n)))
-	s, err := read(text)
+	s, err := parseScript(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 	}
 	k := &costs{at: s.start.Add(20 * time.Second), spent: map[[2]string]time.Duration{}, count: map[[2]string]int{}, bytes: map[string]int{}}
 	s.measure, s.unchecked = k.step, true
-	s.begin()
+	s.setUp()
 	for s.step(s.start.Add(s.end)) {
 	}
 	var lines []string
@@ -132,7 +132,7 @@
 		t.Skip("asked for by -cost")
 	}
 	n, at := *costOf, 110*time.Second
-	s, err := read(fmt.Sprintf(`
+	s, err := parseScript(fmt.Sprintf(`
 seed 12
 nodes 7
 workers report=5s lease=29s cancel=54s
@@ -156,7 +156,7 @@
 		}
 	}
 	s.unchecked = true
-	s.begin()
+	s.setUp()
 	puts, requests := 0, 0
 	for s.step(s.start.Add(s.end)) {
 		if s.elapsed() < at {
--- a/internal/scenario/front_test.go
+++ b/internal/scenario/front_test.go
@@ -58,7 +58,7 @@
 		t.Skip("drills take their time")
 	}
 	t.Parallel()
-	s, err := read(text)
+	s, err := parseScript(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 func (f *front) job(id string, words ...string) *userJob {
 	var j *userJob
 	f.with(func() {
-		j = f.script.job(id, args(words))
+		j = f.script.parseJob(id, keyValues(words))
 		f.world.submit(j)
 	})
 	return j
--- a/internal/scenario/loopback.go
+++ b/internal/scenario/loopback.go
@@ -45,7 +45,7 @@
 // newLoopback begins the world of a script whose settings are complete.
 func newLoopback(s *script, dir string, complain func(format string, args ...any)) *loopback {
 	w := s.world
-	w.adoptSettings(nil)
+	w.applySettings(nil)
 	w.store.refilled = time.Now()
 	w.clock.start, w.clock.now = time.Now(), time.Now()
 	l := &loopback{world: w, script: s, over: make(chan struct{}), dir: dir, complain: complain, links: map[string]*workerLink{}}
--- a/internal/scenario/loss_test.go
+++ b/internal/scenario/loss_test.go
@@ -42,7 +42,7 @@
 		"outage, revisions":         "at 25s outage state 15s; at 39.9s wipe rev",
 		"outage, copy":              "at 15s save; at 25s outage state 15s; at 39.9s restore",
 		"jobs, leader":              "at 40s wipe under=yewpass/live/job/; at 40.1s crash leader back=3s",
-		"machines, leader":          "at 39s cut 3 30s hold; at 40s wipe under=yewpass/live/machine/; at 40.1s crash leader back=3s",
+		"machines, leader":          "at 39s partition 3 30s hold; at 40s wipe under=yewpass/live/machine/; at 40.1s crash leader back=3s",
 		"finals, leader":            "at 40s wipe under=yewpass/final/; at 40.1s crash leader back=3s",
 		"progress, leader":          "at 40s wipe under=yewpass/live/progress/; at 40.1s crash leader back=3s",
 		"schedules, all":            "at 70s wipe under=yewpass/schedule; at 70s wipe under=yewpass/term",
@@ -51,11 +51,11 @@
 		"leader's key":              "at 40s wipe under=yewpass/leader",
 		"twice":                     "at 40s wipe; at 41s wipe rev; at 42s crash leader back=1s; at 43s wipe",
 		"all but one lost":          "at 40s wipe rev; at 40s crash n0 back=9s; at 40s crash n1 back=9s; at 40s crash n2 back=9s; at 40s crash n3 back=9s",
-		"leader cut off":            "at 30s cut leader 20s hold only=state; at 40s wipe",
+		"leader cut off":            "at 30s partition leader 20s hold only=state; at 40s wipe",
 		"leaders lost in the midst": "at 40s wipe; at 40.45s crash leader back=1s; at 42s crash leader back=1s",
 		"copy, leaders lost":        "at 15s save; at 40s restore; at 40.45s crash leader back=1s; at 42s crash leader back=1s",
-		"late writes":               "at 39.5s mute leader 2s late=4s; at 40s wipe",
-		"held writes":               "at 38s cut leader 9s hold only=state; at 42s wipe rev",
+		"late writes":               "at 39.5s drop_txn_responses leader 2s late=4s; at 40s wipe",
+		"held writes":               "at 38s partition leader 9s hold only=state; at 42s wipe rev",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -72,7 +72,7 @@
 			t.Run(under+" "+lost, func(t *testing.T) {
 				t.Parallel()
 				for n := 3; ; n++ {
-					s, err := read(few(5, 3) + `
+					s, err := parseScript(few(5, 3) + `
 team t max=9
 at 1s submit wk-1 run=3s tasks=6
 at 2s submit wk-2 run=30s tasks=2
@@ -87,7 +87,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					s.begin()
+					s.setUp()
 					for s.store.puts < n && s.step(s.start.Add(s.end)) {
 					}
 					if s.store.puts < n {
@@ -97,7 +97,7 @@
 					s.dataLost = true
 					s.store.wipe(under, false)
 					if lost != "" {
-						s.act(strings.Fields(lost))
+						s.perform(strings.Fields(lost))
 					}
 					s.run(s.end)
 					res := s.result()
@@ -118,9 +118,9 @@
 func TestRandomLoss(t *testing.T) {
 	kinds := []string{
 		"wipe", "wipe rev", "wipe under=yewpass/live/", "wipe under=yewpass/live/job/", "wipe under=yewpass/live/machine/", "wipe under=yewpass/final/", "wipe under=yewpass/term", "wipe under=yewpass/leader", "restore",
-		"crash leader", "crash leader back=100ms", "crash follower back=100ms", "crash n1 back=2s", "roll 6s", "outage state 8s", "deny leader 9s",
-		"cut leader 12s hold", "cut leader 9s hold only=state", "cut 2 30s hold", "cut 2 40s reset", "cut zone=a 25s hold", "hang 2 45s",
-		"mute leader 2s late=4s", "stall leader 15s", "stall follower 20s", "flap leader 4s every=1500ms", "restart 3 back=50ms", "take 4",
+		"crash leader", "crash leader back=100ms", "crash follower back=100ms", "crash n1 back=2s", "rolling_restart 6s", "outage state 8s", "state_unavailable leader 9s",
+		"partition leader 12s hold", "partition leader 9s hold only=state", "partition 2 30s hold", "partition 2 40s reset", "partition zone=a 25s hold", "hang 2 45s",
+		"drop_txn_responses leader 2s late=4s", "stall leader 15s", "stall follower 20s", "crash_loop leader 4s every=1500ms", "restart 3 back=50ms", "preempt 4",
 	}
 	playMixes(t, 6, losing, whole, func(rng *rand.Rand, sb *strings.Builder) {
 		for i := range 3 + rng.IntN(4) {
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -45,40 +45,40 @@
 
 // meetings are the operators' troubles, one at a time; WHO is drawn or the leader.
 var meetings = []string{
-	"late_reports 40s share=0.4",
-	"late_writes 30s share=0.4",
+	"duplicate_reports 40s share=0.4",
+	"delay_txns 30s share=0.4",
 	"slow_state 12s by=900ms",
 	"slow_state 9s by=3s",
-	"deny leader 9s",
-	"deny leader 50s",
+	"state_unavailable leader 9s",
+	"state_unavailable leader 50s",
 	"outage state 12s",
 	"outage state 46s",
-	"cut leader 20s hold only=state,peers",
-	"cut leader 48s reset only=state,peers",
+	"partition leader 20s hold only=state,peers",
+	"partition leader 48s reset only=state,peers",
 	"crash leader back=100ms",
 	"crash all back=300ms",
 	"crash leader back=3s",
-	"roll 500ms back=200ms",
-	"leave leader back=500ms",
-	"machine_deaf 4 30s",
-	"machine_deaf zone=a 25s",
-	"cut 4 26s hold",
-	"cut zone=a 40s hold nodes=leader",
+	"rolling_restart 500ms back=200ms",
+	"shutdown leader back=500ms",
+	"block_inbound 4 30s",
+	"block_inbound zone=a 25s",
+	"partition 4 26s hold",
+	"partition zone=a 40s hold nodes=leader",
 	"hang 3 12s",
 	"hang 3 45s",
 	"stall leader 7s",
 	"stall leader 30s",
-	"mute leader 4s late=5s",
-	"restart 3 back=100ms anew",
-	"late_writes 30s share=0.4 at_once=true",
-	"late_reports 30s share=0.5 for_next=true",
-	"machine_mute 4 30s",
-	"machine_mute zone=a 26s",
-	"cancel_now 8 hang=18s",
-	"cancel_at_end 60s share=0.5",
-	"odd_requests 40s",
-	"close_looks 40s",
-	"flap leader 40s every=4s back=300ms",
+	"drop_txn_responses leader 4s late=5s",
+	"restart 3 back=100ms reset_counter",
+	"delay_txns 30s share=0.4 at_once=true",
+	"duplicate_reports 30s share=0.5 next_leader=true",
+	"block_reports 4 30s",
+	"block_reports zone=a 26s",
+	"cancel_running 8 hang=18s",
+	"cancel_on_completion 60s share=0.5",
+	"invalid_requests 40s",
+	"observe_transitions 40s",
+	"crash_loop leader 40s every=4s back=300ms",
 }
 
 // TestMeetings plays every two of the operators' troubles, at one instant and 1, 5 and 20 s
@@ -122,9 +122,9 @@
 		text, finds string
 		plant       func(s *script)
 	}{
-		"late writes": {few(3, 2) + `
+		"delay_txns": {few(3, 2) + `
 team t
-at 5s late_writes 1s share=1
+at 5s delay_txns 1s share=1
 at 5100ms submit wk-1 run=2s
 at 30s crash leader back=2s
 expect met late-write >0
@@ -138,9 +138,9 @@
 				return out
 			}
 		}},
-		"late reports": {few(3, 4) + `
+		"duplicate_reports": {few(3, 4) + `
 team t
-at 2s late_reports 60s share=1
+at 2s duplicate_reports 60s share=1
 at 5s burst 10 gap=2s tasks=3 run=20s
 expect met late-report >10
 expect done all
@@ -155,10 +155,10 @@
 				return in
 			}
 		}},
-		"machine_deaf": {few(3, 4) + `
+		"block_inbound": {few(3, 4) + `
 team t
 at 5s submit wk-1 run=60s tasks=12
-at 9s machine_deaf 1 60s
+at 9s block_inbound 1 60s
 at 9500ms crash leader back=2s
 at 16s outage cloud 60s
 expect met deaf-answer >2
@@ -179,11 +179,11 @@
 				return in
 			}
 		}},
-		"late_writes at_once": {few(3, 3) + `
+		"delay_txns at_once": {few(3, 3) + `
 team t
-at 3s late_writes 60s share=0.5 at_once=true
+at 3s delay_txns 60s share=0.5 at_once=true
 at 5s burst 12 gap=2s run=60s cancelled=1
-at 6s close_looks 60s
+at 6s observe_transitions 60s
 expect met write-unanswered >5
 expect over
 run 250s`, "no order", func(s *script) {
@@ -195,12 +195,12 @@
 				return out
 			}
 		}},
-		"late_reports for_next": {few(3, 4) + `
+		"duplicate_reports next_leader": {few(3, 4) + `
 team t
-at 3s late_reports 5s share=1 for_next=true
+at 3s duplicate_reports 5s share=1 next_leader=true
 at 8s submit wk-1 run=60s tasks=12
 at 16s outage cloud 60s
-at 16s cut 2 12s reset
+at 16s partition 2 12s reset
 at 16500ms crash leader back=2s
 expect met report-for-next >5
 expect done all
@@ -213,11 +213,11 @@
 				return in
 			}
 		}},
-		"machine_mute": {few(3, 4) + `
+		"block_reports": {few(3, 4) + `
 team t
 at 5s submit wk-1 run=60s tasks=12
 at 12s outage cloud 60s
-at 12s machine_mute 2 40s
+at 12s block_reports 2 40s
 at 12500ms crash leader back=2s
 expect met mute-report >5
 expect met mute-command >0
@@ -239,10 +239,10 @@
 				return in
 			}
 		}},
-		"cancel_now with hang": {few(3, 4) + `
+		"cancel_running with hang": {few(3, 4) + `
 team t
 at 5s burst 5 gap=100ms run=200s
-at 12s cancel_now 3 hang=5s
+at 12s cancel_running 3 hang=5s
 expect met cancel-now =3
 expect met cancel-now-hung >1
 expect met cancelled-on >0
@@ -255,9 +255,9 @@
 				return out
 			}
 		}},
-		"cancel_at_end": {few(3, 3) + `
+		"cancel_on_completion": {few(3, 3) + `
 team t
-at 2s cancel_at_end 60s share=1
+at 2s cancel_on_completion 60s share=1
 at 5s burst 12 gap=2s run=3s tasks=2
 expect met cancel-at-end >8
 expect over
@@ -270,10 +270,10 @@
 				return out
 			}
 		}},
-		"odd_requests": {few(3, 3) + `
+		"invalid_requests": {few(3, 3) + `
 team t
 at 5s burst 6 gap=2s run=3s
-at 5s odd_requests 30s
+at 5s invalid_requests 30s
 expect met odd-unfit >5
 expect met odd-lacks >5
 expect done all
@@ -289,15 +289,15 @@
 		"a field is missing": {few(3, 3) + `
 team t
 at 5s submit wk-1 run=3s
-at 5s odd_requests 30s
+at 5s invalid_requests 30s
 expect met odd-lacks >5
 expect done all
 run 100s`, "unfit", func(s *script) {
 			s.alterSubmission = func(*spec.Job) *spec.Job { return &spec.Job{} }
 		}},
-		"close_looks": {few(3, 3) + `
+		"observe_transitions": {few(3, 3) + `
 team t
-at 4s close_looks 60s
+at 4s observe_transitions 60s
 at 5s burst 12 gap=2s run=3s tasks=2
 expect met look >30
 expect over
@@ -349,7 +349,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			play(t, x.text)
-			s, err := read(x.text)
+			s, err := parseScript(x.text)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -68,7 +68,7 @@
 	},
 	{
 		name: "start and a change of leader", text: tiny + "team t\nat 5.9s submit wk-1 run=40s tasks=3\nrun 180s\nexpect over\nexpect leaders =1",
-		from: 5900 * time.Millisecond, events: []string{"crash leader back=3s", "cut 1 9s hold"},
+		from: 5900 * time.Millisecond, events: []string{"crash leader back=3s", "partition 1 9s hold"},
 		races: []string{"reply", "report", "probe"}, passes: []time.Duration{300 * time.Millisecond, 3 * time.Second, 22 * time.Second}, depth: 4, orders: 2419,
 	},
 	{
@@ -78,22 +78,22 @@
 	},
 	{
 		name: "end of a lease and a late report", text: tiny + "team t\nat 5s submit wk-1 run=60s tasks=3\nrun 250s\nexpect over",
-		from: 12 * time.Second, events: []string{"cut 1 30s hold", "hang 1 12s"},
+		from: 12 * time.Second, events: []string{"partition 1 30s hold", "hang 1 12s"},
 		races: []string{"report", "reply", "release", "release answer"}, passes: []time.Duration{time.Second, 21 * time.Second}, depth: 3, orders: 171,
 	},
 	{
 		name: "a limit across a take-over", text: tiny + "team t max=3\nat 5s submit wk-1 run=30s tasks=3\nrun 250s\nexpect over\nexpect leaders =1",
-		from: 9 * time.Second, events: []string{"crash leader back=3s", "submit wk-2 run=5s tasks=3", "cut 1 12s hold"},
+		from: 9 * time.Second, events: []string{"crash leader back=3s", "submit wk-2 run=5s tasks=3", "partition 1 12s hold"},
 		races: []string{"report", "reply", "probe"}, passes: []time.Duration{500 * time.Millisecond, 22 * time.Second}, depth: 3, orders: 206,
 	},
 	{
 		name: "a late transaction under a successor", text: tiny + "team t\nat 5s submit wk-1 run=20s tasks=2\nrun 200s\nexpect over\nexpect leaders =1",
-		from: 9 * time.Second, events: []string{"cancel wk-1", "submit wk-2 run=3s", "deny leader 4s"},
+		from: 9 * time.Second, events: []string{"cancel wk-1", "submit wk-2 run=3s", "state_unavailable leader 4s"},
 		races: []string{"txn", "txn answer"}, loses: []string{"txn", "txn answer"}, passes: []time.Duration{100 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second}, depth: 4, orders: 1847,
 	},
 	{
 		name: "a machine taken", text: tiny + "team t\ncapacity s b spot=2\nmachines s b n=1 spot\nat 5s submit wk-1 run=20s tasks=9\nrun 250s\nexpect over",
-		from: 9 * time.Second, events: []string{"take 1", "take 1 notice=6s", "crash leader back=3s"},
+		from: 9 * time.Second, events: []string{"preempt 1", "preempt 1 notice=6s", "crash leader back=3s"},
 		races: []string{"report", "reply", "release", "release answer"}, passes: []time.Duration{600 * time.Millisecond, 4 * time.Second}, depth: 4, orders: 842,
 	},
 	{
@@ -103,12 +103,12 @@
 	},
 	{
 		name: "two relays and one worker", text: relayed + "at 5.9s submit wk-1 run=40s tasks=3\nrun 220s\nexpect over\nexpect leaders =1",
-		from: 5950 * time.Millisecond, events: []string{"cut 1 5s hold only=n0", "cut 1 6s hold only=n1", "crash leader back=3s"},
+		from: 5950 * time.Millisecond, events: []string{"partition 1 5s hold only=n0", "partition 1 6s hold only=n1", "crash leader back=3s"},
 		races: []string{"report", "reply", "peer"}, passes: []time.Duration{2500 * time.Millisecond, 5 * time.Second}, depth: 3, orders: 431,
 	},
 	{
 		name: "a held link", text: relayed + "at 5.9s submit wk-1 run=40s tasks=3\nrun 220s\nexpect over\nexpect leaders =1",
-		from: 5900 * time.Millisecond, events: []string{"cut n0 30s hold only=n1", "cut n1 30s hold only=n2", "crash leader back=2s"},
+		from: 5900 * time.Millisecond, events: []string{"partition n0 30s hold only=n1", "partition n1 30s hold only=n2", "crash leader back=2s"},
 		races: []string{"peer", "reply"}, passes: []time.Duration{time.Second, 3 * time.Second}, depth: 3, orders: 340,
 	},
 	{
@@ -119,12 +119,12 @@
 	},
 	{
 		name: "a process and the next one", text: relayed + "at 5.6s crash n1 back=50ms\nat 5.9s submit wk-1 run=40s tasks=6\nrun 180s\nexpect over\nexpect leaders =1",
-		from: 5900 * time.Millisecond, events: []string{"crash leader back=50ms", "cut 1 9s hold", "crash n2 back=50ms"},
+		from: 5900 * time.Millisecond, events: []string{"crash leader back=50ms", "partition 1 9s hold", "crash n2 back=50ms"},
 		races: []string{"peer", "reply", "report"}, passes: []time.Duration{100 * time.Millisecond, 400 * time.Millisecond}, depth: 4, orders: 1038,
 	},
 	{
 		name: "a machine that is back", text: tiny + "team t max=3\nat 5s submit wk-1 run=30s tasks=3\nrun 250s\nexpect over\nexpect leaders =1",
-		from: 9 * time.Second, events: []string{"restart 1 back=50ms anew", "crash leader back=50ms"},
+		from: 9 * time.Second, events: []string{"restart 1 back=50ms reset_counter", "crash leader back=50ms"},
 		races: []string{"report", "reply", "probe"}, passes: []time.Duration{500 * time.Millisecond, 22 * time.Second}, depth: 3, orders: 152,
 	},
 	{
@@ -149,27 +149,27 @@
 	},
 	{
 		name: "a machine that does not hear", text: tiny + "team t\nat 5s submit wk-1 run=40s tasks=3\nat 8s outage cloud 60s\nrun 250s\nexpect over\nexpect leaders =1",
-		from: 9 * time.Second, events: []string{"machine_deaf 1 16s", "crash leader back=2s"},
+		from: 9 * time.Second, events: []string{"block_inbound 1 16s", "crash leader back=2s"},
 		races: []string{"reply", "probe"}, passes: []time.Duration{3 * time.Second, 15 * time.Second}, depth: 3, orders: 127,
 	},
 	{
 		name: "a look at each node", text: relayed + "run 120s\nexpect over\nexpect accepted wk-1\nexpect leaders =1",
-		from: 6 * time.Second, events: []string{"submit wk-1 run=3s", "look wk-1", "crash leader back=2s"},
+		from: 6 * time.Second, events: []string{"submit wk-1 run=3s", "observe wk-1", "crash leader back=2s"},
 		races: []string{"txn", "txn answer"}, loses: []string{"txn answer"}, passes: []time.Duration{5 * time.Millisecond, 900 * time.Millisecond}, depth: 4, orders: 232,
 	},
 	{
 		name: "an answer lost after a cancellation", text: relayed + "at 4s submit wk-1 run=60s tasks=3\nat 7s cancel wk-1\nrun 150s\nexpect cancelled wk-1\nexpect leaders =1",
-		from: 6995 * time.Millisecond, events: []string{"look wk-1", "look wk-1"},
+		from: 6995 * time.Millisecond, events: []string{"observe wk-1", "observe wk-1"},
 		races: []string{"txn answer"}, loses: []string{"txn answer"}, passes: []time.Duration{20 * time.Millisecond, 900 * time.Millisecond}, depth: 4, orders: 331,
 	},
 	{
-		name: "an old report at the start of a term", text: tiny + "team t\nat 500ms late_reports 6s share=1 for_next=true\nat 5s submit wk-1 run=40s tasks=3\nrun 180s\nexpect over\nexpect met report-for-next >0\nexpect leaders =1",
+		name: "an old report at the start of a term", text: tiny + "team t\nat 500ms duplicate_reports 6s share=1 next_leader=true\nat 5s submit wk-1 run=40s tasks=3\nrun 180s\nexpect over\nexpect met report-for-next >0\nexpect leaders =1",
 		from: 9 * time.Second, events: []string{"crash leader back=3s"},
 		races: []string{"kept", "report", "probe"}, passes: []time.Duration{50 * time.Millisecond, 2 * time.Second}, depth: 4, orders: 286,
 	},
 	{
 		name: "a cancellation at the end of the last task", text: tiny + "team t\nat 6s submit wk-1 run=4s\nrun 120s\nexpect over\nexpect leaders =1",
-		from: 10 * time.Second, events: []string{"cancel wk-1", "look wk-1"},
+		from: 10 * time.Second, events: []string{"cancel wk-1", "observe wk-1"},
 		races: []string{"txn", "txn answer", "report"}, loses: []string{"txn answer"}, passes: []time.Duration{30 * time.Millisecond, 900 * time.Millisecond}, depth: 3, orders: 61,
 	},
 	{
@@ -216,7 +216,7 @@
 	x := r.hand[i]
 	if x.kind == "event" {
 		f := strings.Fields(x.a)
-		if j := r.jobs[f[len(f)-1]]; f[0] == "cancel" || f[0] == "again" || f[0] == "look" {
+		if j := r.jobs[f[len(f)-1]]; f[0] == "cancel" || f[0] == "again" || f[0] == "observe" {
 			return j != nil && (f[0] != "cancel" || j.accepted) // of what its user has submitted
 		}
 		return true
@@ -280,18 +280,18 @@
 			return false
 		}
 	}
-	return len(s.net.cuts) == 0 && !slices.ContainsFunc(s.expects, func(e expect) bool { return !s.holds(e.what) })
+	return len(s.net.cuts) == 0 && !slices.ContainsFunc(s.expects, func(e expect) bool { return !s.holds(e.words) })
 }
 
 // playOrder plays one order of choices; choices beyond those given are the first
 // option. widths says how many options each choice had, names which was taken.
 func playOrder(o *ordering, choices []int, lie, hears func(n *node, x any) any) (widths []int, names []string, res Result) {
-	s, err := read(o.text)
+	s, err := parseScript(o.text)
 	if err != nil {
 		panic(err)
 	}
 	s.alterOutput, s.alterInput = lie, hears
-	s.begin()
+	s.setUp()
 	r := &racing{script: s, o: o}
 	s.net.take = r.takes
 	for s.step(s.start.Add(o.from)) {
@@ -304,7 +304,7 @@
 				s.submit(s.jobs[f[1]])
 				return
 			}
-			s.act(f)
+			s.perform(f)
 		}})
 	}
 	for len(widths) < o.depth {
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -89,7 +89,7 @@
 		l.nodes = append(l.nodes, p.n)
 	}
 	for _, a := range l.script.actions { // machines that are up from the start
-		l.script.act(a.what)
+		l.script.perform(a.words)
 	}
 	go l.play()
 	for _, p := range l.processes {
--- a/internal/scenario/scale_plan.go
+++ b/internal/scenario/scale_plan.go
@@ -230,7 +230,7 @@
 			fmt.Fprintf(&sb, "capacity node %s n=%d\nmachines node %s n=%d\n", p.zoneName(i), n, p.zoneName(i), n)
 		}
 	}
-	s, err := read(sb.String())
+	s, err := parseScript(sb.String())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -78,23 +78,23 @@
 at 3s schedule wait at=00:01,00:02,00:03,00:04,00:05 run=30s overlap=wait every=10s save=2s
 at 10s submit wk-7 service tasks=2 owner=u
 at 150s cancel wk-7
-at 200s boots 100
+at 200s boot_time 100
 `
 
 // TestRandomFaults plays mixes of faults drawn from fixed seeds. Whatever comes,
 // no rule may break, and once all is well again every job is done.
 func TestRandomFaults(t *testing.T) {
 	kinds := []string{
-		"crash leader", "crash all", "crash n1 back=3s", "roll 6s", "outage state 8s", "outage state 30s", "outage cloud 20s",
-		"deny leader 9s", "cut leader 12s hold", "cut leader 12s reset", "cut leader 9s hold only=state", "cut leader 15s hold only=n0,n1,n2",
-		"cut 2 30s hold", "cut 2 40s reset", "cut 1 8s hold", "cut zone=a 25s hold", "cut zone=b 40s reset", "hang 1 15s", "hang 2 45s",
-		"sick 1 60s", "slow 1 factor=3", "take 3 notice=12s", "take 4", "boots never", "boots 300",
-		"mute leader 4s", "mute leader 2s late=30s", "crash leader back=2s", "cut follower 10s hold only=state", "hang 3 19s", "crash all back=4s", "stall leader 25s", "stall follower 40s", "stall n1 70s",
-		"crash leader back=50ms", "crash all back=200ms", "crash follower back=100ms", "roll 400ms back=100ms", "flap leader 8s every=900ms back=100ms", "flap all 5s every=700ms back=50ms", "flap n1 15s every=300ms",
-		"restart 2 back=100ms", "restart 3 back=50ms anew", "restart 9 back=200ms anew",
-		"cut zone=a 60s hold nodes=leader", "cut zone=b 90s reset nodes=n1", "cut zone=a 13s hold nodes=n1,n2", "cut zone=b 35s hold nodes=follower",
-		"late_writes 20s share=0.4 at_once=true", "late_writes 20s share=0.4", "late_reports 40s share=0.3", "late_reports 30s share=0.5 for_next=true", "machine_mute 3 25s", "machine_mute zone=b 22s",
-		"machine_deaf 2 20s", "cancel_now 4 hang=15s", "cancel_at_end 40s share=0.4", "odd_requests 30s", "close_looks 20s",
+		"crash leader", "crash all", "crash n1 back=3s", "rolling_restart 6s", "outage state 8s", "outage state 30s", "outage cloud 20s",
+		"state_unavailable leader 9s", "partition leader 12s hold", "partition leader 12s reset", "partition leader 9s hold only=state", "partition leader 15s hold only=n0,n1,n2",
+		"partition 2 30s hold", "partition 2 40s reset", "partition 1 8s hold", "partition zone=a 25s hold", "partition zone=b 40s reset", "hang 1 15s", "hang 2 45s",
+		"fail_tasks 1 60s", "slow 1 factor=3", "preempt 3 notice=12s", "preempt 4", "boot_time never", "boot_time 300",
+		"drop_txn_responses leader 4s", "drop_txn_responses leader 2s late=30s", "crash leader back=2s", "partition follower 10s hold only=state", "hang 3 19s", "crash all back=4s", "stall leader 25s", "stall follower 40s", "stall n1 70s",
+		"crash leader back=50ms", "crash all back=200ms", "crash follower back=100ms", "rolling_restart 400ms back=100ms", "crash_loop leader 8s every=900ms back=100ms", "crash_loop all 5s every=700ms back=50ms", "crash_loop n1 15s every=300ms",
+		"restart 2 back=100ms", "restart 3 back=50ms reset_counter", "restart 9 back=200ms reset_counter",
+		"partition zone=a 60s hold nodes=leader", "partition zone=b 90s reset nodes=n1", "partition zone=a 13s hold nodes=n1,n2", "partition zone=b 35s hold nodes=follower",
+		"delay_txns 20s share=0.4 at_once=true", "delay_txns 20s share=0.4", "duplicate_reports 40s share=0.3", "duplicate_reports 30s share=0.5 next_leader=true", "block_reports 3 25s", "block_reports zone=b 22s",
+		"block_inbound 2 20s", "cancel_running 4 hang=15s", "cancel_on_completion 40s share=0.4", "invalid_requests 30s", "observe_transitions 20s",
 	}
 	end := "run 700s\nexpect done all\nexpect cancelled wk-7\nexpect leaders =1\nexpect made all =6\nexpect whole all\nexpect whole skip\nexpect whole wait\n"
 	playMixes(t, 5, fleet, end, func(rng *rand.Rand, sb *strings.Builder) {
--- a/internal/scenario/schedule_scale_test.go
+++ b/internal/scenario/schedule_scale_test.go
@@ -27,11 +27,11 @@
 	w.cfg.Settings.State = limits
 	w.cals["bg"] = definition(map[string]string{"country": "BG"})
 	w.cloud.instanceTypes = append(w.cloud.instanceTypes, &instanceType{name: "s", cpus: 8, mem: 64, rate: 1, ready: time.Minute, fetch: 1, zones: []string{"a"}})
-	w.adoptSettings(nil)
+	w.applySettings(nil)
 	s := &script{world: w}
 	for i := range n {
 		name := fmt.Sprintf("s%05d", i)
-		s.putSchedule(name, args([]string{"tz=Europe/Sofia", "at=" + at(i), "calendar=bg", "on=next", "catch=all", "by=06:00"}))
+		s.putSchedule(name, keyValues([]string{"tz=Europe/Sofia", "at=" + at(i), "calendar=bg", "on=next", "catch=all", "by=06:00"}))
 		w.queue = nil // nobody is up: the record is written here
 		c := s.scheduleClients[name]
 		c.number = uint64(i + 1)
@@ -65,7 +65,7 @@
 	submit = func() {
 		n++
 		s := &script{world: w}
-		j := s.job(fmt.Sprintf("wk-7%05d", n), map[string]string{})
+		j := s.parseJob(fmt.Sprintf("wk-7%05d", n), map[string]string{})
 		began := w.now
 		w.call(request.Request{Op: request.Submit, ID: j.spec.ID, Spec: &j.spec}, 5*time.Second, func(status int, a request.Response) {
 			if status != 201 {
--- a/internal/scenario/schedules.go
+++ b/internal/scenario/schedules.go
@@ -59,13 +59,13 @@
 		c.args[k] = v
 	}
 	a = c.args
-	sp := s.job("wk-0", a).spec
+	sp := s.parseJob("wk-0", a).spec
 	shape := "array"
 	if sp.Service {
 		shape = "service"
 	}
 	c.file = schedule.File{Name: name, Zone: a["tz"], Rule: a["rule"], At: strings.Split(a["at"], ","), Calendar: a["calendar"], OnHoliday: a["on"],
-		DueAt: a["by"], Overlap: a["overlap"], CatchUp: a["catch"], CatchUpWithinS: ptr(dur(a, "within", 24*time.Hour).Seconds()),
+		DueAt: a["by"], Overlap: a["overlap"], CatchUp: a["catch"], CatchUpWithinS: ptr(durationArg(a, "within", 24*time.Hour).Seconds()),
 		Job: spec.Submission{JobClass: &sp.Class, Owner: &sp.Owner, Shape: &shape, Urgency: ptr(sp.Urgency.String()), Shards: &sp.Tasks, VCPUs: &sp.CPUs,
 			GPUs: &sp.GPUs, MemGB: &sp.MemGB, Bundle: &sp.Image, SizeGB: &sp.ImageGB, SamePlace: &sp.SamePlace, Apart: &sp.Apart, Reclaimable: &sp.AllowSpot,
 			RuntimeS: ptr(sp.Runtime.Seconds()), SnapshotEveryS: ptr(sp.CheckpointInterval.Seconds()), SnapshotS: ptr(sp.CheckpointTime.Seconds())}}
@@ -142,7 +142,7 @@
 		if c.number == 0 || !strings.HasPrefix(id, fmt.Sprintf("%s%08d", spec.IDPrefix, c.number)) {
 			continue
 		}
-		j := c.s.job(id, c.args)
+		j := c.s.parseJob(id, c.args)
 		j.first = w.now
 		w.history[id] = append(w.history[id], call{op: request.Submit, invoked: w.start}) // the leader's own, at a time that no user sees
 		w.jobs[id] = j
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -24,7 +24,7 @@
 // Run plays a scenario. Lines that operators would log go to trace unless it is
 // nil.
 func Run(text string, trace func(string)) (Result, error) {
-	s, err := read(text)
+	s, err := parseScript(text)
 	if err != nil {
 		return Result{}, err
 	}
@@ -32,8 +32,8 @@
 	return s.play()
 }
 
-// read takes in a scenario's text.
-func read(text string) (*script, error) {
+// parseScript takes in a scenario's text.
+func parseScript(text string) (*script, error) {
 	s := &script{world: newWorld()}
 	sc := bufio.NewScanner(strings.NewReader(text))
 	for n := 1; sc.Scan(); n++ {
@@ -41,7 +41,7 @@
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		if err := s.line(strings.Fields(line)); err != nil {
+		if err := s.parseLine(strings.Fields(line)); err != nil {
 			return nil, fmt.Errorf("line %d: %w", n, err)
 		}
 	}
@@ -60,13 +60,13 @@
 
 type action struct {
 	at   time.Duration
-	what []string
+	words []string
 }
 
 type expect struct {
-	what []string
+	words []string
 	met  bool
-	seen bool
+	evaluated bool
 }
 
 func (s *script) play() (res Result, err error) {
@@ -79,18 +79,18 @@
 			panic(p)
 		}
 	}()
-	s.begin()
+	s.setUp()
 	s.run(s.end)
 	return s.result(), nil
 }
 
-// begin sets the world up.
-func (s *script) begin() {
+// setUp sets the world up.
+func (s *script) setUp() {
 	w := s.world
 	w.clock.rng = newClock(s.seed).rng
-	w.adoptSettings(s.trace)
+	w.applySettings(s.trace)
 	for _, a := range s.actions {
-		w.at(w.start.Add(a.at), func() { s.act(a.what) })
+		w.at(w.start.Add(a.at), func() { s.perform(a.words) })
 	}
 	for i := range w.cfg.Settings.Nodes {
 		n := &node{world: w, name: fmt.Sprintf("n%d", i), skew: time.Duration(w.rng.IntN(10)-5) * time.Millisecond, drift: 0.0005 * w.rng.Float64()}
@@ -102,8 +102,8 @@
 	w.after(time.Second, w.askUnknown)
 	for i := range s.expects {
 		e := &s.expects[i]
-		if k := slices.Index(e.what, "by"); k >= 0 {
-			w.at(w.start.Add(span(e.what[k+1])), func() { e.seen, e.met = true, s.holds(e.what[:k]) })
+		if k := slices.Index(e.words, "by"); k >= 0 {
+			w.at(w.start.Add(parseDuration(e.words[k+1])), func() { e.evaluated, e.met = true, s.holds(e.words[:k]) })
 		}
 	}
 }
@@ -112,24 +112,24 @@
 func (s *script) result() (res Result) {
 	w := s.world
 	for _, e := range s.expects {
-		if !e.seen {
-			e.met = s.holds(e.what)
+		if !e.evaluated {
+			e.met = s.holds(e.words)
 		}
 		if !e.met {
-			res.Unmet = append(res.Unmet, strings.Join(e.what, " ")+s.unfinished())
+			res.Unmet = append(res.Unmet, strings.Join(e.words, " ")+s.unfinishedJobs())
 		}
 	}
-	if i := slices.IndexFunc(s.expects, func(e expect) bool { return e.what[0] == "rule" }); i >= 0 {
+	if i := slices.IndexFunc(s.expects, func(e expect) bool { return e.words[0] == "rule" }); i >= 0 {
 		// A planted violation: it must be caught, so it is not reported.
-		rule := s.expects[i].what[1]
+		rule := s.expects[i].words[1]
 		w.violations = slices.DeleteFunc(w.violations, func(v string) bool { return strings.Contains(v, " "+rule+":") })
 	}
 	res.Violations, res.Started, res.Requests, res.Met, res.History = w.violations, w.started, w.store.requests, w.occurrences, w.history
 	return res
 }
 
-// unfinished names the accepted jobs that are not over.
-func (s *script) unfinished() string {
+// unfinishedJobs names the accepted jobs that are not over.
+func (s *script) unfinishedJobs() string {
 	var sb strings.Builder
 	for _, j := range s.order {
 		if j.accepted && j.told == "" {
@@ -139,23 +139,23 @@
 	return sb.String()
 }
 
-// adoptSettings takes over what the settings say.
-func (w *world) adoptSettings(trace func(string)) {
+// applySettings takes over what the settings say.
+func (w *world) applySettings(trace func(string)) {
 	st, wk := w.cfg.Settings.State, w.cfg.Settings.Workers
 	w.trace = trace
 	w.store.rps, w.store.writeRPS, w.store.valueKB, w.store.txnOps = st.RPS, st.WriteRPS, st.ValueKB, st.TxnOps
 	w.reportEvery, w.lease, w.cancelWithin = wk.Report.Duration(), wk.Lease.Duration(), wk.Cancel.Duration()
 }
 
-// job reads a job's description.
-func (s *script) job(id string, a map[string]string) *userJob {
-	run := dur(a, "run", 20*time.Second)
+// parseJob reads a parseJob's description.
+func (s *script) parseJob(id string, a map[string]string) *userJob {
+	run := durationArg(a, "run", 20*time.Second)
 	j := &userJob{runs: run, faulty: a["faulty"] != "", jobProgress: newJobProgress()}
 	sp := &j.spec
-	*sp = spec.Job{ID: id, Class: a["class"], Owner: "t", Service: a["service"] != "", Urgency: spec.Standard, Tasks: int(num(a, "tasks", 1)),
-		CPUs: num(a, "cpus", 1), GPUs: num(a, "gpus", 0), MemGB: num(a, "mem", 1), Image: "img", ImageGB: num(a, "gb", 1), AllowSpot: a["ordinary"] == "",
-		SamePlace: a["samePlace"] != "", Apart: a["apart"] != "", Zone: a["zone"], Runtime: dur(a, "est", run),
-		CheckpointInterval: dur(a, "every", 0), CheckpointTime: dur(a, "save", 0)}
+	*sp = spec.Job{ID: id, Class: a["class"], Owner: "t", Service: a["service"] != "", Urgency: spec.Standard, Tasks: int(numberArg(a, "tasks", 1)),
+		CPUs: numberArg(a, "cpus", 1), GPUs: numberArg(a, "gpus", 0), MemGB: numberArg(a, "mem", 1), Image: "img", ImageGB: numberArg(a, "gb", 1), AllowSpot: a["ordinary"] == "",
+		SamePlace: a["samePlace"] != "", Apart: a["apart"] != "", Zone: a["zone"], Runtime: durationArg(a, "est", run),
+		CheckpointInterval: durationArg(a, "every", 0), CheckpointTime: durationArg(a, "save", 0)}
 	if sp.Class == "" {
 		sp.Class = "c"
 	}
@@ -172,7 +172,7 @@
 		sp.Urgency = spec.Urgency(slices.Index(spec.UrgencyNames[:], v))
 	}
 	if _, ok := a["due"]; ok {
-		sp.Deadline, sp.HasDeadline = dur(a, "due", 0), true
+		sp.Deadline, sp.HasDeadline = durationArg(a, "due", 0), true
 	}
 	if sp.Service {
 		sp.Runtime = 0
@@ -203,8 +203,8 @@
 	return ms[:min(n, len(ms))]
 }
 
-// some returns the busiest N machines, or those of a zone.
-func (s *script) some(word string) []*worker {
+// selectMachines returns the busiest N machines, or those of a zone.
+func (s *script) selectMachines(word string) []*worker {
 	ms := s.busiest(len(s.cloud.machines))
 	if zone, ok := strings.CutPrefix(word, "zone="); ok {
 		return slices.DeleteFunc(ms, func(m *worker) bool { return m.zone != zone })
@@ -213,13 +213,14 @@
 	return ms[:min(n, len(ms))]
 }
 
-// faultWords are the actions that are none of ordinary use.
-var faultWords = strings.Fields("crash flap restart leave roll outage wipe restore deaf deny mute cut stall storm hang sick take boots damage wander late_writes late_reports machine_deaf machine_mute cancel_now slow_state")
+// faultActions are the actions that are none of ordinary use.
+var faultActions = strings.Fields(`crash crash_loop restart shutdown rolling_restart outage wipe restore ignore_releases state_unavailable drop_txn_responses partition stall
+	poll_load hang fail_tasks preempt boot_time corrupt clock_offset delay_txns duplicate_reports block_inbound block_reports cancel_running slow_state`)
 
 // noteFault takes note of when a trouble is surely over: after all its times together, and
 // half a minute in which processes and machines come back.
 func (w *world) noteFault(f []string) {
-	if !slices.Contains(faultWords, f[0]) {
+	if !slices.Contains(faultActions, f[0]) {
 		return
 	}
 	over := 30 * time.Second
@@ -231,8 +232,8 @@
 			over += d
 		}
 	}
-	if f[0] == "roll" {
-		over += time.Duration(len(w.nodes)) * span(f[1])
+	if f[0] == "rolling_restart" {
+		over += time.Duration(len(w.nodes)) * parseDuration(f[1])
 	}
 	w.faultsOverAt = later(w.faultsOverAt, w.now.Add(over))
 }
--- a/internal/scenario/script_actions.go
+++ b/internal/scenario/script_actions.go
@@ -12,66 +12,66 @@
 	"yewpass/internal/request"
 )
 
-// actionWords are the words of "at" lines, each with what carries it out.
-var actionWords map[string]func(s *script, f []string)
+// actionHandlers are the words of "at" lines, each with what carries it out.
+var actionHandlers map[string]func(s *script, f []string)
 
 func init() {
 	// Set here because some actions are made of others.
-	actionWords = map[string]func(s *script, f []string){
-		"machines":      (*script).actMachines,
-		"submit":        (*script).actSubmit,
-		"burst":         (*script).actBurst,
-		"cancel":        (*script).actCancel,
-		"crash":         (*script).actCrash,
-		"flap":          (*script).actFlap,
-		"restart":       (*script).actRestart,
-		"leave":         (*script).actLeave,
-		"roll":          (*script).actRoll,
-		"outage":        (*script).actOutage,
-		"wipe":          (*script).actWipe,
-		"save":          (*script).actSave,
-		"restore":       (*script).actRestore,
-		"deaf":          (*script).actDeaf,
-		"deny":          (*script).actDeny,
-		"mute":          (*script).actMute,
-		"late_writes":   (*script).actLateWrites,
-		"late_reports":  (*script).actLateReports,
-		"slow_state":    (*script).actSlowState,
-		"machine_deaf":  (*script).actMachineDeaf,
-		"machine_mute":  (*script).actMachineMute,
-		"cancel_now":    (*script).actCancelNow,
-		"cancel_at_end": (*script).actCancelAtEnd,
-		"odd_requests":  (*script).actOddRequests,
-		"close_looks":   (*script).actCloseLooks,
-		"latency":       (*script).actLatency,
-		"look":          (*script).actLook,
-		"cut":           (*script).actCut,
-		"stall":         (*script).actStall,
-		"storm":         (*script).actStorm,
-		"hang":          (*script).actHang,
-		"sick":          (*script).actSick,
-		"slow":          (*script).actSlow,
-		"take":          (*script).actTake,
-		"boots":         (*script).actBoots,
-		"schedule":      (*script).actSchedule,
-		"edit":          (*script).actSchedule,
-		"config":        (*script).actConfig,
-		"configs":       (*script).actConfig,
-		"pause":         (*script).actPause,
-		"resume":        (*script).actPause,
-		"remove":        (*script).actPause,
-		"start":         (*script).actPause,
-		"damage":        (*script).actDamage,
-		"repair":        (*script).actRepair,
-		"wander":        (*script).actWander,
-		"plant":         (*script).actPlant,
+	actionHandlers = map[string]func(s *script, f []string){
+		"machines":             (*script).actMachines,
+		"submit":               (*script).actSubmit,
+		"burst":                (*script).actBurst,
+		"cancel":               (*script).actCancel,
+		"crash":                (*script).actCrash,
+		"crash_loop":           (*script).actCrashLoop,
+		"restart":              (*script).actRestart,
+		"shutdown":             (*script).actShutdown,
+		"rolling_restart":      (*script).actRollingRestart,
+		"outage":               (*script).actOutage,
+		"wipe":                 (*script).actWipe,
+		"save":                 (*script).actSave,
+		"restore":              (*script).actRestore,
+		"ignore_releases":      (*script).actIgnoreReleases,
+		"state_unavailable":    (*script).actStateUnavailable,
+		"drop_txn_responses":   (*script).actDropTxnResponses,
+		"delay_txns":           (*script).actDelayTxns,
+		"duplicate_reports":    (*script).actDuplicateReports,
+		"slow_state":           (*script).actSlowState,
+		"block_inbound":        (*script).actBlockInbound,
+		"block_reports":        (*script).actBlockReports,
+		"cancel_running":       (*script).actCancelRunning,
+		"cancel_on_completion": (*script).actCancelOnCompletion,
+		"invalid_requests":     (*script).actInvalidRequests,
+		"observe_transitions":  (*script).actObserveTransitions,
+		"latency":              (*script).actLatency,
+		"observe":              (*script).actObserve,
+		"partition":            (*script).actPartition,
+		"stall":                (*script).actStall,
+		"poll_load":            (*script).actPollLoad,
+		"hang":                 (*script).actHang,
+		"fail_tasks":           (*script).actFailTasks,
+		"slow":                 (*script).actSlow,
+		"preempt":              (*script).actPreempt,
+		"boot_time":            (*script).actBootTime,
+		"schedule":             (*script).actSchedule,
+		"edit":                 (*script).actSchedule,
+		"config":               (*script).actConfig,
+		"configs":              (*script).actConfig,
+		"pause":                (*script).actPause,
+		"resume":               (*script).actPause,
+		"remove":               (*script).actPause,
+		"start":                (*script).actPause,
+		"corrupt":              (*script).actCorrupt,
+		"repair":               (*script).actRepair,
+		"clock_offset":         (*script).actClockOffset,
+		"plant":                (*script).actPlant,
 	}
 }
 
-// act carries out an action.
-func (s *script) act(f []string) {
+// perform carries out an action.
+func (s *script) perform(f []string) {
 	s.noteFault(f)
-	carryOut := actionWords[f[0]]
+	carryOut := actionHandlers[f[0]]
 	if carryOut == nil {
 		panic("unknown action " + f[0])
 	}
@@ -80,8 +80,8 @@
 
 // actMachines carries out the word machines.
 func (s *script) actMachines(f []string) {
-	a := args(f[3:])
-	for range int(num(a, "n", 1)) {
+	a := keyValues(f[3:])
+	for range int(numberArg(a, "n", 1)) {
 		s.cloud.create(offerKey{f[1], f[2], a["spot"] != ""}, 0)
 	}
 }
@@ -89,26 +89,26 @@
 // actSubmit carries out the word submit.
 func (s *script) actSubmit(f []string) {
 	w := s.world
-	w.submit(s.job(f[1], args(f[2:])))
+	w.submit(s.parseJob(f[1], keyValues(f[2:])))
 }
 
 // actBurst carries out: burst N every=D k=v...: jobs one after the other.
 func (s *script) actBurst(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
-	a := args(f[2:])
+	a := keyValues(f[2:])
 	for i := range n {
 		s.burst++
 		id := fmt.Sprintf("wk-1%05d", s.burst)
-		w.after(time.Duration(i)*dur(a, "gap", time.Second), func() {
-			b := args(f[2:])
-			if p := num(a, "vary", 0); p > 0 { // run times and estimates apart
+		w.after(time.Duration(i)*durationArg(a, "gap", time.Second), func() {
+			b := keyValues(f[2:])
+			if p := numberArg(a, "vary", 0); p > 0 { // run times and estimates apart
 				b["est"] = b["run"]
-				b["run"] = time.Duration(float64(span(a["run"])) * math.Exp(p*w.rng.NormFloat64())).String()
+				b["run"] = time.Duration(float64(parseDuration(a["run"])) * math.Exp(p*w.rng.NormFloat64())).String()
 			}
-			j := s.job(id, b)
+			j := s.parseJob(id, b)
 			w.submit(j)
-			if w.rng.Float64() < num(a, "cancelled", 0) {
+			if w.rng.Float64() < numberArg(a, "cancelled", 0) {
 				w.after(time.Duration(w.rng.IntN(30))*time.Second+5*time.Second, func() { w.cancel(j) })
 			}
 		})
@@ -133,7 +133,7 @@
 // actCrash carries out the word crash.
 func (s *script) actCrash(f []string) {
 	w := s.world
-	back := dur(args(f[2:]), "back", 8*time.Second)
+	back := durationArg(keyValues(f[2:]), "back", 8*time.Second)
 	for _, n := range w.nodes {
 		if f[1] == "all" || n == s.node(f[1]) {
 			n.crash(back)
@@ -144,12 +144,12 @@
 	}
 }
 
-// actFlap carries out: flap WHO D every=D [back=D]: its process ends again and again.
-func (s *script) actFlap(f []string) {
+// actCrashLoop carries out: flap WHO D every=D [back=D]: its process ends again and again.
+func (s *script) actCrashLoop(f []string) {
 	w := s.world
-	for t := time.Duration(0); t < span(f[2]); t += dur(args(f[3:]), "every", time.Second) {
+	for t := time.Duration(0); t < parseDuration(f[2]); t += durationArg(keyValues(f[3:]), "every", time.Second) {
 		w.after(t, func() {
-			s.act([]string{"crash", f[1], "back=" + dur(args(f[3:]), "back", 100*time.Millisecond).String()})
+			s.perform([]string{"crash", f[1], "back=" + durationArg(keyValues(f[3:]), "back", 100*time.Millisecond).String()})
 		})
 	}
 }
@@ -158,24 +158,24 @@
 func (s *script) actRestart(f []string) {
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
-		m.restart(dur(args(f[2:]), "back", 200*time.Millisecond), args(f[2:])["anew"] != "")
+		m.restart(durationArg(keyValues(f[2:]), "back", 200*time.Millisecond), keyValues(f[2:])["reset_counter"] != "")
 	}
 }
 
-// actLeave carries out: leave NODE [back=D]: its process is told to end, hands over and ends.
-func (s *script) actLeave(f []string) {
+// actShutdown carries out: leave NODE [back=D]: its process is told to end, hands over and ends.
+func (s *script) actShutdown(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
 		n.input(core.Shutdown{})
-		w.after(400*time.Millisecond, func() { n.crash(dur(args(f[2:]), "back", 8*time.Second)) })
+		w.after(400*time.Millisecond, func() { n.crash(durationArg(keyValues(f[2:]), "back", 8*time.Second)) })
 	}
 }
 
-// actRoll carries out the word roll.
-func (s *script) actRoll(f []string) {
+// actRollingRestart carries out the word roll.
+func (s *script) actRollingRestart(f []string) {
 	w := s.world
 	for i, n := range w.nodes {
-		w.after(time.Duration(i)*span(f[1]), func() { n.crash(dur(args(f[2:]), "back", 3*time.Second)) })
+		w.after(time.Duration(i)*parseDuration(f[1]), func() { n.crash(durationArg(keyValues(f[2:]), "back", 3*time.Second)) })
 	}
 }
 
@@ -184,9 +184,9 @@
 	w := s.world
 	switch f[1] {
 	case "state":
-		w.store.outage(span(f[2]))
+		w.store.outage(parseDuration(f[2]))
 	case "cloud":
-		w.cloud.down = w.now.Add(span(f[2]))
+		w.cloud.down = w.now.Add(parseDuration(f[2]))
 	}
 }
 
@@ -194,7 +194,7 @@
 func (s *script) actWipe(f []string) {
 	w := s.world
 	w.dataLost = true
-	w.store.wipe(args(f[1:])["under"], args(f[1:])["rev"] != "")
+	w.store.wipe(keyValues(f[1:])["under"], keyValues(f[1:])["rev"] != "")
 }
 
 // actSave carries out: save: what a later restore brings back.
@@ -210,110 +210,110 @@
 	w.saved()
 }
 
-// actDeaf carries out: the cloud answers releases and carries none out.
-func (s *script) actDeaf(f []string) {
+// actIgnoreReleases carries out: the cloud answers releases and carries none out.
+func (s *script) actIgnoreReleases(f []string) {
 	w := s.world
-	w.cloud.deaf = w.now.Add(span(f[1]))
+	w.cloud.deaf = w.now.Add(parseDuration(f[1]))
 }
 
-// actDeny carries out: only this node gets 503 from the state service.
-func (s *script) actDeny(f []string) {
+// actStateUnavailable carries out: only this node gets 503 from the state service.
+func (s *script) actStateUnavailable(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
-		w.store.denied[n.name] = w.now.Add(span(f[2]))
+		w.store.denied[n.name] = w.now.Add(parseDuration(f[2]))
 	}
 }
 
-// actMute carries out: mute NODE D [late=D]: its transactions are applied, and not answered.
-func (s *script) actMute(f []string) {
+// actDropTxnResponses carries out: mute NODE D [late=D]: its transactions are applied, and not answered.
+func (s *script) actDropTxnResponses(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
-		w.store.unanswered[n.name] = unansweredWrites{w.now.Add(span(f[2])), dur(args(f[3:]), "late", 0)}
+		w.store.unanswered[n.name] = unansweredWrites{w.now.Add(parseDuration(f[2])), durationArg(keyValues(f[3:]), "late", 0)}
 	}
 }
 
-// actLateWrites carries out: late_writes D share=S [at_once=true]: transactions without an answer, carried out 2 to 12 s later.
-func (s *script) actLateWrites(f []string) {
+// actDelayTxns carries out: late_writes D share=S [at_once=true]: transactions without an answer, carried out 2 to 12 s later.
+func (s *script) actDelayTxns(f []string) {
 	w := s.world
-	a := args(f[2:])
-	w.store.late = delayedShare{until: w.now.Add(span(f[1])), share: num(a, "share", 0.3), atOnce: a["at_once"] == "true"}
+	a := keyValues(f[2:])
+	w.store.late = delayedShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(a, "share", 0.3), atOnce: a["at_once"] == "true"}
 }
 
-// actLateReports carries out: late_reports D share=S [for_next=true]: copies that arrive from 2 s to two leases later.
-func (s *script) actLateReports(f []string) {
+// actDuplicateReports carries out: late_reports D share=S [for_next=true]: copies that arrive from 2 s to two leases later.
+func (s *script) actDuplicateReports(f []string) {
 	w := s.world
-	a := args(f[2:])
-	w.lateReports = delayedShare{until: w.now.Add(span(f[1])), share: num(a, "share", 0.3), next: a["for_next"] == "true"}
+	a := keyValues(f[2:])
+	w.lateReports = delayedShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(a, "share", 0.3), next: a["next_leader"] == "true"}
 }
 
 // actSlowState carries out: slow_state D by=D: what is asked is carried out and answered late.
 func (s *script) actSlowState(f []string) {
 	w := s.world
-	w.store.slow, w.store.slowBy = w.now.Add(span(f[1])), dur(args(f[2:]), "by", 2*time.Second)
+	w.store.slow, w.store.slowBy = w.now.Add(parseDuration(f[1])), durationArg(keyValues(f[2:]), "by", 2*time.Second)
 }
 
-// actMachineDeaf carries out: machine_deaf N|zone=Z D: answers and commands to them are lost.
-func (s *script) actMachineDeaf(f []string) {
+// actBlockInbound carries out: machine_deaf N|zone=Z D: answers and commands to them are lost.
+func (s *script) actBlockInbound(f []string) {
 	w := s.world
-	for _, m := range s.some(f[1]) {
-		m.deaf = w.now.Add(span(f[2]))
+	for _, m := range s.selectMachines(f[1]) {
+		m.deaf = w.now.Add(parseDuration(f[2]))
 	}
 }
 
-// actMachineMute carries out: machine_mute N|zone=Z D: they reach no controller, and direct commands reach them.
-func (s *script) actMachineMute(f []string) {
+// actBlockReports carries out: machine_mute N|zone=Z D: they reach no controller, and direct commands reach them.
+func (s *script) actBlockReports(f []string) {
 	w := s.world
-	for _, m := range s.some(f[1]) {
-		m.mute = w.now.Add(span(f[2]))
+	for _, m := range s.selectMachines(f[1]) {
+		m.mute = w.now.Add(parseDuration(f[2]))
 	}
 }
 
-// actCancelNow carries out: cancel_now N [hang=D]: users call off jobs that run and have long to go.
-func (s *script) actCancelNow(f []string) {
+// actCancelRunning carries out: cancel_now N [hang=D]: users call off jobs that run and have long to go.
+func (s *script) actCancelRunning(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
-	w.cancelRunning(n, dur(args(f[2:]), "hang", 0))
+	w.cancelRunning(n, durationArg(keyValues(f[2:]), "hang", 0))
 }
 
-// actCancelAtEnd carries out: cancel_at_end D share=S: that share of the jobs that end is called off just then.
-func (s *script) actCancelAtEnd(f []string) {
+// actCancelOnCompletion carries out: cancel_at_end D share=S: that share of the jobs that end is called off just then.
+func (s *script) actCancelOnCompletion(f []string) {
 	w := s.world
-	w.cancelAtEnd = delayedShare{until: w.now.Add(span(f[1])), share: num(args(f[2:]), "share", 0.3)}
+	w.cancelAtEnd = delayedShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(keyValues(f[2:]), "share", 0.3)}
 }
 
-// actOddRequests carries out: odd_requests D: repeats, cancellations of what is done, jobs that cannot run.
-func (s *script) actOddRequests(f []string) {
+// actInvalidRequests carries out: odd_requests D: repeats, cancellations of what is done, jobs that cannot run.
+func (s *script) actInvalidRequests(f []string) {
 	w := s.world
-	w.sendOddRequests(w.now.Add(span(f[1])))
+	w.sendOddRequests(w.now.Add(parseDuration(f[1])))
 }
 
-// actCloseLooks carries out: close_looks D: users ask at all nodes right after a job is accepted, ended or cancelled.
-func (s *script) actCloseLooks(f []string) {
+// actObserveTransitions carries out: close_looks D: users ask at all nodes right after a job is accepted, ended or cancelled.
+func (s *script) actObserveTransitions(f []string) {
 	w := s.world
-	w.observeUntil = w.now.Add(span(f[1]))
+	w.observeUntil = w.now.Add(parseDuration(f[1]))
 }
 
 // actLatency carries out: latency D: messages take so long from now on.
 func (s *script) actLatency(f []string) {
 	w := s.world
-	w.net.latency = span(f[1])
+	w.net.latency = parseDuration(f[1])
 }
 
-// actLook carries out: look ID: one such look.
-func (s *script) actLook(f []string) {
+// actObserve carries out: look ID: one such look.
+func (s *script) actObserve(f []string) {
 	w := s.world
 	w.observeJob(w.jobs[f[1]], false)
 }
 
-// actCut carries out: cut WHO D hold|reset [only=HOSTS]: leader, peers (all nodes), workers, state, user, names.
-func (s *script) actCut(f []string) {
-	hosts, zone := s.cutHosts(f)
-	only := s.cutFrom(args(f[3:])["only"])
-	s.net.split(hosts, only, f[3] == "hold", span(f[2]), zone)
+// actPartition carries out: cut WHO D hold|reset [only=HOSTS]: leader, peers (all nodes), workers, state, user, names.
+func (s *script) actPartition(f []string) {
+	hosts, zone := s.partitionHosts(f)
+	only := s.partitionPeers(keyValues(f[3:])["only"])
+	s.net.split(hosts, only, f[3] == "hold", parseDuration(f[2]), zone)
 }
 
-// cutHosts returns the hosts that a cut names, and their zone if it names one.
-func (s *script) cutHosts(f []string) (hosts map[string]bool, zone string) {
+// partitionHosts returns the hosts that a cut names, and their zone if it names one.
+func (s *script) partitionHosts(f []string) (hosts map[string]bool, zone string) {
 	hosts = map[string]bool{}
 	if n := s.node(f[1]); n != nil {
 		hosts[n.name] = true
@@ -336,7 +336,7 @@
 			hosts[m.host] = true
 		}
 	}
-	nodes := args(f[3:])["nodes"] // that live in the zone as well
+	nodes := keyValues(f[3:])["nodes"] // that live in the zone as well
 	if nodes == "" {
 		nodes = "n0"
 	}
@@ -348,8 +348,8 @@
 	return hosts, zone
 }
 
-// cutFrom returns the hosts that those of a cut cannot reach, or nil for all.
-func (s *script) cutFrom(words string) map[string]bool {
+// partitionPeers returns the hosts that those of a cut cannot reach, or nil for all.
+func (s *script) partitionPeers(words string) map[string]bool {
 	if words == "" {
 		return nil
 	}
@@ -376,14 +376,14 @@
 // actStall carries out: stall NODE D: its process stands still, its clocks run on.
 func (s *script) actStall(f []string) {
 	if n := s.node(f[1]); n != nil {
-		n.stall(span(f[2]))
+		n.stall(parseDuration(f[2]))
 	}
 }
 
-// actStorm carries out: storm D rate=N: so many polls a second besides.
-func (s *script) actStorm(f []string) {
+// actPollLoad carries out: storm D rate=N: so many polls a second besides.
+func (s *script) actPollLoad(f []string) {
 	w := s.world
-	w.storm(num(args(f[2:]), "rate", 400), w.now.Add(span(f[1])))
+	w.storm(numberArg(keyValues(f[2:]), "rate", 400), w.now.Add(parseDuration(f[1])))
 }
 
 // actHang carries out the word hang.
@@ -391,17 +391,17 @@
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
-		m.hung = w.now.Add(span(f[2]))
+		m.hung = w.now.Add(parseDuration(f[2]))
 	}
 }
 
-// actSick carries out the word sick.
-func (s *script) actSick(f []string) {
+// actFailTasks carries out the word sick.
+func (s *script) actFailTasks(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
 		m.sick = true
-		w.after(span(f[2]), func() { m.sick = false })
+		w.after(parseDuration(f[2]), func() { m.sick = false })
 	}
 }
 
@@ -409,15 +409,15 @@
 func (s *script) actSlow(f []string) {
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
-		m.speed = num(args(f[2:]), "factor", 3)
+		m.speed = numberArg(keyValues(f[2:]), "factor", 3)
 	}
 }
 
-// actTake carries out: take N notice=D | take N.
-func (s *script) actTake(f []string) {
+// actPreempt carries out: take N notice=D | take N.
+func (s *script) actPreempt(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
-	notice := dur(args(f[2:]), "notice", 0)
+	notice := durationArg(keyValues(f[2:]), "notice", 0)
 	for _, m := range s.busiest(len(w.cloud.machines)) {
 		if n > 0 && m.spot {
 			n--
@@ -430,8 +430,8 @@
 	}
 }
 
-// actBoots carries out: boots never | boots 300 (percent).
-func (s *script) actBoots(f []string) {
+// actBootTime carries out: boots never | boots 300 (percent).
+func (s *script) actBootTime(f []string) {
 	w := s.world
 	if f[1] == "never" {
 		w.cloud.boots = func() (time.Duration, bool) { return 100, w.rng.IntN(2) == 0 }
@@ -443,7 +443,7 @@
 
 // actSchedule carries out the word schedule or edit.
 func (s *script) actSchedule(f []string) {
-	s.putSchedule(f[1], args(f[2:]))
+	s.putSchedule(f[1], keyValues(f[2:]))
 }
 
 // actConfig carries out the word config or configs.
@@ -454,11 +454,11 @@
 // actPause carries out the word pause or resume or remove or start.
 func (s *script) actPause(f []string) {
 	w := s.world
-	w.scheduleClients[f[1]].ask(map[string]request.Operation{"pause": request.SchedulePause, "resume": request.ScheduleResume, "remove": request.ScheduleDelete, "start": request.ScheduleRun}[f[0]], args(f[2:]))
+	w.scheduleClients[f[1]].ask(map[string]request.Operation{"pause": request.SchedulePause, "resume": request.ScheduleResume, "remove": request.ScheduleDelete, "start": request.ScheduleRun}[f[0]], keyValues(f[2:]))
 }
 
-// actDamage carries out: damage PREFIX VALUE: what the first key below the prefix holds.
-func (s *script) actDamage(f []string) {
+// actCorrupt carries out: damage PREFIX VALUE: what the first key below the prefix holds.
+func (s *script) actCorrupt(f []string) {
 	w := s.world
 	w.dataLost = true
 	for _, k := range w.store.sorted(f[1])[:1] {
@@ -475,15 +475,15 @@
 	w.repair()
 }
 
-// actWander carries out: wander NODE D: its time of day goes D wrong.
-func (s *script) actWander(f []string) {
+// actClockOffset carries out: wander NODE D: its time of day goes D wrong.
+func (s *script) actClockOffset(f []string) {
 	if n := s.node(f[1]); n != nil {
-		n.wander = span(f[2])
+		n.wander = parseDuration(f[2])
 		n.core.SetClockOffset(n.wander)
 	}
 }
 
 // actPlant carries out the word plant.
 func (s *script) actPlant(f []string) {
-	s.plant(f[1])
+	s.violateRule(f[1])
 }
--- a/internal/scenario/script_expectations.go
+++ b/internal/scenario/script_expectations.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// expectationWords are the words of "expect" lines, each with what checks it.
-var expectationWords = map[string]func(s *script, e []string) bool{
+// expectationChecks are the words of "expect" lines, each with what checks it.
+var expectationChecks = map[string]func(s *script, e []string) bool{
 	"done":         (*script).holdsDone,
 	"cancelled":    (*script).holdsDone,
 	"over":         (*script).holdsOver,
@@ -44,7 +44,7 @@
 
 // holds reports whether an expectation holds now.
 func (s *script) holds(e []string) bool {
-	check := expectationWords[e[0]]
+	check := expectationChecks[e[0]]
 	if check == nil {
 		panic("unknown expectation " + e[0])
 	}
@@ -131,7 +131,7 @@
 func (s *script) holdsLargest(e []string) bool {
 	worst := time.Duration(0)
 	for _, j := range s.order {
-		if begun := j.begun; s.asked(j) && s.largest(j) {
+		if begun := j.begun; s.mustServe(j) && s.isLargest(j) {
 			if begun.IsZero() {
 				begun = s.now
 			}
@@ -166,7 +166,7 @@
 // holdsServed checks: served CLASS N, served team=NAME N, served largest=CLASS N, served all N (the worst of them).
 func (s *script) holdsServed(e []string) bool {
 	worst := -1
-	for of, percent := range s.served() {
+	for of, percent := range s.servedPercent() {
 		if of == e[1] || e[1] == "all" && (worst < 0 || percent < worst) {
 			worst = percent
 		}
@@ -242,19 +242,19 @@
 	return n
 }
 
-// asked reports whether a job is one that must be served: not one that its user cancelled
+// mustServe reports whether a job is one that must be served: not one that its user cancelled
 // or that fails everywhere, and no service.
-func (s *script) asked(j *userJob) bool {
+func (s *script) mustServe(j *userJob) bool {
 	return j.accepted && !j.wantsCancel && !j.faulty && !j.spec.Service
 }
 
-// largest reports whether a job is among its class's largest: it takes no fewer CPUs, all
+// isLargest reports whether a job is among its class's isLargest: it takes no fewer CPUs, all
 // tasks together, than nine tenths of the class's jobs.
-func (s *script) largest(j *userJob) bool {
+func (s *script) isLargest(j *userJob) bool {
 	size := func(j *userJob) float64 { return float64(j.spec.Tasks) * j.spec.CPUs }
 	smaller, of := 0, 0
 	for _, x := range s.order {
-		if x.spec.Class == j.spec.Class && s.asked(x) {
+		if x.spec.Class == j.spec.Class && s.mustServe(x) {
 			of++
 			if size(x) <= size(j) {
 				smaller++
@@ -264,17 +264,17 @@
 	return 10*smaller >= 9*of
 }
 
-// served returns, for each class, its largest jobs and each team, what percent of the jobs
+// servedPercent returns, for each class, its largest jobs and each team, what percent of the jobs
 // are done or of their tasks, whichever is less.
-func (s *script) served() map[string]int {
+func (s *script) servedPercent() map[string]int {
 	type tally struct{ jobs, jobsOf, tasks, tasksOf int }
 	of := map[string]*tally{}
 	for _, j := range s.order {
-		if !s.asked(j) {
+		if !s.mustServe(j) {
 			continue
 		}
 		keys := []string{j.spec.Class, "team=" + j.spec.Owner}
-		if s.largest(j) {
+		if s.isLargest(j) {
 			keys = append(keys, "largest="+j.spec.Class)
 		}
 		for _, k := range keys {
--- a/internal/scenario/script_lines.go
+++ b/internal/scenario/script_lines.go
@@ -10,8 +10,8 @@
 	"yewpass/internal/config"
 )
 
-// lineWords are the words that a line of a scenario begins with, each with what reads it.
-var lineWords = map[string]func(s *script, f []string) error{
+// lineParsers are the words that a line of a scenario begins with, each with what reads it.
+var lineParsers = map[string]func(s *script, f []string) error{
 	"seed":      (*script).setSeed,
 	"start":     (*script).setStart,
 	"calendar":  (*script).setCalendar,
@@ -30,14 +30,14 @@
 	"expect":    (*script).setExpect,
 }
 
-// line reads a line, divided into words.
-func (s *script) line(f []string) (err error) {
+// parseLine reads a parseLine, divided into words.
+func (s *script) parseLine(f []string) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%v", p)
 		}
 	}()
-	read := lineWords[f[0]]
+	read := lineParsers[f[0]]
 	if read == nil {
 		return fmt.Errorf("unknown word %s", f[0])
 	}
@@ -60,7 +60,7 @@
 
 // setCalendar reads a line "calendar".
 func (s *script) setCalendar(f []string) error {
-	s.cals[f[1]] = definition(args(f[2:]))
+	s.cals[f[1]] = definition(keyValues(f[2:]))
 	return nil
 }
 
@@ -73,61 +73,61 @@
 
 // setWorkers reads a line "workers".
 func (s *script) setWorkers(f []string) error {
-	a := args(f[1:])
+	a := keyValues(f[1:])
 	cs := &s.cfg.Settings
-	cs.Workers = config.Workers{Report: config.Seconds(dur(a, "report", 3*time.Second).Seconds()),
-		Lease: config.Seconds(dur(a, "lease", 20*time.Second).Seconds()), Cancel: config.Seconds(dur(a, "cancel", 40*time.Second).Seconds())}
+	cs.Workers = config.Workers{Report: config.Seconds(durationArg(a, "report", 3*time.Second).Seconds()),
+		Lease: config.Seconds(durationArg(a, "lease", 20*time.Second).Seconds()), Cancel: config.Seconds(durationArg(a, "cancel", 40*time.Second).Seconds())}
 	return nil
 }
 
 // setState reads a line "state".
 func (s *script) setState(f []string) error {
-	a := args(f[1:])
+	a := keyValues(f[1:])
 	cs := &s.cfg.Settings
-	cs.State = config.State{RPS: num(a, "rps", 250), WriteRPS: num(a, "write_rps", 100), ValueKB: num(a, "value_kb", 16), TxnOps: int(num(a, "txn_ops", 48))}
-	s.store.historyLength = uint64(num(a, "keeps", 10000))
+	cs.State = config.State{RPS: numberArg(a, "rps", 250), WriteRPS: numberArg(a, "write_rps", 100), ValueKB: numberArg(a, "value_kb", 16), TxnOps: int(numberArg(a, "txn_ops", 48))}
+	s.store.historyLength = uint64(numberArg(a, "keeps", 10000))
 	return nil
 }
 
 // setCloud reads a line "cloud".
 func (s *script) setCloud(f []string) error {
-	a := args(f[1:])
+	a := keyValues(f[1:])
 	cs := &s.cfg.Settings
-	cs.Cloud = config.Cloud{RPS: num(a, "rps", 6), ListLag: 3}
+	cs.Cloud = config.Cloud{RPS: numberArg(a, "rps", 6), ListLag: 3}
 	return nil
 }
 
 // setTeam reads a line "team".
 func (s *script) setTeam(f []string) error {
-	a := args(f[1:])
+	a := keyValues(f[1:])
 	cs := &s.cfg.Settings
-	cs.Teams = append(cs.Teams, config.Team{Name: f[1], CPUs: num(a, "cpus", 0), CPUsMax: num(a, "max", 0), GPUs: num(a, "gpus", 0), GPUsMax: num(a, "gpus_max", 0)})
+	cs.Teams = append(cs.Teams, config.Team{Name: f[1], CPUs: numberArg(a, "cpus", 0), CPUsMax: numberArg(a, "max", 0), GPUs: numberArg(a, "gpus", 0), GPUsMax: numberArg(a, "gpus_max", 0)})
 	return nil
 }
 
 // setObjective reads a line "objective".
 func (s *script) setObjective(f []string) error {
 	cs := &s.cfg.Settings
-	a := args(f[3:])
-	cs.Objectives = append(cs.Objectives, config.Objective{Kind: f[1], Class: f[2], Within: config.Seconds(dur(a, "within", 0).Seconds()), Share: 0.9, Times: 1})
+	a := keyValues(f[3:])
+	cs.Objectives = append(cs.Objectives, config.Objective{Kind: f[1], Class: f[2], Within: config.Seconds(durationArg(a, "within", 0).Seconds()), Share: 0.9, Times: 1})
 	return nil
 }
 
 // setType reads a line "type".
 func (s *script) setType(f []string) error {
-	a := args(f[1:])
-	s.cloud.instanceTypes = append(s.cloud.instanceTypes, &instanceType{name: f[1], cpus: num(a, "cpus", 8), gpus: num(a, "gpus", 0), mem: num(a, "mem", 64),
-		rate: num(a, "rate", 1), low: num(a, "low", 0.3), ready: dur(a, "ready", 20*time.Second), fetch: num(a, "fetch", 0.5)})
+	a := keyValues(f[1:])
+	s.cloud.instanceTypes = append(s.cloud.instanceTypes, &instanceType{name: f[1], cpus: numberArg(a, "cpus", 8), gpus: numberArg(a, "gpus", 0), mem: numberArg(a, "mem", 64),
+		rate: numberArg(a, "rate", 1), low: numberArg(a, "low", 0.3), ready: durationArg(a, "ready", 20*time.Second), fetch: numberArg(a, "fetch", 0.5)})
 	return nil
 }
 
 // setCapacity reads a line "capacity".
 func (s *script) setCapacity(f []string) error {
-	a := args(f[1:])
+	a := keyValues(f[1:])
 	k := offerKey{f[1], f[2], false}
-	s.cloud.capacity[k] = int(num(a, "n", 0))
+	s.cloud.capacity[k] = int(numberArg(a, "n", 0))
 	k.spot = true
-	s.cloud.capacity[k] = int(num(a, "spot", 0))
+	s.cloud.capacity[k] = int(numberArg(a, "spot", 0))
 	if fl := s.cloud.instanceType(f[1]); !slices.Contains(fl.zones, f[2]) {
 		fl.zones = append(fl.zones, f[2])
 	}
@@ -148,24 +148,24 @@
 
 // setRun reads a line "run".
 func (s *script) setRun(f []string) error {
-	s.end = span(f[1])
+	s.end = parseDuration(f[1])
 	return nil
 }
 
 // setAt reads a line "at".
 func (s *script) setAt(f []string) error {
-	s.actions = append(s.actions, action{span(f[1]), f[2:]})
+	s.actions = append(s.actions, action{parseDuration(f[1]), f[2:]})
 	return nil
 }
 
 // setExpect reads a line "expect".
 func (s *script) setExpect(f []string) error {
-	s.expects = append(s.expects, expect{what: f[1:]})
+	s.expects = append(s.expects, expect{words: f[1:]})
 	return nil
 }
 
-// args reads k=v words; words without = map to themselves.
-func args(words []string) map[string]string {
+// keyValues reads k=v words; words without = map to themselves.
+func keyValues(words []string) map[string]string {
 	m := map[string]string{}
 	for _, w := range words {
 		k, v, ok := strings.Cut(w, "=")
@@ -177,7 +177,7 @@
 	return m
 }
 
-func num(m map[string]string, k string, otherwise float64) float64 {
+func numberArg(m map[string]string, k string, otherwise float64) float64 {
 	if v, ok := m[k]; ok {
 		f, err := strconv.ParseFloat(v, 64)
 		if err != nil {
@@ -188,14 +188,14 @@
 	return otherwise
 }
 
-func dur(m map[string]string, k string, otherwise time.Duration) time.Duration {
+func durationArg(m map[string]string, k string, otherwise time.Duration) time.Duration {
 	if v, ok := m[k]; ok {
-		return span(v)
+		return parseDuration(v)
 	}
 	return otherwise
 }
 
-func span(v string) time.Duration {
+func parseDuration(v string) time.Duration {
 	d, err := time.ParseDuration(v)
 	if err != nil {
 		panic(v + " is no duration")
--- a/internal/scenario/script_plants.go
+++ b/internal/scenario/script_plants.go
@@ -8,9 +8,9 @@
 	"yewpass/internal/spec"
 )
 
-// plant breaks a rule on purpose, past the controllers, so that the test sees
+// violateRule breaks a rule on purpose, past the controllers, so that the test sees
 // the checker catch it.
-func (s *script) plant(rule string) {
+func (s *script) violateRule(rule string) {
 	w := s.world
 	ms := s.busiest(len(w.cloud.machines))
 	j := w.order[0]
--- a/internal/scenario/year_test.go
+++ b/internal/scenario/year_test.go
@@ -66,13 +66,13 @@
 	w.cfg.Settings.Teams = []config.Team{{Name: "t"}}
 	w.cloud.instanceTypes = append(w.cloud.instanceTypes, &instanceType{name: "s", cpus: 8, mem: 64, rate: 1, ready: time.Minute, fetch: 1, zones: []string{"a"}})
 	for name, def := range map[string]string{"bg": "country=BG", "us": "country=US", "shut": "weekend=none holidays=2027-02-28,2027-03-28,2027-10-31,2027-11-30,2027-12-31"} {
-		w.cals[name] = definition(args(strings.Fields(def)))
+		w.cals[name] = definition(keyValues(strings.Fields(def)))
 	}
 	days := map[string]*calendar.Calendar{}
 	for name, def := range w.cals {
 		days[name], _ = calendar.New(def)
 	}
-	w.adoptSettings(nil)
+	w.applySettings(nil)
 	for i := range 3 {
 		w.nodes = append(w.nodes, &node{world: w, name: fmt.Sprintf("n%d", i)})
 	}
