--- a/internal/scenario/cancel_test.go
+++ b/internal/scenario/cancel_test.go
@@ -8,11 +8,9 @@
 	"time"
 )
 
-// TestCancelledInTime varies the operators' meeting: the state service refuses the leader
-// alone, another controller confirms cancellations, and the service is down for all, for
-// longer than a cancellation may take, while workers report to the old leader. Whatever the
-// times, whatever else meets it, the tasks, which would run for ten minutes, are gone in
-// time; and in most variants tasks were there to be gone.
+// TestCancelledInTime requires tasks to stop within the cancel timeout when the leader loses the
+// key-value store, another controller confirms cancellations, and then the store is down for all
+// while workers still report to the old leader. Most variants must have tasks left to stop.
 func TestCancelledInTime(t *testing.T) {
 	settings := map[string][3]time.Duration{ // report, lease, cancel
 		"a":       {4 * time.Second, 20 * time.Second, 40 * time.Second},
@@ -20,8 +18,9 @@
 		"barely":  {3 * time.Second, 20 * time.Second, 21 * time.Second},
 		"shorter": {3 * time.Second, 20 * time.Second, 14 * time.Second},
 	}
-	const refused = 25 * time.Second
-	more := map[string]string{
+	const unavailableAt = 25 * time.Second
+	// The default run selects variants by the lengths of these names and of those in settings.
+	extraFaults := map[string]string{
 		"alone":              "",
 		"stalled":            "at 27s stall leader 9s",
 		"stalled in outage":  "at OUT stall n0 9s\nat OUT stall n1 9s\nat OUT stall n2 9s",
@@ -32,25 +31,25 @@
 		"three leaders":      "at 29s state_unavailable leader 60s",
 		"moved":              "at 26s partition 9 5s reset only=leader",
 		"late writes":        "at 24s delay_txns 14s share=0.5",
-		"muted before":       "at 23s drop_txn_responses leader 3s late=5s",
+		"no txn response":    "at 23s drop_txn_responses leader 3s late=5s",
 		"slow state":         "at 26s slow_state 8s by=800ms",
-		"asleep":             "at 26s clock_offset leader 2s",
+		"skewed clock":       "at 26s clock_offset leader 2s",
 		"answers lost":       "at 24s delay_txns 14s share=0.5 at_once=true",
-		"mute machines":      "at 26s block_reports 14 40s",
+		"no reports":         "at 26s block_reports 14 40s",
 		"hanging machines":   "at 27s hang 14 18s",
-		"looked at closely":  "at 24s observe_transitions 30s",
+		"observed":           "at 24s observe_transitions 30s",
 	}
 	var met, played atomic.Int64
 	t.Run("variants", func(t *testing.T) {
-		for name, x := range settings {
-			for what, and := range more {
+		for name, timing := range settings {
+			for extra, lines := range extraFaults {
 				for i, after := range []time.Duration{0, 3 * time.Second, 7 * time.Second, 30 * time.Second} {
-					if !*all && (i+len(what)+len(name))%3 != 0 {
+					if !*all && (i+len(extra)+len(name))%3 != 0 {
 						continue
 					}
-					t.Run(fmt.Sprintf("%s, %s, %v later", name, what, after), func(t *testing.T) {
+					t.Run(fmt.Sprintf("%s, %s, %v later", name, extra, after), func(t *testing.T) {
 						t.Parallel()
-						out := refused + after
+						out := unavailableAt + after
 						var sb strings.Builder
 						fmt.Fprintf(&sb, `
 seed %d
@@ -73,8 +72,8 @@
 %s
 run 200s
 expect leaders =1
-`, 1+i, x[0], x[1], x[2], refused, refused-300*time.Millisecond, max(refused, out-3*time.Second), max(refused, out-30*time.Millisecond), out, x[2]+12*time.Second,
-							strings.ReplaceAll(and, "OUT", (out+time.Second).String()))
+`, 1+i, timing[0], timing[1], timing[2], unavailableAt, unavailableAt-300*time.Millisecond, max(unavailableAt, out-3*time.Second), max(unavailableAt, out-30*time.Millisecond), out, timing[2]+12*time.Second,
+							strings.ReplaceAll(lines, "OUT", (out+time.Second).String()))
 						res := play(t, sb.String())
 						played.Add(1)
 						if res.Met["cancelled-on"] > 0 {
@@ -86,7 +85,7 @@
 		}
 	})
 	if 2*met.Load() < played.Load() {
-		t.Errorf("in %d of %d variants a cancellation was confirmed while tasks of it were on machines", met.Load(), played.Load())
+		t.Errorf("%d of %d variants confirmed a cancellation while tasks of the job were on machines, want at least half", met.Load(), played.Load())
 	}
-	t.Logf("%d variants, in %d tasks were on machines when they were told cancelled", played.Load(), met.Load())
+	t.Logf("%d variants, %d of them with tasks on machines when the cancellation was confirmed", played.Load(), met.Load())
 }
--- a/internal/scenario/configure_test.go
+++ b/internal/scenario/configure_test.go
@@ -12,8 +12,8 @@
 	"yewpass/internal/rpc"
 )
 
-// configFleet has work of three teams, whose limits move among the troubles.
-const configFleet = `
+// configCluster is a load of three teams whose limits change while faults occur.
+const configCluster = `
 seed %d
 nodes 3
 team t max=40
@@ -29,8 +29,8 @@
 at 20s burst 15 gap=4s owner=v tasks=4 run=8s
 `
 
-// TestRandomConfig plays changes of configuration among troubles drawn from fixed seeds: no
-// rule may break, every change is on record in the end, and every controller knows the last.
+// TestRandomConfig runs configuration changes with random faults from fixed seeds: no rule may be
+// violated, and in the end every change is recorded and every controller knows the last one.
 func TestRandomConfig(t *testing.T) {
 	kinds := []string{
 		"crash leader", "crash all", "crash n1 back=3s", "rolling_restart 6s", "outage state 8s", "outage state 30s", "state_unavailable leader 9s", "partition leader 12s hold", "partition leader 12s reset",
@@ -38,17 +38,16 @@
 		"stall leader 25s", "stall follower 40s", "crash leader back=50ms", "crash all back=200ms", "crash_loop leader 8s every=900ms back=100ms", "delay_txns 20s share=0.4 at_once=true",
 		"delay_txns 20s share=0.4", "duplicate_reports 40s share=0.3", "block_inbound 2 20s", "wipe", "wipe rev", "config w max=9", "config u max=20 retired", "config u max=30",
 	}
-	// In the end there is room for all: what is left ends.
+	// The limits are raised at the end so that all remaining jobs complete.
 	end := "at 200s config t max=90\nat 200s config u max=90\nat 200s config v max=90\nrun 420s\nexpect configured\nexpect over\nexpect leaders =1\n"
-	playMixes(t, 9, configFleet, end, func(rng *rand.Rand, sb *strings.Builder) {
-		// What the state service alone has, and loses, is known to nobody: what processes have
-		// forgotten shortly before, what a leader could not pass on, or never heard that it
-		// wrote. So losses meet troubles of machines and outages here; config-lost has them
-		// meet the end of a leader.
-		never := [][]string{{"wipe"}, {"crash", "rolling_restart", "crash_loop", "stall", "partition leader", "delay_txns", "drop_txn_responses", "state_unavailable"}}[rng.IntN(2)]
+	playMixes(t, 9, configCluster, end, func(rng *rand.Rand, sb *strings.Builder) {
+		// A change that only the key-value store holds is gone if the store loses it, so data loss
+		// isn't combined with faults after which no controller may hold a change. The script
+		// config-lost combines data loss with a crash of the leader.
+		excluded := [][]string{{"wipe"}, {"crash", "rolling_restart", "crash_loop", "stall", "partition leader", "delay_txns", "drop_txn_responses", "state_unavailable"}}[rng.IntN(2)]
 		for n := 3 + rng.IntN(5); n > 0; {
 			kind := kinds[rng.IntN(len(kinds))]
-			if slices.ContainsFunc(never, func(prefix string) bool { return strings.HasPrefix(kind, prefix) }) {
+			if slices.ContainsFunc(excluded, func(prefix string) bool { return strings.HasPrefix(kind, prefix) }) {
 				continue
 			}
 			n--
@@ -57,7 +56,7 @@
 	})
 }
 
-// withoutTeams drops what a transaction writes of teams, and what a copy tells of them.
+// withoutTeams removes team records from transactions and from replication messages.
 func withoutTeams(out any) any {
 	ofTeams := func(v any) bool {
 		_, team := v.(*liveconfig.TeamRecord)
@@ -66,8 +65,8 @@
 	return withoutWrites(withoutCopies(out, ofTeams), ofTeams)
 }
 
-// TestConfigPlanted: errors planted in the handling of configuration are found by the rules,
-// which hold without them.
+// TestConfigPlanted injects errors into the handling of the configuration: the rules must detect
+// them, and must hold without them.
 func TestConfigPlanted(t *testing.T) {
 	const lowered = `
 team t max=40
@@ -85,7 +84,7 @@
 		"the next leader does not learn of it": {lowered, func(s *script) {
 			s.alterOutput = func(_ *node, out any) any { return withoutTeams(out) }
 		}},
-		"told before it is on record": {strings.Replace(lowered, "at 10s config", "at 9900ms state_unavailable leader 12s\nat 10s config", 1), func(s *script) {
+		"acknowledged before it is recorded": {strings.Replace(lowered, "at 10s config", "at 9900ms state_unavailable leader 12s\nat 10s config", 1), func(s *script) {
 			changes := map[uint64]bool{}
 			s.alterOutput = func(_ *node, out any) any {
 				if call, ok := out.(kv.Request); ok && slices.ContainsFunc(call.Writes, func(w kv.Write) bool { return strings.HasSuffix(w.Key, "config/head") }) {
@@ -93,7 +92,7 @@
 				}
 				return withoutTeams(out)
 			}
-			s.alterInput = func(_ *node, in any) any { // a change that was refused counts
+			s.alterInput = func(_ *node, in any) any { // a failed change counts as recorded
 				if r, ok := in.(kv.Response); ok && changes[r.Ref] {
 					r.Outcome = rpc.OK
 					return r
@@ -101,7 +100,7 @@
 				return in
 			}
 		}},
-		"the head is no condition of what is accepted alone": {`
+		"an acceptance without a leader ignores the head": {`
 team t max=40
 team u max=20
 at 1s submit wk-1 tasks=2 run=3s
@@ -123,7 +122,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, planted := range []bool{false, true} {
-				s, err := parseScript(few(3, 5) + x.text)
+				s, err := parseScript(smallCluster(3, 5) + x.text)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -136,7 +135,7 @@
 				}
 				found := slices.ContainsFunc(res.Violations, func(v string) bool { return strings.Contains(v, " stale_config:") })
 				if found != planted {
-					t.Errorf("planted %v: found %v: %v, unmet %v, met %v", planted, found, res.Violations, res.Unmet, res.Met)
+					t.Errorf("error injected %v, detected %v: violations %v, unmet %v, observed %v", planted, found, res.Violations, res.Unmet, res.Met)
 				}
 			}
 		})
--- a/internal/scenario/loss_test.go
+++ b/internal/scenario/loss_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const losing = `
+const lossCluster = `
 seed %d
 nodes 5
 team t max=220
@@ -20,7 +20,7 @@
 at 5s schedule all at=00:01,00:02,00:03 tasks=3 run=15s catch=all
 `
 
-const whole = `
+const lossEnd = `
 run 300s
 expect done all
 expect leaders =1
@@ -28,51 +28,50 @@
 expect whole all
 `
 
-// TestLoss: the state service loses all of its data, some of it, or goes back to a copy of
-// its own, in the middle of the work, with nobody lost, the leader lost, all but one lost,
-// and again before the rebuild is over. Every accepted job is answered and ends.
+// TestLoss makes the key-value store lose data or return to a snapshot, alone or with the loss of
+// controllers, also during recovery. Every accepted job must stay known and complete.
 func TestLoss(t *testing.T) {
 	for name, what := range map[string]string{
-		"all":                       "at 40s wipe",
-		"revisions":                 "at 40s wipe rev",
-		"copy":                      "at 15s save; at 40s restore",
-		"all, leader":               "at 40s wipe; at 40s crash leader back=3s",
-		"all, leader back at once":  "at 40s wipe rev; at 40s crash leader back=100ms",
-		"copy, leader":              "at 15s save; at 40s restore; at 40s crash leader back=3s",
-		"outage, revisions":         "at 25s outage state 15s; at 39.9s wipe rev",
-		"outage, copy":              "at 15s save; at 25s outage state 15s; at 39.9s restore",
-		"jobs, leader":              "at 40s wipe under=yewpass/live/job/; at 40.1s crash leader back=3s",
-		"machines, leader":          "at 39s partition 3 30s hold; at 40s wipe under=yewpass/live/machine/; at 40.1s crash leader back=3s",
-		"finals, leader":            "at 40s wipe under=yewpass/final/; at 40.1s crash leader back=3s",
-		"progress, leader":          "at 40s wipe under=yewpass/live/progress/; at 40.1s crash leader back=3s",
-		"schedules, all":            "at 70s wipe under=yewpass/schedule; at 70s wipe under=yewpass/term",
-		"schedules, leader":         "at 50s wipe under=yewpass/schedule/; at 50.1s crash leader back=3s",
-		"term":                      "at 40s wipe under=yewpass/term",
-		"leader's key":              "at 40s wipe under=yewpass/leader",
-		"twice":                     "at 40s wipe; at 41s wipe rev; at 42s crash leader back=1s; at 43s wipe",
-		"all but one lost":          "at 40s wipe rev; at 40s crash n0 back=9s; at 40s crash n1 back=9s; at 40s crash n2 back=9s; at 40s crash n3 back=9s",
-		"leader cut off":            "at 30s partition leader 20s hold only=state; at 40s wipe",
-		"leaders lost in the midst": "at 40s wipe; at 40.45s crash leader back=1s; at 42s crash leader back=1s",
-		"copy, leaders lost":        "at 15s save; at 40s restore; at 40.45s crash leader back=1s; at 42s crash leader back=1s",
-		"late writes":               "at 39.5s drop_txn_responses leader 2s late=4s; at 40s wipe",
-		"held writes":               "at 38s partition leader 9s hold only=state; at 42s wipe rev",
+		"all":                      "at 40s wipe",
+		"revisions":                "at 40s wipe rev",
+		"copy":                     "at 15s save; at 40s restore",
+		"all, leader":              "at 40s wipe; at 40s crash leader back=3s",
+		"all, leader back at once": "at 40s wipe rev; at 40s crash leader back=100ms",
+		"copy, leader":             "at 15s save; at 40s restore; at 40s crash leader back=3s",
+		"outage, revisions":        "at 25s outage state 15s; at 39.9s wipe rev",
+		"outage, copy":             "at 15s save; at 25s outage state 15s; at 39.9s restore",
+		"jobs, leader":             "at 40s wipe under=yewpass/live/job/; at 40.1s crash leader back=3s",
+		"machines, leader":         "at 39s partition 3 30s hold; at 40s wipe under=yewpass/live/machine/; at 40.1s crash leader back=3s",
+		"finals, leader":           "at 40s wipe under=yewpass/final/; at 40.1s crash leader back=3s",
+		"progress, leader":         "at 40s wipe under=yewpass/live/progress/; at 40.1s crash leader back=3s",
+		"schedules, all":           "at 70s wipe under=yewpass/schedule; at 70s wipe under=yewpass/term",
+		"schedules, leader":        "at 50s wipe under=yewpass/schedule/; at 50.1s crash leader back=3s",
+		"term":                     "at 40s wipe under=yewpass/term",
+		"leader's key":             "at 40s wipe under=yewpass/leader",
+		"twice":                    "at 40s wipe; at 41s wipe rev; at 42s crash leader back=1s; at 43s wipe",
+		"all but one lost":         "at 40s wipe rev; at 40s crash n0 back=9s; at 40s crash n1 back=9s; at 40s crash n2 back=9s; at 40s crash n3 back=9s",
+		"leader cut off":           "at 30s partition leader 20s hold only=state; at 40s wipe",
+		"leaders lost in recovery": "at 40s wipe; at 40.45s crash leader back=1s; at 42s crash leader back=1s",
+		"copy, leaders lost":       "at 15s save; at 40s restore; at 40.45s crash leader back=1s; at 42s crash leader back=1s",
+		"late writes":              "at 39.5s drop_txn_responses leader 2s late=4s; at 40s wipe",
+		"held writes":              "at 38s partition leader 9s hold only=state; at 42s wipe rev",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			play(t, fmt.Sprintf(losing, 7)+strings.ReplaceAll(what, "; ", "\n")+whole)
+			play(t, fmt.Sprintf(lossCluster, 7)+strings.ReplaceAll(what, "; ", "\n")+lossEnd)
 		})
 	}
 }
 
-// TestLossEverywhere: data is lost after each single change of the state service in turn,
-// all of it and one prefix at a time, with and without the leader.
+// TestLossEverywhere loses all data or one prefix after each write of the key-value store in turn,
+// with and without a crash of the leader.
 func TestLossEverywhere(t *testing.T) {
 	for _, under := range []string{"", "yewpass/live/job/", "yewpass/live/machine/", "yewpass/live/progress/", "yewpass/final/", "yewpass/term"} {
 		for _, lost := range []string{"", "crash leader back=100ms", "crash leader back=4s"} {
 			t.Run(under+" "+lost, func(t *testing.T) {
 				t.Parallel()
 				for n := 3; ; n++ {
-					s, err := parseScript(few(5, 3) + `
+					s, err := parseScript(smallCluster(5, 3) + `
 team t max=9
 at 1s submit wk-1 run=3s tasks=6
 at 2s submit wk-2 run=30s tasks=2
@@ -91,7 +90,7 @@
 					for s.store.puts < n && s.step(s.start.Add(s.end)) {
 					}
 					if s.store.puts < n {
-						t.Logf("%d moments", n-3)
+						t.Logf("%d writes tested", n-3)
 						return
 					}
 					s.dataLost = true
@@ -102,7 +101,7 @@
 					s.run(s.end)
 					res := s.result()
 					for _, x := range append(res.Violations, res.Unmet...) {
-						t.Errorf("after change %d: %s", n, x)
+						t.Errorf("data loss after write %d: %s", n, x)
 					}
 					if t.Failed() {
 						return
@@ -113,8 +112,8 @@
 	}
 }
 
-// TestRandomLoss plays mixes of faults with losses among them. Somebody always lives who
-// was there: without any memory, and without any record, nothing is left to rebuild from.
+// TestRandomLoss runs random mixes of faults and data loss. At least one controller keeps its
+// memory, from which the data can be restored.
 func TestRandomLoss(t *testing.T) {
 	kinds := []string{
 		"wipe", "wipe rev", "wipe under=yewpass/live/", "wipe under=yewpass/live/job/", "wipe under=yewpass/live/machine/", "wipe under=yewpass/final/", "wipe under=yewpass/term", "wipe under=yewpass/leader", "restore",
@@ -122,7 +121,7 @@
 		"partition leader 12s hold", "partition leader 9s hold only=state", "partition 2 30s hold", "partition 2 40s reset", "partition zone=a 25s hold", "hang 2 45s",
 		"drop_txn_responses leader 2s late=4s", "stall leader 15s", "stall follower 20s", "crash_loop leader 4s every=1500ms", "restart 3 back=50ms", "preempt 4",
 	}
-	playMixes(t, 6, losing, whole, func(rng *rand.Rand, sb *strings.Builder) {
+	playMixes(t, 6, lossCluster, lossEnd, func(rng *rand.Rand, sb *strings.Builder) {
 		for i := range 3 + rng.IntN(4) {
 			at, kind := 10+rng.IntN(80), kinds[rng.IntN(len(kinds))]
 			if i == 0 {
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -17,9 +17,9 @@
 	"yewpass/internal/spec"
 )
 
-// meeting has long tasks, jobs of two and three tasks that end far apart, many cancellations
-// and a limit, on two zones.
-const meeting = `
+// faultMix is a cluster with two zones and a team limit, and a load of long tasks, jobs whose
+// tasks end at different times, and many cancellations.
+const faultMix = `
 seed %d
 team t max=46
 team u
@@ -35,7 +35,7 @@
 at 20s burst 6 gap=6s tasks=2 run=8s gb=0.5 cancelled=0.4 class=after
 `
 
-const meetingEnd = `
+const faultMixEnd = `
 run 420s
 expect over
 expect leaders =1
@@ -43,8 +43,8 @@
 expect largest <241
 `
 
-// meetings are the operators' troubles, one at a time; WHO is drawn or the leader.
-var meetings = []string{
+// faultPairs are the faults that TestMeetings combines in pairs.
+var faultPairs = []string{
 	"duplicate_reports 40s share=0.4",
 	"delay_txns 30s share=0.4",
 	"slow_state 12s by=900ms",
@@ -81,12 +81,12 @@
 	"crash_loop leader 40s every=4s back=300ms",
 }
 
-// TestMeetings plays every two of the operators' troubles, at one instant and 1, 5 and 20 s
-// apart. A fixed part is played unless -meetings asks for all.
+// TestMeetings runs all pairs of faults, 0, 1, 5 and 20 s apart, with a fixed subset of them
+// unless -meetings is set.
 func TestMeetings(t *testing.T) {
 	played := 0
-	for i, a := range meetings {
-		for k, b := range meetings {
+	for i, a := range faultPairs {
+		for k, b := range faultPairs {
 			for n, apart := range []int{0, 1, 5, 20} {
 				if played++; !*all && played%37 != 0 {
 					continue
@@ -94,35 +94,34 @@
 				t.Run(fmt.Sprintf("%s+%ds %s", a, apart, b), func(t *testing.T) {
 					t.Parallel()
 					var sb strings.Builder
-					fmt.Fprintf(&sb, meeting, 1+i*100+k*4+n)
+					fmt.Fprintf(&sb, faultMix, 1+i*100+k*4+n)
 					fmt.Fprintf(&sb, "at 16s %s\nat %ds %s\n", a, 16+apart, b)
-					play(t, sb.String()+meetingEnd)
+					play(t, sb.String()+faultMixEnd)
 				})
 			}
 		}
 	}
 }
 
-// TestRandomMeetings plays three of them drawn at random, a second of each kind among them,
-// in the midst of the work.
+// TestRandomMeetings runs random sequences of three faults during the load.
 func TestRandomMeetings(t *testing.T) {
-	playMixes(t, 7, meeting, meetingEnd, func(rng *rand.Rand, sb *strings.Builder) {
+	playMixes(t, 7, faultMix, faultMixEnd, func(rng *rand.Rand, sb *strings.Builder) {
 		at := 8 + rng.IntN(20)
 		for range 3 {
-			fmt.Fprintf(sb, "at %d.%03ds %s\n", at, rng.IntN(1000), meetings[rng.IntN(len(meetings))])
+			fmt.Fprintf(sb, "at %d.%03ds %s\n", at, rng.IntN(1000), faultPairs[rng.IntN(len(faultPairs))])
 			at += []int{0, 1, 5, 20}[rng.IntN(4)]
 		}
 	})
 }
 
-// TestMeetingsPlanted: an error planted for each of the words is found by the rules, and
-// without it none is broken.
+// TestMeetingsPlanted injects one error into the controllers for each kind of fault: the rules
+// must detect it, and must hold without it.
 func TestMeetingsPlanted(t *testing.T) {
 	for name, x := range map[string]struct {
-		text, finds string
-		plant       func(s *script)
+		text, want string
+		plant      func(s *script)
 	}{
-		"delay_txns": {few(3, 2) + `
+		"delay_txns": {smallCluster(3, 2) + `
 team t
 at 5s delay_txns 1s share=1
 at 5100ms submit wk-1 run=2s
@@ -130,7 +129,7 @@
 expect met late-write >0
 expect started =1
 run 120s`, "started =1", func(s *script) {
-			s.alterOutput = func(n *node, out any) any { // changes without conditions but the term
+			s.alterOutput = func(n *node, out any) any { // transactions lose their conditions on jobs
 				if call, ok := out.(kv.Request); ok && call.Op == kv.Txn && len(call.Writes) > 0 {
 					call.Conditions = slices.DeleteFunc(slices.Clone(call.Conditions), func(w kv.Condition) bool { return strings.Contains(w.Key, "wk-") })
 					return call
@@ -138,7 +137,7 @@
 				return out
 			}
 		}},
-		"duplicate_reports": {few(3, 4) + `
+		"duplicate_reports": {smallCluster(3, 4) + `
 team t
 at 2s duplicate_reports 60s share=1
 at 5s burst 10 gap=2s tasks=3 run=20s
@@ -146,7 +145,7 @@
 expect done all
 run 200s`, "ran_twice", func(s *script) {
 			last := uint64(1000)
-			s.alterInput = func(n *node, in any) any { // whatever comes later is newer
+			s.alterInput = func(n *node, in any) any { // every heartbeat gets a higher counter
 				if r, ok := in.(heartbeat.Received); ok {
 					last++
 					r.Report.Counter = last
@@ -155,7 +154,7 @@
 				return in
 			}
 		}},
-		"block_inbound": {few(3, 4) + `
+		"block_inbound": {smallCluster(3, 4) + `
 team t
 at 5s submit wk-1 run=60s tasks=12
 at 9s block_inbound 1 60s
@@ -171,7 +170,7 @@
 				}
 				return out
 			}
-			s.alterInput = func(n *node, in any) any { // a release that was refused counts
+			s.alterInput = func(n *node, in any) any { // a failed release counts as done
 				if r, ok := in.(provider.Response); ok && releases[r.Ref] {
 					r.Outcome = rpc.OK
 					return r
@@ -179,7 +178,7 @@
 				return in
 			}
 		}},
-		"delay_txns at_once": {few(3, 3) + `
+		"delay_txns at_once": {smallCluster(3, 3) + `
 team t
 at 3s delay_txns 60s share=0.5 at_once=true
 at 5s burst 12 gap=2s run=60s cancelled=1
@@ -187,7 +186,7 @@
 expect met write-unanswered >5
 expect over
 run 250s`, "no order", func(s *script) {
-			s.alterOutput = func(n *node, out any) any { // a poll does not wait for a record that may be there
+			s.alterOutput = func(n *node, out any) any { // a poll is answered before the pending record is known
 				if a, ok := out.(request.Response); ok && a.Reason == "its end is being recorded" {
 					a.Status, a.View = 200, request.JobStatus{State: spec.Running}
 					return a
@@ -195,7 +194,7 @@
 				return out
 			}
 		}},
-		"duplicate_reports next_leader": {few(3, 4) + `
+		"duplicate_reports next_leader": {smallCluster(3, 4) + `
 team t
 at 3s duplicate_reports 5s share=1 next_leader=true
 at 8s submit wk-1 run=60s tasks=12
@@ -205,7 +204,7 @@
 expect met report-for-next >5
 expect done all
 run 250s`, "ran_twice", func(s *script) {
-			s.alterInput = func(n *node, in any) any { // every report counts as one of the term at hand
+			s.alterInput = func(n *node, in any) any { // every heartbeat carries the current term
 				if r, ok := in.(heartbeat.Received); ok && n.core.HasAuthority(n.local()) {
 					r.Report.FencingToken = n.core.Stats().Term
 					return r
@@ -213,7 +212,7 @@
 				return in
 			}
 		}},
-		"block_reports": {few(3, 4) + `
+		"block_reports": {smallCluster(3, 4) + `
 team t
 at 5s submit wk-1 run=60s tasks=12
 at 12s outage cloud 60s
@@ -223,7 +222,7 @@
 expect met mute-command >0
 expect done all
 run 250s`, "ran_twice", func(s *script) {
-			s.alterInput = func(n *node, in any) any { // what a command's answer lists is not looked at
+			s.alterInput = func(n *node, in any) any { // the task list of a probe reply is dropped
 				switch in := in.(type) {
 				case heartbeat.ProbeReply:
 					in.Report.Tasks = nil
@@ -239,7 +238,7 @@
 				return in
 			}
 		}},
-		"cancel_running with hang": {few(3, 4) + `
+		"cancel_running with hang": {smallCluster(3, 4) + `
 team t
 at 5s burst 5 gap=100ms run=200s
 at 12s cancel_running 3 hang=5s
@@ -247,7 +246,7 @@
 expect met cancel-now-hung >1
 expect met cancelled-on >0
 run 120s`, "ran_cancelled", func(s *script) {
-			s.alterOutput = func(n *node, out any) any { // a machine that has hung is told nothing of it
+			s.alterOutput = func(n *node, out any) any { // stop orders are dropped
 				if a, ok := out.(heartbeat.Reply); ok {
 					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop })
 					return a
@@ -255,14 +254,14 @@
 				return out
 			}
 		}},
-		"cancel_on_completion": {few(3, 3) + `
+		"cancel_on_completion": {smallCluster(3, 3) + `
 team t
 at 2s cancel_on_completion 60s share=1
 at 5s burst 12 gap=2s run=3s tasks=2
 expect met cancel-at-end >8
 expect over
 run 150s`, "went_back", func(s *script) {
-			s.alterOutput = func(n *node, out any) any { // whoever called it off is told that it is cancelled
+			s.alterOutput = func(n *node, out any) any { // the user is told that a completed job is cancelled
 				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && s.jobs[a.View.ID].wantsCancel && s.jobs[a.View.ID].told == "" {
 					a.View.State = spec.Cancelled
 					return a
@@ -270,7 +269,7 @@
 				return out
 			}
 		}},
-		"invalid_requests": {few(3, 3) + `
+		"invalid_requests": {smallCluster(3, 3) + `
 team t
 at 5s burst 6 gap=2s run=3s
 at 5s invalid_requests 30s
@@ -286,7 +285,7 @@
 				return out
 			}
 		}},
-		"a field is missing": {few(3, 3) + `
+		"a field is missing": {smallCluster(3, 3) + `
 team t
 at 5s submit wk-1 run=3s
 at 5s invalid_requests 30s
@@ -295,7 +294,7 @@
 run 100s`, "unfit", func(s *script) {
 			s.alterSubmission = func(*spec.Job) *spec.Job { return &spec.Job{} }
 		}},
-		"observe_transitions": {few(3, 3) + `
+		"observe_transitions": {smallCluster(3, 3) + `
 team t
 at 4s observe_transitions 60s
 at 5s burst 12 gap=2s run=3s tasks=2
@@ -303,7 +302,7 @@
 expect over
 run 150s`, "no order", func(s *script) {
 			first := map[string]request.JobStatus{}
-			s.alterOutput = func(n *node, out any) any { // a node tells for a second what it has told before
+			s.alterOutput = func(n *node, out any) any { // a controller repeats its status response for a second
 				a, ok := out.(request.Response)
 				if !ok || a.Status != 200 && a.Status != 201 || a.View.ID == "" {
 					return out
@@ -317,7 +316,7 @@
 				return a
 			}
 		}},
-		"a job that waits": {few(3, 3) + `
+		"a job that is never started": {smallCluster(3, 3) + `
 team t
 at 5s burst 6 gap=1s run=3s
 expect done all
@@ -330,7 +329,7 @@
 				return out
 			}
 		}},
-		"a start after a cancellation": {few(3, 3) + `
+		"a start after a cancellation": {smallCluster(3, 3) + `
 team t
 at 5s submit wk-1 run=60s gb=60
 at 8s cancel wk-1
@@ -359,8 +358,8 @@
 			}
 			res, err := s.play()
 			found := slices.Concat(res.Violations, res.Unmet, notLinear(res))
-			if err != nil || !slices.ContainsFunc(found, func(v string) bool { return strings.Contains(v, x.finds) }) {
-				t.Errorf("not found: %v %v", err, found)
+			if err != nil || !slices.ContainsFunc(found, func(v string) bool { return strings.Contains(v, x.want) }) {
+				t.Errorf("injected error not detected: error %v, violations and unmet expectations %v", err, found)
 			}
 		})
 	}
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -20,31 +20,29 @@
 	"yewpass/internal/spec"
 )
 
-// What happens next? In the scenarios' ordinary play messages arrive in the order of
-// their times. Here a few kinds of them, and a few events, wait in a hand, and every
-// choice is played of which of them happens next, or whether time passes first: each
-// order of choices on a world of its own, begun anew, with every rule looked at after
-// every event. After the last choice the rest happens in its order, and all must end
-// well.
+// These tests enumerate message orders exhaustively. Messages of the chosen kinds and a few events
+// are held back; at each step the test delivers one of them or lets time pass. Every sequence of
+// choices runs in a new simulation with all rules checked after each event. After the last choice
+// the remaining messages are delivered in order, and all expectations must be met.
 
-// ordering is a set of things that race, around one danger.
-type ordering struct {
-	name   string
-	text   string        // how the world is set up, and what is expected in the end
-	from   time.Duration // when the race begins
-	events []string      // what happens some time in it, as scenario actions
-	races  []string      // kinds of messages whose order is open; "kind a" only those from a
-	loses  []string      // kinds one message of which may be lost
-	copies []string      // kinds one message of which may arrive twice, the second time whenever
-	passes []time.Duration
-	depth  int // choices
-	orders int // how many orders there are: the same each time
+// messageRace is a set of messages and events whose order is enumerated.
+type messageRace struct {
+	name       string
+	text       string        // scenario with its expectations
+	startAt    time.Duration // when messages start to be held back
+	events     []string      // scenario actions to interleave; "again ID" repeats a submission
+	kinds      []string      // kinds of messages to hold back
+	losable    []string      // kinds of which one message may be lost
+	duplicable []string      // kinds of which one message may be delivered twice
+	waits      []time.Duration
+	choices    int // number of choices in a sequence
+	orders     int // expected number of sequences
 }
 
-var tiny, relayed = few(3, 2), few(4, 3) + "team t\n"
+var threeNodes, fourNodes = smallCluster(3, 2), smallCluster(4, 3) + "team t\n"
 
-// few is a world of so many controllers and as many machines.
-func few(seed, n int) string {
+// smallCluster returns the lines of a cluster of n controllers and n machines.
+func smallCluster(seed, n int) string {
 	return fmt.Sprintf(`
 seed %[1]d
 nodes %[2]d
@@ -54,203 +52,203 @@
 `, seed, n)
 }
 
-var orderings = []ordering{
+var messageRaces = []messageRace{
 	{
-		name: "accept and retry", text: tiny + "team t\nrun 120s\nexpect over\nexpect leaders =1",
-		from: 6 * time.Second, events: []string{"submit wk-1 run=3s", "again wk-1", "crash leader back=3s"},
-		races: []string{"txn", "txn answer", "call", "answer"}, loses: []string{"txn", "txn answer"},
-		passes: []time.Duration{50 * time.Millisecond, 1600 * time.Millisecond, 2500 * time.Millisecond}, depth: 4, orders: 850,
+		name: "accept and retry", text: threeNodes + "team t\nrun 120s\nexpect over\nexpect leaders =1",
+		startAt: 6 * time.Second, events: []string{"submit wk-1 run=3s", "again wk-1", "crash leader back=3s"},
+		kinds: []string{"txn", "txn answer", "call", "answer"}, losable: []string{"txn", "txn answer"},
+		waits: []time.Duration{50 * time.Millisecond, 1600 * time.Millisecond, 2500 * time.Millisecond}, choices: 4, orders: 850,
 	},
 	{
-		name: "cancel and start", text: tiny + "team t\nrun 120s\nexpect over\nexpect running wk-1 =0",
-		from: 6 * time.Second, events: []string{"submit wk-1 run=300s tasks=3", "cancel wk-1"},
-		races: []string{"txn", "txn answer", "reply", "call"}, passes: []time.Duration{600 * time.Millisecond, 5 * time.Second}, depth: 4, orders: 454,
+		name: "cancel and start", text: threeNodes + "team t\nrun 120s\nexpect over\nexpect running wk-1 =0",
+		startAt: 6 * time.Second, events: []string{"submit wk-1 run=300s tasks=3", "cancel wk-1"},
+		kinds: []string{"txn", "txn answer", "reply", "call"}, waits: []time.Duration{600 * time.Millisecond, 5 * time.Second}, choices: 4, orders: 454,
 	},
 	{
-		name: "start and a change of leader", text: tiny + "team t\nat 5.9s submit wk-1 run=40s tasks=3\nrun 180s\nexpect over\nexpect leaders =1",
-		from: 5900 * time.Millisecond, events: []string{"crash leader back=3s", "partition 1 9s hold"},
-		races: []string{"reply", "report", "probe"}, passes: []time.Duration{300 * time.Millisecond, 3 * time.Second, 22 * time.Second}, depth: 4, orders: 2419,
+		name: "start and a change of leader", text: threeNodes + "team t\nat 5.9s submit wk-1 run=40s tasks=3\nrun 180s\nexpect over\nexpect leaders =1",
+		startAt: 5900 * time.Millisecond, events: []string{"crash leader back=3s", "partition 1 9s hold"},
+		kinds: []string{"reply", "report", "probe"}, waits: []time.Duration{300 * time.Millisecond, 3 * time.Second, 22 * time.Second}, choices: 4, orders: 2419,
 	},
 	{
-		name: "done and a change of leader", text: tiny + "team t\nat 6s submit wk-1 run=4s tasks=2\nrun 150s\nexpect over\nexpect leaders =1",
-		from: 10 * time.Second, events: []string{"crash leader back=3s"},
-		races: []string{"report", "reply", "txn", "txn answer"}, loses: []string{"txn", "txn answer"}, passes: []time.Duration{200 * time.Millisecond, 1600 * time.Millisecond, 5 * time.Second}, depth: 4, orders: 2200,
+		name: "done and a change of leader", text: threeNodes + "team t\nat 6s submit wk-1 run=4s tasks=2\nrun 150s\nexpect over\nexpect leaders =1",
+		startAt: 10 * time.Second, events: []string{"crash leader back=3s"},
+		kinds: []string{"report", "reply", "txn", "txn answer"}, losable: []string{"txn", "txn answer"}, waits: []time.Duration{200 * time.Millisecond, 1600 * time.Millisecond, 5 * time.Second}, choices: 4, orders: 2200,
 	},
 	{
-		name: "end of a lease and a late report", text: tiny + "team t\nat 5s submit wk-1 run=60s tasks=3\nrun 250s\nexpect over",
-		from: 12 * time.Second, events: []string{"partition 1 30s hold", "hang 1 12s"},
-		races: []string{"report", "reply", "release", "release answer"}, passes: []time.Duration{time.Second, 21 * time.Second}, depth: 3, orders: 171,
+		name: "lease expiry and a late report", text: threeNodes + "team t\nat 5s submit wk-1 run=60s tasks=3\nrun 250s\nexpect over",
+		startAt: 12 * time.Second, events: []string{"partition 1 30s hold", "hang 1 12s"},
+		kinds: []string{"report", "reply", "release", "release answer"}, waits: []time.Duration{time.Second, 21 * time.Second}, choices: 3, orders: 171,
 	},
 	{
-		name: "a limit across a take-over", text: tiny + "team t max=3\nat 5s submit wk-1 run=30s tasks=3\nrun 250s\nexpect over\nexpect leaders =1",
-		from: 9 * time.Second, events: []string{"crash leader back=3s", "submit wk-2 run=5s tasks=3", "partition 1 12s hold"},
-		races: []string{"report", "reply", "probe"}, passes: []time.Duration{500 * time.Millisecond, 22 * time.Second}, depth: 3, orders: 206,
+		name: "a limit across a failover", text: threeNodes + "team t max=3\nat 5s submit wk-1 run=30s tasks=3\nrun 250s\nexpect over\nexpect leaders =1",
+		startAt: 9 * time.Second, events: []string{"crash leader back=3s", "submit wk-2 run=5s tasks=3", "partition 1 12s hold"},
+		kinds: []string{"report", "reply", "probe"}, waits: []time.Duration{500 * time.Millisecond, 22 * time.Second}, choices: 3, orders: 206,
 	},
 	{
-		name: "a late transaction under a successor", text: tiny + "team t\nat 5s submit wk-1 run=20s tasks=2\nrun 200s\nexpect over\nexpect leaders =1",
-		from: 9 * time.Second, events: []string{"cancel wk-1", "submit wk-2 run=3s", "state_unavailable leader 4s"},
-		races: []string{"txn", "txn answer"}, loses: []string{"txn", "txn answer"}, passes: []time.Duration{100 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second}, depth: 4, orders: 1847,
+		name: "a late transaction under a successor", text: threeNodes + "team t\nat 5s submit wk-1 run=20s tasks=2\nrun 200s\nexpect over\nexpect leaders =1",
+		startAt: 9 * time.Second, events: []string{"cancel wk-1", "submit wk-2 run=3s", "state_unavailable leader 4s"},
+		kinds: []string{"txn", "txn answer"}, losable: []string{"txn", "txn answer"}, waits: []time.Duration{100 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second}, choices: 4, orders: 1847,
 	},
 	{
-		name: "a machine taken", text: tiny + "team t\ncapacity s b spot=2\nmachines s b n=1 spot\nat 5s submit wk-1 run=20s tasks=9\nrun 250s\nexpect over",
-		from: 9 * time.Second, events: []string{"preempt 1", "preempt 1 notice=6s", "crash leader back=3s"},
-		races: []string{"report", "reply", "release", "release answer"}, passes: []time.Duration{600 * time.Millisecond, 4 * time.Second}, depth: 4, orders: 842,
+		name: "a preempted machine", text: threeNodes + "team t\ncapacity s b spot=2\nmachines s b n=1 spot\nat 5s submit wk-1 run=20s tasks=9\nrun 250s\nexpect over",
+		startAt: 9 * time.Second, events: []string{"preempt 1", "preempt 1 notice=6s", "crash leader back=3s"},
+		kinds: []string{"report", "reply", "release", "release answer"}, waits: []time.Duration{600 * time.Millisecond, 4 * time.Second}, choices: 4, orders: 842,
 	},
 	{
-		name: "a start through a relay and a change of leader", text: relayed + "at 5.9s submit wk-1 run=40s tasks=3\nrun 180s\nexpect over\nexpect leaders =1",
-		from: 5900 * time.Millisecond, events: []string{"crash leader back=3s"},
-		races: []string{"peer", "reply", "report", "probe"}, passes: []time.Duration{900 * time.Millisecond, 3 * time.Second}, depth: 3, orders: 233,
+		name: "a start through a relay and a change of leader", text: fourNodes + "at 5.9s submit wk-1 run=40s tasks=3\nrun 180s\nexpect over\nexpect leaders =1",
+		startAt: 5900 * time.Millisecond, events: []string{"crash leader back=3s"},
+		kinds: []string{"peer", "reply", "report", "probe"}, waits: []time.Duration{900 * time.Millisecond, 3 * time.Second}, choices: 3, orders: 233,
 	},
 	{
-		name: "two relays and one worker", text: relayed + "at 5.9s submit wk-1 run=40s tasks=3\nrun 220s\nexpect over\nexpect leaders =1",
-		from: 5950 * time.Millisecond, events: []string{"partition 1 5s hold only=n0", "partition 1 6s hold only=n1", "crash leader back=3s"},
-		races: []string{"report", "reply", "peer"}, passes: []time.Duration{2500 * time.Millisecond, 5 * time.Second}, depth: 3, orders: 431,
+		name: "one worker between two relays", text: fourNodes + "at 5.9s submit wk-1 run=40s tasks=3\nrun 220s\nexpect over\nexpect leaders =1",
+		startAt: 5950 * time.Millisecond, events: []string{"partition 1 5s hold only=n0", "partition 1 6s hold only=n1", "crash leader back=3s"},
+		kinds: []string{"report", "reply", "peer"}, waits: []time.Duration{2500 * time.Millisecond, 5 * time.Second}, choices: 3, orders: 431,
 	},
 	{
-		name: "a held link", text: relayed + "at 5.9s submit wk-1 run=40s tasks=3\nrun 220s\nexpect over\nexpect leaders =1",
-		from: 5900 * time.Millisecond, events: []string{"partition n0 30s hold only=n1", "partition n1 30s hold only=n2", "crash leader back=2s"},
-		races: []string{"peer", "reply"}, passes: []time.Duration{time.Second, 3 * time.Second}, depth: 3, orders: 340,
+		name: "a delayed peer link", text: fourNodes + "at 5.9s submit wk-1 run=40s tasks=3\nrun 220s\nexpect over\nexpect leaders =1",
+		startAt: 5900 * time.Millisecond, events: []string{"partition n0 30s hold only=n1", "partition n1 30s hold only=n2", "crash leader back=2s"},
+		kinds: []string{"peer", "reply"}, waits: []time.Duration{time.Second, 3 * time.Second}, choices: 3, orders: 340,
 	},
 	{
-		name: "acceptance without a leader", text: relayed + "run 120s\nexpect over\nexpect accepted wk-1\nexpect leaders =1",
-		from: 6 * time.Second, events: []string{"submit wk-1 run=3s", "again wk-1", "crash leader back=3s"},
-		races: []string{"txn", "txn answer", "peer", "call"}, loses: []string{"txn", "txn answer"},
-		passes: []time.Duration{100 * time.Millisecond, 2500 * time.Millisecond}, depth: 4, orders: 1211,
+		name: "acceptance without a leader", text: fourNodes + "run 120s\nexpect over\nexpect accepted wk-1\nexpect leaders =1",
+		startAt: 6 * time.Second, events: []string{"submit wk-1 run=3s", "again wk-1", "crash leader back=3s"},
+		kinds: []string{"txn", "txn answer", "peer", "call"}, losable: []string{"txn", "txn answer"},
+		waits: []time.Duration{100 * time.Millisecond, 2500 * time.Millisecond}, choices: 4, orders: 1211,
 	},
 	{
-		name: "a process and the next one", text: relayed + "at 5.6s crash n1 back=50ms\nat 5.9s submit wk-1 run=40s tasks=6\nrun 180s\nexpect over\nexpect leaders =1",
-		from: 5900 * time.Millisecond, events: []string{"crash leader back=50ms", "partition 1 9s hold", "crash n2 back=50ms"},
-		races: []string{"peer", "reply", "report"}, passes: []time.Duration{100 * time.Millisecond, 400 * time.Millisecond}, depth: 4, orders: 1038,
+		name: "a restarted controller", text: fourNodes + "at 5.6s crash n1 back=50ms\nat 5.9s submit wk-1 run=40s tasks=6\nrun 180s\nexpect over\nexpect leaders =1",
+		startAt: 5900 * time.Millisecond, events: []string{"crash leader back=50ms", "partition 1 9s hold", "crash n2 back=50ms"},
+		kinds: []string{"peer", "reply", "report"}, waits: []time.Duration{100 * time.Millisecond, 400 * time.Millisecond}, choices: 4, orders: 1038,
 	},
 	{
-		name: "a machine that is back", text: tiny + "team t max=3\nat 5s submit wk-1 run=30s tasks=3\nrun 250s\nexpect over\nexpect leaders =1",
-		from: 9 * time.Second, events: []string{"restart 1 back=50ms reset_counter", "crash leader back=50ms"},
-		races: []string{"report", "reply", "probe"}, passes: []time.Duration{500 * time.Millisecond, 22 * time.Second}, depth: 3, orders: 152,
+		name: "a restarted machine", text: threeNodes + "team t max=3\nat 5s submit wk-1 run=30s tasks=3\nrun 250s\nexpect over\nexpect leaders =1",
+		startAt: 9 * time.Second, events: []string{"restart 1 back=50ms reset_counter", "crash leader back=50ms"},
+		kinds: []string{"report", "reply", "probe"}, waits: []time.Duration{500 * time.Millisecond, 22 * time.Second}, choices: 3, orders: 152,
 	},
 	{
-		name: "a late acceptance", text: tiny + "team t\nat 5.9s submit wk-1 run=2s\nat 40s crash leader back=2s\nrun 150s\nexpect over\nexpect leaders =1",
-		from: 5900 * time.Millisecond, events: []string{"again wk-1"},
-		races: []string{"txn", "txn answer"}, passes: []time.Duration{1600 * time.Millisecond, 9 * time.Second}, depth: 3, orders: 136,
+		name: "a late acceptance", text: threeNodes + "team t\nat 5.9s submit wk-1 run=2s\nat 40s crash leader back=2s\nrun 150s\nexpect over\nexpect leaders =1",
+		startAt: 5900 * time.Millisecond, events: []string{"again wk-1"},
+		kinds: []string{"txn", "txn answer"}, waits: []time.Duration{1600 * time.Millisecond, 9 * time.Second}, choices: 3, orders: 136,
 	},
 	{
-		name: "a report that arrives twice", text: tiny + "team t\nat 5.9s submit wk-1 run=40s tasks=3\nrun 180s\nexpect over\nexpect leaders =1",
-		from: 5900 * time.Millisecond, events: []string{"crash leader back=3s"},
-		races: []string{"report", "reply"}, copies: []string{"report"}, passes: []time.Duration{600 * time.Millisecond, 5 * time.Second}, depth: 3, orders: 113,
+		name: "a report that arrives twice", text: threeNodes + "team t\nat 5.9s submit wk-1 run=40s tasks=3\nrun 180s\nexpect over\nexpect leaders =1",
+		startAt: 5900 * time.Millisecond, events: []string{"crash leader back=3s"},
+		kinds: []string{"report", "reply"}, duplicable: []string{"report"}, waits: []time.Duration{600 * time.Millisecond, 5 * time.Second}, choices: 3, orders: 113,
 	},
 	{
-		name: "a loss and an acceptance", text: relayed + "run 120s\nexpect over\nexpect accepted wk-1\nexpect leaders =1",
-		from: 6 * time.Second, events: []string{"submit wk-1 run=3s", "wipe", "again wk-1"},
-		races: []string{"txn", "txn answer", "call"}, loses: []string{"txn answer"}, passes: []time.Duration{100 * time.Millisecond, 2500 * time.Millisecond}, depth: 3, orders: 79,
+		name: "data loss and an acceptance", text: fourNodes + "run 120s\nexpect over\nexpect accepted wk-1\nexpect leaders =1",
+		startAt: 6 * time.Second, events: []string{"submit wk-1 run=3s", "wipe", "again wk-1"},
+		kinds: []string{"txn", "txn answer", "call"}, losable: []string{"txn answer"}, waits: []time.Duration{100 * time.Millisecond, 2500 * time.Millisecond}, choices: 3, orders: 79,
 	},
 	{
-		name: "a loss and a change of leader", text: relayed + "at 4s submit wk-1 run=30s tasks=3\nat 5s submit wk-2 run=2s\nrun 150s\nexpect over\nexpect leaders =1",
-		from: 6500 * time.Millisecond, events: []string{"wipe", "crash leader back=2s", "cancel wk-1"},
-		races: []string{"txn", "peer"}, passes: []time.Duration{400 * time.Millisecond, 3 * time.Second}, depth: 3, orders: 205,
+		name: "data loss and a change of leader", text: fourNodes + "at 4s submit wk-1 run=30s tasks=3\nat 5s submit wk-2 run=2s\nrun 150s\nexpect over\nexpect leaders =1",
+		startAt: 6500 * time.Millisecond, events: []string{"wipe", "crash leader back=2s", "cancel wk-1"},
+		kinds: []string{"txn", "peer"}, waits: []time.Duration{400 * time.Millisecond, 3 * time.Second}, choices: 3, orders: 205,
 	},
 	{
-		name: "a machine that does not hear", text: tiny + "team t\nat 5s submit wk-1 run=40s tasks=3\nat 8s outage cloud 60s\nrun 250s\nexpect over\nexpect leaders =1",
-		from: 9 * time.Second, events: []string{"block_inbound 1 16s", "crash leader back=2s"},
-		races: []string{"reply", "probe"}, passes: []time.Duration{3 * time.Second, 15 * time.Second}, depth: 3, orders: 127,
+		name: "a machine without inbound traffic", text: threeNodes + "team t\nat 5s submit wk-1 run=40s tasks=3\nat 8s outage cloud 60s\nrun 250s\nexpect over\nexpect leaders =1",
+		startAt: 9 * time.Second, events: []string{"block_inbound 1 16s", "crash leader back=2s"},
+		kinds: []string{"reply", "probe"}, waits: []time.Duration{3 * time.Second, 15 * time.Second}, choices: 3, orders: 127,
 	},
 	{
-		name: "a look at each node", text: relayed + "run 120s\nexpect over\nexpect accepted wk-1\nexpect leaders =1",
-		from: 6 * time.Second, events: []string{"submit wk-1 run=3s", "observe wk-1", "crash leader back=2s"},
-		races: []string{"txn", "txn answer"}, loses: []string{"txn answer"}, passes: []time.Duration{5 * time.Millisecond, 900 * time.Millisecond}, depth: 4, orders: 232,
+		name: "status queries to each node", text: fourNodes + "run 120s\nexpect over\nexpect accepted wk-1\nexpect leaders =1",
+		startAt: 6 * time.Second, events: []string{"submit wk-1 run=3s", "observe wk-1", "crash leader back=2s"},
+		kinds: []string{"txn", "txn answer"}, losable: []string{"txn answer"}, waits: []time.Duration{5 * time.Millisecond, 900 * time.Millisecond}, choices: 4, orders: 232,
 	},
 	{
-		name: "an answer lost after a cancellation", text: relayed + "at 4s submit wk-1 run=60s tasks=3\nat 7s cancel wk-1\nrun 150s\nexpect cancelled wk-1\nexpect leaders =1",
-		from: 6995 * time.Millisecond, events: []string{"observe wk-1", "observe wk-1"},
-		races: []string{"txn answer"}, loses: []string{"txn answer"}, passes: []time.Duration{20 * time.Millisecond, 900 * time.Millisecond}, depth: 4, orders: 331,
+		name: "a response lost after a cancellation", text: fourNodes + "at 4s submit wk-1 run=60s tasks=3\nat 7s cancel wk-1\nrun 150s\nexpect cancelled wk-1\nexpect leaders =1",
+		startAt: 6995 * time.Millisecond, events: []string{"observe wk-1", "observe wk-1"},
+		kinds: []string{"txn answer"}, losable: []string{"txn answer"}, waits: []time.Duration{20 * time.Millisecond, 900 * time.Millisecond}, choices: 4, orders: 331,
 	},
 	{
-		name: "an old report at the start of a term", text: tiny + "team t\nat 500ms duplicate_reports 6s share=1 next_leader=true\nat 5s submit wk-1 run=40s tasks=3\nrun 180s\nexpect over\nexpect met report-for-next >0\nexpect leaders =1",
-		from: 9 * time.Second, events: []string{"crash leader back=3s"},
-		races: []string{"kept", "report", "probe"}, passes: []time.Duration{50 * time.Millisecond, 2 * time.Second}, depth: 4, orders: 286,
+		name: "an old report at the start of a term", text: threeNodes + "team t\nat 500ms duplicate_reports 6s share=1 next_leader=true\nat 5s submit wk-1 run=40s tasks=3\nrun 180s\nexpect over\nexpect met report-for-next >0\nexpect leaders =1",
+		startAt: 9 * time.Second, events: []string{"crash leader back=3s"},
+		kinds: []string{"kept", "report", "probe"}, waits: []time.Duration{50 * time.Millisecond, 2 * time.Second}, choices: 4, orders: 286,
 	},
 	{
-		name: "a cancellation at the end of the last task", text: tiny + "team t\nat 6s submit wk-1 run=4s\nrun 120s\nexpect over\nexpect leaders =1",
-		from: 10 * time.Second, events: []string{"cancel wk-1", "observe wk-1"},
-		races: []string{"txn", "txn answer", "report"}, loses: []string{"txn answer"}, passes: []time.Duration{30 * time.Millisecond, 900 * time.Millisecond}, depth: 3, orders: 61,
+		name: "a cancellation at the end of the last task", text: threeNodes + "team t\nat 6s submit wk-1 run=4s\nrun 120s\nexpect over\nexpect leaders =1",
+		startAt: 10 * time.Second, events: []string{"cancel wk-1", "observe wk-1"},
+		kinds: []string{"txn", "txn answer", "report"}, losable: []string{"txn answer"}, waits: []time.Duration{30 * time.Millisecond, 900 * time.Millisecond}, choices: 3, orders: 61,
 	},
 	{
-		name: "a change of configuration and a change of leader", text: relayed + "team u max=12\nat 4s submit wk-1 owner=u run=4s tasks=12\nat 5s submit wk-2 owner=u run=2s tasks=9\nat 60s config u max=12\nrun 200s\nexpect over\nexpect configured\nexpect leaders =1",
-		from: 6 * time.Second, events: []string{"config u max=3", "crash leader back=2s"},
-		races: []string{"txn", "txn answer", "peer"}, loses: []string{"txn", "txn answer"}, passes: []time.Duration{100 * time.Millisecond, 2500 * time.Millisecond}, depth: 4, orders: 513,
+		name: "a change of configuration and a change of leader", text: fourNodes + "team u max=12\nat 4s submit wk-1 owner=u run=4s tasks=12\nat 5s submit wk-2 owner=u run=2s tasks=9\nat 60s config u max=12\nrun 200s\nexpect over\nexpect configured\nexpect leaders =1",
+		startAt: 6 * time.Second, events: []string{"config u max=3", "crash leader back=2s"},
+		kinds: []string{"txn", "txn answer", "peer"}, losable: []string{"txn", "txn answer"}, waits: []time.Duration{100 * time.Millisecond, 2500 * time.Millisecond}, choices: 4, orders: 513,
 	},
 }
 
-// racing is one play of an ordering.
-type racing struct {
+// raceRun is one run of a messageRace.
+type raceRun struct {
 	*script
-	o    *ordering
-	hand []*waiting
-	on   bool
-	lost bool
-	copy bool
+	race         *messageRace
+	pending      []*pendingEvent
+	intercepting bool
+	lost         bool
+	duplicated   bool
 }
 
-// waiting is something that may happen next.
-type waiting struct {
+// pendingEvent is a message or event that is held back.
+type pendingEvent struct {
 	kind, a, b string
 	do         func()
 }
 
-func (x *waiting) String() string {
+func (x *pendingEvent) String() string {
 	if x.kind == "event" {
 		return x.a
 	}
 	return x.kind + " " + x.a + ">" + x.b
 }
 
-func (r *racing) takes(kind, a, b string, f func()) bool {
-	if !r.on || !slices.Contains(r.o.races, kind) {
+func (r *raceRun) intercept(kind, a, b string, f func()) bool {
+	if !r.intercepting || !slices.Contains(r.race.kinds, kind) {
 		return false
 	}
-	r.hand = append(r.hand, &waiting{kind, a, b, f})
+	r.pending = append(r.pending, &pendingEvent{kind, a, b, f})
 	return true
 }
 
-// first reports whether nothing that must come before waits: what peers say stays in
-// order, and so does all between one worker and one node.
-func (r *racing) first(i int) bool {
-	x := r.hand[i]
+// deliverable reports whether a pending event may come next. Messages between the same two hosts
+// stay in order, except for requests that use a connection each.
+func (r *raceRun) deliverable(i int) bool {
+	x := r.pending[i]
 	if x.kind == "event" {
 		f := strings.Fields(x.a)
 		if j := r.jobs[f[len(f)-1]]; f[0] == "cancel" || f[0] == "again" || f[0] == "observe" {
-			return j != nil && (f[0] != "cancel" || j.accepted) // of what its user has submitted
+			return j != nil && (f[0] != "cancel" || j.accepted) // only for a submitted job
 		}
 		return true
 	}
 	if slices.Contains([]string{"txn", "txn answer", "call", "answer"}, x.kind) || strings.HasPrefix(x.kind, "late ") {
-		return true // each on a connection of its own
+		return true // one connection each
 	}
-	return !slices.ContainsFunc(r.hand[:i], func(y *waiting) bool { return y.kind == x.kind && y.a == x.a && y.b == x.b })
+	return !slices.ContainsFunc(r.pending[:i], func(y *pendingEvent) bool { return y.kind == x.kind && y.a == x.a && y.b == x.b })
 }
 
-// options says what may happen next.
+// option is a possible next step.
 type option struct {
 	name string
 	do   func()
 }
 
-func (r *racing) options() (os []option) {
-	for i, x := range r.hand {
-		if !r.first(i) {
+func (r *raceRun) options() (os []option) {
+	for i, x := range r.pending {
+		if !r.deliverable(i) {
 			continue
 		}
-		os = append(os, option{x.String(), func() { r.happens(x, true) }})
-		if slices.Contains(r.o.copies, x.kind) && !r.copy {
+		os = append(os, option{x.String(), func() { r.deliver(x, true) }})
+		if slices.Contains(r.race.duplicable, x.kind) && !r.duplicated {
 			os = append(os, option{"twice: " + x.String(), func() {
-				r.copy = true
-				r.hand = append(r.hand, &waiting{"late " + x.kind, x.a, x.b, x.do})
-				r.happens(x, true)
+				r.duplicated = true
+				r.pending = append(r.pending, &pendingEvent{"late " + x.kind, x.a, x.b, x.do})
+				r.deliver(x, true)
 			}})
 		}
-		if slices.Contains(r.o.loses, x.kind) && !r.lost {
-			os = append(os, option{"lost: " + x.String(), func() { r.lost = true; r.happens(x, false) }})
+		if slices.Contains(r.race.losable, x.kind) && !r.lost {
+			os = append(os, option{"lost: " + x.String(), func() { r.lost = true; r.deliver(x, false) }})
 		}
 	}
-	for _, d := range r.o.passes {
+	for _, d := range r.race.waits {
 		os = append(os, option{d.String() + " pass", func() {
 			for end := r.now.Add(d); r.step(end); {
 				r.check()
@@ -260,20 +258,20 @@
 	return os
 }
 
-func (r *racing) happens(x *waiting, arrives bool) {
-	r.hand = slices.DeleteFunc(r.hand, func(y *waiting) bool { return y == x })
+func (r *raceRun) deliver(x *pendingEvent, arrives bool) {
+	r.pending = slices.DeleteFunc(r.pending, func(y *pendingEvent) bool { return y == x })
 	switch {
 	case !arrives:
 	case x.kind != "event" && !r.net.open(x.a, x.b):
-		r.net.send(x.kind, x.a, x.b, x.do) // into the cut
+		r.net.send(x.kind, x.a, x.b, x.do) // delivered as the partition allows
 	default:
 		x.do()
 	}
 	r.check()
 }
 
-// settled reports whether all expectations hold, no task is on a machine, and no cut
-// holds anything back.
+// settled reports whether all expectations are met, no task is on a machine and no partition is
+// active.
 func (s *script) settled() bool {
 	for _, m := range s.cloud.machines {
 		if slices.ContainsFunc(m.tasks, (*task).on) {
@@ -283,32 +281,32 @@
 	return len(s.net.cuts) == 0 && !slices.ContainsFunc(s.expects, func(e expect) bool { return !s.holds(e.words) })
 }
 
-// playOrder plays one order of choices; choices beyond those given are the first
-// option. widths says how many options each choice had, names which was taken.
-func playOrder(o *ordering, choices []int, lie, hears func(n *node, x any) any) (widths []int, names []string, res Result) {
+// runOrder runs one sequence of choices, taking the first option once choices is exhausted. It
+// returns the number of options at each choice and the name of the option taken.
+func runOrder(o *messageRace, choices []int, alterOutput, alterInput func(n *node, x any) any) (widths []int, names []string, res Result) {
 	s, err := parseScript(o.text)
 	if err != nil {
 		panic(err)
 	}
-	s.alterOutput, s.alterInput = lie, hears
+	s.alterOutput, s.alterInput = alterOutput, alterInput
 	s.setUp()
-	r := &racing{script: s, o: o}
-	s.net.take = r.takes
-	for s.step(s.start.Add(o.from)) {
+	r := &raceRun{script: s, race: o}
+	s.net.take = r.intercept
+	for s.step(s.start.Add(o.startAt)) {
 	}
-	r.on = true
+	r.intercepting = true
 	for _, e := range o.events {
 		f := strings.Fields(e)
-		r.hand = append(r.hand, &waiting{kind: "event", a: e, do: func() {
-			if f[0] == "again" { // its user asks once more, whatever it was told
+		r.pending = append(r.pending, &pendingEvent{kind: "event", a: e, do: func() {
+			if f[0] == "again" { // a repeated submission, whatever the response was
 				s.submit(s.jobs[f[1]])
 				return
 			}
 			s.perform(f)
 		}})
 	}
-	for len(widths) < o.depth {
-		for len(r.hand) == 0 && s.step(s.start.Add(s.end)) {
+	for len(widths) < o.choices {
+		for len(r.pending) == 0 && s.step(s.start.Add(s.end)) {
 			r.check()
 		}
 		os := r.options()
@@ -320,22 +318,22 @@
 		names = append(names, os[pick].name)
 		os[pick].do()
 	}
-	r.on = false
-	for len(r.hand) > 0 { // the rest, in its order
-		r.happens(r.hand[0], true)
+	r.intercepting = false
+	for len(r.pending) > 0 { // the remaining messages, in order
+		r.deliver(r.pending[0], true)
 	}
-	// Once every expectation holds and nothing has run for longer than a lease lasts, or
-	// a cancellation where there is one, nothing is left that could still go wrong.
-	calm, calmFor := s.elapsed(), s.lease+8*time.Second
+	// Stop early once the cluster has been settled for longer than the lease, or the cancel timeout
+	// if a job is cancelled: no delayed effect can follow.
+	lastUnsettled, quietPeriod := s.elapsed(), s.lease+8*time.Second
 	if slices.ContainsFunc(o.events, func(e string) bool { return strings.HasPrefix(e, "cancel") }) || strings.Contains(o.text, " cancel ") {
-		calmFor = s.cancelWithin + 20*time.Second
+		quietPeriod = s.cancelWithin + 20*time.Second
 	}
 	for at := s.elapsed(); at < s.end; {
 		at = min(at+5*time.Second, s.end)
 		s.runTo(at)
 		if !s.settled() {
-			calm = at
-		} else if at-calm > calmFor {
+			lastUnsettled = at
+		} else if at-lastUnsettled > quietPeriod {
 			break
 		}
 	}
@@ -345,11 +343,12 @@
 	return widths, names, res
 }
 
-// eachOrder plays every order, several at a time, until f says no.
-func eachOrder(o *ordering, lie, hears func() func(n *node, x any) any, f func(choices []int, names []string, res Result) bool) (played int) {
+// eachOrder runs every sequence, up to eight in parallel, until f returns false. It returns the
+// number of sequences run.
+func eachOrder(o *messageRace, alterOutput, alterInput func() func(n *node, x any) any, f func(choices []int, names []string, res Result) bool) (played int) {
 	var count atomic.Int64
 	var stop atomic.Bool
-	widths, _, _ := playOrder(o, nil, lie(), hears())
+	widths, _, _ := runOrder(o, nil, alterOutput(), alterInput())
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	slots := make(chan struct{}, 8)
@@ -358,7 +357,7 @@
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			for choices := []int{first}; !stop.Load(); {
-				ws, names, res := playOrder(o, choices, lie(), hears())
+				ws, names, res := runOrder(o, choices, alterOutput(), alterInput())
 				count.Add(1)
 				choices = append(choices, make([]int, len(ws)-len(choices))...)
 				mu.Lock()
@@ -366,7 +365,7 @@
 					stop.Store(true)
 				}
 				mu.Unlock()
-				// The next one: the last choice that has another option.
+				// Advance the last choice that has another option.
 				i := len(choices) - 1
 				for i > 0 && choices[i]+1 >= ws[i] {
 					i--
@@ -383,11 +382,11 @@
 	return int(count.Load())
 }
 
-var order = flag.String("order", "", "play one order alone, as a failing one prints itself: NAME:1,0,3")
+var orderFlag = flag.String("order", "", "run a single order, as printed by a failing test: NAME:1,0,3")
 
-func honest() func(*node, any) any { return nil }
+func unaltered() func(*node, any) any { return nil }
 
-func complaint(name string, choices []int, names []string, res Result) string {
+func failureReport(name string, choices []int, names []string, res Result) string {
 	var nums []string
 	for _, c := range choices {
 		nums = append(nums, strconv.Itoa(c))
@@ -396,12 +395,12 @@
 		strings.Join(names, "\n"), strings.Join(append(res.Violations, res.Unmet...), "\n"))
 }
 
-// TestOrders plays every order of every set.
+// TestOrders runs every order of every messageRace.
 func TestOrders(t *testing.T) {
-	for i := range orderings {
-		o := &orderings[i]
-		if *order != "" {
-			if list, ok := strings.CutPrefix(*order, o.name+":"); ok {
+	for i := range messageRaces {
+		o := &messageRaces[i]
+		if *orderFlag != "" {
+			if list, ok := strings.CutPrefix(*orderFlag, o.name+":"); ok {
 				var choices []int
 				for c := range strings.SplitSeq(list, ",") {
 					n, err := strconv.Atoi(c)
@@ -410,8 +409,8 @@
 					}
 					choices = append(choices, n)
 				}
-				_, names, res := playOrder(o, choices, nil, nil)
-				t.Log(complaint(o.name, choices, names, res))
+				_, names, res := runOrder(o, choices, nil, nil)
+				t.Log(failureReport(o.name, choices, names, res))
 				if len(res.Violations)+len(res.Unmet) > 0 {
 					t.Fail()
 				}
@@ -421,22 +420,22 @@
 		t.Run(o.name, func(t *testing.T) {
 			t.Parallel()
 			bad := 0
-			n := eachOrder(o, honest, honest, func(choices []int, names []string, res Result) bool {
+			n := eachOrder(o, unaltered, unaltered, func(choices []int, names []string, res Result) bool {
 				if len(res.Violations)+len(res.Unmet) > 0 {
 					bad++
-					t.Error(complaint(o.name, choices, names, res))
+					t.Error(failureReport(o.name, choices, names, res))
 				}
 				return bad < 3
 			})
 			t.Logf("%d orders", n)
 			if bad == 0 && n != o.orders {
-				t.Errorf("%d orders, there should be %d", n, o.orders)
+				t.Errorf("%d orders run, want %d", n, o.orders)
 			}
 		})
 	}
 }
 
-// withoutCopies is an output that passes on no copies of some records.
+// withoutCopies removes the records that gone selects from a replication message.
 func withoutCopies(out any, gone func(value any) bool) any {
 	p, ok := out.(peermsg.Outgoing)
 	if !ok || p.Msg.Replica == nil {
@@ -448,7 +447,7 @@
 	return p
 }
 
-// withoutWrites is an output that writes no records of some kind.
+// withoutWrites removes the records that gone selects from a transaction.
 func withoutWrites(out any, gone func(value any) bool) any {
 	call, ok := out.(kv.Request)
 	if !ok || call.Op != kv.Txn {
@@ -458,20 +457,20 @@
 	return call
 }
 
-// TestOrdersPlanted: errors put between the core and the world are found by some
-// order, so the search can fail.
+// TestOrdersPlanted injects errors into the inputs and outputs of the controllers and requires
+// some order to detect each of them.
 func TestOrdersPlanted(t *testing.T) {
 	ofMachines := func(v any) bool {
 		_, ok := v.(*record.Machines)
 		return ok
 	}
 	unrecorded := func() func(n *node, out any) any {
-		return func(n *node, out any) any { // machines go unrecorded, in copies as well: nobody waits for them
+		return func(n *node, out any) any { // machines are neither recorded nor replicated, so no leader waits for them
 			return withoutWrites(withoutCopies(out, ofMachines), ofMachines)
 		}
 	}
-	lower := func() func(n *node, out any) any {
-		return func(n *node, out any) any { // attempts of the second term are below the first's
+	lowerAttempts := func() func(n *node, out any) any {
+		return func(n *node, out any) any { // attempt numbers of the second term are lower than the first's
 			if a, ok := out.(heartbeat.Reply); ok {
 				a.Orders = slices.Clone(a.Orders)
 				for i := range a.Orders {
@@ -483,12 +482,12 @@
 		}
 	}
 	for _, p := range []struct {
-		set, rule  string
-		lie, hears func() func(n *node, x any) any
+		set, rule               string
+		alterOutput, alterInput func() func(n *node, x any) any
 	}{
-		{"a look at each node", "no order", func() func(n *node, out any) any {
+		{"status queries to each node", "no order", func() func(n *node, out any) any {
 			first := map[string]request.JobStatus{}
-			return func(n *node, out any) any { // a node tells again what it has told once
+			return func(n *node, out any) any { // a controller repeats its first status response
 				a, ok := out.(request.Response)
 				if !ok || a.Status != 200 && a.Status != 201 || a.View.ID == "" {
 					return out
@@ -500,18 +499,18 @@
 				}
 				return a
 			}
-		}, honest},
-		{"an answer lost after a cancellation", "no order", func() func(n *node, out any) any {
-			return func(n *node, out any) any { // a poll does not wait for a record that may be there
+		}, unaltered},
+		{"a response lost after a cancellation", "no order", func() func(n *node, out any) any {
+			return func(n *node, out any) any { // a poll is answered before the pending record is known
 				if a, ok := out.(request.Response); ok && a.Reason == "its end is being recorded" {
 					a.Status, a.View = 200, request.JobStatus{ID: "wk-1", State: spec.Running}
 					return a
 				}
 				return out
 			}
-		}, honest},
-		{"an old report at the start of a term", "ran_twice", honest, func() func(n *node, in any) any {
-			return func(n *node, in any) any { // every report counts as one of the term at hand
+		}, unaltered},
+		{"an old report at the start of a term", "ran_twice", unaltered, func() func(n *node, in any) any {
+			return func(n *node, in any) any { // every heartbeat carries the current term
 				if r, ok := in.(heartbeat.Received); ok && n.core.HasAuthority(n.local()) {
 					r.Report.FencingToken = n.core.Stats().Term
 					return r
@@ -521,20 +520,20 @@
 		}},
 		{"a cancellation at the end of the last task", "went_back", func() func(n *node, out any) any {
 			told := false
-			return func(n *node, out any) any { // whoever asks first after the end is told that it is cancelled
+			return func(n *node, out any) any { // the first poll after completion reports the job as cancelled
 				if a, ok := out.(request.Response); ok && a.View.State == spec.Done && n.jobs["wk-1"].wantsCancel && !told {
 					told, a.View.State = true, spec.Cancelled
 					return a
 				}
 				return out
 			}
-		}, honest},
+		}, unaltered},
 		{"accept and retry", "forgotten", func() func(n *node, out any) any {
-			return func(n *node, out any) any { // an answer before its write
+			return func(n *node, out any) any { // a submission is answered before it is recorded
 				if call, ok := out.(kv.Request); ok && call.Op == kv.Txn {
 					for _, w := range call.Writes {
 						if rec, ok := w.Value.(*record.Job); ok && !rec.Cancelled {
-							for _, x := range n.nodes { // whichever the user has asked
+							for _, x := range n.nodes { // the user may have asked any controller
 								x.answer(x.submission, request.Response{Ref: x.submission, Status: 201, View: request.JobStatus{ID: rec.Spec.ID, State: spec.Queued}})
 							}
 						}
@@ -542,46 +541,46 @@
 				}
 				return out
 			}
-		}, honest},
-		{"start and a change of leader", "ran_twice", unrecorded, honest},
-		{"start and a change of leader", "misuse", lower, honest},
-		{"a machine that is back", "misuse", lower, honest},
-		{"a loss and a change of leader", "forgotten", func() func(n *node, out any) any {
-			return func(n *node, out any) any { // copies lack jobs
+		}, unaltered},
+		{"start and a change of leader", "ran_twice", unrecorded, unaltered},
+		{"start and a change of leader", "misuse", lowerAttempts, unaltered},
+		{"a restarted machine", "misuse", lowerAttempts, unaltered},
+		{"data loss and a change of leader", "forgotten", func() func(n *node, out any) any {
+			return func(n *node, out any) any { // jobs are not replicated
 				return withoutCopies(out, func(v any) bool {
 					_, job := v.(*record.Job)
 					return job
 				})
 			}
-		}, honest},
+		}, unaltered},
 		{"cancel and start", "ran_cancelled", func() func(n *node, out any) any {
-			return func(n *node, out any) any { // stops are forgotten
+			return func(n *node, out any) any { // stop orders are dropped
 				if a, ok := out.(heartbeat.Reply); ok {
 					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop })
 					return a
 				}
 				return out
 			}
-		}, honest},
+		}, unaltered},
 	} {
 		t.Run(p.set+"/"+p.rule, func(t *testing.T) {
 			t.Parallel()
-			i := slices.IndexFunc(orderings, func(o ordering) bool { return o.name == p.set })
-			o, found := orderings[i], ""
-			// A user who asks again would mend what the lie has broken.
+			i := slices.IndexFunc(messageRaces, func(o messageRace) bool { return o.name == p.set })
+			o, found := messageRaces[i], ""
+			// A repeated submission would repair the injected error.
 			o.events = slices.DeleteFunc(slices.Clone(o.events), func(e string) bool { return strings.HasPrefix(e, "again") })
-			n := eachOrder(&o, p.lie, p.hears, func(choices []int, names []string, res Result) bool {
+			n := eachOrder(&o, p.alterOutput, p.alterInput, func(choices []int, names []string, res Result) bool {
 				for _, v := range res.Violations {
 					if strings.Contains(v, " "+p.rule+":") {
-						found = complaint(p.set, choices, names, res)
+						found = failureReport(p.set, choices, names, res)
 					}
 				}
 				return found == ""
 			})
 			if found == "" {
-				t.Errorf("not found in %d orders", n)
+				t.Errorf("injected error not detected in %d orders", n)
 			}
-			t.Logf("found within %d orders: %s", n, found)
+			t.Logf("detected within %d orders: %s", n, found)
 		})
 	}
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -11,9 +11,9 @@
 )
 
 var (
-	verbose = flag.Bool("trace", false, "print what the controllers log")
-	seeds   = flag.Uint64("seeds", 40, "how many random fault mixes to play")
-	all     = flag.Bool("meetings", false, "play every two of the troubles that may meet, not a part")
+	verbose = flag.Bool("trace", false, "print the log lines of the controllers")
+	seeds   = flag.Uint64("seeds", 40, "number of seeds for the random fault tests")
+	all     = flag.Bool("meetings", false, "run all fault pairs and more seeds instead of a fixed subset")
 )
 
 func play(t *testing.T, text string) Result {
@@ -27,23 +27,23 @@
 		t.Fatal(err)
 	}
 	for _, v := range res.Violations {
-		t.Errorf("rule broken at %s", v)
+		t.Errorf("rule violated: %s", v)
 	}
 	for _, e := range res.Unmet {
-		t.Errorf("expected %s", e)
+		t.Errorf("expectation not met: %s", e)
 	}
 	for _, why := range notLinear(res) {
 		t.Error(why)
 	}
-	t.Logf("%d tasks started, %d requests to the state service, met %v", res.Started, res.Requests, res.Met)
+	t.Logf("%d tasks started, %d requests to the key-value store, observed %v", res.Started, res.Requests, res.Met)
 	return res
 }
 
-// TestScenarios plays every file in testdata.
+// TestScenarios runs every scenario in testdata.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no scenarios", err)
+		t.Fatalf("no scenario files found: %v", err)
 	}
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
@@ -57,7 +57,7 @@
 	}
 }
 
-const fleet = `
+const randomFaultCluster = `
 seed %d
 team t max=60
 team u cpus=30
@@ -81,8 +81,8 @@
 at 200s boot_time 100
 `
 
-// TestRandomFaults plays mixes of faults drawn from fixed seeds. Whatever comes,
-// no rule may break, and once all is well again every job is done.
+// TestRandomFaults runs random mixes of faults from fixed seeds: no rule may be violated, and
+// every job must complete once the faults are over.
 func TestRandomFaults(t *testing.T) {
 	kinds := []string{
 		"crash leader", "crash all", "crash n1 back=3s", "rolling_restart 6s", "outage state 8s", "outage state 30s", "outage cloud 20s",
@@ -97,19 +97,19 @@
 		"block_inbound 2 20s", "cancel_running 4 hang=15s", "cancel_on_completion 40s share=0.4", "invalid_requests 30s", "observe_transitions 20s",
 	}
 	end := "run 700s\nexpect done all\nexpect cancelled wk-7\nexpect leaders =1\nexpect made all =6\nexpect whole all\nexpect whole skip\nexpect whole wait\n"
-	playMixes(t, 5, fleet, end, func(rng *rand.Rand, sb *strings.Builder) {
+	playMixes(t, 5, randomFaultCluster, end, func(rng *rand.Rand, sb *strings.Builder) {
 		for range 3 + rng.IntN(6) {
 			at := 10 + rng.IntN(150)
 			fmt.Fprintf(sb, "at %ds %s\n", at, kinds[rng.IntN(len(kinds))])
-			if rng.IntN(2) == 0 { // and something else right on top of it
+			if rng.IntN(2) == 0 { // a second fault within a second
 				fmt.Fprintf(sb, "at %d.%03ds %s\n", at, rng.IntN(1000), kinds[rng.IntN(len(kinds))])
 			}
 		}
 	})
 }
 
-// playMixes plays what draw draws from each seed, between a beginning that takes the seed
-// and an end.
+// playMixes runs one scenario a seed: begin formatted with the seed, the lines that draw appends
+// from the seed's random numbers, and end.
 func playMixes(t *testing.T, stream uint64, begin, end string, draw func(rng *rand.Rand, sb *strings.Builder)) {
 	for seed := range *seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// TestPlanted breaks each rule on purpose: a checker that cannot fail is none.
+// TestPlanted violates each rule on purpose and requires the checker to detect it.
 func TestPlanted(t *testing.T) {
 	for _, rule := range []string{"ran_twice", "quota", "wrong_place", "ran_cancelled", "forgotten", "invented", "not_done", "went_back", "nothing_ran"} {
 		t.Run(rule, func(t *testing.T) {
@@ -142,7 +142,7 @@
 run 22s
 `, nil)
 			if err != nil || len(res.Unmet) > 0 {
-				t.Errorf("the checker does not see it: %v %v", res, err)
+				t.Errorf("violation not detected: %v, error %v", res, err)
 			}
 		})
 	}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -11,18 +11,18 @@
 	"yewpass/internal/spec"
 )
 
-// Result is how a scenario went.
+// Result is the outcome of a scenario.
 type Result struct {
-	Violations []string // broken rules
-	Unmet      []string // expectations that do not hold
-	Started    int      // tasks started
-	Requests   int      // to the state service
-	Met        map[string]int
-	History    map[string][]call // of each job, all calls of users
+	Violations []string          // violated rules, each with its time and details
+	Unmet      []string          // expectations that were not met
+	Started    int               // tasks started
+	Requests   int               // to the key-value store
+	Met        map[string]int    // how often each observed situation occurred
+	History    map[string][]call // user calls by job ID
 }
 
-// Run plays a scenario. Lines that operators would log go to trace unless it is
-// nil.
+// Run parses a scenario and simulates it to its end. The simulated controllers' log lines go
+// to trace unless it is nil. It returns an error if the script is invalid.
 func Run(text string, trace func(string)) (Result, error) {
 	s, err := parseScript(text)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return s.play()
 }
 
-// parseScript takes in a scenario's text.
+// parseScript parses a scenario line by line. Text after # is a comment.
 func parseScript(text string) (*script, error) {
 	s := &script{world: newWorld()}
 	sc := bufio.NewScanner(strings.NewReader(text))
@@ -59,13 +59,13 @@
 }
 
 type action struct {
-	at   time.Duration
+	at    time.Duration
 	words []string
 }
 
 type expect struct {
-	words []string
-	met  bool
+	words     []string
+	met       bool
 	evaluated bool
 }
 
@@ -84,7 +84,7 @@
 	return s.result(), nil
 }
 
-// setUp sets the world up.
+// setUp schedules the actions, the timed expectations and the start of the controllers.
 func (s *script) setUp() {
 	w := s.world
 	w.clock.rng = newClock(s.seed).rng
@@ -108,7 +108,7 @@
 	}
 }
 
-// result says how it went.
+// result evaluates the remaining expectations and collects the outcome.
 func (s *script) result() (res Result) {
 	w := s.world
 	for _, e := range s.expects {
@@ -120,7 +120,7 @@
 		}
 	}
 	if i := slices.IndexFunc(s.expects, func(e expect) bool { return e.words[0] == "rule" }); i >= 0 {
-		// A planted violation: it must be caught, so it is not reported.
+		// The script violates this rule on purpose; "expect rule" checks that it was detected.
 		rule := s.expects[i].words[1]
 		w.violations = slices.DeleteFunc(w.violations, func(v string) bool { return strings.Contains(v, " "+rule+":") })
 	}
@@ -128,7 +128,7 @@
 	return res
 }
 
-// unfinishedJobs names the accepted jobs that are not over.
+// unfinishedJobs lists the accepted jobs without a final state and their progress.
 func (s *script) unfinishedJobs() string {
 	var sb strings.Builder
 	for _, j := range s.order {
@@ -139,7 +139,7 @@
 	return sb.String()
 }
 
-// applySettings takes over what the settings say.
+// applySettings copies the limits and timings of the settings to the simulated components.
 func (w *world) applySettings(trace func(string)) {
 	st, wk := w.cfg.Settings.State, w.cfg.Settings.Workers
 	w.trace = trace
@@ -147,7 +147,7 @@
 	w.reportEvery, w.lease, w.cancelWithin = wk.Report.Duration(), wk.Lease.Duration(), wk.Cancel.Duration()
 }
 
-// parseJob reads a parseJob's description.
+// parseJob builds a job from the key-value words of a submit or burst action.
 func (s *script) parseJob(id string, a map[string]string) *userJob {
 	run := durationArg(a, "run", 20*time.Second)
 	j := &userJob{runs: run, faulty: a["faulty"] != "", jobProgress: newJobProgress()}
@@ -180,7 +180,7 @@
 	return j
 }
 
-// node returns the node that a word names, or nil.
+// node returns the controller called word, or any leader or follower, or nil.
 func (s *script) node(word string) *node {
 	for _, n := range s.nodes {
 		leads := n.alive && n.core.HasAuthority(n.local())
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// busiest returns the n machines up that hold the most tasks.
+// busiest returns the n running machines that hold the most tasks.
 func (s *script) busiest(n int) []*worker {
 	var ms []*worker
 	for _, m := range s.cloud.machines {
@@ -203,7 +203,7 @@
 	return ms[:min(n, len(ms))]
 }
 
-// selectMachines returns the busiest N machines, or those of a zone.
+// selectMachines returns the N busiest machines for a number, or those of a zone for zone=Z.
 func (s *script) selectMachines(word string) []*worker {
 	ms := s.busiest(len(s.cloud.machines))
 	if zone, ok := strings.CutPrefix(word, "zone="); ok {
@@ -213,13 +213,13 @@
 	return ms[:min(n, len(ms))]
 }
 
-// faultActions are the actions that are none of ordinary use.
+// faultActions are the actions that inject a fault.
 var faultActions = strings.Fields(`crash crash_loop restart shutdown rolling_restart outage wipe restore ignore_releases state_unavailable drop_txn_responses partition stall
 	poll_load hang fail_tasks preempt boot_time corrupt clock_offset delay_txns duplicate_reports block_inbound block_reports cancel_running slow_state`)
 
-// noteFault takes note of when a trouble is surely over: after all its times together, and
-// half a minute in which processes and machines come back.
-func (w *world) noteFault(f []string) {
+// recordFault extends faultsOverAt past the end of a fault: the sum of all durations in the
+// action, plus 30 s for processes and machines to restart.
+func (w *world) recordFault(f []string) {
 	if !slices.Contains(faultActions, f[0]) {
 		return
 	}
--- a/internal/scenario/script_actions.go
+++ b/internal/scenario/script_actions.go
@@ -12,11 +12,11 @@
 	"yewpass/internal/request"
 )
 
-// actionHandlers are the words of "at" lines, each with what carries it out.
+// actionHandlers maps the action names of "at" lines to their handlers.
 var actionHandlers map[string]func(s *script, f []string)
 
 func init() {
-	// Set here because some actions are made of others.
+	// An initializer at the declaration would be a cycle: some actions perform others.
 	actionHandlers = map[string]func(s *script, f []string){
 		"machines":             (*script).actMachines,
 		"submit":               (*script).actSubmit,
@@ -68,17 +68,17 @@
 	}
 }
 
-// perform carries out an action.
+// perform executes an action and panics if its name is unknown.
 func (s *script) perform(f []string) {
-	s.noteFault(f)
-	carryOut := actionHandlers[f[0]]
-	if carryOut == nil {
+	s.recordFault(f)
+	handler := actionHandlers[f[0]]
+	if handler == nil {
 		panic("unknown action " + f[0])
 	}
-	carryOut(s, f)
+	handler(s, f)
 }
 
-// actMachines carries out the word machines.
+// actMachines handles "machines TYPE ZONE [n=N] [spot]": adds running machines.
 func (s *script) actMachines(f []string) {
 	a := keyValues(f[3:])
 	for range int(numberArg(a, "n", 1)) {
@@ -86,13 +86,14 @@
 	}
 }
 
-// actSubmit carries out the word submit.
+// actSubmit handles "submit ID k=v...": a user submits one job.
 func (s *script) actSubmit(f []string) {
 	w := s.world
 	w.submit(s.parseJob(f[1], keyValues(f[2:])))
 }
 
-// actBurst carries out: burst N every=D k=v...: jobs one after the other.
+// actBurst handles "burst N [gap=D] [vary=S] [cancelled=P] k=v...": submits N jobs, gap apart.
+// vary spreads the run times; a share P of the jobs is cancelled after 5 to 35 s.
 func (s *script) actBurst(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
@@ -102,7 +103,7 @@
 		id := fmt.Sprintf("wk-1%05d", s.burst)
 		w.after(time.Duration(i)*durationArg(a, "gap", time.Second), func() {
 			b := keyValues(f[2:])
-			if p := numberArg(a, "vary", 0); p > 0 { // run times and estimates apart
+			if p := numberArg(a, "vary", 0); p > 0 { // the actual run time deviates from the estimate
 				b["est"] = b["run"]
 				b["run"] = time.Duration(float64(parseDuration(a["run"])) * math.Exp(p*w.rng.NormFloat64())).String()
 			}
@@ -115,7 +116,7 @@
 	}
 }
 
-// actCancel carries out: cancel ID, cancel first N.
+// actCancel handles "cancel ID" and "cancel first N": users cancel jobs.
 func (s *script) actCancel(f []string) {
 	w := s.world
 	if f[1] == "first" {
@@ -130,7 +131,7 @@
 	w.cancel(w.jobs[f[1]])
 }
 
-// actCrash carries out the word crash.
+// actCrash handles "crash NODE|all [back=D]": processes are killed and restart after D.
 func (s *script) actCrash(f []string) {
 	w := s.world
 	back := durationArg(keyValues(f[2:]), "back", 8*time.Second)
@@ -144,7 +145,7 @@
 	}
 }
 
-// actCrashLoop carries out: flap WHO D every=D [back=D]: its process ends again and again.
+// actCrashLoop handles "crash_loop WHO D every=D [back=D]": crashes WHO repeatedly during D.
 func (s *script) actCrashLoop(f []string) {
 	w := s.world
 	for t := time.Duration(0); t < parseDuration(f[2]); t += durationArg(keyValues(f[3:]), "every", time.Second) {
@@ -154,7 +155,7 @@
 	}
 }
 
-// actRestart carries out: restart N [back=D] [anew]: the busiest machines end and are back, counting on or from 1.
+// actRestart handles "restart N [back=D] [reset_counter]": restarts the busiest machines.
 func (s *script) actRestart(f []string) {
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
@@ -162,7 +163,7 @@
 	}
 }
 
-// actShutdown carries out: leave NODE [back=D]: its process is told to end, hands over and ends.
+// actShutdown handles "shutdown NODE [back=D]": shuts a controller down gracefully.
 func (s *script) actShutdown(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
@@ -171,7 +172,7 @@
 	}
 }
 
-// actRollingRestart carries out the word roll.
+// actRollingRestart handles "rolling_restart D [back=D]": crashes the controllers D apart.
 func (s *script) actRollingRestart(f []string) {
 	w := s.world
 	for i, n := range w.nodes {
@@ -179,7 +180,7 @@
 	}
 }
 
-// actOutage carries out the word outage.
+// actOutage handles "outage state|cloud D": the key-value store or the cloud API is down.
 func (s *script) actOutage(f []string) {
 	w := s.world
 	switch f[1] {
@@ -190,33 +191,33 @@
 	}
 }
 
-// actWipe carries out: wipe [under=PREFIX] [rev]: the state service loses keys; rev: and begins again.
+// actWipe handles "wipe [under=PREFIX] [rev]": the store loses keys and, with rev, its revision.
 func (s *script) actWipe(f []string) {
 	w := s.world
 	w.dataLost = true
 	w.store.wipe(keyValues(f[1:])["under"], keyValues(f[1:])["rev"] != "")
 }
 
-// actSave carries out: save: what a later restore brings back.
+// actSave handles "save": takes the snapshot of the key-value store that restore loads.
 func (s *script) actSave(f []string) {
 	w := s.world
 	w.saved = w.store.save()
 }
 
-// actRestore carries out the word restore.
+// actRestore handles "restore": resets the key-value store to the saved snapshot.
 func (s *script) actRestore(f []string) {
 	w := s.world
 	w.dataLost = true
 	w.saved()
 }
 
-// actIgnoreReleases carries out: the cloud answers releases and carries none out.
+// actIgnoreReleases handles "ignore_releases D": the cloud confirms releases but ignores them.
 func (s *script) actIgnoreReleases(f []string) {
 	w := s.world
 	w.cloud.deaf = w.now.Add(parseDuration(f[1]))
 }
 
-// actStateUnavailable carries out: only this node gets 503 from the state service.
+// actStateUnavailable handles "state_unavailable NODE D": the store answers 503 to NODE only.
 func (s *script) actStateUnavailable(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
@@ -224,7 +225,8 @@
 	}
 }
 
-// actDropTxnResponses carries out: mute NODE D [late=D]: its transactions are applied, and not answered.
+// actDropTxnResponses handles "drop_txn_responses NODE D [late=D]": transactions of NODE are
+// applied, late with late=D, and their responses are lost.
 func (s *script) actDropTxnResponses(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
@@ -232,27 +234,30 @@
 	}
 }
 
-// actDelayTxns carries out: late_writes D share=S [at_once=true]: transactions without an answer, carried out 2 to 12 s later.
+// actDelayTxns handles "delay_txns D share=S [at_once=true]": a share of the transactions gets no
+// response and is applied 2 to 12 s later, or immediately with at_once=true.
 func (s *script) actDelayTxns(f []string) {
 	w := s.world
 	a := keyValues(f[2:])
 	w.store.late = delayedShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(a, "share", 0.3), atOnce: a["at_once"] == "true"}
 }
 
-// actDuplicateReports carries out: late_reports D share=S [for_next=true]: copies that arrive from 2 s to two leases later.
+// actDuplicateReports handles "duplicate_reports D share=S [next_leader=true]": a share of the
+// heartbeats arrives again, 2 s to two leases later, or when the next leader starts.
 func (s *script) actDuplicateReports(f []string) {
 	w := s.world
 	a := keyValues(f[2:])
 	w.lateReports = delayedShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(a, "share", 0.3), next: a["next_leader"] == "true"}
 }
 
-// actSlowState carries out: slow_state D by=D: what is asked is carried out and answered late.
+// actSlowState handles "slow_state D by=D": the key-value store delays its responses.
 func (s *script) actSlowState(f []string) {
 	w := s.world
 	w.store.slow, w.store.slowBy = w.now.Add(parseDuration(f[1])), durationArg(keyValues(f[2:]), "by", 2*time.Second)
 }
 
-// actBlockInbound carries out: machine_deaf N|zone=Z D: answers and commands to them are lost.
+// actBlockInbound handles "block_inbound N|zone=Z D": responses and commands to the machines are
+// lost; their heartbeats arrive.
 func (s *script) actBlockInbound(f []string) {
 	w := s.world
 	for _, m := range s.selectMachines(f[1]) {
@@ -260,7 +265,7 @@
 	}
 }
 
-// actBlockReports carries out: machine_mute N|zone=Z D: they reach no controller, and direct commands reach them.
+// actBlockReports handles "block_reports N|zone=Z D": heartbeats are lost, commands are answered.
 func (s *script) actBlockReports(f []string) {
 	w := s.world
 	for _, m := range s.selectMachines(f[1]) {
@@ -268,51 +273,55 @@
 	}
 }
 
-// actCancelRunning carries out: cancel_now N [hang=D]: users call off jobs that run and have long to go.
+// actCancelRunning handles "cancel_running N [hang=D]": cancels the N jobs with the most time left,
+// and with hang=D some of their machines hang.
 func (s *script) actCancelRunning(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
 	w.cancelRunning(n, durationArg(keyValues(f[2:]), "hang", 0))
 }
 
-// actCancelOnCompletion carries out: cancel_at_end D share=S: that share of the jobs that end is called off just then.
+// actCancelOnCompletion handles "cancel_on_completion D share=S": users cancel completing jobs.
 func (s *script) actCancelOnCompletion(f []string) {
 	w := s.world
 	w.cancelAtEnd = delayedShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(keyValues(f[2:]), "share", 0.3)}
 }
 
-// actInvalidRequests carries out: odd_requests D: repeats, cancellations of what is done, jobs that cannot run.
+// actInvalidRequests handles "invalid_requests D": users repeat submissions, cancel finished jobs
+// and submit incomplete jobs and jobs that cannot run.
 func (s *script) actInvalidRequests(f []string) {
 	w := s.world
 	w.sendOddRequests(w.now.Add(parseDuration(f[1])))
 }
 
-// actObserveTransitions carries out: close_looks D: users ask at all nodes right after a job is accepted, ended or cancelled.
+// actObserveTransitions handles "observe_transitions D": observes each job at its state changes.
 func (s *script) actObserveTransitions(f []string) {
 	w := s.world
 	w.observeUntil = w.now.Add(parseDuration(f[1]))
 }
 
-// actLatency carries out: latency D: messages take so long from now on.
+// actLatency handles "latency D": sets the network latency.
 func (s *script) actLatency(f []string) {
 	w := s.world
 	w.net.latency = parseDuration(f[1])
 }
 
-// actObserve carries out: look ID: one such look.
+// actObserve handles "observe ID": the user of a job queries all controllers repeatedly.
 func (s *script) actObserve(f []string) {
 	w := s.world
 	w.observeJob(w.jobs[f[1]], false)
 }
 
-// actPartition carries out: cut WHO D hold|reset [only=HOSTS]: leader, peers (all nodes), workers, state, user, names.
+// actPartition handles "partition WHO D hold|reset [only=HOSTS] [nodes=NODES]": separates WHO from
+// all hosts, or from HOSTS: names, leader, follower, peers (all controllers), workers, state, user.
+// Packets are held back until the end of the partition, or connections are reset.
 func (s *script) actPartition(f []string) {
 	hosts, zone := s.partitionHosts(f)
 	only := s.partitionPeers(keyValues(f[3:])["only"])
 	s.net.split(hosts, only, f[3] == "hold", parseDuration(f[2]), zone)
 }
 
-// partitionHosts returns the hosts that a cut names, and their zone if it names one.
+// partitionHosts returns the hosts that WHO of a partition names, and the zone for zone=Z.
 func (s *script) partitionHosts(f []string) (hosts map[string]bool, zone string) {
 	hosts = map[string]bool{}
 	if n := s.node(f[1]); n != nil {
@@ -336,7 +345,7 @@
 			hosts[m.host] = true
 		}
 	}
-	nodes := keyValues(f[3:])["nodes"] // that live in the zone as well
+	nodes := keyValues(f[3:])["nodes"] // controllers in the zone
 	if nodes == "" {
 		nodes = "n0"
 	}
@@ -348,7 +357,7 @@
 	return hosts, zone
 }
 
-// partitionPeers returns the hosts that those of a cut cannot reach, or nil for all.
+// partitionPeers returns the hosts on the other side of a partition, or nil for all.
 func (s *script) partitionPeers(words string) map[string]bool {
 	if words == "" {
 		return nil
@@ -373,20 +382,20 @@
 	return only
 }
 
-// actStall carries out: stall NODE D: its process stands still, its clocks run on.
+// actStall handles "stall NODE D": the process is paused while its clocks advance.
 func (s *script) actStall(f []string) {
 	if n := s.node(f[1]); n != nil {
 		n.stall(parseDuration(f[2]))
 	}
 }
 
-// actPollLoad carries out: storm D rate=N: so many polls a second besides.
+// actPollLoad handles "poll_load D rate=N": users send N additional polls a second.
 func (s *script) actPollLoad(f []string) {
 	w := s.world
 	w.storm(numberArg(keyValues(f[2:]), "rate", 400), w.now.Add(parseDuration(f[1])))
 }
 
-// actHang carries out the word hang.
+// actHang handles "hang N D": the N busiest machines do not execute anything.
 func (s *script) actHang(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
@@ -395,7 +404,7 @@
 	}
 }
 
-// actFailTasks carries out the word sick.
+// actFailTasks handles "fail_tasks N D": every task on the N busiest machines fails.
 func (s *script) actFailTasks(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
@@ -405,7 +414,7 @@
 	}
 }
 
-// actSlow carries out the word slow.
+// actSlow handles "slow N [factor=F]": tasks on the N busiest machines take F times as long.
 func (s *script) actSlow(f []string) {
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
@@ -413,7 +422,7 @@
 	}
 }
 
-// actPreempt carries out: take N notice=D | take N.
+// actPreempt handles "preempt N [notice=D]": the cloud reclaims N spot machines, D after a notice.
 func (s *script) actPreempt(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
@@ -430,7 +439,8 @@
 	}
 }
 
-// actBootTime carries out: boots never | boots 300 (percent).
+// actBootTime handles "boot_time P" and "boot_time never": new machines need P percent of their
+// usual boot time, or half of them never boot.
 func (s *script) actBootTime(f []string) {
 	w := s.world
 	if f[1] == "never" {
@@ -441,23 +451,23 @@
 	}
 }
 
-// actSchedule carries out the word schedule or edit.
+// actSchedule handles "schedule NAME k=v..." and "edit NAME k=v...": creates or changes a schedule.
 func (s *script) actSchedule(f []string) {
 	s.putSchedule(f[1], keyValues(f[2:]))
 }
 
-// actConfig carries out the word config or configs.
+// actConfig handles "config" and "configs": changes the live configuration.
 func (s *script) actConfig(f []string) {
 	s.configure(f)
 }
 
-// actPause carries out the word pause or resume or remove or start.
+// actPause handles "pause NAME", "resume NAME", "remove NAME" and "start NAME" for schedules.
 func (s *script) actPause(f []string) {
 	w := s.world
 	w.scheduleClients[f[1]].ask(map[string]request.Operation{"pause": request.SchedulePause, "resume": request.ScheduleResume, "remove": request.ScheduleDelete, "start": request.ScheduleRun}[f[0]], keyValues(f[2:]))
 }
 
-// actCorrupt carries out: damage PREFIX VALUE: what the first key below the prefix holds.
+// actCorrupt handles "corrupt PREFIX VALUE": overwrites the first key below PREFIX.
 func (s *script) actCorrupt(f []string) {
 	w := s.world
 	w.dataLost = true
@@ -469,13 +479,13 @@
 	}
 }
 
-// actRepair carries out: what was damaged last is put right.
+// actRepair handles "repair": restores the value that was corrupted last.
 func (s *script) actRepair(f []string) {
 	w := s.world
 	w.repair()
 }
 
-// actClockOffset carries out: wander NODE D: its time of day goes D wrong.
+// actClockOffset handles "clock_offset NODE D": sets the wall-clock error of a controller.
 func (s *script) actClockOffset(f []string) {
 	if n := s.node(f[1]); n != nil {
 		n.wander = parseDuration(f[2])
@@ -483,7 +493,7 @@
 	}
 }
 
-// actPlant carries out the word plant.
+// actPlant handles "plant RULE": violates a rule on purpose.
 func (s *script) actPlant(f []string) {
 	s.violateRule(f[1])
 }
--- a/internal/scenario/script_expectations.go
+++ b/internal/scenario/script_expectations.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// expectationChecks are the words of "expect" lines, each with what checks it.
+// expectationChecks maps the names of "expect" lines to their checks.
 var expectationChecks = map[string]func(s *script, e []string) bool{
 	"done":         (*script).holdsDone,
 	"cancelled":    (*script).holdsDone,
@@ -42,7 +42,7 @@
 	"leaders":      (*script).holdsLeaders,
 }
 
-// holds reports whether an expectation holds now.
+// holds reports whether an expectation is met now. It panics if its name is unknown.
 func (s *script) holds(e []string) bool {
 	check := expectationChecks[e[0]]
 	if check == nil {
@@ -51,7 +51,7 @@
 	return check(s, e)
 }
 
-// holdsDone checks the word done or cancelled.
+// holdsDone checks "done ID|all" and "cancelled ID|all": the state that users were told.
 func (s *script) holdsDone(e []string) bool {
 	for _, j := range s.order {
 		if (e[1] == "all" && j.accepted && !j.wantsCancel && !j.spec.Service && !j.faulty || e[1] == j.spec.ID) && string(j.told) != e[0] {
@@ -61,18 +61,18 @@
 	return e[1] == "all" || s.jobs[e[1]] != nil
 }
 
-// holdsOver checks: every accepted job, one way or the other.
+// holdsOver checks "over": users were told the final state of every accepted job.
 func (s *script) holdsOver(e []string) bool {
 	return !slices.ContainsFunc(s.order, func(j *userJob) bool { return j.accepted && j.told == "" })
 }
 
-// holdsFinished checks: the tasks are done, whether or not the user has asked.
+// holdsFinished checks "finished ID": all tasks are done, whether or not the user was told.
 func (s *script) holdsFinished(e []string) bool {
 	j := s.jobs[e[1]]
 	return j != nil && !j.finished.IsZero()
 }
 
-// holdsSubmitted checks: submitted N: percent of the submissions that were accepted within a second.
+// holdsSubmitted checks "submitted N": the percentage of submissions accepted within a second.
 func (s *script) holdsSubmitted(e []string) bool {
 	n, in := 0, 0
 	for _, j := range s.order {
@@ -83,37 +83,38 @@
 	return compare(100*in/max(1, n), e[1])
 }
 
-// holdsRejected checks the word rejected.
+// holdsRejected checks "rejected ID STATUS": the HTTP status that ended the submission.
 func (s *script) holdsRejected(e []string) bool {
 	return s.jobs[e[1]] != nil && strconv.Itoa(s.jobs[e[1]].status) == e[2]
 }
 
-// holdsAccepted checks the word accepted.
+// holdsAccepted checks "accepted ID".
 func (s *script) holdsAccepted(e []string) bool {
 	return s.jobs[e[1]] != nil && s.jobs[e[1]].accepted
 }
 
-// holdsPending checks: a submission without a final answer.
+// holdsPending checks "pending ID": the submission has no final response.
 func (s *script) holdsPending(e []string) bool {
 	return s.jobs[e[1]] != nil && !s.jobs[e[1]].accepted && s.jobs[e[1]].status == 0
 }
 
-// holdsRule checks the word rule.
+// holdsRule checks "rule NAME": the rule was violated.
 func (s *script) holdsRule(e []string) bool {
 	return s.broken[e[1]]
 }
 
-// holdsConfigured checks: all changes of configuration were told of, and are known everywhere.
+// holdsConfigured checks "configured": all configuration changes were acknowledged and have
+// reached every controller.
 func (s *script) holdsConfigured(e []string) bool {
 	return s.world.configured()
 }
 
-// holdsRunning checks: number of tasks of a job on machines, or of machines in use.
+// holdsRunning checks "running ID N" and "on ID N": the number of tasks of a job on machines.
 func (s *script) holdsRunning(e []string) bool {
 	return compare(s.tasksOn(e[1]), e[2])
 }
 
-// holdsLateRefused checks: reports that were told to be older than what is known.
+// holdsLateRefused checks "late-refused N": the number of heartbeats rejected as stale.
 func (s *script) holdsLateRefused(e []string) bool {
 	n := 0
 	for _, x := range s.nodes {
@@ -122,12 +123,13 @@
 	return compare(n, e[1])
 }
 
-// holdsMet checks: met WORD N: how often a meeting came about.
+// holdsMet checks "met NAME N": how often an observed situation occurred.
 func (s *script) holdsMet(e []string) bool {
 	return compare(s.occurrences[e[1]], e[2])
 }
 
-// holdsLargest checks: seconds until the last of each class's largest jobs has begun.
+// holdsLargest checks "largest N": the longest wait of a class's largest jobs for their first
+// task, in seconds.
 func (s *script) holdsLargest(e []string) bool {
 	worst := time.Duration(0)
 	for _, j := range s.order {
@@ -141,7 +143,7 @@
 	return compare(int(worst.Seconds()), e[1])
 }
 
-// holdsMachines checks the word machines.
+// holdsMachines checks "machines N [TYPE]": the number of machines that exist.
 func (s *script) holdsMachines(e []string) bool {
 	n := 0
 	for _, m := range s.cloud.machines {
@@ -152,7 +154,7 @@
 	return compare(n, e[1])
 }
 
-// holdsRented checks: rented N [ZONE]: machines ever, in a zone.
+// holdsRented checks "rented N [ZONE]": the number of machines ever created.
 func (s *script) holdsRented(e []string) bool {
 	n := 0
 	for _, m := range s.cloud.machines {
@@ -163,7 +165,8 @@
 	return compare(n, e[1])
 }
 
-// holdsServed checks: served CLASS N, served team=NAME N, served largest=CLASS N, served all N (the worst of them).
+// holdsServed checks "served CLASS|team=NAME|largest=CLASS|all N": the percentage that
+// servedPercent returns, the lowest one for all.
 func (s *script) holdsServed(e []string) bool {
 	worst := -1
 	for of, percent := range s.servedPercent() {
@@ -174,42 +177,42 @@
 	return worst >= 0 && compare(worst, e[2])
 }
 
-// holdsRefused checks: requests to the state service that were above the allowance.
+// holdsRefused checks "refused N": the key-value store requests rejected by its rate limit.
 func (s *script) holdsRefused(e []string) bool {
 	return compare(s.store.refused, e[1])
 }
 
-// holdsTerms checks: the newest that any node leads or knows.
+// holdsTerms checks "terms N": the newest term that a controller knows.
 func (s *script) holdsTerms(e []string) bool {
 	return compare(int(s.newestTerm()), e[1])
 }
 
-// holdsStarted checks the word started.
+// holdsStarted checks "started N": the number of task starts.
 func (s *script) holdsStarted(e []string) bool {
 	return compare(s.started, e[1])
 }
 
-// holdsMoved checks the word moved.
+// holdsMoved checks "moved N": how often workers changed the controller they report to.
 func (s *script) holdsMoved(e []string) bool {
 	return compare(s.workerMoves, e[1])
 }
 
-// holdsKilled checks: with their leases.
+// holdsKilled checks "killed N": the number of tasks that ended by lease expiry.
 func (s *script) holdsKilled(e []string) bool {
 	return compare(s.expiredTasks, e[1])
 }
 
-// holdsRequests checks: to the state service.
+// holdsRequests checks "requests N": the number of requests to the key-value store.
 func (s *script) holdsRequests(e []string) bool {
 	return compare(s.store.requests, e[1])
 }
 
-// holdsMade checks the word made or removed or missed or late or whole or history.
+// holdsMade checks the expectations on schedules: made, removed, missed, late, whole, history.
 func (s *script) holdsMade(e []string) bool {
 	return s.scheduleClients[e[1]].holds(e)
 }
 
-// holdsLeaders checks the word leaders.
+// holdsLeaders checks "leaders N": the number of controllers that hold authority.
 func (s *script) holdsLeaders(e []string) bool {
 	n := 0
 	for _, x := range s.nodes {
@@ -220,7 +223,7 @@
 	return compare(n, e[1])
 }
 
-// tasksOn is how many tasks of a job are on machines.
+// tasksOn returns the number of tasks of a job that run or checkpoint on machines.
 func (w *world) tasksOn(id string) (n int) {
 	for _, m := range w.cloud.machines {
 		for _, t := range m.tasks {
@@ -232,24 +235,24 @@
 	return n
 }
 
-// newestTerm is the newest that any node leads or knows.
+// newestTerm returns the newest term that a simulated controller knows.
 func (w *world) newestTerm() (n uint64) {
 	for _, x := range w.nodes {
-		if x.core != nil { // a process of its own has none here
+		if x.core != nil { // nil for a controller that runs as a real process
 			n = max(n, x.core.Stats().Term)
 		}
 	}
 	return n
 }
 
-// mustServe reports whether a job is one that must be served: not one that its user cancelled
-// or that fails everywhere, and no service.
+// mustServe reports whether a job counts for the served percentages: accepted, not cancelled
+// by its user, not failing on every machine, and no service.
 func (s *script) mustServe(j *userJob) bool {
 	return j.accepted && !j.wantsCancel && !j.faulty && !j.spec.Service
 }
 
-// isLargest reports whether a job is among its class's isLargest: it takes no fewer CPUs, all
-// tasks together, than nine tenths of the class's jobs.
+// isLargest reports whether the tasks of a job together request at least as many CPUs as those
+// of nine tenths of the jobs in its class.
 func (s *script) isLargest(j *userJob) bool {
 	size := func(j *userJob) float64 { return float64(j.spec.Tasks) * j.spec.CPUs }
 	smaller, of := 0, 0
@@ -264,8 +267,8 @@
 	return 10*smaller >= 9*of
 }
 
-// servedPercent returns, for each class, its largest jobs and each team, what percent of the jobs
-// are done or of their tasks, whichever is less.
+// servedPercent returns the lesser of the percentages of jobs done and of tasks done, for each
+// class, the largest jobs of each class, and each team.
 func (s *script) servedPercent() map[string]int {
 	type tally struct{ jobs, jobsOf, tasks, tasksOf int }
 	of := map[string]*tally{}
@@ -298,12 +301,12 @@
 	return percent
 }
 
-// compare reads =3, <3, >3 or 3.
+// compare compares n with a bound such as =3, <3, >3 or 3.
 func compare(n int, s string) bool {
 	op, num := s[0], strings.TrimLeft(s, "<>=")
 	x, err := strconv.Atoi(num)
 	if err != nil {
-		panic(s + " is no number")
+		panic(s + " is not a number")
 	}
 	switch op {
 	case '<':
--- a/internal/scenario/script_lines.go
+++ b/internal/scenario/script_lines.go
@@ -10,7 +10,7 @@
 	"yewpass/internal/config"
 )
 
-// lineParsers are the words that a line of a scenario begins with, each with what reads it.
+// lineParsers maps the first word of a scenario line to its parser.
 var lineParsers = map[string]func(s *script, f []string) error{
 	"seed":      (*script).setSeed,
 	"start":     (*script).setStart,
@@ -30,27 +30,28 @@
 	"expect":    (*script).setExpect,
 }
 
-// parseLine reads a parseLine, divided into words.
+// parseLine parses a line that has been split into words. Invalid values, on which the
+// helpers panic, become errors.
 func (s *script) parseLine(f []string) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%v", p)
 		}
 	}()
-	read := lineParsers[f[0]]
-	if read == nil {
-		return fmt.Errorf("unknown word %s", f[0])
+	parse := lineParsers[f[0]]
+	if parse == nil {
+		return fmt.Errorf("unknown line type %q", f[0])
 	}
-	return read(s, f)
+	return parse(s, f)
 }
 
-// setSeed reads a line "seed".
+// setSeed parses "seed N".
 func (s *script) setSeed(f []string) (err error) {
 	s.seed, err = strconv.ParseUint(f[1], 10, 64)
 	return err
 }
 
-// setStart reads the time of day at which the scenario begins.
+// setStart parses "start TIME", the wall-clock time at which the scenario starts, as RFC 3339.
 func (s *script) setStart(f []string) (err error) {
 	var t time.Time
 	t, err = time.Parse(time.RFC3339, f[1])
@@ -58,20 +59,20 @@
 	return err
 }
 
-// setCalendar reads a line "calendar".
+// setCalendar parses "calendar NAME k=v...".
 func (s *script) setCalendar(f []string) error {
 	s.cals[f[1]] = definition(keyValues(f[2:]))
 	return nil
 }
 
-// setNodes reads a line "nodes".
+// setNodes parses "nodes N", the number of controllers.
 func (s *script) setNodes(f []string) (err error) {
 	cs := &s.cfg.Settings
 	cs.Nodes, err = strconv.Atoi(f[1])
 	return err
 }
 
-// setWorkers reads a line "workers".
+// setWorkers parses "workers [report=D] [lease=D] [cancel=D]".
 func (s *script) setWorkers(f []string) error {
 	a := keyValues(f[1:])
 	cs := &s.cfg.Settings
@@ -80,7 +81,8 @@
 	return nil
 }
 
-// setState reads a line "state".
+// setState parses "state [rps=N] [write_rps=N] [value_kb=N] [txn_ops=N] [keeps=N]", the limits of
+// the key-value store. keeps is the number of revisions it retains for watches.
 func (s *script) setState(f []string) error {
 	a := keyValues(f[1:])
 	cs := &s.cfg.Settings
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// setCloud reads a line "cloud".
+// setCloud parses "cloud [rps=N]".
 func (s *script) setCloud(f []string) error {
 	a := keyValues(f[1:])
 	cs := &s.cfg.Settings
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// setTeam reads a line "team".
+// setTeam parses "team NAME [cpus=N] [max=N] [gpus=N] [gpus_max=N]": guarantees and limits.
 func (s *script) setTeam(f []string) error {
 	a := keyValues(f[1:])
 	cs := &s.cfg.Settings
@@ -105,7 +107,7 @@
 	return nil
 }
 
-// setObjective reads a line "objective".
+// setObjective parses "objective KIND CLASS within=D".
 func (s *script) setObjective(f []string) error {
 	cs := &s.cfg.Settings
 	a := keyValues(f[3:])
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// setType reads a line "type".
+// setType parses "type NAME k=v...", an instance type.
 func (s *script) setType(f []string) error {
 	a := keyValues(f[1:])
 	s.cloud.instanceTypes = append(s.cloud.instanceTypes, &instanceType{name: f[1], cpus: numberArg(a, "cpus", 8), gpus: numberArg(a, "gpus", 0), mem: numberArg(a, "mem", 64),
@@ -121,7 +123,7 @@
 	return nil
 }
 
-// setCapacity reads a line "capacity".
+// setCapacity parses "capacity TYPE ZONE [n=N] [spot=N]".
 func (s *script) setCapacity(f []string) error {
 	a := keyValues(f[1:])
 	k := offerKey{f[1], f[2], false}
@@ -134,37 +136,37 @@
 	return nil
 }
 
-// setMachines reads a line "machines".
+// setMachines parses "machines TYPE ZONE [n=N] [spot]", the machines at the start.
 func (s *script) setMachines(f []string) error {
 	s.actions = append(s.actions, action{0, f})
 	return nil
 }
 
-// setPolicy reads a line "policy".
+// setPolicy parses "policy TEXT", a line of the policy file.
 func (s *script) setPolicy(f []string) error {
 	s.rules = append(s.rules, []byte(strings.Join(f[1:], " ")+"\n")...)
 	return nil
 }
 
-// setRun reads a line "run".
+// setRun parses "run D", the duration of the scenario.
 func (s *script) setRun(f []string) error {
 	s.end = parseDuration(f[1])
 	return nil
 }
 
-// setAt reads a line "at".
+// setAt parses "at D ACTION...", an action D after the start.
 func (s *script) setAt(f []string) error {
 	s.actions = append(s.actions, action{parseDuration(f[1]), f[2:]})
 	return nil
 }
 
-// setExpect reads a line "expect".
+// setExpect parses "expect NAME... [by D]", checked at D or at the end.
 func (s *script) setExpect(f []string) error {
 	s.expects = append(s.expects, expect{words: f[1:]})
 	return nil
 }
 
-// keyValues reads k=v words; words without = map to themselves.
+// keyValues parses k=v words. A word without = gets the value "yes".
 func keyValues(words []string) map[string]string {
 	m := map[string]string{}
 	for _, w := range words {
@@ -177,28 +179,28 @@
 	return m
 }
 
-func numberArg(m map[string]string, k string, otherwise float64) float64 {
+func numberArg(m map[string]string, k string, fallback float64) float64 {
 	if v, ok := m[k]; ok {
 		f, err := strconv.ParseFloat(v, 64)
 		if err != nil {
-			panic(fmt.Sprintf("%s=%s is no number", k, v))
+			panic(fmt.Sprintf("%s=%s is not a number", k, v))
 		}
 		return f
 	}
-	return otherwise
+	return fallback
 }
 
-func durationArg(m map[string]string, k string, otherwise time.Duration) time.Duration {
+func durationArg(m map[string]string, k string, fallback time.Duration) time.Duration {
 	if v, ok := m[k]; ok {
 		return parseDuration(v)
 	}
-	return otherwise
+	return fallback
 }
 
 func parseDuration(v string) time.Duration {
 	d, err := time.ParseDuration(v)
 	if err != nil {
-		panic(v + " is no duration")
+		panic(v + " is not a duration")
 	}
 	return d
 }
--- a/internal/scenario/script_plants.go
+++ b/internal/scenario/script_plants.go
@@ -8,8 +8,8 @@
 	"yewpass/internal/spec"
 )
 
-// violateRule breaks a rule on purpose, past the controllers, so that the test sees
-// the checker catch it.
+// violateRule violates a rule by changing the simulated cluster behind the controllers' back,
+// so that a test can verify that the checker detects it.
 func (s *script) violateRule(rule string) {
 	w := s.world
 	ms := s.busiest(len(w.cloud.machines))
@@ -45,7 +45,7 @@
 		w.submitted(j, 422, request.Response{})
 	case "invented":
 		k := map[string]*userJob{}
-		w.jobs = k // its user knows nothing of it any more
+		w.jobs = k // no user has submitted the job
 		w.request(request.Get, nil, j.spec.ID, 2*time.Second, func(status int, a request.Response) {
 			if status == 200 && w.jobs[j.spec.ID] == nil {
 				w.fail("invented", "%s gets 200", j.spec.ID)
@@ -62,6 +62,6 @@
 		w.started = 0
 		w.at(w.start.Add(s.end), func() { w.started = 0 })
 	default:
-		panic("no such rule " + rule)
+		panic("plant: unknown rule " + rule)
 	}
 }
