--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -208,8 +208,8 @@
 	return true
 }
 
-// deliverable reports whether a pending event may come next. Messages between the same two hosts
-// stay in order, except for requests that use a connection each.
+// deliverable reports whether a pending event may come next. Messages of a kind between the same
+// two hosts stay in order, except for requests that use a connection each.
 func (r *raceRun) deliverable(i int) bool {
 	x := r.pending[i]
 	if x.kind == "event" {
--- a/internal/scenario/script_actions.go
+++ b/internal/scenario/script_actions.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// actRestart handles "restart N [back=D] [reset_counter]": restarts the busiest machines.
+// actRestart handles "restart N [back=D] [reset_counter]"; counters continue unless reset.
 func (s *script) actRestart(f []string) {
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
