--- a/internal/scenario/front_test.go
+++ b/internal/scenario/front_test.go
@@ -59,7 +59,7 @@
 		t.Skip("drills are skipped in short mode")
 	}
 	t.Parallel()
-	s, err := read(text)
+	s, err := parseScript(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 func (f *testCluster) job(id string, words ...string) *userJob {
 	var j *userJob
 	f.with(func() {
-		j = f.script.job(id, args(words))
+		j = f.script.parseJob(id, keyValues(words))
 		f.world.submit(j)
 	})
 	return j
--- a/internal/scenario/loopback.go
+++ b/internal/scenario/loopback.go
@@ -45,7 +45,7 @@
 // newLoopback sets up the world of a script whose settings are complete.
 func newLoopback(s *script, dir string, errorf func(format string, args ...any)) *loopback {
 	w := s.world
-	w.adoptSettings(nil)
+	w.applySettings(nil)
 	w.store.refilled = time.Now()
 	w.clock.start, w.clock.now = time.Now(), time.Now()
 	l := &loopback{world: w, script: s, closed: make(chan struct{}), dir: dir, errorf: errorf, links: map[string]*workerLink{}}
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -17,9 +17,9 @@
 	"yewpass/internal/spec"
 )
 
-// meeting has long tasks, jobs of two and three tasks that end far apart, many cancellations
-// and a limit, on two zones.
-const meeting = `
+// faultMix is a cluster with two zones and a team limit, and a load of long tasks, jobs whose
+// tasks end at different times, and many cancellations.
+const faultMix = `
 seed %d
 team t max=46
 team u
@@ -35,7 +35,7 @@
 at 20s burst 6 gap=6s tasks=2 run=8s gb=0.5 cancelled=0.4 class=after
 `
 
-const meetingEnd = `
+const faultMixEnd = `
 run 420s
 expect over
 expect leaders =1
@@ -43,50 +43,50 @@
 expect largest <241
 `
 
-// meetings are the operators' troubles, one at a time; WHO is drawn or the leader.
-var meetings = []string{
-	"late_reports 40s share=0.4",
-	"late_writes 30s share=0.4",
+// faultPairs are the faults that TestMeetings combines in pairs.
+var faultPairs = []string{
+	"duplicate_reports 40s share=0.4",
+	"delay_txns 30s share=0.4",
 	"slow_state 12s by=900ms",
 	"slow_state 9s by=3s",
-	"deny leader 9s",
-	"deny leader 50s",
+	"state_unavailable leader 9s",
+	"state_unavailable leader 50s",
 	"outage state 12s",
 	"outage state 46s",
-	"cut leader 20s hold only=state,peers",
-	"cut leader 48s reset only=state,peers",
+	"partition leader 20s hold only=state,peers",
+	"partition leader 48s reset only=state,peers",
 	"crash leader back=100ms",
 	"crash all back=300ms",
 	"crash leader back=3s",
-	"roll 500ms back=200ms",
-	"leave leader back=500ms",
-	"machine_deaf 4 30s",
-	"machine_deaf zone=a 25s",
-	"cut 4 26s hold",
-	"cut zone=a 40s hold nodes=leader",
+	"rolling_restart 500ms back=200ms",
+	"shutdown leader back=500ms",
+	"block_inbound 4 30s",
+	"block_inbound zone=a 25s",
+	"partition 4 26s hold",
+	"partition zone=a 40s hold nodes=leader",
 	"hang 3 12s",
 	"hang 3 45s",
 	"stall leader 7s",
 	"stall leader 30s",
-	"mute leader 4s late=5s",
-	"restart 3 back=100ms anew",
-	"late_writes 30s share=0.4 at_once=true",
-	"late_reports 30s share=0.5 for_next=true",
-	"machine_mute 4 30s",
-	"machine_mute zone=a 26s",
-	"cancel_now 8 hang=18s",
-	"cancel_at_end 60s share=0.5",
-	"odd_requests 40s",
-	"close_looks 40s",
-	"flap leader 40s every=4s back=300ms",
+	"drop_txn_responses leader 4s late=5s",
+	"restart 3 back=100ms reset_counter",
+	"delay_txns 30s share=0.4 at_once=true",
+	"duplicate_reports 30s share=0.5 next_leader=true",
+	"block_reports 4 30s",
+	"block_reports zone=a 26s",
+	"cancel_running 8 hang=18s",
+	"cancel_on_completion 60s share=0.5",
+	"invalid_requests 40s",
+	"observe_transitions 40s",
+	"crash_loop leader 40s every=4s back=300ms",
 }
 
-// TestMeetings plays every two of the operators' troubles, at one instant and 1, 5 and 20 s
-// apart. A fixed part is played unless -meetings asks for all.
+// TestMeetings runs all pairs of faults, 0, 1, 5 and 20 s apart, with a fixed subset of them
+// unless -meetings is set.
 func TestMeetings(t *testing.T) {
 	played := 0
-	for i, a := range meetings {
-		for k, b := range meetings {
+	for i, a := range faultPairs {
+		for k, b := range faultPairs {
 			for n, apart := range []int{0, 1, 5, 20} {
 				if played++; !*all && played%37 != 0 {
 					continue
@@ -94,43 +94,42 @@
 				t.Run(fmt.Sprintf("%s+%ds %s", a, apart, b), func(t *testing.T) {
 					t.Parallel()
 					var sb strings.Builder
-					fmt.Fprintf(&sb, meeting, 1+i*100+k*4+n)
+					fmt.Fprintf(&sb, faultMix, 1+i*100+k*4+n)
 					fmt.Fprintf(&sb, "at 16s %s\nat %ds %s\n", a, 16+apart, b)
-					play(t, sb.String()+meetingEnd)
+					play(t, sb.String()+faultMixEnd)
 				})
 			}
 		}
 	}
 }
 
-// TestRandomMeetings plays three of them drawn at random, a second of each kind among them,
-// in the midst of the work.
+// TestRandomMeetings runs random sequences of three faults during the load.
 func TestRandomMeetings(t *testing.T) {
-	playMixes(t, 7, meeting, meetingEnd, func(rng *rand.Rand, sb *strings.Builder) {
+	playMixes(t, 7, faultMix, faultMixEnd, func(rng *rand.Rand, sb *strings.Builder) {
 		at := 8 + rng.IntN(20)
 		for range 3 {
-			fmt.Fprintf(sb, "at %d.%03ds %s\n", at, rng.IntN(1000), meetings[rng.IntN(len(meetings))])
+			fmt.Fprintf(sb, "at %d.%03ds %s\n", at, rng.IntN(1000), faultPairs[rng.IntN(len(faultPairs))])
 			at += []int{0, 1, 5, 20}[rng.IntN(4)]
 		}
 	})
 }
 
-// TestMeetingsPlanted: an error planted for each of the words is found by the rules, and
-// without it none is broken.
+// TestMeetingsPlanted injects one error into the controllers for each kind of fault: the rules
+// must detect it, and must hold without it.
 func TestMeetingsPlanted(t *testing.T) {
 	for name, x := range map[string]struct {
-		text, finds string
-		plant       func(s *script)
+		text, want string
+		plant      func(s *script)
 	}{
-		"late writes": {few(3, 2) + `
+		"delay_txns": {smallCluster(3, 2) + `
 team t
-at 5s late_writes 1s share=1
+at 5s delay_txns 1s share=1
 at 5100ms submit wk-1 run=2s
 at 30s crash leader back=2s
 expect met late-write >0
 expect started =1
 run 120s`, "started =1", func(s *script) {
-			s.alterOutput = func(n *node, out any) any { // changes without conditions but the term
+			s.alterOutput = func(n *node, out any) any { // transactions lose their conditions on jobs
 				if call, ok := out.(kv.Request); ok && call.Op == kv.Txn && len(call.Writes) > 0 {
 					call.Conditions = slices.DeleteFunc(slices.Clone(call.Conditions), func(w kv.Condition) bool { return strings.Contains(w.Key, "wk-") })
 					return call
@@ -138,15 +137,15 @@
 				return out
 			}
 		}},
-		"late reports": {few(3, 4) + `
+		"duplicate_reports": {smallCluster(3, 4) + `
 team t
-at 2s late_reports 60s share=1
+at 2s duplicate_reports 60s share=1
 at 5s burst 10 gap=2s tasks=3 run=20s
 expect met late-report >10
 expect done all
 run 200s`, "ran_twice", func(s *script) {
 			last := uint64(1000)
-			s.alterInput = func(n *node, in any) any { // whatever comes later is newer
+			s.alterInput = func(n *node, in any) any { // every heartbeat gets a higher counter
 				if r, ok := in.(heartbeat.Received); ok {
 					last++
 					r.Report.Counter = last
@@ -155,10 +154,10 @@
 				return in
 			}
 		}},
-		"machine_deaf": {few(3, 4) + `
+		"block_inbound": {smallCluster(3, 4) + `
 team t
 at 5s submit wk-1 run=60s tasks=12
-at 9s machine_deaf 1 60s
+at 9s block_inbound 1 60s
 at 9500ms crash leader back=2s
 at 16s outage cloud 60s
 expect met deaf-answer >2
@@ -171,7 +170,7 @@
 				}
 				return out
 			}
-			s.alterInput = func(n *node, in any) any { // a release that was refused counts
+			s.alterInput = func(n *node, in any) any { // a failed release counts as done
 				if r, ok := in.(provider.Response); ok && releases[r.Ref] {
 					r.Outcome = rpc.OK
 					return r
@@ -179,15 +178,15 @@
 				return in
 			}
 		}},
-		"late_writes at_once": {few(3, 3) + `
+		"delay_txns at_once": {smallCluster(3, 3) + `
 team t
-at 3s late_writes 60s share=0.5 at_once=true
+at 3s delay_txns 60s share=0.5 at_once=true
 at 5s burst 12 gap=2s run=60s cancelled=1
-at 6s close_looks 60s
+at 6s observe_transitions 60s
 expect met write-unanswered >5
 expect over
 run 250s`, "no order", func(s *script) {
-			s.alterOutput = func(n *node, out any) any { // a poll does not wait for a record that may be there
+			s.alterOutput = func(n *node, out any) any { // a poll is answered before the pending record is known
 				if a, ok := out.(request.Response); ok && a.Reason == "its end is being recorded" {
 					a.Status, a.Job = 200, request.JobStatus{State: spec.Running}
 					return a
@@ -195,17 +194,17 @@
 				return out
 			}
 		}},
-		"late_reports for_next": {few(3, 4) + `
+		"duplicate_reports next_leader": {smallCluster(3, 4) + `
 team t
-at 3s late_reports 5s share=1 for_next=true
+at 3s duplicate_reports 5s share=1 next_leader=true
 at 8s submit wk-1 run=60s tasks=12
 at 16s outage cloud 60s
-at 16s cut 2 12s reset
+at 16s partition 2 12s reset
 at 16500ms crash leader back=2s
 expect met report-for-next >5
 expect done all
 run 250s`, "ran_twice", func(s *script) {
-			s.alterInput = func(n *node, in any) any { // every report counts as one of the term at hand
+			s.alterInput = func(n *node, in any) any { // every heartbeat carries the current term
 				if r, ok := in.(heartbeat.Received); ok && n.core.HasAuthority(n.localNow()) {
 					r.Report.FencingToken = n.core.Stats().Term
 					return r
@@ -213,17 +212,17 @@
 				return in
 			}
 		}},
-		"machine_mute": {few(3, 4) + `
+		"block_reports": {smallCluster(3, 4) + `
 team t
 at 5s submit wk-1 run=60s tasks=12
 at 12s outage cloud 60s
-at 12s machine_mute 2 40s
+at 12s block_reports 2 40s
 at 12500ms crash leader back=2s
 expect met mute-report >5
 expect met mute-command >0
 expect done all
 run 250s`, "ran_twice", func(s *script) {
-			s.alterInput = func(n *node, in any) any { // what a command's answer lists is not looked at
+			s.alterInput = func(n *node, in any) any { // the task list of a probe reply is dropped
 				switch in := in.(type) {
 				case heartbeat.ProbeReply:
 					in.Report.Tasks = nil
@@ -239,15 +238,15 @@
 				return in
 			}
 		}},
-		"cancel_now with hang": {few(3, 4) + `
+		"cancel_running with hang": {smallCluster(3, 4) + `
 team t
 at 5s burst 5 gap=100ms run=200s
-at 12s cancel_now 3 hang=5s
+at 12s cancel_running 3 hang=5s
 expect met cancel-now =3
 expect met cancel-now-hung >1
 expect met cancelled-on >0
 run 120s`, "ran_cancelled", func(s *script) {
-			s.alterOutput = func(n *node, out any) any { // a machine that has hung is told nothing of it
+			s.alterOutput = func(n *node, out any) any { // stop orders are dropped
 				if a, ok := out.(heartbeat.Reply); ok {
 					a.Orders = slices.DeleteFunc(slices.Clone(a.Orders), func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop })
 					return a
@@ -255,14 +254,14 @@
 				return out
 			}
 		}},
-		"cancel_at_end": {few(3, 3) + `
+		"cancel_on_completion": {smallCluster(3, 3) + `
 team t
-at 2s cancel_at_end 60s share=1
+at 2s cancel_on_completion 60s share=1
 at 5s burst 12 gap=2s run=3s tasks=2
 expect met cancel-at-end >8
 expect over
 run 150s`, "went_back", func(s *script) {
-			s.alterOutput = func(n *node, out any) any { // whoever called it off is told that it is cancelled
+			s.alterOutput = func(n *node, out any) any { // the user is told that a completed job is cancelled
 				if a, ok := out.(request.Response); ok && a.Job.State == spec.Done && s.jobs[a.Job.ID].cancelRequested && s.jobs[a.Job.ID].finalState == "" {
 					a.Job.State = spec.Cancelled
 					return a
@@ -270,10 +269,10 @@
 				return out
 			}
 		}},
-		"odd_requests": {few(3, 3) + `
+		"invalid_requests": {smallCluster(3, 3) + `
 team t
 at 5s burst 6 gap=2s run=3s
-at 5s odd_requests 30s
+at 5s invalid_requests 30s
 expect met odd-unfit >5
 expect met odd-lacks >5
 expect done all
@@ -286,24 +285,24 @@
 				return out
 			}
 		}},
-		"a field is missing": {few(3, 3) + `
+		"a field is missing": {smallCluster(3, 3) + `
 team t
 at 5s submit wk-1 run=3s
-at 5s odd_requests 30s
+at 5s invalid_requests 30s
 expect met odd-lacks >5
 expect done all
 run 100s`, "unfit", func(s *script) {
 			s.alterSubmission = func(*spec.Job) *spec.Job { return &spec.Job{} }
 		}},
-		"close_looks": {few(3, 3) + `
+		"observe_transitions": {smallCluster(3, 3) + `
 team t
-at 4s close_looks 60s
+at 4s observe_transitions 60s
 at 5s burst 12 gap=2s run=3s tasks=2
 expect met look >30
 expect over
 run 150s`, "no order", func(s *script) {
 			first := map[string]request.JobStatus{}
-			s.alterOutput = func(n *node, out any) any { // a node tells for a second what it has told before
+			s.alterOutput = func(n *node, out any) any { // a controller repeats its status response for a second
 				a, ok := out.(request.Response)
 				if !ok || a.Status != 200 && a.Status != 201 || a.Job.ID == "" {
 					return out
@@ -317,7 +316,7 @@
 				return a
 			}
 		}},
-		"a job that waits": {few(3, 3) + `
+		"a job that is never started": {smallCluster(3, 3) + `
 team t
 at 5s burst 6 gap=1s run=3s
 expect done all
@@ -330,7 +329,7 @@
 				return out
 			}
 		}},
-		"a start after a cancellation": {few(3, 3) + `
+		"a start after a cancellation": {smallCluster(3, 3) + `
 team t
 at 5s submit wk-1 run=60s gb=60
 at 8s cancel wk-1
@@ -349,7 +348,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			play(t, x.text)
-			s, err := read(x.text)
+			s, err := parseScript(x.text)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -359,8 +358,8 @@
 			}
 			res, err := s.play()
 			found := slices.Concat(res.Violations, res.Unmet, nonLinearizable(res))
-			if err != nil || !slices.ContainsFunc(found, func(v string) bool { return strings.Contains(v, x.finds) }) {
-				t.Errorf("not found: %v %v", err, found)
+			if err != nil || !slices.ContainsFunc(found, func(v string) bool { return strings.Contains(v, x.want) }) {
+				t.Errorf("injected error not detected: error %v, violations and unmet expectations %v", err, found)
 			}
 		})
 	}
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -89,7 +89,7 @@
 		l.nodes = append(l.nodes, p.node)
 	}
 	for _, a := range l.script.actions { // machines that run from the start
-		l.script.act(a.what)
+		l.script.perform(a.words)
 	}
 	go l.runClock()
 	for _, p := range l.processes {
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -11,20 +11,20 @@
 	"yewpass/internal/spec"
 )
 
-// Result is how a scenario went.
+// Result is the outcome of a scenario.
 type Result struct {
-	Violations []string // broken rules
-	Unmet      []string // expectations that do not hold
-	Started    int      // tasks started
-	Requests   int      // to the state service
-	Met        map[string]int
-	History    map[string][]call // of each job, all calls of users
+	Violations []string          // violated rules, each with its time and details
+	Unmet      []string          // expectations that were not met
+	Started    int               // tasks started
+	Requests   int               // to the key-value store
+	Met        map[string]int    // how often each observed situation occurred
+	History    map[string][]call // user calls by job ID
 }
 
-// Run plays a scenario. Lines that operators would log go to trace unless it is
-// nil.
+// Run parses a scenario and simulates it to its end. The simulated controllers' log lines go
+// to trace unless it is nil. It returns an error if the script is invalid.
 func Run(text string, trace func(string)) (Result, error) {
-	s, err := read(text)
+	s, err := parseScript(text)
 	if err != nil {
 		return Result{}, err
 	}
@@ -32,8 +32,8 @@
 	return s.play()
 }
 
-// read takes in a scenario's text.
-func read(text string) (*script, error) {
+// parseScript parses a scenario line by line. Text after # is a comment.
+func parseScript(text string) (*script, error) {
 	s := &script{world: newWorld()}
 	sc := bufio.NewScanner(strings.NewReader(text))
 	for n := 1; sc.Scan(); n++ {
@@ -41,7 +41,7 @@
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		if err := s.line(strings.Fields(line)); err != nil {
+		if err := s.parseLine(strings.Fields(line)); err != nil {
 			return nil, fmt.Errorf("line %d: %w", n, err)
 		}
 	}
@@ -59,14 +59,14 @@
 }
 
 type action struct {
-	at   time.Duration
-	what []string
+	at    time.Duration
+	words []string
 }
 
 type expect struct {
-	what []string
-	met  bool
-	seen bool
+	words     []string
+	met       bool
+	evaluated bool
 }
 
 func (s *script) play() (res Result, err error) {
@@ -79,18 +79,18 @@
 			panic(p)
 		}
 	}()
-	s.begin()
+	s.setUp()
 	s.run(s.end)
 	return s.result(), nil
 }
 
-// begin sets the world up.
-func (s *script) begin() {
+// setUp schedules the actions, the timed expectations and the start of the controllers.
+func (s *script) setUp() {
 	w := s.world
 	w.clock.rng = newClock(s.seed).rng
-	w.adoptSettings(s.trace)
+	w.applySettings(s.trace)
 	for _, a := range s.actions {
-		w.at(w.start.Add(a.at), func() { s.act(a.what) })
+		w.at(w.start.Add(a.at), func() { s.perform(a.words) })
 	}
 	for i := range w.cfg.Settings.Nodes {
 		n := &node{world: w, name: fmt.Sprintf("n%d", i), skew: time.Duration(w.rng.IntN(10)-5) * time.Millisecond, drift: 0.0005 * w.rng.Float64()}
@@ -102,34 +102,34 @@
 	w.after(time.Second, w.pollUnknownJobs)
 	for i := range s.expects {
 		e := &s.expects[i]
-		if k := slices.Index(e.what, "by"); k >= 0 {
-			w.at(w.start.Add(span(e.what[k+1])), func() { e.seen, e.met = true, s.holds(e.what[:k]) })
+		if k := slices.Index(e.words, "by"); k >= 0 {
+			w.at(w.start.Add(parseDuration(e.words[k+1])), func() { e.evaluated, e.met = true, s.holds(e.words[:k]) })
 		}
 	}
 }
 
-// result says how it went.
+// result evaluates the remaining expectations and collects the outcome.
 func (s *script) result() (res Result) {
 	w := s.world
 	for _, e := range s.expects {
-		if !e.seen {
-			e.met = s.holds(e.what)
+		if !e.evaluated {
+			e.met = s.holds(e.words)
 		}
 		if !e.met {
-			res.Unmet = append(res.Unmet, strings.Join(e.what, " ")+s.unfinished())
+			res.Unmet = append(res.Unmet, strings.Join(e.words, " ")+s.unfinishedJobs())
 		}
 	}
-	if i := slices.IndexFunc(s.expects, func(e expect) bool { return e.what[0] == "rule" }); i >= 0 {
-		// A planted violation: it must be caught, so it is not reported.
-		rule := s.expects[i].what[1]
+	if i := slices.IndexFunc(s.expects, func(e expect) bool { return e.words[0] == "rule" }); i >= 0 {
+		// The script violates this rule on purpose; "expect rule" checks that it was detected.
+		rule := s.expects[i].words[1]
 		w.violations = slices.DeleteFunc(w.violations, func(v string) bool { return strings.Contains(v, " "+rule+":") })
 	}
 	res.Violations, res.Started, res.Requests, res.Met, res.History = w.violations, w.started, w.store.requests, w.occurrences, w.history
 	return res
 }
 
-// unfinished names the accepted jobs that are not over.
-func (s *script) unfinished() string {
+// unfinishedJobs lists the accepted jobs without a final state and their progress.
+func (s *script) unfinishedJobs() string {
 	var sb strings.Builder
 	for _, j := range s.jobOrder {
 		if j.accepted && j.finalState == "" {
@@ -139,23 +139,23 @@
 	return sb.String()
 }
 
-// adoptSettings takes over what the settings say.
-func (w *world) adoptSettings(trace func(string)) {
+// applySettings copies the limits and timings of the settings to the simulated components.
+func (w *world) applySettings(trace func(string)) {
 	st, wk := w.cfg.Settings.State, w.cfg.Settings.Workers
 	w.trace = trace
 	w.store.rps, w.store.writeRPS, w.store.valueKB, w.store.txnOps = st.RPS, st.WriteRPS, st.ValueKB, st.TxnOps
 	w.reportInterval, w.lease, w.cancelDeadline = wk.Report.Duration(), wk.Lease.Duration(), wk.Cancel.Duration()
 }
 
-// job reads a job's description.
-func (s *script) job(id string, a map[string]string) *userJob {
-	run := dur(a, "run", 20*time.Second)
+// parseJob builds a job from the key-value words of a submit or burst action.
+func (s *script) parseJob(id string, a map[string]string) *userJob {
+	run := durationArg(a, "run", 20*time.Second)
 	j := &userJob{runtime: run, faulty: a["faulty"] != "", jobProgress: newJobProgress()}
 	sp := &j.spec
-	*sp = spec.Job{ID: id, Class: a["class"], Owner: "t", Service: a["service"] != "", Urgency: spec.Standard, Tasks: int(num(a, "tasks", 1)),
-		CPUs: num(a, "cpus", 1), GPUs: num(a, "gpus", 0), MemGB: num(a, "mem", 1), Image: "img", ImageGB: num(a, "gb", 1), AllowSpot: a["ordinary"] == "",
-		SamePlace: a["samePlace"] != "", Apart: a["apart"] != "", Zone: a["zone"], Runtime: dur(a, "est", run),
-		CheckpointInterval: dur(a, "every", 0), CheckpointTime: dur(a, "save", 0)}
+	*sp = spec.Job{ID: id, Class: a["class"], Owner: "t", Service: a["service"] != "", Urgency: spec.Standard, Tasks: int(numberArg(a, "tasks", 1)),
+		CPUs: numberArg(a, "cpus", 1), GPUs: numberArg(a, "gpus", 0), MemGB: numberArg(a, "mem", 1), Image: "img", ImageGB: numberArg(a, "gb", 1), AllowSpot: a["ordinary"] == "",
+		SamePlace: a["samePlace"] != "", Apart: a["apart"] != "", Zone: a["zone"], Runtime: durationArg(a, "est", run),
+		CheckpointInterval: durationArg(a, "every", 0), CheckpointTime: durationArg(a, "save", 0)}
 	if sp.Class == "" {
 		sp.Class = "c"
 	}
@@ -172,7 +172,7 @@
 		sp.Urgency = spec.Urgency(slices.Index(spec.UrgencyNames[:], v))
 	}
 	if _, ok := a["due"]; ok {
-		sp.Deadline, sp.HasDeadline = dur(a, "due", 0), true
+		sp.Deadline, sp.HasDeadline = durationArg(a, "due", 0), true
 	}
 	if sp.Service {
 		sp.Runtime = 0
@@ -180,7 +180,7 @@
 	return j
 }
 
-// node returns the node that a word names, or nil.
+// node returns the controller called word, or any leader or follower, or nil.
 func (s *script) node(word string) *node {
 	for _, n := range s.nodes {
 		leads := n.alive && n.core.HasAuthority(n.localNow())
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// busiest returns the n machines up that hold the most tasks.
+// busiest returns the n running machines that hold the most tasks.
 func (s *script) busiest(n int) []*worker {
 	var ms []*worker
 	for _, m := range s.cloud.machines {
@@ -203,8 +203,8 @@
 	return ms[:min(n, len(ms))]
 }
 
-// some returns the busiest N machines, or those of a zone.
-func (s *script) some(word string) []*worker {
+// selectMachines returns the N busiest machines for a number, or those of a zone for zone=Z.
+func (s *script) selectMachines(word string) []*worker {
 	ms := s.busiest(len(s.cloud.machines))
 	if zone, ok := strings.CutPrefix(word, "zone="); ok {
 		return slices.DeleteFunc(ms, func(m *worker) bool { return m.zone != zone })
@@ -213,13 +213,14 @@
 	return ms[:min(n, len(ms))]
 }
 
-// faultWords are the actions that are none of ordinary use.
-var faultWords = strings.Fields("crash flap restart leave roll outage wipe restore deaf deny mute cut stall storm hang sick take boots damage wander late_writes late_reports machine_deaf machine_mute cancel_now slow_state")
+// faultActions are the actions that inject a fault.
+var faultActions = strings.Fields(`crash crash_loop restart shutdown rolling_restart outage wipe restore ignore_releases state_unavailable drop_txn_responses partition stall
+	poll_load hang fail_tasks preempt boot_time corrupt clock_offset delay_txns duplicate_reports block_inbound block_reports cancel_running slow_state`)
 
-// noteFault takes note of when a trouble is surely over: after all its times together, and
-// half a minute in which processes and machines come back.
-func (w *world) noteFault(f []string) {
-	if !slices.Contains(faultWords, f[0]) {
+// recordFault extends faultsOverAt past the end of a fault: the sum of all durations in the
+// action, plus 30 s for processes and machines to restart.
+func (w *world) recordFault(f []string) {
+	if !slices.Contains(faultActions, f[0]) {
 		return
 	}
 	over := 30 * time.Second
@@ -231,8 +232,8 @@
 			over += d
 		}
 	}
-	if f[0] == "roll" {
-		over += time.Duration(len(w.nodes)) * span(f[1])
+	if f[0] == "rolling_restart" {
+		over += time.Duration(len(w.nodes)) * parseDuration(f[1])
 	}
 	w.faultsOverAt = laterOf(w.faultsOverAt, w.now.Add(over))
 }
--- a/internal/scenario/script_actions.go
+++ b/internal/scenario/script_actions.go
@@ -12,110 +12,111 @@
 	"yewpass/internal/request"
 )
 
-// actionWords are the words of "at" lines, each with what carries it out.
-var actionWords map[string]func(s *script, f []string)
+// actionHandlers maps the action names of "at" lines to their handlers.
+var actionHandlers map[string]func(s *script, f []string)
 
 func init() {
-	// Set here because some actions are made of others.
-	actionWords = map[string]func(s *script, f []string){
-		"machines":      (*script).actMachines,
-		"submit":        (*script).actSubmit,
-		"burst":         (*script).actBurst,
-		"cancel":        (*script).actCancel,
-		"crash":         (*script).actCrash,
-		"flap":          (*script).actFlap,
-		"restart":       (*script).actRestart,
-		"leave":         (*script).actLeave,
-		"roll":          (*script).actRoll,
-		"outage":        (*script).actOutage,
-		"wipe":          (*script).actWipe,
-		"save":          (*script).actSave,
-		"restore":       (*script).actRestore,
-		"deaf":          (*script).actDeaf,
-		"deny":          (*script).actDeny,
-		"mute":          (*script).actMute,
-		"late_writes":   (*script).actLateWrites,
-		"late_reports":  (*script).actLateReports,
-		"slow_state":    (*script).actSlowState,
-		"machine_deaf":  (*script).actMachineDeaf,
-		"machine_mute":  (*script).actMachineMute,
-		"cancel_now":    (*script).actCancelNow,
-		"cancel_at_end": (*script).actCancelAtEnd,
-		"odd_requests":  (*script).actOddRequests,
-		"close_looks":   (*script).actCloseLooks,
-		"latency":       (*script).actLatency,
-		"look":          (*script).actLook,
-		"cut":           (*script).actCut,
-		"stall":         (*script).actStall,
-		"storm":         (*script).actStorm,
-		"hang":          (*script).actHang,
-		"sick":          (*script).actSick,
-		"slow":          (*script).actSlow,
-		"take":          (*script).actTake,
-		"boots":         (*script).actBoots,
-		"schedule":      (*script).actSchedule,
-		"edit":          (*script).actSchedule,
-		"config":        (*script).actConfig,
-		"configs":       (*script).actConfig,
-		"pause":         (*script).actPause,
-		"resume":        (*script).actPause,
-		"remove":        (*script).actPause,
-		"start":         (*script).actPause,
-		"damage":        (*script).actDamage,
-		"repair":        (*script).actRepair,
-		"wander":        (*script).actWander,
-		"plant":         (*script).actPlant,
+	// An initializer at the declaration would be a cycle: some actions perform others.
+	actionHandlers = map[string]func(s *script, f []string){
+		"machines":             (*script).actMachines,
+		"submit":               (*script).actSubmit,
+		"burst":                (*script).actBurst,
+		"cancel":               (*script).actCancel,
+		"crash":                (*script).actCrash,
+		"crash_loop":           (*script).actCrashLoop,
+		"restart":              (*script).actRestart,
+		"shutdown":             (*script).actShutdown,
+		"rolling_restart":      (*script).actRollingRestart,
+		"outage":               (*script).actOutage,
+		"wipe":                 (*script).actWipe,
+		"save":                 (*script).actSave,
+		"restore":              (*script).actRestore,
+		"ignore_releases":      (*script).actIgnoreReleases,
+		"state_unavailable":    (*script).actStateUnavailable,
+		"drop_txn_responses":   (*script).actDropTxnResponses,
+		"delay_txns":           (*script).actDelayTxns,
+		"duplicate_reports":    (*script).actDuplicateReports,
+		"slow_state":           (*script).actSlowState,
+		"block_inbound":        (*script).actBlockInbound,
+		"block_reports":        (*script).actBlockReports,
+		"cancel_running":       (*script).actCancelRunning,
+		"cancel_on_completion": (*script).actCancelOnCompletion,
+		"invalid_requests":     (*script).actInvalidRequests,
+		"observe_transitions":  (*script).actObserveTransitions,
+		"latency":              (*script).actLatency,
+		"observe":              (*script).actObserve,
+		"partition":            (*script).actPartition,
+		"stall":                (*script).actStall,
+		"poll_load":            (*script).actPollLoad,
+		"hang":                 (*script).actHang,
+		"fail_tasks":           (*script).actFailTasks,
+		"slow":                 (*script).actSlow,
+		"preempt":              (*script).actPreempt,
+		"boot_time":            (*script).actBootTime,
+		"schedule":             (*script).actSchedule,
+		"edit":                 (*script).actSchedule,
+		"config":               (*script).actConfig,
+		"configs":              (*script).actConfig,
+		"pause":                (*script).actPause,
+		"resume":               (*script).actPause,
+		"remove":               (*script).actPause,
+		"start":                (*script).actPause,
+		"corrupt":              (*script).actCorrupt,
+		"repair":               (*script).actRepair,
+		"clock_offset":         (*script).actClockOffset,
+		"plant":                (*script).actPlant,
 	}
 }
 
-// act carries out an action.
-func (s *script) act(f []string) {
-	s.noteFault(f)
-	carryOut := actionWords[f[0]]
-	if carryOut == nil {
+// perform executes an action and panics if its name is unknown.
+func (s *script) perform(f []string) {
+	s.recordFault(f)
+	handler := actionHandlers[f[0]]
+	if handler == nil {
 		panic("unknown action " + f[0])
 	}
-	carryOut(s, f)
+	handler(s, f)
 }
 
-// actMachines carries out the word machines.
+// actMachines handles "machines TYPE ZONE [n=N] [spot]": adds running machines.
 func (s *script) actMachines(f []string) {
-	a := args(f[3:])
-	for range int(num(a, "n", 1)) {
+	a := keyValues(f[3:])
+	for range int(numberArg(a, "n", 1)) {
 		s.cloud.create(offerKey{f[1], f[2], a["spot"] != ""}, 0)
 	}
 }
 
-// actSubmit carries out the word submit.
+// actSubmit handles "submit ID k=v...": a user submits one job.
 func (s *script) actSubmit(f []string) {
 	w := s.world
-	w.submit(s.job(f[1], args(f[2:])))
+	w.submit(s.parseJob(f[1], keyValues(f[2:])))
 }
 
-// actBurst carries out: burst N every=D k=v...: jobs one after the other.
+// actBurst handles "burst N [gap=D] [vary=S] [cancelled=P] k=v...": submits N jobs, gap apart.
+// vary spreads the run times; a share P of the jobs is cancelled after 5 to 35 s.
 func (s *script) actBurst(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
-	a := args(f[2:])
+	a := keyValues(f[2:])
 	for i := range n {
 		s.burst++
 		id := fmt.Sprintf("wk-1%05d", s.burst)
-		w.after(time.Duration(i)*dur(a, "gap", time.Second), func() {
-			b := args(f[2:])
-			if p := num(a, "vary", 0); p > 0 { // run times and estimates apart
+		w.after(time.Duration(i)*durationArg(a, "gap", time.Second), func() {
+			b := keyValues(f[2:])
+			if p := numberArg(a, "vary", 0); p > 0 { // the actual run time deviates from the estimate
 				b["est"] = b["run"]
-				b["run"] = time.Duration(float64(span(a["run"])) * math.Exp(p*w.rng.NormFloat64())).String()
+				b["run"] = time.Duration(float64(parseDuration(a["run"])) * math.Exp(p*w.rng.NormFloat64())).String()
 			}
-			j := s.job(id, b)
+			j := s.parseJob(id, b)
 			w.submit(j)
-			if w.rng.Float64() < num(a, "cancelled", 0) {
+			if w.rng.Float64() < numberArg(a, "cancelled", 0) {
 				w.after(time.Duration(w.rng.IntN(30))*time.Second+5*time.Second, func() { w.cancel(j) })
 			}
 		})
 	}
 }
 
-// actCancel carries out: cancel ID, cancel first N.
+// actCancel handles "cancel ID" and "cancel first N": users cancel jobs.
 func (s *script) actCancel(f []string) {
 	w := s.world
 	if f[1] == "first" {
@@ -130,10 +131,10 @@
 	w.cancel(w.jobs[f[1]])
 }
 
-// actCrash carries out the word crash.
+// actCrash handles "crash NODE|all [back=D]": processes are killed and restart after D.
 func (s *script) actCrash(f []string) {
 	w := s.world
-	back := dur(args(f[2:]), "back", 8*time.Second)
+	back := durationArg(keyValues(f[2:]), "back", 8*time.Second)
 	for _, n := range w.nodes {
 		if f[1] == "all" || n == s.node(f[1]) {
 			n.crash(back)
@@ -144,176 +145,184 @@
 	}
 }
 
-// actFlap carries out: flap WHO D every=D [back=D]: its process ends again and again.
-func (s *script) actFlap(f []string) {
+// actCrashLoop handles "crash_loop WHO D every=D [back=D]": crashes WHO repeatedly during D.
+func (s *script) actCrashLoop(f []string) {
 	w := s.world
-	for t := time.Duration(0); t < span(f[2]); t += dur(args(f[3:]), "every", time.Second) {
+	for t := time.Duration(0); t < parseDuration(f[2]); t += durationArg(keyValues(f[3:]), "every", time.Second) {
 		w.after(t, func() {
-			s.act([]string{"crash", f[1], "back=" + dur(args(f[3:]), "back", 100*time.Millisecond).String()})
+			s.perform([]string{"crash", f[1], "back=" + durationArg(keyValues(f[3:]), "back", 100*time.Millisecond).String()})
 		})
 	}
 }
 
-// actRestart carries out: restart N [back=D] [anew]: the busiest machines end and are back, counting on or from 1.
+// actRestart handles "restart N [back=D] [reset_counter]"; counters continue unless reset.
 func (s *script) actRestart(f []string) {
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
-		m.restart(dur(args(f[2:]), "back", 200*time.Millisecond), args(f[2:])["anew"] != "")
+		m.restart(durationArg(keyValues(f[2:]), "back", 200*time.Millisecond), keyValues(f[2:])["reset_counter"] != "")
 	}
 }
 
-// actLeave carries out: leave NODE [back=D]: its process is told to end, hands over and ends.
-func (s *script) actLeave(f []string) {
+// actShutdown handles "shutdown NODE [back=D]": shuts a controller down gracefully.
+func (s *script) actShutdown(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
 		n.input(core.Shutdown{})
-		w.after(400*time.Millisecond, func() { n.crash(dur(args(f[2:]), "back", 8*time.Second)) })
+		w.after(400*time.Millisecond, func() { n.crash(durationArg(keyValues(f[2:]), "back", 8*time.Second)) })
 	}
 }
 
-// actRoll carries out the word roll.
-func (s *script) actRoll(f []string) {
+// actRollingRestart handles "rolling_restart D [back=D]": crashes the controllers D apart.
+func (s *script) actRollingRestart(f []string) {
 	w := s.world
 	for i, n := range w.nodes {
-		w.after(time.Duration(i)*span(f[1]), func() { n.crash(dur(args(f[2:]), "back", 3*time.Second)) })
+		w.after(time.Duration(i)*parseDuration(f[1]), func() { n.crash(durationArg(keyValues(f[2:]), "back", 3*time.Second)) })
 	}
 }
 
-// actOutage carries out the word outage.
+// actOutage handles "outage state|cloud D": the key-value store or the cloud API is down.
 func (s *script) actOutage(f []string) {
 	w := s.world
 	switch f[1] {
 	case "state":
-		w.store.outage(span(f[2]))
+		w.store.outage(parseDuration(f[2]))
 	case "cloud":
-		w.cloud.downUntil = w.now.Add(span(f[2]))
+		w.cloud.downUntil = w.now.Add(parseDuration(f[2]))
 	}
 }
 
-// actWipe carries out: wipe [under=PREFIX] [rev]: the state service loses keys; rev: and begins again.
+// actWipe handles "wipe [under=PREFIX] [rev]": the store loses keys and, with rev, its revision.
 func (s *script) actWipe(f []string) {
 	w := s.world
 	w.dataLost = true
-	w.store.wipe(args(f[1:])["under"], args(f[1:])["rev"] != "")
+	w.store.wipe(keyValues(f[1:])["under"], keyValues(f[1:])["rev"] != "")
 }
 
-// actSave carries out: save: what a later restore brings back.
+// actSave handles "save": takes the snapshot of the key-value store that restore loads.
 func (s *script) actSave(f []string) {
 	w := s.world
 	w.restoreSnapshot = w.store.snapshot()
 }
 
-// actRestore carries out the word restore.
+// actRestore handles "restore": resets the key-value store to the saved snapshot.
 func (s *script) actRestore(f []string) {
 	w := s.world
 	w.dataLost = true
 	w.restoreSnapshot()
 }
 
-// actDeaf carries out: the cloud answers releases and carries none out.
-func (s *script) actDeaf(f []string) {
+// actIgnoreReleases handles "ignore_releases D": the cloud confirms releases but ignores them.
+func (s *script) actIgnoreReleases(f []string) {
 	w := s.world
-	w.cloud.ignoresReleasesUntil = w.now.Add(span(f[1]))
+	w.cloud.ignoresReleasesUntil = w.now.Add(parseDuration(f[1]))
 }
 
-// actDeny carries out: only this node gets 503 from the state service.
-func (s *script) actDeny(f []string) {
+// actStateUnavailable handles "state_unavailable NODE D": the store answers 503 to NODE only.
+func (s *script) actStateUnavailable(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
-		w.store.deniedUntil[n.name] = w.now.Add(span(f[2]))
+		w.store.deniedUntil[n.name] = w.now.Add(parseDuration(f[2]))
 	}
 }
 
-// actMute carries out: mute NODE D [late=D]: its transactions are applied, and not answered.
-func (s *script) actMute(f []string) {
+// actDropTxnResponses handles "drop_txn_responses NODE D [late=D]": transactions of NODE are
+// applied, late with late=D, and their responses are lost.
+func (s *script) actDropTxnResponses(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
-		w.store.unanswered[n.name] = unansweredWrites{w.now.Add(span(f[2])), dur(args(f[3:]), "late", 0)}
+		w.store.unanswered[n.name] = unansweredWrites{w.now.Add(parseDuration(f[2])), durationArg(keyValues(f[3:]), "late", 0)}
 	}
 }
 
-// actLateWrites carries out: late_writes D share=S [at_once=true]: transactions without an answer, carried out 2 to 12 s later.
-func (s *script) actLateWrites(f []string) {
+// actDelayTxns handles "delay_txns D share=S [at_once=true]": a share of the transactions gets no
+// response and is applied 2 to 12 s later, or immediately with at_once=true.
+func (s *script) actDelayTxns(f []string) {
 	w := s.world
-	a := args(f[2:])
-	w.store.delayedWrites = delayedShare{until: w.now.Add(span(f[1])), share: num(a, "share", 0.3), atOnce: a["at_once"] == "true"}
+	a := keyValues(f[2:])
+	w.store.delayedWrites = delayedShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(a, "share", 0.3), atOnce: a["at_once"] == "true"}
 }
 
-// actLateReports carries out: late_reports D share=S [for_next=true]: copies that arrive from 2 s to two leases later.
-func (s *script) actLateReports(f []string) {
+// actDuplicateReports handles "duplicate_reports D share=S [next_leader=true]": a share of the
+// heartbeats arrives again, 2 s to two leases later, or when the next leader starts.
+func (s *script) actDuplicateReports(f []string) {
 	w := s.world
-	a := args(f[2:])
-	w.lateReports = delayedShare{until: w.now.Add(span(f[1])), share: num(a, "share", 0.3), forNextLeader: a["for_next"] == "true"}
+	a := keyValues(f[2:])
+	w.lateReports = delayedShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(a, "share", 0.3), forNextLeader: a["next_leader"] == "true"}
 }
 
-// actSlowState carries out: slow_state D by=D: what is asked is carried out and answered late.
+// actSlowState handles "slow_state D by=D": the key-value store delays its responses.
 func (s *script) actSlowState(f []string) {
 	w := s.world
-	w.store.slowUntil, w.store.slowDelay = w.now.Add(span(f[1])), dur(args(f[2:]), "by", 2*time.Second)
+	w.store.slowUntil, w.store.slowDelay = w.now.Add(parseDuration(f[1])), durationArg(keyValues(f[2:]), "by", 2*time.Second)
 }
 
-// actMachineDeaf carries out: machine_deaf N|zone=Z D: answers and commands to them are lost.
-func (s *script) actMachineDeaf(f []string) {
+// actBlockInbound handles "block_inbound N|zone=Z D": responses and commands to the machines are
+// lost; their heartbeats arrive.
+func (s *script) actBlockInbound(f []string) {
 	w := s.world
-	for _, m := range s.some(f[1]) {
-		m.inboundLostUntil = w.now.Add(span(f[2]))
+	for _, m := range s.selectMachines(f[1]) {
+		m.inboundLostUntil = w.now.Add(parseDuration(f[2]))
 	}
 }
 
-// actMachineMute carries out: machine_mute N|zone=Z D: they reach no controller, and direct commands reach them.
-func (s *script) actMachineMute(f []string) {
+// actBlockReports handles "block_reports N|zone=Z D": heartbeats are lost, commands are answered.
+func (s *script) actBlockReports(f []string) {
 	w := s.world
-	for _, m := range s.some(f[1]) {
-		m.outboundLostUntil = w.now.Add(span(f[2]))
+	for _, m := range s.selectMachines(f[1]) {
+		m.outboundLostUntil = w.now.Add(parseDuration(f[2]))
 	}
 }
 
-// actCancelNow carries out: cancel_now N [hang=D]: users call off jobs that run and have long to go.
-func (s *script) actCancelNow(f []string) {
+// actCancelRunning handles "cancel_running N [hang=D]": cancels the N jobs with the most time left,
+// and with hang=D some of their machines hang.
+func (s *script) actCancelRunning(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
-	w.cancelRunning(n, dur(args(f[2:]), "hang", 0))
+	w.cancelRunning(n, durationArg(keyValues(f[2:]), "hang", 0))
 }
 
-// actCancelAtEnd carries out: cancel_at_end D share=S: that share of the jobs that end is called off just then.
-func (s *script) actCancelAtEnd(f []string) {
+// actCancelOnCompletion handles "cancel_on_completion D share=S": users cancel completing jobs.
+func (s *script) actCancelOnCompletion(f []string) {
 	w := s.world
-	w.cancelAtEnd = delayedShare{until: w.now.Add(span(f[1])), share: num(args(f[2:]), "share", 0.3)}
+	w.cancelAtEnd = delayedShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(keyValues(f[2:]), "share", 0.3)}
 }
 
-// actOddRequests carries out: odd_requests D: repeats, cancellations of what is done, jobs that cannot run.
-func (s *script) actOddRequests(f []string) {
+// actInvalidRequests handles "invalid_requests D": users repeat submissions, cancel finished jobs
+// and submit incomplete jobs and jobs that cannot run.
+func (s *script) actInvalidRequests(f []string) {
 	w := s.world
-	w.sendOddRequests(w.now.Add(span(f[1])))
+	w.sendOddRequests(w.now.Add(parseDuration(f[1])))
 }
 
-// actCloseLooks carries out: close_looks D: users ask at all nodes right after a job is accepted, ended or cancelled.
-func (s *script) actCloseLooks(f []string) {
+// actObserveTransitions handles "observe_transitions D": observes each job at its state changes.
+func (s *script) actObserveTransitions(f []string) {
 	w := s.world
-	w.observeUntil = w.now.Add(span(f[1]))
+	w.observeUntil = w.now.Add(parseDuration(f[1]))
 }
 
-// actLatency carries out: latency D: messages take so long from now on.
+// actLatency handles "latency D": sets the network latency.
 func (s *script) actLatency(f []string) {
 	w := s.world
-	w.net.latency = span(f[1])
+	w.net.latency = parseDuration(f[1])
 }
 
-// actLook carries out: look ID: one such look.
-func (s *script) actLook(f []string) {
+// actObserve handles "observe ID": the user of a job queries all controllers repeatedly.
+func (s *script) actObserve(f []string) {
 	w := s.world
 	w.observeJob(w.jobs[f[1]], false)
 }
 
-// actCut carries out: cut WHO D hold|reset [only=HOSTS]: leader, peers (all nodes), workers, state, user, names.
-func (s *script) actCut(f []string) {
-	hosts, zone := s.cutHosts(f)
-	only := s.cutFrom(args(f[3:])["only"])
-	s.net.addPartition(hosts, only, f[3] == "hold", span(f[2]), zone)
+// actPartition handles "partition WHO D hold|reset [only=HOSTS] [nodes=NODES]": separates WHO from
+// all hosts, or from HOSTS: names, leader, follower, peers (all controllers), workers, state, user.
+// Packets are held back until the end of the partition, or connections are reset.
+func (s *script) actPartition(f []string) {
+	hosts, zone := s.partitionHosts(f)
+	only := s.partitionPeers(keyValues(f[3:])["only"])
+	s.net.addPartition(hosts, only, f[3] == "hold", parseDuration(f[2]), zone)
 }
 
-// cutHosts returns the hosts that a cut names, and their zone if it names one.
-func (s *script) cutHosts(f []string) (hosts map[string]bool, zone string) {
+// partitionHosts returns the hosts that WHO of a partition names, and the zone for zone=Z.
+func (s *script) partitionHosts(f []string) (hosts map[string]bool, zone string) {
 	hosts = map[string]bool{}
 	if n := s.node(f[1]); n != nil {
 		hosts[n.name] = true
@@ -336,7 +345,7 @@
 			hosts[m.host] = true
 		}
 	}
-	nodes := args(f[3:])["nodes"] // that live in the zone as well
+	nodes := keyValues(f[3:])["nodes"] // controllers in the zone
 	if nodes == "" {
 		nodes = "n0"
 	}
@@ -348,8 +357,8 @@
 	return hosts, zone
 }
 
-// cutFrom returns the hosts that those of a cut cannot reach, or nil for all.
-func (s *script) cutFrom(words string) map[string]bool {
+// partitionPeers returns the hosts on the other side of a partition, or nil for all.
+func (s *script) partitionPeers(words string) map[string]bool {
 	if words == "" {
 		return nil
 	}
@@ -373,51 +382,51 @@
 	return only
 }
 
-// actStall carries out: stall NODE D: its process stands still, its clocks run on.
+// actStall handles "stall NODE D": the process is paused while its clocks advance.
 func (s *script) actStall(f []string) {
 	if n := s.node(f[1]); n != nil {
-		n.stall(span(f[2]))
+		n.stall(parseDuration(f[2]))
 	}
 }
 
-// actStorm carries out: storm D rate=N: so many polls a second besides.
-func (s *script) actStorm(f []string) {
+// actPollLoad handles "poll_load D rate=N": users send N additional polls a second.
+func (s *script) actPollLoad(f []string) {
 	w := s.world
-	w.pollStorm(num(args(f[2:]), "rate", 400), w.now.Add(span(f[1])))
+	w.pollStorm(numberArg(keyValues(f[2:]), "rate", 400), w.now.Add(parseDuration(f[1])))
 }
 
-// actHang carries out the word hang.
+// actHang handles "hang N D": the N busiest machines do not execute anything.
 func (s *script) actHang(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
-		m.hungUntil = w.now.Add(span(f[2]))
+		m.hungUntil = w.now.Add(parseDuration(f[2]))
 	}
 }
 
-// actSick carries out the word sick.
-func (s *script) actSick(f []string) {
+// actFailTasks handles "fail_tasks N D": every task on the N busiest machines fails.
+func (s *script) actFailTasks(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
 		m.failsTasks = true
-		w.after(span(f[2]), func() { m.failsTasks = false })
+		w.after(parseDuration(f[2]), func() { m.failsTasks = false })
 	}
 }
 
-// actSlow carries out the word slow.
+// actSlow handles "slow N [factor=F]": tasks on the N busiest machines take F times as long.
 func (s *script) actSlow(f []string) {
 	n, _ := strconv.Atoi(f[1])
 	for _, m := range s.busiest(n) {
-		m.slowdown = num(args(f[2:]), "factor", 3)
+		m.slowdown = numberArg(keyValues(f[2:]), "factor", 3)
 	}
 }
 
-// actTake carries out: take N notice=D | take N.
-func (s *script) actTake(f []string) {
+// actPreempt handles "preempt N [notice=D]": the cloud reclaims N spot machines, D after a notice.
+func (s *script) actPreempt(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
-	notice := dur(args(f[2:]), "notice", 0)
+	notice := durationArg(keyValues(f[2:]), "notice", 0)
 	for _, m := range s.busiest(len(w.cloud.machines)) {
 		if n > 0 && m.spot {
 			n--
@@ -430,8 +439,9 @@
 	}
 }
 
-// actBoots carries out: boots never | boots 300 (percent).
-func (s *script) actBoots(f []string) {
+// actBootTime handles "boot_time P" and "boot_time never": new machines need P percent of their
+// usual boot time, or half of them never boot.
+func (s *script) actBootTime(f []string) {
 	w := s.world
 	if f[1] == "never" {
 		w.cloud.bootPercent = func() (time.Duration, bool) { return 100, w.rng.IntN(2) == 0 }
@@ -441,24 +451,24 @@
 	}
 }
 
-// actSchedule carries out the word schedule or edit.
+// actSchedule handles "schedule NAME k=v..." and "edit NAME k=v...": creates or changes a schedule.
 func (s *script) actSchedule(f []string) {
-	s.putSchedule(f[1], args(f[2:]))
+	s.putSchedule(f[1], keyValues(f[2:]))
 }
 
-// actConfig carries out the word config or configs.
+// actConfig handles "config" and "configs": changes the live configuration.
 func (s *script) actConfig(f []string) {
 	s.configure(f)
 }
 
-// actPause carries out the word pause or resume or remove or start.
+// actPause handles "pause NAME", "resume NAME", "remove NAME" and "start NAME" for schedules.
 func (s *script) actPause(f []string) {
 	w := s.world
-	w.scheduleClients[f[1]].callUntilAnswered(map[string]request.Operation{"pause": request.SchedulePause, "resume": request.ScheduleResume, "remove": request.ScheduleDelete, "start": request.ScheduleRun}[f[0]], args(f[2:]))
+	w.scheduleClients[f[1]].callUntilAnswered(map[string]request.Operation{"pause": request.SchedulePause, "resume": request.ScheduleResume, "remove": request.ScheduleDelete, "start": request.ScheduleRun}[f[0]], keyValues(f[2:]))
 }
 
-// actDamage carries out: damage PREFIX VALUE: what the first key below the prefix holds.
-func (s *script) actDamage(f []string) {
+// actCorrupt handles "corrupt PREFIX VALUE": overwrites the first key below PREFIX.
+func (s *script) actCorrupt(f []string) {
 	w := s.world
 	w.dataLost = true
 	for _, k := range w.store.sortedKeys(f[1])[:1] {
@@ -469,21 +479,21 @@
 	}
 }
 
-// actRepair carries out: what was damaged last is put right.
+// actRepair handles "repair": restores the value that was corrupted last.
 func (s *script) actRepair(f []string) {
 	w := s.world
 	w.undoDamage()
 }
 
-// actWander carries out: wander NODE D: its time of day goes D wrong.
-func (s *script) actWander(f []string) {
+// actClockOffset handles "clock_offset NODE D": sets the wall-clock error of a controller.
+func (s *script) actClockOffset(f []string) {
 	if n := s.node(f[1]); n != nil {
-		n.wallOffset = span(f[2])
+		n.wallOffset = parseDuration(f[2])
 		n.core.SetClockOffset(n.wallOffset)
 	}
 }
 
-// actPlant carries out the word plant.
+// actPlant handles "plant RULE": violates a rule on purpose.
 func (s *script) actPlant(f []string) {
-	s.plant(f[1])
+	s.violateRule(f[1])
 }
--- a/internal/scenario/script_lines.go
+++ b/internal/scenario/script_lines.go
@@ -10,8 +10,8 @@
 	"yewpass/internal/config"
 )
 
-// lineWords are the words that a line of a scenario begins with, each with what reads it.
-var lineWords = map[string]func(s *script, f []string) error{
+// lineParsers maps the first word of a scenario line to its parser.
+var lineParsers = map[string]func(s *script, f []string) error{
 	"seed":      (*script).setSeed,
 	"start":     (*script).setStart,
 	"calendar":  (*script).setCalendar,
@@ -30,27 +30,28 @@
 	"expect":    (*script).setExpect,
 }
 
-// line reads a line, divided into words.
-func (s *script) line(f []string) (err error) {
+// parseLine parses a line that has been split into words. Invalid values, on which the
+// helpers panic, become errors.
+func (s *script) parseLine(f []string) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%v", p)
 		}
 	}()
-	read := lineWords[f[0]]
-	if read == nil {
-		return fmt.Errorf("unknown word %s", f[0])
+	parse := lineParsers[f[0]]
+	if parse == nil {
+		return fmt.Errorf("unknown line type %q", f[0])
 	}
-	return read(s, f)
+	return parse(s, f)
 }
 
-// setSeed reads a line "seed".
+// setSeed parses "seed N".
 func (s *script) setSeed(f []string) (err error) {
 	s.seed, err = strconv.ParseUint(f[1], 10, 64)
 	return err
 }
 
-// setStart reads the time of day at which the scenario begins.
+// setStart parses "start TIME", the wall-clock time at which the scenario starts, as RFC 3339.
 func (s *script) setStart(f []string) (err error) {
 	var t time.Time
 	t, err = time.Parse(time.RFC3339, f[1])
@@ -58,114 +59,115 @@
 	return err
 }
 
-// setCalendar reads a line "calendar".
+// setCalendar parses "calendar NAME k=v...".
 func (s *script) setCalendar(f []string) error {
-	s.calendarDefs[f[1]] = parseCalendar(args(f[2:]))
+	s.calendarDefs[f[1]] = parseCalendar(keyValues(f[2:]))
 	return nil
 }
 
-// setNodes reads a line "nodes".
+// setNodes parses "nodes N", the number of controllers.
 func (s *script) setNodes(f []string) (err error) {
 	cs := &s.cfg.Settings
 	cs.Nodes, err = strconv.Atoi(f[1])
 	return err
 }
 
-// setWorkers reads a line "workers".
+// setWorkers parses "workers [report=D] [lease=D] [cancel=D]".
 func (s *script) setWorkers(f []string) error {
-	a := args(f[1:])
+	a := keyValues(f[1:])
 	cs := &s.cfg.Settings
-	cs.Workers = config.Workers{Report: config.Seconds(dur(a, "report", 3*time.Second).Seconds()),
-		Lease: config.Seconds(dur(a, "lease", 20*time.Second).Seconds()), Cancel: config.Seconds(dur(a, "cancel", 40*time.Second).Seconds())}
+	cs.Workers = config.Workers{Report: config.Seconds(durationArg(a, "report", 3*time.Second).Seconds()),
+		Lease: config.Seconds(durationArg(a, "lease", 20*time.Second).Seconds()), Cancel: config.Seconds(durationArg(a, "cancel", 40*time.Second).Seconds())}
 	return nil
 }
 
-// setState reads a line "state".
+// setState parses "state [rps=N] [write_rps=N] [value_kb=N] [txn_ops=N] [keeps=N]", the limits of
+// the key-value store. keeps is the number of revisions it retains for watches.
 func (s *script) setState(f []string) error {
-	a := args(f[1:])
+	a := keyValues(f[1:])
 	cs := &s.cfg.Settings
-	cs.State = config.State{RPS: num(a, "rps", 250), WriteRPS: num(a, "write_rps", 100), ValueKB: num(a, "value_kb", 16), TxnOps: int(num(a, "txn_ops", 48))}
-	s.store.historyLength = uint64(num(a, "keeps", 10000))
+	cs.State = config.State{RPS: numberArg(a, "rps", 250), WriteRPS: numberArg(a, "write_rps", 100), ValueKB: numberArg(a, "value_kb", 16), TxnOps: int(numberArg(a, "txn_ops", 48))}
+	s.store.historyLength = uint64(numberArg(a, "keeps", 10000))
 	return nil
 }
 
-// setCloud reads a line "cloud".
+// setCloud parses "cloud [rps=N]".
 func (s *script) setCloud(f []string) error {
-	a := args(f[1:])
+	a := keyValues(f[1:])
 	cs := &s.cfg.Settings
-	cs.Cloud = config.Cloud{RPS: num(a, "rps", 6), ListLag: 3}
+	cs.Cloud = config.Cloud{RPS: numberArg(a, "rps", 6), ListLag: 3}
 	return nil
 }
 
-// setTeam reads a line "team".
+// setTeam parses "team NAME [cpus=N] [max=N] [gpus=N] [gpus_max=N]": guarantees and limits.
 func (s *script) setTeam(f []string) error {
-	a := args(f[1:])
+	a := keyValues(f[1:])
 	cs := &s.cfg.Settings
-	cs.Teams = append(cs.Teams, config.Team{Name: f[1], CPUs: num(a, "cpus", 0), CPUsMax: num(a, "max", 0), GPUs: num(a, "gpus", 0), GPUsMax: num(a, "gpus_max", 0)})
+	cs.Teams = append(cs.Teams, config.Team{Name: f[1], CPUs: numberArg(a, "cpus", 0), CPUsMax: numberArg(a, "max", 0), GPUs: numberArg(a, "gpus", 0), GPUsMax: numberArg(a, "gpus_max", 0)})
 	return nil
 }
 
-// setObjective reads a line "objective".
+// setObjective parses "objective KIND CLASS within=D".
 func (s *script) setObjective(f []string) error {
 	cs := &s.cfg.Settings
-	a := args(f[3:])
-	cs.Objectives = append(cs.Objectives, config.Objective{Kind: f[1], Class: f[2], Within: config.Seconds(dur(a, "within", 0).Seconds()), Share: 0.9, Times: 1})
+	a := keyValues(f[3:])
+	cs.Objectives = append(cs.Objectives, config.Objective{Kind: f[1], Class: f[2], Within: config.Seconds(durationArg(a, "within", 0).Seconds()), Share: 0.9, Times: 1})
 	return nil
 }
 
-// setType reads a line "type".
+// setType parses "type NAME k=v...", an instance type.
 func (s *script) setType(f []string) error {
-	a := args(f[1:])
-	s.cloud.instanceTypes = append(s.cloud.instanceTypes, &instanceType{name: f[1], cpus: num(a, "cpus", 8), gpus: num(a, "gpus", 0), mem: num(a, "mem", 64),
-		price: num(a, "rate", 1), spotPrice: num(a, "low", 0.3), bootTime: dur(a, "ready", 20*time.Second), fetchRate: num(a, "fetch", 0.5)})
+	a := keyValues(f[1:])
+	s.cloud.instanceTypes = append(s.cloud.instanceTypes, &instanceType{name: f[1], cpus: numberArg(a, "cpus", 8), gpus: numberArg(a, "gpus", 0), mem: numberArg(a, "mem", 64),
+		price: numberArg(a, "rate", 1), spotPrice: numberArg(a, "low", 0.3), bootTime: durationArg(a, "ready", 20*time.Second), fetchRate: numberArg(a, "fetch", 0.5)})
 	return nil
 }
 
-// setCapacity reads a line "capacity".
+// setCapacity parses "capacity TYPE ZONE [n=N] [spot=N]".
 func (s *script) setCapacity(f []string) error {
-	a := args(f[1:])
+	a := keyValues(f[1:])
 	k := offerKey{f[1], f[2], false}
-	s.cloud.capacity[k] = int(num(a, "n", 0))
+	s.cloud.capacity[k] = int(numberArg(a, "n", 0))
 	k.spot = true
-	s.cloud.capacity[k] = int(num(a, "spot", 0))
+	s.cloud.capacity[k] = int(numberArg(a, "spot", 0))
 	if fl := s.cloud.instanceType(f[1]); !slices.Contains(fl.zones, f[2]) {
 		fl.zones = append(fl.zones, f[2])
 	}
 	return nil
 }
 
-// setMachines reads a line "machines".
+// setMachines parses "machines TYPE ZONE [n=N] [spot]", the machines at the start.
 func (s *script) setMachines(f []string) error {
 	s.actions = append(s.actions, action{0, f})
 	return nil
 }
 
-// setPolicy reads a line "policy".
+// setPolicy parses "policy TEXT", a line of the policy file.
 func (s *script) setPolicy(f []string) error {
 	s.policyText = append(s.policyText, []byte(strings.Join(f[1:], " ")+"\n")...)
 	return nil
 }
 
-// setRun reads a line "run".
+// setRun parses "run D", the duration of the scenario.
 func (s *script) setRun(f []string) error {
-	s.end = span(f[1])
+	s.end = parseDuration(f[1])
 	return nil
 }
 
-// setAt reads a line "at".
+// setAt parses "at D ACTION...", an action D after the start.
 func (s *script) setAt(f []string) error {
-	s.actions = append(s.actions, action{span(f[1]), f[2:]})
+	s.actions = append(s.actions, action{parseDuration(f[1]), f[2:]})
 	return nil
 }
 
-// setExpect reads a line "expect".
+// setExpect parses "expect NAME... [by D]", checked at D or at the end.
 func (s *script) setExpect(f []string) error {
-	s.expects = append(s.expects, expect{what: f[1:]})
+	s.expects = append(s.expects, expect{words: f[1:]})
 	return nil
 }
 
-// args reads k=v words; words without = map to themselves.
-func args(words []string) map[string]string {
+// keyValues parses k=v words. A word without = gets the value "yes".
+func keyValues(words []string) map[string]string {
 	m := map[string]string{}
 	for _, w := range words {
 		k, v, ok := strings.Cut(w, "=")
@@ -177,28 +179,28 @@
 	return m
 }
 
-func num(m map[string]string, k string, otherwise float64) float64 {
+func numberArg(m map[string]string, k string, fallback float64) float64 {
 	if v, ok := m[k]; ok {
 		f, err := strconv.ParseFloat(v, 64)
 		if err != nil {
-			panic(fmt.Sprintf("%s=%s is no number", k, v))
+			panic(fmt.Sprintf("%s=%s is not a number", k, v))
 		}
 		return f
 	}
-	return otherwise
+	return fallback
 }
 
-func dur(m map[string]string, k string, otherwise time.Duration) time.Duration {
+func durationArg(m map[string]string, k string, fallback time.Duration) time.Duration {
 	if v, ok := m[k]; ok {
-		return span(v)
+		return parseDuration(v)
 	}
-	return otherwise
+	return fallback
 }
 
-func span(v string) time.Duration {
+func parseDuration(v string) time.Duration {
 	d, err := time.ParseDuration(v)
 	if err != nil {
-		panic(v + " is no duration")
+		panic(v + " is not a duration")
 	}
 	return d
 }
