--- a/internal/scenario/drill_test.go
+++ b/internal/scenario/drill_test.go
@@ -192,7 +192,7 @@
 	for _, p := range ps {
 		p.start()
 	}
-	f.waitFor("terms go on", func() bool { return anyLoggedError(ps, "workers have seen newer terms") })
+	f.waitFor("terms go on", func() bool { return anyLoggedError(ps, "workers have seen terms newer than the stored one") })
 	f.checkJobCompletes("wk-1")
 	if after := f.waitLeader().metric("yewpass_term"); after <= before {
 		t.Errorf("term before the loss is %g, after it %g, want a larger one", before, after)
