--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -12,12 +12,12 @@
 )
 
 // Runtimes holds the average ratio of observed to estimated runtimes by class and owner. Users
-// choose class names, so only the most recently used entries are cache.
+// choose class names, so the number of entries is bounded.
 type Runtimes struct {
 	*lru.Cache[string, *MovingAverage]
 }
 
-// maxClasses is the maximum number of entries in Runtimes.
+// maxClasses is the maximum number of entries in Runtimes; the least recently used one is evicted.
 const maxClasses = 4096
 
 // NewRuntimes returns a Runtimes without observations.
@@ -26,7 +26,7 @@
 	return Runtimes{cache}
 }
 
-// Lookup returns the average for the job's class and owner, or nil if nothing has been observed.
+// Lookup returns the average for the job's class and owner, or nil if there is none.
 func (e Runtimes) Lookup(s *spec.Job) *MovingAverage {
 	o, _ := e.Get(s.Class + "/" + s.Owner)
 	return o
@@ -49,8 +49,8 @@
 	o.Mean += w * (x - o.Mean)
 }
 
-// ImageFetchTime returns how long a machine of the given type takes to fetch the image of the job,
-// or 0 if its bandwidth is unknown.
+// ImageFetchTime returns how long a machine of the type takes to fetch the job's image, or 0 if its
+// bandwidth is unknown.
 func ImageFetchTime(s *spec.Job, t *provider.InstanceType) time.Duration {
 	if t == nil || t.ImageGBps <= 0 {
 		return 0
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestQueue checks that jobs are ordered by the queue time of their first reservation, then by
-// submission, then by ID, and that Reposition moves and removes them.
+// TestQueue checks that jobs are ordered by queue time, then submission, then ID, and that
+// Reposition moves and removes them.
 func TestQueue(t *testing.T) {
 	var q Queue
 	add := func(id string, start, yield, submitted time.Duration) *Job {
--- a/internal/fleet/heldreply.go
+++ b/internal/fleet/heldreply.go
@@ -7,13 +7,13 @@
 	"yewpass/internal/relay"
 )
 
-// RelayLink is the leader's side of the connection to a relay, which aggregates the heartbeats of
-// many workers.
+// RelayLink is the leader's state of a connected relay, which aggregates the heartbeats of many
+// workers.
 type RelayLink struct {
 	Decoder    relay.Decoder
 	LastBatch  time.Time     // when the last batch was decoded
 	LastSilent time.Time     // when the relay was last found silent
-	Workers    int           // number of workers that report through the relay
+	Workers    int           // workers that report through the relay
 	Replies    []relay.Reply // not yet sent
 	Weight     int           // total weight of Replies, see relay.Reply.Weight
 }
--- a/internal/fleet/job.go
+++ b/internal/fleet/job.go
@@ -18,8 +18,8 @@
 	"yewpass/internal/writebatch"
 )
 
-// MaxFailedMachines is the number of machines on which a job's tasks may fail before those machines
-// are excluded no longer. Failures on more machines are attributed to the job.
+// MaxFailedMachines is the maximum number of machines that a job excludes because its tasks failed
+// on them. Failures on more machines are attributed to the job, which then excludes none.
 const MaxFailedMachines = 2
 
 // Job is an accepted job that has not finished.
@@ -41,23 +41,23 @@
 
 // Progress is the execution state of a job's tasks.
 type Progress struct {
-	Done                  bitset.Set             // completed tasks
-	Pending               bitset.Set             // tasks neither completed nor on a machine
-	Waiting               int                    // number of pending tasks
-	Remaining             int                    // number of tasks not completed
-	Attempts              map[int]*Attempt       // attempts by task index that are or may be on a machine
-	Running               int                    // number of tasks reported as running or checkpointing
-	UnrecordedCompletions []*Attempt             // completions that are not known to be stored
-	AnyCompleted          bool                   // at least one task has completed
+	Done                  bitset.Set       // completed tasks
+	Pending               bitset.Set       // tasks neither completed nor on a machine
+	Waiting               int              // number of pending tasks
+	Remaining             int              // number of tasks not completed
+	Attempts              map[int]*Attempt // by task index; attempts that are or may be on a machine
+	Running               int              // tasks reported as running or checkpointing
+	UnrecordedCompletions []*Attempt       // completions not known to be stored
+	AnyCompleted          bool
 	HasRun                bool                   // at least one task has run or completed
 	StartRecorded         bool                   // the start has been added to the history of its schedule
 	Runtime               estimate.MovingAverage // observed runtime in seconds
-	ChunkRevisions        map[int]uint64         // store revisions of the progress records
-	DirtyChunks           map[int]bool           // progress records with changes not yet being written
+	ChunkRevisions        map[int]uint64
+	DirtyChunks           map[int]bool // progress records with changes not yet being written
 }
 
-// NewProgress returns the progress of a job with the given number of tasks, none of which is marked
-// as pending, running or done.
+// NewProgress returns the progress of a job with the given number of tasks, none of them marked as
+// pending, running or done.
 func NewProgress(tasks int) Progress {
 	return Progress{
 		Done: bitset.New(tasks), Pending: bitset.New(tasks), Remaining: tasks, Attempts: map[int]*Attempt{},
@@ -67,11 +67,11 @@
 
 // Queueing holds a job's reservations and its position in the queue.
 type Queueing struct {
-	Reserved              int            // number of pending tasks covered by Reservations
+	Reserved              int            // pending tasks covered by Reservations
 	Reservations          []*Reservation // in queue order
 	QueueTime             time.Time      // queue time of the first reservation, while Queued
 	Queued                bool
-	ReservationPending    bool      // a call of Reserve is scheduled
+	ReservationPending    bool      // Reserve is scheduled
 	LastRefreshed         time.Time // when new slots were last searched
 	MissedObjectivesUntil time.Time // objectives up to this time cannot be met
 	ImageLocalUntil       time.Time // until then only machines that have its image may start it
@@ -80,8 +80,8 @@
 // FailureHistory records failures of a job's tasks.
 type FailureHistory struct {
 	FailedOn map[string]bool // machines on which a task failed
-	Failures int             // number of failures since a task last completed
-	RetryAt  time.Time       // tasks must not start before this time
+	Failures int             // failures since a task last completed
+	RetryAt  time.Time       // no task starts before this time
 }
 
 // Finalization is the progress of a job's cancellation or completion.
@@ -93,11 +93,11 @@
 	FinalWaiters []request.Request  // requests to answer when the job has ended
 }
 
-// Halted reports whether the job has been or is being cancelled or finished, so that none of its
-// tasks may start.
+// Halted reports whether the job is or has been cancelled or finished, so that none of its tasks
+// may start.
 func (j *Job) Halted() bool { return j.Cancelled || j.Cancelling || j.Finishing }
 
-// View returns the status of the job that is reported to users.
+// View returns the job status that is reported to users.
 func (j *Job) View() request.JobStatus {
 	v := request.JobStatus{ID: j.Spec.ID, State: spec.Queued, Done: j.Spec.Tasks - j.Remaining, Running: j.Running}
 	switch {
@@ -109,8 +109,8 @@
 	return v
 }
 
-// Before reports whether the job precedes o in the queue. Jobs are ordered by the queue time of
-// their first reservation, then by submission, then by ID.
+// Before reports whether the job precedes o in the queue: by the queue time of the first
+// reservation, then by submission, then by ID.
 func (j *Job) Before(o *Job) bool {
 	if x := j.QueueTime.Compare(o.QueueTime); x != 0 {
 		return x < 0
@@ -121,12 +121,11 @@
 	return j.Spec.ID < o.Spec.ID
 }
 
-// AllowsInstanceType reports whether the job may run on the named instance type. An empty list in
-// the job allows all types.
+// AllowsInstanceType reports whether the job may run on the named instance type. A job without a
+// list of types allows all.
 func AllowsInstanceType(s *spec.Job, name string) bool {
 	return len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, name)
 }
 
-// OfferedIn reports whether the cloud offers the instance type in the zone, according to its
-// catalog.
+// OfferedIn reports whether the catalog lists the instance type in the zone.
 func OfferedIn(f *provider.InstanceType, zone string) bool { return slices.Contains(f.Zones, zone) }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -14,7 +14,7 @@
 	"yewpass/internal/zones"
 )
 
-// PricePerCPU returns the hourly price of the machine divided by its CPUs.
+// PricePerCPU returns the machine's hourly price per CPU.
 func (m *Machine) PricePerCPU() float64 {
 	if m.Spot {
 		return m.InstanceType.SpotRate / m.InstanceType.CPUs
@@ -22,13 +22,13 @@
 	return m.InstanceType.OnDemandRate / m.InstanceType.CPUs
 }
 
-// ToRecord returns the part of the machine's state that is written to the store.
+// ToRecord returns the part of the machine's state that is stored.
 func (m *Machine) ToRecord() record.Machine {
 	return record.Machine{Host: m.Host, Address: m.Address, InstanceType: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
-// maxKnownImages bounds the set of images that a machine is assumed to have. Like the machine's own
-// cache, it keeps the most recently used ones. Users choose image names, so the set needs a bound.
+// maxKnownImages bounds the set of images that a machine is assumed to have, since users choose
+// image names. The machine's own cache also keeps the most recently used ones.
 const maxKnownImages = 128
 
 // NewImages returns an empty set of images, which evicts the least recently used one when full.
@@ -61,69 +61,69 @@
 type Identity struct {
 	Host, TypeName, Zone string
 	Address              string
-	Place                *topology.Place        // location in the topology
-	ZoneState            *zones.Zone            // availability of its zone
+	Place                *topology.Place
+	ZoneState            *zones.Zone
 	InstanceType         *provider.InstanceType // nil until the catalog is known
 	Spot                 bool
 }
 
-// RecordState says whether the machine has been recorded in the store. Tasks start only on recorded
+// RecordState says whether the store has a record of the machine. Tasks start only on recorded
 // machines, so that the next leader knows of every machine that may run tasks.
 type RecordState struct {
 	Record     RecordStatus
 	RecordedIn *Record // the record that includes the machine
 }
 
-// Heartbeats is the state of the heartbeat exchange with a machine.
+// Heartbeats is the state of the heartbeats exchanged with a machine.
 type Heartbeats struct {
 	Reported             bool // has sent a heartbeat in this term
 	Probed               bool // has only answered a probe in this term
 	FailedProbes         int  // consecutive probes without an answer
 	Incarnation, Counter uint64
 	FencingToken         uint64
-	ExpiredIncarnation   uint64    // leases of incarnations up to this one have expired
-	LastHeartbeat        time.Time // when the last heartbeat was received
-	LastReply            time.Time // when the last reply was sent
+	ExpiredIncarnation   uint64    // leases up to this incarnation have expired
+	LastHeartbeat        time.Time // when received
+	LastReply            time.Time // when sent
 	HeldReply            *HeldReply
 	UnacknowledgedSince  time.Time  // first reply of this term, until a heartbeat acknowledges it
-	MissedStarts         int        // consecutive start orders that the following heartbeat did not list
-	Relay                *RelayLink // relay that forwards its heartbeats; nil if it reports directly
-	LastRedirect         time.Time  // when it was last redirected to another node
-	DispatchPending      bool       // has orders to send without waiting for the next heartbeat
+	MissedStarts         int        // consecutive start orders that the next heartbeat did not list
+	Relay                *RelayLink // forwards its heartbeats; nil if it reports directly
+	LastRedirect         time.Time
+	DispatchPending      bool // has orders to send without waiting for the next heartbeat
 }
 
-// Lifecycle holds the times and flags of a machine's rental, from start to release.
+// Lifecycle holds the times and flags of a machine's rental.
 type Lifecycle struct {
-	FirstSeen      time.Time // when this leader first learned of it
+	FirstSeen      time.Time // when this leader learned of it
 	RentedAt       time.Time
 	ReadyAt        time.Time // expected end of booting
-	IdleSince      time.Time // when it last became idle
+	IdleSince      time.Time
 	Releasing      bool
 	Draining       bool      // accepts no new tasks and is released once its tasks have ended
 	InterruptionAt time.Time // announced time of the spot interruption; zero if none
 }
 
-// Load is what runs on a machine and what is reserved on it.
+// Load holds the tasks and reservations on a machine.
 type Load struct {
 	Timeline     *timeline.Timeline
 	Attempts     []*Attempt
-	Reservations []*Reservation // reservations of pending tasks
+	Reservations []*Reservation
 	Allocated    timeline.Resources
 	WarmReserve  int64                            // millicores kept free for latency-sensitive jobs
-	Images       *simplelru.LRU[string, struct{}] // images that it is assumed to have
+	Images       *simplelru.LRU[string, struct{}] // assumed to be on the machine
 }
 
 // Health holds the conditions that keep tasks off a machine.
 type Health struct {
 	Quarantined  bool
-	LeaseExpired bool      // its lease has expired and it has not sent a heartbeat since
+	LeaseExpired bool      // no heartbeat since the lease expired
 	Unreachable  bool      // silent, in a zone that appears to be disconnected
 	RetryAt      time.Time // no starts before this time, after a refused start
 	FailureScore int
-	OnProbation  bool // its last task failed; it runs one task at a time until one completes
+	OnProbation  bool // its last task failed; runs one task at a time until one completes
 }
 
-// NewMachine returns a machine first seen at now. Its capacity is zero until the caller sets its
+// NewMachine returns a machine first seen at now. It has no capacity until the caller sets its
 // timeline.
 func NewMachine(id Identity, now time.Time) *Machine {
 	return &Machine{
@@ -153,8 +153,8 @@
 	return m.Timeline.Capacity().Add(m.Allocated, -1)
 }
 
-// FindAttempt returns the given attempt of a task, or nil. Workers list tasks in start order, like
-// Attempts, so the search begins at index from.
+// FindAttempt returns the given attempt of a task, or nil. The search starts at index from and
+// wraps around, since workers list tasks in the order of Attempts.
 func (m *Machine) FindAttempt(id heartbeat.TaskID, attempt uint64, from int) *Attempt {
 	n := len(m.Attempts)
 	for i := range n {
@@ -166,7 +166,7 @@
 }
 
 // EligibleFor reports whether the machine satisfies the job's constraints: spot, instance type,
-// zone, capacity and earlier failures. It does not consider what is free now.
+// zone, capacity and earlier failures. It ignores what is free now.
 func (m *Machine) EligibleFor(j *Job) bool {
 	s := &j.Spec
 	return m.Schedulable() && (!m.Spot || s.AllowSpot) && AllowsInstanceType(s, m.TypeName) &&
@@ -179,8 +179,7 @@
 	return slices.ContainsFunc(m.Reservations, func(r *Reservation) bool { return r.Job == j })
 }
 
-// CanStartNow reports whether the machine has the job's image and enough free resources to start a
-// task now.
+// CanStartNow reports whether the machine has the job's image and enough free resources for a task.
 func (m *Machine) CanStartNow(j *Job) bool {
 	return m.Reported && m.Schedulable() && m.Images.Contains(j.Spec.Image) && j.Need.Fits(m.FreeResources())
 }
--- a/internal/fleet/queue.go
+++ b/internal/fleet/queue.go
@@ -5,9 +5,9 @@
 	"sort"
 )
 
-// Queue holds the jobs that have reservations, ordered by the queue time of their first reservation
-// and then by submission. A job is repositioned by its next reservation when the first is consumed,
-// so a walk visits all reservations in queue order although the queue has one entry per job.
+// Queue holds the jobs that have reservations, ordered by Job.Before. When a job's first
+// reservation is consumed, the job is repositioned by the next, so a walk visits all reservations
+// in queue order with one entry per job.
 type Queue []*Job
 
 // Reposition moves the job to the position of its first reservation, inserting it if needed, or
--- a/internal/fleet/reservation.go
+++ b/internal/fleet/reservation.go
@@ -14,15 +14,15 @@
 	Job               *Job
 	Machine           *Machine
 	QueueDelay        time.Duration // how far it is moved back in the queue
-	QueueDelayPerTask time.Duration // reduction of QueueDelay for each task of the job that starts
+	QueueDelayPerTask time.Duration // decrease of QueueDelay for each task of the job that starts
 }
 
 // QueueTime returns the time that determines the reservation's position in the queue.
 func (r *Reservation) QueueTime() time.Time { return r.Start.Add(r.QueueDelay) }
 
-// ReservationDuration returns how long a slot on the machine is reserved for a task of the job that
-// runs for base: base plus the time to fetch the image if the machine lacks it. Services are
-// reserved until timeline.Forever.
+// ReservationDuration returns how long a slot on the machine is reserved for a task that runs for
+// base: base plus the image fetch if the machine lacks the image. Services are reserved for
+// timeline.Forever.
 func ReservationDuration(j *Job, m *Machine, base time.Duration) time.Duration {
 	if j.Spec.Service {
 		return timeline.Forever
--- a/internal/placement/attempts.go
+++ b/internal/placement/attempts.go
@@ -7,8 +7,8 @@
 	"yewpass/internal/timeline"
 )
 
-// Allocate charges the resources of an attempt to its machine, team and job, and books them on the
-// machine's timeline until the expected end of the attempt.
+// Allocate charges the attempt's resources to its machine, team and job, and books them on the
+// machine's timeline until the attempt's expected end.
 func (s *Scheduler) Allocate(a *fleet.Attempt, j *fleet.Job) {
 	i := a.ID.Index
 	a.Job, a.Need, a.HoldsResources = j, j.Need, true
@@ -57,16 +57,15 @@
 	if m.Allocated == (timeline.Resources{}) {
 		m.IdleSince = s.now()
 	}
-	// The reply to this machine's heartbeat already dispatches work to it. Other machines have to
-	// be considered too if the team or the job was held back by its quota, placement rules or
-	// failures.
+	// The reply to this machine's heartbeat already dispatches work to it. Other machines matter
+	// only if a quota, placement rules or failures held back the team or the job.
 	if j.Team.LimitReached || j.Spec.SamePlace || j.Spec.Apart || j.Failures > 0 {
 		j.Team.LimitReached = false
 		s.leader.RequestDispatchAll()
 	}
 }
 
-// ResetExpectedEnd updates the end of the attempt's booking when the attempt starts to run.
+// ResetExpectedEnd recomputes the end of the attempt's booking when the attempt starts to run.
 func (s *Scheduler) ResetExpectedEnd(a *fleet.Attempt) {
 	if a.Reservation != nil {
 		a.Reservation.End = s.now().Add(s.ReservationDuration(a.Job, a.Machine))
--- a/internal/placement/cluster_test.go
+++ b/internal/placement/cluster_test.go
@@ -37,7 +37,7 @@
 func (c *cluster) RequestDispatchAll()               {}
 func (c *cluster) Backlog() (time.Duration, float64) { return 0, 0 }
 
-// newCluster returns a cluster of n machines of three types, all of which send heartbeats.
+// newCluster returns n machines of three types, all of which send heartbeats.
 func newCluster(n int) *cluster {
 	cfg := &config.Config{HostName: "n0"}
 	cfg.Settings.Workers = config.Workers{Report: 5, Lease: 29, Cancel: 54}
@@ -76,7 +76,7 @@
 	return j
 }
 
-// newJob adds a random job all of whose tasks are pending, without reservations.
+// newJob adds a random job with all tasks pending and no reservations.
 func (c *cluster) newJob(id, tasks int, rng *rand.Rand) *fleet.Job {
 	job := spec.Job{
 		ID: fmt.Sprintf("wk-%06d", id), Class: "c", Owner: "t", Urgency: spec.Standard, Tasks: tasks, CPUs: float64(1 + rng.IntN(4)), MemGB: 1,
--- a/internal/placement/estimates.go
+++ b/internal/placement/estimates.go
@@ -9,7 +9,7 @@
 	"yewpass/internal/timeline"
 )
 
-// maxRuntimesPerJob is how many runtimes of one job count towards the average of its class and
+// maxRuntimesPerJob bounds how many runtimes of one job count towards the average of its class and
 // owner, so that a large array does not outweigh all other jobs.
 const maxRuntimesPerJob = 8
 
@@ -30,11 +30,11 @@
 	}
 }
 
-// HasRuntimes reports whether runtimes have been observed for the job's class and owner.
+// HasRuntimes reports whether runtimes of the job's class and owner have been observed.
 func (s *Scheduler) HasRuntimes(job *spec.Job) bool { return s.runtimes.Lookup(job) != nil }
 
-// Estimate returns the expected runtime of a task of the job, without the time to fetch its image.
-// It is 0 for services.
+// Estimate returns the expected runtime of a task of the job, excluding the image fetch. It is 0
+// for services.
 func (s *Scheduler) Estimate(j *fleet.Job) time.Duration {
 	if j.Spec.Service {
 		return 0
@@ -45,8 +45,8 @@
 	return s.estimateSpec(&j.Spec)
 }
 
-// estimateSpec returns the estimate for a job none of whose tasks has completed: the user's
-// estimate, corrected by the runtimes observed for its class and owner.
+// estimateSpec returns the user's estimate, corrected by the runtimes observed for the job's class
+// and owner.
 func (s *Scheduler) estimateSpec(job *spec.Job) time.Duration {
 	d := job.Runtime
 	if avg := s.runtimes.Lookup(job); avg != nil && avg.N >= 5 {
@@ -55,7 +55,7 @@
 	return max(d, 100*time.Millisecond)
 }
 
-// paddedEstimate returns the estimate plus the margin, without the time to fetch the image.
+// paddedEstimate returns the estimate plus the margin, excluding the image fetch.
 func (s *Scheduler) paddedEstimate(j *fleet.Job) time.Duration { return s.pad(s.Estimate(j)) }
 
 // PaddedSpecEstimate returns the estimate plus the margin for a job that has not been accepted yet.
@@ -68,7 +68,7 @@
 }
 
 // ReservationDuration returns how long a slot on the machine is reserved for a task of the job: the
-// padded estimate plus the time to fetch the image if the machine lacks it.
+// padded estimate plus the image fetch if the machine lacks the image.
 func (s *Scheduler) ReservationDuration(j *fleet.Job, m *fleet.Machine) time.Duration {
 	return fleet.ReservationDuration(j, m, s.paddedEstimate(j))
 }
--- a/internal/placement/locality.go
+++ b/internal/placement/locality.go
@@ -7,16 +7,15 @@
 	"yewpass/internal/fleet"
 )
 
-// ReserveWarmCapacity keeps the given number of millicores free for latency-sensitive jobs. It
-// distributes them over the machines with the most CPUs, where one heartbeat starts many tasks, and
-// takes at most a quarter of each.
+// ReserveWarmCapacity keeps the given number of millicores free for latency-sensitive jobs, spread
+// over the machines with the most CPUs, and takes at most a quarter of each.
 func (s *Scheduler) ReserveWarmCapacity(cpus int64) {
 	machines := s.leader.Machines()
 	var sizes []int64
 	for _, m := range machines {
 		m.WarmReserve = 0
 		if n := m.Timeline.Capacity().CPU; !slices.Contains(sizes, n) {
-			sizes = append(sizes, n) // one entry per machine size, so the list stays short
+			sizes = append(sizes, n) // one entry per machine size
 		}
 	}
 	slices.Sort(sizes)
@@ -33,8 +32,8 @@
 	}
 }
 
-// imageLocalityWait is how long a latency-sensitive job waits for a machine that has its image. On
-// a busy fleet such a machine becomes free sooner than another one could fetch the image.
+// imageLocalityWait is how long a latency-sensitive job waits for a machine that has its image.
+// Such a machine tends to become free before another could fetch the image.
 const imageLocalityWait = 700 * time.Millisecond
 
 // PreferImageLocality restricts a new latency-sensitive job to machines that have its image for
@@ -57,13 +56,12 @@
 }
 
 // maxReservationsScanned bounds how many reservations of a job are examined for a machine that
-// lacks its image. If there are more, that many tasks are about to start where they have a
-// reservation.
+// lacks its image.
 const maxReservationsScanned = 17
 
 // nextReservationFor returns the job's first reservation that the machine may serve, or nil. A
-// machine that lacks the image does not serve a reservation whose own machine has the image and can
-// start the task now, and serves none while the job is restricted to machines that have its image.
+// machine without the image serves none while the job is restricted to machines that have it, and
+// none whose own machine has the image and can start the task now.
 func (s *Scheduler) nextReservationFor(j *fleet.Job, m *fleet.Machine) *fleet.Reservation {
 	if m.Images.Contains(j.Spec.Image) {
 		return j.Reservations[0]
--- a/internal/placement/objectives.go
+++ b/internal/placement/objectives.go
@@ -13,18 +13,17 @@
 // objective is a time by which the tasks of a job should finish.
 type objective struct {
 	deadline time.Time
-	wholeJob bool // all tasks have to meet it; otherwise each task is counted individually
+	wholeJob bool // all tasks have to meet it; otherwise each task counts individually
 }
 
-// nextObjective returns the earliest objective that a task of the job with the given expected
-// runtime can still meet, among the user's deadline and the operators' service-level objectives. An
-// objective on the waiting time counts as a deadline one runtime later. ok is false if no objective
-// can be met.
+// nextObjective returns the earliest objective that a task with the given expected runtime can
+// still meet, among the user's deadline and the service-level objectives. An objective on the
+// waiting time counts as a deadline one runtime later. ok is false if none can be met.
 func (s *Scheduler) nextObjective(j *fleet.Job, length time.Duration) (best objective, ok bool) {
 	return s.nextObjectiveFrom(j, s.now(), j.MissedObjectivesUntil, length)
 }
 
-// nextObjectiveFrom is nextObjective for a task that starts at from at the earliest. It ignores
+// nextObjectiveFrom is nextObjective for a task that starts no earlier than from. It ignores
 // objectives up to missed.
 func (s *Scheduler) nextObjectiveFrom(j *fleet.Job, from, missed time.Time, length time.Duration) (best objective, ok bool) {
 	earliest := from.Add(length)
@@ -37,12 +36,12 @@
 }
 
 // earlyFinishPercent is the percentage of the time allowed by a "finished" objective that is tried
-// as a deadline first. The slowest tasks of a large array take about twice as long as most, so they
-// would miss the objective if they started as late as possible. Idle jobs have no early deadline.
+// as a deadline first, because the slowest tasks of a large array would miss the objective if they
+// started as late as possible. Idle jobs have no early deadline.
 const earlyFinishPercent = 60
 
-// forEachObjective calls f with every objective of the job, given the expected runtime of its
-// tasks. Services have none.
+// forEachObjective calls f with every objective of the job, given its tasks' expected runtime.
+// Services have none.
 func (s *Scheduler) forEachObjective(j *fleet.Job, length time.Duration, f func(objective)) {
 	if j.Spec.Service {
 		return
@@ -84,8 +83,7 @@
 }
 
 // isBestEffort reports whether an idle job has neither a deadline nor an objective. Such a job is
-// delayed in the queue like a late one; otherwise it would start before every job that has missed
-// an objective.
+// delayed in the queue; otherwise it would start before every job that has missed an objective.
 func (s *Scheduler) isBestEffort(j *fleet.Job) bool {
 	if j.Spec.Urgency != spec.Idle || j.Spec.Service {
 		return false
@@ -96,9 +94,8 @@
 }
 
 // delayedWhenLate reports whether a task with the given expected runtime is delayed in the queue
-// once it can meet no objective. It is false for tasks that could not meet any even when they were
-// submitted: they are long, and starting them late would keep machines running after all other work
-// has finished.
+// once it can meet no objective. Tasks that could not meet any even when submitted are not: they
+// are long, and starting them late would keep machines running after all other work has finished.
 func (s *Scheduler) delayedWhenLate(j *fleet.Job, length time.Duration) bool {
 	_, ok := s.nextObjectiveFrom(j, j.Submitted, j.Submitted.Add(length*11/10), length)
 	return ok
--- a/internal/placement/offers.go
+++ b/internal/placement/offers.go
@@ -19,7 +19,7 @@
 // deadline to meet, otherwise the earliest. Ties go to the machine with the most free CPUs.
 type offerHeap struct {
 	list        []offer
-	hasDeadline bool // the job has a deadline to meet
+	hasDeadline bool
 }
 
 // Len implements heap.Interface.
@@ -50,9 +50,9 @@
 	return last
 }
 
-// collectOffers returns the best slot of every eligible machine. A reservation changes the offer of
-// its own machine only, so further tasks of the job need no other search. anyMachine reports
-// whether any machine is eligible.
+// collectOffers returns the best slot of every eligible machine, and whether any machine is
+// eligible. A reservation changes only the offer of its own machine, so one search serves many
+// tasks of the job.
 func (s *Scheduler) collectOffers(j *fleet.Job, base time.Duration, deadline time.Time, hasDeadline bool) (h *offerHeap, anyMachine bool) {
 	h = &offerHeap{list: s.offerBuffer[:0], hasDeadline: hasDeadline}
 	for i, m := range s.leader.Machines() {
@@ -70,7 +70,6 @@
 	return h, anyMachine
 }
 
-// earliestStart returns the earliest time at which tasks can start on the machine.
 func (s *Scheduler) earliestStart(m *fleet.Machine) time.Time {
 	if !m.Reported && m.ReadyAt.After(s.now()) {
 		return m.ReadyAt
@@ -79,7 +78,7 @@
 }
 
 // findSlot returns the latest start on the machine that meets the deadline, or the earliest
-// possible start if the job has no deadline to meet.
+// possible start if there is no deadline to meet.
 func (s *Scheduler) findSlot(j *fleet.Job, m *fleet.Machine, length time.Duration, deadline time.Time, hasDeadline bool) (time.Time, bool) {
 	from := s.earliestStart(m)
 	if hasDeadline {
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -10,21 +10,21 @@
 
 const (
 	// lateQueueDelay is how far a reservation that cannot meet any objective is moved back in the
-	// queue. It is bounded to avoid starvation.
+	// queue. The bound prevents starvation.
 	lateQueueDelay = 90 * time.Second
 	// shortageBacklog is the pending work, as time on all current CPUs, from which capacity counts
-	// as short, for example after the loss of a zone.
+	// as short.
 	shortageBacklog = 150 * time.Second
-	// shortageDelayWeight multiplies the queue delay of late jobs during a shortage. Its base is
-	// the time that the job's pending tasks would take on all current CPUs.
+	// shortageDelayWeight is the queue delay of a late job during a shortage, as a multiple of the
+	// time that its pending tasks would take on all current CPUs.
 	shortageDelayWeight = 40
 )
 
 // queueDelay returns how far a task that can meet no objective, and could start at the given time,
 // is moved back in the queue, and by how much that shrinks for each task of the job that starts.
-// During a shortage the late jobs with the least remaining work go first, so that most jobs finish
-// soon instead of all progressing slowly. Jobs that can still meet an objective precede them all,
-// and the position of a job improves with its waiting time, so none starves.
+// During a shortage the late jobs with the least remaining work go first. Jobs that can still meet
+// an objective precede them all, and the position of a job improves with its waiting time, so none
+// starves.
 func (s *Scheduler) queueDelay(j *fleet.Job, start time.Time) (delay, perTask time.Duration) {
 	backlog, cpus := s.leader.Backlog()
 	if backlog < shortageBacklog || cpus <= 0 {
@@ -34,8 +34,8 @@
 	return lateQueueDelay + time.Duration(j.Waiting)*perTask - start.Sub(s.now()), perTask
 }
 
-// advanceInQueue moves a job forward in the queue after n of its tasks have started, if its queue
-// delay depends on the number of its pending tasks.
+// advanceInQueue moves a job forward after n of its tasks have started, if its queue delay depends
+// on the number of its pending tasks.
 func (s *Scheduler) advanceInQueue(j *fleet.Job, n int) {
 	moved := false
 	for _, r := range j.Reservations {
@@ -53,9 +53,8 @@
 	// maxRefreshedJobs bounds how many jobs get new slots in one call.
 	maxRefreshedJobs = 24
 	// refreshVisitsPerSecond bounds how many machines are searched for new slots per second on a
-	// whole processor core, about a fifth of its time. With a long queue on a full fleet every
-	// reservation is due, and the search must not delay heartbeats, user requests or the renewal of
-	// the leader lease.
+	// whole processor core, so that the search does not delay heartbeats, user requests or the
+	// renewal of the leader lease when every reservation on a full fleet is due.
 	refreshVisitsPerSecond = 120_000
 	// refreshInterval is the minimum time between two refreshes of the same job.
 	refreshInterval = 2 * time.Second
@@ -64,8 +63,8 @@
 )
 
 // RefreshDueReservations searches new slots for jobs whose first reservation is past its start time
-// or has no machine. Call it once per period. It handles a few jobs at a time, because each search
-// visits every machine.
+// or has no machine. Call it once per period. Each search visits every machine, so one call handles
+// only a few jobs.
 func (s *Scheduler) RefreshDueReservations(period time.Duration) { s.refresh(s.refreshLimit(period)) }
 
 // refreshLimit returns how many jobs may get new slots in one period, given the processor share and
@@ -95,7 +94,7 @@
 	for _, j := range due {
 		if !j.Halted() {
 			s.DropReservations(j)
-			j.MissedObjectivesUntil = time.Time{} // capacity may have become free: try all objectives again
+			j.MissedObjectivesUntil = time.Time{} // capacity may have become free
 			s.Reserve(j)
 		}
 	}
@@ -105,8 +104,8 @@
 const maxStarvedJobs = 64
 
 // FindStarvedJobs selects the jobs none of whose tasks has run within the given time of submission.
-// By queue order alone they might not start while smaller or more urgent jobs keep arriving, so
-// StartTasksOn starts a first task of each of them before it walks the queue.
+// StartTasksOn starts a first task of each before it walks the queue, where smaller or more urgent
+// jobs might keep preceding them.
 func (s *Scheduler) FindStarvedJobs(within time.Duration) {
 	s.starved = s.starved[:0]
 	for _, j := range s.Queue {
--- a/internal/placement/queue_test.go
+++ b/internal/placement/queue_test.go
@@ -10,8 +10,8 @@
 // tick is the period of RefreshDueReservations.
 const tick = 500 * time.Millisecond
 
-// TestRefreshLimit checks that refreshing reservations visits a bounded number of machines per
-// period, and that a refreshed job is not refreshed again in the next period.
+// TestRefreshLimit checks that one period visits a bounded number of machines, and that a refreshed
+// job is not refreshed again in the next period.
 func TestRefreshLimit(t *testing.T) {
 	for machines, want := range map[int]int{100: maxRefreshedJobs, 700: 14, 1300: 7, 2600: 3, 20000: 2} {
 		c := newCluster(1)
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -11,20 +11,17 @@
 )
 
 const (
-	// reservationWindow bounds how many pending tasks of a job have reservations at a time, which
-	// limits the cost of very large arrays.
+	// reservationWindow bounds how many pending tasks of a job have reservations at a time.
 	reservationWindow = 256
 	// maxVisitsPerStep bounds how many machines are searched for slots in one step. After a
-	// failover or the loss of a zone, hundreds of jobs need reservations on thousands of machines.
-	// Doing that in one step on a small processor share would outlast the leader lease, and every
-	// following leader would lose its lease in the same way.
+	// failover or the loss of a zone, reserving for all jobs in one step could outlast the leader
+	// lease, also for every following leader.
 	maxVisitsPerStep = 1 << 14
 )
 
 // Reserve creates reservations for the job's pending tasks, each on the machine with the best
-// offer. If one task cannot meet an objective that applies to the whole job, all reservations of
-// the job are dropped and the next objective is tried. A job that can meet no objective gets the
-// earliest slots.
+// offer. If one task cannot meet an objective that applies to the whole job, all its reservations
+// are dropped and the next objective is tried. A job that can meet none gets the earliest slots.
 func (s *Scheduler) Reserve(j *fleet.Job) {
 	n := min(j.Waiting, reservationWindow) - j.Reserved
 	if j.Halted() || n <= 0 {
@@ -57,7 +54,7 @@
 		}
 	}
 	if n > 0 {
-		// No machine has a slot: a reservation without a machine keeps the job in the queue.
+		// A reservation without a machine keeps the job in the queue.
 		at := s.now()
 		if hasDeadline {
 			at = target.deadline.Add(-base)
@@ -79,8 +76,8 @@
 	})
 }
 
-// addReservation inserts a reservation among the job's others in queue order. The caller must
-// reposition the job in the queue.
+// addReservation inserts a reservation in queue order. The caller must reposition the job in the
+// queue.
 func (s *Scheduler) addReservation(r *fleet.Reservation) {
 	j := r.Job
 	i := sort.Search(len(j.Reservations), func(i int) bool { return r.QueueTime().Before(j.Reservations[i].QueueTime()) })
@@ -92,8 +89,8 @@
 	}
 }
 
-// ReserveSoon schedules Reserve for the next call of ReservePending, so that the many tasks of a
-// job that a lost machine returns at once cost one search.
+// ReserveSoon schedules Reserve for the next call of ReservePending, so that many tasks returned at
+// once by a lost machine cost one search.
 func (s *Scheduler) ReserveSoon(j *fleet.Job) {
 	if !j.ReservationPending {
 		j.ReservationPending = true
@@ -101,11 +98,11 @@
 	}
 }
 
-// ReservePending calls Reserve for the jobs passed to ReserveSoon. What exceeds the visit limit of
-// one step remains for the next.
+// ReservePending calls Reserve for the jobs passed to ReserveSoon, up to the visit limit of one
+// step. The rest remains for the next step.
 func (s *Scheduler) ReservePending() {
-	// Most tasks of jobs from earlier terms are running, and their machines are about to report
-	// them. Reserving capacity for them before that would be wasted work.
+	// Most tasks of jobs from earlier terms are running and about to be reported, so reserving
+	// capacity for them earlier would be wasted work.
 	machines := len(s.leader.Machines())
 	early := !s.allAccounted() && 10*s.leader.UnaccountedCount() > machines && s.now().Sub(s.electedAt) < s.cfg.Settings.Workers.Report.Duration()
 	visits, reserved, left := 0, 0, s.pendingJobs[:0]
@@ -146,7 +143,7 @@
 	s.Queue.Reposition(j)
 }
 
-// consumeReservation reduces a reservation by one task and drops it if that was the last.
+// consumeReservation reduces a reservation by one task and drops it if none is left.
 func (s *Scheduler) consumeReservation(r *fleet.Reservation) {
 	if r.Count == 1 {
 		s.dropReservation(r)
@@ -159,7 +156,7 @@
 	}
 }
 
-// DropReservations removes all reservations of a job, which also removes it from the queue.
+// DropReservations removes all reservations of a job and thereby the job from the queue.
 func (s *Scheduler) DropReservations(j *fleet.Job) {
 	for len(j.Reservations) > 0 {
 		s.dropReservation(j.Reservations[len(j.Reservations)-1])
@@ -167,7 +164,7 @@
 }
 
 // DropExcessReservation reduces the job's last reservation by one task if more tasks are reserved
-// than pending. Call it after a pending task was removed.
+// than pending. Call it after removing a pending task.
 func (s *Scheduler) DropExcessReservation(j *fleet.Job) {
 	if j.Reserved > j.Waiting {
 		s.consumeReservation(j.Reservations[len(j.Reservations)-1])
--- a/internal/placement/reservations_test.go
+++ b/internal/placement/reservations_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestReserveMatchesPlainSearch checks on random fleets and queues that Reserve makes the same
-// reservations as plainReserve.
+// TestReserveMatchesPlainSearch checks on random fleets and queues that Reserve and plainReserve
+// make the same reservations.
 func TestReserveMatchesPlainSearch(t *testing.T) {
 	for seed := range uint64(60) {
 		rng, twin := rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 1))
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -1,6 +1,5 @@
-// Package placement assigns tasks to machines. It reserves slots for pending tasks, orders the
-// queue of jobs by the times of their reservations, and selects the tasks that start on a machine
-// with free resources.
+// Package placement assigns tasks to machines: it reserves slots for pending tasks, orders jobs by
+// the times of their reservations, and selects the tasks that start on a machine.
 package placement
 
 import (
@@ -19,8 +18,8 @@
 	IsActive() bool
 	// Machines returns all machines of the fleet, sorted by name.
 	Machines() []*fleet.Machine
-	// IsUnaccounted reports whether the machine may have tasks of an earlier term that the
-	// leader does not know.
+	// IsUnaccounted reports whether the machine may have tasks of an earlier term that the leader
+	// does not know.
 	IsUnaccounted(host string) bool
 	// UnaccountedCount returns the number of unaccounted machines.
 	UnaccountedCount() int
@@ -69,6 +68,5 @@
 
 func (s *Scheduler) now() time.Time { return s.engine.Now }
 
-// allAccounted reports whether every machine that may run a task of an earlier term has been
-// accounted for.
+// allAccounted reports whether no machine can have unknown tasks of an earlier term.
 func (s *Scheduler) allAccounted() bool { return s.leader.UnaccountedCount() == 0 }
--- a/internal/placement/starts.go
+++ b/internal/placement/starts.go
@@ -13,16 +13,15 @@
 	// MaxAttempts is the number of attempt numbers available in one term.
 	MaxAttempts = 1<<record.AttemptCounterBits - 1
 	// maxBackfillConflicts bounds how many backfill checks may fail during one reply before the
-	// rest of the queue is left to later replies. Each check scans the machine's timeline, which is
-	// expensive with hundreds of small jobs pending on full machines.
+	// rest of the queue is left to later replies, since each check scans the machine's timeline.
 	maxBackfillConflicts = 8
 	// maxStartsPerReply is the number of started tasks after which a reply is complete. The last
 	// job served may exceed it.
 	maxStartsPerReply = 256
 )
 
-// topologyLimit returns how many of n more tasks of the job its placement rules allow on the
-// machine, given where its other tasks are or may be.
+// topologyLimit returns how many of n more tasks the job's placement rules allow on the machine,
+// given where its other tasks are or may be.
 func (s *Scheduler) topologyLimit(j *fleet.Job, m *fleet.Machine, n int) int {
 	if len(j.Placement.Rules) == 0 {
 		return n
@@ -37,13 +36,11 @@
 	return !j.Halted() && !s.now().Before(j.RetryAt) && (s.allAccounted() || !j.FromEarlierTerm && !j.Team.HasLimit()) && (s.OrphanedTasks == 0 || !j.Team.HasLimit())
 }
 
-// MayStartWithinLimit reports whether a task of the job may start now and its team's limit allows
-// one more.
+// MayStartWithinLimit reports whether MayStart holds and the team's limit allows one more task.
 func (s *Scheduler) MayStartWithinLimit(j *fleet.Job) bool {
 	return s.MayStart(j) && j.Team.TasksWithinLimit(j.Need, 1) > 0
 }
 
-// acceptsTasks reports whether tasks may start on the machine now.
 func (s *Scheduler) acceptsTasks(m *fleet.Machine) bool {
 	return m.FreeResources().CPU > 0 && len(s.Queue) > 0 && s.leader.IsActive() &&
 		m.Reported && m.Record == fleet.Recorded && m.Schedulable() && m.ZoneState.AllowsTaskStarts() &&
@@ -51,8 +48,8 @@
 }
 
 // StartTasksOn starts pending tasks on the machine in queue order while they fit, even before their
-// reserved time and if their reservation is on another machine. It returns the orders for the reply
-// to the machine's last heartbeat.
+// reserved time or if reserved on another machine. It returns the orders for the reply to the
+// machine's last heartbeat.
 func (s *Scheduler) StartTasksOn(m *fleet.Machine) []heartbeat.Order {
 	if !s.acceptsTasks(m) {
 		return nil
@@ -60,7 +57,7 @@
 	f := startPass{Scheduler: s, machine: m}
 	f.startStarved()
 	f.free = m.FreeResources()
-	// Tasks within a team's guarantee go first; other teams may borrow only what is left.
+	// Tasks within a guarantee go first; other teams may borrow only what is left.
 	if s.AnyGuarantee && !f.walkQueue(false) {
 		return f.orders
 	}
@@ -107,7 +104,7 @@
 			i++
 		case stop:
 			return false
-		case nextReservation: // the job was repositioned in the queue or removed from it
+		case nextReservation: // the job has been repositioned or removed
 		}
 	}
 	return true
@@ -169,8 +166,8 @@
 	return nextJob
 }
 
-// freeFor returns the free resources that the job may use. Warm capacity is available to
-// latency-sensitive jobs only.
+// freeFor returns the free resources that the job may use: warm capacity only if it is
+// latency-sensitive.
 func (f *startPass) freeFor(j *fleet.Job) timeline.Resources {
 	free := f.free
 	if f.machine.WarmReserve > 0 && !j.LatencySensitive {
@@ -217,7 +214,6 @@
 	return n
 }
 
-// startTasks creates start orders for n tasks of a reservation.
 func (f *startPass) startTasks(r *fleet.Reservation, n int) {
 	for range n {
 		f.orders = append(f.orders, f.startTask(r, f.machine))
--- a/internal/placement/starts_test.go
+++ b/internal/placement/starts_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestManySmallBehindLarge guards against scanning the machine's timeline once for each of
-// hundreds of small jobs that would delay a larger one.
+// TestManySmallBehindLarge guards against scanning the timeline once for each of hundreds of small
+// jobs that would delay a larger one.
 func TestManySmallBehindLarge(t *testing.T) {
 	cost := func(small int) time.Duration {
 		rng := rand.New(rand.NewPCG(1, 2))
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -14,7 +14,7 @@
 
 const (
 	// guaranteeGrace is how long a job within its team's guarantee waits before tasks are preempted
-	// for it. Tasks that finish in the meantime often free enough resources.
+	// for it. Tasks that finish in the meantime may free enough resources.
 	guaranteeGrace = 4 * time.Second
 	// checkpointSlack is added to the checkpoint time of a preempted task.
 	checkpointSlack = time.Second
@@ -29,7 +29,7 @@
 	Now      time.Time
 	Queue    fleet.Queue
 	Machines []*fleet.Machine
-	MayStart func(*fleet.Job) bool          // whether any task of a job may start now
+	MayStart func(*fleet.Job) bool          // whether any task of the job may start now
 	Estimate func(*fleet.Job) time.Duration // expected runtime of a task
 }
 
@@ -69,8 +69,8 @@
 	return plan
 }
 
-// shortage returns by how many millicores the demand within guarantees exceeds what is free or being
-// freed by tasks that have been ordered to stop.
+// shortage returns by how many millicores the demand within guarantees exceeds what is free or
+// being freed by stop orders.
 func (s *State) shortage() int64 {
 	short := s.guaranteedDemand()
 	for _, m := range s.Machines {
@@ -116,10 +116,10 @@
 	loss    time.Duration // work lost, or time spent on a checkpoint
 }
 
-// candidates returns the running attempts that may be preempted, of teams that use more than their
-// guarantee, in the order of the machines.
+// candidates returns the preemptible running attempts of teams that use more than their guarantee,
+// in the order of the machines.
 func (s *State) candidates() (list []candidate) {
-	estimates := map[*fleet.Job]time.Duration{} // one estimate serves all tasks of a job
+	estimates := map[*fleet.Job]time.Duration{} // shared by all tasks of a job
 	for _, m := range s.Machines {
 		if !m.Schedulable() || !m.Reported {
 			continue
@@ -137,8 +137,8 @@
 }
 
 // loss returns the cost of preempting an attempt, and false if it must not be preempted. A task
-// without checkpoints loses all its work, so it is preempted only shortly after its start and if it
-// would run much longer.
+// without checkpoints loses all its work, so it is preempted only shortly after its start and only
+// if it would run much longer.
 func (s *State) loss(a *fleet.Attempt, estimates map[*fleet.Job]time.Duration) (time.Duration, bool) {
 	spec := &a.Job.Spec
 	if spec.CheckpointInterval > 0 {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -38,8 +38,7 @@
 	a.Limit = timeline.Capacity(team.CPUsMax, team.GPUsMax, 0)
 }
 
-// ExpectedCPUs returns how many CPUs the team's submissions are expected to keep busy: ArrivalLoad,
-// decayed to now.
+// ExpectedCPUs returns how many CPUs the team's recent submissions keep busy, decayed to now.
 func (a *Account) ExpectedCPUs(now time.Time) float64 {
 	return a.ArrivalLoad * math.Exp(-now.Sub(a.LoadAt).Seconds()/ArrivalTimeConstant.Seconds())
 }
@@ -68,7 +67,7 @@
 }
 
 // TasksWithinGuarantee returns how many more tasks, at most n, the team may start within its
-// guarantee. It returns 0 for teams without a guarantee.
+// guarantee. It is 0 for teams without a guarantee.
 func (a *Account) TasksWithinGuarantee(need timeline.Resources, n int) int {
 	if !a.HasGuarantee() {
 		return 0
@@ -82,11 +81,11 @@
 	return max(n, 0)
 }
 
-// Accounts holds the accounts of all teams by team name.
+// Accounts holds the accounts of all teams by name.
 type Accounts map[string]*Account
 
-// Configure applies the configuration of a team, creating its account if needed. The team's current
-// use is kept.
+// Configure applies the configuration of a team, creating its account if needed. Its current use is
+// kept.
 func (as Accounts) Configure(team liveconfig.Team) {
 	if as[team.Name] == nil {
 		as[team.Name] = &Account{}
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,4 +1,4 @@
-// Package timeline keeps the resource bookings of one machine over time, and computes the latest or
+// Package timeline keeps the resource bookings of one machine over time and computes the latest or
 // earliest time at which a task fits. It uses neither clocks nor I/O.
 package timeline
 
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Resources is an amount of CPUs, GPUs and memory (in GB) in thousandths. Integers keep sums of
-// decimal amounts such as 1.1 GB exact.
+// Resources is an amount of CPUs, GPUs and memory (in GB), each in thousandths. Integers keep sums
+// of decimal amounts exact.
 type Resources struct {
 	CPU, GPU, Mem int64
 }
 
-// maxAmount bounds an amount, in thousandths. It exceeds every amount that validation accepts, and
-// sums over all tasks of a job do not overflow.
+// maxAmount bounds an amount, in thousandths. It exceeds every valid amount, and sums over all
+// tasks of a job do not overflow.
 const maxAmount = 1 << 40
 
-// roundingTolerance is the relative error up to which an amount counts as a whole number of
-// thousandths, to absorb the binary representation of decimal fractions.
+// roundingTolerance is the relative error, due to binary fractions, up to which an amount counts as
+// a whole number of thousandths.
 const roundingTolerance = 1e-6
 
-// ToMilli converts a decimal amount to thousandths. It rounds requests up and capacities down, so
+// ToMilli converts a decimal amount to thousandths. Requests are rounded up and capacities down, so
 // that rounding never overbooks a machine. NaN converts to the maximum when rounding up and to 0
 // when rounding down.
 func ToMilli(amount float64, roundUp bool) int64 {
@@ -44,7 +44,7 @@
 }
 
 // Seconds converts a decimal number of seconds to a duration, limited to ±Forever because
-// converting an out-of-range value is undefined. NaN converts to 0.
+// converting larger values is undefined. NaN converts to 0.
 func Seconds(seconds float64) time.Duration {
 	switch limit := Forever.Seconds(); {
 	case math.IsNaN(seconds):
@@ -77,7 +77,7 @@
 	return r.CPU <= available.CPU && r.GPU <= available.GPU && r.Mem <= available.Mem
 }
 
-// CopiesWithin returns how many copies of r fit into available, at most limit.
+// CopiesWithin returns how many copies of r, at most limit, fit into available.
 func (r Resources) CopiesWithin(available Resources, limit int) int {
 	n := int64(limit)
 	n = limitCopies(n, r.CPU, available.CPU)
@@ -86,7 +86,7 @@
 	return int(max(n, 0))
 }
 
-// limitCopies returns the smaller of n and the number of copies of need that fit into available.
+// limitCopies returns n, or the number of copies of need that fit into available if smaller.
 func limitCopies(n, need, available int64) int64 {
 	if need <= 0 {
 		return n
@@ -124,13 +124,13 @@
 // Capacity returns the total resources of the machine.
 func (t *Timeline) Capacity() Resources { return t.capacity }
 
-// Add adds the booking b. The caller may modify b later and must then call Invalidate.
+// Add adds the booking b. A caller that modifies b later must call Invalidate.
 func (t *Timeline) Add(b *Booking) {
 	t.bookings = append(t.bookings, b)
 	t.dirty = true
 }
 
-// Remove removes the booking b. It does nothing if b is not on the timeline.
+// Remove removes the booking b if it is on the timeline.
 func (t *Timeline) Remove(b *Booking) {
 	if i := slices.Index(t.bookings, b); i >= 0 {
 		t.bookings[i] = t.bookings[len(t.bookings)-1]
@@ -139,11 +139,10 @@
 	}
 }
 
-// Invalidate marks the cached profile as outdated. Call it after modifying a booking that is on the
-// timeline.
+// Invalidate marks the cached profile as outdated. Call it after modifying a booking.
 func (t *Timeline) Invalidate() { t.dirty = true }
 
-// points returns the usage profile, which it rebuilds if a booking has changed.
+// points returns the usage profile, rebuilt if a booking has changed.
 func (t *Timeline) points() []usagePoint {
 	if !t.dirty {
 		return t.profile
@@ -173,12 +172,11 @@
 	return profile
 }
 
-// free returns the capacity that remains beside used.
 func (t *Timeline) free(used Resources) Resources { return t.capacity.Add(used, -1) }
 
 // LatestStart returns the latest start, not before from, at which need fits for length and ends by
-// deadline. It scans the gaps backwards in time. In the last gap that is long enough, the task ends
-// at the deadline or at the next booking, whichever comes first.
+// deadline. It scans the gaps backwards; in the last one that is long enough, the task ends at the
+// deadline or at the next booking, whichever comes first.
 func (t *Timeline) LatestStart(from, deadline time.Time, length time.Duration, need Resources) (time.Time, bool) {
 	if !need.Fits(t.capacity) || from.Add(length).After(deadline) {
 		return time.Time{}, false
@@ -227,8 +225,8 @@
 	return start, true
 }
 
-// FitCount returns how many tasks with the given need fit together from start for length, at most
-// limit.
+// FitCount returns how many tasks with the given need, at most limit, fit together from start for
+// length.
 func (t *Timeline) FitCount(start time.Time, length time.Duration, need Resources, limit int) int {
 	n := need.CopiesWithin(t.capacity, limit)
 	end := start.Add(length)
--- a/internal/topology/rules.go
+++ b/internal/topology/rules.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Kind is the kind of a placement rule.
+// Kind is the effect of a placement rule.
 type Kind int
 
 // Kinds of placement rules. A place is a node of the topology at the level of the rule.
@@ -33,8 +33,8 @@
 	Rules []Rule
 }
 
-// SamePlace and Apart are the rules for the samePlace and apart fields of submissions. Both apply
-// to zones.
+// SamePlace and Apart are the rules for the samePlace and apart fields of submissions, both for
+// zones.
 var (
 	SamePlace = Rule{Kind: Colocate}
 	Apart     = Rule{Kind: Spread, Share: 0.5}
@@ -45,17 +45,16 @@
 	if r.MaxPerPlace > 0 {
 		return r.MaxPerPlace
 	}
-	// Subtracting a small tolerance keeps 0.1 of 30 at 3 despite binary fractions.
+	// The tolerance keeps 0.1 of 30 at 3 despite binary fractions.
 	return int(math.Ceil(r.Share*float64(tasks) - 1e-9))
 }
 
-// TaskCounter counts tasks by job or team and by place. It includes every task that is or may be on
-// a machine, from its start order until it is known to be gone.
+// TaskCounter counts tasks by job or team and by place. It includes every task from its start order
+// until it is known to be gone from its machine.
 type TaskCounter struct {
 	counts map[counterKey]int
 }
 
-// counterKey identifies one counter of a TaskCounter.
 type counterKey struct {
 	key   string
 	place *Place // nil for the total over all places
@@ -65,7 +64,7 @@
 func NewTaskCounter() *TaskCounter { return &TaskCounter{counts: map[counterKey]int{}} }
 
 // Add adds n tasks on a machine, or removes them if n is negative. Tasks must be removed with the
-// leaf they were added with, even if the machine has moved since.
+// leaf that they were added with, even if the machine has moved since.
 func (t *TaskCounter) Add(key string, leaf *Place, n int) {
 	t.add(counterKey{key: key}, n)
 	for p := leaf; p != nil; p = p.Parent {
@@ -73,7 +72,7 @@
 	}
 }
 
-// add adds n to one counter and deletes it when it reaches 0.
+// add adds n to one counter, and deletes a counter that reaches 0.
 func (t *TaskCounter) add(c counterKey, n int) {
 	if n += t.counts[c]; n == 0 {
 		delete(t.counts, c)
@@ -94,9 +93,8 @@
 	Reason string
 }
 
-// placeAt returns the ancestor of a machine at a level and true. If the machine's place at that
-// level is unknown, it returns the machine itself and false, so the machine shares the place with
-// no other.
+// placeAt returns the ancestor of a machine at a level and true. If it is unknown, placeAt returns
+// the machine itself and false, so the machine shares the place with no other.
 func placeAt(leaf *Place, level int) (p *Place, known bool) {
 	if p = leaf.Ancestor(level); p != nil {
 		return p, true
@@ -122,7 +120,7 @@
 	return broken, nil
 }
 
-// violation returns the reason why a rule forbids a start, or an empty string if it does not.
+// violation returns why a rule forbids a start, or an empty string if it does not.
 func (t *TaskCounter) violation(j *Job, r *Rule, leaf *Place) string {
 	p, known := placeAt(leaf, r.Level)
 	switch r.Kind {
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,7 +1,7 @@
-// Package topology models the locations of machines and decides whether the placement rules of a
-// job allow a task to start on a machine. Places form a tree of zones, operator-defined levels such
-// as racks, and machines as leaves. Counting a task or checking a rule takes time proportional to
-// the depth of the tree, independent of the number of machines and jobs. The package does no I/O.
+// Package topology models the locations of machines and checks the placement rules of jobs. Places
+// form a tree of zones, operator-defined levels such as racks, and machines as leaves. Counting a
+// task or checking a rule takes time proportional to the depth of the tree. The package does no
+// I/O.
 package topology
 
 import (
@@ -19,7 +19,7 @@
 	Machine = "machine"
 )
 
-// FieldError reports an invalid field of a Definition.
+// FieldError reports an invalid field of a topology definition.
 type FieldError struct{ Field, Reason string }
 
 // Error returns the field and the reason, separated by a colon.
@@ -32,14 +32,14 @@
 
 // Definition is the topology as configured by operators.
 type Definition struct {
-	Levels []string // between zone and machine, from the top: switch, rack
+	Levels []string // between zone and machine, topmost first
 	Places []PlaceDefinition
 }
 
 // PlaceDefinition configures which machines are located in a place.
 type PlaceDefinition struct {
 	Zone       string
-	Names      []string // name of the place at each level, from the top
+	Names      []string // by level, topmost first
 	Networks   []string // CIDR prefixes of machine addresses, such as 10.1.4.0/22
 	Hosts      []string // glob patterns of host names, such as host-0001*
 	UplinkMbps float64  // bandwidth shared by its machines; 0 if unknown
@@ -63,7 +63,7 @@
 }
 
 // Ancestor returns the ancestor of p at a level, or p itself if that is its level. It returns nil
-// if the machine's place at the level is unknown.
+// if the place at the level is unknown.
 func (p *Place) Ancestor(level int) *Place {
 	for p != nil && p.Level > level {
 		p = p.Parent
@@ -74,7 +74,7 @@
 	return p
 }
 
-// child returns the child with the given name and creates it if needed.
+// child returns the child with the given name, creating it if needed.
 func (p *Place) child(name string, level int) *Place {
 	c := p.children[name]
 	if c == nil {
@@ -96,13 +96,13 @@
 	machines map[string]*Place
 }
 
-// hostPattern assigns the machines whose host names match a pattern to a place.
+// hostPattern assigns the machines with matching host names to a place.
 type hostPattern struct {
 	pattern string
 	place   *Place
 }
 
-// New builds the tree of a definition. It returns a *FieldError if the definition is invalid. The
+// New builds the tree of a definition, or returns a *FieldError if the definition is invalid. The
 // zero definition has zones and machines only.
 func New(def Definition) (*Tree, error) {
 	t := &Tree{levels: append([]string{Zone}, def.Levels...), zones: map[string]*Place{}, machines: map[string]*Place{}}
@@ -155,7 +155,7 @@
 	return t, nil
 }
 
-// zone returns the zone with the given name and creates it if needed.
+// zone returns the zone with the given name, creating it if needed.
 func (t *Tree) zone(name string) *Place {
 	z := t.zones[name]
 	if z == nil {
@@ -165,16 +165,16 @@
 	return z
 }
 
-// Level returns the index of the named level, 0 for the zone, and false if it does not exist.
+// Level returns the index of the named level, 0 for the zone, and whether the level exists.
 func (t *Tree) Level(name string) (int, bool) {
 	i := slices.Index(t.levels, name)
 	return i, i >= 0
 }
 
-// Locate returns the leaf of a machine and creates it if needed. The first matching host pattern
+// Locate returns the leaf of a machine, creating it if needed. The first matching host pattern
 // determines its place, or else the longest network prefix that contains its address. If neither
-// matches, or the place found is in another zone than the one the cloud reports, only the zone is
-// used. In the latter case mismatch is the ignored place, for the caller to report.
+// matches, or the place found is not in the zone that the cloud reports, only the zone is used. In
+// the latter case mismatch is the ignored place.
 func (t *Tree) Locate(host, address, zone string) (leaf, mismatch *Place) {
 	if p := t.machines[host]; p != nil {
 		return p, nil
@@ -206,5 +206,5 @@
 	return p
 }
 
-// Remove removes the leaf of a machine. A later Locate determines its place again.
+// Remove removes the leaf of a machine. A later Locate determines the place again.
 func (t *Tree) Remove(host string) { delete(t.machines, host) }
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -59,7 +59,6 @@
 	}
 }
 
-// startedTask is a task on a machine.
 type startedTask struct {
 	key  string
 	leaf *Place
@@ -213,7 +212,8 @@
 	}
 }
 
-// BenchmarkCheck measures one check, start and end of a task with many machines and jobs counted.
+// BenchmarkCheck measures one check, start and end of a task while many machines and jobs are
+// counted.
 func BenchmarkCheck(b *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
