--- a/internal/autoscaler/arrivals.go
+++ b/internal/autoscaler/arrivals.go
@@ -9,7 +9,7 @@
 	"yewpass/internal/quota"
 )
 
-// arrivals holds the state for forecasting the load of jobs to come.
+// arrivals holds the state of the load forecast.
 type arrivals struct {
 	teams       map[string]*quota.Account
 	burstCPUs   float64 // moving average of the CPUs of jobs that must start at once
@@ -19,7 +19,7 @@
 // burstSmoothing is the weight of the latest job in the exponential moving average burstCPUs.
 const burstSmoothing = 0.15
 
-// RecordArrival adds the work of a new job to its team's load forecast.
+// RecordArrival adds a new job's work to its team's load forecast.
 func (a *Autoscaler) RecordArrival(j *fleet.Job) {
 	seconds := quota.ArrivalTimeConstant.Seconds()
 	if !j.Spec.Service {
@@ -38,9 +38,8 @@
 	t.LoadAt = a.Now
 }
 
-// BurstReserve returns the CPU capacity, in thousandths of a CPU, to keep free for jobs that
-// must start at once: the given share of their average size, or 0 if none arrived within
-// quota.ArrivalTimeConstant.
+// BurstReserve returns how many millicores to keep free for jobs that must start at once: the given
+// share of their average size, or 0 if none arrived within quota.ArrivalTimeConstant.
 func (a *Autoscaler) BurstReserve(share float64) int64 {
 	if a.Now.Sub(a.lastBurstAt) > quota.ArrivalTimeConstant {
 		return 0
@@ -48,8 +47,8 @@
 	return int64(a.burstCPUs * share * 1000)
 }
 
-// forecastCPUs returns the number of CPUs that jobs are expected to use if they keep arriving
-// at the recent rate, capped at each team's limit.
+// forecastCPUs returns the number of CPUs that jobs will use if they keep arriving at the recent
+// rate, capped at each team's limit.
 func (a *Autoscaler) forecastCPUs() float64 {
 	sum := 0.0
 	for _, name := range slices.Sorted(maps.Keys(a.teams)) {
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,9 +1,7 @@
 // Package autoscaler scales the fleet: it requests instances from the cloud while the backlog
-// exceeds its target, and drains and releases machines that are not needed. Its state is
-// discarded when the leader's term ends.
-//
-// It decides only the number and kind of machines. Task placement and the detection of failed
-// machines belong to other packages.
+// exceeds its target, and drains and releases machines that are not needed. Its state is discarded
+// when the leader's term ends. Task placement and the detection of failed machines belong to other
+// packages.
 package autoscaler
 
 import (
@@ -30,10 +28,10 @@
 	Estimate(j *fleet.Job) time.Duration
 	// IsActive reports whether the leader has authority and has loaded the records.
 	IsActive() bool
-	// MaxMachines returns the number of machines that the controllers can serve.
+	// MaxMachines returns how many machines the controllers can serve.
 	MaxMachines() int
-	// Term returns the leader's term and the era of the store's data in which it was elected.
-	// The era changes when the store has lost all its data.
+	// Term returns the leader's term and the era of the store's data in which it was elected. The
+	// era changes when the store has lost all its data.
 	Term() (term, era uint64)
 }
 
@@ -47,8 +45,7 @@
 	InstanceListed(i provider.Instance)
 	// InstanceReleased removes a machine after the cloud has confirmed its release.
 	InstanceReleased(host string)
-	// DropReservations cancels the reservations on a machine, so that the tasks are placed
-	// on other machines.
+	// DropReservations cancels the reservations on a machine and places the tasks elsewhere.
 	DropReservations(m *fleet.Machine)
 	// RequestDispatchAll requests a check for tasks that can start on any machine.
 	RequestDispatchAll()
@@ -65,7 +62,7 @@
 	CloudRPS      float64                 // the cloud's rate limit, in requests per second
 }
 
-// cloudCallShare is the part of the cloud's rate limit that the autoscaler uses.
+// cloudCallShare is the share of the cloud's rate limit that the autoscaler uses.
 const cloudCallShare = 0.8
 
 // Autoscaler scales the fleet during one term of the leader.
@@ -81,7 +78,7 @@
 	releases
 	load
 	arrivals
-	bootTimeoutFactors map[string]float64 // by instance type; see BootTimeout
+	bootTimeoutFactors map[string]float64 // by instance type
 }
 
 // New returns an Autoscaler. It does not call the cloud until RefreshCatalog, ListInstances or
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -61,7 +61,7 @@
 	return a, l
 }
 
-// addMachine adds a machine that has sent a heartbeat and has the given number of CPUs in use.
+// addMachine adds a machine that has sent a heartbeat and uses the given number of CPUs.
 func (l *fakeLeader) addMachine(a *Autoscaler, typeName string, used float64) *fleet.Machine {
 	m := &fleet.Machine{}
 	m.Host, m.TypeName, m.Zone, m.Spot = fmt.Sprint("h", len(l.machines)), typeName, "a", true
@@ -81,8 +81,7 @@
 	return j
 }
 
-// takeCloudRequests returns the cloud requests of one operation among the outputs, and clears
-// the outputs.
+// takeCloudRequests returns the cloud requests of one operation and clears the outputs.
 func takeCloudRequests(a *Autoscaler, op provider.Op) (list []provider.Request) {
 	for _, o := range a.Outputs {
 		if r, ok := o.(provider.Request); ok && r.Op == op {
@@ -140,7 +139,7 @@
 func TestRequestOutcomes(t *testing.T) {
 	a, l := newAutoscaler(t)
 	job := l.addJob(8, time.Hour, spec.Job{AllowSpot: true})
-	job.Reservations[0].Machine = l.addMachine(a, "small", 4) // fully used
+	job.Reservations[0].Machine = l.addMachine(a, "small", 4)
 	request := func() provider.Request {
 		t.Helper()
 		a.ScaleOut(time.Minute, time.Hour)
@@ -223,7 +222,7 @@
 }
 
 // TestBootTimeout checks that the boot timeout of a type grows up to a bound while its instances
-// exceed it, and is reset by a successful boot.
+// exceed it, and that a successful boot resets it.
 func TestBootTimeout(t *testing.T) {
 	a, l := newAutoscaler(t)
 	m := l.addMachine(a, "small", 0)
--- a/internal/autoscaler/boot.go
+++ b/internal/autoscaler/boot.go
@@ -9,18 +9,18 @@
 
 const (
 	defaultBootTime = 30 * time.Second // for instances of unknown type
-	// The boot timeout is bootTimeFactor times the usual boot time, and at least minBootSlack
+	// The boot timeout is bootTimeFactor times the boot time of the type, and at least minBootSlack
 	// longer than it.
 	bootTimeFactor = 3
 	minBootSlack   = 30 * time.Second
-	// Each boot that times out multiplies the timeout of its instance type by
-	// bootTimeoutGrowth, up to a total factor of maxBootTimeoutFactor.
+	// Each boot that times out multiplies the timeout of its type by bootTimeoutGrowth, up to a
+	// total factor of maxBootTimeoutFactor.
 	bootTimeoutGrowth    = 1.25
 	maxBootTimeoutFactor = 6
 )
 
-// BootTimeout returns how long after the request a machine may take to send its first
-// heartbeat before it is considered failed.
+// BootTimeout returns how long after the request a machine may take to send its first heartbeat
+// before it is considered failed.
 func (a *Autoscaler) BootTimeout(m *fleet.Machine) time.Duration {
 	boot := defaultBootTime
 	if m.InstanceType != nil {
@@ -33,8 +33,8 @@
 	return timeout
 }
 
-// BootTimedOut raises the boot timeout of an instance type. With a fixed timeout, a period of
-// slow boots would cause every new instance to be released before it is up.
+// BootTimedOut raises the boot timeout of an instance type. Otherwise, in a period of slow boots,
+// every new instance would be released before it is up.
 func (a *Autoscaler) BootTimedOut(instanceType string) {
 	a.bootTimeoutFactors[instanceType] = min(max(a.bootTimeoutFactors[instanceType], 1)*bootTimeoutGrowth, maxBootTimeoutFactor)
 }
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -11,11 +11,11 @@
 // Catalog caches the cloud's instance types and prices.
 type Catalog struct {
 	InstanceTypes []provider.InstanceType
-	CatalogLoaded bool // read during this term; until then a type may exist that is not listed here
+	CatalogLoaded bool // read during this term; until then types may be missing here
 	unreadable    bool // the last read failed
 }
 
-// InstanceType returns the instance type with the given name, or nil if it is not known.
+// InstanceType returns the named instance type, or nil if it is not known.
 func (c *Catalog) InstanceType(name string) *provider.InstanceType {
 	for i := range c.InstanceTypes {
 		if c.InstanceTypes[i].Name == name {
@@ -30,8 +30,8 @@
 	catalogRetryDelay = time.Second
 )
 
-// RefreshCatalog reads the instance types and prices immediately and every catalogInterval after
-// that. A failed or empty read is retried after catalogRetryDelay and keeps the previous types.
+// RefreshCatalog reads the instance types and prices now and every catalogInterval. A failed or
+// empty read keeps the previous types and is retried after catalogRetryDelay.
 func (a *Autoscaler) RefreshCatalog() {
 	a.scope.CallCloud(provider.Request{Op: provider.Catalog}, func(r provider.Response) {
 		if r.Outcome != rpc.OK || len(r.InstanceTypes) == 0 {
--- a/internal/autoscaler/instances.go
+++ b/internal/autoscaler/instances.go
@@ -11,20 +11,19 @@
 
 const (
 	listInterval = 6 * time.Second
-	// maxListed bounds the instances read per listing, so that a cloud that always reports
-	// another page cannot exhaust the memory.
-	maxListed = 100_000
-	// maxReleasesPerCall is the maximum number of instances that one call releases.
+	// maxListed bounds the instances read per listing, in case the cloud always reports another
+	// page.
+	maxListed          = 100_000
 	maxReleasesPerCall = 100
 )
 
-// ListInstances reads the cloud's list of instances immediately and every listInterval after
-// that. The list reveals instances requested by an earlier leader or by a request that timed out,
-// and instances that have failed.
+// ListInstances reads the cloud's list of instances now and every listInterval. The list reveals
+// instances requested by an earlier leader or by a request that timed out, and instances that have
+// failed.
 func (a *Autoscaler) ListInstances() { a.listInstances("", nil) }
 
-// listInstances reads the page of the list that follows the host after. The argument listed
-// holds the entries of the previous pages.
+// listInstances reads the page of the list that follows the host after. listed holds the entries of
+// the previous pages.
 func (a *Autoscaler) listInstances(after string, listed []provider.Instance) {
 	a.scope.CallCloud(provider.Request{Op: provider.List, After: after}, func(r provider.Response) {
 		if r.Outcome != rpc.OK {
@@ -43,15 +42,13 @@
 	})
 }
 
-// releases holds the instances that are to be released.
 type releases struct {
 	toRelease       []string // hosts whose release the cloud has not confirmed
 	releaseInFlight bool
 }
 
-// Release queues a machine to be released by SendReleases. The machine is removed from the
-// inventory once the cloud confirms the release. Calls for a machine that is already being
-// released have no effect.
+// Release queues a machine to be released by SendReleases. It is removed from the inventory once
+// the cloud confirms the release. Repeated calls for a machine have no effect.
 func (a *Autoscaler) Release(m *fleet.Machine) {
 	if m.Releasing {
 		return
@@ -61,8 +58,8 @@
 	a.inventory.DropReservations(m)
 }
 
-// SendReleases asks the cloud to release queued machines, up to maxReleasesPerCall per call,
-// with one call in flight at a time. Unconfirmed releases are retried by the next call.
+// SendReleases asks the cloud to release up to maxReleasesPerCall queued machines, unless a call is
+// in flight. The next call retries unconfirmed releases.
 func (a *Autoscaler) SendReleases() {
 	if a.releaseInFlight || len(a.toRelease) == 0 || !a.state.IsActive() || !a.callLimit.AllowN(a.Now, 1) {
 		return
@@ -72,7 +69,7 @@
 	a.scope.CallCloud(provider.Request{Op: provider.Release, Hosts: hosts}, func(r provider.Response) {
 		a.releaseInFlight = false
 		if r.Outcome != rpc.OK {
-			return // the hosts stay in toRelease and are retried
+			return // the hosts stay in toRelease
 		}
 		for _, h := range hosts {
 			a.toRelease = slices.DeleteFunc(a.toRelease, func(x string) bool { return x == h })
--- a/internal/autoscaler/load.go
+++ b/internal/autoscaler/load.go
@@ -8,20 +8,20 @@
 	"yewpass/internal/timeline"
 )
 
-// load holds the backlog and the capacity as last computed by computeDemand.
+// load holds the results of the last computeDemand.
 type load struct {
 	backlog time.Duration
 	cpus    float64 // available or requested
 }
 
-// Backlog returns the time that the waiting work would take on all available and requested
-// CPUs, as of the last update.
+// Backlog returns the time that the waiting work would take on all available and requested CPUs, as
+// of the last update.
 func (l *load) Backlog() time.Duration { return l.backlog }
 
 // CPUs returns the number of available and requested CPUs, as of the last update.
 func (l *load) CPUs() float64 { return l.cpus }
 
-// UpdateLoad recomputes the values that Backlog and CPUs return.
+// UpdateLoad updates Backlog and CPUs.
 func (a *Autoscaler) UpdateLoad() { a.computeDemand() }
 
 // serviceWorkSeconds is the runtime assumed for tasks of services, which do not end.
@@ -38,13 +38,13 @@
 	w.cpuSeconds += cpus * seconds
 }
 
-// computeDemand returns the total waiting work and the part of it that requires on-demand
-// instances, and updates the load.
+// computeDemand returns the waiting work and the part of it that requires on-demand instances, and
+// updates the load.
 func (a *Autoscaler) computeDemand() (all, onDemand workload) {
 	limits := map[*quota.Account]float64{} // CPUs left within the teams' limits
 	for _, j := range a.state.Queue() {
 		if j.Halted() || a.Now.Before(j.RetryAt) || !a.zoneAllowsRental(j.Spec.Zone) {
-			continue // additional machines would not let it start
+			continue // more machines would not let it start
 		}
 		cpus := float64(j.Waiting) * float64(j.Need.CPU) / 1000
 		if t := j.Team; t.Limit.CPU > 0 {
@@ -69,8 +69,8 @@
 	return all, onDemand
 }
 
-// zoneAllowsRental reports whether instances may be requested for a job that is restricted to
-// the given zone, or unrestricted ("").
+// zoneAllowsRental reports whether instances may be requested for a job restricted to the zone, or
+// unrestricted ("").
 func (a *Autoscaler) zoneAllowsRental(zone string) bool {
 	return zone == "" || a.state.Zone(zone).AllowsRental()
 }
@@ -93,8 +93,7 @@
 	return total, free
 }
 
-// isBootOverdue reports whether a machine has been booting for so long that it does not count
-// as supply.
+// isBootOverdue reports whether a machine has been booting for too long to count as supply.
 func (a *Autoscaler) isBootOverdue(m *fleet.Machine) bool {
 	return !m.Reported && a.Now.Sub(m.RentedAt) > 2*m.InstanceType.BootTime+10*time.Second
 }
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -16,36 +16,33 @@
 )
 
 const (
-	// maxInstancesPerRequest is the maximum number of instances per request.
 	maxInstancesPerRequest = 50
-	// noCapacityPause is the average time for which an offer is not requested again after the
-	// cloud had no capacity for it, rejectedPause after the cloud rejected it as malformed.
+	// noCapacityPause is the average time for which an offer is not requested again after the cloud
+	// had no capacity for it, rejectedPause after the cloud rejected it as malformed.
 	noCapacityPause = 10 * time.Second
 	rejectedPause   = time.Minute
 	// requestRetryDelay is the average delay before a request with unknown outcome is resent.
 	requestRetryDelay = 2 * time.Second
-	// minRequestCPUs is requested for tasks that use no CPU, since they still need a machine.
+	// minRequestCPUs is requested for tasks that use no CPU but need a machine.
 	minRequestCPUs = 0.001
-	// bootCostSeconds is the boot time that doubles the cost at which a type is compared.
+	// bootCostSeconds is the boot time that doubles the cost of a type in comparisons.
 	bootCostSeconds = 120
 )
 
-// Offer identifies instances that the cloud offers: a type in a zone, spot or on-demand.
+// Offer identifies instances on offer: a type in a zone, spot or on-demand.
 type Offer struct {
 	InstanceType string
 	Zone         string
 	Spot         bool
 }
 
-// requests tracks the requests for instances and which offers lack capacity.
 type requests struct {
 	noCapacityUntil map[Offer]time.Time
 	pending         map[string]*pendingRequest // requests with unknown outcome, by name
-	requestCount    uint64                     // part of request names; see nextRequestName
+	requestCount    uint64                     // part of request names
 	atCapacity      bool                       // the controllers cannot serve more machines
 }
 
-// pendingRequest is a request for instances whose outcome is not known yet.
 type pendingRequest struct {
 	Offer
 	count       int
@@ -55,17 +52,17 @@
 
 // requirement describes the instances to request.
 type requirement struct {
-	spec   *spec.Job // the job that an instance must be able to run
+	spec   *spec.Job // job that an instance must be able to run
 	cpus   float64
 	urgent bool // also consider on-demand instances if spot is allowed
 	probe  bool // tests whether a lost zone is reachable, so zone states are ignored
 }
 
-// AtCapacity reports whether scaling out is suspended because the controllers cannot serve
-// more machines.
+// AtCapacity reports whether scaling out is suspended because the controllers cannot serve more
+// machines.
 func (r *requests) AtCapacity() bool { return r.atCapacity }
 
-// pendingInstances returns the number of instances that pending requests may start.
+// pendingInstances returns how many instances the pending requests may start.
 func (r *requests) pendingInstances() (n int) {
 	for _, p := range r.pending {
 		n += p.count
@@ -84,14 +81,14 @@
 	return false
 }
 
-// RequestProbe requests one instance in a lost zone. Its heartbeat shows that the zone is
-// reachable again.
+// RequestProbe requests one instance in a lost zone. Its heartbeat shows that the zone is reachable
+// again.
 func (a *Autoscaler) RequestProbe(zone string) {
 	a.requestInstances(requirement{spec: &spec.Job{Zone: zone, AllowSpot: true}, urgent: true, probe: true})
 }
 
-// requestInstances sends one request for the cheapest instances that meet a requirement. It
-// reports whether a request was sent.
+// requestInstances sends one request for the cheapest instances that meet a requirement, and
+// reports whether it was sent.
 func (a *Autoscaler) requestInstances(want requirement) bool {
 	headroom := a.state.MaxMachines() - len(a.state.Machines()) - a.pendingInstances()
 	a.updateAtCapacity(headroom)
@@ -111,9 +108,8 @@
 	return true
 }
 
-// updateAtCapacity records and logs whether the controllers can serve more machines. Machines
-// beyond the controllers' connection limit would compete for connections with each other and
-// with users.
+// updateAtCapacity records and logs whether the controllers can serve more machines. Further
+// machines would compete with each other and with users for connections.
 func (a *Autoscaler) updateAtCapacity(headroom int) {
 	if a.atCapacity == (headroom <= 0) {
 		return
@@ -155,7 +151,7 @@
 				if spot && !s.AllowSpot || !spot && s.AllowSpot && !want.urgent || a.Now.Before(a.noCapacityUntil[o]) {
 					continue
 				}
-				// Prefers, at equal cost, the offer with fewer machines.
+				// At equal cost, prefer the offer with fewer machines.
 				cost := rentalCost(t, spot, want.cpus) + 1e-9*float64(counts[o])
 				list = append(list, candidateOffer{Offer: o, cpus: t.CPUs, cost: cost})
 			}
@@ -164,8 +160,8 @@
 	return list
 }
 
-// rentalCost returns the price per used CPU of renting enough instances of a type for the given
-// number of CPUs, increased in proportion to the boot time.
+// rentalCost returns the price per used CPU of enough instances of a type for the given number of
+// CPUs, increased in proportion to the boot time.
 func rentalCost(t *provider.InstanceType, spot bool, cpus float64) float64 {
 	price := t.OnDemandRate
 	if spot {
@@ -187,24 +183,23 @@
 	return cmp.Compare(a.cost, b.cost)
 }
 
-// nextRequestName returns a name that no earlier request has used. The cloud treats the name as
-// an idempotency key: it answers a repeated name with the instances of the first request. Terms
-// may start over when the store has lost its data, so the name includes the era.
+// nextRequestName returns a name that no earlier request has used, since the cloud treats it as an
+// idempotency key. Terms may start over when the store has lost its data, so the name includes the
+// era.
 func (a *Autoscaler) nextRequestName() string {
 	a.requestCount++
 	term, era := a.state.Term()
 	return fmt.Sprintf("t%d-%d-%x", term, a.requestCount, era)
 }
 
-// sendRequest sends a pending request. While the outcome is unknown, handleOutcome resends it
-// under the same name.
+// sendRequest sends a pending request. While its outcome is unknown, handleOutcome resends it under
+// the same name.
 func (a *Autoscaler) sendRequest(name string) {
 	p := a.pending[name]
 	call := provider.Request{Op: provider.ScaleOut, IdempotencyKey: name, InstanceType: p.InstanceType, Zone: p.Zone, Spot: p.Spot, Count: p.count}
 	a.scope.CallCloud(call, func(r provider.Response) { a.handleOutcome(name, p, r) })
 }
 
-// handleOutcome processes the cloud's response to a request.
 func (a *Autoscaler) handleOutcome(name string, p *pendingRequest, r provider.Response) {
 	switch r.Outcome {
 	case rpc.OK:
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -15,11 +15,10 @@
 const MinRentalTime = 50 * time.Second
 
 const (
-	// drainDivisor bounds how many machines start draining at the same time: one, plus one for
-	// every drainDivisor machines in the fleet.
+	// A call of ScaleIn starts draining at most one machine, plus one for every drainDivisor
+	// machines in the fleet.
 	drainDivisor = 20
-	// maxDrainingDivisor bounds how many machines drain at the same time: one in
-	// maxDrainingDivisor.
+	// No machine starts draining while more than one in maxDrainingDivisor machines is draining.
 	maxDrainingDivisor = 3
 	// No machine starts draining while the backlog exceeds drainBacklog. While it exceeds
 	// undrainBacklog, draining machines are returned to service.
@@ -30,10 +29,10 @@
 	reserveCPUs  = 2
 )
 
-// ScaleIn starts draining the most expensive machines if their tasks fit on the remaining ones
-// with a reserve for the forecast load. While the backlog is large it stops draining instead.
-// No machine starts draining until allAccounted is true, that is, until every machine that may
-// hold tasks of an earlier term is accounted for.
+// ScaleIn starts draining the most expensive machines if their tasks fit on the others with a
+// reserve for the forecast load. It stops draining while the backlog is large. allAccounted reports
+// that every machine that may hold tasks of an earlier term is accounted for; no machine starts
+// draining before.
 func (a *Autoscaler) ScaleIn(allAccounted bool) {
 	if len(a.state.Queue()) > 0 && a.backlog > drainBacklog {
 		if a.backlog > undrainBacklog {
@@ -55,7 +54,7 @@
 			break
 		}
 		if free-m.InstanceType.CPUs < reserve {
-			continue // the remaining machines would have less free capacity than the reserve
+			continue // the others would have less free capacity than the reserve
 		}
 		free -= m.InstanceType.CPUs
 		draining++
@@ -74,14 +73,12 @@
 	}
 }
 
-// usage summarizes the utilization of the fleet.
 type usage struct {
 	used, free float64          // CPUs of machines that accept tasks
-	draining   int              // number of draining machines
+	draining   int              // machines that are draining
 	candidates []*fleet.Machine // machines that may start draining
 }
 
-// fleetUsage returns the utilization of the fleet and the machines that may start draining.
 func (a *Autoscaler) fleetUsage() (u usage) {
 	for _, m := range a.state.Machines() {
 		if m.Draining && !m.Releasing {
@@ -99,8 +96,8 @@
 	return u
 }
 
-// compareCost orders machines by descending price per CPU and, within a price class, by
-// ascending utilization. Prices that differ by less than about 2 % share a class.
+// compareCost orders machines by descending price per CPU, then by ascending utilization. Prices
+// that differ by less than about 2 % count as equal.
 func compareCost(a, b *fleet.Machine) int {
 	priceClass := func(m *fleet.Machine) int { return int(math.Round(50 * math.Log(m.PricePerCPU()+1e-9))) }
 	if x := cmp.Compare(priceClass(b), priceClass(a)); x != 0 {
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -9,16 +9,15 @@
 )
 
 const (
-	// maxUnplaceableTasks is the maximum number of tasks for which one request is made when no
-	// machine is eligible for a job.
+	// maxUnplaceableTasks bounds the tasks that one request covers when no machine is eligible for
+	// a job.
 	maxUnplaceableTasks = 8
 	// minShortageCPUs is the shortage above which instances are requested.
 	minShortageCPUs = 0.5
 )
 
-// ScaleOut requests instances while the backlog exceeds targetBacklog. When the backlog exceeds
-// onDemandBacklog, it also requests on-demand instances for work that allows spot instances if
-// no spot capacity is available.
+// ScaleOut requests instances while the backlog exceeds targetBacklog. Above onDemandBacklog it
+// also requests on-demand instances for work that allows spot if no spot capacity is available.
 func (a *Autoscaler) ScaleOut(targetBacklog, onDemandBacklog time.Duration) {
 	if len(a.InstanceTypes) == 0 || !a.state.IsActive() {
 		return
@@ -31,26 +30,26 @@
 	a.coverShortage(all, targetBacklog, onDemandBacklog, false)
 }
 
-// requestForUnplaceableJob requests instances for the first job for which no machine is
-// eligible. It returns false if such a job exists and no request could be sent.
+// requestForUnplaceableJob requests instances for the first job for which no machine is eligible.
+// It returns false if such a job exists and no request could be sent.
 func (a *Autoscaler) requestForUnplaceableJob() bool {
 	for _, j := range a.state.Queue() {
 		if j.Reservations[0].Machine != nil || j.Halted() || slices.ContainsFunc(a.state.Machines(), func(m *fleet.Machine) bool { return m.EligibleFor(j) }) {
 			continue
 		}
 		if !a.zoneAllowsRental(j.Spec.Zone) {
-			continue // a job that waits for its zone must not block requests for other jobs
+			continue // must not block requests for other jobs
 		}
 		return a.requestInstances(requirement{spec: &j.Spec, cpus: float64(min(j.Waiting, maxUnplaceableTasks)) * j.Spec.CPUs, urgent: true})
 	}
 	return true
 }
 
-// coverShortage requests instances until the supply is enough to finish the work within the
-// target, or until no request can be sent.
+// coverShortage requests instances until the supply can finish the work within the target, or until
+// no request can be sent.
 func (a *Autoscaler) coverShortage(work workload, target, onDemandBacklog time.Duration, onDemandOnly bool) {
 	total, free := a.supply(onDemandOnly)
-	// Covers the work within the target, but never requests more than can run in parallel.
+	// Never request more than can run in parallel.
 	shortage := min(work.cpus-free, work.cpuSeconds/max(target.Seconds(), 1)-free)
 	if total > 0 && work.cpuSeconds/total < target.Seconds()/3 {
 		return
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -1,7 +1,7 @@
-// Package outage detects unreachable zones and regions from missing heartbeats and responds to
-// the outage. Silent machines of an unreachable zone receive no tasks, but are not treated as
-// failed. Machines of a lost zone are released gradually, and a lost zone without machines is
-// probed with single instances until it is reachable again.
+// Package outage detects unreachable zones and regions from missing heartbeats. Silent machines of
+// an unreachable zone receive no tasks, but are not treated as failed. Machines of a lost zone are
+// released gradually, and a lost zone without machines is probed with single instances until it is
+// reachable again.
 package outage
 
 import (
@@ -19,14 +19,13 @@
 type Leader interface {
 	// Machines returns all machines, sorted by host name.
 	Machines() []*fleet.Machine
-	// IsUnaccounted reports whether the machine may have tasks of an earlier term that the
-	// leader does not know.
+	// IsUnaccounted reports whether the machine may have tasks of an earlier term that the leader
+	// does not know.
 	IsUnaccounted(host string) bool
-	// LeadershipTimes returns when the leader was elected and when it last regained its
-	// authority after it had expired.
+	// LeadershipTimes returns when the leader was elected and when it last regained its expired
+	// authority.
 	LeadershipTimes() (electedAt, resumedAt time.Time)
-	// DropReservations cancels the reservations on a machine, so that the tasks are placed
-	// on other machines.
+	// DropReservations cancels the reservations on a machine and places the tasks elsewhere.
 	DropReservations(m *fleet.Machine)
 	// RequestDispatchAll requests a check for tasks that can start on any machine.
 	RequestDispatchAll()
@@ -37,27 +36,27 @@
 }
 
 // electionGrace is the time after an election for which a machine of an earlier term counts as
-// reporting without a heartbeat. A relay or a probe has reached every live machine by then.
+// reporting without a heartbeat. By then a relay or a probe has reached every live machine.
 const electionGrace = 2500 * time.Millisecond
 
-// Monitor tracks zones and regions and handles their outages during one term of the leader.
+// Monitor handles the outages of zones and regions during one term of the leader.
 type Monitor struct {
 	Zones   *zones.Tracker
 	Regions *zones.RegionTracker
 
 	engine      *engine.Engine
 	leader      Leader
-	silentAfter time.Duration // age of the last heartbeat above which a machine is silent
+	silentAfter time.Duration // maximum age of the last heartbeat of a reporting machine
 }
 
-// New returns a Monitor with all zones up. A machine counts as silent when its last heartbeat is
-// older than silentAfter.
+// New returns a Monitor with all zones up. A machine is silent when its last heartbeat is older
+// than silentAfter.
 func New(e *engine.Engine, leader Leader, s zones.Settings, regions *zones.Regions, silentAfter time.Duration) *Monitor {
 	return &Monitor{Zones: zones.New(s), Regions: zones.NewRegionTracker(regions), engine: e, leader: leader, silentAfter: silentAfter}
 }
 
-// Observe updates the states of zones and regions from the machines' heartbeats, marks
-// unreachable machines, and releases machines of lost zones. It is called periodically.
+// Observe updates the states of zones and regions from the machines' heartbeats, marks unreachable
+// machines, and releases machines of lost zones. Call it periodically.
 func (o *Monitor) Observe() {
 	changes := o.Zones.Observe(o.engine.Now, o.countMachines())
 	o.observeRegions()
@@ -69,7 +68,6 @@
 	o.handleLostZones()
 }
 
-// countMachines returns the number of reporting and silent machines in each zone.
 func (o *Monitor) countMachines() map[string]zones.MachineCounts {
 	counts := map[string]zones.MachineCounts{}
 	electedAt, _ := o.leader.LeadershipTimes()
@@ -89,8 +87,8 @@
 	return counts
 }
 
-// isReporting reports whether a machine's last heartbeat is recent. Time without authority, in
-// which the leader answers no heartbeats, does not count.
+// isReporting reports whether a machine's last heartbeat is recent, not counting time without
+// authority, in which the leader answers no heartbeats.
 func (o *Monitor) isReporting(m *fleet.Machine) bool {
 	since := m.LastHeartbeat
 	if _, resumedAt := o.leader.LeadershipTimes(); resumedAt.After(since) {
@@ -99,16 +97,14 @@
 	return m.Reported && o.engine.Now.Sub(since) <= o.silentAfter
 }
 
-// logZoneChange logs a state change of a zone.
 func (o *Monitor) logZoneChange(x zones.Change) {
 	z, level := x.Zone, logLevel(x.To)
 	if r := o.Regions.RegionOf(z.Name); r != nil && r.State != zones.Up {
-		level = slog.LevelDebug // the region's state change is already logged
+		level = slog.LevelDebug // the region's change is already logged
 	}
 	o.engine.Log(level, "zone "+x.To.String(), "zone", z.Name, "before", x.From.String(), "after", x.PreviousDuration, "reporting", z.Counts.Reporting, "silent", z.Counts.Silent)
 }
 
-// observeRegions derives the states of regions from those of their zones and logs changes.
 func (o *Monitor) observeRegions() {
 	for _, x := range o.Regions.Observe(o.engine.Now, o.Zones.All()) {
 		r := x.Region
@@ -116,7 +112,7 @@
 	}
 }
 
-// logLevel returns the level for logging that a zone or region has entered a state.
+// logLevel returns the log level for entering a state.
 func logLevel(to zones.State) slog.Level {
 	if to == zones.Up || to == zones.Returning {
 		return slog.LevelInfo
@@ -139,8 +135,8 @@
 	}
 }
 
-// handleLostZones starts probes that are due and releases silent machines in excess of the zone's
-// KeepCount, the most expensive first.
+// handleLostZones starts due probes and releases silent machines beyond KeepCount, the most
+// expensive first.
 func (o *Monitor) handleLostZones() {
 	for _, z := range o.Zones.All() {
 		if z.StartProbeIfDue(o.engine.Now) {
@@ -171,8 +167,8 @@
 	return list
 }
 
-// WaitReason returns the message for a job whose tasks wait for the unreachable zone that the job
-// is restricted to, or "" if they do not.
+// WaitReason returns the message for a job whose tasks wait for the unreachable zone that it is
+// restricted to, or "" if they do not.
 func (o *Monitor) WaitReason(j *fleet.Job) string {
 	if j.Spec.Zone == "" || j.Waiting == 0 {
 		return ""
--- a/internal/zones/regions.go
+++ b/internal/zones/regions.go
@@ -13,8 +13,8 @@
 	names    []string // sorted
 }
 
-// NewRegions returns the Regions for a map from region names to their zones. It returns an error
-// that names the region if a region is empty, a zone has no name, or a zone is in two regions.
+// NewRegions returns the Regions for a map from region names to their zones. The error names a
+// region that is empty, has an unnamed zone or shares a zone.
 func NewRegions(def map[string][]string) (*Regions, error) {
 	r := &Regions{regionOf: map[string]string{}, names: slices.Sorted(maps.Keys(def))}
 	for _, region := range r.names {
@@ -34,7 +34,7 @@
 	return r, nil
 }
 
-// RegionOf returns the name of a zone's region, or "" if the zone is in no region.
+// RegionOf returns the name of a zone's region, or "" if it has none.
 func (r *Regions) RegionOf(zone string) string {
 	if r == nil {
 		return ""
@@ -42,14 +42,14 @@
 	return r.regionOf[zone]
 }
 
-// Region holds the state of one region, which is derived from its zones.
+// Region holds the state of a region, derived from its zones.
 type Region struct {
 	Name             string
 	State            State
-	Since            time.Time     // when the state was entered
-	Counts           MachineCounts // sums over its zones
-	Zones            int           // number of zones that have machines
-	UnreachableZones int           // number of those that are doubtful or lost
+	Since            time.Time // when the state was entered
+	Counts           MachineCounts
+	Zones            int // zones that have machines
+	UnreachableZones int // those that are doubtful or lost
 }
 
 // RegionChange is a state change of a region.
@@ -65,8 +65,7 @@
 	regions    map[string]*Region
 }
 
-// NewRegionTracker returns a RegionTracker with all regions in state Up. A nil argument means no
-// regions.
+// NewRegionTracker returns a RegionTracker with all regions Up. A nil argument means no regions.
 func NewRegionTracker(regions *Regions) *RegionTracker {
 	t := &RegionTracker{membership: regions, regions: map[string]*Region{}}
 	if regions != nil {
@@ -85,12 +84,12 @@
 	return list
 }
 
-// RegionOf returns the region of a zone, or nil if the zone is in no region.
+// RegionOf returns the region of a zone, or nil if it has none.
 func (t *RegionTracker) RegionOf(zone string) *Region { return t.regions[t.membership.RegionOf(zone)] }
 
-// Observe derives the states of the regions from those of the zones and returns the state
-// changes. A region is unreachable when more than one of its zones have machines and all of
-// those zones are unreachable.
+// Observe derives the states of the regions from those of the zones and returns the changes. A
+// region is unreachable when more than one of its zones have machines and all of those are
+// unreachable.
 func (t *RegionTracker) Observe(now time.Time, zones []*Zone) (changes []RegionChange) {
 	lost := map[string]int{}
 	returning := map[string]int{}
@@ -127,7 +126,7 @@
 	return changes
 }
 
-// nextState returns the state of the region for the given numbers of lost and returning zones.
+// nextState returns the region's next state, given its lost and returning zones.
 func (r *Region) nextState(lost, returning int) State {
 	switch {
 	case r.Zones > 1 && lost == r.Zones:
@@ -140,5 +139,5 @@
 	return Up
 }
 
-// Unreachable reports whether the whole region is considered unreachable.
+// Unreachable reports whether the region is Doubtful or Lost.
 func (r *Region) Unreachable() bool { return r.State == Doubtful || r.State == Lost }
--- a/internal/zones/regions_test.go
+++ b/internal/zones/regions_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestRegionIsOneEvent checks that the outage of all zones of a region is reported as one change
-// of the region in each direction. The outage of a region's only zone with machines is not.
+// TestRegionIsOneEvent checks that the outage of all zones of a region is reported as one change of
+// the region in each direction, but not the outage of its only zone with machines.
 func TestRegionIsOneEvent(t *testing.T) {
 	set, err := NewRegions(map[string][]string{"r1": {"r1-a", "r1-b", "r1-empty"}, "r2": {"r2-a"}})
 	if err != nil {
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,10 +1,8 @@
-// Package zones detects outages of availability zones and regions. It derives the state of each
-// zone from the number of its machines that report and that are silent. It does no I/O and
-// reads no clock.
+// Package zones detects outages of availability zones and regions from the number of their machines
+// that report and that are silent. It does no I/O and reads no clock.
 //
 // When many machines of a zone fall silent at the same time, a network partition is more likely
-// than many independent failures: the machines usually come back within minutes, and new
-// machines in the same zone would be unreachable as well.
+// than many independent failures, and new machines in the zone would be unreachable as well.
 package zones
 
 import (
@@ -35,13 +33,13 @@
 	LostAfter time.Duration
 	// StableFor is the time after which a returning zone is up; doubled for each relapse.
 	StableFor time.Duration
-	// KeepFor is how long all machines of a lost zone are kept, from the start of the outage.
+	// KeepFor is how long after the start of an outage all machines of a lost zone are kept.
 	KeepFor time.Duration
 	// ProbeInterval is the interval between probes of a lost zone that has no machines.
 	ProbeInterval time.Duration
 }
 
-// MachineCounts is the number of reporting and silent machines of a zone at one time.
+// MachineCounts holds the numbers of reporting and silent machines of a zone.
 type MachineCounts struct {
 	Reporting int // machines with a recent heartbeat
 	Silent    int // machines without one that have reported before or may hold tasks
@@ -50,12 +48,12 @@
 const (
 	// minSilent is the minimum number of silent machines for a zone to become doubtful.
 	minSilent = 3
-	// maxRelapses is the maximum number of times that StableFor is doubled.
+	// maxRelapses bounds how often StableFor is doubled.
 	maxRelapses = 4
-	// relapseResetTime is how long a zone must have been up for its relapse count to be reset.
+	// relapseResetTime is how long a zone must be up before its relapses are forgotten.
 	relapseResetTime = 5 * time.Minute
-	// MinKeepCount is the number of silent machines of a lost zone that are never released, so
-	// that their heartbeats show when the zone is reachable again.
+	// MinKeepCount is the number of silent machines of a lost zone that are never released, so that
+	// their heartbeats show when the zone is reachable again.
 	MinKeepCount = 2
 )
 
@@ -68,7 +66,7 @@
 	OutageSince     time.Time     // start of the latest outage
 	maxSilent       int           // maximum of Counts.Silent during that outage
 	relapses        int
-	suppressedUntil time.Time // the zone does not become doubtful before this
+	suppressedUntil time.Time // not Doubtful before this time
 	probedAt        time.Time
 	settings        *Settings
 }
@@ -83,7 +81,7 @@
 // New returns a Tracker without zones.
 func New(s Settings) *Tracker { return &Tracker{settings: s, zones: map[string]*Zone{}} }
 
-// Zone returns the zone with the given name, adding it in state Up if it is not known.
+// Zone returns the named zone, adding it in state Up if it is not known.
 func (t *Tracker) Zone(name string) *Zone {
 	z := t.zones[name]
 	if z == nil {
@@ -111,8 +109,8 @@
 	PreviousDuration time.Duration // time spent in state From
 }
 
-// Observe updates all zones and returns their state changes. Zones missing from observations
-// count as having no machines.
+// Observe updates all zones and returns their state changes. Zones missing from observations have
+// no machines.
 func (t *Tracker) Observe(now time.Time, observations map[string]MachineCounts) []Change {
 	for name := range observations {
 		t.Zone(name)
@@ -135,8 +133,8 @@
 	return changes
 }
 
-// otherZonesReport reports whether most machines of the other reachable zones report. If not, or
-// if there are none, the observer itself is more likely to be partitioned than the zone z.
+// otherZonesReport reports whether most machines of the other reachable zones report. If not, the
+// observer itself is more likely to be partitioned than the zone z.
 func (t *Tracker) otherZonesReport(z *Zone) bool {
 	reporting, silent := 0, 0
 	for _, n := range t.names {
@@ -154,7 +152,7 @@
 	reporting, silent := z.Counts.Reporting, z.Counts.Silent
 	suspected := silent >= minSilent && 2*silent >= reporting && othersReport
 	if z.State == Returning {
-		suspected = suspected && reporting == 0 // heartbeats resume gradually over one heartbeat interval
+		suspected = suspected && reporting == 0 // heartbeats resume gradually over one interval
 	}
 	switch z.State {
 	case Up, Returning:
@@ -180,11 +178,11 @@
 		case reporting > 0 && silent == 0:
 			z.setState(Returning, now)
 		case over && reporting > 0:
-			// Some machines have been reporting all the time, so the zone is reachable.
+			// Some machines have reported all the time, so the zone is reachable.
 			z.suppressSuspicion(now)
 			z.setState(Up, now)
 		case over:
-			z.probedAt = time.Time{} // makes a probe due at once if the zone has no machines
+			z.probedAt = time.Time{} // a probe is due at once
 			z.setState(Lost, now)
 		}
 	case Lost:
@@ -202,23 +200,23 @@
 // requiredStability returns how long the zone must be in state Returning before it is up.
 func (z *Zone) requiredStability() time.Duration { return z.settings.StableFor << z.relapses }
 
-// Unreachable reports whether silent machines of the zone are considered unreachable rather than
-// failed.
+// Unreachable reports whether the zone is Doubtful or Lost, so that its silent machines are
+// considered unreachable rather than failed.
 func (z *Zone) Unreachable() bool { return z.State == Doubtful || z.State == Lost }
 
-// AllowsRental reports whether instances may be requested in the zone. They may not while the
-// zone is unreachable, or returning with some of its machines still silent.
+// AllowsRental reports whether instances may be requested in the zone: not while it is unreachable,
+// or returning with some machines still silent.
 func (z *Zone) AllowsRental() bool {
 	return z.State == Up || z.State == Returning && z.Counts.Silent == 0
 }
 
 // AllowsTaskStarts reports whether reporting machines of the zone may start tasks. They may not
-// while the zone is returning after a relapse, since each further relapse would lose the tasks.
+// while it is returning after a relapse, since a further relapse would lose the tasks.
 func (z *Zone) AllowsTaskStarts() bool { return z.State != Returning || z.relapses == 0 }
 
-// KeepCount returns how many silent machines of an unreachable zone to keep. All are kept until
-// KeepFor, since most outages are short and new machines would have to boot and fetch images.
-// After that the number decreases linearly, down to MinKeepCount at three times KeepFor.
+// KeepCount returns how many silent machines of an unreachable zone to keep: all until KeepFor,
+// since new machines would have to boot and fetch images, then linearly fewer, down to MinKeepCount
+// at three times KeepFor.
 func (z *Zone) KeepCount(now time.Time) int {
 	if !z.Unreachable() {
 		return 0
@@ -231,9 +229,9 @@
 	return max(MinKeepCount, int(left*float64(z.maxSilent)))
 }
 
-// StartProbeIfDue reports whether to request one machine in the zone now, to detect whether the
-// zone is reachable. This is so if the zone is lost, has no machines and was not probed within
-// ProbeInterval. If it returns true, it records the probe as started.
+// StartProbeIfDue reports whether to request one machine in the zone now, and records the probe as
+// started. A probe is due if the zone is lost, has no machines and was not probed within
+// ProbeInterval.
 func (z *Zone) StartProbeIfDue(now time.Time) bool {
 	if z.State != Lost || z.Counts.Reporting+z.Counts.Silent > 0 || now.Sub(z.probedAt) < z.settings.ProbeInterval {
 		return false
@@ -242,12 +240,12 @@
 	return true
 }
 
-// probeRetryDelay is the delay before the next probe after a refused one.
+// probeRetryDelay is the delay after a refused probe.
 const probeRetryDelay = 2 * time.Second
 
 // ProbeRefused records that the cloud had no capacity for an instance type in the zone. The next
-// probe is due after probeRetryDelay and may use another type. Otherwise the recovery of a zone
-// without capacity for the first type would not be detected.
+// probe is due after probeRetryDelay and may use another type, without which the zone's recovery
+// might not be detected.
 func (z *Zone) ProbeRefused(now time.Time) {
 	if z.State == Lost {
 		z.probedAt = now.Add(probeRetryDelay - z.settings.ProbeInterval)
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -12,8 +12,8 @@
 var testSettings = Settings{LostAfter: 20 * time.Second, StableFor: 8 * time.Second, KeepFor: 60 * time.Second, ProbeInterval: time.Minute}
 
 // observeTimeline feeds the tracker one observation of zones a and b per second and returns the
-// states that zone a enters, each with its second. A step is "until reporting/silent reporting/silent",
-// with the counts of a before those of b.
+// states that zone a enters, each with its second. A step is "until reporting/silent
+// reporting/silent", with the counts of a before those of b.
 func observeTimeline(tracker *Tracker, steps ...string) string {
 	var out []string
 	at := 0
@@ -88,7 +88,7 @@
 	}
 }
 
-// TestKept checks that all silent machines are kept until KeepFor, then fewer over time, but never
+// TestKept checks that all silent machines are kept until KeepFor, then gradually fewer, but never
 // fewer than MinKeepCount.
 func TestKept(t *testing.T) {
 	tracker := New(testSettings)
@@ -102,7 +102,7 @@
 }
 
 // TestProbe checks that a lost zone is probed once per interval if it has no machines, and not at
-// all while it has silent machines.
+// all while it has silent ones.
 func TestProbe(t *testing.T) {
 	tracker := New(testSettings)
 	observeTimeline(tracker, "10 40/0 40/0", "40 0/40 40/0")
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestRefusedProbe checks that only a refused probe is followed by another before the probe
-// interval has passed.
+// TestRefusedProbe checks that only a refused probe is followed by another within the probe
+// interval.
 func TestRefusedProbe(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	z := &Zone{settings: &Settings{ProbeInterval: time.Minute}, State: Lost}
