--- a/internal/admission/admitter.go
+++ b/internal/admission/admitter.go
@@ -30,10 +30,10 @@
 
 const (
 	conflictRetryDelay = time.Second
-	maxRetryAfter      = 30 * time.Second // upper bound of Retry-After for a rejected job
+	maxRetryAfter      = 30 * time.Second // bounds Retry-After for a rejected job
 )
 
-// Leader is implemented by the leader on whose behalf an Admitter accepts jobs.
+// Leader is the leader on whose behalf an Admitter accepts jobs.
 type Leader interface {
 	// IsActive reports whether the leader has authority and has loaded the records.
 	IsActive() bool
@@ -43,15 +43,15 @@
 	Lateness(job *spec.Job) time.Duration
 	// PolicyEnv returns the cluster state that policy expressions are evaluated on.
 	PolicyEnv() policy.Env
-	// MayHaveLostJobs reports whether the store may have lost job records, so that an
-	// unknown job ID may belong to an accepted job.
+	// MayHaveLostJobs reports whether the store may have lost job records, so that an unknown job
+	// ID may belong to an accepted job.
 	MayHaveLostJobs() bool
 	// Unreadable reports whether the job's record exists but cannot be decoded.
 	Unreadable(id string) bool
-	// ConfirmTerm checks in one transaction that the store still has this leader's term and
-	// that the additional conditions hold, and calls f with the response.
+	// ConfirmTerm checks in one transaction that the store still has this leader's term and that
+	// the given conditions hold, and calls f with the response.
 	ConfirmTerm(more []kv.Condition, f func(kv.Response))
-	// JobAdded is called after a job accepted in this term is added, before it is queued.
+	// JobAdded is called for a job accepted in this term, before it is queued.
 	JobAdded(j *fleet.Job)
 }
 
@@ -77,10 +77,10 @@
 // submission is a job whose record is being written to the store.
 type submission struct {
 	job     *spec.Job
-	waiters []request.Request // submissions of the same job that wait for the outcome
+	waiters []request.Request // submissions of the same job, answered together
 }
 
-// New returns an admitter for one leadership term; its callbacks stop when scope is closed.
+// New returns an admitter for one term; its callbacks stop when scope is closed.
 func New(e *engine.Engine, scope *engine.Scope, limits config.State, state State, leader Leader) *Admitter {
 	return &Admitter{State: state, engine: e, scope: scope, limits: limits, leader: leader, pending: map[string]*submission{}}
 }
@@ -96,8 +96,8 @@
 	s.waiters = nil
 }
 
-// AnswerWaiting sends the response to every client whose submission is still being written,
-// in order of job ID.
+// AnswerWaiting sends the response to every client whose submission is still being written, in
+// order of job ID.
 func (a *Admitter) AnswerWaiting(response request.Response) {
 	for _, id := range slices.Sorted(maps.Keys(a.pending)) {
 		a.answerSubmission(a.pending[id], response)
@@ -119,7 +119,7 @@
 	}
 }
 
-// submit validates a new job and, if it is accepted, responds once its record is committed.
+// submit validates a new job, and responds to an accepted one once its record is committed.
 func (a *Admitter) submit(r request.Request) {
 	if len(a.Autoscaler.InstanceTypes) == 0 {
 		a.answer(r, request.Unavailable(instanceTypesUnknown))
@@ -130,8 +130,8 @@
 		a.answer(r, SpecTooLarge)
 		return
 	}
-	// A job that was accepted before must not be rejected when it is submitted again, so the
-	// stored records are checked before a rejection is sent.
+	// A resubmitted job that was accepted before must not be rejected, so the stored records are
+	// checked before a rejection is sent.
 	if refusal := a.CheckSchedulable(job); refusal != nil {
 		if !a.Autoscaler.CatalogLoaded {
 			a.answer(r, request.Unavailable(instanceTypesUnknown))
@@ -151,7 +151,6 @@
 	a.writeRecord(r)
 }
 
-// writeRecord writes the record of an accepted job to the store.
 func (a *Admitter) writeRecord(r request.Request) {
 	job := r.Spec
 	s := &submission{job: job, waiters: []request.Request{r}}
@@ -184,8 +183,8 @@
 	return j
 }
 
-// resolveConflict handles a submission whose write found an existing record of the job. The
-// record may stem from an earlier attempt of the same write whose outcome was unknown.
+// resolveConflict handles a submission whose write found a record of the job, which an earlier
+// attempt of the same write with unknown outcome may have written.
 func (a *Admitter) resolveConflict(s *submission) {
 	id := s.job.ID
 	retry := func() {
@@ -211,18 +210,18 @@
 	})
 }
 
-// CheckSchedulable returns why a job can never be scheduled with the current teams and
-// instance types, or nil.
+// CheckSchedulable returns why a job can never be scheduled with the current teams and instance
+// types, or nil.
 func (a *Admitter) CheckSchedulable(job *spec.Job) *Refusal {
 	return CheckSchedulable(job, a.Lifecycle.Teams[job.Owner], a.Autoscaler.InstanceTypes)
 }
 
-// CheckDeadline estimates by how much a job would miss its deadline on the machines of the
-// fleet and on those that can be added, and evaluates the admission policy. It returns the
-// expected lateness and whether the job is rejected. Jobs without a deadline never are.
+// CheckDeadline estimates by how much a job would miss its deadline on the machines of the fleet
+// and those that can be added, and evaluates the admission policy. Jobs without a deadline are
+// never rejected.
 func (a *Admitter) CheckDeadline(job *spec.Job) (late time.Duration, refused bool) {
 	if !job.HasDeadline || a.Policy.NeverRefuses() {
-		return 0, false // skip the lateness estimate, which searches the whole fleet
+		return 0, false // skip the search of the whole fleet
 	}
 	late = a.leader.Lateness(job)
 	env := a.leader.PolicyEnv()
--- a/internal/admission/admitter_test.go
+++ b/internal/admission/admitter_test.go
@@ -111,7 +111,7 @@
 	return l
 }
 
-// submit serves a submission and returns the store request that writes its record.
+// submit serves a submission and returns the request that writes its record.
 func (l *leader) submit() kv.Request {
 	l.t.Helper()
 	l.Admitter.Serve(submission(1))
@@ -124,7 +124,7 @@
 	return request.Request{Ref: ref, Op: request.Submit, ID: "wk-1", Spec: job}
 }
 
-// advance advances the clock, runs the due timers and flushes queued writes.
+// advance advances the clock and flushes queued writes.
 func (l *leader) advance(d time.Duration) {
 	l.engine.Begin(l.engine.Now.Add(d))
 	l.engine.RunTimers()
@@ -142,7 +142,7 @@
 	return found
 }
 
-// sent returns the only request sent to the store, and fails the test if there is not one.
+// sent returns the request sent to the store; the test fails if there is not exactly one.
 func (l *leader) sent() kv.Request {
 	l.t.Helper()
 	calls := takeOutputs[kv.Request](l)
@@ -152,7 +152,7 @@
 	return calls[0]
 }
 
-// reply responds to the only request sent to the store.
+// reply responds to the only store request.
 func (l *leader) reply(r kv.Response) {
 	l.t.Helper()
 	r.Ref = l.sent().Ref
@@ -178,8 +178,8 @@
 
 func liveRecord() *record.Job { return &record.Job{Spec: *submission(1).Spec} }
 
-// TestSubmission checks that clients are told of a job only after its record is committed, and
-// that the write requires that the job has no record yet.
+// TestSubmission checks that clients are told of a job only after its record is committed, and that
+// the write requires that the job has no record yet.
 func TestSubmission(t *testing.T) {
 	l := newLeader(t, "false")
 	call := l.submit()
@@ -248,7 +248,7 @@
 }
 
 // TestRefusals checks that a job is rejected only after the store has confirmed that it has no
-// record of it.
+// record of the job.
 func TestRefusals(t *testing.T) {
 	never := func(r *request.Request) { r.Spec.CPUs = 9 }
 	dated := func(r *request.Request) { r.Spec.HasDeadline = true }
@@ -322,8 +322,8 @@
 	})
 }
 
-// TestLeaderlessMarkers checks that jobs named by leaderless markers are adopted and their
-// markers deleted, and that a marker is kept while the state of its job cannot be read.
+// TestLeaderlessMarkers checks that jobs named by leaderless markers are adopted and the markers
+// deleted, and that a marker is kept while the state of its job cannot be read.
 func TestLeaderlessMarkers(t *testing.T) {
 	t.Run("live", func(t *testing.T) {
 		l := watchMarker(t, markerKey)
@@ -357,8 +357,7 @@
 	})
 }
 
-// TestWatchLeaderless checks that an empty list is followed by a watch from the revision of
-// the list.
+// TestWatchLeaderless checks that an empty list is followed by a watch from its revision.
 func TestWatchLeaderless(t *testing.T) {
 	l := newLeader(t, "false")
 	l.WatchLeaderless()
--- a/internal/admission/records.go
+++ b/internal/admission/records.go
@@ -11,15 +11,14 @@
 	"yewpass/internal/writebatch"
 )
 
-// serveFromStore responds with the stored state of a job, or with ifMissing if the store has
-// no record of it.
+// serveFromStore responds with the stored state of a job, or with ifMissing if it has none.
 func (a *Admitter) serveFromStore(r request.Request, ifMissing request.Response) {
 	a.answerFromStore(r, func() { a.answer(r, ifMissing) })
 }
 
-// answerFromStore responds with the stored state of a job, or calls missing if the store has
-// no record of it. A live record that is not in memory belongs to a job whose write was
-// applied after it had been given up, or that was accepted without a leader; it is adopted.
+// answerFromStore responds with the stored state of a job, or calls missing if it has none. It
+// adopts a job with a live record that is not in memory: its write was applied after it had been
+// given up, or it was accepted without a leader.
 func (a *Admitter) answerFromStore(r request.Request, missing func()) {
 	unavailable := func() { a.answer(r, request.Unavailable(storeUnavailable)) }
 	a.Lifecycle.Store.Read(r.ID, func(status *request.JobStatus, known bool) {
@@ -27,7 +26,7 @@
 		case a.scope.Closed() || !a.leader.IsActive() || !known:
 			unavailable()
 		case a.Lifecycle.Jobs[r.ID] != nil || a.pending[r.ID] != nil:
-			a.leader.Serve(r) // accepted since the read was sent
+			a.leader.Serve(r) // accepted after the read was sent
 		case status == nil && a.leader.MayHaveLostJobs():
 			a.answer(r, request.Unavailable("the state service may have lost data, and jobs are still being restored"))
 		case status == nil:
@@ -46,8 +45,8 @@
 	})
 }
 
-// adopt reads the live record of a job that is not in memory and adds the job. It calls
-// onAdopted if the job is in memory afterwards, otherwise onFailure.
+// adopt reads the live record of a job that is not in memory and adds the job. It calls onAdopted
+// if the job is in memory afterwards, otherwise onFailure.
 func (a *Admitter) adopt(id string, onAdopted, onFailure func()) {
 	a.scope.CallStore(kv.Request{Op: kv.Get, Key: record.JobPrefix + id}, func(reply kv.Response) {
 		if reply.Outcome != rpc.OK {
@@ -60,7 +59,7 @@
 			delete(a.pending, id)
 			j := a.Lifecycle.Add(rec, false)
 			a.Lifecycle.Queue(j)
-			if s != nil { // another controller wrote the record; no callback responds to the waiters
+			if s != nil { // another controller wrote the record; no callback answers the waiters
 				a.answerSubmission(s, request.Response{Status: 200, Job: j.View()})
 			}
 		}
@@ -72,11 +71,11 @@
 	})
 }
 
-// markerPageSize is the number of leaderless markers read per list request.
+// markerPageSize bounds the number of leaderless markers read per list request.
 const markerPageSize = 200
 
-// WatchLeaderless lists and then watches the markers that controllers write for jobs accepted
-// without a leader, and adopts those jobs. It runs until the scope is closed.
+// WatchLeaderless lists and then watches the markers of jobs that controllers accepted without a
+// leader, and adopts those jobs. It runs until the scope is closed.
 func (a *Admitter) WatchLeaderless() {
 	retry := func() { a.scope.After(a.engine.Jitter(time.Second), a.WatchLeaderless) }
 	a.scope.CallStore(kv.Request{Op: kv.List, Key: record.LeaderlessPrefix, Limit: markerPageSize}, func(reply kv.Response) {
@@ -100,8 +99,8 @@
 	})
 }
 
-// AdoptLeaderless adopts the job that a leaderless marker names and deletes the marker. The
-// marker is kept if the state of the job cannot be read.
+// AdoptLeaderless adopts the job that a leaderless marker names and deletes the marker, unless the
+// state of the job cannot be read.
 func (a *Admitter) AdoptLeaderless(key string) {
 	id := strings.TrimPrefix(key, record.LeaderlessPrefix)
 	deleteMarker := func() {
--- a/internal/admission/unschedulable.go
+++ b/internal/admission/unschedulable.go
@@ -1,5 +1,4 @@
-// Package admission validates submitted jobs on the leader and writes the records of accepted
-// jobs to the key-value store.
+// Package admission validates submitted jobs on the leader and stores the records of accepted jobs.
 package admission
 
 import (
@@ -10,7 +9,7 @@
 	"yewpass/internal/spec"
 )
 
-// Refusal is why a job can never be scheduled.
+// Refusal says why a job can never be scheduled.
 type Refusal struct {
 	Field  string // wire name of the invalid field of the job description
 	Reason string
@@ -19,13 +18,11 @@
 // Response returns the response to the client, with status 422.
 func (r *Refusal) Response() request.Response { return request.Unprocessable(r.Field, r.Reason) }
 
-// SpecTooLarge is the response to a submission whose record exceeds the maximum size of a
-// value in the key-value store.
+// SpecTooLarge answers a submission whose record exceeds the store's maximum value size.
 var SpecTooLarge = request.Response{Status: 400, Field: "flavors", Reason: "flavors: the description is too long"}
 
-// CheckSchedulable returns why a job can never be scheduled, or nil. team is the account of
-// the job's owner, nil if the team does not exist; types are the instance types that the cloud
-// offers.
+// CheckSchedulable returns why a job can never be scheduled, or nil. team is the account of the
+// job's owner, nil if the team does not exist; types are the instance types on offer.
 func CheckSchedulable(job *spec.Job, team *quota.Account, types []provider.InstanceType) *Refusal {
 	if refusal := checkTeam(job, team); refusal != nil {
 		return refusal
@@ -55,8 +52,8 @@
 	return &Refusal{field, "the job needs more than the limit of team " + job.Owner}
 }
 
-// checkInstanceTypes checks that a task of the job fits on some instance type. If none fits,
-// the refusal names the field that rules out the last of the allowed types in the job's zone.
+// checkInstanceTypes checks that a task of the job fits on some instance type. If none fits, the
+// refusal names the field that rules out the last of the allowed types in the job's zone.
 func checkInstanceTypes(job *spec.Job, types []provider.InstanceType) *Refusal {
 	need, field := job.TaskResources(), "flavors"
 	for i := range types {
--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -1,6 +1,5 @@
-// Package attempts tracks the attempts to run tasks on machines: it adopts those that workers
-// report and the leader did not start, applies their state changes, and releases those that
-// have ended or were lost.
+// Package attempts tracks the attempts to run tasks on machines: it adopts those that the leader
+// did not start, applies their reported state, and releases those that have ended or were lost.
 package attempts
 
 import (
@@ -14,7 +13,7 @@
 	"yewpass/internal/placement"
 )
 
-// Jobs gives a Tracker access to the jobs that attempts belong to.
+// Jobs provides the jobs that attempts belong to.
 type Jobs interface {
 	// Find returns the job with the given ID, or nil if it is not in memory.
 	Find(id string) *fleet.Job
@@ -37,14 +36,13 @@
 	jobs      Jobs
 }
 
-// New returns a tracker that accounts for attempts in p and reports their outcome to jobs.
+// New returns a tracker that charges attempts to p and reports their outcome to jobs.
 func New(e *engine.Engine, p *placement.Scheduler, jobs Jobs) *Tracker {
 	return &Tracker{engine: e, placement: p, jobs: jobs}
 }
 
-// Adopt adds an attempt for a task that a worker lists and that this leader did not start, for
-// instance one started in an earlier term or one of an ended job. An attempt that is running
-// and not needed is marked to be stopped.
+// Adopt adds an attempt that a worker lists and this leader did not start, for instance one of an
+// earlier term or of an ended job. A running attempt that is not needed is marked to be stopped.
 func (t *Tracker) Adopt(m *fleet.Machine, task *heartbeat.Task) *fleet.Attempt {
 	a := &fleet.Attempt{ID: task.ID, Number: task.Attempt, Machine: m, Phase: fleet.Ordered, OrderedAt: t.engine.Now}
 	m.Attempts = append(m.Attempts, a)
@@ -76,9 +74,9 @@
 	return a
 }
 
-// supersedeEarlier stops an earlier attempt of the same task that is believed to run on another
-// machine. A later attempt is started only after the earlier one is known to have ended, so the
-// information about the earlier attempt is outdated.
+// supersedeEarlier stops an earlier attempt of the same task on another machine. The later one was
+// started only after the earlier one was known to have ended, so what is known about the earlier
+// one is outdated.
 func (t *Tracker) supersedeEarlier(a *fleet.Attempt, j *fleet.Job) {
 	earlier := j.Attempts[a.ID.Index]
 	if earlier != nil && earlier.Machine != a.Machine && earlier.Number < a.Number {
@@ -87,8 +85,7 @@
 	}
 }
 
-// DropAll removes and releases all attempts on a machine. The caller must know that none of them
-// is still running.
+// DropAll removes and releases all attempts on a machine. None of them may still be running.
 func (t *Tracker) DropAll(m *fleet.Machine) {
 	for _, a := range slices.Clone(m.Attempts) {
 		if i := slices.Index(m.Attempts, a); i >= 0 {
@@ -98,8 +95,8 @@
 	}
 }
 
-// Release frees the resources of an attempt that is known to have ended and requeues its task.
-// The caller removes the attempt from the machine's list.
+// Release frees the resources of an ended attempt and requeues its task. The caller removes the
+// attempt from the machine's list.
 func (t *Tracker) Release(a *fleet.Attempt) {
 	occupied := a.HoldsResources
 	t.placement.Deallocate(a)
@@ -111,8 +108,7 @@
 	}
 }
 
-// Update applies the reported state of a task to its attempt. It ignores attempts that have
-// exited before.
+// Update applies the reported state of a task to its attempt, unless the attempt has exited.
 func (t *Tracker) Update(a *fleet.Attempt, task *heartbeat.Task) {
 	if a.Phase == heartbeat.Exited {
 		return
@@ -127,7 +123,6 @@
 	}
 }
 
-// onListed updates an attempt whose task has not exited.
 func (t *Tracker) onListed(a *fleet.Attempt, phase heartbeat.Phase) {
 	if phase == heartbeat.Running && a.Phase != heartbeat.Running {
 		a.StartedAt = t.engine.Now
@@ -143,7 +138,6 @@
 	}
 }
 
-// onExit updates an attempt whose task has exited.
 func (t *Tracker) onExit(a *fleet.Attempt, cause string) {
 	previous, occupied := a.Phase, a.HoldsResources
 	a.Phase = heartbeat.Exited
@@ -156,7 +150,7 @@
 }
 
 // onCompleted handles an attempt that has completed its task. previous is its phase before the
-// exit; occupied reports whether it occupied resources for its job until then.
+// exit; occupied reports whether it held resources until then.
 func (t *Tracker) onCompleted(a *fleet.Attempt, previous heartbeat.Phase, occupied bool) {
 	m, j := a.Machine, a.Job
 	m.FailureScore, m.OnProbation = 0, false
@@ -167,8 +161,8 @@
 	a.Forgettable = t.jobs.Find(a.ID.Job) != j
 	switch {
 	case !a.Forgettable && j.Finishing && !j.Cancelled:
-		// Until the final record is committed, the exit that this worker reports may be the
-		// only information from which a new leader learns that the task has completed.
+		// Until the final record is committed, a new leader may learn of the completion only from
+		// the exit that this worker reports.
 		j.UnrecordedCompletions = append(j.UnrecordedCompletions, a)
 	case !a.Forgettable && !j.Halted():
 		if previous == heartbeat.Running && !a.StartedAt.IsZero() && !a.StartTimeUnknown {
@@ -183,11 +177,10 @@
 }
 
 const (
-	// noRoomDelay is how long no task is started on a machine whose worker has rejected a
-	// start for lack of resources.
+	// noRoomDelay is how long a machine gets no task after its worker has rejected a start for lack
+	// of resources.
 	noRoomDelay = time.Second
-	// unknownTaskDelay is how long no task of a job is started after an exit with
-	// CauseUnknownTask.
+	// unknownTaskDelay is how long no task of a job is started after an exit with CauseUnknownTask.
 	unknownTaskDelay = 2 * time.Second
 )
 
@@ -213,14 +206,13 @@
 	}
 }
 
-// quarantineThreshold is the failure score at which a machine is quarantined and gets no more
-// tasks.
+// quarantineThreshold is the failure score at which a machine gets no more tasks.
 const quarantineThreshold = 4
 
 // recordFailure attributes a failed task to its machine or its job: a machine is quarantined if
 // jobs fail on it that run elsewhere, and a job is delayed if it fails on several machines.
 func (t *Tracker) recordFailure(j *fleet.Job, m *fleet.Machine) {
-	if len(j.FailedOn) <= fleet.MaxFailedMachines { // further entries have no effect on placement
+	if len(j.FailedOn) <= fleet.MaxFailedMachines { // more entries do not affect placement
 		j.FailedOn[m.Host] = true
 	}
 	j.Failures++
@@ -231,8 +223,8 @@
 		m.FailureScore++
 	}
 	if !j.AnyCompleted && len(j.FailedOn) > 1 {
-		// No task has completed and several machines have seen failures, so the job is the
-		// likely cause: retry with exponential backoff.
+		// No task has completed, and several machines have seen failures, so the job is the likely
+		// cause.
 		wait := min(2*time.Second<<min(j.Failures/2, 5), time.Minute)
 		j.RetryAt = t.engine.Now.Add(wait)
 		t.engine.Log(slog.LevelDebug, "job failed on several machines; delaying its next attempt", "job", j.Spec.ID, "failures", j.Failures, "wait", wait)
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -170,11 +170,10 @@
 		t.Errorf("unexpected attempt state %+v", a)
 	}
 	f.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseError))
-	f.leader.wantCalls(t) // a second exit is ignored
+	f.leader.wantCalls(t)
 }
 
-// TestRuntime checks that the run time of a task is recorded only if both its start and its exit
-// were observed while it ran.
+// TestRuntime checks that a runtime is recorded only if start and exit of the task were observed.
 func TestRuntime(t *testing.T) {
 	for _, test := range []struct {
 		name        string
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,5 +1,5 @@
 // Package lifecycle manages the leader's jobs from acceptance to final record: it queues their
-// tasks, tracks and stores their progress, and records completion and cancellation.
+// tasks, stores their progress, and records completion and cancellation.
 package lifecycle
 
 import (
@@ -21,18 +21,17 @@
 	"yewpass/internal/writebatch"
 )
 
-// Leader is implemented by the leader whose jobs a Manager manages.
+// Leader is the leader whose jobs a Manager manages.
 type Leader interface {
-	// AllAccounted reports whether the tasks that were started in earlier terms are known
-	// for every machine.
+	// AllAccounted reports whether no machine can have unknown tasks of an earlier term.
 	AllAccounted() bool
-	// CancelSafeAt returns the earliest time at which a cancellation requested now may be
-	// written to the store while machines may still have tasks of the job.
+	// CancelSafeAt returns the earliest time at which a cancellation requested now may be written
+	// to the store while machines may still have tasks of the job.
 	CancelSafeAt() time.Time
-	// RequestDispatch schedules a check for orders to be sent with the reply held for a machine.
+	// RequestDispatch schedules a check for orders to send to a machine.
 	RequestDispatch(m *fleet.Machine)
-	// JobFinished is called after the final record of a job has been committed and the job has
-	// been removed from memory.
+	// JobFinished is called after the final record of a job has been committed and the job removed
+	// from memory.
 	JobFinished(j *fleet.Job, state spec.JobState)
 }
 
@@ -52,10 +51,10 @@
 	engine    *engine.Engine
 	scope     *engine.Scope
 	leader    Leader
-	maxTxnOps int // largest number of operations in a transaction
+	maxTxnOps int
 }
 
-// New returns a manager for one leadership term; its timers stop when scope is closed.
+// New returns a manager for one term; its timers stop when scope is closed.
 func New(e *engine.Engine, scope *engine.Scope, limits config.State, state State, leader Leader) *Manager {
 	return &Manager{State: state, engine: e, scope: scope, leader: leader, maxTxnOps: limits.TxnOps}
 }
@@ -64,8 +63,8 @@
 	m.engine.Emit(peermsg.Reply(r, response))
 }
 
-// Add adds a job to memory. fromEarlierTerm reports that it was accepted in an earlier term.
-// Its tasks are not scheduled before Queue is called.
+// Add adds a job to memory without scheduling its tasks. fromEarlierTerm reports that it was
+// accepted in an earlier term.
 func (m *Manager) Add(rec *record.Job, fromEarlierTerm bool) *fleet.Job {
 	s := rec.Spec
 	now := m.engine.Now
@@ -82,7 +81,7 @@
 		FailureHistory:   fleet.FailureHistory{FailedOn: map[string]bool{}},
 		Finalization:     fleet.Finalization{Cancelled: rec.Cancelled},
 	}
-	if j.Team == nil { // the team was removed from the configuration; its jobs still run
+	if j.Team == nil { // the team was removed from the configuration
 		j.Team = &quota.Account{}
 		m.Teams[s.Owner] = j.Team
 	}
@@ -102,8 +101,8 @@
 	return p
 }
 
-// Queue marks the remaining tasks of a job as pending and schedules them. It is called once
-// the progress of the job has been loaded.
+// Queue marks the remaining tasks of a job as pending and schedules them. Call it once the progress
+// of the job has been loaded.
 func (m *Manager) Queue(j *fleet.Job) {
 	for i := range j.Spec.Tasks {
 		if j.Done.Has(i) {
@@ -121,8 +120,8 @@
 	m.Placement.ReserveSoon(j)
 }
 
-// Requeue marks a task as pending again, unless it is completed, pending or on a machine, or
-// its job is ending.
+// Requeue marks a task as pending again, unless it is completed, pending or on a machine, or its
+// job is ending.
 func (m *Manager) Requeue(j *fleet.Job, task int) {
 	if j.Halted() || task >= j.Spec.Tasks || j.Done.Has(task) || j.Pending.Has(task) || j.Attempts[task] != nil {
 		return
@@ -132,14 +131,14 @@
 	m.Placement.ReserveSoon(j)
 }
 
-// CompleteTask marks a task as completed and schedules a write of the job's progress, or of its
-// final record after the last task.
+// CompleteTask marks a task as completed and schedules a write of the job's progress, or after the
+// last task of its final record.
 func (m *Manager) CompleteTask(j *fleet.Job, task int) {
 	if task >= j.Spec.Tasks || j.Spec.Service {
 		return
 	}
 	if j.Done.Has(task) {
-		m.ScheduleProgressWrite(j, task) // a worker still lists it: it may forget it after the next write
+		m.ScheduleProgressWrite(j, task) // a worker still lists it, and may forget it after the next write
 		return
 	}
 	if j.Pending.Has(task) {
@@ -164,7 +163,7 @@
 func (m *Manager) onFinalCommitted(j *fleet.Job, final record.Final) {
 	id := j.Spec.ID
 	m.Store.CacheFinal(id, final)
-	m.Replicas.PublishDelete(record.JobPrefix + id) // also needed if another leader wrote the final record
+	m.Replicas.PublishDelete(record.JobPrefix + id) // another leader may have written the final record
 	delete(m.Jobs, id)
 	j.Team.JobCount--
 	m.Placement.DropReservations(j)
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -92,7 +92,7 @@
 	return j
 }
 
-// advance advances the clock, runs the due timers and flushes queued writes.
+// advance advances the clock and flushes queued writes.
 func (l *leader) advance(d time.Duration) {
 	l.engine.Begin(l.engine.Now.Add(d))
 	l.engine.RunTimers()
@@ -143,7 +143,7 @@
 	}
 }
 
-// keys returns the keys that a request writes, with a minus sign before those it deletes.
+// keys returns the keys that a request writes, with a minus sign before deleted ones.
 func keys(call kv.Request) string {
 	var ks []string
 	for _, w := range call.Writes {
@@ -156,8 +156,8 @@
 	return strings.Join(ks, " ")
 }
 
-// TestProgressInOneWrite checks that completions within a second share one write, and that
-// workers may forget only the completions that a committed write contains.
+// TestProgressInOneWrite checks that completions within a second share one write, and that workers
+// may forget only completions in a committed write.
 func TestProgressInOneWrite(t *testing.T) {
 	l := newLeader(t)
 	j := l.add(10, false)
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestFinalRecord checks that the final record is written in one transaction that deletes the
-// live record and as many progress records as fit, and that the job ends once it is committed.
+// TestFinalRecord checks that one transaction writes the final record and deletes the live record
+// and as many progress records as fit, and that the job ends once it is committed.
 func TestFinalRecord(t *testing.T) {
 	l := newLeader(t)
 	j := l.add(1, false)
@@ -254,7 +254,7 @@
 	l.reply(call, kv.Response{Outcome: rpc.OK, Rev: 60})
 	l.wantStatuses(200)
 
-	// The live record is kept until none of the tasks can be on any machine.
+	// The live record is kept while any machine may have a task of the job.
 	l.advance(time.Second)
 	if calls := takeOutputs[kv.Request](l); len(calls) != 0 || l.Jobs["wk-1"] == nil {
 		t.Fatalf("job ended while machines are unaccounted for, requests %+v", calls)
@@ -267,8 +267,8 @@
 	}
 }
 
-// TestCancelStopsAtOnce checks that stop orders are sent to the machines of a job before its
-// cancellation is committed.
+// TestCancelStopsAtOnce checks that stop orders for a job are sent before its cancellation is
+// committed.
 func TestCancelStopsAtOnce(t *testing.T) {
 	l := newLeader(t)
 	j := l.add(2, false)
@@ -308,7 +308,7 @@
 	l.wantStatuses()
 }
 
-// TestRequeue checks that a task is queued again only if it still has to run and has no attempt.
+// TestRequeue checks that a task is queued again only if it has to run and has no attempt.
 func TestRequeue(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(*fleet.Job)
--- a/internal/lifecycle/records.go
+++ b/internal/lifecycle/records.go
@@ -13,13 +13,12 @@
 	"yewpass/internal/writebatch"
 )
 
-// progressInterval is the delay before the progress of a chunk is written, so that several
-// completions share a write.
+// progressInterval delays progress writes, so that several completions share one.
 const progressInterval = time.Second
 
-// ScheduleProgressWrite schedules a write of the progress of the chunk that contains the task.
-// At most one write per chunk is queued; its value is filled in when it is sent, so it includes
-// all completions up to then.
+// ScheduleProgressWrite schedules a write of the progress of the task's chunk. At most one write
+// per chunk is queued; its value is determined when it is sent and includes all completions up to
+// then.
 func (m *Manager) ScheduleProgressWrite(j *fleet.Job, task int) {
 	chunk := task / bitset.ChunkSize
 	if j.DirtyChunks[chunk] {
@@ -29,7 +28,6 @@
 	m.scope.After(progressInterval, func() { m.writeProgress(j, chunk) })
 }
 
-// writeProgress writes the progress of one chunk of a job.
 func (m *Manager) writeProgress(j *fleet.Job, chunk int) {
 	key := record.ProgressKey(j.Spec.ID, chunk)
 	var written bitset.Set
@@ -42,7 +40,7 @@
 			markForgettable(j, chunk, written)
 		},
 		OnConflict: func() {
-			// An earlier attempt of this write whose outcome was unknown has been applied.
+			// An earlier attempt of this write has been applied although its outcome was unknown.
 			m.Writes.ReadBack(key, func(e kv.Entry, _ bool) {
 				j.ChunkRevisions[chunk] = e.Rev // 0 if the record does not exist
 				if m.Jobs[j.Spec.ID] == j && !j.Halted() {
@@ -64,9 +62,8 @@
 	m.Writes.Add(change)
 }
 
-// markForgettable marks the attempts whose completion has been written to the store, so that
-// workers may forget them. Until then workers report them in every heartbeat, and a new leader
-// learns of the completion from there.
+// markForgettable lets workers forget the attempts whose completion has been stored. Until then
+// they report them in every heartbeat, from which a new leader learns of the completion.
 func markForgettable(j *fleet.Job, chunk int, recorded bitset.Set) {
 	j.UnrecordedCompletions = slices.DeleteFunc(j.UnrecordedCompletions, func(a *fleet.Attempt) bool {
 		if a.ID.Index/bitset.ChunkSize == chunk && recorded.Has(a.ID.Index%bitset.ChunkSize) {
@@ -92,7 +89,7 @@
 		OnCommit: func(uint64) { m.onFinalCommitted(j, final) },
 	}
 	j.FinalChange = change
-	// The progress records are deleted in the same transaction, up to its limit of operations.
+	// The same transaction deletes the progress records, up to its limit of operations.
 	deletes := make([]*writebatch.Change, 0, 1)
 	for _, chunk := range slices.Sorted(maps.Keys(j.ChunkRevisions)) {
 		if j.ChunkRevisions[chunk] == 0 {
@@ -111,9 +108,8 @@
 	}
 }
 
-// outcome returns the final record of a job and whether the job has ended. A cancelled job
-// ends only when none of its tasks can be on any machine, because until then its tasks count
-// against the quota of its team.
+// outcome returns the final record of a job and whether the job has ended. A cancelled job ends
+// only when no machine can have its tasks, which count against its team's quota until then.
 func (m *Manager) outcome(j *fleet.Job) (final record.Final, ended bool) {
 	if j.Cancelled {
 		return record.Final{State: spec.Cancelled, Done: j.Spec.Tasks - j.Remaining}, !m.mayHaveAttempts(j)
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -1,5 +1,5 @@
-// Package reconcile classifies workers' heartbeats as current or outdated, and updates the
-// leader's view of machines and tasks from those that are accepted.
+// Package reconcile classifies workers' heartbeats as current or outdated, and updates machines and
+// tasks from those that are accepted.
 package reconcile
 
 import (
@@ -15,7 +15,7 @@
 	"yewpass/internal/placement"
 )
 
-// Leader is implemented by the leader that a Reconciler belongs to.
+// Leader is the leader that a Reconciler belongs to.
 type Leader interface {
 	// Booted is called at the first heartbeat of a machine, with its instance type.
 	Booted(instanceType string)
@@ -41,7 +41,7 @@
 	return &Reconciler{engine: e, leader: leader, inventory: v, attempts: tracker, placement: scheduler, term: term, workerLease: workerLease}
 }
 
-// Reconcile updates a machine and its tasks from a heartbeat that was accepted.
+// Reconcile updates a machine and its tasks from an accepted heartbeat.
 func (r *Reconciler) Reconcile(m *fleet.Machine, report *heartbeat.Report) {
 	r.updateMachine(m, report)
 	r.updateTasks(m, report)
@@ -54,7 +54,6 @@
 	r.placement.ExtendOverruns(m)
 }
 
-// updateMachine updates the machine itself from a heartbeat.
 func (r *Reconciler) updateMachine(m *fleet.Machine, report *heartbeat.Report) {
 	now := r.engine.Now
 	if !m.Reported {
@@ -63,7 +62,7 @@
 		r.leader.Booted(m.TypeName)
 	}
 	if m.Reported && report.Incarnation > m.Incarnation {
-		// The worker starts a new incarnation after its lease has expired and it has killed
+		// The worker starts a new incarnation only after its lease has expired and it has killed
 		// all of its tasks.
 		r.attempts.DropAll(m)
 	}
@@ -80,7 +79,6 @@
 	}
 }
 
-// updateTasks updates the attempts of the tasks that a heartbeat lists.
 func (r *Reconciler) updateTasks(m *fleet.Machine, report *heartbeat.Report) {
 	r.heartbeatSeq++
 	for i := range report.Tasks {
@@ -95,9 +93,8 @@
 }
 
 // releaseUnlisted releases the attempts that a heartbeat should list and does not, and reports
-// whether a start order was lost. A start sent with the reply to an earlier heartbeat that is
-// not listed now will never be executed, because workers process replies in order and ignore
-// late ones.
+// whether a start order was lost. A start sent in reply to an earlier heartbeat and not listed now
+// is never executed, because workers process replies in order and ignore late ones.
 func (r *Reconciler) releaseUnlisted(m *fleet.Machine, report *heartbeat.Report) (lostStart bool) {
 	m.Attempts = slices.DeleteFunc(m.Attempts, func(a *fleet.Attempt) bool {
 		if a.LastListed == r.heartbeatSeq || report.Counter <= a.OrderedCounter {
@@ -110,9 +107,8 @@
 	return lostStart
 }
 
-// backOffAfterLostStart counts a start order that a machine did not execute. From the second
-// one on, further starts on the machine are delayed exponentially, so that tasks are not
-// retried on a machine that does not receive replies.
+// backOffAfterLostStart counts a start order that a machine did not execute. From the second one
+// on, further starts are delayed exponentially, since the machine may not receive replies.
 func (r *Reconciler) backOffAfterLostStart(m *fleet.Machine) {
 	if m.MissedStarts++; m.MissedStarts > 1 {
 		m.RetryAt = r.engine.Now.Add(min(time.Second<<min(m.MissedStarts-1, 10), r.workerLease))
--- a/internal/reconcile/verdict.go
+++ b/internal/reconcile/verdict.go
@@ -13,14 +13,13 @@
 const (
 	// Accepted is a heartbeat that is newer than all known ones and is applied.
 	Accepted Verdict = iota
-	// Resent is a heartbeat that was accepted before and that a relay has sent again in a new
-	// session.
+	// Resent is an accepted heartbeat that a relay has sent again in a new session.
 	Resent
 	// Superseded is a heartbeat that is older than the worker's answer to a probe.
 	Superseded
-	// Stale is a delayed heartbeat that is older than the known state of the machine.
+	// Stale is a delayed heartbeat, older than the known state of the machine.
 	Stale
-	// Deferred is a heartbeat that is processed after the stored records have been loaded.
+	// Deferred is a heartbeat to process after the stored records have been loaded.
 	Deferred
 	// Refused is a heartbeat received while the leader has no valid lease and must not answer.
 	Refused
@@ -52,15 +51,14 @@
 	if !m.Reported {
 		return Accepted
 	}
-	// A worker's fencing token decreases only when its process restarts. The counters may
-	// restart too, so they cannot tell whether a heartbeat was sent by the old or the new
-	// process. All such heartbeats are rejected until the known lease has expired, which the
-	// worker cannot renew without replies.
+	// A worker's fencing token decreases only when its process restarts. The counters may restart
+	// too and do not tell whether the old or the new process sent a heartbeat. All are rejected
+	// until the known lease has expired, which the worker cannot renew without replies.
 	if report.FencingToken < m.FencingToken {
 		return Stale
 	}
-	// A relay that starts a new session resends the heartbeats that still wait for a reply.
-	// Replies sent in the previous session have not reached the worker and never will.
+	// A relay that starts a new session resends the heartbeats that wait for a reply. Replies sent
+	// in the previous session will never reach the worker.
 	if in.Via.Relay != "" && sameIncarnation && report.Counter == m.Counter {
 		return Resent
 	}
--- a/internal/reconcile/verdict_test.go
+++ b/internal/reconcile/verdict_test.go
@@ -7,8 +7,8 @@
 	"yewpass/internal/heartbeat"
 )
 
-// TestClassify checks that a heartbeat is accepted only if it is newer than the known state of
-// its machine, and that a heartbeat resent by a relay is not taken for a delayed one.
+// TestClassify checks that a heartbeat is accepted only if it is newer than the known state of its
+// machine, and that one resent by a relay is not taken for a delayed one.
 func TestClassify(t *testing.T) {
 	known := fleet.Heartbeats{Reported: true, Incarnation: 3, Counter: 7, FencingToken: 5}
 	probed := known
