--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,6 +1,5 @@
-// Package dispatch replies to the heartbeats of workers. It holds a reply while there are no
-// orders for the worker, sends it as soon as there are, and delays replies so that heartbeats
-// stay within the configured bandwidth.
+// Package dispatch replies to the heartbeats of workers. It holds a reply until there are orders
+// for the worker, and paces replies to keep heartbeats within the configured bandwidth.
 package dispatch
 
 import (
@@ -14,10 +13,10 @@
 	"yewpass/internal/relaylinks"
 )
 
-// Leader is implemented by the leader that a Dispatcher belongs to.
+// Leader is the leader that a Dispatcher belongs to.
 type Leader interface {
-	// HasAuthority reports whether the leader holds its lease, and may therefore start tasks
-	// and acknowledge exits.
+	// HasAuthority reports whether the leader holds its lease, and may therefore start tasks and
+	// acknowledge exits.
 	HasAuthority() bool
 	// Machines returns the machines of the fleet, sorted by host name.
 	Machines() []*fleet.Machine
@@ -25,9 +24,9 @@
 	Unreadable(job string) bool
 }
 
-// Pacing configures how long replies are held. It is set from the operators' configuration.
+// Pacing configures how long replies are held.
 type Pacing struct {
-	IdleReplyDelay, BusyReplyDelay time.Duration // how long replies without orders are delayed
+	IdleReplyDelay, BusyReplyDelay time.Duration // for replies without orders
 	BytesPerSecond                 float64       // bandwidth of a worker's heartbeats; 0: unlimited
 }
 
@@ -44,10 +43,10 @@
 	term      uint64
 
 	held         map[fleet.HeartbeatKey]*fleet.Machine // machines with a held reply
-	pending      []*fleet.Machine                      // machines to be checked; see Enqueue
-	allPending   bool                                  // check all machines; see EnqueueAll
+	pending      []*fleet.Machine                      // to be checked; see Enqueue
+	allPending   bool                                  // see EnqueueAll
 	nextFullPass time.Time                             // earliest next pass over all machines
-	timerSet     bool                                  // a timer for nextFullPass is running
+	timerSet     bool                                  // for nextFullPass
 }
 
 // New returns a dispatcher for the given term; its timers stop when scope is closed.
@@ -58,12 +57,12 @@
 	}
 }
 
-// fullPassInterval is the shortest time between two passes over all machines. On a large fleet
-// events arrive much more often, and each pass visits every machine.
+// fullPassInterval is the minimum time between two passes over all machines, because each visits
+// every machine and events arrive much more often on a large fleet.
 const fullPassInterval = 40 * time.Millisecond
 
-// Enqueue schedules a check of the machine in the next Run. It is called when there may be orders
-// for the machine.
+// Enqueue schedules a check of the machine in the next Run. Call it when there may be orders for
+// the machine.
 func (d *Dispatcher) Enqueue(m *fleet.Machine) {
 	if !m.DispatchPending {
 		m.DispatchPending = true
@@ -71,7 +70,7 @@
 	}
 }
 
-// EnqueueAll schedules a check of all machines with held replies. It is called when tasks may have
+// EnqueueAll schedules a check of all machines with held replies. Call it when tasks may have
 // become startable on any of them.
 func (d *Dispatcher) EnqueueAll() { d.allPending = true }
 
@@ -149,7 +148,6 @@
 	return orders
 }
 
-// mayReap reports whether the worker may forget an exited attempt.
 func (d *Dispatcher) mayReap(a *fleet.Attempt) bool {
 	if a.Job == nil {
 		return a.Forgettable || !d.leader.Unreadable(a.ID.Job)
@@ -157,5 +155,5 @@
 	return a.Forgettable || a.Job.Cancelled
 }
 
-// isCancelledOrCancelling reports whether a job, which may be nil, has been or is being cancelled.
+// isCancelledOrCancelling accepts a nil job, for which it returns false.
 func isCancelledOrCancelling(j *fleet.Job) bool { return j != nil && (j.Cancelled || j.Cancelling) }
--- a/internal/dispatch/replies.go
+++ b/internal/dispatch/replies.go
@@ -9,8 +9,8 @@
 	"yewpass/internal/timeline"
 )
 
-// ReplyOrHold replies to an accepted heartbeat, either at once or, if there are no orders, when
-// some arise or the hold time has passed.
+// ReplyOrHold replies to an accepted heartbeat at once or, if there are no orders, when some arise
+// or the hold time has passed.
 func (d *Dispatcher) ReplyOrHold(m *fleet.Machine, in heartbeat.Received) {
 	m.HeldReply = &fleet.HeldReply{HeartbeatKey: fleet.HeartbeatKey{Via: in.Via, Ref: in.Ref}, Since: d.engine.Now}
 	if in.Via.Relay == "" {
@@ -20,7 +20,7 @@
 	d.reply(m, false)
 }
 
-// removeHeld removes the held reply of a machine and returns its key. There must be one.
+// removeHeld removes the held reply of a machine, which must exist, and returns its key.
 func (d *Dispatcher) removeHeld(m *fleet.Machine) fleet.HeartbeatKey {
 	key := m.HeldReply.HeartbeatKey
 	delete(d.held, key)
@@ -28,7 +28,7 @@
 	return key
 }
 
-// Refuse sends the held reply of a machine, if there is one, with status 503.
+// Refuse sends the held reply of a machine, if any, with status 503.
 func (d *Dispatcher) Refuse(m *fleet.Machine) {
 	if m.HeldReply != nil {
 		key := d.removeHeld(m)
@@ -43,7 +43,7 @@
 	}
 }
 
-// AbandonRelay discards all held replies to heartbeats that came through the named relay.
+// AbandonRelay discards the held replies to heartbeats from the named relay.
 func (d *Dispatcher) AbandonRelay(name string) {
 	for _, m := range d.leader.Machines() {
 		if m.HeldReply != nil && m.HeldReply.Via.Relay == name {
@@ -59,16 +59,16 @@
 	}
 }
 
-// reply sends the held reply of a machine, or holds it longer while there are no orders.
-// delayExpired reports that it must not be held any longer for that reason.
+// reply sends the held reply of a machine, or holds it longer while there are no orders, unless
+// delayExpired is true.
 func (d *Dispatcher) reply(m *fleet.Machine, delayExpired bool) {
 	if m.HeldReply == nil {
 		return
 	}
 	orders := d.orders(m)
 	if !d.leader.HasAuthority() {
-		// Without authority no task is started and no exit acknowledged. Stops are still
-		// sent, because they were decided while the leader had authority.
+		// Without authority no task is started and no exit acknowledged. Stops are still sent,
+		// because they were decided while the leader had authority.
 		orders = slices.DeleteFunc(orders, func(o heartbeat.Order) bool { return o.Verb != heartbeat.Stop })
 		d.send(m, orders)
 		return
@@ -101,7 +101,7 @@
 	})
 }
 
-// replyDelay returns how long a reply without orders is held; 0 sends it at once.
+// replyDelay returns how long a reply without orders is held.
 func (d *Dispatcher) replyDelay(m *fleet.Machine) time.Duration {
 	if len(m.Attempts) == 0 || m.WarmReserve != 0 && m.FreeResources().CPU >= m.WarmReserve/2 {
 		return d.Pacing.IdleReplyDelay
@@ -121,20 +121,19 @@
 	m.LastReply = d.engine.Now
 }
 
-// Approximate size of a heartbeat and its reply on the network: HTTP headers and machine fields,
-// and each listed task.
+// Approximate bytes on the network of a heartbeat and its reply, and of each listed task.
 const (
 	heartbeatBytes     = 480
 	heartbeatTaskBytes = 90
 )
 
 // MaxPaceDelay is the longest time by which pacing delays a reply. It is below the 4 s after which
-// workers give up waiting for a reply.
+// workers stop waiting for a reply.
 const MaxPaceDelay = 2500 * time.Millisecond
 
-// paceDelay returns how long the held reply of a machine has to be delayed for its worker to stay
-// within Pacing.BytesPerSecond. This limits the rate of heartbeats because a worker sends the
-// next one only after the reply. Replies with stop orders are never delayed.
+// paceDelay returns how long the held reply of a machine has to be delayed to keep its worker
+// within Pacing.BytesPerSecond, since a worker sends the next heartbeat only after the reply.
+// Replies with stop orders are never delayed.
 func (d *Dispatcher) paceDelay(m *fleet.Machine, orders []heartbeat.Order) time.Duration {
 	budget := d.Pacing.BytesPerSecond
 	if budget <= 0 || m.FencingToken != d.term || m.Releasing || slices.ContainsFunc(orders, func(o heartbeat.Order) bool { return o.Verb == heartbeat.Stop }) {
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory keeps the machines that the leader knows, writes the stored records from
-// which a new leader learns of them, and determines when their leases expire.
+// Package inventory keeps the machines known to the leader, writes the stored records from which a
+// new leader learns of them, and determines when their leases expire.
 package inventory
 
 import (
@@ -21,9 +21,9 @@
 type Inventory struct {
 	engine       *engine.Engine
 	byHost       map[string]*fleet.Machine
-	machines     []*fleet.Machine // the same machines, sorted by host name
-	released     expiringset.Set  // known to be terminated; their delayed heartbeats are ignored
-	unaccounted  map[string]bool  // hosts and unreadable record keys; see IsUnaccounted
+	machines     []*fleet.Machine // sorted by host name
+	released     expiringset.Set  // known to be terminated; delayed heartbeats are ignored
+	unaccounted  map[string]bool  // hosts, and keys of unreadable records
 	places       *topology.Tree
 	zones        *zones.Tracker
 	instanceType func(name string) *provider.InstanceType
@@ -33,7 +33,7 @@
 // New returns an empty inventory. instanceType returns an instance type of the catalog, or nil if
 // the name is unknown.
 func New(e *engine.Engine, z *zones.Tracker, workerLease time.Duration, instanceType func(name string) *provider.InstanceType) *Inventory {
-	places, _ := topology.New(topology.Definition{}) // cannot fail without user-defined levels
+	places, _ := topology.New(topology.Definition{}) // cannot fail without levels
 	return &Inventory{
 		engine: e, byHost: map[string]*fleet.Machine{}, released: expiringset.New(e.Now), unaccounted: map[string]bool{},
 		places: places, zones: z, instanceType: instanceType, workerLease: workerLease,
@@ -43,11 +43,11 @@
 // Machines returns all machines, sorted by host name. The caller must not modify the slice.
 func (v *Inventory) Machines() []*fleet.Machine { return v.machines }
 
-// Find returns the machine with the given host name, or nil if it is not known.
+// Find returns the machine with the given host name, or nil.
 func (v *Inventory) Find(host string) *fleet.Machine { return v.byHost[host] }
 
-// Ensure returns the machine with the given host name, and adds it if it is not known. The other
-// arguments are used only for a new machine.
+// Ensure returns the machine with the given host name. If it is not known, Ensure adds it with the
+// other arguments.
 func (v *Inventory) Ensure(host, instanceType, zone string, spot bool) *fleet.Machine {
 	m := v.byHost[host]
 	if m == nil {
@@ -61,13 +61,13 @@
 	return m
 }
 
-// index returns the position of the host in v.machines, or where it would be inserted.
+// index returns where the host is or would be inserted in v.machines.
 func (v *Inventory) index(host string) int {
 	return sort.Search(len(v.machines), func(i int) bool { return v.machines[i].Host >= host })
 }
 
-// SetInstanceType sets the instance type of a machine, and thereby its capacity, if the catalog
-// has the type and it was not set before.
+// SetInstanceType sets the instance type and thereby the capacity of a machine, if the catalog has
+// the type and it was not set before.
 func (v *Inventory) SetInstanceType(m *fleet.Machine) {
 	f := v.instanceType(m.TypeName)
 	if f == nil || m.InstanceType != nil {
@@ -91,34 +91,34 @@
 	}
 }
 
-// MarkReleased records that a machine has been released and is known to be terminated.
+// MarkReleased records that a machine is known to be terminated.
 func (v *Inventory) MarkReleased(host string) { v.released.Add(host, v.engine.Now) }
 
-// Released reports whether the machine was recently marked with MarkReleased.
+// Released reports whether MarkReleased was recently called for the machine.
 func (v *Inventory) Released(host string) bool { return v.released.Has(host) }
 
 // IsUnaccounted reports whether the machine may have tasks of an earlier term that the leader does
 // not know.
 func (v *Inventory) IsUnaccounted(host string) bool { return v.unaccounted[host] }
 
-// UnaccountedCount returns the number of machines that may have unknown tasks of an earlier term.
-// A machine record that cannot be read counts as one machine.
+// UnaccountedCount returns the number of unaccounted machines. A machine record that cannot be read
+// counts as one machine.
 func (v *Inventory) UnaccountedCount() int { return len(v.unaccounted) }
 
 // AllAccounted reports whether no machine can have unknown tasks of an earlier term.
 func (v *Inventory) AllAccounted() bool { return len(v.unaccounted) == 0 }
 
-// MarkAccounted records that the machine has no unknown task of an earlier term. It reports
-// whether the machine was unaccounted before.
+// MarkAccounted records that the machine has no unknown task of an earlier term, and reports
+// whether it was unaccounted.
 func (v *Inventory) MarkAccounted(host string) bool {
 	was := v.unaccounted[host]
 	delete(v.unaccounted, host)
 	return was
 }
 
-// LeaseExpiry returns the time by which the machine's lease has expired if it gets no further
-// replies. earlierExpiry is the time by which all leases renewed by earlier leaders have expired.
-// ok is false if the machine is accounted for and this leader has never replied to it.
+// LeaseExpiry returns when the machine's lease has expired if it gets no further replies.
+// earlierExpiry is when all leases renewed by earlier leaders have expired. ok is false if the
+// machine is accounted for and this leader has never replied to it.
 func (v *Inventory) LeaseExpiry(m *fleet.Machine, earlierExpiry time.Time) (expiry time.Time, ok bool) {
 	ownExpiry := m.LastReply.Add(lease.WithDrift(v.workerLease))
 	if !v.unaccounted[m.Host] && !m.Probed {
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestSetInstanceType checks that the attempts on a machine are entered into its timeline once
-// its capacity is known, and that a known capacity does not change.
+// TestSetInstanceType checks that attempts are entered into a machine's timeline once its capacity
+// is known, and that a known capacity does not change.
 func TestSetInstanceType(t *testing.T) {
 	v, _, catalog := newInventory(t)
 	m := v.Ensure("h1", "f0", "a", false)
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -15,14 +15,14 @@
 	"yewpass/internal/writebatch"
 )
 
-// minWriteInterval is the shortest time between two writes of the same machine record.
+// minWriteInterval is the minimum time between two writes of a machine record.
 const minWriteInterval = 250 * time.Millisecond
 
-// Leader is implemented by the leader that owns the machine records.
+// Leader is the leader that owns the machine records.
 type Leader interface {
 	// Write queues a change to be written to the key-value store.
 	Write(change *writebatch.Change)
-	// ReadBack reads a record whose conditional write failed, and calls f with the result.
+	// ReadBack reads a record after a conflict and calls f with the result.
 	ReadBack(key string, f func(e kv.Entry, found bool))
 	// ReplicateDelete deletes a record from the replicas.
 	ReplicateDelete(key string)
@@ -32,7 +32,7 @@
 	MarkAccounted(host string)
 }
 
-// Records writes the stored records that list the machines on which tasks may run.
+// Records writes the stored records of the machines on which tasks may run.
 type Records struct {
 	engine    *engine.Engine
 	scope     *engine.Scope
@@ -43,12 +43,12 @@
 	term      uint64
 
 	records    []*fleet.Record
-	created    uint64            // records created in this term
+	created    uint64            // in this term
 	unreadable map[string]uint64 // revisions of records that cannot be decoded, by key
 }
 
-// NewRecords returns the records of the inventory for the given term; no writes are started after
-// scope is closed.
+// NewRecords returns the records of the inventory for one term; no writes are started after scope
+// is closed.
 func NewRecords(e *engine.Engine, scope *engine.Scope, st config.State, inv *Inventory, leader Leader, term uint64) *Records {
 	return &Records{
 		engine: e, scope: scope, inventory: inv, leader: leader, term: term,
@@ -56,8 +56,8 @@
 	}
 }
 
-// Add adds the machine to a record and schedules its write. Tasks may start on the machine once
-// that is committed.
+// Add adds the machine to a record and schedules its write. Tasks may start on the machine once the
+// write is committed.
 func (r *Records) Add(m *fleet.Machine) {
 	i := slices.IndexFunc(r.records, func(rec *fleet.Record) bool { return rec.Size+fleet.RecordSize(m) <= r.fillLimit })
 	if i < 0 {
@@ -71,7 +71,6 @@
 	r.write(rec, writebatch.Urgent)
 }
 
-// assign adds a machine to a record.
 func (r *Records) assign(rec *fleet.Record, m *fleet.Machine) {
 	m.RecordedIn = rec
 	rec.Machines = append(rec.Machines, m)
@@ -103,7 +102,7 @@
 	}
 }
 
-// write schedules a write of a record. The value is determined when the write is sent.
+// write schedules a write of a record. Its value is determined when it is sent.
 func (r *Records) write(rec *fleet.Record, priority writebatch.Priority) {
 	if rec.WriteQueued && priority >= rec.Priority {
 		return
@@ -121,24 +120,24 @@
 
 // recordWrite is a write of a machine record, conditional on the record's revision.
 //
-// A transaction whose response was lost is retried, and the first attempt may still be applied
-// after newer writes. The condition prevents it from restoring an older list: a new leader would
-// assume that no tasks run on machines that the list lacks.
+// The first attempt of a retried transaction may be applied after newer writes. The condition
+// prevents it from restoring an older list: a new leader would assume that no tasks run on machines
+// that the list lacks.
 type recordWrite struct {
 	records *Records
 	record  *fleet.Record
 	change  *writebatch.Change
-	added   []*fleet.Machine // machines that count as recorded once this is committed
+	added   []*fleet.Machine // recorded once this is committed
 	sent    bool
 }
 
-// prepare sets the value to be written. It returns false if the write is no longer needed.
+// prepare sets the value, and returns false if the write is no longer needed.
 func (w *recordWrite) prepare() bool {
 	rec := w.record
 	if !rec.WriteQueued && !w.sent {
 		return false // already included in a write of higher priority
 	}
-	// A write that was sent before may not have been applied, so it is sent again.
+	// A write sent before may not have been applied, so it is sent again.
 	rec.WriteQueued, rec.WrittenAt, w.sent = false, w.records.engine.Now, true
 	w.change.Conditions = []kv.Condition{{Key: rec.Key, Rev: rec.Revision}}
 	w.added = nil
@@ -160,8 +159,8 @@
 // deletes reports whether the write deletes the record.
 func (w *recordWrite) deletes() bool { return w.change.Writes[0].Value == nil }
 
-// onConflict reads the current revision after an earlier attempt of a write has been applied, and
-// schedules another write.
+// onConflict handles an earlier attempt of a write having been applied: it reads the current
+// revision and schedules another write.
 func (w *recordWrite) onConflict() {
 	rec, dropped := w.record, w.deletes()
 	w.records.leader.ReadBack(rec.Key, func(e kv.Entry, found bool) {
@@ -173,7 +172,7 @@
 	})
 }
 
-// onCommit updates the revision, and allows tasks on the machines that are now recorded.
+// onCommit updates the revision and allows tasks on the recorded machines.
 func (w *recordWrite) onCommit(rev uint64) {
 	rec := w.record
 	if rec.Revision = rev; w.deletes() {
@@ -187,7 +186,7 @@
 	}
 }
 
-// Load adds a record of an earlier term and its machines, which are unaccounted from then on.
+// Load adds a record of an earlier term and its machines, which are then unaccounted.
 func (r *Records) Load(key string, stored *record.Machines, rev uint64) {
 	rec := &fleet.Record{Key: key, Revision: rev}
 	for _, x := range stored.Machines {
@@ -202,16 +201,16 @@
 	r.records = append(r.records, rec)
 }
 
-// LoadUnreadable adds a record of an earlier term that cannot be decoded. Its machines are unknown,
-// so it counts as unaccounted until all leases of earlier terms have expired: by then each machine
-// has sent a heartbeat or lost its lease.
+// LoadUnreadable adds a record of an earlier term that cannot be decoded. It counts as unaccounted
+// until all leases of earlier terms have expired: by then each of its machines has sent a heartbeat
+// or lost its lease.
 func (r *Records) LoadUnreadable(key string, rev uint64) {
 	r.inventory.unaccounted[key] = true
 	r.unreadable[key] = rev
 }
 
-// DropExpired deletes the unreadable records once all leases that earlier leaders may have renewed
-// have expired. Otherwise they would delay the next failover too.
+// DropExpired deletes the unreadable records, which would also delay the next failover, once all
+// leases that earlier leaders may have renewed have expired.
 func (r *Records) DropExpired(leasesExpired time.Time) {
 	if len(r.unreadable) == 0 || !r.engine.Now.After(leasesExpired) {
 		return
--- a/internal/inventory/records_test.go
+++ b/internal/inventory/records_test.go
@@ -36,8 +36,8 @@
 	return NewRecords(e, e.NewScope(), config.State{ValueKB: 16}, v, l, 7), v, l, e
 }
 
-// sent advances the clock to the next write and returns the change and the hosts in its record.
-// n is the number of writes expected so far.
+// sent advances the clock to the next write, the nth, and returns the change and the hosts in its
+// record.
 func (l *fakeLeader) sent(t *testing.T, e *engine.Engine, n int) (*writebatch.Change, []string) {
 	t.Helper()
 	e.Now = e.Now.Add(minWriteInterval)
@@ -58,8 +58,8 @@
 	return change, hosts
 }
 
-// TestRecordMachines checks that machines added together share a write, may run tasks once it is
-// committed, and that a record is deleted when its last machine is removed.
+// TestRecordMachines checks that machines added together share a write and may run tasks once it is
+// committed, and that a record is deleted with its last machine.
 func TestRecordMachines(t *testing.T) {
 	r, v, l, e := newRecords(t)
 	a, b := v.Ensure("h1", "f0", "a", true), v.Ensure("h2", "f0", "a", true)
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestRecordWriteConflict checks that after a conflict the record is read back and written again
-// on the revision that was read.
+// TestRecordWriteConflict checks that after a conflict the record is read back and written again on
+// the revision that was read.
 func TestRecordWriteConflict(t *testing.T) {
 	r, v, l, e := newRecords(t)
 	r.Add(v.Ensure("h1", "f0", "a", true))
--- a/internal/jobstore/reader.go
+++ b/internal/jobstore/reader.go
@@ -12,9 +12,9 @@
 	"yewpass/internal/spec"
 )
 
-// userReadShare is the fraction of the key-value store's request limit that reads for clients may
-// use: once for the leader, and once for all other controllers together. With that much for each
-// controller, repeated requests about unknown jobs could block renewals of the leader lease.
+// userReadShare is the share of the store's request limit that reads for clients may use: once for
+// the leader, and once for all other controllers together. If each controller had that much,
+// repeated requests about unknown jobs could block renewals of the leader lease.
 const userReadShare = 0.25
 
 // maxRequestsPerRead is the number of store requests for a job that does not exist: two by Read,
@@ -22,7 +22,7 @@
 const maxRequestsPerRead = 3
 
 // Reader reads the status of jobs for clients. It limits its rate of store requests, and caches
-// the final records of recent jobs, which never change.
+// final records, which never change.
 type Reader struct {
 	engine *engine.Engine
 	rps    float64
@@ -30,9 +30,9 @@
 	finals *lru.Cache[string, record.Final]
 }
 
-// NewReader returns a reader for a store that allows rps requests per second. The rate available
-// to clients is divided among the given number of controllers; up to maxFinals final records,
-// at least 1, are cached.
+// NewReader returns a reader for a store that allows rps requests per second, of which the share
+// for clients is divided among the given number of controllers. It caches up to maxFinals final
+// records, at least 1.
 func NewReader(e *engine.Engine, rps float64, controllers, maxFinals int) *Reader {
 	finals, _ := lru.New[string, record.Final](maxFinals) // fails only for a size below 1
 	r := &Reader{engine: e, rps: rps, finals: finals}
@@ -40,22 +40,22 @@
 	return r
 }
 
-// ShareAmong divides the rate of reads for clients among the given number of controllers, and
-// resets the rate limiter.
+// ShareAmong divides the rate of reads for clients among the given number of controllers and resets
+// the rate limiter.
 func (r *Reader) ShareAmong(controllers int) {
 	perController := r.rps * userReadShare / float64(controllers)
 	// The burst is at least 2, the number of requests that one Read may send.
 	r.limit = rate.NewLimiter(rate.Limit(perController), max(2, int(perController)))
 }
 
-// Allow reports whether the given number of store requests may be sent for clients now. If so, it
+// Allow reports whether the given number of store requests may be sent for clients now, and if so
 // counts them against the rate limit.
 func (r *Reader) Allow(requests int) bool { return r.limit.AllowN(r.engine.Now, requests) }
 
 // Final returns the final record of a job if it is cached.
 func (r *Reader) Final(id string) (record.Final, bool) { return r.finals.Get(id) }
 
-// CacheFinal adds the final record of a job to the cache.
+// CacheFinal caches the final record of a job.
 func (r *Reader) CacheFinal(id string, final record.Final) { r.finals.Add(id, final) }
 
 // Read reads the status of a job and calls f with the result. It reads the live record before the
@@ -104,7 +104,7 @@
 	})
 }
 
-// LiveStatus returns the client-visible status of a job as far as its live record tells: queued or
+// LiveStatus returns the client-visible status of a job according to its live record: queued or
 // cancelled, without task counts.
 func LiveStatus(id string, job *record.Job) *request.JobStatus {
 	status := &request.JobStatus{ID: id, State: spec.Queued}
