--- a/internal/admission/admitter.go
+++ b/internal/admission/admitter.go
@@ -74,7 +74,7 @@
 	pending map[string]*submission // submissions being written, by job ID
 }
 
-// submission is a job whose record is being written to the store.
+// submission is a job whose record is being written.
 type submission struct {
 	job     *spec.Job
 	waiters []request.Request // submissions of the same job, answered together
@@ -183,8 +183,8 @@
 	return j
 }
 
-// resolveConflict handles a submission whose write found a record of the job, which an earlier
-// attempt of the same write with unknown outcome may have written.
+// resolveConflict handles a submission whose write found a record of the job, possibly written by
+// an earlier attempt whose outcome was unknown.
 func (a *Admitter) resolveConflict(s *submission) {
 	id := s.job.ID
 	retry := func() {
--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -74,9 +74,9 @@
 	return a
 }
 
-// supersedeEarlier stops an earlier attempt of the same task on another machine. The later one was
-// started only after the earlier one was known to have ended, so what is known about the earlier
-// one is outdated.
+// supersedeEarlier stops an earlier attempt of the same task on another machine. The later attempt
+// was started only after the earlier one was known to have ended, so the information about the
+// earlier one is outdated.
 func (t *Tracker) supersedeEarlier(a *fleet.Attempt, j *fleet.Job) {
 	earlier := j.Attempts[a.ID.Index]
 	if earlier != nil && earlier.Machine != a.Machine && earlier.Number < a.Number {
--- a/internal/attempts/attempts_test.go
+++ b/internal/attempts/attempts_test.go
@@ -180,9 +180,9 @@
 		first, last heartbeat.Phase
 		want        int
 	}{
-		{"seen to begin", heartbeat.Pulling, heartbeat.Running, 1},
-		{"found running", heartbeat.Running, heartbeat.Running, 0},
-		{"checkpointing at last", heartbeat.Pulling, heartbeat.Checkpointing, 0},
+		{"start observed", heartbeat.Pulling, heartbeat.Running, 1},
+		{"already running", heartbeat.Running, heartbeat.Running, 0},
+		{"checkpointing before the exit", heartbeat.Pulling, heartbeat.Checkpointing, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f, m := newFixture(t), newMachine("h1")
@@ -192,7 +192,7 @@
 			f.engine.Now = t0.Add(20 * time.Second)
 			f.Update(a, task(1, 1, heartbeat.Exited, heartbeat.CauseDone))
 			if n := f.job.Runtime.N; n != test.want {
-				t.Errorf("recorded %d run times, want %d", n, test.want)
+				t.Errorf("recorded %d runtimes, want %d", n, test.want)
 			}
 		})
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// fullPassInterval is the minimum time between two passes over all machines, because each visits
-// every machine and events arrive much more often on a large fleet.
+// fullPassInterval is the minimum time between two passes over all machines, since events arrive
+// much more often on a large fleet.
 const fullPassInterval = 40 * time.Millisecond
 
 // Enqueue schedules a check of the machine in the next Run. Call it when there may be orders for
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -11,13 +11,13 @@
 	"yewpass/internal/timeline"
 )
 
-// Runtimes holds the average ratio of observed to estimated runtimes by class and owner. Users
-// choose class names, so the number of entries is bounded.
+// Runtimes holds the average ratio of observed to estimated runtimes by class and owner.
 type Runtimes struct {
 	*lru.Cache[string, *MovingAverage]
 }
 
-// maxClasses is the maximum number of entries in Runtimes; the least recently used one is evicted.
+// maxClasses bounds the entries of Runtimes, since users choose class names. The least recently
+// used one is evicted.
 const maxClasses = 4096
 
 // NewRuntimes returns a Runtimes without observations.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -110,10 +110,10 @@
 // Reposition moves and removes them.
 func TestQueue(t *testing.T) {
 	var q Queue
-	add := func(id string, start, yield, submitted time.Duration) *Job {
+	add := func(id string, start, delay, submitted time.Duration) *Job {
 		j := newJob()
 		j.Spec.ID, j.Submitted = id, t0.Add(submitted)
-		j.Reservations = []*Reservation{{Booking: timeline.Booking{Start: t0.Add(start)}, Job: j, QueueDelay: yield}}
+		j.Reservations = []*Reservation{{Booking: timeline.Booking{Start: t0.Add(start)}, Job: j, QueueDelay: delay}}
 		q.Reposition(j)
 		return j
 	}
--- a/internal/fleet/job.go
+++ b/internal/fleet/job.go
@@ -93,8 +93,8 @@
 	FinalWaiters []request.Request  // requests to answer when the job has ended
 }
 
-// Halted reports whether the job is or has been cancelled or finished, so that none of its tasks
-// may start.
+// Halted reports whether the job is cancelled, being cancelled or being finished, so that none of
+// its tasks may start.
 func (j *Job) Halted() bool { return j.Cancelled || j.Cancelling || j.Finishing }
 
 // View returns the job status that is reported to users.
--- a/internal/inventory/records.go
+++ b/internal/inventory/records.go
@@ -159,7 +159,7 @@
 // deletes reports whether the write deletes the record.
 func (w *recordWrite) deletes() bool { return w.change.Writes[0].Value == nil }
 
-// onConflict handles an earlier attempt of a write having been applied: it reads the current
+// onConflict runs after an earlier attempt of the write has been applied. It reads the current
 // revision and schedules another write.
 func (w *recordWrite) onConflict() {
 	rec, dropped := w.record, w.deletes()
@@ -209,8 +209,8 @@
 	r.unreadable[key] = rev
 }
 
-// DropExpired deletes the unreadable records, which would also delay the next failover, once all
-// leases that earlier leaders may have renewed have expired.
+// DropExpired deletes the unreadable records once all leases that earlier leaders may have renewed
+// have expired. Otherwise the records would also delay the next failover.
 func (r *Records) DropExpired(leasesExpired time.Time) {
 	if len(r.unreadable) == 0 || !r.engine.Now.After(leasesExpired) {
 		return
--- a/internal/inventory/records_test.go
+++ b/internal/inventory/records_test.go
@@ -36,8 +36,7 @@
 	return NewRecords(e, e.NewScope(), config.State{ValueKB: 16}, v, l, 7), v, l, e
 }
 
-// sent advances the clock to the next write, the nth, and returns the change and the hosts in its
-// record.
+// sent advances the clock to the nth write and returns the change and the hosts in its record.
 func (l *fakeLeader) sent(t *testing.T, e *engine.Engine, n int) (*writebatch.Change, []string) {
 	t.Helper()
 	e.Now = e.Now.Add(minWriteInterval)
--- a/internal/jobstore/reader.go
+++ b/internal/jobstore/reader.go
@@ -13,8 +13,8 @@
 )
 
 // userReadShare is the share of the store's request limit that reads for clients may use: once for
-// the leader, and once for all other controllers together. If each controller had that much,
-// repeated requests about unknown jobs could block renewals of the leader lease.
+// the leader, and once for all other controllers together. With that much for each controller,
+// reads of unknown jobs could block renewals of the leader lease.
 const userReadShare = 0.25
 
 // maxRequestsPerRead is the number of store requests for a job that does not exist: two by Read,
--- a/internal/jobstore/reader_test.go
+++ b/internal/jobstore/reader_test.go
@@ -17,7 +17,7 @@
 
 const key, finalKey = record.JobPrefix + "wk-1", record.FinalPrefix + "wk-1"
 
-// store is a fake key-value store that replies to each request according to its key.
+// store is a fake key-value store with a fixed reply for each key.
 type store struct {
 	engine  *engine.Engine
 	replies map[string]kv.Response
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -131,8 +131,8 @@
 	m.Placement.ReserveSoon(j)
 }
 
-// CompleteTask marks a task as completed and schedules a write of the job's progress, or after the
-// last task of its final record.
+// CompleteTask marks a task as completed and schedules a write of the job's progress, or of its
+// final record after the last task.
 func (m *Manager) CompleteTask(j *fleet.Job, task int) {
 	if task >= j.Spec.Tasks || j.Spec.Service {
 		return
--- a/internal/placement/cluster_test.go
+++ b/internal/placement/cluster_test.go
@@ -37,7 +37,7 @@
 func (c *cluster) RequestDispatchAll()               {}
 func (c *cluster) Backlog() (time.Duration, float64) { return 0, 0 }
 
-// newCluster returns n machines of three types, all of which send heartbeats.
+// newCluster returns a cluster of n machines of three types that all send heartbeats.
 func newCluster(n int) *cluster {
 	cfg := &config.Config{HostName: "n0"}
 	cfg.Settings.Workers = config.Workers{Report: 5, Lease: 29, Cancel: 54}
--- a/internal/placement/objectives_test.go
+++ b/internal/placement/objectives_test.go
@@ -55,12 +55,12 @@
 		c.Reserve(j)
 		return j
 	}
-	guest, regular := add(1, "x", spec.Idle), add(2, "x", spec.Standard)
+	idle, regular := add(1, "x", spec.Idle), add(2, "x", spec.Standard)
 	late := add(3, "c", spec.Idle)
 	late.MissedObjectivesUntil = t0.Add(time.Hour)
 	c.DropReservations(late)
 	c.Reserve(late)
-	if guest.QueueTime.Before(late.QueueTime) || !regular.QueueTime.Before(late.QueueTime) {
-		t.Errorf("queue times: idle without objective %v, standard without objective %v, late %v", guest.QueueTime.Sub(t0), regular.QueueTime.Sub(t0), late.QueueTime.Sub(t0))
+	if idle.QueueTime.Before(late.QueueTime) || !regular.QueueTime.Before(late.QueueTime) {
+		t.Errorf("queue times: idle without objective %v, standard without objective %v, late %v", idle.QueueTime.Sub(t0), regular.QueueTime.Sub(t0), late.QueueTime.Sub(t0))
 	}
 }
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -63,8 +63,8 @@
 )
 
 // RefreshDueReservations searches new slots for jobs whose first reservation is past its start time
-// or has no machine. Call it once per period. Each search visits every machine, so one call handles
-// only a few jobs.
+// or has no machine. Call it once per period. One call handles only a few jobs, since each search
+// visits every machine.
 func (s *Scheduler) RefreshDueReservations(period time.Duration) { s.refresh(s.refreshLimit(period)) }
 
 // refreshLimit returns how many jobs may get new slots in one period, given the processor share and
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -53,7 +53,7 @@
 	runtimes           estimate.Runtimes
 	taskCounter        *topology.TaskCounter // counts tasks of jobs with placement rules
 	starved            []*fleet.Job          // set by FindStarvedJobs
-	pendingJobs        []*fleet.Job          // jobs passed to ReserveSoon
+	pendingJobs        []*fleet.Job          // passed to ReserveSoon
 	continuationQueued bool                  // another step will run ReservePending
 	offerBuffer        []offer               // reused by collectOffers
 }
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -14,7 +14,7 @@
 
 const (
 	// guaranteeGrace is how long a job within its team's guarantee waits before tasks are preempted
-	// for it. Tasks that finish in the meantime may free enough resources.
+	// for it, since other tasks may finish in the meantime.
 	guaranteeGrace = 4 * time.Second
 	// checkpointSlack is added to the checkpoint time of a preempted task.
 	checkpointSlack = time.Second
@@ -39,8 +39,8 @@
 	DrainTime time.Duration // time for a final checkpoint; 0 if the task takes none
 }
 
-// Plan returns the attempts to preempt. It selects tasks of teams that use more than their
-// guarantee while another team waits for its own, starting with those that lose the least work.
+// Plan returns the attempts to preempt while teams wait for their guarantee: tasks of teams that
+// use more than theirs, starting with the least lost work.
 func Plan(s *State) (plan []Preemption) {
 	short := s.shortage()
 	if short <= 0 {
@@ -110,7 +110,6 @@
 	return demand
 }
 
-// candidate is an attempt that may be preempted.
 type candidate struct {
 	attempt *fleet.Attempt
 	loss    time.Duration // work lost, or time spent on a checkpoint
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -53,17 +53,17 @@
 		want    []int // indexes of the attempts to preempt, in order
 	}{
 		{"the least loss first", []*fleet.Attempt{attempt(20*time.Second, long), attempt(time.Minute, saves), attempt(time.Second, long), attempt(time.Minute, saves)}, nil, []int{2, 1}},
-		{"nearly done goes on", []*fleet.Attempt{attempt(time.Minute, spec.Job{Runtime: 2 * time.Minute}), attempt(0, spec.Job{Service: true}), attempt(time.Minute, spec.Job{Runtime: 2 * time.Minute}), attempt(time.Minute, spec.Job{Runtime: 2 * time.Minute})}, nil, []int{1}},
-		{"room is free", []*fleet.Attempt{attempt(0, long), attempt(0, long)}, nil, nil},
-		{"half is being vacated", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
+		{"nearly finished tasks are not preempted", []*fleet.Attempt{attempt(time.Minute, spec.Job{Runtime: 2 * time.Minute}), attempt(0, spec.Job{Service: true}), attempt(time.Minute, spec.Job{Runtime: 2 * time.Minute}), attempt(time.Minute, spec.Job{Runtime: 2 * time.Minute})}, nil, []int{1}},
+		{"enough free resources", []*fleet.Attempt{attempt(0, long), attempt(0, long)}, nil, nil},
+		{"half is being freed", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
 			func(c *State) { c.Machines[0].Attempts[0].StopRequested = true }, []int{1}},
-		{"found running", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
+		{"start time unknown", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
 			func(c *State) { c.Machines[0].Attempts[1].StartTimeUnknown = true }, []int{0, 2}},
-		{"within the grace time", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
+		{"within the grace period", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
 			func(c *State) { c.Queue[0].Submitted = now.Add(-guaranteeGrace + 1) }, nil},
-		{"a job that may not start", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
+		{"the waiting job may not start", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
 			func(c *State) { c.MayStart = func(*fleet.Job) bool { return false } }, nil},
-		{"no more than is borrowed", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
+		{"no more than the excess over the guarantee", []*fleet.Attempt{attempt(0, long), attempt(0, long), attempt(0, long), attempt(0, long)},
 			func(c *State) { c.Machines[0].Attempts[0].Job.Team.Guaranteed = timeline.Capacity(5, 0, 0) }, []int{0}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -15,7 +15,7 @@
 // Account holds the quota and use of a team. A task counts as allocated from its start order until
 // it is known to be gone.
 type Account struct {
-	Configured        bool               // defined in the settings or by an operator; other teams only submit jobs
+	Configured        bool               // false for a removed team whose jobs still run
 	Retired           bool               // accepts no new jobs; existing jobs continue
 	Guaranteed, Limit timeline.Resources // a zero resource has no guarantee or limit
 	Allocated         timeline.Resources
@@ -25,7 +25,7 @@
 	LimitReached      bool // the limit has prevented a start on a machine with free resources
 }
 
-// New returns an account with the given configuration and no use.
+// New returns an unused account with the given configuration.
 func New(team liveconfig.Team) *Account {
 	a := &Account{}
 	a.configure(team)
@@ -49,13 +49,13 @@
 // HasGuarantee reports whether the team has a guarantee of CPUs or GPUs.
 func (a *Account) HasGuarantee() bool { return a.Guaranteed.CPU > 0 || a.Guaranteed.GPU > 0 }
 
-// FitsLimit reports whether n tasks would fit into the team's limit if nothing else were allocated.
+// FitsLimit reports whether n tasks alone fit into the team's limit.
 func (a *Account) FitsLimit(need timeline.Resources, n int) bool {
 	return (a.Limit.CPU == 0 || need.CPU*int64(n) <= a.Limit.CPU) &&
 		(a.Limit.GPU == 0 || need.GPU*int64(n) <= a.Limit.GPU)
 }
 
-// TasksWithinLimit returns how many more tasks, at most n, the team may start within its limit.
+// TasksWithinLimit returns how many more tasks, at most n, the team's limit allows.
 func (a *Account) TasksWithinLimit(need timeline.Resources, n int) int {
 	if a.Limit.CPU > 0 && need.CPU > 0 {
 		n = min(n, int((a.Limit.CPU-a.Allocated.CPU)/need.CPU))
@@ -66,8 +66,8 @@
 	return max(n, 0)
 }
 
-// TasksWithinGuarantee returns how many more tasks, at most n, the team may start within its
-// guarantee. It is 0 for teams without a guarantee.
+// TasksWithinGuarantee returns how many more tasks, at most n, fit into the team's guarantee. It is
+// 0 for teams without a guarantee.
 func (a *Account) TasksWithinGuarantee(need timeline.Resources, n int) int {
 	if !a.HasGuarantee() {
 		return 0
@@ -93,7 +93,7 @@
 	as[team.Name].configure(team)
 }
 
-// AnyGuarantee reports whether at least one team has a guarantee.
+// AnyGuarantee reports whether any team has a guarantee.
 func (as Accounts) AnyGuarantee() bool {
 	for _, a := range as {
 		if a.HasGuarantee() {
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -86,7 +86,7 @@
 	return int(max(n, 0))
 }
 
-// limitCopies returns n, or the number of copies of need that fit into available if smaller.
+// limitCopies limits n to the copies of need that fit into available.
 func limitCopies(n, need, available int64) int64 {
 	if need <= 0 {
 		return n
@@ -118,7 +118,7 @@
 	dirty    bool
 }
 
-// New returns an empty timeline of a machine with the given capacity.
+// New returns an empty timeline with the given capacity.
 func New(capacity Resources) *Timeline { return &Timeline{capacity: capacity} }
 
 // Capacity returns the total resources of the machine.
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -18,8 +18,7 @@
 	return b
 }
 
-// TestLatestStart checks the latest start among gaps before, between and after three bookings on a
-// machine that runs one job at a time.
+// TestLatestStart checks the gaps before, between and after three bookings of a whole machine.
 func TestLatestStart(t *testing.T) {
 	tl := New(Capacity(1, 0, 0))
 	book(tl, 10, 20, 1)
--- a/internal/topology/rules.go
+++ b/internal/topology/rules.go
@@ -16,7 +16,7 @@
 	AntiAffinity             // no place where Target has tasks
 )
 
-// Rule is a placement rule of a job at one level of the topology.
+// Rule is a placement rule at one level of the topology.
 type Rule struct {
 	Kind        Kind
 	Level       int
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -25,7 +25,6 @@
 // Error returns the field and the reason, separated by a colon.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// fieldErrorf returns a *FieldError with a formatted reason.
 func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -101,7 +101,6 @@
 	}
 }
 
-// randomJobs returns jobs with random rules.
 func randomJobs(rng *rand.Rand) (jobs []*Job) {
 	for i := range 6 {
 		j := &Job{Key: fmt.Sprint("job", i), Tasks: 1 + rng.IntN(20)}
--- a/internal/zones/regions.go
+++ b/internal/zones/regions.go
@@ -13,8 +13,8 @@
 	names    []string // sorted
 }
 
-// NewRegions returns the Regions for a map from region names to their zones. The error names a
-// region that is empty, has an unnamed zone or shares a zone.
+// NewRegions returns the Regions for a map from region names to their zones, or an error that names
+// a region without zones, with an unnamed zone or with a zone of another region.
 func NewRegions(def map[string][]string) (*Regions, error) {
 	r := &Regions{regionOf: map[string]string{}, names: slices.Sorted(maps.Keys(def))}
 	for _, region := range r.names {
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -215,7 +215,7 @@
 func (z *Zone) AllowsTaskStarts() bool { return z.State != Returning || z.relapses == 0 }
 
 // KeepCount returns how many silent machines of an unreachable zone to keep: all until KeepFor,
-// since new machines would have to boot and fetch images, then linearly fewer, down to MinKeepCount
+// since replacements would have to boot and fetch images, then linearly fewer, down to MinKeepCount
 // at three times KeepFor.
 func (z *Zone) KeepCount(now time.Time) int {
 	if !z.Unreachable() {
@@ -244,8 +244,8 @@
 const probeRetryDelay = 2 * time.Second
 
 // ProbeRefused records that the cloud had no capacity for an instance type in the zone. The next
-// probe is due after probeRetryDelay and may use another type, without which the zone's recovery
-// might not be detected.
+// probe is due after probeRetryDelay and may use another type; otherwise the recovery of a zone
+// without capacity for the first type would not be detected.
 func (z *Zone) ProbeRefused(now time.Time) {
 	if z.State == Lost {
 		z.probedAt = now.Add(probeRetryDelay - z.settings.ProbeInterval)
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -18,12 +18,12 @@
 	var out []string
 	at := 0
 	for _, s := range steps {
-		var until, ha, sa, hb, sb int
-		if _, err := fmt.Sscanf(s, "%d %d/%d %d/%d", &until, &ha, &sa, &hb, &sb); err != nil {
+		var until, ra, sa, rb, sb int
+		if _, err := fmt.Sscanf(s, "%d %d/%d %d/%d", &until, &ra, &sa, &rb, &sb); err != nil {
 			panic(s)
 		}
 		for ; at < until; at++ {
-			for _, c := range tracker.Observe(t0.Add(time.Duration(at)*time.Second), map[string]MachineCounts{"a": {ha, sa}, "b": {hb, sb}}) {
+			for _, c := range tracker.Observe(t0.Add(time.Duration(at)*time.Second), map[string]MachineCounts{"a": {ra, sa}, "b": {rb, sb}}) {
 				if c.Zone.Name == "a" {
 					out = append(out, fmt.Sprintf("%s %d", c.To, at))
 				}
