--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -106,14 +106,14 @@
 	}
 }
 
-// TestQueue checks that jobs are ordered by the queue time of their first reservation, then by
-// submission, then by ID, and that Reposition moves and removes them.
+// TestQueue checks that jobs are ordered by queue time, then submission, then ID, and that
+// Reposition moves and removes them.
 func TestQueue(t *testing.T) {
 	var q Queue
-	add := func(id string, start, yield, submitted time.Duration) *Job {
+	add := func(id string, start, delay, submitted time.Duration) *Job {
 		j := newJob()
 		j.Spec.ID, j.Submitted = id, t0.Add(submitted)
-		j.Reservations = []*Reservation{{Booking: timeline.Booking{Start: t0.Add(start)}, Job: j, QueueDelay: yield}}
+		j.Reservations = []*Reservation{{Booking: timeline.Booking{Start: t0.Add(start)}, Job: j, QueueDelay: delay}}
 		q.Reposition(j)
 		return j
 	}
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -1,6 +1,5 @@
-// Package placement assigns tasks to machines. It reserves slots for pending tasks, orders the
-// queue of jobs by the times of their reservations, and selects the tasks that start on a machine
-// with free resources.
+// Package placement assigns tasks to machines: it reserves slots for pending tasks, orders jobs by
+// the times of their reservations, and selects the tasks that start on a machine.
 package placement
 
 import (
@@ -19,8 +18,8 @@
 	IsActive() bool
 	// Machines returns all machines of the fleet, sorted by name.
 	Machines() []*fleet.Machine
-	// IsUnaccounted reports whether the machine may have tasks of an earlier term that the
-	// leader does not know.
+	// IsUnaccounted reports whether the machine may have tasks of an earlier term that the leader
+	// does not know.
 	IsUnaccounted(host string) bool
 	// UnaccountedCount returns the number of unaccounted machines.
 	UnaccountedCount() int
@@ -54,7 +53,7 @@
 	runtimes           estimate.Runtimes
 	taskCounter        *topology.TaskCounter // counts tasks of jobs with placement rules
 	starved            []*fleet.Job          // set by FindStarvedJobs
-	pendingJobs        []*fleet.Job          // jobs passed to ReserveSoon
+	pendingJobs        []*fleet.Job          // passed to ReserveSoon
 	continuationQueued bool                  // another step will run ReservePending
 	offerBuffer        []offer               // reused by collectOffers
 }
@@ -69,6 +68,5 @@
 
 func (s *Scheduler) now() time.Time { return s.engine.Now }
 
-// allAccounted reports whether every machine that may run a task of an earlier term has been
-// accounted for.
+// allAccounted reports whether no machine can have unknown tasks of an earlier term.
 func (s *Scheduler) allAccounted() bool { return s.leader.UnaccountedCount() == 0 }
