--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -49,7 +49,7 @@
 // JobAdded implements admission.Leader.
 func (a admissionLeader) JobAdded(j *fleet.Job) { a.core.leadership.recurring.JobAdded(j) }
 
-// policyEnv returns the variables that policy expressions can use. The backlog is 0 on a node that
+// policyEnv returns the variables of policy expressions. The backlog is 0 on a node that
 // is not the leader.
 func (c *Core) policyEnv() policy.Env {
 	e := policy.Env{ReportSeconds: c.heartbeatInterval.Seconds(), LeaseSeconds: c.workerLease.Seconds()}
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -12,9 +12,9 @@
 	"yewpass/internal/zones"
 )
 
-// newAutoscaler returns the autoscaler for the current leadership. It starts with the catalog that
-// the gateway has read, so that a leader elected during an outage of the cloud can still accept
-// jobs and start tasks on existing machines.
+// newAutoscaler returns the autoscaler for the current leadership. It starts with the gateway's
+// catalog, so that a leader elected during a cloud outage can accept jobs and start tasks on
+// existing machines.
 func (c *Core) newAutoscaler() *autoscaler.Autoscaler {
 	return autoscaler.New(autoscaler.Config{
 		Engine:        c.Engine,
@@ -58,8 +58,8 @@
 // autoscalerInventory implements autoscaler.Inventory for the current leadership.
 type autoscalerInventory struct{ c *Core }
 
-// InstanceTypesChanged implements autoscaler.Inventory. It updates the types of known machines and
-// sets the type of machines whose type was not in the catalog before.
+// InstanceTypesChanged implements autoscaler.Inventory. It updates the types of all machines, also
+// of those whose type was not in the catalog before.
 func (i autoscalerInventory) InstanceTypesChanged() {
 	c, l := i.c, i.c.leadership
 	for _, m := range l.inventory.Machines() {
@@ -109,8 +109,8 @@
 	}
 }
 
-// InstanceReleased implements autoscaler.Inventory. The machine no longer exists, so its attempts
-// are dropped and it counts as accounted for.
+// InstanceReleased implements autoscaler.Inventory. It drops the machine's attempts and counts it
+// as accounted for.
 func (i autoscalerInventory) InstanceReleased(host string) {
 	c, l := i.c, i.c.leadership
 	m := l.inventory.Find(host)
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -25,7 +25,6 @@
 	return v
 }
 
-// addLeaderView adds the fields that only the leader knows.
 func (c *Core) addLeaderView(v *view.Cluster) {
 	l := c.leadership
 	v.Leader = c.cfg.HostName
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -23,8 +23,8 @@
 	l.core.answer(to, response)
 }
 
-// ApplyTeams implements configmanager.Leader. Running tasks are not stopped when a limit is
-// lowered; they still count, and no further tasks start until the team is below its limit.
+// ApplyTeams implements configmanager.Leader. Lowering a limit stops no running tasks, but no
+// further ones start until the team is below it.
 func (l configLeader) ApplyTeams(teams []liveconfig.Team) {
 	if len(teams) == 0 {
 		return
@@ -44,8 +44,8 @@
 	return timeline.Resources{}
 }
 
-// SinceConfirmed implements configmanager.Leader. The time of the last confirmation follows from
-// the expiry of the authority, because each lease renewal also confirms the configuration.
+// SinceConfirmed implements configmanager.Leader. Each lease renewal also confirms the
+// configuration, so the time follows from the expiry of the authority.
 func (l configLeader) SinceConfirmed() time.Duration {
 	return max(0, l.core.leaseTiming.Authority()-l.leadership.expiresAt.Sub(l.core.Now))
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -28,8 +28,7 @@
 
 func addClockDrift(d time.Duration) time.Duration { return lease.WithDrift(d) }
 
-// Core is the state machine of one controller process. It embeds the engine that holds the
-// current time, the timers and the outputs of a step. It is not safe for concurrent use.
+// Core is the state machine of one controller process. It is not safe for concurrent use.
 type Core struct {
 	*engine.Engine
 
@@ -64,9 +63,8 @@
 // New returns a controller that is idle until its first Step. The seed determines every random
 // choice, so equal seeds and inputs give equal outputs.
 func New(cfg *config.Config, pol *policy.Policy, cal *calendar.Set, seed uint64) *Core {
-	// A restarted process may receive, on its new link, the leader's response to a call of
-	// the previous process. Call references start at a random number so that such a response
-	// never matches another user's request.
+	// Call references start at a random number, so that a response to a call of the previous
+	// process never matches another user's request.
 	identity := rand.New(rand.NewPCG(seed, seed^0xd1b54a32d192ed03))
 	processID := identity.Uint64()>>11 | 1 // 53 bits: exact as a JSON number
 	firstRef := identity.Uint64N(1 << 48)
@@ -113,7 +111,6 @@
 	return c.Outputs
 }
 
-// start runs once, in the first step of the process.
 func (c *Core) start() {
 	if shortfall := c.leaseTiming.MarginWarning(); shortfall != "" {
 		c.Log(slog.LevelWarn, "settings leave little margin", "field", "workers.cancel_s", "lease", c.workerLease, "cancel", c.leaseTiming.CancelTimeout, "effect", shortfall)
@@ -126,7 +123,6 @@
 	c.gateway.Start()
 }
 
-// handle dispatches one input to its handler.
 func (c *Core) handle(in any) {
 	switch in := in.(type) {
 	case Tick:
@@ -159,8 +155,8 @@
 	return func(r kv.Response) { c.observeRevision(r.Rev, revision, era) }
 }
 
-// storeOutageThreshold is how long calls must fail before an outage is logged. Short bursts of
-// refusals are normal when calls exceed the rate limit.
+// storeOutageThreshold is how long calls must fail before an outage is logged. Calls above the rate
+// limit cause short bursts of refusals.
 const storeOutageThreshold = 500 * time.Millisecond
 
 // updateStoreHealth tracks the availability of the key-value store and logs when it changes.
@@ -181,12 +177,11 @@
 }
 
 // Ready reports whether the node can serve requests. A leader is ready once its records are loaded,
-// unless it is isolated. Another node is ready if it knows the leader and either is linked to it or
-// lost that link only recently while the key-value store still answers.
+// unless it is isolated. Another node is ready if it is linked to the leader, or lost that link
+// recently and the key-value store answers.
 func (c *Core) Ready() bool {
 	if l := c.leadership; l != nil {
-		// Without authority and without a link to any peer, this node can neither act
-		// nor learn of a new leader, so a load balancer should prefer other nodes.
+		// Without authority or links, this node can neither act nor learn of a new leader.
 		isolated := len(c.cfg.Seeds) > 0 && l.suspended && c.Now.Sub(l.expiresAt) > readyLinkLossGrace && !c.election.IsLinkedToAny()
 		return l.loaded && !isolated
 	}
@@ -194,7 +189,7 @@
 }
 
 // readyLinkLossGrace is how long a node stays ready after it lost its link to the leader. It is
-// longer than a change of leader takes. Without the link the node can only reject submissions.
+// longer than a change of leader takes.
 const readyLinkLossGrace = 4 * time.Second
 
 // HasAuthority reports whether the node is the leader and may act as such at the given time: its
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -12,10 +12,9 @@
 	"yewpass/internal/rpc"
 )
 
-// The key-value store may lose all or some of its data, or go back to an older state. Package
-// recovery defines the evidence for that. Under the next leader, package failover determines which
-// records can be recovered, and package restore writes them back. docs/design/rebuild.md explains
-// why this is correct.
+// The key-value store may lose data or go back to an older state. Package recovery defines the
+// evidence for that. Under the next leader, package failover determines the recoverable records,
+// and package restore writes them back. See docs/design/rebuild.md.
 
 // DataLossDetected is the message that a controller logs when it detects a data loss of the store.
 // The scenarios fail if it is logged without one.
@@ -39,9 +38,8 @@
 	c.observed.Revision = max(c.observed.Revision, rev)
 }
 
-// reportDataLoss records and logs evidence that the store has lost data. A leader resigns, as its
-// records may be lost; the next one recovers them. Until that has happened, further reports have
-// no effect.
+// reportDataLoss records and logs evidence that the store has lost data. A leader resigns, so that
+// the next one recovers the records. Further reports have no effect until then.
 func (c *Core) reportDataLoss(reason string) { c.reportDataLossThen(reason, func() {}) }
 
 // reportDataLossThen is like reportDataLoss. On a leader it calls then after the store has
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -36,8 +36,7 @@
 	return h.c.dataLossReason
 }
 
-// BeginTerm makes this node the leader of the term that it won and starts the recovery of the
-// records.
+// BeginTerm makes this node the leader of the term that it won and starts recovering the records.
 func (h electionHost) BeginTerm(v election.CampaignResult) {
 	c := h.c
 	c.becomeLeader(v.Term, v.Revision, v.LeaseID, v.LeaseRequestedAt, v.ClockSkew)
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -7,8 +7,7 @@
 	"yewpass/internal/request"
 )
 
-// serveCluster serves an operator's request about the cluster on the leader: its status, or a
-// hand-over of the leadership.
+// serveCluster serves an operator's request on the leader: the cluster status, or a hand-over.
 func (c *Core) serveCluster(call request.Request) {
 	if call.Op == request.Cluster {
 		c.answer(call, request.Response{Status: 200, Document: c.clusterView()})
@@ -29,7 +28,6 @@
 	errNoPeer          = errors.New("no other controller is reachable")
 )
 
-// checkHandOver returns an error if the leadership cannot be handed over now.
 func (c *Core) checkHandOver() error {
 	switch l := c.leadership; {
 	case l == nil || !l.loaded:
@@ -48,8 +46,7 @@
 	c.resign(reason)
 }
 
-// Shutdown is the input that announces an orderly end of the process. A leader hands over its
-// leadership if it can.
+// Shutdown is the input that announces an orderly end of the process. A leader then hands over.
 type Shutdown struct{}
 
 func (c *Core) handleShutdown() {
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -74,18 +74,17 @@
 	return reconcile.Accepted
 }
 
-// inGracePeriod reports whether a leader whose authority has expired may still answer workers. The
-// time that the wall clock has run ahead of the steady clock counts against the grace period. A
-// leader whose steady clock has not reached the expiry lost its authority through such a hidden
-// pause, and has no grace period.
+// inGracePeriod reports whether a leader whose authority has expired may still answer workers. Time
+// by which the wall clock has run ahead of the steady clock counts against the grace period; a
+// leader that lost its authority only through such a pause has none.
 func (c *Core) inGracePeriod() bool {
 	l := c.leadership
 	over := c.leaseTiming.GracePeriodExpired(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew)
 	return !over && !c.Now.Before(l.expiresAt)
 }
 
-// acceptHeartbeat reconciles a valid heartbeat with the known state, unless it is a retransmission,
-// and answers it or redirects the worker to another controller.
+// acceptHeartbeat reconciles a heartbeat with the known state, unless it is a retransmission, and
+// answers or redirects the worker.
 func (c *Core) acceptHeartbeat(m *fleet.Machine, in heartbeat.Received, resent bool) {
 	l := c.leadership
 	l.dispatcher.Refuse(m) // the worker no longer waits for the reply to its previous heartbeat
@@ -123,10 +122,9 @@
 	}
 }
 
-// lastContact returns when the machine was last known to receive replies from this leader. If its
-// heartbeats arrive but have not acknowledged a reply for longer than the recovery time of the
-// relays, it receives none. Such heartbeats do not count, because the machine would otherwise block
-// the failover.
+// lastContact returns when the machine was last known to receive replies from this leader.
+// Heartbeats that have acknowledged no reply for longer than the relays' recovery time do not
+// count, because the machine would otherwise block the failover.
 func (c *Core) lastContact(m *fleet.Machine) time.Time {
 	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.leadership.relays.MaxReconnectTime() {
 		return m.UnacknowledgedSince
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -99,7 +99,7 @@
 	if len(l.autoscaler.InstanceTypes) > 0 {
 		c.gateway.SetInstanceTypes(l.autoscaler.InstanceTypes)
 	}
-	// Forward the held heartbeats of workers that report here, so that they need not search
+	// Forward the held heartbeats of local workers, so that they need not search
 	// for the next leader. Other relays still have their own.
 	for _, m := range l.inventory.Machines() {
 		if m.HeldReply != nil && m.HeldReply.Via.Relay == "" {
@@ -113,7 +113,7 @@
 	c.election.WatchAfter(100 * time.Millisecond)
 }
 
-// answerWaiting sends the response to every request that waits for a write.
+// answerWaiting answers every request that waits for a write.
 func (c *Core) answerWaiting(l *leadership, response request.Response) {
 	l.admitter.AnswerWaiting(response)
 	for _, j := range l.sortedJobs() {
@@ -150,7 +150,7 @@
 }
 
 // runLeader runs after each input on the leader. It suspends a leader whose authority has expired;
-// otherwise it sends the queued writes and dispatches tasks.
+// otherwise it sends writes and dispatches tasks.
 func (c *Core) runLeader() {
 	l := c.leadership
 	if !c.hasAuthority() {
@@ -179,6 +179,6 @@
 // earlier term is accounted for.
 func (l *leadership) allAccounted() bool { return l.inventory.AllAccounted() }
 
-// reservedAttempts is how many attempt numbers are left when a leader resigns. It is more than the
-// number of tasks that can start between two ticks.
+// reservedAttempts is how many attempt numbers are left when a leader resigns, more than one tick
+// can use.
 const reservedAttempts = 1 << 20
--- a/internal/core/leader_lease.go
+++ b/internal/core/leader_lease.go
@@ -27,9 +27,9 @@
 	confirmed bool // the term record was unchanged
 }
 
-// renewLease starts a renewal of the leader lease, which schedules the next one. The leader keeps
-// trying during an outage of the store. If the store restores the lease with its full TTL
-// afterwards, the same term continues.
+// renewLease starts a renewal of the leader lease, which schedules the next one. It retries
+// throughout an outage of the store: if the store then restores the lease with its full TTL, the
+// term continues.
 func (c *Core) renewLease() {
 	r := &renewal{c: c, l: c.leadership, sentAt: c.Now, clockSkew: c.ClockSkew(c.Now)}
 	r.confirmTerm()
@@ -54,7 +54,7 @@
 	})
 }
 
-// extendLease extends the lease and schedules the next renewal.
+// extendLease also schedules the next renewal.
 func (r *renewal) extendLease() {
 	c := r.c
 	c.callStoreWhileLeading(kv.Request{Op: kv.KeepAlive, LeaseID: r.l.leaseID, TTL: leaseTTL, Timeout: leaseTTL / 2}, func(res kv.Response) {
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -53,7 +53,7 @@
 	autoscaler     *autoscaler.Autoscaler
 }
 
-// authority holds the term, the leader lease and the time until which the leader may act.
+// authority is the term, the leader lease and how long the leader may act.
 type authority struct {
 	term                    uint64
 	termRevision            uint64 // of the term record; the condition of every write fences old leaders
@@ -100,8 +100,8 @@
 	knownReporters map[string]*forwarder.Worker // workers that reported to this node before its election
 }
 
-// replicationState keeps the followers' replicas up to date and fetches from them the final records
-// of jobs that ended in earlier terms.
+// replicationState keeps the followers' replicas up to date and fetches final records of earlier
+// terms from them.
 type replicationState struct {
 	publisher    *replication.Publisher
 	scrubber     *replication.Scrubber
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -8,7 +8,7 @@
 	"yewpass/internal/spec"
 )
 
-// newLifecycle returns the manager of the jobs for the current leadership.
+// newLifecycle returns the job lifecycle manager of the current leadership.
 func (c *Core) newLifecycle() *lifecycle.Manager {
 	l := c.leadership
 	state := lifecycle.State{
--- a/internal/core/load_records.go
+++ b/internal/core/load_records.go
@@ -13,10 +13,10 @@
 	"yewpass/internal/writebatch"
 )
 
-// loadRecord loads a record written in an earlier term. The key determines the type of the record;
-// a record of another type counts as unreadable and stays unchanged in the store.
+// loadRecord loads a record written in an earlier term. The key determines its type; a record of
+// another type counts as unreadable and stays in the store.
 //
-// It recovers from panics. Otherwise a single record could crash every controller at each start.
+// It recovers from panics, so that one bad record cannot crash every controller at each start.
 func (c *Core) loadRecord(e kv.Entry) {
 	l := c.leadership
 	defer func() {
@@ -115,11 +115,10 @@
 	c.tickLeader()
 }
 
-// pendingHeartbeatsPerStep bounds how many heartbeats that waited for the records one step handles.
+// pendingHeartbeatsPerStep bounds the heartbeats handled per step after the records are loaded.
 const pendingHeartbeatsPerStep = 100
 
-// processPendingHeartbeats handles the heartbeats that waited for the records, a limited number in
-// each step.
+// processPendingHeartbeats handles up to pendingHeartbeatsPerStep waiting heartbeats in each step.
 func (c *Core) processPendingHeartbeats() {
 	l := c.leadership
 	n := min(len(l.pendingHeartbeats), pendingHeartbeatsPerStep)
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -82,8 +82,8 @@
 func (c *Core) reportLimit(m *fleet.Machine, limits reviewLimits) time.Duration {
 	limit := limits.silent
 	if c.leadership.inventory.IsUnaccounted(m.Host) && (!m.Reported || c.lastContact(m) != m.LastHeartbeat) && limits.unaccounted < limit {
-		// The failover waits for this machine. Once most others report to this leader, a
-		// machine that does not is probably gone or unreachable.
+		// The failover waits for this machine, which is probably gone if most others
+		// report.
 		limit = limits.unaccounted
 		if m.FailedProbes >= probe.MaxAttempts {
 			limit /= 2 // it does not answer probes
@@ -96,9 +96,9 @@
 	return limit
 }
 
-// silentSince returns since when the machine counts as silent. It counts from the last change of
-// its zone's state and from when the leader regained authority, if these are later: afterwards the
-// machines need a heartbeat interval until all have reported again.
+// silentSince returns since when the machine counts as silent. A later change of its zone's state,
+// or regained authority, restarts the count, because the machines then need a heartbeat interval to
+// report again.
 func (c *Core) silentSince(m *fleet.Machine) time.Time {
 	l := c.leadership
 	since := latest(c.lastContact(m), m.ZoneState.Since, l.resumedAt)
@@ -108,7 +108,6 @@
 	return since
 }
 
-// latest returns the latest of the times.
 func latest(times ...time.Time) time.Time { return slices.MaxFunc(times, time.Time.Compare) }
 
 // releaseIfUnneeded releases a machine without tasks if it is quarantined, draining or about to be
@@ -131,9 +130,8 @@
 	})
 }
 
-// drainMachine stops the tasks of a machine that is quarantined, draining or about to be
-// interrupted, as far as mustStop requires it. Tasks with checkpoints get time for a last one,
-// unless the interruption leaves none.
+// drainMachine stops the attempts for which mustStop holds. Tasks with checkpoints get time for a
+// last one, unless the interruption leaves none.
 func (c *Core) drainMachine(m *fleet.Machine) {
 	if !m.Quarantined && !m.Draining && m.InterruptionAt.IsZero() {
 		return
@@ -151,11 +149,11 @@
 }
 
 const (
-	// minRuntimeGainToMove is how much longer than twice its checkpoint time a task must still
-	// run for it to be moved off a draining machine.
+	// minRuntimeGainToMove plus twice its checkpoint time is the least remaining runtime for
+	// which a task is moved off a draining machine.
 	minRuntimeGainToMove = 10 * time.Second
-	// checkpointSlack is the safety margin between the last checkpoint and an interruption, in
-	// addition to the heartbeat interval.
+	// checkpointSlack plus the heartbeat interval is the margin between the last checkpoint and
+	// an interruption.
 	checkpointSlack = 3 * time.Second
 )
 
--- a/internal/core/newer_tokens.go
+++ b/internal/core/newer_tokens.go
@@ -8,11 +8,10 @@
 
 const (
 	// minNewerTokenReports is how many workers must report a fencing token above the leader's
-	// term before the terms are taken to have restarted. A single worker is more likely faulty.
+	// term as evidence that the terms have restarted. A single one may be faulty.
 	minNewerTokenReports = 2
-	// maxPlausibleFencingToken is the largest fencing token that is accepted as genuine. Terms
-	// grow by one per election, so a larger token is an error, and continuing above it could
-	// exhaust the range of terms.
+	// maxPlausibleFencingToken is the largest fencing token that is accepted as genuine.
+	// Continuing above a faulty larger token could exhaust the range of terms.
 	maxPlausibleFencingToken = 1 << 32
 	// termGapAfterTotalLoss is added to the highest reported fencing token to get the next
 	// term. Workers that have not reported yet may have seen later terms.
@@ -35,10 +34,9 @@
 }
 
 // handlePossibleTermReset reports whether a worker's newer fencing token may mean that the terms
-// have restarted from 1. This happens when the key-value store and the memory of every controller
-// are lost together: the workers then reject all replies, and releasing them would lose the
-// whole fleet. Once enough workers have reported such tokens, this node resigns and campaigns for a
-// term above them.
+// have restarted from 1, because the key-value store and the memory of every controller were lost
+// together. All workers then reject replies and must not be released. Once enough of them have
+// reported such tokens, this node resigns and campaigns for a term above them.
 func (c *Core) handlePossibleTermReset(host string, token uint64) bool {
 	l := c.leadership
 	if !l.noEarlierTerm || token > maxPlausibleFencingToken || c.Now.Sub(l.electedAt) > 2*c.workerLease {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -10,7 +10,6 @@
 	"yewpass/internal/rpc"
 )
 
-// handlePeerMessage dispatches a message from another controller to its handler.
 func (c *Core) handlePeerMessage(p peermsg.Received) {
 	switch p.Msg.Kind {
 	case peermsg.Leader:
@@ -42,7 +41,6 @@
 	}
 }
 
-// handleLinkChange handles the link to another controller coming up or going down.
 func (c *Core) handleLinkChange(p peermsg.LinkChange) {
 	c.election.SetLink(p.Name, p.Up)
 	l := c.leadership
@@ -70,12 +68,10 @@
 	}
 }
 
-// announceTermTo announces to a peer that this node leads the current term.
 func (c *Core) announceTermTo(peer string) {
 	c.Emit(peermsg.Outgoing{To: peer, Msg: peermsg.Message{Kind: peermsg.Leader, Term: c.leadership.term, Version: peermsg.Version}})
 }
 
-// handleTermAck records that a peer has acknowledged this leader's term.
 func (c *Core) handleTermAck(from string, m peermsg.Message) {
 	l := c.leadership
 	if l == nil || m.Term != l.term {
@@ -94,7 +90,6 @@
 	}
 }
 
-// handleForwardedRequest serves a user's request that a peer has forwarded.
 func (c *Core) handleForwardedRequest(from string, m peermsg.Message) {
 	c.handleRequest(request.Request{Ref: m.Ref, From: from, Op: m.Op, ID: m.ID, Spec: m.Spec, Schedule: m.Schedule, Config: m.Config})
 }
@@ -122,8 +117,8 @@
 }
 
 // handleLeaderClaim handles a peer's claim to lead a term. A false claim must neither end a valid
-// leadership nor keep other nodes from following the real leader, so a leader that has authority
-// first checks the claim against the key-value store.
+// leadership nor keep other nodes from following the leader, so a leader with authority first reads
+// the term record.
 func (c *Core) handleLeaderClaim(from string, term, version uint64) {
 	switch l := c.leadership; {
 	case term < c.election.HighestTerm():
@@ -143,9 +138,9 @@
 }
 
 // verifyTerm reads the term record after a hint that a newer term exists. It steps down for the
-// given reason if the record has changed or is gone, and calls stillCurrent if this leader's
-// term is still the newest. It does nothing while another check is in flight or the rate limit of reads is used
-// up; the sender of the hint is expected to repeat it.
+// given reason if the record has changed or is gone, and calls stillCurrent if this leader's term
+// is still the newest. It does nothing while another check is in flight or the rate limit of reads
+// is used up; the hint is then repeated.
 func (c *Core) verifyTerm(reason string, stillCurrent func()) {
 	l := c.leadership
 	if l.verifying || !c.jobReader.Allow(1) {
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -9,8 +9,8 @@
 	"yewpass/internal/spec"
 )
 
-// placementLeader implements placement.Leader for a leadership. The embedded inventory provides the
-// methods about machines.
+// placementLeader implements placement.Leader for a leadership. The embedded inventory implements
+// the rest.
 type placementLeader struct {
 	*inventory.Inventory
 	core       *Core
@@ -28,8 +28,8 @@
 	return p.leadership.autoscaler.Backlog(), p.leadership.autoscaler.CPUs()
 }
 
-// deadlineLateness returns by how much a job with a deadline would miss it on the best existing
-// machine or on a new one of any available type. A negative result means it would be on time.
+// deadlineLateness returns by how much a job would miss its deadline on the best existing or new
+// machine; it is negative if the job would be on time.
 func (c *Core) deadlineLateness(s *spec.Job) time.Duration {
 	l := c.leadership
 	best := l.placement.EarliestFinish(s)
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -13,7 +13,7 @@
 	"yewpass/internal/writebatch"
 )
 
-// recordsPerLoadStep bounds how many records one step loads, so that steps stay short.
+// recordsPerLoadStep bounds how many records one step loads.
 const recordsPerLoadStep = 400
 
 // failoverLeader implements failover.Leader for the current leadership.
@@ -62,13 +62,13 @@
 			c.stepDown("a peer knows of a newer term")
 		}
 	case l.noEarlierTerm && k.HasHigherTerm(c.observed.Era, l.term, c.processID):
-		// A term that was lost from the store, known to a peer that was unreachable until now.
+		// The store has lost a term that this peer knows.
 		c.handleHigherTerm(max(k.HighestPastTerm, k.Term))
 	}
 }
 
-// handleHigherTerm resigns because the store has lost a higher term: the terms have restarted below
-// one that workers may have seen, and workers reject lower terms.
+// handleHigherTerm resigns because the store has lost a higher term: workers that have seen it
+// reject lower ones.
 func (c *Core) handleHigherTerm(term uint64) {
 	c.observed.Term = max(c.observed.Term, term)
 	c.reportDataLoss("a term higher than the stored one is known")
@@ -97,7 +97,8 @@
 	c.loadRecords(o.Records)
 }
 
-// loadRecords loads records, a limited number in each step, and then starts the work of the term.
+// loadRecords loads up to recordsPerLoadStep records in each step and then starts the work of the
+// term.
 func (c *Core) loadRecords(records []replica.Record) {
 	n := min(len(records), recordsPerLoadStep)
 	for _, r := range records[:n] {
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -19,8 +19,7 @@
 	return recurring.New(c.Engine, l.scope, settings, recurringLeader{c})
 }
 
-// queueDueOccurrences queues the writes of due occurrences, as many as fit into one transaction.
-// The write batcher calls it when the store's rate limit allows another transaction.
+// queueDueOccurrences queues the writes of as many due occurrences as fit into one transaction.
 func (c *Core) queueDueOccurrences() {
 	l := c.leadership
 	if !l.autoscaler.CatalogLoaded || !c.isActive() {
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -39,8 +39,8 @@
 // FleetSize implements relaylinks.Leader.
 func (v relayLinksLeader) FleetSize() int { return len(v.leadership.inventory.Machines()) }
 
-// handleRelayedHeartbeats processes a batch from a relay: heartbeats, answers to probes, and
-// references of heartbeats that workers have abandoned.
+// handleRelayedHeartbeats processes a relay's batch of heartbeats, probe replies and abandoned
+// heartbeats.
 func (c *Core) handleRelayedHeartbeats(from string, m peermsg.Message) {
 	l := c.leadership
 	if l == nil || m.Term != l.term {
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -70,7 +70,6 @@
 	}
 }
 
-// replicateDelete publishes the deletion of a record to the followers.
 func (c *Core) replicateDelete(key string) {
 	if c.leadership != nil {
 		c.leadership.publisher.PublishDelete(key)
@@ -131,7 +130,6 @@
 	}
 }
 
-// cacheFinalRecords caches the final records of jobs in a replica.
 func (c *Core) cacheFinalRecords(r *replica.Replica) {
 	for id, final := range replication.FinalRecords(r) {
 		c.jobReader.CacheFinal(id, final)
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -24,7 +24,6 @@
 	}
 }
 
-// serveAsLeader serves a request on the leader.
 func (c *Core) serveAsLeader(r request.Request) {
 	switch {
 	case r.Schedule != nil:
@@ -38,7 +37,6 @@
 	}
 }
 
-// serveJob serves a request about one job on the leader.
 func (c *Core) serveJob(r request.Request) {
 	l := c.leadership
 	if l.unreadableJobs[r.ID] {
--- a/internal/core/unreadable.go
+++ b/internal/core/unreadable.go
@@ -10,8 +10,8 @@
 	"yewpass/internal/rpc"
 )
 
-// rereadUnreadableJob serves a request about a job whose record was unreadable. It reads the record
-// again first, because an operator may have repaired or deleted it.
+// rereadUnreadableJob serves a request about a job whose record was unreadable. It first reads the
+// record again, because an operator may have repaired or deleted it.
 func (c *Core) rereadUnreadableJob(r request.Request) {
 	l, id := c.leadership, r.ID
 	unavailable := func() { c.answer(r, request.Unavailable("the job's record cannot be read")) }
@@ -61,12 +61,12 @@
 	})
 }
 
-// maxProgressRecords limits the list of progress records of one job. No job has that many.
+// maxProgressRecords limits the list of progress records of one job; no job has that many.
 const maxProgressRecords = 400
 
-// loadRereadJob loads a job whose record was unreadable, and reports whether it succeeded. The
-// tasks of the job were ordered to stop; those that may still run are assigned to it again until
-// they end. A record that makes loadRecord panic stays unreadable.
+// loadRereadJob loads a job whose record was unreadable, and reports whether it succeeded. Its
+// tasks were ordered to stop; those that may still run are assigned to it until they end. A record
+// that makes loadRecord panic stays unreadable.
 func (c *Core) loadRereadJob(job kv.Entry, progress []kv.Entry) bool {
 	l, id := c.leadership, strings.TrimPrefix(job.Key, record.JobPrefix)
 	delete(l.unreadableJobs, id)
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -19,7 +19,7 @@
 // QueueRestores queues lost records to be written back.
 func (b writeBatchLeader) QueueRestores() { b.c.leadership.restorer.QueueNext() }
 
-// QueueDueOccurrences queues due occurrences of schedules, as many as fit into one transaction.
+// QueueDueOccurrences queues as many due occurrences as fit into one transaction.
 func (b writeBatchLeader) QueueDueOccurrences() { b.c.queueDueOccurrences() }
 
 // HasDueOccurrences reports whether occurrences wait only for the store's rate limit.
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -13,7 +13,7 @@
 const (
 	campaignRetryDelay = 200 * time.Millisecond
 	// handOverCooldown is how long a node does not campaign after handing over leadership, so
-	// that another node wins. After that it campaigns again in case no other node can lead.
+	// that another node wins.
 	handOverCooldown = 3 * time.Second
 )
 
@@ -37,13 +37,13 @@
 	result      CampaignResult
 }
 
-// RecordHandOver records that this node has just handed over leadership. The node does not
-// campaign for handOverCooldown.
+// RecordHandOver records that this node has just handed over leadership. It does not campaign for
+// handOverCooldown.
 func (e *Election) RecordHandOver() { e.handedOverAt = e.engine.Now }
 
-// Campaign tries to become leader. It requests a lease, then writes the leader key under that
-// lease and increments the term in one transaction. The transaction requires the leader key to
-// be at keyRevision, or not to exist if keyRevision is 0.
+// Campaign tries to become leader. It requests a lease, then writes the leader key under that lease
+// and increments the term in one transaction. The leader key must be at keyRevision, or not exist
+// if that is 0.
 func (e *Election) Campaign(keyRevision uint64) {
 	if e.host.IsLeader() {
 		return
@@ -64,15 +64,14 @@
 	})
 }
 
-// abort ends the campaign and revokes its lease. Revoking the lease also deletes the leader key
-// if the transaction was applied although its response reported a failure or was late.
+// abort ends the campaign and revokes its lease. This also deletes the leader key if the
+// transaction was applied despite a failed or late response.
 func (c *campaign) abort() {
 	c.engine.CallStore(kv.Request{Op: kv.RevokeLease, LeaseID: c.result.LeaseID}, func(kv.Response) {})
 	c.WatchAfter(campaignRetryDelay)
 }
 
-// chooseTerm handles the response to the read of the term record and chooses the new term and
-// era.
+// chooseTerm chooses the new term and era from the response to the read of the term record.
 func (c *campaign) chooseTerm(r kv.Response) {
 	if r.Outcome != rpc.OK && r.Outcome != rpc.NotFound {
 		c.abort()
@@ -114,8 +113,8 @@
 			{Key: record.TermKey, Value: &record.Term{Term: result.Term, Era: result.Era}},
 		},
 	}, func(r kv.Response) {
-		// Only the transaction decides; terms claimed by peers are not verified. A response
-		// that arrives after the authority has expired is treated as a failure.
+		// Only the transaction decides; claims of peers are not verified. A response after
+		// the authority has expired is a failure.
 		if r.Outcome != rpc.OK || !c.engine.Now.Before(result.LeaseRequestedAt.Add(c.timing.Authority())) {
 			c.abort()
 			return
@@ -128,10 +127,9 @@
 
 // nextTerm returns the next term and the required revision of the term key.
 //
-// Terms must not restart when the term record is damaged or missing, because fencing tokens and
-// attempt numbers would decrease and machine names would repeat. Each term starts with its own
-// transaction, so no term exceeds the store revision at its start, and a term above the current
-// revision exceeds all earlier ones.
+// Terms must not restart when the term record is damaged or missing: fencing tokens and attempt
+// numbers would decrease and machine names repeat. No term exceeds the store revision at its start,
+// so a term above the current revision exceeds all earlier ones.
 func (e *Election) nextTerm(r kv.Response) (term, rev uint64) {
 	known := max(e.confirmedTerm, e.host.Observed().Term)
 	if r.Outcome == rpc.NotFound {
--- a/internal/election/claims.go
+++ b/internal/election/claims.go
@@ -12,9 +12,8 @@
 const verifyRetryDelay = 500 * time.Millisecond
 
 // AcceptClaim handles a peer's claim to lead a term that is not below the highest known one.
-// version is the peer's protocol version. The claim takes effect immediately, so that workers
-// are directed to the new leader, and is acknowledged with ownVersion. Unless the store has
-// already confirmed the term, AcceptClaim also verifies it with the store.
+// version is the peer's protocol version. The claim takes effect immediately and is acknowledged
+// with ownVersion; a term that the store has not confirmed is then verified.
 func (e *Election) AcceptClaim(from string, term, version, ownVersion uint64) {
 	confirmed := term == e.confirmedTerm && (e.leader == from || e.leader == "")
 	e.SetLeader(from, term)
@@ -25,8 +24,7 @@
 	}
 }
 
-// verifyClaim reads the leader record to verify a term claimed by a peer. A claim that the store
-// does not confirm is discarded.
+// verifyClaim reads the leader record and discards a claimed term that the store does not confirm.
 func (e *Election) verifyClaim(term uint64) {
 	retry := func() {
 		if !e.host.IsLeader() && e.highestTerm == term && e.confirmedTerm != term {
@@ -53,9 +51,8 @@
 	})
 }
 
-// verifyTermRecord verifies a claimed term against the term record when there is no leader
-// record. The term may have existed and ended already; it is then recorded as confirmed, so
-// that claims of older terms are still rejected.
+// verifyTermRecord verifies a claimed term against the term record when there is no leader record.
+// A term that has already ended is recorded as confirmed, so that older claims are still rejected.
 func (e *Election) verifyTermRecord(term uint64, retry func()) {
 	e.engine.CallStore(kv.Request{Op: kv.Get, Key: record.TermKey}, func(r kv.Response) {
 		if e.host.IsLeader() || e.highestTerm != term {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,6 +1,5 @@
-// Package election implements leader election for a controller. It tracks the current leader,
-// based on the leader key in the key-value store and on claims from peers, and campaigns for
-// leadership when there is no leader.
+// Package election implements leader election for a controller. It tracks the leader from the
+// leader key in the store and from peers' claims, and campaigns when there is no leader.
 package election
 
 import (
@@ -27,7 +26,7 @@
 	// ReportDataLoss records that the store has lost data, with the evidence in why.
 	ReportDataLoss(why string)
 	// CheckDataLoss returns why the store must have lost data, or "" if nothing indicates a
-	// loss. It compares the state observed before a read of the term record with its result.
+	// loss. before is the state observed before found was read.
 	CheckDataLoss(before recovery.Observed, found recovery.TermRead) string
 	// BeginTerm makes this node the leader of the term that the campaign won.
 	BeginTerm(result CampaignResult)
@@ -61,8 +60,7 @@
 	lastLedTerm           uint64 // last term led by this process; 0 if none
 }
 
-// New returns the Election of the controller with the given configuration. Call Watch to start
-// it.
+// New returns an Election, which Watch starts.
 func New(eng *engine.Engine, cfg *config.Config, timing lease.Timing, processID uint64, host Host) *Election {
 	return &Election{
 		links:     links{up: map[string]bool{}},
--- a/internal/election/links.go
+++ b/internal/election/links.go
@@ -11,8 +11,8 @@
 // IsLinked reports whether the link to peer is up.
 func (l *links) IsLinked(peer string) bool { return l.up[peer] }
 
-// LinkLostAt returns when the link to the known leader went down. The value is meaningless
-// while the link is up.
+// LinkLostAt returns when the link to the known leader went down. It is meaningless while the link
+// is up.
 func (l *links) LinkLostAt() time.Time { return l.leaderLostAt }
 
 // IsLinkedToAny reports whether the link to at least one other controller is up.
--- a/internal/election/watch.go
+++ b/internal/election/watch.go
@@ -29,10 +29,9 @@
 	if e.host.IsLeader() {
 		return
 	}
-	// List returns the revision of the whole store, which the watch starts from. The revision
-	// of the key itself is as old as the term, and the store compacts history older than
-	// 10,000 changes: a watch from a compacted revision fails immediately, and the retries of
-	// all nodes would overload the store.
+	// List returns the revision of the whole store, from which the watch starts. The key's own
+	// revision may be compacted: such a watch fails immediately, and the retries of all nodes
+	// would overload the store.
 	lastRef := e.engine.LastRef
 	e.engine.CallStore(kv.Request{Op: kv.List, Key: record.LeaderKey, Limit: 1}, func(r kv.Response) {
 		if r.Outcome == rpc.OK && e.firstStoreRevision == 0 {
@@ -58,7 +57,7 @@
 func (e *Election) WatchAfter(d time.Duration) { e.engine.After(e.engine.Jitter(d), e.Watch) }
 
 // followRecord adopts the leader record in entry and watches the leader key from revision from.
-// lastRef is the number of the last store call sent before entry was requested.
+// lastRef is the last store call sent before entry was requested.
 func (e *Election) followRecord(entry kv.Entry, from, lastRef uint64) {
 	rec, _ := entry.Value.(*record.Leader)
 	known := entry.Rev == e.leaderKeyRevision
@@ -77,8 +76,7 @@
 }
 
 // verifyLeaderKeyLease checks that the leader key is attached to a lease. A key without a lease,
-// for example one restored from a backup, belongs to no leader and never expires; this node
-// then campaigns to replace it.
+// for example one restored from a backup, never expires, so this node campaigns to replace it.
 func (e *Election) verifyLeaderKeyLease(entry kv.Entry, rec *record.Leader, from uint64) {
 	own := rec != nil && rec.Node == e.cfg.HostName
 	e.engine.CallStore(kv.Request{Op: kv.Get, Key: record.LeaderKey}, func(r kv.Response) {
@@ -100,13 +98,12 @@
 	})
 }
 
-// revokePreviousLease revokes the lease of a leader key written by this process in an earlier
-// term or by an earlier process of this node. Nobody acts under that lease, but the nodes could
-// not elect a leader until it expired.
+// revokePreviousLease revokes the lease of a leader key written by this process in an earlier term
+// or by an earlier process of this node. Nobody acts under that lease, but it would delay an
+// election until its expiry.
 //
 // A key of another process written after this one first read the store may belong to a second
-// running process with the same node name, or to a delayed transaction. Its lease is left to
-// expire.
+// running process of this name, or to a delayed transaction. Its lease is left to expire.
 func (e *Election) revokePreviousLease(entry kv.Entry, rec *record.Leader, from uint64) {
 	if rec.ProcessID != e.processID && entry.Rev > e.firstStoreRevision {
 		e.engine.Log(slog.LevelError, "another process with this node's name holds the leader key", "key", entry.Key, "term", rec.Term)
@@ -138,8 +135,8 @@
 
 // adoptRecord records the leader named by the leader record, which takes precedence over claims
 // from peers. A record with a lower term is ignored if it was requested before the higher term
-// became known: this node has acknowledged that term, and its leader relies on replies of
-// older leaders no longer being forwarded.
+// became known: this node has acknowledged that term, whose leader relies on older leaders' replies
+// no longer being forwarded.
 func (e *Election) adoptRecord(rec *record.Leader, rev, lastRef uint64) {
 	if rec.Term < e.highestTerm {
 		if lastRef < e.lastClaimRef {
