--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -28,8 +28,7 @@
 	c.preemptForGuarantees()
 	l.autoscaler.ScaleIn(l.allAccounted())
 	l.placement.RefreshDueReservations(tickInterval)
-	// Send releases first: a failover may wait for one, and scaling out can use up the rate
-	// limit.
+	// Send releases first: a failover may wait for one, and scaling out can use up the rate limit.
 	l.autoscaler.SendReleases()
 	l.autoscaler.ScaleOut(timeline.Seconds(c.pol.RentBacklog(e)), timeline.Seconds(c.pol.OrdinaryBacklog(e)))
 }
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -82,8 +82,7 @@
 func (c *Core) reportLimit(m *fleet.Machine, limits reviewLimits) time.Duration {
 	limit := limits.silent
 	if c.leadership.inventory.IsUnaccounted(m.Host) && (!m.Reported || c.lastContact(m) != m.LastHeartbeat) && limits.unaccounted < limit {
-		// The failover waits for this machine, which is probably gone if most others
-		// report.
+		// The failover waits for this machine, which is probably gone if most others report.
 		limit = limits.unaccounted
 		if m.FailedProbes >= probe.MaxAttempts {
 			limit /= 2 // it does not answer probes
--- a/internal/failover/advance.go
+++ b/internal/failover/advance.go
@@ -7,8 +7,7 @@
 	"yewpass/internal/replica"
 )
 
-// advance continues the recovery as far as the gathered data allows. It is called whenever new
-// data arrives or a timeout expires.
+// advance continues the recovery after new data or a timeout, as far as the gathered data allows.
 func (r *Recovery) advance() {
 	if r.phase != collecting || !r.allStored || r.awaitsPeerStates() {
 		return
@@ -49,7 +48,6 @@
 	higherTerm uint64           // a known term that is not lower than the new one, or 0
 }
 
-// collectPeerStates combines the responses of the peers with what this node knows.
 func (r *Recovery) collectPeerStates() pastTerms {
 	p := pastTerms{observed: r.term.Observed}
 	if newest := r.replicas.Newest(); newest != nil && newest.Term < r.term.Number {
@@ -76,7 +74,6 @@
 	return p
 }
 
-// replicaChoice is a result of chooseReplica.
 type replicaChoice int
 
 const (
@@ -111,8 +108,7 @@
 		r.replica = received
 		return replicaChosen
 	case r.term.LossReason == "" && peer.LiveDigest == replica.DigestOf(r.stored) && peer.ReplicaEra == r.term.Read.Era:
-		// The digest of keys shows that no live record is missing. Final records are fetched
-		// later, while the leader is already serving.
+		// The digest of keys shows that no live record is missing. Final records are fetched later.
 		r.finalRecordsSource = newest.Source
 		return storeIsComplete
 	case r.fetch.source != newest.Source:
@@ -125,16 +121,16 @@
 	return offersChanged
 }
 
-// requestReplica requests the replica of source and schedules a check for its timeout.
+// requestReplica also schedules a check for the timeout.
 func (r *Recovery) requestReplica(source string) {
 	r.fetch.source, r.fetch.deadline, r.fetch.receiver = source, r.engine.Now.Add(replicaTimeout), replica.Receiver{}
 	r.send(source, peermsg.ReplicaRequest)
 	r.scope.After(replicaTimeout+timerMargin, r.advance)
 }
 
-// earlierLeaderMayAct reports whether an earlier leader may still have authority. After a data
-// loss its lease may still exist, or the leader may not have noticed that the lease is gone.
-// There is no such leader if this process led the last term.
+// earlierLeaderMayAct reports whether an earlier leader may still have authority. After a data loss
+// its lease may still exist, or the leader may not have noticed its loss. There is no such leader
+// if this process led the last term.
 func (r *Recovery) earlierLeaderMayAct(observed recovery.Observed) bool {
 	lastTerm := max(observed.Term, r.term.Read.Term)
 	ledLastTerm := r.term.LedPreviousTerm && lastTerm == r.term.Observed.Term && len(r.peerStates) == len(r.cfg.Seeds)
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,8 +1,7 @@
-// Package failover recovers the records at the start of a new leader's term, before the leader
-// acts on them. It reads the records from the store, asks the other controllers what they have
-// observed of it, determines whether the store has lost data, and merges the stored records with
-// the newest replica if necessary. Package recovery implements the decisions; package core loads
-// the outcome.
+// Package failover recovers the records at the start of a new leader's term, before the leader acts
+// on them. It reads the store, asks the other controllers what they have observed of it, and after
+// a data loss merges the newest replica. Package recovery implements the decisions; package core
+// loads the outcome.
 package failover
 
 import (
@@ -23,8 +22,8 @@
 const (
 	queryInterval       = 100 * time.Millisecond
 	peerResponseTimeout = 300 * time.Millisecond
-	// UnknownHistoryTimeout is how long to wait for responses from peers if the store has lost
-	// data, or if this node knows of no earlier term.
+	// UnknownHistoryTimeout is how long to wait for peers if the store has lost data or this
+	// node knows of no earlier term.
 	UnknownHistoryTimeout = time.Second
 	replicaTimeout        = 5 * time.Second // between two lines of a replica transfer
 	retryDelay            = 200 * time.Millisecond
@@ -49,8 +48,7 @@
 	Observed() recovery.Observed
 	// IsLinked reports whether the link to peer is up.
 	IsLinked(peer string) bool
-	// EndTerm ends the new term. It is called if a peer knows another term, higher, that is not
-	// below the new one.
+	// EndTerm ends the new term, because a peer knows another term that is not below it.
 	EndTerm(higher uint64)
 	// Recovered is called once, when the recovery is complete.
 	Recovered(*Outcome)
@@ -119,8 +117,8 @@
 	r.readStore("")
 }
 
-// queryPeers queries the peers that have not responded, and repeats this every queryInterval until
-// the recovery is complete: the link to a peer that has just started may not be up yet.
+// queryPeers queries the peers that have not responded, every queryInterval until the recovery is
+// complete, because links may still be coming up.
 func (r *Recovery) queryPeers() {
 	if r.phase == merged {
 		return
@@ -137,7 +135,7 @@
 	r.engine.Emit(peermsg.Outgoing{To: to, Msg: peermsg.Message{Kind: kind, Term: r.term.Number}})
 }
 
-// HandlePeerState handles a peer's response to the query for what it knows of earlier terms.
+// HandlePeerState records a peer's response and continues the recovery.
 func (r *Recovery) HandlePeerState(from string, k *peermsg.PeerState) {
 	if r.peerStates[from] == nil && k.ReplicaTerm == 0 {
 		r.replicas.StartTransfer(from)
@@ -146,9 +144,8 @@
 	r.advance()
 }
 
-// ReceiveReplica applies one line of the requested replica and reports whether it was accepted.
-// A line from a peer whose replica was not requested is rejected. Call AdvanceIfFetched
-// afterwards.
+// ReceiveReplica applies one line of the requested replica. It returns false for a line from any
+// other peer. Call AdvanceIfFetched afterwards.
 func (r *Recovery) ReceiveReplica(from string, line *replica.Line) bool {
 	if r.fetch.source != from || line.Term >= r.term.Number {
 		return false
@@ -157,14 +154,14 @@
 	return r.replicas.Receive(&r.fetch.receiver, from, line)
 }
 
-// AdvanceIfFetched continues the recovery if the requested replica has been received completely.
+// AdvanceIfFetched continues the recovery if the requested replica is complete.
 func (r *Recovery) AdvanceIfFetched() {
 	if r.fetch.receiver.Replica() != nil {
 		r.advance()
 	}
 }
 
-// readStore reads the live records from the store, page by page, starting after the key from.
+// readStore reads the live records after the key from, page by page.
 func (r *Recovery) readStore(from string) {
 	r.scope.CallStore(kv.Request{Op: kv.List, Key: record.LivePrefix, From: from, Limit: pageSize}, func(page kv.Response) {
 		if page.Outcome != rpc.OK {
@@ -193,8 +190,7 @@
 	case newest != nil && newest.Term == read.Term && newest.Era == read.Era:
 		return false // this node holds a replica of the last term
 	case newest == nil && waited < UnknownHistoryTimeout:
-		// This process has just started: peers may hold replicas, and their links to this node
-		// are still being established.
+		// This process has just started; links to peers with replicas may not be up yet.
 		for _, k := range r.peerStates {
 			if k.ReplicaTerm+1 >= read.Term {
 				return false
@@ -204,7 +200,7 @@
 	}
 	timeout, includeUnlinked := peerResponseTimeout, false
 	if r.term.LossReason != "" || read.Missing && r.term.Observed.Term == 0 {
-		timeout, includeUnlinked = UnknownHistoryTimeout, true // links may not be up yet
+		timeout, includeUnlinked = UnknownHistoryTimeout, true
 	}
 	if waited >= timeout {
 		return false
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -20,8 +20,7 @@
 
 const era, ownTerm = 9, 7
 
-// harness is a Recovery whose store and peers n1 and n2 are simulated by the test. It also
-// implements the Leader.
+// harness is a Recovery and its Leader. The test simulates the store and the peers n1 and n2.
 type harness struct {
 	*Recovery
 	t        *testing.T
--- a/internal/failover/merge.go
+++ b/internal/failover/merge.go
@@ -67,8 +67,8 @@
 		o.Replica.Put(key, rec.Value, rec.Rev)
 	}
 	for _, key := range r.replica.Keys(record.SchedulesPrefix) {
-		// Keep the schedules until they are read from the store. Without them, the replica of
-		// the new term would be preferred over older ones that still have them.
+		// Keep the schedules until they are read from the store: the new replica takes
+		// precedence over older ones that have them.
 		rec, _ := r.replica.Get(key)
 		o.Replica.Put(key, rec.Value, 0)
 	}
--- a/internal/failover/missing_jobs.go
+++ b/internal/failover/missing_jobs.go
@@ -9,15 +9,14 @@
 )
 
 const (
-	// maxFinalReads is the most final records that are read one by one. For more, all final
-	// records in the key range are listed.
+	// maxFinalReads is the most final records that are read one by one; more are listed by key
+	// range.
 	maxFinalReads        = 50
 	finalRecordsPageSize = 1000 // final records per page
 )
 
-// resolveMissingJobs looks up the final records of jobs that the replica has and the store
-// lacks. Such a job either finished after the replica's last update or was lost. Final records
-// that exist are added to the replica; then the recovery merges.
+// resolveMissingJobs adds to the replica the final records of jobs that the store lacks, and then
+// merges. A job without a final record was lost.
 func (r *Recovery) resolveMissingJobs() {
 	finals := r.missingFinalKeys()
 	switch {
@@ -37,8 +36,7 @@
 	}
 }
 
-// missingFinalKeys returns the sorted keys under which the final records of the missing jobs would
-// be stored.
+// missingFinalKeys returns the sorted keys of the missing jobs' final records.
 func (r *Recovery) missingFinalKeys() (finals []string) {
 	stored := map[string]bool{}
 	for _, rec := range r.stored {
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -1,8 +1,8 @@
-// Package forwarder relays heartbeats at controllers that are not the leader: it forwards workers'
-// heartbeats to the leader and the leader's replies to the workers.
+// Package forwarder forwards workers' heartbeats to the leader, and its replies to the workers, at
+// controllers that are not the leader.
 //
-// A reply is the leader's answer to one heartbeat. Its validity depends only on the heartbeat's
-// incarnation and counter and on the reply's term, not on the path that it has taken.
+// A reply's validity depends only on its heartbeat's incarnation and counter and on its term, not
+// on its path.
 package forwarder
 
 import (
@@ -18,23 +18,22 @@
 
 const (
 	// flushInterval is the minimum time between two batches, increased by
-	// flushIntervalPerWorker for each worker. Batching reduces the number of messages, each of
-	// which costs the leader several system calls.
+	// flushIntervalPerWorker for each worker. Batching saves the leader system calls.
 	flushInterval          = 10 * time.Millisecond
 	flushIntervalPerWorker = 25 * time.Microsecond
 	maxFlushInterval       = 40 * time.Millisecond
-	// KeepAliveInterval is the interval at which a relay checks the waiting heartbeats, and the
-	// idle time after which it sends an empty batch as a keep-alive.
+	// KeepAliveInterval is the interval of Tick, and the idle time after which a relay sends an
+	// empty batch as a keep-alive.
 	KeepAliveInterval = 400 * time.Millisecond
-	// replyTimeout is how long a heartbeat waits for the leader's reply, or for a leader to be
-	// elected. It is shorter than the 4 s after which workers give up.
+	// replyTimeout is how long a heartbeat waits for the leader's reply or an election. It is
+	// shorter than the 4 s after which workers give up.
 	replyTimeout = 3300 * time.Millisecond
 	// LinkTimeout is how long a relay keeps its workers without a link to the leader. It is
 	// longer than a failover.
 	LinkTimeout = 2500 * time.Millisecond
 )
 
-// Upstream is what this controller knows about the leader.
+// Upstream is what a controller knows about the leader.
 type Upstream struct {
 	Leader        string // "" if not known
 	Linked        bool   // this controller is connected to the leader
@@ -45,20 +44,19 @@
 
 // usable reports whether heartbeats can be forwarded to the leader.
 //
-// It requires a confirmed term. A controller that has restarted does not know which term its
-// previous process acknowledged. That term may be newer than the leader's. A newer leader assumes
-// that, since the acknowledgment, the older leader cannot renew leases through this controller.
+// It requires a confirmed term: before a restart this controller may have acknowledged a newer
+// leader, which assumes that an older one can no longer renew leases through it.
 func (u *Upstream) usable() bool { return u.Linked && u.ConfirmedTerm != 0 }
 
-// unreachable reports whether the leader is known, but has not been usable for longer than a
-// failover takes. Workers should then send their heartbeats to the leader directly.
+// unreachable reports whether the known leader has not been usable for longer than a failover
+// takes. Workers should then report to it directly.
 func (u *Upstream) unreachable(now time.Time) bool {
 	return u.Leader != "" && !u.usable() && now.Sub(u.LinkLostAt) > LinkTimeout
 }
 
-// Controller provides the functions of the controller that a Forwarder uses.
+// Controller is the controller that a Forwarder runs in.
 type Controller interface {
-	// IsLeader reports whether the controller is the leader, which forwards nothing.
+	// IsLeader reports whether the controller is the leader, which does not forward.
 	IsLeader() bool
 	// Upstream returns what is known about the leader.
 	Upstream() Upstream
@@ -76,8 +74,7 @@
 	prober
 }
 
-// heartbeats holds the workers that report to this controller, and their heartbeats that await a
-// reply.
+// heartbeats holds this controller's workers and their heartbeats that await a reply.
 type heartbeats struct {
 	byRef    map[uint64]*pendingHeartbeat
 	byHost   map[string]*pendingHeartbeat
@@ -85,7 +82,7 @@
 	prunedAt time.Time
 }
 
-// session holds the state of the session with the leader.
+// session is the session with the leader.
 type session struct {
 	encoder        *relay.Encoder // nil without a link
 	leader         string
@@ -140,8 +137,7 @@
 }
 
 // ReleasePending resets the forwarder when its controller becomes the leader. It returns the
-// heartbeats that await a reply, in order of arrival, and the workers that have reported to this
-// controller, by host.
+// pending heartbeats, in order of arrival, and the workers by host.
 func (f *Forwarder) ReleasePending() ([]heartbeat.Received, map[string]*Worker) {
 	var waiting []heartbeat.Received
 	for _, ref := range f.waitingRefs() {
@@ -152,9 +148,8 @@
 	return waiting, workers
 }
 
-// Receive accepts a worker's heartbeat to be forwarded to the leader. If no leader is known yet,
-// the heartbeat waits for one until replyTimeout. If the leader is unreachable, the worker is
-// redirected to it.
+// Receive queues a worker's heartbeat for the leader. Without a known leader the heartbeat waits
+// until replyTimeout. If the leader is unreachable, the worker is redirected to it.
 func (f *Forwarder) Receive(in heartbeat.Received) {
 	report := &in.Report
 	if in.Via.Relay != "" {
@@ -196,7 +191,6 @@
 
 func (f *Forwarder) workerLease() time.Duration { return f.cfg.Settings.Workers.Lease.Duration() }
 
-// remove deletes a heartbeat from the pending ones.
 func (h *heartbeats) remove(p *pendingHeartbeat) {
 	delete(h.byRef, p.ref)
 	if h.byHost[p.report.Host] == p {
@@ -204,10 +198,10 @@
 	}
 }
 
-// waitingRefs returns the refs of the pending heartbeats in order of arrival.
+// waitingRefs returns the refs in order of arrival.
 func (h *heartbeats) waitingRefs() []uint64 { return slices.Sorted(maps.Keys(h.byRef)) }
 
-// drop removes a heartbeat that no worker waits for, and informs the leader with the next batch.
+// drop removes a heartbeat that no worker waits for, and tells the leader in the next batch.
 func (f *Forwarder) drop(p *pendingHeartbeat) {
 	f.remove(p)
 	if f.encoder != nil {
@@ -216,7 +210,7 @@
 }
 
 // Tick redirects workers whose heartbeats have waited too long, removes silent workers, and sends
-// keep-alives. It reschedules itself every KeepAliveInterval.
+// keep-alives, every KeepAliveInterval.
 func (f *Forwarder) Tick() {
 	f.engine.After(KeepAliveInterval, f.Tick)
 	if f.controller.IsLeader() {
@@ -231,7 +225,6 @@
 	}
 }
 
-// expire redirects workers whose heartbeats cannot be answered in time.
 func (f *Forwarder) expire() {
 	upstream := f.controller.Upstream()
 	unreachable := upstream.unreachable(f.engine.Now)
--- a/internal/forwarder/prober.go
+++ b/internal/forwarder/prober.go
@@ -9,17 +9,15 @@
 	"yewpass/internal/rpc"
 )
 
-// prober holds the state of this relay's probes of its workers.
 type prober struct {
 	probedTerm     uint64   // newest term whose fencing token was sent to the workers
 	queue          []string // hosts to probe
 	probesInFlight int
 }
 
-// probeWorkers sends the new leader's fencing token to this relay's workers. The leader probes its
-// own workers; probing from all relays allows more concurrent probes. The term must be confirmed
-// by the key-value store: a worker that has seen a token of a term that was never recorded would
-// reject the commands of valid leaders with lower tokens.
+// probeWorkers sends the new leader's fencing token to this relay's workers. Probing from all
+// relays allows more concurrent probes. The term must be confirmed by the key-value store: a worker
+// that has seen the token of an unrecorded term would reject valid leaders.
 func (f *Forwarder) probeWorkers() {
 	f.prober = prober{probedTerm: f.term}
 	recently := 2 * f.cfg.Settings.Workers.Report.Duration()
@@ -28,8 +26,8 @@
 			f.queue = append(f.queue, host)
 		}
 	}
-	// Probes workers with the latest heartbeats first. Probes of machines that no longer exist
-	// block other probes until they time out.
+	// Probe workers with the latest heartbeats first: probes of machines that no longer exist
+	// block others until they time out.
 	slices.SortStableFunc(f.queue, func(a, b string) int { return f.workers[b].lastHeartbeat.Compare(f.workers[a].lastHeartbeat) })
 	f.probeNext()
 }
@@ -44,8 +42,8 @@
 	}
 }
 
-// probeWorker probes one worker. If the worker reports another incarnation, it is probed once more
-// with that incarnation.
+// probeWorker probes one worker. If it reports another incarnation, it is probed once more with
+// that.
 func (f *Forwarder) probeWorker(host string, w *Worker, incarnation uint64) {
 	term := f.probedTerm
 	f.probesInFlight++
--- a/internal/forwarder/session.go
+++ b/internal/forwarder/session.go
@@ -9,8 +9,8 @@
 )
 
 // Run opens a session when the leader or its term changes, closes it when the leader is not usable,
-// and sends pending batches. It must be called at the end of each step in which the controller is
-// not the leader.
+// and sends pending batches. Call it at the end of each step of a controller that is not the
+// leader.
 func (f *Forwarder) Run() {
 	upstream := f.controller.Upstream()
 	if !upstream.usable() {
@@ -37,7 +37,7 @@
 	f.flush()
 }
 
-// openSession opens a session with a leader and sends it all pending heartbeats.
+// openSession opens a session and sends all pending heartbeats.
 func (f *Forwarder) openSession(leader string, term uint64) {
 	f.leader, f.term = leader, term
 	f.encoder = relay.NewEncoder(f.engine.Rand.Uint64() | 1) // never 0
@@ -55,7 +55,7 @@
 	s.unsentWeight += d.Weight()
 }
 
-// flush sends all unsent reports in one or more batches, or one empty batch if there are none.
+// flush sends all unsent reports, or an empty batch if there are none.
 func (f *Forwarder) flush() {
 	for first := true; first || len(f.unsent) > 0; first = false {
 		n := 0
@@ -73,10 +73,9 @@
 	f.unsent, f.unsentWeight, f.flushedAt = nil, 0, f.engine.Now
 }
 
-// HandleReplies forwards the leader's replies to the workers. It ignores replies of other sessions
-// and of other terms than the newest known one. A controller that has acknowledged a term must not
-// deliver replies of an older one. The refs in replies to an earlier process of this controller
-// may denote other heartbeats.
+// HandleReplies forwards the leader's replies to the workers. It ignores replies of other terms
+// than the newest known one, because a controller that has acknowledged a term must not deliver
+// older replies, and of other sessions, whose refs may denote other heartbeats.
 func (f *Forwarder) HandleReplies(from string, term uint64, replies *relay.Replies) {
 	upstream := f.controller.Upstream()
 	if f.controller.IsLeader() || f.encoder == nil || from != f.leader || from != upstream.Leader ||
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
 // Package gateway serves users' requests at controllers that are not the leader. It forwards
-// requests to the leader. Without a leader it serves those that need only the key-value store.
+// requests to the leader, or without one serves those that need only the key-value store.
 package gateway
 
 import (
@@ -37,7 +37,7 @@
 	noLeader  = "no leader at present"
 )
 
-// Upstream is what this controller knows about the leader.
+// Upstream is what a controller knows about the leader.
 type Upstream struct {
 	Leader       string // "" if not known
 	Linked       bool   // this controller is connected to the leader
@@ -54,13 +54,13 @@
 	Upstream() Upstream
 	// RequestLeaderVersion asks the leader for its protocol version.
 	RequestLeaderVersion()
-	// Cluster returns the state of the cluster as known to this controller.
+	// Cluster returns the state of the cluster as this controller knows it.
 	Cluster() *view.Cluster
-	// LastLeaderReplica returns the replica of the last leader's records, or nil if no
-	// reliable one is available.
+	// LastLeaderReplica returns the replica of the last leader's records, or nil without a reliable
+	// one.
 	LastLeaderReplica() *replica.Replica
-	// Team returns a team as configured in the replica or in the settings, or nil. Writes
-	// based on it must be conditional on the revision of the replica's configuration.
+	// Team returns a team as configured in the replica or the settings, or nil. Writes based on
+	// it must be conditional on the configuration's revision.
 	Team(lastReplica *replica.Replica, name string) *quota.Account
 }
 
@@ -83,7 +83,7 @@
 	leader  string
 }
 
-// New returns a Gateway. Call Start before it serves requests, so that it reads instance types.
+// New returns a Gateway. Call Start before it serves requests.
 func New(e *engine.Engine, controller Controller, cfg *config.Config, p *policy.Policy, jobs *jobstore.Reader, replicas *replication.Replicas) *Gateway {
 	return &Gateway{
 		engine:     e,
@@ -101,8 +101,7 @@
 	g.engine.Emit(peermsg.Reply(r, response))
 }
 
-// Serve serves a request at a controller that is not the leader, or is the leader without
-// authority.
+// Serve serves a request at a controller that is not the leader or has no authority.
 func (g *Gateway) Serve(r request.Request) {
 	if r.From != "" {
 		g.respond(r, request.Unavailable(notLeader))
@@ -125,8 +124,8 @@
 	g.forward(r, upstream.Leader)
 }
 
-// forward sends a request to the leader. If the leader does not answer within the timeout, the
-// request is served without it.
+// forward sends a request to the leader. After the timeout it serves the request without the
+// leader.
 func (g *Gateway) forward(r request.Request, leader string) {
 	ref := g.engine.NextRef()
 	g.forwarded[ref] = &forwardedRequest{r, leader}
@@ -155,7 +154,7 @@
 }
 
 // HandleResponse processes the leader's answer to a forwarded request. It ignores answers from
-// other controllers and to requests that are no longer pending.
+// other controllers and to requests that are not pending.
 func (g *Gateway) HandleResponse(from string, m peermsg.Message) {
 	f := g.forwarded[m.Ref]
 	if f == nil || f.leader != from || m.Response == nil {
@@ -171,15 +170,15 @@
 		return
 	}
 	if answer.Status == 200 && op == request.Get && answer.Job.State.Final() {
-		// Remembers only answers to polls: a cancellation may be answered while the job's
-		// record still exists and its tasks have not stopped.
+		// Cache only answers to polls: a cancellation may be answered before the tasks have
+		// stopped.
 		g.jobs.CacheFinal(f.request.ID, record.Final{State: answer.Job.State, Done: answer.Job.Done})
 	}
 	g.respond(f.request, *answer)
 }
 
-// HandleLinkLost serves the requests that were forwarded to the named controller without the
-// leader, after the link to it was lost.
+// HandleLinkLost handles a lost link: it serves the requests forwarded to that controller without
+// it.
 func (g *Gateway) HandleLinkLost(name string) {
 	for _, ref := range slices.Sorted(maps.Keys(g.forwarded)) {
 		if f := g.forwarded[ref]; f.leader == name {
@@ -204,7 +203,7 @@
 	}
 }
 
-// serveGet answers a poll from the records in the store, corrected by the last leader's replica.
+// serveGet answers a poll from the store, corrected by the last leader's replica.
 func (g *Gateway) serveGet(r request.Request) {
 	g.jobs.Read(r.ID, func(status *request.JobStatus, known bool) {
 		lastReplica := g.controller.LastLeaderReplica()
@@ -214,7 +213,7 @@
 		}
 		status = correctByReplica(lastReplica, r.ID, status)
 		if status == nil {
-			// The store may have lost the record, so only a leader can say that the job
+			// The store may have lost the record: only a leader can say that the job
 			// does not exist.
 			g.respond(r, request.Unavailable(noLeader))
 			return
@@ -223,9 +222,8 @@
 	})
 }
 
-// correctByReplica corrects a job status read from the key-value store by the last leader's
-// replica, since the store may have lost data or have been restored from an older copy. The
-// status is nil if the store has no record of the job.
+// correctByReplica corrects a job status read from the key-value store, which may have lost data,
+// by the last leader's replica. The status is nil if the store has no record of the job.
 func correctByReplica(lastReplica *replica.Replica, id string, status *request.JobStatus) *request.JobStatus {
 	if r, ok := lastReplica.Get(record.FinalPrefix + id); ok {
 		if final, _ := r.Value.(*record.Final); final != nil {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -57,7 +57,7 @@
 func (n *node) IsLinked(string) bool   { return true }
 func (n *node) HasLoadedRecords() bool { return false }
 
-// newNode returns a node that is linked to the leader n1 and holds the replica of its term.
+// newNode returns a node linked to the leader n1, with the replica of its term.
 func newNode(t *testing.T) *node {
 	t.Helper()
 	p, err := policy.New(map[string]string{"refuse": "false"})
@@ -241,8 +241,8 @@
 	}
 }
 
-// TestLeaderlessAdmission checks that the job record and the note are written on the condition
-// that the job has no record and that neither the term nor the configuration has changed.
+// TestLeaderlessAdmission checks that the job record and the note are written only if the job has
+// no record and neither the term nor the configuration has changed.
 func TestLeaderlessAdmission(t *testing.T) {
 	conditions := []kv.Condition{{Key: liveKey}, {Key: finalKey}, {Key: record.TermKey, Rev: 40}, {Key: record.ConfigHeadKey, Rev: 17}}
 	n := newNode(t)
--- a/internal/gateway/leaderless.go
+++ b/internal/gateway/leaderless.go
@@ -18,20 +18,19 @@
 )
 
 // Leaderless admission accepts submissions while no leader is known or the known one does not
-// answer. The controller writes the job's record itself, on the condition that the job has
-// neither a live nor a final record, and answers 201. The same transaction writes a note, from
-// which the leader learns of the job without waiting for a request about it.
+// answer. The controller writes the job's record, on the condition that the job has neither a live
+// nor a final record, and answers 201. The same transaction writes a note that tells the leader of
+// the job.
 //
 // Without a leader no tasks are started, and no jobs are cancelled or refused because of their
-// deadline. The tasks of the job start after a leader has loaded it. A leader elected before the
-// record was written finds the job by the note; no earlier leader can have started its tasks,
-// since its authority ended before that election. A leader elected later loads the record with
-// all others.
+// deadline. A leader elected before the record was written finds the job by the note; no earlier
+// leader can have started its tasks, since its authority ended before that election. A leader
+// elected later loads the record with all others.
 const (
-	leaderlessWriteShare = 0.1 // of the store's write rate; the leader uses the rest
+	leaderlessWriteShare = 0.1 // of the store's write rate
 	leaderlessBurstShare = 0.5 // of one second's writes, over all controllers
-	// instanceTypesInterval is the interval at which controllers other than the leader read
-	// the instance types.
+	// instanceTypesInterval is how often controllers other than the leader read the instance
+	// types.
 	instanceTypesInterval     = time.Minute
 	instanceTypesRetryDelay   = 4 * time.Second
 	instanceTypesInitialDelay = 400 * time.Millisecond // after the start of the process
@@ -42,8 +41,8 @@
 	return rate.NewLimiter(rate.Limit(writes*leaderlessWriteShare/n), max(1, int(writes*leaderlessBurstShare/n)))
 }
 
-// Start starts reading the instance types periodically. The first read is delayed, so that a
-// process in a crash loop does not exhaust the cloud's rate limit, which all controllers share.
+// Start starts reading the instance types periodically. The first read is delayed, so that a crash
+// loop does not exhaust the cloud's rate limit, which all controllers share.
 func (g *Gateway) Start() {
 	g.engine.After(g.engine.Jitter(instanceTypesInitialDelay), g.refreshInstanceTypes)
 }
@@ -51,7 +50,7 @@
 // InstanceTypes returns the instance types as last read, or nil before the first read.
 func (g *Gateway) InstanceTypes() []provider.InstanceType { return g.instanceTypes }
 
-// SetInstanceTypes sets the instance types that the controller read while it was the leader.
+// SetInstanceTypes sets the instance types that this controller has read as the leader.
 func (g *Gateway) SetInstanceTypes(types []provider.InstanceType) { g.instanceTypes = types }
 
 // refreshInstanceTypes reads the instance types and schedules the next read. Leaderless admission
@@ -71,8 +70,7 @@
 	})
 }
 
-// admitLeaderless records a submission without a leader, or refuses a job that can never be
-// scheduled.
+// admitLeaderless records a submission, or refuses a job that can never be scheduled.
 func (g *Gateway) admitLeaderless(r request.Request) {
 	job, unavailable := r.Spec, request.Unavailable(noLeader)
 	if !g.allowsLeaderlessAdmission(r) {
@@ -104,16 +102,13 @@
 	g.acceptLeaderless(r, lastReplica)
 }
 
-// allowsLeaderlessAdmission reports whether this controller may accept a submission without a
-// leader.
 func (g *Gateway) allowsLeaderlessAdmission(r request.Request) bool {
 	return !g.controller.IsLeader() && r.From == "" && len(g.cfg.Seeds) > 0 && len(g.instanceTypes) > 0 && g.policy.NeverRefuses()
 }
 
-// admissionConditions returns the conditions under which a decision on a job may be made without
-// a leader. The job must have no record. The known term must still be recorded, since a store
-// that has lost its data does not know any jobs, including finished ones. The configuration must
-// not have changed since the replica was updated.
+// admissionConditions returns the conditions of a decision on a job without a leader. The job must
+// have no record. The known term must still be recorded, since a store that has lost its data knows
+// no jobs. The configuration must be that of the replica.
 func (g *Gateway) admissionConditions(id string, lastReplica *replica.Replica) []kv.Condition {
 	config, _ := lastReplica.Get(record.ConfigHeadKey)
 	return append(record.JobAbsent(id),
@@ -144,8 +139,8 @@
 	})
 }
 
-// respondWithExisting answers a submission of a job that may already have a record, possibly
-// written for this submission.
+// respondWithExisting answers a submission of a job that may already have a record, possibly its
+// own.
 func (g *Gateway) respondWithExisting(r request.Request) {
 	g.jobs.Read(r.Spec.ID, func(status *request.JobStatus, known bool) {
 		if known && status != nil {
@@ -156,8 +151,8 @@
 	})
 }
 
-// refuseLeaderless refuses a submission permanently if both the store and the last leader's
-// replica confirm that the job was never accepted. Otherwise it answers with status 503.
+// refuseLeaderless refuses a submission permanently if the store and the last leader's replica
+// confirm that the job was never accepted. Otherwise it answers 503.
 func (g *Gateway) refuseLeaderless(r request.Request, lastReplica *replica.Replica, refusal request.Response) {
 	id, unavailable := r.Spec.ID, request.Unavailable(noLeader)
 	if _, live := lastReplica.Get(record.JobPrefix + id); live || !g.jobs.Allow(1) {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,8 +1,5 @@
-// Package lease computes the time bounds that follow from the leader lease and the worker
-// leases: when a leader's authority expires, how long it may keep answering heartbeats without
-// authority, when the worker leases that it renewed have expired, and when a cancellation may
-// be confirmed. The package does not read a clock. The bounds are derived in
-// docs/design/cancellation.md.
+// Package lease computes the time bounds that follow from the leader lease and the worker leases.
+// It reads no clock. docs/design/cancellation.md derives the bounds.
 package lease
 
 import (
@@ -10,20 +7,19 @@
 	"time"
 )
 
-// The protocol assumes that a monotonic clock drifts by at most 0.05%. Margins allow for twice
-// that, because two clocks may drift in opposite directions.
+// The protocol assumes that a monotonic clock drifts by at most 0.05%. Margins allow for two clocks
+// that drift in opposite directions.
 const (
 	driftDivisor = 1000 // maximum relative drift between two clocks is 1/driftDivisor
-	// ClockMargin is added wherever times of two clocks are compared. It covers timers that
-	// fire late and the rounding of settings given in decimal seconds.
+	// ClockMargin is added wherever times of two clocks are compared. It covers late timers and
+	// the rounding of settings.
 	ClockMargin = 200 * time.Millisecond
-	// MaxHiddenPause is the longest pause of a monotonic clock, for example while the machine
-	// is suspended, that can go undetected. A longer pause is detected by the wall clock.
+	// MaxHiddenPause is the longest pause of a monotonic clock, for example while the machine is
+	// suspended, that the wall clock may not detect.
 	MaxHiddenPause = time.Second
 )
 
-// WithDrift returns how long to wait on the local clock so that at least d has passed on the
-// clock of another machine.
+// WithDrift returns how long to wait so that at least d has passed on another machine's clock.
 func WithDrift(d time.Duration) time.Duration { return d + d/driftDivisor + ClockMargin }
 
 // Timing holds the settings that the bounds are computed from.
@@ -33,9 +29,8 @@
 	CancelTimeout time.Duration // time within which the tasks of a cancelled job must have ended
 }
 
-// Authority returns how long a leader's authority lasts on its own clock, measured from the
-// sending of its last successful renewal. It is shorter than the leader lease, so that the
-// authority expires before the lease does on any clock.
+// Authority returns how long a leader's authority lasts on its own clock, measured from the sending
+// of its last successful renewal. It expires before the leader lease does on any clock.
 func (t Timing) Authority() time.Duration {
 	return t.LeaderLease - t.LeaderLease/driftDivisor - ClockMargin/2
 }
@@ -59,25 +54,22 @@
 	return since+max(0, ahead) > t.GracePeriod()
 }
 
-// TasksEndedBy returns the time by which all tasks have ended that were kept running only by
-// the replies of an earlier leader. authorityExpired is a time at which that leader's authority
-// had certainly expired.
+// TasksEndedBy returns the time by which all tasks that only an earlier leader's replies kept
+// running have ended. Its authority had certainly expired at authorityExpired.
 func (t Timing) TasksEndedBy(authorityExpired time.Time) time.Time {
 	return authorityExpired.Add(t.GracePeriod() + MaxHiddenPause + ClockMargin + WithDrift(t.WorkerLease))
 }
 
-// CancelSafeAfter returns the earliest time at which a cancellation may be recorded so that all
-// tasks of the job end within CancelTimeout of the record. Heartbeat replies of this leader
-// carry the stop commands from requested on; earlier leaders do not know of the cancellation.
-// The result is requested itself if CancelTimeout is long enough.
+// CancelSafeAfter returns the earliest time, not before requested, at which a cancellation may be
+// recorded so that all tasks of the job end within CancelTimeout of the record. This leader's
+// replies carry the stop commands from requested on; earlier leaders do not know of them.
 func (t Timing) CancelSafeAfter(requested, authorityExpired time.Time) time.Time {
 	own := requested.Add(WithDrift(t.WorkerLease) - t.CancelTimeout)
 	earlier := t.TasksEndedBy(authorityExpired).Add(-t.CancelTimeout)
 	return slices.MaxFunc([]time.Time{requested, own, earlier}, time.Time.Compare)
 }
 
-// MarginWarning returns a warning for the operator if CancelTimeout leaves no safety margin
-// over WorkerLease, or "".
+// MarginWarning returns a warning if CancelTimeout leaves no margin over WorkerLease, or "".
 func (t Timing) MarginWarning() string {
 	switch {
 	case t.CancelTimeout < WithDrift(t.WorkerLease):
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -8,8 +8,7 @@
 
 // TestBound checks, for random settings and worst-case clock drift, that all tasks end within
 // CancelTimeout of a cancellation recorded at CancelSafeAfter. The old leader answers its last
-// heartbeat at the end of the grace period, after the longest undetected clock pause, and the
-// worker's clock is slow.
+// heartbeat at the end of the grace period, after MaxHiddenPause, and the worker's clock is slow.
 func TestBound(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	between := func(a, b float64) time.Duration {
@@ -34,8 +33,7 @@
 			answered, withGrace = authority.Add(slow(x.GracePeriod())+hiddenPause), withGrace+1
 		}
 		tasksEnded := answered.Add(slow(x.WorkerLease))
-		// The new leader's term begins when the old leader lease expires, and the cancellation
-		// is requested then or later.
+		// The new term begins when the lease expires; the cancellation is requested then or later.
 		leaseExpired := t0.Add(x.LeaderLease)
 		requested := leaseExpired.Add(between(0, 3))
 		confirmed := requested.Add(slow(x.CancelSafeAfter(requested, leaseExpired).Sub(requested)))
--- a/internal/probe/prober.go
+++ b/internal/probe/prober.go
@@ -10,15 +10,14 @@
 	"yewpass/internal/rpc"
 )
 
-// MaxAttempts is the number of failed probes after which a machine counts as unreachable and is
-// not probed again.
+// MaxAttempts is the number of failed probes after which a machine is not probed again.
 const MaxAttempts = 2
 
-// relayDelay gives relays time to forward their workers' heartbeats and to probe their other
-// workers before the leader probes the remaining machines.
+// relayDelay gives relays time to forward heartbeats and to probe their workers before the leader
+// probes the remaining machines.
 const relayDelay = 700 * time.Millisecond
 
-// Leader provides the functions of the leader that a Prober uses.
+// Leader is the leader that a Prober works for.
 type Leader interface {
 	// IsActive reports whether the leader has authority and has loaded the records.
 	IsActive() bool
@@ -26,13 +25,11 @@
 	IsLinkedToAny() bool
 	// Reconcile updates the state of a machine from a valid report.
 	Reconcile(m *fleet.Machine, report *heartbeat.Report)
-	// HandleNewerToken is called when a worker claims to have seen a newer fencing token than
-	// the leader's.
+	// HandleNewerToken is called when a worker claims to have seen a newer fencing token.
 	HandleNewerToken(m *fleet.Machine, token uint64)
 }
 
-// Prober probes the machines that may hold unknown tasks of an earlier term, on behalf of the
-// leader.
+// Prober probes the machines that may hold unknown tasks of an earlier term.
 type Prober struct {
 	engine    *engine.Engine
 	scope     *engine.Scope
@@ -48,9 +45,8 @@
 	return &Prober{engine: e, scope: scope, leader: leader, inventory: v, term: term}
 }
 
-// Start probes the unaccounted machines. Those whose workers reported to this controller before
-// its election are probed at once, the others after relayDelay. Without a link to any relay, all
-// are probed at once.
+// Start probes the unaccounted machines. Those that reported to this controller before its election
+// are probed at once, the others after relayDelay, or at once without a link to any relay.
 func (p *Prober) Start(reportedHere func(host string) bool) {
 	if !p.leader.IsLinkedToAny() {
 		p.enqueue(func(string) bool { return true })
@@ -62,7 +58,6 @@
 	})
 }
 
-// enqueue queues the unaccounted machines that match for probing.
 func (p *Prober) enqueue(match func(host string) bool) {
 	for _, m := range p.inventory.Machines() {
 		if p.inventory.IsUnaccounted(m.Host) && m.Address != "" && match(m.Host) {
@@ -80,14 +75,14 @@
 	}
 }
 
-// acceptsReplyFrom reports whether a machine's reply to a probe is still usable. It is not once
-// the machine has sent a heartbeat, since the reply may then predate tasks sent to the machine.
+// acceptsReplyFrom reports whether a machine's probe reply is usable. After a heartbeat it is not,
+// since it may predate tasks sent to the machine.
 func (p *Prober) acceptsReplyFrom(m *fleet.Machine) bool {
 	return p.inventory.IsUnaccounted(m.Host) && !m.Reported && !m.Releasing
 }
 
-// HandleRelayedReply processes a report that a worker returned to a probe sent by a relay. It
-// ignores reports with another fencing token than the leader's.
+// HandleRelayedReply processes a worker's reply to a relay's probe, unless it has another fencing
+// token than the leader's.
 func (p *Prober) HandleRelayedReply(report *heartbeat.Report) {
 	m := p.inventory.Find(report.Host)
 	if m != nil && p.acceptsReplyFrom(m) && report.FencingToken == p.term {
@@ -95,7 +90,6 @@
 	}
 }
 
-// reconcile passes on the report of a worker that has accepted the leader's token.
 func (p *Prober) reconcile(m *fleet.Machine, report *heartbeat.Report) {
 	m.Probed = true
 	p.leader.Reconcile(m, report)
--- a/internal/recovery/merge.go
+++ b/internal/recovery/merge.go
@@ -7,17 +7,15 @@
 	"yewpass/internal/replica"
 )
 
-// Schema tells Merge the kind of the record under a key. Records of no listed kind are merged
-// independently of each other.
+// Schema tells Merge the kind of the record under a key. Other records are merged independently.
 type Schema struct {
 	Job      func(key string) (id string, ok bool)  // live record of a job
 	Final    func(key string) (id string, ok bool)  // final record of a finished job
 	Progress func(key string) (job string, ok bool) // progress record of a job
 	Machines func(key string) bool                  // list of machines that may run tasks
 
-	// MergeValues merges the stored and the replicated value of a record. storedIsOlder says
-	// that the store went back in time. differs reports whether the result differs from the
-	// stored value.
+	// MergeValues merges two values of a record. storedIsOlder says that the store went back in
+	// time. differs reports whether the result differs from the stored value.
 	MergeValues func(stored, replicated any, storedIsOlder bool) (merged any, differs bool)
 }
 
@@ -28,12 +26,12 @@
 	Deletes []string         // keys in the store that belong to finished jobs
 }
 
-// Merge merges the records in the store with those of a replica. If storedIsOlder is set, the
-// store went back in time and the replica's values take precedence. Otherwise the stored values
-// do, and the replica only adds missing records.
+// Merge merges the records in the store with those of a replica. The replica's values take
+// precedence if storedIsOlder is set; otherwise the stored values do, and the replica only adds
+// missing records.
 //
 // A job is finished if either side has its final record, so that finished jobs never run again.
-// Machines and progress of both sides are kept, because both are facts about the past.
+// Machines and progress of both sides are kept.
 func Merge(stored []replica.Record, r *replica.Replica, storedIsOlder bool, schema Schema) MergeResult {
 	replicaKeys := r.Keys("")
 	finished := endedJobs(stored, replicaKeys, schema)
@@ -55,7 +53,7 @@
 		switch {
 		case !found:
 			put(key, replicated.Value, 0)
-		case schema.Machines(key): // keep both: either may list machines that the other lacks
+		case schema.Machines(key): // keep both lists
 			if storedIsOlder {
 				put(key+"~", replicated.Value, 0)
 			}
@@ -77,13 +75,12 @@
 	return res
 }
 
-// endedJobSet is a set of finished jobs.
 type endedJobSet struct {
 	jobs   map[string]bool
 	schema Schema
 }
 
-// endedJobs returns the jobs that have a final record in the store or in the replica.
+// endedJobs returns the jobs with a final record in the store or in the replica.
 func endedJobs(stored []replica.Record, replicaKeys []string, schema Schema) endedJobSet {
 	e := endedJobSet{jobs: map[string]bool{}, schema: schema}
 	for _, rec := range stored {
--- a/internal/recovery/missing.go
+++ b/internal/recovery/missing.go
@@ -12,8 +12,8 @@
 }
 
 // MissingKeys returns the keys of records that the replica has and the page lacks or has at an
-// older revision. It skips records newer than the request for the page, and keys for which
-// uncommitted reports a change that is in flight or has an unknown outcome.
+// older revision. It skips records newer than the request, and keys with an uncommitted change,
+// which is in flight or has an unknown outcome.
 func MissingKeys(r *replica.Replica, page ListPage, uncommitted func(key string) bool) (keys []string) {
 	listed := make(map[string]uint64, len(page.Listed))
 	for _, rec := range page.Listed {
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,10 +1,9 @@
 // Package recovery implements the decisions of recovery from a data loss in the key-value store:
-// whether data was lost (Observed.LossReason), which replica to restore from (NewestOf), and
-// which records result (Merge).
+// whether data was lost (Observed.LossReason), which replica to restore from (NewestOf), and which
+// records result (Merge).
 //
-// The functions are pure; the callers perform the store calls. Two invariants hold: a record
-// known to have been in the store is never treated as if it had never existed, and an older
-// replica never takes precedence over a newer one.
+// The functions are pure. Invariants: a record known to have been in the store is never treated as
+// nonexistent, and an older replica never takes precedence over a newer one.
 package recovery
 
 import (
@@ -21,8 +20,8 @@
 	HighestPastTerm uint64 `json:"old,omitempty"`  // highest term of earlier eras
 }
 
-// AdvanceTo returns o updated with an era and a term read from the store. If the era has changed,
-// the revision is reset and the earlier terms count towards HighestPastTerm.
+// AdvanceTo returns o updated with an era and a term read from the store. A new era resets the
+// revision and moves the earlier terms to HighestPastTerm.
 func (o Observed) AdvanceTo(era, term, processID uint64) Observed {
 	if era == 0 || era == o.Era || o.Era == 0 {
 		if era != 0 {
@@ -33,13 +32,12 @@
 		}
 		return o
 	}
-	// Revisions may restart in a new era, but terms must not.
 	return Observed{Era: era, Term: term, ProcessID: processID, HighestPastTerm: max(o.HighestPastTerm, o.Term)}
 }
 
 // HasHigherTerm reports whether o contains a term that conflicts with the given term of the given
-// process: a higher one, or the same one led by another process or in another era. Terms have
-// then restarted because of a data loss.
+// process: a higher one, or the same one led by another process or in another era. Terms have then
+// restarted after a data loss.
 func (o Observed) HasHigherTerm(era, term, processID uint64) bool {
 	return o.HighestPastTerm >= term || o.Term > term || o.Term == term && (o.ProcessID != processID || o.Era != era)
 }
@@ -87,10 +85,9 @@
 	replica.Version
 }
 
-// NewestOf returns the newest of the offered replicas. Offers of term 0 are skipped; found is
-// false if there is no other. The newest replica may be of a term well before the last one, if
-// later leaders did not replicate. The caller must therefore look up the final records of the
-// replica's jobs before treating the jobs as live.
+// NewestOf returns the newest of the offered replicas. Offers of term 0 are skipped; found is false
+// if there is no other. Later leaders may not have replicated, so the caller must look up the final
+// records of the replica's jobs before treating the jobs as live.
 func NewestOf(offers []Offer) (newest Offer, found bool) {
 	for _, o := range offers {
 		if o.Term != 0 && (!found || o.After(newest.Version)) {
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -8,8 +8,7 @@
 	"yewpass/internal/replica"
 )
 
-// TestLossReason checks that each kind of evidence of a data loss is detected, and that none is
-// reported where no data was lost.
+// TestLossReason checks that exactly the reads that prove a data loss are detected.
 func TestLossReason(t *testing.T) {
 	k := Observed{Era: 5, Term: 7, Revision: 100}
 	for _, x := range []struct {
--- a/internal/relay/balance.go
+++ b/internal/relay/balance.go
@@ -6,13 +6,12 @@
 type Node struct {
 	Name     string
 	Zone     string
-	Workers  int // number of workers that report to it
-	Capacity int // maximum number of workers
+	Workers  int
+	Capacity int // in workers
 }
 
-// load returns the load of a node as weighted for a worker in a zone. Nodes of other zones count
-// double. Workers then prefer nodes in their own zone, which they can still reach if the zones
-// are partitioned.
+// load returns the load of a node for a worker in a zone. Nodes of other zones count double,
+// because a partition between zones would cut the worker off.
 func (n *Node) load(zone string) int {
 	if n.Zone == zone {
 		return n.Workers
@@ -38,8 +37,8 @@
 }
 
 // Imbalanced reports whether a worker in a zone should be redirected from one node to another to
-// balance their load. The difference must exceed a quarter plus a constant, so that workers do
-// not move back and forth. A node above its capacity is always relieved by one with room.
+// balance their load. The difference must exceed a quarter plus a constant, so that workers do not
+// move back and forth, unless from is above its capacity.
 func Imbalanced(nodes []Node, from, to, zone string) bool {
 	i := slices.IndexFunc(nodes, func(n Node) bool { return n.Name == from })
 	j := slices.IndexFunc(nodes, func(n Node) bool { return n.Name == to })
@@ -54,7 +53,6 @@
 	return x > y+y/4+16
 }
 
-// MaxClientConnections returns the number of connections from users and workers that a
-// controller accepts, given its limit on open sockets. The remaining sockets are reserved for
-// other controllers, the key-value store, the cloud and probes.
+// MaxClientConnections returns how many connections of users and workers a controller accepts,
+// given its limit on open sockets. The rest is for controllers, the store, the cloud and probes.
 func MaxClientConnections(sockets int) int { return max(16, sockets*9/10-64) }
--- a/internal/relay/compatibility_test.go
+++ b/internal/relay/compatibility_test.go
@@ -12,10 +12,9 @@
 )
 
 // goldenBatches has the batches that a relay of version 5990396 sent for relayedReports, one per
-// line. The file must not be regenerated.
+// line. Never regenerate it.
 const goldenBatches = "testdata/batches-5990396.jsonl"
 
-// relayedReports returns the reports of each golden batch.
 func relayedReports() [][]heartbeat.Report {
 	task := func(index int, phase heartbeat.Phase, cause string) heartbeat.Task {
 		return heartbeat.Task{ID: heartbeat.TaskID{Job: "wk-7", Index: index}, Attempt: 5, Phase: phase, Cause: cause}
@@ -38,7 +37,6 @@
 	}
 }
 
-// encodeAll encodes the reports of each batch as a relay does.
 func encodeAll(all [][]heartbeat.Report) (batches []*Batch) {
 	encoder := NewEncoder(6)
 	var ref uint64
@@ -68,9 +66,8 @@
 	return lines
 }
 
-// TestBatchesOf5990396 checks that relays and leaders of this version and of version 5990396 are
-// compatible: the golden batches are decoded to the reports, and the reports are encoded to
-// the same batches.
+// TestBatchesOf5990396 checks that the golden batches are decoded to the reports and the reports
+// encoded to the same batches, so that both versions are compatible.
 func TestBatchesOf5990396(t *testing.T) {
 	all := relayedReports()
 	golden := goldenLines(t)
--- a/internal/relay/decoder.go
+++ b/internal/relay/decoder.go
@@ -9,7 +9,7 @@
 	"yewpass/internal/heartbeat"
 )
 
-// Decoder is the leader's end of the successive sessions of one relay. The zero value is ready to
+// Decoder decodes the successive sessions of one relay at the leader. The zero value is ready to
 // use.
 type Decoder struct {
 	session, number uint64
@@ -17,12 +17,10 @@
 	machines        map[uint64]*heartbeat.Report // last report of each machine, by handle
 }
 
-// ErrSequenceGap is returned for a batch that does not follow the previous one, because batches
-// were lost or it belongs to an unknown session.
+// ErrSequenceGap is returned for a batch after a lost one or of an unknown session.
 var ErrSequenceGap = errors.New("batch does not follow the previous one")
 
-// ErrStaleSession is returned for a delayed batch of a closed session, possibly of an earlier
-// process of the relay. The batch leaves the decoder unchanged.
+// ErrStaleSession is returned for a delayed batch of a closed session. The decoder is unchanged.
 var ErrStaleSession = errors.New("batch belongs to a closed session")
 
 // Errors for batches that no correct relay sends.
@@ -33,19 +31,18 @@
 	errInvalidTask     = errors.New("added task has no job or an unknown phase")
 )
 
-// maxClosedSessions is the number of closed sessions that are remembered. It must exceed the
-// number that a relay can open while one of its messages is in transit.
+// maxClosedSessions is how many closed sessions are remembered. It must exceed the number that a
+// relay can open while a message is in transit.
 const maxClosedSessions = 64
 
-// maxMachines bounds the number of machines tracked per relay. It exceeds the number of workers
-// that a controller can serve.
+// maxMachines bounds the machines per relay. It exceeds the workers that a controller can serve.
 const maxMachines = 1 << 17
 
 // Session returns the number of the current session, or 0 if there is none.
 func (dec *Decoder) Session() uint64 { return dec.session }
 
-// Decode restores the reports of a batch in their order. sessionStarted reports whether the batch
-// starts a new session. After an error other than ErrStaleSession the relay must open a new session.
+// Decode restores the reports of a batch in their order. sessionStarted reports whether it starts a
+// new session. After an error other than ErrStaleSession the relay must open one.
 func (dec *Decoder) Decode(b *Batch) (reports []heartbeat.Report, sessionStarted bool, err error) {
 	if slices.Contains(dec.closedSessions, b.Session) {
 		return nil, false, ErrStaleSession
@@ -73,7 +70,7 @@
 	return reports, sessionStarted, nil
 }
 
-// openSession resets the decoder for a new session and remembers the previous one as closed.
+// openSession resets the decoder and remembers the previous session as closed.
 func (dec *Decoder) openSession(session uint64) {
 	closed := dec.closedSessions
 	if dec.session != 0 {
@@ -115,8 +112,8 @@
 	return r, nil
 }
 
-// decodeTasks applies the delta to a machine's previous list of tasks. It returns a new list,
-// since callers of Decode may still use the previous one.
+// decodeTasks applies the delta to a machine's previous list of tasks, which callers of Decode may
+// still use. It returns a new list.
 func (d *Delta) decodeTasks(previous []heartbeat.Task) ([]heartbeat.Task, error) {
 	tasks := make([]heartbeat.Task, 0, len(previous)+len(d.Added))
 	dropped := 0
--- a/internal/relay/encoder.go
+++ b/internal/relay/encoder.go
@@ -2,7 +2,7 @@
 
 import "yewpass/internal/heartbeat"
 
-// Encoder is the relay's end of one session. It encodes heartbeats as deltas.
+// Encoder encodes the heartbeats of one session as deltas at the relay.
 type Encoder struct {
 	session, number uint64
 	lastHandle      uint64
@@ -17,8 +17,8 @@
 	tasks    []heartbeat.Task
 }
 
-// NewEncoder returns an encoder for a new session. The number must not be 0 or have been used by
-// any process of the same relay.
+// NewEncoder returns an encoder. session must not be 0 or have been used by any process of the
+// relay.
 func NewEncoder(session uint64) *Encoder {
 	return &Encoder{session: session, machines: map[string]*encodedMachine{}}
 }
@@ -26,8 +26,8 @@
 // Session returns the number of the session.
 func (e *Encoder) Session() uint64 { return e.session }
 
-// Encode encodes a heartbeat. Deltas must be sent in the order in which they were encoded, with
-// the next Batch. The report's tasks must not be modified afterwards.
+// Encode encodes a heartbeat. Deltas must be sent in order with the next Batch. The report's tasks
+// must not be modified afterwards.
 func (e *Encoder) Encode(ref uint64, r *heartbeat.Report) Delta {
 	d := Delta{Ref: ref, Incarnation: r.Incarnation, Counter: r.Counter, FencingToken: r.FencingToken}
 	if r.HasNotice {
@@ -45,14 +45,13 @@
 	if id := identityOf(r); id != m.identity {
 		m.identity, previous = id, nil
 		d.Identity = &Identity{}
-		*d.Identity = id // copied so that id does not escape to the heap when the identity is unchanged
+		*d.Identity = id // copied so that id escapes to the heap only here
 	}
 	m.tasks = r.Tasks
 	d.encodeTasks(previous, r.Tasks)
 	return d
 }
 
-// identityOf returns the machine's identity fields of a report.
 func identityOf(r *heartbeat.Report) Identity {
 	return Identity{Host: r.Host, Address: r.Address, InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot}
 }
@@ -74,8 +73,7 @@
 	d.Added = tasks[matched:]
 }
 
-// Forget discards the state of a machine that no longer reports to this relay. The next batch
-// releases its handle at the leader.
+// Forget discards the state of a machine. The next batch releases its handle at the leader.
 func (e *Encoder) Forget(host string) {
 	if m := e.machines[host]; m != nil {
 		e.released = append(e.released, m.handle)
@@ -83,8 +81,7 @@
 	}
 }
 
-// Batch returns the next batch of the session. It carries the deltas, the refs of abandoned
-// heartbeats, and the handles released since the previous batch.
+// Batch returns the next batch of the session, with the handles released since the previous one.
 func (e *Encoder) Batch(reports []Delta, abandoned []uint64) *Batch {
 	e.number++
 	b := &Batch{Session: e.session, Number: e.number, Reports: reports, Abandoned: abandoned, Released: e.released}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,25 +1,24 @@
 // Package relay defines the protocol by which controllers forward heartbeats of workers to the
 // leader. A controller that is not the leader, called a relay, encodes each heartbeat as a delta
-// from the machine's previous one (Encoder). The leader restores the heartbeats (Decoder). The
-// package also balances workers between controllers (LeastLoaded, Imbalanced).
+// from the machine's previous one (Encoder); the leader decodes it (Decoder). The package also
+// balances workers between controllers (LeastLoaded, Imbalanced).
 //
-// The package does no I/O and reads no clock. Invariant: Decoder returns exactly the reports that
-// Encoder was given, in the order of their session, or an error.
+// The package does no I/O and reads no clock. Invariant: Decoder returns exactly the reports given
+// to Encoder, in order, or an error.
 package relay
 
 import "yewpass/internal/heartbeat"
 
-// Batch is a message from a relay to the leader with any number of heartbeats.
+// Batch is a message from a relay to the leader with zero or more heartbeats.
 type Batch struct {
 	Session   uint64   `json:"s"`
 	Number    uint64   `json:"n"`           // position in the session, starting at 1
-	Reports   []Delta  `json:"r,omitempty"` // in the order in which they were encoded
-	Abandoned []uint64 `json:"g,omitempty"` // refs of heartbeats whose workers no longer wait for a reply
+	Reports   []Delta  `json:"r,omitempty"` // in the order of encoding
+	Abandoned []uint64 `json:"g,omitempty"` // refs of heartbeats that need no reply any more
 	Released  []uint64 `json:"l,omitempty"` // handles of machines that no longer report to the relay
 }
 
-// Delta is a heartbeat encoded as the difference from the previous one of the same machine in the
-// same session.
+// Delta is the difference of a heartbeat from the machine's previous one in the session.
 type Delta struct {
 	Ref          uint64    `json:"i,omitempty"` // identifies the heartbeat at the relay; 0 if no reply is expected
 	Handle       uint64    `json:"h"`           // identifies the machine within the session
@@ -34,8 +33,7 @@
 	Added   Tasks        `json:"a,omitempty"` // appended to the list
 }
 
-// MaxMessageWeight is the approximate size limit of one message between controllers, in the unit of
-// Delta.Weight and Reply.Weight. Senders flush or split messages at this size.
+// MaxMessageWeight is the weight at which senders flush or split a message.
 const MaxMessageWeight = 400
 
 // baseWeight is the weight of a heartbeat or a reply without its tasks or orders.
@@ -67,7 +65,7 @@
 type Replies struct {
 	Session uint64  `json:"s"` // session of the heartbeats
 	List    []Reply `json:"r,omitempty"`
-	Resync  bool    `json:"a,omitempty"` // the relay must open a new session and send all pending heartbeats again
+	Resync  bool    `json:"a,omitempty"` // the relay must open a new session with all pending heartbeats
 }
 
 // Reply is the reply to the heartbeat with the same Ref.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,8 +14,8 @@
 // worker generates reports of a machine whose list of tasks changes randomly.
 type worker struct{ heartbeat.Report }
 
-// next returns the next report. If irregular is true, it sometimes reorders the tasks or changes
-// the zone, as no real worker does.
+// next returns the next report. If irregular, it sometimes reorders the tasks or changes the zone,
+// as no real worker does.
 func (w *worker) next(rng *rand.Rand, irregular bool) heartbeat.Report {
 	w.Counter++
 	ts := make([]heartbeat.Task, 0, len(w.Tasks)+3)
@@ -45,8 +45,8 @@
 	return w.Report
 }
 
-// TestRoundTrip checks that a decoder restores the encoded reports in order after a JSON round
-// trip, that it rejects batches with a wrong number or session, and that a new session recovers.
+// TestRoundTrip checks that reports survive encoding and JSON in order, that batches with a wrong
+// number or session are rejected, and that a new session recovers.
 func TestRoundTrip(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -232,8 +232,8 @@
 	return rs
 }
 
-// BenchmarkLine measures the processing of one forwarded report, either at the relay (encode and
-// marshal) or at the leader (unmarshal and decode).
+// BenchmarkLine measures one report at the relay (encode and marshal) and at the leader (unmarshal
+// and decode).
 func BenchmarkLine(b *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		for _, changes := range []bool{false, true} {
--- a/internal/relay/text.go
+++ b/internal/relay/text.go
@@ -10,10 +10,9 @@
 	"yewpass/internal/heartbeat"
 )
 
-// Lists of tasks and orders make up most of the traffic between controllers, especially after a
-// failover. Decoding JSON objects would cost the leader more than processing them, so each list
-// is encoded as one string. Fields are separated by spaces and list members by commas, and
-// names are escaped as in a URL query.
+// Each list of tasks or orders is encoded as one string, which the leader decodes faster than JSON
+// objects. Fields are separated by spaces and list members by commas, and names are escaped as in a
+// URL query.
 
 var errMalformedList = errors.New("malformed list of tasks or orders")
 
@@ -31,7 +30,6 @@
 	}), nil
 }
 
-// encodeList encodes a list, using appendMember for each member.
 func encodeList[T any](list []T, appendMember func(b []byte, x *T) []byte) []byte {
 	b := make([]byte, 0, 40*len(list))
 	for i := range list {
@@ -43,7 +41,6 @@
 	return b
 }
 
-// decodeList decodes a list, using readMember for each member.
 func decodeList[T any](text []byte, readMember func(f *fields) T) ([]T, error) {
 	f := fields{rest: string(text)}
 	list := make([]T, 0, 1+strings.Count(f.rest, ","))
@@ -103,7 +100,7 @@
 	return err
 }
 
-// maxDrain bounds the time that an order may give a task to save its checkpoint.
+// maxDrain bounds the time that an order gives a task to save its checkpoint.
 const maxDrain = 30 * 24 * time.Hour
 
 // fields reads the fields of an encoded list one by one. After an error hasNext returns false.
--- a/internal/relaylinks/links.go
+++ b/internal/relaylinks/links.go
@@ -1,7 +1,7 @@
-// Package relaylinks manages the leader's links to relays. A relay is a controller that is not
-// the leader and forwards heartbeats of its workers to the leader. The package decodes relayed
-// heartbeats, batches the replies to them, decides which controller a worker should report to,
-// and determines how long a worker may be silent after its relay has failed.
+// Package relaylinks manages the leader's links to relays. A relay is a controller that is not the
+// leader and forwards heartbeats of its workers to the leader. The package decodes relayed
+// heartbeats, batches replies, redirects workers to other controllers, and extends a worker's
+// silence limit after its relay has failed.
 package relaylinks
 
 import (
@@ -17,19 +17,18 @@
 	"yewpass/internal/relay"
 )
 
-// Leader is the view that Links has of the leader.
+// Leader is the leader that a Links works for.
 type Leader interface {
 	// IsLinked reports whether the link to a controller is up.
 	IsLinked(name string) bool
-	// MayRedirect reports whether workers may be redirected. This requires that the leader
-	// has authority and that failover is complete.
+	// MayRedirect reports whether workers may be redirected. The leader must have authority and
+	// the failover be complete.
 	MayRedirect() bool
 	// FleetSize returns the number of machines in the inventory.
 	FleetSize() int
 }
 
-// Links holds the links to relays for one leadership term. The name "" stands for the leader's
-// own socket, to which workers report directly.
+// Links holds the links to relays for one term. The name "" stands for the leader's own socket.
 type Links struct {
 	engine *engine.Engine
 	cfg    *config.Config
@@ -46,8 +45,7 @@
 	return &Links{engine: e, cfg: cfg, leader: leader, term: term, byName: map[string]*fleet.RelayLink{}}
 }
 
-// Link returns the link to a relay, or to the leader's own socket if name is "". It creates the
-// link if it does not exist.
+// Link returns the link to a relay, and creates it if it does not exist.
 func (l *Links) Link(name string) *fleet.RelayLink {
 	link := l.byName[name]
 	if link == nil {
@@ -63,18 +61,18 @@
 // DirectWorkers returns the number of workers that report to the leader directly.
 func (l *Links) DirectWorkers() int { return l.Link("").Workers }
 
-// Decode decodes a batch from a relay. sessionStarted reports whether the batch starts a new
-// session. The relay then sends all pending heartbeats again, and replies to those of the previous
-// session must be discarded. If ok is false, the batch must be ignored; Decode has asked the relay
-// for a new session unless the batch belongs to a closed one.
+// Decode decodes a batch from a relay. If sessionStarted, the batch starts a new session: the relay
+// sends all pending heartbeats again, and replies to those of the previous session must be
+// discarded. If ok is false, the batch must be ignored; Decode has asked for a new session unless
+// the batch belongs to a closed one.
 func (l *Links) Decode(from string, batch *relay.Batch) (reports []heartbeat.Report, sessionStarted, ok bool) {
 	link := l.Link(from)
 	previousSession := link.Decoder.Session()
 	reports, sessionStarted, err := link.Decoder.Decode(batch)
 	if sessionStarted {
 		if previousSession != 0 {
-			// The relay may have restarted without having been detected as silent. Its workers
-			// may then try another controller before they report here again.
+			// The relay may have restarted undetected, and its workers may try another
+			// controller before they report here again.
 			link.LastSilent = l.engine.Now
 		}
 		link.Replies, link.Weight = nil, 0
@@ -93,7 +91,7 @@
 }
 
 // Reply sends a reply along the path of its heartbeat. Replies through relays are buffered until
-// Flush is called or a message is full. Replies to an earlier session of the relay are dropped.
+// Flush or a full message. Replies to an earlier session of the relay are dropped.
 func (l *Links) Reply(via heartbeat.RelaySession, reply heartbeat.Reply) {
 	if via.Relay == "" {
 		l.engine.Emit(reply)
@@ -138,8 +136,7 @@
 	l.engine.Emit(peermsg.Outgoing{To: name, Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: l.term, HeartbeatReplies: replies}})
 }
 
-// Attach records that a machine reports through a relay, and updates the worker counts of this
-// and the previous relay.
+// Attach records that a machine reports through a relay, and updates the relays' worker counts.
 func (l *Links) Attach(m *fleet.Machine, name string) {
 	if link := l.Link(name); m.Relay != link {
 		Detach(m)
--- a/internal/relaylinks/redirect.go
+++ b/internal/relaylinks/redirect.go
@@ -8,12 +8,10 @@
 	"yewpass/internal/relay"
 )
 
-// relayTimeout is the time since a relay's last batch after which workers are no longer
-// redirected to it.
+// relayTimeout is how long after its last batch a relay still accepts redirected workers.
 const relayTimeout = 3 * time.Second
 
-// Nodes returns the relays to which workers can be redirected now. The slice is valid until the
-// next call.
+// Nodes returns the relays that accept workers. The slice is valid until the next call.
 func (l *Links) Nodes() []relay.Node {
 	l.nodes = l.nodes[:0]
 	for _, s := range l.cfg.Seeds {
@@ -31,8 +29,7 @@
 	return link != nil && l.leader.IsLinked(name) && link.Decoder.Session() != 0 && l.engine.Now.Sub(link.LastBatch) < relayTimeout
 }
 
-// nodeCapacity returns the number of workers that a controller can serve. The remaining
-// connections are reserved for users.
+// nodeCapacity returns the number of workers that a controller can serve beside users.
 func nodeCapacity(cfg *config.Config) int {
 	if n := cfg.Settings.Limits.MaxConnections; n > 0 {
 		return max(4, relay.MaxClientConnections(n)*5/6)
@@ -40,21 +37,19 @@
 	return 1 << 30
 }
 
-// MaxFleetSize returns the number of machines that the controllers can serve together. It counts
-// neither the leader, which redirects workers to the others, nor one other controller, which may
-// be down.
+// MaxFleetSize returns the number of machines that the controllers can serve together, without the
+// leader and with one other controller down.
 func MaxFleetSize(cfg *config.Config) int {
 	return nodeCapacity(cfg) * max(1, len(cfg.Seeds)-1)
 }
 
-// RedirectTarget returns the controller to which a machine that has just reported through the
-// relay via should be redirected, or "" if it should stay. first is true for the first
-// heartbeat ever received from the machine.
+// RedirectTarget returns the controller to which a machine that has just reported through the relay
+// via should be redirected, or "" if it should stay. first is true for the first heartbeat ever
+// received from the machine.
 //
 // Redirects are rate-limited so that workers do not reconnect all at once. A new machine that
-// reports directly to the leader is exempt, since it has no tasks that a failed redirect could
-// cost. A machine redirected recently is not redirected again, since it may have returned because
-// it cannot reach the other controller.
+// reports directly to the leader is exempt, since it has no tasks to lose. A machine redirected
+// recently is not redirected again, since it may be unable to reach the other controller.
 func (l *Links) RedirectTarget(m *fleet.Machine, via string, first bool) string {
 	now := l.engine.Now
 	if len(l.cfg.Seeds) == 0 || !l.leader.MayRedirect() || m.Releasing || now.Sub(m.LastRedirect) < 3*l.cfg.Settings.Workers.Lease.Duration() {
--- a/internal/relaylinks/silence.go
+++ b/internal/relaylinks/silence.go
@@ -7,9 +7,8 @@
 	"yewpass/internal/forwarder"
 )
 
-// WorkerRetryTimeout is the time until a worker tries the next controller after it has sent a
-// heartbeat to a relay that has just failed. It consists of the reply timeout and the delay
-// before the retry.
+// WorkerRetryTimeout is the time until a worker tries the next controller after a heartbeat to a
+// failed relay: the reply timeout plus the retry delay.
 const WorkerRetryTimeout = 4*time.Second + time.Second
 
 // MaxReconnectTime returns the time within which a healthy worker is heard from again after its
@@ -21,9 +20,9 @@
 
 func (l *Links) heartbeatInterval() time.Duration { return l.cfg.Settings.Workers.Report.Duration() }
 
-// MarkSilentRelays updates LastSilent of the relays that have missed their keep-alive batches.
-// A healthy worker of such a relay reports to another controller only after its next heartbeat
-// has timed out. It must not be released before that, or its tasks would be lost needlessly.
+// MarkSilentRelays updates LastSilent of the relays that have missed their keep-alive batches. A
+// healthy worker of such a relay must not be released before its next heartbeat has timed out and
+// it has reported to another controller.
 func (l *Links) MarkSilentRelays() {
 	for _, s := range l.cfg.Seeds {
 		if link := l.byName[s.HostName]; link != nil && l.engine.Now.Sub(link.LastBatch) > 3*forwarder.KeepAliveInterval {
@@ -32,16 +31,16 @@
 	}
 }
 
-// IsOverdue reports whether a machine's next heartbeat is overdue. The limit allows for jitter of
-// a quarter of the interval and for the time until the previous reply.
+// IsOverdue reports whether a machine's next heartbeat is overdue. The limit allows for a quarter
+// of the interval as jitter, and for the previous reply.
 func (l *Links) IsOverdue(m *fleet.Machine) bool {
 	return l.engine.Now.Sub(m.LastHeartbeat) > l.heartbeatInterval()*3/2
 }
 
 // MarkIsolatedRelays updates LastSilent of the relays that seem to be cut off from their workers
-// while the leader still receives batches from them. overdue is the number of overdue workers
-// per relay. If more than a quarter of a relay's workers, and at least three, are overdue, they
-// have probably lost the relay. Fewer are assumed to have failed themselves.
+// while the leader still receives batches from them. overdue is the number of overdue workers per
+// relay. A relay seems cut off if at least three, and more than a quarter, of its workers are
+// overdue.
 func (l *Links) MarkIsolatedRelays(overdue map[*fleet.RelayLink]int) {
 	for link, n := range overdue {
 		if n > 2 && 4*n > link.Workers {
--- a/internal/replica/compatibility_test.go
+++ b/internal/replica/compatibility_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestDigestOf5990396 checks that the digest of keys is the same as in version 5990396, since
-// controllers of both versions compare digests during an upgrade.
+// TestDigestOf5990396 checks that the digest equals that of version 5990396, with which controllers
+// compare digests during an upgrade.
 func TestDigestOf5990396(t *testing.T) {
 	var got Digest
 	got.Add("yewpass/live/job/wk-7")
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,11 +1,9 @@
 // Package replica implements in-memory replicas of the records in the key-value store, and the
-// stream that copies a replica to another controller. The leader's replica holds what it has
-// read and committed. A stream consists of a snapshot followed by changes. After a data loss
-// the store is restored from the newest replica.
+// stream that copies a replica to another controller: a snapshot followed by changes. After a data
+// loss the store is restored from the newest replica.
 //
-// The package does no I/O; package peer encodes the lines of a stream and adds a checksum to
-// each. Invariant: a replica is considered complete only if every line of exactly one stream
-// has been applied exactly once.
+// The package does no I/O; package peer encodes and checksums the lines of a stream. Invariant: a
+// replica is complete only if every line of exactly one stream has been applied exactly once.
 package replica
 
 import (
@@ -30,8 +28,8 @@
 // After reports whether v is newer than o.
 func (v Version) After(o Version) bool { return v.Term > o.Term || v.Term == o.Term && v.Seq > o.Seq }
 
-// Replica holds the records as of a version. The records under one prefix are bounded: only the
-// most recently added ones are kept. A Replica is not safe for concurrent use.
+// Replica holds the records as of a version. Of the records under one prefix, only the most
+// recently added ones are kept. A Replica is not safe for concurrent use.
 type Replica struct {
 	Era uint64 // of the store's data; see package recovery
 	Version
@@ -42,8 +40,7 @@
 	boundedKeys   []string // oldest first
 }
 
-// New returns an empty replica that keeps at most boundedMax records whose keys begin with
-// boundedPrefix.
+// New returns an empty replica that keeps at most boundedMax records under boundedPrefix.
 func New(era, term uint64, boundedPrefix string, boundedMax int) *Replica {
 	return &Replica{Era: era, Version: Version{Term: term}, records: map[string]*Record{}, boundedPrefix: boundedPrefix, boundedMax: boundedMax}
 }
@@ -65,7 +62,7 @@
 	}
 }
 
-// Delete removes a record. It has no effect if the record does not exist.
+// Delete removes a record if it exists.
 func (r *Replica) Delete(key string) {
 	if r.records[key] == nil {
 		return
@@ -77,8 +74,7 @@
 }
 
 // InheritBounded adds the bounded records of an earlier replica that r lacks, as the oldest and
-// with revision 0, up to the limit. Otherwise a leader that started with few of these records
-// would lose the others. Bounded records are immutable, so the earlier values are valid.
+// with revision 0, up to the limit. Bounded records are immutable, so the earlier values are valid.
 func (r *Replica) InheritBounded(earlier *Replica) {
 	if earlier == nil || earlier == r {
 		return
@@ -116,8 +112,7 @@
 	return keys
 }
 
-// BoundedKeys returns the keys of the bounded records, oldest first. The slice must not be
-// modified.
+// BoundedKeys returns the keys of the bounded records, oldest first, for reading only.
 func (r *Replica) BoundedKeys() []string { return r.boundedKeys }
 
 // Digest summarizes a set of keys. Sets with equal digests are considered equal.
@@ -126,8 +121,7 @@
 	Hash  uint64 `json:"h"`
 }
 
-// Add adds a key to the set. The order of additions does not matter. Each key must be added
-// only once.
+// Add adds a key, in any order. Each key must be added only once.
 func (d *Digest) Add(key string) {
 	h := fnv.New64a()
 	h.Write([]byte(key))
@@ -145,7 +139,7 @@
 	return d
 }
 
-// DigestOf returns the digest of the keys of a list of records.
+// DigestOf returns the digest of the records' keys.
 func DigestOf(records []Record) (d Digest) {
 	for _, rec := range records {
 		d.Add(rec.Key)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -7,7 +7,6 @@
 	"testing"
 )
 
-// haveSameRecords reports whether two replicas have the same keys and values.
 func haveSameRecords(a, b *Replica) bool {
 	if a == nil || b == nil || !slices.Equal(a.Keys(""), b.Keys("")) {
 		return false
@@ -24,8 +23,8 @@
 
 func fixedSize(Record) int { return 10 }
 
-// TestStream checks that a receiver ends up with a replica equal to the sender's although records
-// change during the snapshot and lines are lost, duplicated or reordered.
+// TestStream checks that a receiver's replica equals the sender's although records change during
+// the snapshot and lines are lost, duplicated or reordered.
 func TestStream(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -128,7 +127,7 @@
 }
 
 // TestSnapshotLineSize checks that snapshot lines respect the limits on records and bytes, except
-// for a single larger record, and that none is empty before the snapshot is complete.
+// for a single larger record, and that only the last is empty.
 func TestSnapshotLineSize(t *testing.T) {
 	c := New(1, 1, "f/", 3)
 	for i := range 50 {
--- a/internal/replica/stream.go
+++ b/internal/replica/stream.go
@@ -21,21 +21,20 @@
 	complete        bool
 }
 
-// NewSender returns a sender for a new stream of r. The session number must not be 0 or have
-// been used before.
+// NewSender returns a sender of r. The session number must not be 0 or have been used before.
 func NewSender(session uint64, r *Replica) *Sender {
 	return &Sender{session: session, remainingKeys: r.Keys("")}
 }
 
-// Session returns the session number that identifies the stream.
+// Session returns the session number.
 func (s *Sender) Session() uint64 { return s.session }
 
 // Complete reports whether the whole snapshot has been sent.
 func (s *Sender) Complete() bool { return s.complete }
 
 // NextSnapshotLine returns the next part of the snapshot, with at most maxRecords records of at
-// most maxBytes in total as computed by size. A record larger than maxBytes is sent alone. Once
-// the whole snapshot has been sent, it returns an empty line and more is false.
+// most maxBytes in total as computed by size. A larger record is sent alone. Once the whole
+// snapshot has been sent, line is empty and more is false.
 func (s *Sender) NextSnapshotLine(r *Replica, maxRecords, maxBytes int, size func(Record) int) (line Line, more bool) {
 	if s.complete {
 		return Line{}, false
@@ -56,8 +55,7 @@
 	return s.stamp(r, line), true
 }
 
-// ChangeLine returns the line for a change. It must be called right after the change has been
-// applied to the replica.
+// ChangeLine returns the line for a change. Call it right after applying the change to the replica.
 func (s *Sender) ChangeLine(r *Replica, puts []Record, deletes []string) Line {
 	return s.stamp(r, Line{Puts: puts, Deletes: deletes})
 }
@@ -70,24 +68,23 @@
 	return line
 }
 
-// Receiver is the receiving end of successive streams. It keeps the last complete replica until
-// the next one is complete. The zero value is ready to use.
+// Receiver is the receiving end of successive streams. It keeps a complete replica until the next
+// one is complete. The zero value is ready to use.
 type Receiver struct {
 	session, number uint64
 	incoming        *Replica // of the current stream; nil after a gap
 	complete        *Replica // last complete replica; may be the same as incoming
 }
 
-// ErrGap is returned for a line that does not follow the previous one. The incoming replica is
-// then discarded, and the sender must start a new stream.
+// ErrGap is returned for a line that does not follow the previous one. The sender must then start a
+// new stream.
 var ErrGap = errors.New("lines are missing from the replica stream")
 
 // Replica returns the last complete replica, or nil.
 func (rc *Receiver) Replica() *Replica { return rc.complete }
 
-// Receive applies a line, or returns ErrGap. A line numbered 1 of another session starts a new
-// replica, for which boundedPrefix and boundedMax are passed to New. Duplicate lines and lines
-// of an earlier term than the complete replica are ignored.
+// Receive applies a line, or returns ErrGap. Line 1 of another session starts a replica with the
+// given bounds. Duplicate lines and lines of an earlier term than the complete replica are ignored.
 func (rc *Receiver) Receive(line *Line, boundedPrefix string, boundedMax int) error {
 	if line.Number == 1 && line.Session != 0 && line.Session != rc.session {
 		if rc.isOutdated(line) {
@@ -126,7 +123,6 @@
 	return line.Session == rc.session && line.Number == rc.number+1 && line.Term == r.Term && line.Era == r.Era && line.Seq >= r.Seq
 }
 
-// isOutdated reports whether a line is of an earlier term than the complete replica.
 func (rc *Receiver) isOutdated(line *Line) bool {
 	return rc.complete != nil && line.Term < rc.complete.Term
 }
--- a/internal/replication/finals.go
+++ b/internal/replication/finals.go
@@ -5,9 +5,8 @@
 	"yewpass/internal/replica"
 )
 
-// FinalRecordFetch receives the replica of another controller in the background, after failover,
-// for the final records of ended jobs. The store may have lost some of them undetected, and a
-// newly started leader has none in memory.
+// FinalRecordFetch receives another controller's replica after failover, for final records that the
+// store has lost undetected or that a newly started leader does not have in memory.
 type FinalRecordFetch struct {
 	source   string // host name of the controller, or "" if no fetch is in progress
 	receiver replica.Receiver
@@ -16,12 +15,12 @@
 // SetSource sets the controller whose replica is received. An empty name disables the fetch.
 func (f *FinalRecordFetch) SetSource(name string) { f.source = name }
 
-// Source returns the controller whose replica is received, or "" if no fetch is in progress.
+// Source returns the name passed to SetSource, or "" once the fetch has ended.
 func (f *FinalRecordFetch) Source() string { return f.source }
 
-// Receive applies a line of the source's replica. It returns the replica and ends the fetch
-// once the replica is complete, and nil before. Missing lines are not requested again because
-// the leader does not depend on this fetch.
+// Receive applies a line of the source's replica. It returns the replica and ends the fetch once
+// the replica is complete, and nil before. Missing lines are not requested again: the leader does
+// not depend on them.
 func (f *FinalRecordFetch) Receive(line *replica.Line, maxFinalRecords int) *replica.Replica {
 	if f.receiver.Receive(line, record.FinalPrefix, maxFinalRecords) != nil {
 		return nil
@@ -34,8 +33,8 @@
 }
 
 // MergeFetched adds the final records and the missing schedules of another replica to the
-// publisher's replica, with revision 0 because the store may not have them. Schedules are
-// outside the key range that a new leader compares, so their loss could go undetected.
+// publisher's replica, with revision 0 because the store may not have them. A new leader does not
+// compare schedules, so their loss could go undetected.
 func (p *Publisher) MergeFetched(fetched *replica.Replica) {
 	own := p.Replica()
 	own.InheritBounded(fetched)
--- a/internal/replication/publisher.go
+++ b/internal/replication/publisher.go
@@ -10,8 +10,8 @@
 	"yewpass/internal/writebatch"
 )
 
-// Publisher keeps the leader's replica up to date and streams it to the other controllers,
-// its followers. It is valid for a single leadership term.
+// Publisher keeps the leader's replica up to date and streams it to the other controllers, its
+// followers, for one term.
 type Publisher struct {
 	replicas  *Replicas
 	scope     *engine.Scope
@@ -26,8 +26,7 @@
 	return &Publisher{replicas: replicas, scope: scope, term: term, followers: map[string]*replica.Sender{}}
 }
 
-// Replica returns the replica of the publisher's term, or nil before the leader has loaded the
-// records.
+// Replica returns the replica of the publisher's term, or nil before the records are loaded.
 func (p *Publisher) Replica() *replica.Replica {
 	if own := p.replicas.own; own != nil && own.Term == p.term {
 		return own
@@ -48,8 +47,7 @@
 }
 
 // PublishDelete publishes the deletion of a record. It must be called only for records that the
-// leader has deleted. A record that is merely absent from the store may have been lost, and
-// the replica may then hold its last copy.
+// leader has deleted: of a record that the store has lost, the replica may hold the last copy.
 func (p *Publisher) PublishDelete(key string) {
 	if own := p.Replica(); own != nil {
 		if _, ok := own.Get(key); ok {
@@ -82,7 +80,6 @@
 	}
 }
 
-// publish applies a change to the replica and sends it to the followers.
 func (p *Publisher) publish(puts []replica.Record, deletes []string) {
 	own := p.replicas.own
 	for _, rec := range puts {
@@ -99,9 +96,8 @@
 	}
 }
 
-// StartStreams starts a stream to every linked controller that has none. Each of them may
-// become the leader that restores the store, and a controller without a replica accepts no
-// jobs while there is no leader.
+// StartStreams starts a stream to every linked controller that has none. Each of them may become
+// leader and restore the store; without a replica it accepts no leaderless jobs.
 func (p *Publisher) StartStreams() {
 	if p.Replica() == nil {
 		return
@@ -118,8 +114,8 @@
 	}
 }
 
-// CompleteFollowers returns the names of the controllers that have been sent the whole
-// snapshot, in the order of the configured seeds.
+// CompleteFollowers returns the controllers that have been sent the whole snapshot, in the order of
+// the seeds.
 func (p *Publisher) CompleteFollowers() (names []string) {
 	for _, seed := range p.replicas.cfg.Seeds {
 		if follower := p.followers[seed.HostName]; follower != nil && follower.Complete() {
@@ -129,20 +125,20 @@
 	return names
 }
 
-// DropFollower ends the stream to a controller. The next StartStreams starts a new one if the
-// controller is linked.
+// DropFollower ends the stream to a controller. The next StartStreams starts a new one if it is
+// linked.
 func (p *Publisher) DropFollower(name string) { delete(p.followers, name) }
 
-// RestartFollower ends a stream in which the controller has missed lines, so that the next
-// StartStreams starts a new one. Requests for any other session are ignored.
+// RestartFollower ends the given session's stream after a gap. The next StartStreams starts a new
+// one.
 func (p *Publisher) RestartFollower(name string, session uint64) {
 	if follower := p.followers[name]; follower != nil && follower.Session() == session {
 		p.DropFollower(name)
 	}
 }
 
-// sendSnapshotParts sends the next part of the snapshot to each incomplete follower, and
-// reschedules itself until all followers are complete.
+// sendSnapshotParts sends the next part of the snapshot to each incomplete follower, until all are
+// complete.
 func (p *Publisher) sendSnapshotParts() {
 	p.snapshotScheduled = false
 	incomplete := 0
--- a/internal/replication/replicas.go
+++ b/internal/replication/replicas.go
@@ -1,10 +1,10 @@
-// Package replication replicates the records of the key-value store to every controller, so
-// that they can be restored after the store has lost data. The leader's Publisher streams its
-// replica to the other controllers, and its Scrubber compares the store with that replica.
-// Replicas holds the replicas of one controller and transfers the newest to a new leader.
+// Package replication replicates the records of the key-value store to every controller, to restore
+// them after a data loss. The leader's Publisher streams its replica, and its Scrubber compares the
+// store with it. Replicas holds the replicas of one controller and transfers the newest to a new
+// leader.
 //
-// Invariants: a committed change is sent to the followers before it is acknowledged, and a
-// process discards its newest replica only after it has a complete one of a later term.
+// Invariants: a committed change is sent to the followers before it is acknowledged, and a process
+// discards its newest replica only after it has a complete one of a later term.
 package replication
 
 import (
@@ -23,8 +23,8 @@
 const (
 	snapshotInterval  = 100 * time.Millisecond // between two lines of a snapshot
 	recordsPerLine    = 200                    // for one transfer, or shared by all incomplete followers
-	maxLineBytes      = 96 << 10               // well below the longest line that a peer accepts
-	finalRecordsPerMB = 40                     // per MB of memory; a record takes about 250 bytes
+	maxLineBytes      = 96 << 10               // well below a peer's limit
+	finalRecordsPerMB = 40                     // per MB of memory
 )
 
 // Controller is the view that replication has of its controller.
@@ -39,8 +39,8 @@
 	HasLoadedRecords() bool
 }
 
-// MaxFinalRecords returns the number of final records of jobs that a controller keeps, in
-// proportion to its memory limit.
+// MaxFinalRecords returns how many final records a controller keeps, in proportion to its memory
+// limit.
 func MaxFinalRecords(cfg *config.Config) int {
 	return max(4096, int(cfg.Settings.Limits.MemMB*finalRecordsPerMB))
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// Replicas holds the replicas of one controller in memory. It outlives leadership terms.
+// Replicas holds the replicas of one controller across leadership terms.
 type Replicas struct {
 	engine     *engine.Engine
 	cfg        *config.Config
@@ -69,7 +69,6 @@
 	transfers map[string]*transfer // by destination
 }
 
-// transfer is the ongoing transfer of a replica to another controller.
 type transfer struct {
 	sender *replica.Sender
 	source *replica.Replica
@@ -80,8 +79,7 @@
 	return &Replicas{engine: e, cfg: cfg, controller: controller, transfers: map[string]*transfer{}}
 }
 
-// NewReplica returns an empty replica for a term that keeps at most MaxFinalRecords final
-// records. It is not stored; see SetOwn.
+// NewReplica returns an empty replica with a limit of MaxFinalRecords. SetOwn stores it.
 func (rs *Replicas) NewReplica(era, term uint64) *replica.Replica {
 	return replica.New(era, term, record.FinalPrefix, MaxFinalRecords(rs.cfg))
 }
@@ -92,8 +90,7 @@
 // SetOwn sets the replica of the term that this controller leads.
 func (rs *Replicas) SetOwn(r *replica.Replica) { rs.own = r }
 
-// Newest returns the newer of the own replica and the complete one received from a leader, or
-// nil if there is neither.
+// Newest returns the newer of the own and the complete received replica, or nil without either.
 func (rs *Replicas) Newest() *replica.Replica {
 	if received := rs.received.Replica(); received.NewerThan(rs.own) {
 		return received
@@ -101,14 +98,14 @@
 	return rs.own
 }
 
-// ReceiveFromLeader applies a line that the leader has sent. If an earlier line is missing, it
-// requests a new stream from the leader and returns false.
+// ReceiveFromLeader applies a line that the leader has sent. It returns false after a gap, like
+// Receive.
 func (rs *Replicas) ReceiveFromLeader(from string, line *replica.Line) bool {
 	return rs.Receive(&rs.received, from, line)
 }
 
-// Receive applies a line from a peer to a receiver. If an earlier line is missing, it requests
-// a new stream from the peer and returns false.
+// Receive applies a line from a peer to a receiver. After a gap it requests a new stream and
+// returns false.
 func (rs *Replicas) Receive(receiver *replica.Receiver, from string, line *replica.Line) bool {
 	err := receiver.Receive(line, record.FinalPrefix, MaxFinalRecords(rs.cfg))
 	if err != nil {
@@ -118,9 +115,9 @@
 	return err == nil
 }
 
-// DropOutdatedOwn discards the own replica once this controller holds a complete replica of a
-// later term. It deliberately ignores the highest observed term: after a data loss terms skip
-// far ahead, and the own replica may still be the newest one in the cluster.
+// DropOutdatedOwn discards the own replica once this controller holds a complete replica of a later
+// term. It ignores the highest observed term: after a data loss terms skip ahead, and the own
+// replica may still be the cluster's newest.
 func (rs *Replicas) DropOutdatedOwn() {
 	if received := rs.received.Replica(); rs.own != nil && received != nil && received.Term > rs.own.Term {
 		rs.own = nil
@@ -128,8 +125,7 @@
 }
 
 // SendLeaderlessJob adds a job that was accepted without a leader to this controller's newest
-// replica and sends it to all controllers. Until a leader adopts the job, no replica stream
-// carries it.
+// replica and sends it to all controllers. No replica stream carries it until a leader adopts it.
 func (rs *Replicas) SendLeaderlessJob(job *record.Job, rev uint64) {
 	rec := replica.Record{Key: record.JobPrefix + job.Spec.ID, Value: job, Rev: rev}
 	if newest := rs.Newest(); newest != nil {
@@ -142,8 +138,8 @@
 	}
 }
 
-// ReceiveLeaderlessJob adds a job that another controller has accepted without a leader to the
-// newest replica. It ignores the job if the replica is of another term or already has it.
+// ReceiveLeaderlessJob adds a job that a peer has accepted without a leader to the newest replica,
+// unless that is of another term or already has the job.
 func (rs *Replicas) ReceiveLeaderlessJob(line *replica.Line) {
 	newest := rs.Newest()
 	if newest == nil || newest.Term != line.Term {
@@ -156,9 +152,9 @@
 	}
 }
 
-// StartTransfer starts to send the newest replica to a peer, replacing any transfer in
-// progress. The peer is a new leader that has requested it, or, before this controller leads, one
-// without a replica, so that the data survives if this process ends.
+// StartTransfer starts to send the newest replica to a peer, replacing any transfer in progress.
+// The peer is a new leader that has requested it or, before this controller leads, one without a
+// replica.
 func (rs *Replicas) StartTransfer(peer string) {
 	newest := rs.Newest()
 	if newest == nil {
@@ -169,16 +165,15 @@
 	rs.continueTransfer(peer, t)
 }
 
-// RestartTransfer restarts a transfer in which the peer has missed lines. Requests for any
-// other session are ignored.
+// RestartTransfer restarts the given session's transfer after a gap.
 func (rs *Replicas) RestartTransfer(peer string, session uint64) {
 	if t := rs.transfers[peer]; t != nil && t.sender.Session() == session {
 		rs.StartTransfer(peer)
 	}
 }
 
-// continueTransfer sends the next line and schedules the one after it. A transfer stops when it
-// is complete, has been replaced, or this controller has loaded records as the leader.
+// continueTransfer sends the next line and schedules the one after it, until the transfer is
+// complete or replaced, or this controller has loaded records as the leader.
 func (rs *Replicas) continueTransfer(peer string, t *transfer) {
 	if rs.transfers[peer] != t {
 		return
@@ -192,7 +187,7 @@
 	rs.engine.After(snapshotInterval/5, func() { rs.continueTransfer(peer, t) })
 }
 
-// newSession returns a random, nonzero session number for a new stream.
+// newSession returns a random, nonzero session number.
 func (rs *Replicas) newSession() uint64 { return rs.engine.Rand.Uint64() | 1 }
 
 func (rs *Replicas) send(to string, line replica.Line) {
--- a/internal/replication/replication_test.go
+++ b/internal/replication/replication_test.go
@@ -17,7 +17,6 @@
 	"yewpass/internal/writebatch"
 )
 
-// node is a controller with only the replication component.
 type node struct {
 	engine       *engine.Engine
 	replicas     *Replicas
@@ -41,8 +40,7 @@
 	return n
 }
 
-// step returns the replica lines sent to a peer since the previous step, and advances the clock
-// by 10 ms.
+// step returns the replica lines sent to a peer in this step, and advances the clock by 10 ms.
 func (n *node) step(to string) (lines []*replica.Line) {
 	for _, o := range n.engine.Outputs {
 		if m, ok := o.(peermsg.Outgoing); ok && m.To == to && m.Msg.Kind == peermsg.Replica {
--- a/internal/replication/scrubber.go
+++ b/internal/replication/scrubber.go
@@ -21,19 +21,18 @@
 
 // ScrubHost is the view that a Scrubber has of its controller.
 type ScrubHost interface {
-	// AdmitScrub reports whether the rate limit permits reading one page and one record now,
-	// and consumes the tokens for both reads if so.
+	// AdmitScrub reports whether the rate limit permits two reads now, and consumes their tokens if
+	// so.
 	AdmitScrub() bool
 	// StoreRevision returns the highest observed revision of the store.
 	StoreRevision() uint64
-	// ReportDataLoss is called with a description of the loss when the store has lost data.
+	// ReportDataLoss is called with a description when the store has lost data.
 	ReportDataLoss(reason string)
 }
 
 // Scrubber continuously compares the store with the leader's replica, one page at a time. It
-// detects the loss of single records, which neither the store reports nor a change of term
-// reveals. The next leader restores lost records from the replicas. Final records are not
-// listed, as their number is unbounded; each run looks up one that the replica has.
+// detects the loss of single records, which the next leader restores. Final records are not listed,
+// as their number is unbounded; each run looks up one that the replica has.
 type Scrubber struct {
 	publisher *Publisher
 	writes    *writebatch.Batcher
@@ -44,8 +43,7 @@
 	finalIndex  int    // of the last verified key in the replica's bounded keys
 }
 
-// NewScrubber returns a scrubber for the publisher's replica. It skips records for which writes
-// has uncommitted changes.
+// NewScrubber returns a scrubber that skips records with uncommitted changes in writes.
 func NewScrubber(publisher *Publisher, writes *writebatch.Batcher, host ScrubHost) *Scrubber {
 	return &Scrubber{publisher: publisher, writes: writes, host: host}
 }
@@ -64,7 +62,7 @@
 	}
 }
 
-// readPage lists the next page and verifies the first record that appears to be missing from it.
+// readPage lists the next page and verifies the first record that seems to be missing.
 func (s *Scrubber) readPage(own *replica.Replica) {
 	prefix, requestRevision := scrubbedPrefixes[s.prefixIndex], s.host.StoreRevision()
 	s.publisher.scope.CallStore(kv.Request{Op: kv.List, Key: prefix, From: s.lastKey, Limit: scrubPageSize}, func(r kv.Response) {
--- a/internal/restore/restore.go
+++ b/internal/restore/restore.go
@@ -1,6 +1,6 @@
-// Package restore writes records that the key-value store has lost back to it. Records are
-// written in small batches with a lower priority than user requests. The writes carry conditions,
-// so that a delayed write cannot bring back a finished job or a removed schedule.
+// Package restore writes lost records back to the key-value store, at a lower priority than user
+// requests. Conditions keep a delayed write from bringing back a finished job or a removed
+// schedule.
 package restore
 
 import (
@@ -20,7 +20,7 @@
 	"yewpass/internal/writebatch"
 )
 
-// pollInterval is how often the progress of restoring schedules is checked.
+// pollInterval is how often WhenSchedulesRestored checks.
 const pollInterval = 100 * time.Millisecond
 
 // Leader is the leader that a Restorer works for.
@@ -30,12 +30,12 @@
 	// ScheduleProgressWrite queues a write of the progress of one chunk of a job if it is
 	// known.
 	ScheduleProgressWrite(job string, chunk int)
-	// SetConfigHeadRevision records the revision at which the head record of the configuration
-	// was written.
+	// SetConfigHeadRevision records the revision of the written head record of the
+	// configuration.
 	SetConfigHeadRevision(rev uint64)
 }
 
-// Schedules is the leader's set of schedules.
+// Schedules holds the leader's schedules.
 type Schedules interface {
 	// Has reports whether the schedule is known.
 	Has(name string) bool
@@ -47,7 +47,7 @@
 	SetNumberRevision(uint64)
 }
 
-// DataLoss describes a data loss and the progress of its repair by the leader that detected it.
+// DataLoss describes a data loss and the progress of its repair.
 type DataLoss struct {
 	Reason   string    // evidence of the loss
 	Source   string    // controller whose replica was merged, or ""
@@ -67,7 +67,7 @@
 	MaxQueued int // maximum number of queued changes of bulk priority
 }
 
-// Restorer writes lost records back during one leadership.
+// Restorer restores lost records during one leadership.
 type Restorer struct {
 	engine *engine.Engine
 	scope  *engine.Scope
@@ -94,7 +94,6 @@
 	}
 }
 
-// addPending adds n to the counters of pending records that include key.
 func (r *Restorer) addPending(key string, n int) {
 	if record.IsScheduleKey(key) {
 		r.pendingSchedules += n
@@ -113,8 +112,8 @@
 // ConfigPending reports whether any configuration record is still to be written back.
 func (r *Restorer) ConfigPending() bool { return r.pendingConfig > 0 }
 
-// WhenSchedulesRestored calls f when no schedule record is pending, immediately or within
-// pollInterval of the last one.
+// WhenSchedulesRestored calls f immediately or within pollInterval after the last pending schedule
+// record.
 func (r *Restorer) WhenSchedulesRestored(f func()) {
 	if r.pendingSchedules == 0 {
 		f()
@@ -124,8 +123,8 @@
 }
 
 // Prepare sorts the records into the order in which they are written back. It removes the machine
-// records and returns their keys. The caller must write those immediately, because no task starts
-// on a machine without a record.
+// records and returns their keys. The caller must write those at once: no task starts on a machine
+// without a record.
 func (r *Restorer) Prepare() (machineRecords map[string]bool) {
 	machineRecords = map[string]bool{}
 	r.queue = slices.DeleteFunc(r.queue, func(rec replica.Record) bool {
@@ -147,9 +146,9 @@
 	return machineRecords
 }
 
-// restorePriority returns the sort key of a record. The order is: schedules and configuration,
-// because no occurrence is created before the schedules are restored; jobs, the most urgent and
-// oldest first; progress records; and final records.
+// restorePriority returns the sort key of a record. The order is: schedules, which occurrences wait
+// for, and configuration; jobs, the most urgent and oldest first; progress records; and final
+// records.
 func restorePriority(rec replica.Record) (rank int, submitted time.Time) {
 	switch v := rec.Value.(type) {
 	case *schedule.Record, *record.ScheduleNumber, *liveconfig.HeadRecord, *liveconfig.TeamRecord:
@@ -171,7 +170,6 @@
 	}
 }
 
-// restore writes back the current value of a record, unless it is obsolete by then.
 func (r *Restorer) restore(rec replica.Record) {
 	if part, ok := strings.CutPrefix(rec.Key, record.ProgressPrefix); ok {
 		// Progress is written by the same path as new progress.
@@ -184,8 +182,7 @@
 	r.writeBack(rec, func(kv.Entry) { r.markRestored(rec.Key) })
 }
 
-// markRestored counts a record as restored. It is also called for records that no longer need to
-// be written.
+// markRestored also counts records that no longer need to be written.
 func (r *Restorer) markRestored(key string) {
 	r.addPending(key, -1)
 	if r.loss.Pending--; r.loss.Pending == 0 {
--- a/internal/restore/write.go
+++ b/internal/restore/write.go
@@ -12,12 +12,12 @@
 	"yewpass/internal/writebatch"
 )
 
-// defaultSize is the estimated size in bytes of a change for records without their own estimate.
+// defaultSize is the size estimate in bytes for records without their own.
 const defaultSize = 400
 
 // writeBack writes a lost record back, on the condition that its revision in the store is still
-// rec.Rev. It then calls done with the entry in the store. The entry is empty if it is not known
-// or the record no longer needs to be written.
+// rec.Rev. It then calls done with the entry in the store, which is empty if unknown or if nothing
+// had to be written.
 func (r *Restorer) writeBack(rec replica.Record, done func(stored kv.Entry)) {
 	change := newChange(rec)
 	change.Prepare = func() bool {
@@ -28,8 +28,8 @@
 		}
 		change.Writes[0].Value = value
 		if strings.HasPrefix(rec.Key, record.SchedulePrefix) {
-			// Every removal of a schedule also writes the schedule number record. The condition
-			// makes this write fail if it is applied after a removal.
+			// Every removal of a schedule also writes the schedule number record, so
+			// this write fails after one.
 			change.Conditions = []kv.Condition{{Key: rec.Key, Rev: rec.Rev}, {Key: record.ScheduleNumberKey, Rev: r.cfg.Schedules.NumberRevision()}}
 		}
 		return true
@@ -57,8 +57,8 @@
 		Size:       defaultSize,
 	}
 	if job, ok := rec.Value.(*record.Job); ok {
-		// Without this condition, a write applied after the job has finished and its record was
-		// deleted would make the next leader run the job again.
+		// Without this condition, a delayed write could make the next leader run a finished
+		// job again.
 		change.Conditions = append(change.Conditions, kv.Condition{Key: record.FinalPrefix + job.Spec.ID, Rev: 0})
 		change.Size = record.JobSize(&job.Spec)
 	} else if sched, ok := rec.Value.(*schedule.Record); ok {
@@ -69,8 +69,7 @@
 	return change
 }
 
-// currentValue returns the current value of a lost record, and false if the record must not be
-// written any more.
+// currentValue returns the current value of a lost record, and false if it must not be written.
 func (r *Restorer) currentValue(rec replica.Record) (value any, ok bool) {
 	if record.IsScheduleKey(rec.Key) {
 		return rec.Value, true // unchanged: the leader loads schedules only after they are restored
@@ -82,9 +81,8 @@
 	return current.Value, ok
 }
 
-// resolveConflict handles a failed condition of writeBack: the store has another version of the
-// record, which may be newer or older. Only schedule records are read back and retried; for
-// other records the stored version is kept.
+// resolveConflict handles a failed condition of writeBack. Only schedule records are read back and
+// retried; for other records the stored version is kept.
 func (r *Restorer) resolveConflict(rec replica.Record, done func(stored kv.Entry)) {
 	if !record.IsScheduleKey(rec.Key) {
 		done(kv.Entry{})
@@ -108,7 +106,7 @@
 }
 
 // RestoreMissingSchedules writes back the schedules that the leader's replica has and the store
-// lacks. If the schedule number record is missing as well, that is written first.
+// lacks. A missing schedule number record is written first.
 func (r *Restorer) RestoreMissingSchedules() {
 	own := r.cfg.Publisher.Replica()
 	if own == nil {
@@ -137,8 +135,8 @@
 	})
 }
 
-// missingSchedules returns the keys of the schedules that the replica has and the leader has
-// not read from the store.
+// missingSchedules returns the schedule keys in the replica that the leader has not read from the
+// store.
 func (r *Restorer) missingSchedules(own *replica.Replica) (missing []string) {
 	for _, key := range own.Keys(record.SchedulePrefix) {
 		rec, _ := own.Get(key)
--- a/internal/writebatch/limits.go
+++ b/internal/writebatch/limits.go
@@ -8,8 +8,7 @@
 	"yewpass/internal/config"
 )
 
-// ConfigShare is the fraction of the store's write rate that is reserved for configuration
-// changes, so that bursts of submissions and of configuration changes do not delay each other.
+// ConfigShare is the fraction of the store's write rate that is reserved for configuration changes.
 const ConfigShare = 0.15
 
 // Fractions of the store's rate limits that the leader's batches may use.
@@ -34,8 +33,8 @@
 	}
 }
 
-// minWrites returns the minimum number of writes in a transaction of a priority. A configuration
-// change writes an object and the head record.
+// minWrites returns the minimum number of writes in a transaction. A configuration change writes an
+// object and the head record.
 func minWrites(p Priority) int {
 	if p == Config {
 		return 2
@@ -43,8 +42,7 @@
 	return 1
 }
 
-// AvailableWrites returns how many writes a transaction of a priority may contain now, at most
-// ops.
+// AvailableWrites returns how many writes a transaction may contain now, at most ops.
 func (l *limits) AvailableWrites(p Priority, now time.Time, ops int) int {
 	limiter := l.writes
 	if p == Config {
@@ -53,7 +51,6 @@
 	return min(ops, int(limiter.TokensAt(now)))
 }
 
-// allowsRequest reports whether the request rate allows another request now.
 func (l *limits) allowsRequest(now time.Time) bool { return l.requests.TokensAt(now) >= 1 }
 
 // hasHalfWriteBudget reports whether at least half of the write burst is available.
@@ -62,8 +59,7 @@
 }
 
 // Consume counts one request and the given number of writes against the limits. Configuration
-// writes count against the total as well, if necessary in advance, so that all writes together
-// stay within the limit of the store.
+// writes count against the total as well, if necessary in advance.
 func (l *limits) Consume(p Priority, now time.Time, writes int) {
 	l.requests.AllowN(now, 1)
 	if p == Config {
--- a/internal/writebatch/queue.go
+++ b/internal/writebatch/queue.go
@@ -18,8 +18,8 @@
 }
 
 // dequeueBatch removes and returns the next batch of a priority with at most ops writes, or a
-// single larger change. Changes to the same key stay in order: a change is left in the queue if one of
-// its keys is in flight or is written by an earlier change.
+// single larger change. To keep changes to a key in order, it skips a change if one of its keys is
+// in flight or written by an earlier change.
 func (q *queue) dequeueBatch(p Priority, ops int) []*Change {
 	var batch []*Change
 	n, conds, size := 0, 1, 0
@@ -51,14 +51,13 @@
 	return batch
 }
 
-// requeue puts changes back at the front of the queue.
+// requeue prepends changes to the queue.
 func (q *queue) requeue(changes []*Change) {
 	for _, ch := range slices.Backward(changes) {
 		q.queued[ch.Priority] = slices.Insert(q.queued[ch.Priority], 0, ch)
 	}
 }
 
-// markInFlight records that a transaction of a priority has been sent.
 func (q *queue) markInFlight(p Priority, writes []kv.Write) {
 	for _, w := range writes {
 		q.keysInFlight[w.Key] = true
@@ -66,7 +65,6 @@
 	q.inFlight[p]++
 }
 
-// clearInFlight records that the response to a transaction of a priority has been received.
 func (q *queue) clearInFlight(p Priority, writes []kv.Write) {
 	q.inFlight[p]--
 	for _, w := range writes {
--- a/internal/writebatch/send.go
+++ b/internal/writebatch/send.go
@@ -19,8 +19,8 @@
 	maxBackoff          = 2 * time.Second
 )
 
-// Flush sends queued changes as far as the rate limits allow. It does nothing while the leader
-// cannot act or the batcher backs off.
+// Flush sends queued changes as far as the rate limits allow. It does nothing while the leader is
+// inactive or the batcher backs off.
 func (b *Batcher) Flush() {
 	if !b.leader.IsActive() || b.engine.Now.Before(b.pausedUntil) {
 		return
@@ -33,7 +33,6 @@
 	}
 	b.leader.QueueRestores()
 	b.flushDeferrable()
-	// Occurrences that wait for the rate limit are sent by a later flush.
 	if b.inFlight[Occurrence] == 0 && b.leader.HasDueOccurrences() {
 		b.ScheduleFlush()
 	}
@@ -69,8 +68,7 @@
 	}
 }
 
-// ScheduleFlush schedules a step of the state machine after flushDelay. The step flushes the
-// batcher.
+// ScheduleFlush schedules a flush after flushDelay.
 func (b *Batcher) ScheduleFlush() {
 	if !b.flushScheduled {
 		b.flushScheduled = true
@@ -105,7 +103,7 @@
 	return true
 }
 
-// handleResponse handles the response to a batch: it completes the changes or requeues them.
+// handleResponse completes or requeues the changes of a batch.
 func (b *Batcher) handleResponse(batch []*Change, r kv.Response) {
 	switch r.Outcome {
 	case rpc.OK:
@@ -121,8 +119,8 @@
 	case rpc.Invalid:
 		b.handleMalformed(batch)
 	default:
-		// The transaction failed or its outcome is unknown; send it again. If the first attempt
-		// was applied after all, a condition of the second one fails and is read back.
+		// Send the transaction again. If it was applied after all, a condition now fails
+		// and is read back.
 		b.backOff()
 		b.requeue(batch)
 	}
@@ -155,8 +153,8 @@
 	b.requeue(others)
 }
 
-// handleMalformed handles a batch that the store has rejected as malformed, which indicates a bug.
-// The changes are retried one by one, so that a malformed one does not block the others.
+// handleMalformed retries the changes of a batch that the store has rejected as malformed one by
+// one, so that a malformed one does not block the others.
 func (b *Batcher) handleMalformed(batch []*Change) {
 	b.engine.Log(slog.LevelError, "transaction rejected as malformed", "changes", len(batch), "key", batch[0].Writes[0].Key)
 	switch ch := batch[0]; {
@@ -171,7 +169,7 @@
 	}
 }
 
-// backOff pauses the batcher. The delay doubles with each consecutive call, up to maxBackoff.
+// backOff pauses the batcher. The delay doubles with each call, up to maxBackoff.
 func (b *Batcher) backOff() {
 	b.backoff = min(max(2*b.backoff, minBackoff), maxBackoff)
 	delay := b.engine.Jitter(b.backoff)
--- a/internal/writebatch/writebatch.go
+++ b/internal/writebatch/writebatch.go
@@ -1,6 +1,5 @@
-// Package writebatch batches the leader's changes into transactions of the key-value store, within
-// the rate limits of the store. Each change is retried until it is committed or one of its
-// conditions fails.
+// Package writebatch batches the leader's changes into transactions, within the rate limits of the
+// key-value store. Each change is retried until it is committed or one of its conditions fails.
 package writebatch
 
 import (
@@ -13,7 +12,7 @@
 	"yewpass/internal/rpc"
 )
 
-// Priority is the priority of a change.
+// Priority orders changes by urgency.
 type Priority int
 
 // The priorities, the most urgent first.
@@ -43,7 +42,7 @@
 	return slices.ContainsFunc(ch.Writes, func(w kv.Write) bool { return w.Key == key })
 }
 
-// Leader is the leader whose changes a Batcher writes.
+// Leader is the leader that a Batcher writes for.
 type Leader interface {
 	// IsActive reports whether the leader has authority and has loaded the records.
 	IsActive() bool
@@ -64,9 +63,9 @@
 }
 
 // Batcher batches changes into transactions within the rate limits of the store. Occurrence and
-// Bulk changes take turns. They are sent only while no urgent change is queued and half of the
-// write burst is left, so that they never delay a user request. Transactions that write the same
-// key are never in flight at the same time. A Batcher is not safe for concurrent use.
+// Bulk changes take turns, and only while no urgent change is queued and half of the write burst is
+// left. Transactions that write the same key are never in flight at the same time. A Batcher is not
+// safe for concurrent use.
 type Batcher struct {
 	limits
 	queue
@@ -121,8 +120,8 @@
 	return false
 }
 
-// ReadBack reads the entry of key, typically after a conflict, replicates it and passes it to f.
-// found is false if the entry does not exist. ReadBack retries until the store responds.
+// ReadBack reads the entry of key, replicates it and passes it to f. found is false if the entry
+// does not exist. ReadBack retries until the store responds.
 func (b *Batcher) ReadBack(key string, f func(e kv.Entry, found bool)) {
 	b.scope.CallStore(kv.Request{Op: kv.Get, Key: key}, func(r kv.Response) {
 		switch r.Outcome {
