--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -100,8 +100,7 @@
 	}
 }
 
-// setRentedAt sets when a machine was requested and, if its type is known, when it should be
-// ready.
+// setRentedAt also sets when the machine should be ready, if its type is known.
 func setRentedAt(m *fleet.Machine, at time.Time) {
 	m.RentedAt = at
 	if m.InstanceType != nil {
--- a/internal/core/cluster.go
+++ b/internal/core/cluster.go
@@ -50,8 +50,7 @@
 	return n
 }
 
-// peerNodeView returns the state of another controller. Only the leader knows whether that
-// controller relays, and for how many workers.
+// peerNodeView returns the state of another controller. Only the leader knows its relayed workers.
 func (c *Core) peerNodeView(s config.Seed) view.ClusterNode {
 	n := view.ClusterNode{Name: s.HostName, Zone: s.Site, Link: c.election.IsLinked(s.HostName)}
 	if s.HostName == c.election.Leader() {
@@ -74,11 +73,8 @@
 	return n
 }
 
-// maxUnreadableListed bounds how many unreadable jobs the view lists.
 const maxUnreadableListed = 10
 
-// recordsView returns the unreadable jobs, the complete replicas and the progress of restoring lost
-// records.
 func (c *Core) recordsView() *view.Records {
 	l := c.leadership
 	unreadable := slices.Sorted(maps.Keys(l.unreadableJobs))
--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -62,8 +62,7 @@
 // Replicate implements configmanager.Leader.
 func (l configLeader) Replicate(entry kv.Entry) { l.core.replicate(entry) }
 
-// LocalConfig returns the revision and age of the configuration that this node uses, whether or not
-// it is the leader.
+// LocalConfig returns the revision and age of the configuration that this node uses.
 func (c *Core) LocalConfig() view.LocalConfig {
 	if l := c.leadership; l != nil && l.loaded {
 		return l.config.LocalConfig()
@@ -71,8 +70,8 @@
 	return c.config.LocalConfig(c.newestReplica())
 }
 
-// handleConfigRevision handles a message about a configuration revision: on the leader, which
-// revision a peer has; on another node, which revision the leader has put into force.
+// handleConfigRevision handles the revision that a peer has, on the leader, or that the leader has
+// put into force, on another node.
 func (c *Core) handleConfigRevision(from string, m peermsg.Message) {
 	switch l := c.leadership; {
 	case l != nil && m.Term == l.term:
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// observeStoreCall captures the highest revision and the era known when a store call is sent. It
-// returns a function that checks the response's revision against them.
+// observeStoreCall is called when a store call is sent. It returns a function that checks the
+// response's revision against the revision and the era known by then.
 func (c *Core) observeStoreCall() func(kv.Response) {
 	revision, era := c.observed.Revision, c.observed.Era
 	return func(r kv.Response) { c.observeRevision(r.Rev, revision, era) }
@@ -159,7 +159,7 @@
 // limit cause short bursts of refusals.
 const storeOutageThreshold = 500 * time.Millisecond
 
-// updateStoreHealth tracks the availability of the key-value store and logs when it changes.
+// updateStoreHealth tracks and logs the availability of the key-value store.
 func (c *Core) updateStoreHealth(o rpc.Outcome) {
 	up := o != rpc.Refused && o != rpc.Unknown
 	if up {
@@ -192,8 +192,8 @@
 // longer than a change of leader takes.
 const readyLinkLossGrace = 4 * time.Second
 
-// HasAuthority reports whether the node is the leader and may act as such at the given time: its
-// lease has not expired, and the wall clock shows no pause that the steady clock has missed.
+// HasAuthority reports whether the node is the leader and may act at the given time: its lease has
+// not expired, and the wall clock shows no pause that the steady clock has missed.
 func (c *Core) HasAuthority(now time.Time) bool {
 	return c.leadership != nil && now.Before(c.leadership.expiresAt) && c.ClockSkew(now)-c.leadership.clockSkew < lease.MaxHiddenPause
 }
--- a/internal/core/data_loss.go
+++ b/internal/core/data_loss.go
@@ -20,13 +20,11 @@
 // The scenarios fail if it is logged without one.
 const DataLossDetected = "data loss detected in the key-value store"
 
-// unknownJobGrace is the time after the detection of a data loss in which no job is reported as
-// unknown.
+// unknownJobGrace is how long after a data loss no job is reported as unknown.
 const unknownJobGrace = 30 * time.Second
 
-// observeRevision records the store's revision from a response. seen and era are the highest
-// revision and the era known when the call was sent: a lower revision in the same era shows that
-// the store has lost data.
+// observeRevision records the store's revision from a response. seen and era were known when the
+// call was sent: a lower revision in the same era proves a data loss.
 func (c *Core) observeRevision(rev, seen, era uint64) {
 	if rev == 0 || era != c.observed.Era {
 		return
@@ -55,7 +53,6 @@
 	}
 }
 
-// observeTerm records the era and the term that the store has on record.
 func (c *Core) observeTerm(era, term, processID uint64) {
 	before := c.observed.Era
 	if c.observed = c.observed.AdvanceTo(era, term, processID); c.observed.Era != before {
@@ -63,8 +60,8 @@
 	}
 }
 
-// peerState returns the state that this node sends to a new leader: what it has observed of the
-// store, and which replica it has.
+// peerState returns what this node sends to a new leader: what it has observed of the store, and
+// its replica's version.
 func (c *Core) peerState() *peermsg.PeerState {
 	k := &peermsg.PeerState{Observed: c.observed}
 	if newest := c.newestReplica(); newest != nil {
@@ -73,8 +70,8 @@
 	return k
 }
 
-// mayHaveLostJobs reports whether the record of an unknown job may have been lost. Such a job must
-// not be reported as nonexistent yet.
+// mayHaveLostJobs reports whether an unknown job's record may be lost, so that it must not be
+// reported as nonexistent yet.
 func (l *leadership) mayHaveLostJobs(now time.Time) bool {
 	loss := l.restorer.Loss()
 	return loss != nil && now.Sub(loss.Since) < unknownJobGrace || l.noEarlierTerm && now.Sub(l.electedAt) < 5*failover.UnknownHistoryTimeout
--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -10,8 +10,7 @@
 	"yewpass/internal/timeline"
 )
 
-// tickFleet runs the leader's periodic work on the fleet: outage detection, machine review,
-// preemption and scaling.
+// tickFleet detects outages, reviews machines, preempts and scales.
 func (c *Core) tickFleet() {
 	l := c.leadership
 	l.autoscaler.UpdateLoad()
@@ -33,7 +32,6 @@
 	l.autoscaler.ScaleOut(timeline.Seconds(c.pol.RentBacklog(e)), timeline.Seconds(c.pol.OrdinaryBacklog(e)))
 }
 
-// applyPolicy applies the values that the operators' policy gives for the current backlog.
 func (c *Core) applyPolicy(e policy.Env) {
 	l := c.leadership
 	l.dispatcher.Pacing = dispatch.Pacing{
@@ -45,8 +43,8 @@
 	l.placement.FindStarvedJobs(timeline.Seconds(c.pol.BeginWithin(e)))
 }
 
-// reviewMachines reviews each machine against the limits of the policy. The limit for machines that
-// a failover waits for applies only once most machines report to this leader.
+// reviewMachines reviews each machine against the policy. The limit for machines that a failover
+// waits for applies only once most machines report.
 func (c *Core) reviewMachines(e policy.Env) {
 	l := c.leadership
 	limits := reviewLimits{
@@ -65,9 +63,8 @@
 	}
 }
 
-// countReporting counts the reachable machines that have reported in this term, those of them that
-// have been silent for longer than the limit, and for each relay the workers whose heartbeats are
-// overdue.
+// countReporting counts the reachable machines that have reported in this term, those of them
+// silent for longer than the limit, and the overdue workers of each relay.
 func (c *Core) countReporting(limit time.Duration) (reporting, silent int, overdue map[*fleet.RelayLink]int) {
 	overdue = map[*fleet.RelayLink]int{}
 	for _, m := range c.leadership.inventory.Machines() {
@@ -85,8 +82,8 @@
 	return reporting, silent, overdue
 }
 
-// maxIsolatedLeases is how long, in worker leases, the leader assumes that it is isolated before it
-// treats the silent machines as lost.
+// maxIsolatedLeases is how many worker leases the leader assumes that it is isolated before it
+// treats silent machines as lost.
 const maxIsolatedLeases = 2
 
 // isIsolated reports whether so many machines are silent at once that the leader itself is more
@@ -96,7 +93,7 @@
 		c.leadership.lastMajorityReportingAt = c.Now
 		return false
 	}
-	// The assumption must be limited in time: machines that no longer exist, added by a late
-	// heartbeat, would otherwise count as capacity forever and prevent scaling out.
+	// Limited in time, because machines that no longer exist, added by a late heartbeat, would
+	// otherwise count as capacity forever.
 	return c.Now.Sub(c.leadership.lastMajorityReportingAt) <= maxIsolatedLeases*c.workerLease
 }
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -27,7 +27,7 @@
 	if v == reconcile.Accepted {
 		m = l.inventory.Ensure(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
 		if m.Record == fleet.Unrecorded {
-			m.Address = rep.Address // does not change during the life of a machine
+			m.Address = rep.Address // never changes
 		}
 		v = reconcile.Classify(m, in, c.hasAuthority())
 	}
@@ -35,7 +35,7 @@
 	case reconcile.Accepted, reconcile.Resent:
 		c.acceptHeartbeat(m, in, v == reconcile.Resent)
 	case reconcile.Superseded:
-		// A probe reply was newer than this heartbeat, but the worker still waits for an answer.
+		// A probe reply was newer, but the worker still waits for an answer.
 		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
 		m.LastReply = c.Now
 	case reconcile.Deferred:
@@ -57,8 +57,7 @@
 	c.leadership.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 503})
 }
 
-// screenHeartbeat returns the verdict on a heartbeat that follows from the leader's state, without
-// comparing it to the known state of the machine.
+// screenHeartbeat returns the verdict that follows from the leader's state alone.
 func (c *Core) screenHeartbeat(rep *heartbeat.Report) reconcile.Verdict {
 	l := c.leadership
 	switch {
@@ -104,8 +103,8 @@
 	l.dispatcher.ReplyOrHold(m, in)
 }
 
-// markAccounted records that the machine cannot run an unknown task of an earlier term. With the
-// last such machine the failover is complete.
+// markAccounted records that the machine runs no unknown task of an earlier term. The last machine
+// completes the failover.
 func (c *Core) markAccounted(host string) {
 	l := c.leadership
 	if !l.inventory.MarkAccounted(host) {
@@ -132,8 +131,7 @@
 	return m.LastHeartbeat
 }
 
-// abandonLocalHeartbeat drops a heartbeat that a worker sent directly to this node and whose reply
-// it no longer waits for.
+// abandonLocalHeartbeat drops a heartbeat that a worker has sent to this node and abandoned.
 func (c *Core) abandonLocalHeartbeat(ref uint64) {
 	if c.leadership != nil {
 		c.abandonHeartbeat(fleet.HeartbeatKey{Ref: ref})
@@ -142,11 +140,11 @@
 	}
 }
 
-// abandonHeartbeat drops a heartbeat on the leader whose worker no longer waits for the reply.
+// abandonHeartbeat drops an abandoned heartbeat on the leader.
 func (c *Core) abandonHeartbeat(key fleet.HeartbeatKey) {
 	l := c.leadership
 	l.dispatcher.Abandon(key)
-	// Without this, the pending heartbeats would accumulate while loading the records fails.
+	// Otherwise the pending heartbeats would accumulate while loading the records fails.
 	if len(l.pendingHeartbeats) > 0 {
 		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Ref == key.Ref && r.Via == key.Via })
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -22,8 +22,8 @@
 	return sentAt.Add(c.leaseTiming.Authority())
 }
 
-// becomeLeader sets up the leadership of a term that this node has won. sentAt is when the winning
-// transaction was sent, and clockSkew the skew of the wall clock then.
+// becomeLeader sets up the leadership of a term. sentAt is when the lease was requested, and
+// clockSkew the skew of the wall clock then.
 func (c *Core) becomeLeader(term, termRevision, leaseID uint64, sentAt time.Time, clockSkew time.Duration) {
 	c.election.SetOwnTerm(term)
 	c.jobReader.ShareAmong(1)
@@ -45,7 +45,7 @@
 	if len(c.cfg.Seeds) == 0 {
 		c.leadership.allAcknowledgedAt = c.Now
 	}
-	// This node now answers the heartbeats that the forwarder held for the next leader.
+	// This node now answers the heartbeats that the forwarder holds.
 	c.leadership.pendingHeartbeats, c.leadership.knownReporters = c.forwarder.ReleasePending()
 	c.renewLease()
 	c.leadership.autoscaler.RefreshCatalog()
@@ -61,8 +61,8 @@
 	})
 }
 
-// callStoreWhileLeading calls the key-value store. It drops the response if the current leadership
-// has ended by then.
+// callStoreWhileLeading calls the key-value store. It drops the response if the leadership has
+// ended.
 func (c *Core) callStoreWhileLeading(call kv.Request, f func(kv.Response)) {
 	l := c.leadership
 	c.CallStore(call, func(r kv.Response) {
@@ -72,8 +72,8 @@
 	})
 }
 
-// callStoreWhileLeadingOr calls the key-value store. It calls otherwise instead of f if the current
-// leadership has ended, or cannot act, when the response arrives.
+// callStoreWhileLeadingOr calls the key-value store. It calls otherwise instead of f if the
+// leadership has ended or is not active when the response arrives.
 func (c *Core) callStoreWhileLeadingOr(call kv.Request, otherwise func(), f func(kv.Response)) {
 	l := c.leadership
 	c.CallStore(call, func(r kv.Response) {
@@ -99,8 +99,7 @@
 	if len(l.autoscaler.InstanceTypes) > 0 {
 		c.gateway.SetInstanceTypes(l.autoscaler.InstanceTypes)
 	}
-	// Forward the held heartbeats of local workers, so that they need not search
-	// for the next leader. Other relays still have their own.
+	// Forward the held heartbeats of local workers. Other relays still have their own.
 	for _, m := range l.inventory.Machines() {
 		if m.HeldReply != nil && m.HeldReply.Via.Relay == "" {
 			c.forwarder.Receive(heartbeat.Received{Ref: m.HeldReply.Ref, Report: m.HeldReply.Report})
@@ -125,7 +124,7 @@
 
 const tickInterval = 500 * time.Millisecond
 
-// tickLeader runs the leader's periodic work and schedules its next run.
+// tickLeader runs the leader's periodic work every tickInterval.
 func (c *Core) tickLeader() {
 	if c.leadership.placement.AttemptCount > placement.MaxAttempts-reservedAttempts {
 		// Attempt numbers beyond the limit would overlap with those of the next term.
@@ -138,8 +137,8 @@
 	c.afterWhileLeading(tickInterval, c.tickLeader)
 }
 
-// resign steps down and revokes the leader lease, so that another controller can be elected
-// without waiting for its expiry.
+// resign steps down and revokes the leader lease, so that the next election need not wait for its
+// expiry.
 func (c *Core) resign(reason string) { c.resignThen(reason, func() {}) }
 
 // resignThen resigns and calls then once the store has responded to the revocation.
@@ -157,7 +156,7 @@
 		if !l.suspended {
 			l.suspended = true
 			c.Log(slog.LevelWarn, "leader authority expired, answering workers during the grace period", "term", l.term, "grace", c.leaseTiming.GracePeriod())
-			// The outcome of pending writes may remain unknown for a long time.
+			// The outcome of pending writes may remain unknown for long.
 			c.answerWaiting(l, request.Unavailable("the state service does not answer"))
 			l.dispatcher.Flush()
 		}
--- a/internal/core/leader_lease.go
+++ b/internal/core/leader_lease.go
@@ -15,8 +15,8 @@
 	leaseRenewInterval = 400 * time.Millisecond
 )
 
-// renewal is one renewal of the leader lease. It also confirms the term record: a store that has
-// lost data may still have the lease but not the term, and would then let another node be elected.
+// renewal is one renewal of the leader lease. It also confirms the term record, without which a
+// store that has lost data would let another node be elected.
 type renewal struct {
 	c         *Core
 	l         *leadership
@@ -37,7 +37,7 @@
 }
 
 // confirmTerm checks that the term record is unchanged and, once the records are loaded, that the
-// live configuration has not changed either. It reloads a changed configuration and tries again.
+// live configuration has not changed either. It reloads a changed configuration and retries.
 func (r *renewal) confirmTerm() {
 	c := r.c
 	head := r.l.config.HeadRevision()
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -73,8 +73,8 @@
 	a.term, a.termRevision, a.leaseID, a.expiresAt, a.electedAt, a.clockSkew = term, termRevision, leaseID, expiresAt, now, clockSkew
 }
 
-// failoverState holds what a new leader takes over from earlier terms: the records to load or to
-// restore, and the heartbeats and requests that depend on them.
+// failoverState holds what a new leader takes over from earlier terms, and the heartbeats that wait
+// for it.
 type failoverState struct {
 	loaded               bool                 // all records have been loaded
 	recovery             *failover.Recovery   // determines which records exist; nil once they are loaded
@@ -97,7 +97,7 @@
 
 // heartbeatState holds what this node knew from heartbeats before it was elected.
 type heartbeatState struct {
-	knownReporters map[string]*forwarder.Worker // workers that reported to this node before its election
+	knownReporters map[string]*forwarder.Worker // by host
 }
 
 // replicationState keeps the followers' replicas up to date and fetches final records of earlier
@@ -108,8 +108,8 @@
 	finalRecords replication.FinalRecordFetch
 }
 
-// startComponents constructs the components of a leadership. The outage monitor, autoscaler, write
-// batcher, relay links and publisher must already be set.
+// startComponents constructs the components. The outage monitor, autoscaler, write batcher, relay
+// links and publisher must already be set.
 func (l *leadership) startComponents(c *Core) {
 	l.inventory = inventory.New(c.Engine, l.outages.Zones, c.workerLease, l.autoscaler.InstanceType)
 	l.machineRecords = inventory.NewRecords(c.Engine, l.scope, c.cfg.Settings.State, l.inventory, inventoryLeader{c, l}, l.term)
--- a/internal/core/load_records.go
+++ b/internal/core/load_records.go
@@ -44,7 +44,6 @@
 	}
 }
 
-// logUnreadable logs that a record cannot be used, and the effect on the cluster.
 func (c *Core) logUnreadable(key, effect string) {
 	c.Log(slog.LevelError, "record is unreadable", "key", key, "effect", effect)
 }
@@ -70,8 +69,8 @@
 	}
 }
 
-// loadProgress loads which tasks of one chunk of a job are complete. Records are loaded in key
-// order, in which a job precedes its progress.
+// loadProgress loads the complete tasks of one chunk of a job. Jobs are loaded before their
+// progress, in key order.
 func (c *Core) loadProgress(e kv.Entry) {
 	l := c.leadership
 	id, chunk := record.SplitProgressKey(strings.TrimPrefix(e.Key, record.ProgressPrefix))
@@ -93,7 +92,6 @@
 	j.ChunkRevisions[chunk] = e.Rev
 }
 
-// startTermWork starts the regular work of the leader once the records are loaded.
 func (c *Core) startTermWork() {
 	l := c.leadership
 	l.loaded = true
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// releaseIfLost releases a machine that has been silent for too long or has an instance type
-// missing from the catalog. It reports whether it released the machine.
+// releaseIfLost releases a machine that has been silent for too long or whose type is not in the
+// catalog, and reports whether it did.
 func (c *Core) releaseIfLost(m *fleet.Machine, limits reviewLimits) bool {
 	l := c.leadership
 	booting := m.LastHeartbeat.IsZero() && !l.inventory.IsUnaccounted(m.Host)
@@ -52,7 +52,7 @@
 		if booting && !m.Unreachable {
 			l.autoscaler.BootTimedOut(m.TypeName)
 		}
-	case m.InstanceType == nil && l.autoscaler.CatalogLoaded: // the type is not in the catalog
+	case m.InstanceType == nil && l.autoscaler.CatalogLoaded:
 	default:
 		return false
 	}
@@ -60,8 +60,8 @@
 	return true
 }
 
-// bootSilenceFactor times the limit on silence is how long a machine that has never reported may
-// stay silent after it became known, if that is later than its boot timeout.
+// bootSilenceFactor times the silence limit is how long a machine that has never reported may stay
+// silent after FirstSeen, if that is later than its boot timeout.
 const bootSilenceFactor = 3
 
 // silenceLimits returns since when the machine counts as silent and how long it may be silent.
@@ -77,8 +77,7 @@
 	return m.RentedAt, timeout
 }
 
-// reportLimit returns how long the machine may go without a heartbeat, not counting delays that its
-// relay causes.
+// reportLimit returns how long the machine may be silent, not counting delays by its relay.
 func (c *Core) reportLimit(m *fleet.Machine, limits reviewLimits) time.Duration {
 	limit := limits.silent
 	if c.leadership.inventory.IsUnaccounted(m.Host) && (!m.Reported || c.lastContact(m) != m.LastHeartbeat) && limits.unaccounted < limit {
@@ -89,7 +88,7 @@
 		}
 	}
 	if !m.InterruptionAt.IsZero() && c.Now.After(m.InterruptionAt.Add(time.Second)) {
-		// The time of the announced interruption has passed, so one missing heartbeat suffices.
+		// After the announced interruption, one missing heartbeat suffices.
 		limit = min(limit, c.heartbeatInterval*3/4)
 	}
 	return limit
@@ -109,8 +108,8 @@
 
 func latest(times ...time.Time) time.Time { return slices.MaxFunc(times, time.Time.Compare) }
 
-// releaseIfUnneeded releases a machine without tasks if it is quarantined, draining or about to be
-// interrupted, or if it has been idle for too long.
+// releaseIfUnneeded releases a machine without tasks if it is quarantined, draining, about to be
+// interrupted, or idle for too long.
 func (c *Core) releaseIfUnneeded(m *fleet.Machine, idle time.Duration) {
 	switch {
 	case m.Quarantined, m.Draining, !m.InterruptionAt.IsZero():
@@ -156,8 +155,7 @@
 	checkpointSlack = 3 * time.Second
 )
 
-// mustStop reports whether to stop an attempt now on a machine that is quarantined, draining or
-// about to be interrupted.
+// mustStop reports whether to stop an attempt now on a machine that drainMachine drains.
 func (c *Core) mustStop(r *fleet.Attempt, m *fleet.Machine) bool {
 	s := &r.Job.Spec
 	switch {
@@ -175,8 +173,7 @@
 	return s.CheckpointInterval <= 0 || m.InterruptionAt.Sub(c.Now) <= s.CheckpointTime+checkpointSlack+c.heartbeatInterval
 }
 
-// remainingRuntime returns the estimated remaining runtime of an attempt, or timeline.Forever for a
-// service.
+// remainingRuntime returns an estimate, or timeline.Forever for a service.
 func (c *Core) remainingRuntime(r *fleet.Attempt) time.Duration {
 	if r.Job.Spec.Service {
 		return timeline.Forever
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -66,8 +66,8 @@
 	return expiry
 }
 
-// expireLease drops the attempts and reservations of a machine whose lease has expired. Tasks that
-// are not complete are queued again.
+// expireLease drops the attempts and reservations of a machine whose lease has expired, and
+// requeues incomplete tasks.
 func (c *Core) expireLease(m *fleet.Machine) {
 	c.Log(slog.LevelWarn, "worker lease expired", "machine", m.Host, "tasks", len(m.Attempts))
 	c.leadership.attempts.DropAll(m)
--- a/internal/core/newer_tokens.go
+++ b/internal/core/newer_tokens.go
@@ -18,9 +18,9 @@
 	termGapAfterTotalLoss = 1 << 10
 )
 
-// handleNewerToken checks a worker's claim to have seen a fencing token above the leader's term. If the
-// store has no newer term, the claim must not end the leadership. The worker would reject all
-// replies of this leader, so release is called to give up its machine.
+// handleNewerToken checks a worker's claim to have seen a fencing token above the leader's term. If
+// the store has no newer term, it calls release for the machine, because the worker rejects all
+// replies of this leader.
 func (c *Core) handleNewerToken(host string, token uint64, release func()) {
 	c.verifyTerm("a worker has seen a newer fencing token", func() {
 		if c.handlePossibleTermReset(host, token) {
@@ -45,8 +45,7 @@
 	l.newerTokens[host] = token
 	if len(l.newerTokens) >= minNewerTokenReports {
 		c.observed.Term = slices.Max(slices.Collect(maps.Values(l.newerTokens))) + termGapAfterTotalLoss
-		// Campaign at once: only this node knows of the higher terms, and another one would
-		// continue from the stored term.
+		// Campaign at once: another node would continue from the stored term.
 		c.reportDataLossThen("workers have seen terms newer than the stored one", func() { c.election.Campaign(0) })
 	}
 	return true
--- a/internal/core/outages.go
+++ b/internal/core/outages.go
@@ -10,7 +10,7 @@
 )
 
 // zoneProbeInterval is how often one instance is requested in a lost zone without machines, to
-// detect that the zone has recovered.
+// detect its recovery.
 const zoneProbeInterval = time.Minute
 
 // newOutageMonitor returns the monitor of zones and regions for the current leadership.
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -46,7 +46,7 @@
 	l := c.leadership
 	switch {
 	case p.Up && l != nil:
-		// Announce the term even to a peer that has acknowledged it: it may have restarted.
+		// A peer that has acknowledged the term may have restarted.
 		c.announceTermTo(p.Name)
 		if l.noEarlierTerm {
 			c.Emit(peermsg.Outgoing{To: p.Name, Msg: peermsg.Message{Kind: peermsg.PeerStateRequest, Term: l.term}})
@@ -127,7 +127,7 @@
 	case term == l.term:
 		c.Log(slog.LevelError, "peer claims the term that this node leads", "peer", from, "term", term)
 	case c.hasAuthority():
-		// The lease is valid by this node's clock and excludes another leader. The store decides.
+		// The lease, valid by this node's clock, excludes another leader. The store decides.
 		c.verifyTerm("a peer leads a newer term", func() {
 			c.Log(slog.LevelWarn, "peer claims a term that does not exist", "peer", from, "claimed", term, "term", l.term)
 		})
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -6,8 +6,8 @@
 	"yewpass/internal/preemption"
 )
 
-// preemptForGuarantees stops tasks of teams that use more than their guaranteed quota while another
-// team waits for its own. It does nothing until the failover is complete.
+// preemptForGuarantees stops tasks of teams above their guaranteed quota while another team waits
+// for its own, once the failover is complete.
 func (c *Core) preemptForGuarantees() {
 	l := c.leadership
 	if !l.allAccounted() {
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -19,20 +19,20 @@
 // failoverLeader implements failover.Leader for the current leadership.
 type failoverLeader struct{ c *Core }
 
-// Observed returns the highest era, term and revision seen in the store, including the new term.
+// Observed implements failover.Leader.
 func (h failoverLeader) Observed() recovery.Observed { return h.c.observed }
 
-// IsLinked reports whether the link to a peer is up.
+// IsLinked implements failover.Leader.
 func (h failoverLeader) IsLinked(peer string) bool { return h.c.election.IsLinked(peer) }
 
-// EndTerm resigns because a term higher than the stored one is known, which proves a data loss.
+// EndTerm implements failover.Leader. The higher term proves a data loss.
 func (h failoverLeader) EndTerm(higher uint64) { h.c.handleHigherTerm(higher) }
 
-// Recovered starts loading the records that the recovery has found.
+// Recovered implements failover.Leader. It starts loading the records.
 func (h failoverLeader) Recovered(o *failover.Outcome) { h.c.handleRecovered(o) }
 
-// startRecovery starts to determine which records exist. before is what this node had seen of the
-// store before its campaign, and read is what the campaign read of the term.
+// startRecovery starts to determine which records exist. before is the state of the store observed
+// before the campaign, and read the term record that it read.
 func (c *Core) startRecovery(before recovery.Observed, read recovery.TermRead, ledLastTerm bool) {
 	l := c.leadership
 	l.recovery = failover.New(c.Engine, l.scope, c.cfg, c.replicas, failoverLeader{c}, failover.Term{
@@ -48,14 +48,14 @@
 }
 
 // handlePeerState processes what a peer knows of earlier terms. After the recovery it matters only
-// to a leader that found no earlier term on record: the peer may know of one.
+// to a leader that found no earlier term.
 func (c *Core) handlePeerState(from string, k *peermsg.PeerState) {
 	l := c.leadership
 	switch {
 	case l.recovery != nil:
 		l.recovery.HandlePeerState(from, k)
 	case l.noEarlierTerm && k.Era == c.observed.Era && k.Term > l.term && k.HighestPastTerm < l.term:
-		// A successor was elected in the same era while this node was isolated.
+		// A successor was elected while this node was isolated.
 		if c.hasAuthority() {
 			c.verifyTerm("a peer knows of a newer term", func() {})
 		} else {
@@ -74,7 +74,6 @@
 	c.reportDataLoss("a term higher than the stored one is known")
 }
 
-// handleRecovered applies the outcome of the recovery and starts loading the records.
 func (c *Core) handleRecovered(o *failover.Outcome) {
 	l := c.leadership
 	if o.Restored != nil {
@@ -125,23 +124,22 @@
 	l *leadership
 }
 
-// IsUnfinished reports whether a job is known and its final record is not being written.
+// IsUnfinished implements restore.Leader.
 func (h restoreLeader) IsUnfinished(job string) bool {
 	j := h.l.jobs[job]
 	return j != nil && !j.Finishing
 }
 
-// ScheduleProgressWrite schedules a write of the progress of one chunk of a job if it is known.
+// ScheduleProgressWrite implements restore.Leader.
 func (h restoreLeader) ScheduleProgressWrite(job string, chunk int) {
 	if j := h.l.jobs[job]; j != nil {
 		h.l.lifecycle.ScheduleProgressWrite(j, chunk*bitset.ChunkSize)
 	}
 }
 
-// SetConfigHeadRevision records the revision at which the configuration's head record was restored.
+// SetConfigHeadRevision implements restore.Leader.
 func (h restoreLeader) SetConfigHeadRevision(rev uint64) { h.l.config.SetHeadRevision(rev) }
 
-// newRestorer returns the restorer of lost records for a leadership.
 func (c *Core) newRestorer(l *leadership) *restore.Restorer {
 	return restore.New(c.Engine, l.scope, restore.Config{
 		Writes:    l.writes,
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -32,8 +32,7 @@
 	l.recurring.CreateDue(remainingOps)
 }
 
-// hasDueOccurrences reports whether occurrences are queued or due that wait only for the store's
-// rate limit.
+// hasDueOccurrences reports whether occurrences wait only for the store's rate limit.
 func (c *Core) hasDueOccurrences() bool {
 	l := c.leadership
 	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.HasDue() && l.autoscaler.CatalogLoaded
--- a/internal/core/relays.go
+++ b/internal/core/relays.go
@@ -44,7 +44,7 @@
 func (c *Core) handleRelayedHeartbeats(from string, m peermsg.Message) {
 	l := c.leadership
 	if l == nil || m.Term != l.term {
-		return // the relay forwards to the right leader once it learns of the newest term
+		return // the relay learns of the newest term later
 	}
 	reports, sessionStarted, ok := l.relays.Decode(from, m.Heartbeats)
 	if sessionStarted {
@@ -69,8 +69,7 @@
 	}
 }
 
-// dropRelayHeartbeats drops the heartbeats from a relay that wait for replies. A relay sends them
-// again in a new session.
+// dropRelayHeartbeats drops a relay's pending heartbeats, which it sends again in a new session.
 func (c *Core) dropRelayHeartbeats(relay string) {
 	l := c.leadership
 	l.dispatcher.AbandonRelay(relay)
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -6,47 +6,45 @@
 	"yewpass/internal/replication"
 )
 
-// replicationController implements replication.Controller and replication.ScrubHost for Core.
+// replicationController implements replication.Controller and replication.ScrubHost.
 type replicationController struct{ c *Core }
 
-// HighestTerm returns the highest term that this node has learned of from any source.
+// HighestTerm implements replication.Controller.
 func (h replicationController) HighestTerm() uint64 { return h.c.election.HighestTerm() }
 
-// ConfirmedTerm returns the highest term that this node has read from the store.
+// ConfirmedTerm implements replication.Controller.
 func (h replicationController) ConfirmedTerm() uint64 { return h.c.election.ConfirmedTerm() }
 
-// IsLinked reports whether the link to a peer is up.
+// IsLinked implements replication.Controller.
 func (h replicationController) IsLinked(peer string) bool { return h.c.election.IsLinked(peer) }
 
-// HasLoadedRecords reports whether this node is the leader and has finished recovering the records.
+// HasLoadedRecords implements replication.Controller.
 func (h replicationController) HasLoadedRecords() bool {
 	l := h.c.leadership
 	return l != nil && l.recovery == nil
 }
 
-// AdmitScrub reports whether the scrubber may read now. It counts two reads against the rate limit.
+// AdmitScrub implements replication.ScrubHost.
 func (h replicationController) AdmitScrub() bool {
 	c := h.c
 	return c.isActive() && c.leadership.restorer.IsDone() && c.jobReader.Allow(2)
 }
 
-// StoreRevision returns the highest revision of the store that this node has seen.
+// StoreRevision implements replication.ScrubHost.
 func (h replicationController) StoreRevision() uint64 { return h.c.observed.Revision }
 
-// ReportDataLoss ends the term because the store has lost data.
+// ReportDataLoss implements replication.ScrubHost. It ends the term.
 func (h replicationController) ReportDataLoss(reason string) { h.c.reportDataLoss(reason) }
 
-// startReplication sets up the publisher and the scrubber of a new term.
 func (c *Core) startReplication(l *leadership) {
 	l.publisher = replication.NewPublisher(c.replicas, l.scope, l.term)
 	l.scrubber = replication.NewScrubber(l.publisher, l.writes, replicationController{c})
 }
 
-// newestReplica returns the newest replica that this process has, or nil.
 func (c *Core) newestReplica() *replica.Replica { return c.replicas.Newest() }
 
-// lastLeaderReplica returns the replica of the newest confirmed term. It returns nil if this node
-// does not have that replica or the store is known to have lost data.
+// lastLeaderReplica returns the replica of the newest confirmed term, or nil if this node does not
+// have it or the store is known to have lost data.
 func (c *Core) lastLeaderReplica() *replica.Replica {
 	if newest := c.newestReplica(); newest != nil && newest.Term == c.election.ConfirmedTerm() && c.dataLossReason == "" {
 		return newest
@@ -62,8 +60,7 @@
 	return c.leadership.publisher.Replica()
 }
 
-// replicate publishes a record read from the store to the followers. It does nothing on a node that
-// is not the leader.
+// replicate publishes a record read from the store, on the leader only.
 func (c *Core) replicate(e kv.Entry) {
 	if c.leadership != nil {
 		c.leadership.publisher.PublishRead(e)
@@ -114,8 +111,8 @@
 	}
 }
 
-// receiveFinalRecords processes a line of an earlier term's replica. Once that replica is complete,
-// its final records of jobs are added to this leader's replica.
+// receiveFinalRecords processes a line of an earlier term's replica, and merges that replica into
+// this leader's once it is complete.
 func (c *Core) receiveFinalRecords(line *replica.Line) {
 	l := c.leadership
 	if c.ownReplica() == nil || line.Term >= l.term {
@@ -136,7 +133,7 @@
 	}
 }
 
-// restartReplica restarts a replica stream after the receiver has reported missing lines.
+// restartReplica restarts a replica stream after the receiver has reported a gap.
 func (c *Core) restartReplica(from string, session uint64) {
 	if l := c.leadership; l != nil {
 		l.publisher.RestartFollower(from, session) // the next tick starts a new stream
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -11,8 +11,8 @@
 	c.Emit(peermsg.Reply(r, response))
 }
 
-// handleRequest serves a user's request that arrived here or was forwarded by another controller.
-// Without an active leader on this node, the gateway serves it.
+// handleRequest serves a direct or forwarded user's request. Unless this node is an active leader,
+// the gateway serves it.
 func (c *Core) handleRequest(r request.Request) {
 	switch {
 	case r.Op == request.ConfigLocal:
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -2,8 +2,8 @@
 
 import "yewpass/internal/view"
 
-// Stats returns the current values of the metrics. A node that is not the leader reports only its
-// term, its relayed workers, its stale heartbeats and its configuration.
+// Stats returns the metrics. A node that is not the leader reports only its term, relayed workers,
+// stale heartbeats and configuration.
 func (c *Core) Stats() view.Stats {
 	s := view.Stats{Term: c.election.HighestTerm(), Relayed: c.forwarder.Workers(), StaleHeartbeats: c.staleHeartbeats + c.forwarder.StaleHeartbeats()}
 	l := c.leadership
--- a/internal/core/unreadable.go
+++ b/internal/core/unreadable.go
@@ -43,8 +43,8 @@
 	return job != nil && job.Spec.ID == id
 }
 
-// rereadProgress reads the progress of a job whose record is readable again, loads both and serves
-// the request. It calls unavailable if the progress cannot be read.
+// rereadProgress reads the progress of a job, loads both and serves the request. It calls
+// unavailable if that fails.
 func (c *Core) rereadProgress(r request.Request, job kv.Entry, unavailable func()) {
 	l, id := c.leadership, r.ID
 	list := kv.Request{Op: kv.List, Key: record.ProgressPrefix + id + "/", Limit: maxProgressRecords}
