--- a/internal/core/fleet_tick.go
+++ b/internal/core/fleet_tick.go
@@ -93,7 +93,7 @@
 		c.leadership.lastMajorityReportingAt = c.Now
 		return false
 	}
-	// Limited in time, because machines that no longer exist, added by a late heartbeat, would
-	// otherwise count as capacity forever.
+	// The assumption expires, because machines that no longer exist, added by a late heartbeat,
+	// would otherwise count as capacity forever.
 	return c.Now.Sub(c.leadership.lastMajorityReportingAt) <= maxIsolatedLeases*c.workerLease
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -15,7 +15,7 @@
 
 // Host is the controller that an Election runs in.
 type Host interface {
-	// IsLeader reports whether this node is the leader, even if its authority has expired.
+	// IsLeader reports whether this node is the leader, with or without authority.
 	IsLeader() bool
 	// HasReplica reports whether this node holds a replica of the records.
 	HasReplica() bool
@@ -32,8 +32,8 @@
 	BeginTerm(result CampaignResult)
 }
 
-// Election tracks the current leader and runs the campaigns of one controller. It is not safe
-// for concurrent use.
+// Election tracks the leader and runs the campaigns of one controller. It is not safe for
+// concurrent use.
 type Election struct {
 	leaderState
 	links
@@ -72,21 +72,19 @@
 	}
 }
 
-// Leader returns the node name of the known leader, or "" if no leader is known or this node is
-// the leader.
+// Leader returns the node name of the leader, or "" if it is unknown or this node.
 func (e *Election) Leader() string { return e.leader }
 
 // LeaderVersion returns the protocol version of the leader, or 0 if it is not known.
 func (e *Election) LeaderVersion() uint64 { return e.leaderVersion }
 
-// HighestTerm returns the highest known term, which may be an unverified claim of a peer.
+// HighestTerm returns the highest known term, which may be a peer's unverified claim.
 func (e *Election) HighestTerm() uint64 { return e.highestTerm }
 
 // ConfirmedTerm returns the newest term that the store has confirmed.
 func (e *Election) ConfirmedTerm() uint64 { return e.confirmedTerm }
 
-// ConfirmedTermRevision returns the store revision of the record that confirmed
-// ConfirmedTerm.
+// ConfirmedTermRevision returns the revision of the record that confirmed ConfirmedTerm.
 func (e *Election) ConfirmedTermRevision() uint64 { return e.confirmedTermRevision }
 
 // SetLeader records node as the leader of term. It does nothing if a higher term is known.
--- a/internal/election/watch.go
+++ b/internal/election/watch.go
@@ -11,20 +11,19 @@
 
 const (
 	watchRetryDelay = 400 * time.Millisecond
-	// campaignDelay is jittered so that the nodes do not all campaign at the same time.
+	// campaignDelay is jittered so that the nodes do not campaign simultaneously.
 	campaignDelay = 40 * time.Millisecond
-	// noReplicaCampaignDelay is the extra delay of a node without a replica of the records, so
-	// that nodes with a replica campaign first.
+	// noReplicaCampaignDelay is the extra delay of a node without a replica, so that nodes with one
+	// campaign first.
 	noReplicaCampaignDelay = 150 * time.Millisecond
-	// unreadableRetryDelay is the delay before an unreadable record is read again.
 	unreadableRetryDelay = time.Second
-	// leaderKeyWatchTimeout is how long the leader key is watched before it is read again. A
-	// record lost by the store causes no watch event.
+	// leaderKeyWatchTimeout is how long the leader key is watched before it is read again, because
+	// a loss of the record causes no watch event.
 	leaderKeyWatchTimeout = 4 * time.Second
 )
 
-// Watch reads the leader key and watches it for changes, and campaigns when the key does not
-// exist. It does nothing while this node is the leader.
+// Watch follows the leader key, and campaigns when it does not exist. It does nothing on the
+// leader.
 func (e *Election) Watch() {
 	if e.host.IsLeader() {
 		return
--- a/internal/relay/decoder.go
+++ b/internal/relay/decoder.go
@@ -35,7 +35,7 @@
 // relay can open while a message is in transit.
 const maxClosedSessions = 64
 
-// maxMachines bounds the machines per relay. It exceeds the workers that a controller can serve.
+// maxMachines bounds the machines per relay. It exceeds the number that a controller can serve.
 const maxMachines = 1 << 17
 
 // Session returns the number of the current session, or 0 if there is none.
