--- a/internal/election/watch.go
+++ b/internal/election/watch.go
@@ -16,7 +16,7 @@
 	// noReplicaCampaignDelay is the extra delay of a node without a replica, so that nodes with one
 	// campaign first.
 	noReplicaCampaignDelay = 150 * time.Millisecond
-	unreadableRetryDelay = time.Second
+	unreadableRetryDelay   = time.Second
 	// leaderKeyWatchTimeout is how long the leader key is watched before it is read again, because
 	// a loss of the record causes no watch event.
 	leaderKeyWatchTimeout = 4 * time.Second
