--- a/internal/core/configuration.go
+++ b/internal/core/configuration.go
@@ -23,8 +23,8 @@
 	l.core.answer(to, response)
 }
 
-// ApplyTeams implements configmanager.Leader. Running tasks are not stopped when a limit is
-// lowered; they still count, and no further tasks start until the team is below its limit.
+// ApplyTeams implements configmanager.Leader. Lowering a limit stops no running tasks, but no
+// further ones start until the team is below it.
 func (l configLeader) ApplyTeams(teams []liveconfig.Team) {
 	if len(teams) == 0 {
 		return
@@ -44,8 +44,8 @@
 	return timeline.Resources{}
 }
 
-// SinceConfirmed implements configmanager.Leader. The time of the last confirmation follows from
-// the expiry of the authority, because each lease renewal also confirms the configuration.
+// SinceConfirmed implements configmanager.Leader. Each lease renewal also confirms the
+// configuration, so the time follows from the expiry of the authority.
 func (l configLeader) SinceConfirmed() time.Duration {
 	return max(0, l.core.leaseTiming.Authority()-l.leadership.expiresAt.Sub(l.core.Now))
 }
@@ -62,8 +62,7 @@
 // Replicate implements configmanager.Leader.
 func (l configLeader) Replicate(entry kv.Entry) { l.core.replicate(entry) }
 
-// LocalConfig returns the revision and age of the configuration that this node uses, whether or not
-// it is the leader.
+// LocalConfig returns the revision and age of the configuration that this node uses.
 func (c *Core) LocalConfig() view.LocalConfig {
 	if l := c.leadership; l != nil && l.loaded {
 		return l.config.LocalConfig()
@@ -71,8 +70,8 @@
 	return c.config.LocalConfig(c.newestReplica())
 }
 
-// handleConfigRevision handles a message about a configuration revision: on the leader, which
-// revision a peer has; on another node, which revision the leader has put into force.
+// handleConfigRevision handles the revision that a peer has, on the leader, or that the leader has
+// put into force, on another node.
 func (c *Core) handleConfigRevision(from string, m peermsg.Message) {
 	switch l := c.leadership; {
 	case l != nil && m.Term == l.term:
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -27,7 +27,7 @@
 	if v == reconcile.Accepted {
 		m = l.inventory.Ensure(rep.Host, rep.InstanceType, rep.Zone, rep.Spot)
 		if m.Record == fleet.Unrecorded {
-			m.Address = rep.Address // does not change during the life of a machine
+			m.Address = rep.Address // never changes
 		}
 		v = reconcile.Classify(m, in, c.hasAuthority())
 	}
@@ -35,7 +35,7 @@
 	case reconcile.Accepted, reconcile.Resent:
 		c.acceptHeartbeat(m, in, v == reconcile.Resent)
 	case reconcile.Superseded:
-		// A probe reply was newer than this heartbeat, but the worker still waits for an answer.
+		// A probe reply was newer, but the worker still waits for an answer.
 		l.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 200, FencingToken: l.term})
 		m.LastReply = c.Now
 	case reconcile.Deferred:
@@ -57,8 +57,7 @@
 	c.leadership.relays.Reply(in.Via, heartbeat.Reply{Ref: in.Ref, Status: 503})
 }
 
-// screenHeartbeat returns the verdict on a heartbeat that follows from the leader's state, without
-// comparing it to the known state of the machine.
+// screenHeartbeat returns the verdict that follows from the leader's state alone.
 func (c *Core) screenHeartbeat(rep *heartbeat.Report) reconcile.Verdict {
 	l := c.leadership
 	switch {
@@ -74,18 +73,17 @@
 	return reconcile.Accepted
 }
 
-// inGracePeriod reports whether a leader whose authority has expired may still answer workers. The
-// time that the wall clock has run ahead of the steady clock counts against the grace period. A
-// leader whose steady clock has not reached the expiry lost its authority through such a hidden
-// pause, and has no grace period.
+// inGracePeriod reports whether a leader whose authority has expired may still answer workers. Time
+// by which the wall clock has run ahead of the steady clock counts against the grace period; a
+// leader that lost its authority only through such a pause has none.
 func (c *Core) inGracePeriod() bool {
 	l := c.leadership
 	over := c.leaseTiming.GracePeriodExpired(c.Now.Sub(l.expiresAt), c.ClockSkew(c.Now)-l.clockSkew)
 	return !over && !c.Now.Before(l.expiresAt)
 }
 
-// acceptHeartbeat reconciles a valid heartbeat with the known state, unless it is a retransmission,
-// and answers it or redirects the worker to another controller.
+// acceptHeartbeat reconciles a heartbeat with the known state, unless it is a retransmission, and
+// answers or redirects the worker.
 func (c *Core) acceptHeartbeat(m *fleet.Machine, in heartbeat.Received, resent bool) {
 	l := c.leadership
 	l.dispatcher.Refuse(m) // the worker no longer waits for the reply to its previous heartbeat
@@ -105,8 +103,8 @@
 	l.dispatcher.ReplyOrHold(m, in)
 }
 
-// markAccounted records that the machine cannot run an unknown task of an earlier term. With the
-// last such machine the failover is complete.
+// markAccounted records that the machine runs no unknown task of an earlier term. The last machine
+// completes the failover.
 func (c *Core) markAccounted(host string) {
 	l := c.leadership
 	if !l.inventory.MarkAccounted(host) {
@@ -123,10 +121,9 @@
 	}
 }
 
-// lastContact returns when the machine was last known to receive replies from this leader. If its
-// heartbeats arrive but have not acknowledged a reply for longer than the recovery time of the
-// relays, it receives none. Such heartbeats do not count, because the machine would otherwise block
-// the failover.
+// lastContact returns when the machine was last known to receive replies from this leader.
+// Heartbeats that have acknowledged no reply for longer than the relays' recovery time do not
+// count, because the machine would otherwise block the failover.
 func (c *Core) lastContact(m *fleet.Machine) time.Time {
 	if !m.UnacknowledgedSince.IsZero() && c.Now.Sub(m.UnacknowledgedSince) > c.leadership.relays.MaxReconnectTime() {
 		return m.UnacknowledgedSince
@@ -134,8 +131,7 @@
 	return m.LastHeartbeat
 }
 
-// abandonLocalHeartbeat drops a heartbeat that a worker sent directly to this node and whose reply
-// it no longer waits for.
+// abandonLocalHeartbeat drops a heartbeat that a worker has sent to this node and abandoned.
 func (c *Core) abandonLocalHeartbeat(ref uint64) {
 	if c.leadership != nil {
 		c.abandonHeartbeat(fleet.HeartbeatKey{Ref: ref})
@@ -144,11 +140,11 @@
 	}
 }
 
-// abandonHeartbeat drops a heartbeat on the leader whose worker no longer waits for the reply.
+// abandonHeartbeat drops an abandoned heartbeat on the leader.
 func (c *Core) abandonHeartbeat(key fleet.HeartbeatKey) {
 	l := c.leadership
 	l.dispatcher.Abandon(key)
-	// Without this, the pending heartbeats would accumulate while loading the records fails.
+	// Otherwise the pending heartbeats would accumulate while loading the records fails.
 	if len(l.pendingHeartbeats) > 0 {
 		l.pendingHeartbeats = slices.DeleteFunc(l.pendingHeartbeats, func(r heartbeat.Received) bool { return r.Ref == key.Ref && r.Via == key.Via })
 	}
--- a/internal/core/leader_lease.go
+++ b/internal/core/leader_lease.go
@@ -15,8 +15,8 @@
 	leaseRenewInterval = 400 * time.Millisecond
 )
 
-// renewal is one renewal of the leader lease. It also confirms the term record: a store that has
-// lost data may still have the lease but not the term, and would then let another node be elected.
+// renewal is one renewal of the leader lease. It also confirms the term record, without which a
+// store that has lost data would let another node be elected.
 type renewal struct {
 	c         *Core
 	l         *leadership
@@ -27,9 +27,9 @@
 	confirmed bool // the term record was unchanged
 }
 
-// renewLease starts a renewal of the leader lease, which schedules the next one. The leader keeps
-// trying during an outage of the store. If the store restores the lease with its full TTL
-// afterwards, the same term continues.
+// renewLease starts a renewal of the leader lease, which schedules the next one. It retries
+// throughout an outage of the store: if the store then restores the lease with its full TTL, the
+// term continues.
 func (c *Core) renewLease() {
 	r := &renewal{c: c, l: c.leadership, sentAt: c.Now, clockSkew: c.ClockSkew(c.Now)}
 	r.confirmTerm()
@@ -37,7 +37,7 @@
 }
 
 // confirmTerm checks that the term record is unchanged and, once the records are loaded, that the
-// live configuration has not changed either. It reloads a changed configuration and tries again.
+// live configuration has not changed either. It reloads a changed configuration and retries.
 func (r *renewal) confirmTerm() {
 	c := r.c
 	head := r.l.config.HeadRevision()
@@ -54,7 +54,7 @@
 	})
 }
 
-// extendLease extends the lease and schedules the next renewal.
+// extendLease also schedules the next renewal.
 func (r *renewal) extendLease() {
 	c := r.c
 	c.callStoreWhileLeading(kv.Request{Op: kv.KeepAlive, LeaseID: r.l.leaseID, TTL: leaseTTL, Timeout: leaseTTL / 2}, func(res kv.Response) {
--- a/internal/core/load_records.go
+++ b/internal/core/load_records.go
@@ -13,10 +13,10 @@
 	"yewpass/internal/writebatch"
 )
 
-// loadRecord loads a record written in an earlier term. The key determines the type of the record;
-// a record of another type counts as unreadable and stays unchanged in the store.
+// loadRecord loads a record written in an earlier term. The key determines its type; a record of
+// another type counts as unreadable and stays in the store.
 //
-// It recovers from panics. Otherwise a single record could crash every controller at each start.
+// It recovers from panics, so that one bad record cannot crash every controller at each start.
 func (c *Core) loadRecord(e kv.Entry) {
 	l := c.leadership
 	defer func() {
@@ -44,7 +44,6 @@
 	}
 }
 
-// logUnreadable logs that a record cannot be used, and the effect on the cluster.
 func (c *Core) logUnreadable(key, effect string) {
 	c.Log(slog.LevelError, "record is unreadable", "key", key, "effect", effect)
 }
@@ -70,8 +69,8 @@
 	}
 }
 
-// loadProgress loads which tasks of one chunk of a job are complete. Records are loaded in key
-// order, in which a job precedes its progress.
+// loadProgress loads the complete tasks of one chunk of a job. Jobs are loaded before their
+// progress, in key order.
 func (c *Core) loadProgress(e kv.Entry) {
 	l := c.leadership
 	id, chunk := record.SplitProgressKey(strings.TrimPrefix(e.Key, record.ProgressPrefix))
@@ -93,7 +92,6 @@
 	j.ChunkRevisions[chunk] = e.Rev
 }
 
-// startTermWork starts the regular work of the leader once the records are loaded.
 func (c *Core) startTermWork() {
 	l := c.leadership
 	l.loaded = true
@@ -115,11 +113,10 @@
 	c.tickLeader()
 }
 
-// pendingHeartbeatsPerStep bounds how many heartbeats that waited for the records one step handles.
+// pendingHeartbeatsPerStep bounds the heartbeats handled per step after the records are loaded.
 const pendingHeartbeatsPerStep = 100
 
-// processPendingHeartbeats handles the heartbeats that waited for the records, a limited number in
-// each step.
+// processPendingHeartbeats handles up to pendingHeartbeatsPerStep waiting heartbeats in each step.
 func (c *Core) processPendingHeartbeats() {
 	l := c.leadership
 	n := min(len(l.pendingHeartbeats), pendingHeartbeatsPerStep)
--- a/internal/core/machine_review.go
+++ b/internal/core/machine_review.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// releaseIfLost releases a machine that has been silent for too long or has an instance type
-// missing from the catalog. It reports whether it released the machine.
+// releaseIfLost releases a machine that has been silent for too long or whose type is not in the
+// catalog, and reports whether it did.
 func (c *Core) releaseIfLost(m *fleet.Machine, limits reviewLimits) bool {
 	l := c.leadership
 	booting := m.LastHeartbeat.IsZero() && !l.inventory.IsUnaccounted(m.Host)
@@ -52,7 +52,7 @@
 		if booting && !m.Unreachable {
 			l.autoscaler.BootTimedOut(m.TypeName)
 		}
-	case m.InstanceType == nil && l.autoscaler.CatalogLoaded: // the type is not in the catalog
+	case m.InstanceType == nil && l.autoscaler.CatalogLoaded:
 	default:
 		return false
 	}
@@ -60,8 +60,8 @@
 	return true
 }
 
-// bootSilenceFactor times the limit on silence is how long a machine that has never reported may
-// stay silent after it became known, if that is later than its boot timeout.
+// bootSilenceFactor times the silence limit is how long a machine that has never reported may stay
+// silent after FirstSeen, if that is later than its boot timeout.
 const bootSilenceFactor = 3
 
 // silenceLimits returns since when the machine counts as silent and how long it may be silent.
@@ -77,28 +77,26 @@
 	return m.RentedAt, timeout
 }
 
-// reportLimit returns how long the machine may go without a heartbeat, not counting delays that its
-// relay causes.
+// reportLimit returns how long the machine may be silent, not counting delays by its relay.
 func (c *Core) reportLimit(m *fleet.Machine, limits reviewLimits) time.Duration {
 	limit := limits.silent
 	if c.leadership.inventory.IsUnaccounted(m.Host) && (!m.Reported || c.lastContact(m) != m.LastHeartbeat) && limits.unaccounted < limit {
-		// The failover waits for this machine. Once most others report to this leader, a
-		// machine that does not is probably gone or unreachable.
+		// The failover waits for this machine, which is probably gone if most others report.
 		limit = limits.unaccounted
 		if m.FailedProbes >= probe.MaxAttempts {
 			limit /= 2 // it does not answer probes
 		}
 	}
 	if !m.InterruptionAt.IsZero() && c.Now.After(m.InterruptionAt.Add(time.Second)) {
-		// The time of the announced interruption has passed, so one missing heartbeat suffices.
+		// After the announced interruption, one missing heartbeat suffices.
 		limit = min(limit, c.heartbeatInterval*3/4)
 	}
 	return limit
 }
 
-// silentSince returns since when the machine counts as silent. It counts from the last change of
-// its zone's state and from when the leader regained authority, if these are later: afterwards the
-// machines need a heartbeat interval until all have reported again.
+// silentSince returns since when the machine counts as silent. A later change of its zone's state,
+// or regained authority, restarts the count, because the machines then need a heartbeat interval to
+// report again.
 func (c *Core) silentSince(m *fleet.Machine) time.Time {
 	l := c.leadership
 	since := latest(c.lastContact(m), m.ZoneState.Since, l.resumedAt)
@@ -108,11 +106,10 @@
 	return since
 }
 
-// latest returns the latest of the times.
 func latest(times ...time.Time) time.Time { return slices.MaxFunc(times, time.Time.Compare) }
 
-// releaseIfUnneeded releases a machine without tasks if it is quarantined, draining or about to be
-// interrupted, or if it has been idle for too long.
+// releaseIfUnneeded releases a machine without tasks if it is quarantined, draining, about to be
+// interrupted, or idle for too long.
 func (c *Core) releaseIfUnneeded(m *fleet.Machine, idle time.Duration) {
 	switch {
 	case m.Quarantined, m.Draining, !m.InterruptionAt.IsZero():
@@ -131,9 +128,8 @@
 	})
 }
 
-// drainMachine stops the tasks of a machine that is quarantined, draining or about to be
-// interrupted, as far as mustStop requires it. Tasks with checkpoints get time for a last one,
-// unless the interruption leaves none.
+// drainMachine stops the attempts for which mustStop holds. Tasks with checkpoints get time for a
+// last one, unless the interruption leaves none.
 func (c *Core) drainMachine(m *fleet.Machine) {
 	if !m.Quarantined && !m.Draining && m.InterruptionAt.IsZero() {
 		return
@@ -151,16 +147,15 @@
 }
 
 const (
-	// minRuntimeGainToMove is how much longer than twice its checkpoint time a task must still
-	// run for it to be moved off a draining machine.
+	// minRuntimeGainToMove plus twice its checkpoint time is the least remaining runtime for
+	// which a task is moved off a draining machine.
 	minRuntimeGainToMove = 10 * time.Second
-	// checkpointSlack is the safety margin between the last checkpoint and an interruption, in
-	// addition to the heartbeat interval.
+	// checkpointSlack plus the heartbeat interval is the margin between the last checkpoint and
+	// an interruption.
 	checkpointSlack = 3 * time.Second
 )
 
-// mustStop reports whether to stop an attempt now on a machine that is quarantined, draining or
-// about to be interrupted.
+// mustStop reports whether to stop an attempt now on a machine that drainMachine drains.
 func (c *Core) mustStop(r *fleet.Attempt, m *fleet.Machine) bool {
 	s := &r.Job.Spec
 	switch {
@@ -178,8 +173,7 @@
 	return s.CheckpointInterval <= 0 || m.InterruptionAt.Sub(c.Now) <= s.CheckpointTime+checkpointSlack+c.heartbeatInterval
 }
 
-// remainingRuntime returns the estimated remaining runtime of an attempt, or timeline.Forever for a
-// service.
+// remainingRuntime returns an estimate, or timeline.Forever for a service.
 func (c *Core) remainingRuntime(r *fleet.Attempt) time.Duration {
 	if r.Job.Spec.Service {
 		return timeline.Forever
--- a/internal/core/recurring.go
+++ b/internal/core/recurring.go
@@ -19,8 +19,7 @@
 	return recurring.New(c.Engine, l.scope, settings, recurringLeader{c})
 }
 
-// queueDueOccurrences queues the writes of due occurrences, as many as fit into one transaction.
-// The write batcher calls it when the store's rate limit allows another transaction.
+// queueDueOccurrences queues the writes of as many due occurrences as fit into one transaction.
 func (c *Core) queueDueOccurrences() {
 	l := c.leadership
 	if !l.autoscaler.CatalogLoaded || !c.isActive() {
@@ -33,8 +32,7 @@
 	l.recurring.CreateDue(remainingOps)
 }
 
-// hasDueOccurrences reports whether occurrences are queued or due that wait only for the store's
-// rate limit.
+// hasDueOccurrences reports whether occurrences wait only for the store's rate limit.
 func (c *Core) hasDueOccurrences() bool {
 	l := c.leadership
 	return len(l.writes.Queued(writebatch.Occurrence)) > 0 || l.recurring.HasDue() && l.autoscaler.CatalogLoaded
