--- a/internal/configmanager/batch.go
+++ b/internal/configmanager/batch.go
@@ -18,9 +18,8 @@
 	// maxWaitingChanges bounds the queue of changes that are not in a batch yet.
 	maxWaitingChanges = 2000
 	// batchInterval is how long a batch may wait for more changes, counted from the
-	// previous batch. Counting from the arrival of the changes would make every batch of
-	// a backlog as small as the write limits allow, with half of the writes being head
-	// records, so that the backlog would never shrink.
+	// previous batch. If it were counted from the arrival of the changes, the batches of
+	// a backlog would be too small for the backlog to shrink.
 	batchInterval = 700 * time.Millisecond
 )
 
@@ -32,7 +31,6 @@
 	committed   int64     // number of changes committed by this leader
 }
 
-// change is a configuration change and the request that submitted it.
 type change struct {
 	liveconfig.Change
 	request request.Request
@@ -45,8 +43,8 @@
 	finished          bool // the requesters have been answered
 }
 
-// queueBatch queues a write for the waiting changes, unless one is in flight. The batch
-// is filled when the write is sent, so that it includes changes that arrive until then.
+// queueBatch queues a write for the waiting changes, unless one is in flight. The batch is
+// filled when the write is sent, so that it includes later changes.
 func (m *Manager) queueBatch() {
 	if m.batch != nil || len(m.waiting) == 0 {
 		return
@@ -135,8 +133,8 @@
 	m.answerBatch(b)
 }
 
-// replicateBatch adds the records of a batch to the leader's replica, in case the
-// response to the transaction has not done so.
+// replicateBatch adds the records of a batch to the leader's replica, in case the response
+// to the transaction was lost.
 func (m *Manager) replicateBatch(b *batch, headRevision uint64) {
 	m.leader.Replicate(kv.Entry{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: b.After.Revision}, Rev: headRevision})
 	for _, r := range b.Records() {
--- a/internal/configmanager/confirm.go
+++ b/internal/configmanager/confirm.go
@@ -9,16 +9,16 @@
 	"yewpass/internal/rpc"
 )
 
-// renewalRetryDelay is the delay before a lease renewal is retried that failed because
-// this leader has changed the configuration at the same time.
+// renewalRetryDelay is the delay before retrying a lease renewal that conflicted with a
+// configuration change by this leader.
 const renewalRetryDelay = 20 * time.Millisecond
 
 // HeadRevision returns the key-value store's revision of the head record, or 0 if there
 // is no head record.
 func (m *Manager) HeadRevision() uint64 { return m.headRevision }
 
-// SetHeadRevision sets the key-value store's revision of the head record. It is called
-// after the record has been restored following a data loss.
+// SetHeadRevision sets the key-value store's revision of the head record. Call it after the
+// record has been restored after a data loss.
 func (m *Manager) SetHeadRevision(revision uint64) { m.headRevision = revision }
 
 // HeadCondition returns the transaction condition that the head record is unchanged. A renewal
@@ -29,10 +29,9 @@
 }
 
 // HandleConflict handles a lease renewal that failed because the head record is not at the
-// expected revision. If this leader has committed a change in the meantime, it retries the
-// renewal by calling confirm after a delay. Otherwise it reads the head record and, if
-// necessary, all records before it calls confirm, so that the lease is not renewed until
-// then.
+// expected revision. It calls confirm to retry: after a delay if this leader has committed a
+// change since, and otherwise after it has read the head record. If that starts a reload,
+// renewals keep failing until the reload is done.
 func (m *Manager) HandleConflict(expected uint64, confirm func()) {
 	if m.headRevision != expected {
 		m.scope.After(renewalRetryDelay, confirm)
@@ -62,9 +61,9 @@
 	})
 }
 
-// reconcile compares the state with a head record that was read. revision is the revision
-// of the configuration in the record; headRevision is the key-value store's revision of
-// the record itself. It reloads all records if the configuration's revision is unknown.
+// reconcile compares the state with a head record that was read: revision is the revision of
+// the configuration, headRevision the key-value store's revision of the record. If revision
+// is unexpected, it reloads all records.
 func (m *Manager) reconcile(revision, headRevision uint64) {
 	b := m.batch
 	switch {
--- a/internal/configmanager/manager.go
+++ b/internal/configmanager/manager.go
@@ -1,14 +1,13 @@
-// Package configmanager manages the live configuration: the part of the settings that
-// operators change at run time. Package liveconfig validates and applies changes; this
-// package writes them to the key-value store, applies them to the running leader, and
-// reports to users and the other controllers which revision is in effect.
+// Package configmanager manages the live configuration, which operators change at run time.
+// It writes changes to the key-value store, applies them to the running leader, and reports
+// the revision in effect. Package liveconfig validates the changes.
 //
 // A new leader reads the configuration records before it makes any decision. Only the
-// leader writes them, conditional on its term and on the revision of the head record.
-// A change is stored and in effect at the leader before its requester is answered. Each
-// renewal of the leader lease confirms that the leader's configuration is the newest, and
-// jobs that a node accepts without a leader are conditional on the head record.
-// docs/design/configuration.md explains why this is correct.
+// leader writes them, conditional on its term and on the revision of the head record. A
+// change is stored and in effect before its requester is answered. Each renewal of the
+// leader lease confirms that the leader's configuration is the newest, and jobs accepted
+// without a leader are conditional on the head record. docs/design/configuration.md explains
+// why this is correct.
 package configmanager
 
 import (
--- a/internal/configmanager/node.go
+++ b/internal/configmanager/node.go
@@ -26,9 +26,8 @@
 	return &Node{engine: e, base: baseState(cfg)}
 }
 
-// RequestLeaderVersion asks the known leader for its protocol version. This process may not
-// have received it, because it knows the leader only from the leader's record or because
-// the node has restarted since.
+// RequestLeaderVersion asks the known leader for its protocol version. This process lacks it
+// if it has restarted, or if it knows the leader only from the leader's record.
 func (n *Node) RequestLeaderVersion(leader string, highestTerm uint64) {
 	n.engine.Emit(peermsg.Outgoing{To: leader, Msg: peermsg.Message{Kind: peermsg.Ack, Term: max(1, highestTerm), Ref: peermsg.VersionRequest, Version: peermsg.Version}})
 }
@@ -63,9 +62,9 @@
 	return revisionIn(head.Value)
 }
 
-// TeamAccount returns an account without usage for a team, configured as in a replica of the
-// last leader's records or else as in the settings. It returns nil for an unknown team. A
-// write that is based on it must be conditional on the head record in that replica.
+// TeamAccount returns an account without usage for a team, configured as in last, the
+// replica of the last leader's records, or else as in the settings. It returns nil for an
+// unknown team. A write that is based on it must be conditional on the replica's head record.
 func (n *Node) TeamAccount(last *replica.Replica, name string) *quota.Account {
 	if r, ok := last.Get(record.ConfigTeamPrefix + name); ok {
 		if changed, _ := r.Value.(*liveconfig.TeamRecord); changed != nil {
--- a/internal/configmanager/peers.go
+++ b/internal/configmanager/peers.go
@@ -8,8 +8,7 @@
 )
 
 const (
-	// broadcastInterval is the interval at which the leader sends the current revision to
-	// the other controllers.
+	// broadcastInterval is how often the leader sends its revision to other controllers.
 	broadcastInterval = time.Second
 	// propagationTarget is the time within which a change should reach every controller.
 	propagationTarget = 3 * time.Second
@@ -51,9 +50,9 @@
 	}
 }
 
-// requestPeerVersions announces the leader again to connected controllers whose protocol version
-// is unknown. Their acknowledgement may have been lost because their connection to the
-// leader was established after the leader's connection to them.
+// requestPeerVersions announces the leader again to connected controllers whose protocol
+// version is unknown. Their acknowledgement is lost if their connection to the leader was
+// established after the leader's connection to them.
 func (m *Manager) requestPeerVersions() {
 	for _, seed := range m.cfg.Seeds {
 		if m.peers[seed.HostName] == nil && m.leader.IsLinked(seed.HostName) {
--- a/internal/configmanager/serve.go
+++ b/internal/configmanager/serve.go
@@ -55,9 +55,8 @@
 	case m.state.Revision > 0:
 		return ""
 	}
-	// A controller whose version lacks live configuration would use only the settings if
-	// it became leader. The first change is therefore refused until all controllers have
-	// confirmed that they support live configuration.
+	// A leader whose version lacks live configuration would use only the settings. The first
+	// change is therefore refused until all controllers have confirmed their support.
 	for _, seed := range m.cfg.Seeds {
 		if p := m.peers[seed.HostName]; p == nil || p.version < peermsg.Version {
 			return "controller " + seed.HostName + " has not confirmed that it supports live configuration"
--- a/internal/configmanager/views.go
+++ b/internal/configmanager/views.go
@@ -74,8 +74,7 @@
 	return v
 }
 
-// LocalConfig returns the leader's revision and the time since it was last confirmed to be
-// the newest.
+// LocalConfig returns the leader's revision and the time since its last confirmation.
 func (m *Manager) LocalConfig() view.LocalConfig {
 	return view.LocalConfig{Revision: m.state.Revision, AgeSeconds: m.leader.SinceConfirmed().Seconds()}
 }
--- a/internal/liveconfig/batch.go
+++ b/internal/liveconfig/batch.go
@@ -15,8 +15,8 @@
 
 // ChangeResult is the outcome of one change in a batch.
 type ChangeResult struct {
-	// Revision is the revision that contains the change. It is an earlier one if the
-	// state already contained everything that the change requests.
+	// Revision is the revision that contains the change: an earlier one if the state
+	// already satisfied it.
 	Revision uint64
 	Err      error // an *Error if the change was rejected
 }
--- a/internal/liveconfig/change.go
+++ b/internal/liveconfig/change.go
@@ -26,9 +26,8 @@
 // TeamChange is the requested configuration of a team, with an optional precondition.
 type TeamChange struct {
 	Team
-	// IfRevision, unless nil, must equal the revision of the team's last change, or 0 for
-	// a team that was never changed. It rejects a request that is delivered after a newer
-	// one.
+	// IfRevision, unless nil, must equal the revision of the team's last change, or 0 for a
+	// team that was never changed. It rejects requests that are delivered out of order.
 	IfRevision *uint64 `json:"ifRevision,omitempty" toml:"-"`
 }
 
@@ -64,13 +63,12 @@
 }
 
 const (
-	// MaxTeams is the maximum number of teams with a record. It bounds the time that
-	// reading and listing all of them takes.
+	// MaxTeams is the maximum number of teams with a record. It bounds the time to read and
+	// list them.
 	MaxTeams = 2000
 	// MaxAmount is the largest amount of a resource. The settings have the same bound.
 	MaxAmount = 1e8
-	// maxNameBytes keeps the key of a team's record below the key-value store's limit
-	// of 200 bytes.
+	// maxNameBytes keeps keys of team records below the key-value store's limit of 200 bytes.
 	maxNameBytes = 100
 )
 
--- a/internal/liveconfig/liveconfig_test.go
+++ b/internal/liveconfig/liveconfig_test.go
@@ -34,16 +34,16 @@
 		t.Run(path, func(t *testing.T) {
 			var invalid *Error
 			if err := c.Validate(3); !errors.As(err, &invalid) || invalid.Path() != path {
-				t.Error(err)
+				t.Errorf("Validate(3): got %v, want an *Error with the path %s", err, path)
 			}
 		})
 	}
 	many := Change{Teams: teams(Team{Name: "a"}, Team{Name: "b"}, Team{Name: "c"})}
 	if err := many.Validate(3); err != nil {
-		t.Error(err)
+		t.Errorf("Validate(3) of three teams: %v, want no error", err)
 	}
 	if err := many.Validate(2); err == nil {
-		t.Error("a change that exceeds the limit is accepted")
+		t.Error("Validate(2) of three teams: got no error")
 	}
 }
 
--- a/internal/liveconfig/state.go
+++ b/internal/liveconfig/state.go
@@ -51,9 +51,8 @@
 // LoadHead applies a stored head record. It never lowers the revision.
 func (s *State) LoadHead(record HeadRecord) { s.Revision = max(s.Revision, record.Revision) }
 
-// LoadTeam applies a stored team record unless a newer one is already loaded. It also
-// raises the revision of the configuration to that of the record, in case the head
-// record is unreadable.
+// LoadTeam applies a stored team record unless a newer one is already loaded. It raises the
+// configuration's revision to the record's, in case the head record is unreadable.
 func (s *State) LoadTeam(record TeamRecord) {
 	name := record.Team.Name
 	if known, ok := s.changed[name]; ok && known.Revision > record.Revision {
@@ -111,8 +110,7 @@
 	return revision
 }
 
-// IsSatisfied reports whether the state already contains everything that the change
-// requests, so that applying it would have no effect.
+// IsSatisfied reports whether applying the change would have no effect.
 func (s *State) IsSatisfied(change *Change) bool {
 	for _, team := range change.Teams {
 		if current, _, ok := s.Team(team.Name); !ok || current != team.Team {
--- a/internal/recurring/decide.go
+++ b/internal/recurring/decide.go
@@ -50,7 +50,6 @@
 	s.planNext(sched)
 }
 
-// previousJob returns the state of the job of the previous occurrence.
 func (s *Scheduler) previousJob(sched *scheduleState) schedule.PreviousJob {
 	before := schedule.PreviousJob{Active: s.leader.Job(sched.record.LastJob) != nil}
 	if entry, ok := sched.record.Entry(sched.record.LastJob); ok {
@@ -59,8 +58,8 @@
 	return before
 }
 
-// admit decides whether the job of an occurrence is created now, later or never. For a job
-// that is refused for now it sets the time of the next attempt.
+// admit decides whether the job of an occurrence is created now, later or never. If it is
+// refused for now, admit sets the time of the next attempt.
 func (s *Scheduler) admit(sched *scheduleState, jobSpec *spec.Job, start time.Time) (schedule.Decision, string) {
 	if _, reason := s.leader.Unschedulable(jobSpec); reason != "" {
 		return schedule.MissOccurrence, "can never run: " + reason
@@ -110,7 +109,7 @@
 	})
 }
 
-// writeMissed writes to the schedule's record that occurrences were skipped or failed.
+// writeMissed records skipped or failed occurrences in the schedule's record.
 func (s *Scheduler) writeMissed(sched *scheduleState, cursor schedule.Cursor, missed []schedule.MissedOccurrence) {
 	s.write(sched, recordChange{
 		priority: writebatch.Occurrence,
--- a/internal/recurring/due.go
+++ b/internal/recurring/due.go
@@ -12,9 +12,8 @@
 	noDeadlineDelay = 100 * 365 * 24 * time.Hour // sorts occurrences without a deadline last
 )
 
-// planNext queues a schedule by the time of its next occurrence. It does nothing for a
-// schedule that is paused, disabled or removed, or that waits for a write or for the
-// previous job.
+// planNext queues a schedule by the time of its next occurrence, unless it is paused,
+// disabled or removed, or waits for a write or for the previous job.
 func (s *Scheduler) planNext(sched *scheduleState) {
 	sched.generation++
 	if sched.removed || sched.writeInFlight || sched.awaitingPrevious || sched.record == nil || sched.record.Paused || sched.definition == nil {
@@ -53,9 +52,8 @@
 	}
 }
 
-// Tick moves the schedules whose next occurrence is due to the ready queue. It compares
-// with the current time of day on each call, so a clock that is set back or forward only
-// changes when occurrences are found.
+// Tick moves the schedules whose next occurrence is due to the ready queue. It reads the
+// time of day on each call, so changes of the clock take effect immediately.
 func (s *Scheduler) Tick() {
 	now := s.engine.WallClock()
 	for n := 0; s.upcoming.Len() > 0; {
@@ -81,12 +79,12 @@
 	}
 }
 
-// HasDue reports whether occurrences are due and wait to be created.
+// HasDue reports whether due occurrences wait for CreateDue.
 func (s *Scheduler) HasDue() bool { return s.ready.Len() > 0 }
 
-// CreateDue decides on due occurrences in deadline order, as long as room allows the two
-// writes of each: the schedule's record and the job's record. It is called right before
-// the writes are sent, so that decisions use the latest state.
+// CreateDue decides on due occurrences in deadline order, while room allows two writes for
+// each: the schedule's record and the job's. Call it right before the writes are sent, so
+// that decisions use the latest state.
 func (s *Scheduler) CreateDue(room int) {
 	for room >= 2 && s.ready.Len() > 0 {
 		first := s.ready.Pop()
--- a/internal/recurring/edit.go
+++ b/internal/recurring/edit.go
@@ -35,10 +35,9 @@
 	}
 }
 
-// validate compiles a definition. If it is not accepted, refusal is the error response;
-// otherwise refusal is nil.
+// validate compiles a definition. refusal is the error response, or nil if it is accepted.
 func (s *Scheduler) validate(file *schedule.File) (def definition, refusal *request.Response) {
-	if file == nil { // possible if the request comes from a controller of another version
+	if file == nil { // sent by a controller of another version
 		return definition{}, &request.Response{Status: 400, Field: "name", Reason: "the request contains no schedule definition"}
 	}
 	compiled, err := file.Compile(s.settings.Calendars)
@@ -74,7 +73,6 @@
 	return nil
 }
 
-// replace writes a new definition of an existing schedule.
 func (s *Scheduler) replace(sched *scheduleState, def definition, call request.Request) {
 	cursor, missed := def.compiled.CursorAfterEdit(sched.definition, sched.record.Cursor, s.engine.WallClock())
 	sched.requester = &call
@@ -115,7 +113,6 @@
 	})
 }
 
-// writeInitialRecord writes the first record of a schedule.
 func (s *Scheduler) writeInitialRecord(sched *scheduleState, rec *schedule.Record) {
 	change := &writebatch.Change{
 		Size:       rec.Size(),
@@ -155,10 +152,9 @@
 	s.finishWrite(sched, func() { s.reply(sched, scheduleResponse(sched, 201)) })
 }
 
-// creationConditions returns the conditions on the write of a schedule's first record. An
-// attempt without a response may be applied late, after the schedule has been removed
-// again. Every removal therefore also writes the record of schedule numbers, which changes
-// its revision and makes such an attempt fail.
+// creationConditions returns the conditions on the write of a schedule's first record. Every
+// removal also writes the record of schedule numbers and so changes its revision. Therefore
+// a creation that is applied late, after the schedule was removed again, fails.
 func (s *Scheduler) creationConditions(sched *scheduleState) []kv.Condition {
 	return []kv.Condition{{Key: sched.key(), Rev: 0}, {Key: record.ScheduleNumberKey, Rev: s.numbers.revision}}
 }
@@ -203,7 +199,7 @@
 }
 
 // pause pauses or resumes a schedule, depending on the operation of the request. Occurrences
-// in between are skipped.
+// during a pause are skipped.
 func (s *Scheduler) pause(sched *scheduleState, call request.Request) {
 	paused := call.Op == request.SchedulePause
 	if sched.record.Paused == paused {
--- a/internal/recurring/helpers_test.go
+++ b/internal/recurring/helpers_test.go
@@ -21,7 +21,7 @@
 	"yewpass/internal/writebatch"
 )
 
-// startTime is half an hour before the nightly schedule's next occurrence.
+// startTime is half an hour before the next occurrence of nightly.
 var startTime = time.Date(2030, 6, 3, 0, 30, 0, 0, time.UTC)
 
 const nightly = `{"name":"nightly","zone":"UTC","rule":"FREQ=DAILY","at":["01:00"],"due_at":"03:00","job":{"jobclass":"c","owner":"t",
@@ -60,7 +60,6 @@
 	return l
 }
 
-// load makes the scheduler load the stored schedules.
 func (l *fakeLeader) load() {
 	l.Helper()
 	l.scheduler.Load(func() {})
@@ -116,7 +115,7 @@
 	l.store(record.SchedulePrefix+"nightly", &schedule.Record{Number: 7, Seq: 1, Edition: 1, File: json.RawMessage(nightly), Cursor: schedule.Cursor{Nominal: l.Now}})
 }
 
-// takeWrite removes the only queued change from the queue and returns it.
+// takeWrite dequeues the only queued change.
 func (l *fakeLeader) takeWrite() *writebatch.Change {
 	l.Helper()
 	if len(l.writes) != 1 {
--- a/internal/recurring/history.go
+++ b/internal/recurring/history.go
@@ -14,8 +14,8 @@
 // historyDelay is how long history changes are collected before they are written.
 const historyDelay = 2 * time.Second
 
-// JobAdded is called when the leader has accepted a new job. If a user has requested it as
-// a manual run of a schedule, it is added to the schedule's history.
+// JobAdded is called when the leader has accepted a new job. It adds a manual run to the
+// history of its schedule.
 func (s *Scheduler) JobAdded(live *fleet.Job) {
 	sched := s.manualRuns[live.Spec.ID]
 	if sched == nil {
@@ -37,9 +37,8 @@
 	}
 }
 
-// applyPendingEntries adds the entries that arrived while a write was in flight to the
-// history. Adding them earlier would have lost them when the committed record replaced the
-// one in memory.
+// applyPendingEntries adds the history entries that arrived while a write was in flight.
+// Entries added earlier would be lost when the commit replaces the record in memory.
 func (s *Scheduler) applyPendingEntries(sched *scheduleState) {
 	for _, entry := range sched.pendingEntries {
 		sched.record.AddEntry(entry)
@@ -124,8 +123,8 @@
 	}
 }
 
-// flushHistory schedules a write of a changed history after historyDelay. The write is
-// dropped if another write of the schedule includes the change before.
+// flushHistory schedules a write of a changed history after historyDelay. It is dropped if
+// an earlier write of the schedule's record includes the change.
 func (s *Scheduler) flushHistory(sched *scheduleState) {
 	sched.historyChanged = true
 	if sched.flushScheduled {
@@ -135,7 +134,7 @@
 	s.scope.After(historyDelay, func() { s.leader.Write(s.historyChange(sched)) })
 }
 
-// historyChange returns a change that writes the history as of when the change is sent.
+// historyChange returns a change that writes the history as it is when the change is sent.
 func (s *Scheduler) historyChange(sched *scheduleState) *writebatch.Change {
 	change := &writebatch.Change{Priority: writebatch.Bulk, Writes: []kv.Write{{Key: sched.key()}}, Size: sched.record.Size()}
 	prepared := false
--- a/internal/recurring/job.go
+++ b/internal/recurring/job.go
@@ -12,7 +12,6 @@
 	"yewpass/internal/schedule"
 )
 
-// scheduleState is the in-memory state of one schedule.
 type scheduleState struct {
 	name           string
 	record         *schedule.Record     // nil while it is being created
@@ -54,9 +53,9 @@
 	return sched.definition.Upcoming(sched.record.Number, occurrence)
 }
 
-// compile compiles the definition in a schedule's record. A definition that this leader
-// cannot compile, for example because its calendar is missing from the operators' file,
-// disables the schedule: creating no job is safer than creating one on a holiday.
+// compile compiles the definition in a schedule's record. If that fails, for example
+// because the operators' file lacks its calendar, it disables the schedule, since creating
+// no job is safer than creating one on a holiday.
 func (s *Scheduler) compile(sched *scheduleState) {
 	sched.definition, sched.disabledReason = nil, ""
 	definition, err := s.parse(sched.record.File)
--- a/internal/recurring/load.go
+++ b/internal/recurring/load.go
@@ -16,7 +16,7 @@
 
 const (
 	loadPageSize    = 100                    // records per list request
-	loadPageGap     = 100 * time.Millisecond // pause between pages, which leaves capacity for the new leader's other work
+	loadPageGap     = 100 * time.Millisecond // leaves capacity for the new leader's other work
 	loadRetryDelay  = 200 * time.Millisecond
 	resolveInterval = 50 * time.Millisecond
 )
@@ -28,8 +28,7 @@
 	jobID string
 }
 
-// Load reads all schedules from the key-value store, page by page, and calls after when
-// they are loaded.
+// Load reads all schedules from the key-value store, page by page, and then calls after.
 func (s *Scheduler) Load(after func()) {
 	s.onLoaded = after
 	s.loadPage("")
@@ -120,7 +119,7 @@
 func (s *Scheduler) resolve(occurrence unresolvedOccurrence, state spec.JobState) {
 	at := s.engine.WallClock()
 	if entry, ok := occurrence.sched.record.Entry(occurrence.jobID); ok && !entry.Deadline.IsZero() && !entry.Late && at.After(entry.Deadline) {
-		at = entry.Deadline // no leader recorded a missed deadline, so assume that it was met
+		at = entry.Deadline // no leader recorded a missed deadline, so assume it was met
 	}
 	s.finishOccurrence(occurrence.sched, occurrence.jobID, state, at)
 }
--- a/internal/recurring/numbers.go
+++ b/internal/recurring/numbers.go
@@ -12,7 +12,7 @@
 	"yewpass/internal/writebatch"
 )
 
-// numberBlockSize is the number of schedule numbers that are reserved in one write.
+// numberBlockSize is the number of schedule numbers reserved in one write.
 const numberBlockSize = 50
 
 // numberAllocator allocates schedule numbers that have never been used. It reserves them in
--- a/internal/recurring/occurrences_test.go
+++ b/internal/recurring/occurrences_test.go
@@ -136,8 +136,7 @@
 	})
 }
 
-// TestHistory checks that the start, the missed deadline and the end of a job are recorded
-// in the stored history.
+// TestHistory checks that the stored history contains a job's start, missed deadline and end.
 func TestHistory(t *testing.T) {
 	l := newDueLeader(t)
 	l.scheduler.CreateDue(12)
--- a/internal/recurring/requests.go
+++ b/internal/recurring/requests.go
@@ -31,7 +31,6 @@
 	}
 }
 
-// notFound returns the response to a request for an unknown schedule.
 func notFound(name string) request.Response {
 	return request.Response{Status: 404, Field: "name", Reason: "no schedule " + name}
 }
@@ -66,7 +65,7 @@
 func (s *Scheduler) serveExisting(sched *scheduleState, call request.Request) {
 	params := call.Schedule
 	if call.Op == request.SchedulePut && !sched.writeInFlight && sched.definition != nil && params.File != nil && sched.hasDefinition(params.File) {
-		// A retry, for example after a lost response: there is nothing to do.
+		// a retry, for example after a lost response
 		s.leader.Answer(call, scheduleResponse(sched, 200))
 		return
 	}
@@ -86,7 +85,6 @@
 	s.execute(sched, call)
 }
 
-// isReadOnly reports whether an operation does not modify the schedule.
 func isReadOnly(op request.Operation) bool {
 	return op == request.ScheduleGet || op == request.ScheduleUpcoming || op == request.ScheduleHistory
 }
@@ -100,7 +98,6 @@
 	sched.waitingRequests = append(sched.waitingRequests, call)
 }
 
-// execute performs the operation of a request on a schedule.
 func (s *Scheduler) execute(sched *scheduleState, call request.Request) {
 	switch call.Op {
 	case request.SchedulePut:
@@ -124,8 +121,8 @@
 	}
 }
 
-// runNow submits a job of the schedule immediately, in addition to its occurrences. The job
-// ID is derived from the user's request name, so that a retry does not submit a second job.
+// runNow submits a job of the schedule in addition to its occurrences. The job ID is derived
+// from the idempotency key of the request, so that a retry does not submit a second job.
 func (s *Scheduler) runNow(sched *scheduleState, call request.Request) {
 	if sched.definition == nil {
 		s.leader.Answer(call, request.Response{Status: 422, Reason: sched.disabledReason})
--- a/internal/recurring/scheduler.go
+++ b/internal/recurring/scheduler.go
@@ -1,7 +1,6 @@
 // Package recurring runs schedules at the leader: it loads their records, creates jobs for
-// the occurrences that are due, maintains their histories and serves users' requests about
-// them. Package schedule contains the definitions, the stored record and the decision on a
-// single occurrence.
+// due occurrences, maintains histories and serves users' requests. Package schedule contains
+// the definitions, the stored record and the decision on a single occurrence.
 package recurring
 
 import (
@@ -22,11 +21,10 @@
 	TickInterval time.Duration // how often Tick is called
 }
 
-// Scheduler creates jobs for the occurrences of schedules. A schedule's cursor advances in
-// the same transaction that creates the job of an occurrence, conditional on the leader's
-// term and on the revision of the schedule's record. Therefore an occurrence is neither run
-// twice nor skipped when a leader fails, a transaction is applied late, or the next leader
-// takes over.
+// Scheduler creates jobs for the occurrences of schedules. The transaction that creates a
+// job also advances the schedule's cursor, conditional on the leader's term and the revision
+// of the schedule's record. Therefore no occurrence runs twice or is lost when a transaction
+// is applied late or the leader changes.
 type Scheduler struct {
 	engine   *engine.Engine
 	scope    *engine.Scope
@@ -60,7 +58,6 @@
 	ready    timerheap.Heap[queueEntry] // schedules with a due occurrence, by deadline
 }
 
-// queueEntry is an entry for a schedule in one of the queues.
 type queueEntry struct {
 	sched      *scheduleState
 	generation uint64
@@ -100,12 +97,12 @@
 // Has reports whether a schedule with this name exists or is being created.
 func (s *Scheduler) Has(name string) bool { return s.byName[name] != nil }
 
-// NumberRevision returns the last known revision of the record of schedule numbers. The
-// first record of a schedule is written on the condition that this revision is unchanged.
+// NumberRevision returns the last known revision of the record of schedule numbers, which is
+// a condition on the creation of a schedule.
 func (s *Scheduler) NumberRevision() uint64 { return s.numbers.revision }
 
-// SetNumberRevision sets the last known revision of the record of schedule numbers, after
-// the record was read or restored following a data loss.
+// SetNumberRevision sets the last known revision of the record of schedule numbers. Call it
+// after the record was read or was restored after a data loss.
 func (s *Scheduler) SetNumberRevision(revision uint64) { s.numbers.revision = revision }
 
 // addToMemory registers a schedule whose record is known and compiles its definition.
--- a/internal/recurring/views.go
+++ b/internal/recurring/views.go
@@ -12,7 +12,6 @@
 // controllers.
 const maxPageBytes = 48 << 10
 
-// scheduleResponse returns a response that contains the description of a schedule.
 func scheduleResponse(sched *scheduleState, status int) request.Response {
 	doc := schedule.View{
 		Schedule: sched.record.File,
@@ -42,8 +41,8 @@
 	return doc
 }
 
-// list returns one page of the schedules, sorted by name. Its size is bounded by both
-// params.Count and maxPageBytes.
+// list returns one page of the schedules, sorted by name and bounded by params.Count and
+// maxPageBytes.
 func (s *Scheduler) list(params *request.ScheduleParams) schedule.ListPage {
 	page := schedule.ListPage{Schedules: []schedule.Summary{}}
 	i, found := slices.BinarySearch(s.names, params.After)
--- a/internal/recurring/write.go
+++ b/internal/recurring/write.go
@@ -20,8 +20,8 @@
 	priority  writebatch.Priority
 	apply     func(r *schedule.Record)
 	job       *record.Job // job to create in the same transaction, or nil
-	onCommit  func()      // called after the commit
-	onIDTaken func()      // called if the job's ID is already in use; nil if job is nil
+	onCommit  func()
+	onIDTaken func() // called if the job's ID is already in use; nil if job is nil
 }
 
 // write queues a modification of a schedule's record.
@@ -33,8 +33,8 @@
 	s.leader.Write(change)
 }
 
-// prepare fills in a change with the modified record. The record in memory is replaced by
-// exactly this value once the change is committed.
+// prepare fills in a change with the modified record, which replaces the one in memory once
+// the change is committed.
 func (s *Scheduler) prepare(sched *scheduleState, change *writebatch.Change, rc recordChange) {
 	rec := sched.record.Clone()
 	rc.apply(rec)
