--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -1,6 +1,6 @@
-// Package calendar computes the start times of recurring jobs from recurrence
-// rules (RFC 5545), calendars of business days, and times of day in time zones with
-// daylight saving time. It does no I/O and reads no clock.
+// Package calendar computes the start times of recurring jobs from recurrence rules
+// (RFC 5545), calendars of business days, and times of day in time zones. It does no I/O and
+// reads no clock.
 //
 // Three kinds of time are represented as follows:
 //   - A civil date is midnight of that date in UTC.
@@ -24,8 +24,8 @@
 	"github.com/rickar/cal/v2/us"
 )
 
-// countries maps ISO 3166 codes to public holidays. It contains only the documented
-// countries, because each one adds start-up time and memory.
+// countries maps ISO 3166 codes to public holidays. Each country adds start-up time and
+// memory.
 var countries = map[string]*[]*cal.Holiday{
 	"BG": &bg.Holidays,
 	"DE": &de.Holidays,
@@ -35,8 +35,7 @@
 	"US": &us.Holidays,
 }
 
-// Countries returns the ISO 3166 codes of the countries whose public holidays are
-// known, sorted.
+// Countries returns the sorted ISO 3166 codes of the countries whose holidays are known.
 func Countries() []string { return slices.Sorted(maps.Keys(countries)) }
 
 // FieldError reports which field of a schedule or calendar is invalid and why.
@@ -51,7 +50,7 @@
 
 // Definition is a calendar as configured by operators.
 type Definition struct {
-	Country      string         // ISO 3166 code of the country whose public holidays apply; empty means none
+	Country      string         // ISO 3166 code; empty means no public holidays
 	Holidays     []time.Time    // additional holidays
 	BusinessDays []time.Time    // business days, which override the other fields
 	Weekend      []time.Weekday // nil means Saturday and Sunday
@@ -70,17 +69,16 @@
 }
 
 const (
-	// maxSearchDays limits how many days the search for a business day examines.
+	// maxSearchDays limits the search for a business day.
 	maxSearchDays = 400
-	// maxCachedYears limits the number of years whose holidays a calendar caches.
+	// maxCachedYears limits the years whose holidays a calendar caches.
 	maxCachedYears = 16
 )
 
-// defaultHolidayName is the name of holidays that are configured without a name.
+// defaultHolidayName is the name of holidays without a configured name.
 const defaultHolidayName = "holiday"
 
-// New returns the calendar for a definition. The error is a *FieldError for the
-// country or the weekend.
+// New returns the calendar for a definition. The error is a *FieldError.
 func New(definition Definition) (*Calendar, error) {
 	c := &Calendar{
 		holidays:     map[time.Time]string{},
@@ -141,8 +139,8 @@
 	}
 }
 
-// IsBusinessDay reports whether a date is a business day. If it is not, why is the
-// name of the holiday or of the weekday.
+// IsBusinessDay reports whether a date is a business day. If not, why is the name of the
+// holiday or weekday.
 func (c *Calendar) IsBusinessDay(date time.Time) (business bool, why string) {
 	if c.businessDays[date] {
 		return true, ""
@@ -181,9 +179,8 @@
 	return holidays
 }
 
-// markHoliday adds the dates of a public holiday that are in the year: the actual
-// date and the date on which it is observed. The holiday of an adjacent year may be
-// observed in this year.
+// markHoliday adds the dates of a public holiday that are in the year: the actual date and
+// the observed one. The holiday of an adjacent year may be observed in this year.
 func markHoliday(holiday *cal.Holiday, year int, holidays map[time.Time]string) {
 	for holidayYear := year - 1; holidayYear <= year+1; holidayYear++ {
 		actual, observed := holiday.Calc(holidayYear)
@@ -195,12 +192,12 @@
 	}
 }
 
-// onOrAfter returns the first business day on or after a date, or false if there is
-// none within maxSearchDays.
+// onOrAfter returns the first business day on or after a date, or false if maxSearchDays
+// contain none.
 func (c *Calendar) onOrAfter(date time.Time) (time.Time, bool) { return c.search(date, Day) }
 
-// onOrBefore returns the last business day on or before a date, or false if there
-// is none within maxSearchDays.
+// onOrBefore returns the last business day on or before a date, or false if maxSearchDays
+// contain none.
 func (c *Calendar) onOrBefore(date time.Time) (time.Time, bool) { return c.search(date, -Day) }
 
 func (c *Calendar) search(date time.Time, step time.Duration) (time.Time, bool) {
--- a/internal/calendar/ical.go
+++ b/internal/calendar/ical.go
@@ -28,8 +28,7 @@
 	}
 }
 
-// markYear adds the days of those occurrences of a recurring event that overlap with
-// the year.
+// markYear adds the days of a recurring event's occurrences that overlap with the year.
 func (e *Event) markYear(year int, holidays map[time.Time]string) {
 	from := Date(year, time.January, 1).AddDate(0, 0, -e.Days)
 	last := Date(year, time.December, 31)
@@ -56,10 +55,9 @@
 // propertyRecurrenceID is a property for which the library has no constant.
 const propertyRecurrenceID ics.ComponentProperty = "RECURRENCE-ID"
 
-// ParseICalendar returns the events of an iCalendar file (RFC 5545). Times of day
-// are ignored: an event covers every day that it overlaps with. Cancelled events are
-// omitted. RRULE, RDATE and EXDATE are supported. RECURRENCE-ID, which moves a
-// single occurrence, is not supported and returns an error.
+// ParseICalendar returns the events of an iCalendar file (RFC 5545) except cancelled ones. An
+// event covers every day that it overlaps with. RRULE, RDATE and EXDATE are supported;
+// RECURRENCE-ID, which moves a single occurrence, is an error.
 func ParseICalendar(data []byte) (events []Event, err error) {
 	// The library panics on some malformed input and does not limit its memory.
 	defer func() {
@@ -143,8 +141,8 @@
 	return name
 }
 
-// eventDays returns the number of days that an event covers, from DTEND or DURATION.
-// It returns false if DTEND is malformed. The caller validates the number.
+// eventDays returns the number of days that an event covers, from DTEND or DURATION, or
+// false if DTEND is malformed. The caller validates the number.
 func eventDays(component *ics.VEvent, start time.Time) (days int, ok bool) {
 	if text := propertyValue(component, ics.ComponentPropertyDtEnd); text != "" {
 		end, timed, ok := parseICalDate(text)
@@ -160,8 +158,8 @@
 	return durationDays(propertyValue(component, ics.ComponentPropertyDuration)), true
 }
 
-// durationDays returns the number of days of a DURATION such as P3D or P2W. All other
-// durations, which include times of day, count as one day.
+// durationDays returns the number of days of a DURATION such as P3D or P2W. Durations with
+// times of day count as one day.
 func durationDays(text string) int {
 	var count int
 	var unit byte
@@ -177,8 +175,8 @@
 	return 1
 }
 
-// propertyDates returns the dates of all instances of a property, each of which may
-// be a comma-separated list. It returns false if one of them is malformed.
+// propertyDates returns the dates of all instances of a property, each of which may be a
+// comma-separated list. It returns false if a date is malformed.
 func propertyDates(component *ics.VEvent, property ics.ComponentProperty) (dates []time.Time, ok bool) {
 	for _, list := range component.GetProperties(property) {
 		for text := range strings.SplitSeq(list.Value, ",") {
@@ -192,8 +190,7 @@
 	return dates, true
 }
 
-// parseICalDate parses a DATE or the date of a DATE-TIME. For a DATE-TIME, timed is
-// true.
+// parseICalDate parses a DATE or the date of a DATE-TIME, for which timed is true.
 func parseICalDate(text string) (date time.Time, timed, ok bool) {
 	text, _, timed = strings.Cut(text, "T")
 	date, err := time.Parse(icalDateFormat, text)
--- a/internal/calendar/occurrence.go
+++ b/internal/calendar/occurrence.go
@@ -10,12 +10,12 @@
 
 // Occurrence is one run of a schedule.
 type Occurrence struct {
-	// Nominal is the wall-clock time that identifies the occurrence. The scheduler
-	// stores it instead of Start, because it does not change with the UTC offsets of
-	// the zone, so that no occurrence runs twice.
+	// Nominal is the wall-clock time that identifies the occurrence. It is stored instead of
+	// Start, since Start changes with the zone's UTC offsets, and an occurrence could run
+	// twice.
 	Nominal time.Time
-	// Rule is the wall-clock time according to the recurrence rule, before any move
-	// because of a holiday. If several dates are moved to one day, it is the latest.
+	// Rule is the wall-clock time of the recurrence rule, before any move because of a
+	// holiday. If several dates are moved to one day, it is the latest.
 	Rule     time.Time
 	Start    time.Time // start as an instant
 	Deadline time.Time // deadline as an instant; zero means none
@@ -23,14 +23,14 @@
 	Skipped  bool      // does not run; set by All only
 }
 
-// plannedDate is a date of the rule, and the date on which the schedule runs. They
-// differ if the run is moved because of a holiday.
+// plannedDate is a date of the rule and the date of its run, which differs if the run is
+// moved because of a holiday.
 type plannedDate struct {
 	run, rule time.Time
 }
 
-// maxRuleDates limits how many dates of the rule are examined to find one occurrence,
-// in case every date of the rule is a holiday.
+// maxRuleDates limits the search for an occurrence, in case every date of the rule is a
+// holiday.
 const maxRuleDates = 2_000
 
 // OccursAfter reports whether there is an occurrence in the 50 years after a
@@ -40,9 +40,8 @@
 	return ok
 }
 
-// Next returns the first occurrence whose nominal time is after a wall-clock time,
-// or false if there is none within 50 years. Its cost does not depend on the age of
-// the schedule.
+// Next returns the first occurrence whose nominal time is after a wall-clock time, or false
+// if there is none within 50 years. Its cost does not grow with the age of the schedule.
 func (t *Timing) Next(after time.Time) (Occurrence, bool) {
 	day := DateOf(after)
 	date, ok := t.firstRunDate(day)
@@ -68,9 +67,8 @@
 	return ok && occurrence.Nominal.Equal(nominal)
 }
 
-// All yields an occurrence for every date of the rule on or after from and every
-// time of day, in the order of the rule. Occurrences that do not run because of a
-// holiday have Skipped set.
+// All yields an occurrence for every date of the rule on or after from and every time of
+// day, in the order of the rule, including those that a holiday skips.
 func (t *Timing) All(from time.Time) iter.Seq[Occurrence] {
 	return func(yield func(Occurrence) bool) {
 		for rule, ok := t.rule.Next(from); ok; rule, ok = t.rule.Next(rule.Add(Day)) {
@@ -92,9 +90,8 @@
 	}
 }
 
-// planOrSkip returns the date on which the schedule runs for a date of the rule. If
-// it does not run, skipped is the reason. It returns false if there is no business
-// day to move to.
+// planOrSkip returns the date on which the schedule runs for a date of the rule. If it does
+// not run, skipped is the reason. It returns false if there is no business day to move to.
 func (t *Timing) planOrSkip(rule time.Time) (date plannedDate, skipped string, ok bool) {
 	date = plannedDate{run: rule, rule: rule}
 	if t.calendar == nil || t.onHoliday == HolidayRun {
@@ -131,10 +128,9 @@
 	return rule, true
 }
 
-// firstRunDate returns the first date on or after day on which the schedule runs, or
-// false if there is none. Dates of the rule that are moved to the same business day
-// are merged into one run: its rule date is that day itself if it is a date of the
-// rule, and otherwise the first of the merged dates.
+// firstRunDate returns the first date on or after day on which the schedule runs, or false
+// if there is none. Dates of the rule that are moved to the same business day are one run:
+// its rule date is that day if it is a date of the rule, and otherwise the first of them.
 func (t *Timing) firstRunDate(day time.Time) (date plannedDate, ok bool) {
 	from, ok := t.earliestRuleDate(day)
 	if !ok {
@@ -166,8 +162,7 @@
 	return businessDay.Add(Day), ok
 }
 
-// latestRuleDate returns the latest of the dates of the rule that are merged into
-// the run on date.run.
+// latestRuleDate returns the latest date of the rule that runs on date.run.
 func (t *Timing) latestRuleDate(date plannedDate) time.Time {
 	latest := date.rule
 	if t.onHoliday != HolidayNext && t.onHoliday != HolidayPrevious {
@@ -186,7 +181,6 @@
 	return latest
 }
 
-// occurrence returns the occurrence on date.run at a time of day.
 func (t *Timing) occurrence(date plannedDate, at time.Duration) Occurrence {
 	nominal := date.run.Add(at)
 	start, exists := Instant(nominal, t.zone)
--- a/internal/calendar/occurrence_test.go
+++ b/internal/calendar/occurrence_test.go
@@ -137,8 +137,7 @@
 	}
 }
 
-// TestZoneOffsetChange checks that no occurrence runs twice if an update of the time zone
-// data changes the UTC offset of a zone.
+// TestZoneOffsetChange checks that no occurrence runs twice if a zone's UTC offset changes.
 func TestZoneOffsetChange(t *testing.T) {
 	set := calendars(t)
 	timing := mustTiming(t, set, TimingSpec{Zone: "Europe/Sofia", Rule: "FREQ=DAILY", At: []string{"03:30"}})
--- a/internal/calendar/rule.go
+++ b/internal/calendar/rule.go
@@ -7,8 +7,8 @@
 	"github.com/teambition/rrule-go"
 )
 
-// Rule is a recurrence rule (RFC 5545) that yields dates. It is not safe for
-// concurrent use, because it caches the dates that it computed last.
+// Rule is a recurrence rule (RFC 5545) that yields dates. It is not safe for concurrent use,
+// because it caches dates.
 //
 // The rrule library expands a rule from its start, which is slow for old rules. Rule
 // therefore starts the expansion at a period shortly before the requested date.
@@ -24,12 +24,11 @@
 }
 
 const (
-	// horizonYears limits the search for a date. The rarest useful rule, 29 February
-	// on a given weekday, recurs within 40 years even across a century without a leap
-	// day.
+	// horizonYears limits the search for a date. The rarest useful rule, 29 February on a
+	// given weekday, recurs within 40 years.
 	horizonYears = 50
-	// cacheLookback is the number of days before the requested date at which the cache
-	// begins. It is rounded down to the beginning of a period.
+	// cacheLookback is how many days before the requested date the cache begins, rounded
+	// down to the beginning of a period.
 	cacheLookback = 10
 	// cacheAhead is the number of cached dates on or after the requested date.
 	cacheAhead = 24
@@ -81,8 +80,7 @@
 	}
 }
 
-// mondayBased returns the weekday in the numbering of the rrule library, where Monday
-// is 0.
+// mondayBased returns the weekday as numbered by the rrule library: Monday is 0.
 func mondayBased(weekday time.Weekday) int { return (int(weekday) + daysPerWeek - 1) % daysPerWeek }
 
 // periodStart returns the beginning of the rule's period that contains a date. The
@@ -103,10 +101,10 @@
 	}
 }
 
-// floorToMultiple returns the largest multiple of factor that is not greater than n.
+// floorToMultiple rounds n down to a multiple of factor, also if n is negative.
 func floorToMultiple(n, factor int) int { return n - ((n%factor)+factor)%factor }
 
-// fillCache replaces the cache by the dates around the given date.
+// fillCache replaces the cache by the dates around date.
 func (r *Rule) fillCache(date time.Time) {
 	r.cacheStart = r.periodStart(date.AddDate(0, 0, -cacheLookback))
 	r.dates = r.dates[:0]
@@ -116,8 +114,7 @@
 	if err != nil {
 		return // not reached: ParseRule rejects invalid options
 	}
-	// The limit is enforced here because the library, even with UNTIL, searches up to
-	// the year 9999 if the rule has no further dates.
+	// Without further dates, the library searches up to the year 9999, even with UNTIL.
 	next, limit := expansion.Iterator(), date.AddDate(horizonYears, 0, 0)
 	for ahead := 0; ahead < cacheAhead; {
 		found, ok := next()
@@ -131,14 +128,13 @@
 	}
 }
 
-// isCached reports whether the cache contains the first date of the rule on or after
-// the given date.
+// isCached reports whether the cache contains the first date of the rule on or after date.
 func (r *Rule) isCached(date time.Time) bool {
 	return len(r.dates) > 0 && !date.Before(r.cacheStart) && !date.After(r.dates[len(r.dates)-1])
 }
 
-// Next returns the first date of the rule on or after the given date, or false if
-// there is none within 50 years.
+// Next returns the first date of the rule on or after date, or false if there is none within
+// 50 years.
 func (r *Rule) Next(date time.Time) (time.Time, bool) {
 	if date.Before(r.from) {
 		date = r.from
--- a/internal/calendar/ruleparse.go
+++ b/internal/calendar/ruleparse.go
@@ -35,17 +35,17 @@
 // numericParts are the parts whose values are lists of numbers other than 0.
 var numericParts = []string{"BYSETPOS", "BYMONTH", "BYMONTHDAY", "BYYEARDAY", "BYWEEKNO"}
 
-// defaultAnchor is the anchor of rules without a start. It is a Monday and the first
-// day of a year, and therefore the beginning of a period for every frequency.
+// defaultAnchor is the anchor of rules without a start. As a Monday and the first day of a
+// year, it begins a period of every frequency.
 var defaultAnchor = Date(2001, time.January, 1)
 
 // ParseRule parses a rule such as FREQ=MONTHLY;BYMONTHDAY=-1. The rule yields dates
 // from starts to ends, both inclusive; zero means no limit. The time of day in UNTIL
 // is ignored.
 //
-// BYHOUR and the other parts for times of day are rejected, because rules yield
-// dates. Without starts, rules that depend on their start are rejected too: those
-// with COUNT, with INTERVAL above 1, or without a day part unless FREQ is DAILY.
+// Parts for times of day such as BYHOUR are rejected. Without starts, rules that depend on
+// their start are rejected too: those with COUNT, with INTERVAL above 1, or without a day
+// part unless FREQ is DAILY.
 func ParseRule(text string, starts, ends time.Time) (*Rule, error) {
 	text = strings.TrimPrefix(strings.ToUpper(strings.TrimSpace(text)), "RRULE:")
 	if text == "" {
@@ -95,9 +95,9 @@
 	return r, nil
 }
 
-// neverMatchesWeekday reports whether the interval of a daily rule is a multiple of
-// 7 and BYDAY excludes the weekday of starts. Such a rule has no dates, and the
-// library would search for one for too long.
+// neverMatchesWeekday reports whether the interval of a daily rule is a multiple of 7 and
+// BYDAY excludes the weekday of starts. Such a rule has no dates, and the library would search
+// for very long.
 func (r *Rule) neverMatchesWeekday(starts time.Time) bool {
 	option := &r.option
 	if option.Freq != rrule.DAILY || option.Interval%daysPerWeek != 0 || len(option.Byweekday) == 0 {
@@ -108,8 +108,8 @@
 	})
 }
 
-// lastCountedDate returns the last date of a rule with the given COUNT, or the last
-// date within horizonYears if the rule has fewer dates.
+// lastCountedDate returns the last date of a rule with the given COUNT, or its last date if
+// it has fewer within horizonYears.
 func (r *Rule) lastCountedDate(count int) (time.Time, error) {
 	var last time.Time
 	limit := r.from.AddDate(horizonYears, 0, 0)
@@ -133,8 +133,7 @@
 	until     time.Time         // date of UNTIL, if present
 }
 
-// splitRule splits a rule into parts. It rejects malformed, duplicate and unsupported
-// parts.
+// splitRule rejects malformed, duplicate and unsupported parts.
 func splitRule(text string) (*ruleParts, error) {
 	parts := &ruleParts{values: map[string]string{}}
 	for part := range strings.SplitSeq(text, ";") {
@@ -193,8 +192,7 @@
 }
 
 // check rejects rules that RFC 5545 forbids, and rules that the library interprets
-// differently or panics on, such as BYDAY=53MO with FREQ=MONTHLY. hasStart reports
-// whether the rule has a start, on which some parts depend.
+// differently or panics on, such as BYDAY=53MO with FREQ=MONTHLY.
 func (p *ruleParts) check(hasStart bool) error {
 	checks := []func() error{
 		p.checkFrequency,
@@ -238,9 +236,8 @@
 	return nil
 }
 
-// anyMonthHasDay reports whether, in a leap year, any of the listed months has any of
-// the listed days. It returns true for values that are not numbers, which
-// checkNumericLists rejects.
+// anyMonthHasDay reports whether, in a leap year, any listed month has any listed day. It
+// returns true for values that are not numbers, which checkNumericLists rejects.
 func anyMonthHasDay(months, days string) bool {
 	for monthText := range strings.SplitSeq(months, ",") {
 		month, err := strconv.Atoi(monthText)
@@ -314,8 +311,8 @@
 	return nil
 }
 
-// checkWeekdays rejects ordinals in BYDAY that are out of range for the period, such
-// as 6MO with FREQ=MONTHLY. The library validates the names of weekdays.
+// checkWeekdays rejects ordinals in BYDAY that the period does not have, such as 6MO with
+// FREQ=MONTHLY. The library validates the names of weekdays.
 func (p *ruleParts) checkWeekdays() error {
 	list, ok := p.values["BYDAY"]
 	if !ok {
@@ -334,8 +331,7 @@
 	return nil
 }
 
-// maxWeekdayOrdinal returns the largest ordinal that is allowed in BYDAY, or 0 if
-// ordinals are not allowed.
+// maxWeekdayOrdinal returns the largest ordinal allowed in BYDAY, or 0 for none.
 func (p *ruleParts) maxWeekdayOrdinal() int {
 	frequency := p.frequency()
 	switch {
--- a/internal/calendar/ruleparse_test.go
+++ b/internal/calendar/ruleparse_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestSlowRulesAreRejected checks that rules are rejected for which the library would
-// search for very long.
+// TestSlowRulesAreRejected checks that rules for which the library would search for very long
+// are rejected.
 func TestSlowRulesAreRejected(t *testing.T) {
 	monday := Date(2027, 3, 29)
 	for _, rule := range []string{
--- a/internal/calendar/set.go
+++ b/internal/calendar/set.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Set holds the calendars defined by operators, by name, and caches the time zones
-// and rules of schedules. It is not safe for concurrent use.
+// Set holds the calendars defined by operators, and caches the time zones and rules of
+// schedules. It is not safe for concurrent use.
 type Set struct {
 	calendars map[string]*Calendar
 	zones     map[string]*time.Location
@@ -20,7 +20,7 @@
 	starts, ends time.Time
 }
 
-// maxCachedRules limits the number of rules that a set caches.
+// maxCachedRules limits the rules that a set caches.
 const maxCachedRules = 4096
 
 // NewSet returns a set of calendars, given by name. It keeps a reference to the map.
@@ -35,7 +35,7 @@
 // Names returns the names of the calendars, sorted.
 func (s *Set) Names() []string { return slices.Sorted(maps.Keys(s.calendars)) }
 
-// zone returns the time zone with the given IANA name. The error is a *FieldError.
+// zone returns the time zone with an IANA name. The error is a *FieldError.
 func (s *Set) zone(name string) (*time.Location, error) {
 	if zone := s.zones[name]; zone != nil {
 		return zone, nil
@@ -43,7 +43,7 @@
 	switch name {
 	case "":
 		return nil, fieldErrorf("zone", "missing")
-	case "Local": // time.LoadLocation accepts it, but its meaning differs between machines
+	case "Local": // accepted by time.LoadLocation, but differs between machines
 		return nil, fieldErrorf("zone", "Local is not a time zone; use an IANA name such as Europe/Sofia")
 	}
 	zone, err := time.LoadLocation(name)
@@ -72,8 +72,7 @@
 	return rule, nil
 }
 
-// calendar returns the calendar with the given name, or nil for the empty name. The
-// error is a *FieldError.
+// calendar returns the named calendar, or nil for the empty name. The error is a *FieldError.
 func (s *Set) calendar(name string) (*Calendar, error) {
 	if name == "" {
 		return nil, nil
--- a/internal/calendar/timing.go
+++ b/internal/calendar/timing.go
@@ -37,20 +37,19 @@
 	at        []time.Duration // times of day in ascending order
 	calendar  *Calendar       // nil means that every day is a business day
 	onHoliday OnHoliday
-	dueAt     time.Duration // time of day, or noDueTime
+	dueAt     time.Duration // time of day, or noDeadline
 }
 
-// noDeadline is the value of Timing.dueAt for a schedule without a deadline.
+// noDeadline is the Timing.dueAt of a schedule without a deadline.
 const noDeadline time.Duration = -1
 
 // MaxTimesOfDay limits the times of day in a schedule to one per minute.
 const MaxTimesOfDay = 24 * 60
 
-// timeOfDayFormat is the format of times of day in a schedule.
 const timeOfDayFormat = "15:04"
 
-// ParseTiming validates the fields and returns the Timing that they describe. The
-// error is a *FieldError for the first invalid field.
+// ParseTiming returns the Timing that the fields describe. The error is a *FieldError for
+// the first invalid field.
 func (s *Set) ParseTiming(times TimingSpec) (*Timing, error) {
 	zone, err := s.zone(times.Zone)
 	if err != nil {
@@ -116,8 +115,7 @@
 	return timeOfDay, nil
 }
 
-// parseTimeOfDay parses a time of day. It requires two digits for the hour, which
-// time.Parse does not.
+// parseTimeOfDay requires two digits for the hour, which time.Parse does not.
 func parseTimeOfDay(text string) (timeOfDay time.Duration, ok bool) {
 	t, err := time.Parse(timeOfDayFormat, text)
 	if err != nil || len(text) != len(timeOfDayFormat) {
@@ -126,8 +124,8 @@
 	return t.Sub(DateOf(t)), true
 }
 
-// parseOnHoliday parses the field on_holiday, which is required for a schedule with a
-// calendar. Values other than run are only allowed with a calendar.
+// parseOnHoliday parses the field on_holiday, which is required with a calendar. Values other
+// than run require a calendar.
 func parseOnHoliday(text string, hasCalendar bool) (OnHoliday, error) {
 	switch onHoliday := OnHoliday(text); onHoliday {
 	case "":
@@ -146,11 +144,11 @@
 	return "", fieldErrorf("on_holiday", "%q is not one of run, skip, next, previous", text)
 }
 
-// Zone returns the schedule's time zone, in which its times of day are interpreted.
+// Zone returns the time zone of the schedule's times of day.
 func (t *Timing) Zone() *time.Location { return t.zone }
 
-// SameOccurrences reports whether two timings from the same Set have equal fields
-// except for the due time, and therefore yield the same occurrences.
+// SameOccurrences reports whether two timings from the same Set differ at most in their due
+// time, and therefore yield the same occurrences.
 func (t *Timing) SameOccurrences(other *Timing) bool {
 	return t.zone.String() == other.zone.String() &&
 		t.rule == other.rule && // the set returns the same *Rule for equal rules
--- a/internal/calendar/zone.go
+++ b/internal/calendar/zone.go
@@ -5,12 +5,10 @@
 	_ "time/tzdata" // controllers may run on machines without time zone files
 )
 
-// Day is the difference between consecutive civil dates. It is always 24 hours,
-// because civil dates are in UTC.
+// Day is the difference between consecutive civil dates, which are in UTC.
 const Day = 24 * time.Hour
 
-// Date returns a civil date, which is midnight UTC. Out-of-range values are
-// normalized as in time.Date.
+// Date returns a civil date. Out-of-range values are normalized as in time.Date.
 func Date(year int, month time.Month, day int) time.Time {
 	return time.Date(year, month, day, 0, 0, 0, 0, time.UTC)
 }
@@ -29,13 +27,11 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// instantsOf returns the first and the last instant of a wall-clock time in the zone.
-// They differ only if the time is repeated because clocks are set back. If the time
-// is skipped because clocks are set forward, exists is false, and both results are
-// the first instant after the gap.
+// instantsOf returns the first and the last instant of a wall-clock time in the zone. They
+// differ if clocks are set back and the time is repeated. If clocks are set forward and skip
+// the time, exists is false, and both results are the first instant after the gap.
 //
-// It tries the offsets before and after the transition, because time.Date does not
-// specify its result for repeated and skipped times.
+// It does not use time.Date, whose result for repeated and skipped times is unspecified.
 func instantsOf(wall time.Time, zone *time.Location) (first, last time.Time, exists bool) {
 	before := offsetAt(wall.Add(-Day), zone)
 	after := offsetAt(wall.Add(Day), zone)
@@ -55,17 +51,15 @@
 	return gapEnd.UTC(), gapEnd.UTC(), false
 }
 
-// Instant returns the first instant of a wall-clock time in the zone. If the time is
-// skipped because clocks are set forward, exists is false, and the result is the
-// first instant after the gap.
+// Instant returns the first instant of a wall-clock time in the zone. If clocks skip the
+// time, exists is false, and the result is the first instant after the gap.
 func Instant(wall time.Time, zone *time.Location) (instant time.Time, exists bool) {
 	instant, _, exists = instantsOf(wall, zone)
 	return instant, exists
 }
 
-// FirstAfter returns the first instant after t that has the given time of day in the
-// zone. On a date on which the time is skipped because clocks are set forward, the
-// first instant after the gap counts as that time.
+// FirstAfter returns the first instant after t that has the given time of day in the zone.
+// If clocks skip the time, the first instant after the gap counts as that time.
 func FirstAfter(t time.Time, timeOfDay time.Duration, zone *time.Location) time.Time {
 	for date := DateOf(WallClock(t, zone)).Add(-Day); ; date = date.Add(Day) {
 		first, last, _ := instantsOf(date.Add(timeOfDay), zone)
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -23,8 +23,8 @@
 	SchedulePrefix    = Root + "schedule/"
 	ScheduleNumberKey = Root + "schedules" // highest schedule number in use
 
-	// The live configuration is under LivePrefix, so that a leader has read it before it
-	// makes any decision.
+	// The live configuration is under LivePrefix, so that a leader reads it before it makes
+	// any decision.
 	ConfigPrefix     = LivePrefix + "config/"
 	ConfigHeadKey    = ConfigPrefix + "head"
 	ConfigTeamPrefix = ConfigPrefix + "team/"
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -11,11 +11,11 @@
 )
 
 // AttemptCounterBits is the width of the counter in the lower bits of an attempt number. The
-// upper bits hold the term, so that attempt numbers increase across terms.
+// upper bits hold the term, so that attempt numbers increase with it.
 const AttemptCounterBits = 28
 
-// MaxTerm is the highest term that fits into the upper bits of an attempt number. Records
-// with a higher term are rejected as invalid.
+// MaxTerm is the highest term that fits into an attempt number. Records with a higher term
+// are invalid.
 const MaxTerm = 1<<(64-AttemptCounterBits) - 1
 
 // Leader identifies the current leader. Its key is attached to the leader lease.
@@ -50,8 +50,8 @@
 	Ranges string // in the format of bitset.Set.EncodeChunk
 }
 
-// Machines lists machines that may have tasks. One record holds many machines, because one
-// record for each would exceed the store's write rate limit in a large fleet.
+// Machines lists machines that may have tasks. A record for each machine would exceed the
+// store's write rate limit in a large fleet.
 type Machines struct {
 	Machines []Machine
 }
--- a/internal/record/size.go
+++ b/internal/record/size.go
@@ -2,13 +2,12 @@
 
 import "yewpass/internal/spec"
 
-// Upper bounds of stored sizes in bytes. Names come from users and workers and may need
-// escaping in JSON, so they are counted at their longest: one long name must not push a
-// record or a transaction over the store's limits.
+// Upper bounds of stored sizes in bytes. Names are counted at their longest JSON escaping, so
+// that no name pushes a record or a transaction over the store's limits.
 const (
 	jobBaseBytes     = 700
 	machineBaseBytes = 90
-	maxEscapedBytes  = 6
+	maxEscapedBytes  = 6 // of one byte of a name
 	separatorBytes   = 4 // quotes and comma around one instance type
 )
 
--- a/internal/recordcodec/codec.go
+++ b/internal/recordcodec/codec.go
@@ -17,7 +17,7 @@
 	typeJob            = "job"
 	typeFinal          = "final"
 	typeProgress       = "progress"
-	typeMachine        = "machine" // written by the first version: one machine, whose host name is in the key
+	typeMachine        = "machine" // format of the first version, see machinesJSON
 	typeMachines       = "machines"
 	typeLeader         = "leader"
 	typeTerm           = "term"
--- a/internal/recordcodec/compatibility_test.go
+++ b/internal/recordcodec/compatibility_test.go
@@ -15,8 +15,7 @@
 )
 
 // The files under testdata were written by version 5990396 and must not be regenerated. A
-// version that fails to decode them, or encodes different bytes, cannot run in one cluster
-// with that version or on its data.
+// version that cannot decode them or encodes different bytes is incompatible with it.
 const (
 	goldenRecords = "testdata/records-5990396.jsonl"
 )
@@ -159,8 +158,8 @@
 	}
 }
 
-// TestMachineRecordOfFirstVersion checks that a record of the first version, which has one
-// machine and its host name in the key, decodes to a list of one machine.
+// TestMachineRecordOfFirstVersion checks that a record of the first version, which has the
+// host name in the key, decodes to a list of one machine.
 func TestMachineRecordOfFirstVersion(t *testing.T) {
 	got := Decode("yewpass/live/machine/host-000231", json.RawMessage(`{"type":"machine","flavor":"g8","zone":"hall-a","reclaimable":true}`))
 	want := &record.Machines{Machines: []record.Machine{{Host: "host-000231", InstanceType: "g8", Zone: "hall-a", Spot: true}}}
--- a/internal/recordcodec/config.go
+++ b/internal/recordcodec/config.go
@@ -44,7 +44,7 @@
 		return nil
 	}
 	team := liveconfig.Team{Name: j.Name, CPUs: j.CPUs, CPUsMax: j.CPUsMax, GPUs: j.GPUs, GPUsMax: j.GPUsMax, Retired: j.Retired}
-	// A team that fails the validation of user requests cannot have been written.
+	// Only teams that pass the validation of user requests are written.
 	change := liveconfig.Change{Teams: []liveconfig.TeamChange{{Team: team}}}
 	if change.Validate(1) != nil {
 		return nil
--- a/internal/recordcodec/schedule.go
+++ b/internal/recordcodec/schedule.go
@@ -25,7 +25,6 @@
 	Past    string          `json:"past,omitempty"`
 }
 
-// scheduleNumberJSON is an encoded record.ScheduleNumber.
 type scheduleNumberJSON struct {
 	Type   string `json:"type"` // typeScheduleNumber
 	Number uint64 `json:"number"`
@@ -93,7 +92,7 @@
 	return r
 }
 
-// valid reports whether the times and the number are in range and the file is present.
+// valid does not check the history, which Record.Entries decodes.
 func (j *scheduleJSON) valid() bool {
 	validTime := func(ms int64) bool { return ms >= 0 && ms < maxTimeMS }
 	return validTime(j.Cursor) && validTime(j.Rule) && j.Number > 0 && j.Number <= schedule.MaxNumber && len(j.File) > 0
--- a/internal/schedule/compatibility_test.go
+++ b/internal/schedule/compatibility_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// TestIDsOf5990396 checks that job IDs are the same as in version 5990396. Otherwise an
-// occurrence or request whose job that version created would run again after an
-// upgrade.
+// TestIDsOf5990396 checks that job IDs are the same as in version 5990396. Otherwise jobs that
+// it created would run again after an upgrade.
 func TestIDsOf5990396(t *testing.T) {
 	nominal := time.Date(2027, time.January, 31, 9, 5, 0, 0, time.UTC)
 	if got, want := JobID(42, nominal), "wk-00000042202701310905"; got != want {
--- a/internal/schedule/decide.go
+++ b/internal/schedule/decide.go
@@ -7,7 +7,7 @@
 	"yewpass/internal/calendar"
 )
 
-// Decision says what to do about the next occurrence of a schedule.
+// Decision is what to do about the next occurrence of a schedule.
 type Decision int
 
 // The results of Decide.
@@ -29,15 +29,14 @@
 	return decisionNames[d]
 }
 
-// Cursor is the position in the sequence of a schedule's occurrences up to which
-// all have been decided. Both fields are wall-clock times, see calendar.Occurrence.
+// Cursor is the position up to which a schedule's occurrences have been decided. Both
+// fields are wall-clock times, see calendar.Occurrence.
 type Cursor struct {
 	// Nominal is the nominal time of the last decided occurrence.
 	Nominal time.Time
-	// Rule is the latest decided time of the recurrence rule, before it was moved
-	// because of a holiday. It prevents an occurrence that ran ahead of a holiday
-	// from running again if the holiday is removed or the schedule is edited to run
-	// on holidays.
+	// Rule is the latest decided time of the recurrence rule, before any move because of a
+	// holiday. It prevents an occurrence that ran ahead of a holiday from running again if
+	// the calendar or the schedule changes.
 	Rule time.Time
 }
 
@@ -59,8 +58,7 @@
 	return occurrence, ok
 }
 
-// nextDue returns the first undecided occurrence and whether it starts at or
-// before now.
+// nextDue returns the first undecided occurrence and whether it is due.
 func (d *Definition) nextDue(cursor Cursor, now time.Time) (calendar.Occurrence, bool) {
 	occurrence, ok := d.Next(cursor)
 	return occurrence, ok && !occurrence.Start.After(now)
@@ -95,8 +93,8 @@
 	return occurrence, decision, reason
 }
 
-// eligibleAt returns the time from which the delay of an occurrence is measured: its
-// start or, if it had to wait for the previous job, the end of that job.
+// eligibleAt returns the time from which the delay of an occurrence is measured: its start
+// or, if it waited for the previous job, the end of that job.
 func (d *Definition) eligibleAt(occurrence calendar.Occurrence, previous PreviousJob) time.Time {
 	waited := d.Overlap == OverlapWait && !previous.Active && previous.Ended.After(occurrence.Start)
 	if waited {
@@ -105,8 +103,8 @@
 	return occurrence.Start
 }
 
-// decideByDelay applies the catch-up policy to a due occurrence that is late by the
-// given delay. The cursor after is the position that follows the occurrence.
+// decideByDelay applies the catch-up policy to a due occurrence. The cursor after is the
+// position that follows the occurrence.
 func (d *Definition) decideByDelay(after Cursor, now time.Time, late time.Duration) (decision Decision, reason string) {
 	switch {
 	case late <= OnTimeTolerance:
--- a/internal/schedule/definition.go
+++ b/internal/schedule/definition.go
@@ -9,8 +9,8 @@
 	"yewpass/internal/spec"
 )
 
-// OverlapPolicy determines what happens to an occurrence that becomes due while
-// the job of the previous occurrence has not ended.
+// OverlapPolicy determines what happens to an occurrence that becomes due before the job of
+// the previous one has ended.
 type OverlapPolicy string
 
 // The values of the field overlap. OverlapAllow is the default.
@@ -20,8 +20,8 @@
 	OverlapWait  OverlapPolicy = "wait"  // run after the previous job has ended
 )
 
-// CatchUpPolicy determines what happens to occurrences that are late, for instance
-// because no leader was elected when they became due.
+// CatchUpPolicy determines what happens to late occurrences, for instance if there was no
+// leader when they became due.
 type CatchUpPolicy string
 
 // The values of the field catch_up. CatchUpLatest is the default.
@@ -32,11 +32,10 @@
 )
 
 const (
-	// OnTimeTolerance is the delay up to which an occurrence counts as on time, so
-	// that CatchUpPolicy does not apply. It is longer than a failover of the leader.
+	// OnTimeTolerance is the delay up to which an occurrence counts as on time, so that
+	// CatchUpPolicy does not apply. It is longer than a failover.
 	OnTimeTolerance = time.Minute
-	// defaultCatchUpWindow and maxCatchUpWindow are the default and the upper limit
-	// of the field catch_up_within_s.
+	// Default and upper limit of the field catch_up_within_s.
 	defaultCatchUpWindow = 24 * time.Hour
 	maxCatchUpWindow     = 366 * 24 * time.Hour
 )
@@ -152,8 +151,8 @@
 	return &calendar.FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Template returns the job description that Job completes for each occurrence. Its
-// ID is a placeholder, and it has no deadline.
+// Template returns the job description that Job completes. Its ID is a placeholder, and it
+// has no deadline.
 func (d *Definition) Template() spec.Job { return d.job }
 
 // Job returns the job of an occurrence, with its ID and deadline set. The number is
--- a/internal/schedule/edit.go
+++ b/internal/schedule/edit.go
@@ -6,11 +6,11 @@
 	"yewpass/internal/calendar"
 )
 
-// maxMissedRecorded limits how many missed occurrences CursorAfterEdit and
-// CursorAfterPause return. Further ones are skipped without an entry in the history.
+// maxMissedRecorded limits the missed occurrences that CursorAfterEdit and CursorAfterPause
+// return. Further ones are skipped without an entry in the history.
 const maxMissedRecorded = 256
 
-// Reasons in the history for occurrences that were due but do not run.
+// Reasons in the history for due occurrences that do not run.
 const (
 	reasonEdited = "the schedule was edited"
 	reasonPaused = "the schedule was paused"
@@ -20,7 +20,7 @@
 // that start at or before now do not run.
 func (d *Definition) CursorAt(now time.Time) Cursor {
 	nominal := calendar.WallClock(now, d.Timing.Zone())
-	// When clocks are set back, an hour is repeated. In its second pass, the
+	// In the second pass of an hour that is repeated because clocks are set back, the
 	// wall-clock time is before occurrences that started in the first pass.
 	for {
 		occurrence, ok := d.Timing.Next(nominal)
@@ -52,8 +52,8 @@
 	}
 	next = Cursor{Nominal: d.CursorAt(now).Nominal, Rule: cursor.Rule}
 	if cursor.Nominal.After(next.Nominal) {
-		// The new zone is west of the old one, so its wall-clock time is before
-		// occurrences that have been decided.
+		// The new zone is west of the old one, so its wall-clock time is before decided
+		// occurrences.
 		next = cursor
 	}
 	return next, missed
@@ -65,9 +65,9 @@
 	return sameZone && d.Timing.HasOccurrence(occurrence.Nominal)
 }
 
-// justBefore returns a nominal time shortly before the occurrence, but not before
-// the position. Between the two, the new definition may have occurrences that the
-// old one lacks; continuing from the position itself would run them late.
+// justBefore returns a nominal time shortly before the occurrence, but not before the
+// position. Continuing from the position itself would also run earlier occurrences that only
+// the new definition has.
 func justBefore(occurrence calendar.Occurrence, position Cursor) time.Time {
 	before := occurrence.Nominal.Add(-time.Second)
 	if before.After(position.Nominal) {
@@ -76,8 +76,8 @@
 	return position.Nominal
 }
 
-// CursorAfterPause returns the cursor of a schedule that is resumed now. The cursor
-// is after every due occurrence; these are returned as missed.
+// CursorAfterPause returns the cursor of a schedule that is resumed now. It is after every
+// due occurrence; these are returned as missed.
 func (d *Definition) CursorAfterPause(cursor Cursor, now time.Time) (next Cursor, missed []MissedOccurrence) {
 	for len(missed) < maxMissedRecorded {
 		occurrence, due := d.nextDue(cursor, now)
--- a/internal/schedule/edit_test.go
+++ b/internal/schedule/edit_test.go
@@ -38,9 +38,8 @@
 	}
 }
 
-// TestMovedOccurrenceRunsOnce checks that an occurrence that was moved ahead of a
-// holiday does not run again on its original date after an edit or a change of the
-// calendar.
+// TestMovedOccurrenceRunsOnce checks that an occurrence that was moved ahead of a holiday does
+// not run again after an edit or a change of the calendar.
 func TestMovedOccurrenceRunsOnce(t *testing.T) {
 	previous := mustCompile(t, `"FREQ=DAILY"`, `"FREQ=WEEKLY;BYDAY=FR,SU"`, `"run"`, `"previous"`, `"03:30", "04:30"`, `"03:30"`)
 	cursor := previous.CursorAt(at("2027-02-04T10:00:00Z")) // a Thursday
@@ -61,8 +60,8 @@
 	}
 }
 
-// TestCursorAt checks that a new schedule runs no past occurrence, also if it is created
-// during the second pass of an hour that is repeated because clocks are set back.
+// TestCursorAt checks that a new schedule runs no past occurrence, also if it is created in
+// the second pass of a repeated hour.
 func TestCursorAt(t *testing.T) {
 	def := mustCompile(t)
 	for now, want := range map[string]string{
--- a/internal/schedule/file.go
+++ b/internal/schedule/file.go
@@ -1,7 +1,6 @@
-// Package schedule implements recurring jobs. It validates schedule files, decides
-// which occurrences of a schedule become jobs and when, and maintains the history
-// of each schedule. It does no I/O and reads no clock: the leader passes in the
-// time, stores the records and creates the jobs.
+// Package schedule implements recurring jobs. It validates schedule files, decides which
+// occurrences become jobs and when, and maintains the history of each schedule. It does no
+// I/O and reads no clock: the leader passes in the time and stores the records.
 package schedule
 
 import (
@@ -52,8 +51,8 @@
 	return name != "" && len(name) <= maxNameBytes
 }
 
-// ParseTOML decodes a schedule file. The error is a single line of text that
-// contains the line number and the field.
+// ParseTOML decodes a schedule file. The error is a single line that contains the line
+// number and the field.
 func ParseTOML(data []byte) (*File, error) {
 	file := &File{}
 	if err := tomltext.Decode(data, file, true); err != nil {
@@ -77,8 +76,7 @@
 	return file, nil
 }
 
-// jsonFieldError converts an error of encoding/json to a *calendar.FieldError for
-// the response to the user.
+// jsonFieldError converts an error of encoding/json to a *calendar.FieldError.
 func jsonFieldError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) && typeError.Field != "" {
@@ -93,7 +91,7 @@
 		return invalidJSON()
 	}
 	// All other errors come from toml.LocalDate, the only type with an unmarshaler.
-	return &calendar.FieldError{Field: "starts or ends", Reason: "no date such as 2027-01-31"}
+	return &calendar.FieldError{Field: "starts or ends", Reason: "not a date such as 2027-01-31"}
 }
 
 func invalidJSON() error {
--- a/internal/schedule/helpers_test.go
+++ b/internal/schedule/helpers_test.go
@@ -50,8 +50,7 @@
 	return calendar.NewSet(map[string]*calendar.Calendar{"bg": bulgaria})
 }
 
-// compile parses and compiles validFile after replacing text in it. The replacements
-// are pairs of old and new text.
+// compile compiles validFile after replacing text in it, given as pairs of old and new text.
 func compile(tb testing.TB, replacements ...string) (*Definition, error) {
 	tb.Helper()
 	file, err := ParseTOML([]byte(strings.NewReplacer(replacements...).Replace(validFile)))
@@ -61,7 +60,6 @@
 	return file.Compile(calendarSet(tb))
 }
 
-// mustCompile is like compile but fails the test on an error.
 func mustCompile(tb testing.TB, replacements ...string) *Definition {
 	tb.Helper()
 	def, err := compile(tb, replacements...)
--- a/internal/schedule/history.go
+++ b/internal/schedule/history.go
@@ -18,9 +18,7 @@
 // separate its fields: job, the times in the order of entryTimes, state, "l" if
 // late, and the query-escaped reason. Times are milliseconds since the Unix epoch
 // in base 36; an unknown time is empty.
-//
-// A leader holds the histories of thousands of schedules in this form, because it
-// takes less memory and decoding time than a slice of structs.
+// Records hold it in memory too, since it is smaller than a slice of structs.
 const (
 	entryEnd       = ";"
 	fieldSeparator = ","
@@ -61,8 +59,7 @@
 	return append(encoded, entryEnd...)
 }
 
-// Entries decodes the history, oldest entry first. It returns false if the history
-// is malformed.
+// Entries decodes the history, oldest entry first. It returns false if it is malformed.
 func (r *Record) Entries() (entries []Entry, ok bool) {
 	if r.EncodedHistory == "" {
 		return nil, true
--- a/internal/schedule/history_test.go
+++ b/internal/schedule/history_test.go
@@ -6,7 +6,6 @@
 	"time"
 )
 
-// TestHistoryFormat checks the stored form of a history.
 func TestHistoryFormat(t *testing.T) {
 	record := &Record{Number: 7}
 	record.AddOccurrence(Entry{
--- a/internal/schedule/record.go
+++ b/internal/schedule/record.go
@@ -8,8 +8,8 @@
 	"yewpass/internal/calendar"
 )
 
-// Record is the stored state of a schedule. The transaction that creates the job of
-// an occurrence also writes the record, so that the two are always consistent.
+// Record is the stored state of a schedule. The transaction that creates the job of an
+// occurrence also writes the record, so that the two are consistent.
 type Record struct {
 	Number         uint64          // part of job IDs; never reused
 	Seq            uint64          // incremented with every write
@@ -47,9 +47,8 @@
 	StateFailed    = "failed" // another job already has the ID
 )
 
-// Clone returns a copy of the record. Callers modify and write the copy, so that
-// the original is unchanged if the write fails. The copy shares File, which is
-// never modified in place.
+// Clone returns a copy of the record to modify and write, so that the original is unchanged
+// if the write fails. It shares File, which is never modified in place.
 func (r *Record) Clone() *Record {
 	clone := *r
 	return &clone
@@ -66,8 +65,8 @@
 	}
 }
 
-// AddEntry appends an entry to the history and drops the oldest if there are more
-// than HistoryLength. It changes no counter: call it directly for jobs that a user
+// AddEntry appends an entry to the history and drops the oldest if there are more than
+// HistoryLength. It changes no counter: call it directly only for jobs that users
 // requested, which are not occurrences.
 func (r *Record) AddEntry(entry Entry) {
 	if len(entry.Reason) > maxReasonBytes {
@@ -85,10 +84,9 @@
 	Reason string
 }
 
-// AddMissed appends missed occurrences to the history, counts them as missed and
-// sets the cursor.
-func (r *Record) AddMissed(cursor Cursor, passed []MissedOccurrence) {
-	for _, occurrence := range passed {
+// AddMissed appends missed occurrences to the history, counts them and sets the cursor.
+func (r *Record) AddMissed(cursor Cursor, missed []MissedOccurrence) {
+	for _, occurrence := range missed {
 		r.AddOccurrence(Entry{
 			Job:      JobID(r.Number, occurrence.Nominal),
 			Planned:  occurrence.Start,
@@ -111,8 +109,7 @@
 	return Entry{}, false
 }
 
-// UpdateEntry applies change to the entry of a job in the history. It has no effect
-// if there is none.
+// UpdateEntry applies change to the entry of a job in the history, if there is one.
 func (r *Record) UpdateEntry(job string, change func(entry *Entry)) {
 	entries, _ := r.Entries()
 	for i := range entries {
@@ -124,9 +121,8 @@
 	}
 }
 
-// MergeUpdates copies updates of existing history entries and of Late from original,
-// of which r is a modified clone, to r. Call it when original was updated while r
-// was being written.
+// MergeUpdates copies to r the updates of history entries and of Late that original has got
+// since r was cloned from it. Call it when r has been written.
 func (r *Record) MergeUpdates(original *Record) {
 	r.Late = max(r.Late, original.Late)
 	if r.EncodedHistory == original.EncodedHistory {
@@ -141,8 +137,8 @@
 	r.setEntries(entries)
 }
 
-// ETag returns the HTTP entity tag of the record's edition. Clients send it in
-// If-Match, so that an edit based on an outdated edition is rejected.
+// ETag returns the HTTP entity tag of the record's edition. An edit whose If-Match contains
+// an older one is rejected.
 func (r *Record) ETag() string { return fmt.Sprintf(`"%d-%d"`, r.Number, r.Edition) }
 
 // Estimates of the encoded size of a record, in bytes.
@@ -151,8 +147,7 @@
 	entryOverhead  = 160
 )
 
-// Size returns an upper bound estimate of the stored size in bytes, which includes
-// a full history.
+// Size returns an upper bound of the stored size in bytes, with a full history.
 func (r *Record) Size() int {
 	return recordOverhead + len(r.File) + HistoryLength*(entryOverhead+maxReasonBytes)
 }
--- a/internal/schedule/record_test.go
+++ b/internal/schedule/record_test.go
@@ -6,8 +6,7 @@
 	"yewpass/internal/calendar"
 )
 
-// TestMergeUpdates checks that a modified clone receives updates that the original record
-// got while the clone was being written.
+// TestMergeUpdates checks that a modified clone receives later updates of the original.
 func TestMergeUpdates(t *testing.T) {
 	changed := &Record{Number: 7}
 	changed.AddOccurrence(Entry{Job: "wk-1", State: StateMade})
--- a/internal/schedule/view.go
+++ b/internal/schedule/view.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// HistoryView returns the history in its JSON form, with times in the zone. It is
-// empty if the stored history is malformed.
+// HistoryView returns the history in its JSON form, with times in the zone. It is empty if
+// the history is malformed.
 func (r *Record) HistoryView(zone *time.Location) History {
 	history := History{History: []HistoryEntry{}} // encoded as [] instead of null if empty
 	entries, _ := r.Entries()
--- a/internal/spec/submission.go
+++ b/internal/spec/submission.go
@@ -37,16 +37,16 @@
 	shapeService = "service"
 )
 
-// Reasons that apply to several fields. They are part of error responses to users.
+// Reasons in error responses that apply to several fields.
 const (
 	reasonMissing        = "missing"
 	reasonOutOfRange     = "out of range"
 	reasonEmptyOrTooLong = "empty or too long"
 )
 
-// Job validates the submission and converts it to a Job. If any field is invalid,
-// job is nil, field is the API name of the first invalid field in the order of
-// Submission, and reason says why it is invalid.
+// Job validates the submission and converts it to a Job. If a field is invalid, job is nil,
+// field is the API name of the first invalid one in the order of Submission, and reason says
+// why.
 func (s *Submission) Job() (job *Job, field, reason string) {
 	var check fieldChecker
 	job = &Job{ID: check.id(s.ID)}
--- a/internal/tomltext/tomltext.go
+++ b/internal/tomltext/tomltext.go
@@ -1,5 +1,4 @@
-// Package tomltext decodes TOML and returns single-line errors that are suitable for
-// users.
+// Package tomltext decodes TOML and returns single-line errors for users.
 package tomltext
 
 import (
@@ -31,8 +30,8 @@
 	return err
 }
 
-// unknownFieldError returns the error for a field that the destination does not
-// have. At the top level, the field may be a section.
+// unknownFieldError returns the error for a field that the destination does not have, which
+// may be a section at the top level.
 func unknownFieldError(unknown *toml.DecodeError) error {
 	row, _ := unknown.Position()
 	reason := "no such field"
