--- a/internal/calendar/rule.go
+++ b/internal/calendar/rule.go
@@ -42,8 +42,8 @@
 // rruleWeekdays maps time.Weekday to the weekdays of the rrule library.
 var rruleWeekdays = [...]rrule.Weekday{rrule.SU, rrule.MO, rrule.TU, rrule.WE, rrule.TH, rrule.FR, rrule.SA}
 
-// setImplicitDay adds a day part to a rule without one. RFC 5545 takes the day from
-// the start of the rule; with an explicit day, the expansion can begin in any period.
+// setImplicitDay adds a day part, taken from the start as in RFC 5545, to a rule without one,
+// so that the expansion can begin in any period.
 func (r *Rule) setImplicitDay(starts time.Time) {
 	option := &r.option
 	if len(option.Byweekno)+len(option.Byyearday)+len(option.Bymonthday)+len(option.Byweekday) > 0 {
@@ -62,8 +62,8 @@
 	}
 }
 
-// alignAnchor sets the anchor to the beginning of the period that contains starts
-// or, if starts is zero, the current anchor.
+// alignAnchor sets the anchor to the beginning of the period of starts or, if starts is zero,
+// of the current anchor.
 func (r *Rule) alignAnchor(starts time.Time) {
 	if !starts.IsZero() {
 		r.anchor = starts
--- a/internal/calendar/zone.go
+++ b/internal/calendar/zone.go
@@ -2,7 +2,7 @@
 
 import (
 	"time"
-	_ "time/tzdata" // controllers may run on machines without time zone files
+	_ "time/tzdata" // for machines without time zone files
 )
 
 // Day is the difference between consecutive civil dates, which are in UTC.
--- a/internal/configmanager/batch.go
+++ b/internal/configmanager/batch.go
@@ -28,7 +28,7 @@
 	waiting     []*change // not in a batch yet
 	batch       *batch    // in flight; nil if none
 	lastBatchAt time.Time // when the last batch was prepared
-	committed   int64     // number of changes committed by this leader
+	committed   int64     // changes committed by this leader
 }
 
 type change struct {
@@ -82,7 +82,7 @@
 	return room >= min(m.cfg.Settings.State.TxnOps, max(minWrites, len(m.waiting)+1)) || m.engine.Now.Sub(m.lastBatchAt) >= batchInterval
 }
 
-// roomForBatch returns the number of writes that a batch may contain now.
+// roomForBatch returns how many writes a batch may contain now.
 func (m *Manager) roomForBatch() int {
 	return m.writes.AvailableWrites(writebatch.Config, m.engine.Now, m.cfg.Settings.State.TxnOps)
 }
--- a/internal/configmanager/load.go
+++ b/internal/configmanager/load.go
@@ -11,7 +11,7 @@
 	"yewpass/internal/rpc"
 )
 
-// recordsPerPage is the maximum number of records in one list request.
+// recordsPerPage limits the records in one list request.
 const recordsPerPage = 400
 
 // objectName returns the name of a record's object as operators see it, such as "team/a".
@@ -25,8 +25,8 @@
 	return 0
 }
 
-// Load applies a record that a new leader has read. For a record that cannot be decoded it
-// falls back to the newest replica, or else to the settings.
+// Load applies a record that a new leader has read. If it cannot be decoded, it falls
+// back to the newest replica or else to the settings.
 func (m *Manager) Load(entry kv.Entry) {
 	if entry.Key == record.ConfigHeadKey {
 		m.headRevision = entry.Rev
@@ -65,8 +65,8 @@
 	m.broadcastRevision()
 }
 
-// reload reads all records from the key-value store and replaces the state with them.
-// revision and headRevision are those of the head record, as for reconcile.
+// reload replaces the state with the records in the key-value store. revision and
+// headRevision are as for reconcile.
 func (m *Manager) reload(revision, headRevision uint64) {
 	state := baseState(m.cfg)
 	m.reloadPage("", state, func() {
@@ -76,8 +76,8 @@
 	})
 }
 
-// reloadPage loads the records whose keys follow after into state, page by page, and calls
-// done at the end. It retries failed reads.
+// reloadPage loads the records whose keys follow after into state, retries failed reads, and
+// calls done at the end.
 func (m *Manager) reloadPage(after string, state *liveconfig.State, done func()) {
 	m.scope.CallStore(kv.Request{Op: kv.List, Key: record.ConfigPrefix, From: after, Limit: recordsPerPage}, func(r kv.Response) {
 		if r.Outcome != rpc.OK {
--- a/internal/configmanager/manager.go
+++ b/internal/configmanager/manager.go
@@ -45,7 +45,7 @@
 	Replicate(entry kv.Entry)
 }
 
-// Manager holds the leader's live configuration for the duration of one leadership.
+// Manager holds the leader's live configuration for one leadership.
 type Manager struct {
 	engine *engine.Engine
 	scope  *engine.Scope
--- a/internal/configmanager/node.go
+++ b/internal/configmanager/node.go
@@ -13,8 +13,8 @@
 	"yewpass/internal/view"
 )
 
-// Node is a controller's view of the configuration, independent of who leads. It is
-// based on the controller's replicas of the leader's records.
+// Node is a controller's view of the configuration, based on its replicas of the leader's
+// records.
 type Node struct {
 	engine      *engine.Engine
 	base        *liveconfig.State // from the settings
@@ -52,7 +52,7 @@
 	return view.LocalConfig{Revision: replicatedRevision(newest), AgeSeconds: n.engine.Now.Sub(since).Seconds()}
 }
 
-// replicatedRevision returns the revision of the configuration in a replica. It is 0 if
+// replicatedRevision returns the revision of the configuration in a replica, or 0 if
 // the replica is nil or has no head record.
 func replicatedRevision(newest *replica.Replica) uint64 {
 	if newest == nil {
--- a/internal/configmanager/peers.go
+++ b/internal/configmanager/peers.go
@@ -18,8 +18,8 @@
 type propagation struct {
 	peers           map[string]*peer // by host name
 	inForceAt       time.Time        // when the current revision was applied at the leader
-	propagationTime time.Duration    // from then until all reachable controllers had it, for the last measured revision
-	measuring       bool             // some reachable controller does not have the current revision yet
+	propagationTime time.Duration    // from applying the last measured revision until all reachable controllers had it
+	measuring       bool             // some reachable controller lacks the current revision
 }
 
 // peer is the last known state of another controller.
@@ -37,7 +37,7 @@
 }
 
 // sendRevision sends the current revision to all connected controllers that support live
-// configuration. It sends nothing if the configuration was never changed.
+// configuration, unless the configuration was never changed.
 func (m *Manager) sendRevision() {
 	if m.state.Revision == 0 {
 		return
--- a/internal/configmanager/serve.go
+++ b/internal/configmanager/serve.go
@@ -45,7 +45,7 @@
 	m.queueBatch()
 }
 
-// refusalReason returns the reason why changes cannot be accepted now, or an empty string.
+// refusalReason returns why changes cannot be accepted now, or an empty string.
 func (m *Manager) refusalReason() string {
 	switch {
 	case m.leader.ConfigPending():
@@ -65,8 +65,8 @@
 	return ""
 }
 
-// rejectionResponse returns the response to a change that was rejected with err. The status
-// is 412 for a failed revision precondition and 400 otherwise.
+// rejectionResponse returns the response to a change that was rejected with err: status 412
+// for a failed revision precondition, 400 otherwise.
 func rejectionResponse(err error) request.Response {
 	var invalid *liveconfig.Error
 	if !errors.As(err, &invalid) {
--- a/internal/configmanager/views.go
+++ b/internal/configmanager/views.go
@@ -10,7 +10,7 @@
 	"yewpass/internal/view"
 )
 
-// team returns the configuration and the current resource usage of a team.
+// team returns the configuration and resource usage of a team.
 func (m *Manager) team(name string) (v view.Team, ok bool) {
 	if v.Team, v.Revision, ok = m.state.Team(name); !ok {
 		return v, false
@@ -21,7 +21,7 @@
 	return v, true
 }
 
-// teams returns one page of the list of teams, sorted by name.
+// teams returns one page of the teams, sorted by name.
 func (m *Manager) teams(params *request.ConfigParams) view.TeamPage {
 	page := view.TeamPage{Revision: m.state.Revision, Teams: []view.Team{}}
 	names := m.state.Names()
--- a/internal/liveconfig/batch.go
+++ b/internal/liveconfig/batch.go
@@ -8,7 +8,7 @@
 // Batch is a group of changes that are written in one transaction.
 type Batch struct {
 	After     *State          // the state once the batch has been written
-	Processed int             // number of changes, in order, that were applied or rejected
+	Processed int             // number of leading changes that were applied or rejected
 	Results   []ChangeResult  // one per processed change
 	changed   map[string]bool // names of the teams to write
 }
@@ -21,9 +21,9 @@
 	Err      error // an *Error if the change was rejected
 }
 
-// NewBatch applies waiting changes in order, as many as fit into the given number of
-// writes: one for the head record and one for each changed team, even if several
-// changes affect the same team. The first change is applied regardless of its size.
+// NewBatch applies waiting changes in order, as many as fit into the given number of writes:
+// one for the head record and one for each distinct team. The first change is applied
+// regardless of its size.
 func NewBatch(state *State, waiting []*Change, writes int) *Batch {
 	batch := &Batch{After: state.Clone(), changed: map[string]bool{}}
 	for _, change := range waiting {
--- a/internal/liveconfig/change.go
+++ b/internal/liveconfig/change.go
@@ -1,10 +1,10 @@
-// Package liveconfig implements the configuration that operators change at run time.
-// The settings file provides the base. An object that an operator has changed replaces
-// the object of the same name in the base and carries the revision of its last change.
+// Package liveconfig implements the configuration that operators change at run time. The
+// settings file provides the base. An object that an operator has changed replaces that of
+// the same name in the base and carries the revision of its last change.
 //
-// The package does no I/O: it validates changes, applies them to a State, and returns
-// the records to be written. It guarantees that a rejected change has no effect,
-// and that an older revision of an object never replaces a newer one.
+// The package does no I/O: it validates changes, applies them to a State, and returns the
+// records to write. A rejected change has no effect, and an older revision of an object
+// never replaces a newer one.
 package liveconfig
 
 import (
@@ -74,8 +74,7 @@
 
 var teamName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// ValidName reports whether name is a valid team name. The name is part of the key of
-// the team's record.
+// ValidName reports whether name is a valid team name, which is part of a record's key.
 func ValidName(name string) bool { return len(name) <= maxNameBytes && teamName.MatchString(name) }
 
 // Validate returns an *Error if the change is invalid regardless of the state. The
@@ -114,7 +113,7 @@
 }
 
 // validateResource checks the guaranteed amount and the limit of a resource. The limit's
-// field name is the guarantee's field name with the suffix Max. Empty strings mean valid.
+// field name is field with the suffix Max. Empty strings mean valid.
 func validateResource(field string, guaranteed, limit float64) (invalidField, reason string) {
 	limitField := field + "Max"
 	switch {
--- a/internal/liveconfig/liveconfig_test.go
+++ b/internal/liveconfig/liveconfig_test.go
@@ -87,9 +87,8 @@
 	}
 }
 
-// TestBatch checks that waiting changes share a transaction in order, that a team that
-// is changed twice is written once, and that a rejected change does not block later
-// ones.
+// TestBatch checks that waiting changes share a transaction in order, that a team changed
+// twice is written once, and that a rejected change does not block later ones.
 func TestBatch(t *testing.T) {
 	set := func(name string, cpus float64) *Change { return &Change{Teams: teams(Team{Name: name, CPUsMax: cpus})} }
 	stale := set("b", 3)
@@ -119,8 +118,8 @@
 	}
 }
 
-// TestLateRequest checks that a conditional request that is repeated after a newer one
-// is rejected, and that it succeeds if repeated before.
+// TestLateRequest checks that a repeated conditional request is rejected after a newer one and
+// succeeds before it.
 func TestLateRequest(t *testing.T) {
 	s := base()
 	first := &Change{Teams: []TeamChange{{Team: Team{Name: "a", CPUsMax: 5}, IfRevision: revision(0)}}}
--- a/internal/liveconfig/state.go
+++ b/internal/liveconfig/state.go
@@ -62,8 +62,8 @@
 	s.Revision = max(s.Revision, record.Revision)
 }
 
-// Team returns the current configuration of a team and the revision of its last
-// change, which is 0 for a team that was never changed.
+// Team returns the current configuration of a team and the revision of its last change, or 0
+// if it was never changed.
 func (s *State) Team(name string) (team Team, revision uint64, ok bool) {
 	if record, ok := s.changed[name]; ok {
 		return record.Team, record.Revision, true
@@ -81,7 +81,7 @@
 	return teams
 }
 
-// Names returns the sorted names of all teams, from the base and from changes.
+// Names returns the sorted names of all teams.
 func (s *State) Names() []string {
 	names := map[string]bool{}
 	for name := range s.base {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,6 +1,5 @@
-// Package record defines the keys and values of the records in the key-value store.
-// Package recordcodec encodes and decodes them. The records of schedules and of the live
-// configuration are defined in packages schedule and liveconfig.
+// Package record defines the keys and values of the records in the key-value store, which
+// package recordcodec encodes. Packages schedule and liveconfig define their own records.
 package record
 
 import (
--- a/internal/recurring/edit.go
+++ b/internal/recurring/edit.go
@@ -13,7 +13,7 @@
 	"yewpass/internal/writebatch"
 )
 
-// definition is a schedule definition that a user has submitted, compiled and as stored.
+// definition is a submitted schedule definition, compiled and as stored.
 type definition struct {
 	compiled *schedule.Definition
 	file     json.RawMessage
@@ -178,7 +178,7 @@
 }
 
 // writeRemoval queues the deletion of a schedule's record at the given revision. It also
-// rewrites the record of schedule numbers; creationConditions explains why.
+// rewrites the record of schedule numbers, see creationConditions.
 func (s *Scheduler) writeRemoval(sched *scheduleState, change *writebatch.Change, revision uint64) {
 	s.leader.ReadBack(record.ScheduleNumberKey, func(numbers kv.Entry, found bool) {
 		change.Conditions = []kv.Condition{{Key: sched.key(), Rev: revision}, {Key: record.ScheduleNumberKey, Rev: numbers.Rev}}
--- a/internal/recurring/helpers_test.go
+++ b/internal/recurring/helpers_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// store puts a record into the key-value store, as an earlier leader would have written it.
+// store puts a record into the key-value store.
 func (l *fakeLeader) store(key string, value any) {
 	l.revision++
 	l.stored[key] = kv.Entry{Key: key, Value: value, Rev: l.revision}
--- a/internal/recurring/job.go
+++ b/internal/recurring/job.go
@@ -54,8 +54,8 @@
 }
 
 // compile compiles the definition in a schedule's record. If that fails, for example
-// because the operators' file lacks its calendar, it disables the schedule, since creating
-// no job is safer than creating one on a holiday.
+// because the operators' file lacks its calendar, it disables the schedule, since no job is
+// safer than one on a holiday.
 func (s *Scheduler) compile(sched *scheduleState) {
 	sched.definition, sched.disabledReason = nil, ""
 	definition, err := s.parse(sched.record.File)
@@ -67,8 +67,8 @@
 	sched.definition = definition
 }
 
-// parse compiles a stored definition. It converts a panic of the recurrence rule library
-// to an error, so that one bad schedule does not stop the others.
+// parse compiles a stored definition. It converts a panic of the recurrence rule library to
+// an error, so that one schedule does not stop the others.
 func (s *Scheduler) parse(data []byte) (definition *schedule.Definition, err error) {
 	file, err := schedule.ParseJSON(data)
 	if err != nil {
--- a/internal/recurring/leader.go
+++ b/internal/recurring/leader.go
@@ -36,8 +36,8 @@
 type Admission interface {
 	// CatalogLoaded reports whether the catalog of instance types was read in this term.
 	CatalogLoaded() bool
-	// Unschedulable returns the reason why a job can never run and the field that causes it.
-	// The reason is empty for a job that can run.
+	// Unschedulable returns why a job can never run and the field at fault. The reason is
+	// empty for a job that can run.
 	Unschedulable(job *spec.Job) (field, reason string)
 	// CheckDeadline reports whether a job is refused for now because of the backlog, and how
 	// late it would be.
@@ -53,8 +53,7 @@
 	Write(change *writebatch.Change)
 	// ScheduleFlush requests that the queued changes be sent soon.
 	ScheduleFlush()
-	// ReadBack reads a record and retries until it succeeds. found is false if the record does
-	// not exist.
+	// ReadBack reads a record and retries until it succeeds. found is false if there is none.
 	ReadBack(key string, f func(entry kv.Entry, found bool))
 	// Replicate adds a record that was read to the replicas.
 	Replicate(entry kv.Entry)
--- a/internal/recurring/load.go
+++ b/internal/recurring/load.go
@@ -21,8 +21,8 @@
 	resolveInterval = 50 * time.Millisecond
 )
 
-// unresolvedOccurrence is an occurrence whose job ended before this leadership began and
-// whose final state is missing from the schedule's record.
+// unresolvedOccurrence is an occurrence whose job ended before this leadership and whose
+// final state is missing from the schedule's record.
 type unresolvedOccurrence struct {
 	sched *scheduleState
 	jobID string
@@ -74,8 +74,8 @@
 	s.planNext(sched)
 }
 
-// trackUnfinishedJobs finds the jobs of a schedule's occurrences that had not ended when the
-// record was written. Live jobs are tracked; the others are added to the unresolved list.
+// trackUnfinishedJobs finds a schedule's jobs that had not ended when the record was written.
+// Live jobs are tracked; the others are added to the unresolved list.
 func (s *Scheduler) trackUnfinishedJobs(sched *scheduleState) {
 	entries, _ := sched.record.Entries()
 	for _, entry := range entries {
--- a/internal/recurring/occurrences_test.go
+++ b/internal/recurring/occurrences_test.go
@@ -13,7 +13,7 @@
 	"yewpass/internal/spec"
 )
 
-// occurrenceID is the ID of the job of the nightly schedule's first occurrence.
+// occurrenceID is the job ID of the nightly schedule's first occurrence.
 var occurrenceID = schedule.JobID(7, startTime.Add(30*time.Minute))
 
 // newDueLeader returns a leader whose nightly schedule has just become due.
@@ -74,8 +74,8 @@
 	l.commit()
 }
 
-// TestLostResponse checks that an occurrence counts once if its first write was applied
-// without a response.
+// TestLostResponse checks that an occurrence counts once if the response to its first write
+// is lost.
 func TestLostResponse(t *testing.T) {
 	l := newDueLeader(t)
 	l.scheduler.CreateDue(12)
--- a/internal/schedule/definition.go
+++ b/internal/schedule/definition.go
@@ -79,7 +79,7 @@
 	return &Definition{Timing: timing, Overlap: overlap, CatchUp: catchUp, CatchUpWindow: within, job: *job}, nil
 }
 
-// timingSpec returns the fields that determine when the schedule runs, not validated.
+// timingSpec returns the fields that determine when the schedule runs.
 func (f *File) timingSpec() calendar.TimingSpec {
 	times := calendar.TimingSpec{
 		Zone:      f.Zone,
@@ -155,8 +155,7 @@
 // has no deadline.
 func (d *Definition) Template() spec.Job { return d.job }
 
-// Job returns the job of an occurrence, with its ID and deadline set. The number is
-// the Number of the schedule's record.
+// Job returns the job of an occurrence. The number is that of the schedule's record.
 func (d *Definition) Job(number uint64, occurrence calendar.Occurrence) spec.Job {
 	job := d.job
 	job.ID = JobID(number, occurrence.Nominal)
--- a/internal/schedule/file_test.go
+++ b/internal/schedule/file_test.go
@@ -44,8 +44,7 @@
 	}
 }
 
-// TestParseJSONErrors checks the field and the reason that users get for a request
-// body that is not a valid schedule.
+// TestParseJSONErrors checks the errors for a request body that is not a valid schedule.
 func TestParseJSONErrors(t *testing.T) {
 	const notASchedule = "the body is not a schedule in JSON"
 	for _, test := range []struct{ body, field, reason string }{
@@ -145,8 +144,7 @@
 	}
 }
 
-// TestInvalidJSONFieldIsNamed checks that the error for invalid JSON contains the
-// invalid field.
+// TestInvalidJSONFieldIsNamed checks that the error contains the invalid field.
 func TestInvalidJSONFieldIsNamed(t *testing.T) {
 	file, err := ParseTOML([]byte(validFile))
 	if err != nil {
--- a/internal/schedule/history.go
+++ b/internal/schedule/history.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	// HistoryLength is the number of entries that a record keeps. Older ones are dropped.
+	// HistoryLength is the number of entries that a record keeps.
 	HistoryLength = 12
 	// maxReasonBytes limits the length of a reason in the history.
 	maxReasonBytes = 120
 )
 
-// The encoded form of a history. Each entry ends with a semicolon, and commas
-// separate its fields: job, the times in the order of entryTimes, state, "l" if
-// late, and the query-escaped reason. Times are milliseconds since the Unix epoch
-// in base 36; an unknown time is empty.
-// Records hold it in memory too, since it is smaller than a slice of structs.
+// The encoded form of a history. Each entry ends with a semicolon, and commas separate its
+// fields: job, the times in the order of entryTimes, state, "l" if late, and the
+// query-escaped reason. Times are Unix milliseconds in base 36; an unknown time is empty.
+// Records hold this form in memory too, since it is smaller than a slice of structs.
 const (
 	entryEnd       = ";"
 	fieldSeparator = ","
--- a/internal/schedule/record.go
+++ b/internal/schedule/record.go
@@ -24,8 +24,7 @@
 	EncodedHistory string // see Entries
 }
 
-// Entry is a job or a missed occurrence in the history of a record. Unknown times
-// are zero.
+// Entry is a job or a missed occurrence in a history. Unknown times are zero.
 type Entry struct {
 	Job      string
 	Planned  time.Time // scheduled start
--- a/internal/schedule/view.go
+++ b/internal/schedule/view.go
@@ -81,8 +81,8 @@
 	return &t
 }
 
-// Upcoming returns an occurrence in its JSON form, with times in the schedule's
-// zone. The number is the Number of the schedule's record.
+// Upcoming returns an occurrence in its JSON form, with times in the schedule's zone. The
+// number is that of the schedule's record.
 func (d *Definition) Upcoming(number uint64, occurrence calendar.Occurrence) *Upcoming {
 	zone := d.Timing.Zone()
 	return &Upcoming{
