--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -57,8 +57,8 @@
 	Events       []Event        // additional holidays from iCalendar files
 }
 
-// Calendar distinguishes business days from other days. It is not safe for
-// concurrent use, because it caches the holidays of recently requested years.
+// Calendar distinguishes business days from other days. It is not safe for concurrent use,
+// because it caches holidays.
 type Calendar struct {
 	weekend      [7]bool // indexed by time.Weekday
 	country      []*cal.Holiday
@@ -70,12 +70,10 @@
 
 const (
 	// maxSearchDays limits the search for a business day.
-	maxSearchDays = 400
-	// maxCachedYears limits the years whose holidays a calendar caches.
+	maxSearchDays  = 400
 	maxCachedYears = 16
 )
 
-// defaultHolidayName is the name of holidays without a configured name.
 const defaultHolidayName = "holiday"
 
 // New returns the calendar for a definition. The error is a *FieldError.
--- a/internal/calendar/ical.go
+++ b/internal/calendar/ical.go
@@ -45,7 +45,7 @@
 const (
 	// MaxICalendarBytes limits the size of an iCalendar file.
 	MaxICalendarBytes = 1 << 20
-	// maxEventDays limits the number of days that an event may cover.
+	// maxEventDays limits the days that an event covers.
 	maxEventDays = 366
 )
 
--- a/internal/calendar/rule_test.go
+++ b/internal/calendar/rule_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// expandFromStart returns the expansion of a rule by the library, from its start.
+// expandFromStart returns the library's expansion of a rule from its start.
 func expandFromStart(t *testing.T, text string, starts time.Time) *rrule.RRule {
 	t.Helper()
 	option, err := rrule.StrToROption(text)
--- a/internal/calendar/ruleparse.go
+++ b/internal/calendar/ruleparse.go
@@ -12,11 +12,9 @@
 )
 
 const (
-	// maxRuleBytes limits the length of a rule's text.
 	maxRuleBytes = 512
 	// maxCount is the largest COUNT. ParseRule computes all COUNT dates.
-	maxCount = 10_000
-	// maxInterval is the largest INTERVAL.
+	maxCount    = 10_000
 	maxInterval = 1000
 	// maxWeekdaysPerMonth and maxWeekdaysPerYear limit the ordinals of BYDAY.
 	maxWeekdaysPerMonth = 5
--- a/internal/calendar/set.go
+++ b/internal/calendar/set.go
@@ -20,7 +20,6 @@
 	starts, ends time.Time
 }
 
-// maxCachedRules limits the rules that a set caches.
 const maxCachedRules = 4096
 
 // NewSet returns a set of calendars, given by name. It keeps a reference to the map.
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -16,7 +16,7 @@
 	MachinePrefix    = LivePrefix + "machine/"
 	ProgressPrefix   = LivePrefix + "progress/"
 	FinalPrefix      = Root + "final/"
-	LeaderlessPrefix = Root + "alone/" // markers of jobs accepted while no leader was known
+	LeaderlessPrefix = Root + "alone/" // markers of jobs accepted without a leader
 
 	// Schedules are not under LivePrefix, because failover does not wait for them.
 	SchedulesPrefix   = Root + "schedule" // common prefix of the two keys below
--- a/internal/recordcodec/codec.go
+++ b/internal/recordcodec/codec.go
@@ -45,7 +45,7 @@
 
 // Encode returns the JSON of a record, or null if value is not a record.
 func Encode(value any) json.RawMessage {
-	data, _ := json.Marshal(StoredForm(value)) // cannot fail: plain structs of this package
+	data, _ := json.Marshal(StoredForm(value)) // cannot fail
 	return data
 }
 
--- a/internal/recordcodec/compatibility_test.go
+++ b/internal/recordcodec/compatibility_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestRecordsOf5990396 checks that records of version 5990396 can be decoded and that
-// encoding them yields the same bytes.
+// TestRecordsOf5990396 checks that records of version 5990396 can be decoded and are encoded
+// to the same bytes.
 func TestRecordsOf5990396(t *testing.T) {
 	values := recordValues()
 	golden := readGolden[goldenRecord](t, goldenRecords)
--- a/internal/recurring/job.go
+++ b/internal/recurring/job.go
@@ -26,9 +26,9 @@
 
 	generation       uint64    // of its current queue entry
 	awaitingPrevious bool      // the next occurrence waits for the job of the previous one
-	notBefore        time.Time // earliest time of the next attempt after a refused admission
+	notBefore        time.Time // earliest next attempt after a refused admission
 
-	pendingEntries []schedule.Entry // history entries that arrived while a write was in flight
+	pendingEntries []schedule.Entry // history entries that arrived during a write
 	historyChanged bool             // since the last write
 	flushScheduled bool
 }
--- a/internal/recurring/requests.go
+++ b/internal/recurring/requests.go
@@ -9,7 +9,7 @@
 
 const (
 	maxWaitingRequests = 8   // requests that wait for a write, per schedule
-	maxManualRuns      = 256 // manual runs that have not been accepted yet
+	maxManualRuns      = 256 // manual runs not accepted yet
 )
 
 // reply answers the requester of the write in flight, if there is one.
--- a/internal/recurring/requests_test.go
+++ b/internal/recurring/requests_test.go
@@ -42,7 +42,7 @@
 			t.Fatalf("response %+v before the record is written, want none", *response)
 		}
 		wantStatus(t, l.send(request.ScheduleGet, request.ScheduleParams{Name: "nightly"}), 503)
-		l.commit() // reserves a block of numbers; conflicts the second time, since the removal wrote their record
+		l.commit() // reserves a block of numbers; conflicts the second time, after the removal
 		l.commit()
 		wantStatus(t, &l.responses[n+1], 201)
 		if view := l.responses[n+1].Document.(schedule.View); view.Number != number {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestLateCreation checks that an attempt to create a schedule fails if it is applied after
-// the schedule has been removed again.
+// TestLateCreation checks that the creation of a schedule fails if it is applied after the
+// schedule has been removed again.
 func TestLateCreation(t *testing.T) {
 	l := newLeader(t)
 	l.load()
--- a/internal/recurring/scheduler.go
+++ b/internal/recurring/scheduler.go
@@ -36,19 +36,18 @@
 	numbers numberAllocator
 
 	manualRuns map[string]*scheduleState // by job ID; submitted and not accepted yet
-	unresolved []unresolvedOccurrence    // created by an earlier leader, with an unknown final state
+	unresolved []unresolvedOccurrence    // of earlier leaders
 
 	created, missed, late int64 // occurrence counters of this leadership
 }
 
-// registry holds the schedules that the leader has loaded.
 type registry struct {
 	byName     map[string]*scheduleState
 	byJob      map[*fleet.Job]*scheduleState // by live jobs of the schedules
 	names      []string                      // sorted
-	unreadable map[string]bool               // names of schedules whose records cannot be decoded
+	unreadable map[string]bool               // names of schedules with undecodable records
 	loaded     bool
-	onLoaded   func() // called when all schedules are loaded
+	onLoaded   func()
 }
 
 // queues orders the schedules by their next occurrence. An entry is stale if its generation
--- a/internal/recurring/views.go
+++ b/internal/recurring/views.go
@@ -8,8 +8,7 @@
 	"yewpass/internal/schedule"
 )
 
-// maxPageBytes keeps a page of the list below 64 KiB, the maximum size of a message between
-// controllers.
+// maxPageBytes keeps a page below 64 KiB, the maximum size of a message between controllers.
 const maxPageBytes = 48 << 10
 
 func scheduleResponse(sched *scheduleState, status int) request.Response {
--- a/internal/recurring/write.go
+++ b/internal/recurring/write.go
@@ -15,7 +15,6 @@
 // unreadableRetryDelay is the delay before a record that cannot be decoded is read again.
 const unreadableRetryDelay = time.Second
 
-// recordChange is a modification of a schedule's record.
 type recordChange struct {
 	priority  writebatch.Priority
 	apply     func(r *schedule.Record)
--- a/internal/schedule/decide.go
+++ b/internal/schedule/decide.go
@@ -12,11 +12,11 @@
 
 // The results of Decide.
 const (
-	NoOccurrence   Decision = iota // the schedule has no further occurrences
-	NotDue                         // the occurrence is not due yet
-	CreateJob                      // create the job of the occurrence
-	MissOccurrence                 // do not run the occurrence; record it as missed
-	AwaitPrevious                  // decide again after the previous job has ended
+	NoOccurrence Decision = iota // the schedule has no further occurrences
+	NotDue
+	CreateJob
+	MissOccurrence // do not run the occurrence; record it as missed
+	AwaitPrevious  // decide again after the previous job has ended
 )
 
 var decisionNames = [...]string{"never", "later", "make", "miss", "hold"}
--- a/internal/schedule/edit_test.go
+++ b/internal/schedule/edit_test.go
@@ -9,7 +9,7 @@
 // due one that is also part of the new definition.
 func TestCursorAfterEdit(t *testing.T) {
 	old := mustCompile(t)
-	now := at("2027-02-02T01:30:20Z") // 03:30:20 local time: 03:30 is due, and its job is not created yet
+	now := at("2027-02-02T01:30:20Z") // 03:30:20 local time: 03:30 is due and has no job yet
 	cursor := at("2027-02-01T04:30:00Z")
 	for _, test := range []struct {
 		name   string
--- a/internal/schedule/file.go
+++ b/internal/schedule/file.go
@@ -35,7 +35,6 @@
 	Job            spec.Submission `toml:"job" json:"job"`
 }
 
-// maxNameBytes limits the length of a schedule's name.
 const maxNameBytes = 63
 
 // ValidName reports whether name is allowed for a schedule: 1 to 63 lower-case
--- a/internal/schedule/record.go
+++ b/internal/schedule/record.go
@@ -17,10 +17,10 @@
 	File           json.RawMessage // the definition, a File as JSON
 	Paused         bool
 	Cursor         Cursor // position of the last decided occurrence
-	LastJob        string // ID of the latest job of an occurrence
-	Made           int64  // number of occurrences for which a job was created
-	Missed         int64  // number of occurrences that did not run
-	Late           int64  // number of jobs that missed their deadline
+	LastJob        string // ID of the latest occurrence's job
+	Made           int64  // occurrences for which a job was created
+	Missed         int64  // occurrences that did not run
+	Late           int64  // jobs that missed their deadline
 	EncodedHistory string // see Entries
 }
 
--- a/internal/spec/job.go
+++ b/internal/spec/job.go
@@ -42,7 +42,7 @@
 	ImageGB            float64
 	InstanceTypes      []string // allowed machine types; nil means any
 	Zone               string   // required zone; empty means any
-	SamePlace          bool     // affinity: all tasks must run in one place, see topology.SamePlace
+	SamePlace          bool     // affinity: all tasks in one place, see topology.SamePlace
 	Apart              bool     // anti-affinity: at most half of the tasks per place, see topology.Apart
 	AllowSpot          bool     // tasks may run on spot instances
 	Runtime            time.Duration
@@ -73,8 +73,7 @@
 	MaxTasks = 100_000
 	// MaxNameBytes limits the length of a name, so that a job's record fits into a value of
 	// the key-value store.
-	MaxNameBytes = 512
-	// maxInstanceTypes limits the machine types that a job may list.
+	MaxNameBytes     = 512
 	maxInstanceTypes = 100
 )
 
