--- a/internal/configmanager/peers.go
+++ b/internal/configmanager/peers.go
@@ -8,8 +8,7 @@
 )
 
 const (
-	// broadcastInterval is the interval at which the leader sends the current revision to
-	// the other controllers.
+	// broadcastInterval is how often the leader sends its revision to other controllers.
 	broadcastInterval = time.Second
 	// propagationTarget is the time within which a change should reach every controller.
 	propagationTarget = 3 * time.Second
@@ -19,8 +18,8 @@
 type propagation struct {
 	peers           map[string]*peer // by host name
 	inForceAt       time.Time        // when the current revision was applied at the leader
-	propagationTime time.Duration    // from then until all reachable controllers had it, for the last measured revision
-	measuring       bool             // some reachable controller does not have the current revision yet
+	propagationTime time.Duration    // from applying the last measured revision until all reachable controllers had it
+	measuring       bool             // some reachable controller lacks the current revision
 }
 
 // peer is the last known state of another controller.
@@ -38,7 +37,7 @@
 }
 
 // sendRevision sends the current revision to all connected controllers that support live
-// configuration. It sends nothing if the configuration was never changed.
+// configuration, unless the configuration was never changed.
 func (m *Manager) sendRevision() {
 	if m.state.Revision == 0 {
 		return
@@ -51,9 +50,9 @@
 	}
 }
 
-// requestPeerVersions announces the leader again to connected controllers whose protocol version
-// is unknown. Their acknowledgement may have been lost because their connection to the
-// leader was established after the leader's connection to them.
+// requestPeerVersions announces the leader again to connected controllers whose protocol
+// version is unknown. Their acknowledgement is lost if their connection to the leader was
+// established after the leader's connection to them.
 func (m *Manager) requestPeerVersions() {
 	for _, seed := range m.cfg.Seeds {
 		if m.peers[seed.HostName] == nil && m.leader.IsLinked(seed.HostName) {
--- a/internal/configmanager/serve.go
+++ b/internal/configmanager/serve.go
@@ -45,7 +45,7 @@
 	m.queueBatch()
 }
 
-// refusalReason returns the reason why changes cannot be accepted now, or an empty string.
+// refusalReason returns why changes cannot be accepted now, or an empty string.
 func (m *Manager) refusalReason() string {
 	switch {
 	case m.leader.ConfigPending():
@@ -55,9 +55,8 @@
 	case m.state.Revision > 0:
 		return ""
 	}
-	// A controller whose version lacks live configuration would use only the settings if
-	// it became leader. The first change is therefore refused until all controllers have
-	// confirmed that they support live configuration.
+	// A leader whose version lacks live configuration would use only the settings. The first
+	// change is therefore refused until all controllers have confirmed their support.
 	for _, seed := range m.cfg.Seeds {
 		if p := m.peers[seed.HostName]; p == nil || p.version < peermsg.Version {
 			return "controller " + seed.HostName + " has not confirmed that it supports live configuration"
@@ -66,8 +65,8 @@
 	return ""
 }
 
-// rejectionResponse returns the response to a change that was rejected with err. The status
-// is 412 for a failed revision precondition and 400 otherwise.
+// rejectionResponse returns the response to a change that was rejected with err: status 412
+// for a failed revision precondition, 400 otherwise.
 func rejectionResponse(err error) request.Response {
 	var invalid *liveconfig.Error
 	if !errors.As(err, &invalid) {
--- a/internal/liveconfig/change.go
+++ b/internal/liveconfig/change.go
@@ -1,10 +1,10 @@
-// Package liveconfig implements the configuration that operators change at run time.
-// The settings file provides the base. An object that an operator has changed replaces
-// the object of the same name in the base and carries the revision of its last change.
+// Package liveconfig implements the configuration that operators change at run time. The
+// settings file provides the base. An object that an operator has changed replaces that of
+// the same name in the base and carries the revision of its last change.
 //
-// The package does no I/O: it validates changes, applies them to a State, and returns
-// the records to be written. It guarantees that a rejected change has no effect,
-// and that an older revision of an object never replaces a newer one.
+// The package does no I/O: it validates changes, applies them to a State, and returns the
+// records to write. A rejected change has no effect, and an older revision of an object
+// never replaces a newer one.
 package liveconfig
 
 import (
@@ -26,9 +26,8 @@
 // TeamChange is the requested configuration of a team, with an optional precondition.
 type TeamChange struct {
 	Team
-	// IfRevision, unless nil, must equal the revision of the team's last change, or 0 for
-	// a team that was never changed. It rejects a request that is delivered after a newer
-	// one.
+	// IfRevision, unless nil, must equal the revision of the team's last change, or 0 for a
+	// team that was never changed. It rejects requests that are delivered out of order.
 	IfRevision *uint64 `json:"ifRevision,omitempty" toml:"-"`
 }
 
@@ -64,20 +63,18 @@
 }
 
 const (
-	// MaxTeams is the maximum number of teams with a record. It bounds the time that
-	// reading and listing all of them takes.
+	// MaxTeams is the maximum number of teams with a record. It bounds the time to read and
+	// list them.
 	MaxTeams = 2000
 	// MaxAmount is the largest amount of a resource. The settings have the same bound.
 	MaxAmount = 1e8
-	// maxNameBytes keeps the key of a team's record below the key-value store's limit
-	// of 200 bytes.
+	// maxNameBytes keeps keys of team records below the key-value store's limit of 200 bytes.
 	maxNameBytes = 100
 )
 
 var teamName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// ValidName reports whether name is a valid team name. The name is part of the key of
-// the team's record.
+// ValidName reports whether name is a valid team name, which is part of a record's key.
 func ValidName(name string) bool { return len(name) <= maxNameBytes && teamName.MatchString(name) }
 
 // Validate returns an *Error if the change is invalid regardless of the state. The
@@ -116,7 +113,7 @@
 }
 
 // validateResource checks the guaranteed amount and the limit of a resource. The limit's
-// field name is the guarantee's field name with the suffix Max. Empty strings mean valid.
+// field name is field with the suffix Max. Empty strings mean valid.
 func validateResource(field string, guaranteed, limit float64) (invalidField, reason string) {
 	limitField := field + "Max"
 	switch {
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -16,15 +16,15 @@
 	MachinePrefix    = LivePrefix + "machine/"
 	ProgressPrefix   = LivePrefix + "progress/"
 	FinalPrefix      = Root + "final/"
-	LeaderlessPrefix = Root + "alone/" // markers of jobs accepted while no leader was known
+	LeaderlessPrefix = Root + "alone/" // markers of jobs accepted without a leader
 
 	// Schedules are not under LivePrefix, because failover does not wait for them.
 	SchedulesPrefix   = Root + "schedule" // common prefix of the two keys below
 	SchedulePrefix    = Root + "schedule/"
 	ScheduleNumberKey = Root + "schedules" // highest schedule number in use
 
-	// The live configuration is under LivePrefix, so that a leader has read it before it
-	// makes any decision.
+	// The live configuration is under LivePrefix, so that a leader reads it before it makes
+	// any decision.
 	ConfigPrefix     = LivePrefix + "config/"
 	ConfigHeadKey    = ConfigPrefix + "head"
 	ConfigTeamPrefix = ConfigPrefix + "team/"
--- a/internal/recordcodec/codec.go
+++ b/internal/recordcodec/codec.go
@@ -17,7 +17,7 @@
 	typeJob            = "job"
 	typeFinal          = "final"
 	typeProgress       = "progress"
-	typeMachine        = "machine" // written by the first version: one machine, whose host name is in the key
+	typeMachine        = "machine" // format of the first version, see machinesJSON
 	typeMachines       = "machines"
 	typeLeader         = "leader"
 	typeTerm           = "term"
@@ -45,7 +45,7 @@
 
 // Encode returns the JSON of a record, or null if value is not a record.
 func Encode(value any) json.RawMessage {
-	data, _ := json.Marshal(StoredForm(value)) // cannot fail: plain structs of this package
+	data, _ := json.Marshal(StoredForm(value)) // cannot fail
 	return data
 }
 
--- a/internal/recurring/job.go
+++ b/internal/recurring/job.go
@@ -12,7 +12,6 @@
 	"yewpass/internal/schedule"
 )
 
-// scheduleState is the in-memory state of one schedule.
 type scheduleState struct {
 	name           string
 	record         *schedule.Record     // nil while it is being created
@@ -27,9 +26,9 @@
 
 	generation       uint64    // of its current queue entry
 	awaitingPrevious bool      // the next occurrence waits for the job of the previous one
-	notBefore        time.Time // earliest time of the next attempt after a refused admission
+	notBefore        time.Time // earliest next attempt after a refused admission
 
-	pendingEntries []schedule.Entry // history entries that arrived while a write was in flight
+	pendingEntries []schedule.Entry // history entries that arrived during a write
 	historyChanged bool             // since the last write
 	flushScheduled bool
 }
@@ -54,9 +53,9 @@
 	return sched.definition.Upcoming(sched.record.Number, occurrence)
 }
 
-// compile compiles the definition in a schedule's record. A definition that this leader
-// cannot compile, for example because its calendar is missing from the operators' file,
-// disables the schedule: creating no job is safer than creating one on a holiday.
+// compile compiles the definition in a schedule's record. If that fails, for example
+// because the operators' file lacks its calendar, it disables the schedule, since no job is
+// safer than one on a holiday.
 func (s *Scheduler) compile(sched *scheduleState) {
 	sched.definition, sched.disabledReason = nil, ""
 	definition, err := s.parse(sched.record.File)
@@ -68,8 +67,8 @@
 	sched.definition = definition
 }
 
-// parse compiles a stored definition. It converts a panic of the recurrence rule library
-// to an error, so that one bad schedule does not stop the others.
+// parse compiles a stored definition. It converts a panic of the recurrence rule library to
+// an error, so that one schedule does not stop the others.
 func (s *Scheduler) parse(data []byte) (definition *schedule.Definition, err error) {
 	file, err := schedule.ParseJSON(data)
 	if err != nil {
--- a/internal/recurring/load.go
+++ b/internal/recurring/load.go
@@ -16,20 +16,19 @@
 
 const (
 	loadPageSize    = 100                    // records per list request
-	loadPageGap     = 100 * time.Millisecond // pause between pages, which leaves capacity for the new leader's other work
+	loadPageGap     = 100 * time.Millisecond // leaves capacity for the new leader's other work
 	loadRetryDelay  = 200 * time.Millisecond
 	resolveInterval = 50 * time.Millisecond
 )
 
-// unresolvedOccurrence is an occurrence whose job ended before this leadership began and
-// whose final state is missing from the schedule's record.
+// unresolvedOccurrence is an occurrence whose job ended before this leadership and whose
+// final state is missing from the schedule's record.
 type unresolvedOccurrence struct {
 	sched *scheduleState
 	jobID string
 }
 
-// Load reads all schedules from the key-value store, page by page, and calls after when
-// they are loaded.
+// Load reads all schedules from the key-value store, page by page, and then calls after.
 func (s *Scheduler) Load(after func()) {
 	s.onLoaded = after
 	s.loadPage("")
@@ -75,8 +74,8 @@
 	s.planNext(sched)
 }
 
-// trackUnfinishedJobs finds the jobs of a schedule's occurrences that had not ended when the
-// record was written. Live jobs are tracked; the others are added to the unresolved list.
+// trackUnfinishedJobs finds a schedule's jobs that had not ended when the record was written.
+// Live jobs are tracked; the others are added to the unresolved list.
 func (s *Scheduler) trackUnfinishedJobs(sched *scheduleState) {
 	entries, _ := sched.record.Entries()
 	for _, entry := range entries {
@@ -120,7 +119,7 @@
 func (s *Scheduler) resolve(occurrence unresolvedOccurrence, state spec.JobState) {
 	at := s.engine.WallClock()
 	if entry, ok := occurrence.sched.record.Entry(occurrence.jobID); ok && !entry.Deadline.IsZero() && !entry.Late && at.After(entry.Deadline) {
-		at = entry.Deadline // no leader recorded a missed deadline, so assume that it was met
+		at = entry.Deadline // no leader recorded a missed deadline, so assume it was met
 	}
 	s.finishOccurrence(occurrence.sched, occurrence.jobID, state, at)
 }
--- a/internal/recurring/views.go
+++ b/internal/recurring/views.go
@@ -8,11 +8,9 @@
 	"yewpass/internal/schedule"
 )
 
-// maxPageBytes keeps a page of the list below 64 KiB, the maximum size of a message between
-// controllers.
+// maxPageBytes keeps a page below 64 KiB, the maximum size of a message between controllers.
 const maxPageBytes = 48 << 10
 
-// scheduleResponse returns a response that contains the description of a schedule.
 func scheduleResponse(sched *scheduleState, status int) request.Response {
 	doc := schedule.View{
 		Schedule: sched.record.File,
@@ -42,8 +40,8 @@
 	return doc
 }
 
-// list returns one page of the schedules, sorted by name. Its size is bounded by both
-// params.Count and maxPageBytes.
+// list returns one page of the schedules, sorted by name and bounded by params.Count and
+// maxPageBytes.
 func (s *Scheduler) list(params *request.ScheduleParams) schedule.ListPage {
 	page := schedule.ListPage{Schedules: []schedule.Summary{}}
 	i, found := slices.BinarySearch(s.names, params.After)
--- a/internal/schedule/file_test.go
+++ b/internal/schedule/file_test.go
@@ -44,8 +44,7 @@
 	}
 }
 
-// TestParseJSONErrors checks the field and the reason that users get for a request
-// body that is not a valid schedule.
+// TestParseJSONErrors checks the errors for a request body that is not a valid schedule.
 func TestParseJSONErrors(t *testing.T) {
 	const notASchedule = "the body is not a schedule in JSON"
 	for _, test := range []struct{ body, field, reason string }{
@@ -58,8 +57,8 @@
 		{`{"job":{"zoom":1}}`, "zoom", "no such field"},
 		{`{"zone":3}`, "zone", "wrong type or out of range"},
 		{`{"job":{"shards":1.5}}`, "job.shards", "wrong type or out of range"},
-		{`{"starts":"soon"}`, "starts or ends", "no date such as 2027-01-31"},
-		{`{"ends":"2027-02-30"}`, "starts or ends", "no date such as 2027-01-31"},
+		{`{"starts":"soon"}`, "starts or ends", "not a date such as 2027-01-31"},
+		{`{"ends":"2027-02-30"}`, "starts or ends", "not a date such as 2027-01-31"},
 	} {
 		t.Run(test.body, func(t *testing.T) {
 			_, err := ParseJSON([]byte(test.body))
@@ -90,8 +89,7 @@
 	}
 }
 
-// TestJSONRoundTrip checks that a schedule read from TOML is unchanged by encoding it to
-// JSON and decoding it.
+// TestJSONRoundTrip checks that encoding a schedule to JSON and decoding it does not change it.
 func TestJSONRoundTrip(t *testing.T) {
 	file, err := ParseTOML([]byte(validFile))
 	if err != nil {
@@ -146,8 +144,7 @@
 	}
 }
 
-// TestInvalidJSONFieldIsNamed checks that the error for invalid JSON contains the
-// invalid field.
+// TestInvalidJSONFieldIsNamed checks that the error contains the invalid field.
 func TestInvalidJSONFieldIsNamed(t *testing.T) {
 	file, err := ParseTOML([]byte(validFile))
 	if err != nil {
--- a/internal/schedule/view.go
+++ b/internal/schedule/view.go
@@ -81,8 +81,8 @@
 	return &t
 }
 
-// Upcoming returns an occurrence in its JSON form, with times in the schedule's
-// zone. The number is the Number of the schedule's record.
+// Upcoming returns an occurrence in its JSON form, with times in the schedule's zone. The
+// number is that of the schedule's record.
 func (d *Definition) Upcoming(number uint64, occurrence calendar.Occurrence) *Upcoming {
 	zone := d.Timing.Zone()
 	return &Upcoming{
@@ -93,8 +93,8 @@
 	}
 }
 
-// HistoryView returns the history in its JSON form, with times in the zone. It is
-// empty if the stored history is malformed.
+// HistoryView returns the history in its JSON form, with times in the zone. It is empty if
+// the history is malformed.
 func (r *Record) HistoryView(zone *time.Location) History {
 	history := History{History: []HistoryEntry{}} // encoded as [] instead of null if empty
 	entries, _ := r.Entries()
