--- a/cmd/yewlab/main.go
+++ b/cmd/yewlab/main.go
@@ -22,7 +22,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	root := &cobra.Command{Use: "yewlab", Short: "Play yewpass at a planned size", SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{Use: "yewlab", Short: "Run load tests of yewpass", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(scaleCommand(), slopesCommand(), heartbeatLoadCommand())
 	if err := root.ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "yewlab:", err)
@@ -34,10 +34,10 @@
 // slopesCommand fits linear trends to the reports of scale runs of several sizes.
 func slopesCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "slopes REPORT...", Short: "Fit lines through JSON reports of scale runs of several sizes", Args: cobra.MinimumNArgs(3),
+		Use: "slopes REPORT...", Short: "Fit linear trends to the JSON reports of scale runs of several sizes", Args: cobra.MinimumNArgs(3),
 		Example: "  yewlab slopes 340.json 675.json 1350.json 2700.json --at 2700,5400",
 	}
-	sizes := cmd.Flags().IntSlice("at", []int{2700, 5400}, "sizes to foretell")
+	sizes := cmd.Flags().IntSlice("at", []int{2700, 5400}, "sizes to extrapolate to")
 	cmd.RunE = func(cmd *cobra.Command, files []string) error {
 		var reports []*scenario.ScaleReport
 		for _, file := range files {
@@ -61,8 +61,8 @@
 	return cmd
 }
 
-// measureHeartbeatCost measures what sending a heartbeat costs a worker. It runs this program again
-// with the heartbeat load command as a separate process.
+// measureHeartbeatCost measures what sending a heartbeat costs a worker, in a separate process that
+// runs the heartbeat load command.
 func measureHeartbeatCost(ctx context.Context) (cost scenario.HeartbeatCost, err error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -90,9 +90,9 @@
 	var programs []string
 	var asJSON bool
 	cmd := &cobra.Command{
-		Use: "scale", Short: "Play the planned size and measure what each role takes", Args: cobra.NoArgs,
-		Long: "Starts controllers as processes on the loopback interface, with stand-ins of the state service, the cloud, users and workers in this process. " +
-			"Ramps up to the planned rate, holds it, and reports. Exits with 1 when a rule was broken.",
+		Use: "scale", Short: "Run at the planned size and measure the resources that each role uses", Args: cobra.NoArgs,
+		Long: "Starts controllers as processes on the loopback interface, with a simulated key-value store, cloud, users and workers in this process. " +
+			"Ramps up to the planned rate, holds it, and prints a report. Exits with status 1 if an invariant was violated.",
 		Example: "  yewlab scale --program target/yewpass\n" +
 			"  yewlab scale --workers 675 --tasks 275 --jobs 1.1 --running 10750 --teams 28 --json\n" +
 			"  yewlab scale --kill-leader --cut-region 90s",
@@ -121,27 +121,27 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringSliceVar(&programs, "program", []string{"target/yewpass"}, "the controllers' program; of several, such as one of an older version, they take turns")
+	f.StringSliceVar(&programs, "program", []string{"target/yewpass"}, "programs of the controllers, assigned in turn, for example to test with an older version")
 	f.BoolVar(&asJSON, "json", false, "print the report as JSON")
-	f.IntVar(&plan.Workers, "workers", plan.Workers, "machines, all up from the start")
-	f.Float64Var(&plan.Tasks, "tasks", plan.Tasks, "task starts a second at the full rate")
-	f.Float64Var(&plan.Jobs, "jobs", plan.Jobs, "submissions a second at the full rate")
-	f.IntVar(&plan.Running, "running", plan.Running, "tasks running at the full rate")
-	f.IntVar(&plan.Teams, "teams", plan.Teams, "teams, each with a guarantee and a limit")
-	f.IntVar(&plan.Regions, "regions", plan.Regions, "regions over which the zones are spread")
-	f.IntVar(&plan.Zones, "zones", plan.Zones, "zones in all")
-	f.IntVar(&plan.Controllers, "controllers", plan.Controllers, "controllers, spread over the zones")
-	f.DurationVar(&plan.Ramp, "ramp", plan.Ramp, "time from nothing to the full rate")
-	f.DurationVar(&plan.Hold, "hold", plan.Hold, "time at the full rate, which is measured")
-	f.DurationVar(&plan.Drain, "drain", plan.Drain, "time at most for the rest to end")
-	f.Float64Var(&plan.StateRPS, "state-rps", plan.StateRPS, "requests a second that the state service takes")
-	f.Float64Var(&plan.StateWrites, "state-writes", plan.StateWrites, "changes a second that the state service takes")
+	f.IntVar(&plan.Workers, "workers", plan.Workers, "number of machines, all running from the start")
+	f.Float64Var(&plan.Tasks, "tasks", plan.Tasks, "task starts per second at the full rate")
+	f.Float64Var(&plan.Jobs, "jobs", plan.Jobs, "submissions per second at the full rate")
+	f.IntVar(&plan.Running, "running", plan.Running, "number of tasks running at the full rate")
+	f.IntVar(&plan.Teams, "teams", plan.Teams, "number of teams, each with a guarantee and a limit")
+	f.IntVar(&plan.Regions, "regions", plan.Regions, "number of regions over which the zones are spread")
+	f.IntVar(&plan.Zones, "zones", plan.Zones, "total number of zones")
+	f.IntVar(&plan.Controllers, "controllers", plan.Controllers, "number of controllers, spread over the zones")
+	f.DurationVar(&plan.Ramp, "ramp", plan.Ramp, "duration of the ramp from zero to the full rate")
+	f.DurationVar(&plan.Hold, "hold", plan.Hold, "duration of the measurement at the full rate")
+	f.DurationVar(&plan.Drain, "drain", plan.Drain, "maximum time for the remaining tasks to end")
+	f.Float64Var(&plan.StateRPS, "state-rps", plan.StateRPS, "request rate limit of the key-value store, per second")
+	f.Float64Var(&plan.StateWrites, "state-writes", plan.StateWrites, "write rate limit of the key-value store, per second")
 	f.Float64Var(&plan.MemoryMB, "memory-mb", plan.MemoryMB, "memory of a controller, in MB")
-	f.BoolVar(&plan.KillLeader, "kill-leader", false, "kill the leader a third into the hold; it is back after 3 s")
-	f.DurationVar(&plan.CutRegion, "cut-region", 0, "cut a region off a third into the hold, for this long")
-	f.Float64Var(&plan.ReportBytes, "report-bytes", 0, "bytes a second that control may take of a worker, by the operators' policy; 0: no bound")
-	f.Float64Var(&plan.ChangesADay, "changes-a-day", 0, "changes of teams' limits, evenly through the hold")
-	f.IntVar(&plan.ChangeBurst, "change-burst", 0, "changes of teams' limits within a minute, a third into the hold")
-	f.Uint64Var(&plan.Seed, "seed", plan.Seed, "what the jobs follow from")
+	f.BoolVar(&plan.KillLeader, "kill-leader", false, "kill the leader after a third of the hold and restart it 3 s later")
+	f.DurationVar(&plan.CutRegion, "cut-region", 0, "disconnect a region for this duration after a third of the hold")
+	f.Float64Var(&plan.ReportBytes, "report-bytes", 0, "limit of control traffic per worker in bytes per second, set by the operators' policy; 0 means no limit")
+	f.Float64Var(&plan.ChangesADay, "changes-a-day", 0, "changes of team limits per day, evenly distributed over the hold")
+	f.IntVar(&plan.ChangeBurst, "change-burst", 0, "number of changes of team limits within a minute, after a third of the hold")
+	f.Uint64Var(&plan.Seed, "seed", plan.Seed, "random seed of the jobs")
 	return cmd
 }
--- a/cmd/yewpass/client.go
+++ b/cmd/yewpass/client.go
@@ -19,7 +19,7 @@
 // Exit codes of the client commands.
 const (
 	exitUsage       = 1 // bad arguments, files or an unreachable node
-	exitRejected    = 2 // permanent rejection by the node, such as 400, 404 or 422
+	exitRejected    = 2 // permanent rejection, such as 400, 404 or 422
 	exitUnavailable = 3 // temporary failure of the node: 429 or 5xx
 )
 
@@ -30,7 +30,7 @@
 	retryAfter string
 }
 
-// Error returns the status, the reason and, if the node sent one, the retry delay.
+// Error returns the status, the reason and any retry delay.
 func (e *statusError) Error() string {
 	s := fmt.Sprintf("%d %s: %s", e.status, http.StatusText(e.status), e.reason)
 	if e.retryAfter != "" {
@@ -53,7 +53,7 @@
 func checkCommand() *cobra.Command {
 	var settings, ops string
 	cmd := &cobra.Command{
-		Use: "check", Short: "Check a settings file and an operators' file", Args: cobra.NoArgs,
+		Use: "check", Short: "Validate a settings file, an operators' file or both", Args: cobra.NoArgs,
 		Example: "  yewpass check --config settings.toml --operators deploy/operators.toml",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if settings == "" && ops == "" {
@@ -85,7 +85,7 @@
 
 func submitCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "submit FILE", Short: "Submit the job that a JSON file describes; - reads standard input", Args: cobra.ExactArgs(1),
+		Use: "submit FILE", Short: "Submit the job that a JSON file (- for standard input) describes", Args: cobra.ExactArgs(1),
 	}
 	node := nodeFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
@@ -99,7 +99,7 @@
 }
 
 func statusCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "status ID", Short: "Show a job's state", Args: cobra.ExactArgs(1)}
+	cmd := &cobra.Command{Use: "status ID", Short: "Show the state of a job", Args: cobra.ExactArgs(1)}
 	node := nodeFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		return callAndPrint(cmd, http.MethodGet, *node, "/v2/runs/"+args[0], nil)
--- a/cmd/yewpass/cluster.go
+++ b/cmd/yewpass/cluster.go
@@ -16,7 +16,7 @@
 // clusterCommand shows the state of the controllers; its subcommand transfers the leadership.
 func clusterCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "cluster", Short: "Show who leads, and by which node machines report", Args: cobra.NoArgs,
+		Use: "cluster", Short: "Show the leader, the controllers and the machines that report to each", Args: cobra.NoArgs,
 		Example: "  yewpass cluster --node 127.0.0.1:8080\n" +
 			"  yewpass cluster --json | jq '.nodes[] | select(.role == \"away\").name'\n" +
 			"  yewpass cluster hand-over",
@@ -36,8 +36,8 @@
 	}
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error { return fetch(cmd, http.MethodGet, "/v2/cluster") }
 	cmd.AddCommand(&cobra.Command{
-		Use: "hand-over", Short: "Have the leader give its leadership to another node", Args: cobra.NoArgs,
-		Long: "The leader ends its term and another controller begins the next at once. Refused while no other is in reach or a take-over is not complete. Prints what the leader knew last.",
+		Use: "hand-over", Short: "Transfer the leadership to another node", Args: cobra.NoArgs,
+		Long: "The leader steps down and another controller starts the next term. The request is refused while no other controller is reachable or a failover is incomplete. Prints the last cluster state that the former leader knew.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return fetch(cmd, http.MethodPost, "/v2/cluster/hand-over")
 		},
@@ -52,10 +52,10 @@
 	} else {
 		fmt.Fprintf(out, "leader %s, term %d", v.Leader, v.Term)
 		if v.LeadingSeconds > 0 {
-			fmt.Fprintf(out, ", for %s, authority %v, take-over complete %v, %d machines of at most %d, %d unaccounted",
+			fmt.Fprintf(out, ", for %s, authority %v, failover complete %v, %d machines of at most %d, %d unaccounted",
 				(time.Duration(v.LeadingSeconds * float64(time.Second))).Round(time.Second), v.Authority, v.FailoverComplete, v.Machines, v.MaxMachines, v.Unaccounted)
 		}
-		fmt.Fprintf(out, ", told by %s\n", v.Node)
+		fmt.Fprintf(out, ", reported by %s\n", v.Node)
 	}
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NODE\tZONE\tROLE\tLINK\tWORKERS\tLAG")
@@ -82,13 +82,13 @@
 	}
 	w.Flush()
 	if r := v.Records; r != nil {
-		fmt.Fprintf(out, "\nrecords: era %d, whole copies at %s", r.Era, cmp.Or(strings.Join(r.Replicas, ", "), "no other node"))
+		fmt.Fprintf(out, "\nrecords: era %d, complete replicas at %s", r.Era, cmp.Or(strings.Join(r.Replicas, ", "), "no other node"))
 		if r.LossReason != "" {
-			fmt.Fprintf(out, "; data was lost %s ago (%s), %d restored from %s, %d not on record yet",
-				time.Duration(r.SinceSeconds*float64(time.Second)).Round(time.Second), r.LossReason, r.Restored, cmp.Or(r.Source, "no copy"), r.Pending)
+			fmt.Fprintf(out, "; data was lost %s ago (%s), %d restored from %s, %d not yet written back",
+				time.Duration(r.SinceSeconds*float64(time.Second)).Round(time.Second), r.LossReason, r.Restored, cmp.Or(r.Source, "no replica"), r.Pending)
 		}
 		if len(r.UnreadableJobs) > 0 {
-			fmt.Fprintf(out, "; cannot be read: %s", strings.Join(r.UnreadableJobs, ", "))
+			fmt.Fprintf(out, "; unreadable jobs: %s", strings.Join(r.UnreadableJobs, ", "))
 		}
 		fmt.Fprintln(out)
 	}
--- a/cmd/yewpass/config.go
+++ b/cmd/yewpass/config.go
@@ -20,8 +20,8 @@
 
 func configCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "config", Short: "Configuration that changes while the service runs: look at teams and change them",
-		Long: "The platform's settings are the base, a change stands above them. docs/operations/configuration.md describes the file.",
+		Use: "config", Short: "Show and change the live configuration of teams",
+		Long: "Changes override the platform's settings. docs/operations/configuration.md describes the file.",
 		Example: "  yewpass config list --node 10.0.0.1:8080\n" +
 			"  yewpass config set teams.toml --if-revision 17\n" +
 			"  yewpass config status --json",
@@ -33,7 +33,7 @@
 const teamsPath = "/v2/config/teams"
 
 func configGetCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "get TEAM", Short: "Show a team's configuration", Args: cobra.ExactArgs(1)}
+	cmd := &cobra.Command{Use: "get TEAM", Short: "Show the configuration of a team", Args: cobra.ExactArgs(1)}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		var v view.Team
@@ -98,7 +98,7 @@
 	Teams []liveconfig.TeamChange `toml:"teams" json:"teams"`
 }
 
-// parseTeamsFile decodes a teams file and checks what can be checked without a server.
+// parseTeamsFile decodes a teams file and validates it without a server.
 func parseTeamsFile(data []byte) (f teamsFile, err error) {
 	if err := tomltext.Decode(data, &f, true); err != nil {
 		return f, err
@@ -109,12 +109,12 @@
 
 func configSetCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "set FILE", Short: "Change the teams that a TOML file names, all together; - reads standard input", Args: cobra.ExactArgs(1),
-		Long:    "Each [[teams]] has name, cpus, cpus_max, gpus, gpus_max and retired, and replaces what the team had; what is absent is none, as in the settings. Prints the revision at which the change is on record.",
+		Use: "set FILE", Short: "Change the teams in a TOML file (- for standard input) atomically", Args: cobra.ExactArgs(1),
+		Long:    "Each [[teams]] table has the fields name, cpus, cpus_max, gpus, gpus_max and retired, and replaces the configuration of the team. An absent field means no guarantee or no limit, as in the settings. Prints the revision that contains the change.",
 		Example: "  yewpass config set teams.toml\n  printf '[[teams]]\\nname = \"vision\"\\ncpus_max = 120.0\\n' | yewpass config set - --if-revision 17",
 	}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
-	revision := cmd.Flags().Uint64("if-revision", 0, "only if the configuration as a whole still has this revision; by default the teams must be as they are when the command begins")
+	revision := cmd.Flags().Uint64("if-revision", 0, "change the teams only if the whole configuration has this revision (default: only if these teams do not change while the command runs)")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		data, err := readInput(cmd, args[0])
 		if err != nil {
@@ -147,7 +147,7 @@
 }
 
 // requireCurrentRevisions makes a change conditional on the current revisions of its teams, so that
-// a delayed request cannot overwrite a later change.
+// it cannot overwrite a concurrent change.
 func requireCurrentRevisions(node string, changes []liveconfig.TeamChange) error {
 	all, err := listTeams(node)
 	if err != nil {
@@ -165,7 +165,7 @@
 }
 
 func configStatusCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "status", Short: "Show which revision each controller has", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "status", Short: "Show the configuration revision of each controller", Args: cobra.NoArgs}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		var v view.ConfigStatus
@@ -178,13 +178,13 @@
 }
 
 func printConfigStatus(out io.Writer, v *view.ConfigStatus) {
-	fmt.Fprintf(out, "revision %d, %d changes under this leader, %d waiting, the last one known everywhere after %s\n",
+	fmt.Fprintf(out, "revision %d, %d changes under this leader, %d waiting, last one propagated in %s\n",
 		v.Revision, v.Changes, v.Waiting, time.Duration(v.PropagationSeconds*float64(time.Second)).Round(time.Millisecond))
 	if v.Refusal != "" {
-		fmt.Fprintf(out, "no change is taken: %s\n", v.Refusal)
+		fmt.Fprintf(out, "changes are refused: %s\n", v.Refusal)
 	}
 	for _, name := range v.Damaged {
-		fmt.Fprintf(out, "record unreadable: %s\n", name)
+		fmt.Fprintf(out, "unreadable record: %s\n", name)
 	}
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NODE\tREVISION\tCONFIRMED\tLIVE CONFIGURATION")
--- a/cmd/yewpass/main.go
+++ b/cmd/yewpass/main.go
@@ -22,9 +22,8 @@
 	}
 }
 
-// reportFailure prints the final error to standard error. It waits at most a second, because
-// writing to a pipe that nobody reads would block and keep a supervisor from restarting the failed
-// process.
+// reportFailure prints the final error to standard error. It waits at most a second, so that a pipe
+// that nobody reads does not keep the process from exiting.
 func reportFailure(err error) {
 	printed := make(chan struct{})
 	go func() {
@@ -41,8 +40,8 @@
 	var settings, ops string
 	cmd := &cobra.Command{
 		Use:   "yewpass",
-		Short: "A scheduler for clusters of rented machines",
-		Long:  "yewpass --config FILE runs a controller node. The other commands check its files and talk to a running node.",
+		Short: "Scheduler for clusters of rented machines",
+		Long:  "yewpass --config FILE runs a controller node. The other commands validate its files or send requests to a running node.",
 		Example: "  yewpass --config settings.toml --operators deploy/operators.toml\n" +
 			"  yewpass schedule preview nightly.toml --operators deploy/operators.toml --count 5\n" +
 			"  yewpass completion bash > /etc/bash_completion.d/yewpass",
@@ -66,8 +65,8 @@
 			return node.Run(cfg, file)
 		},
 	}
-	cmd.Flags().StringVar(&settings, "config", "", "settings file that the platform hands over")
-	cmd.Flags().StringVar(&ops, "operators", "", "operators' file, see deploy/operators.toml; the defaults otherwise")
+	cmd.Flags().StringVar(&settings, "config", "", "settings file that the platform provides")
+	cmd.Flags().StringVar(&ops, "operators", "", "operators' file, see deploy/operators.toml (default: built-in defaults)")
 	cmd.AddCommand(checkCommand(), submitCommand(), statusCommand(), cancelCommand(), scheduleCommand(), clusterCommand(), configCommand())
 	return cmd
 }
--- a/cmd/yewpass/preview.go
+++ b/cmd/yewpass/preview.go
@@ -13,15 +13,15 @@
 )
 
 func schedulePreviewCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "preview FILE", Short: "Show when a schedule file would run, without a server", Args: cobra.ExactArgs(1),
-		Long: "One line an occurrence: start, due (or -), job id and a remark, separated by tabs. Of the id the part that the server gives is shown as ?.",
+	cmd := &cobra.Command{Use: "preview FILE", Short: "Show the occurrences of a schedule file, without a server", Args: cobra.ExactArgs(1),
+		Long: "Prints one line for each occurrence: start, deadline (or -), job id and a remark, separated by tabs. The part of the id that the server assigns is shown as ?.",
 		Example: "  yewpass schedule preview nightly.toml --operators deploy/operators.toml --from 2027-01-01T00:00:00Z --count 12\n" +
 			"  yewpass schedule preview nightly.toml --all"}
 	var p previewOptions
 	cmd.Flags().StringVar(&p.operators, "operators", "", "operators' file with the calendars")
-	cmd.Flags().StringVar(&p.from, "from", "", "show what starts at or after this time (RFC 3339); now by default")
-	cmd.Flags().IntVar(&p.count, "count", 10, "how many occurrences")
-	cmd.Flags().BoolVar(&p.all, "all", false, "show what is skipped as well")
+	cmd.Flags().StringVar(&p.from, "from", "", "show occurrences that start at or after this time (RFC 3339; default: now)")
+	cmd.Flags().IntVar(&p.count, "count", 10, "number of occurrences")
+	cmd.Flags().BoolVar(&p.all, "all", false, "also show skipped occurrences")
 	asJSON := jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		lines, err := p.run(cmd, args[0])
@@ -83,7 +83,7 @@
 	return p.scheduledOccurrences(def, at), nil
 }
 
-// startTime returns the time of --from, or the current time by default.
+// startTime returns the time of --from, by default the current time.
 func (p *previewOptions) startTime() (time.Time, error) {
 	if p.from == "" {
 		return time.Now(), nil
@@ -131,8 +131,7 @@
 	return lines
 }
 
-// newPreviewLine returns the line of an occurrence. The part of the job id that the server assigns
-// is unknown.
+// newPreviewLine returns the line of an occurrence. The server's part of the job id is unknown.
 func newPreviewLine(def *schedule.Definition, o calendar.Occurrence) previewLine {
 	u := *def.Upcoming(0, o)
 	u.ID = schedule.PlaceholderJobID(o.Nominal)
--- a/cmd/yewpass/schedule.go
+++ b/cmd/yewpass/schedule.go
@@ -19,18 +19,18 @@
 
 func scheduleCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "schedule", Aliases: []string{"schedules"}, Short: "Recurring jobs: add, look at and change schedules",
-		Long: "A schedule makes a job at times of day, on dates of a recurrence rule, bound to a calendar of business days. docs/operations/schedules.md describes its file.",
+		Use: "schedule", Aliases: []string{"schedules"}, Short: "Add, show and change the schedules of recurring jobs",
+		Long: "A schedule creates jobs at times of day on the dates of a recurrence rule, adjusted to a calendar of business days. docs/operations/schedules.md describes its file.",
 		Example: "  yewpass schedule preview nightly.toml --operators deploy/operators.toml --count 5\n" +
 			"  yewpass schedule add nightly.toml --node 10.0.0.1:8080\n" +
 			"  yewpass schedule history nightly --json",
 	}
-	cmd.AddCommand(schedulePreviewCommand(), schedulePutCommand("add", "Add the schedule that a TOML file describes; - reads standard input"),
-		schedulePutCommand("edit", "Replace the definition of the schedule that a TOML file names; - reads standard input"),
+	cmd.AddCommand(schedulePreviewCommand(), schedulePutCommand("add", "Add the schedule that a TOML file (- for standard input) describes"),
+		schedulePutCommand("edit", "Replace the definition of the schedule that a TOML file (- for standard input) names"),
 		scheduleListCommand(), scheduleShowCommand(), scheduleHistoryCommand(), scheduleUpcomingCommand(), scheduleRunCommand(),
-		scheduleActionCommand("pause", "Make no jobs until resumed", http.MethodPost, "/pause"),
-		scheduleActionCommand("resume", "Make jobs again; what was due meanwhile does not run", http.MethodPost, "/resume"),
-		scheduleActionCommand("remove", "Remove a schedule; jobs that it has made go on", http.MethodDelete, ""))
+		scheduleActionCommand("pause", "Stop creating the jobs of a schedule until it is resumed", http.MethodPost, "/pause"),
+		scheduleActionCommand("resume", "Resume a schedule; occurrences missed during the pause do not run", http.MethodPost, "/resume"),
+		scheduleActionCommand("remove", "Remove a schedule; jobs that it has created continue", http.MethodDelete, ""))
 	return cmd
 }
 
@@ -60,7 +60,7 @@
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	match := new(string)
 	if verb == "edit" {
-		match = cmd.Flags().String("if-match", "", "the ETag that the edit is based on; by default the one that the schedule has now")
+		match = cmd.Flags().String("if-match", "", "ETag of the version to replace (default: the current one)")
 	}
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		f, err := readScheduleFile(cmd, args[0])
@@ -95,8 +95,7 @@
 	return cmd.Flags().Bool("json", false, "print JSON")
 }
 
-// printResult prints v as JSON, or as the text that the given function writes in tab-separated
-// columns.
+// printResult prints v as JSON, or the tab-separated columns that text writes.
 func printResult(cmd *cobra.Command, asJSON bool, v any, text func(w io.Writer)) error {
 	if asJSON {
 		enc := json.NewEncoder(cmd.OutOrStdout())
@@ -133,7 +132,7 @@
 		state = "paused"
 	}
 	if v.Problem != "" {
-		state = "makes no jobs: " + v.Problem
+		state = "creates no jobs: " + v.Problem
 	}
 	orNone := func(s string) string {
 		if s == "" {
@@ -196,7 +195,7 @@
 }
 
 func scheduleHistoryCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "history NAME", Short: "Show the last occurrences, the latest first", Args: cobra.ExactArgs(1)}
+	cmd := &cobra.Command{Use: "history NAME", Short: "Show the last occurrences of a schedule, newest first", Args: cobra.ExactArgs(1)}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		var h schedule.History
@@ -218,9 +217,9 @@
 }
 
 func scheduleUpcomingCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "upcoming NAME", Short: "Show the next occurrences and the ids of their jobs", Args: cobra.ExactArgs(1)}
+	cmd := &cobra.Command{Use: "upcoming NAME", Short: "Show the next occurrences of a schedule and the ids of their jobs", Args: cobra.ExactArgs(1)}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
-	count := cmd.Flags().Int("count", 10, "how many, 100 at the most")
+	count := cmd.Flags().Int("count", 10, "number of occurrences, at most 100")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		var c schedule.UpcomingList
 		if err := doRequest(http.MethodGet, *node, schedulePath(args[0])+"/upcoming?count="+strconv.Itoa(*count), nil, nil, &c); err != nil {
@@ -237,14 +236,14 @@
 }
 
 func scheduleRunCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "run NAME", Short: "Run a schedule's job now, once for each name of a request", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{Use: "run NAME", Short: "Run the job of a schedule now, once for each request name", Args: cobra.ExactArgs(1),
 		Example: "  yewpass schedule run nightly --request ticket-4711"}
 	node := nodeFlag(cmd)
 	jsonFlag(cmd) // accepted for consistency; the output is always JSON, as for submit
-	request := cmd.Flags().String("request", "", "your name for this request: made again, it runs nothing again")
+	request := cmd.Flags().String("request", "", "name of this request; repeating a request with the same name has no effect")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if *request == "" {
-			return fmt.Errorf("run: give --request, a name for this request")
+			return fmt.Errorf("run: --request is required")
 		}
 		data, err := json.Marshal(map[string]string{"request": *request})
 		if err != nil {
@@ -258,7 +257,7 @@
 func scheduleActionCommand(verb, short, method, path string) *cobra.Command {
 	cmd := &cobra.Command{Use: verb + " NAME", Short: short, Args: cobra.ExactArgs(1)}
 	node, asJSON := nodeFlag(cmd), jsonFlag(cmd)
-	match := cmd.Flags().String("if-match", "", "only if the schedule still has this ETag")
+	match := cmd.Flags().String("if-match", "", "change the schedule only if it has this ETag")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		header := http.Header{}
 		if *match != "" {
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -19,16 +19,15 @@
 	"yewpass/internal/spec"
 )
 
-// Exchange is a request that is passed to the core: a request.Request or a heartbeat.Received,
-// whose Ref the receiver sets. The receiver sends exactly one response to Reply, which is buffered,
-// so that the send never blocks.
+// Exchange is a request for the core: a request.Request or a heartbeat.Received, whose Ref the
+// receiver sets. The receiver sends exactly one response to Reply, which is buffered.
 type Exchange struct {
 	Input any
 	Reply chan<- any
 }
 
-// Abandoned reports that the handler that waits on Reply has given up, because of a timeout or
-// because the client disconnected.
+// Abandoned reports that the handler that waits on Reply has timed out or its client has
+// disconnected.
 type Abandoned struct{ Reply chan<- any }
 
 const (
@@ -37,8 +36,7 @@
 	userTimeout = 4500 * time.Millisecond
 	// heartbeatTimeout is shorter than the 4 s after which workers stop waiting for a reply.
 	heartbeatTimeout = 3900 * time.Millisecond
-	// transferTimeout bounds the time to read a request and the time to write its response, so
-	// that slow clients do not hold connections.
+	// transferTimeout bounds the time to read a request and the time to write its response.
 	transferTimeout = 10 * time.Second
 )
 
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestSchedules checks that each request reaches the core as the right operation, that errors name
-// the invalid field, and that ETags pass in both directions.
+// TestSchedules checks that requests reach the core as the right operation, that errors name the
+// invalid field, and that ETags are passed in both directions.
 func TestSchedules(t *testing.T) {
 	var got *request.ScheduleParams
 	var op request.Operation
--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -21,8 +21,8 @@
 	"yewpass/internal/view"
 )
 
-// goldenExchanges holds requests of users and workers and the responses of version 5990396. The
-// file must not be regenerated: clients depend on these exact responses.
+// goldenExchanges holds requests and the responses of version 5990396. The file must not be
+// regenerated: clients depend on these exact responses.
 const goldenExchanges = "testdata/exchanges-5990396.jsonl"
 
 // goldenExchange is a request and its response.
@@ -343,8 +343,7 @@
 	}
 }
 
-// perform sends the request of a golden exchange and returns the exchange with the response
-// received.
+// perform sends the request of a golden exchange and returns it with the response received.
 func perform(t *testing.T, url string, g goldenExchange) goldenExchange {
 	t.Helper()
 	request, err := http.NewRequest(g.Method, url+g.Path, strings.NewReader(string(g.Body)))
--- a/internal/api/config.go
+++ b/internal/api/config.go
@@ -9,7 +9,7 @@
 	"yewpass/internal/request"
 )
 
-// registerConfigRoutes adds the routes of the live configuration. Every node serves them.
+// registerConfigRoutes adds the routes of the live configuration.
 func (s *Server) registerConfigRoutes(r *httprouter.Router) {
 	r.GET("/v2/config", s.configHandler(request.ConfigStatus, nil))
 	r.POST("/v2/config", s.configHandler(request.ConfigSet, readConfigChange))
--- a/internal/api/connection_limiter.go
+++ b/internal/api/connection_limiter.go
@@ -8,10 +8,9 @@
 	"time"
 )
 
-// connectionLimiter bounds the number of open connections. Users and workers connect to the same
-// port, and a connection cannot be attributed to a worker before its first request. A new
-// connection is therefore always accepted if possible; at the limit, an existing one is evicted.
-// Connections on which a worker has sent a heartbeat or a request is in progress are never evicted.
+// connectionLimiter bounds the number of open connections of users and workers. At the limit it
+// evicts an existing connection, because a new one may be a worker's. Connections on which a worker
+// has sent a heartbeat or a request is being answered are never evicted.
 type connectionLimiter struct {
 	mu   sync.Mutex
 	max  int
@@ -68,7 +67,7 @@
 
 // evict closes the connection that has been idle the longest or, if none is idle, the one that has
 // been sending its request the longest. It returns false if every connection is in use. The caller
-// holds the lock.
+// must hold the lock.
 func (l *connectionLimiter) evict() bool {
 	var victim net.Conn
 	for c, x := range l.open {
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -87,8 +87,7 @@
 			return r, "shards.shard"
 		}
 		if !s.Phase.Known() {
-			// Unknown states come from newer workers. Pulling means that the task occupies the
-			// machine without running.
+			// A newer worker's state: like Pulling, the task occupies the machine.
 			s.Phase = heartbeat.Pulling
 		}
 		r.Tasks = append(r.Tasks, heartbeat.Task{ID: id, Attempt: s.Attempt, Phase: s.Phase, Cause: s.Cause})
--- a/internal/api/probe.go
+++ b/internal/api/probe.go
@@ -10,15 +10,13 @@
 	"yewpass/internal/rpc"
 )
 
-// Prober sends status requests to workers. It does not limit the number of concurrent requests; the
-// core does.
+// Prober sends status requests to workers. The caller limits the number of concurrent requests.
 type Prober struct {
 	client *httpjson.Client
 	inbox  chan<- any
 }
 
-// NewProber returns a prober that delivers replies to inbox. It keeps no idle connections, because
-// there are many workers and each is probed rarely.
+// NewProber returns a prober that delivers replies to inbox and keeps no idle connections.
 func NewProber(inbox chan<- any) *Prober {
 	return &Prober{httpjson.NewClient("", time.Second, -1, 4*maxBodyBytes), inbox}
 }
@@ -34,7 +32,7 @@
 func (p *Prober) Do(probe heartbeat.Probe) {
 	go func() {
 		r := heartbeat.ProbeReply{Outcome: rpc.Unknown}
-		body, _ := json.Marshal(commandJSON{probe.FencingToken, probe.Incarnation, []orderJSON{}}) // a plain struct, which never fails to encode
+		body, _ := json.Marshal(commandJSON{probe.FencingToken, probe.Incarnation, []orderJSON{}}) // never fails: a plain struct
 		status, data, ok := p.client.Call(http.MethodPost, probe.Address+"/do", body, probe.Timeout)
 		var j heartbeatJSON
 		if ok && (status == http.StatusOK || status == http.StatusConflict) && json.Unmarshal(data, &j) == nil {
--- a/internal/api/schedules.go
+++ b/internal/api/schedules.go
@@ -20,7 +20,7 @@
 	maxRequestName = 200 // bytes of the name of a run request
 )
 
-// registerScheduleRoutes adds the routes of recurring jobs. Every node serves them.
+// registerScheduleRoutes adds the routes of recurring jobs.
 func (s *Server) registerScheduleRoutes(r *httprouter.Router) {
 	const one = "/v2/schedules/:name"
 	r.GET("/v2/schedules", s.listSchedules)
@@ -36,8 +36,8 @@
 	r.GET(one+"/history", s.scheduleHandler(request.ScheduleHistory, nil))
 }
 
-// scheduleHandler returns a handler for an operation on one schedule. read, if not nil, reads
-// further parameters and returns false after it has sent an error response.
+// scheduleHandler returns a handler for an operation on one schedule. A non-nil read reads further
+// parameters and returns false after it has sent an error response.
 func (s *Server) scheduleHandler(op request.Operation, read func(http.ResponseWriter, *http.Request, *request.ScheduleParams) bool) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		q := &request.ScheduleParams{Name: p.ByName("name")}
@@ -59,7 +59,7 @@
 	return true
 }
 
-// readRunRequest reads the caller's name for a run request, which makes the request idempotent.
+// readRunRequest reads the idempotency key of a run request.
 func readRunRequest(w http.ResponseWriter, r *http.Request, q *request.ScheduleParams) bool {
 	var v struct {
 		Request string `json:"request"`
@@ -97,8 +97,8 @@
 	}
 }
 
-// putSchedule creates or replaces a schedule. If-None-Match: * refuses to replace one, and If-Match
-// names the ETag of the version to replace.
+// putSchedule creates a schedule, or replaces one unless If-None-Match is "*". If-Match names the
+// ETag of the version to replace.
 func (s *Server) putSchedule(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	data, ok := readBody(w, r)
 	if !ok {
--- a/internal/bitset/bitset.go
+++ b/internal/bitset/bitset.go
@@ -33,8 +33,8 @@
 	return -1
 }
 
-// ChunkSize is the number of tasks that one progress record covers. It keeps the largest
-// encoded chunk, a bitmap, far below the store's value size limit.
+// ChunkSize is the number of tasks that one progress record covers. It keeps an encoded chunk
+// below the store's value size limit.
 const ChunkSize = 16384
 
 // EncodeChunk encodes the members in [from, from+ChunkSize) relative to from, either as ranges
@@ -77,8 +77,8 @@
 	return "=" + base64.RawStdEncoding.EncodeToString(raw)
 }
 
-// DecodeChunk adds the members that EncodeChunk encoded. If s is malformed, it returns false
-// and adds none, because a damaged record must not mark incomplete tasks as complete.
+// DecodeChunk adds the members that EncodeChunk encoded. If s is malformed, it returns false and
+// adds none, so that a damaged record marks no task as complete.
 func (b Set) DecodeChunk(from, tasks int, s string) bool {
 	read := New(ChunkSize)
 	if !read.decode(min(ChunkSize, tasks-from), s) {
@@ -92,8 +92,8 @@
 	return true
 }
 
-// decode adds the members encoded in s. It returns false if s is malformed or has a member
-// that is not below n; some members may have been added then.
+// decode adds the members encoded in s. If s is malformed or has a member of n or more, it returns
+// false and may have added some members.
 func (b Set) decode(n int, s string) bool {
 	add := func(i int) bool {
 		if i < 0 || i >= n {
--- a/internal/bitset/bitset_test.go
+++ b/internal/bitset/bitset_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// FuzzChunk checks that DecodeChunk adds all members of a valid chunk, none outside the chunk
-// or the job, and none of a malformed chunk.
+// FuzzChunk checks that DecodeChunk adds all members of a valid chunk, none outside the chunk or
+// the job, and none of a malformed chunk.
 func FuzzChunk(f *testing.F) {
 	for _, s := range []string{"", "0-5,9", "=AAAAAAAAAAE", "0-16383", "5-3", "0-7,x", "-", "=", "99999999999999999999", "0-9223372036854775807"} {
 		f.Add(0, 40, s)
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -16,8 +16,8 @@
 	maxResponseBytes   = 1 << 20
 )
 
-// Client sends requests to the cloud API. Each request runs in its own goroutine, and its response
-// is delivered to the inbox.
+// Client sends requests to the cloud API, each in its own goroutine, and delivers the responses to
+// the inbox.
 type Client struct {
 	http  *httpjson.Client
 	inbox chan<- any
--- a/internal/cloud/compatibility_test.go
+++ b/internal/cloud/compatibility_test.go
@@ -14,10 +14,9 @@
 )
 
 // goldenCalls holds requests that version 5990396 sends to the cloud and responses that it reads.
-// The file must not be regenerated: the cloud API is the same for that version and this one.
+// The file must not be regenerated: the cloud API has not changed since.
 const goldenCalls = "testdata/calls-5990396.jsonl"
 
-// goldenCall is a request to the cloud and its response.
 type goldenCall struct {
 	Name   string          `json:"name"`
 	Method string          `json:"method"`
--- a/internal/cloud/request.go
+++ b/internal/cloud/request.go
@@ -49,7 +49,7 @@
 	return "", "", nil
 }
 
-// encode returns the JSON of a plain struct of this package, which never fails to encode.
+// encode returns the JSON of a plain struct, whose encoding never fails.
 func encode(v any) []byte {
 	data, _ := json.Marshal(v)
 	return data
--- a/internal/cloud/response.go
+++ b/internal/cloud/response.go
@@ -11,7 +11,7 @@
 	"yewpass/internal/timeline"
 )
 
-// Limits for the plausible values of an instance type.
+// Limits for the values of an instance type.
 const (
 	minCPUs        = 0.001
 	maxAmount      = 1e6
@@ -77,7 +77,6 @@
 	return unknown
 }
 
-// decodeSuccess decodes a response with status 200.
 func decodeSuccess(req provider.Request, data []byte) provider.Response {
 	switch req.Op {
 	case provider.Catalog:
@@ -114,8 +113,8 @@
 	return provider.Response{Outcome: rpc.OK, Hosts: body.Hosts}
 }
 
-// decodeList decodes a page of the list of machines. It checks that the hosts are in ascending
-// order and after req.After, because listing might never end otherwise.
+// decodeList decodes a page of the list of machines. It checks that the hosts are ascending and
+// after req.After; otherwise listing might never end.
 func decodeList(req provider.Request, data []byte) provider.Response {
 	var body listJSON
 	if json.Unmarshal(data, &body) != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,8 +19,7 @@
 	Endpoint string `toml:"endpoint"`
 }
 
-// Team holds the quota of a team: the guaranteed and the maximum resources. 0 means no
-// guarantee or no limit.
+// Team holds the quota of a team. 0 means no guarantee or no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`     // guaranteed CPUs
@@ -120,15 +119,13 @@
 	return &config, config.check()
 }
 
-// maxNumber is the largest number allowed in the file. Sums and products of numbers up to it
-// do not overflow.
+// maxNumber is the largest number allowed in the file. It prevents overflow in sums and products.
 const maxNumber = 1e8
 
 // inRange reports whether value is in [0, maxNumber]. It rejects NaN and infinity, which TOML
-// allows but which would disable a limit.
+// allows.
 func inRange(value float64) bool { return value >= 0 && value <= maxNumber }
 
-// numericField is the name and value of a numeric field.
 type numericField struct {
 	field string
 	value float64
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -51,8 +51,7 @@
 	}
 }
 
-// TestInvalidFieldIsNamed checks that the error is one line that names the invalid field, or
-// the line of a syntax error.
+// TestInvalidFieldIsNamed checks that an error is one line that names the field or the line.
 func TestInvalidFieldIsNamed(t *testing.T) {
 	for _, test := range []struct{ old, new, field string }{
 		{`host_name = "hostbox-0"`, ``, "host_name"},
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine runs the steps of the controller's state machine. It provides the time and
-// the outputs of the current step, timers, random numbers and asynchronous calls to external
-// services. It does no I/O and does not read the clock, so that runs are deterministic.
+// Package engine runs the steps of the controller's state machine. It provides time, outputs,
+// timers, random numbers and asynchronous calls. It does no I/O and does not read the clock, so
+// that runs are deterministic.
 package engine
 
 import (
@@ -29,7 +29,7 @@
 	LastRef   uint64 // reference of the last call
 
 	// ObserveStore is called before each call to the key-value store. The function that it
-	// returns receives the response before the caller does.
+	// returns gets the response before the caller does.
 	ObserveStore func() func(kv.Response)
 
 	clockOffset   time.Duration
@@ -51,8 +51,8 @@
 	}
 }
 
-// Begin starts a step at the given time, discards the outputs of the previous step and
-// reports whether it is the first one.
+// Begin starts a step, discards the outputs of the previous one and reports whether it is the
+// first.
 func (e *Engine) Begin(now time.Time) (first bool) {
 	first = e.Now.IsZero()
 	e.Now = now
@@ -82,8 +82,7 @@
 	return d/2 + time.Duration(e.Rand.Int64N(int64(d)+1))
 }
 
-// RandomID returns a random positive number of at most 53 bits, which JSON decoders that use
-// floating-point numbers read exactly.
+// RandomID returns a random positive number of at most 53 bits, which a float64 holds exactly.
 func (e *Engine) RandomID() uint64 { return e.Rand.Uint64()>>11 | 1 }
 
 // After calls f in the first step that is at least d after the current one.
@@ -110,9 +109,8 @@
 	return at
 }
 
-// SetClockOffset sets the difference between the wall clock and the time of the steps. It is
-// for simulations, whose times have no separate monotonic reading. In a real process the time
-// of a step has both readings and no offset is needed.
+// SetClockOffset sets the difference between the wall clock and the time of the steps. Only
+// simulations need it, whose times have no separate monotonic reading.
 func (e *Engine) SetClockOffset(d time.Duration) { e.clockOffset = d }
 
 // WallClock returns the wall-clock time of the current step.
@@ -156,7 +154,7 @@
 // HandleStore calls the callback of the request that r answers. It ignores unknown references.
 func (e *Engine) HandleStore(r kv.Response) { deliver(e.pendingStore, r.Ref, r) }
 
-// StoreCallPending reports whether a request with the given reference was sent and not answered.
+// StoreCallPending reports whether the request with the given reference is unanswered.
 func (e *Engine) StoreCallPending(ref uint64) bool { return e.pendingStore[ref] != nil }
 
 // HandleCloud calls the callback of the request that r answers. It ignores unknown references.
@@ -165,7 +163,7 @@
 // HandleProbe calls the callback of the probe that r answers. It ignores unknown references.
 func (e *Engine) HandleProbe(r heartbeat.ProbeReply) { deliver(e.pendingProbes, r.Ref, r) }
 
-// deliver removes the callback for ref and calls it with r. It does nothing if there is none.
+// deliver removes the callback for ref and calls it with r, if there is one.
 func deliver[R any](pending map[uint64]func(R), ref uint64, r R) {
 	if f := pending[ref]; f != nil {
 		delete(pending, ref)
--- a/internal/engine/scope.go
+++ b/internal/engine/scope.go
@@ -7,8 +7,8 @@
 	"yewpass/internal/provider"
 )
 
-// Scope limits timers and calls to a period, such as one term as leader. After it is closed,
-// the callbacks of its timers and calls are not called any more.
+// Scope limits timers and calls to a period, such as one term as leader. Once it is closed, their
+// callbacks are no longer called.
 type Scope struct {
 	engine *Engine
 	closed bool
@@ -17,13 +17,13 @@
 // NewScope returns an open scope.
 func (e *Engine) NewScope() *Scope { return &Scope{engine: e} }
 
-// Close closes the scope for good.
+// Close closes the scope permanently.
 func (s *Scope) Close() { s.closed = true }
 
 // Closed reports whether Close was called.
 func (s *Scope) Closed() bool { return s.closed }
 
-// After calls f after d unless the scope is closed by then.
+// After calls f after d unless the scope is closed.
 func (s *Scope) After(d time.Duration, f func()) {
 	s.engine.After(d, func() {
 		if !s.closed {
@@ -33,7 +33,7 @@
 }
 
 // CallStore sends a request to the key-value store and calls f with the response unless the
-// scope is closed by then.
+// scope is closed.
 func (s *Scope) CallStore(call kv.Request, f func(kv.Response)) {
 	s.engine.CallStore(call, func(r kv.Response) {
 		if !s.closed {
@@ -43,7 +43,7 @@
 }
 
 // CallCloud sends a request to the cloud provider and calls f with the response unless the
-// scope is closed by then.
+// scope is closed.
 func (s *Scope) CallCloud(call provider.Request, f func(provider.Response)) {
 	s.engine.CallCloud(call, func(r provider.Response) {
 		if !s.closed {
--- a/internal/expiringset/expiringset.go
+++ b/internal/expiringset/expiringset.go
@@ -3,18 +3,17 @@
 
 import "time"
 
-// Set is a set of names that bounds its memory by expiration. It keeps a name for at least
-// Retention. Old names are dropped in batches, and only when a name is added.
+// Set is a set of names that keeps each for at least Retention. It drops old names in batches, only
+// when a name is added.
 //
-// A released machine that has expired from the set may reappear in a delayed heartbeat or
-// list. This is safe: the machine is considered to have the reported tasks until it has been
-// silent for long enough, and is then released a second time, which has no effect.
+// A released machine that has expired from the set may reappear in a delayed heartbeat or list. It
+// is then released again once it has been silent for long enough, which has no effect.
 type Set struct {
 	Recent, Previous map[string]bool
 	RotatedAt        time.Time
 }
 
-// Retention is the minimum time that a name is kept. It is far longer than any message delay.
+// Retention is the minimum time that a name is kept. It far exceeds message delays.
 const Retention = time.Hour
 
 // New returns an empty set whose first retention period starts at now.
--- a/internal/heartbeat/exchange.go
+++ b/internal/heartbeat/exchange.go
@@ -16,15 +16,14 @@
 	CauseUnknownTask = "no_such"
 )
 
-// Received is a worker's heartbeat that needs a reply. The worker sent it to this controller
-// directly or through a relay.
+// Received is a worker's heartbeat that needs a reply, received directly or through a relay.
 type Received struct {
 	Ref    uint64
-	Via    RelaySession // zero if the worker sent the heartbeat to this controller directly
+	Via    RelaySession // zero if received directly
 	Report Report
 }
 
-// Abandoned is an input that says that a worker no longer waits for the reply to its heartbeat.
+// Abandoned is the input that a worker no longer waits for the reply to its heartbeat.
 type Abandoned struct{ Ref uint64 }
 
 // Reply is the reply to the Received with the same Ref.
@@ -53,8 +52,8 @@
 }
 
 // RelaySession identifies one uninterrupted stream of batches from a relay to a leader. A relay
-// draws a new session number for every leader, every term and after every interruption, so
-// that messages of an earlier stream or an earlier process of the relay can be rejected.
+// draws a new session number for every leader, every term and after every interruption, so that
+// messages of an earlier stream or process can be rejected.
 type RelaySession struct {
 	Relay   string // name of the relaying controller
 	Session uint64
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -18,8 +18,8 @@
 }
 
 // NewClient returns a client of the service at addr. If addr is empty, the paths passed to Call
-// must begin with an address. The client keeps at most maxIdle idle connections, or none if maxIdle
-// is negative, and treats a response body of more than maxResponse bytes as a failure.
+// must begin with an address. A negative maxIdle means no idle connections. A response body of more
+// than maxResponse bytes is a failure.
 func NewClient(addr string, dialTimeout time.Duration, maxIdle int, maxResponse int64) *Client {
 	return &Client{
 		base: "http://" + addr,
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,7 +1,5 @@
-// Package kv defines the requests to the consensus-backed key-value store that holds the
-// cluster's durable state, and its responses. The store is an external service. It supports
-// compare-and-swap transactions, keys attached to leases, and watches on key prefixes.
-// Package kvclient implements its protocol.
+// Package kv defines the requests to the external, consensus-backed key-value store that holds the
+// cluster's durable state, and its responses. Package kvclient implements its protocol.
 package kv
 
 import (
@@ -10,7 +8,7 @@
 	"yewpass/internal/rpc"
 )
 
-// Op is a kind of request to the store.
+// Op is a kind of request.
 type Op int
 
 // Kinds of requests.
@@ -24,7 +22,7 @@
 	Watch                 // waits until a key with a prefix changes after a revision
 )
 
-// Request is a request to the store. Which fields it uses depends on Op.
+// Request is a request to the store. Op determines which fields it uses.
 type Request struct {
 	Ref          uint64 // matches the response to the request
 	Op           Op
@@ -32,7 +30,7 @@
 	From         string        // List: the last key of the previous page
 	FromRev      uint64        // Watch: only changes after this revision are reported
 	Limit        int           // List: maximum number of keys
-	WatchTimeout time.Duration // Watch: how long the store waits for a change
+	WatchTimeout time.Duration // Watch: time that the store waits for a change
 	TTL          time.Duration // GrantLease and KeepAlive
 	LeaseID      uint64        // KeepAlive and RevokeLease
 	Conditions   []Condition   // Txn
@@ -67,9 +65,8 @@
 // Entry is a key in the store with its value.
 type Entry struct {
 	Key string
-	// Value is a pointer to one of the types of package record, schedule.Record,
-	// liveconfig.HeadRecord or liveconfig.TeamRecord. It is nil if the stored value is not
-	// a valid record.
+	// Value is a pointer to a type of package record, a schedule.Record, liveconfig.HeadRecord
+	// or liveconfig.TeamRecord, or nil if the stored value is not a valid record.
 	Value   any
 	Rev     uint64
 	LeaseID uint64 // lease that the key is attached to; only set by Get
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -1,5 +1,5 @@
-// Package kvclient implements the protocol of the key-value store, which the protocol documentation
-// calls the state service. The names of the protocol are used only in this package.
+// Package kvclient implements the protocol of the key-value store, which its documentation calls
+// the state service. The names of the protocol are used only in this package.
 package kvclient
 
 import (
@@ -13,14 +13,12 @@
 const (
 	dialTimeout        = time.Second
 	maxIdleConnections = 8
-	// maxResponseBytes bounds the size of a response. A page of a list has at most 512 KiB of
-	// entries.
+	// maxResponseBytes bounds a response. A page of a list has at most 512 KiB of entries.
 	maxResponseBytes = 2 << 20
 )
 
-// Client sends requests to the key-value store. Each request runs in its own goroutine, and its
-// response is delivered to the inbox. The client does not limit the number of concurrent requests;
-// the caller does.
+// Client sends requests to the key-value store, each in its own goroutine, and delivers the
+// responses to the inbox. The caller limits the number of concurrent requests.
 type Client struct {
 	http  *httpjson.Client
 	inbox chan<- any
--- a/internal/kvclient/client_test.go
+++ b/internal/kvclient/client_test.go
@@ -7,8 +7,7 @@
 	"yewpass/internal/rpc"
 )
 
-// TestDecode checks that a malformed or unexpected response has an unknown outcome and is never
-// taken as a success.
+// TestDecode checks that a malformed or unexpected response has an unknown outcome.
 func TestDecode(t *testing.T) {
 	for _, c := range []struct {
 		op     kv.Op
--- a/internal/kvclient/compatibility_test.go
+++ b/internal/kvclient/compatibility_test.go
@@ -15,8 +15,7 @@
 )
 
 // The files under testdata were written by version 5990396. They must not be regenerated: a version
-// that cannot read them, or writes other bytes, cannot run in a cluster with that version or on its
-// stored data.
+// that reads or writes other bytes cannot run with that version or on its stored data.
 const (
 	goldenRequests = "testdata/requests-5990396.jsonl"
 	goldenAnswers  = "testdata/answers-5990396.jsonl"
@@ -45,7 +44,6 @@
 	return spec.Job{ID: "wk-7", Class: "build", Owner: "tools", Tasks: 1}
 }
 
-// goldenRequest is a request to the key-value store.
 type goldenRequest struct {
 	Name   string          `json:"name"`
 	Method string          `json:"method"`
@@ -97,7 +95,6 @@
 	}
 }
 
-// goldenAnswer is a response of the key-value store.
 type goldenAnswer struct {
 	Name   string          `json:"name"`
 	Status int             `json:"status"`
--- a/internal/kvclient/request.go
+++ b/internal/kvclient/request.go
@@ -92,7 +92,7 @@
 	return t
 }
 
-// encode returns the JSON of a plain struct of this package, which never fails to encode.
+// encode returns the JSON of a plain struct, whose encoding never fails.
 func encode(v any) []byte {
 	data, _ := json.Marshal(v)
 	return data
--- a/internal/kvclient/response.go
+++ b/internal/kvclient/response.go
@@ -33,8 +33,8 @@
 )
 
 // DecodeResponse decodes the response to a request. A response that the protocol does not allow for
-// this request has the outcome rpc.Unknown: it may come from a proxy instead of the store, and
-// acting on it could elect a second leader or lose records.
+// this request has the outcome rpc.Unknown: it may come from a proxy, and acting on it could elect
+// a second leader or lose records.
 func DecodeResponse(req kv.Request, status int, data []byte) kv.Response {
 	var body responseJSON
 	parsed := json.Unmarshal(data, &body) == nil
@@ -63,8 +63,8 @@
 	return unknown
 }
 
-// decodeNotFound decodes a response with status 404. A missing key is reported only if the response
-// has the store revision, which shows that it comes from the store and not from a proxy.
+// decodeNotFound decodes a response with status 404. It reports a missing key only if the response
+// has the store revision; otherwise it may come from a proxy.
 func decodeNotFound(req kv.Request, body *responseJSON, parsed bool) kv.Response {
 	if req.Op != kv.Get {
 		return kv.Response{Outcome: rpc.NotFound}
@@ -108,9 +108,8 @@
 	return response
 }
 
-// decodeList decodes a page of a list. It checks that the keys are in ascending order, after
-// req.From and under the prefix, because a wrong page could make the caller read forever or skip
-// records.
+// decodeList decodes a page of a list. It checks that the keys are ascending, after req.From and
+// under the prefix; otherwise the caller could read forever or skip records.
 func decodeList(req kv.Request, body *responseJSON, response kv.Response) kv.Response {
 	if body.Entries == nil && body.StoreRevision == nil {
 		return unknown
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -23,8 +23,7 @@
 			level = slog.LevelInfo
 		}
 	}
-	// If the reader of standard error exits, the next write raises SIGPIPE, which the Go
-	// runtime would turn into process termination.
+	// Without this, a write to standard error after its reader has exited ends the process.
 	signal.Ignore(syscall.SIGPIPE)
 	slog.SetDefault(slog.New(slog.NewTextHandler(newLogWriter(os.Stderr), &slog.HandlerOptions{Level: level})))
 }
@@ -34,9 +33,9 @@
 
 var droppedLines = metrics.NewCounter(`yewpass_log_lines_lost_total`)
 
-// logWriter writes log lines in its own goroutine. Standard error may be a pipe that nobody reads,
-// and a blocked write must not stop the core from renewing leases and answering heartbeats. Lines
-// that exceed the queue are dropped and counted; the count is logged with the next line.
+// logWriter writes log lines in its own goroutine, so that a pipe that nobody reads cannot block
+// the core. Lines that exceed the queue are dropped and counted; the count is logged with the next
+// line.
 type logWriter struct {
 	queue   chan []byte
 	dropped atomic.Int64
@@ -55,8 +54,7 @@
 	return w
 }
 
-// Write queues a copy of the line without blocking. It drops and counts the line when the queue is
-// full, and never returns an error.
+// Write queues a copy of the line without blocking. It never returns an error.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.queue <- bytes.Clone(line):
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,8 +33,7 @@
 	"yewpass/internal/request"
 )
 
-// limitRuntime configures the Go runtime for the memory limit of the settings. The garbage
-// collector runs rarely while the heap is small and more often near the limit.
+// limitRuntime configures the Go runtime for the memory limit of the settings.
 func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(cfg.Settings.Limits.MemMB * 0.65 * (1 << 20)))
@@ -100,8 +99,8 @@
 }
 
 // loop feeds inputs to the core until the client listener fails or a signal stops the node.
-// Responses of the key-value store take precedence: on an overloaded node the leader lease would
-// otherwise expire while the response to its renewal waits in the queue.
+// Responses of the key-value store take precedence, so that on an overloaded node the leader lease
+// does not expire while the response to its renewal is queued.
 func (n *node) loop(kvInbox, inbox <-chan any, serveErr <-chan error, signals <-chan os.Signal) error {
 	timer := time.NewTimer(0)
 	var shutdown <-chan time.Time
@@ -174,16 +173,16 @@
 // gaugesInterval is the minimum time between updates of the metrics.
 const gaugesInterval = time.Second
 
-// shutdownGrace is the time between a stop signal and the exit of the process, in which the node
-// gives up its leadership and answers pending requests.
+// shutdownGrace is the time after a stop signal in which the node gives up its leadership and
+// answers pending requests.
 const shutdownGrace = 400 * time.Millisecond
 
 // stallThreshold is the time without a core step after which the node is no longer ready. The core
 // takes an input at least once a second.
 const stallThreshold = 4 * time.Second
 
-// isReady reports whether the load balancer should send requests to this node. It runs outside the
-// core loop, so it also checks that the loop has not stalled.
+// isReady reports whether the load balancer should send requests to this node. It is called outside
+// the core loop and also checks that the loop has not stalled.
 func (n *node) isReady() bool {
 	return n.ready.Load() && time.Since(n.startedAt)-time.Duration(n.lastStepOffset.Load()) < stallThreshold
 }
@@ -200,8 +199,7 @@
 	return int(files.Cur)
 }
 
-// rejectOverload answers a user request with status 503 and a retry delay, because the queue of
-// user requests is full.
+// rejectOverload answers a user request with status 503 and a retry delay.
 func (n *node) rejectOverload(in any) {
 	busy := request.Response{Status: 503, RetryAfter: 2 * time.Second, Reason: "the service is behind"}
 	switch x := in.(type) {
@@ -212,7 +210,7 @@
 	}
 }
 
-// register assigns a reference number to a request, under which answer finds its reply channel.
+// register assigns a request the reference number by which answer finds its reply channel.
 func (n *node) register(x api.Exchange) any {
 	n.lastRef++
 	n.replies[n.lastRef] = x.Reply
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestStalledCoreIsNotReady guards against reporting a node as ready after its core loop stalled.
+// TestStalledCoreIsNotReady checks that a node whose core loop has stalled is not ready.
 func TestStalledCoreIsNotReady(t *testing.T) {
 	n := &node{startedAt: time.Now().Add(-time.Hour)}
 	n.ready.Store(true)
--- a/internal/node/user_queue.go
+++ b/internal/node/user_queue.go
@@ -6,9 +6,8 @@
 	"yewpass/internal/request"
 )
 
-// userQueue gives user requests a lower priority than all other inputs. When the node is
-// overloaded, heartbeats, which renew worker leases, and responses of the key-value store, which
-// renew the leader lease, must not wait behind submissions and status polls.
+// userQueue gives user requests a lower priority than all other inputs, so that on an overloaded
+// node the renewal of worker leases and the leader lease does not wait behind them.
 type userQueue struct {
 	requests           []any
 	inputsSinceRequest int // other inputs since the last user request was served
--- a/internal/node/user_queue_test.go
+++ b/internal/node/user_queue_test.go
@@ -10,8 +10,8 @@
 	"yewpass/internal/request"
 )
 
-// TestUserQueue checks that user requests yield to other inputs, keep their order, are never
-// starved, and are bounded in number.
+// TestUserQueue checks that user requests yield to other inputs, keep their order, do not starve,
+// and are bounded in number.
 func TestUserQueue(t *testing.T) {
 	for in, want := range map[any]bool{
 		api.Exchange{Input: heartbeat.Received{}.Ref}:                  false,
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -82,8 +82,7 @@
 	return &File{Policy: checkedPolicy, Calendars: calendars, Regions: regions}, nil
 }
 
-// newPolicy compiles the section [policy]. Its values are expressions in strings, so a TOML
-// number is an error.
+// newPolicy compiles the section [policy], whose values must be strings.
 func newPolicy(section map[string]any) (*policy.Policy, error) {
 	expressions := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(section)) {
@@ -127,8 +126,7 @@
 	})
 }
 
-// weekend returns the days of the weekend. It returns nil, which means the default, if the
-// field is absent, and an empty list if there is no weekend.
+// weekend returns the days of the weekend, empty if there is none, or nil for the default.
 func (c *calendarTOML) weekend() ([]time.Weekday, error) {
 	if c.Weekend == nil {
 		return nil, nil
@@ -144,7 +142,7 @@
 	return weekend, nil
 }
 
-// parseWeekday parses the English name of a weekday. Case is ignored.
+// parseWeekday parses the English name of a weekday, ignoring case.
 func parseWeekday(name string) (weekday time.Weekday, ok bool) {
 	for weekday = time.Sunday; weekday <= time.Saturday; weekday++ {
 		if strings.EqualFold(name, weekday.String()) {
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -25,8 +25,7 @@
 	}
 }
 
-// TestInvalidFieldIsNamed checks that the error is one line that names the invalid field, or
-// the line of a syntax error.
+// TestInvalidFieldIsNamed checks that an error is one line that names the field or the line.
 func TestInvalidFieldIsNamed(t *testing.T) {
 	dir := t.TempDir()
 	for _, test := range []struct{ text, want string }{
@@ -52,8 +51,8 @@
 	}
 }
 
-// TestExample checks that the example file in deploy defines nothing as shipped and is valid
-// with all its examples uncommented.
+// TestExample checks that the example file in deploy defines nothing and is valid with all its
+// examples uncommented.
 func TestExample(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "operators.toml")
 	f, err := Load(path)
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -28,11 +28,9 @@
 )
 
 // goldenLines was written by the controller "a" of version 5990396. The file must not be
-// regenerated: a version that cannot read these lines, or writes other bytes, cannot run in a
-// cluster with that version.
+// regenerated: a version that reads or writes other lines cannot join a cluster of that version.
 const goldenLines = "testdata/lines-5990396.jsonl"
 
-// goldenLine is a line of the peer protocol.
 type goldenLine struct {
 	Name string          `json:"name"`
 	Line json.RawMessage `json:"line"`
--- a/internal/peer/decode.go
+++ b/internal/peer/decode.go
@@ -12,7 +12,7 @@
 	"yewpass/internal/request"
 )
 
-// maxRetryAfter bounds the retry delay of a response; valid responses stay far below it.
+// maxRetryAfter bounds the retry delay of a response.
 const maxRetryAfter = time.Hour
 
 // errPing is returned for a ping, which is answered at once and not delivered.
@@ -27,9 +27,8 @@
 // Error names the invalid field and the reason.
 func (e *malformedError) Error() string { return e.field + ": " + e.reason }
 
-// decodeMessage decodes and validates a line from one of the known peers. The core relies on this
-// validation: a request without the parameters of its operation, or a response with an invalid HTTP
-// status, would crash the process that serves it.
+// decodeMessage decodes and validates a line from one of the known peers. The core relies on this:
+// it would panic on a request without the parameters of its operation or on an invalid HTTP status.
 func decodeMessage(line []byte, knownPeers map[string]bool) (peermsg.Received, error) {
 	var j messageJSON
 	if err := json.Unmarshal(line, &j); err != nil {
--- a/internal/peer/encode.go
+++ b/internal/peer/encode.go
@@ -53,8 +53,8 @@
 	ETag     string          `json:"etag,omitempty"`
 }
 
-// replicaLineJSON is a line of a replica stream. The checksum covers the encoded records, so that
-// corruption in transit or in this program cannot create a false record.
+// replicaLineJSON is a line of a replica stream. Its checksum covers the encoded records, which
+// detects corruption in transit or in this program.
 type replicaLineJSON struct {
 	Era      uint64       `json:"e,omitempty"`
 	Term     uint64       `json:"t"`
@@ -114,7 +114,7 @@
 		ETag:    r.ETag,
 	}
 	if r.Document != nil {
-		j.Document, _ = json.Marshal(r.Document) // plain structs, which never fail to encode
+		j.Document, _ = json.Marshal(r.Document) // never fails: plain structs
 	}
 	return j
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -84,8 +84,7 @@
 	}
 }
 
-// awaitDisconnect returns when the peer has closed the connection or has sent nothing for
-// linkTimeout.
+// awaitDisconnect returns once the peer has closed the connection or sent nothing for linkTimeout.
 func awaitDisconnect(conn net.Conn) {
 	buffer := make([]byte, 64)
 	for {
@@ -96,8 +95,7 @@
 	}
 }
 
-// receive delivers messages until the connection ends. It returns, and so closes the connection, at
-// the first malformed message.
+// receive delivers messages until the connection ends or a message is malformed.
 func (m *Mesh) receive(conn net.Conn, knownPeers map[string]bool) {
 	scanner := bufio.NewScanner(conn)
 	scanner.Buffer(make([]byte, 0, 4<<10), maxLineBytes)
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -1,6 +1,5 @@
-// Package peer exchanges messages between controllers as JSON lines over TCP. Each node dials every
-// other node and sends on the connections that it dialed; it receives on the connections that it
-// accepted.
+// Package peer exchanges messages between controllers as JSON lines over TCP. Each node sends on
+// the connections that it dialed and receives on those that it accepted.
 package peer
 
 import (
--- a/internal/peermsg/peermsg.go
+++ b/internal/peermsg/peermsg.go
@@ -17,7 +17,7 @@
 	Msg  Message
 }
 
-// LinkChange is an input that says that the connection to a peer was established or lost.
+// LinkChange is the input that the connection to a peer was established or lost.
 type LinkChange struct {
 	Name string
 	Up   bool
@@ -35,7 +35,7 @@
 
 	Replica           Kind = "copy"  // a part of a replica of the records
 	LeaderlessJob     Kind = "alone" // a job that the sender accepted while it knew no leader
-	ReplicaRestart    Kind = "again" // the sender misses parts of the replica stream and requests a new one
+	ReplicaRestart    Kind = "again" // the sender has lost parts of the replica stream and requests a new one
 	PeerStateRequest  Kind = "ask"   // a new leader requests the PeerState of the receiver
 	PeerStateResponse Kind = "tell"  // the response to a PeerStateRequest
 	ReplicaRequest    Kind = "want"  // the sender requests the replica announced in the PeerState
@@ -50,11 +50,11 @@
 // version, which is decoded as 0.
 const Version = 1
 
-// VersionRequest is a value of Message.Ref in an Ack. It requests that the leader sends its
-// version again. Leaders without a version treat the message as an ordinary Ack.
+// VersionRequest is a value of Message.Ref in an Ack that asks the leader for its version. Leaders
+// without a version treat the message as an ordinary Ack.
 const VersionRequest = 1
 
-// Message is a message between controllers. Which fields it uses depends on Kind.
+// Message is a message between controllers. Kind determines which fields it uses.
 type Message struct {
 	Kind     Kind
 	Term     uint64
@@ -74,8 +74,8 @@
 	PeerState        *PeerState
 }
 
-// PeerState is what a controller knows about earlier states of the key-value store. A new
-// leader uses it to detect and repair data loss in the store.
+// PeerState is what a controller knows about earlier states of the key-value store. A new leader
+// uses it to detect and repair data loss.
 type PeerState struct {
 	recovery.Observed
 	ReplicaEra  uint64         `json:"copyEra,omitempty"`  // era, term and sequence number of its replica
@@ -84,8 +84,8 @@
 	LiveDigest  replica.Digest `json:"live"` // digest of the replica's records under record.LivePrefix
 }
 
-// Valid reports whether a forwarded request has valid parameters for its operation. Requests
-// that this node receives from users are validated by the API instead.
+// Valid reports whether a forwarded request has valid parameters for its operation. Package api
+// validates the requests of users.
 func (m *Message) Valid() bool {
 	if request.IsConfig(m.Op) {
 		return m.validConfig()
--- a/internal/peermsg/reply.go
+++ b/internal/peermsg/reply.go
@@ -2,8 +2,8 @@
 
 import "yewpass/internal/request"
 
-// Reply returns the output that sends the response to a request back to its origin: the user
-// of this controller or the controller that forwarded the request.
+// Reply returns the output that sends a response to the origin of the request: a user of this
+// controller or the controller that forwarded it.
 func Reply(r request.Request, answer request.Response) any {
 	answer.Ref = r.Ref
 	if r.From == "" {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -30,8 +30,8 @@
 	LeaseSeconds   float64 `expr:"lease_s"`   // duration of worker leases
 }
 
-// setting identifies an expression. The constants are in the order of the setting names, in
-// which expressions are compiled and errors are found.
+// setting identifies an expression. The constants are in the order of the setting names, which
+// determines the error that is reported first.
 type setting int
 
 const (
@@ -128,9 +128,8 @@
 	return nil
 }
 
-// evaluateAll evaluates each expression once. An expression that compiles can still fail, for
-// example because an index is out of range. Evaluating it here rejects the policy when it is
-// loaded.
+// evaluateAll evaluates each expression once, so that a policy with an expression that compiles but
+// fails, for example by an index out of range, is rejected when it is loaded.
 func (p *Policy) evaluateAll() error {
 	for s := range settingCount {
 		if _, err := expr.Run(p.programs[s], Env{}); err != nil {
@@ -140,15 +139,14 @@
 	return nil
 }
 
-// settingError returns an error with the setting's name and the first line of err. The
-// following lines only repeat the expression.
+// settingError returns an error with the setting's name and the first line of err. Its further
+// lines repeat the expression.
 func settingError(s setting, err error) error {
 	firstLine, _, _ := strings.Cut(err.Error(), "\n")
 	return fmt.Errorf("%s: %s", s, firstLine)
 }
 
-// maxValue is the largest result of a numeric expression. Larger results are clamped, such as
-// the infinity that a division by zero yields.
+// maxValue is the largest result of a numeric expression. Larger results are clamped.
 const maxValue = 1e8
 
 // number evaluates a numeric setting and clamps the result to [0, maxValue]. It returns 0 if
@@ -165,12 +163,10 @@
 	return min(max(value, 0), maxValue)
 }
 
-// NeverRefuses reports whether Refuse returns false for every Env. Callers can then avoid
-// computing an Env.
+// NeverRefuses reports whether Refuse returns false for every Env, so that callers need none.
 func (p *Policy) NeverRefuses() bool { return p.neverRefuses }
 
-// Refuse reports whether to refuse a job submission for now. It returns false if the
-// evaluation fails.
+// Refuse reports whether to refuse a job submission for now. It is false if evaluation fails.
 func (p *Policy) Refuse(env Env) bool {
 	result, err := expr.Run(p.programs[refuse], env)
 	refused, _ := result.(bool)
@@ -180,8 +176,8 @@
 // Margin returns the safety margin of an estimated runtime as a fraction of it.
 func (p *Policy) Margin(env Env) float64 { return p.number(margin, env) }
 
-// Warm returns the capacity to keep free for jobs with a waiting-time objective, as a multiple
-// of what such a job usually takes.
+// Warm returns the capacity to keep free for jobs with a waiting-time objective, as a multiple of
+// the typical needs of such a job.
 func (p *Policy) Warm(env Env) float64 { return p.number(warm, env) }
 
 // RentBacklog returns the backlog in seconds above which machines are rented.
@@ -198,8 +194,8 @@
 // tasks is released.
 func (p *Policy) SilentRelease(env Env) float64 { return p.number(silentRelease, env) }
 
-// TakeoverRelease returns the time in seconds since a failover after which a machine is
-// released that may have tasks and has not reported to the new leader, while most others have.
+// TakeoverRelease returns the time in seconds since a failover after which a machine that may have
+// tasks and has not reported to the new leader, while most others have, is released.
 func (p *Policy) TakeoverRelease(env Env) float64 { return p.number(takeoverRelease, env) }
 
 // ZoneKeep returns for how many seconds all machines of an unreachable zone are kept.
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -25,8 +25,7 @@
 	}
 }
 
-// TestInvalidExpressionIsNamed checks that the error is one line that names the invalid
-// expression.
+// TestInvalidExpressionIsNamed checks that an error is one line that names the expression.
 func TestInvalidExpressionIsNamed(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{`refuse = "late_s + 1"`, "refuse"},
@@ -45,8 +44,7 @@
 	}
 }
 
-// TestSettingsAreSorted checks that settings are in the order of their names, which determines
-// the error that is reported first.
+// TestSettingsAreSorted checks that settings are in the order of their names.
 func TestSettingsAreSorted(t *testing.T) {
 	if !slices.IsSorted(settingNames[:]) {
 		t.Error(settingNames)
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -1,5 +1,5 @@
-// Package provider defines the requests to the cloud provider that machines are rented from,
-// and its responses. Package cloud implements the provider's protocol.
+// Package provider defines the requests to the cloud provider and its responses. Package cloud
+// implements the provider's protocol.
 package provider
 
 import (
@@ -9,7 +9,7 @@
 	"yewpass/internal/timeline"
 )
 
-// InstanceType is an entry of the provider's catalog of instance types.
+// InstanceType is an entry of the provider's catalog.
 type InstanceType struct {
 	Name         string
 	Capacity     timeline.Resources
@@ -50,7 +50,7 @@
 	List               // list the rented instances
 )
 
-// Request is a request to the provider. Which fields it uses depends on Op.
+// Request is a request to the provider. Op determines which fields it uses.
 type Request struct {
 	Ref            uint64
 	Op             Op
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,5 @@
-// Package request defines the requests of users and operators to a controller, and the
-// responses. Package api maps them to HTTP, package peer to messages between controllers.
+// Package request defines the requests of users and operators to a controller, and the responses.
+// Package api maps them to HTTP, and package peer to messages between controllers.
 package request
 
 import (
@@ -60,10 +60,10 @@
 // MaxCount is the maximum number of items in one page of a response.
 const MaxCount = 200
 
-// IfAbsent is a value of ScheduleParams.IfMatch. It requires that the schedule does not exist.
+// IfAbsent is a value of ScheduleParams.IfMatch that requires that the schedule does not exist.
 const IfAbsent = "new"
 
-// Request is a user's request. It was received by this node or forwarded by a peer.
+// Request is a user's request, received by this node or forwarded by a peer.
 type Request struct {
 	Ref  uint64
 	From string // the peer that forwarded it; empty if this node received it
@@ -113,8 +113,8 @@
 type JobStatus struct {
 	ID      string
 	State   spec.JobState
-	Done    int // number of completed tasks
-	Running int // number of running tasks
+	Done    int // completed tasks
+	Running int // running tasks
 }
 
 // HTTP statuses. They are defined here to avoid a dependency on net/http.
@@ -126,13 +126,12 @@
 // retryAfter is the delay after which a client should retry an unavailable response.
 const retryAfter = time.Second
 
-// Unavailable returns a response with status 503, which tells the client to retry later.
+// Unavailable returns a response with status 503 and a retry delay.
 func Unavailable(reason string) Response {
 	return Response{Status: statusUnavailable, RetryAfter: retryAfter, Reason: reason}
 }
 
-// Unprocessable returns a response with status 422 that names the invalid field. A retry of
-// the same request fails again.
+// Unprocessable returns a response with status 422 that names the invalid field.
 func Unprocessable(field, reason string) Response {
 	return Response{Status: statusUnprocessable, Field: field, Reason: field + ": " + reason}
 }
--- a/internal/timerheap/timerheap.go
+++ b/internal/timerheap/timerheap.go
@@ -7,7 +7,7 @@
 
 type entry[T any] struct {
 	at    time.Time
-	seq   uint64 // insertion order, breaks ties
+	seq   uint64 // insertion order
 	value T
 }
 
@@ -54,8 +54,7 @@
 	heap.Push(&h.entries, entry[T]{at, h.seq, value})
 }
 
-// First returns the earliest value and its time without removing it. It panics if the heap is
-// empty.
+// First returns the earliest value and its time. It panics if the heap is empty.
 func (h *Heap[T]) First() (time.Time, T) { return h.entries[0].at, h.entries[0].value }
 
 // Pop removes and returns the earliest value. It panics if the heap is empty.
--- a/internal/view/cluster.go
+++ b/internal/view/cluster.go
@@ -1,17 +1,17 @@
 package view
 
-// Cluster is the status of the controllers and machines. The leader answers the request; a
-// node that cannot reach the leader answers with what it knows itself.
+// Cluster is the status of the controllers and machines as the leader knows it or, if the
+// answering node cannot reach the leader, as that node knows it.
 type Cluster struct {
-	Node             string          `json:"node"`   // the node that answers
+	Node             string          `json:"node"`   // the answering node
 	Leader           string          `json:"leader"` // empty if unknown
 	Term             uint64          `json:"term"`
-	LeadingSeconds   float64         `json:"leadsSeconds"`     // since the election; 0 if the answering node is not the leader
+	LeadingSeconds   float64         `json:"leadsSeconds"`     // since the election; 0 if Node is not the leader
 	Authority        bool            `json:"authority"`        // whether the leader lease is valid
 	FailoverComplete bool            `json:"takeOverComplete"` // whether all machines of earlier terms are accounted for
 	Machines         int             `json:"machines"`
 	Unaccounted      int             `json:"machinesUnaccounted"` // may have tasks of an earlier term
-	MaxMachines      int             `json:"machinesMost"`        // maximum number that the controllers can serve
+	MaxMachines      int             `json:"machinesMost"`        // maximum that the controllers can serve
 	Nodes            []ClusterNode   `json:"nodes"`
 	Zones            []ClusterZone   `json:"zones,omitempty"`   // leader only
 	Regions          []ClusterRegion `json:"regions,omitempty"` // leader only
@@ -23,7 +23,7 @@
 type Records struct {
 	Era            uint64   `json:"era"`                  // random ID, replaced after each data loss
 	LossReason     string   `json:"lost,omitempty"`       // how the last data loss under this leader was detected
-	Source         string   `json:"from,omitempty"`       // controller whose replica is used for restoring; empty if none
+	Source         string   `json:"from,omitempty"`       // controller whose replica is restored; empty if none
 	SinceSeconds   float64  `json:"sinceSeconds"`         // since the data loss was detected
 	Restored       int      `json:"restored"`             // records that were missing or outdated
 	Pending        int      `json:"left"`                 // of these, records not yet written back
@@ -54,7 +54,7 @@
 	Zone       string  `json:"zone"`
 	Role       string  `json:"role"`       // RoleLeader, RoleRelay or RoleDisconnected; empty if unknown
 	Link       bool    `json:"link"`       // whether the answering node is connected to it
-	Workers    int     `json:"workers"`    // number of workers that report to it
+	Workers    int     `json:"workers"`    // workers that report to it
 	LagSeconds float64 `json:"lagSeconds"` // since its last batch of heartbeats; 0 for the leader
 }
 
--- a/internal/view/config.go
+++ b/internal/view/config.go
@@ -4,8 +4,8 @@
 
 // ConfigChanged is the response to a change of the live configuration.
 type ConfigChanged struct {
-	// Revision is the first revision that contains the change. If the request changed
-	// nothing, it is an earlier revision.
+	// Revision is the first revision that contains the change, or an earlier one if the
+	// request changed nothing.
 	Revision uint64 `json:"revision"`
 }
 
@@ -30,11 +30,11 @@
 // ConfigStatus is the status of the live configuration on all controllers.
 type ConfigStatus struct {
 	Revision           uint64             `json:"revision"`
-	Changes            int64              `json:"changes"`                  // number of changes made by this leader
-	Waiting            int                `json:"waiting"`                  // number of changes being written
+	Changes            int64              `json:"changes"`                  // changes made by this leader
+	Waiting            int                `json:"waiting"`                  // changes being written
 	PropagationSeconds float64            `json:"lastInForceSeconds"`       // time until all reachable controllers had the last revision
 	Damaged            []string           `json:"damaged,omitempty"`        // names of objects whose records cannot be read
-	Refusal            string             `json:"refusesChanges,omitempty"` // why changes are refused at present; empty if they are accepted
+	Refusal            string             `json:"refusesChanges,omitempty"` // why changes are refused; empty if they are accepted
 	Nodes              []ConfigNodeStatus `json:"nodes"`
 }
 
--- a/internal/view/stats.go
+++ b/internal/view/stats.go
@@ -5,8 +5,8 @@
 type Stats struct {
 	IsLeader, Authority bool
 	Term                uint64
-	Relayed             int   // workers whose heartbeats this node relays to the leader
-	StaleHeartbeats     int64 // heartbeats ignored because a newer one was received before
+	Relayed             int   // workers whose heartbeats this node relays
+	StaleHeartbeats     int64 // heartbeats that arrived after a newer one and were ignored
 
 	WorkStats
 	FleetStats
@@ -35,14 +35,14 @@
 	RegionsUnreachable  int  // regions that are doubtful or lost
 	ZonesUnreachable    int  // zones that are doubtful or lost
 	MachinesUnreachable int  // silent machines in zones that are doubtful or lost
-	AtMachineLimit      bool // no more machines are rented, because the controllers cannot serve more
+	AtMachineLimit      bool // no machines are rented, because the controllers cannot serve more
 }
 
 // RecordStats holds the metrics of records in the key-value store.
 type RecordStats struct {
 	RecordsPending int // records lost by the store that are not yet restored
 	UnreadableJobs int // jobs whose records cannot be read
-	Replicas       int // number of other controllers with a complete replica
+	Replicas       int // other controllers with a complete replica
 }
 
 // ConfigStats holds the metrics of the live configuration.
@@ -51,7 +51,7 @@
 	ConfigAge         float64 // seconds since ConfigRevision was last known to be the newest
 	ConfigPropagation float64 // seconds until all reachable controllers had the last change
 	ConfigChanges     int64   // changes made by this leader
-	ConfigDamaged     int     // number of objects whose records cannot be read
+	ConfigDamaged     int     // objects whose records cannot be read
 }
 
 // ScheduleStats holds the metrics of schedules. The counters start at 0 with each leader.
