--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// answerPending answers every pending request and returns the number of writes. Writes and
-// releases get outcome o, store reads find nothing, and other provider requests are refused.
+// answerPending answers all pending requests and returns the number of writes. Writes and releases
+// get outcome o, store reads find nothing, and other provider requests are refused.
 func (h *leaderHarness) answerPending(o rpc.Outcome) (writes int) {
 	calls := h.pending
 	h.pending = nil
@@ -83,7 +83,7 @@
 	return writes
 }
 
-// quiesce answers requests with success for a second, which completes all work in progress.
+// quiesce answers requests with success for a second.
 func (h *leaderHarness) quiesce() {
 	for range 10 {
 		h.answerPending(rpc.OK)
@@ -158,7 +158,7 @@
 }
 
 // TestResponseWaitsForCommit checks that a response or order that depends on a write is sent only
-// once the write has committed, not while it is delayed, refused or of unknown outcome.
+// once the write has committed.
 func TestResponseWaitsForCommit(t *testing.T) {
 	ok := func(h *leaderHarness, ref uint64) func() bool {
 		return func() bool { s := h.response(ref).Status; return s >= 200 && s < 300 }
@@ -302,8 +302,8 @@
 	}
 }
 
-// TestSubmitOfJobAcceptedWithoutLeader checks that a pending submission of a job that another node
-// has accepted in the meantime is answered when the leader adopts the job.
+// TestSubmitOfJobAcceptedWithoutLeader checks that the leader answers a pending submission when it
+// adopts the job, which another node has accepted in the meantime.
 func TestSubmitOfJobAcceptedWithoutLeader(t *testing.T) {
 	h := newLeaderHarness(t)
 	ref := h.sendRequest(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
@@ -322,8 +322,7 @@
 }
 
 // TestNotFoundIsConfirmed checks that 404 is returned only after two reads of the store have found
-// nothing and a transaction has confirmed the term record. Otherwise the store may be unavailable
-// or may have lost data.
+// nothing and a transaction has confirmed the term record, in case the store has lost data.
 func TestNotFoundIsConfirmed(t *testing.T) {
 	for _, o := range []rpc.Outcome{rpc.NotFound, rpc.Unknown, rpc.Refused, rpc.Invalid} {
 		h := newLeaderHarness(t)
--- a/internal/core/compatibility_test.go
+++ b/internal/core/compatibility_test.go
@@ -8,8 +8,7 @@
 	"yewpass/internal/record"
 )
 
-// TestKeysOf5990396 checks that records are stored under the keys of version 5990396, so that
-// either version finds the records of the other.
+// TestKeysOf5990396 checks that records are stored under the keys of version 5990396.
 func TestKeysOf5990396(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
 		{"leader", record.LeaderKey, "yewpass/leader"},
@@ -35,8 +34,8 @@
 	}
 }
 
-// TestProgressOf5990396 checks that the encoding of finished tasks in progress records is that of
-// version 5990396, so that either version reads the records of the other.
+// TestProgressOf5990396 checks that finished tasks are encoded in progress records as in version
+// 5990396.
 func TestProgressOf5990396(t *testing.T) {
 	const from, tasks = 16384, 16384 + 130 // the second chunk of a job
 	for _, c := range []struct {
@@ -69,8 +68,7 @@
 	}
 }
 
-// TestNumbersOf5990396 checks the constants that controllers and workers of both versions must
-// agree on.
+// TestNumbersOf5990396 checks the constants on which both versions must agree.
 func TestNumbersOf5990396(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -27,7 +27,7 @@
 	return c
 }
 
-// setTeam requests a change of a team. It returns the immediate response, if any, and the
+// setTeam requests a change of a team and returns the immediate response, if any, and the
 // transaction that writes the change.
 func setTeam(c *Core, ref uint64, team liveconfig.Team) (answer *request.Response, txn *kv.Request) {
 	call := request.Request{Ref: ref, Op: request.ConfigSet, Config: &request.ConfigParams{Teams: []liveconfig.TeamChange{{Team: team}}}}
@@ -56,9 +56,8 @@
 	return nil
 }
 
-// TestFirstConfigChangeRequiresAllPeers checks that the first configuration change is refused
-// until every controller has reported support for it, since an older one would lead by its
-// settings file. Later changes do not need every controller.
+// TestFirstConfigChangeRequiresAllPeers checks that the first configuration change, but no later
+// one, is refused until every controller has reported support for it.
 func TestFirstConfigChangeRequiresAllPeers(t *testing.T) {
 	c := newLeaderWithPeers(t)
 	lowered := liveconfig.Team{Name: "t", CPUsMax: 7}
@@ -101,8 +100,8 @@
 }
 
 // TestConfigChangeWithLostResponse checks that a change whose commit was not acknowledged is found
-// by reading the head, answered once and not written again. A lease renewal that conflicts with it
-// does not end the leadership.
+// by reading the head, answered once and not written again, and that a lease renewal that conflicts
+// with it does not end the leadership.
 func TestConfigChangeWithLostResponse(t *testing.T) {
 	c := newLeader(t, 3)
 	_, txn := setTeam(c, 1, liveconfig.Team{Name: "t", CPUsMax: 7})
@@ -147,8 +146,8 @@
 	}
 }
 
-// TestUnreadableTeamRecord checks that an unreadable team record leaves the settings in force and
-// is reported as damaged.
+// TestUnreadableTeamRecord checks that a team with an unreadable record keeps its settings and is
+// reported as damaged.
 func TestUnreadableTeamRecord(t *testing.T) {
 	c := newLeader(t, 1)
 	c.leadership.config.Load(kv.Entry{Key: record.ConfigTeamPrefix + "t", Rev: 7})
@@ -177,8 +176,7 @@
 }
 
 // TestLeaderVersionRequest checks that a controller that knows the leader only from the leader
-// record requests its version when a configuration call needs it, and that the reply does not
-// cause another request.
+// record requests its version, once, when a configuration call needs it.
 func TestLeaderVersionRequest(t *testing.T) {
 	leader, other := newLeaderWithPeers(t), newLeaderWithPeers(t)
 	other.leadership, other.cfg.HostName = nil, "n1"
@@ -228,7 +226,7 @@
 }
 
 // TestLargeConfigChangeWaitsForWriteBudget checks that a change of many teams is written in one
-// transaction, once the write budget of configuration covers all of it.
+// transaction once the write budget of configuration covers it.
 func TestLargeConfigChangeWaitsForWriteBudget(t *testing.T) {
 	c := newLeader(t, 1)
 	c.leadership.writes.Consume(writebatch.Config, c.Now, 10) // leaves two of twelve writes
@@ -261,8 +259,8 @@
 	t.Error("no transaction within 5 s")
 }
 
-// TestConfigBacklogDrains checks that a backlog of configuration changes, as after a failover, is
-// written in batches large enough to drain it while further changes arrive.
+// TestConfigBacklogDrains checks that a backlog of configuration changes drains while further
+// changes arrive.
 func TestConfigBacklogDrains(t *testing.T) {
 	c := newLeader(t, 1)
 	st := c.cfg.Settings.State
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -21,8 +21,8 @@
 	"yewpass/internal/timeline"
 )
 
-// TestAttemptNumbersPerTerm checks that attempt numbers increase within a term and across terms,
-// and that a leader steps down before its term runs out of them.
+// TestAttemptNumbersPerTerm checks that attempt numbers increase across terms and that a leader
+// steps down before its term runs out of them.
 func TestAttemptNumbersPerTerm(t *testing.T) {
 	const term = 7
 	if last, next := uint64(term)<<record.AttemptCounterBits+placement.MaxAttempts, uint64(term+1)<<record.AttemptCounterBits+1; last >= next {
@@ -89,8 +89,7 @@
 	}
 }
 
-// countReachable counts the pointers, map entries and slice elements that are reachable from a
-// value.
+// countReachable counts the pointers, map entries and slice elements reachable from a value.
 func countReachable(v reflect.Value, seen map[uintptr]bool) int {
 	n := 0
 	switch v.Kind() {
@@ -122,9 +121,9 @@
 	return n
 }
 
-// TestMemoryBoundedOverMonths checks that a leader's memory does not grow during two months in
-// which machines come and go and every job has its own class and image. A late heartbeat of a
-// released machine must not bring the machine back.
+// TestMemoryBoundedOverMonths checks that a leader's memory does not grow in two months in which
+// machines come and go and every job has its own class and image, and that a late heartbeat of a
+// released machine does not bring the machine back.
 func TestMemoryBoundedOverMonths(t *testing.T) {
 	c := newLeader(t, 2)
 	l := c.leadership
@@ -166,7 +165,7 @@
 		ref++
 		delete(orders, ref)
 		deliver(heartbeat.Received{Ref: ref, Report: r})
-		for range 8 { // longer than a reply may be delayed
+		for range 8 { // exceeds the maximum reply delay
 			if _, ok := orders[ref]; ok {
 				break
 			}
@@ -242,9 +241,9 @@
 
 func testRand() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-// TestAuthorityAfterMachineSleep checks that a leader whose machine slept, while the monotonic
-// clock stood still, has no authority until a renewal succeeds. Setting the wall clock back later
-// does not end the authority.
+// TestAuthorityAfterMachineSleep checks that a leader whose machine was suspended, with a stopped
+// monotonic clock, has no authority until a lease renewal succeeds, and that setting the wall clock
+// back later does not end it.
 func TestAuthorityAfterMachineSleep(t *testing.T) {
 	c := newLeader(t, 1)
 	c.StartedAt = t0
@@ -286,8 +285,8 @@
 	}
 }
 
-// TestUnloadableJobRecord checks that a job record whose loading panics is skipped and its job
-// answered with 503, while other jobs are served.
+// TestUnloadableJobRecord checks that a job whose record panics on loading is answered with 503
+// while other jobs are served.
 func TestUnloadableJobRecord(t *testing.T) {
 	c := newLeader(t, 1)
 	l := c.leadership
@@ -320,10 +319,9 @@
 	t.Errorf("no response in %+v", outs)
 }
 
-// TestHeartbeatsAreNotAuthenticated records a known weakness: anyone who can reach the port may
-// send a heartbeat for a machine with the largest counter. The machine's own heartbeats are then
-// rejected as late until it is released as silent. The test fails once heartbeats are
-// authenticated.
+// TestHeartbeatsAreNotAuthenticated records a known weakness: anyone who can reach the port can
+// send a heartbeat with the largest counter for a machine, whose own heartbeats are then rejected
+// as late until it is released. The test fails once heartbeats are authenticated.
 func TestHeartbeatsAreNotAuthenticated(t *testing.T) {
 	c := newLeader(t, 1)
 	m := c.leadership.inventory.Machines()[0]
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -17,9 +17,9 @@
 	"yewpass/internal/spec"
 )
 
-// FuzzInputs checks that no sequence of valid inputs, with any outcome of the calls that follow,
-// makes the core panic. Each byte of the data chooses the next input or a value in it, and numbers
-// are often at the limits of their ranges.
+// FuzzInputs checks that no sequence of valid inputs, with any outcome of the resulting calls,
+// makes the core panic. Each byte of the data selects the next input or a value in it, often at the
+// limits of its range.
 func FuzzInputs(f *testing.F) {
 	rng := rand.New(rand.NewPCG(2, 9))
 	for range 60 {
@@ -99,7 +99,7 @@
 			c.Now = c.Now.Add([]time.Duration{time.Millisecond, 50 * time.Millisecond, time.Second, time.Minute}[next()%4])
 			if c.leadership == nil && next()%3 == 0 {
 				rev := num()
-				c.After(0, func() { // within the step, so that its requests are collected
+				c.After(0, func() { // in a step, so that its requests are collected
 					if c.leadership == nil {
 						c.becomeLeader(min(c.election.ConfirmedTerm()+1, 1<<20), rev, 1, c.Now, 0)
 					}
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -28,7 +28,7 @@
 }
 
 // TestGracePeriodUsesBothClocks checks that a leader without authority stops answering heartbeats
-// once the grace period has ended by the wall clock, even if the monotonic clock stood still.
+// once the grace period has ended by the wall clock, even if the monotonic clock has stopped.
 func TestGracePeriodUsesBothClocks(t *testing.T) {
 	for _, ahead := range []time.Duration{0, 30 * time.Second} {
 		h := newLeaderHarness(t)
@@ -54,7 +54,7 @@
 }
 
 // TestPendingCancellation checks that the next heartbeat reply stops the tasks of a job whose
-// cancellation is being written, with or without authority. Status requests must not return an
+// cancellation is being written, with or without authority, and that status requests return no
 // older state while the write may have committed.
 func TestPendingCancellation(t *testing.T) {
 	for _, lapsed := range []bool{false, true} {
@@ -93,9 +93,8 @@
 	}
 }
 
-// TestCancelTimeoutShorterThanLease checks that where a worker lease may outlast the cancel
-// timeout, a cancellation is answered with a retry delay and recorded only after the tasks have
-// ended.
+// TestCancelTimeoutShorterThanLease checks that a cancellation is answered with a retry delay and
+// recorded only after the tasks have ended if worker leases may outlast the cancel timeout.
 func TestCancelTimeoutShorterThanLease(t *testing.T) {
 	h := newLeaderHarness(t)
 	h.c.leaseTiming.CancelTimeout = h.c.workerLease - 5*time.Second
@@ -118,7 +117,7 @@
 }
 
 // TestRestoreRequiresNoFinalRecord checks that a job record lost by the store is written back only
-// on the condition that the job has no final record, so that a delayed write cannot revive a
+// on the condition that the job has no final record, since a delayed write must not reopen a
 // finished job.
 func TestRestoreRequiresNoFinalRecord(t *testing.T) {
 	h := newLeaderHarness(t)
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -10,8 +10,8 @@
 	"yewpass/internal/timeline"
 )
 
-// TestTasksFoundByNewLeader checks that a task that a new leader finds already running has an
-// unknown start: it is not used for runtime estimates and not preempted as recently started.
+// TestTasksFoundByNewLeader checks that a task that a new leader finds running has an unknown
+// start: it is not used for runtime estimates and not preempted as recently started.
 func TestTasksFoundByNewLeader(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, phase := range []heartbeat.Phase{heartbeat.Pulling, heartbeat.Running} {
--- a/internal/core/regions_test.go
+++ b/internal/core/regions_test.go
@@ -11,8 +11,8 @@
 	"yewpass/internal/zones"
 )
 
-// TestRegionOutageWarnsOnce checks that a region of four zones that falls silent causes one
-// warning, instead of one per zone, and is shown in the cluster view.
+// TestRegionOutageWarnsOnce checks that the outage of a region causes one warning instead of one
+// per zone and is shown in the cluster view.
 func TestRegionOutageWarnsOnce(t *testing.T) {
 	c := newLeader(t, 12)
 	set, err := zones.NewRegions(map[string][]string{"r1": {"r1-0", "r1-1", "r1-2", "r1-3"}})
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -17,7 +17,7 @@
 	"yewpass/internal/view"
 )
 
-// relayNode is a controller that does not lead, with its clock and the outputs it has produced.
+// relayNode is a controller that does not lead, with its clock and outputs.
 type relayNode struct {
 	*Core
 	t       *testing.T
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestRelayReplyFencing checks that a relay passes on only the newest leader's reply of the
-// current session, once, and ignores late, repeated and foreign replies.
+// TestRelayReplyFencing checks that a relay forwards only the newest leader's replies of the
+// current session, each once.
 func TestRelayReplyFencing(t *testing.T) {
 	n := newRelayNode(t)
 	n.sendHeartbeat(1, 1)
@@ -135,8 +135,7 @@
 	n.deliverReply("n1", 5, first, 1)
 	n.expectStatuses("reply of the leader", 1, 200)
 
-	// Once the next term is known, replies of the old leader are ignored and the heartbeat is
-	// forwarded to the new one.
+	// Once the next term is known, replies of the old leader are ignored.
 	n.sendHeartbeat(2, 2)
 	n.takeBatches("n1")
 	n.step(peermsg.Received{From: "n2", Msg: peermsg.Message{Kind: peermsg.Leader, Term: 6}})
@@ -160,7 +159,7 @@
 	n.deliverReply("n2", 6, bs[0].Session, 2)
 	n.expectStatuses("reply of the new leader", 2, 200)
 
-	// A worker that sends again before the reply is answered only on its newest heartbeat.
+	// Only the newest heartbeat of a worker is answered.
 	n.sendHeartbeat(3, 4)
 	n.sendHeartbeat(4, 3)
 	n.expectStatuses("heartbeat that arrives out of order", 4, 503)
@@ -186,8 +185,8 @@
 }
 
 // TestResentHeartbeat checks that a leader recognizes a heartbeat that a relay sends again after
-// the reply was lost. The worker's next heartbeat shows that the lost start was not carried out,
-// and the start is ordered again.
+// the reply was lost, and repeats the lost start order when the worker's next heartbeat shows that
+// it was not executed.
 func TestResentHeartbeat(t *testing.T) {
 	c := newLeader(t, 1)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
@@ -229,8 +228,8 @@
 	}
 }
 
-// TestClusterViewAndHandOver checks that every node serves the cluster view, the leader with all
-// details, and that a hand-over needs another reachable controller.
+// TestClusterViewAndHandOver checks that every node serves the cluster view, and that a hand-over
+// needs another reachable controller.
 func TestClusterViewAndHandOver(t *testing.T) {
 	send := func(c *Core, op request.Operation) (a request.Response, revoked bool) {
 		for _, o := range c.Step(c.Now.Add(time.Millisecond), request.Request{Ref: 3, Op: op}) {
--- a/internal/core/replication_test.go
+++ b/internal/core/replication_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestOwnReplicaKeptAcrossTermJump checks that a former leader's replica is kept after a large
-// jump of terms, as after a loss of data, until a complete replica of a later term has arrived.
+// jump of terms until a complete replica of a later term has arrived.
 func TestOwnReplicaKeptAcrossTermJump(t *testing.T) {
 	c := newLeader(t, 1)
 	c.leadership, c.cfg.HostName = nil, "n1"
--- a/internal/core/replies_test.go
+++ b/internal/core/replies_test.go
@@ -9,16 +9,15 @@
 	"yewpass/internal/heartbeat"
 )
 
-// TestReplyPacingByBytes checks that the reply to a worker with many tasks is delayed until its
-// size fits the configured byte rate, up to a maximum delay. A reply with a stop order is not
-// delayed.
+// TestReplyPacingByBytes checks that the reply to a worker with many tasks is delayed to keep the
+// configured byte rate, up to a maximum delay, and that a reply with a stop order is not delayed.
 func TestReplyPacingByBytes(t *testing.T) {
 	for _, x := range []struct {
 		bytesPerSecond float64
 		tasks          int
 		stop           bool
-		latest         time.Duration // latest time of the reply
-		earliest       time.Duration // earliest time of the reply
+		latest         time.Duration
+		earliest       time.Duration
 	}{
 		{0, 30, false, 10 * time.Millisecond, 0},
 		{4096, 30, false, 900 * time.Millisecond, 700 * time.Millisecond},
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -19,14 +19,14 @@
 )
 
 // A process or machine may restart within a fraction of a second, with the same name, address and
-// counters. The tests in this file check that state of the former one is not mistaken for its own.
+// counters. The tests in this file check that it does not take over state of the former one.
 
 func leaderEntry(node string, term, rev, processID uint64) kv.Entry {
 	return kv.Entry{Key: record.LeaderKey, Value: &record.Leader{Node: node, Term: term, ProcessID: processID}, Rev: rev, LeaseID: 3}
 }
 
-// TestResponseToFormerProcess checks that a leader's response to a request of the former process
-// is not delivered to a user of the restarted one.
+// TestResponseToFormerProcess checks that a response to a request of the former process is not
+// delivered to a user of the restarted one.
 func TestResponseToFormerProcess(t *testing.T) {
 	forwards := func(n *relayNode, id string) (ref uint64) {
 		n.outputs = nil
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestRestartedRelay checks that a restarted relay, which does not know the term that it
-// acknowledged before, passes on no reply of an older leader.
+// TestRestartedRelay checks that a restarted relay, which does not know the term that it had
+// acknowledged, forwards no reply of an older leader.
 func TestRestartedRelay(t *testing.T) {
 	n := newRelayNode(t)
 	n.Core, n.outputs = New(n.cfg, n.pol, calendar.NewSet(nil), 8), nil
@@ -74,7 +74,7 @@
 		n.deliverReply("n1", 5, b.Session, 1)
 	}
 	n.expectStatuses("reply of a leader that the store has not confirmed", 1)
-	// Without a confirmation the worker is soon redirected to the presumed leader.
+	// Without a confirmation the worker is redirected to the presumed leader.
 	n.advance(forwarder.LinkTimeout + forwarder.KeepAliveInterval)
 	n.expectStatuses("redirect to the presumed leader", 1, 421)
 	// The store names a newer leader.
@@ -90,7 +90,7 @@
 }
 
 // TestStaleLeaderInformation checks that a relay keeps the term that it has acknowledged, despite
-// an older read of the store and after the leader of that term has ended.
+// an older read of the store and after the leadership of that term has ended.
 func TestStaleLeaderInformation(t *testing.T) {
 	n := newRelayNode(t)
 	n.step(Tick{})
@@ -117,7 +117,7 @@
 		n.step(heartbeat.Abandoned{Ref: 1})
 	}
 	expectTermSix("after a delayed store response")
-	// The new leader has ended and its lease has expired.
+	// The new leader has exited and its lease has expired.
 	n.step(peermsg.LinkChange{Name: "n2"})
 	n.step(kv.Response{Ref: confirming.Ref, Outcome: rpc.NotFound, Rev: 30})
 	n.answerStore(record.TermKey, kv.Response{Outcome: rpc.OK, Entries: []kv.Entry{{Key: record.TermKey, Value: &record.Term{Term: 6}, Rev: 25}}})
@@ -168,7 +168,7 @@
 }
 
 // TestLeaderAnnouncedOnNewLink checks that the leader announces itself on every new link, since
-// the peer may have restarted and lost its acknowledgment.
+// the peer may have restarted.
 func TestLeaderAnnouncedOnNewLink(t *testing.T) {
 	c := newLeader(t, 0)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
@@ -182,7 +182,7 @@
 }
 
 // TestLateHeartbeatsAfterWorkerRestart checks that late heartbeats from before a worker's restart,
-// whose counters may be higher, do not affect tasks that were started since.
+// even with higher counters, do not affect tasks started since.
 func TestLateHeartbeatsAfterWorkerRestart(t *testing.T) {
 	c := newLeaderInTerm(t, 1, 6)
 	l := c.leadership
@@ -205,7 +205,7 @@
 			t.Fatalf("incarnation %d, counter %d, token 5: %d attempts, %d waiting tasks", late.Incarnation, late.Counter, len(m.Attempts), j.Waiting)
 		}
 	}
-	// Once its lease has expired by our clock, heartbeats with other counters are accepted again.
+	// Once its lease has expired, heartbeats with other counters are accepted again.
 	c.Now = c.Now.Add(addClockDrift(c.workerLease) + 2*time.Second)
 	l.expiresAt = c.Now.Add(time.Hour)
 	c.reviewMachine(m, reviewLimits{silent: time.Hour, unaccounted: time.Hour, idle: time.Hour})
@@ -215,7 +215,7 @@
 }
 
 // TestSilenceLimitAfterRelayRestart checks that workers of a restarted relay get time to find
-// another node, however soon the relay is back.
+// another node, however short the restart.
 func TestSilenceLimitAfterRelayRestart(t *testing.T) {
 	c := newLeader(t, 1)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1"}}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -76,8 +76,7 @@
 	return j
 }
 
-// benchmarkFleetSizes runs a benchmark with small and large fleets and with few and many waiting
-// jobs.
+// benchmarkFleetSizes runs a benchmark with several numbers of machines and waiting jobs.
 func benchmarkFleetSizes(b *testing.B, f func(b *testing.B, c *Core, rng *rand.Rand)) {
 	for _, machines := range []int{100, 1200, 5200} {
 		for _, jobs := range []int{5, 200} {
@@ -157,8 +156,7 @@
 	})
 }
 
-// BenchmarkFailover loads the records of a fleet and its jobs and handles the first heartbeat of
-// every machine.
+// BenchmarkFailover loads the records of a fleet and handles the first heartbeat of every machine.
 func BenchmarkFailover(b *testing.B) {
 	for _, machines := range []int{100, 1200, 5200} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -191,7 +189,7 @@
 	}
 }
 
-// loadSchedule loads a schedule that is due at a time of day into a leader, as a failover does.
+// loadSchedule loads a schedule that is due at a time of day into a leader.
 func loadSchedule(tb testing.TB, c *Core, i int, at string) {
 	tb.Helper()
 	file := fmt.Sprintf(`{"name":"s%05d","zone":"Europe/Sofia","rule":"FREQ=MONTHLY;BYMONTHDAY=-1","at":["%s"],"due_at":"06:00","job":{"jobclass":"c","owner":"t",
@@ -214,8 +212,7 @@
 	}
 }
 
-// BenchmarkScheduleTick measures the leader's periodic work with few and many schedules, and the
-// memory of one schedule.
+// BenchmarkScheduleTick measures the leader's periodic work and the memory per schedule.
 func BenchmarkScheduleTick(b *testing.B) {
 	heap := func() uint64 {
 		runtime.GC()
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -23,7 +23,7 @@
 	return c
 }
 
-// advanceWithoutZoneA lets time pass in which only machines of zone b send heartbeats.
+// advanceWithoutZoneA advances the clock while only machines of zone b send heartbeats.
 func advanceWithoutZoneA(c *Core, d time.Duration) {
 	for end := c.Now.Add(d); c.Now.Before(end); {
 		c.Now = c.Now.Add(500 * time.Millisecond)
@@ -46,8 +46,9 @@
 	return zs
 }
 
-// TestZoneOutage checks that in an unreachable zone no capacity is reserved, added or released. A
-// job restricted to the zone is told why it waits and does not prevent scale-out for other jobs.
+// TestZoneOutage checks that in an unreachable zone no capacity is reserved, added or released,
+// and that a job restricted to the zone has a wait reason and does not prevent scale-out for other
+// jobs.
 func TestZoneOutage(t *testing.T) {
 	c := newTwoZoneLeader(t, 12)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestSilenceLimitBehindQuietRelay checks that workers behind a quiet relay get time to notice an
-// unanswered heartbeat and to report through another node.
+// TestSilenceLimitBehindQuietRelay checks that workers behind a silent relay get time to report
+// through another node.
 func TestSilenceLimitBehindQuietRelay(t *testing.T) {
 	c := newTwoZoneLeader(t, 12)
 	p := c.leadership.relays.Link("n1")
