--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -67,7 +67,7 @@
 		t.Fatalf("submit: %d %v, want 201 for wk-000412 in state queued", status, v)
 	}
 	if got.Tasks != 16 || got.Urgency != spec.Urgent || got.Deadline != 900*time.Second || !got.HasDeadline || got.Zone != "" || got.Runtime != 240*time.Second {
-		t.Errorf("decoded job %+v", got)
+		t.Errorf("unexpected decoded job %+v", got)
 	}
 	edit := func(from, to string) string {
 		if !strings.Contains(validSubmission, from) {
@@ -163,7 +163,7 @@
 		t.Errorf("stop order is %v, want task wk-2/1 with drainS 10", stop)
 	}
 	if len(got.Tasks) != 2 || got.Tasks[0].ID != (heartbeat.TaskID{Job: "wk-000412", Index: 3}) || got.HasNotice || got.Counter != 88 {
-		t.Errorf("decoded heartbeat %+v", got)
+		t.Errorf("unexpected decoded heartbeat %+v", got)
 	}
 	if status, v, _ := post(t, url+"/hello", strings.Replace(body, "host-000231", "elsewhere", 1)); status != 421 || v["upstream"] != "n2" {
 		t.Errorf("heartbeat to the wrong node: %d %v, want 421 with upstream n2", status, v)
@@ -225,11 +225,11 @@
 		switch {
 		case got == nil:
 		case c.head == "If-None-Match: *" && got.IfMatch != request.IfAbsent, strings.HasPrefix(c.head, "If-Match") && got.IfMatch != `"1-1"`:
-			t.Errorf("%s %s %s: wrong IfMatch in %+v", c.method, c.path, c.head, got)
+			t.Errorf("%s %s %s: unexpected IfMatch in %+v", c.method, c.path, c.head, got)
 		case op == request.SchedulePut && got.File.Name != "n", op == request.ScheduleUpcoming && got.Count != 3, op == request.ScheduleRun && !strings.Contains(string(data), "wk-9"):
 			t.Errorf("%s %s: core received %+v, client received %s", c.method, c.path, got, data)
 		case op != request.ScheduleRun && resp.Header.Get("ETag") != `"1-2"`:
-			t.Errorf("%s %s: wrong ETag", c.method, c.path)
+			t.Errorf("%s %s: ETag is not \"1-2\"", c.method, c.path)
 		}
 	}
 }
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -140,7 +140,7 @@
 		ts = append(ts, heartbeat.Task{ID: o.Task, Attempt: o.Attempt, Phase: heartbeat.Running})
 	}
 	if len(ts) != tasks {
-		h.Fatalf("started %d of %d tasks", len(ts), tasks)
+		h.Fatalf("started %d tasks, want %d", len(ts), tasks)
 	}
 	h.sendHeartbeat("host-000000", 11, ts...)
 	h.answerPending(rpc.OK)
@@ -256,7 +256,7 @@
 				sent := begin(h)
 				for range 3 {
 					if sent() {
-						t.Fatal("sent before its write committed")
+						t.Fatal("response or order sent before its write committed")
 					}
 					for range 5 { // batched writes are sent after a short delay
 						if h.answerPending(bad) > 0 {
@@ -267,14 +267,14 @@
 					h.advance(3 * time.Second)
 				}
 				if sent() {
-					t.Fatal("sent although no write committed")
+					t.Fatal("response or order sent although no write committed")
 				}
 				for range 20 {
 					h.answerPending(rpc.OK)
 					h.advance(500 * time.Millisecond)
 				}
 				if !sent() {
-					t.Fatal("not sent after its write committed")
+					t.Fatal("response or order not sent after its write committed")
 				}
 			})
 		}
@@ -355,7 +355,7 @@
 			}
 			h.step(r)
 			if a := h.response(ref); a.Status != want {
-				t.Errorf("term confirmed %v: wrong response %+v", confirmed, a)
+				t.Errorf("term confirmed %v: unexpected response %+v", confirmed, a)
 			}
 			if confirmed { // repeat with a failed confirmation
 				ref = h.sendRequest(request.Get, "wk-2", nil, nil)
--- a/internal/core/compatibility_test.go
+++ b/internal/core/compatibility_test.go
@@ -28,7 +28,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.got != c.want {
-				t.Errorf("%q, want %q", c.got, c.want)
+				t.Errorf("got %q, want %q", c.got, c.want)
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 			}
 			for i := range tasks {
 				if read.Has(i) != written.Has(i) {
-					t.Errorf("task %d: decoded as finished %v", i, read.Has(i))
+					t.Errorf("task %d: decoded as finished: %v, want the opposite", i, read.Has(i))
 				}
 			}
 		})
@@ -82,7 +82,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.got != c.want {
-				t.Errorf("%d, want %d", c.got, c.want)
+				t.Errorf("got %d, want %d", c.got, c.want)
 			}
 		})
 	}
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -66,16 +66,16 @@
 	}
 	ack("n1", peermsg.Version)
 	if a, txn := setTeam(c, 1, lowered); a == nil || a.Status != 503 || a.RetryAfter == 0 || txn != nil {
-		t.Errorf("n2 has not reported its version: response %+v, transaction %+v", a, txn)
+		t.Errorf("n2 has not reported its version: response %+v, transaction %+v, want status 503 and no transaction", a, txn)
 	}
 	ack("n2", 0) // an older version
 	if a, _ := setTeam(c, 2, lowered); a == nil || a.Status != 503 {
-		t.Errorf("n2 has an older version: response %+v", a)
+		t.Errorf("n2 has an older version: response %+v, want status 503", a)
 	}
 	ack("n2", peermsg.Version)
 	a, txn := setTeam(c, 3, lowered)
 	if a != nil || txn == nil {
-		t.Fatalf("all peers support the change: response %+v", a)
+		t.Fatalf("all peers support the change: response %+v, want a transaction", a)
 	}
 	if got := c.leadership.teams["t"].Limit.CPU; got != 0 {
 		t.Errorf("limit %d applied before the change committed", got)
@@ -91,11 +91,11 @@
 		}
 	}
 	if !answered || c.leadership.config.HeadRevision() != 40 {
-		t.Errorf("outputs %v, head revision %d", outs, c.leadership.config.HeadRevision())
+		t.Errorf("outputs %v, head revision %d, want status 200 and 40", outs, c.leadership.config.HeadRevision())
 	}
 	c.Step(c.Now, peermsg.LinkChange{Name: "n2"})
 	if a, txn := setTeam(c, 4, liveconfig.Team{Name: "t", CPUsMax: 9}); a != nil || txn == nil {
-		t.Errorf("later change with n2 disconnected: response %+v", a)
+		t.Errorf("later change with n2 disconnected: response %+v, want a transaction", a)
 	}
 }
 
@@ -106,7 +106,7 @@
 	c := newLeader(t, 3)
 	_, txn := setTeam(c, 1, liveconfig.Team{Name: "t", CPUsMax: 7})
 	if txn == nil {
-		t.Fatal("no transaction")
+		t.Fatal("the change is not written")
 	}
 	confirmed := false
 	c.Now = c.Now.Add(time.Millisecond)
@@ -130,7 +130,7 @@
 	}
 	count(c.Step(c.Now, kv.Response{Ref: read.Ref, Outcome: rpc.OK, Entries: []kv.Entry{{Key: record.ConfigHeadKey, Value: &liveconfig.HeadRecord{Revision: 1}, Rev: 40}}}))
 	if !confirmed || c.LocalConfig().Revision != 1 || c.leadership.config.HeadRevision() != 40 || c.leadership.teams["t"].Limit.CPU != 7000 {
-		t.Errorf("confirmed %v, revision %d, head revision %d", confirmed, c.LocalConfig().Revision, c.leadership.config.HeadRevision())
+		t.Errorf("confirmed %v, revision %d, head revision %d, want true, 1, 40 and the new limit", confirmed, c.LocalConfig().Revision, c.leadership.config.HeadRevision())
 	}
 	count(c.Step(c.Now, kv.Response{Ref: txn.Ref, Outcome: rpc.Unknown}))
 	for range 300 {
@@ -203,7 +203,7 @@
 		if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Leader {
 			replies++
 			if p.Msg.Version != peermsg.Version {
-				t.Errorf("the leader replies with version %d", p.Msg.Version)
+				t.Errorf("the leader replies with version %d, want peermsg.Version", p.Msg.Version)
 			}
 			for _, o := range other.Step(other.Now, peermsg.Received{From: "n0", Msg: p.Msg}) {
 				if p, ok := o.(peermsg.Outgoing); ok && p.Msg.Kind == peermsg.Ack && p.Msg.Ref == peermsg.VersionRequest {
@@ -213,7 +213,7 @@
 		}
 	}
 	if replies != 1 || other.election.LeaderVersion() != peermsg.Version {
-		t.Errorf("%d replies, leader version %d", replies, other.election.LeaderVersion())
+		t.Errorf("%d replies, leader version %d, want one reply with peermsg.Version", replies, other.election.LeaderVersion())
 	}
 	forwarded := false
 	for _, o := range other.Step(other.Now, request.Request{Ref: 2, Op: request.ConfigStatus, Config: &request.ConfigParams{}}) {
@@ -243,13 +243,13 @@
 				continue
 			}
 			if len(call.Writes) != len(changes)+1 {
-				t.Errorf("transaction with %d writes", len(call.Writes))
+				t.Errorf("transaction with %d writes, want the head and all changes", len(call.Writes))
 			}
 			if after := c.Now.Sub(began); after < time.Second || after > 1500*time.Millisecond {
-				t.Errorf("sent after %s, but the budget refills ten writes in 1.1 s", after)
+				t.Errorf("transaction sent after %s, want 1 to 1.5 s, in which the budget refills ten writes", after)
 			}
 			if room := c.leadership.writes.AvailableWrites(writebatch.Config, c.Now, 12); room > 0 {
-				t.Errorf("%d writes still available after the transaction", room)
+				t.Errorf("%d writes available after the transaction, want none", room)
 			}
 			return
 		}
--- a/internal/core/edges_test.go
+++ b/internal/core/edges_test.go
@@ -26,7 +26,7 @@
 func TestAttemptNumbersPerTerm(t *testing.T) {
 	const term = 7
 	if last, next := uint64(term)<<record.AttemptCounterBits+placement.MaxAttempts, uint64(term+1)<<record.AttemptCounterBits+1; last >= next {
-		t.Errorf("the last attempt of a term is %d, the first of the next %d", last, next)
+		t.Errorf("last attempt of a term %d, first of the next term %d, want a higher one", last, next)
 	}
 	if first := uint64(record.MaxTerm)<<record.AttemptCounterBits + 1; first>>record.AttemptCounterBits != record.MaxTerm {
 		t.Error("attempt numbers of the last term overflow")
@@ -39,7 +39,7 @@
 	c.leadership.placement.Reserve(j)
 	l.placement.AttemptCount = placement.MaxAttempts
 	if os := c.leadership.placement.StartTasksOn(m); len(os) > 0 {
-		t.Errorf("%d starts with no attempt number left", len(os))
+		t.Errorf("%d starts with no attempt number left, want none", len(os))
 	}
 	l.placement.AttemptCount = placement.MaxAttempts - reservedAttempts - 1
 	if os := c.leadership.placement.StartTasksOn(m); len(os) == 0 {
@@ -64,7 +64,7 @@
 	for _, x := range []float64{0, 1e-9, 1, 1e6, 1e300, -1e300, math.Inf(1), math.Inf(-1), math.NaN(), math.MaxInt64} {
 		up, down := timeline.ToMilli(x, true), timeline.ToMilli(x, false)
 		if up < down || x > 0 && up <= 0 || x <= 0 && down > 0 {
-			t.Errorf("%g: rounded up to %d and down to %d", x, up, down)
+			t.Errorf("%g is rounded up to %d and down to %d", x, up, down)
 		}
 		// The total of a job with the largest number of tasks.
 		if s := (timeline.Resources{}).Add(timeline.Need(x, x, x), spec.MaxTasks); s.CPU < 0 && x > 0 || s.Mem < 0 && x > 0 {
@@ -82,7 +82,7 @@
 		t.Error("a start is found for a deadline that has passed")
 	}
 	if n := empty.FitCount(t0, time.Hour, timeline.Need(1, 0, 0), 5); n != 0 {
-		t.Errorf("%d tasks fit an empty timeline", n)
+		t.Errorf("%d tasks fit an empty timeline, want none", n)
 	}
 	if _, ok := empty.EarliestStart(t0, timeline.Forever, timeline.Need(0, 0, 1)); ok {
 		t.Error("a task fits an empty timeline")
@@ -219,11 +219,11 @@
 			deliver(Tick{})
 		}
 		if c.leadership != l {
-			t.Fatal("leadership lost")
+			t.Fatal("the leader has stepped down")
 		}
 		r.Counter++
 		if got := sendHeartbeat(r); got != 503 || l.inventory.Find(host) != nil {
-			t.Fatalf("late heartbeat of a released machine gets status %d, or the machine is back", got)
+			t.Fatalf("late heartbeat of a released machine: status %d, want 503 and no such machine", got)
 		}
 		if i == 10*day {
 			early = countReachable(reflect.ValueOf(c), map[uintptr]bool{})
@@ -232,7 +232,7 @@
 	late := countReachable(reflect.ValueOf(c), map[uintptr]bool{})
 	t.Logf("%d machines, %d tasks; %d objects after 10 days, %d after %d", day*days, ran, early, late, days)
 	if ran < day*days {
-		t.Errorf("only %d tasks ran", ran)
+		t.Errorf("%d tasks ran, want at least one per machine", ran)
 	}
 	if late > early*11/10 {
 		t.Errorf("memory grows: %d objects after 10 days, %d after %d", early, late, days)
@@ -277,7 +277,7 @@
 		c.Step(c.Now.Add(time.Millisecond), kv.Response{Ref: ref})
 	}
 	if !c.HasAuthority(c.Now) || l.suspended {
-		t.Error("no authority after a successful renewal")
+		t.Error("no authority after a successful lease renewal")
 	}
 	c.SetClockOffset(-time.Hour)
 	if !c.HasAuthority(c.Now) {
@@ -295,7 +295,7 @@
 	c.loadRecord(kv.Entry{Key: record.JobPrefix + "wk-1", Value: bad, Rev: 3})
 	c.loadRecord(kv.Entry{Key: record.JobPrefix + "wk-2", Value: good, Rev: 4})
 	if l.jobs["wk-1"] != nil || !l.unreadableJobs["wk-1"] || l.jobs["wk-2"] == nil {
-		t.Errorf("jobs %v, unreadable jobs %v", l.jobs, l.unreadableJobs)
+		t.Errorf("jobs %v, unreadable jobs %v, want wk-2 loaded and wk-1 unreadable", l.jobs, l.unreadableJobs)
 	}
 	// A request reads the record again, with the same result.
 	outs := slices.Clone(c.Step(c.Now.Add(time.Second), request.Request{Ref: 5, Op: request.Get, ID: "wk-1"}))
@@ -334,7 +334,7 @@
 		return 0
 	}
 	if got := status(5); got == 503 {
-		t.Fatal("a genuine heartbeat gets status 503")
+		t.Fatal("the machine's own heartbeat gets status 503")
 	}
 	status(1<<64 - 1)
 	if got := status(6); got != 503 {
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -41,7 +41,7 @@
 		h.lastRef++
 		h.step(heartbeat.Received{Ref: h.lastRef, Report: heartbeat.Report{Host: "host-000000", InstanceType: "f2", Zone: "a", Incarnation: 1, Counter: 20, FencingToken: 1, Tasks: ts}})
 		if a := h.heartbeatReply(h.lastRef); (a.Status == 200) != (ahead == 0) {
-			t.Errorf("wall clock %v ahead: status %d", ahead, a.Status)
+			t.Errorf("wall clock %v ahead: status %d, want 200 only if it is not ahead", ahead, a.Status)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 		get := h.sendRequest(request.Get, "wk-1", nil, nil)
 		h.advance(100 * time.Millisecond)
 		if a := h.response(get); a.Status != 0 {
-			t.Errorf("response %+v while the write is pending", a)
+			t.Errorf("response %+v while the write is pending, want none", a)
 		}
 		h.advance(time.Second)
 		if a := h.response(get); a.Status != 503 {
@@ -136,7 +136,7 @@
 			continue
 		}
 		if !slices.Contains(call.Conditions, kv.Condition{Key: record.FinalPrefix + "wk-1", Rev: 0}) {
-			t.Errorf("written back with conditions %+v", call.Conditions)
+			t.Errorf("written back with conditions %+v, want one that there is no final record", call.Conditions)
 		}
 		return
 	}
@@ -158,7 +158,7 @@
 	old := reportAttempt("host-x", 3)
 	newer := reportAttempt("host-y", 4)
 	if !old.StopRequested || newer.StopRequested || j.Attempts[0] != newer || l.teams["t"].Allocated.CPU != j.Need.CPU {
-		t.Errorf("stop requested for the earlier attempt: %v, for the newer one: %v", old.StopRequested, newer.StopRequested)
+		t.Errorf("stop requested for the earlier attempt: %v, for the newer one: %v, want only the earlier stopped and the newer counted", old.StopRequested, newer.StopRequested)
 	}
 	// An earlier attempt that is reported after the newer one changes nothing either.
 	if late := reportAttempt("host-z", 2); !late.StopRequested || j.Attempts[0] != newer {
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -34,14 +34,14 @@
 		c.leadership.placement.Reserve(waiting)
 		c.preemptForGuarantees()
 		if stopped := m.Attempts[0].StopRequested; stopped != (phase == heartbeat.Pulling) {
-			t.Errorf("found in phase %s: stop requested %v", phase, stopped)
+			t.Errorf("found in phase %s: stop requested %v, want it only in phase pulling", phase, stopped)
 		}
 		c.Now = c.Now.Add(3 * time.Second)
 		rep.Counter++
 		rep.Tasks[0] = heartbeat.Task{ID: heartbeat.TaskID{Job: running.Spec.ID}, Attempt: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}
 		c.leadership.reconciler.Reconcile(m, &rep)
 		if recorded := c.leadership.placement.HasRuntimes(&running.Spec); recorded != (phase == heartbeat.Pulling) {
-			t.Errorf("found in phase %s: runtime recorded %v", phase, recorded)
+			t.Errorf("found in phase %s: runtime recorded %v, want it only in phase pulling", phase, recorded)
 		}
 	}
 }
--- a/internal/core/relays_test.go
+++ b/internal/core/relays_test.go
@@ -144,7 +144,7 @@
 	n.advance(50 * time.Millisecond)
 	bs = n.takeBatches("n2")
 	if len(bs) == 0 || len(bs[0].Reports) != 1 || bs[0].Reports[0].Identity == nil || bs[0].Session == first {
-		t.Fatalf("heartbeat not forwarded to the new leader: %+v", bs)
+		t.Fatalf("batches %+v, want the full heartbeat forwarded to the new leader in a new session", bs)
 	}
 	second := bs[0].Session
 
@@ -152,7 +152,7 @@
 	n.step(peermsg.Received{From: "n2", Msg: peermsg.Message{Kind: peermsg.HeartbeatReplies, Term: 6, HeartbeatReplies: &relay.Replies{Session: second, Resync: true}}})
 	bs = n.takeBatches("n2")
 	if len(bs) != 1 || len(bs[0].Reports) != 1 || bs[0].Session == second || bs[0].Number != 1 {
-		t.Fatalf("heartbeat not sent again: %+v", bs)
+		t.Fatalf("batches %+v, want the heartbeat again as the first batch of a new session", bs)
 	}
 	n.deliverReply("n2", 6, second, 2)
 	n.expectStatuses("reply of the previous session", 2)
@@ -203,28 +203,28 @@
 			}
 			x := p.Msg.HeartbeatReplies.List[0]
 			if x.Ref != ref || x.Status != 0 || p.Msg.HeartbeatReplies.Session != session {
-				t.Errorf("reply %+v in session %d", x, p.Msg.HeartbeatReplies.Session)
+				t.Errorf("unexpected reply %+v in session %d", x, p.Msg.HeartbeatReplies.Session)
 			}
 			return len(x.Orders), true
 		}
 		return 0, false
 	}
 	if n, ok := send(3, 1, 17, relay.NewEncoder(3), rep); !ok || n != 1 {
-		t.Fatalf("%d orders, answered %v", n, ok)
+		t.Fatalf("%d orders, answered %v, want one start order", n, ok)
 	}
 	// The link broke and the reply was lost.
 	encoder := relay.NewEncoder(4)
 	send(4, 1, 17, encoder, rep)
 	if len(m.Attempts) != 1 || j.Waiting != 0 {
-		t.Fatalf("%d attempts, %d waiting tasks", len(m.Attempts), j.Waiting)
+		t.Fatalf("%d attempts, %d waiting tasks, want 1 and 0", len(m.Attempts), j.Waiting)
 	}
 	rep.Counter++
 	if send(4, 2, 18, encoder, rep); len(m.Attempts) != 0 || j.Waiting != 1 {
-		t.Fatalf("%d attempts, %d waiting tasks", len(m.Attempts), j.Waiting)
+		t.Fatalf("%d attempts, %d waiting tasks, want 0 and 1", len(m.Attempts), j.Waiting)
 	}
 	rep.Counter++
 	if n, ok := send(4, 3, 19, encoder, rep); !ok || n != 1 {
-		t.Errorf("the lost start is not ordered again: %d orders, answered %v", n, ok)
+		t.Errorf("%d orders, answered %v, want the lost start order again", n, ok)
 	}
 }
 
@@ -247,20 +247,20 @@
 	n.step(peermsg.LinkChange{Name: "n1"})
 	a, _ := send(n.Core, request.Cluster)
 	if v, _ := a.Document.(*view.Cluster); v == nil || v.Leader != "n1" || v.Term != 5 || v.Nodes[0].Workers != 1 || v.Nodes[0].Role != "away" {
-		t.Errorf("wrong cluster view %+v", a.Document)
+		t.Errorf("cluster view of a relay %+v, want leader n1 in term 5 without a link, and one worker", a.Document)
 	}
 	c := newLeader(t, 2)
 	c.cfg.Seeds = []config.Seed{{HostName: "n1", Site: "b"}}
 	a, _ = send(c, request.Cluster)
 	if v, _ := a.Document.(*view.Cluster); v == nil || v.Leader != "n0" || !v.Authority || v.Machines != 2 || len(v.Nodes) != 2 || v.Nodes[1].Role != "away" {
-		t.Errorf("wrong cluster view %+v", a.Document)
+		t.Errorf("cluster view of the leader %+v, want n0 with authority, 2 machines and n1 without a link", a.Document)
 	}
 	if a, revoked := send(c, request.TransferLeadership); a.Status != 409 || revoked || c.leadership == nil {
-		t.Errorf("hand-over without a peer: status %d, reason %s", a.Status, a.Reason)
+		t.Errorf("hand-over without a peer: status %d, reason %s, want status 409 and no change", a.Status, a.Reason)
 	}
 	c.Step(c.Now, peermsg.LinkChange{Name: "n1", Up: true})
 	c.Step(c.Now, peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Heartbeats, Term: 1, Heartbeats: relay.NewEncoder(3).Batch(nil, nil)}})
 	if a, revoked := send(c, request.TransferLeadership); a.Status != 200 || !revoked || c.leadership != nil {
-		t.Errorf("not handed over: status %d, reason %s", a.Status, a.Reason)
+		t.Errorf("hand-over: status %d, reason %s, want status 200 and the lease revoked", a.Status, a.Reason)
 	}
 }
--- a/internal/core/replication_test.go
+++ b/internal/core/replication_test.go
@@ -15,7 +15,7 @@
 	c.replicas.SetOwn(replica.New(5, 2, record.FinalPrefix, 10))
 	c.observeTerm(9, 188, 1)
 	if newest := c.newestReplica(); newest == nil || newest.Term != 2 {
-		t.Fatal("the replica is dropped")
+		t.Fatal("the replica is dropped after a jump of terms")
 	}
 	c.election.SetLeader("n0", 188)
 	c.handleReplicaLine("n0", &replica.Line{Era: 9, Term: 188, Session: 1, Number: 1})
--- a/internal/core/returns_test.go
+++ b/internal/core/returns_test.go
@@ -45,7 +45,7 @@
 	n.step(peermsg.LinkChange{Name: "n1", Up: true})
 	n.step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Leader, Term: 5}})
 	if again := forwards(n, "wk-2"); ref == 0 || again == ref {
-		t.Fatalf("requests of both processes have reference %d", ref)
+		t.Fatalf("requests of both processes have the reference %d", ref)
 	}
 	// A response with the same reference is rejected if it is about another job.
 	ref = forwards(n, "wk-2")
@@ -53,7 +53,7 @@
 	n.step(peermsg.Received{From: "n1", Msg: peermsg.Message{Kind: peermsg.Response, Ref: ref, Response: &request.Response{Status: 200, Job: request.JobStatus{ID: "wk-1", State: spec.Done}}}})
 	for _, o := range n.outputs {
 		if a, ok := o.(request.Response); ok {
-			t.Errorf("request for wk-2 is answered with %+v", a)
+			t.Errorf("request for wk-2 is answered with %+v, want no answer", a)
 		}
 	}
 	if _, ok := n.jobReader.Final("wk-2"); ok {
@@ -158,7 +158,7 @@
 				revoked = revoked || ok && s.Op == kv.RevokeLease && s.LeaseID == x.entry.LeaseID
 			}
 			if revoked != x.revoked {
-				t.Errorf("lease revoked: %v", revoked)
+				t.Errorf("revoked the lease: %v, want the opposite", revoked)
 			}
 			if n.HasAuthority(n.now) {
 				t.Error("leads with the lease of another process")
@@ -202,7 +202,7 @@
 		late.Host, late.InstanceType, late.Zone, late.FencingToken = m.Host, m.TypeName, m.Zone, 5
 		c.Step(c.Now.Add(time.Second), heartbeat.Received{Ref: 2, Report: late})
 		if len(m.Attempts) != 1 || j.Waiting != 0 {
-			t.Fatalf("incarnation %d, counter %d, token 5: %d attempts, %d waiting tasks", late.Incarnation, late.Counter, len(m.Attempts), j.Waiting)
+			t.Fatalf("incarnation %d, counter %d, token 5: %d attempts, %d waiting tasks, want 1 and 0", late.Incarnation, late.Counter, len(m.Attempts), j.Waiting)
 		}
 	}
 	// Once its lease has expired, heartbeats with other counters are accepted again.
@@ -231,6 +231,6 @@
 	}
 	send(relay.NewEncoder(4))
 	if p := c.leadership.relays.SilenceLimit(m, 10*time.Second); p <= c.heartbeatInterval*5/4+relaylinks.WorkerRetryTimeout {
-		t.Errorf("silence limit %v after the restart is too short", p)
+		t.Errorf("silence limit %v after the restart, want a longer one", p)
 	}
 }
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -61,7 +61,7 @@
 	}
 	for _, m := range c.leadership.inventory.Machines() {
 		if m.Zone == "a" && (m.Releasing || m.Schedulable() || len(m.Reservations) > 0) {
-			t.Fatalf("%s: releasing %v, schedulable %v, %d reservations", m.Host, m.Releasing, m.Schedulable(), len(m.Reservations))
+			t.Fatalf("%s: releasing %v, schedulable %v, %d reservations, want none of these", m.Host, m.Releasing, m.Schedulable(), len(m.Reservations))
 		}
 	}
 	if r := c.leadership.outages.WaitReason(pinned); !strings.Contains(r, "zone a is doubtful") {
@@ -93,14 +93,14 @@
 	m.Relay, p.LastBatch = p, t0
 	silent := 10 * time.Second
 	if d := c.leadership.relays.SilenceLimit(m, silent); d != silent {
-		t.Errorf("silence limit %v with a working relay", d)
+		t.Errorf("silence limit %v with a working relay, want the base limit", d)
 	}
 	p.LastSilent = t0.Add(time.Second)
 	if d := c.leadership.relays.SilenceLimit(m, silent); d < c.heartbeatInterval*5/4+5*time.Second {
-		t.Errorf("silence limit %v with a quiet relay", d)
+		t.Errorf("silence limit %v with a silent relay, want a longer one", d)
 	}
 	m.LastHeartbeat = t0.Add(2 * time.Second)
 	if d := c.leadership.relays.SilenceLimit(m, silent); d != silent {
-		t.Errorf("silence limit %v after reporting through another node", d)
+		t.Errorf("silence limit %v after reporting through another node, want the base limit", d)
 	}
 }
