--- a/cmd/yewlab/main.go
+++ b/cmd/yewlab/main.go
@@ -31,7 +31,6 @@
 	}
 }
 
-// slopesCommand fits linear trends to the reports of scale runs of several sizes.
 func slopesCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "slopes REPORT...", Short: "Fit linear trends to the JSON reports of scale runs of several sizes", Args: cobra.MinimumNArgs(3),
--- a/cmd/yewpass/cluster.go
+++ b/cmd/yewpass/cluster.go
@@ -13,7 +13,6 @@
 	"yewpass/internal/view"
 )
 
-// clusterCommand shows the state of the controllers; its subcommand transfers the leadership.
 func clusterCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use: "cluster", Short: "Show the leader, the controllers and the machines that report to each", Args: cobra.NoArgs,
--- a/cmd/yewpass/preview.go
+++ b/cmd/yewpass/preview.go
@@ -39,7 +39,6 @@
 	return cmd
 }
 
-// previewOptions holds the flags of the preview command.
 type previewOptions struct {
 	operators string
 	from      string
@@ -47,7 +46,6 @@
 	all       bool
 }
 
-// previewLine is an occurrence as the preview prints it.
 type previewLine struct {
 	schedule.Upcoming
 	Skipped bool `json:"skipped,omitempty"`
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
 // Package api serves the HTTP interface for users and workers. Each request becomes an input of the
-// core, and its handler waits for the response on a channel of its own.
+// core, whose response its handler awaits.
 package api
 
 import (
@@ -47,9 +47,8 @@
 	conns *connectionLimiter
 }
 
-// Serve accepts connections on ln until accepting fails and returns the error. At most maxConns
-// connections are open at a time. It sends an Exchange to inbox for each request, and calls ready
-// to answer GET /ready.
+// Serve serves up to maxConns connections on ln until accepting fails. It sends an Exchange to
+// inbox for each request, and calls ready to answer GET /ready.
 func Serve(ln net.Listener, maxConns int, inbox chan<- any, ready func() bool) error {
 	s := &Server{inbox, ready, newConnectionLimiter(maxConns)}
 	r := httprouter.New()
@@ -111,7 +110,7 @@
 	writeError(w, http.StatusServiceUnavailable, "", "not ready", time.Second)
 }
 
-// readBody reads the body of a request. It returns false after it has sent an error response.
+// readBody reads the body of a request. It returns false after sending an error response.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	switch {
@@ -125,8 +124,7 @@
 	return nil, false
 }
 
-// readJSON decodes the body of a request into v. It returns false after it has sent an error
-// response.
+// readJSON decodes the body of a request into v. It returns false after sending an error response.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	data, ok := readBody(w, r)
 	if !ok {
@@ -215,7 +213,6 @@
 	s.serveJobRequest(w, r, request.Cancel, p.ByName("id"))
 }
 
-// clusterHandler returns a handler for an operation on the controllers.
 func (s *Server) clusterHandler(op request.Operation) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		s.serveUserRequest(w, r, request.Request{Op: op})
--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -25,7 +25,6 @@
 // regenerated: clients depend on these exact responses.
 const goldenExchanges = "testdata/exchanges-5990396.jsonl"
 
-// goldenExchange is a request and its response.
 type goldenExchange struct {
 	Name       string          `json:"name"`
 	Method     string          `json:"method"`
@@ -63,7 +62,6 @@
 
 func pointer[T any](v T) *T { return &v }
 
-// goldenCoreExchanges returns the core exchanges of the golden file by name.
 func goldenCoreExchanges() map[string]coreExchange {
 	scheduled := func(op request.Operation, call request.ScheduleParams, doc any) coreExchange {
 		return coreExchange{request.Request{Op: op, Schedule: &call}, request.Response{Status: 200, Document: doc}}
@@ -311,8 +309,8 @@
 	return heartbeat.Report{Host: "host-1", InstanceType: "g8", Zone: "hall-a", Incarnation: 1, Tasks: []heartbeat.Task{}}
 }
 
-// TestExchangesOf5990396 guards compatibility with users and workers: requests must be decoded as
-// in version 5990396 and be answered with the same bytes.
+// TestExchangesOf5990396 checks that requests are decoded as in version 5990396 and answered with
+// the same bytes.
 func TestExchangesOf5990396(t *testing.T) {
 	wants := goldenCoreExchanges()
 	golden := readGoldenExchanges(t)
--- a/internal/api/config.go
+++ b/internal/api/config.go
@@ -22,12 +22,12 @@
 	r.PUT("/v2/config/teams/:name", s.configHandler(request.ConfigSet, readTeamChange))
 }
 
-// configReader reads the parameters of an operation from a request. It returns false after it has
-// sent an error response.
+// configReader reads the parameters of an operation. It returns false after sending an error
+// response.
 type configReader func(http.ResponseWriter, *http.Request, httprouter.Params, *request.ConfigParams) bool
 
-// configHandler returns a handler for an operation on the configuration. A nil read means that the
-// operation has no parameters.
+// configHandler returns a handler for an operation on the configuration. A nil read means no
+// parameters.
 func (s *Server) configHandler(op request.Operation, read configReader) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		q := &request.ConfigParams{}
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -46,8 +46,8 @@
 	Upstream string `json:"upstream,omitempty"`
 }
 
-// maxNotice bounds the seconds until the termination of a spot machine that a heartbeat announces.
-// The value is negative once that time has passed.
+// maxNotice bounds the announced seconds until the termination of a spot machine, which are
+// negative once that time has passed.
 const maxNotice = 1e8
 
 // decode validates a heartbeat. Its second result is the name of the invalid field, or empty.
@@ -96,7 +96,7 @@
 }
 
 // handleHeartbeat serves POST /hello: it passes a heartbeat to the core and writes the orders for
-// the worker, or status 421 with the name of the node that the worker must report to.
+// the worker, or status 421 with the node to report to.
 func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var j heartbeatJSON
 	if !readJSON(w, r, &j) {
--- a/internal/api/probe.go
+++ b/internal/api/probe.go
@@ -27,8 +27,8 @@
 	Orders       []orderJSON `json:"orders"`
 }
 
-// Do sends a probe in a goroutine of its own and delivers its heartbeat.ProbeReply to the inbox.
-// The outcome is rpc.Unknown unless the worker answers with a valid heartbeat.
+// Do sends a probe without blocking and delivers its heartbeat.ProbeReply to the inbox. The outcome
+// is rpc.Unknown unless the worker sends a valid reply.
 func (p *Prober) Do(probe heartbeat.Probe) {
 	go func() {
 		r := heartbeat.ProbeReply{Outcome: rpc.Unknown}
--- a/internal/api/schedules.go
+++ b/internal/api/schedules.go
@@ -37,7 +37,7 @@
 }
 
 // scheduleHandler returns a handler for an operation on one schedule. A non-nil read reads further
-// parameters and returns false after it has sent an error response.
+// parameters and returns false after sending an error response.
 func (s *Server) scheduleHandler(op request.Operation, read func(http.ResponseWriter, *http.Request, *request.ScheduleParams) bool) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		q := &request.ScheduleParams{Name: p.ByName("name")}
@@ -75,8 +75,8 @@
 	return true
 }
 
-// readCount reads a query parameter that is a number from 1 to limit. It returns false after it has
-// sent an error response.
+// readCount reads a query parameter that is a number from 1 to limit. It returns false after
+// sending an error response.
 func readCount(w http.ResponseWriter, r *http.Request, name string, limit int, n *int) bool {
 	*n = defaultCount
 	if text := r.URL.Query().Get(name); text != "" {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,5 +1,5 @@
-// Package cloud implements the protocol of the cloud API. The names of the protocol, such as flavor
-// for an instance type and reclaimable for a spot instance, are used only in this package.
+// Package cloud implements the protocol of the cloud API, whose names, such as flavor for an
+// instance type and reclaimable for a spot instance, are used only in this package.
 package cloud
 
 import (
@@ -28,8 +28,8 @@
 	return &Client{httpjson.NewClient(address, dialTimeout, maxIdleConnections, maxResponseBytes), inbox}
 }
 
-// Do sends a request without blocking. Its response has the same Ref; the outcome is rpc.Unknown if
-// no valid response arrives within the timeout of the request.
+// Do sends a request without blocking. Its response has the same Ref, and the outcome rpc.Unknown
+// if no valid response arrives before the timeout.
 func (c *Client) Do(req provider.Request) {
 	go func() {
 		response := c.call(req)
--- a/internal/cloud/compatibility_test.go
+++ b/internal/cloud/compatibility_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestCallsOf5990396 guards compatibility with the cloud API: requests must be encoded, and
-// responses decoded, as in version 5990396.
+// TestCallsOf5990396 checks that requests are encoded, and responses decoded, as in version
+// 5990396.
 func TestCallsOf5990396(t *testing.T) {
 	calls := goldenExchanges()
 	golden := readGoldenCalls(t)
--- a/internal/cloud/response.go
+++ b/internal/cloud/response.go
@@ -18,7 +18,7 @@
 	maxLargeAmount = 1e7 // for memory, prices and boot times
 )
 
-// noCapacityError is part of the error text with which the cloud reports that no instance of the
+// noCapacityError is the part of the cloud's error text that means that no instance of the
 // requested type is available.
 const noCapacityError = "capacity"
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -210,8 +210,7 @@
 	return nil
 }
 
-// checkLimits validates the times and limits of the worker protocol, the key-value store, the
-// cloud API and the node. All except list_lag_s must be positive.
+// checkLimits validates the times and limits. All except list_lag_s must be positive.
 func (c *Config) checkLimits() error {
 	settings := &c.Settings
 	for _, limit := range []numericField{
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -7,8 +7,7 @@
 	"yewpass/internal/timeline"
 )
 
-// FuzzParse checks that arbitrary input is rejected with an error of one line, or yields
-// numbers that are in range.
+// FuzzParse checks that any input is rejected with an error of one line or yields numbers in range.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validSettings))
 	for _, x := range [][2]string{{"20.0", "nan"}, {"5.0", "inf"}, {"48", "9223372036854775807"}, {"800", "-1"}, {"[settings]", "[[settings]]"}, {"nodes = 2", "nodes = 1e400"}} {
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -122,7 +122,6 @@
 	return nil
 }
 
-// withVerb returns the orders that have the verb v.
 func withVerb(orders []heartbeat.Order, v heartbeat.Verb) []heartbeat.Order {
 	return slices.DeleteFunc(slices.Clone(orders), func(o heartbeat.Order) bool { return o.Verb != v })
 }
@@ -282,7 +281,7 @@
 }
 
 // TestWriteConflictOnTermEndsLeadership checks that a leader steps down when a write fails on the
-// condition of the term record, and answers the request that waits for the write with 503.
+// condition of the term record, and answers the waiting request with 503.
 func TestWriteConflictOnTermEndsLeadership(t *testing.T) {
 	h := newLeaderHarness(t)
 	ref := h.sendRequest(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
--- a/internal/core/configuration_test.go
+++ b/internal/core/configuration_test.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// TestRetiredTeamRejectsJobs checks that new jobs of a retired team are refused and that the team
-// can be reinstated.
+// TestRetiredTeamRejectsJobs checks that new jobs of a retired team are refused until it is
+// reinstated.
 func TestRetiredTeamRejectsJobs(t *testing.T) {
 	c := newLeader(t, 1)
 	configLeader{c, c.leadership}.ApplyTeams([]liveconfig.Team{{Name: "t", CPUs: 5, Retired: true}})
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -97,7 +97,6 @@
 	}
 }
 
-// fillMachine fills a machine with running tasks.
 func (c *Core) fillMachine(m *fleet.Machine) {
 	j := c.leadership.jobs["wk-1"]
 	if j == nil {
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -36,7 +36,6 @@
 	}
 }
 
-// scaleOutZones returns the zones of the scale-out requests in the outputs.
 func scaleOutZones(c *Core) (zs []string) {
 	for _, o := range c.Outputs {
 		if x, ok := o.(provider.Request); ok && x.Op == provider.ScaleOut {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -116,8 +116,8 @@
 // WallClock returns the wall-clock time of the current step.
 func (e *Engine) WallClock() time.Time { return e.Now.Round(0).Add(e.clockOffset) }
 
-// ClockSkew returns how far the wall clock has advanced beyond the monotonic clock since the
-// first step. It reveals a suspension of the machine, during which the monotonic clock stops.
+// ClockSkew returns how far the wall clock has advanced beyond the monotonic clock since the first
+// step. The monotonic clock stops while the machine is suspended.
 func (e *Engine) ClockSkew(now time.Time) time.Duration {
 	return now.Round(0).Add(e.clockOffset).Sub(e.StartedAt.Round(0)) - now.Sub(e.StartedAt)
 }
--- a/internal/heartbeat/heartbeat.go
+++ b/internal/heartbeat/heartbeat.go
@@ -50,8 +50,7 @@
 	Cause   string // why it exited; only in phase Exited
 }
 
-// Report is the state of a worker and its tasks. A worker sends it in every heartbeat and in the
-// reply to a probe.
+// Report is the state of a worker and its tasks, sent in heartbeats and replies to probes.
 type Report struct {
 	Host, Address, InstanceType, Zone  string
 	Spot                               bool
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -32,8 +32,7 @@
 }
 
 // Call sends a request and returns the status and body of the response. It returns false if no
-// complete response arrived within the timeout, in which case the service may or may not have
-// processed the request.
+// complete response arrived within the timeout; the service may still have processed the request.
 func (c *Client) Call(method, path string, body []byte, timeout time.Duration) (int, []byte, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/kvclient/client.go
+++ b/internal/kvclient/client.go
@@ -29,8 +29,8 @@
 	return &Client{httpjson.NewClient(address, dialTimeout, maxIdleConnections, maxResponseBytes), inbox}
 }
 
-// Do sends a request without blocking. Its response has the same Ref; the outcome is rpc.Unknown if
-// no valid response arrives within the timeout of the request.
+// Do sends a request without blocking. Its response has the same Ref, and the outcome rpc.Unknown
+// if no valid response arrives before the timeout.
 func (c *Client) Do(req kv.Request) {
 	go func() {
 		response := c.call(req)
--- a/internal/kvclient/compatibility_test.go
+++ b/internal/kvclient/compatibility_test.go
@@ -51,7 +51,6 @@
 	Body   json.RawMessage `json:"body,omitempty"`
 }
 
-// goldenRequestCalls returns the requests of the golden file by name.
 func goldenRequestCalls() map[string]kv.Request {
 	return map[string]kv.Request{
 		"get":               {Op: kv.Get, Key: "yewpass/term"},
@@ -74,8 +73,7 @@
 	}
 }
 
-// TestRequestsOf5990396 guards compatibility with the key-value store: requests must be encoded to
-// the same bytes as in version 5990396.
+// TestRequestsOf5990396 checks that requests are encoded to the same bytes as in version 5990396.
 func TestRequestsOf5990396(t *testing.T) {
 	calls := goldenRequestCalls()
 	golden := readGolden[goldenRequest](t, goldenRequests)
@@ -107,7 +105,6 @@
 	response kv.Response
 }
 
-// goldenExchanges returns the requests and responses of the golden file by name.
 func goldenExchanges() map[string]goldenExchange {
 	final := &record.Final{State: spec.Done, Done: 1}
 	return map[string]goldenExchange{
@@ -135,8 +132,7 @@
 	}
 }
 
-// TestAnswersReadBy5990396 guards compatibility with the key-value store: responses must be decoded
-// as in version 5990396.
+// TestAnswersReadBy5990396 checks that responses are decoded as in version 5990396.
 func TestAnswersReadBy5990396(t *testing.T) {
 	calls := goldenExchanges()
 	golden := readGolden[goldenAnswer](t, goldenAnswers)
--- a/internal/kvclient/request.go
+++ b/internal/kvclient/request.go
@@ -11,8 +11,8 @@
 	"yewpass/internal/recordcodec"
 )
 
-// transactionJSON is a compare-and-swap transaction: the writes are applied atomically if each key
-// of the conditions has the given revision.
+// transactionJSON is a compare-and-swap transaction: its writes are applied atomically if all
+// conditions hold.
 type transactionJSON struct {
 	Conditions []conditionJSON `json:"when"`
 	Writes     []writeJSON     `json:"then"`
--- a/internal/kvclient/response.go
+++ b/internal/kvclient/response.go
@@ -16,8 +16,8 @@
 	Revision uint64          `json:"keyRev"`
 }
 
-// responseJSON has the fields of all responses of the store. Pointers distinguish missing fields,
-// because a response without a required field is not a success.
+// responseJSON has the fields of all responses of the store. Pointers distinguish missing fields: a
+// response without a required field is not a success.
 type responseJSON struct {
 	entryJSON
 	StoreRevision *uint64     `json:"storeRev"`
@@ -75,7 +75,6 @@
 	return kv.Response{Outcome: rpc.NotFound, Rev: *body.StoreRevision}
 }
 
-// decodeSuccess decodes a response with status 200.
 func decodeSuccess(req kv.Request, body *responseJSON) kv.Response {
 	response := kv.Response{Outcome: rpc.OK, More: body.Truncated}
 	if body.StoreRevision != nil {
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -14,8 +14,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// SetupLog configures the default logger to write text records to standard error at the level that
-// LOG_LEVEL names (default info). It also ignores SIGPIPE for the whole process.
+// SetupLog configures the default logger to write text to standard error at the level in LOG_LEVEL
+// (default info). It also ignores SIGPIPE for the whole process.
 func SetupLog() {
 	level := slog.LevelInfo
 	if s := os.Getenv("LOG_LEVEL"); s != "" {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,8 +40,8 @@
 	debug.SetGCPercent(400)
 }
 
-// Run starts a controller and blocks until it receives a stop signal, in which case it returns nil,
-// or until the client listener fails.
+// Run runs a controller until it receives a stop signal, and then returns nil, or until the client
+// listener fails.
 func Run(cfg *config.Config, ops *operators.File) error {
 	limitRuntime(cfg)
 	clientListener, err := net.Listen("tcp", cfg.ClientListen)
@@ -79,8 +79,8 @@
 	return n.loop(kvInbox, inbox, serveErr, signals)
 }
 
-// node connects the core to its I/O. Only the goroutine that runs loop modifies its fields; the
-// atomic ones are also read by isReady, in other goroutines.
+// node connects the core to its I/O. Only the goroutine of loop modifies its fields; isReady reads
+// the atomic ones in other goroutines.
 type node struct {
 	core           *core.Core
 	store          *kvclient.Client
@@ -181,14 +181,14 @@
 // takes an input at least once a second.
 const stallThreshold = 4 * time.Second
 
-// isReady reports whether the load balancer should send requests to this node. It is called outside
-// the core loop and also checks that the loop has not stalled.
+// isReady reports whether the load balancer should send requests to this node. It is safe to call
+// outside the core loop, and false if the loop has stalled.
 func (n *node) isReady() bool {
 	return n.ready.Load() && time.Since(n.startedAt)-time.Duration(n.lastStepOffset.Load()) < stallThreshold
 }
 
-// maxSockets returns the maximum number of open sockets: max_connections of the settings, or the
-// limit of open files of the process if that is lower.
+// maxSockets returns the maximum number of open sockets: the lower of max_connections and the
+// process's limit of open files.
 func maxSockets(cfg *config.Config) int {
 	limit := cfg.Settings.Limits.MaxConnections
 	var files syscall.Rlimit
--- a/internal/operators/fuzz_test.go
+++ b/internal/operators/fuzz_test.go
@@ -9,8 +9,8 @@
 	"yewpass/internal/policy"
 )
 
-// FuzzParse checks that arbitrary input is rejected with an error of one line, or that its
-// expressions yield numbers in range.
+// FuzzParse checks that any input is rejected with an error of one line, or that its expressions
+// yield numbers in range.
 func FuzzParse(f *testing.F) {
 	if data, err := os.ReadFile("../../deploy/operators.toml"); err == nil {
 		f.Add(data)
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -157,7 +157,6 @@
 
 func pointer[T any](v T) *T { return &v }
 
-// goldenMessages returns the messages of the golden lines by name.
 func goldenMessages() map[string]peermsg.Message {
 	all := map[string]peermsg.Message{
 		"leader":              {Kind: peermsg.Leader, Term: 41, Version: 1},
@@ -382,8 +381,8 @@
 	return &schedule.File{Name: "n", Zone: "UTC", Rule: "FREQ=DAILY"}
 }
 
-// TestLinesOf5990396 guards compatibility of the peer protocol: lines of version 5990396 must be
-// decoded correctly, and messages must be encoded to the same bytes.
+// TestLinesOf5990396 checks that lines of version 5990396 are decoded correctly and messages are
+// encoded to the same bytes.
 func TestLinesOf5990396(t *testing.T) {
 	sender, first := newSender(t)
 	if first != pingLine {
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -24,7 +24,7 @@
 	queues map[string]chan messageJSON // by host name of the peer
 }
 
-// New starts dialing the peers and accepting their connections on listener. It delivers messages as
+// New connects to the peers and accepts their connections on listener. It delivers messages as
 // peermsg.Received and connection changes as peermsg.LinkChange to inbox.
 func New(self string, peers []config.Seed, listener net.Listener, inbox chan<- any) *Mesh {
 	m := &Mesh{self: self, inbox: inbox, queues: map[string]chan messageJSON{}}
@@ -53,7 +53,7 @@
 }
 
 // accept serves each incoming connection in its own goroutine. It closes connections beyond a limit
-// that leaves several per peer, for reconnects that overlap.
+// that allows several per peer, since reconnects overlap.
 func (m *Mesh) accept(listener net.Listener, known map[string]bool) {
 	slots := make(chan struct{}, 4*len(known)+4)
 	for {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestMesh checks that messages arrive with their contents, and that garbage on the peer port
-// closes only its own connection.
+// TestMesh checks that messages arrive complete, and that garbage on the peer port closes only its
+// own connection.
 func TestMesh(t *testing.T) {
 	la, lb := listen(t), listen(t)
 	ia, ib := make(chan any, 64), make(chan any, 64)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -51,7 +51,6 @@
 	settingCount
 )
 
-// settingNames holds the names of the settings in the operators' file.
 var settingNames = [settingCount]string{
 	beginWithin:     "begin_within_s",
 	holdBusy:        "hold_busy_s",
@@ -149,8 +148,8 @@
 // maxValue is the largest result of a numeric expression. Larger results are clamped.
 const maxValue = 1e8
 
-// number evaluates a numeric setting and clamps the result to [0, maxValue]. It returns 0 if
-// the evaluation fails or yields NaN.
+// number evaluates a numeric setting and clamps the result to [0, maxValue]. It returns 0 for NaN
+// or if evaluation fails.
 func (p *Policy) number(s setting, env Env) float64 {
 	result, err := expr.Run(p.programs[s], env)
 	if err != nil {
@@ -198,21 +197,21 @@
 // tasks and has not reported to the new leader, while most others have, is released.
 func (p *Policy) TakeoverRelease(env Env) float64 { return p.number(takeoverRelease, env) }
 
-// ZoneKeep returns for how many seconds all machines of an unreachable zone are kept.
+// ZoneKeep returns the time in seconds for which the machines of an unreachable zone are kept.
 func (p *Policy) ZoneKeep(env Env) float64 { return p.number(zoneKeep, env) }
 
 // BeginWithin returns the waiting time in seconds after which one task of a job is started
 // ahead of its turn to prevent starvation.
 func (p *Policy) BeginWithin(env Env) float64 { return p.number(beginWithin, env) }
 
-// IdleReplyDelay returns for how many seconds the reply to a heartbeat is delayed (long polling)
-// while the machine runs no tasks or has room for jobs with a waiting-time objective.
+// IdleReplyDelay returns the delay in seconds of heartbeat replies (long polling) while the machine
+// runs no tasks or has room for jobs with a waiting-time objective.
 func (p *Policy) IdleReplyDelay(env Env) float64 { return p.number(holdIdle, env) }
 
-// BusyReplyDelay returns for how many seconds the reply to a heartbeat is delayed while the machine
-// runs tasks and has other free capacity.
+// BusyReplyDelay returns the delay in seconds of heartbeat replies while the machine runs tasks and
+// has other free capacity.
 func (p *Policy) BusyReplyDelay(env Env) float64 { return p.number(holdBusy, env) }
 
-// ReportBytes returns the limit in bytes per second of heartbeats and replies on a worker's
-// network. 0 means no limit.
+// ReportBytes returns the limit in bytes per second of a worker's heartbeats and replies. 0 means
+// no limit.
 func (p *Policy) ReportBytes(env Env) float64 { return p.number(reportBytes, env) }
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -51,8 +51,8 @@
 // IsCluster reports whether op is an operation on the cluster of controllers.
 func IsCluster(op Operation) bool { return op == Cluster || op == TransferLeadership }
 
-// IsConfig reports whether op is an operation on the live configuration that the leader serves.
-// It is false for ConfigLocal, which every node serves.
+// IsConfig reports whether op is an operation on the live configuration that the leader serves,
+// which ConfigLocal is not.
 func IsConfig(op Operation) bool {
 	return op == ConfigSet || op == ConfigGet || op == ConfigList || op == ConfigStatus
 }
