--- a/cmd/yewlab/main.go
+++ b/cmd/yewlab/main.go
@@ -91,7 +91,7 @@
 	cmd := &cobra.Command{
 		Use: "scale", Short: "Run at the planned size and measure the resources that each role uses", Args: cobra.NoArgs,
 		Long: "Starts controllers as processes on the loopback interface, with a simulated key-value store, cloud, users and workers in this process. " +
-			"Ramps up to the planned rate, holds it, and prints a report. Exits with status 1 if an invariant was violated.",
+			"Ramps up to the planned rate, holds it, and prints a report. Exits with status 1 if an invariant was violated or errors were reported.",
 		Example: "  yewlab scale --program target/yewpass\n" +
 			"  yewlab scale --workers 675 --tasks 275 --jobs 1.1 --running 10750 --teams 28 --json\n" +
 			"  yewlab scale --kill-leader --cut-region 90s",
