--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
 // Package api serves the HTTP interface for users and workers. Each request becomes an input of the
-// core, and its handler waits for the response on a channel of its own.
+// core, whose response its handler awaits.
 package api
 
 import (
@@ -19,16 +19,15 @@
 	"yewpass/internal/spec"
 )
 
-// Exchange is a request that is passed to the core: a request.Request or a heartbeat.Received,
-// whose Ref the receiver sets. The receiver sends exactly one response to Reply, which is buffered,
-// so that the send never blocks.
+// Exchange is a request for the core: a request.Request or a heartbeat.Received, whose Ref the
+// receiver sets. The receiver sends exactly one response to Reply, which is buffered.
 type Exchange struct {
 	Input any
 	Reply chan<- any
 }
 
-// Abandoned reports that the handler that waits on Reply has given up, because of a timeout or
-// because the client disconnected.
+// Abandoned reports that the handler that waits on Reply has timed out or its client has
+// disconnected.
 type Abandoned struct{ Reply chan<- any }
 
 const (
@@ -37,8 +36,7 @@
 	userTimeout = 4500 * time.Millisecond
 	// heartbeatTimeout is shorter than the 4 s after which workers stop waiting for a reply.
 	heartbeatTimeout = 3900 * time.Millisecond
-	// transferTimeout bounds the time to read a request and the time to write its response, so
-	// that slow clients do not hold connections.
+	// transferTimeout bounds the time to read a request and the time to write its response.
 	transferTimeout = 10 * time.Second
 )
 
@@ -49,9 +47,8 @@
 	conns *connectionLimiter
 }
 
-// Serve accepts connections on ln until accepting fails and returns the error. At most maxConns
-// connections are open at a time. It sends an Exchange to inbox for each request, and calls ready
-// to answer GET /ready.
+// Serve serves up to maxConns connections on ln until accepting fails. It sends an Exchange to
+// inbox for each request, and calls ready to answer GET /ready.
 func Serve(ln net.Listener, maxConns int, inbox chan<- any, ready func() bool) error {
 	s := &Server{inbox, ready, newConnectionLimiter(maxConns)}
 	r := httprouter.New()
@@ -113,7 +110,7 @@
 	writeError(w, http.StatusServiceUnavailable, "", "not ready", time.Second)
 }
 
-// readBody reads the body of a request. It returns false after it has sent an error response.
+// readBody reads the body of a request. It returns false after sending an error response.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	switch {
@@ -127,8 +124,7 @@
 	return nil, false
 }
 
-// readJSON decodes the body of a request into v. It returns false after it has sent an error
-// response.
+// readJSON decodes the body of a request into v. It returns false after sending an error response.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	data, ok := readBody(w, r)
 	if !ok {
@@ -217,7 +213,6 @@
 	s.serveJobRequest(w, r, request.Cancel, p.ByName("id"))
 }
 
-// clusterHandler returns a handler for an operation on the controllers.
 func (s *Server) clusterHandler(op request.Operation) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		s.serveUserRequest(w, r, request.Request{Op: op})
--- a/internal/api/compatibility_test.go
+++ b/internal/api/compatibility_test.go
@@ -21,11 +21,10 @@
 	"yewpass/internal/view"
 )
 
-// goldenExchanges holds requests of users and workers and the responses of version 5990396. The
-// file must not be regenerated: clients depend on these exact responses.
+// goldenExchanges holds requests and the responses of version 5990396. The file must not be
+// regenerated: clients depend on these exact responses.
 const goldenExchanges = "testdata/exchanges-5990396.jsonl"
 
-// goldenExchange is a request and its response.
 type goldenExchange struct {
 	Name       string          `json:"name"`
 	Method     string          `json:"method"`
@@ -63,7 +62,6 @@
 
 func pointer[T any](v T) *T { return &v }
 
-// goldenCoreExchanges returns the core exchanges of the golden file by name.
 func goldenCoreExchanges() map[string]coreExchange {
 	scheduled := func(op request.Operation, call request.ScheduleParams, doc any) coreExchange {
 		return coreExchange{request.Request{Op: op, Schedule: &call}, request.Response{Status: 200, Document: doc}}
@@ -311,8 +309,8 @@
 	return heartbeat.Report{Host: "host-1", InstanceType: "g8", Zone: "hall-a", Incarnation: 1, Tasks: []heartbeat.Task{}}
 }
 
-// TestExchangesOf5990396 guards compatibility with users and workers: requests must be decoded as
-// in version 5990396 and be answered with the same bytes.
+// TestExchangesOf5990396 checks that requests are decoded as in version 5990396 and answered with
+// the same bytes.
 func TestExchangesOf5990396(t *testing.T) {
 	wants := goldenCoreExchanges()
 	golden := readGoldenExchanges(t)
@@ -343,8 +341,7 @@
 	}
 }
 
-// perform sends the request of a golden exchange and returns the exchange with the response
-// received.
+// perform sends the request of a golden exchange and returns it with the response received.
 func perform(t *testing.T, url string, g goldenExchange) goldenExchange {
 	t.Helper()
 	request, err := http.NewRequest(g.Method, url+g.Path, strings.NewReader(string(g.Body)))
--- a/internal/cloud/compatibility_test.go
+++ b/internal/cloud/compatibility_test.go
@@ -14,10 +14,9 @@
 )
 
 // goldenCalls holds requests that version 5990396 sends to the cloud and responses that it reads.
-// The file must not be regenerated: the cloud API is the same for that version and this one.
+// The file must not be regenerated: the cloud API has not changed since.
 const goldenCalls = "testdata/calls-5990396.jsonl"
 
-// goldenCall is a request to the cloud and its response.
 type goldenCall struct {
 	Name   string          `json:"name"`
 	Method string          `json:"method"`
@@ -80,8 +79,8 @@
 	}
 }
 
-// TestCallsOf5990396 guards compatibility with the cloud API: requests must be encoded, and
-// responses decoded, as in version 5990396.
+// TestCallsOf5990396 checks that requests are encoded, and responses decoded, as in version
+// 5990396.
 func TestCallsOf5990396(t *testing.T) {
 	calls := goldenExchanges()
 	golden := readGoldenCalls(t)
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// answerPending answers every pending request and returns the number of writes. Writes and
-// releases get outcome o, store reads find nothing, and other provider requests are refused.
+// answerPending answers all pending requests and returns the number of writes. Writes and releases
+// get outcome o, store reads find nothing, and other provider requests are refused.
 func (h *leaderHarness) answerPending(o rpc.Outcome) (writes int) {
 	calls := h.pending
 	h.pending = nil
@@ -83,7 +83,7 @@
 	return writes
 }
 
-// quiesce answers requests with success for a second, which completes all work in progress.
+// quiesce answers requests with success for a second.
 func (h *leaderHarness) quiesce() {
 	for range 10 {
 		h.answerPending(rpc.OK)
@@ -122,7 +122,6 @@
 	return nil
 }
 
-// withVerb returns the orders that have the verb v.
 func withVerb(orders []heartbeat.Order, v heartbeat.Verb) []heartbeat.Order {
 	return slices.DeleteFunc(slices.Clone(orders), func(o heartbeat.Order) bool { return o.Verb != v })
 }
@@ -140,7 +139,7 @@
 		ts = append(ts, heartbeat.Task{ID: o.Task, Attempt: o.Attempt, Phase: heartbeat.Running})
 	}
 	if len(ts) != tasks {
-		h.Fatalf("started %d of %d tasks", len(ts), tasks)
+		h.Fatalf("started %d tasks, want %d", len(ts), tasks)
 	}
 	h.sendHeartbeat("host-000000", 11, ts...)
 	h.answerPending(rpc.OK)
@@ -158,7 +157,7 @@
 }
 
 // TestResponseWaitsForCommit checks that a response or order that depends on a write is sent only
-// once the write has committed, not while it is delayed, refused or of unknown outcome.
+// once the write has committed.
 func TestResponseWaitsForCommit(t *testing.T) {
 	ok := func(h *leaderHarness, ref uint64) func() bool {
 		return func() bool { s := h.response(ref).Status; return s >= 200 && s < 300 }
@@ -256,7 +255,7 @@
 				sent := begin(h)
 				for range 3 {
 					if sent() {
-						t.Fatal("sent before its write committed")
+						t.Fatal("response or order sent before its write committed")
 					}
 					for range 5 { // batched writes are sent after a short delay
 						if h.answerPending(bad) > 0 {
@@ -267,14 +266,14 @@
 					h.advance(3 * time.Second)
 				}
 				if sent() {
-					t.Fatal("sent although no write committed")
+					t.Fatal("response or order sent although no write committed")
 				}
 				for range 20 {
 					h.answerPending(rpc.OK)
 					h.advance(500 * time.Millisecond)
 				}
 				if !sent() {
-					t.Fatal("not sent after its write committed")
+					t.Fatal("response or order not sent after its write committed")
 				}
 			})
 		}
@@ -282,7 +281,7 @@
 }
 
 // TestWriteConflictOnTermEndsLeadership checks that a leader steps down when a write fails on the
-// condition of the term record, and answers the request that waits for the write with 503.
+// condition of the term record, and answers the waiting request with 503.
 func TestWriteConflictOnTermEndsLeadership(t *testing.T) {
 	h := newLeaderHarness(t)
 	ref := h.sendRequest(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
@@ -302,8 +301,8 @@
 	}
 }
 
-// TestSubmitOfJobAcceptedWithoutLeader checks that a pending submission of a job that another node
-// has accepted in the meantime is answered when the leader adopts the job.
+// TestSubmitOfJobAcceptedWithoutLeader checks that the leader answers a pending submission when it
+// adopts the job, which another node has accepted in the meantime.
 func TestSubmitOfJobAcceptedWithoutLeader(t *testing.T) {
 	h := newLeaderHarness(t)
 	ref := h.sendRequest(request.Submit, "wk-1", plainJob("wk-1", 1), nil)
@@ -322,8 +321,7 @@
 }
 
 // TestNotFoundIsConfirmed checks that 404 is returned only after two reads of the store have found
-// nothing and a transaction has confirmed the term record. Otherwise the store may be unavailable
-// or may have lost data.
+// nothing and a transaction has confirmed the term record, in case the store has lost data.
 func TestNotFoundIsConfirmed(t *testing.T) {
 	for _, o := range []rpc.Outcome{rpc.NotFound, rpc.Unknown, rpc.Refused, rpc.Invalid} {
 		h := newLeaderHarness(t)
@@ -356,7 +354,7 @@
 			}
 			h.step(r)
 			if a := h.response(ref); a.Status != want {
-				t.Errorf("term confirmed %v: wrong response %+v", confirmed, a)
+				t.Errorf("term confirmed %v: unexpected response %+v", confirmed, a)
 			}
 			if confirmed { // repeat with a failed confirmation
 				ref = h.sendRequest(request.Get, "wk-2", nil, nil)
--- a/internal/core/compatibility_test.go
+++ b/internal/core/compatibility_test.go
@@ -8,8 +8,7 @@
 	"yewpass/internal/record"
 )
 
-// TestKeysOf5990396 checks that records are stored under the keys of version 5990396, so that
-// either version finds the records of the other.
+// TestKeysOf5990396 checks that records are stored under the keys of version 5990396.
 func TestKeysOf5990396(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
 		{"leader", record.LeaderKey, "yewpass/leader"},
@@ -29,14 +28,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.got != c.want {
-				t.Errorf("%q, want %q", c.got, c.want)
+				t.Errorf("got %q, want %q", c.got, c.want)
 			}
 		})
 	}
 }
 
-// TestProgressOf5990396 checks that the encoding of finished tasks in progress records is that of
-// version 5990396, so that either version reads the records of the other.
+// TestProgressOf5990396 checks that finished tasks are encoded in progress records as in version
+// 5990396.
 func TestProgressOf5990396(t *testing.T) {
 	const from, tasks = 16384, 16384 + 130 // the second chunk of a job
 	for _, c := range []struct {
@@ -62,15 +61,14 @@
 			}
 			for i := range tasks {
 				if read.Has(i) != written.Has(i) {
-					t.Errorf("task %d: decoded as finished %v", i, read.Has(i))
+					t.Errorf("task %d: decoded as finished: %v, want the opposite", i, read.Has(i))
 				}
 			}
 		})
 	}
 }
 
-// TestNumbersOf5990396 checks the constants that controllers and workers of both versions must
-// agree on.
+// TestNumbersOf5990396 checks the constants on which both versions must agree.
 func TestNumbersOf5990396(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -84,7 +82,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.got != c.want {
-				t.Errorf("%d, want %d", c.got, c.want)
+				t.Errorf("got %d, want %d", c.got, c.want)
 			}
 		})
 	}
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -28,7 +28,7 @@
 }
 
 // TestGracePeriodUsesBothClocks checks that a leader without authority stops answering heartbeats
-// once the grace period has ended by the wall clock, even if the monotonic clock stood still.
+// once the grace period has ended by the wall clock, even if the monotonic clock has stopped.
 func TestGracePeriodUsesBothClocks(t *testing.T) {
 	for _, ahead := range []time.Duration{0, 30 * time.Second} {
 		h := newLeaderHarness(t)
@@ -41,7 +41,7 @@
 		h.lastRef++
 		h.step(heartbeat.Received{Ref: h.lastRef, Report: heartbeat.Report{Host: "host-000000", InstanceType: "f2", Zone: "a", Incarnation: 1, Counter: 20, FencingToken: 1, Tasks: ts}})
 		if a := h.heartbeatReply(h.lastRef); (a.Status == 200) != (ahead == 0) {
-			t.Errorf("wall clock %v ahead: status %d", ahead, a.Status)
+			t.Errorf("wall clock %v ahead: status %d, want 200 only if it is not ahead", ahead, a.Status)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 }
 
 // TestPendingCancellation checks that the next heartbeat reply stops the tasks of a job whose
-// cancellation is being written, with or without authority. Status requests must not return an
+// cancellation is being written, with or without authority, and that status requests return no
 // older state while the write may have committed.
 func TestPendingCancellation(t *testing.T) {
 	for _, lapsed := range []bool{false, true} {
@@ -79,7 +79,7 @@
 		get := h.sendRequest(request.Get, "wk-1", nil, nil)
 		h.advance(100 * time.Millisecond)
 		if a := h.response(get); a.Status != 0 {
-			t.Errorf("response %+v while the write is pending", a)
+			t.Errorf("response %+v while the write is pending, want none", a)
 		}
 		h.advance(time.Second)
 		if a := h.response(get); a.Status != 503 {
@@ -93,9 +93,8 @@
 	}
 }
 
-// TestCancelTimeoutShorterThanLease checks that where a worker lease may outlast the cancel
-// timeout, a cancellation is answered with a retry delay and recorded only after the tasks have
-// ended.
+// TestCancelTimeoutShorterThanLease checks that a cancellation is answered with a retry delay and
+// recorded only after the tasks have ended if worker leases may outlast the cancel timeout.
 func TestCancelTimeoutShorterThanLease(t *testing.T) {
 	h := newLeaderHarness(t)
 	h.c.leaseTiming.CancelTimeout = h.c.workerLease - 5*time.Second
@@ -118,7 +117,7 @@
 }
 
 // TestRestoreRequiresNoFinalRecord checks that a job record lost by the store is written back only
-// on the condition that the job has no final record, so that a delayed write cannot revive a
+// on the condition that the job has no final record, since a delayed write must not reopen a
 // finished job.
 func TestRestoreRequiresNoFinalRecord(t *testing.T) {
 	h := newLeaderHarness(t)
@@ -137,7 +136,7 @@
 			continue
 		}
 		if !slices.Contains(call.Conditions, kv.Condition{Key: record.FinalPrefix + "wk-1", Rev: 0}) {
-			t.Errorf("written back with conditions %+v", call.Conditions)
+			t.Errorf("written back with conditions %+v, want one that there is no final record", call.Conditions)
 		}
 		return
 	}
@@ -159,7 +158,7 @@
 	old := reportAttempt("host-x", 3)
 	newer := reportAttempt("host-y", 4)
 	if !old.StopRequested || newer.StopRequested || j.Attempts[0] != newer || l.teams["t"].Allocated.CPU != j.Need.CPU {
-		t.Errorf("stop requested for the earlier attempt: %v, for the newer one: %v", old.StopRequested, newer.StopRequested)
+		t.Errorf("stop requested for the earlier attempt: %v, for the newer one: %v, want only the earlier stopped and the newer counted", old.StopRequested, newer.StopRequested)
 	}
 	// An earlier attempt that is reported after the newer one changes nothing either.
 	if late := reportAttempt("host-z", 2); !late.StopRequested || j.Attempts[0] != newer {
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -10,8 +10,8 @@
 	"yewpass/internal/timeline"
 )
 
-// TestTasksFoundByNewLeader checks that a task that a new leader finds already running has an
-// unknown start: it is not used for runtime estimates and not preempted as recently started.
+// TestTasksFoundByNewLeader checks that a task that a new leader finds running has an unknown
+// start: it is not used for runtime estimates and not preempted as recently started.
 func TestTasksFoundByNewLeader(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, phase := range []heartbeat.Phase{heartbeat.Pulling, heartbeat.Running} {
@@ -34,14 +34,14 @@
 		c.leadership.placement.Reserve(waiting)
 		c.preemptForGuarantees()
 		if stopped := m.Attempts[0].StopRequested; stopped != (phase == heartbeat.Pulling) {
-			t.Errorf("found in phase %s: stop requested %v", phase, stopped)
+			t.Errorf("found in phase %s: stop requested %v, want it only in phase pulling", phase, stopped)
 		}
 		c.Now = c.Now.Add(3 * time.Second)
 		rep.Counter++
 		rep.Tasks[0] = heartbeat.Task{ID: heartbeat.TaskID{Job: running.Spec.ID}, Attempt: 1, Phase: heartbeat.Exited, Cause: heartbeat.CauseDone}
 		c.leadership.reconciler.Reconcile(m, &rep)
 		if recorded := c.leadership.placement.HasRuntimes(&running.Spec); recorded != (phase == heartbeat.Pulling) {
-			t.Errorf("found in phase %s: runtime recorded %v", phase, recorded)
+			t.Errorf("found in phase %s: runtime recorded %v, want it only in phase pulling", phase, recorded)
 		}
 	}
 }
--- a/internal/core/zones_test.go
+++ b/internal/core/zones_test.go
@@ -23,7 +23,7 @@
 	return c
 }
 
-// advanceWithoutZoneA lets time pass in which only machines of zone b send heartbeats.
+// advanceWithoutZoneA advances the clock while only machines of zone b send heartbeats.
 func advanceWithoutZoneA(c *Core, d time.Duration) {
 	for end := c.Now.Add(d); c.Now.Before(end); {
 		c.Now = c.Now.Add(500 * time.Millisecond)
@@ -36,7 +36,6 @@
 	}
 }
 
-// scaleOutZones returns the zones of the scale-out requests in the outputs.
 func scaleOutZones(c *Core) (zs []string) {
 	for _, o := range c.Outputs {
 		if x, ok := o.(provider.Request); ok && x.Op == provider.ScaleOut {
@@ -46,8 +45,9 @@
 	return zs
 }
 
-// TestZoneOutage checks that in an unreachable zone no capacity is reserved, added or released. A
-// job restricted to the zone is told why it waits and does not prevent scale-out for other jobs.
+// TestZoneOutage checks that in an unreachable zone no capacity is reserved, added or released,
+// and that a job restricted to the zone has a wait reason and does not prevent scale-out for other
+// jobs.
 func TestZoneOutage(t *testing.T) {
 	c := newTwoZoneLeader(t, 12)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -60,7 +60,7 @@
 	}
 	for _, m := range c.leadership.inventory.Machines() {
 		if m.Zone == "a" && (m.Releasing || m.Schedulable() || len(m.Reservations) > 0) {
-			t.Fatalf("%s: releasing %v, schedulable %v, %d reservations", m.Host, m.Releasing, m.Schedulable(), len(m.Reservations))
+			t.Fatalf("%s: releasing %v, schedulable %v, %d reservations, want none of these", m.Host, m.Releasing, m.Schedulable(), len(m.Reservations))
 		}
 	}
 	if r := c.leadership.outages.WaitReason(pinned); !strings.Contains(r, "zone a is doubtful") {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestSilenceLimitBehindQuietRelay checks that workers behind a quiet relay get time to notice an
-// unanswered heartbeat and to report through another node.
+// TestSilenceLimitBehindQuietRelay checks that workers behind a silent relay get time to report
+// through another node.
 func TestSilenceLimitBehindQuietRelay(t *testing.T) {
 	c := newTwoZoneLeader(t, 12)
 	p := c.leadership.relays.Link("n1")
@@ -92,14 +92,14 @@
 	m.Relay, p.LastBatch = p, t0
 	silent := 10 * time.Second
 	if d := c.leadership.relays.SilenceLimit(m, silent); d != silent {
-		t.Errorf("silence limit %v with a working relay", d)
+		t.Errorf("silence limit %v with a working relay, want the base limit", d)
 	}
 	p.LastSilent = t0.Add(time.Second)
 	if d := c.leadership.relays.SilenceLimit(m, silent); d < c.heartbeatInterval*5/4+5*time.Second {
-		t.Errorf("silence limit %v with a quiet relay", d)
+		t.Errorf("silence limit %v with a silent relay, want a longer one", d)
 	}
 	m.LastHeartbeat = t0.Add(2 * time.Second)
 	if d := c.leadership.relays.SilenceLimit(m, silent); d != silent {
-		t.Errorf("silence limit %v after reporting through another node", d)
+		t.Errorf("silence limit %v after reporting through another node, want the base limit", d)
 	}
 }
--- a/internal/kvclient/compatibility_test.go
+++ b/internal/kvclient/compatibility_test.go
@@ -15,8 +15,7 @@
 )
 
 // The files under testdata were written by version 5990396. They must not be regenerated: a version
-// that cannot read them, or writes other bytes, cannot run in a cluster with that version or on its
-// stored data.
+// that reads or writes other bytes cannot run with that version or on its stored data.
 const (
 	goldenRequests = "testdata/requests-5990396.jsonl"
 	goldenAnswers  = "testdata/answers-5990396.jsonl"
@@ -45,7 +44,6 @@
 	return spec.Job{ID: "wk-7", Class: "build", Owner: "tools", Tasks: 1}
 }
 
-// goldenRequest is a request to the key-value store.
 type goldenRequest struct {
 	Name   string          `json:"name"`
 	Method string          `json:"method"`
@@ -53,7 +51,6 @@
 	Body   json.RawMessage `json:"body,omitempty"`
 }
 
-// goldenRequestCalls returns the requests of the golden file by name.
 func goldenRequestCalls() map[string]kv.Request {
 	return map[string]kv.Request{
 		"get":               {Op: kv.Get, Key: "yewpass/term"},
@@ -76,8 +73,7 @@
 	}
 }
 
-// TestRequestsOf5990396 guards compatibility with the key-value store: requests must be encoded to
-// the same bytes as in version 5990396.
+// TestRequestsOf5990396 checks that requests are encoded to the same bytes as in version 5990396.
 func TestRequestsOf5990396(t *testing.T) {
 	calls := goldenRequestCalls()
 	golden := readGolden[goldenRequest](t, goldenRequests)
@@ -97,7 +93,6 @@
 	}
 }
 
-// goldenAnswer is a response of the key-value store.
 type goldenAnswer struct {
 	Name   string          `json:"name"`
 	Status int             `json:"status"`
@@ -110,7 +105,6 @@
 	response kv.Response
 }
 
-// goldenExchanges returns the requests and responses of the golden file by name.
 func goldenExchanges() map[string]goldenExchange {
 	final := &record.Final{State: spec.Done, Done: 1}
 	return map[string]goldenExchange{
@@ -138,8 +132,7 @@
 	}
 }
 
-// TestAnswersReadBy5990396 guards compatibility with the key-value store: responses must be decoded
-// as in version 5990396.
+// TestAnswersReadBy5990396 checks that responses are decoded as in version 5990396.
 func TestAnswersReadBy5990396(t *testing.T) {
 	calls := goldenExchanges()
 	golden := readGolden[goldenAnswer](t, goldenAnswers)
--- a/internal/kvclient/response.go
+++ b/internal/kvclient/response.go
@@ -16,8 +16,8 @@
 	Revision uint64          `json:"keyRev"`
 }
 
-// responseJSON has the fields of all responses of the store. Pointers distinguish missing fields,
-// because a response without a required field is not a success.
+// responseJSON has the fields of all responses of the store. Pointers distinguish missing fields: a
+// response without a required field is not a success.
 type responseJSON struct {
 	entryJSON
 	StoreRevision *uint64     `json:"storeRev"`
@@ -33,8 +33,8 @@
 )
 
 // DecodeResponse decodes the response to a request. A response that the protocol does not allow for
-// this request has the outcome rpc.Unknown: it may come from a proxy instead of the store, and
-// acting on it could elect a second leader or lose records.
+// this request has the outcome rpc.Unknown: it may come from a proxy, and acting on it could elect
+// a second leader or lose records.
 func DecodeResponse(req kv.Request, status int, data []byte) kv.Response {
 	var body responseJSON
 	parsed := json.Unmarshal(data, &body) == nil
@@ -63,8 +63,8 @@
 	return unknown
 }
 
-// decodeNotFound decodes a response with status 404. A missing key is reported only if the response
-// has the store revision, which shows that it comes from the store and not from a proxy.
+// decodeNotFound decodes a response with status 404. It reports a missing key only if the response
+// has the store revision; otherwise it may come from a proxy.
 func decodeNotFound(req kv.Request, body *responseJSON, parsed bool) kv.Response {
 	if req.Op != kv.Get {
 		return kv.Response{Outcome: rpc.NotFound}
@@ -75,7 +75,6 @@
 	return kv.Response{Outcome: rpc.NotFound, Rev: *body.StoreRevision}
 }
 
-// decodeSuccess decodes a response with status 200.
 func decodeSuccess(req kv.Request, body *responseJSON) kv.Response {
 	response := kv.Response{Outcome: rpc.OK, More: body.Truncated}
 	if body.StoreRevision != nil {
@@ -108,9 +107,8 @@
 	return response
 }
 
-// decodeList decodes a page of a list. It checks that the keys are in ascending order, after
-// req.From and under the prefix, because a wrong page could make the caller read forever or skip
-// records.
+// decodeList decodes a page of a list. It checks that the keys are ascending, after req.From and
+// under the prefix; otherwise the caller could read forever or skip records.
 func decodeList(req kv.Request, body *responseJSON, response kv.Response) kv.Response {
 	if body.Entries == nil && body.StoreRevision == nil {
 		return unknown
