--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -125,7 +125,7 @@
 	case porcupine.Unknown:
 		fmt.Fprintf(&sb, "linearizability check of the history of %s timed out", id)
 	default:
-		fmt.Fprintf(&sb, "history of %s is not linearizable", id)
+		fmt.Fprintf(&sb, "history of %s is not linearizable:", id)
 	}
 	for _, x := range calls {
 		end := "never"
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -185,7 +185,7 @@
 at 6s observe_transitions 60s
 expect met write-unanswered >5
 expect over
-run 250s`, "no order", func(s *script) {
+run 250s`, "is not linearizable", func(s *script) {
 			s.alterOutput = func(n *node, out any) any { // a poll is answered before the pending record is known
 				if a, ok := out.(request.Response); ok && a.Reason == "its end is being recorded" {
 					a.Status, a.Job = 200, request.JobStatus{State: spec.Running}
@@ -300,7 +300,7 @@
 at 5s burst 12 gap=2s run=3s tasks=2
 expect met look >30
 expect over
-run 150s`, "no order", func(s *script) {
+run 150s`, "is not linearizable", func(s *script) {
 			first := map[string]request.JobStatus{}
 			s.alterOutput = func(n *node, out any) any { // a controller repeats its status response for a second
 				a, ok := out.(request.Response)
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -485,7 +485,7 @@
 		set, rule               string
 		alterOutput, alterInput func() func(n *node, x any) any
 	}{
-		{"status queries to each node", "no order", func() func(n *node, out any) any {
+		{"status queries to each node", "is not linearizable", func() func(n *node, out any) any {
 			first := map[string]request.JobStatus{}
 			return func(n *node, out any) any { // a controller repeats its first status response
 				a, ok := out.(request.Response)
@@ -500,7 +500,7 @@
 				return a
 			}
 		}, unaltered},
-		{"a response lost after a cancellation", "no order", func() func(n *node, out any) any {
+		{"a response lost after a cancellation", "is not linearizable", func() func(n *node, out any) any {
 			return func(n *node, out any) any { // a poll is answered before the pending record is known
 				if a, ok := out.(request.Response); ok && a.Reason == "its end is being recorded" {
 					a.Status, a.Job = 200, request.JobStatus{ID: "wk-1", State: spec.Running}
