--- a/cmd/yewlab/main.go
+++ b/cmd/yewlab/main.go
@@ -114,7 +114,7 @@
 			} else {
 				report.Print(cmd.OutOrStdout())
 			}
-			if report.Broken() {
+			if report.Failed() {
 				return errRunFailed
 			}
 			return nil
--- a/internal/scenario/allocations.go
+++ b/internal/scenario/allocations.go
@@ -2,11 +2,10 @@
 
 import "slices"
 
-// allocations tracks the resources that each team's tasks hold. It is updated incrementally because
-// the rules are checked after every event, and scanning all tasks would dominate the run time.
+// allocations tracks the resources that each team's tasks hold. It is updated incrementally, since
+// the rules are checked after every event.
 type allocations map[string]*usage
 
-// usage is the resources that a team's tasks hold.
 type usage struct{ cpus, gpus float64 }
 
 // allocate adds a task that a machine has accepted.
--- a/internal/scenario/cancel_test.go
+++ b/internal/scenario/cancel_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestCancelledInTime requires tasks to stop within the cancel timeout when the leader loses the
-// key-value store, another controller confirms cancellations, and then the store is down for all
-// while workers still report to the old leader. Most variants must have tasks left to stop.
+// TestCancelledInTime checks that tasks stop within the cancel timeout when the leader loses the
+// key-value store, another controller confirms cancellations, and then the store is down while
+// workers still report to the old leader.
 func TestCancelledInTime(t *testing.T) {
 	settings := map[string][3]time.Duration{ // report, lease, cancel
 		"a":       {4 * time.Second, 20 * time.Second, 40 * time.Second},
--- a/internal/scenario/clock.go
+++ b/internal/scenario/clock.go
@@ -34,10 +34,10 @@
 // Swap exchanges the events at two indexes, for container/heap.
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push appends an event. Callers use heap.Push, which restores the heap order.
+// Push appends an event. Call heap.Push instead, which restores the heap order.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop removes the last event. Callers use heap.Pop, which moves the earliest event there first.
+// Pop removes the last event. Call heap.Pop instead, which returns the earliest one.
 func (e *events) Pop() any {
 	old := *e
 	x := old[len(old)-1]
@@ -87,21 +87,19 @@
 	return time.Duration(float64(d) * (1 + part*(2*c.rng.Float64()-1)))
 }
 
-// network delivers messages between named hosts. The store, the cloud and the users are hosts
-// too.
+// network delivers messages between named hosts, including the store, the cloud and the users.
 type network struct {
 	*clock
 	latency      time.Duration
 	partitions   []*partition
-	lastDelivery map[[2]string]time.Time                // delivery time of the latest message of a pair, which keeps them in order
-	intercept    func(kind, a, b string, f func()) bool // takes over a message's delivery if it returns true, unless nil
+	lastDelivery map[[2]string]time.Time                // of the latest message, by sender and receiver; keeps them in order
+	intercept    func(kind, a, b string, f func()) bool // if not nil and true, it delivers the message instead
 }
 
-// partition separates some hosts from all others. Messages across it are dropped, or held until
-// it ends.
+// partition separates hosts from all others. Messages across it are dropped, or held until it ends.
 type partition struct {
 	hosts map[string]bool
-	peers map[string]bool // if set, only messages to and from these hosts are blocked
+	peers map[string]bool // unless nil, only messages to and from these hosts are blocked
 	hold  bool
 	zones []string // new machines in these zones join hosts
 	held  []func()
@@ -111,8 +109,7 @@
 	if c.hosts[a] == c.hosts[b] {
 		return false
 	}
-	// peers may contain the separated host too (a leader, when peers are all nodes), so only the
-	// other end decides.
+	// peers may contain the separated host too, so check only the other end.
 	other := a
 	if c.hosts[a] {
 		other = b
@@ -130,7 +127,7 @@
 	return true
 }
 
-// send delivers a message of a kind from a to b after the network latency, by calling f.
+// send delivers a message from a to b after the network latency, by calling f.
 func (n *network) send(kind, a, b string, f func()) {
 	for _, c := range n.partitions {
 		if c.blocks(a, b) {
@@ -161,7 +158,7 @@
 	}
 }
 
-// addPartition starts a partition that ends after d. Machines created in the zones join it.
+// addPartition starts a partition for d. Machines created in the zones join it.
 func (n *network) addPartition(hosts, peers map[string]bool, hold bool, d time.Duration, zones ...string) {
 	c := &partition{hosts: hosts, peers: peers, hold: hold, zones: zones}
 	n.partitions = append(n.partitions, c)
--- a/internal/scenario/cloud.go
+++ b/internal/scenario/cloud.go
@@ -36,8 +36,8 @@
 	machines             []*worker           // all machines ever created, in order of creation
 	lag                  time.Duration
 	downUntil            time.Time
-	ignoresReleasesUntil time.Time                    // until then it answers releases without carrying them out
-	bootPercent          func() (time.Duration, bool) // returns the boot time as a percentage of the type's, or false if the machine never boots
+	ignoresReleasesUntil time.Time                    // until then it confirms releases without executing them
+	bootPercent          func() (time.Duration, bool) // returns a percentage of the type's boot time, or false: never boots
 	calls                int
 }
 
--- a/internal/scenario/config_drill_test.go
+++ b/internal/scenario/config_drill_test.go
@@ -9,8 +9,7 @@
 	"yewpass/internal/spec"
 )
 
-// runCLI runs the yewpass command and returns its output. It retries while the command fails with
-// status 503, as operators are told to.
+// runCLI runs the yewpass command and returns its output. It retries on status 503, as operators do.
 func (f *testCluster) runCLI(input string, words ...string) (out string) {
 	f.t.Helper()
 	path, err := program()
@@ -28,9 +27,8 @@
 	return out
 }
 
-// TestDrillConfig changes teams with the command line while real processes run. Invalid files must
-// be rejected with the faulty field, a change based on an outdated revision must be rejected, and
-// the next leader must apply the changes.
+// TestDrillConfig changes teams with the command line while real processes run. Invalid files and
+// changes based on an outdated revision must be rejected, and the next leader must apply the others.
 func TestDrillConfig(t *testing.T) {
 	f := newTestCluster(t, drillScript)
 	ps := f.startNodes(3, nil)
--- a/internal/scenario/configure.go
+++ b/internal/scenario/configure.go
@@ -14,13 +14,12 @@
 // configDeadline is how soon an acknowledged configuration change must be in force.
 const configDeadline = 3 * time.Second
 
-// teamChange is a change of a team's configuration and what its user knows about it. Changes of one
-// team are sent one at a time.
+// teamChange is a change of a team's configuration. A team's changes are sent one at a time.
 type teamChange struct {
 	team           liveconfig.Team
 	baseRevision   uint64 // revision of the team's previous change
 	sent           time.Time
-	acknowledgedAt time.Time // when its user received the acknowledgement, or zero
+	acknowledgedAt time.Time // zero until its user receives the acknowledgement
 	revision       uint64
 }
 
@@ -29,8 +28,7 @@
 	return !c.acknowledgedAt.IsZero() && now.Sub(c.acknowledgedAt) >= configDeadline
 }
 
-// configAdmin simulates an operator who changes teams, and tracks which configurations may be in
-// force.
+// configAdmin simulates an operator who changes teams. It tracks which changes may be in force.
 type configAdmin struct {
 	w               *world
 	changes         map[string][]*teamChange
@@ -123,8 +121,8 @@
 	return true
 }
 
-// possibleTeams returns the configurations of a team that may be in force for a decision made at
-// the given time or later: those from the latest change that must be in force by then.
+// possibleTeams returns the configurations of a team that may be in force at the given time or
+// later: those from the latest change that must be in force by then.
 func (a *configAdmin) possibleTeams(name string, at time.Time) []liveconfig.Team {
 	cs := a.changes[name]
 	from := -1
@@ -154,12 +152,12 @@
 	return nil
 }
 
-// changedAtRuntime reports whether a team was ever changed. Its limit is then checked as tasks
-// start, since running tasks continue under a lower limit.
+// changedAtRuntime reports whether a team was ever changed. Its limit is then checked only at task
+// starts, since running tasks continue under a lower limit.
 func (w *world) changedAtRuntime(name string) bool { return len(w.admin.changes[name]) > 0 }
 
-// checkLiveLimit checks that a task start respects a limit that may be in force. The decision is at
-// least as recent as the report that the order answers.
+// checkLiveLimit checks that a task start respects a limit that may be in force. The leader decided
+// it no earlier than the report that the order answers.
 func (w *world) checkLiveLimit(t *task, reported time.Time) {
 	name := t.job.spec.Owner
 	if w.checksOff || !w.changedAtRuntime(name) {
@@ -184,8 +182,8 @@
 	}
 }
 
-// checkAdmitted checks that a job was accepted or rejected by a team configuration that may have
-// been in force since its first submission (accepted) or its latest one (rejected).
+// checkAdmitted checks the decision on a job against the team configurations that may have been in
+// force since its first submission (accepted) or its latest one (rejected).
 func (w *world) checkAdmitted(j *userJob, accepted bool) {
 	name := j.spec.Owner
 	if !w.changedAtRuntime(name) {
@@ -216,8 +214,8 @@
 	}
 }
 
-// configConverged reports whether all changes are acknowledged and every running controller has the
-// newest revision.
+// configConverged reports whether all changes are acknowledged and known to every running
+// controller.
 func (w *world) configConverged() bool {
 	if !w.admin.settled() {
 		return false
@@ -230,8 +228,8 @@
 	return true
 }
 
-// configure carries out an action: config TEAM [max=N] [cpus=N] [retired], or
-// configs N every=D teams=A,B max=LOW..HIGH, which sends N changes one after the other.
+// configure executes config TEAM [max=N] [cpus=N] [retired], or
+// configs N every=D teams=A,B max=LOW..HIGH, which sends N changes, D apart.
 func (s *script) configure(f []string) {
 	a := keyValues(f[2:])
 	if f[0] == "config" {
--- a/internal/scenario/configure_test.go
+++ b/internal/scenario/configure_test.go
@@ -29,8 +29,8 @@
 at 20s burst 15 gap=4s owner=v tasks=4 run=8s
 `
 
-// TestRandomConfig runs configuration changes with random faults from fixed seeds: no rule may be
-// violated, and in the end every change is recorded and every controller knows the last one.
+// TestRandomConfig runs configuration changes with random faults from fixed seeds. At the end, every
+// controller must know the last change.
 func TestRandomConfig(t *testing.T) {
 	kinds := []string{
 		"crash leader", "crash all", "crash n1 back=3s", "rolling_restart 6s", "outage state 8s", "outage state 30s", "state_unavailable leader 9s", "partition leader 12s hold", "partition leader 12s reset",
@@ -41,9 +41,8 @@
 	// The limits are raised at the end so that all remaining jobs complete.
 	end := "at 200s config t max=90\nat 200s config u max=90\nat 200s config v max=90\nrun 420s\nexpect configured\nexpect over\nexpect leaders =1\n"
 	playMixes(t, 9, configCluster, end, func(rng *rand.Rand, sb *strings.Builder) {
-		// A change that only the key-value store holds is gone if the store loses it, so data loss
-		// isn't combined with faults after which no controller may hold a change. The script
-		// config-lost combines data loss with a crash of the leader.
+		// Data loss is not combined with faults after which no controller may hold a change. The
+		// script config-lost combines it with a crash of the leader.
 		excluded := [][]string{{"wipe"}, {"crash", "rolling_restart", "crash_loop", "stall", "partition leader", "delay_txns", "drop_txn_responses", "state_unavailable"}}[rng.IntN(2)]
 		for n := 3 + rng.IntN(5); n > 0; {
 			kind := kinds[rng.IntN(len(kinds))]
@@ -65,8 +64,8 @@
 	return withoutWrites(withoutCopies(out, ofTeams), ofTeams)
 }
 
-// TestConfigPlanted injects errors into the handling of the configuration: the rules must detect
-// them, and must hold without them.
+// TestConfigPlanted injects errors into the handling of the configuration. The rules must detect
+// them, and hold without them.
 func TestConfigPlanted(t *testing.T) {
 	const lowered = `
 team t max=40
@@ -81,10 +80,10 @@
 		text  string
 		plant func(s *script)
 	}{
-		"the next leader does not learn of it": {lowered, func(s *script) {
+		"change is neither recorded nor replicated": {lowered, func(s *script) {
 			s.alterOutput = func(_ *node, out any) any { return withoutTeams(out) }
 		}},
-		"acknowledged before it is recorded": {strings.Replace(lowered, "at 10s config", "at 9900ms state_unavailable leader 12s\nat 10s config", 1), func(s *script) {
+		"change is acknowledged before it is recorded": {strings.Replace(lowered, "at 10s config", "at 9900ms state_unavailable leader 12s\nat 10s config", 1), func(s *script) {
 			changes := map[uint64]bool{}
 			s.alterOutput = func(_ *node, out any) any {
 				if call, ok := out.(kv.Request); ok && slices.ContainsFunc(call.Writes, func(w kv.Write) bool { return strings.HasSuffix(w.Key, "config/head") }) {
@@ -100,7 +99,7 @@
 				return in
 			}
 		}},
-		"an acceptance without a leader ignores the head": {`
+		"acceptance without a leader ignores the configuration head": {`
 team t max=40
 team u max=20
 at 1s submit wk-1 tasks=2 run=3s
--- a/internal/scenario/cost_test.go
+++ b/internal/scenario/cost_test.go
@@ -14,9 +14,9 @@
 	"yewpass/internal/peermsg"
 )
 
-var costMachines = flag.Int("cost", 0, "measure what a fleet of so many machines costs its controllers")
+var costMachines = flag.Int("cost", 0, "number of machines whose cost for the controllers is measured")
 
-// stepCosts records how long the controllers' inputs take, by node and kind.
+// stepCosts records the processing time of the controllers' inputs, by node and kind.
 type stepCosts struct {
 	at    time.Time // start of the measurement
 	spent map[[2]string]time.Duration
@@ -61,8 +61,8 @@
 	return outs
 }
 
-// TestCost measures how long the controllers' inputs take, in a world with virtual time. Run it
-// with -run TestCost -cost 10000 -v.
+// TestCost measures the processing time of the controllers' inputs. Run it with
+// -run TestCost -cost 10000 -v.
 func TestCost(t *testing.T) {
 	if *costMachines == 0 {
 		t.Skip("requires -cost")
@@ -125,8 +125,8 @@
 	t.Log("workers by node", by)
 }
 
-// TestLossCost measures the recovery of a fleet of -cost machines with 5,000 live jobs after the
-// key-value store has lost all data.
+// TestLossCost measures the recovery of -cost machines with 5,000 live jobs after the key-value
+// store has lost all data.
 func TestLossCost(t *testing.T) {
 	if *costMachines == 0 {
 		t.Skip("requires -cost")
--- a/internal/scenario/drill_test.go
+++ b/internal/scenario/drill_test.go
@@ -31,8 +31,8 @@
 machines s b n=1
 `
 
-// TestDrillLeaderKilled kills the leader while tasks run, one machine being unreachable. The next
-// leader must account for all tasks.
+// TestDrillLeaderKilled kills the leader while tasks run and one machine is unreachable. All tasks
+// must complete under the next leader.
 func TestDrillLeaderKilled(t *testing.T) {
 	f := newTestCluster(t, drillScript)
 	ps := f.startNodes(3, nil)
@@ -68,7 +68,7 @@
 	}
 }
 
-// sendPeerLines writes lines to a node's peer port, as any host that can reach it could.
+// sendPeerLines writes lines to a node's peer port.
 func (p *proc) sendPeerLines(lines ...string) {
 	c, err := net.Dial("tcp", p.peerAddr)
 	if err != nil {
@@ -85,8 +85,8 @@
 	io.Copy(io.Discard, c) // wait until the node closes the connection
 }
 
-// TestDrillPeerLines checks that invalid lines on the peer port neither stop a process nor leave
-// the cluster without a leader.
+// TestDrillPeerLines checks that invalid lines on the peer port neither stop a process nor prevent
+// the election of a leader.
 func TestDrillPeerLines(t *testing.T) {
 	f := newTestCluster(t, drillScript)
 	ps := f.startNodes(3, nil)
@@ -120,8 +120,8 @@
 	f.checkJobCompletes("wk-3")
 }
 
-// TestDrillClaimedEpoch checks that a worker with a fencing token that no leader had affects
-// nobody else.
+// TestDrillClaimedEpoch checks that heartbeats with a fencing token that no leader issued are
+// rejected and have no effect.
 func TestDrillClaimedEpoch(t *testing.T) {
 	f := newTestCluster(t, drillScript)
 	ps := f.startNodes(2, nil)
@@ -149,7 +149,7 @@
 }
 
 // TestDrillDataLost wipes the key-value store while tasks run, first under a running leader, then
-// together with the leader's failure. Jobs that controllers know of must continue and finish.
+// as the leader is killed. The jobs must finish.
 func TestDrillDataLost(t *testing.T) {
 	f := newTestCluster(t, drillScript)
 	ps := f.startNodes(3, nil)
@@ -164,7 +164,7 @@
 	}
 	loseData("wk-2", func() {})
 	f.checkNoneExited(ps)
-	f.waitFor("an alert", func() bool { return anyLoggedError(ps, "recovering from data loss") })
+	f.waitFor("a process logs the data loss", func() bool { return anyLoggedError(ps, "recovering from data loss") })
 	f.waitFor("all ready", func() bool { return ps[0].healthy && ps[1].healthy && ps[2].healthy })
 	l := f.waitLeader()
 	loseData("wk-3", l.kill)
@@ -180,7 +180,7 @@
 	for range 2 {
 		l := f.waitLeader()
 		l.kill()
-		f.waitFor("another leads", func() bool { n := f.currentLeader(); return n != nil && n != l })
+		f.waitFor("another controller is leader", func() bool { n := f.currentLeader(); return n != nil && n != l })
 		l.start()
 		f.waitFor("both ready", func() bool { return ps[0].healthy && ps[1].healthy })
 	}
@@ -192,7 +192,7 @@
 	for _, p := range ps {
 		p.start()
 	}
-	f.waitFor("terms go on", func() bool { return anyLoggedError(ps, "workers have seen terms newer than the stored one") })
+	f.waitFor("a leader logs the newer terms of workers", func() bool { return anyLoggedError(ps, "workers have seen terms newer than the stored one") })
 	f.checkJobCompletes("wk-1")
 	if after := f.waitLeader().metric("yewpass_term"); after <= before {
 		t.Errorf("term before the loss is %g, after it %g, want a larger one", before, after)
@@ -210,7 +210,7 @@
 	for range 2 {
 		l = f.waitLeader()
 		l.cmd.Process.Signal(syscall.SIGSTOP)
-		f.waitFor("another leads", func() bool {
+		f.waitFor("another controller is leader", func() bool {
 			for _, p := range ps {
 				if p != l && p.logged("elected leader") && p.healthy {
 					return true
@@ -224,8 +224,8 @@
 	f.checkNoneExited(ps)
 }
 
-// TestDrillSlowClients checks that heartbeats, probes and users are served while slow clients,
-// which send one byte at a time, take all connections.
+// TestDrillSlowClients checks that heartbeats, probes and users are served while clients that send
+// one byte at a time occupy all connections.
 func TestDrillSlowClients(t *testing.T) {
 	f := newTestCluster(t, drillScript)
 	f.cfg.Settings.Limits.MaxConnections = 120
@@ -341,14 +341,14 @@
 	})
 }
 
-// TestDrillTermRecord damages or deletes the term record, or leaves the leader key without a
-// lease. A leader must still be elected, with a larger term.
+// TestDrillTermRecord corrupts or deletes the term record, or removes the leader key's lease. A
+// leader must still be elected, with a larger term.
 func TestDrillTermRecord(t *testing.T) {
 	f := newTestCluster(t, drillScript)
 	ps := f.startNodes(2, nil)
 	f.waitLeader()
 	f.checkJobCompletes("wk-1")
-	for i, damage := range []func(){
+	for i, inject := range []func(){
 		func() { f.corrupt("yewpass/term", `{"type":"term","term":"x"}`) },
 		func() { f.corrupt("yewpass/term", `{"type":"term","term":18446744073709551615}`) },
 		func() { f.with(func() { delete(f.store.keys, "yewpass/term") }) },
@@ -361,24 +361,23 @@
 	} {
 		l := f.waitLeader()
 		before := l.metric("yewpass_term")
-		damage()
+		inject()
 		l.kill()
 		f.checkJobCompletes("wk-" + strconv.Itoa(10+i))
 		n := f.waitLeader()
 		if after := n.metric("yewpass_term"); after <= before || after > 1e9 {
-			t.Errorf("damage %d: term changed from %g to %g, want a larger one, up to 1e9", i, before, after)
+			t.Errorf("fault %d: term changed from %g to %g, want a larger one, up to 1e9", i, before, after)
 		}
 		if i < 2 && !ps[0].logged("level=ERROR", "unreadable") && !ps[1].logged("level=ERROR", "unreadable") {
-			t.Errorf("damage %d: no error about the unreadable record was logged", i)
+			t.Errorf("fault %d: no error about the unreadable record was logged", i)
 		}
 		l.start()
 		f.waitFor("both ready", func() bool { return ps[0].healthy && ps[1].healthy })
 	}
 }
 
-// TestDrillBadRecords checks that jobs and schedules with unreadable records get status 503 rather
-// than 404 and that other jobs are served. An unreadable machine record must not be taken for an
-// empty one.
+// TestDrillBadRecords checks that requests for jobs and schedules with unreadable records get status
+// 503, not 404, and that other jobs are served. An unreadable machine record does not count as empty.
 func TestDrillBadRecords(t *testing.T) {
 	f := newTestCluster(t, drillScript)
 	ps := f.startNodes(2, nil)
@@ -481,21 +480,21 @@
 		}
 		return status, data
 	})
-	withFault("404 from a front", 4*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
+	withFault("404 from a proxy", 4*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
 		if host == "state" {
 			return 404, []byte("<html>no such host</html>")
 		}
 		return status, data
 	})
 	f.waitLeader()
-	withFault("200 from a front", 4*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
+	withFault("200 from a proxy", 4*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
 		if host == "state" {
 			return 200, []byte(`{}`)
 		}
 		return status, data
 	})
 	f.waitLeader()
-	withFault("another key's answer", 3*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
+	withFault("response for another key", 3*time.Second, func(host, path string, status int, data []byte) (int, []byte) {
 		if host == "state" && strings.HasPrefix(path, "/store/") {
 			return 200, []byte(`{"k":"yewpass/final/wk-1","v":{"type":"final","state":"cancelled","done":0},"keyRev":3}`)
 		}
@@ -536,12 +535,11 @@
 	f.checkJobCompletes("wk-1") // with the valid file
 }
 
-// maxUnavailable is how long after its start a process may answer with 503, as it may not know the
-// leader or have a copy of the records yet.
+// maxUnavailable is how long after its start a process may answer 503, until it knows the leader or
+// has a replica of the records.
 const maxUnavailable = 10 * time.Second
 
-// checkJobDone checks that the process reports a finished job as done. The protocol allows status
-// 503 shortly after a start.
+// checkJobDone checks that the process reports a finished job as done, or 503 shortly after its start.
 func (p *proc) checkJobDone(id string) {
 	for {
 		status, _, data := p.send("GET", "/v2/runs/"+id, nil)
--- a/internal/scenario/front_test.go
+++ b/internal/scenario/front_test.go
@@ -28,8 +28,7 @@
 var buildDir string
 
 func TestMain(m *testing.M) {
-	// Tests create tens of thousands of short-lived worlds, with little live memory. A higher GC
-	// target saves a large part of the collector's time.
+	// Tests create tens of thousands of short-lived worlds with little live memory.
 	debug.SetGCPercent(800)
 	code := m.Run()
 	if buildDir != "" {
@@ -52,7 +51,7 @@
 })
 
 // newTestCluster creates a cluster from the setup lines of a script. It skips the test in short
-// mode, and reports rule violations at the end of the test.
+// mode, and fails it at the end on rule violations.
 func newTestCluster(t *testing.T, text string) *testCluster {
 	t.Helper()
 	if testing.Short() {
@@ -71,14 +70,14 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for _, v := range w.violations {
-			t.Errorf("rule broken at %s", v)
+			t.Errorf("rule violated at %s", v)
 		}
 	})
 	return f
 }
 
-// waitFor polls a condition for up to 90 s, and fails the test with the controllers' last log lines
-// if it does not become true.
+// waitFor polls a condition for up to 90 s. On a timeout, it fails the test and logs the
+// controllers' last log lines.
 func (f *testCluster) waitFor(what string, cond func() bool) {
 	f.t.Helper()
 	ok := false
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -16,12 +16,11 @@
 	"yewpass/internal/spec"
 )
 
-// The users' calls on a job, at any node, must form a linearizable history: there is an order of
-// the calls, each between its invocation and its response, in which every answer matches the state
-// of a single job. A call without a definite answer may or may not have taken effect.
+// The users' calls on a job, at any node, must form a linearizable history. A call without a
+// definite answer may or may not have taken effect.
 
-// The states of a job, in the order of the protocol. Queued and running are one state, because an
-// answer may report a running job as queued.
+// The states of a job, in order. Queued and running are one state, because an answer may report a
+// running job as queued.
 const (
 	jobUnknown = iota
 	jobAccepted
@@ -62,8 +61,8 @@
 	},
 }
 
-// pruneCalls removes calls that add no constraint to a history sorted by invocation, since the
-// search covers all orders of overlapping calls. No step changes the verdict.
+// pruneCalls removes calls that add no constraint to a history sorted by invocation, to speed up the
+// search. It does not change the verdict.
 func pruneCalls(calls []call) (rest []call) {
 	unsure := map[request.Operation]bool{}
 	known, over := time.Time{}, time.Time{} // first answers that report the job as accepted and as ended
@@ -106,7 +105,7 @@
 	return rest
 }
 
-// checkLinearizable describes why a job's history is not linearizable, or returns "".
+// checkLinearizable returns why a job's history is not linearizable, or "".
 func checkLinearizable(id string, calls []call) string {
 	var ops []porcupine.Operation
 	calls = slices.Clone(calls)
@@ -147,8 +146,7 @@
 	return wrong
 }
 
-// TestLinear checks that the linearizability checker accepts valid histories and rejects invalid
-// ones.
+// TestLinear checks the verdicts of checkLinearizable on valid and invalid histories.
 func TestLinear(t *testing.T) {
 	at := func(ms int) time.Time { return newClock(0).start.Add(time.Duration(ms) * time.Millisecond) }
 	x := func(op request.Operation, from, to, status int, s spec.JobState) call {
@@ -163,19 +161,19 @@
 		good  bool
 		calls []call
 	}{
-		"in order":                       {true, []call{x(get, 0, 1, 404, ""), x(submit, 2, 5, 201, spec.Queued), x("", 6, 0, 0, ""), x(get, 7, 8, 200, spec.Running), x(get, 9, 10, 200, spec.Done)}},
-		"overlapping":                    {true, []call{x(submit, 0, 9, 201, spec.Queued), x(get, 1, 8, 404, ""), x(get, 2, 7, 200, spec.Queued)}},
-		"404 after an acceptance":        {false, []call{x(submit, 0, 2, 201, spec.Queued), x(get, 3, 4, 404, "")}},
-		"404 after another poll":         {false, []call{x(submit, 0, 9, 201, spec.Queued), x(get, 1, 2, 200, spec.Queued), x(get, 3, 4, 404, "")}},
-		"accepted without an answer":     {true, []call{x(submit, 0, 0, 0, ""), x(get, 8, 9, 200, spec.Queued)}},
-		"queued after done":              {false, []call{x(submit, 0, 2, 201, spec.Queued), x("", 3, 0, 0, ""), x(get, 4, 5, 200, spec.Done), x(get, 6, 7, 200, spec.Queued)}},
-		"running after cancelled":        {false, []call{x(submit, 0, 2, 201, spec.Queued), x(cancel, 3, 6, 200, spec.Cancelled), x(get, 7, 8, 200, spec.Running)}},
-		"running after a repeat says so": {false, []call{x(submit, 0, 2, 201, spec.Queued), x(cancel, 3, 0, 503, ""), x(submit, 4, 5, 200, spec.Cancelled), x(get, 7, 8, 200, spec.Running)}},
-		"cancelled without an answer":    {true, []call{x(submit, 0, 2, 201, spec.Queued), x(cancel, 3, 0, 503, ""), x(get, 5, 6, 200, spec.Running), x(get, 7, 8, 200, spec.Cancelled)}},
-		"done after cancelled":           {false, []call{x(submit, 0, 2, 201, spec.Queued), x("", 2, 0, 0, ""), x(cancel, 3, 4, 200, spec.Cancelled), x(get, 5, 6, 200, spec.Done)}},
-		"cancelled by nobody":            {false, []call{x(submit, 0, 2, 201, spec.Queued), x(get, 5, 6, 200, spec.Cancelled)}},
-		"refused after an acceptance":    {false, []call{x(submit, 0, 2, 201, spec.Queued), x(submit, 3, 4, 422, "")}},
-		"known to nobody":                {false, []call{x(get, 5, 6, 200, spec.Queued)}},
+		"in order":                                 {true, []call{x(get, 0, 1, 404, ""), x(submit, 2, 5, 201, spec.Queued), x("", 6, 0, 0, ""), x(get, 7, 8, 200, spec.Running), x(get, 9, 10, 200, spec.Done)}},
+		"overlapping":                              {true, []call{x(submit, 0, 9, 201, spec.Queued), x(get, 1, 8, 404, ""), x(get, 2, 7, 200, spec.Queued)}},
+		"404 after an acceptance":                  {false, []call{x(submit, 0, 2, 201, spec.Queued), x(get, 3, 4, 404, "")}},
+		"404 after another poll":                   {false, []call{x(submit, 0, 9, 201, spec.Queued), x(get, 1, 2, 200, spec.Queued), x(get, 3, 4, 404, "")}},
+		"accepted without an answer":               {true, []call{x(submit, 0, 0, 0, ""), x(get, 8, 9, 200, spec.Queued)}},
+		"queued after done":                        {false, []call{x(submit, 0, 2, 201, spec.Queued), x("", 3, 0, 0, ""), x(get, 4, 5, 200, spec.Done), x(get, 6, 7, 200, spec.Queued)}},
+		"running after cancelled":                  {false, []call{x(submit, 0, 2, 201, spec.Queued), x(cancel, 3, 6, 200, spec.Cancelled), x(get, 7, 8, 200, spec.Running)}},
+		"running after a repeat reports cancelled": {false, []call{x(submit, 0, 2, 201, spec.Queued), x(cancel, 3, 0, 503, ""), x(submit, 4, 5, 200, spec.Cancelled), x(get, 7, 8, 200, spec.Running)}},
+		"cancelled without an answer":              {true, []call{x(submit, 0, 2, 201, spec.Queued), x(cancel, 3, 0, 503, ""), x(get, 5, 6, 200, spec.Running), x(get, 7, 8, 200, spec.Cancelled)}},
+		"done after cancelled":                     {false, []call{x(submit, 0, 2, 201, spec.Queued), x("", 2, 0, 0, ""), x(cancel, 3, 4, 200, spec.Cancelled), x(get, 5, 6, 200, spec.Done)}},
+		"cancelled without a cancellation":         {false, []call{x(submit, 0, 2, 201, spec.Queued), x(get, 5, 6, 200, spec.Cancelled)}},
+		"rejected after an acceptance":             {false, []call{x(submit, 0, 2, 201, spec.Queued), x(submit, 3, 4, 422, "")}},
+		"queued without a submission":              {false, []call{x(get, 5, 6, 200, spec.Queued)}},
 	} {
 		if got := checkLinearizable("wk-1", h.calls) == ""; got != h.good {
 			t.Errorf("%s: linearizable = %v, want %v", name, got, h.good)
--- a/internal/scenario/hunted_test.go
+++ b/internal/scenario/hunted_test.go
@@ -25,13 +25,12 @@
 at 5s burst 10 gap=12s tasks=9 run=30s gb=0.5 owner=u class=other
 `
 
-// faultCases are combinations of faults with the situations that must be observed over all seeds
-// together. Each runs alone and with a change of leader at a random time.
+// faultCases are combinations of faults that run alone and with a leader change at a random time.
 var faultCases = []struct {
 	name           string
 	begin          string // cluster and load; faultMix if empty
 	text           string
-	met            []string // observed situations, at least one a seed on average
+	met            []string // situations to be observed, on average once per seed
 	noLeaderChange bool
 }{
 	{name: "status queries at transitions", text: "at 1s observe_transitions 150s", met: []string{"look", "look-cancel", "cancelled-on"}},
@@ -129,7 +128,7 @@
 			}
 			for _, k := range x.met {
 				if met[k] < n {
-					t.Errorf("observed %s %d times over %d seeds, want at least once a seed", k, met[k], n)
+					t.Errorf("observed %s %d times over %d seeds, want at least once per seed", k, met[k], n)
 				}
 			}
 			var all []string
--- a/internal/scenario/loopback.go
+++ b/internal/scenario/loopback.go
@@ -16,9 +16,8 @@
 	"yewpass/internal/rpc"
 )
 
-// A loopback runs a world in real time. Its controllers are processes of the real program,
-// connected over HTTP on the loopback interface to the simulated key-value store, cloud, workers
-// and users. The simulators and the rule checks are those of the scripted scenarios.
+// A loopback runs a world in real time. Its controllers are processes of the real program, connected
+// over HTTP on the loopback interface to the simulated key-value store, cloud, workers and users.
 type loopback struct {
 	*world
 	script    *script
@@ -28,8 +27,7 @@
 	dir       string // contains the settings files of the processes
 	// errorf reports an error of the test driver.
 	errorf func(format string, args ...any)
-	// alterResponse, if not nil, replaces the responses of the simulated services, to simulate
-	// faults.
+	// alterResponse, if not nil, replaces the responses of the simulated services.
 	alterResponse func(host, path string, status int, data []byte) (int, []byte)
 	address       string // on which the controllers listen, without a port
 	processes     []*process
@@ -39,7 +37,7 @@
 	traffic traffic
 }
 
-// loopbackCount counts the loopbacks of this process, each of which has its own IP address.
+// loopbackCount counts the loopbacks of this process; each has its own IP address.
 var loopbackCount atomic.Int64
 
 // newLoopback sets up the world of a script whose settings are complete.
@@ -98,7 +96,7 @@
 	l.check()
 }
 
-// with advances the world to the current time and calls do while holding the lock.
+// with advances the world to the current time and calls do with the lock held.
 func (l *loopback) with(do func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,7 +124,7 @@
 	return ln.Addr().String()
 }
 
-// serveExternal serves a simulated external service to one node over the simulated network, where
+// serveExternal serves a simulated service to one node through the simulated network, where
 // partitions can drop requests and responses.
 func (l *loopback) serveExternal(node, host string, serve func(method, path string, body []byte, answer func(int, []byte))) string {
 	return l.serve(func(rw http.ResponseWriter, r *http.Request) {
@@ -157,14 +155,14 @@
 	})
 }
 
-// httpHeaderBytes estimates the size of an HTTP message's headers where they are not counted.
+// httpHeaderBytes estimates the size of an HTTP message's headers.
 const httpHeaderBytes = 110
 
 // unpartitionedHost is the name of a host that no partition affects.
 const unpartitionedHost = "outsider"
 
-// serveProbe handles direct commands to the worker that the path names. Their sender is unknown,
-// so a partitioned worker receives none, not even from its own side of the partition.
+// serveProbe handles probes of the worker that the path names. Their sender is unknown, so a
+// partitioned worker receives none, not even from its own side.
 func (l *loopback) serveProbe(rw http.ResponseWriter, r *http.Request) {
 	var c struct{ Epoch, Tenure uint64 }
 	json.NewDecoder(r.Body).Decode(&c)
--- a/internal/scenario/loss_test.go
+++ b/internal/scenario/loss_test.go
@@ -29,17 +29,17 @@
 `
 
 // TestLoss makes the key-value store lose data or return to a snapshot, alone or with the loss of
-// controllers, also during recovery. Every accepted job must stay known and complete.
+// controllers. Every accepted job must stay known and complete.
 func TestLoss(t *testing.T) {
 	for name, what := range map[string]string{
 		"all":                      "at 40s wipe",
 		"revisions":                "at 40s wipe rev",
-		"copy":                     "at 15s save; at 40s restore",
+		"snapshot":                 "at 15s save; at 40s restore",
 		"all, leader":              "at 40s wipe; at 40s crash leader back=3s",
 		"all, leader back at once": "at 40s wipe rev; at 40s crash leader back=100ms",
-		"copy, leader":             "at 15s save; at 40s restore; at 40s crash leader back=3s",
+		"snapshot, leader":         "at 15s save; at 40s restore; at 40s crash leader back=3s",
 		"outage, revisions":        "at 25s outage state 15s; at 39.9s wipe rev",
-		"outage, copy":             "at 15s save; at 25s outage state 15s; at 39.9s restore",
+		"outage, snapshot":         "at 15s save; at 25s outage state 15s; at 39.9s restore",
 		"jobs, leader":             "at 40s wipe under=yewpass/live/job/; at 40.1s crash leader back=3s",
 		"machines, leader":         "at 39s partition 3 30s hold; at 40s wipe under=yewpass/live/machine/; at 40.1s crash leader back=3s",
 		"finals, leader":           "at 40s wipe under=yewpass/final/; at 40.1s crash leader back=3s",
@@ -50,11 +50,11 @@
 		"leader's key":             "at 40s wipe under=yewpass/leader",
 		"twice":                    "at 40s wipe; at 41s wipe rev; at 42s crash leader back=1s; at 43s wipe",
 		"all but one lost":         "at 40s wipe rev; at 40s crash n0 back=9s; at 40s crash n1 back=9s; at 40s crash n2 back=9s; at 40s crash n3 back=9s",
-		"leader cut off":           "at 30s partition leader 20s hold only=state; at 40s wipe",
+		"leader partitioned":       "at 30s partition leader 20s hold only=state; at 40s wipe",
 		"leaders lost in recovery": "at 40s wipe; at 40.45s crash leader back=1s; at 42s crash leader back=1s",
-		"copy, leaders lost":       "at 15s save; at 40s restore; at 40.45s crash leader back=1s; at 42s crash leader back=1s",
+		"snapshot, leaders lost":   "at 15s save; at 40s restore; at 40.45s crash leader back=1s; at 42s crash leader back=1s",
 		"late writes":              "at 39.5s drop_txn_responses leader 2s late=4s; at 40s wipe",
-		"held writes":              "at 38s partition leader 9s hold only=state; at 42s wipe rev",
+		"writes in a partition":    "at 38s partition leader 9s hold only=state; at 42s wipe rev",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestLossEverywhere loses all data or one prefix after each write of the key-value store in turn,
-// with and without a crash of the leader.
+// TestLossEverywhere loses all data or one prefix after each write in turn, with and without a crash
+// of the leader.
 func TestLossEverywhere(t *testing.T) {
 	for _, under := range []string{"", "yewpass/live/job/", "yewpass/live/machine/", "yewpass/live/progress/", "yewpass/final/", "yewpass/term"} {
 		for _, lost := range []string{"", "crash leader back=100ms", "crash leader back=4s"} {
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestRandomLoss runs random mixes of faults and data loss. At least one controller keeps its
-// memory, from which the data can be restored.
+// TestRandomLoss runs random mixes of faults and data loss. At least one controller keeps running,
+// and restores the data.
 func TestRandomLoss(t *testing.T) {
 	kinds := []string{
 		"wipe", "wipe rev", "wipe under=yewpass/live/", "wipe under=yewpass/live/job/", "wipe under=yewpass/live/machine/", "wipe under=yewpass/final/", "wipe under=yewpass/term", "wipe under=yewpass/leader", "restore",
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -81,8 +81,8 @@
 	"crash_loop leader 40s every=4s back=300ms",
 }
 
-// TestMeetings runs all pairs of faults, 0, 1, 5 and 20 s apart, with a fixed subset of them
-// unless -meetings is set.
+// TestMeetings runs a fixed subset of all pairs of faults, 0, 1, 5 and 20 s apart, or with -meetings
+// all of them.
 func TestMeetings(t *testing.T) {
 	played := 0
 	for i, a := range faultPairs {
@@ -114,8 +114,8 @@
 	})
 }
 
-// TestMeetingsPlanted injects one error into the controllers for each kind of fault: the rules
-// must detect it, and must hold without it.
+// TestMeetingsPlanted injects an error into the controllers for each kind of fault. The rules must
+// detect it, and hold without it.
 func TestMeetingsPlanted(t *testing.T) {
 	for name, x := range map[string]struct {
 		text, want string
@@ -285,7 +285,7 @@
 				return out
 			}
 		}},
-		"a field is missing": {smallCluster(3, 3) + `
+		"missing field accepted": {smallCluster(3, 3) + `
 team t
 at 5s submit wk-1 run=3s
 at 5s invalid_requests 30s
@@ -316,7 +316,7 @@
 				return a
 			}
 		}},
-		"a job that is never started": {smallCluster(3, 3) + `
+		"job never started": {smallCluster(3, 3) + `
 team t
 at 5s burst 6 gap=1s run=3s
 expect done all
@@ -329,7 +329,7 @@
 				return out
 			}
 		}},
-		"a start after a cancellation": {smallCluster(3, 3) + `
+		"start after a cancellation": {smallCluster(3, 3) + `
 team t
 at 5s submit wk-1 run=60s gb=60
 at 8s cancel wk-1
--- a/internal/scenario/node.go
+++ b/internal/scenario/node.go
@@ -21,8 +21,8 @@
 	"yewpass/internal/rpc"
 )
 
-// node is a controller. The world carries out the outputs of its core, or a real process
-// replaces the core.
+// node is a controller. The world executes its core's outputs, unless a real process replaces the
+// core.
 type node struct {
 	*world
 	name       string
@@ -38,7 +38,7 @@
 
 	submission uint64 // reference number of the latest submission
 
-	wallOffset time.Duration // wall clock minus monotonic clock
+	clockOffset time.Duration // wall clock minus monotonic clock
 
 	wasLeader bool // it was the leader after its last input
 
@@ -63,9 +63,9 @@
 }
 
 type link struct {
-	up          bool
-	generation  int // of the process at the other end
-	brokenSince time.Time
+	up               bool
+	generation       int // of the process at the other end
+	unreachableSince time.Time
 }
 
 // localNow returns the time on the node's own clock, with its skew and drift.
@@ -91,7 +91,7 @@
 		}
 	}
 	n.core = core.New(&cfg, pol, n.calendars(), n.rng.Uint64())
-	n.core.SetClockOffset(n.wallOffset)
+	n.core.SetClockOffset(n.clockOffset)
 	n.ref, n.callbacks = 0, map[uint64]func(any){} // each process numbers its requests from 1
 	n.links = map[string]*link{}
 	for _, o := range n.nodes {
@@ -127,8 +127,8 @@
 	})
 }
 
-// updateLinks tells the core which links to peers are up, every 300 ms. The end of a peer's
-// process takes its link down at the next check, a partition only after 2.5 s.
+// updateLinks tells the core every 300 ms which peer links are up. A link goes down at the next
+// check after the peer's process ends, but only after 2.5 s of a partition.
 func (n *node) updateLinks(generation int) {
 	if n.generation != generation {
 		return
@@ -141,14 +141,14 @@
 		open := n.net.reachable(n.name, o.name)
 		switch {
 		case o.alive && open && !l.up:
-			l.up, l.generation, l.brokenSince = true, o.generation, time.Time{}
+			l.up, l.generation, l.unreachableSince = true, o.generation, time.Time{}
 			n.input(peermsg.LinkChange{Name: o.name, Up: true})
 		case o.alive && open && l.generation == o.generation:
-			l.brokenSince = time.Time{}
-		case l.up && l.brokenSince.IsZero():
-			l.brokenSince = n.now
+			l.unreachableSince = time.Time{}
+		case l.up && l.unreachableSince.IsZero():
+			l.unreachableSince = n.now
 		}
-		if l.up && !l.brokenSince.IsZero() && (open || n.now.Sub(l.brokenSince) > 2500*time.Millisecond) {
+		if l.up && !l.unreachableSince.IsZero() && (open || n.now.Sub(l.unreachableSince) > 2500*time.Millisecond) {
 			l.up = false
 			n.input(peermsg.LinkChange{Name: o.name})
 		}
@@ -156,7 +156,7 @@
 	n.after(300*time.Millisecond, func() { n.updateLinks(generation) })
 }
 
-// ask passes a request to the node and calls f with its answer.
+// ask sends a request to the node and calls f with the answer.
 func (n *node) ask(in func(ref uint64) any, f func(any)) {
 	n.ref++
 	if n.process != nil {
@@ -177,8 +177,8 @@
 	}
 }
 
-// stall pauses the node's process for d while its clocks keep running. Inputs that arrive during
-// the pause are processed afterwards, responses of the store first, as a real node does.
+// stall pauses the node's process for d while its clocks advance. Inputs that arrive meanwhile are
+// processed afterwards, responses of the store first, as in a real node.
 func (n *node) stall(d time.Duration) {
 	generation := n.generation
 	n.stalledUntil = n.now.Add(d)
@@ -236,16 +236,14 @@
 	}
 }
 
-// roundTrip sends a request to a host and passes the answer to the core, or the input none if no
-// answer arrives within the timeout.
-func (n *node) roundTrip(kind, host string, within time.Duration, serve func(answer func(in any)), none any) {
-	// Drop replies to an earlier process of the node: their reference numbers belong to other
-	// calls of the current one.
-	over, generation := false, n.generation
+// roundTrip sends a request to a host and passes the answer to the core, or none after the timeout.
+func (n *node) roundTrip(kind, host string, timeout time.Duration, serve func(answer func(in any)), none any) {
+	// Drop answers to an earlier process: the current one reuses its reference numbers.
+	answered, generation := false, n.generation
 	deliver := func(in any) func() {
 		return func() {
-			if n.alive && n.generation == generation && !over {
-				over = true
+			if n.alive && n.generation == generation && !answered {
+				answered = true
 				n.input(in)
 			}
 		}
@@ -253,13 +251,13 @@
 	n.net.send(kind, n.name, host, func() {
 		serve(func(in any) { n.net.send(kind+" answer", host, n.name, deliver(in)) })
 	})
-	n.after(within, deliver(none))
+	n.after(timeout, deliver(none))
 }
 
-// exchange is roundTrip for a service that answers with a status and a body. Status 0 means that
+// exchange is roundTrip for a service that answers with a status and a body. reply gets status 0 if
 // no answer arrived.
-func (n *node) exchange(kind, host string, within time.Duration, serve func(answer func(int, []byte)), reply func(status int, data []byte) any) {
-	n.roundTrip(kind, host, within, func(answer func(any)) {
+func (n *node) exchange(kind, host string, timeout time.Duration, serve func(answer func(int, []byte)), reply func(status int, data []byte) any) {
+	n.roundTrip(kind, host, timeout, func(answer func(any)) {
 		serve(func(status int, data []byte) { answer(reply(status, data)) })
 	}, reply(0, nil))
 }
@@ -287,7 +285,6 @@
 	}
 }
 
-// callStore sends a request to the store over the network.
 func (n *node) callStore(call kv.Request) {
 	method, path, body := kvclient.EncodeRequest(call)
 	kind := "state"
@@ -306,7 +303,6 @@
 	})
 }
 
-// callCloud sends a request to the cloud over the network.
 func (n *node) callCloud(call provider.Request) {
 	method, path, body := cloud.EncodeRequest(call)
 	kind := "cloud"
@@ -325,12 +321,11 @@
 	})
 }
 
-// probeWorker sends a probe to a worker over the network.
 func (n *node) probeWorker(call heartbeat.Probe) {
 	host := strings.TrimSuffix(call.Address, workerPort)
 	n.roundTrip("probe", host, call.Timeout, func(answer func(any)) {
 		m := n.workers[host]
-		if m == nil || n.now.Before(m.inboundLostUntil) {
+		if m == nil || n.now.Before(m.inboundBlockedUntil) {
 			return
 		}
 		m.whenRunning(func() {
@@ -356,8 +351,7 @@
 	}
 }
 
-// handleLog traces a log entry of the controller, and fails the scenario on a false report of
-// data loss.
+// handleLog traces a log entry, and fails the scenario if it falsely reports data loss.
 func (n *node) handleLog(entry engine.LogEntry) {
 	if entry.Text == core.DataLossDetected && !n.dataLost {
 		n.fail("misuse", "%s reports data loss although no data was lost: %v", n.name, entry.Attrs)
--- a/internal/scenario/observations.go
+++ b/internal/scenario/observations.go
@@ -12,10 +12,10 @@
 	"yewpass/internal/spec"
 )
 
-// This file simulates unusual user behavior: polling every node at each state change, cancelling
-// running or just finishing jobs, and sending invalid requests.
+// This file simulates users who poll every node at each state change, cancel running or completing
+// jobs, and send invalid requests.
 
-// call is a user's request about a job, as an operation in the job's history.
+// call is an operation in a job's history: a user's request about the job.
 type call struct {
 	op             request.Operation // Submit, Get or Cancel; "" is the completion of the job's last task
 	invoked, ended time.Time         // ended is zero until there is an answer
@@ -23,7 +23,7 @@
 	state          spec.JobState
 }
 
-// recordCall records a request in the job's history and returns a function that records its answer.
+// recordCall records a request in the job's history. The returned function records its answer.
 func (w *world) recordCall(u request.Request) func(status int, a request.Response) {
 	if w.checksOff || u.Schedule != nil || u.Op != request.Submit && u.Op != request.Get && u.Op != request.Cancel {
 		return func(int, request.Response) {}
@@ -42,27 +42,26 @@
 	if !w.checksOff {
 		w.history[j.spec.ID] = append(w.history[j.spec.ID], call{invoked: w.now})
 	}
-	if j.accepted && !j.cancelRequested && w.cancelAtEnd.sample(w.clock) {
+	if j.accepted && !j.cancelRequested && w.cancelOnCompletion.sample(w.clock) {
 		w.after([]time.Duration{0, time.Millisecond, 20 * time.Millisecond, 200 * time.Millisecond, time.Second}[w.rng.IntN(5)], func() {
 			w.occurrences["cancel-at-end"]++
 			w.cancel(j)
 		})
 	}
-	w.observeJob(j, true)
+	w.pollEveryNode(j, true)
 }
 
-// observeDelays are the delays of the polls of observeJob.
-var observeDelays = []time.Duration{0, time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond}
+var pollDelays = []time.Duration{0, time.Millisecond, 3 * time.Millisecond, 10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond}
 
-// observeJob polls a job at every node several times within 100 ms and repeats its submission. If
-// during is set, it acts only while the close_looks action is active, and also cancels one job in
-// eight.
-func (w *world) observeJob(j *userJob, during bool) {
-	if during && !w.now.Before(w.observeUntil) || w.checksOff || len(w.nodes) == 0 || w.nodes[0].process != nil {
+// pollEveryNode polls a job at every node several times within 100 ms and repeats its submission.
+// At a state change, it does so only while observe_transitions is active, and also cancels one job
+// in eight.
+func (w *world) pollEveryNode(j *userJob, stateChange bool) {
+	if stateChange && !w.now.Before(w.observeTransitionsUntil) || w.checksOff || len(w.nodes) == 0 || w.nodes[0].process != nil {
 		return
 	}
 	w.occurrences["look"]++
-	for _, d := range observeDelays {
+	for _, d := range pollDelays {
 		for _, n := range w.nodes {
 			w.after(d, func() {
 				if n.alive {
@@ -74,8 +73,8 @@
 			w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) { w.checkResubmission(j, status, a) })
 		})
 	}
-	if during && !j.cancelRequested && w.rng.IntN(8) == 0 {
-		w.after(observeDelays[w.rng.IntN(len(observeDelays))], func() {
+	if stateChange && !j.cancelRequested && w.rng.IntN(8) == 0 {
+		w.after(pollDelays[w.rng.IntN(len(pollDelays))], func() {
 			w.occurrences["look-cancel"]++
 			w.cancel(j)
 		})
@@ -92,7 +91,7 @@
 	}
 }
 
-// maxHungMachines bounds the machines that one cancel_now action hangs.
+// maxHungMachines bounds the machines that one cancel_running action hangs.
 const maxHungMachines = 8
 
 // cancelRunning cancels the n running jobs with the longest remaining run time, within 200 ms. If
@@ -139,29 +138,29 @@
 	}
 }
 
-// sendOddRequests sends four unusual requests a second until end: repeated submissions,
-// cancellations of ended jobs, and jobs that are unschedulable or incomplete.
-func (w *world) sendOddRequests(end time.Time) {
+// sendInvalidRequests sends four requests a second until end: repeated submissions, cancellations
+// of ended jobs, and submissions of unschedulable or incomplete jobs.
+func (w *world) sendInvalidRequests(end time.Time) {
 	if !w.now.Before(end) {
 		return
 	}
-	w.after(250*time.Millisecond, func() { w.sendOddRequests(end) })
-	var going, over []*userJob
+	w.after(250*time.Millisecond, func() { w.sendInvalidRequests(end) })
+	var unfinished, ended []*userJob
 	for _, j := range w.jobOrder {
 		switch {
 		case j.accepted && j.finalState == "":
-			going = append(going, j)
+			unfinished = append(unfinished, j)
 		case j.finalState != "":
-			over = append(over, j)
+			ended = append(ended, j)
 		}
 	}
 	w.occurrences["odd"]++
 	switch k := w.rng.IntN(4); {
-	case k == 0 && len(going) > 0:
-		j := going[w.rng.IntN(len(going))]
+	case k == 0 && len(unfinished) > 0:
+		j := unfinished[w.rng.IntN(len(unfinished))]
 		w.request(request.Submit, j, j.spec.ID, 5*time.Second, func(status int, a request.Response) { w.checkResubmission(j, status, a) })
-	case k == 1 && len(over) > 0:
-		j := over[w.rng.IntN(len(over))]
+	case k == 1 && len(ended) > 0:
+		j := ended[w.rng.IntN(len(ended))]
 		w.request(request.Cancel, nil, j.spec.ID, 5*time.Second, func(status int, a request.Response) {
 			switch status {
 			case 200:
@@ -179,8 +178,8 @@
 
 // submitUnschedulable submits a job that can never run.
 func (w *world) submitUnschedulable() {
-	w.lastOddID++
-	s := spec.Job{ID: fmt.Sprintf("wk-8%07d", w.lastOddID), Class: "c", Owner: w.cfg.Settings.Teams[0].Name, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", AllowSpot: true}
+	w.lastInvalidID++
+	s := spec.Job{ID: fmt.Sprintf("wk-8%07d", w.lastInvalidID), Class: "c", Owner: w.cfg.Settings.Teams[0].Name, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", AllowSpot: true}
 	switch w.rng.IntN(4) {
 	case 0:
 		s.CPUs = 1e5
@@ -203,19 +202,19 @@
 
 // submitIncomplete parses a submission that lacks one required field.
 func (w *world) submitIncomplete() {
-	w.lastOddID++
-	id, text, zero, shards, no := fmt.Sprintf("wk-8%07d", w.lastOddID), "x", 1.0, 1, false
+	w.lastInvalidID++
+	id, text, amount, shards, no := fmt.Sprintf("wk-8%07d", w.lastInvalidID), "x", 1.0, 1, false
 	shape, urgency := "array", "standard"
-	sub := spec.Submission{ID: &id, JobClass: &text, Owner: &text, Shape: &shape, Urgency: &urgency, Shards: &shards, VCPUs: &zero, GPUs: &zero, MemGB: &zero,
-		Bundle: &text, SizeGB: &zero, SamePlace: &no, Apart: &no, Reclaimable: &no, RuntimeS: &zero, SnapshotEveryS: &zero, SnapshotS: &zero}
+	sub := spec.Submission{ID: &id, JobClass: &text, Owner: &text, Shape: &shape, Urgency: &urgency, Shards: &shards, VCPUs: &amount, GPUs: &amount, MemGB: &amount,
+		Bundle: &text, SizeGB: &amount, SamePlace: &no, Apart: &no, Reclaimable: &no, RuntimeS: &amount, SnapshotEveryS: &amount, SnapshotS: &amount}
 	v := reflect.ValueOf(&sub).Elem()
-	var there []int
+	var present []int
 	for i := range v.NumField() {
 		if !v.Field(i).IsNil() {
-			there = append(there, i)
+			present = append(present, i)
 		}
 	}
-	i := there[w.rng.IntN(len(there))]
+	i := present[w.rng.IntN(len(present))]
 	v.Field(i).SetZero()
 	job, field, _ := sub.Job()
 	if w.alterSubmission != nil {
@@ -235,8 +234,8 @@
 // continue on another one.
 const minFitTime = 10 * time.Second
 
-// checkWaiting checks, after the last fault has ended, that no job waits longer than maxWait while
-// a machine has room for it and its team is below its limit.
+// checkWaiting checks that, after the last fault, no job waits longer than maxWait while a machine
+// has room for it and its team is below its limit.
 func (w *world) checkWaiting() {
 	if w.checksOff || !w.now.After(w.faultsOverAt) {
 		return
@@ -255,7 +254,7 @@
 			}
 			j.fitting, j.fittingSince = m, w.now
 		case w.now.Sub(laterOf(j.waitingSince, w.faultsOverAt)) > maxWait: // time before a new fault does not count
-			w.fail("waits", "%s waits for 90 s while %s has room", j.spec.ID, m.host)
+			w.fail("waits", "%s has waited for 90 s while %s has room", j.spec.ID, m.host)
 		}
 	}
 }
@@ -266,44 +265,44 @@
 	return u.cpus, u.gpus
 }
 
-// findFittingWorker returns a machine on which a waiting task of the job could run now, or nil. It
+// findFittingWorker returns a machine that has room for a waiting task of the job, or nil. It
 // prefers the machine found before.
 func (w *world) findFittingWorker(j *userJob) *worker {
 	s := &j.spec
-	there := map[int]bool{}
+	placed := map[int]bool{}
 	zones := map[string]int{}
 	cpus, gpus := w.teamUsage(s.Owner)
 	for _, t := range j.heldTasks {
-		there[t.id.Index] = true
+		placed[t.id.Index] = true
 		zones[t.machine.zone]++
 	}
 	waits := false
 	for i := range s.Tasks {
-		waits = waits || !j.done[i] && !there[i]
+		waits = waits || !j.done[i] && !placed[i]
 	}
 	if !waits {
 		return nil
 	}
-	for _, t := range w.admin.possibleTeams(s.Owner, w.now) { // there must be room under every limit that may be in force
+	for _, t := range w.admin.possibleTeams(s.Owner, w.now) { // every limit that may be in force
 		if t.CPUsMax > 0 && cpus+s.CPUs > t.CPUsMax || t.GPUsMax > 0 && gpus+s.GPUs > t.GPUsMax {
 			return nil
 		}
 	}
 	fits := func(m *worker) bool {
-		if !m.terminatedAt.IsZero() || m.bootedAt.IsZero() || !m.served || m.failsTasks || !m.preemptedAt.IsZero() || w.now.Before(m.hungUntil) || w.now.Before(m.inboundLostUntil) || w.now.Before(m.outboundLostUntil) ||
+		if !m.terminatedAt.IsZero() || m.bootedAt.IsZero() || !m.served || m.failsTasks || !m.preemptedAt.IsZero() || w.now.Before(m.hungUntil) || w.now.Before(m.inboundBlockedUntil) || w.now.Before(m.reportsBlockedUntil) ||
 			len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.instanceType.name) || s.Zone != "" && s.Zone != m.zone || m.spot && !s.AllowSpot {
 			return false
 		}
 		if s.SamePlace && len(zones) > 0 && zones[m.zone] == 0 || s.Apart && zones[m.zone] >= (s.Tasks+1)/2 {
 			return false
 		}
-		have := [3]float64{m.instanceType.cpus, m.instanceType.gpus, m.instanceType.mem}
+		free := [3]float64{m.instanceType.cpus, m.instanceType.gpus, m.instanceType.mem}
 		for _, t := range m.tasks {
 			if t.job != nil && t.phase != heartbeat.Exited {
-				have = [3]float64{have[0] - t.job.spec.CPUs, have[1] - t.job.spec.GPUs, have[2] - t.job.spec.MemGB}
+				free = [3]float64{free[0] - t.job.spec.CPUs, free[1] - t.job.spec.GPUs, free[2] - t.job.spec.MemGB}
 			}
 		}
-		return s.CPUs <= have[0] && s.GPUs <= have[1] && s.MemGB <= have[2]
+		return s.CPUs <= free[0] && s.GPUs <= free[1] && s.MemGB <= free[2]
 	}
 	if j.fitting != nil && fits(j.fitting) {
 		return j.fitting
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -20,10 +20,9 @@
 	"yewpass/internal/spec"
 )
 
-// These tests enumerate message orders exhaustively. Messages of the chosen kinds and a few events
-// are held back; at each step the test delivers one of them or lets time pass. Every sequence of
-// choices runs in a new simulation with all rules checked after each event. After the last choice
-// the remaining messages are delivered in order, and all expectations must be met.
+// These tests enumerate message orders exhaustively. They hold back messages of some kinds and a few
+// events, and at each step deliver one or let time pass. Every sequence of choices runs in a new
+// simulation. After the last choice, the remaining messages are delivered in order.
 
 // messageRace is a set of messages and events whose order is enumerated.
 type messageRace struct {
@@ -208,8 +207,8 @@
 	return true
 }
 
-// deliverable reports whether a pending event may come next. Messages of a kind between the same
-// two hosts stay in order, except for requests that use a connection each.
+// deliverable reports whether a pending event may come next. Messages of a kind between two hosts
+// stay in order, unless each uses its own connection.
 func (r *raceRun) deliverable(i int) bool {
 	x := r.pending[i]
 	if x.kind == "event" {
@@ -298,7 +297,7 @@
 	for _, e := range o.events {
 		f := strings.Fields(e)
 		r.pending = append(r.pending, &pendingEvent{kind: "event", a: e, do: func() {
-			if f[0] == "again" { // a repeated submission, whatever the response was
+			if f[0] == "again" { // whatever the response was
 				s.submit(s.jobs[f[1]])
 				return
 			}
@@ -322,8 +321,8 @@
 	for len(r.pending) > 0 { // the remaining messages, in order
 		r.deliver(r.pending[0], true)
 	}
-	// Stop early once the cluster has been settled for longer than the lease, or the cancel timeout
-	// if a job is cancelled: no delayed effect can follow.
+	// Stop once the cluster has been settled for longer than the lease, or the cancel timeout if a
+	// job is cancelled: no delayed effect can follow.
 	lastUnsettled, quietPeriod := s.elapsed(), s.lease+8*time.Second
 	if slices.ContainsFunc(o.events, func(e string) bool { return strings.HasPrefix(e, "cancel") }) || strings.Contains(o.text, " cancel ") {
 		quietPeriod = s.cancelDeadline + 20*time.Second
@@ -457,15 +456,15 @@
 	return call
 }
 
-// TestOrdersPlanted injects errors into the inputs and outputs of the controllers and requires
-// some order to detect each of them.
+// TestOrdersPlanted injects errors into the inputs and outputs of the controllers, each of which
+// some order must detect.
 func TestOrdersPlanted(t *testing.T) {
 	ofMachines := func(v any) bool {
 		_, ok := v.(*record.Machines)
 		return ok
 	}
 	unrecorded := func() func(n *node, out any) any {
-		return func(n *node, out any) any { // machines are neither recorded nor replicated, so no leader waits for them
+		return func(n *node, out any) any { // machines are neither recorded nor replicated
 			return withoutWrites(withoutCopies(out, ofMachines), ofMachines)
 		}
 	}
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -41,9 +41,9 @@
 	log                  []string
 	exited               chan struct{}
 	started              time.Time
-	shellPrefix          string // shell commands to run before the program, such as a resource limit
+	shellPrefix          string // shell commands to run first, such as ulimit
 	stderrPipe           *os.File
-	ignoreStderr         bool // leave standard error open, but do not read it
+	ignoreStderr         bool // keep standard error open without reading it
 }
 
 // launchOptions configures the controllers of a loopback.
@@ -54,7 +54,7 @@
 	logLevel     string
 	zone         func(i int) string   // returns the zone of controller i
 	beforeStart  func(p *process)     // called before the first start of each controller, unless nil
-	relayPeers   bool                 // connect controllers through relays, which count messages and apply partitions
+	relayPeers   bool                 // connect controllers through relays that count messages and apply partitions
 	editSettings func(*extraSettings) // modifies the settings, unless nil
 }
 
@@ -63,8 +63,8 @@
 	cpuShare, memMB float64
 }
 
-// freeAddresses returns n different unused addresses. All listeners stay open until the last is
-// created, since the system may reuse a closed port at once.
+// freeAddresses returns n unused addresses. All listeners stay open until the last one exists,
+// since the system may reuse a closed port at once.
 func (l *loopback) freeAddresses(n int) (addresses []string) {
 	for range n {
 		ln, err := net.Listen("tcp", net.JoinHostPort(l.address, "0"))
@@ -219,7 +219,7 @@
 	})
 }
 
-// pollReady polls the readiness endpoint, as a load balancer does.
+// pollReady polls the readiness endpoint until the loopback is closed.
 func (p *process) pollReady() {
 	c := &http.Client{Timeout: time.Second}
 	for {
@@ -278,8 +278,7 @@
 // isLeader reports whether the process is running as leader with authority to act.
 func (p *process) isLeader() bool { return p.runs() && p.metric("yewpass_authority") == 1 }
 
-// ask sends a worker's heartbeat or a user's request to the controller and passes the response to
-// f.
+// ask sends a heartbeat or a user's request to the controller and passes the response to f.
 func (p *process) ask(in any, f func(any)) {
 	go func() {
 		var a any
--- a/internal/scenario/report_cost.go
+++ b/internal/scenario/report_cost.go
@@ -16,8 +16,7 @@
 	"yewpass/internal/heartbeat"
 )
 
-// HeartbeatCost is what one heartbeat costs a worker, including HTTP and JSON, measured in a
-// process that does nothing else.
+// HeartbeatCost is the cost of one heartbeat for a worker, including HTTP and JSON.
 type HeartbeatCost struct {
 	Tasks      int     `json:"tasks"` // in each heartbeat
 	Heartbeats int     `json:"reports"`
@@ -32,8 +31,8 @@
 // tasksPerHeartbeat is the planned mean number of tasks on a worker.
 const tasksPerHeartbeat = 16
 
-// MeasureHeartbeatCost measures the cost of heartbeats in a child process. The program, run with
-// the arguments and a server's address, must call SendHeartbeats and print the result as JSON.
+// MeasureHeartbeatCost measures the cost of heartbeats in a child process. The program gets the
+// arguments and a server's address. It must call SendHeartbeats and print the result as JSON.
 func MeasureHeartbeatCost(ctx context.Context, program string, arguments ...string) (cost HeartbeatCost, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,8 +55,7 @@
 	return cost, json.Unmarshal(out, &cost)
 }
 
-// SendHeartbeats sends the heartbeats of a measurement to addr and returns what each cost this
-// process.
+// SendHeartbeats sends a measurement's heartbeats to addr and returns the mean cost of one.
 func SendHeartbeats(addr string) (cost HeartbeatCost, err error) {
 	link := newWorkerLink()
 	rep := heartbeat.Report{Host: "host-000231", Address: "10.1.0.232:9000", InstanceType: "node", Zone: "r1-z1", Incarnation: 1, FencingToken: 7}
--- a/internal/scenario/scale.go
+++ b/internal/scenario/scale.go
@@ -27,8 +27,8 @@
 // baseOperatorSettings keeps idle machines rented, so that the fleet keeps its planned size.
 const baseOperatorSettings = "[policy]\nidle_return_s = \"86400.0\"\n"
 
-// operatorsFile returns the operators' settings file of the plan. Older programs reject settings
-// that they do not know, so a setting is written only if the plan uses it.
+// operatorsFile returns the plan's operators' settings file. It contains only settings that the plan
+// uses, since older programs reject unknown ones.
 func (p *ScalePlan) operatorsFile() []byte {
 	text := baseOperatorSettings
 	if p.ReportBytes > 0 {
@@ -37,9 +37,8 @@
 	return []byte(text)
 }
 
-// RunScaleTest runs a load test with real controller processes and returns its measurements.
-// Controller i runs programs[i%len(programs)], which allows a mix of versions. All processes are
-// stopped before it returns, also when ctx is cancelled.
+// RunScaleTest runs a load test with real controller processes, which it stops before it returns.
+// Controller i runs programs[i%len(programs)], which allows a mix of versions.
 func RunScaleTest(ctx context.Context, plan ScalePlan, programs []string, progress func(format string, args ...any)) (*ScaleReport, error) {
 	if err := plan.Validate(); err != nil {
 		return nil, err
@@ -111,7 +110,7 @@
 	return r.waitFor(ctx, r.plan.Drain, "", func() bool { return r.unfinishedJobs() == 0 })
 }
 
-// sampleFor waits for d and samples the controllers' resource usage every second.
+// sampleFor samples the controllers' resource usage every second for d.
 func (r *scaleRun) sampleFor(ctx context.Context, d time.Duration) error {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
@@ -125,7 +124,7 @@
 	return nil
 }
 
-// waitFor polls cond until it is true. On a timeout, it returns an error, or nil if what is empty.
+// waitFor polls cond until it is true. A timeout is an error unless what is empty.
 func (r *scaleRun) waitFor(ctx context.Context, timeout time.Duration, what string, cond func() bool) error {
 	for end := time.Now().Add(timeout); !cond(); {
 		if time.Now().After(end) {
@@ -165,8 +164,8 @@
 	return nil
 }
 
-// submitJobs submits a job and schedules the next submission. During the ramp, it skips jobs at
-// random, so that the rate rises linearly to the full rate.
+// submitJobs submits a job and schedules the next submission. During the ramp, it skips random jobs
+// so that the rate rises linearly.
 func (r *scaleRun) submitJobs(from time.Time) {
 	if !r.now.Before(r.holdEnd) {
 		return
@@ -182,15 +181,13 @@
 	}
 }
 
-// cancelAccepted cancels a job for its user if it was accepted and the user knows of no final
-// state.
+// cancelAccepted cancels a job if its user knows that it was accepted and of no final state.
 func (r *scaleRun) cancelAccepted(j *userJob) {
 	if j.accepted && j.finalState == "" {
 		r.cancel(j)
 	}
 }
 
-// injectFaults injects the faults of the plan.
 func (r *scaleRun) injectFaults() {
 	l := r.leader()
 	if r.plan.KillLeader && l != nil {
@@ -214,7 +211,7 @@
 	}
 }
 
-// partitionRegion cuts off the first region, or the second one if the leader runs in the first.
+// partitionRegion partitions the first region, or the second one if the leader is in the first.
 func (r *scaleRun) partitionRegion(leader *process) {
 	region := regionName(0)
 	if leader == r.processes[0] && r.plan.Regions > 1 {
@@ -252,8 +249,8 @@
 	return n
 }
 
-// unfinishedJobs returns the number of jobs whose submission was not answered yet, or which were
-// accepted and whose users know of no final state.
+// unfinishedJobs returns the number of jobs without a final answer to the submission, or accepted
+// but without a final state.
 func (r *scaleRun) unfinishedJobs() (n int) {
 	r.with(func() {
 		for _, j := range r.jobOrder {
@@ -265,7 +262,7 @@
 	return n
 }
 
-// recordStart records the start latency of a task whose job was submitted during the hold.
+// recordStart records the start latency of a task if its job was submitted during the hold.
 func (r *scaleRun) recordStart(t *task) {
 	if t.job.firstSubmitted.Before(r.holdStart) || t.job.firstSubmitted.After(r.holdEnd) {
 		return
--- a/internal/scenario/scale_config.go
+++ b/internal/scenario/scale_config.go
@@ -25,7 +25,7 @@
 	r.after(gap, func() { r.repeatTeamChange(gap) })
 }
 
-// changeTeamLimit sets a random team's CPU limit to 0.5 to 1.5 times its configured value, but not
+// changeTeamLimit sets a random team's CPU limit to 0.5 to 1.5 times that of the settings, but not
 // below its guarantee.
 func (r *scaleRun) changeTeamLimit() {
 	t := r.cfg.Settings.Teams[r.rng.IntN(len(r.cfg.Settings.Teams))]
@@ -36,7 +36,7 @@
 // revisionPollInterval is the interval at which a controller's configuration revision is polled.
 const revisionPollInterval = 20 * time.Millisecond
 
-// recordConfigChange records how long a change took to be acknowledged, and how long until every
+// recordConfigChange records the time until a change was acknowledged, and from then until every
 // reachable controller applied it.
 func (r *scaleRun) recordConfigChange(c *teamChange) {
 	r.measures.configAccepted.record(c.acknowledgedAt.Sub(c.sent))
@@ -54,8 +54,7 @@
 	}
 }
 
-// waitForRevision calls then when a controller has applied the revision, or is down or
-// unreachable.
+// waitForRevision calls then when a controller has applied the revision or is unreachable.
 func (r *scaleRun) waitForRevision(n *node, revision uint64, then func()) {
 	call := request.Request{Op: request.ConfigLocal, Config: &request.ConfigParams{}}
 	r.callAt(n, call, time.Second, func(status int, a request.Response) {
--- a/internal/scenario/scale_fit.go
+++ b/internal/scenario/scale_fit.go
@@ -20,8 +20,7 @@
 // At returns the fitted value for a number of workers.
 func (s *Slope) At(workers int) float64 { return s.Intercept + s.PerWorker*float64(workers) }
 
-// fittedQuantities are the figures of a report that FitSlopes fits. The names are part of the
-// printed form.
+// fittedQuantities are the figures that FitSlopes fits. PrintSlopes prints the names.
 var fittedQuantities = []struct {
 	name string
 	of   func(*ScaleReport) float64
@@ -53,7 +52,7 @@
 	return leader
 }
 
-// followers returns the mean of a figure over the controllers that never were leader.
+// followers returns the mean of a figure over the controllers that were never leader.
 func (r *ScaleReport) followers(of func(ControllerUsage) float64) float64 {
 	sum, n := 0.0, 0
 	for _, c := range r.Controllers {
@@ -65,8 +64,8 @@
 	return sum / float64(max(1, n))
 }
 
-// FitSlopes fits each quantity to the number of workers. It returns an error if the reports have
-// fewer than three different numbers of workers.
+// FitSlopes fits each quantity to the number of workers. The reports must have at least three
+// different numbers of workers.
 func FitSlopes(reports []*ScaleReport) ([]Slope, error) {
 	sizes := map[int]bool{}
 	for _, r := range reports {
--- a/internal/scenario/scale_fit_test.go
+++ b/internal/scenario/scale_fit_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// TestFitSlopes checks that a linear relation is recovered and that reports of two sizes are
-// rejected.
+// TestFitSlopes checks the fit of a linear relation, and that reports of two sizes are rejected.
 func TestFitSlopes(t *testing.T) {
 	var reports []*ScaleReport
 	for _, n := range []int{300, 600, 1200} {
--- a/internal/scenario/scale_plan.go
+++ b/internal/scenario/scale_plan.go
@@ -13,8 +13,7 @@
 	"yewpass/internal/spec"
 )
 
-// ScalePlan describes a load test. The same plan with the same seed generates the same jobs at the
-// same times.
+// ScalePlan describes a load test. Equal plans generate the same jobs at the same times.
 type ScalePlan struct {
 	Workers     int           // machines, all running from the start
 	Tasks       float64       // task starts per second at the full rate
@@ -38,7 +37,7 @@
 	Seed        uint64
 }
 
-// DefaultScalePlan returns a plan of the size that operators plan for.
+// DefaultScalePlan returns a plan of the size of the target deployment.
 func DefaultScalePlan() ScalePlan {
 	return ScalePlan{Workers: 2700, Tasks: 1100, Jobs: 4.4, Running: 43000, Teams: 110, Regions: 8, Zones: 30, Controllers: 6,
 		Ramp: 45 * time.Second, Hold: 2 * time.Minute, Drain: 3 * time.Minute, StateRPS: 350, StateWrites: 80, MemoryMB: 322, Seed: 1}
@@ -91,18 +90,18 @@
 	return nil
 }
 
-// Limits and estimates of a load test's use of the local machine.
+// Limits and estimates of a load test's resource usage.
 const (
 	maxMemoryFraction = 0.5      // fraction of the machine's memory
 	workerBytes       = 90 << 10 // of the simulator, per worker with its connection
 	taskBytes         = 2 << 10  // of the simulator, per task
 	simulatorBytes    = 200 << 20
-	filesPerWorker    = 2 // open in this process per worker: its connection, and one for commands
+	filesPerWorker    = 2 // per worker: its connection, and one for commands
 	reservedFiles     = 1000
 )
 
-// ShrinkToFit reduces the plan until it fits the given memory and number of open files. It returns
-// a description of the reduction, or "" if the plan fits.
+// ShrinkToFit reduces the plan until it fits the memory and the number of open files. It describes
+// the reduction, or returns "" if the plan fits.
 func (p *ScalePlan) ShrinkToFit(memoryBytes uint64, files uint64) string {
 	requested := *p
 	for {
@@ -152,8 +151,7 @@
 	deadline  time.Duration
 }
 
-// The classes have the proportions of a large deployment: few large arrays and many medium ones,
-// some of them urgent.
+// scaleClasses have the proportions of a large deployment.
 var scaleClasses = []scaleClass{
 	{name: "alert", urgency: spec.Urgent, taskShare: 0.46, jobShare: 0.65, cpus: 1, memory: 1.6, seconds: 18, deadline: 2 * time.Minute},
 	{name: "ingest", urgency: spec.Standard, taskShare: 0.35, jobShare: 0.09, cpus: 2, memory: 2.7, seconds: 25},
@@ -180,8 +178,7 @@
 	maxTxnOps         = 12
 )
 
-// runtimeFactor returns the factor on the classes' run times that yields the planned number of
-// running tasks.
+// runtimeFactor scales the classes' run times to yield the planned number of running tasks.
 func (p *ScalePlan) runtimeFactor() float64 {
 	mean := 0.0
 	for _, c := range scaleClasses {
--- a/internal/scenario/scale_report.go
+++ b/internal/scenario/scale_report.go
@@ -72,8 +72,8 @@
 	return float64(len(xs)-i) / float64(max(1, len(xs)))
 }
 
-// Broken reports whether a rule was broken or an error occurred.
-func (r *ScaleReport) Broken() bool { return len(r.Violations) > 0 || len(r.Errors) > 0 }
+// Failed reports whether a rule was violated or an error occurred.
+func (r *ScaleReport) Failed() bool { return len(r.Violations) > 0 || len(r.Errors) > 0 }
 
 // report builds the report of a finished run.
 func (r *scaleRun) report() *ScaleReport {
@@ -127,12 +127,11 @@
 	return out
 }
 
-// maxPollGap is the longest time without an answered poll that an unfinished job may have at the
-// end of the run.
+// maxPollGap bounds the time since the last answered poll of an unfinished job at the end of the
+// run.
 const maxPollGap = 75 * time.Second
 
-// checkJobKnown reports a violation if polls of an accepted, unfinished job are no longer
-// answered.
+// checkJobKnown checks that polls of an accepted, unfinished job are still answered.
 func (r *scaleRun) checkJobKnown(j *userJob) {
 	if r.now.Sub(laterOf(j.lastAnswered, j.acceptedAt)) > maxPollGap {
 		r.fail("forgotten", "polls of job %s are no longer answered", j.spec.ID)
@@ -193,7 +192,7 @@
 	printTallyRows(w, r.Records)
 	w.Flush()
 	for _, v := range r.Violations {
-		fmt.Fprintf(out, "rule broken at %s\n", v)
+		fmt.Fprintf(out, "rule violated at %s\n", v)
 	}
 	for _, e := range r.Errors {
 		fmt.Fprintf(out, "error: %s\n", e)
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestScaleRun runs a small load test in which the leader is killed. All jobs must be accepted and
-// finish, every figure must be measured, and no rule may be broken.
+// TestScaleRun runs a small load test in which the leader is killed. All jobs must finish, and every
+// figure must be measured.
 func TestScaleRun(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts real processes")
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Broken() || r.NotAccepted > 0 || r.Unfinished > 0 {
+	if r.Failed() || r.NotAccepted > 0 || r.Unfinished > 0 {
 		t.Errorf("violations %v, errors %v, %d of %d jobs not accepted, %d unfinished", r.Violations, r.Errors, r.NotAccepted, r.Jobs, r.Unfinished)
 	}
 	if r.Starts < plan.Tasks/4 || r.Accept["urgent"].Count == 0 || r.Worker.Bytes == 0 || r.State.Requests == 0 || r.Messages["peer reports"].Bytes == 0 {
@@ -69,8 +69,7 @@
 	}
 }
 
-// TestScalePlanShrinkToFit checks that a plan is reduced, with a message, if the machine is too
-// small.
+// TestScalePlanShrinkToFit checks that a plan too large for the machine is reduced, with a message.
 func TestScalePlanShrinkToFit(t *testing.T) {
 	p := DefaultScalePlan()
 	if message := p.ShrinkToFit(24<<30, 20000); message != "" || p.Workers != 2700 {
@@ -85,8 +84,7 @@
 	}
 }
 
-// TestScaleJobsDeterministic checks that equal seeds generate equal jobs and different seeds
-// different ones.
+// TestScaleJobsDeterministic checks that only equal seeds generate equal jobs.
 func TestScaleJobsDeterministic(t *testing.T) {
 	jobs := func(seed uint64) (tasks []int) {
 		p := DefaultScalePlan()
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -81,8 +81,8 @@
 at 200s boot_time 100
 `
 
-// TestRandomFaults runs random mixes of faults from fixed seeds: no rule may be violated, and
-// every job must complete once the faults are over.
+// TestRandomFaults runs random mixes of faults from fixed seeds. Every job must complete after the
+// faults.
 func TestRandomFaults(t *testing.T) {
 	kinds := []string{
 		"crash leader", "crash all", "crash n1 back=3s", "rolling_restart 6s", "outage state 8s", "outage state 30s", "outage cloud 20s",
@@ -108,8 +108,8 @@
 	})
 }
 
-// playMixes runs one scenario a seed: begin formatted with the seed, the lines that draw appends
-// from the seed's random numbers, and end.
+// playMixes runs one scenario per seed: begin formatted with the seed, the lines that draw appends,
+// and end.
 func playMixes(t *testing.T, stream uint64, begin, end string, draw func(rng *rand.Rand, sb *strings.Builder)) {
 	for seed := range *seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/scenario/schedule_scale_test.go
+++ b/internal/scenario/schedule_scale_test.go
@@ -56,8 +56,8 @@
 	return w
 }
 
-// submitSteadily submits a job every 200 ms. The returned variable holds the longest time until
-// acceptance, or an hour after a failed submission.
+// submitSteadily submits a job every 200 ms. It returns the longest time until acceptance, which it
+// updates; a failed submission counts as an hour.
 func (w *world) submitSteadily() *time.Duration {
 	longest := new(time.Duration)
 	n := 0
@@ -79,7 +79,7 @@
 	return longest
 }
 
-// smallLimits are the store limits of the smaller deployment.
+// smallLimits are the store limits of a small deployment.
 var smallLimits = config.State{RPS: 250, WriteRPS: 60, ValueKB: 16, TxnOps: 12}
 
 // TestTakeOverOf10000 checks that a new leader serves users while it loads 10,000 schedules, and
--- a/internal/scenario/schedules.go
+++ b/internal/scenario/schedules.go
@@ -15,19 +15,19 @@
 	"yewpass/internal/spec"
 )
 
-// scheduleClient simulates the owner of a schedule: it creates the schedule, polls its history, and
-// provides the descriptions of the jobs of future occurrences.
+// scheduleClient simulates a schedule's owner, who creates it and polls its history. It also
+// describes the jobs of its occurrences.
 type scheduleClient struct {
 	s          *script
 	file       schedule.File
 	args       map[string]string
-	number     uint64    // 0 until accepted
-	acceptedAt time.Time // when it was accepted
-	refused    int       // status of a final rejection, or 0
+	number     uint64 // 0 until accepted
+	acceptedAt time.Time
+	refused    int // status of a final rejection, or 0
 	polling    bool
 }
 
-// parseCalendar parses a calendar: country=BG holidays=2030-01-02,… worked=… weekend=none.
+// parseCalendar parses country=BG holidays=2030-01-02,… worked=… weekend=none.
 func parseCalendar(a map[string]string) calendar.Definition {
 	def := calendar.Definition{Country: a["country"]}
 	list := func(k string) (ds []time.Time) {
@@ -72,7 +72,7 @@
 	c.callUntilAnswered(request.SchedulePut, nil)
 }
 
-// callUntilAnswered repeats a request until it gets a final answer.
+// callUntilAnswered retries a request until it gets a final answer.
 func (c *scheduleClient) callUntilAnswered(op request.Operation, a map[string]string) {
 	w := c.s.world
 	q := &request.ScheduleParams{Name: c.file.Name, IdempotencyKey: a["request"]}
@@ -132,8 +132,8 @@
 	})
 }
 
-// describedJob returns the job that a worker fetches by its id: a user's submission or the
-// occurrence of a schedule, for which it creates the job. It returns nil if there is none.
+// describedJob returns the job with an ID, which a user submitted or which belongs to an occurrence
+// of a schedule. It creates the latter, and returns nil if there is none.
 func (w *world) describedJob(id string) *userJob {
 	if j := w.jobs[id]; j != nil {
 		return j
@@ -144,7 +144,7 @@
 		}
 		j := c.s.parseJob(id, c.args)
 		j.firstSubmitted = w.now
-		w.history[id] = append(w.history[id], call{op: request.Submit, invoked: w.start}) // the leader creates the job, so its submission precedes all calls
+		w.history[id] = append(w.history[id], call{op: request.Submit, invoked: w.start}) // created by the leader, before all calls
 		w.jobs[id] = j
 		w.jobOrder = append(w.jobOrder, j)
 		return j
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// storedRecord returns the schedule's record in the store, and whether there is one.
+// storedRecord returns the schedule's stored record and whether it exists.
 func (c *scheduleClient) storedRecord() (*schedule.Record, bool) {
 	key := "yewpass/schedule/" + c.file.Name
 	k := c.s.store.keys[key]
@@ -164,8 +164,8 @@
 }
 
 // holds reports whether an expectation about the schedule holds: made NAME N, missed NAME N, late
-// NAME N, history NAME STATE N, removed NAME, or whole NAME. The last compares with a plain
-// enumeration: every occurrence is one job or counted as missed, and there are no other jobs.
+// NAME N, history NAME STATE N, removed NAME, or whole NAME: every occurrence is one job or counted
+// as missed, and there are no other jobs.
 func (c *scheduleClient) holds(e []string) bool {
 	r, ok := c.storedRecord()
 	switch e[0] {
@@ -212,7 +212,7 @@
 	return true
 }
 
-// jobsMade returns the ids of the schedule's jobs that are on record.
+// jobsMade returns the IDs of the schedule's jobs in the store.
 func (c *scheduleClient) jobsMade() (ids []string) {
 	for _, under := range []string{"yewpass/live/job/", "yewpass/final/"} {
 		for _, k := range c.s.store.sortedKeys(under + fmt.Sprintf("%s%08d", spec.IDPrefix, c.number)) {
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -21,8 +21,8 @@
 	History    map[string][]call // user calls by job ID
 }
 
-// Run parses a scenario and simulates it to its end. The simulated controllers' log lines go
-// to trace unless it is nil. It returns an error if the script is invalid.
+// Run parses and simulates a scenario. The controllers' log lines go to trace unless it is nil. It
+// returns an error if the script is invalid.
 func Run(text string, trace func(string)) (Result, error) {
 	s, err := parseScript(text)
 	if err != nil {
@@ -50,12 +50,12 @@
 
 type script struct {
 	*world
-	trace   func(string)
-	seed    uint64
-	actions []action
-	expects []expect
-	end     time.Duration
-	burst   int
+	trace     func(string)
+	seed      uint64
+	actions   []action
+	expects   []expect
+	end       time.Duration
+	burstJobs int
 }
 
 type action struct {
@@ -139,7 +139,7 @@
 	return sb.String()
 }
 
-// applySettings copies the limits and timings of the settings to the simulated components.
+// applySettings copies the settings' limits and timings to the simulated components.
 func (w *world) applySettings(trace func(string)) {
 	st, wk := w.cfg.Settings.State, w.cfg.Settings.Workers
 	w.trace = trace
@@ -147,7 +147,7 @@
 	w.reportInterval, w.lease, w.cancelDeadline = wk.Report.Duration(), wk.Lease.Duration(), wk.Cancel.Duration()
 }
 
-// parseJob builds a job from the key-value words of a submit or burst action.
+// parseJob builds a job from the arguments of a submit or burst action.
 func (s *script) parseJob(id string, a map[string]string) *userJob {
 	run := durationArg(a, "run", 20*time.Second)
 	j := &userJob{runtime: run, faulty: a["faulty"] != "", jobProgress: newJobProgress()}
@@ -213,27 +213,26 @@
 	return ms[:min(n, len(ms))]
 }
 
-// faultActions are the actions that inject a fault.
 var faultActions = strings.Fields(`crash crash_loop restart shutdown rolling_restart outage wipe restore ignore_releases state_unavailable drop_txn_responses partition stall
 	poll_load hang fail_tasks preempt boot_time corrupt clock_offset delay_txns duplicate_reports block_inbound block_reports cancel_running slow_state`)
 
-// recordFault extends faultsOverAt past the end of a fault: the sum of all durations in the
-// action, plus 30 s for processes and machines to restart.
+// recordFault extends faultsOverAt past the end of a fault: all durations in the action, plus 30 s
+// for processes and machines to restart.
 func (w *world) recordFault(f []string) {
 	if !slices.Contains(faultActions, f[0]) {
 		return
 	}
-	over := 30 * time.Second
+	duration := 30 * time.Second
 	for _, word := range f[1:] {
 		if _, v, ok := strings.Cut(word, "="); ok {
 			word = v
 		}
 		if d, err := time.ParseDuration(word); err == nil {
-			over += d
+			duration += d
 		}
 	}
 	if f[0] == "rolling_restart" {
-		over += time.Duration(len(w.nodes)) * parseDuration(f[1])
+		duration += time.Duration(len(w.nodes)) * parseDuration(f[1])
 	}
-	w.faultsOverAt = laterOf(w.faultsOverAt, w.now.Add(over))
+	w.faultsOverAt = laterOf(w.faultsOverAt, w.now.Add(duration))
 }
--- a/internal/scenario/script_actions.go
+++ b/internal/scenario/script_actions.go
@@ -16,7 +16,7 @@
 var actionHandlers map[string]func(s *script, f []string)
 
 func init() {
-	// An initializer at the declaration would be a cycle: some actions perform others.
+	// Assigned here because some actions perform others, an initialization cycle.
 	actionHandlers = map[string]func(s *script, f []string){
 		"machines":             (*script).actMachines,
 		"submit":               (*script).actSubmit,
@@ -99,8 +99,8 @@
 	n, _ := strconv.Atoi(f[1])
 	a := keyValues(f[2:])
 	for i := range n {
-		s.burst++
-		id := fmt.Sprintf("wk-1%05d", s.burst)
+		s.burstJobs++
+		id := fmt.Sprintf("wk-1%05d", s.burstJobs)
 		w.after(time.Duration(i)*durationArg(a, "gap", time.Second), func() {
 			b := keyValues(f[2:])
 			if p := numberArg(a, "vary", 0); p > 0 { // the actual run time deviates from the estimate
@@ -221,16 +221,16 @@
 func (s *script) actStateUnavailable(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
-		w.store.deniedUntil[n.name] = w.now.Add(parseDuration(f[2]))
+		w.store.unavailableUntil[n.name] = w.now.Add(parseDuration(f[2]))
 	}
 }
 
-// actDropTxnResponses handles "drop_txn_responses NODE D [late=D]": transactions of NODE are
-// applied, late with late=D, and their responses are lost.
+// actDropTxnResponses handles "drop_txn_responses NODE D [late=D]": the store applies NODE's
+// transactions, after a delay with late=D, and drops the responses.
 func (s *script) actDropTxnResponses(f []string) {
 	w := s.world
 	if n := s.node(f[1]); n != nil {
-		w.store.unanswered[n.name] = unansweredWrites{w.now.Add(parseDuration(f[2])), durationArg(keyValues(f[3:]), "late", 0)}
+		w.store.droppedTxnResponses[n.name] = droppedResponses{w.now.Add(parseDuration(f[2])), durationArg(keyValues(f[3:]), "late", 0)}
 	}
 }
 
@@ -239,7 +239,7 @@
 func (s *script) actDelayTxns(f []string) {
 	w := s.world
 	a := keyValues(f[2:])
-	w.store.delayedWrites = delayedShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(a, "share", 0.3), atOnce: a["at_once"] == "true"}
+	w.store.delayedTxns = faultShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(a, "share", 0.3), atOnce: a["at_once"] == "true"}
 }
 
 // actDuplicateReports handles "duplicate_reports D share=S [next_leader=true]": a share of the
@@ -247,7 +247,7 @@
 func (s *script) actDuplicateReports(f []string) {
 	w := s.world
 	a := keyValues(f[2:])
-	w.lateReports = delayedShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(a, "share", 0.3), forNextLeader: a["next_leader"] == "true"}
+	w.duplicateReports = faultShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(a, "share", 0.3), forNextLeader: a["next_leader"] == "true"}
 }
 
 // actSlowState handles "slow_state D by=D": the key-value store delays its responses.
@@ -261,7 +261,7 @@
 func (s *script) actBlockInbound(f []string) {
 	w := s.world
 	for _, m := range s.selectMachines(f[1]) {
-		m.inboundLostUntil = w.now.Add(parseDuration(f[2]))
+		m.inboundBlockedUntil = w.now.Add(parseDuration(f[2]))
 	}
 }
 
@@ -269,7 +269,7 @@
 func (s *script) actBlockReports(f []string) {
 	w := s.world
 	for _, m := range s.selectMachines(f[1]) {
-		m.outboundLostUntil = w.now.Add(parseDuration(f[2]))
+		m.reportsBlockedUntil = w.now.Add(parseDuration(f[2]))
 	}
 }
 
@@ -284,20 +284,20 @@
 // actCancelOnCompletion handles "cancel_on_completion D share=S": users cancel completing jobs.
 func (s *script) actCancelOnCompletion(f []string) {
 	w := s.world
-	w.cancelAtEnd = delayedShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(keyValues(f[2:]), "share", 0.3)}
+	w.cancelOnCompletion = faultShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(keyValues(f[2:]), "share", 0.3)}
 }
 
 // actInvalidRequests handles "invalid_requests D": users repeat submissions, cancel finished jobs
 // and submit incomplete jobs and jobs that cannot run.
 func (s *script) actInvalidRequests(f []string) {
 	w := s.world
-	w.sendOddRequests(w.now.Add(parseDuration(f[1])))
+	w.sendInvalidRequests(w.now.Add(parseDuration(f[1])))
 }
 
-// actObserveTransitions handles "observe_transitions D": observes each job at its state changes.
+// actObserveTransitions handles "observe_transitions D": users poll all controllers at state changes.
 func (s *script) actObserveTransitions(f []string) {
 	w := s.world
-	w.observeUntil = w.now.Add(parseDuration(f[1]))
+	w.observeTransitionsUntil = w.now.Add(parseDuration(f[1]))
 }
 
 // actLatency handles "latency D": sets the network latency.
@@ -306,15 +306,15 @@
 	w.net.latency = parseDuration(f[1])
 }
 
-// actObserve handles "observe ID": the user of a job queries all controllers repeatedly.
+// actObserve handles "observe ID": a job's user polls all controllers repeatedly.
 func (s *script) actObserve(f []string) {
 	w := s.world
-	w.observeJob(w.jobs[f[1]], false)
+	w.pollEveryNode(w.jobs[f[1]], false)
 }
 
 // actPartition handles "partition WHO D hold|reset [only=HOSTS] [nodes=NODES]": separates WHO from
 // all hosts, or from HOSTS: names, leader, follower, peers (all controllers), workers, state, user.
-// Packets are held back until the end of the partition, or connections are reset.
+// Messages are held until the partition ends, or dropped.
 func (s *script) actPartition(f []string) {
 	hosts, zone := s.partitionHosts(f)
 	only := s.partitionPeers(keyValues(f[3:])["only"])
@@ -389,10 +389,10 @@
 	}
 }
 
-// actPollLoad handles "poll_load D rate=N": users send N additional polls a second.
+// actPollLoad handles "poll_load D rate=N": users send N additional polls per second.
 func (s *script) actPollLoad(f []string) {
 	w := s.world
-	w.pollStorm(numberArg(keyValues(f[2:]), "rate", 400), w.now.Add(parseDuration(f[1])))
+	w.addPollLoad(numberArg(keyValues(f[2:]), "rate", 400), w.now.Add(parseDuration(f[1])))
 }
 
 // actHang handles "hang N D": the N busiest machines do not execute anything.
@@ -422,7 +422,7 @@
 	}
 }
 
-// actPreempt handles "preempt N [notice=D]": the cloud reclaims N spot machines, D after a notice.
+// actPreempt handles "preempt N [notice=D]": the cloud preempts N spot machines, D after a notice.
 func (s *script) actPreempt(f []string) {
 	w := s.world
 	n, _ := strconv.Atoi(f[1])
@@ -439,8 +439,8 @@
 	}
 }
 
-// actBootTime handles "boot_time P" and "boot_time never": new machines need P percent of their
-// usual boot time, or half of them never boot.
+// actBootTime handles "boot_time P" and "boot_time never": new machines take P percent of their
+// type's boot time, or half of them never boot.
 func (s *script) actBootTime(f []string) {
 	w := s.world
 	if f[1] == "never" {
@@ -475,21 +475,21 @@
 		e := w.store.keys[k]
 		was := e.value
 		e.value = json.RawMessage(f[2])
-		w.undoDamage = func() { e.value = was }
+		w.undoCorruption = func() { e.value = was }
 	}
 }
 
 // actRepair handles "repair": restores the value that was corrupted last.
 func (s *script) actRepair(f []string) {
 	w := s.world
-	w.undoDamage()
+	w.undoCorruption()
 }
 
 // actClockOffset handles "clock_offset NODE D": sets the wall-clock error of a controller.
 func (s *script) actClockOffset(f []string) {
 	if n := s.node(f[1]); n != nil {
-		n.wallOffset = parseDuration(f[2])
-		n.core.SetClockOffset(n.wallOffset)
+		n.clockOffset = parseDuration(f[2])
+		n.core.SetClockOffset(n.clockOffset)
 	}
 }
 
--- a/internal/scenario/script_expectations.go
+++ b/internal/scenario/script_expectations.go
@@ -100,7 +100,7 @@
 
 // holdsRule checks "rule NAME": the rule was violated.
 func (s *script) holdsRule(e []string) bool {
-	return s.brokenRules[e[1]]
+	return s.violatedRules[e[1]]
 }
 
 // holdsConfigured checks "configured": all configuration changes were acknowledged and have
--- a/internal/scenario/script_lines.go
+++ b/internal/scenario/script_lines.go
@@ -30,8 +30,7 @@
 	"expect":    (*script).setExpect,
 }
 
-// parseLine parses a line that has been split into words. Invalid values, on which the
-// helpers panic, become errors.
+// parseLine parses the words of a line. Panics of the helpers on invalid values become errors.
 func (s *script) parseLine(f []string) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/scenario/script_plants.go
+++ b/internal/scenario/script_plants.go
@@ -8,8 +8,8 @@
 	"yewpass/internal/spec"
 )
 
-// violateRule violates a rule by changing the simulated cluster behind the controllers' back,
-// so that a test can verify that the checker detects it.
+// violateRule changes the simulated cluster, without the controllers, so that it violates a rule.
+// Tests verify that the checker detects the violation.
 func (s *script) violateRule(rule string) {
 	w := s.world
 	ms := s.busiest(len(w.cloud.machines))
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -27,14 +27,13 @@
 
 // storeFaults holds the active faults of the store.
 type storeFaults struct {
-	downUntil     time.Time                   // end of the current outage
-	deniedUntil   map[string]time.Time        // by node: it gets 503 until then
-	unanswered    map[string]unansweredWrites // by node: its transactions are applied but not answered
-	delayedWrites delayedShare                // share of transactions applied but not answered
-	slowUntil     time.Time                   // until then requests are handled after slowDelay
-	slowDelay     time.Duration
-	// By key: the latest change whose writer got no answer.
-	unansweredChanges map[string]unansweredChange
+	downUntil           time.Time                   // end of the current outage
+	unavailableUntil    map[string]time.Time        // by node: it gets 503 until then
+	droppedTxnResponses map[string]droppedResponses // by node
+	delayedTxns         faultShare                  // share of transactions whose responses are dropped
+	slowUntil           time.Time                   // until then requests are handled after slowDelay
+	slowDelay           time.Duration
+	unansweredChanges   map[string]unansweredChange // by key: the latest one
 }
 
 // storeAllowance holds the limits of the store and the token buckets of its rate limits.
@@ -46,7 +45,7 @@
 	refilled                   time.Time
 }
 
-// storeCounters counts what expectations compare and reports print.
+// storeCounters holds counts for expectations and reports.
 type storeCounters struct {
 	occurrences      map[string]int // shared with the world's counters
 	misuse           string         // description of a request beyond the protocol's limits
@@ -55,23 +54,23 @@
 	refused          int
 }
 
-// unansweredWrites drops the answers to a node's transactions until a time. The transactions are
+// droppedResponses drops the responses to a node's transactions until a time. The transactions are
 // applied after the delay late.
-type unansweredWrites struct {
+type droppedResponses struct {
 	until time.Time
 	late  time.Duration
 }
 
-// delayedShare selects a random share of messages for a fault until a time.
-type delayedShare struct {
+// faultShare selects a random share of messages for a fault until a time.
+type faultShare struct {
 	until         time.Time
 	share         float64
-	atOnce        bool // for transactions: apply at once and drop only the answer
-	forNextLeader bool // for reports: keep the copy until the next leader starts
+	atOnce        bool // for transactions: apply without delay
+	forNextLeader bool // for reports: deliver the copy when the next leader starts
 }
 
-// sample reports whether the fault applies to the current message.
-func (l *delayedShare) sample(c *clock) bool {
+// sample draws whether the fault applies to a message.
+func (l *faultShare) sample(c *clock) bool {
 	return c.now.Before(l.until) && c.rng.Float64() < l.share
 }
 
@@ -81,7 +80,7 @@
 	at     time.Time
 }
 
-// unansweredFor is how long a writer stays unaware of its change: the timeout of the core's calls.
+// unansweredFor is how long a writer does not know its change: the timeout of the core's calls.
 const unansweredFor = 1500 * time.Millisecond
 
 // countUnansweredRead counts reads of a key that another node has changed without knowing it yet.
@@ -123,8 +122,7 @@
 	return data
 }
 
-// outage makes the store answer every request with 503 for d. Leases get their full TTL again when
-// it ends.
+// outage makes the store answer every request with 503 for d. Its end renews all leases.
 func (s *store) outage(d time.Duration) {
 	s.downUntil = s.now.Add(d)
 	s.after(d, func() {
@@ -240,8 +238,7 @@
 	s.handle(node, method, path, body, answer)
 }
 
-// validateTxn checks a transaction against the protocol's limits. Exceeding one is a fault of the
-// controller and fails the scenario.
+// validateTxn checks a transaction against the protocol's limits. A violation fails the scenario.
 func (s *store) validateTxn(t *txn, size int) bool {
 	bad := ""
 	switch {
@@ -269,8 +266,8 @@
 	return bad == ""
 }
 
-// wipe deletes the keys under a prefix without notifying watchers. If rev is set, the revision,
-// the change log and the leases are reset too.
+// wipe deletes the keys under a prefix without notifying watchers. With rev, it also resets the
+// revision, the change log and the leases.
 func (s *store) wipe(under string, rev bool) {
 	for _, k := range s.sortedKeys(under) {
 		delete(s.keys, k)
@@ -281,8 +278,7 @@
 	}
 }
 
-// snapshot returns a function that restores the current keys, without leases, and the current
-// revision.
+// snapshot returns a function that restores the current keys, without leases, and revision.
 func (s *store) snapshot() (restore func()) {
 	keys, rev := map[string]storedKey{}, s.rev
 	for k, e := range s.keys {
--- a/internal/scenario/store_requests.go
+++ b/internal/scenario/store_requests.go
@@ -9,7 +9,7 @@
 )
 
 func (s *store) handle(node, method, path string, body []byte, answer func(int, []byte)) {
-	if s.now.Before(s.downUntil) || s.now.Before(s.deniedUntil[node]) {
+	if s.now.Before(s.downUntil) || s.now.Before(s.unavailableUntil[node]) {
 		if strings.HasPrefix(path, "/follow") {
 			return // watches stay open without an answer
 		}
@@ -49,7 +49,7 @@
 }
 
 // serveTransaction validates, rate-limits and applies a transaction. Faults may delay it or drop
-// its answer.
+// its response.
 func (s *store) serveTransaction(node string, body []byte, answer func(int, []byte)) {
 	var t txn
 	if json.Unmarshal(body, &t) != nil || !s.validateTxn(&t, len(body)) {
@@ -62,18 +62,18 @@
 		return
 	}
 	switch {
-	case len(t.Then) > 0 && s.now.Before(s.unanswered[node].until):
-		s.after(s.unanswered[node].late, func() { s.applyTxn(&t, func(int, []byte) {}) })
-	case len(t.Then) > 0 && s.delayedWrites.sample(s.clock):
-		s.loseAnswer(node, &t)
+	case len(t.Then) > 0 && s.now.Before(s.droppedTxnResponses[node].until):
+		s.after(s.droppedTxnResponses[node].late, func() { s.applyTxn(&t, func(int, []byte) {}) })
+	case len(t.Then) > 0 && s.delayedTxns.sample(s.clock):
+		s.dropTxnResponse(node, &t)
 	default:
 		s.applyTxn(&t, answer)
 	}
 }
 
-// loseAnswer applies a transaction at once or late and drops its answer.
-func (s *store) loseAnswer(node string, t *txn) {
-	if s.delayedWrites.atOnce {
+// dropTxnResponse applies a transaction at once or later and drops its response.
+func (s *store) dropTxnResponse(node string, t *txn) {
+	if s.delayedTxns.atOnce {
 		s.applyTxn(t, func(status int, _ []byte) {
 			if status != 200 {
 				return
@@ -124,7 +124,7 @@
 }
 
 // serveWatch answers when a key under a prefix has changed after a revision, or when the caller's
-// blocking time is over. It answers 410 if the revision is older than the history.
+// timeout has passed. It answers 410 if the revision is older than the history.
 func (s *store) serveWatch(query url.Values, answer func(int, []byte)) {
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
 	block, _ := strconv.Atoi(query.Get("blockMs"))
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -19,21 +19,21 @@
 	bytes     atomic.Int64 // both directions, with HTTP headers
 }
 
-// countedConn counts the bytes of a connection in both directions.
-type countedConn struct {
+// countingConn counts the bytes of a connection in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Read reads from the connection and counts the bytes read.
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write writes to the connection and counts the bytes written.
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -51,15 +51,15 @@
 			if err != nil {
 				return nil, err
 			}
-			return countedConn{conn, &link.bytes}, nil
+			return countingConn{conn, &link.bytes}, nil
 		},
 	}
 	link.client = &http.Client{Timeout: 4 * time.Second, Transport: link.transport}
 	return link
 }
 
-// workerClient returns the client for a worker's heartbeats to a node. When the node changes, it
-// closes the connection to the previous one.
+// workerClient returns the client for a worker's heartbeats to a node. It closes the connection to
+// a previous node.
 func (l *loopback) workerClient(host, node string) *http.Client {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
@@ -157,8 +157,8 @@
 	})
 }
 
-// copyWhileReachable copies from one connection to the other until one of them is closed. It stops
-// copying while the two controllers are partitioned.
+// copyWhileReachable copies between connections until one is closed. It pauses while the two
+// controllers are partitioned.
 func (p *process) copyWhileReachable(o *process, from, to net.Conn, seen func([]byte)) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -178,8 +178,8 @@
 	}
 }
 
-// waitReachable waits until the two controllers are not partitioned. It returns false if the
-// loopback is closed first.
+// waitReachable waits while the two controllers are partitioned. It returns false if the loopback
+// is closed first.
 func (p *process) waitReachable(o *process) bool {
 	for {
 		open := false
@@ -201,7 +201,7 @@
 	size int
 }
 
-// kindPrefixBytes is the length of a line prefix that always contains the message kind.
+// kindPrefixBytes is the length of the line prefix that contains the message kind.
 const kindPrefixBytes = 120
 
 func (c *lineCounter) add(b []byte, emit func(kind string, size int)) {
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -8,7 +8,7 @@
 	"yewpass/internal/spec"
 )
 
-// userJob is a job with its simulated behavior and what its user has been told about it.
+// userJob is a job, its simulated behavior and its user's knowledge of it.
 type userJob struct {
 	spec           spec.Job
 	runtime        time.Duration // actual run time of a task
@@ -17,7 +17,7 @@
 	firstSubmitted time.Time
 	lastSubmitted  time.Time
 	status         int       // status of the final answer to the submission, or 0
-	resubmitted    bool      // the user has repeated the submission after the end
+	resubmitted    bool      // the user has repeated the submission after the job's end
 	lastAnswered   time.Time // time of the last answered poll, or of the first failed one after it
 	failedPolls    int
 
@@ -39,18 +39,18 @@
 // jobProgress is the actual progress of a job's tasks.
 type jobProgress struct {
 	done         map[int]bool
-	firstStarted time.Time // when its first task started
+	firstStarted time.Time // start of its first task
 	finished     time.Time
 	progress     map[int]time.Duration
 	heldTasks    []*task      // on machines: pulling, running or checkpointing
-	startedTasks map[int]bool // indexes of tasks that have started, where measured
+	startedTasks map[int]bool // indexes of started tasks, in load tests
 }
 
-// jobWait tracks whether a waiting task of a job could run on some machine.
+// jobWait tracks how long a task has waited although a machine has room for it.
 type jobWait struct {
-	waitingSince time.Time // since when a task has waited although a machine fits
-	fitting      *worker   // machine on which a waiting task fits
-	fittingSince time.Time // since when fitting has been that machine
+	waitingSince time.Time
+	fitting      *worker // machine that has room
+	fittingSince time.Time
 }
 
 func newJobProgress() jobProgress {
@@ -76,13 +76,13 @@
 	w.callAt(w.pickNode(), call, timeout, f)
 }
 
-// callAt sends a user's request to a node. A nil node means that the load balancer has none to
-// choose. f is called once, with status 0 if there is no answer within the timeout.
+// callAt sends a user's request to a node; nil means that the load balancer has none. f is called
+// once, with status 0 if there is no answer within the timeout.
 func (w *world) callAt(n *node, call request.Request, timeout time.Duration, f func(status int, a request.Response)) {
-	over, record := false, w.recordCall(call)
+	answered, record := false, w.recordCall(call)
 	answer := func(status int, a request.Response) { // w.answeredAt tells f when the node answered
-		if !over {
-			over = true
+		if !answered {
+			answered = true
 			record(status, a)
 			f(status, a)
 		}
@@ -102,9 +102,9 @@
 			return call
 		}, func(v any) {
 			a := v.(request.Response)
-			given := w.now
+			answeredAt := w.now
 			w.net.send("answer", n.name, "user", func() {
-				w.answeredAt = given
+				w.answeredAt = answeredAt
 				answer(a.Status, a)
 			})
 		})
@@ -177,16 +177,15 @@
 	}
 }
 
-// observeStatus checks a job's status against earlier answers to its user and against what its
-// tasks have actually done.
+// observeStatus checks a job's status against earlier answers to its user and against its tasks.
 func (w *world) observeStatus(j *userJob, v request.JobStatus) {
 	if !j.accepted {
 		j.accepted, j.acceptedAt = true, w.now
-		w.observeJob(j, true)
+		w.pollEveryNode(j, true)
 	}
 	if j.finalState != "" && v.State != j.finalState {
 		if !w.answeredAt.After(j.finalStateAt) {
-			return // sent before the earlier answer and delivered after it
+			return // sent before the earlier answer
 		}
 		w.fail("went_back", "%s was reported %s, then %s", j.spec.ID, j.finalState, v.State)
 	}
@@ -196,7 +195,7 @@
 			w.fail("not_done", "%s is reported done with %d of %d tasks completed", j.spec.ID, len(j.done), j.spec.Tasks)
 		}
 		if j.finalState == "" {
-			defer w.observeJob(j, true)
+			defer w.pollEveryNode(j, true)
 		}
 		j.finalState, j.finalStateAt = v.State, w.now
 	case spec.Cancelled:
@@ -206,7 +205,7 @@
 		if j.finalState == "" {
 			j.cancelledAt, j.finalStateAt = w.now, w.now
 			w.cancelledJobs = append(w.cancelledJobs, j)
-			defer w.observeJob(j, true)
+			defer w.pollEveryNode(j, true)
 			w.occurrences["cancelled-on"] += w.tasksOn(j.spec.ID)
 		}
 		j.finalState = v.State
@@ -218,7 +217,7 @@
 		if j.finalState == "" {
 			w.after(w.jitter(5*time.Second, 0.2), func() { w.poll(j) })
 		} else if !j.resubmitted {
-			// Repeat the submission and poll once more, long after the end of the job.
+			// Repeat the submission and poll again after the job's end.
 			j.resubmitted = true
 			w.after(w.jitter(25*time.Second, 0.9), func() { w.submit(j) })
 			w.after(w.jitter(40*time.Second, 0.9), func() { w.poll(j) })
@@ -226,9 +225,8 @@
 	})
 }
 
-// pollStorm polls random jobs at a rate until end. One poll in four is for a job that does not
-// exist.
-func (w *world) pollStorm(rate float64, end time.Time) {
+// addPollLoad polls random jobs at a rate until end. One poll in four is for an unknown job.
+func (w *world) addPollLoad(rate float64, end time.Time) {
 	if !w.now.Before(end) {
 		return
 	}
@@ -237,14 +235,14 @@
 	} else {
 		w.pollOnce(w.jobOrder[w.rng.IntN(len(w.jobOrder))], func() {})
 	}
-	w.after(time.Duration(1e9/rate), func() { w.pollStorm(rate, end) })
+	w.after(time.Duration(1e9/rate), func() { w.addPollLoad(rate, end) })
 }
 
 // pollOnce polls a job once and calls then after the answer.
 func (w *world) pollOnce(j *userJob, then func()) {
-	take := w.pollHandler(j)
+	handle := w.pollHandler(j)
 	w.request(request.Get, nil, j.spec.ID, 2*time.Second, func(status int, a request.Response) {
-		take(status, a)
+		handle(status, a)
 		then()
 	})
 }
@@ -278,8 +276,8 @@
 	}
 }
 
-// maxUnanswered bounds how long polls of one job may fail after the last fault has ended, even if
-// polls of other jobs are answered.
+// maxUnanswered bounds how long polls of one job may fail after the last fault, even if other jobs'
+// polls are answered.
 const maxUnanswered = 75 * time.Second
 
 func laterOf(a, b time.Time) time.Time {
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -27,19 +27,19 @@
 
 // workerFaults holds the active faults of a machine.
 type workerFaults struct {
-	slowdown          float64 // factor on the run time of tasks
-	failsTasks        bool
-	hungUntil         time.Time
-	preemptedAt       time.Time // preemption time that the cloud has announced
-	inboundLostUntil  time.Time // until then it sends reports but receives no answers or probes
-	outboundLostUntil time.Time // until then it opens no connection to a controller, but answers probes
+	slowdown            float64 // factor on the run time of tasks
+	failsTasks          bool
+	hungUntil           time.Time
+	preemptedAt         time.Time // announced preemption time
+	inboundBlockedUntil time.Time // until then answers and probes to it are lost
+	reportsBlockedUntil time.Time // until then its reports are lost, but it answers probes
 }
 
 // workerSession is the state of a worker's exchange with the controllers.
 type workerSession struct {
 	incarnation, counter, fencingToken uint64
 	nodeIndex                          int
-	served                             bool      // that node has answered its reports
+	served                             bool      // the node has answered its reports
 	inFlight                           int       // number of the report in flight; 0 if none
 	reportCount                        int       // reports sent
 	lastSent, lastAnswered             time.Time // send times of the latest report and the latest answered one
@@ -57,7 +57,7 @@
 	cause              string
 	startedAt          time.Time
 	timer              int  // number of the latest timer; earlier ones are void
-	renewedAfterCancel bool // a former leader renewed its lease after its job was reported cancelled
+	renewedAfterCancel bool // counted by countStaleRenewals
 
 	machine *worker // nil once it has exited or its session has ended
 }
@@ -68,8 +68,8 @@
 	return t.phase == heartbeat.Running || t.phase == heartbeat.Checkpointing
 }
 
-// whenRunning runs f after checking the lease. It defers f to the end of a hang and drops it if
-// the machine is terminated or not booted.
+// whenRunning checks the lease and runs f. It defers f to the end of a hang, and drops it if the
+// machine is terminated or not booted.
 func (m *worker) whenRunning(f func()) {
 	if !m.terminatedAt.IsZero() || m.bootedAt.IsZero() {
 		return
@@ -104,8 +104,8 @@
 	m.scheduleLeaseCheck()
 }
 
-// scheduleLeaseCheck schedules a check just after the lease expires. The check also runs on a
-// hung machine, whose tasks end with the lease too.
+// scheduleLeaseCheck schedules a check just after the lease expires, also on a hung machine, whose
+// tasks end with the lease too.
 func (m *worker) scheduleLeaseCheck() {
 	m.at(m.lastAnswered.Add(m.lease+time.Millisecond), func() {
 		if m.terminatedAt.IsZero() {
@@ -121,7 +121,7 @@
 	}
 }
 
-// terminate removes the machine and all its tasks.
+// terminate removes the machine and its tasks.
 func (m *worker) terminate() {
 	if m.terminatedAt.IsZero() {
 		m.terminatedAt = m.now
@@ -129,10 +129,10 @@
 	}
 }
 
-// restart reboots the machine after a delay, under the same host name and address. Its tasks,
-// images and fencing token are lost. If anew is set, its incarnation restarts from 1; the
-// protocol leaves this open.
-func (m *worker) restart(back time.Duration, anew bool) {
+// restart reboots the machine after a delay, under the same host name and address. It loses its
+// tasks, images and fencing token. With resetCounter, which the protocol allows, its incarnation
+// restarts from 1.
+func (m *worker) restart(back time.Duration, resetCounter bool) {
 	m.whenRunning(func() {
 		for _, t := range m.tasks {
 			t.timer++ // cancels its timers
@@ -147,7 +147,7 @@
 				return
 			}
 			m.bootedAt, m.lastAnswered = m.now, m.now
-			if anew {
+			if resetCounter {
 				m.incarnation, m.counter = 1, 0
 			}
 			m.scheduleLeaseCheck()
@@ -183,7 +183,7 @@
 	m.hasChanges = false
 	m.reportPlan++
 	id, incarnation, sent := m.inFlight, m.incarnation, m.now
-	if m.now.Before(m.outboundLostUntil) {
+	if m.now.Before(m.reportsBlockedUntil) {
 		m.occurrences["mute-report"]++
 		m.after(500*time.Millisecond, func() { m.whenRunning(func() { m.reportFailed(id) }) })
 		return
@@ -203,7 +203,7 @@
 			ans := a.(heartbeat.Reply)
 			ans.Orders = slices.Clone(ans.Orders)
 			back(func() {
-				if m.now.Before(m.inboundLostUntil) {
+				if m.now.Before(m.inboundBlockedUntil) {
 					m.occurrences["deaf-answer"]++
 					m.occurrences["deaf-start"] += len(slices.DeleteFunc(ans.Orders, func(o heartbeat.Order) bool { return o.Verb != heartbeat.Start }))
 					return
@@ -212,10 +212,10 @@
 			})
 		})
 	})
-	if m.lateReports.forNextLeader && m.lateReports.sample(m.clock) {
+	if m.duplicateReports.forNextLeader && m.duplicateReports.sample(m.clock) {
 		m.keepReport(rep)
-	} else if m.lateReports.sample(m.clock) {
-		// The network delivers a duplicate later, and its answer is discarded.
+	} else if m.duplicateReports.sample(m.clock) {
+		// The answer to the duplicate is discarded.
 		m.after(m.jitter(m.lease+2*time.Second, 1-4/(m.lease.Seconds()+2)), func() {
 			if n.alive {
 				m.occurrences["late-report"]++
@@ -242,8 +242,8 @@
 	}
 }
 
-// deliverKeptReports delivers the kept reports to every controller when a leader starts: before,
-// while and after it loads the records.
+// deliverKeptReports delivers the kept reports to every controller before, while or after a new
+// leader loads the records.
 func (w *world) deliverKeptReports() {
 	kept := w.keptReports
 	w.keptReports = nil
@@ -260,29 +260,28 @@
 				n.ask(func(ref uint64) any { return heartbeat.Received{Ref: ref, Report: rep} }, func(any) {})
 			}
 			w.after([]time.Duration{0, time.Millisecond, 4 * time.Millisecond, 40 * time.Millisecond, 500 * time.Millisecond}[w.rng.IntN(5)], func() {
-				w.net.send("kept", "copy of "+rep.Host, n.name, arrive) // sent by the network: faults of the machine do not apply
+				w.net.send("kept", "copy of "+rep.Host, n.name, arrive) // not sent by the machine, whose faults do not apply
 			})
 		}
 	}
 }
 
-// countUnrecorded counts machines that are up but not on record when a leader starts.
+// countUnrecorded counts the machines that run but have no record when a leader starts.
 func (w *world) countUnrecorded() {
 	if w.checksOff || w.elapsed() < 2*time.Second {
-		return // no machine is on record yet for the first leader
+		return // the first leader finds no machine records
 	}
-	named := ""
+	recorded := ""
 	for _, k := range w.store.sortedKeys("yewpass/live/machine/") {
-		named += string(w.store.keys[k].value)
+		recorded += string(w.store.keys[k].value)
 	}
 	for _, m := range w.cloud.machines {
-		if m.terminatedAt.IsZero() && !m.bootedAt.IsZero() && !strings.Contains(named, `"`+m.host+`"`) {
+		if m.terminatedAt.IsZero() && !m.bootedAt.IsZero() && !strings.Contains(recorded, `"`+m.host+`"`) {
 			w.occurrences["unrecorded"]++
 		}
 	}
 }
 
-// buildReport returns the heartbeat of the worker in its current state.
 func (m *worker) buildReport() heartbeat.Report {
 	rep := heartbeat.Report{Host: m.host, Address: m.address(m.host), InstanceType: m.instanceType.name, Zone: m.zone, Spot: m.spot,
 		Incarnation: m.incarnation, Counter: m.counter, FencingToken: m.fencingToken}
@@ -298,10 +297,9 @@
 // workerPort is the suffix of a worker's address.
 const workerPort = ":9000"
 
-// handleProbe answers a probe from a controller. It rejects a stale fencing token or another
-// incarnation as a conflict.
+// handleProbe answers a probe. It rejects a stale fencing token or another incarnation as a conflict.
 func (m *worker) handleProbe(token, incarnation uint64) (rpc.Outcome, heartbeat.Report) {
-	if m.now.Before(m.outboundLostUntil) {
+	if m.now.Before(m.reportsBlockedUntil) {
 		m.occurrences["mute-command"]++
 	}
 	m.counter++
@@ -315,8 +313,8 @@
 	return rpc.OK, m.buildReport()
 }
 
-// observeToken records a higher fencing token. It marks the worker for an early report, at most
-// once per half lease.
+// observeToken records a higher fencing token. At most once per half lease, it requests an early
+// report.
 func (m *worker) observeToken(token uint64) {
 	if token > m.fencingToken {
 		m.fencingToken = token
@@ -327,7 +325,7 @@
 	}
 }
 
-// reportFailed handles a report without a usable answer: the next node is tried after a second.
+// reportFailed handles a report without a usable answer: the worker tries the next node after 1 s.
 func (m *worker) reportFailed(id int) {
 	if m.inFlight != id {
 		return
@@ -388,8 +386,8 @@
 	m.scheduleReport(max(next, 0))
 }
 
-// countStaleRenewals counts tasks of jobs reported cancelled whose machine gets its lease renewed
-// by a former leader. The bound on cancellations covers this case.
+// countStaleRenewals counts tasks of jobs reported cancelled whose lease a former leader renews. The
+// cancel timeout covers this case.
 func (m *worker) countStaleRenewals(token uint64) {
 	for _, t := range m.tasks {
 		if t.renewedAfterCancel || !t.active() || t.job.finalState != spec.Cancelled || token >= m.newestTerm() {
--- a/internal/scenario/worker_tasks.go
+++ b/internal/scenario/worker_tasks.go
@@ -25,7 +25,7 @@
 	case heartbeat.Start:
 		if t == nil {
 			if o.Attempt <= m.lastAttempts[o.Task] {
-				m.fail("misuse", "%s starts as attempt %d after %d", o.Task, o.Attempt, m.lastAttempts[o.Task])
+				m.fail("misuse", "%s starts as attempt %d after attempt %d", o.Task, o.Attempt, m.lastAttempts[o.Task])
 			}
 			m.lastAttempts[o.Task] = o.Attempt
 			m.acceptTask(o, reported)
@@ -84,12 +84,12 @@
 func (m *worker) acceptTask(o heartbeat.Order, reported time.Time) {
 	t := &task{id: o.Task, attempt: o.Attempt, phase: heartbeat.Pulling}
 	t.job = m.describedJob(o.Task.Job)
-	refuse := ""
+	cause := ""
 	cpus, gpus, mem := 0.0, 0.0, 0.0
 	for _, x := range m.tasks {
 		if x.phase != heartbeat.Exited {
 			if x.id == o.Task {
-				refuse = heartbeat.CauseBusy
+				cause = heartbeat.CauseBusy
 			}
 			s := &x.job.spec
 			cpus, gpus, mem = cpus+s.CPUs, gpus+s.GPUs, mem+s.MemGB
@@ -102,11 +102,11 @@
 	}
 	s := &t.job.spec
 	const eps = 1e-6
-	if refuse == "" && (cpus+s.CPUs > m.instanceType.cpus+eps || mem+s.MemGB > m.instanceType.mem+eps || gpus+s.GPUs > m.instanceType.gpus+eps) {
-		refuse = heartbeat.CauseNoRoom
+	if cause == "" && (cpus+s.CPUs > m.instanceType.cpus+eps || mem+s.MemGB > m.instanceType.mem+eps || gpus+s.GPUs > m.instanceType.gpus+eps) {
+		cause = heartbeat.CauseNoRoom
 	}
-	if refuse != "" {
-		t.phase, t.cause = heartbeat.Exited, refuse
+	if cause != "" {
+		t.phase, t.cause = heartbeat.Exited, cause
 		m.refusals++
 		return
 	}
@@ -136,10 +136,10 @@
 	case m.failsTasks || t.job.faulty:
 		m.startTimer(t, 500*time.Millisecond, func() { m.exitTask(t, heartbeat.CauseError) })
 	case !t.job.spec.Service:
-		left := max(0, t.job.runtime-t.job.progress[t.id.Index])
+		remaining := max(0, t.job.runtime-t.job.progress[t.id.Index])
 		if t.job.runtimeJitter > 0 {
-			left = m.jitter(left, t.job.runtimeJitter)
+			remaining = m.jitter(remaining, t.job.runtimeJitter)
 		}
-		m.startTimer(t, time.Duration(float64(left)*m.slowdown), func() { m.exitTask(t, heartbeat.CauseDone) })
+		m.startTimer(t, time.Duration(float64(remaining)*m.slowdown), func() { m.exitTask(t, heartbeat.CauseDone) })
 	}
 }
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -37,22 +37,22 @@
 
 // faults holds the injected faults that are active.
 type faults struct {
-	faultsOverAt    time.Time          // end of the last injected fault
-	lateReports     delayedShare       // share of reports delivered a second time, late
-	keptReports     []heartbeat.Report // copies delivered when the next leader starts
-	cancelAtEnd     delayedShare       // share of jobs cancelled as their last task completes
-	observeUntil    time.Time          // until then users poll all nodes at every state change
-	lastOddID       int                // number of the latest unusual submission
-	dataLost        bool               // a fault has removed data from the store
-	restoreSnapshot func()             // restores the saved contents of the store
-	undoDamage      func()             // undoes the latest damage to a record
+	faultsOverAt            time.Time          // end of the last injected fault
+	duplicateReports        faultShare         // share of reports delivered again later
+	keptReports             []heartbeat.Report // copies delivered when the next leader starts
+	cancelOnCompletion      faultShare         // share of jobs cancelled as their last task completes
+	observeTransitionsUntil time.Time          // until then users poll all nodes at state changes
+	lastInvalidID           int                // number of the latest invalid submission
+	dataLost                bool               // a fault has removed data from the store
+	restoreSnapshot         func()             // restores the saved contents of the store
+	undoCorruption          func()             // restores the record corrupted last
 }
 
-// checker records what the rules are checked against, and the violations found.
+// checker holds the state that the rule checks need, and the violations.
 type checker struct {
 	violations    []string
-	brokenRules   map[string]bool
-	checksOff     bool // skips the rules, for measurements of cost
+	violatedRules map[string]bool
+	checksOff     bool // skips the rules when costs are measured
 	needsCheck    bool
 	allocations   allocations
 	history       map[string][]call
@@ -75,7 +75,7 @@
 
 // hooks let tests and load tools observe the world or inject errors.
 type hooks struct {
-	alterSubmission func(*spec.Job) *spec.Job // injected error of the submission parser
+	alterSubmission func(*spec.Job) *spec.Job // replaces a parsed submission, to inject an error
 	alterOutput     func(n *node, o any) any  // replaces an output of a node's core
 	alterInput      func(n *node, in any) any // replaces an input of a node's core
 	onStart         func(*task)               // called when a task starts, unless nil
@@ -85,14 +85,14 @@
 }
 
 func (w *world) fail(rule, format string, args ...any) {
-	if w.brokenRules[rule] {
+	if w.violatedRules[rule] {
 		return // report each rule once
 	}
-	w.brokenRules[rule] = true
+	w.violatedRules[rule] = true
 	w.violations = append(w.violations, fmt.Sprintf("%8.3f %s: %s", w.elapsed().Seconds(), rule, fmt.Sprintf(format, args...)))
 }
 
-// checkStart checks placement, duplicate execution and cancellation when a task starts.
+// checkStart checks placement, duplicate execution and cancellation at a task's start.
 func (w *world) checkStart(m *worker, t *task) {
 	if w.checksOff {
 		return
@@ -130,7 +130,7 @@
 	}
 }
 
-// check checks the rules that must hold at any time: cancellation, team limits and store usage.
+// check checks cancellation, team limits and store usage, which must hold at any time.
 func (w *world) check() {
 	w.checkCancelled()
 	const eps = 1e-6
@@ -164,8 +164,7 @@
 	})
 }
 
-// run runs the world until end, checks the rules as it goes, and checks at the end that a task
-// was started.
+// run calls runTo and then checks that a task was started.
 func (w *world) run(end time.Duration) {
 	w.runTo(end)
 	if w.started == 0 && slices.ContainsFunc(w.jobOrder, func(j *userJob) bool { return j.accepted && !j.cancelRequested }) {
@@ -173,8 +172,7 @@
 	}
 }
 
-// runTo runs the world until end and checks the rules after every change, and at least once a
-// second.
+// runTo runs the world until end. It checks the rules after every change, at least once a second.
 func (w *world) runTo(end time.Duration) {
 	last := w.now
 	for w.step(w.start.Add(end)) {
--- a/internal/scenario/year_test.go
+++ b/internal/scenario/year_test.go
@@ -40,9 +40,8 @@
 	{"FREQ=YEARLY;BYMONTH=3,10;BYDAY=SU", func(d time.Time) bool { return d.Weekday() == 0 && (d.Month() == 3 || d.Month() == 10) }},
 }
 
-// firstInstant returns the first instant at which clocks in the zone show a wall time, found by
-// stepping through quarter hours. For a wall time in a gap, it returns the first quarter hour after
-// the gap.
+// firstInstant returns the first instant, in quarter hours, at which clocks in the zone show a wall
+// time or, if the wall time is in a gap, a later one.
 func firstInstant(wall time.Time, zone *time.Location) time.Time {
 	for t := wall.Add(-16 * time.Hour); ; t = t.Add(15 * time.Minute) {
 		local := t.In(zone)
@@ -81,8 +80,8 @@
 		w.clock.now = at
 	}
 	made := map[string][]string{} // nominal times, by the schedule's prefix of job ids
-	// down stops all controllers until at, expires the leases and deletes the job records. Only the
-	// schedules' own records then prevent a job from being created twice.
+	// down stops all controllers until at, expires the leases and deletes the job records, so that
+	// only the schedules' records prevent duplicate jobs.
 	down := func(at time.Time) {
 		for _, n := range w.nodes {
 			n.alive = false
@@ -178,12 +177,11 @@
 	slices.SortFunc(dues, time.Time.Compare)
 	dues = slices.CompactFunc(dues, time.Time.Equal)
 
-	// Run the year. Daylight saving changes on these days; each due time near them
-	// is handled on its own.
-	var shifts []time.Time
+	// Each due time near a daylight saving change is handled on its own.
+	var dstChanges []time.Time
 	for _, d := range []string{"2027-03-14", "2027-03-28", "2027-04-03", "2027-10-02", "2027-10-31", "2027-11-07"} {
 		at, _ := time.Parse(time.DateOnly, d)
-		shifts = append(shifts, at.Add(12*time.Hour))
+		dstChanges = append(dstChanges, at.Add(12*time.Hour))
 	}
 	changes, late := 0, 0
 	for len(dues) > 0 {
@@ -191,11 +189,11 @@
 		for len(dues) > 0 && dues[0].Sub(first) < 3*time.Minute {
 			last, dues = dues[0], dues[1:]
 		}
-		shift := slices.ContainsFunc(shifts, func(d time.Time) bool { return first.Sub(d).Abs() < 36*time.Hour })
+		nearChange := slices.ContainsFunc(dstChanges, func(d time.Time) bool { return first.Sub(d).Abs() < 36*time.Hour })
 		switch n := w.rng.IntN(3); {
-		case n == 0 && w.rng.IntN(3) == 0 || n > 0 && !shift: // down at the due time and for up to 60 h after it
+		case n == 0 && w.rng.IntN(3) == 0 || n > 0 && !nearChange: // down at the due time and for up to 60 h after it
 			span := time.Duration(w.rng.IntN(60)) * time.Hour
-			for len(dues) > 0 && dues[0].Sub(first) < span && !shift {
+			for len(dues) > 0 && dues[0].Sub(first) < span && !nearChange {
 				last, dues = dues[0], dues[1:]
 			}
 			down(last.Add(5 * time.Minute))
