--- a/internal/scenario/allocations.go
+++ b/internal/scenario/allocations.go
@@ -40,7 +40,6 @@
 	u.gpus -= s.GPUs
 }
 
-// used returns the resources that a team's tasks hold now.
 func (l allocations) used(team string) usage {
 	if u := l[team]; u != nil {
 		return *u
--- a/internal/scenario/config_drill_test.go
+++ b/internal/scenario/config_drill_test.go
@@ -9,7 +9,8 @@
 	"yewpass/internal/spec"
 )
 
-// runCLI runs the yewpass command and returns its output. It retries on status 503, as operators do.
+// runCLI runs the yewpass command and returns its output. It retries on status 503, as operators
+// do.
 func (f *testCluster) runCLI(input string, words ...string) (out string) {
 	f.t.Helper()
 	path, err := program()
@@ -28,7 +29,8 @@
 }
 
 // TestDrillConfig changes teams with the command line while real processes run. Invalid files and
-// changes based on an outdated revision must be rejected, and the next leader must apply the others.
+// changes based on an outdated revision must be rejected, and the next leader must apply the
+// others.
 func TestDrillConfig(t *testing.T) {
 	f := newTestCluster(t, drillScript)
 	ps := f.startNodes(3, nil)
--- a/internal/scenario/configure.go
+++ b/internal/scenario/configure.go
@@ -82,7 +82,6 @@
 	})
 }
 
-// changedDoc returns the document in the answer to a configuration change.
 func changedDoc(ans request.Response) (view.ConfigChanged, bool) {
 	made, ok := ans.Document.(view.ConfigChanged)
 	return made, ok
--- a/internal/scenario/configure_test.go
+++ b/internal/scenario/configure_test.go
@@ -29,8 +29,8 @@
 at 20s burst 15 gap=4s owner=v tasks=4 run=8s
 `
 
-// TestRandomConfig runs configuration changes with random faults from fixed seeds. At the end, every
-// controller must know the last change.
+// TestRandomConfig runs configuration changes with random faults from fixed seeds. At the end,
+// every controller must know the last change.
 func TestRandomConfig(t *testing.T) {
 	kinds := []string{
 		"crash leader", "crash all", "crash n1 back=3s", "rolling_restart 6s", "outage state 8s", "outage state 30s", "state_unavailable leader 9s", "partition leader 12s hold", "partition leader 12s reset",
--- a/internal/scenario/drill_test.go
+++ b/internal/scenario/drill_test.go
@@ -58,7 +58,6 @@
 	f.waitFor(id+" is done", allInState(spec.Done, j))
 }
 
-// checkNoneExited checks that all processes are running.
 func (f *testCluster) checkNoneExited(ps []*proc) {
 	f.t.Helper()
 	for _, p := range ps {
@@ -68,7 +67,6 @@
 	}
 }
 
-// sendPeerLines writes lines to a node's peer port.
 func (p *proc) sendPeerLines(lines ...string) {
 	c, err := net.Dial("tcp", p.peerAddr)
 	if err != nil {
@@ -143,7 +141,6 @@
 	}
 }
 
-// anyLoggedError reports whether a process has logged an error that contains the text.
 func anyLoggedError(ps []*proc, text string) bool {
 	return slices.ContainsFunc(ps, func(p *proc) bool { return p.logged("level=ERROR", text) })
 }
@@ -329,7 +326,6 @@
 	}
 }
 
-// corrupt overwrites the stored value of a key.
 func (f *testCluster) corrupt(key, value string) {
 	f.t.Helper()
 	f.with(func() {
@@ -376,8 +372,9 @@
 	}
 }
 
-// TestDrillBadRecords checks that requests for jobs and schedules with unreadable records get status
-// 503, not 404, and that other jobs are served. An unreadable machine record does not count as empty.
+// TestDrillBadRecords checks that requests for jobs and schedules with unreadable records get
+// status 503, not 404, and that other jobs are served. An unreadable machine record does not count
+// as empty.
 func TestDrillBadRecords(t *testing.T) {
 	f := newTestCluster(t, drillScript)
 	ps := f.startNodes(2, nil)
@@ -504,8 +501,8 @@
 	f.checkJobCompletes("wk-2")
 }
 
-// TestDrillSettings checks that an invalid settings file stops the program before it opens a port,
-// with one line that names the file, the field and the reason.
+// TestDrillSettings checks that an invalid settings file stops the program with one line that names
+// the file and the field.
 func TestDrillSettings(t *testing.T) {
 	path, err := program()
 	if err != nil {
@@ -535,11 +532,10 @@
 	f.checkJobCompletes("wk-1") // with the valid file
 }
 
-// maxUnavailable is how long after its start a process may answer 503, until it knows the leader or
-// has a replica of the records.
+// maxUnavailable is how long after its start a process may answer 503.
 const maxUnavailable = 10 * time.Second
 
-// checkJobDone checks that the process reports a finished job as done, or 503 shortly after its start.
+// checkJobDone checks that the process reports a finished job as done, within maxUnavailable.
 func (p *proc) checkJobDone(id string) {
 	for {
 		status, _, data := p.send("GET", "/v2/runs/"+id, nil)
@@ -557,8 +553,8 @@
 	}
 }
 
-// TestDrillKilledAgain kills and restarts controllers twenty times while jobs are submitted. Every
-// accepted job must finish, and concurrent connections must not block one thread each.
+// TestDrillKilledAgain kills and restarts controllers twenty times while jobs are submitted. All
+// jobs must finish, and many connections must not need a thread each.
 func TestDrillKilledAgain(t *testing.T) {
 	f := newTestCluster(t, drillScript)
 	ps := f.startNodes(3, nil)
--- a/internal/scenario/front_test.go
+++ b/internal/scenario/front_test.go
@@ -134,7 +134,6 @@
 	return nil
 }
 
-// activeTasks returns the number of active tasks of a job.
 func (f *testCluster) activeTasks(id string) int {
 	n := 0
 	for _, m := range f.cloud.machines {
--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -61,8 +61,8 @@
 	},
 }
 
-// pruneCalls removes calls that add no constraint to a history sorted by invocation, to speed up the
-// search. It does not change the verdict.
+// pruneCalls removes calls that add no constraint to a history sorted by invocation, to speed up
+// the search. It does not change the verdict.
 func pruneCalls(calls []call) (rest []call) {
 	unsure := map[request.Operation]bool{}
 	known, over := time.Time{}, time.Time{} // first answers that report the job as accepted and as ended
--- a/internal/scenario/loopback.go
+++ b/internal/scenario/loopback.go
@@ -16,8 +16,9 @@
 	"yewpass/internal/rpc"
 )
 
-// A loopback runs a world in real time. Its controllers are processes of the real program, connected
-// over HTTP on the loopback interface to the simulated key-value store, cloud, workers and users.
+// A loopback runs a world in real time. Its controllers are processes of the real program,
+// connected over HTTP on the loopback interface to the simulated key-value store, cloud, workers
+// and users.
 type loopback struct {
 	*world
 	script    *script
@@ -104,7 +105,6 @@
 	do()
 }
 
-// listen listens on a free port.
 func (l *loopback) listen() (net.Listener, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err == nil {
--- a/internal/scenario/loss_test.go
+++ b/internal/scenario/loss_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestLossEverywhere loses all data or one prefix after each write in turn, with and without a crash
-// of the leader.
+// TestLossEverywhere loses all data or one prefix after each write in turn, with and without a
+// crash of the leader.
 func TestLossEverywhere(t *testing.T) {
 	for _, under := range []string{"", "yewpass/live/job/", "yewpass/live/machine/", "yewpass/live/progress/", "yewpass/final/", "yewpass/term"} {
 		for _, lost := range []string{"", "crash leader back=100ms", "crash leader back=4s"} {
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -81,8 +81,8 @@
 	"crash_loop leader 40s every=4s back=300ms",
 }
 
-// TestMeetings runs a fixed subset of all pairs of faults, 0, 1, 5 and 20 s apart, or with -meetings
-// all of them.
+// TestMeetings runs a fixed subset of all pairs of faults, 0, 1, 5 and 20 s apart, or with
+// -meetings all of them.
 func TestMeetings(t *testing.T) {
 	played := 0
 	for i, a := range faultPairs {
--- a/internal/scenario/node.go
+++ b/internal/scenario/node.go
@@ -40,12 +40,12 @@
 
 	clockOffset time.Duration // wall clock minus monotonic clock
 
-	wasLeader bool // it was the leader after its last input
+	wasLeader bool // after its last input
 
 	stalledUntil time.Time // its process is paused until then
 	queuedInputs []any     // inputs that arrived during the pause
 
-	process remote // a real controller process that replaces the core
+	process remote // replaces the core unless nil
 }
 
 // remote is a node that runs as a separate process.
--- a/internal/scenario/observations.go
+++ b/internal/scenario/observations.go
@@ -37,7 +37,6 @@
 	}
 }
 
-// jobFinished handles the completion of a job's last task.
 func (w *world) jobFinished(j *userJob) {
 	if !w.checksOff {
 		w.history[j.spec.ID] = append(w.history[j.spec.ID], call{invoked: w.now})
@@ -81,7 +80,6 @@
 	}
 }
 
-// checkResubmission checks the answer to a repeated submission of an accepted job.
 func (w *world) checkResubmission(j *userJob, status int, a request.Response) {
 	switch status {
 	case 200, 201:
@@ -176,7 +174,6 @@
 	}
 }
 
-// submitUnschedulable submits a job that can never run.
 func (w *world) submitUnschedulable() {
 	w.lastInvalidID++
 	s := spec.Job{ID: fmt.Sprintf("wk-8%07d", w.lastInvalidID), Class: "c", Owner: w.cfg.Settings.Teams[0].Name, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", AllowSpot: true}
@@ -230,8 +227,8 @@
 // maxWait bounds how long a job may wait, after the last fault has ended, while a machine fits.
 const maxWait = 90 * time.Second
 
-// minFitTime is how long a job must have fit on its previous machine for its waiting time to
-// continue on another one.
+// minFitTime is how long a job must have fit on a machine for its waiting time to continue on the
+// next one.
 const minFitTime = 10 * time.Second
 
 // checkWaiting checks that, after the last fault, no job waits longer than maxWait while a machine
@@ -259,7 +256,6 @@
 	}
 }
 
-// teamUsage returns the CPUs and GPUs that a team's tasks hold.
 func (w *world) teamUsage(team string) (cpus, gpus float64) {
 	u := w.allocations.used(team)
 	return u.cpus, u.gpus
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -20,9 +20,9 @@
 	"yewpass/internal/spec"
 )
 
-// These tests enumerate message orders exhaustively. They hold back messages of some kinds and a few
-// events, and at each step deliver one or let time pass. Every sequence of choices runs in a new
-// simulation. After the last choice, the remaining messages are delivered in order.
+// These tests enumerate message orders exhaustively. They hold back messages of some kinds and a
+// few events, and at each step deliver one or let time pass. Every sequence of choices runs in a
+// new simulation. After the last choice, the remaining messages are delivered in order.
 
 // messageRace is a set of messages and events whose order is enumerated.
 type messageRace struct {
@@ -30,9 +30,9 @@
 	text       string        // scenario with its expectations
 	startAt    time.Duration // when messages start to be held back
 	events     []string      // scenario actions to interleave; "again ID" repeats a submission
-	kinds      []string      // kinds of messages to hold back
+	kinds      []string      // of the messages to hold back
 	losable    []string      // kinds of which one message may be lost
-	duplicable []string      // kinds of which one message may be delivered twice
+	duplicable []string      // kinds of which one message may arrive twice
 	waits      []time.Duration
 	choices    int // number of choices in a sequence
 	orders     int // expected number of sequences
@@ -176,7 +176,6 @@
 	},
 }
 
-// raceRun is one run of a messageRace.
 type raceRun struct {
 	*script
 	race         *messageRace
@@ -224,7 +223,6 @@
 	return !slices.ContainsFunc(r.pending[:i], func(y *pendingEvent) bool { return y.kind == x.kind && y.a == x.a && y.b == x.b })
 }
 
-// option is a possible next step.
 type option struct {
 	name string
 	do   func()
@@ -280,8 +278,8 @@
 	return len(s.net.partitions) == 0 && !slices.ContainsFunc(s.expects, func(e expect) bool { return !s.holds(e.words) })
 }
 
-// runOrder runs one sequence of choices, taking the first option once choices is exhausted. It
-// returns the number of options at each choice and the name of the option taken.
+// runOrder runs one sequence of choices, completed by first options. It returns the number of
+// options at each choice and the name of the chosen one.
 func runOrder(o *messageRace, choices []int, alterOutput, alterInput func(n *node, x any) any) (widths []int, names []string, res Result) {
 	s, err := parseScript(o.text)
 	if err != nil {
@@ -342,8 +340,8 @@
 	return widths, names, res
 }
 
-// eachOrder runs every sequence, up to eight in parallel, until f returns false. It returns the
-// number of sequences run.
+// eachOrder runs every sequence, up to eight in parallel, until f returns false. It returns their
+// number.
 func eachOrder(o *messageRace, alterOutput, alterInput func() func(n *node, x any) any, f func(choices []int, names []string, res Result) bool) (played int) {
 	var count atomic.Int64
 	var stop atomic.Bool
@@ -394,7 +392,6 @@
 		strings.Join(names, "\n"), strings.Join(append(res.Violations, res.Unmet...), "\n"))
 }
 
-// TestOrders runs every order of every messageRace.
 func TestOrders(t *testing.T) {
 	for i := range messageRaces {
 		o := &messageRaces[i]
--- a/internal/scenario/process.go
+++ b/internal/scenario/process.go
@@ -49,11 +49,11 @@
 // launchOptions configures the controllers of a loopback.
 type launchOptions struct {
 	count        int
-	program      func(i int) string // returns the program of controller i
+	program      func(i int) string // of controller i
 	arguments    []string
 	logLevel     string
-	zone         func(i int) string   // returns the zone of controller i
-	beforeStart  func(p *process)     // called before the first start of each controller, unless nil
+	zone         func(i int) string   // of controller i
+	beforeStart  func(p *process)     // called before each controller's first start, unless nil
 	relayPeers   bool                 // connect controllers through relays that count messages and apply partitions
 	editSettings func(*extraSettings) // modifies the settings, unless nil
 }
@@ -106,7 +106,6 @@
 	return l.processes
 }
 
-// settingsTOML returns the process's settings file.
 func (p *process) settingsTOML(opts launchOptions) []byte {
 	extra := extraSettings{cpuShare: 0.5, memMB: 200}
 	if opts.editSettings != nil {
@@ -203,7 +202,6 @@
 	}
 }
 
-// lastLogLines returns the last n log lines.
 func (p *process) lastLogLines(n int) []string {
 	p.logMu.Lock()
 	defer p.logMu.Unlock()
@@ -275,7 +273,7 @@
 	return -1
 }
 
-// isLeader reports whether the process is running as leader with authority to act.
+// isLeader reports whether the process runs and is leader with authority.
 func (p *process) isLeader() bool { return p.runs() && p.metric("yewpass_authority") == 1 }
 
 // ask sends a heartbeat or a user's request to the controller and passes the response to f.
@@ -361,7 +359,6 @@
 	return nil
 }
 
-// submissionBody encodes a job as users submit it.
 func submissionBody(s *spec.Job) []byte {
 	o := object{"id": s.ID, "jobclass": s.Class, "owner": s.Owner, "shape": "array", "urgency": s.Urgency.String(), "shards": s.Tasks,
 		"vcpus": s.CPUs, "gpus": s.GPUs, "memGb": s.MemGB, "bundle": s.Image, "sizeGb": s.ImageGB, "flavors": s.InstanceTypes,
--- a/internal/scenario/scale.go
+++ b/internal/scenario/scale.go
@@ -27,8 +27,8 @@
 // baseOperatorSettings keeps idle machines rented, so that the fleet keeps its planned size.
 const baseOperatorSettings = "[policy]\nidle_return_s = \"86400.0\"\n"
 
-// operatorsFile returns the plan's operators' settings file. It contains only settings that the plan
-// uses, since older programs reject unknown ones.
+// operatorsFile returns the plan's operators' settings file. It contains only settings that the
+// plan uses, since older programs reject unknown ones.
 func (p *ScalePlan) operatorsFile() []byte {
 	text := baseOperatorSettings
 	if p.ReportBytes > 0 {
@@ -235,7 +235,6 @@
 	r.progress("partitioning region %s (%d zones) for %s", region, len(zones), r.plan.CutRegion)
 }
 
-// runningTasks returns the number of tasks on machines.
 func (r *scaleRun) runningTasks() (n int) {
 	r.with(func() {
 		for _, j := range r.jobOrder {
--- a/internal/scenario/scale_config.go
+++ b/internal/scenario/scale_config.go
@@ -9,7 +9,6 @@
 	"yewpass/internal/view"
 )
 
-// startConfigChanges starts the plan's periodic configuration changes.
 func (r *scaleRun) startConfigChanges() {
 	r.admin.onAcknowledged = r.recordConfigChange
 	if r.plan.ChangesADay > 0 {
--- a/internal/scenario/scale_plan.go
+++ b/internal/scenario/scale_plan.go
@@ -20,7 +20,7 @@
 	Jobs        float64       // submissions per second at the full rate
 	Running     int           // tasks running at the full rate
 	Teams       int           // each with a CPU guarantee and limit
-	Regions     int           // over which the zones are spread
+	Regions     int           // the zones are spread over them
 	Zones       int           // in total
 	Controllers int           // spread over the zones, the first ones over the regions
 	Ramp        time.Duration // time to reach the full rate
@@ -123,7 +123,7 @@
 		requested.Workers, memoryBytes>>20, files, p.Workers, p.Tasks, p.Running)
 }
 
-// machineLimits returns the machine's memory in bytes and the open-file limit of this process.
+// machineLimits returns the machine's memory in bytes and this process's open-file limit.
 func machineLimits() (memory, files uint64) {
 	memory = 4 << 30
 	if data, err := os.ReadFile("/proc/meminfo"); err == nil {
@@ -187,7 +187,6 @@
 	return float64(p.Running) / p.Tasks / mean
 }
 
-// cpusInUse returns the number of CPUs that tasks use at the full rate.
 func (p *ScalePlan) cpusInUse() (cpus float64) {
 	for _, c := range scaleClasses {
 		cpus += c.taskShare * p.Tasks * c.seconds * p.runtimeFactor() * c.cpus
@@ -204,7 +203,6 @@
 	return fmt.Sprintf("%s-z%d", regionName(i%p.Regions), i/p.Regions+1)
 }
 
-// zonesOf returns the zones of a region.
 func (p *ScalePlan) zonesOf(region string) (names []string) {
 	for i := range p.Zones {
 		if name := p.zoneName(i); strings.HasPrefix(name, region+"-") {
--- a/internal/scenario/scale_report.go
+++ b/internal/scenario/scale_report.go
@@ -75,7 +75,6 @@
 // Failed reports whether a rule was violated or an error occurred.
 func (r *ScaleReport) Failed() bool { return len(r.Violations) > 0 || len(r.Errors) > 0 }
 
-// report builds the report of a finished run.
 func (r *scaleRun) report() *ScaleReport {
 	m := &r.measures
 	hold := m.atHoldEnd.at.Sub(m.atHoldStart.at)
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestScaleRun runs a small load test in which the leader is killed. All jobs must finish, and every
-// figure must be measured.
+// TestScaleRun runs a small load test in which the leader is killed. All jobs must finish, and
+// every figure must be measured.
 func TestScaleRun(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts real processes")
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -108,7 +108,6 @@
 	}
 }
 
-// result evaluates the remaining expectations and collects the outcome.
 func (s *script) result() (res Result) {
 	w := s.world
 	for _, e := range s.expects {
--- a/internal/scenario/script_actions.go
+++ b/internal/scenario/script_actions.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// actRollingRestart handles "rolling_restart D [back=D]": crashes the controllers D apart.
+// actRollingRestart handles "rolling_restart D [back=D]": crashes the controllers, D apart.
 func (s *script) actRollingRestart(f []string) {
 	w := s.world
 	for i, n := range w.nodes {
@@ -287,14 +287,14 @@
 	w.cancelOnCompletion = faultShare{until: w.now.Add(parseDuration(f[1])), share: numberArg(keyValues(f[2:]), "share", 0.3)}
 }
 
-// actInvalidRequests handles "invalid_requests D": users repeat submissions, cancel finished jobs
-// and submit incomplete jobs and jobs that cannot run.
+// actInvalidRequests handles "invalid_requests D": users send the requests of sendInvalidRequests.
 func (s *script) actInvalidRequests(f []string) {
 	w := s.world
 	w.sendInvalidRequests(w.now.Add(parseDuration(f[1])))
 }
 
-// actObserveTransitions handles "observe_transitions D": users poll all controllers at state changes.
+// actObserveTransitions handles "observe_transitions D": users poll all controllers at state
+// changes.
 func (s *script) actObserveTransitions(f []string) {
 	w := s.world
 	w.observeTransitionsUntil = w.now.Add(parseDuration(f[1]))
--- a/internal/scenario/script_expectations.go
+++ b/internal/scenario/script_expectations.go
@@ -88,7 +88,6 @@
 	return s.jobs[e[1]] != nil && strconv.Itoa(s.jobs[e[1]].status) == e[2]
 }
 
-// holdsAccepted checks "accepted ID".
 func (s *script) holdsAccepted(e []string) bool {
 	return s.jobs[e[1]] != nil && s.jobs[e[1]].accepted
 }
@@ -103,8 +102,7 @@
 	return s.violatedRules[e[1]]
 }
 
-// holdsConfigured checks "configured": all configuration changes were acknowledged and have
-// reached every controller.
+// holdsConfigured checks "configured": every controller has all configuration changes.
 func (s *script) holdsConfigured(e []string) bool {
 	return s.world.configConverged()
 }
@@ -245,14 +243,12 @@
 	return n
 }
 
-// mustServe reports whether a job counts for the served percentages: accepted, not cancelled
-// by its user, not failing on every machine, and no service.
+// mustServe reports whether a job counts for the served percentages.
 func (s *script) mustServe(j *userJob) bool {
 	return j.accepted && !j.cancelRequested && !j.faulty && !j.spec.Service
 }
 
-// isLargest reports whether the tasks of a job together request at least as many CPUs as those
-// of nine tenths of the jobs in its class.
+// isLargest reports whether a job requests at least as many CPUs as nine tenths of its class.
 func (s *script) isLargest(j *userJob) bool {
 	size := func(j *userJob) float64 { return float64(j.spec.Tasks) * j.spec.CPUs }
 	smaller, of := 0, 0
@@ -267,8 +263,8 @@
 	return 10*smaller >= 9*of
 }
 
-// servedPercent returns the lesser of the percentages of jobs done and of tasks done, for each
-// class, the largest jobs of each class, and each team.
+// servedPercent returns the lesser of the percentages of jobs and of tasks done, by class, largest
+// jobs of a class, and team.
 func (s *script) servedPercent() map[string]int {
 	type tally struct{ jobs, jobsOf, tasks, tasksOf int }
 	of := map[string]*tally{}
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -25,7 +25,6 @@
 	storeCounters
 }
 
-// storeFaults holds the active faults of the store.
 type storeFaults struct {
 	downUntil           time.Time                   // end of the current outage
 	unavailableUntil    map[string]time.Time        // by node: it gets 503 until then
@@ -45,7 +44,6 @@
 	refilled                   time.Time
 }
 
-// storeCounters holds counts for expectations and reports.
 type storeCounters struct {
 	occurrences      map[string]int // shared with the world's counters
 	misuse           string         // description of a request beyond the protocol's limits
--- a/internal/scenario/store_requests.go
+++ b/internal/scenario/store_requests.go
@@ -113,7 +113,6 @@
 	answer(200, encode(object{"entries": entries, "truncated": more, "storeRev": s.rev}))
 }
 
-// serveGet answers with the entry of a key, or with 404.
 func (s *store) serveGet(node, key string, answer func(int, []byte)) {
 	s.countUnansweredRead(node, key)
 	if e := s.keys[key]; e != nil {
@@ -149,7 +148,6 @@
 	})
 }
 
-// serveGrant creates a lease with the requested TTL.
 func (s *store) serveGrant(body []byte, answer func(int, []byte)) {
 	var g struct{ TTLMS int64 }
 	json.Unmarshal(body, &g)
@@ -160,7 +158,6 @@
 	answer(200, encode(object{"grant": s.lastLease}))
 }
 
-// serveLease renews or revokes a lease.
 func (s *store) serveLease(method string, id uint64, answer func(int, []byte)) {
 	g := s.leases[id]
 	switch {
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -18,7 +18,7 @@
 	lastSubmitted  time.Time
 	status         int       // status of the final answer to the submission, or 0
 	resubmitted    bool      // the user has repeated the submission after the job's end
-	lastAnswered   time.Time // time of the last answered poll, or of the first failed one after it
+	lastAnswered   time.Time // last answered poll, or the first failed one after it
 	failedPolls    int
 
 	userKnowledge
@@ -29,11 +29,11 @@
 // userKnowledge is what a user has been told about a job.
 type userKnowledge struct {
 	accepted        bool
-	acceptedAt      time.Time     // when the user first received an acceptance
+	acceptedAt      time.Time     // when the user received the first acceptance
 	finalStateAt    time.Time     // when the user received finalState
 	finalState      spec.JobState // "", done or cancelled
-	cancelRequested bool          // the user has asked to cancel it
-	cancelledAt     time.Time     // when the user first received the state cancelled
+	cancelRequested bool
+	cancelledAt     time.Time // when the user first received the state cancelled
 }
 
 // jobProgress is the actual progress of a job's tasks.
@@ -61,7 +61,6 @@
 	w.requestAt(w.pickNode(), op, j, id, timeout, f)
 }
 
-// requestAt sends a user's request about a job to a node.
 func (w *world) requestAt(n *node, op request.Operation, j *userJob, id string, timeout time.Duration, f func(status int, a request.Response)) {
 	call := request.Request{Op: op, ID: id}
 	if op == request.Submit {
@@ -238,7 +237,6 @@
 	w.after(time.Duration(1e9/rate), func() { w.addPollLoad(rate, end) })
 }
 
-// pollOnce polls a job once and calls then after the answer.
 func (w *world) pollOnce(j *userJob, then func()) {
 	handle := w.pollHandler(j)
 	w.request(request.Get, nil, j.spec.ID, 2*time.Second, func(status int, a request.Response) {
@@ -247,7 +245,6 @@
 	})
 }
 
-// pollHandler returns the handler of the answer to a poll.
 func (w *world) pollHandler(j *userJob) func(status int, a request.Response) {
 	return func(status int, a request.Response) {
 		w.polls++
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -229,7 +229,6 @@
 // maxKeptReports bounds the copies of one machine's reports kept for the next leader.
 const maxKeptReports = 3
 
-// keepReport stores a copy of a report for delivery to the next leader.
 func (w *world) keepReport(rep heartbeat.Report) {
 	n := 0
 	for i := range w.keptReports {
@@ -297,7 +296,8 @@
 // workerPort is the suffix of a worker's address.
 const workerPort = ":9000"
 
-// handleProbe answers a probe. It rejects a stale fencing token or another incarnation as a conflict.
+// handleProbe answers a probe. It rejects a stale fencing token or another incarnation as a
+// conflict.
 func (m *worker) handleProbe(token, incarnation uint64) (rpc.Outcome, heartbeat.Report) {
 	if m.now.Before(m.reportsBlockedUntil) {
 		m.occurrences["mute-command"]++
@@ -335,7 +335,6 @@
 	m.scheduleReport(time.Second)
 }
 
-// switchNode makes the worker report to another node.
 func (m *worker) switchNode(node int) {
 	if m.served {
 		m.workerMoves++
@@ -386,8 +385,8 @@
 	m.scheduleReport(max(next, 0))
 }
 
-// countStaleRenewals counts tasks of jobs reported cancelled whose lease a former leader renews. The
-// cancel timeout covers this case.
+// countStaleRenewals counts tasks of jobs reported cancelled whose lease a former leader renews.
+// The cancel timeout covers this case.
 func (m *worker) countStaleRenewals(token uint64) {
 	for _, t := range m.tasks {
 		if t.renewedAfterCancel || !t.active() || t.job.finalState != spec.Cancelled || token >= m.newestTerm() {
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -56,9 +56,9 @@
 	needsCheck    bool
 	allocations   allocations
 	history       map[string][]call
-	cancelledJobs []*userJob                  // reported cancelled, until no machine holds a task of them
+	cancelledJobs []*userJob                  // reported cancelled, while machines hold their tasks
 	lastAttempts  map[heartbeat.TaskID]uint64 // highest attempt that a worker was ordered to start
-	answeredAt    time.Time                   // when the node sent the answer being handled
+	answeredAt    time.Time                   // when the node sent the current answer
 	answerTimes   []time.Time
 	failureTimes  []time.Time
 }
@@ -68,7 +68,7 @@
 	occurrences  map[string]int // by event name; compared by "expect met"
 	started      int
 	refusals     int
-	workerMoves  int // times that a worker switched away from a node that had served it
+	workerMoves  int // how often workers left a node that had served them
 	expiredTasks int // tasks killed by the expiry of their worker's lease
 	polls        int
 }
@@ -123,7 +123,7 @@
 		w.fail("wrong_place", "%d of %d tasks of %s are in zone %s", here, s.Tasks, s.ID, m.zone)
 	}
 	if t.job.finalState == spec.Cancelled {
-		w.occurrences["start-after-cancel"]++ // the start order was in transit, or the image was still being pulled
+		w.occurrences["start-after-cancel"]++ // start order in transit, or image pull in progress
 		if w.now.Sub(t.job.cancelledAt) > w.cancelDeadline {
 			w.fail("ran_cancelled", "%s starts after its job was reported cancelled", t.id)
 		}
@@ -172,7 +172,8 @@
 	}
 }
 
-// runTo runs the world until end. It checks the rules after every change, at least once a second.
+// runTo runs the world until end. It checks the rules after every change and
+// at least once a second.
 func (w *world) runTo(end time.Duration) {
 	last := w.now
 	for w.step(w.start.Add(end)) {
--- a/internal/scenario/year_test.go
+++ b/internal/scenario/year_test.go
@@ -52,9 +52,8 @@
 	}
 }
 
-// TestYear runs a year of 200 schedules in four time zones with three calendars, while controllers
-// fail or are down at due times and across daylight saving changes. It compares the created jobs
-// with a day-by-day enumeration of the occurrences.
+// TestYear runs a year of 200 schedules while controllers fail or are down at due times and across
+// daylight saving changes. It compares the jobs with a day-by-day enumeration of the occurrences.
 func TestYear(t *testing.T) {
 	t.Parallel()
 	w := newWorld()
@@ -110,7 +109,6 @@
 		}
 	}
 
-	// Create the schedules and enumerate the expected occurrences.
 	s := &script{world: w}
 	up()
 	until(begin.Add(2 * time.Second))
