--- a/internal/scenario/history_test.go
+++ b/internal/scenario/history_test.go
@@ -64,8 +64,8 @@
 // pruneCalls removes calls that add no constraint to a history sorted by invocation, to speed up
 // the search. It does not change the verdict.
 func pruneCalls(calls []call) (rest []call) {
-	unsure := map[request.Operation]bool{}
-	known, over := time.Time{}, time.Time{} // first answers that report the job as accepted and as ended
+	indefinite := map[request.Operation]bool{}
+	accepted, ended := time.Time{}, time.Time{} // first answers with these states
 	first := func(t *time.Time, x call) {
 		if t.IsZero() || x.ended.Before(*t) {
 			*t = x.ended
@@ -73,9 +73,9 @@
 	}
 	for _, x := range calls {
 		if s := answerState(x); s >= jobAccepted {
-			first(&known, x)
+			first(&accepted, x)
 			if s >= jobDone {
-				first(&over, x)
+				first(&ended, x)
 			}
 		}
 	}
@@ -85,11 +85,11 @@
 		if told < 0 {
 			// Of several indefinite calls of one operation, the first subsumes the others. A
 			// call that can no longer change the state adds nothing.
-			if x.op == request.Get || unsure[x.op] || x.op == request.Submit && after(x, known) || x.op == request.Cancel && after(x, over) {
+			if x.op == request.Get || indefinite[x.op] || x.op == request.Submit && after(x, accepted) || x.op == request.Cancel && after(x, ended) {
 				continue
 			}
-			unsure[x.op] = true
-		} else if x.op == request.Get || x.op == request.Submit && after(x, known) {
+			indefinite[x.op] = true
+		} else if x.op == request.Get || x.op == request.Submit && after(x, accepted) {
 			// The call changes nothing, and a call within its interval got the same answer.
 			inside := func(k int, y call) bool {
 				return k != i && answerState(y) == told && !y.invoked.Before(x.invoked) && !y.ended.After(x.ended) &&
--- a/internal/scenario/scale_plan.go
+++ b/internal/scenario/scale_plan.go
@@ -96,7 +96,7 @@
 	workerBytes       = 90 << 10 // of the simulator, per worker with its connection
 	taskBytes         = 2 << 10  // of the simulator, per task
 	simulatorBytes    = 200 << 20
-	filesPerWorker    = 2 // per worker: its connection, and one for commands
+	filesPerWorker    = 2 // per worker: its connection, and one for probes
 	reservedFiles     = 1000
 )
 
--- a/internal/scenario/script_actions.go
+++ b/internal/scenario/script_actions.go
@@ -256,7 +256,7 @@
 	w.store.slowUntil, w.store.slowDelay = w.now.Add(parseDuration(f[1])), durationArg(keyValues(f[2:]), "by", 2*time.Second)
 }
 
-// actBlockInbound handles "block_inbound N|zone=Z D": responses and commands to the machines are
+// actBlockInbound handles "block_inbound N|zone=Z D": responses and probes to the machines are
 // lost; their heartbeats arrive.
 func (s *script) actBlockInbound(f []string) {
 	w := s.world
@@ -265,7 +265,7 @@
 	}
 }
 
-// actBlockReports handles "block_reports N|zone=Z D": heartbeats are lost, commands are answered.
+// actBlockReports handles "block_reports N|zone=Z D": heartbeats are lost, probes are answered.
 func (s *script) actBlockReports(f []string) {
 	w := s.world
 	for _, m := range s.selectMachines(f[1]) {
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -79,7 +79,7 @@
 	alterOutput     func(n *node, o any) any  // replaces an output of a node's core
 	alterInput      func(n *node, in any) any // replaces an input of a node's core
 	onStart         func(*task)               // called when a task starts, unless nil
-	address         func(host string) string  // returns the address on which a worker accepts commands
+	address         func(host string) string  // returns the address at which a worker accepts probes
 	trace           func(string)
 	stepCore        func(n *node, in any) []any // replaces the core's Step, unless nil
 }
