--- a/cmd/yewlab/main.go
+++ b/cmd/yewlab/main.go
@@ -113,7 +113,7 @@
 			} else {
 				report.Print(cmd.OutOrStdout())
 			}
-			if report.Broken() {
+			if report.Failed() {
 				return errRunFailed
 			}
 			return nil
--- a/internal/scenario/orders_test.go
+++ b/internal/scenario/orders_test.go
@@ -20,10 +20,9 @@
 	"yewpass/internal/spec"
 )
 
-// These tests enumerate message orders exhaustively. Messages of the chosen kinds and a few events
-// are held back; at each step the test delivers one of them or lets time pass. Every sequence of
-// choices runs in a new simulation with all rules checked after each event. After the last choice
-// the remaining messages are delivered in order, and all expectations must be met.
+// These tests enumerate message orders exhaustively. They hold back messages of some kinds and a
+// few events, and at each step deliver one or let time pass. Every sequence of choices runs in a
+// new simulation. After the last choice, the remaining messages are delivered in order.
 
 // messageRace is a set of messages and events whose order is enumerated.
 type messageRace struct {
@@ -31,9 +30,9 @@
 	text       string        // scenario with its expectations
 	startAt    time.Duration // when messages start to be held back
 	events     []string      // scenario actions to interleave; "again ID" repeats a submission
-	kinds      []string      // kinds of messages to hold back
+	kinds      []string      // of the messages to hold back
 	losable    []string      // kinds of which one message may be lost
-	duplicable []string      // kinds of which one message may be delivered twice
+	duplicable []string      // kinds of which one message may arrive twice
 	waits      []time.Duration
 	choices    int // number of choices in a sequence
 	orders     int // expected number of sequences
@@ -177,7 +176,6 @@
 	},
 }
 
-// raceRun is one run of a messageRace.
 type raceRun struct {
 	*script
 	race         *messageRace
@@ -208,8 +206,8 @@
 	return true
 }
 
-// deliverable reports whether a pending event may come next. Messages of a kind between the same
-// two hosts stay in order, except for requests that use a connection each.
+// deliverable reports whether a pending event may come next. Messages of a kind between two hosts
+// stay in order, unless each uses its own connection.
 func (r *raceRun) deliverable(i int) bool {
 	x := r.pending[i]
 	if x.kind == "event" {
@@ -225,7 +223,6 @@
 	return !slices.ContainsFunc(r.pending[:i], func(y *pendingEvent) bool { return y.kind == x.kind && y.a == x.a && y.b == x.b })
 }
 
-// option is a possible next step.
 type option struct {
 	name string
 	do   func()
@@ -281,8 +278,8 @@
 	return len(s.net.partitions) == 0 && !slices.ContainsFunc(s.expects, func(e expect) bool { return !s.holds(e.words) })
 }
 
-// runOrder runs one sequence of choices, taking the first option once choices is exhausted. It
-// returns the number of options at each choice and the name of the option taken.
+// runOrder runs one sequence of choices, completed by first options. It returns the number of
+// options at each choice and the name of the chosen one.
 func runOrder(o *messageRace, choices []int, alterOutput, alterInput func(n *node, x any) any) (widths []int, names []string, res Result) {
 	s, err := parseScript(o.text)
 	if err != nil {
@@ -298,7 +295,7 @@
 	for _, e := range o.events {
 		f := strings.Fields(e)
 		r.pending = append(r.pending, &pendingEvent{kind: "event", a: e, do: func() {
-			if f[0] == "again" { // a repeated submission, whatever the response was
+			if f[0] == "again" { // whatever the response was
 				s.submit(s.jobs[f[1]])
 				return
 			}
@@ -322,8 +319,8 @@
 	for len(r.pending) > 0 { // the remaining messages, in order
 		r.deliver(r.pending[0], true)
 	}
-	// Stop early once the cluster has been settled for longer than the lease, or the cancel timeout
-	// if a job is cancelled: no delayed effect can follow.
+	// Stop once the cluster has been settled for longer than the lease, or the cancel timeout if a
+	// job is cancelled: no delayed effect can follow.
 	lastUnsettled, quietPeriod := s.elapsed(), s.lease+8*time.Second
 	if slices.ContainsFunc(o.events, func(e string) bool { return strings.HasPrefix(e, "cancel") }) || strings.Contains(o.text, " cancel ") {
 		quietPeriod = s.cancelDeadline + 20*time.Second
@@ -343,8 +340,8 @@
 	return widths, names, res
 }
 
-// eachOrder runs every sequence, up to eight in parallel, until f returns false. It returns the
-// number of sequences run.
+// eachOrder runs every sequence, up to eight in parallel, until f returns false. It returns their
+// number.
 func eachOrder(o *messageRace, alterOutput, alterInput func() func(n *node, x any) any, f func(choices []int, names []string, res Result) bool) (played int) {
 	var count atomic.Int64
 	var stop atomic.Bool
@@ -395,7 +392,6 @@
 		strings.Join(names, "\n"), strings.Join(append(res.Violations, res.Unmet...), "\n"))
 }
 
-// TestOrders runs every order of every messageRace.
 func TestOrders(t *testing.T) {
 	for i := range messageRaces {
 		o := &messageRaces[i]
@@ -457,15 +453,15 @@
 	return call
 }
 
-// TestOrdersPlanted injects errors into the inputs and outputs of the controllers and requires
-// some order to detect each of them.
+// TestOrdersPlanted injects errors into the inputs and outputs of the controllers, each of which
+// some order must detect.
 func TestOrdersPlanted(t *testing.T) {
 	ofMachines := func(v any) bool {
 		_, ok := v.(*record.Machines)
 		return ok
 	}
 	unrecorded := func() func(n *node, out any) any {
-		return func(n *node, out any) any { // machines are neither recorded nor replicated, so no leader waits for them
+		return func(n *node, out any) any { // machines are neither recorded nor replicated
 			return withoutWrites(withoutCopies(out, ofMachines), ofMachines)
 		}
 	}
